--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -27,11 +27,11 @@
 mod task;
 mod watch;
 
-pub mod ask;
 pub mod budget;
 pub mod doubt;
 pub mod pace;
 pub mod poison;
+pub mod request;
 pub mod routes;
 
 use std::{
@@ -45,16 +45,6 @@
     routed::{self, Declaration, Route, Sequence},
 };
 
-pub use self::{
-    ask::{
-        Again, Answer, Ask, Cause, Change, End, NotRun, Part, Ticket, Unclear, Unreachable, Verdict,
-    },
-    budget::{Account, Terms, Used, loan},
-    fleet::Work,
-    poison::{Fingerprint, Poison},
-    pump::Missing,
-    routes::{Routes, split},
-};
 use self::{
     budget::Budget,
     fleet::Fleet,
@@ -63,6 +53,17 @@
     sharers::Sharers,
     task::{State, Task},
 };
+pub use self::{
+    budget::{Account, Terms, Used, loan},
+    fleet::Work,
+    poison::{Fingerprint, Poison},
+    pump::Missing,
+    request::{
+        Again, Answer, Cause, Change, End, NotRun, Part, RequestSpec, Ticket, Unclear, Unreachable,
+        Verdict,
+    },
+    routes::{Routes, split},
+};
 use crate::{
     quota::Quotas,
     route::{
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -4,10 +4,10 @@
 
 use super::{
     Dispatcher,
-    ask::{End, NotRun, Ticket, Unclear, Unreachable},
     doubt::Cause,
     held::Absence,
     pace::Median,
+    request::{End, NotRun, Ticket, Unclear, Unreachable},
     server::Server,
     stats::millis,
     task::{Flight, Phase, State, Task},
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -4,11 +4,11 @@
 
 use super::{
     Dispatcher,
-    ask::{Again, Answer, Ask, Cause, End, Ticket, Verdict},
     budget::Payment,
     choose::{Choice, Outcome},
     poison,
     queue::{Class, Key},
+    request::{Again, Answer, Cause, End, RequestSpec, Ticket, Verdict},
     stats::duration,
     task::{Flight, Leaving, Phase, State, Task},
 };
@@ -51,7 +51,7 @@
 
 impl Dispatcher {
     /// Judges a request that has come.
-    pub fn arrive(&mut self, ask: Ask, now: Moment) -> Verdict {
+    pub fn arrive(&mut self, ask: RequestSpec, now: Moment) -> Verdict {
         let service = self.fleet.service(&ask.service);
         let model = ask.model.as_ref().map(|model| self.fleet.model(service, model));
         self.fleet.services[service as usize].budget.request(now);
--- a/crates/policy/src/dispatch/doubt.rs
+++ b/crates/policy/src/dispatch/doubt.rs
@@ -8,7 +8,7 @@
 
 use types::prelude::*;
 
-use super::ask::Ticket;
+use super::request::Ticket;
 
 /// Most doublings.
 const DOUBLINGS: u32 = 5;
--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -8,7 +8,7 @@
 
 use types::prelude::*;
 
-use super::ask::Ticket;
+use super::request::Ticket;
 
 /// Age of a server's report when it comes.
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-use super::{Map, ask::Ticket};
+use super::{Map, request::Ticket};
 
 /// What a request is known by: a digest of its path and body, which are what a server sees.
 pub type Fingerprint = u64;
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -6,11 +6,11 @@
 
 use super::{
     Dispatcher,
-    ask::{Cause, Change, LEAST_URGENT, Verdict},
     choose::Outcome,
     fleet::Work,
     poison,
     queue::{Class, Key},
+    request::{Cause, Change, LEAST_URGENT, Verdict},
     stats::duration,
     task::{Phase, State, Task},
 };
--- a/crates/policy/src/dispatch/queue.rs
+++ b/crates/policy/src/dispatch/queue.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Map,
-    ask::{LEAST_URGENT, Ticket},
+    request::{LEAST_URGENT, Ticket},
 };
 use crate::route::Index;
 
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -6,10 +6,10 @@
 
 use super::{
     Dispatcher,
-    ask::{Cause, Change, LEAST_URGENT, Verdict},
     load::LATELY,
     pump::LOOKED_AT,
     queue::{Class, Key},
+    request::{Cause, Change, LEAST_URGENT, Verdict},
     server::Server,
     task::Task,
 };
--- a/crates/policy/src/dispatch/ask.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -16,7 +16,7 @@
 
 /// A request that wants a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Its number on this host.
     pub ticket: Ticket,
     /// What it is known by when it comes again.
@@ -55,10 +55,15 @@
     pub resume: Option<u64>,
 }
 
-impl Ask {
+impl RequestSpec {
     /// A request of a route, with nothing known of models.
-    pub fn new(ticket: Ticket, route: &Route, service: &service::Id, deadline: Moment) -> Ask {
-        Ask {
+    pub fn new(
+        ticket: Ticket,
+        route: &Route,
+        service: &service::Id,
+        deadline: Moment,
+    ) -> RequestSpec {
+        RequestSpec {
             ticket,
             fingerprint: 0,
             service: service.clone(),
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -3,10 +3,10 @@
 use types::prelude::*;
 
 use super::{
-    ask::{Ask, End, NotRun, Unreachable},
     budget::{Need, Payment},
     mixed,
     queue::Key,
+    request::{End, NotRun, RequestSpec, Unreachable},
 };
 use crate::route::Index;
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Task {
     /// What it asks.
-    pub ask: Ask,
+    pub ask: RequestSpec,
     /// Its service.
     pub service: Index,
     /// Its model.
@@ -101,7 +101,7 @@
 
 impl Task {
     /// A request that has just come.
-    pub fn new(ask: Ask, service: Index, model: Option<Index>, now: Moment) -> Task {
+    pub fn new(ask: RequestSpec, service: Index, model: Option<Index>, now: Moment) -> Task {
         let chain = chain(&ask, model);
         let due = now + ask.goal;
         let state = State::Idle;
@@ -182,7 +182,7 @@
 }
 
 /// Digests of the beginnings of a prompt on its model and adapter, the shortest first.
-fn chain(ask: &Ask, model: Option<Index>) -> Vec<(u64, u32)> {
+fn chain(ask: &RequestSpec, model: Option<Index>) -> Vec<(u64, u32)> {
     let Some(model) = model else { return Vec::new() };
     let adapter = ask.adapter.as_deref().unwrap_or_default();
     let seed = adapter.bytes().fold(u64::from(model), |seed, byte| mixed(seed ^ u64::from(byte)));
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -9,9 +9,9 @@
 
 use super::{
     Dispatcher,
-    ask::{Change, End, Ticket, Unclear, Verdict},
     choose::{Choice, Outcome},
     doubt::Cause,
+    request::{Change, End, Ticket, Unclear, Verdict},
     server::Server,
     stats::{duration, millis},
     task::{Flight, Leaving, Phase, State, Task},
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -1,6 +1,6 @@
 //! Which server a request goes to.
 
-use policy::dispatch::{Ask, Change, Dispatcher, End, NotRun, Ticket, Verdict};
+use policy::dispatch::{Change, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
 use types::{
     prelude::*,
@@ -49,7 +49,7 @@
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &[])]), at(0));
     host.server(&server("s2", "b", &[("m1", &["x"]), ("m2", &[])]), at(0));
-    let adapted = Ask { adapter: Some("x".into()), ..generation(1, "m1", at(0)) };
+    let adapted = RequestSpec { adapter: Some("x".into()), ..generation(1, "m1", at(0)) };
     assert_eq!(&*sent(host.arrive(adapted, at(0))), "s2");
     assert_eq!(&*sent(host.arrive(generation(2, "m2", at(0)), at(0))), "s2");
     assert_eq!(&*sent(host.arrive(generation(3, "m1", at(0)), at(0))), "s1");
@@ -88,8 +88,8 @@
     assert_eq!(&*sent(host.arrive(generation(3, "m1", at(2_000)), at(2_000))), "s1");
 }
 
-fn adapted(ticket: Ticket, now: Moment) -> Ask {
-    Ask { adapter: Some("x".into()), ..generation(ticket, "m1", now) }
+fn adapted(ticket: Ticket, now: Moment) -> RequestSpec {
+    RequestSpec { adapter: Some("x".into()), ..generation(ticket, "m1", now) }
 }
 
 /// A host whose only server has just refused a request for want of its adapter.
@@ -153,7 +153,7 @@
     for id in ["s1", "s2", "s3", "s4"] {
         host.server(&server(id, "a", &[("m1", &[])]), at(0));
     }
-    let prompt = |ticket, parts: &[(u64, u32)], now| Ask {
+    let prompt = |ticket, parts: &[(u64, u32)], now| RequestSpec {
         prompt: parts.to_vec(),
         input: parts.iter().map(|(_, tokens)| tokens).sum(),
         ..generation(ticket, "m1", now)
@@ -234,7 +234,7 @@
 fn servers_to_be_avoided_are() {
     let mut host = plain(&["s1", "s2"]);
     for n in 0..2 {
-        let ask = Ask { avoid: vec!["s1".into()], ..ask(n, Kind::Idempotent, at(0)) };
+        let ask = RequestSpec { avoid: vec!["s1".into()], ..ask(n, Kind::Idempotent, at(0)) };
         assert_eq!(&*sent(host.arrive(ask, at(0))), "s2");
     }
 }
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -5,7 +5,7 @@
     collections::{BTreeMap, BinaryHeap, VecDeque},
 };
 
-use policy::dispatch::{Again, Ask, Dispatcher, End, NotRun, Ticket, Verdict, Work};
+use policy::dispatch::{Again, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict, Work};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -127,7 +127,7 @@
         let ticket = u64::from(self.sum.arrived);
         self.sum.arrived += 1;
         let asked = ask(ticket, Kind::NonIdempotent, self.now);
-        let ask = Ask { goal: GOAL, deadline: self.now + PATIENCE, ..asked };
+        let ask = RequestSpec { goal: GOAL, deadline: self.now + PATIENCE, ..asked };
         let verdict = self.hosts[host_of(ticket)].arrive(ask, self.now);
         self.carry_out(ticket, &verdict);
     }
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -1,6 +1,6 @@
 //! A host with a few servers, and requests for them.
 
-use policy::dispatch::{Ask, Dispatcher, Run, Settings, Terms, Ticket, Verdict};
+use policy::dispatch::{Dispatcher, RequestSpec, Run, Settings, Terms, Ticket, Verdict};
 use types::{
     prelude::*,
     routed::{Held, Kind, Report, Route, Server, Share, State},
@@ -59,14 +59,19 @@
     }
 }
 
-pub fn ask(ticket: Ticket, kind: Kind, now: Moment) -> Ask {
-    let ask = Ask::new(ticket, &route(kind), &"app".into(), now + PATIENCE);
-    Ask { fingerprint: ticket, ..ask }
+pub fn ask(ticket: Ticket, kind: Kind, now: Moment) -> RequestSpec {
+    let ask = RequestSpec::new(ticket, &route(kind), &"app".into(), now + PATIENCE);
+    RequestSpec { fingerprint: ticket, ..ask }
 }
 
 /// A request for a model.
-pub fn generation(ticket: Ticket, model: &str, now: Moment) -> Ask {
-    Ask { model: Some(model.into()), input: 300, output: 100, ..ask(ticket, Kind::Stream, now) }
+pub fn generation(ticket: Ticket, model: &str, now: Moment) -> RequestSpec {
+    RequestSpec {
+        model: Some(model.into()),
+        input: 300,
+        output: 100,
+        ..ask(ticket, Kind::Stream, now)
+    }
 }
 
 pub fn server(id: &str, zone: &str, models: &[(&str, &[&str])]) -> Server {
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -1,6 +1,6 @@
 //! Servers that name a limit: where requests go, wait and are refused.
 
-use policy::dispatch::{Ask, Cause, Dispatcher, End, NotRun, Ticket, Verdict};
+use policy::dispatch::{Cause, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
 use types::{
     prelude::*,
@@ -23,7 +23,7 @@
     host
 }
 
-fn page(ticket: Ticket, millis: u64) -> Ask {
+fn page(ticket: Ticket, millis: u64) -> RequestSpec {
     ask(ticket, Kind::Idempotent, at(millis))
 }
 
@@ -129,7 +129,7 @@
 fn the_urgent_get_the_permits_first() {
     let mut host = limited(&["s1"], &[("s1", 4.0)]);
     for (ticket, priority) in [(1, 5), (2, 0), (3, 3)] {
-        let ask = Ask { priority, ..page(ticket, NAMED) };
+        let ask = RequestSpec { priority, ..page(ticket, NAMED) };
         assert_eq!(host.arrive(ask, at(NAMED)), Verdict::Wait, "{ticket}");
     }
     let mut order = Vec::new();
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -1,7 +1,8 @@
 //! Who lends retries to whom, and what a loan pays for.
 
 use policy::dispatch::{
-    Again, Answer, Ask, Cause, Dispatcher, End, NotRun, Ticket, Unclear, Unreachable, Verdict,
+    Again, Answer, Cause, Dispatcher, End, NotRun, RequestSpec, Ticket, Unclear, Unreachable,
+    Verdict,
     budget::loan::{Content, Message},
 };
 use rstest::rstest;
@@ -132,7 +133,7 @@
     for ticket in &tickets {
         let deadline = at(20_000);
         sent(host.arrive(
-            Ask { deadline, resume: Some(1), ..ask(*ticket, Kind::Idempotent, at(0)) },
+            RequestSpec { deadline, resume: Some(1), ..ask(*ticket, Kind::Idempotent, at(0)) },
             at(0),
         ));
     }
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -6,7 +6,7 @@
 };
 
 use policy::dispatch::{
-    Again, Ask, Dispatcher, End, NotRun, Run, Settings, Terms, Ticket, Verdict, Work,
+    Again, Dispatcher, End, NotRun, RequestSpec, Run, Settings, Terms, Ticket, Verdict, Work,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -152,7 +152,7 @@
         self.after(gap, Event::Arrive);
         let ticket = u64::from(self.sum.arrived);
         self.sum.arrived += 1;
-        let ask = Ask {
+        let ask = RequestSpec {
             goal: GOAL,
             deadline: self.now + PATIENCE,
             ..ask(ticket, Kind::NonIdempotent, self.now)
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the servers that run them.
 
 use policy::dispatch::{
-    Again, Answer, Ask, Change, End, Poison, Unclear, Verdict,
+    Again, Answer, Change, End, Poison, RequestSpec, Unclear, Verdict,
     poison::{self, Crash, Fingerprint, LIFE, POISON, Role, SUSPICION, Standing},
 };
 use rstest::rstest;
@@ -391,8 +391,8 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         ticket += 2;
-        let innocent = Ask { fingerprint: 1, ..ask(ticket, Kind::Idempotent, now) };
-        let poison = Ask { fingerprint: 666, ..ask(ticket + 1, Kind::NonIdempotent, now) };
+        let innocent = RequestSpec { fingerprint: 1, ..ask(ticket, Kind::Idempotent, now) };
+        let poison = RequestSpec { fingerprint: 666, ..ask(ticket + 1, Kind::NonIdempotent, now) };
         let first = sent(host.arrive(innocent, now));
         let Verdict::Send(second) = host.arrive(poison, now) else {
             host.ended(ticket, End::Whole, now + at(30));
@@ -408,7 +408,7 @@
         }
     }
     assert_eq!(crashes, POISON);
-    let poison = Ask { fingerprint: 666, ..ask(999, Kind::NonIdempotent, at(20_000)) };
+    let poison = RequestSpec { fingerprint: 666, ..ask(999, Kind::NonIdempotent, at(20_000)) };
     assert_eq!(host.arrive(poison, at(20_000)), Verdict::Quarantined);
 }
 
@@ -423,7 +423,7 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         let ticket = round + 1;
-        let poison = Ask { fingerprint: 666, ..ask(ticket, Kind::NonIdempotent, now) };
+        let poison = RequestSpec { fingerprint: 666, ..ask(ticket, Kind::NonIdempotent, now) };
         let Verdict::Send(server) = host.arrive(poison, now) else { continue };
         ended += 1;
         host.ended(ticket, end, now + at(100));
@@ -437,7 +437,8 @@
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
     host.poison_mut().learn(&heard(7, &["x1", "x2"], Role::Beside), at(0));
-    let suspect = |ticket, now| Ask { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
+    let suspect =
+        |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
     host.sent(1, at(1));
     host.ended(1, End::Cancelled, at(100));
@@ -451,7 +452,7 @@
 #[rstest]
 fn servers_that_cut_all_their_answers_quarantine_nothing_for_long() {
     let mut host = plain(&["s1", "s2", "s3"]);
-    let same = |ticket, now| Ask { fingerprint: 7, ..ask(ticket, Kind::Idempotent, now) };
+    let same = |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::Idempotent, now) };
     sent(host.arrive(same(1, at(0)), at(0)));
     for now in [5, 10, 15] {
         host.answers(1, at(now));
@@ -460,7 +461,7 @@
     assert_eq!(host.poison().standing(7), Standing::Poison);
     for ticket in 2..8 {
         let now = at(20 * ticket);
-        let other = Ask { fingerprint: ticket, ..ask(ticket, Kind::Idempotent, now) };
+        let other = RequestSpec { fingerprint: ticket, ..ask(ticket, Kind::Idempotent, now) };
         sent(host.arrive(other, now));
         host.sent(ticket, now);
         host.answers(ticket, now + at(5));
@@ -476,7 +477,7 @@
         let now = at(round * 1_000);
         let id = format!("s{round}");
         host.server(&server(&id, "a", &[]), now);
-        let ask = Ask { fingerprint: 7, ..ask(round, Kind::NonIdempotent, now) };
+        let ask = RequestSpec { fingerprint: 7, ..ask(round, Kind::NonIdempotent, now) };
         sent(host.arrive(ask, now));
         host.draining(&id.as_str().into());
         host.ended(round, CUT, now + at(100));
@@ -491,7 +492,8 @@
     for fingerprint in [7, 8] {
         host.poison_mut().learn(&heard(fingerprint, &["x1", "x2"], Role::Beside), at(0));
     }
-    let suspect = |ticket, fingerprint| Ask { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
+    let suspect =
+        |ticket, fingerprint| RequestSpec { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
     sent(host.arrive(suspect(1, 7), at(0)));
     assert_eq!(host.arrive(suspect(2, 8), at(0)), Verdict::Wait);
     host.arrive(ask(3, Kind::Stream, at(0)), at(0));
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -1,6 +1,6 @@
 //! What waits, in which order, and what is refused.
 
-use policy::dispatch::{Ask, Cause, Change, Dispatcher, End, Ticket, Verdict};
+use policy::dispatch::{Cause, Change, Dispatcher, End, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
 use types::{
     prelude::*,
@@ -14,8 +14,8 @@
     (0..100).find(|n| host.arrive(ask(*n, Kind::NonIdempotent, now), now) == Verdict::Wait).unwrap()
 }
 
-fn ranked(ticket: u64, priority: u8, now: Moment) -> Ask {
-    Ask { priority, ..ask(ticket, Kind::Idempotent, now) }
+fn ranked(ticket: u64, priority: u8, now: Moment) -> RequestSpec {
+    RequestSpec { priority, ..ask(ticket, Kind::Idempotent, now) }
 }
 
 fn next(host: &mut Dispatcher, ended: u64, now: Moment) -> Vec<u64> {
@@ -36,7 +36,7 @@
     let mut host = plain(&["s1"]);
     let waiting = fill(&mut host, at(0));
     let late = ranked(11, 2, at(20));
-    let soon = Ask { goal: GOAL / 2, ..ranked(12, 2, at(20)) };
+    let soon = RequestSpec { goal: GOAL / 2, ..ranked(12, 2, at(20)) };
     for ask in [ranked(10, 5, at(20)), late, soon, ranked(13, 0, at(20))] {
         assert_eq!(host.arrive(ask, at(20)), Verdict::Wait);
     }
@@ -93,7 +93,7 @@
 #[rstest]
 fn nothing_is_refused_while_there_is_a_place() {
     let mut host = plain(&["s1", "s2"]);
-    let hasty = Ask { deadline: at(5), ..ask(1, Kind::NonIdempotent, at(0)) };
+    let hasty = RequestSpec { deadline: at(5), ..ask(1, Kind::NonIdempotent, at(0)) };
     sent(host.arrive(hasty, at(0)));
 }
 
@@ -117,7 +117,7 @@
     let mut host = host();
     host.server(&server("s1", "a", &[(held, &[])]), at(0));
     for ticket in 0..20 {
-        host.arrive(Ask { silence, ..generation(ticket, "m1", at(0)) }, at(0));
+        host.arrive(RequestSpec { silence, ..generation(ticket, "m1", at(0)) }, at(0));
     }
     assert_ne!(host.waiting(), 0);
     let changes = host.pump(at(790));
@@ -132,7 +132,7 @@
     let mut host = host();
     host.server(&server("s1", "a", &[]), at(0));
     host.coming(&"s1".into(), &"m1".into(), None, at(1_000));
-    let brief = |ticket, silence| Ask {
+    let brief = |ticket, silence| RequestSpec {
         silence: Some(Duration::from_millis(silence)),
         ..generation(ticket, "m1", at(0))
     };
@@ -146,7 +146,8 @@
 fn a_missing_adapter_holds_nobody_up() {
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &[])]), at(0));
-    let adapted = Ask { adapter: Some("x".into()), priority: 0, ..generation(1, "m1", at(0)) };
+    let adapted =
+        RequestSpec { adapter: Some("x".into()), priority: 0, ..generation(1, "m1", at(0)) };
     assert!(matches!(host.arrive(adapted, at(0)), Verdict::Missing { .. }));
     host.arrive(generation(2, "m1", at(0)), at(0));
     let tickets: Vec<_> = host.pump(at(0)).into_iter().map(|change| change.ticket).collect();
@@ -172,8 +173,8 @@
 }
 
 /// A stream whose prompt takes its server 20 ms to read, and whose events may pause for 150 ms.
-fn paced(ticket: Ticket, now: Moment) -> Ask {
-    Ask { input: 600, pause: Some(PAUSE), ..generation(ticket, "m1", now) }
+fn paced(ticket: Ticket, now: Moment) -> RequestSpec {
+    RequestSpec { input: 600, pause: Some(PAUSE), ..generation(ticket, "m1", now) }
 }
 
 const PAUSE: Duration = Duration::from_millis(150);
@@ -201,6 +202,6 @@
 #[rstest]
 fn a_prompt_longer_than_a_pause_goes_where_nothing_is_read() {
     let mut host = wide();
-    let long = Ask { input: 60_000, ..paced(1, at(0)) };
+    let long = RequestSpec { input: 60_000, ..paced(1, at(0)) };
     assert_eq!(&*sent(host.arrive(long, at(0))), "s1");
 }
--- a/crates/policy/tests/dispatch/reading.rs
+++ b/crates/policy/tests/dispatch/reading.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use policy::dispatch::{Ask, Dispatcher, End, Ticket, Verdict, Work};
+use policy::dispatch::{Dispatcher, End, RequestSpec, Ticket, Verdict, Work};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -121,7 +121,7 @@
             let ask = generation(ticket, MODEL, at(millis));
             let (pause, goal) = (Some(PAUSE), Duration::from_millis(800));
             let deadline = at(millis + 8_000);
-            let ask = Ask { input, pause, goal, deadline, fingerprint: ticket, ..ask };
+            let ask = RequestSpec { input, pause, goal, deadline, fingerprint: ticket, ..ask };
             let verdict = world.hosts[host].arrive(ask, at(millis));
             world.carry_out(host, ticket, input, &verdict);
         }
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -1,7 +1,8 @@
 //! What follows a failed attempt.
 
 use policy::dispatch::{
-    Again, Answer, Ask, Cause, Change, Dispatcher, End, NotRun, Unclear, Unreachable, Verdict,
+    Again, Answer, Cause, Change, Dispatcher, End, NotRun, RequestSpec, Unclear, Unreachable,
+    Verdict,
 };
 use rstest::rstest;
 use types::{host, routed::Kind};
@@ -32,7 +33,7 @@
 ) {
     let start = || {
         let mut host = servers();
-        let first = sent(host.arrive(Ask { resumable, ..ask(1, kind, at(0)) }, at(0)));
+        let first = sent(host.arrive(RequestSpec { resumable, ..ask(1, kind, at(0)) }, at(0)));
         (host, first)
     };
     for end in repeated {
@@ -215,7 +216,8 @@
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &["x"])]), at(0));
     host.server(&server("s2", "a", &[("m1", &[])]), at(0));
-    let ask = Ask { adapter: Some("x".into()), resumable: true, ..generation(1, "m1", at(0)) };
+    let ask =
+        RequestSpec { adapter: Some("x".into()), resumable: true, ..generation(1, "m1", at(0)) };
     assert_eq!(&*sent(host.arrive(ask, at(0))), "s1");
     let again = host.again(1, CUT, at(10));
     assert_eq!(again, Again::Missing { model: "m1".into(), adapter: Some("x".into()) });
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use policy::dispatch::{
-    Again, Answer, Ask, Cause, Dispatcher, End, Run, Settings, Terms, Ticket, Unclear, Verdict,
-    loan::Message,
+    Again, Answer, Cause, Dispatcher, End, RequestSpec, Run, Settings, Terms, Ticket, Unclear,
+    Verdict, loan::Message,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -263,7 +263,7 @@
         self.tickets += 1;
         self.requests.push(self.now());
         let resume = self.plan.is_resumed.then_some(1);
-        let asked = Ask {
+        let asked = RequestSpec {
             deadline: now + PATIENCE,
             attempts: 4,
             resume,
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -1,6 +1,6 @@
 //! Requests are taken from servers that went dark.
 
-use policy::dispatch::{Again, Ask, Change, Dispatcher, End, Ticket, Unclear, Verdict};
+use policy::dispatch::{Again, Change, Dispatcher, End, RequestSpec, Ticket, Unclear, Verdict};
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
@@ -10,7 +10,7 @@
 fn dark(kind: Kind, resumable: bool) -> Dispatcher {
     let mut host = plain(&["s1"]);
     for ticket in 0..2 {
-        sent(host.arrive(Ask { resumable, ..ask(ticket, kind, at(0)) }, at(0)));
+        sent(host.arrive(RequestSpec { resumable, ..ask(ticket, kind, at(0)) }, at(0)));
     }
     host.server(&crate::fixture::server("s2", "b", &[]), at(1));
     host
@@ -59,7 +59,7 @@
     let mut host = dark(Kind::Stream, true);
     let most = 10_000;
     let retries = (10..most).find(|ticket| {
-        let ask = Ask { attempts: 2, ..ask(*ticket, Kind::Idempotent, at(2)) };
+        let ask = RequestSpec { attempts: 2, ..ask(*ticket, Kind::Idempotent, at(2)) };
         let Verdict::Send(_) = host.arrive(ask, at(2)) else { return true };
         let is_spent =
             matches!(host.again(*ticket, End::Unclear(Unclear::Cut), at(2)), Again::GiveUp(_));
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -288,10 +288,11 @@
         }
     }
 
-    fn ask(&self) -> dispatch::Ask {
+    fn ask(&self) -> dispatch::RequestSpec {
         let held = &self.held.ask;
         let deadline = self.received + self.limit;
-        let mut ask = dispatch::Ask::new(self.held.ticket, &self.route, &self.service, deadline);
+        let mut ask =
+            dispatch::RequestSpec::new(self.held.ticket, &self.route, &self.service, deadline);
         ask.fingerprint = self.fingerprint;
         ask.model = held.model.clone();
         ask.adapter = held.adapter.clone();
@@ -336,7 +337,7 @@
         }
     }
 
-    fn arrive(&self, ask: dispatch::Ask) -> Verdict {
+    fn arrive(&self, ask: dispatch::RequestSpec) -> Verdict {
         self.closed.store(false, Ordering::Relaxed);
         let verdict = self.shared.dispatcher().arrive(ask, self.shared.now());
         if matches!(verdict, Verdict::Wait | Verdict::Missing { .. }) {
