--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -7,7 +7,7 @@
 //!
 //! A request's life is [`arrive`](Dispatcher::arrive), perhaps a wait that
 //! [`pump`](Dispatcher::pump) ends, [`sent`](Dispatcher::sent), [`first`](Dispatcher::first), and
-//! either [`ended`](Dispatcher::ended) or, after a failed attempt, [`again`](Dispatcher::again).
+//! either [`ended`](Dispatcher::ended) or, after a failed attempt, [`attempt_failed`](Dispatcher::attempt_failed).
 //! The reasons behind the figures are in `docs/design/dispatch.md`.
 
 mod account;
@@ -59,8 +59,8 @@
     poison::{Fingerprint, Poison},
     pump::Missing,
     request::{
-        Again, Answer, Cause, Change, End, NotRun, Part, RequestSpec, Ticket, Unclear, Unreachable,
-        Verdict,
+        Answer, Cause, Change, End, NotRun, Part, RequestSpec, RetryDecision, Ticket, Unclear,
+        Unreachable, Verdict,
     },
     routes::{Routes, split},
 };
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -8,7 +8,7 @@
     choose::{Choice, Outcome},
     poison,
     queue::{Class, Key},
-    request::{Again, Answer, Cause, End, RequestSpec, Ticket, Verdict},
+    request::{Answer, Cause, End, RequestSpec, RetryDecision, Ticket, Verdict},
     stats::duration,
     task::{Flight, Leaving, Phase, State, Task},
 };
@@ -84,27 +84,27 @@
     }
 
     /// Judges what follows an attempt that failed. The request is over if it is given up.
-    pub fn again(&mut self, ticket: Ticket, end: End, now: Moment) -> Again {
+    pub fn attempt_failed(&mut self, ticket: Ticket, end: End, now: Moment) -> RetryDecision {
         let Some(mut task) = self.tasks.remove(&ticket) else {
-            return Again::GiveUp(Answer::Unclear);
+            return RetryDecision::GiveUp(Answer::Unclear);
         };
         let state = std::mem::replace(&mut task.state, State::Idle);
         let State::Flying(flight) = state else {
             let after = after(&task, 0.0);
-            return Again::GiveUp(Answer::NotRun { cause: Cause::Late, after });
+            return RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Late, after });
         };
         self.settle(&mut task, &flight, end, now);
         task.tried(&flight.id, end);
         let outcome = self.choose(&task, now);
         if let Err(cause) = self.may_repeat(&mut task, end, &outcome, now) {
             self.refund(&mut task);
-            return Again::GiveUp(self.answer(&task, end, cause, now));
+            return RetryDecision::GiveUp(self.answer(&task, end, cause, now));
         }
         match outcome {
-            Outcome::Send(choice) => Again::Send(self.send(task, choice, now)),
+            Outcome::Send(choice) => RetryDecision::Send(self.send(task, choice, now)),
             Outcome::Full => {
                 self.wait_again(task, Duration::ZERO, now);
-                Again::Wait
+                RetryDecision::Wait
             }
             Outcome::Nobody => self.wait_for_another(task, now),
         }
@@ -130,13 +130,13 @@
         self.tasks.insert(task.ask.ticket, task);
     }
 
-    fn wait_for_another(&mut self, task: Task, now: Moment) -> Again {
+    fn wait_for_another(&mut self, task: Task, now: Moment) -> RetryDecision {
         let coming = self.coming_at(&task);
         let (model, adapter) = (task.ask.model.clone(), task.ask.adapter.clone());
         let until = missing_until(&task, coming);
         self.wait_again(task, until, now);
         let missing = model.filter(|_| coming.is_none());
-        missing.map_or(Again::Wait, |model| Again::Missing { model, adapter })
+        missing.map_or(RetryDecision::Wait, |model| RetryDecision::Missing { model, adapter })
     }
 
     /// Whether another attempt is allowed and paid for, or else why not.
--- a/crates/policy/src/dispatch/request.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -205,7 +205,7 @@
 
 /// What follows a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryDecision {
     /// It goes to this server next.
     Send(backend::Id),
     /// It waits here for a server.
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -5,7 +5,9 @@
     collections::{BTreeMap, BinaryHeap, VecDeque},
 };
 
-use policy::dispatch::{Again, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict, Work};
+use policy::dispatch::{
+    Dispatcher, End, NotRun, RequestSpec, RetryDecision, Ticket, Verdict, Work,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -152,8 +154,9 @@
         }
         self.sum.sheds += 1;
         self.tell_load(server, host_of(ticket));
-        let again = self.hosts[host_of(ticket)].again(ticket, End::NotRun(NotRun::Full), self.now);
-        if let Again::Send(server) = again {
+        let again =
+            self.hosts[host_of(ticket)].attempt_failed(ticket, End::NotRun(NotRun::Full), self.now);
+        if let RetryDecision::Send(server) = again {
             self.send(&server, ticket);
         }
     }
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -154,8 +154,8 @@
         *sent(verdict) == *"s1"
     });
     let before = host.quotas().counts().used;
-    let again = host.again(first.expect("a request at s1"), end, at(NAMED + 3_010));
-    let is_sent = matches!(again, policy::dispatch::Again::Send(ref id) if **id == *"s2");
+    let again = host.attempt_failed(first.expect("a request at s1"), end, at(NAMED + 3_010));
+    let is_sent = matches!(again, policy::dispatch::RetryDecision::Send(ref id) if **id == *"s2");
     assert_eq!(host.quotas().counts().used - before, u64::from(is_sent), "{again:?}");
 }
 
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -1,8 +1,8 @@
 //! Who lends retries to whom, and what a loan pays for.
 
 use policy::dispatch::{
-    Again, Answer, Cause, Dispatcher, End, NotRun, RequestSpec, Ticket, Unclear, Unreachable,
-    Verdict,
+    Answer, Cause, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Ticket, Unclear,
+    Unreachable, Verdict,
     budget::loan::{Content, Message},
 };
 use rstest::rstest;
@@ -29,9 +29,9 @@
 fn retry(host: &mut Dispatcher, now: Moment) -> bool {
     let ticket = next_ticket(host);
     sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
-    let again = host.again(ticket, End::NotRun(NotRun::NotHeld), now);
+    let again = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
     host.ended(ticket, End::Cancelled, now);
-    matches!(again, Again::Send(_))
+    matches!(again, RetryDecision::Send(_))
 }
 
 /// A number that no earlier request of the host has.
@@ -113,13 +113,16 @@
     host.loan_received(&"b".into(), &lends(&ask_for, 2), at(20));
     let ticket = next_ticket(&host);
     sent(host.arrive(ask(ticket, Kind::Idempotent, at(30)), at(30)));
-    assert!(matches!(host.again(ticket, End::NotRun(NotRun::NotHeld), at(30)), Again::Send(_)));
+    assert!(matches!(
+        host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), at(30)),
+        RetryDecision::Send(_)
+    ));
     for id in servers() {
         host.gone(&id.as_str().into(), at(0));
     }
-    let again = host.again(ticket, REFUSED, at(40));
+    let again = host.attempt_failed(ticket, REFUSED, at(40));
     assert!(
-        matches!(again, Again::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
+        matches!(again, RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
         "{again:?}"
     );
 }
@@ -138,8 +141,9 @@
         ));
     }
     host.gone(&"s1".into(), at(0));
-    let waits =
-        |ticket: &&Ticket| host.again(**ticket, End::Unclear(Unclear::Cut), at(100)) == Again::Wait;
+    let waits = |ticket: &&Ticket| {
+        host.attempt_failed(**ticket, End::Unclear(Unclear::Cut), at(100)) == RetryDecision::Wait
+    };
     let waiting = tickets.iter().filter(waits).count();
     host.server(&types::routed::Server { slots: 1_000, ..server("s2", "a", &[]) }, at(11_000));
     let changes = host.pump(at(11_000));
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -6,7 +6,8 @@
 };
 
 use policy::dispatch::{
-    Again, Dispatcher, End, NotRun, RequestSpec, Run, Settings, Terms, Ticket, Verdict, Work,
+    Dispatcher, End, NotRun, RequestSpec, RetryDecision, Run, Settings, Terms, Ticket, Verdict,
+    Work,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -195,10 +196,10 @@
         self.sum.sheds += 1;
         let (host, now) = (self.host_of(ticket), self.now);
         self.tell_load(server, host);
-        match self.hosts[host].again(ticket, End::NotRun(NotRun::Full), now) {
-            Again::Send(server) => self.send(&server, ticket),
-            Again::Wait | Again::Missing { .. } => {}
-            Again::GiveUp(_) => self.refused(ticket),
+        match self.hosts[host].attempt_failed(ticket, End::NotRun(NotRun::Full), now) {
+            RetryDecision::Send(server) => self.send(&server, ticket),
+            RetryDecision::Wait | RetryDecision::Missing { .. } => {}
+            RetryDecision::GiveUp(_) => self.refused(ticket),
         }
     }
 
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the servers that run them.
 
 use policy::dispatch::{
-    Again, Answer, Change, End, Poison, RequestSpec, Unclear, Verdict,
+    Answer, Change, End, Poison, RequestSpec, RetryDecision, Unclear, Verdict,
     poison::{self, Crash, Fingerprint, LIFE, POISON, Role, SUSPICION, Standing},
 };
 use rstest::rstest;
@@ -376,8 +376,8 @@
 }
 
 #[track_caller]
-fn sent_again(again: Again) {
-    assert!(matches!(again, Again::Send(_)), "{again:?}");
+fn sent_again(again: RetryDecision) {
+    assert!(matches!(again, RetryDecision::Send(_)), "{again:?}");
 }
 
 /// A request that crashes all that run it, coming again and again, costs three servers, and the
@@ -399,11 +399,14 @@
             continue;
         };
         crashes += 1;
-        assert_eq!(host.again(ticket + 1, CUT, now + at(5)), Again::GiveUp(Answer::Unclear));
+        assert_eq!(
+            host.attempt_failed(ticket + 1, CUT, now + at(5)),
+            RetryDecision::GiveUp(Answer::Unclear)
+        );
         host.gone(&second, now + at(5));
         if first == second {
             host.server(&server(&format!("t{round}"), "a", &[]), now + at(4));
-            sent_again(host.again(ticket, CUT, now + at(5)));
+            sent_again(host.attempt_failed(ticket, CUT, now + at(5)));
             host.ended(ticket, End::Whole, now + at(330));
         }
     }
@@ -456,7 +459,7 @@
     sent(host.arrive(same(1, at(0)), at(0)));
     for now in [5, 10, 15] {
         host.answers(1, at(now));
-        host.again(1, CUT, at(now));
+        host.attempt_failed(1, CUT, at(now));
     }
     assert_eq!(host.poison().standing(7), Standing::Poison);
     for ticket in 2..8 {
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -1,8 +1,8 @@
 //! What follows a failed attempt.
 
 use policy::dispatch::{
-    Again, Answer, Cause, Change, Dispatcher, End, NotRun, RequestSpec, Unclear, Unreachable,
-    Verdict,
+    Answer, Cause, Change, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Unclear,
+    Unreachable, Verdict,
 };
 use rstest::rstest;
 use types::{host, routed::Kind};
@@ -38,14 +38,17 @@
     };
     for end in repeated {
         let (mut host, first) = start();
-        match host.again(1, *end, at(10)) {
-            Again::Send(second) => assert_ne!(first, second),
+        match host.attempt_failed(1, *end, at(10)) {
+            RetryDecision::Send(second) => assert_ne!(first, second),
             other => panic!("{end:?}: {other:?}"),
         }
     }
     for end in given_up {
         let (mut host, _) = start();
-        assert!(matches!(host.again(1, *end, at(10)), Again::GiveUp(_)), "{end:?}");
+        assert!(
+            matches!(host.attempt_failed(1, *end, at(10)), RetryDecision::GiveUp(_)),
+            "{end:?}"
+        );
     }
 }
 
@@ -55,22 +58,22 @@
 fn the_answer_says_what_is_known(#[case] kind: Kind, #[case] end: End, #[case] expected: Answer) {
     let mut host = servers();
     sent(host.arrive(ask(1, kind, at(0)), at(0)));
-    assert_eq!(host.again(1, end, at(10)), Again::GiveUp(expected));
+    assert_eq!(host.attempt_failed(1, end, at(10)), RetryDecision::GiveUp(expected));
 }
 
 #[rstest]
 fn servers_that_may_have_run_it_are_bounded_by_the_route() {
     let mut host = servers();
     sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
-    assert!(matches!(host.again(1, SILENT, at(10)), Again::Send(_)));
-    assert!(matches!(host.again(1, SILENT, at(20)), Again::Send(_)));
-    assert_eq!(host.again(1, SILENT, at(30)), Again::GiveUp(Answer::Unclear));
+    assert!(matches!(host.attempt_failed(1, SILENT, at(10)), RetryDecision::Send(_)));
+    assert!(matches!(host.attempt_failed(1, SILENT, at(20)), RetryDecision::Send(_)));
+    assert_eq!(host.attempt_failed(1, SILENT, at(30)), RetryDecision::GiveUp(Answer::Unclear));
 }
 
 /// Why a request that did not run is given up.
-fn cause(again: Again) -> Option<Cause> {
+fn cause(again: RetryDecision) -> Option<Cause> {
     match again {
-        Again::GiveUp(Answer::NotRun { cause, .. }) => Some(cause),
+        RetryDecision::GiveUp(Answer::NotRun { cause, .. }) => Some(cause),
         _ => None,
     }
 }
@@ -80,7 +83,7 @@
     let mut host = servers();
     let mut refused = (0..1_000).map(|ticket| {
         sent(host.arrive(ask(ticket, Kind::NonIdempotent, at(0)), at(0)));
-        let again = host.again(ticket, OTHER_MODEL, at(1));
+        let again = host.attempt_failed(ticket, OTHER_MODEL, at(1));
         host.ended(ticket, End::Cancelled, at(1));
         again
     });
@@ -91,14 +94,16 @@
 fn a_request_that_is_given_up_for_its_time_says_so() {
     let mut host = servers();
     sent(host.arrive(ask(1, Kind::NonIdempotent, at(0)), at(0)));
-    assert_eq!(cause(host.again(1, FULL, at(3_990))), Some(Cause::Late));
+    assert_eq!(cause(host.attempt_failed(1, FULL, at(3_990))), Some(Cause::Late));
 }
 
 #[rstest]
 fn a_request_that_no_server_ran_says_so_in_the_end() {
     let mut host = servers();
     sent(host.arrive(ask(1, Kind::NonIdempotent, at(0)), at(0)));
-    let last = (1..20).map(|n| host.again(1, FULL, at(n))).find(|a| !matches!(a, Again::Send(_)));
+    let last = (1..20)
+        .map(|n| host.attempt_failed(1, FULL, at(n)))
+        .find(|a| !matches!(a, RetryDecision::Send(_)));
     assert_eq!(last.and_then(cause), Some(Cause::Attempts), "told as not run, with its cause");
 }
 
@@ -106,7 +111,7 @@
 fn nothing_is_repeated_without_time() {
     let mut host = servers();
     sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
-    assert!(matches!(host.again(1, CUT, at(3_990)), Again::GiveUp(_)));
+    assert!(matches!(host.attempt_failed(1, CUT, at(3_990)), RetryDecision::GiveUp(_)));
 }
 
 #[rstest]
@@ -116,12 +121,12 @@
     let mut one = |end| {
         let ticket = tickets.next().unwrap();
         host.arrive(ask(ticket, Kind::Idempotent, at(0)), at(0));
-        let again = host.again(ticket, end, at(1));
+        let again = host.attempt_failed(ticket, end, at(1));
         host.ended(ticket, End::Cancelled, at(1));
         again
     };
-    assert!((0..100).any(|_| matches!(one(End::ServerError), Again::GiveUp(_))));
-    assert!(matches!(one(REFUSED), Again::Send(_)));
+    assert!((0..100).any(|_| matches!(one(End::ServerError), RetryDecision::GiveUp(_))));
+    assert!(matches!(one(REFUSED), RetryDecision::Send(_)));
 }
 
 /// What a host is told of the four others in each second.
@@ -157,9 +162,9 @@
     let now = at(seconds * 1_000);
     let granted = (0..60).filter(|ticket| {
         sent(host.arrive(ask(*ticket, Kind::Idempotent, now), now));
-        let again = host.again(*ticket, End::NotRun(NotRun::NotHeld), now);
+        let again = host.attempt_failed(*ticket, End::NotRun(NotRun::NotHeld), now);
         host.ended(*ticket, End::Cancelled, now);
-        matches!(again, Again::Send(_))
+        matches!(again, RetryDecision::Send(_))
     });
     granted.count()
 }
@@ -205,7 +210,7 @@
         .unwrap();
     let elsewhere = sent_to.iter().find(|(_, server)| **server != sent_to[&0]);
     let (other, _) = elsewhere.unwrap();
-    assert_eq!(host.again(0, End::ServerError, at(5)), Again::Wait);
+    assert_eq!(host.attempt_failed(0, End::ServerError, at(5)), RetryDecision::Wait);
     host.ended(*other, End::Whole, at(10));
     let changes: Vec<_> = host.pump(at(10)).into_iter().map(|change| change.ticket).collect();
     assert!(changes.contains(&0), "{changes:?}, {waiting}");
@@ -219,8 +224,8 @@
     let ask =
         RequestSpec { adapter: Some("x".into()), resumable: true, ..generation(1, "m1", at(0)) };
     assert_eq!(&*sent(host.arrive(ask, at(0))), "s1");
-    let again = host.again(1, CUT, at(10));
-    assert_eq!(again, Again::Missing { model: "m1".into(), adapter: Some("x".into()) });
+    let again = host.attempt_failed(1, CUT, at(10));
+    assert_eq!(again, RetryDecision::Missing { model: "m1".into(), adapter: Some("x".into()) });
     host
 }
 
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use policy::dispatch::{
-    Again, Answer, Cause, Dispatcher, End, RequestSpec, Run, Settings, Terms, Ticket, Unclear,
-    Verdict, loan::Message,
+    Answer, Cause, Dispatcher, End, RequestSpec, RetryDecision, Run, Settings, Terms, Ticket,
+    Unclear, Verdict, loan::Message,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -244,10 +244,10 @@
                     continue;
                 }
             };
-            match dispatcher.again(ticket, end, now) {
-                Again::Send(_) => self.arrive(host, ticket),
-                Again::Wait | Again::Missing { .. } => {}
-                Again::GiveUp(answer) => {
+            match dispatcher.attempt_failed(ticket, end, now) {
+                RetryDecision::Send(_) => self.arrive(host, ticket),
+                RetryDecision::Wait | RetryDecision::Missing { .. } => {}
+                RetryDecision::GiveUp(answer) => {
                     let is_refused = matches!(
                         answer,
                         Answer::Server | Answer::NotRun { cause: Cause::Budget, .. }
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -1,6 +1,8 @@
 //! Requests are taken from servers that went dark.
 
-use policy::dispatch::{Again, Change, Dispatcher, End, RequestSpec, Ticket, Unclear, Verdict};
+use policy::dispatch::{
+    Change, Dispatcher, End, RequestSpec, RetryDecision, Ticket, Unclear, Verdict,
+};
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
@@ -30,8 +32,8 @@
     let left = leaves(&mut host, at(0));
     assert_eq!(left.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
     assert!(left.iter().all(|(_, now)| at(500) < *now && *now < at(1_000)), "{left:?}");
-    let again = host.again(0, End::Unclear(Unclear::Silent), at(3_000));
-    assert_eq!(again, Again::Send("s2".into()));
+    let again = host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_000));
+    assert_eq!(again, RetryDecision::Send("s2".into()));
     assert_eq!(&*sent(host.arrive(ask(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
 }
 
@@ -61,8 +63,10 @@
     let retries = (10..most).find(|ticket| {
         let ask = RequestSpec { attempts: 2, ..ask(*ticket, Kind::Idempotent, at(2)) };
         let Verdict::Send(_) = host.arrive(ask, at(2)) else { return true };
-        let is_spent =
-            matches!(host.again(*ticket, End::Unclear(Unclear::Cut), at(2)), Again::GiveUp(_));
+        let is_spent = matches!(
+            host.attempt_failed(*ticket, End::Unclear(Unclear::Cut), at(2)),
+            RetryDecision::GiveUp(_)
+        );
         host.ended(*ticket, End::Cancelled, at(2));
         is_spent
     });
@@ -104,5 +108,8 @@
         left.extend(host.pump(now + at(30)));
     }
     assert_eq!(left, [Change { ticket: 0, verdict: Verdict::Leave }]);
-    assert_ne!(host.again(0, End::Unclear(Unclear::Silent), at(3_100)), Again::Send(first));
+    assert_ne!(
+        host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_100)),
+        RetryDecision::Send(first)
+    );
 }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -130,21 +130,23 @@
     async fn next(&self, shared: &Shared, end: Failed) -> Result<Arc<Server>, Problem> {
         self.trace.attempt_ended(end, None);
         match self.account.again(end) {
-            dispatch::Again::Send(server) => self.server(shared, &server).await,
-            dispatch::Again::Wait => {
+            dispatch::RetryDecision::Send(server) => self.server(shared, &server).await,
+            dispatch::RetryDecision::Wait => {
                 self.trace.queued("again", self.left(shared));
                 self.wait(shared).await
             }
-            dispatch::Again::Missing { model, adapter } => {
+            dispatch::RetryDecision::Missing { model, adapter } => {
                 self.trace.queued("missing", self.left(shared));
                 shared.missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
-            dispatch::Again::GiveUp(Answer::NotRun { cause, after }) => {
+            dispatch::RetryDecision::GiveUp(Answer::NotRun { cause, after }) => {
                 self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
-            dispatch::Again::GiveUp(Answer::Server | Answer::Unclear) => Err(Problem::Unclear),
+            dispatch::RetryDecision::GiveUp(Answer::Server | Answer::Unclear) => {
+                Err(Problem::Unclear)
+            }
         }
     }
 
@@ -346,10 +348,10 @@
         verdict
     }
 
-    fn again(&self, end: Failed) -> dispatch::Again {
-        let again = self.shared.dispatcher().again(self.ticket, end, self.shared.now());
+    fn again(&self, end: Failed) -> dispatch::RetryDecision {
+        let again = self.shared.dispatcher().attempt_failed(self.ticket, end, self.shared.now());
         self.shared.dispatch_wakeup.notify_one();
-        if matches!(again, dispatch::Again::GiveUp(_)) {
+        if matches!(again, dispatch::RetryDecision::GiveUp(_)) {
             self.close();
         }
         again
