--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -95,13 +95,13 @@
         }
         self.poison_settled(task, flight, end, now);
         let is_new = flight.phase != Phase::Begun;
-        if is_new && matches!(end, End::Whole) {
+        if is_new && matches!(end, End::Completed) {
             self.learn(task, flight, now);
         }
         let median = self.fleet.services[task.service as usize].median;
         let server = self.fleet.same(flight.server, &flight.id);
         let is_odd = server.is_none_or(|server| is_odd(server, &median, now));
-        if matches!(end, End::Whole) && !is_odd {
+        if matches!(end, End::Completed) && !is_odd {
             let stats = match task.model {
                 Some(model) => &mut self.fleet.models[model as usize].stats,
                 None => &mut self.fleet.services[task.service as usize].stats,
@@ -119,7 +119,7 @@
         let is_leaving =
             self.fleet.index(&flight.id).is_some_and(|index| self.fleet.is_draining(index));
         match end {
-            End::Whole => self.poison.completed(fingerprint, now),
+            End::Completed => self.poison.completed(fingerprint, now),
             End::Unclear(Unclear::Cut) if !is_leaving => {
                 self.poison.crashed(ticket, fingerprint, &flight.id, now);
             }
@@ -143,7 +143,7 @@
         server.load.ended(ticket);
         let in_flight = server.load.in_flight(peers_at, now);
         match end {
-            End::Whole => {
+            End::Completed => {
                 server.heard(now);
                 server.pace.answered(&median, now);
                 server.doubt.good(ticket);
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -166,7 +166,7 @@
     /// Whether another attempt is allowed, apart from its price, or else why not.
     pub(super) fn is_of_use(&self, task: &Task, end: End, now: Moment) -> Result<(), Cause> {
         let is_allowed = match end {
-            End::Whole | End::Cancelled => false,
+            End::Completed | End::Cancelled => false,
             End::NotRun(_) | End::Unreachable(_) => true,
             End::ServerError | End::Unclear(_) => task.ask.is_repeatable(),
         };
@@ -187,7 +187,7 @@
     fn answer(&self, task: &Task, end: End, cause: Cause, now: Moment) -> Answer {
         match end {
             _ if task.runs == 0 => Answer::NotRun { cause, after: self.come_back(task, now) },
-            End::Whole | End::ServerError => Answer::Server,
+            End::Completed | End::ServerError => Answer::Server,
             End::NotRun(_) | End::Unreachable(_) | End::Unclear(_) | End::Cancelled => {
                 Answer::Unclear
             }
--- a/crates/policy/src/dispatch/request.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
     /// With its whole answer.
-    Whole,
+    Completed,
     /// With the server's own failure; it ran.
     ServerError,
     /// The server says that it did not run.
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -153,7 +153,7 @@
         self.tries += 1;
         self.runs += match end {
             End::NotRun(_) | End::Unreachable(_) => 0,
-            End::Whole | End::ServerError | End::Unclear(_) | End::Cancelled => 1,
+            End::Completed | End::ServerError | End::Unclear(_) | End::Cancelled => 1,
         };
         if !matches!(end, End::NotRun(NotRun::Full) | End::Unreachable(Unreachable::Closed)) {
             self.ask.avoid.push(server.clone());
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -30,7 +30,7 @@
     assert_eq!(&*sent(host.arrive(ask(5, Kind::Idempotent, at(10)), at(10))), "s1");
     // Two places of s1 are taken by now, and what the peer told of s2 is forgotten.
     sent(host.arrive(ask(6, Kind::Idempotent, at(10)), at(10)));
-    (0..2).for_each(|n| host.ended(n, End::Whole, at(20)));
+    (0..2).for_each(|n| host.ended(n, End::Completed, at(20)));
     host.pump(at(2_100));
     assert_eq!(&*sent(host.arrive(ask(7, Kind::Idempotent, at(2_100)), at(2_100))), "s2");
 }
@@ -160,13 +160,13 @@
     };
     let first = sent(host.arrive(prompt(1, &[(7, 2000), (8, 100)], at(0)), at(0)));
     host.first(1, at(60));
-    host.ended(1, End::Whole, at(90));
+    host.ended(1, End::Completed, at(90));
     for ticket in 2..8 {
         let now = at(ticket * 200);
         let again = prompt(ticket, &[(7, 2000), (100 + ticket, 100)], now);
         assert_eq!(sent(host.arrive(again, now)), first);
         host.first(ticket, now + at(60));
-        host.ended(ticket, End::Whole, now + at(90));
+        host.ended(ticket, End::Completed, now + at(90));
     }
     // The same part behind another is another prompt, and so is it on another model.
     let used: Vec<_> = (20..40)
@@ -174,7 +174,7 @@
             let now = at(2_000 + ticket * 200);
             let other = prompt(ticket, &[(1000 + ticket, 50), (7, 2000)], now);
             let server = sent(host.arrive(other, now));
-            host.ended(ticket, End::Whole, now + at(60));
+            host.ended(ticket, End::Completed, now + at(60));
             server
         })
         .collect();
@@ -189,7 +189,7 @@
     for ticket in 0..10 {
         let now = at(ticket * 100);
         assert_eq!(&*sent(host.arrive(ask(ticket, Kind::Idempotent, now), now)), "near");
-        host.ended(ticket, End::Whole, now + at(30));
+        host.ended(ticket, End::Completed, now + at(30));
     }
     host.load(&"near".into(), 2, 1, 2, at(2_000));
     assert_eq!(&*sent(host.arrive(ask(20, Kind::Idempotent, at(2_000)), at(2_000))), "far");
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -176,7 +176,7 @@
         self.sum.done += 1;
         let host = host_of(ticket);
         self.tell_load(server, host);
-        self.hosts[host].ended(ticket, End::Whole, self.now);
+        self.hosts[host].ended(ticket, End::Completed, self.now);
         self.pump(host);
     }
 
--- a/crates/policy/tests/dispatch/doubt.rs
+++ b/crates/policy/tests/dispatch/doubt.rs
@@ -14,7 +14,7 @@
     for ticket in from..from + count {
         let now = at(ticket * 250);
         let server = sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
-        let (end, millis) = if &*server == "s1" { odd(ticket) } else { (End::Whole, 30) };
+        let (end, millis) = if &*server == "s1" { odd(ticket) } else { (End::Completed, 30) };
         got += usize::from(&*server == "s1");
         let mut passed = 0;
         while passed + 25 < millis {
@@ -28,15 +28,15 @@
 }
 
 #[rstest]
-#[case::fails_half(|n: u64| (if n.is_multiple_of(2) { End::ServerError } else { End::Whole }, 30), 20)]
+#[case::fails_half(|n: u64| (if n.is_multiple_of(2) { End::ServerError } else { End::Completed }, 30), 20)]
 #[case::fails(|_| (End::ServerError, 10), 12)]
 #[case::sheds_while_idle(|_| (End::NotRun(NotRun::Full), 2), 12)]
 #[case::garbles(|_| (End::Unclear(Unclear::Garbled), 20), 12)]
-#[case::slow(|_| (End::Whole, 225), 12)]
+#[case::slow(|_| (End::Completed, 225), 12)]
 #[case::hangs(|_| (End::Unclear(Unclear::Silent), 2_000), 12)]
 fn a_grey_server_gets_little(#[case] odd: fn(u64) -> (End, u64), #[case] most: usize) {
     let mut host = plain(&IDS);
-    play(&mut host, 0, 40, |_| (End::Whole, 30));
+    play(&mut host, 0, 40, |_| (End::Completed, 30));
     let got = play(&mut host, 40, 100, odd);
     assert!(got <= most, "{got} of 100");
 }
@@ -44,9 +44,9 @@
 #[rstest]
 fn a_grey_server_that_is_well_again_is_used_again() {
     let mut host = plain(&IDS);
-    play(&mut host, 0, 40, |_| (End::Whole, 30));
+    play(&mut host, 0, 40, |_| (End::Completed, 30));
     play(&mut host, 40, 30, |_| (End::ServerError, 10));
-    let got = play(&mut host, 70, 160, |_| (End::Whole, 30));
+    let got = play(&mut host, 70, 160, |_| (End::Completed, 30));
     assert!(20 < got, "{got} of 160");
 }
 
@@ -73,7 +73,7 @@
     host.ended(1, End::Unreachable(Unreachable::Refused), at(0));
     for n in 2..4 {
         assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(400)), at(400))), "s2");
-        host.ended(n, End::Whole, at(430));
+        host.ended(n, End::Completed, at(430));
     }
     // One request tries it, and no other till it has ended.
     assert_eq!(&*sent(host.arrive(ask(4, Kind::Idempotent, at(600)), at(600))), "s1");
@@ -120,17 +120,17 @@
         sent(host.arrive(ask(ticket, Kind::Idempotent, at(ticket)), at(ticket)));
         host.ended(ticket, end, at(ticket + 1));
     };
-    try_at(&mut host, 0, End::Whole);
+    try_at(&mut host, 0, End::Completed);
     (1..4).for_each(|n| try_at(&mut host, 100 * n, end));
     assert_eq!(host.dark(at(900)), Vec::<types::prelude::backend::Id>::new());
     assert_eq!(host.dark(at(1_100)), ["s1".into()]);
-    try_at(&mut host, 2_000, End::Whole);
+    try_at(&mut host, 2_000, End::Completed);
     assert!(host.dark(at(4_000)).is_empty());
 }
 
 #[rstest]
 fn a_server_that_nobody_asks_is_not_taken_for_lost() {
     let mut host = plain(&["s1", "s2"]);
-    play(&mut host, 0, 10, |_| (End::Whole, 30));
+    play(&mut host, 0, 10, |_| (End::Completed, 30));
     assert!(host.dark(at(60_000)).is_empty());
 }
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -48,7 +48,7 @@
         flying.retain(|(end, ticket)| {
             let is_over = *end <= now;
             if is_over {
-                host.ended(*ticket, End::Whole, at(now));
+                host.ended(*ticket, End::Completed, at(now));
             }
             !is_over
         });
@@ -169,7 +169,7 @@
         flying.retain(|(end, ticket)| {
             let is_over = *end <= now;
             if is_over {
-                host.ended(*ticket, End::Whole, at(now));
+                host.ended(*ticket, End::Completed, at(now));
             }
             !is_over
         });
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -217,7 +217,7 @@
         }
         let (host, now) = (self.host_of(ticket), self.now);
         self.tell_load(server, host);
-        self.hosts[host].ended(ticket, End::Whole, now);
+        self.hosts[host].ended(ticket, End::Completed, now);
         match now - self.flights[&ticket] {
             time if time <= GOAL => self.sum.in_time += 1,
             time if time <= PATIENCE => self.sum.late += 1,
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -395,7 +395,7 @@
         let poison = RequestSpec { fingerprint: 666, ..ask(ticket + 1, Kind::NonIdempotent, now) };
         let first = sent(host.arrive(innocent, now));
         let Verdict::Send(second) = host.arrive(poison, now) else {
-            host.ended(ticket, End::Whole, now + at(30));
+            host.ended(ticket, End::Completed, now + at(30));
             continue;
         };
         crashes += 1;
@@ -407,7 +407,7 @@
         if first == second {
             host.server(&server(&format!("t{round}"), "a", &[]), now + at(4));
             sent_again(host.attempt_failed(ticket, CUT, now + at(5)));
-            host.ended(ticket, End::Whole, now + at(330));
+            host.ended(ticket, End::Completed, now + at(330));
         }
     }
     assert_eq!(crashes, POISON);
@@ -502,6 +502,6 @@
     host.arrive(ask(3, Kind::Stream, at(0)), at(0));
     let tickets = |changes: Vec<Change>| changes.iter().map(|c| c.ticket).collect::<Vec<_>>();
     assert_eq!(tickets(host.pump(at(10))), [3]);
-    host.ended(1, End::Whole, at(30));
+    host.ended(1, End::Completed, at(30));
     assert_eq!(tickets(host.pump(at(30))), [2]);
 }
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -19,7 +19,7 @@
 }
 
 fn next(host: &mut Dispatcher, ended: u64, now: Moment) -> Vec<u64> {
-    host.ended(ended, End::Whole, now);
+    host.ended(ended, End::Completed, now);
     host.pump(now).into_iter().map(|change| change.ticket).collect()
 }
 
--- a/crates/policy/tests/dispatch/reading.rs
+++ b/crates/policy/tests/dispatch/reading.rs
@@ -88,7 +88,7 @@
         }
         while let Some(&(_, host, ticket)) = self.ends.front().filter(|(end, ..)| *end <= millis) {
             self.ends.pop_front();
-            self.hosts[host].ended(ticket, End::Whole, now);
+            self.hosts[host].ended(ticket, End::Completed, now);
         }
     }
 }
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -211,7 +211,7 @@
     let elsewhere = sent_to.iter().find(|(_, server)| **server != sent_to[&0]);
     let (other, _) = elsewhere.unwrap();
     assert_eq!(host.attempt_failed(0, End::ServerError, at(5)), RetryDecision::Wait);
-    host.ended(*other, End::Whole, at(10));
+    host.ended(*other, End::Completed, at(10));
     let changes: Vec<_> = host.pump(at(10)).into_iter().map(|change| change.ticket).collect();
     assert!(changes.contains(&0), "{changes:?}, {waiting}");
 }
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -240,7 +240,7 @@
                 Second { is_bare: true, .. } => End::Unclear(Unclear::Cut),
                 Second { fails: true, .. } => End::ServerError,
                 Second { .. } => {
-                    dispatcher.ended(ticket, End::Whole, now);
+                    dispatcher.ended(ticket, End::Completed, now);
                     continue;
                 }
             };
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -73,7 +73,7 @@
     assert!(retries.is_some(), "the budget is never spent");
     assert_eq!(host.leave(0, at(900)), None);
     host.first(0, at(950));
-    host.ended(0, End::Whole, at(990));
+    host.ended(0, End::Completed, at(990));
 }
 
 #[rstest]
@@ -104,7 +104,7 @@
     for ticket in 1..60 {
         let now = at(ticket * 50);
         sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
-        host.ended(ticket, End::Whole, now + at(30));
+        host.ended(ticket, End::Completed, now + at(30));
         left.extend(host.pump(now + at(30)));
     }
     assert_eq!(left, [Change { ticket: 0, verdict: Verdict::Leave }]);
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -220,7 +220,7 @@
     let body = body.map_err(|_| Failed::Unclear(Unclear::Cut))?.to_bytes();
     link.finish();
     if !head.status.is_server_error() {
-        call.account.end(Failed::Whole);
+        call.account.end(Failed::Completed);
     }
     if call.held.method != Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -155,7 +155,7 @@
     fn finish(&mut self) -> Step {
         if let State::Streaming(link) = std::mem::replace(&mut self.state, State::Done) {
             link.finish();
-            self.call.account.end(Failed::Whole);
+            self.call.account.end(Failed::Completed);
             self.call.trace.answered(None);
         }
         Step::Pass(self.splitter.rest())
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -152,7 +152,7 @@
     /// A server's answer was delivered whole.
     pub(crate) fn answered(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
-        notes.attempt_ended(Failed::Whole, status);
+        notes.attempt_ended(Failed::Completed, status);
         let status = status.map(|status| status.as_u16()).or(notes.status);
         if status.is_some_and(|status| 500 <= status) {
             return notes.end(Outcome::Failed, status, Some("server-error"));
@@ -278,7 +278,7 @@
 
 fn attempted(end: Failed) -> Attempted {
     match end {
-        Failed::Whole => Attempted::Whole,
+        Failed::Completed => Attempted::Whole,
         Failed::ServerError => Attempted::ServerError,
         Failed::NotRun(NotRun::Full) => Attempted::Full,
         Failed::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
@@ -308,7 +308,7 @@
 
 fn ran(end: Failed) -> Ran {
     match end {
-        Failed::Whole | Failed::ServerError => Ran::Ran,
+        Failed::Completed | Failed::ServerError => Ran::Ran,
         Failed::NotRun(_) | Failed::Unreachable(_) => Ran::DidNotRun,
         Failed::Unclear(_) | Failed::Cancelled => Ran::MayHaveRun,
     }
