--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -54,7 +54,7 @@
     task::{State, Task},
 };
 pub use self::{
-    budget::{Account, Terms, Used, loan},
+    budget::{RetryBudgetConfig, RetryBudgetStatus, RetryTotals, loan},
     fleet::Work,
     poison::{Fingerprint, Poison},
     pump::Missing,
@@ -98,8 +98,8 @@
     pub zone: availability::Id,
     /// Hosts that there are until others are known.
     pub hosts: u32,
-    /// Terms of the retry budget.
-    pub retries: Terms,
+    /// RetryBudgetConfig of the retry budget.
+    pub retries: RetryBudgetConfig,
 }
 
 /// A run of a host, as the store knows its name.
@@ -311,13 +311,13 @@
     }
 
     /// What this host has used of each service's retry budget since its start.
-    pub fn used(&self) -> Vec<(service::Id, Used)> {
+    pub fn retry_totals(&self) -> Vec<(service::Id, RetryTotals)> {
         let services = self.fleet.services.iter();
         services.map(|service| (service.id.clone(), service.budget.used())).collect()
     }
 
     /// How the retry budget of each service stands on this host.
-    pub fn retry_budgets(&self, now: Moment) -> Vec<(service::Id, Account)> {
+    pub fn retry_budgets(&self, now: Moment) -> Vec<(service::Id, RetryBudgetStatus)> {
         let services = self.fleet.services.iter();
         let account = |budget: &Budget| budget.account(self.sharers.extra(), now);
         services.map(|service| (service.id.clone(), account(&service.budget))).collect()
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -58,7 +58,7 @@
 
 /// The budget's terms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RetryBudgetConfig {
     /// Retries for each request.
     pub ratio: f64,
     /// Retries besides, over all hosts.
@@ -67,9 +67,9 @@
     pub window: Duration,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) }
+impl Default for RetryBudgetConfig {
+    fn default() -> RetryBudgetConfig {
+        RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) }
     }
 }
 
@@ -84,7 +84,7 @@
 
 /// Counts of a service since some start; they only rise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Used {
+pub struct RetryTotals {
     /// Requests.
     pub requests: u64,
     /// Retries.
@@ -93,7 +93,7 @@
 
 /// A budget as one host has it, over the last window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Account {
+pub struct RetryBudgetStatus {
     /// Requests.
     pub requests: u64,
     /// Retries that have arrived.
@@ -129,14 +129,14 @@
 /// One service's budget on one host.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    terms: Terms,
+    terms: RetryBudgetConfig,
     requests: Series,
     /// Retries that have arrived, or can't any more.
     retries: Series,
     /// Retries that were paid and may still arrive.
     open: u64,
     /// What this host has used since its start.
-    used: Used,
+    used: RetryTotals,
     /// Retries that were asked for in vain since its start.
     refused: u64,
     /// When a retry was last asked for.
@@ -149,7 +149,7 @@
 
 impl Budget {
     /// A budget by these terms.
-    pub fn new(terms: Terms) -> Budget {
+    pub fn new(terms: RetryBudgetConfig) -> Budget {
         let requests = Series::new(terms.window, terms.window / PARTS);
         let retries = Series::new(terms.window, Duration::ZERO);
         Budget {
@@ -157,7 +157,7 @@
             requests,
             retries,
             open: 0,
-            used: Used::default(),
+            used: RetryTotals::default(),
             refused: 0,
             wanted: None,
             borrowed: Loans::default(),
@@ -258,8 +258,8 @@
     }
 
     /// How it stands.
-    pub fn account(&self, extra: Extra, now: Moment) -> Account {
-        Account {
+    pub fn account(&self, extra: Extra, now: Moment) -> RetryBudgetStatus {
+        RetryBudgetStatus {
             requests: self.requests.last(now),
             retries: self.retries.last(now),
             open: self.open,
@@ -270,7 +270,7 @@
     }
 
     /// What this host has used since its start.
-    pub fn used(&self) -> Used {
+    pub fn used(&self) -> RetryTotals {
         self.used
     }
 
--- a/crates/policy/src/dispatch/fleet.rs
+++ b/crates/policy/src/dispatch/fleet.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Map,
-    budget::{Budget, Terms},
+    budget::{Budget, RetryBudgetConfig},
     held::Absence,
     list::{List, Side},
     load::{REPORT_LAG, TOLD_LIFE},
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     zone: availability::Id,
-    terms: Terms,
+    terms: RetryBudgetConfig,
     servers: Vec<Option<Server>>,
     free: Vec<Index>,
     ids: Map<backend::Id, Index>,
@@ -82,7 +82,7 @@
 
 impl Fleet {
     /// Without servers yet, seen from this zone.
-    pub fn new(zone: availability::Id, terms: Terms) -> Fleet {
+    pub fn new(zone: availability::Id, terms: RetryBudgetConfig) -> Fleet {
         Fleet {
             zone,
             terms,
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget holds over all hosts in each sliding window.
 
 use policy::dispatch::{
-    Terms,
+    RetryBudgetConfig,
     budget::{
         Budget, Extra, Need,
         loan::{PORTION, USABLE},
@@ -13,7 +13,8 @@
 
 use crate::fixture::at;
 
-const TERMS: Terms = Terms { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
+const TERMS: RetryBudgetConfig =
+    RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
 
 /// A part of a run that has it from its start on.
 fn part(hosts: u32) -> Extra {
@@ -124,7 +125,7 @@
 #[case(499, 3)]
 #[case(500, 0)]
 fn a_loan_is_used_soon_or_never(#[case] later: u64, #[case] used: u32) {
-    let mut borrower = Budget::new(Terms { extra: 0.0, ..TERMS });
+    let mut borrower = Budget::new(RetryBudgetConfig { extra: 0.0, ..TERMS });
     borrower.borrow(3, at(0) + USABLE, at(0));
     assert_eq!(spend(&mut borrower, 1, at(later)), used);
 }
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -1,6 +1,8 @@
 //! A host with a few servers, and requests for them.
 
-use policy::dispatch::{Dispatcher, RequestSpec, Run, Settings, Terms, Ticket, Verdict};
+use policy::dispatch::{
+    Dispatcher, RequestSpec, RetryBudgetConfig, Run, Settings, Ticket, Verdict,
+};
 use types::{
     prelude::*,
     routed::{Held, Kind, Report, Route, Server, Share, State},
@@ -19,7 +21,7 @@
         run: 1,
         zone: "a".into(),
         hosts: 1,
-        retries: Terms::default(),
+        retries: RetryBudgetConfig::default(),
     });
     host.registered(Run::First);
     host
@@ -33,7 +35,7 @@
         run: 1,
         zone: "a".into(),
         hosts,
-        retries: Terms::default(),
+        retries: RetryBudgetConfig::default(),
     });
     host.registered(Run::First);
     host.hosts(hosts);
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -36,7 +36,7 @@
 
 /// A number that no earlier request of the host has.
 fn next_ticket(host: &Dispatcher) -> Ticket {
-    host.used().iter().map(|(_, used)| used.requests).sum::<u64>() + 1
+    host.retry_totals().iter().map(|(_, used)| used.requests).sum::<u64>() + 1
 }
 
 /// The host's ask for a loan.
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -6,8 +6,8 @@
 };
 
 use policy::dispatch::{
-    Dispatcher, End, NotRun, RequestSpec, RetryDecision, Run, Settings, Terms, Ticket, Verdict,
-    Work,
+    Dispatcher, End, NotRun, RequestSpec, RetryBudgetConfig, RetryDecision, Run, Settings, Ticket,
+    Verdict, Work,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -88,7 +88,7 @@
                 run: 1,
                 zone,
                 hosts,
-                retries: Terms::default(),
+                retries: RetryBudgetConfig::default(),
             });
             host.registered(Run::First);
             for n in 0..play.servers {
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use policy::dispatch::{
-    Answer, Cause, Dispatcher, End, RequestSpec, RetryDecision, Run, Settings, Terms, Ticket,
-    Unclear, Verdict, loan::Message,
+    Answer, Cause, Dispatcher, End, RequestSpec, RetryBudgetConfig, RetryDecision, Run, Settings,
+    Ticket, Unclear, Verdict, loan::Message,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -83,7 +83,7 @@
             run: 1,
             zone: "a".into(),
             hosts: hosts as u32,
-            retries: Terms::default(),
+            retries: RetryBudgetConfig::default(),
         });
         dispatcher.share_listed(hosts as u32);
         dispatcher.registered(run);
@@ -148,7 +148,7 @@
     }
 
     fn excess(&self) -> Option<Excess> {
-        overdrawn(&self.requests, &self.retries, &Terms::default())
+        overdrawn(&self.requests, &self.retries, &RetryBudgetConfig::default())
     }
 
     fn step(&mut self, second: Second) {
@@ -400,7 +400,7 @@
     let plan = Plan::new(hosts, [seconds(25, calm), seconds(10, failing)].concat());
     let world = World::new(plan).play();
     assert_eq!(world.excess(), None);
-    let terms = Terms::default();
+    let terms = RetryBudgetConfig::default();
     let requests = (2 * hosts * STEPS_A_SECOND) as f64 * terms.window.as_secs_f64();
     let allowed = terms.ratio * requests + terms.extra;
     let used = world.retries.len() as f64;
--- a/crates/policy/tests/dispatch/rule.rs
+++ b/crates/policy/tests/dispatch/rule.rs
@@ -1,6 +1,6 @@
 //! The rule on retries, over what arrived at the servers of one service from all hosts.
 
-use policy::dispatch::Terms;
+use policy::dispatch::RetryBudgetConfig;
 use types::prelude::*;
 
 /// A window with more arrivals beyond the first of each request than the terms allow.
@@ -15,7 +15,11 @@
 }
 
 /// The first window that is overdrawn; both lists are in the order of time.
-pub fn overdrawn(requests: &[Moment], retries: &[Moment], terms: &Terms) -> Option<Excess> {
+pub fn overdrawn(
+    requests: &[Moment],
+    retries: &[Moment],
+    terms: &RetryBudgetConfig,
+) -> Option<Excess> {
     let window = terms.window;
     let count = |times: &[Moment], end: Moment| {
         let from = times.partition_point(|at| *at + window < end);
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -16,7 +16,7 @@
     story::{Belief, Heard, Teller, Words},
 };
 use policy::{
-    dispatch::{self, Change as News, Dispatcher, Terms, Ticket, Verdict},
+    dispatch::{self, Change as News, Dispatcher, RetryBudgetConfig, Ticket, Verdict},
     place::{self, Planner},
     term::{self, Term},
 };
@@ -107,7 +107,7 @@
             run: incarnation,
             zone: settings.host.zone.clone(),
             hosts: HOSTS,
-            retries: Terms {
+            retries: RetryBudgetConfig {
                 window: routed.retry.window,
                 ratio: routed.retry.ratio,
                 extra: routed.retry.extra,
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -169,7 +169,7 @@
     });
     exchange.publish(Part::Arrivals(arrivals));
     exchange.publish(Part::Servers(departures(shared)));
-    let used = shared.dispatcher().used();
+    let used = shared.dispatcher().retry_totals();
     exchange
         .publish(Part::Retries(used.into_iter().map(|(id, used)| (id, used.retries)).collect()));
     let crashes = shared.dispatcher().poison().crashes(now);
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -6,7 +6,7 @@
     Exchange,
     fleet::{Notice, Picture},
 };
-use policy::dispatch::{Account, loan::Message};
+use policy::dispatch::{RetryBudgetStatus, loan::Message};
 use tokio::time::sleep;
 use types::prelude::*;
 
@@ -30,7 +30,7 @@
     }
 }
 
-fn log_budget(service: &str, account: &Account, refused: u64, others: &Picture) {
+fn log_budget(service: &str, account: &RetryBudgetStatus, refused: u64, others: &Picture) {
     let count = |counts: &BTreeMap<service::Id, u64>| counts.get(service).copied().unwrap_or(0);
     log::info!(
         service, requests = account.requests, retries = account.retries, open = account.open, refused,
@@ -65,7 +65,7 @@
         }
     }
 
-    fn retry_budgets(&self) -> Vec<(service::Id, Account)> {
+    fn retry_budgets(&self) -> Vec<(service::Id, RetryBudgetStatus)> {
         self.dispatcher().retry_budgets(self.now())
     }
 }
