--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -104,11 +104,11 @@
 
 /// A run of a host, as the store knows its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Run {
+pub enum HostStart {
     /// The first under this name.
     First,
     /// A later one, which doesn't know what the one before has spent.
-    Later,
+    Restart,
 }
 
 /// All decisions about routed requests on one host.
@@ -198,8 +198,8 @@
 
     /// The store knows this run by its name, so that the next one is a later one. A run that isn't known has no part of
     /// the retries besides those for its requests.
-    pub fn registered(&mut self, run: Run) {
-        self.sharers.begin(run);
+    pub fn registered(&mut self, start: HostStart) {
+        self.sharers.begin(start);
     }
 
     /// What a server says of itself.
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -7,7 +7,7 @@
 
 use types::prelude::*;
 
-use super::{Run, budget::Extra};
+use super::{HostStart, budget::Extra};
 
 /// How long fewer hosts are seen before they share the budgets among themselves.
 const FEWER: Duration = Duration::from_secs(20);
@@ -49,10 +49,10 @@
     }
 
     /// This run has a part: the first at once, a later one when what the one before has spent counts no more.
-    pub(super) fn begin(&mut self, run: Run) {
-        self.from.get_or_insert(match run {
-            Run::First => Duration::ZERO,
-            Run::Later => self.window,
+    pub(super) fn begin(&mut self, start: HostStart) {
+        self.from.get_or_insert(match start {
+            HostStart::First => Duration::ZERO,
+            HostStart::Restart => self.window,
         });
     }
 
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -1,7 +1,7 @@
 //! A host with a few servers, and requests for them.
 
 use policy::dispatch::{
-    Dispatcher, RequestSpec, RetryBudgetConfig, Run, Settings, Ticket, Verdict,
+    Dispatcher, HostStart, RequestSpec, RetryBudgetConfig, Settings, Ticket, Verdict,
 };
 use types::{
     prelude::*,
@@ -23,7 +23,7 @@
         hosts: 1,
         retries: RetryBudgetConfig::default(),
     });
-    host.registered(Run::First);
+    host.registered(HostStart::First);
     host
 }
 
@@ -37,7 +37,7 @@
         hosts,
         retries: RetryBudgetConfig::default(),
     });
-    host.registered(Run::First);
+    host.registered(HostStart::First);
     host.hosts(hosts);
     servers.for_each(|server| host.server(&server, at(0)));
     host
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -6,8 +6,8 @@
 };
 
 use policy::dispatch::{
-    Dispatcher, End, NotRun, RequestSpec, RetryBudgetConfig, RetryDecision, Run, Settings, Ticket,
-    Verdict, Work,
+    Dispatcher, End, HostStart, NotRun, RequestSpec, RetryBudgetConfig, RetryDecision, Settings,
+    Ticket, Verdict, Work,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -90,7 +90,7 @@
                 hosts,
                 retries: RetryBudgetConfig::default(),
             });
-            host.registered(Run::First);
+            host.registered(HostStart::First);
             for n in 0..play.servers {
                 let told = server(&id(n), zones[n % zones.len()], &[]);
                 host.server(&types::routed::Server { slots: SLOTS as u32, ..told }, Duration::ZERO);
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use policy::dispatch::{
-    Answer, Cause, Dispatcher, End, RequestSpec, RetryBudgetConfig, RetryDecision, Run, Settings,
-    Ticket, Unclear, Verdict, loan::Message,
+    Answer, Cause, Dispatcher, End, HostStart, RequestSpec, RetryBudgetConfig, RetryDecision,
+    Settings, Ticket, Unclear, Verdict, loan::Message,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -77,7 +77,7 @@
 }
 
 impl Host {
-    fn start(place: usize, hosts: usize, born: Moment, run: Run) -> Host {
+    fn start(place: usize, hosts: usize, born: Moment, start: HostStart) -> Host {
         let mut dispatcher = Dispatcher::new(Settings {
             host: name(place),
             run: 1,
@@ -86,7 +86,7 @@
             retries: RetryBudgetConfig::default(),
         });
         dispatcher.share_listed(hosts as u32);
-        dispatcher.registered(run);
+        dispatcher.registered(start);
         Host { dispatcher, born, flights: BTreeMap::new() }
     }
 }
@@ -110,7 +110,7 @@
 impl World {
     fn new(plan: Plan) -> World {
         let hosts = (0..plan.hosts)
-            .map(|place| Host::start(place, plan.hosts, at(0), Run::First))
+            .map(|place| Host::start(place, plan.hosts, at(0), HostStart::First))
             .collect();
         let mut world = World {
             plan,
@@ -196,7 +196,7 @@
     }
 
     fn restart(&mut self, place: usize) {
-        self.hosts[place] = Host::start(place, self.plan.hosts, self.now(), Run::Later);
+        self.hosts[place] = Host::start(place, self.plan.hosts, self.now(), HostStart::Restart);
         self.see(place);
     }
 
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use exchange::Exchange;
-use policy::dispatch::Run;
+use policy::dispatch::HostStart;
 use serde_json::Value;
 use tokio::time::sleep;
 
@@ -52,20 +52,23 @@
     let name = &*shared.host.id;
     let content = Value::String(exchange.member().address.to_string());
     let own = page.objects.iter().find(|object| &*object.name == name);
-    let (call, run) = match own {
+    let (call, start) = match own {
         Some(object) if object.content == content => {
-            shared.dispatcher().registered(Run::Later);
+            shared.dispatcher().registered(HostStart::Restart);
             return true;
         }
         Some(object) => {
             let revision = object.revision;
-            (Call::Replace { kind: Kind::Host, name, revision, content: &content }, Run::Later)
+            (
+                Call::Replace { kind: Kind::Host, name, revision, content: &content },
+                HostStart::Restart,
+            )
         }
-        None => (Call::Create { kind: Kind::Host, name, content: &content }, Run::First),
+        None => (Call::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
     };
     let is_written = matches!(shared.store.call(&call).await, Told::Object(_));
     if is_written {
-        shared.dispatcher().registered(run);
+        shared.dispatcher().registered(start);
     }
     is_written
 }
