--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -140,7 +140,7 @@
 
 /// A change of what is thought of a request, with the crashes behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct StandingChange {
     /// The request.
     pub request: Fingerprint,
     /// What is thought of it now.
@@ -435,7 +435,7 @@
     }
 
     /// Joins what other hosts, or the store, know.
-    pub fn learn(&mut self, crashes: &[Crash], now: Moment) {
+    pub fn merge(&mut self, crashes: &[Crash], now: Moment) {
         for crash in crashes {
             let Some(left) = LIFE.checked_sub(crash.age) else { continue };
             let is_known = self
@@ -454,18 +454,18 @@
     }
 
     /// Changes of what is thought of requests, since the last call.
-    pub fn news(&mut self, now: Moment) -> Vec<News> {
-        let mut news = Vec::new();
+    pub fn take_changes(&mut self, now: Moment) -> Vec<StandingChange> {
+        let mut changes = Vec::new();
         for request in std::mem::take(&mut self.changed) {
             let standing = self.standing(request);
             let Some(entry) = self.entries.get_mut(&request) else { continue };
             let before = entry.reported.replace(standing).unwrap_or(Standing::Clear);
             if before != standing {
                 let crashes = list(request, entry, now);
-                news.push(News { request, standing, crashes });
+                changes.push(StandingChange { request, standing, crashes });
             }
         }
-        news
+        changes
     }
 
     /// Drops what is old.
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -31,7 +31,7 @@
     let sent: Vec<Vec<Crash>> = poisons.iter().map(|poison| poison.crashes(now)).collect();
     for (to, poison) in poisons.iter_mut().enumerate() {
         let others = sent.iter().enumerate().filter(|(from, _)| *from != to);
-        others.for_each(|(_, crashes)| poison.learn(crashes, now));
+        others.for_each(|(_, crashes)| poison.merge(crashes, now));
     }
 }
 
@@ -56,7 +56,7 @@
     let mut poison = poison();
     let expected = [Standing::Clear, Standing::Suspect, Standing::Poison];
     for (server, expected) in ["s1", "s2", "s3"].into_iter().zip(expected) {
-        poison.learn(&heard(7, &[server], role), at(0));
+        poison.merge(&heard(7, &[server], role), at(0));
         assert_eq!(poison.standing(7), expected);
     }
     poison.expire(life.saturating_sub(at(1)));
@@ -109,7 +109,7 @@
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
     // What was beside it on another host is explained as well.
-    poison.learn(&heard(10, &["s3", "s4"], Role::Beside), at(1));
+    poison.merge(&heard(10, &["s3", "s4"], Role::Beside), at(1));
     assert_eq!(poison.standing(10), Standing::Clear);
 }
 
@@ -129,8 +129,8 @@
 #[rstest]
 fn a_request_that_is_refused_explains_crashes_of_others() {
     let mut poison = poison();
-    poison.learn(&heard(7, &["s1", "s2", "s3", "s4"], Role::Beside), at(0));
-    poison.learn(&heard(8, &["s1", "s2", "s3"], Role::Beside), at(0));
+    poison.merge(&heard(7, &["s1", "s2", "s3", "s4"], Role::Beside), at(0));
+    poison.merge(&heard(8, &["s1", "s2", "s3"], Role::Beside), at(0));
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
 }
@@ -362,17 +362,17 @@
 fn changes_are_told_once_with_the_crashes_behind_them() {
     let mut poison = poison();
     crash(&mut poison, 7, &["s1"]);
-    assert_eq!(poison.news(at(1)), []);
+    assert_eq!(poison.take_changes(at(1)), []);
     crash(&mut poison, 7, &["s2", "s3"]);
-    let news = poison.news(at(2));
-    assert_eq!(news.len(), 1);
+    let changes = poison.take_changes(at(2));
+    assert_eq!(changes.len(), 1);
     assert_eq!(
-        (news[0].request, news[0].standing, news[0].crashes.len()),
+        (changes[0].request, changes[0].standing, changes[0].crashes.len()),
         (7, Standing::Poison, 3)
     );
-    assert_eq!(poison.news(at(3)), []);
+    assert_eq!(poison.take_changes(at(3)), []);
     poison.completed(7, at(4));
-    assert_eq!(poison.news(at(5))[0].standing, Standing::Clear);
+    assert_eq!(poison.take_changes(at(5))[0].standing, Standing::Clear);
 }
 
 #[track_caller]
@@ -439,7 +439,7 @@
 #[rstest]
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
-    host.poison_mut().learn(&heard(7, &["x1", "x2"], Role::Beside), at(0));
+    host.poison_mut().merge(&heard(7, &["x1", "x2"], Role::Beside), at(0));
     let suspect =
         |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
@@ -493,7 +493,7 @@
 fn suspects_run_one_at_a_time() {
     let mut host = plain(&["s1", "s2", "s3", "s4"]);
     for fingerprint in [7, 8] {
-        host.poison_mut().learn(&heard(fingerprint, &["x1", "x2"], Role::Beside), at(0));
+        host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Role::Beside), at(0));
     }
     let suspect =
         |ticket, fingerprint| RequestSpec { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -210,7 +210,7 @@
     drop(term);
     let mut dispatcher = shared.dispatcher();
     dispatcher.hosts(u32::try_from(picture.live).unwrap_or(u32::MAX));
-    dispatcher.poison_mut().learn(&picture.crashes, now);
+    dispatcher.poison_mut().merge(&picture.crashes, now);
     drop(dispatcher);
     shared.drain(picture.servers.keys());
     shared.quota_hosts(picture);
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -14,7 +14,7 @@
 use observe::story::{Belief, CrashSeen, PoisonState, Word};
 use policy::dispatch::{
     Fingerprint,
-    poison::{Crash, News, Role, Standing, Verdict},
+    poison::{Crash, Role, Standing, StandingChange, Verdict},
 };
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -79,7 +79,7 @@
     // One that can't be read is none that this host may remove.
     book.stored = objects.iter().map(|(request, _)| *request).collect();
     let crashes: Vec<Crash> = objects.into_iter().flat_map(|(_, crashes)| crashes).collect();
-    shared.dispatcher().poison_mut().learn(&crashes, shared.now());
+    shared.dispatcher().poison_mut().merge(&crashes, shared.now());
     true
 }
 
@@ -163,8 +163,8 @@
 
 /// Logs what has changed in what is thought of requests, with the crashes behind it.
 fn log_news(shared: &Shared) {
-    let news = shared.dispatcher().poison_mut().news(shared.now());
-    for News { request, standing, crashes } in news {
+    let changes = shared.dispatcher().poison_mut().take_changes(shared.now());
+    for StandingChange { request, standing, crashes } in changes {
         let state = match standing {
             Standing::Clear => PoisonState::Cleared,
             Standing::Suspect => PoisonState::Suspected,
