--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -80,11 +80,13 @@
 
 /// How a request ran on the server that crashed; the later one overrules the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Role {
-    /// Beside others that are as likely to have crashed it.
-    Beside,
+pub enum Isolation {
+    /// Shared others that are as likely to have crashed it.
+    #[serde(rename = "Beside")]
+    Shared,
     /// As the one suspect there.
-    Apart,
+    #[serde(rename = "Apart")]
+    Isolated,
 }
 
 /// Whether a crash counts; the later one overrules the earlier.
@@ -112,7 +114,8 @@
     /// Times that it did before, and nothing came of it; a later turn overrules an earlier one.
     pub turn: u32,
     /// How the request ran there.
-    pub role: Role,
+    #[serde(rename = "role")]
+    pub isolation: Isolation,
     /// Whether it counts.
     pub verdict: Verdict,
     /// Time since it was seen.
@@ -130,7 +133,7 @@
             Ordering::Greater => return self,
         }
         Crash {
-            role: self.role.max(other.role),
+            isolation: self.isolation.max(other.isolation),
             verdict: self.verdict.max(other.verdict),
             age: self.age.max(other.age),
             ..self
@@ -152,7 +155,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     turn: u32,
-    role: Role,
+    isolation: Isolation,
     verdict: Verdict,
     /// Until when it would be known at the most.
     until: Moment,
@@ -201,7 +204,7 @@
     /// When it is forgotten: by its youngest crash, and by whether it ran apart in any.
     fn until(&self) -> Moment {
         let youngest = self.crashes.values().map(|known| known.until).max().unwrap_or_default();
-        let was_apart = self.crashes.values().any(|known| known.role == Role::Apart);
+        let was_apart = self.crashes.values().any(|known| known.isolation == Isolation::Isolated);
         if was_apart { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
     }
 }
@@ -219,7 +222,7 @@
 struct Unclear {
     request: Fingerprint,
     server: backend::Id,
-    role: Role,
+    isolation: Isolation,
     at: Moment,
 }
 
@@ -310,7 +313,7 @@
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         let trial = self.trial.as_ref().filter(|trial| trial.ticket == ticket);
         if let Some(Trial { request, server, .. }) = trial.cloned() {
-            self.note(request, &server, Role::Apart, Verdict::Open, now);
+            self.note(request, &server, Isolation::Isolated, Verdict::Open, now);
         }
     }
 
@@ -322,11 +325,11 @@
         server: &backend::Id,
         now: Moment,
     ) {
-        self.note(request, server, Role::Beside, Verdict::Counts, now);
+        self.note(request, server, Isolation::Shared, Verdict::Counts, now);
         // Whichever connection is found broken first, the suspect explains the crash.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
-            self.note(suspect, server, Role::Apart, Verdict::Counts, now);
+            self.note(suspect, server, Isolation::Isolated, Verdict::Counts, now);
         }
     }
 
@@ -339,11 +342,11 @@
         now: Moment,
     ) {
         let is_trial = self.trial.as_ref().is_some_and(|trial| trial.ticket == ticket);
-        let role = if is_trial { Role::Apart } else { Role::Beside };
+        let isolation = if is_trial { Isolation::Isolated } else { Isolation::Shared };
         if self.unclear.len() == MOST_UNCLEAR {
             self.unclear.pop_front();
         }
-        self.unclear.push_back(Unclear { request, server: server.clone(), role, at: now });
+        self.unclear.push_back(Unclear { request, server: server.clone(), isolation, at: now });
     }
 
     /// A server's registration ended though it did not say that it leaves.
@@ -353,16 +356,16 @@
             .partition(|unclear| unclear.server == *server);
         self.unclear = others;
         let of_it: VecDeque<Unclear> = of_it;
-        for Unclear { request, role, at, .. } in of_it {
+        for Unclear { request, isolation, at, .. } in of_it {
             if now < at + UNCLEAR {
-                self.note(request, server, role, Verdict::Counts, now);
+                self.note(request, server, isolation, Verdict::Counts, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
             if entry.is_some_and(|entry| entry.at(server).any(|known| known.is_open(now))) {
-                self.note(request, server, Role::Apart, Verdict::Counts, now);
+                self.note(request, server, Isolation::Isolated, Verdict::Counts, now);
             }
         }
     }
@@ -442,9 +445,9 @@
                 .entries
                 .get(&crash.request)
                 .is_some_and(|entry| entry.crashes.contains_key(&place(crash)));
-            let is_ending = match crash.role {
-                Role::Beside => SUSPICION < crash.age + LEAST_LIFE,
-                Role::Apart => left < LEAST_LIFE,
+            let is_ending = match crash.isolation {
+                Isolation::Shared => SUSPICION < crash.age + LEAST_LIFE,
+                Isolation::Isolated => left < LEAST_LIFE,
             };
             if is_known || !is_ending {
                 self.join(crash, now + left, now);
@@ -493,7 +496,7 @@
     /// on one server neither explains its crash.
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
         let is_apart = |server: &backend::Id, other: &Entry| {
-            other.at(server).any(|known| known.role == Role::Apart && known.counts())
+            other.at(server).any(|known| known.isolation == Isolation::Isolated && known.counts())
         };
         let is_other_apart = |server: &backend::Id| {
             self.others(request, server).any(|(_, other)| is_apart(server, other))
@@ -525,7 +528,7 @@
         &mut self,
         request: Fingerprint,
         server: &backend::Id,
-        role: Role,
+        isolation: Isolation,
         verdict: Verdict,
         now: Moment,
     ) {
@@ -539,7 +542,7 @@
             server: server.clone(),
             witness: self.host.clone(),
             turn,
-            role,
+            isolation,
             verdict,
             age: Duration::ZERO,
         };
@@ -555,7 +558,14 @@
         };
         // What is void here is told again to whoever doesn't know it.
         let voided = (verdict != crash.verdict).then_some(now);
-        let new = Known { turn: crash.turn, role: crash.role, verdict, until, learnt: now, voided };
+        let new = Known {
+            turn: crash.turn,
+            isolation: crash.isolation,
+            verdict,
+            until,
+            learnt: now,
+            voided,
+        };
         match entry.crashes.entry(place(crash)) {
             Slot::Vacant(slot) => {
                 slot.insert(new);
@@ -568,7 +578,7 @@
                 }
                 Ordering::Equal => {
                     let known = slot.get_mut();
-                    if known.role < crash.role || known.verdict < verdict {
+                    if known.isolation < crash.isolation || known.verdict < verdict {
                         self.changed.insert(crash.request);
                     }
                     if known.verdict < Verdict::Counts && verdict == Verdict::Counts {
@@ -579,7 +589,7 @@
                     if is_void && crash.verdict == Verdict::Counts {
                         known.voided = Some(now);
                     }
-                    known.role = known.role.max(crash.role);
+                    known.isolation = known.isolation.max(crash.isolation);
                     known.verdict = known.verdict.max(verdict);
                     known.until = known.until.min(until);
                 }
@@ -652,7 +662,7 @@
         server,
         witness,
         turn: known.turn,
-        role: known.role,
+        isolation: known.isolation,
         verdict: known.verdict,
         age: known.age(now),
     }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -2,7 +2,7 @@
 
 use policy::dispatch::{
     Answer, Change, End, Poison, RequestSpec, RetryDecision, Unclear, Verdict,
-    poison::{self, Crash, Fingerprint, LIFE, POISON, Role, SUSPICION, Standing},
+    poison::{self, Crash, Fingerprint, Isolation, LIFE, POISON, SUSPICION, Standing},
 };
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
@@ -36,13 +36,13 @@
 }
 
 /// Crashes of one request, as another host sends them.
-fn heard(request: Fingerprint, servers: &[&str], role: Role) -> Vec<Crash> {
+fn heard(request: Fingerprint, servers: &[&str], isolation: Isolation) -> Vec<Crash> {
     let crash = |server: &&str| Crash {
         request,
         server: (*server).into(),
         turn: 0,
         witness: "b".into(),
-        role,
+        isolation,
         verdict: poison::Verdict::Counts,
         age: Duration::ZERO,
     };
@@ -50,13 +50,13 @@
 }
 
 #[rstest]
-#[case::beside_others(Role::Beside, SUSPICION)]
-#[case::apart(Role::Apart, LIFE)]
-fn the_third_crash_is_the_last(#[case] role: Role, #[case] life: Duration) {
+#[case::beside_others(Isolation::Shared, SUSPICION)]
+#[case::apart(Isolation::Isolated, LIFE)]
+fn the_third_crash_is_the_last(#[case] isolation: Isolation, #[case] life: Duration) {
     let mut poison = poison();
     let expected = [Standing::Clear, Standing::Suspect, Standing::Poison];
     for (server, expected) in ["s1", "s2", "s3"].into_iter().zip(expected) {
-        poison.merge(&heard(7, &[server], role), at(0));
+        poison.merge(&heard(7, &[server], isolation), at(0));
         assert_eq!(poison.standing(7), expected);
     }
     poison.expire(life.saturating_sub(at(1)));
@@ -109,7 +109,7 @@
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
     // What was beside it on another host is explained as well.
-    poison.merge(&heard(10, &["s3", "s4"], Role::Beside), at(1));
+    poison.merge(&heard(10, &["s3", "s4"], Isolation::Shared), at(1));
     assert_eq!(poison.standing(10), Standing::Clear);
 }
 
@@ -129,8 +129,8 @@
 #[rstest]
 fn a_request_that_is_refused_explains_crashes_of_others() {
     let mut poison = poison();
-    poison.merge(&heard(7, &["s1", "s2", "s3", "s4"], Role::Beside), at(0));
-    poison.merge(&heard(8, &["s1", "s2", "s3"], Role::Beside), at(0));
+    poison.merge(&heard(7, &["s1", "s2", "s3", "s4"], Isolation::Shared), at(0));
+    poison.merge(&heard(8, &["s1", "s2", "s3"], Isolation::Shared), at(0));
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
 }
@@ -439,7 +439,7 @@
 #[rstest]
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
-    host.poison_mut().merge(&heard(7, &["x1", "x2"], Role::Beside), at(0));
+    host.poison_mut().merge(&heard(7, &["x1", "x2"], Isolation::Shared), at(0));
     let suspect =
         |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
@@ -493,7 +493,7 @@
 fn suspects_run_one_at_a_time() {
     let mut host = plain(&["s1", "s2", "s3", "s4"]);
     for fingerprint in [7, 8] {
-        host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Role::Beside), at(0));
+        host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
     }
     let suspect =
         |ticket, fingerprint| RequestSpec { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -6,7 +6,7 @@
 
 use fleet_net::{Net, ROUGH};
 use policy::{
-    dispatch::poison::{Crash, Role, Verdict},
+    dispatch::poison::{Crash, Isolation, Verdict},
     fleet::{Departure, Lease, Load, Part, Picture, Reach, Store},
 };
 use rand::{RngExt, SeedableRng};
@@ -41,7 +41,7 @@
         server: server.into(),
         turn: 0,
         witness: "host-001".into(),
-        role: Role::Beside,
+        isolation: Isolation::Shared,
         verdict: Verdict::Counts,
         age: Duration::ZERO,
     }
@@ -247,12 +247,15 @@
     net.cut = vec![2];
     net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
-    net.publish(1, Part::Crashes(vec![Crash { role: Role::Apart, ..crash(2, "s1") }]));
+    net.publish(1, Part::Crashes(vec![Crash { isolation: Isolation::Isolated, ..crash(2, "s1") }]));
     net.run_for(Duration::from_secs(15));
     net.cut.clear();
     net.run_for(Duration::from_secs(8));
     let crashes = net.picture(2).crashes;
-    assert_eq!((crashes.len(), crashes[0].request, crashes[0].role), (1, 2, Role::Apart));
+    assert_eq!(
+        (crashes.len(), crashes[0].request, crashes[0].isolation),
+        (1, 2, Isolation::Isolated)
+    );
 }
 
 #[test]
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -9,7 +9,7 @@
 
 use fleet_net::{Net, ZONES, address, busy_part, member, sent_bytes};
 use policy::{
-    dispatch::poison::{Crash, Role, Verdict},
+    dispatch::poison::{Crash, Isolation, Verdict},
     fleet::{Load, Notice, Part, Standing, To},
 };
 use rstest::rstest;
@@ -250,7 +250,7 @@
         server: server.into(),
         witness: "host-003".into(),
         turn: 0,
-        role: Role::Beside,
+        isolation: Isolation::Shared,
         verdict: Verdict::Counts,
         age: Duration::ZERO,
     };
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -6,7 +6,7 @@
 
 use fleet_net::{Net, address, member};
 use policy::{
-    dispatch::poison::{Crash, Role, Verdict},
+    dispatch::poison::{Crash, Isolation, Verdict},
     fleet::{Fleet, Notice, Part, Settings, To},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -25,7 +25,7 @@
         server: "s1".into(),
         turn: 0,
         witness: "host-001".into(),
-        role: Role::Beside,
+        isolation: Isolation::Shared,
         verdict: Verdict::Counts,
         age: Duration::ZERO,
     };
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -14,7 +14,7 @@
 use observe::story::{Belief, CrashSeen, PoisonState, Word};
 use policy::dispatch::{
     Fingerprint,
-    poison::{Crash, Role, Standing, StandingChange, Verdict},
+    poison::{Crash, Isolation, Standing, StandingChange, Verdict},
 };
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -183,9 +183,9 @@
 
 /// A crash as it is logged.
 fn seen(crash: &Crash) -> CrashSeen {
-    let role = match crash.role {
-        Role::Beside => "beside others",
-        Role::Apart => "apart",
+    let role = match crash.isolation {
+        Isolation::Shared => "beside others",
+        Isolation::Isolated => "apart",
     };
     CrashSeen {
         server: crash.server.clone(),
