--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -91,11 +91,13 @@
 
 /// Whether a crash counts; the later one overrules the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum CrashState {
     /// The server has not crashed so far: a suspect runs there.
-    Open,
+    #[serde(rename = "Open")]
+    Running,
     /// The crash counts.
-    Counts,
+    #[serde(rename = "Counts")]
+    Counted,
     /// The server did not crash, or not by this request.
     Void,
 }
@@ -117,7 +119,8 @@
     #[serde(rename = "role")]
     pub isolation: Isolation,
     /// Whether it counts.
-    pub verdict: Verdict,
+    #[serde(rename = "verdict")]
+    pub state: CrashState,
     /// Time since it was seen.
     #[serde(with = "types::time::millis")]
     pub age: Duration,
@@ -134,7 +137,7 @@
         }
         Crash {
             isolation: self.isolation.max(other.isolation),
-            verdict: self.verdict.max(other.verdict),
+            state: self.state.max(other.state),
             age: self.age.max(other.age),
             ..self
         }
@@ -156,7 +159,7 @@
 struct Known {
     turn: u32,
     isolation: Isolation,
-    verdict: Verdict,
+    state: CrashState,
     /// Until when it would be known at the most.
     until: Moment,
     /// When this host learnt of it.
@@ -171,11 +174,11 @@
     }
 
     fn counts(&self) -> bool {
-        self.verdict == Verdict::Counts
+        self.state == CrashState::Counted
     }
 
     fn is_open(&self, now: Moment) -> bool {
-        self.verdict == Verdict::Open && self.age(now) < OPEN
+        self.state == CrashState::Running && self.age(now) < OPEN
     }
 }
 
@@ -313,7 +316,7 @@
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         let trial = self.trial.as_ref().filter(|trial| trial.ticket == ticket);
         if let Some(Trial { request, server, .. }) = trial.cloned() {
-            self.note(request, &server, Isolation::Isolated, Verdict::Open, now);
+            self.note(request, &server, Isolation::Isolated, CrashState::Running, now);
         }
     }
 
@@ -325,11 +328,11 @@
         server: &backend::Id,
         now: Moment,
     ) {
-        self.note(request, server, Isolation::Shared, Verdict::Counts, now);
+        self.note(request, server, Isolation::Shared, CrashState::Counted, now);
         // Whichever connection is found broken first, the suspect explains the crash.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
-            self.note(suspect, server, Isolation::Isolated, Verdict::Counts, now);
+            self.note(suspect, server, Isolation::Isolated, CrashState::Counted, now);
         }
     }
 
@@ -358,14 +361,14 @@
         let of_it: VecDeque<Unclear> = of_it;
         for Unclear { request, isolation, at, .. } in of_it {
             if now < at + UNCLEAR {
-                self.note(request, server, isolation, Verdict::Counts, now);
+                self.note(request, server, isolation, CrashState::Counted, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
             if entry.is_some_and(|entry| entry.at(server).any(|known| known.is_open(now))) {
-                self.note(request, server, Isolation::Isolated, Verdict::Counts, now);
+                self.note(request, server, Isolation::Isolated, CrashState::Counted, now);
             }
         }
     }
@@ -377,7 +380,7 @@
             self.unclear.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
         self.unclear.retain(|unclear| !is_resolved(unclear));
         for request in resolved {
-            self.void(request, now, |at, known| at == server && known.verdict == Verdict::Open);
+            self.void(request, now, |at, known| at == server && known.state == CrashState::Running);
         }
         let Some(requests) = self.at_servers.get(server) else { return };
         for request in requests.clone() {
@@ -398,7 +401,7 @@
         let is_same =
             |unclear: &Unclear| unclear.request == trial.request && unclear.server == trial.server;
         if !self.unclear.iter().any(is_same) {
-            let is_open = |known: &Known| known.verdict == Verdict::Open;
+            let is_open = |known: &Known| known.state == CrashState::Running;
             self.void(trial.request, now, |at, known| *at == trial.server && is_open(known));
         }
     }
@@ -410,14 +413,14 @@
         for (request, entry) in &self.entries {
             let standing = self.standing(*request);
             for (place, known) in &entry.crashes {
-                let is_sent = match known.verdict {
-                    Verdict::Void => known.voided.is_some_and(|at| now < at + VOID_SENT),
-                    Verdict::Open | Verdict::Counts => {
+                let is_sent = match known.state {
+                    CrashState::Void => known.voided.is_some_and(|at| now < at + VOID_SENT),
+                    CrashState::Running | CrashState::Counted => {
                         Standing::Clear < standing || place.1 == self.host
                     }
                 };
                 if is_sent {
-                    let rank = (standing, known.verdict != Verdict::Void, known.until, *request);
+                    let rank = (standing, known.state != CrashState::Void, known.until, *request);
                     sent.push((rank, crash(*request, place, known, now)));
                 }
             }
@@ -478,7 +481,9 @@
             .partition(|unclear| unclear.at + UNCLEAR <= now);
         self.unclear = kept;
         for Unclear { request, server, .. } in old {
-            self.void(request, now, |at, known| *at == server && known.verdict == Verdict::Open);
+            self.void(request, now, |at, known| {
+                *at == server && known.state == CrashState::Running
+            });
         }
         let old = self.entries.iter().filter(|(_, entry)| entry.until() <= now);
         let old: Vec<Fingerprint> = old.map(|(request, _)| *request).collect();
@@ -529,13 +534,13 @@
         request: Fingerprint,
         server: &backend::Id,
         isolation: Isolation,
-        verdict: Verdict,
+        state: CrashState,
         now: Moment,
     ) {
         let place = (server.clone(), self.host.clone());
         let known = self.entries.get(&request).and_then(|entry| entry.crashes.get(&place));
         let turn = known.map_or(0, |known| {
-            known.turn.saturating_add(u32::from(known.verdict == Verdict::Void))
+            known.turn.saturating_add(u32::from(known.state == CrashState::Void))
         });
         let crash = Crash {
             request,
@@ -543,7 +548,7 @@
             witness: self.host.clone(),
             turn,
             isolation,
-            verdict,
+            state,
             age: Duration::ZERO,
         };
         self.join(&crash, now + LIFE, now);
@@ -552,16 +557,16 @@
 
     fn join(&mut self, crash: &Crash, until: Moment, now: Moment) {
         let entry = self.entries.entry(crash.request).or_default();
-        let verdict = match self.whole.has(crash.request, now) {
-            true => Verdict::Void,
-            false => crash.verdict,
+        let state = match self.whole.has(crash.request, now) {
+            true => CrashState::Void,
+            false => crash.state,
         };
         // What is void here is told again to whoever doesn't know it.
-        let voided = (verdict != crash.verdict).then_some(now);
+        let voided = (state != crash.state).then_some(now);
         let new = Known {
             turn: crash.turn,
             isolation: crash.isolation,
-            verdict,
+            state,
             until,
             learnt: now,
             voided,
@@ -578,19 +583,19 @@
                 }
                 Ordering::Equal => {
                     let known = slot.get_mut();
-                    if known.isolation < crash.isolation || known.verdict < verdict {
+                    if known.isolation < crash.isolation || known.state < state {
                         self.changed.insert(crash.request);
                     }
-                    if known.verdict < Verdict::Counts && verdict == Verdict::Counts {
+                    if known.state < CrashState::Counted && state == CrashState::Counted {
                         // The crash is later than the begin of the run.
                         known.learnt = now;
                     }
-                    let is_void = known.verdict == Verdict::Void;
-                    if is_void && crash.verdict == Verdict::Counts {
+                    let is_void = known.state == CrashState::Void;
+                    if is_void && crash.state == CrashState::Counted {
                         known.voided = Some(now);
                     }
                     known.isolation = known.isolation.max(crash.isolation);
-                    known.verdict = known.verdict.max(verdict);
+                    known.state = known.state.max(state);
                     known.until = known.until.min(until);
                 }
                 Ordering::Greater => return,
@@ -612,8 +617,8 @@
     ) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         for ((server, _), known) in &mut entry.crashes {
-            if known.verdict < Verdict::Void && is_meant(server, known) {
-                known.verdict = Verdict::Void;
+            if known.state < CrashState::Void && is_meant(server, known) {
+                known.state = CrashState::Void;
                 known.voided = Some(now);
                 self.changed.insert(request);
                 self.changed.extend(self.at_servers.get(server).into_iter().flatten());
@@ -663,7 +668,7 @@
         witness,
         turn: known.turn,
         isolation: known.isolation,
-        verdict: known.verdict,
+        state: known.state,
         age: known.age(now),
     }
 }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -43,7 +43,7 @@
         turn: 0,
         witness: "b".into(),
         isolation,
-        verdict: poison::Verdict::Counts,
+        state: poison::CrashState::Counted,
         age: Duration::ZERO,
     };
     servers.iter().map(crash).collect()
@@ -80,7 +80,7 @@
     assert_eq!(poison.standing(7), Standing::Clear);
     let sent = poison.crashes(at(6));
     assert_eq!(sent.len(), 2);
-    assert!(sent.iter().all(|crash| crash.verdict == poison::Verdict::Void), "{sent:?}");
+    assert!(sent.iter().all(|crash| crash.state == poison::CrashState::Void), "{sent:?}");
 }
 
 #[rstest]
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -6,7 +6,7 @@
 
 use fleet_net::{Net, ROUGH};
 use policy::{
-    dispatch::poison::{Crash, Isolation, Verdict},
+    dispatch::poison::{Crash, CrashState, Isolation},
     fleet::{Departure, Lease, Load, Part, Picture, Reach, Store},
 };
 use rand::{RngExt, SeedableRng};
@@ -42,7 +42,7 @@
         turn: 0,
         witness: "host-001".into(),
         isolation: Isolation::Shared,
-        verdict: Verdict::Counts,
+        state: CrashState::Counted,
         age: Duration::ZERO,
     }
 }
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -9,7 +9,7 @@
 
 use fleet_net::{Net, ZONES, address, busy_part, member, sent_bytes};
 use policy::{
-    dispatch::poison::{Crash, Isolation, Verdict},
+    dispatch::poison::{Crash, CrashState, Isolation},
     fleet::{Load, Notice, Part, Standing, To},
 };
 use rstest::rstest;
@@ -251,7 +251,7 @@
         witness: "host-003".into(),
         turn: 0,
         isolation: Isolation::Shared,
-        verdict: Verdict::Counts,
+        state: CrashState::Counted,
         age: Duration::ZERO,
     };
     net.publish(3, Part::Crashes(["s1", "s2", "s3"].map(crash).into()));
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -6,7 +6,7 @@
 
 use fleet_net::{Net, address, member};
 use policy::{
-    dispatch::poison::{Crash, Isolation, Verdict},
+    dispatch::poison::{Crash, CrashState, Isolation},
     fleet::{Fleet, Notice, Part, Settings, To},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -26,7 +26,7 @@
         turn: 0,
         witness: "host-001".into(),
         isolation: Isolation::Shared,
-        verdict: Verdict::Counts,
+        state: CrashState::Counted,
         age: Duration::ZERO,
     };
     net.publish(1, Part::Crashes((0..50).map(crash).collect()));
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -14,7 +14,7 @@
 use observe::story::{Belief, CrashSeen, PoisonState, Word};
 use policy::dispatch::{
     Fingerprint,
-    poison::{Crash, Isolation, Standing, StandingChange, Verdict},
+    poison::{Crash, CrashState, Isolation, Standing, StandingChange},
 };
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -191,7 +191,7 @@
         server: crash.server.clone(),
         witness: crash.witness.clone(),
         role: Word::Borrowed(role),
-        counts: crash.verdict == Verdict::Counts,
+        counts: crash.state == CrashState::Counted,
         age: crash.age,
     }
 }
