--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -257,7 +257,7 @@
             return;
         }
         // One that still answers may be about to leave.
-        if server.is_dark(now) {
+        if server.is_unresponsive(now) {
             let flying = self.tasks.values().filter_map(|task| match &task.state {
                 State::Flying(flight) if flight.id == *id => Some(&task.ask),
                 _ => None,
@@ -297,9 +297,9 @@
     }
 
     /// Servers that are tried and have answered nothing for a while.
-    pub fn dark(&self, now: Moment) -> Vec<backend::Id> {
-        let dark = self.fleet.servers().filter(|server| server.is_dark(now));
-        dark.map(|server| server.id.clone()).collect()
+    pub fn unresponsive(&self, now: Moment) -> Vec<backend::Id> {
+        let unresponsive = self.fleet.servers().filter(|server| server.is_unresponsive(now));
+        unresponsive.map(|server| server.id.clone()).collect()
     }
 
     /// All that a peer has in flight, in place of what it told before.
--- a/crates/policy/src/dispatch/server.rs
+++ b/crates/policy/src/dispatch/server.rs
@@ -12,7 +12,7 @@
 
 /// Silence of a server in doubt after which it is taken for lost, until it answers again. Its
 /// registration stays for seconds.
-const DARK: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
 /// One server.
 #[derive(Clone, Debug)]
@@ -83,8 +83,8 @@
     }
 
     /// Whether it is tried and has answered nothing for a while.
-    pub fn is_dark(&self, now: Moment) -> bool {
-        self.doubt.is_unreachable() && self.answered + DARK <= now
+    pub fn is_unresponsive(&self, now: Moment) -> bool {
+        self.doubt.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
     }
 
     /// Whether it has only just started and is slow.
--- a/crates/policy/tests/dispatch/doubt.rs
+++ b/crates/policy/tests/dispatch/doubt.rs
@@ -122,15 +122,15 @@
     };
     try_at(&mut host, 0, End::Completed);
     (1..4).for_each(|n| try_at(&mut host, 100 * n, end));
-    assert_eq!(host.dark(at(900)), Vec::<types::prelude::backend::Id>::new());
-    assert_eq!(host.dark(at(1_100)), ["s1".into()]);
+    assert_eq!(host.unresponsive(at(900)), Vec::<types::prelude::backend::Id>::new());
+    assert_eq!(host.unresponsive(at(1_100)), ["s1".into()]);
     try_at(&mut host, 2_000, End::Completed);
-    assert!(host.dark(at(4_000)).is_empty());
+    assert!(host.unresponsive(at(4_000)).is_empty());
 }
 
 #[rstest]
 fn a_server_that_nobody_asks_is_not_taken_for_lost() {
     let mut host = plain(&["s1", "s2"]);
     play(&mut host, 0, 10, |_| (End::Completed, 30));
-    assert!(host.dark(at(60_000)).is_empty());
+    assert!(host.unresponsive(at(60_000)).is_empty());
 }
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -51,13 +51,13 @@
 
 fn round(shared: &Arc<Shared>, now: Moment) {
     let dispatcher = shared.dispatcher();
-    let dark = dispatcher.dark(now);
+    let unresponsive = dispatcher.unresponsive(now);
     let limited = dispatcher.quotas().book().limited();
     let limits =
         limited.filter_map(|(id, news)| Some((id.clone(), news.limit?.as_f64()))).collect();
     drop(dispatcher);
     let mut planner = shared.planner();
-    planner.dark(&dark);
+    planner.dark(&unresponsive);
     planner.limited(&limits);
     for order in planner.plan(now) {
         tokio::spawn(give(shared.clone(), order));
