--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -6,7 +6,7 @@
 //! happens is told to it, with the time.
 //!
 //! A request's life is [`arrive`](Dispatcher::arrive), perhaps a wait that
-//! [`pump`](Dispatcher::pump) ends, [`sent`](Dispatcher::sent), [`first`](Dispatcher::first), and
+//! [`pump`](Dispatcher::pump) ends, [`sent`](Dispatcher::sent), [`first_byte`](Dispatcher::first_byte), and
 //! either [`ended`](Dispatcher::ended) or, after a failed attempt, [`attempt_failed`](Dispatcher::attempt_failed).
 //! The reasons behind the figures are in `docs/design/dispatch.md`.
 
@@ -214,7 +214,7 @@
     }
 
     /// Whether a server is known and not known to leave.
-    pub fn is_used(&self, id: &backend::Id) -> bool {
+    pub fn is_ready(&self, id: &backend::Id) -> bool {
         let server = self.fleet.index(id).and_then(|index| self.fleet.get(index));
         server.is_some_and(|server| server.state == routed::State::Ready)
     }
@@ -282,7 +282,14 @@
     }
 
     /// The load that a server told with an answer.
-    pub fn load(&mut self, id: &backend::Id, running: u32, waiting: u32, slots: u32, now: Moment) {
+    pub fn server_load(
+        &mut self,
+        id: &backend::Id,
+        running: u32,
+        waiting: u32,
+        slots: u32,
+        now: Moment,
+    ) {
         let Some(index) = self.fleet.index(id) else { return };
         if let Some(server) = self.fleet.get_mut(index) {
             server.slots = slots.max(1);
@@ -324,7 +331,7 @@
     }
 
     /// A server holds a model, or an adapter on it, after so many orders.
-    pub fn holds(
+    pub fn model_loaded(
         &mut self,
         id: &backend::Id,
         model: &model::Id,
@@ -338,7 +345,7 @@
     }
 
     /// A server is about to drop a model, or an adapter on it, after so many orders.
-    pub fn drops(
+    pub fn model_unloading(
         &mut self,
         id: &backend::Id,
         model: &model::Id,
@@ -352,7 +359,7 @@
     }
 
     /// A server was ordered to load a model, or an adapter on it, and should be done by then.
-    pub fn coming(
+    pub fn model_loading(
         &mut self,
         id: &backend::Id,
         model: &model::Id,
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -40,7 +40,7 @@
     }
 
     /// The first byte of its answer's body, or its first event, has come.
-    pub fn first(&mut self, ticket: Ticket, now: Moment) {
+    pub fn first_byte(&mut self, ticket: Ticket, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
         if let State::Flying(flight) = &mut task.state
             && flight.phase != Phase::Begun
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes in what another host believes of a server's limit.
-    pub fn limit_heard(
+    pub fn limit_received(
         &mut self,
         id: &backend::Id,
         news: News,
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -38,7 +38,7 @@
 #[rstest]
 fn what_a_server_tells_counts() {
     let mut host = plain(&["s1", "s2"]);
-    host.load(&"s1".into(), 2, 4, 2, at(0));
+    host.server_load(&"s1".into(), 2, 4, 2, at(0));
     for n in 0..3 {
         assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(1)), at(1))), "s2");
     }
@@ -64,10 +64,10 @@
     host.server(&server("s1", "a", &[]), at(0));
     let missing = host.arrive(generation(1, "m1", at(0)), at(0));
     assert!(matches!(missing, Verdict::Missing { .. }));
-    host.coming(&"s1".into(), &"m1".into(), None, at(900));
+    host.model_loading(&"s1".into(), &"m1".into(), None, at(900));
     assert_eq!(host.arrive(generation(2, "m1", at(5)), at(5)), Verdict::Wait);
     assert_eq!(host.pump(at(800)), []);
-    host.holds(&"s1".into(), &"m1".into(), None, 1, at(900));
+    host.model_loaded(&"s1".into(), &"m1".into(), None, 1, at(900));
     // A report from before the load was done takes nothing back.
     host.report(&"s1".into(), &report(0, &[]), at(950));
     let changes = host.pump(at(950));
@@ -123,7 +123,7 @@
 fn news_of_what_is_being_dropped_count_when_the_order_is_old() {
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &[])]), at(0));
-    host.drops(&"s1".into(), &"m1".into(), None, 1, at(0));
+    host.model_unloading(&"s1".into(), &"m1".into(), None, 1, at(0));
     host.server(&Server { sequence: 1, ..server("s1", "a", &[("m1", &[])]) }, at(100));
     host.pump(at(2_900));
     let next = host.arrive(generation(1, "m1", at(2_900)), at(2_900));
@@ -135,14 +135,14 @@
 fn a_model_that_is_about_to_be_dropped_is_not_used_while_reports_still_have_it() {
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &[]), ("m2", &[])]), at(0));
-    host.drops(&"s1".into(), &"m1".into(), None, 1, at(0));
+    host.model_unloading(&"s1".into(), &"m1".into(), None, 1, at(0));
     host.report(&"s1".into(), &report(0, &[("m1", &[]), ("m2", &[])]), at(1_500));
     let next = host.arrive(generation(1, "m1", at(1_500)), at(1_500));
     assert!(matches!(next, Verdict::Missing { .. }));
     assert_eq!(host.missing(), [("app".into(), "m1".into(), None, 1)]);
     assert_eq!(&*sent(host.arrive(generation(2, "m2", at(1_500)), at(1_500))), "s1");
     // Unless it is ordered there again.
-    host.coming(&"s1".into(), &"m1".into(), None, at(1_900));
+    host.model_loading(&"s1".into(), &"m1".into(), None, at(1_900));
     host.report(&"s1".into(), &report(0, &[("m1", &[]), ("m2", &[])]), at(1_900));
     assert_eq!(host.pump(at(1_900)).len(), 1);
 }
@@ -159,13 +159,13 @@
         ..generation(ticket, "m1", now)
     };
     let first = sent(host.arrive(prompt(1, &[(7, 2000), (8, 100)], at(0)), at(0)));
-    host.first(1, at(60));
+    host.first_byte(1, at(60));
     host.ended(1, End::Completed, at(90));
     for ticket in 2..8 {
         let now = at(ticket * 200);
         let again = prompt(ticket, &[(7, 2000), (100 + ticket, 100)], now);
         assert_eq!(sent(host.arrive(again, now)), first);
-        host.first(ticket, now + at(60));
+        host.first_byte(ticket, now + at(60));
         host.ended(ticket, End::Completed, now + at(90));
     }
     // The same part behind another is another prompt, and so is it on another model.
@@ -191,7 +191,7 @@
         assert_eq!(&*sent(host.arrive(ask(ticket, Kind::Idempotent, now), now)), "near");
         host.ended(ticket, End::Completed, now + at(30));
     }
-    host.load(&"near".into(), 2, 1, 2, at(2_000));
+    host.server_load(&"near".into(), 2, 1, 2, at(2_000));
     assert_eq!(&*sent(host.arrive(ask(20, Kind::Idempotent, at(2_000)), at(2_000))), "far");
 }
 
@@ -224,9 +224,9 @@
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &["a1"])]), at(0));
     host.draining(&"s1".into());
-    assert!(!host.is_used(&"s1".into()));
+    assert!(!host.is_ready(&"s1".into()));
     host.resume(&"s1".into());
-    assert!(host.is_used(&"s1".into()));
+    assert!(host.is_ready(&"s1".into()));
     assert_eq!(&*sent(host.arrive(generation(1, "m1", at(1)), at(1))), "s1");
 }
 
@@ -263,8 +263,8 @@
 fn tell(host: &mut Dispatcher, notice: Notice, now: Moment) {
     let (id, model) = ("s1".into(), "m1".into());
     match notice {
-        Notice::Held(sequence) => host.holds(&id, &model, None, sequence, now),
-        Notice::Dropped(sequence) => host.drops(&id, &model, None, sequence, now),
+        Notice::Held(sequence) => host.model_loaded(&id, &model, None, sequence, now),
+        Notice::Dropped(sequence) => host.model_unloading(&id, &model, None, sequence, now),
         Notice::Listed(sequence, is_held) => {
             let models: &[(&str, &[&str])] = if is_held { &[("m1", &[])] } else { &[] };
             host.report(&id, &Report { sequence, ..report(0, models) }, now);
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -183,7 +183,7 @@
     fn tell_load(&mut self, server: usize, host: usize) {
         let node = &self.nodes[server];
         let (running, waiting) = (node.running as u32, node.queue.len() as u32);
-        self.hosts[host].load(&id(server), running, waiting, SLOTS as u32, self.now);
+        self.hosts[host].server_load(&id(server), running, waiting, SLOTS as u32, self.now);
     }
 
     fn pump(&mut self, host: usize) {
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -131,7 +131,7 @@
 fn a_request_whose_load_comes_too_late_is_refused_at_once() {
     let mut host = host();
     host.server(&server("s1", "a", &[]), at(0));
-    host.coming(&"s1".into(), &"m1".into(), None, at(1_000));
+    host.model_loading(&"s1".into(), &"m1".into(), None, at(1_000));
     let brief = |ticket, silence| RequestSpec {
         silence: Some(Duration::from_millis(silence)),
         ..generation(ticket, "m1", at(0))
@@ -152,7 +152,7 @@
     host.arrive(generation(2, "m1", at(0)), at(0));
     let tickets: Vec<_> = host.pump(at(0)).into_iter().map(|change| change.ticket).collect();
     assert_eq!(tickets, [2]);
-    host.holds(&"s1".into(), &"m1".into(), Some(&"x".into()), 1, at(30));
+    host.model_loaded(&"s1".into(), &"m1".into(), Some(&"x".into()), 1, at(30));
     assert_eq!(host.pump(at(30)).len(), 1);
 }
 
@@ -185,7 +185,7 @@
     let verdicts = (0..4).map(|n| host.arrive(paced(n, at(0)), at(0)));
     assert_eq!(verdicts.filter(|verdict| *verdict == Verdict::Wait).count(), 1);
     assert_eq!(host.pump(at(20)), []);
-    host.first(0, at(40));
+    host.first_byte(0, at(40));
     let changes = host.pump(at(40));
     assert_eq!(changes.iter().map(|change| change.ticket).collect::<Vec<_>>(), [3]);
 }
--- a/crates/policy/tests/dispatch/reading.rs
+++ b/crates/policy/tests/dispatch/reading.rs
@@ -82,7 +82,7 @@
         for node in 0..SERVERS {
             for (host, ticket) in self.nodes[node].read() {
                 self.read += 1;
-                self.hosts[host].first(ticket, now);
+                self.hosts[host].first_byte(ticket, now);
                 self.ends.push_back((millis + RUN, host, ticket));
             }
         }
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -236,7 +236,7 @@
         assert_eq!(host.pump(at(now)), [], "given up at {now}");
     }
     assert_eq!(host.missing(), [("app".into(), "m1".into(), Some("x".into()), 1)]);
-    host.holds(&"s2".into(), &"m1".into(), Some(&"x".into()), 1, at(3_000));
+    host.model_loaded(&"s2".into(), &"m1".into(), Some(&"x".into()), 1, at(3_000));
     let changes = host.pump(at(3_000));
     assert_eq!(changes, [Change { ticket: 1, verdict: Verdict::Send("s2".into()) }]);
 }
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -72,7 +72,7 @@
     });
     assert!(retries.is_some(), "the budget is never spent");
     assert_eq!(host.leave(0, at(900)), None);
-    host.first(0, at(950));
+    host.first_byte(0, at(950));
     host.ended(0, End::Completed, at(990));
 }
 
@@ -86,8 +86,8 @@
 #[rstest]
 fn a_stream_leaves_when_nothing_more_comes_from_its_server() {
     let mut host = dark(Kind::Stream, true);
-    host.first(0, at(50));
-    host.first(1, at(60));
+    host.first_byte(0, at(50));
+    host.first_byte(1, at(60));
     for n in 3..100 {
         host.delivered(0, n, at(n * 20));
         assert_eq!(host.pump(at(n * 20)), []);
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -137,7 +137,7 @@
     flight.connection = Some(connection);
     let answer = shared.dialect.answer(head.status, &head.headers);
     if let Some([running, waiting, slots]) = answer.load {
-        shared.dispatcher().load(&server.id, running, waiting, slots, shared.now());
+        shared.dispatcher().server_load(&server.id, running, waiting, slots, shared.now());
     }
     let judged = judge(&held.ask, server, &head, &answer);
     if is_from(&judged) {
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -326,7 +326,7 @@
 impl Account {
     /// The first byte or event of its answer has come.
     pub(crate) fn first(&self) {
-        self.shared.dispatcher().first(self.ticket, self.shared.now());
+        self.shared.dispatcher().first_byte(self.ticket, self.shared.now());
         // Its prompt is read, so the next may follow.
         self.shared.dispatch_wakeup.notify_one();
     }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -299,12 +299,12 @@
             }
             Notice::Held { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
-                shared.dispatcher().holds(&server, &model, adapter, sequence, now);
+                shared.dispatcher().model_loaded(&server, &model, adapter, sequence, now);
                 shared.dispatch_wakeup.notify_one();
             }
             Notice::Dropped { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
-                shared.dispatcher().drops(&server, &model, adapter, sequence, now);
+                shared.dispatcher().model_unloading(&server, &model, adapter, sequence, now);
             }
             Notice::Leaving { server, departure, revision } => {
                 let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -31,7 +31,7 @@
 
     /// Takes in what another host believes of a server's limit.
     pub(crate) fn limit_heard(&self, server: &backend::Id, news: News, from: &host::Id) {
-        let change = self.dispatcher().limit_heard(server, news, self.now());
+        let change = self.dispatcher().limit_received(server, news, self.now());
         if let Some(change) = change {
             self.limit_changed(server, change, Heard::Peer(from.clone()));
         }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -168,7 +168,7 @@
         if self.runs_models(&server) {
             self.planner().server(&server, now);
         }
-        let was_used = self.dispatcher().is_used(&server.id);
+        let was_used = self.dispatcher().is_ready(&server.id);
         self.dispatcher().server(&server, now);
         if was_leaving && !self.directory().is_leaving(&server.id) {
             self.dispatcher().resume(&server.id);
@@ -200,7 +200,7 @@
             if self.store.is_degraded() {
                 return self.suspect(id, self.lapse(), from);
             }
-            if self.dispatcher().is_used(id) {
+            if self.dispatcher().is_ready(id) {
                 let (server, departure) = (id.clone(), Departure::Gone);
                 self.notify(Notice::Leaving { server, departure, revision });
             }
@@ -264,7 +264,7 @@
 
     /// Sends a server nothing new until its entry is written after this revision.
     fn set_aside(&self, id: &backend::Id, revision: Revision, from: &Heard) {
-        if self.dispatcher().is_used(id)
+        if self.dispatcher().is_ready(id)
             && let Some(server) = self.server(id)
         {
             self.standing(&server, ServerStanding::Leaving, from, "a peer says that it leaves");
@@ -364,15 +364,15 @@
         let mut dispatcher = self.dispatcher();
         match order.operation {
             Operation::Unload => {
-                dispatcher.drops(&server, &model, adapter, sequence, now);
+                dispatcher.model_unloading(&server, &model, adapter, sequence, now);
                 self.notify(Notice::Dropped { server, model, adapter: adapter.cloned(), sequence });
             }
             // An adapter is there before a request that is sent now.
             Operation::Load if adapter.is_some() => {
-                dispatcher.holds(&server, &model, adapter, sequence, now);
+                dispatcher.model_loaded(&server, &model, adapter, sequence, now);
                 self.notify(Notice::Held { server, model, adapter: adapter.cloned(), sequence });
             }
-            Operation::Load => dispatcher.coming(&server, &model, adapter, now + LOAD),
+            Operation::Load => dispatcher.model_loading(&server, &model, adapter, now + LOAD),
         }
         self.dispatch_wakeup.notify_one();
     }
