--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,8 +8,8 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, Heard, Load, Member, Notice, Part, Picture, Revision, Settings, Standing, State,
-    Tier, To, Unknown,
+    Counts, Fleet, Load, Member, Notice, Part, Picture, ReceivedNotice, Revision, Settings,
+    Standing, State, Tier, To, Unknown,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -104,7 +104,7 @@
     client: Client,
     member: Member,
     bound: SocketAddr,
-    notices: Mutex<Option<mpsc::Receiver<Heard>>>,
+    notices: Mutex<Option<mpsc::Receiver<ReceivedNotice>>>,
     tasks: TaskTracker,
     stop: CancellationToken,
 }
@@ -188,7 +188,7 @@
     }
 
     /// Notices from other hosts; to be had once.
-    pub fn notices(&self) -> Option<mpsc::Receiver<Heard>> {
+    pub fn notices(&self) -> Option<mpsc::Receiver<ReceivedNotice>> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Heard, Picture};
+use policy::fleet::{Fleet, Picture, ReceivedNotice};
 use tokio::{
     net::UdpSocket,
     sync::{Notify, mpsc},
@@ -78,7 +78,7 @@
 pub(crate) async fn run(
     shared: Arc<Shared>,
     socket: UdpSocket,
-    notices: mpsc::Sender<Heard>,
+    notices: mpsc::Sender<ReceivedNotice>,
     stop: CancellationToken,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -100,14 +100,19 @@
     flush(&shared, &socket).await;
 }
 
-fn drain(shared: &Shared, socket: &UdpSocket, notices: &mpsc::Sender<Heard>, buffer: &mut [u8]) {
+fn drain(
+    shared: &Shared,
+    socket: &UdpSocket,
+    notices: &mpsc::Sender<ReceivedNotice>,
+    buffer: &mut [u8],
+) {
     for _ in 1..MOST_AT_ONCE {
         let Ok((length, from)) = socket.try_recv_from(buffer) else { return };
         take(shared, notices, from, &buffer[..length]);
     }
 }
 
-fn take(shared: &Shared, notices: &mpsc::Sender<Heard>, from: SocketAddr, bytes: &[u8]) {
+fn take(shared: &Shared, notices: &mpsc::Sender<ReceivedNotice>, from: SocketAddr, bytes: &[u8]) {
     let heard = shared.with(|fleet, now| fleet.receive(now, from, bytes));
     for notice in heard {
         if notices.try_send(notice).is_err() {
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -126,7 +126,7 @@
 
 /// A notice that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedNotice {
     /// The host that it comes from, if it is known here.
     pub origin: Option<host::Id>,
     /// Where the host that passed it on listens.
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -5,7 +5,7 @@
 use types::time::Moment;
 
 use super::{
-    Fleet, Heard,
+    Fleet, ReceivedNotice,
     hosts::Word,
     link::Debt,
     notice::{self, Notice, Target},
@@ -22,7 +22,7 @@
 
 impl Fleet {
     /// Takes a datagram; the notices in it that are new here.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<Heard> {
+    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<ReceivedNotice> {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         let Some(packet) = wire::decode(bytes) else {
@@ -146,12 +146,18 @@
     }
 
     /// Takes a notice that is sent once. It may be older than what was heard since: whoever reads it tells.
-    fn on_once(&mut self, now: Moment, from: SocketAddr, run: Run, notice: Notice) -> Vec<Heard> {
+    fn on_once(
+        &mut self,
+        now: Moment,
+        from: SocketAddr,
+        run: Run,
+        notice: Notice,
+    ) -> Vec<ReceivedNotice> {
         let Some(peer) = self.hosts.by_run(run) else {
             self.on_stranger(now, from);
             return Vec::new();
         };
-        vec![Heard { origin: Some(peer.member.id.clone()), via: from, notice }]
+        vec![ReceivedNotice { origin: Some(peer.member.id.clone()), via: from, notice }]
     }
 
     fn on_bye(&mut self, now: Moment, run: Run, count: u32) {
@@ -169,7 +175,7 @@
         from: SocketAddr,
         run: Run,
         items: Vec<Item>,
-    ) -> Vec<Heard> {
+    ) -> Vec<ReceivedNotice> {
         let taken = items.iter().map(|item| (item.origin, item.number));
         for lot in notice::pack(taken) {
             self.put(from, Body::Acks(lot));
@@ -180,7 +186,7 @@
                 continue;
             }
             let origin = self.hosts.by_run(item.origin).map(|peer| peer.member.id.clone());
-            heard.push(Heard { origin, via: from, notice: item.notice.clone() });
+            heard.push(ReceivedNotice { origin, via: from, notice: item.notice.clone() });
             self.pass_on(now, run, &item);
         }
         self.flush_notices(now);
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Heard, Load, Member, Part, Settings, State};
+use policy::fleet::{Fleet, Load, Member, Part, ReceivedNotice, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use types::time::Moment;
@@ -29,7 +29,7 @@
 
 pub struct Host {
     pub fleet: Fleet,
-    pub heard: Vec<Heard>,
+    pub heard: Vec<ReceivedNotice>,
 }
 
 type Arrival = Reverse<(Moment, u64, SocketAddr, SocketAddr, Vec<u8>)>;
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -9,7 +9,9 @@
 
 use exchange::{
     Exchange, Registered, Source,
-    fleet::{Departure, Heard, Lease, Notice, Part, Picture, Reach, Revision, State, Store, To},
+    fleet::{
+        Departure, Lease, Notice, Part, Picture, Reach, ReceivedNotice, Revision, State, Store, To,
+    },
 };
 use observe::story::{self, Belief, PeerStanding};
 use policy::{dispatch, fleet::Standing, quota::News, term};
@@ -286,7 +288,11 @@
     known.map_or_else(|| address.to_string().into(), |seen| seen.member.id.clone())
 }
 
-async fn listen(shared: Arc<Shared>, exchange: Arc<Exchange>, mut notices: Receiver<Heard>) {
+async fn listen(
+    shared: Arc<Shared>,
+    exchange: Arc<Exchange>,
+    mut notices: Receiver<ReceivedNotice>,
+) {
     // A fetch takes up to its time limit, and the other notices don't wait for it.
     let (declared, versions) = unbounded_channel();
     tokio::spawn(fetch_declared(shared.clone(), exchange, versions));
