--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,7 +8,7 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, Load, Member, Notice, Part, Picture, ReceivedNotice, Revision, Settings,
+    Counts, Fleet, FleetSnapshot, Load, Member, Notice, Part, ReceivedNotice, Revision, Settings,
     Standing, State, Tier, To, Unknown,
 };
 use tokio::{
@@ -193,8 +193,8 @@
     }
 
     /// What is known of the other hosts and what they told.
-    pub fn fleet(&self) -> Arc<Picture> {
-        self.shared.picture()
+    pub fn fleet(&self) -> Arc<FleetSnapshot> {
+        self.shared.snapshot()
     }
 
     /// Work in flight from all others, as they last told; far cheaper than [`Exchange::fleet`].
@@ -316,8 +316,8 @@
 fn members(shared: &Arc<Shared>, own: &Member) -> impl Fn() -> Vec<Member> + Send + Sync + use<> {
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
-        let picture = shared.upgrade().map(|shared| shared.picture()).unwrap_or_default();
-        let heard = picture.hosts.iter().filter(|seen| seen.standing != Standing::Silent);
+        let snapshot = shared.upgrade().map(|shared| shared.snapshot()).unwrap_or_default();
+        let heard = snapshot.hosts.iter().filter(|seen| seen.standing != Standing::Silent);
         std::iter::once(own.clone()).chain(heard.map(|seen| seen.member.clone())).collect()
     }
 }
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Picture, ReceivedNotice};
+use policy::fleet::{Fleet, FleetSnapshot, ReceivedNotice};
 use tokio::{
     net::UdpSocket,
     sync::{Notify, mpsc},
@@ -26,7 +26,7 @@
 const MOST_AT_ONCE: usize = 64;
 
 /// Age up to which what was worked out is shown again; far below the time between digests.
-const PICTURE_AGE: Duration = Duration::from_millis(20);
+const SNAPSHOT_AGE: Duration = Duration::from_millis(20);
 
 /// What the task and the users of an exchange share.
 pub(crate) struct Shared {
@@ -40,12 +40,12 @@
 struct State {
     fleet: Fleet,
     /// What was known when it was last worked out.
-    picture: Option<(Moment, Arc<Picture>)>,
+    snapshot: Option<(Moment, Arc<FleetSnapshot>)>,
 }
 
 impl Shared {
     pub(crate) fn new(clock: Clock, fleet: Fleet) -> Shared {
-        let state = Mutex::new(State { fleet, picture: None });
+        let state = Mutex::new(State { fleet, snapshot: None });
         Shared { clock, wake: Notify::new(), overflow: AtomicU64::new(0), state }
     }
 
@@ -56,17 +56,17 @@
     }
 
     /// What is known of the others.
-    pub(crate) fn picture(&self) -> Arc<Picture> {
+    pub(crate) fn snapshot(&self) -> Arc<FleetSnapshot> {
         let now = (self.clock)();
         let mut state = self.lock();
-        if let Some((made, picture)) = &state.picture
-            && now < *made + PICTURE_AGE
+        if let Some((made, snapshot)) = &state.snapshot
+            && now < *made + SNAPSHOT_AGE
         {
-            return picture.clone();
+            return snapshot.clone();
         }
-        let picture = Arc::new(state.fleet.picture(now));
-        state.picture = Some((now, picture.clone()));
-        picture
+        let snapshot = Arc::new(state.fleet.snapshot(now));
+        state.snapshot = Some((now, snapshot.clone()));
+        snapshot
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -108,8 +108,8 @@
     hosts[3].publish(Part::Declared(7));
     until(|| hosts[2].fleet().at("i-1") == [load.clone()]).await;
     until(|| hosts[0].fleet().ahead(&"med-a".into(), 6).len() == 1).await;
-    let picture = hosts[0].fleet();
-    assert_eq!(picture.ahead(&"med-a".into(), 6)[0].member, *hosts[3].member());
+    let snapshot = hosts[0].fleet();
+    assert_eq!(snapshot.ahead(&"med-a".into(), 6)[0].member, *hosts[3].member());
     assert!(hosts[0].counts().sent_bytes > 0);
 }
 
--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -116,7 +116,7 @@
                 continue;
             }
             for &host in net.hosts.keys().filter(|host| **host != sender) {
-                let known = net.picture(host).at(&server).first().map_or(0, |load| load.requests);
+                let known = net.snapshot(host).at(&server).first().map_or(0, |load| load.requests);
                 ages.push(u64::from(round - known) * ROUND.as_millis() as u64);
             }
         }
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -69,7 +69,7 @@
     net.publish(sender, Part::InFlight(vec![load.clone()]));
     let start = net.now;
     let others: Vec<_> = net.hosts.keys().copied().filter(|host| *host != sender).collect();
-    wait(net, |net| others.iter().all(|&host| net.picture(host).at("i-1") == [load.clone()]));
+    wait(net, |net| others.iter().all(|&host| net.snapshot(host).at("i-1") == [load.clone()]));
     let took = net.now - start;
     net.publish(sender, Part::InFlight(Vec::new()));
     net.run_for(Duration::from_secs(5));
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -21,8 +21,8 @@
 mod link;
 mod names;
 mod notice;
-mod picture;
 mod receive;
+mod snapshot;
 mod sums;
 mod tell;
 mod view;
@@ -45,7 +45,7 @@
 pub use self::{
     fact::{Departure, Lease, Load, Member, Part, Reach, Revision, State, Store},
     notice::{Notice, To},
-    picture::{Picture, Seen, Tier},
+    snapshot::{FleetSnapshot, Seen, Tier},
     wire::DATAGRAM_BYTES,
 };
 
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -76,7 +76,7 @@
 }
 
 impl Plan {
-    /// Whose tables make up this host's picture, without any host's facts twice.
+    /// Whose tables make up this host's snapshot, without any host's facts twice.
     pub(super) fn sources(&self) -> impl Iterator<Item = (&host::Id, Scope, Distance)> {
         self.tells.iter().flat_map(|(id, scopes)| match (self.role, *scopes) {
             (Role::Equal, _) => vec![(id, Scope::Own, Distance::Near)],
--- a/crates/policy/src/fleet/picture.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -46,7 +46,7 @@
 
 /// What this host knows of the others; its own part is in none of the sums.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Picture {
+pub struct FleetSnapshot {
     /// Known hosts, those that are silent among them.
     pub hosts: Vec<Seen>,
     /// Hosts that take work or are about to, this one among them unless it is leaving.
@@ -72,7 +72,7 @@
     pub store: Store,
 }
 
-impl Picture {
+impl FleetSnapshot {
     /// Work in flight from all others at a server.
     pub fn at(&self, server: &str) -> &[Load] {
         let start = self.in_flight.partition_point(|load| &*load.server < server);
@@ -105,12 +105,12 @@
 
 impl Fleet {
     /// What this host knows of the others.
-    pub fn picture(&self, now: Moment) -> Picture {
+    pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
         let hosts: Vec<_> = self.hosts.iter().map(|peer| self.seen(now, peer)).collect();
         let live = hosts.iter().filter(|seen| seen.standing == Standing::Live).count();
         let mut tally = Tally::default();
         self.told_by_all(now).for_each(|(fact, age)| tally.add(fact, age));
-        let mut picture = Picture {
+        let mut snapshot = FleetSnapshot {
             hosts,
             live: live + usize::from(self.state(now) != State::Leaving),
             in_flight: busy(tally.in_flight),
@@ -120,19 +120,19 @@
             lease: tally.lease,
             term: tally.term,
             store: tally.store.unwrap_or_default(),
-            ..Picture::default()
+            ..FleetSnapshot::default()
         };
         for (key, total) in self.sums.totals() {
             match key {
-                Key::Arrivals(id) => *picture.arrivals.entry(id.clone()).or_default() += total,
-                Key::Retries(id) => *picture.retries.entry(id.clone()).or_default() += total,
+                Key::Arrivals(id) => *snapshot.arrivals.entry(id.clone()).or_default() += total,
+                Key::Retries(id) => *snapshot.retries.entry(id.clone()).or_default() += total,
                 _ => {}
             }
         }
-        picture
+        snapshot
     }
 
-    /// Work in flight from all others alone: what of a picture is wanted far more often than the rest.
+    /// Work in flight from all others alone: what of a snapshot is wanted far more often than the rest.
     pub fn in_flight(&self, now: Moment) -> Vec<Load> {
         let mut tally = Tally::default();
         self.told_by_all(now)
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, ROUGH};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Departure, Lease, Load, Part, Picture, Reach, Store},
+    fleet::{Departure, FleetSnapshot, Lease, Load, Part, Reach, Store},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,11 +28,11 @@
     format!("service-{number}").into()
 }
 
-fn after(parts: impl IntoIterator<Item = Part>) -> Picture {
+fn after(parts: impl IntoIterator<Item = Part>) -> FleetSnapshot {
     let mut net = Net::settled(3, 1);
     parts.into_iter().for_each(|part| net.publish(1, part));
     net.run_for(STEP * 3);
-    net.picture(0)
+    net.snapshot(0)
 }
 
 fn crash(request: u64, server: &str) -> Crash {
@@ -47,15 +47,15 @@
     }
 }
 
-fn requests(picture: &Picture) -> Vec<u64> {
-    picture.crashes.iter().map(|crash| crash.request).collect()
+fn requests(snapshot: &FleetSnapshot) -> Vec<u64> {
+    snapshot.crashes.iter().map(|crash| crash.request).collect()
 }
 
 #[test]
 fn each_part_arrives() {
     let lease = Lease { holder: "host-001".into(), fence: 8, age: Duration::from_millis(700) };
     let store = Store { reach: Reach::Reached, revision: 4_711 };
-    let picture = after([
+    let snapshot = after([
         Part::Declared(12),
         Part::Lease(Some(lease)),
         Part::Store(store),
@@ -64,17 +64,17 @@
         Part::Servers(vec![("i-1".into(), Departure::Gone)]),
         Part::Crashes(vec![crash(99, "s1")]),
     ]);
-    assert_eq!(picture.in_flight, [load(1, 5), load(2, 3)]);
-    assert_eq!(picture.at("i-00000002"), [load(2, 3)]);
-    assert_eq!(picture.at("i-3"), []);
-    assert_eq!(picture.servers["i-1"], Departure::Gone);
-    assert_eq!(requests(&picture), [99]);
-    assert_eq!(picture.store, store);
-    let ahead = picture.ahead(&"zone-1".into(), 11);
+    assert_eq!(snapshot.in_flight, [load(1, 5), load(2, 3)]);
+    assert_eq!(snapshot.at("i-00000002"), [load(2, 3)]);
+    assert_eq!(snapshot.at("i-3"), []);
+    assert_eq!(snapshot.servers["i-1"], Departure::Gone);
+    assert_eq!(requests(&snapshot), [99]);
+    assert_eq!(snapshot.store, store);
+    let ahead = snapshot.ahead(&"zone-1".into(), 11);
     assert_eq!((ahead.len(), ahead[0].declared), (1, 12));
-    assert!(picture.ahead(&"zone-1".into(), 12).is_empty());
-    assert_eq!(picture.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
-    let lease = picture.lease.expect("told");
+    assert!(snapshot.ahead(&"zone-1".into(), 12).is_empty());
+    assert_eq!(snapshot.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
+    let lease = snapshot.lease.expect("told");
     assert_eq!((&*lease.holder, lease.fence), ("host-001", 8));
     assert!(lease.age >= Duration::from_millis(900), "its age grows: {:?}", lease.age);
 }
@@ -90,10 +90,10 @@
     net.publish(1, Part::Servers(Vec::new()));
     net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
     net.run_for(STEP * 3);
-    let picture = net.picture(0);
-    assert_eq!(picture.in_flight, [load(2, 4)]);
-    assert!(picture.servers.is_empty());
-    assert_eq!(requests(&picture), [2]);
+    let snapshot = net.snapshot(0);
+    assert_eq!(snapshot.in_flight, [load(2, 4)]);
+    assert!(snapshot.servers.is_empty());
+    assert_eq!(requests(&snapshot), [2]);
 }
 
 #[test]
@@ -103,10 +103,10 @@
         net.publish(host, Part::InFlight(vec![load(1, host as u32)]));
     }
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(0).in_flight, [load(1, 6)]);
+    assert_eq!(net.snapshot(0).in_flight, [load(1, 6)]);
     net.hosts.remove(&3);
     net.run_for(Duration::from_secs(4));
-    assert_eq!(net.picture(0).in_flight, [load(1, 3)]);
+    assert_eq!(net.snapshot(0).in_flight, [load(1, 3)]);
 }
 
 #[rstest]
@@ -127,7 +127,7 @@
         }
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
-            let heard = net.picture(host).arrivals.values().sum::<u64>();
+            let heard = net.snapshot(host).arrivals.values().sum::<u64>();
             assert!(*before <= heard, "a count fell");
             *before = heard;
         }
@@ -137,10 +137,10 @@
     for host in 0..HOSTS {
         let others = counts.iter().enumerate().filter(|(other, _)| *other != host);
         let sent = others.map(|(_, counts)| counts.iter().sum::<u64>()).sum::<u64>();
-        let picture = net.picture(host);
-        assert_eq!(picture.arrivals.values().sum::<u64>(), sent);
+        let snapshot = net.snapshot(host);
+        assert_eq!(snapshot.arrivals.values().sum::<u64>(), sent);
         let at: Vec<_> = (0..HOSTS).filter(|other| *other != host).map(|o| load(o, 2)).collect();
-        assert_eq!(picture.in_flight, at);
+        assert_eq!(snapshot.in_flight, at);
     }
 }
 
@@ -151,16 +151,16 @@
     net.run_for(STEP * 3);
     net.start(4, 5);
     net.run_for(SETTLE);
-    assert!(net.picture(4).arrivals.is_empty());
+    assert!(net.snapshot(4).arrivals.is_empty());
     net.publish(1, Part::Arrivals(vec![(service(0), 1_010)]));
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(4).arrivals[&service(0)], 10);
-    assert_eq!(net.picture(0).arrivals[&service(0)], 1_010);
+    assert_eq!(net.snapshot(4).arrivals[&service(0)], 10);
+    assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_010);
     net.start(1, 8);
     net.run_for(SETTLE);
     net.publish(1, Part::Arrivals(vec![(service(0), 4)]));
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(0).arrivals[&service(0)], 1_014);
+    assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_014);
 }
 
 #[test]
@@ -169,7 +169,7 @@
     let many: Vec<u64> = (0..1_000).map(|request| request * 0x1234_5678_9abc).collect();
     net.publish(1, Part::Crashes(many.iter().map(|request| crash(*request, "s1")).collect()));
     net.run_for(SETTLE);
-    assert_eq!(requests(&net.picture(0)), many);
+    assert_eq!(requests(&net.snapshot(0)), many);
     assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
 }
 
@@ -190,7 +190,7 @@
         net.run_for(STEP);
     }
     net.run_for(SETTLE);
-    let read = net.picture(4).in_flight;
+    let read = net.snapshot(4).in_flight;
     let stale = many_loads(39).into_iter().filter(|load| !read.contains(load)).count();
     assert_eq!(stale, 0, "of {MANY} were not read");
 }
@@ -208,7 +208,7 @@
         net.run_for(STEP);
     }
     for host in [0, 4] {
-        assert_eq!(net.picture(host).in_flight.len(), many, "at host {host}");
+        assert_eq!(net.snapshot(host).in_flight.len(), many, "at host {host}");
     }
 }
 
@@ -233,7 +233,7 @@
     net.publish(1, Part::Declared(5));
     net.run_for(STEP * 3 / 2);
     net.cut.clear();
-    let has_heard = |net: &Net| net.picture(0).ahead(&"zone-0".into(), 4).len() == 1;
+    let has_heard = |net: &Net| net.snapshot(0).ahead(&"zone-0".into(), 4).len() == 1;
     assert!(!has_heard(&net));
     assert!(net.run_while_not(STEP * 5, has_heard));
 }
@@ -251,7 +251,7 @@
     net.run_for(Duration::from_secs(15));
     net.cut.clear();
     net.run_for(Duration::from_secs(8));
-    let crashes = net.picture(2).crashes;
+    let crashes = net.snapshot(2).crashes;
     assert_eq!((crashes.len(), crashes[0].request, crashes[0].role), (1, 2, Role::Apart));
 }
 
@@ -261,8 +261,8 @@
     net.publish(1, Part::Crashes(vec![crash(7, "s1"), crash(7, "s2")]));
     net.publish(2, Part::Crashes(vec![crash(7, "s2"), crash(7, "s3")]));
     net.run_for(STEP * 3);
-    let picture = net.picture(0);
-    let servers: Vec<&str> = picture.crashes.iter().map(|crash| &*crash.server).collect();
+    let snapshot = net.snapshot(0);
+    let servers: Vec<&str> = snapshot.crashes.iter().map(|crash| &*crash.server).collect();
     assert_eq!(servers, ["s1", "s2", "s3"]);
 }
 
@@ -275,7 +275,7 @@
     let sent = net.hosts[&1].fleet.counts().sent;
     net.publish(1, Part::Crashes(vec![at(30)]));
     net.run_for(STEP * 3);
-    let age = net.picture(0).crashes[0].age;
+    let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
     assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "it is no news");
 }
@@ -284,6 +284,6 @@
 fn the_lease_object_is_told_on() {
     let claim = policy::term::Claim::Held(Duration::from_millis(1500));
     let lease = policy::term::Lease { holder: "host-001".into(), incarnation: 7, nonce: 3, claim };
-    let picture = after([Part::Term((41, lease.clone())), Part::Term((42, lease.clone()))]);
-    assert_eq!(picture.term, Some((42, lease)));
+    let snapshot = after([Part::Term((41, lease.clone())), Part::Term((42, lease.clone()))]);
+    assert_eq!(snapshot.term, Some((42, lease)));
 }
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 fn standing(net: &Net, at: usize, of: usize) -> Option<Standing> {
-    let hosts = net.picture(at).hosts;
+    let hosts = net.snapshot(at).hosts;
     hosts.iter().find(|seen| seen.member.id == member(of, 0).id).map(|seen| seen.standing)
 }
 
@@ -59,8 +59,8 @@
         let mut net = Net::settled(6, 1);
         net.cut = vec![4];
         net.run_for(Duration::from_secs(cut));
-        assert_eq!(net.picture(0).live, 5);
-        assert_eq!(net.picture(4).live, 1);
+        assert_eq!(net.snapshot(0).live, 5);
+        assert_eq!(net.snapshot(4).live, 1);
         net.cut.clear();
         assert!(net.run_while_not(Duration::from_secs(6), Net::is_whole), "cut for {cut} s");
     }
@@ -71,12 +71,12 @@
     let mut net = Net::settled(6, 1);
     net.publish(4, Part::Declared(9));
     net.run_for(Duration::from_millis(300));
-    assert_eq!(net.picture(0).ahead(&"zone-0".into(), 0).len(), 1);
+    assert_eq!(net.snapshot(0).ahead(&"zone-0".into(), 0).len(), 1);
     // Numbers of runs need not rise.
     net.start(4, 7);
     net.run_for(Duration::from_secs(1));
     assert!(net.is_whole());
-    let hosts = net.picture(0).hosts;
+    let hosts = net.snapshot(0).hosts;
     let seen = hosts.iter().find(|seen| seen.member.id == member(4, 0).id).expect("known");
     assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
 }
@@ -94,7 +94,7 @@
     for datagram in late.iter().filter(|datagram| datagram.to == address(0)) {
         net.hand(0, address(2), &datagram.bytes);
     }
-    let hosts = net.picture(0).hosts;
+    let hosts = net.snapshot(0).hosts;
     let seen = hosts.iter().find(|seen| seen.member.address == address(2)).expect("known");
     assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
 }
@@ -107,7 +107,7 @@
     moved.address = address(40);
     net.start_at(4, moved);
     assert!(net.run_while_not(Duration::from_secs(3), Net::is_whole));
-    let hosts = net.picture(1).hosts;
+    let hosts = net.snapshot(1).hosts;
     let seen: Vec<_> = hosts.iter().filter(|seen| seen.member.id == member(4, 0).id).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].member.address, address(40));
@@ -119,7 +119,7 @@
     net.publish(4, Part::State(State::Leaving));
     net.run_for(Duration::from_millis(300));
     assert_eq!(standing(&net, 0, 4), Some(Standing::Leaving));
-    assert_eq!(net.picture(0).live, 5);
+    assert_eq!(net.snapshot(0).live, 5);
     net.fleet(4).bye();
     net.run_for(Duration::from_millis(20));
     net.hosts.remove(&4);
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -140,14 +140,14 @@
         &mut self.hosts.get_mut(&host).expect("it runs").fleet
     }
 
-    pub fn picture(&self, host: usize) -> policy::fleet::Picture {
-        self.hosts[&host].fleet.picture(self.now)
+    pub fn snapshot(&self, host: usize) -> policy::fleet::FleetSnapshot {
+        self.hosts[&host].fleet.snapshot(self.now)
     }
 
     /// Whether each host that runs takes just the others that run for live.
     pub fn is_whole(&self) -> bool {
         let all = self.hosts.len();
-        self.hosts.keys().all(|&host| self.picture(host).live == all)
+        self.hosts.keys().all(|&host| self.snapshot(host).live == all)
     }
 
     pub fn run_for(&mut self, span: Duration) {
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -35,11 +35,11 @@
 }
 
 fn in_flight(net: &Net, host: usize) -> u32 {
-    net.picture(host).at("i-1").iter().map(|load| load.requests).sum()
+    net.snapshot(host).at("i-1").iter().map(|load| load.requests).sum()
 }
 
 fn arrivals(net: &Net, host: usize) -> u64 {
-    net.picture(host).arrivals.get("chat").copied().unwrap_or(0)
+    net.snapshot(host).arrivals.get("chat").copied().unwrap_or(0)
 }
 
 /// Whether each host has the sum of all others, each of which has one request in flight.
@@ -80,7 +80,7 @@
         net.run_for(Duration::from_millis(100));
     }
     assert!(net.is_whole());
-    let seen = net.picture(0).hosts;
+    let seen = net.snapshot(0).hosts;
     assert!(seen.iter().all(|seen| seen.standing == Standing::Live));
     let after = sent_bytes(net);
     let rates: Vec<_> = after.iter().zip(&before).map(|(a, b)| (a - b) / seconds).collect();
@@ -257,7 +257,7 @@
     net.publish(3, Part::Crashes(["s1", "s2", "s3"].map(crash).into()));
     let began = net.now;
     let is_known = |net: &Net| {
-        (0..hosts).filter(|host| *host != 3).all(|host| net.picture(host).crashes.len() == 3)
+        (0..hosts).filter(|host| *host != 3).all(|host| net.snapshot(host).crashes.len() == 3)
     };
     for step in 30.. {
         if is_known(&net) {
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -48,7 +48,7 @@
         let mut fleet = fleet();
         fleet.receive(NOW, address(1), &bytes);
         fleet.tick(NOW);
-        fleet.picture(NOW);
+        fleet.snapshot(NOW);
     }
 
     #[test]
@@ -56,7 +56,7 @@
         let mut fleet = fleet();
         fleet.receive(NOW, address(1), &[&[0xC1], &bytes[..]].concat());
         fleet.tick(NOW);
-        fleet.picture(NOW);
+        fleet.snapshot(NOW);
     }
 }
 
@@ -79,7 +79,7 @@
             net.hand(0, address(1), &bytes[..cut.index(bytes.len())]);
         }
         net.run_for(Duration::from_secs(1));
-        net.picture(0);
+        net.snapshot(0);
     }
 }
 
@@ -89,5 +89,5 @@
     fleet.receive(NOW, address(1), b"GET / HTTP/1.1\r\n\r\n");
     fleet.receive(NOW, address(1), b"");
     assert_eq!(fleet.counts().unreadable, 2);
-    assert!(fleet.picture(NOW).hosts.is_empty());
+    assert!(fleet.snapshot(NOW).hosts.is_empty());
 }
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Exchange,
-    fleet::{Notice, Picture},
+    fleet::{FleetSnapshot, Notice},
 };
 use observe::metrics::routed::Origin;
 use policy::demand::{self, Arrival, Collector, Report, Reporter, Subject};
@@ -92,9 +92,9 @@
     }
 
     /// Takes in how many hosts are live and who holds the lease, as the exchange has it.
-    pub(crate) fn demand_hosts(&self, picture: &Picture) {
-        self.demand.lock().hosts = picture.live;
-        if let Some(lease) = &picture.lease {
+    pub(crate) fn demand_hosts(&self, snapshot: &FleetSnapshot) {
+        self.demand.lock().hosts = snapshot.live;
+        if let Some(lease) = &snapshot.lease {
             self.holder_heard(&lease.holder, lease.fence);
         }
     }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -10,7 +10,8 @@
 use exchange::{
     Exchange, Registered, Source,
     fleet::{
-        Departure, Lease, Notice, Part, Picture, Reach, ReceivedNotice, Revision, State, Store, To,
+        Departure, FleetSnapshot, Lease, Notice, Part, Reach, ReceivedNotice, Revision, State,
+        Store, To,
     },
 };
 use observe::story::{self, Belief, PeerStanding};
@@ -72,11 +73,11 @@
     fn is_behind(
         &mut self,
         revision: Revision,
-        picture: &Picture,
+        snapshot: &FleetSnapshot,
         patience: Duration,
         now: Moment,
     ) -> bool {
-        if picture.store.revision <= revision {
+        if snapshot.store.revision <= revision {
             self.behind = None;
             return false;
         }
@@ -122,18 +123,18 @@
     loop {
         let work = shared.dispatcher().work();
         tell(&shared, &exchange);
-        let picture = exchange.fleet();
-        stand(&shared, &picture, &mut standings);
-        take(&shared, &picture, &work);
+        let snapshot = exchange.fleet();
+        stand(&shared, &snapshot, &mut standings);
+        take(&shared, &snapshot, &work);
         want(&shared);
-        follow(&shared, &exchange, &picture).await;
+        follow(&shared, &exchange, &snapshot).await;
         sleep(ROUND.max(exchange.interval())).await;
     }
 }
 
 /// Tells which of the others talk and which have fallen silent since the last look.
-fn stand(shared: &Shared, picture: &Picture, before: &mut BTreeMap<host::Id, PeerStanding>) {
-    for seen in &picture.hosts {
+fn stand(shared: &Shared, snapshot: &FleetSnapshot, before: &mut BTreeMap<host::Id, PeerStanding>) {
+    for seen in &snapshot.hosts {
         let standing = match seen.standing {
             Standing::Silent => PeerStanding::Silent,
             _ => PeerStanding::Seen,
@@ -200,32 +201,32 @@
     leaving.map(|server| (server.id.clone(), Departure::Leaving)).collect()
 }
 
-fn take(shared: &Shared, picture: &Picture, own: &[dispatch::Work]) {
+fn take(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
-    let live = picture.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+    let live = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
     let others = live.map(|seen| &seen.member.id);
-    term.hosts(picture.live, term::contender(&shared.host.id, others));
-    if let Some(stored) = &picture.term {
+    term.hosts(snapshot.live, term::contender(&shared.host.id, others));
+    if let Some(stored) = &snapshot.term {
         term.told(now, stored.clone());
     }
     drop(term);
     let mut dispatcher = shared.dispatcher();
-    dispatcher.hosts(u32::try_from(picture.live).unwrap_or(u32::MAX));
-    dispatcher.poison_mut().learn(&picture.crashes, now);
+    dispatcher.hosts(u32::try_from(snapshot.live).unwrap_or(u32::MAX));
+    dispatcher.poison_mut().learn(&snapshot.crashes, now);
     drop(dispatcher);
-    shared.drain(picture.servers.keys());
-    shared.quota_hosts(picture);
-    shared.demand_hosts(picture);
+    shared.drain(snapshot.servers.keys());
+    shared.quota_hosts(snapshot);
+    shared.demand_hosts(snapshot);
     if shared.term().fence(now).is_some() {
-        tell_running(shared, picture, own);
+        tell_running(shared, snapshot, own);
     }
 }
 
 /// Tells the planner what runs where.
-fn tell_running(shared: &Shared, picture: &Picture, own: &[dispatch::Work]) {
+fn tell_running(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let mut running: BTreeMap<(&backend::Id, &model::Id), u32> = BTreeMap::new();
-    let others = picture.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
+    let others = snapshot.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
     let own = own.iter().map(|(server, model, requests, _)| (server, model, *requests));
     for (server, model, requests) in own.chain(others) {
         let Some(model) = model else { continue };
@@ -243,21 +244,21 @@
 }
 
 /// Catches up with a peer that is ahead.
-async fn follow(shared: &Arc<Shared>, exchange: &Exchange, picture: &Picture) {
+async fn follow(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
     let version = shared.declaration().map_or(0, |declaration| declaration.version);
-    if let Some(ahead) = picture.ahead(&shared.host.zone, version).first() {
+    if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
     }
     // A host whose store answers lets changes gather, and is behind its peers meanwhile.
     let gather =
-        if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(picture) };
+        if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
     let patience = CUT + gather;
     let is_behind =
-        |counts: &mut Counts| counts.is_behind(shared.revision(), picture, patience, shared.now());
+        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, patience, shared.now());
     if !counts(shared, is_behind) {
         return;
     }
-    if let Some(ahead) = picture.ahead_in_store(&shared.host.zone, shared.revision()).first()
+    if let Some(ahead) = snapshot.ahead_in_store(&shared.host.zone, shared.revision()).first()
         && let Ok(Some(told)) =
             exchange.fetch_servers(ahead.member.address, shared.revision()).await
     {
@@ -283,8 +284,8 @@
 
 /// The host that listens at an address; named by the address while it is not known.
 fn peer_at(exchange: &Exchange, address: SocketAddr) -> host::Id {
-    let picture = exchange.fleet();
-    let known = picture.hosts.iter().find(|seen| seen.member.address == address);
+    let snapshot = exchange.fleet();
+    let known = snapshot.hosts.iter().find(|seen| seen.member.address == address);
     known.map_or_else(|| address.to_string().into(), |seen| seen.member.id.clone())
 }
 
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Limits that servers name, and the quotas that hosts share: between the dispatcher and the other hosts,
 //! the log and the metrics.
 
-use exchange::fleet::{Notice, Picture};
+use exchange::fleet::{FleetSnapshot, Notice};
 use observe::{
     metrics::routed::Permits,
     story::{Belief, Heard},
@@ -47,14 +47,14 @@
     }
 
     /// Takes in who the other hosts are, and the limits that they believe in.
-    pub(crate) fn quota_hosts(&self, picture: &Picture) {
+    pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
         let is_heard = |standing| standing != Standing::Silent;
-        let known = picture.hosts.iter().map(|seen| (&seen.member.id, is_heard(seen.standing)));
-        let others = picture.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+        let known = snapshot.hosts.iter().map(|seen| (&seen.member.id, is_heard(seen.standing)));
+        let others = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
         let own = (!self.is_leaving()).then(|| self.host.id.clone());
         let live = others.map(|seen| seen.member.id.clone()).chain(own).collect();
         self.dispatcher().share_among(known, live, self.now());
-        for (server, news) in &picture.limits {
+        for (server, news) in &snapshot.limits {
             self.limit_heard(server, *news, &crate::workload::PEERS.into());
         }
     }
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -4,7 +4,7 @@
 
 use exchange::{
     Exchange,
-    fleet::{Notice, Picture},
+    fleet::{FleetSnapshot, Notice},
 };
 use policy::dispatch::{Account, loan::Message};
 use tokio::time::sleep;
@@ -30,7 +30,7 @@
     }
 }
 
-fn log_budget(service: &str, account: &Account, refused: u64, others: &Picture) {
+fn log_budget(service: &str, account: &Account, refused: u64, others: &FleetSnapshot) {
     let count = |counts: &BTreeMap<service::Id, u64>| counts.get(service).copied().unwrap_or(0);
     log::info!(
         service, requests = account.requests, retries = account.retries, open = account.open, refused,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -10,7 +10,7 @@
 };
 use observe::story::Heard;
 use policy::{
-    fleet::{Picture, Standing},
+    fleet::{FleetSnapshot, Standing},
     follow::{self, Role},
 };
 use tokio::time::sleep;
@@ -138,8 +138,8 @@
             Kind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
-        let picture = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
-        follow::watch(self.now(), self.role(&picture), picture.live, within)
+        let snapshot = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
+        follow::watch(self.now(), self.role(&snapshot), snapshot.live, within)
     }
 
     /// Time in which changes of the servers gather before this host asks for them again.
@@ -148,8 +148,8 @@
     }
 
     /// The same, by what is already known of the others.
-    pub(crate) fn gather_among(&self, picture: &Picture) -> Duration {
-        follow::pause(self.now(), self.role(picture), picture.live, self.routed.drain)
+    pub(crate) fn gather_among(&self, snapshot: &FleetSnapshot) -> Duration {
+        follow::pause(self.now(), self.role(snapshot), snapshot.live, self.routed.drain)
     }
 
     fn is_relay(&self) -> bool {
@@ -157,8 +157,8 @@
     }
 
     /// What this host is to the others in following the store.
-    fn role(&self, picture: &Picture) -> Role {
-        let live = picture.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+    fn role(&self, snapshot: &FleetSnapshot) -> Role {
+        let live = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
         match self.term().fence(self.now()) {
             Some(_) => Role::Scout,
             None => match follow::role(&self.host.id, live.map(|seen| &seen.member.id)) {
