--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,8 +8,8 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, FleetSnapshot, Load, Member, Notice, Part, ReceivedNotice, Revision, Settings,
-    Standing, State, Tier, To, Unknown,
+    Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Part, ReceivedNotice, Revision,
+    Settings, State, Tier, To, Unknown,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -317,7 +317,7 @@
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
         let snapshot = shared.upgrade().map(|shared| shared.snapshot()).unwrap_or_default();
-        let heard = snapshot.hosts.iter().filter(|seen| seen.standing != Standing::Silent);
+        let heard = snapshot.hosts.iter().filter(|seen| seen.liveness != Liveness::Silent);
         std::iter::once(own.clone()).chain(heard.map(|seen| seen.member.clone())).collect()
     }
 }
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Config, Entry, Exchange, Registered, Source,
-    fleet::{Departure, Load, Notice, Part, Revision, Standing, State, To},
+    fleet::{Departure, Liveness, Load, Notice, Part, Revision, State, To},
 };
 use rstest::rstest;
 use tokio::{
@@ -237,15 +237,15 @@
     let ended = hosts.remove(2);
     let name = ended.member().id.clone();
     drop(ended);
-    let standing = |host: &Exchange| {
-        host.fleet().hosts.iter().find(|seen| seen.member.id == name).map(|seen| seen.standing)
+    let liveness = |host: &Exchange| {
+        host.fleet().hosts.iter().find(|seen| seen.member.id == name).map(|seen| seen.liveness)
     };
-    until(|| hosts.iter().all(|host| standing(host) == Some(Standing::Silent))).await;
+    until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Silent))).await;
     let mut config = config(2, vec![hosts[1].member().address]);
     config.incarnation = 1;
     let source = Arc::new(Holdings::default());
     let again = Exchange::start(config, source).await.expect("loopback");
-    until(|| hosts.iter().all(|host| standing(host) == Some(Standing::Live))).await;
+    until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Live))).await;
     drop(again);
 }
 
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -106,7 +106,7 @@
 
 /// What a host is taken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Liveness {
     /// It is heard.
     Live,
     /// It is heard, and says that it takes nothing new.
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -12,7 +12,7 @@
 use types::{availability, host, time::Moment};
 
 use super::{
-    Fleet, Settings, Standing,
+    Fleet, Liveness, Settings,
     fact::{Member, State},
     link::Debt,
     wire::{DATAGRAM_BYTES, HEAD_BYTES, Scope},
@@ -225,7 +225,7 @@
     /// The relay of a group: one that stays, if there is one.
     fn relay(&self, now: Moment, group: &[Ranked]) -> Option<host::Id> {
         let leaves = |one: &Member| match self.hosts.get(&one.id) {
-            Some(peer) => peer.standing(now) == Standing::Leaving,
+            Some(peer) => peer.liveness(now) == Liveness::Leaving,
             None => self.state(now) == State::Leaving,
         };
         let rank = |(ranks, one): &&Ranked| (!leaves(one), ranks.relay);
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -9,7 +9,7 @@
 use types::{host, time::Moment};
 
 use super::{
-    Settings, Standing,
+    Liveness, Settings,
     fact::{Fact, Member, State},
     fanout::Ranks,
     link::Link,
@@ -92,13 +92,13 @@
         said.unwrap_or_default()
     }
 
-    pub(super) fn standing(&self, now: Moment) -> Standing {
+    pub(super) fn liveness(&self, now: Moment) -> Liveness {
         if self.is_silent() {
-            return Standing::Silent;
+            return Liveness::Silent;
         }
         match self.state(now) {
-            State::Leaving => Standing::Leaving,
-            State::Starting | State::Ready => Standing::Live,
+            State::Leaving => Liveness::Leaving,
+            State::Starting | State::Ready => Liveness::Live,
         }
     }
 }
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::{dispatch::poison::Crash, quota::News, term};
 
 use super::{
-    Fleet, Standing,
+    Fleet, Liveness,
     fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, Store},
     fanout::Distance,
     hosts::Peer,
@@ -23,7 +23,7 @@
     /// How long ago it was heard.
     pub heard: Duration,
     /// What it is taken for.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// What it says of its own work; none if it tells this host nothing, as most hosts of a large
     /// deployment.
     pub state: Option<State>,
@@ -99,7 +99,7 @@
     }
 
     fn in_touch(&self) -> impl Iterator<Item = &Seen> {
-        self.hosts.iter().filter(|seen| seen.standing != Standing::Silent)
+        self.hosts.iter().filter(|seen| seen.liveness != Liveness::Silent)
     }
 }
 
@@ -107,7 +107,7 @@
     /// What this host knows of the others.
     pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
         let hosts: Vec<_> = self.hosts.iter().map(|peer| self.seen(now, peer)).collect();
-        let live = hosts.iter().filter(|seen| seen.standing == Standing::Live).count();
+        let live = hosts.iter().filter(|seen| seen.liveness == Liveness::Live).count();
         let mut tally = Tally::default();
         self.told_by_all(now).for_each(|(fact, age)| tally.add(fact, age));
         let mut snapshot = FleetSnapshot {
@@ -173,7 +173,7 @@
         let mut seen = Seen {
             member: peer.member.clone(),
             heard: now.saturating_sub(peer.heard),
-            standing: peer.standing(now),
+            liveness: peer.liveness(now),
             state: None,
             declared: 0,
             store: Store::default(),
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use fleet_net::{Net, ROUGH, address, member};
-use policy::fleet::{Datagram, Part, Settings, Standing, State};
+use policy::fleet::{Datagram, Liveness, Part, Settings, State};
 use rstest::rstest;
 
-fn standing(net: &Net, at: usize, of: usize) -> Option<Standing> {
+fn liveness(net: &Net, at: usize, of: usize) -> Option<Liveness> {
     let hosts = net.snapshot(at).hosts;
-    hosts.iter().find(|seen| seen.member.id == member(of, 0).id).map(|seen| seen.standing)
+    hosts.iter().find(|seen| seen.member.id == member(of, 0).id).map(|seen| seen.liveness)
 }
 
 #[rstest]
@@ -48,9 +48,9 @@
     let mut net = Net::settled(6, 1);
     net.hosts.remove(&4);
     assert!(net.run_while_not(Duration::from_secs(4), Net::is_whole));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Silent));
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Silent));
     net.run_for(Duration::from_secs(60));
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
 }
 
 #[test]
@@ -118,16 +118,16 @@
     let mut net = Net::settled(6, 1);
     net.publish(4, Part::State(State::Leaving));
     net.run_for(Duration::from_millis(300));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Leaving));
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Leaving));
     assert_eq!(net.snapshot(0).live, 5);
     net.fleet(4).bye();
     net.run_for(Duration::from_millis(20));
     net.hosts.remove(&4);
     net.run_for(Duration::from_millis(20));
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
     net.run_for(Duration::from_secs(10));
     assert!(net.is_whole());
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let mut net = Net::settled(6, 1);
     let host = net.hosts.remove(&4).expect("it runs");
     net.run_for(Duration::from_secs(5));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Silent));
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Silent));
     net.hosts.insert(4, host);
     assert!(net.run_while_not(Duration::from_secs(2), Net::is_whole));
 }
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -10,7 +10,7 @@
 use fleet_net::{Net, ZONES, address, busy_part, member, sent_bytes};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Load, Notice, Part, Standing, To},
+    fleet::{Liveness, Load, Notice, Part, To},
 };
 use rstest::rstest;
 
@@ -81,7 +81,7 @@
     }
     assert!(net.is_whole());
     let seen = net.snapshot(0).hosts;
-    assert!(seen.iter().all(|seen| seen.standing == Standing::Live));
+    assert!(seen.iter().all(|seen| seen.liveness == Liveness::Live));
     let after = sent_bytes(net);
     let rates: Vec<_> = after.iter().zip(&before).map(|(a, b)| (a - b) / seconds).collect();
     (rates.iter().sum::<u64>() / rates.len() as u64, rates.iter().max().copied().unwrap_or(0))
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -15,7 +15,7 @@
     },
 };
 use observe::story::{self, Belief, PeerStanding};
-use policy::{dispatch, fleet::Standing, quota::News, term};
+use policy::{dispatch, fleet::Liveness, quota::News, term};
 use tokio::{
     sync::mpsc::{Receiver, UnboundedReceiver, unbounded_channel},
     time::sleep,
@@ -135,8 +135,8 @@
 /// Tells which of the others talk and which have fallen silent since the last look.
 fn stand(shared: &Shared, snapshot: &FleetSnapshot, before: &mut BTreeMap<host::Id, PeerStanding>) {
     for seen in &snapshot.hosts {
-        let standing = match seen.standing {
-            Standing::Silent => PeerStanding::Silent,
+        let standing = match seen.liveness {
+            Liveness::Silent => PeerStanding::Silent,
             _ => PeerStanding::Seen,
         };
         let peer = &seen.member.id;
@@ -204,7 +204,7 @@
 fn take(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
-    let live = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+    let live = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
     let others = live.map(|seen| &seen.member.id);
     term.hosts(snapshot.live, term::contender(&shared.host.id, others));
     if let Some(stored) = &snapshot.term {
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -7,7 +7,7 @@
     story::{Belief, Heard},
 };
 use policy::{
-    fleet::Standing,
+    fleet::Liveness,
     quota::{Change, Message, News},
 };
 use types::{prelude::*, routed::Rate};
@@ -48,9 +48,9 @@
 
     /// Takes in who the other hosts are, and the limits that they believe in.
     pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
-        let is_heard = |standing| standing != Standing::Silent;
-        let known = snapshot.hosts.iter().map(|seen| (&seen.member.id, is_heard(seen.standing)));
-        let others = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+        let is_heard = |liveness| liveness != Liveness::Silent;
+        let known = snapshot.hosts.iter().map(|seen| (&seen.member.id, is_heard(seen.liveness)));
+        let others = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
         let own = (!self.is_leaving()).then(|| self.host.id.clone());
         let live = others.map(|seen| seen.member.id.clone()).chain(own).collect();
         self.dispatcher().share_among(known, live, self.now());
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -10,7 +10,7 @@
 };
 use observe::story::Heard;
 use policy::{
-    fleet::{FleetSnapshot, Standing},
+    fleet::{FleetSnapshot, Liveness},
     follow::{self, Role},
 };
 use tokio::time::sleep;
@@ -158,7 +158,7 @@
 
     /// What this host is to the others in following the store.
     fn role(&self, snapshot: &FleetSnapshot) -> Role {
-        let live = snapshot.hosts.iter().filter(|seen| seen.standing == Standing::Live);
+        let live = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
         match self.term().fence(self.now()) {
             Some(_) => Role::Scout,
             None => match follow::role(&self.host.id, live.map(|seen| &seen.member.id)) {
