--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -317,7 +317,7 @@
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
         let snapshot = shared.upgrade().map(|shared| shared.snapshot()).unwrap_or_default();
-        let heard = snapshot.hosts.iter().filter(|seen| seen.liveness != Liveness::Silent);
-        std::iter::once(own.clone()).chain(heard.map(|seen| seen.member.clone())).collect()
+        let heard = snapshot.hosts.iter().filter(|peer| peer.liveness != Liveness::Silent);
+        std::iter::once(own.clone()).chain(heard.map(|peer| peer.member.clone())).collect()
     }
 }
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -238,7 +238,7 @@
     let name = ended.member().id.clone();
     drop(ended);
     let liveness = |host: &Exchange| {
-        host.fleet().hosts.iter().find(|seen| seen.member.id == name).map(|seen| seen.liveness)
+        host.fleet().hosts.iter().find(|peer| peer.member.id == name).map(|peer| peer.liveness)
     };
     until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Silent))).await;
     let mut config = config(2, vec![hosts[1].member().address]);
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -45,7 +45,7 @@
 pub use self::{
     fact::{Departure, Lease, Load, Member, Part, Reach, Revision, State, Store},
     notice::{Notice, To},
-    snapshot::{FleetSnapshot, Seen, Tier},
+    snapshot::{FleetSnapshot, PeerStatus, Tier},
     wire::DATAGRAM_BYTES,
 };
 
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -17,7 +17,7 @@
 
 /// Another host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct PeerStatus {
     /// Who it is.
     pub member: Member,
     /// How long ago it was heard.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSnapshot {
     /// Known hosts, those that are silent among them.
-    pub hosts: Vec<Seen>,
+    pub hosts: Vec<PeerStatus>,
     /// Hosts that take work or are about to, this one among them unless it is leaving.
     pub live: usize,
     /// Work in flight from all others, by server and model.
@@ -81,33 +81,35 @@
     }
 
     /// Hosts in touch whose declaration is above this version, the best to ask first.
-    pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&Seen> {
-        let mut hosts: Vec<_> = self.in_touch().filter(|seen| seen.declared > above).collect();
-        hosts.sort_by_key(|seen| (std::cmp::Reverse(seen.declared), seen.member.zone != *zone));
+    pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&PeerStatus> {
+        let mut hosts: Vec<_> = self.in_touch().filter(|status| status.declared > above).collect();
+        hosts.sort_by_key(|status| {
+            (std::cmp::Reverse(status.declared), status.member.zone != *zone)
+        });
         hosts
     }
 
     /// Hosts in touch that saw a later revision of the store, the best to ask first.
-    pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&Seen> {
+    pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&PeerStatus> {
         let mut hosts: Vec<_> =
-            self.in_touch().filter(|seen| seen.store.revision > above).collect();
-        hosts.sort_by_key(|seen| {
-            let store = std::cmp::Reverse((seen.store.reach, seen.store.revision));
-            (store, seen.member.zone != *zone)
+            self.in_touch().filter(|status| status.store.revision > above).collect();
+        hosts.sort_by_key(|status| {
+            let store = std::cmp::Reverse((status.store.reach, status.store.revision));
+            (store, status.member.zone != *zone)
         });
         hosts
     }
 
-    fn in_touch(&self) -> impl Iterator<Item = &Seen> {
-        self.hosts.iter().filter(|seen| seen.liveness != Liveness::Silent)
+    fn in_touch(&self) -> impl Iterator<Item = &PeerStatus> {
+        self.hosts.iter().filter(|status| status.liveness != Liveness::Silent)
     }
 }
 
 impl Fleet {
     /// What this host knows of the others.
     pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
-        let hosts: Vec<_> = self.hosts.iter().map(|peer| self.seen(now, peer)).collect();
-        let live = hosts.iter().filter(|seen| seen.liveness == Liveness::Live).count();
+        let hosts: Vec<_> = self.hosts.iter().map(|peer| self.status_of(now, peer)).collect();
+        let live = hosts.iter().filter(|status| status.liveness == Liveness::Live).count();
         let mut tally = Tally::default();
         self.told_by_all(now).for_each(|(fact, age)| tally.add(fact, age));
         let mut snapshot = FleetSnapshot {
@@ -169,8 +171,8 @@
         self.told(now, Distance::Near).chain(self.told(now, Distance::Far))
     }
 
-    fn seen(&self, now: Moment, peer: &Peer) -> Seen {
-        let mut seen = Seen {
+    fn status_of(&self, now: Moment, peer: &Peer) -> PeerStatus {
+        let mut status = PeerStatus {
             member: peer.member.clone(),
             heard: now.saturating_sub(peer.heard),
             liveness: peer.liveness(now),
@@ -180,13 +182,13 @@
         };
         for fact in peer.facts(now, Scope::Own) {
             match fact {
-                Fact::State(state) => seen.state = Some(*state),
-                Fact::Declared(version) => seen.declared = *version,
-                Fact::Store(store) => seen.store = *store,
+                Fact::State(state) => status.state = Some(*state),
+                Fact::Declared(version) => status.declared = *version,
+                Fact::Store(store) => status.store = *store,
                 _ => {}
             }
         }
-        seen
+        status
     }
 }
 
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -10,7 +10,7 @@
 
 fn liveness(net: &Net, at: usize, of: usize) -> Option<Liveness> {
     let hosts = net.snapshot(at).hosts;
-    hosts.iter().find(|seen| seen.member.id == member(of, 0).id).map(|seen| seen.liveness)
+    hosts.iter().find(|peer| peer.member.id == member(of, 0).id).map(|peer| peer.liveness)
 }
 
 #[rstest]
@@ -77,8 +77,8 @@
     net.run_for(Duration::from_secs(1));
     assert!(net.is_whole());
     let hosts = net.snapshot(0).hosts;
-    let seen = hosts.iter().find(|seen| seen.member.id == member(4, 0).id).expect("known");
-    assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
+    let status = hosts.iter().find(|peer| peer.member.id == member(4, 0).id).expect("known");
+    assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
 #[test]
@@ -95,8 +95,8 @@
         net.hand(0, address(2), &datagram.bytes);
     }
     let hosts = net.snapshot(0).hosts;
-    let seen = hosts.iter().find(|seen| seen.member.address == address(2)).expect("known");
-    assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
+    let status = hosts.iter().find(|peer| peer.member.address == address(2)).expect("known");
+    assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
 #[test]
@@ -108,9 +108,9 @@
     net.start_at(4, moved);
     assert!(net.run_while_not(Duration::from_secs(3), Net::is_whole));
     let hosts = net.snapshot(1).hosts;
-    let seen: Vec<_> = hosts.iter().filter(|seen| seen.member.id == member(4, 0).id).collect();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].member.address, address(40));
+    let found: Vec<_> = hosts.iter().filter(|peer| peer.member.id == member(4, 0).id).collect();
+    assert_eq!(found.len(), 1);
+    assert_eq!(found[0].member.address, address(40));
 }
 
 #[test]
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -80,8 +80,8 @@
         net.run_for(Duration::from_millis(100));
     }
     assert!(net.is_whole());
-    let seen = net.snapshot(0).hosts;
-    assert!(seen.iter().all(|seen| seen.liveness == Liveness::Live));
+    let peers = net.snapshot(0).hosts;
+    assert!(peers.iter().all(|peer| peer.liveness == Liveness::Live));
     let after = sent_bytes(net);
     let rates: Vec<_> = after.iter().zip(&before).map(|(a, b)| (a - b) / seconds).collect();
     (rates.iter().sum::<u64>() / rates.len() as u64, rates.iter().max().copied().unwrap_or(0))
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -134,12 +134,12 @@
 
 /// Tells which of the others talk and which have fallen silent since the last look.
 fn stand(shared: &Shared, snapshot: &FleetSnapshot, before: &mut BTreeMap<host::Id, PeerStanding>) {
-    for seen in &snapshot.hosts {
-        let standing = match seen.liveness {
+    for status in &snapshot.hosts {
+        let standing = match status.liveness {
             Liveness::Silent => PeerStanding::Silent,
             _ => PeerStanding::Seen,
         };
-        let peer = &seen.member.id;
+        let peer = &status.member.id;
         if before.get(peer) != Some(&standing) {
             before.insert(peer.clone(), standing);
             shared.teller.belief(Belief::Peer { peer: peer.clone(), standing });
@@ -204,8 +204,8 @@
 fn take(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
-    let live = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
-    let others = live.map(|seen| &seen.member.id);
+    let live = snapshot.hosts.iter().filter(|status| status.liveness == Liveness::Live);
+    let others = live.map(|status| &status.member.id);
     term.hosts(snapshot.live, term::contender(&shared.host.id, others));
     if let Some(stored) = &snapshot.term {
         term.told(now, stored.clone());
@@ -285,8 +285,8 @@
 /// The host that listens at an address; named by the address while it is not known.
 fn peer_at(exchange: &Exchange, address: SocketAddr) -> host::Id {
     let snapshot = exchange.fleet();
-    let known = snapshot.hosts.iter().find(|seen| seen.member.address == address);
-    known.map_or_else(|| address.to_string().into(), |seen| seen.member.id.clone())
+    let known = snapshot.hosts.iter().find(|status| status.member.address == address);
+    known.map_or_else(|| address.to_string().into(), |status| status.member.id.clone())
 }
 
 async fn listen(
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -49,10 +49,10 @@
     /// Takes in who the other hosts are, and the limits that they believe in.
     pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
         let is_heard = |liveness| liveness != Liveness::Silent;
-        let known = snapshot.hosts.iter().map(|seen| (&seen.member.id, is_heard(seen.liveness)));
-        let others = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
+        let known = snapshot.hosts.iter().map(|peer| (&peer.member.id, is_heard(peer.liveness)));
+        let others = snapshot.hosts.iter().filter(|peer| peer.liveness == Liveness::Live);
         let own = (!self.is_leaving()).then(|| self.host.id.clone());
-        let live = others.map(|seen| seen.member.id.clone()).chain(own).collect();
+        let live = others.map(|peer| peer.member.id.clone()).chain(own).collect();
         self.dispatcher().share_among(known, live, self.now());
         for (server, news) in &snapshot.limits {
             self.limit_heard(server, *news, &crate::workload::PEERS.into());
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -158,10 +158,10 @@
 
     /// What this host is to the others in following the store.
     fn role(&self, snapshot: &FleetSnapshot) -> Role {
-        let live = snapshot.hosts.iter().filter(|seen| seen.liveness == Liveness::Live);
+        let live = snapshot.hosts.iter().filter(|peer| peer.liveness == Liveness::Live);
         match self.term().fence(self.now()) {
             Some(_) => Role::Scout,
-            None => match follow::role(&self.host.id, live.map(|seen| &seen.member.id)) {
+            None => match follow::role(&self.host.id, live.map(|peer| &peer.member.id)) {
                 Role::Follower if self.is_relay() => Role::Relay,
                 role => role,
             },
