--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -10,7 +10,7 @@
 
 use exchange::{
     Config, Exchange, Registered, Source,
-    fleet::{Load, Part, Revision, State},
+    fleet::{Load, Publication, Revision, State},
 };
 use tokio::time::{Instant, sleep};
 use types::routed::{Declaration, Kind, Route, Share, Version};
@@ -48,14 +48,14 @@
         let config = Config::new(format!("host-{host}").into(), zone, address, host + 1);
         let config = Config { seeds: seeds.into_iter().collect(), ..config };
         let exchange = Exchange::start(config, held.clone()).await?;
-        exchange.publish(Part::State(State::Ready));
+        exchange.publish(Publication::State(State::Ready));
         exchanges.push(exchange);
     }
     sleep(Duration::from_secs(2)).await;
     let (start, before) = (Instant::now(), processor()?);
     while start.elapsed() < Duration::from_secs(seconds) {
         let step = start.elapsed().as_millis() as u64 / 100;
-        exchanges.iter().for_each(|exchange| exchange.publish(Part::InFlight(loads(step))));
+        exchanges.iter().for_each(|exchange| exchange.publish(Publication::InFlight(loads(step))));
         sleep(Duration::from_millis(100)).await;
     }
     let share = (processor()? - before).as_secs_f64() / start.elapsed().as_secs_f64();
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,8 +8,8 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Part, ReceivedNotice, Revision,
-    Settings, State, Tier, To, Unknown,
+    Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Publication, ReceivedNotice,
+    Revision, Settings, State, Tier, To, Unknown,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -156,8 +156,8 @@
     }
 
     /// Replaces a part of what this host tells; it goes out within an interval.
-    pub fn publish(&self, part: Part) {
-        self.shared.with(|fleet, now| fleet.publish(now, part));
+    pub fn publish(&self, publication: Publication) {
+        self.shared.with(|fleet, now| fleet.publish(now, publication));
     }
 
     /// Names further addresses at which hosts may be.
@@ -277,7 +277,7 @@
 
     /// Says goodbye, finishes the calls under way and stops listening.
     pub async fn leave(&self) {
-        self.publish(Part::State(State::Leaving));
+        self.publish(Publication::State(State::Leaving));
         for _ in 0..GOODBYES {
             self.shared.with(|fleet, _| fleet.bye());
             self.shared.wake.notify_one();
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Config, Entry, Exchange, Registered, Source,
-    fleet::{Departure, Liveness, Load, Notice, Part, Revision, State, To},
+    fleet::{Departure, Liveness, Load, Notice, Publication, Revision, State, To},
 };
 use rstest::rstest;
 use tokio::{
@@ -53,7 +53,7 @@
 async fn start(host: u64, seeds: Vec<SocketAddr>) -> Arc<Exchange> {
     let source = Arc::new(Holdings::default());
     let exchange = Exchange::start(config(host, seeds), source).await.expect("loopback");
-    exchange.publish(Part::State(State::Ready));
+    exchange.publish(Publication::State(State::Ready));
     exchange
 }
 
@@ -104,8 +104,8 @@
 async fn hosts_meet_through_one_seed_and_read_what_each_published() {
     let hosts = hosts(4).await;
     let load = Load { server: "i-1".into(), model: Some("sage".into()), requests: 3, tokens: 900 };
-    hosts[1].publish(Part::InFlight(vec![load.clone()]));
-    hosts[3].publish(Part::Declared(7));
+    hosts[1].publish(Publication::InFlight(vec![load.clone()]));
+    hosts[3].publish(Publication::Declared(7));
     until(|| hosts[2].fleet().at("i-1") == [load.clone()]).await;
     until(|| hosts[0].fleet().ahead(&"med-a".into(), 6).len() == 1).await;
     let snapshot = hosts[0].fleet();
--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use fleet_net::{Net, sent_bytes};
-use policy::fleet::{Load, Part};
+use policy::fleet::{Load, Publication};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -90,8 +90,8 @@
                 let server = probe_server(host);
                 loads.push(Load { server, model: None, requests, tokens: 0 });
             }
-            net.publish(host, Part::InFlight(loads));
-            net.publish(host, Part::Arrivals(vec![("chat".into(), self.arrivals[host])]));
+            net.publish(host, Publication::InFlight(loads));
+            net.publish(host, Publication::Arrivals(vec![("chat".into(), self.arrivals[host])]));
         }
         net.run_for(ROUND);
     }
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
-use fleet_net::{Net, busy_part, sent_bytes};
-use policy::fleet::{Load, Notice, Part, To};
+use fleet_net::{Net, busy_publication, sent_bytes};
+use policy::fleet::{Load, Notice, Publication, To};
 
 const SIZES: [usize; 5] = [6, 8, 16, 82, 350];
 const SPAN: u64 = 20;
@@ -30,7 +30,7 @@
         let loads = spread(&mut net, load_everywhere);
         let notices = spread(&mut net, notice_everywhere);
         let (busy_mean, busy_most, datagrams) = rates(&mut net, |net, step| {
-            (0..net.hosts.len()).for_each(|host| net.publish(host, busy_part(step)));
+            (0..net.hosts.len()).for_each(|host| net.publish(host, busy_publication(step)));
         });
         println!(
             "| {hosts} | {idle_mean} | {idle_most} | {busy_mean} | {busy_most} | {datagrams} | {} | {} | {} | {} |",
@@ -66,12 +66,12 @@
     let sender = round * 7 % net.hosts.len();
     let requests = round as u32 + 1;
     let load = Load { server: "i-1".into(), model: None, requests, tokens: 0 };
-    net.publish(sender, Part::InFlight(vec![load.clone()]));
+    net.publish(sender, Publication::InFlight(vec![load.clone()]));
     let start = net.now;
     let others: Vec<_> = net.hosts.keys().copied().filter(|host| *host != sender).collect();
     wait(net, |net| others.iter().all(|&host| net.snapshot(host).at("i-1") == [load.clone()]));
     let took = net.now - start;
-    net.publish(sender, Part::InFlight(Vec::new()));
+    net.publish(sender, Publication::InFlight(Vec::new()));
     net.run_for(Duration::from_secs(5));
     took
 }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -43,7 +43,7 @@
     wire::{Body, Item, Number, Packet, Run, Scope},
 };
 pub use self::{
-    fact::{Departure, Lease, Load, Member, Part, Reach, Revision, State, Store},
+    fact::{Departure, Lease, Load, Member, Publication, Reach, Revision, State, Store},
     notice::{Notice, To},
     snapshot::{FleetSnapshot, PeerStatus, Tier},
     wire::DATAGRAM_BYTES,
@@ -238,32 +238,32 @@
     }
 
     /// Replaces a part of what this host tells.
-    pub fn publish(&mut self, now: Moment, part: Part) {
+    pub fn publish(&mut self, now: Moment, publication: Publication) {
         let board = &mut self.boards[Scope::Own as usize];
-        match part {
-            Part::State(state) => board.set(now, Fact::State(state)),
-            Part::Declared(version) => board.set(now, Fact::Declared(version)),
-            Part::Term(stored) => board.set(now, Fact::Term(stored)),
-            Part::Lease(Some(lease)) => board.set(now, Fact::Lease(lease)),
-            Part::Lease(None) => board.drop(now, &Key::Lease),
-            Part::Store(store) => self.note_store(now, store),
-            Part::InFlight(loads) => note_in_flight(board, now, loads),
-            Part::Arrivals(counts) => counts
+        match publication {
+            Publication::State(state) => board.set(now, Fact::State(state)),
+            Publication::Declared(version) => board.set(now, Fact::Declared(version)),
+            Publication::Term(stored) => board.set(now, Fact::Term(stored)),
+            Publication::Lease(Some(lease)) => board.set(now, Fact::Lease(lease)),
+            Publication::Lease(None) => board.drop(now, &Key::Lease),
+            Publication::Store(store) => self.note_store(now, store),
+            Publication::InFlight(loads) => note_in_flight(board, now, loads),
+            Publication::Arrivals(counts) => counts
                 .into_iter()
                 .for_each(|(service, count)| board.set(now, Fact::Arrivals(service, count))),
-            Part::Retries(counts) => counts
+            Publication::Retries(counts) => counts
                 .into_iter()
                 .for_each(|(service, count)| board.set(now, Fact::Retries(service, count))),
-            Part::Servers(servers) => {
+            Publication::Servers(servers) => {
                 let facts =
                     servers.into_iter().map(|(server, departure)| Fact::Server(server, departure));
                 replace(board, now, |key| matches!(key, Key::Server(_)), facts);
             }
-            Part::Limits(limits) => {
+            Publication::Limits(limits) => {
                 let facts = limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
                 replace(board, now, |key| matches!(key, Key::Limit(_)), facts);
             }
-            Part::Crashes(crashes) => {
+            Publication::Crashes(crashes) => {
                 let facts = crashes.into_iter().map(Fact::Crash);
                 replace(board, now, |key| matches!(key, Key::Crash(..)), facts);
             }
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -109,7 +109,7 @@
 
 /// A part of what a host tells; each replaces what the host told of that part before.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum Publication {
     /// Its own work.
     State(State),
     /// Version of the declaration in force there.
--- a/crates/policy/tests/fleet_demand.rs
+++ b/crates/policy/tests/fleet_demand.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, member};
 use policy::{
     demand::{self, Collector, Reporter, Subject},
-    fleet::{Load, Notice, Part},
+    fleet::{Load, Notice, Publication},
     place::Work,
 };
 use rand::{RngExt, SeedableRng};
@@ -84,7 +84,7 @@
                 requests: 1,
                 tokens: 700,
             });
-            self.net.publish(host, Part::InFlight(loads.collect()));
+            self.net.publish(host, Publication::InFlight(loads.collect()));
             self.report(host);
         }
         self.arrived.push(self.arrived.last().copied().unwrap_or(0) + arrived);
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, ROUGH};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Departure, FleetSnapshot, Lease, Load, Part, Reach, Store},
+    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reach, Store},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,9 +28,9 @@
     format!("service-{number}").into()
 }
 
-fn after(parts: impl IntoIterator<Item = Part>) -> FleetSnapshot {
+fn after(publications: impl IntoIterator<Item = Publication>) -> FleetSnapshot {
     let mut net = Net::settled(3, 1);
-    parts.into_iter().for_each(|part| net.publish(1, part));
+    publications.into_iter().for_each(|one| net.publish(1, one));
     net.run_for(STEP * 3);
     net.snapshot(0)
 }
@@ -56,13 +56,13 @@
     let lease = Lease { holder: "host-001".into(), fence: 8, age: Duration::from_millis(700) };
     let store = Store { reach: Reach::Reached, revision: 4_711 };
     let snapshot = after([
-        Part::Declared(12),
-        Part::Lease(Some(lease)),
-        Part::Store(store),
-        Part::InFlight(vec![load(2, 3), load(1, 5)]),
-        Part::Arrivals(vec![(service(1), 10)]),
-        Part::Servers(vec![("i-1".into(), Departure::Gone)]),
-        Part::Crashes(vec![crash(99, "s1")]),
+        Publication::Declared(12),
+        Publication::Lease(Some(lease)),
+        Publication::Store(store),
+        Publication::InFlight(vec![load(2, 3), load(1, 5)]),
+        Publication::Arrivals(vec![(service(1), 10)]),
+        Publication::Servers(vec![("i-1".into(), Departure::Gone)]),
+        Publication::Crashes(vec![crash(99, "s1")]),
     ]);
     assert_eq!(snapshot.in_flight, [load(1, 5), load(2, 3)]);
     assert_eq!(snapshot.at("i-00000002"), [load(2, 3)]);
@@ -82,13 +82,13 @@
 #[test]
 fn a_part_that_is_told_anew_replaces_the_former_one() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::InFlight(vec![load(1, 5), load(2, 1)]));
-    net.publish(1, Part::Servers(vec![("i-1".into(), Departure::Leaving)]));
-    net.publish(1, Part::Crashes(vec![crash(1, "s1")]));
+    net.publish(1, Publication::InFlight(vec![load(1, 5), load(2, 1)]));
+    net.publish(1, Publication::Servers(vec![("i-1".into(), Departure::Leaving)]));
+    net.publish(1, Publication::Crashes(vec![crash(1, "s1")]));
     net.run_for(STEP * 3);
-    net.publish(1, Part::InFlight(vec![load(2, 4)]));
-    net.publish(1, Part::Servers(Vec::new()));
-    net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
+    net.publish(1, Publication::InFlight(vec![load(2, 4)]));
+    net.publish(1, Publication::Servers(Vec::new()));
+    net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(STEP * 3);
     let snapshot = net.snapshot(0);
     assert_eq!(snapshot.in_flight, [load(2, 4)]);
@@ -100,7 +100,7 @@
 fn work_in_flight_is_summed_over_hosts_and_a_silent_one_counts_no_more() {
     let mut net = Net::settled(4, 1);
     for host in 1..4 {
-        net.publish(host, Part::InFlight(vec![load(1, host as u32)]));
+        net.publish(host, Publication::InFlight(vec![load(1, host as u32)]));
     }
     net.run_for(STEP * 3);
     assert_eq!(net.snapshot(0).in_flight, [load(1, 6)]);
@@ -121,9 +121,9 @@
         for (host, counts) in counts.iter_mut().enumerate() {
             (0..3).for_each(|_| counts[random.random_range(0..20)] += 1);
             let told = counts.iter().enumerate().map(|(number, count)| (service(number), *count));
-            net.publish(host, Part::Arrivals(told.collect()));
+            net.publish(host, Publication::Arrivals(told.collect()));
             let server = random.random_range(0..5);
-            net.publish(host, Part::InFlight(vec![load(server, random.random_range(1..9))]));
+            net.publish(host, Publication::InFlight(vec![load(server, random.random_range(1..9))]));
         }
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
@@ -132,7 +132,7 @@
             *before = heard;
         }
     }
-    (0..HOSTS).for_each(|host| net.publish(host, Part::InFlight(vec![load(host, 2)])));
+    (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(host, 2)])));
     net.run_for(SETTLE);
     for host in 0..HOSTS {
         let others = counts.iter().enumerate().filter(|(other, _)| *other != host);
@@ -147,18 +147,18 @@
 #[test]
 fn a_newcomer_counts_arrivals_from_when_it_listens_and_a_restart_is_not_counted_twice() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Arrivals(vec![(service(0), 1_000)]));
+    net.publish(1, Publication::Arrivals(vec![(service(0), 1_000)]));
     net.run_for(STEP * 3);
     net.start(4, 5);
     net.run_for(SETTLE);
     assert!(net.snapshot(4).arrivals.is_empty());
-    net.publish(1, Part::Arrivals(vec![(service(0), 1_010)]));
+    net.publish(1, Publication::Arrivals(vec![(service(0), 1_010)]));
     net.run_for(STEP * 3);
     assert_eq!(net.snapshot(4).arrivals[&service(0)], 10);
     assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_010);
     net.start(1, 8);
     net.run_for(SETTLE);
-    net.publish(1, Part::Arrivals(vec![(service(0), 4)]));
+    net.publish(1, Publication::Arrivals(vec![(service(0), 4)]));
     net.run_for(STEP * 3);
     assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_014);
 }
@@ -167,7 +167,10 @@
 fn more_than_a_datagram_holds_goes_in_several() {
     let mut net = Net::settled(3, 1);
     let many: Vec<u64> = (0..1_000).map(|request| request * 0x1234_5678_9abc).collect();
-    net.publish(1, Part::Crashes(many.iter().map(|request| crash(*request, "s1")).collect()));
+    net.publish(
+        1,
+        Publication::Crashes(many.iter().map(|request| crash(*request, "s1")).collect()),
+    );
     net.run_for(SETTLE);
     assert_eq!(requests(&net.snapshot(0)), many);
     assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
@@ -186,7 +189,7 @@
         if step == 20 {
             net.start(4, 5);
         }
-        net.publish(1, Part::InFlight(many_loads(step)));
+        net.publish(1, Publication::InFlight(many_loads(step)));
         net.run_for(STEP);
     }
     net.run_for(SETTLE);
@@ -204,7 +207,10 @@
         if step == 20 {
             net.start(4, 5);
         }
-        net.publish(1, Part::InFlight((0..many).map(|server| load(server, step + 1)).collect()));
+        net.publish(
+            1,
+            Publication::InFlight((0..many).map(|server| load(server, step + 1)).collect()),
+        );
         net.run_for(STEP);
     }
     for host in [0, 4] {
@@ -218,7 +224,7 @@
     let sent = |net: &Net| net.hosts[&0].fleet.counts().sent;
     let before = sent(&net);
     for revision in 0..100 {
-        net.publish(0, Part::Store(Store { reach: Reach::Reached, revision }));
+        net.publish(0, Publication::Store(Store { reach: Reach::Reached, revision }));
         net.run_for(STEP);
     }
     let heartbeats = 10 * 2 * 5;
@@ -230,7 +236,7 @@
 fn a_lost_change_is_told_again_soon_though_nothing_else_changes() {
     let mut net = Net::settled(3, 1);
     net.cut = vec![0];
-    net.publish(1, Part::Declared(5));
+    net.publish(1, Publication::Declared(5));
     net.run_for(STEP * 3 / 2);
     net.cut.clear();
     let has_heard = |net: &Net| net.snapshot(0).ahead(&"zone-0".into(), 4).len() == 1;
@@ -241,13 +247,13 @@
 #[test]
 fn a_drop_is_forgotten_once_all_had_time_to_hear_of_it() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
+    net.publish(1, Publication::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
     net.run_for(STEP * 3);
     // Host 2 hears nothing of the drop before it is forgotten.
     net.cut = vec![2];
-    net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
+    net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
-    net.publish(1, Part::Crashes(vec![Crash { role: Role::Apart, ..crash(2, "s1") }]));
+    net.publish(1, Publication::Crashes(vec![Crash { role: Role::Apart, ..crash(2, "s1") }]));
     net.run_for(Duration::from_secs(15));
     net.cut.clear();
     net.run_for(Duration::from_secs(8));
@@ -258,8 +264,8 @@
 #[test]
 fn crashes_that_hosts_have_seen_add_up_and_each_counts_once() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Crashes(vec![crash(7, "s1"), crash(7, "s2")]));
-    net.publish(2, Part::Crashes(vec![crash(7, "s2"), crash(7, "s3")]));
+    net.publish(1, Publication::Crashes(vec![crash(7, "s1"), crash(7, "s2")]));
+    net.publish(2, Publication::Crashes(vec![crash(7, "s2"), crash(7, "s3")]));
     net.run_for(STEP * 3);
     let snapshot = net.snapshot(0);
     let servers: Vec<&str> = snapshot.crashes.iter().map(|crash| &*crash.server).collect();
@@ -270,10 +276,10 @@
 fn a_crash_grows_old_on_its_way_and_is_sent_once() {
     let mut net = Net::settled(3, 1);
     let at = |age| Crash { age: Duration::from_secs(age), ..crash(7, "s1") };
-    net.publish(1, Part::Crashes(vec![at(20)]));
+    net.publish(1, Publication::Crashes(vec![at(20)]));
     net.run_for(Duration::from_secs(10));
     let sent = net.hosts[&1].fleet.counts().sent;
-    net.publish(1, Part::Crashes(vec![at(30)]));
+    net.publish(1, Publication::Crashes(vec![at(30)]));
     net.run_for(STEP * 3);
     let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
@@ -284,6 +290,7 @@
 fn the_lease_object_is_told_on() {
     let claim = policy::term::Claim::Held(Duration::from_millis(1500));
     let lease = policy::term::Lease { holder: "host-001".into(), incarnation: 7, nonce: 3, claim };
-    let snapshot = after([Part::Term((41, lease.clone())), Part::Term((42, lease.clone()))]);
+    let snapshot =
+        after([Publication::Term((41, lease.clone())), Publication::Term((42, lease.clone()))]);
     assert_eq!(snapshot.term, Some((42, lease)));
 }
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet_net::{Net, ROUGH, address, member};
-use policy::fleet::{Datagram, Liveness, Part, Settings, State};
+use policy::fleet::{Datagram, Liveness, Publication, Settings, State};
 use rstest::rstest;
 
 fn liveness(net: &Net, at: usize, of: usize) -> Option<Liveness> {
@@ -69,7 +69,7 @@
 #[test]
 fn a_restarted_host_is_a_new_one_and_its_former_run_counts_no_more() {
     let mut net = Net::settled(6, 1);
-    net.publish(4, Part::Declared(9));
+    net.publish(4, Publication::Declared(9));
     net.run_for(Duration::from_millis(300));
     assert_eq!(net.snapshot(0).ahead(&"zone-0".into(), 0).len(), 1);
     // Numbers of runs need not rise.
@@ -84,7 +84,7 @@
 #[test]
 fn late_datagrams_of_a_former_run_change_nothing() {
     let mut net = Net::settled(3, 1);
-    net.publish(2, Part::Declared(9));
+    net.publish(2, Publication::Declared(9));
     let now = net.now + Duration::from_secs(1);
     net.fleet(2).tick(now);
     let late: Vec<Datagram> = net.fleet(2).outgoing();
@@ -116,7 +116,7 @@
 #[test]
 fn a_host_that_leaves_is_seen_to_and_is_gone_once_it_says_goodbye() {
     let mut net = Net::settled(6, 1);
-    net.publish(4, Part::State(State::Leaving));
+    net.publish(4, Publication::State(State::Leaving));
     net.run_for(Duration::from_millis(300));
     assert_eq!(liveness(&net, 0, 4), Some(Liveness::Leaving));
     assert_eq!(net.snapshot(0).live, 5);
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Load, Member, Part, ReceivedNotice, Settings, State};
+use policy::fleet::{Fleet, Load, Member, Publication, ReceivedNotice, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use types::time::Moment;
@@ -67,14 +67,14 @@
 }
 
 /// A host at work: requests in flight at twenty servers, none of which stays the same.
-pub fn busy_part(step: u64) -> Part {
+pub fn busy_publication(step: u64) -> Publication {
     let loads = (0..20).map(|server| Load {
         server: format!("i-{server:08x}").into(),
         model: Some(format!("model-{server:05}").into()),
         requests: ((step + server) % 7) as u32 + 1,
         tokens: (step * 311 + server * 97) % 4_000,
     });
-    Part::InFlight(loads.collect())
+    Publication::InFlight(loads.collect())
 }
 
 /// Bytes that each host has sent, with the network's headers.
@@ -127,13 +127,13 @@
     pub fn start_at(&mut self, host: usize, member: Member) {
         let seeds = (0..3).map(address);
         let mut fleet = Fleet::new(self.now, self.settings.clone(), member, seeds);
-        fleet.publish(self.now, Part::State(State::Ready));
+        fleet.publish(self.now, Publication::State(State::Ready));
         self.hosts.insert(host, Host { fleet, heard: Vec::new() });
     }
 
-    pub fn publish(&mut self, host: usize, part: Part) {
+    pub fn publish(&mut self, host: usize, publication: Publication) {
         let now = self.now;
-        self.fleet(host).publish(now, part);
+        self.fleet(host).publish(now, publication);
     }
 
     pub fn fleet(&mut self, host: usize) -> &mut Fleet {
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -7,10 +7,10 @@
     time::Duration,
 };
 
-use fleet_net::{Net, ZONES, address, busy_part, member, sent_bytes};
+use fleet_net::{Net, ZONES, address, busy_publication, member, sent_bytes};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Liveness, Load, Notice, Part, To},
+    fleet::{Liveness, Load, Notice, Publication, To},
 };
 use rstest::rstest;
 
@@ -50,10 +50,12 @@
 
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
-    hosts.iter().for_each(|&host| net.publish(host, Part::InFlight(vec![load(1)])));
+    hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
     assert!(net.run_while_not(REACH, is_summed), "some host has not heard of all work");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
-    hosts.iter().for_each(|&host| net.publish(host, Part::Arrivals(vec![("chat".into(), 3)])));
+    hosts
+        .iter()
+        .for_each(|&host| net.publish(host, Publication::Arrivals(vec![("chat".into(), 3)])));
     let rise = 3 * (hosts.len() as u64 - 1);
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
@@ -76,7 +78,7 @@
     let before = sent_bytes(net);
     for step in 0..seconds * 10 {
         let hosts: Vec<_> = net.hosts.keys().copied().collect();
-        hosts.iter().for_each(|&host| net.publish(host, busy_part(step)));
+        hosts.iter().for_each(|&host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
     assert!(net.is_whole());
@@ -131,8 +133,8 @@
     const OLD: u32 = 8;
     let mut net = Net::settled(hosts, 1);
     for round in 1..=ROUNDS {
-        (1..hosts).for_each(|host| net.publish(host, busy_part(round.into())));
-        net.publish(0, Part::InFlight(vec![load(round)]));
+        (1..hosts).for_each(|host| net.publish(host, busy_publication(round.into())));
+        net.publish(0, Publication::InFlight(vec![load(round)]));
         net.run_for(ROUND);
         let oldest = (1..hosts).map(|host| in_flight(&net, host)).min();
         assert!(round < ROUNDS / 2 || Some(round - OLD) <= oldest, "{oldest:?} in round {round}");
@@ -174,11 +176,11 @@
     net.faults.loss = 0.01;
     // Signs of life to hosts that are not told begin after a round.
     net.run_for(Duration::from_secs(15));
-    net.publish(0, Part::InFlight(vec![load(3)]));
+    net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
     assert!(net.run_while_not(SOON, is_everywhere), "some host has not heard of it");
     for step in 0..15 {
-        (0..HOSTS).for_each(|host| net.publish(host, busy_part(step)));
+        (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
     }
     assert!(net.is_whole(), "a host that works was taken for silent");
@@ -188,7 +190,7 @@
 fn sums_hold_though_relays_die_and_hosts_come(#[values(1, 2)] seed: u64) {
     const HOSTS: usize = 82;
     let mut net = Net::settled(HOSTS, seed);
-    (0..HOSTS).for_each(|host| net.publish(host, Part::InFlight(vec![load(1)])));
+    (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(1)])));
     net.run_for(REACH);
     net.faults.loss = 0.02;
     // One in five is enough to hit relays of some groups.
@@ -198,7 +200,7 @@
         net.start(host, 1);
         let now = net.now;
         net.fleet(host).introduce(now, [address(1)]);
-        net.publish(host, Part::InFlight(vec![load(1)]));
+        net.publish(host, Publication::InFlight(vec![load(1)]));
     }
     assert!(net.run_while_not(MEND, |net| is_summed(net) && net.is_whole()), "after arrivals");
 }
@@ -215,7 +217,7 @@
             net.hosts.remove(&(step as usize / 25));
         }
         for host in net.hosts.keys().copied().collect::<Vec<_>>() {
-            net.publish(host, Part::Arrivals(vec![("chat".into(), step)]));
+            net.publish(host, Publication::Arrivals(vec![("chat".into(), step)]));
             sent += 1;
         }
         net.run_for(Duration::from_millis(300));
@@ -242,7 +244,7 @@
 fn assert_crashes_reach_all(hosts: usize) {
     let mut net = Net::settled(hosts, 1);
     for step in 0..30 {
-        (0..hosts).for_each(|host| net.publish(host, busy_part(step)));
+        (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
     let crash = |server: &str| Crash {
@@ -254,7 +256,7 @@
         verdict: Verdict::Counts,
         age: Duration::ZERO,
     };
-    net.publish(3, Part::Crashes(["s1", "s2", "s3"].map(crash).into()));
+    net.publish(3, Publication::Crashes(["s1", "s2", "s3"].map(crash).into()));
     let began = net.now;
     let is_known = |net: &Net| {
         (0..hosts).filter(|host| *host != 3).all(|host| net.snapshot(host).crashes.len() == 3)
@@ -264,7 +266,7 @@
             break;
         }
         assert!(net.now - began < CONTACT, "some host of {hosts} has not heard in {CONTACT:?}");
-        (0..hosts).for_each(|host| net.publish(host, busy_part(step)));
+        (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
 }
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, address, member};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Fleet, Notice, Part, Settings, To},
+    fleet::{Fleet, Notice, Publication, Settings, To},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -29,7 +29,7 @@
         verdict: Verdict::Counts,
         age: Duration::ZERO,
     };
-    net.publish(1, Part::Crashes((0..50).map(crash).collect()));
+    net.publish(1, Publication::Crashes((0..50).map(crash).collect()));
     let now = net.now + Duration::from_secs(1);
     let fleet = net.fleet(1);
     fleet.tick(now);
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -10,8 +10,8 @@
 use exchange::{
     Exchange, Registered, Source,
     fleet::{
-        Departure, FleetSnapshot, Lease, Notice, Part, Reach, ReceivedNotice, Revision, State,
-        Store, To,
+        Departure, FleetSnapshot, Lease, Notice, Publication, Reach, ReceivedNotice, Revision,
+        State, Store, To,
     },
 };
 use observe::story::{self, Belief, PeerStanding};
@@ -154,34 +154,35 @@
         (false, Some(_)) => State::Ready,
         (false, None) => State::Starting,
     };
-    exchange.publish(Part::State(state));
+    exchange.publish(Publication::State(state));
     if let Some(declaration) = shared.declaration() {
-        exchange.publish(Part::Declared(declaration.version));
+        exchange.publish(Publication::Declared(declaration.version));
     }
     let lease = lease(shared, now);
     if lease.is_some()
         && let Some(stored) = shared.term().stored()
     {
-        exchange.publish(Part::Term(stored));
+        exchange.publish(Publication::Term(stored));
     }
-    exchange.publish(Part::Lease(lease));
+    exchange.publish(Publication::Lease(lease));
     let reach = if shared.store.is_degraded() { Reach::Cut } else { Reach::Reached };
-    exchange.publish(Part::Store(Store { reach, revision: shared.revision() }));
+    exchange.publish(Publication::Store(Store { reach, revision: shared.revision() }));
     let arrivals = counts(shared, |counts| {
         counts.arrivals.iter().map(|(service, count)| (service.clone(), *count)).collect()
     });
-    exchange.publish(Part::Arrivals(arrivals));
-    exchange.publish(Part::Servers(departures(shared)));
+    exchange.publish(Publication::Arrivals(arrivals));
+    exchange.publish(Publication::Servers(departures(shared)));
     let used = shared.dispatcher().used();
-    exchange
-        .publish(Part::Retries(used.into_iter().map(|(id, used)| (id, used.retries)).collect()));
+    exchange.publish(Publication::Retries(
+        used.into_iter().map(|(id, used)| (id, used.retries)).collect(),
+    ));
     let crashes = shared.dispatcher().poison().crashes(now);
-    exchange.publish(Part::Crashes(crashes));
+    exchange.publish(Publication::Crashes(crashes));
     let limits = limits(shared);
     let was_told =
         counts(shared, |counts| std::mem::replace(&mut counts.tells_limits, !limits.is_empty()));
     if was_told || !limits.is_empty() {
-        exchange.publish(Part::Limits(limits));
+        exchange.publish(Publication::Limits(limits));
     }
 }
 
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -14,7 +14,7 @@
 
 use exchange::{
     Exchange,
-    fleet::{Load, Part},
+    fleet::{Load, Publication},
 };
 use policy::dispatch::Work;
 use tokio::time::sleep;
@@ -39,7 +39,7 @@
     loop {
         let work = shared.dispatcher().work();
         if work != own {
-            exchange.publish(Part::InFlight(work.iter().map(load).collect()));
+            exchange.publish(Publication::InFlight(work.iter().map(load).collect()));
             own = work;
         }
         let (now, told) = (shared.now(), exchange.in_flight());
