--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use policy::fleet::{
     Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Publication, ReceivedNotice,
-    Revision, Settings, State, Tier, To, Unknown,
+    Recipients, Revision, Settings, State, Tier, Unknown,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&self, to: To, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&self, to: Recipients, notice: Notice) -> Result<(), Unknown> {
         let result = self.shared.with(|fleet, now| fleet.send(now, to, notice));
         self.shared.wake.notify_one();
         result
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Config, Entry, Exchange, Registered, Source,
-    fleet::{Departure, Liveness, Load, Notice, Publication, Revision, State, To},
+    fleet::{Departure, Liveness, Load, Notice, Publication, Recipients, Revision, State},
 };
 use rstest::rstest;
 use tokio::{
@@ -120,18 +120,20 @@
     assert!(hosts[0].notices().is_none());
     let leaving =
         Notice::Leaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
-    hosts[0].send(To::All, leaving.clone()).expect("known");
+    hosts[0].send(Recipients::All, leaving.clone()).expect("known");
     for receiver in &mut receivers[1..] {
         let heard = tokio::time::timeout(PATIENCE, receiver.recv()).await.expect("in time");
         let heard = heard.expect("open");
         assert_eq!((heard.notice, heard.via), (leaving.clone(), hosts[0].member().address));
         assert_eq!(heard.origin.as_deref(), Some("host-0"));
     }
-    hosts[1].send(To::Host("host-0".into()), Notice::Declared { version: 3 }).expect("known");
+    hosts[1]
+        .send(Recipients::Host("host-0".into()), Notice::Declared { version: 3 })
+        .expect("known");
     let heard = tokio::time::timeout(PATIENCE, receivers[0].recv()).await.expect("in time");
     assert_eq!(heard.expect("open").notice, Notice::Declared { version: 3 });
     assert!(receivers[2].try_recv().is_err());
-    assert!(hosts[1].send(To::Host("nobody".into()), leaving).is_err());
+    assert!(hosts[1].send(Recipients::Host("nobody".into()), leaving).is_err());
 }
 
 #[tokio::test]
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use fleet_net::{Net, busy_publication, sent_bytes};
-use policy::fleet::{Load, Notice, Publication, To};
+use policy::fleet::{Load, Notice, Publication, Recipients};
 
 const SIZES: [usize; 5] = [6, 8, 16, 82, 350];
 const SPAN: u64 = 20;
@@ -81,7 +81,7 @@
     let before: Vec<_> = net.hosts.values().map(|host| host.heard.len()).collect();
     let (now, start) = (net.now, net.now);
     let notice = Notice::Declared { version: round as u64 };
-    net.fleet(sender).send(now, To::All, notice).unwrap_or_default();
+    net.fleet(sender).send(now, Recipients::All, notice).unwrap_or_default();
     let has_heard = |net: &Net| {
         let heard = net.hosts.values().zip(&before).filter(|(host, n)| host.heard.len() > **n);
         heard.count() == net.hosts.len() - 1
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -44,7 +44,7 @@
 };
 pub use self::{
     fact::{Departure, Lease, Load, Member, Publication, Reach, Revision, State, Store},
-    notice::{Notice, To},
+    notice::{Notice, Recipients},
     snapshot::{FleetSnapshot, PeerStatus, Tier},
     wire::DATAGRAM_BYTES,
 };
@@ -275,12 +275,12 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&mut self, now: Moment, to: To, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&mut self, now: Moment, to: Recipients, notice: Notice) -> Result<(), Unknown> {
         self.number += 1;
         let item = Item { origin: self.member.run(), number: self.number, notice };
         match to {
-            To::All => self.spread(now, &item, None),
-            To::Host(id) => {
+            Recipients::All => self.spread(now, &item, None),
+            Recipients::Host(id) => {
                 let target = self.locate(&id).ok_or(Unknown(id))?;
                 self.outbox.push(now, target, item);
             }
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -111,7 +111,7 @@
 
 /// Who gets a notice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Recipients {
     /// All hosts.
     All,
     /// One host.
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet_net::{Faults, Net, address, member};
-use policy::fleet::{Departure, Notice, To, Unknown};
+use policy::fleet::{Departure, Notice, Recipients, Unknown};
 use rstest::rstest;
 
 fn leaving(server: usize) -> Notice {
@@ -21,7 +21,7 @@
 fn a_notice_to_all_reaches_each_host_at_once() {
     let mut net = Net::settled(6, 1);
     let now = net.now;
-    net.fleet(2).send(now, To::All, leaving(1)).expect("known");
+    net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
     net.run_for(Duration::from_millis(5));
     for host in [0, 1, 3, 4, 5] {
         let [heard] = &net.hosts[&host].heard[..] else {
@@ -40,11 +40,11 @@
     let now = net.now;
     let wanted =
         Notice::Wanted { service: "chat".into(), model: "sage".into(), adapter: Some("a3".into()) };
-    net.fleet(2).send(now, To::Host(member(4, 0).id), wanted.clone()).expect("known");
+    net.fleet(2).send(now, Recipients::Host(member(4, 0).id), wanted.clone()).expect("known");
     net.run_for(Duration::from_secs(1));
     assert_eq!(heard(&net, 4), [&wanted]);
     assert!([0, 1, 3, 5].iter().all(|&host| heard(&net, host).is_empty()));
-    let result = net.fleet(2).send(now, To::Host("nobody".into()), wanted);
+    let result = net.fleet(2).send(now, Recipients::Host("nobody".into()), wanted);
     assert_eq!(result, Err(Unknown("nobody".into())));
 }
 
@@ -54,7 +54,7 @@
     net.faults = Faults { loss: 0.1, repeat: 0.3, jitter: Duration::from_millis(100) };
     for server in 0..100 {
         let now = net.now;
-        net.fleet(1).send(now, To::All, leaving(server)).expect("known");
+        net.fleet(1).send(now, Recipients::All, leaving(server)).expect("known");
         net.run_for(Duration::from_millis(30));
     }
     net.run_for(Duration::from_secs(3));
@@ -77,7 +77,7 @@
         net.cut = vec![1];
         let now = net.now;
         if is_sent {
-            net.fleet(0).send(now, To::Host(member(1, 0).id), leaving(1)).expect("known");
+            net.fleet(0).send(now, Recipients::Host(member(1, 0).id), leaving(1)).expect("known");
         }
         net.run_for(Duration::from_secs(5));
         net.fleet(0).counts()
@@ -93,7 +93,7 @@
         net.start(2, incarnation);
         net.run_for(Duration::from_secs(1));
         let now = net.now;
-        net.fleet(2).send(now, To::All, leaving(1)).expect("known");
+        net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
         net.run_for(Duration::from_millis(50));
     }
     assert_eq!(heard(&net, 0).len(), 3);
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -10,7 +10,7 @@
 use fleet_net::{Net, ZONES, address, busy_publication, member, sent_bytes};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Liveness, Load, Notice, Publication, To},
+    fleet::{Liveness, Load, Notice, Publication, Recipients},
 };
 use rstest::rstest;
 
@@ -66,7 +66,7 @@
 fn assert_notice_reaches_all_once(net: &mut Net) {
     const SENDER: usize = 9;
     let now = net.now;
-    net.fleet(SENDER).send(now, To::All, Notice::Declared { version: 4 }).expect("known");
+    net.fleet(SENDER).send(now, Recipients::All, Notice::Declared { version: 4 }).expect("known");
     net.run_for(Duration::from_secs(2));
     for (number, host) in &net.hosts {
         assert_eq!(host.heard.len(), usize::from(*number != SENDER), "at host {number}");
@@ -109,7 +109,9 @@
     let now = net.now;
     let wanted = Notice::Wanted { service: "chat".into(), model: "sage".into(), adapter: None };
     for host in [0, 40, 70] {
-        net.fleet(host).send(now, To::Host(member(71, 0).id), wanted.clone()).expect("known");
+        net.fleet(host)
+            .send(now, Recipients::Host(member(71, 0).id), wanted.clone())
+            .expect("known");
     }
     net.run_for(Duration::from_millis(10));
     assert_eq!(net.hosts[&71].heard.len(), 3);
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, address, member};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Fleet, Notice, Publication, Settings, To},
+    fleet::{Fleet, Notice, Publication, Recipients, Settings},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -33,7 +33,7 @@
     let now = net.now + Duration::from_secs(1);
     let fleet = net.fleet(1);
     fleet.tick(now);
-    fleet.send(now, To::All, Notice::Declared { version: 3 }).expect("known");
+    fleet.send(now, Recipients::All, Notice::Declared { version: 3 }).expect("known");
     fleet.introduce(now, [address(9)]);
     fleet.tick(now + Duration::from_secs(1));
     fleet.bye();
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -10,8 +10,8 @@
 use exchange::{
     Exchange, Registered, Source,
     fleet::{
-        Departure, FleetSnapshot, Lease, Notice, Publication, Reach, ReceivedNotice, Revision,
-        State, Store, To,
+        Departure, FleetSnapshot, Lease, Notice, Publication, Reach, ReceivedNotice, Recipients,
+        Revision, State, Store,
     },
 };
 use observe::story::{self, Belief, PeerStanding};
@@ -380,7 +380,7 @@
         model: model.clone(),
         adapter: adapter.cloned(),
     };
-    if let Err(error) = exchange.send(To::Host(holder), notice) {
+    if let Err(error) = exchange.send(Recipients::Host(holder), notice) {
         log::debug!(host = &*shared.host.id; "{error}");
     }
 }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Registered,
-    fleet::{Departure, Notice, To},
+    fleet::{Departure, Notice, Recipients},
 };
 use observe::story::{Belief, Heard, ServerStanding, Word};
 use policy::{
@@ -427,7 +427,7 @@
     pub(crate) fn notify(&self, notice: Notice) {
         if let Some(exchange) = self.exchange() {
             // To all is never to a host that is not known.
-            let _ = exchange.send(To::All, notice);
+            let _ = exchange.send(Recipients::All, notice);
         }
     }
 }
