--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use policy::fleet::{
     Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Publication, ReceivedNotice,
-    Recipients, Revision, Settings, State, Tier, Unknown,
+    Recipients, Revision, Settings, State, Tier, UnknownHost,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&self, to: Recipients, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&self, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, now| fleet.send(now, to, notice));
         self.shared.wake.notify_one();
         result
@@ -181,7 +181,7 @@
     /// # Errors
     ///
     /// If that host is not known.
-    pub fn send_once(&self, host: &host::Id, notice: Notice) -> Result<(), Unknown> {
+    pub fn send_once(&self, host: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, _| fleet.send_once(host, notice));
         self.shared.wake.notify_one();
         result
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -138,7 +138,7 @@
 /// The host that a notice is for is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host {0} is not known here")]
-pub struct Unknown(pub host::Id);
+pub struct UnknownHost(pub host::Id);
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -275,13 +275,13 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&mut self, now: Moment, to: Recipients, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&mut self, now: Moment, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         self.number += 1;
         let item = Item { origin: self.member.run(), number: self.number, notice };
         match to {
             Recipients::All => self.spread(now, &item, None),
             Recipients::Host(id) => {
-                let target = self.locate(&id).ok_or(Unknown(id))?;
+                let target = self.locate(&id).ok_or(UnknownHost(id))?;
                 self.outbox.push(now, target, item);
             }
         }
@@ -294,8 +294,8 @@
     /// # Errors
     ///
     /// If that host is not known.
-    pub fn send_once(&mut self, id: &host::Id, notice: Notice) -> Result<(), Unknown> {
-        let target = self.locate(id).ok_or_else(|| Unknown(id.clone()))?;
+    pub fn send_once(&mut self, id: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
+        let target = self.locate(id).ok_or_else(|| UnknownHost(id.clone()))?;
         self.put(target.address, Body::Once(notice));
         Ok(())
     }
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet_net::{Faults, Net, address, member};
-use policy::fleet::{Departure, Notice, Recipients, Unknown};
+use policy::fleet::{Departure, Notice, Recipients, UnknownHost};
 use rstest::rstest;
 
 fn leaving(server: usize) -> Notice {
@@ -45,7 +45,7 @@
     assert_eq!(heard(&net, 4), [&wanted]);
     assert!([0, 1, 3, 5].iter().all(|&host| heard(&net, host).is_empty()));
     let result = net.fleet(2).send(now, Recipients::Host("nobody".into()), wanted);
-    assert_eq!(result, Err(Unknown("nobody".into())));
+    assert_eq!(result, Err(UnknownHost("nobody".into())));
 }
 
 #[rstest]
