--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -43,7 +43,9 @@
     wire::{Body, Item, Number, Packet, Run, Scope},
 };
 pub use self::{
-    fact::{Departure, Lease, Load, Member, Publication, Reach, Revision, State, Store},
+    fact::{
+        Departure, Lease, Load, Member, Publication, Reachability, Revision, State, StoreStatus,
+    },
     notice::{Notice, Recipients},
     snapshot::{FleetSnapshot, PeerStatus, Tier},
     wire::DATAGRAM_BYTES,
@@ -166,7 +168,7 @@
     count: u32,
     boards: [Board; Scope::ALL.len()],
     /// The newest word on the store; told at most once a heartbeat.
-    store: Option<Store>,
+    store: Option<StoreStatus>,
     hosts: Hosts,
     candidates: Candidates,
     plan: Plan,
@@ -333,13 +335,13 @@
         said.unwrap_or_default()
     }
 
-    fn note_store(&mut self, now: Moment, store: Store) {
+    fn note_store(&mut self, now: Moment, store: StoreStatus) {
         let told = self.boards[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
-            Fact::Store(store) => Some(store.reach),
+            Fact::Store(store) => Some(store.reachability),
             _ => None,
         });
         self.store = Some(store);
-        if told != Some(store.reach) {
+        if told != Some(store.reachability) {
             self.next_store = now;
             self.tell_store(now);
         }
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -66,21 +66,21 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub enum Reach {
+pub enum Reachability {
     /// It does not.
     #[default]
-    Cut,
+    Unreachable,
     /// It does.
-    Reached,
+    Reachable,
 }
 
 /// What a host has of the store.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Store {
+pub struct StoreStatus {
     /// Whether it reaches it.
-    pub reach: Reach,
+    pub reachability: Reachability,
     /// The last revision that it saw.
     pub revision: Revision,
 }
@@ -119,7 +119,7 @@
     /// The lease object as it knows it.
     Term(term::Stored),
     /// What it has of the store.
-    Store(Store),
+    Store(StoreStatus),
     /// Work in flight; what is left out is at rest.
     InFlight(Vec<Load>),
     /// Arrivals since its start, by service; never falling, and what is left out stands.
@@ -140,7 +140,7 @@
     State(State),
     Declared(Version),
     Lease(Lease),
-    Store(Store),
+    Store(StoreStatus),
     InFlight(Load),
     Arrivals(service::Id, u64),
     Retries(service::Id, u64),
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Fleet, Liveness,
-    fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, Store},
+    fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, StoreStatus},
     fanout::Distance,
     hosts::Peer,
     sums::{Tally, Working, loads},
@@ -30,7 +30,7 @@
     /// Version of the declaration in force there; 0 if it told none.
     pub declared: Version,
     /// What it has of the store.
-    pub store: Store,
+    pub store: StoreStatus,
 }
 
 /// A host's place among those that tell each other.
@@ -69,7 +69,7 @@
     /// The newest lease object that any other knows.
     pub term: Option<term::Stored>,
     /// Whether any other reaches the store, and the last revision that any saw.
-    pub store: Store,
+    pub store: StoreStatus,
 }
 
 impl FleetSnapshot {
@@ -94,7 +94,7 @@
         let mut hosts: Vec<_> =
             self.in_touch().filter(|status| status.store.revision > above).collect();
         hosts.sort_by_key(|status| {
-            let store = std::cmp::Reverse((status.store.reach, status.store.revision));
+            let store = std::cmp::Reverse((status.store.reachability, status.store.revision));
             (store, status.member.zone != *zone)
         });
         hosts
@@ -178,7 +178,7 @@
             liveness: peer.liveness(now),
             state: None,
             declared: 0,
-            store: Store::default(),
+            store: StoreStatus::default(),
         };
         for fact in peer.facts(now, Scope::Own) {
             match fact {
--- a/crates/policy/src/fleet/sums.rs
+++ b/crates/policy/src/fleet/sums.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Fleet,
-    fact::{Departure, Fact, Key, Lease, Load, Store},
+    fact::{Departure, Fact, Key, Lease, Load, StoreStatus},
     fanout::{Distance, Plan},
     hosts::Pulse,
     replace, view,
@@ -59,7 +59,7 @@
     pub(super) crashes: BTreeMap<(Fingerprint, backend::Id, host::Id), Crash>,
     pub(super) lease: Option<Lease>,
     pub(super) term: Option<term::Stored>,
-    pub(super) store: Option<Store>,
+    pub(super) store: Option<StoreStatus>,
     pub(super) absent: BTreeMap<host::Id, Run>,
     pub(super) limits: BTreeMap<backend::Id, News>,
 }
@@ -94,9 +94,9 @@
             Fact::Lease(lease) => self.believe(Lease { age: lease.age + age, ..lease.clone() }),
             Fact::Store(store) => {
                 let best = self.store.unwrap_or_default();
-                let reach = best.reach.max(store.reach);
+                let reachability = best.reachability.max(store.reachability);
                 let revision = best.revision.max(store.revision);
-                self.store = Some(Store { reach, revision });
+                self.store = Some(StoreStatus { reachability, revision });
             }
             Fact::Absent(id, run) => {
                 self.absent.insert(id.clone(), *run);
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, ROUGH};
 use policy::{
     dispatch::poison::{Crash, Role, Verdict},
-    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reach, Store},
+    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reachability, StoreStatus},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -54,7 +54,7 @@
 #[test]
 fn each_part_arrives() {
     let lease = Lease { holder: "host-001".into(), fence: 8, age: Duration::from_millis(700) };
-    let store = Store { reach: Reach::Reached, revision: 4_711 };
+    let store = StoreStatus { reachability: Reachability::Reachable, revision: 4_711 };
     let snapshot = after([
         Publication::Declared(12),
         Publication::Lease(Some(lease)),
@@ -224,7 +224,10 @@
     let sent = |net: &Net| net.hosts[&0].fleet.counts().sent;
     let before = sent(&net);
     for revision in 0..100 {
-        net.publish(0, Publication::Store(Store { reach: Reach::Reached, revision }));
+        net.publish(
+            0,
+            Publication::Store(StoreStatus { reachability: Reachability::Reachable, revision }),
+        );
         net.run_for(STEP);
     }
     let heartbeats = 10 * 2 * 5;
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -10,8 +10,8 @@
 use exchange::{
     Exchange, Registered, Source,
     fleet::{
-        Departure, FleetSnapshot, Lease, Notice, Publication, Reach, ReceivedNotice, Recipients,
-        Revision, State, Store,
+        Departure, FleetSnapshot, Lease, Notice, Publication, Reachability, ReceivedNotice,
+        Recipients, Revision, State, StoreStatus,
     },
 };
 use observe::story::{self, Belief, PeerStanding};
@@ -165,8 +165,12 @@
         exchange.publish(Publication::Term(stored));
     }
     exchange.publish(Publication::Lease(lease));
-    let reach = if shared.store.is_degraded() { Reach::Cut } else { Reach::Reached };
-    exchange.publish(Publication::Store(Store { reach, revision: shared.revision() }));
+    let reachability = if shared.store.is_degraded() {
+        Reachability::Unreachable
+    } else {
+        Reachability::Reachable
+    };
+    exchange.publish(Publication::Store(StoreStatus { reachability, revision: shared.revision() }));
     let arrivals = counts(shared, |counts| {
         counts.arrivals.iter().map(|(service, count)| (service.clone(), *count)).collect()
     });
