--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -119,7 +119,7 @@
     let mut receivers: Vec<_> = hosts.iter().map(|host| host.notices().expect("once")).collect();
     assert!(hosts[0].notices().is_none());
     let leaving =
-        Notice::Leaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
+        Notice::ServerLeaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
     hosts[0].send(Recipients::All, leaving.clone()).expect("known");
     for receiver in &mut receivers[1..] {
         let heard = tokio::time::timeout(PATIENCE, receiver.recv()).await.expect("in time");
@@ -128,10 +128,10 @@
         assert_eq!(heard.origin.as_deref(), Some("host-0"));
     }
     hosts[1]
-        .send(Recipients::Host("host-0".into()), Notice::Declared { version: 3 })
+        .send(Recipients::Host("host-0".into()), Notice::DeclarationInForce { version: 3 })
         .expect("known");
     let heard = tokio::time::timeout(PATIENCE, receivers[0].recv()).await.expect("in time");
-    assert_eq!(heard.expect("open").notice, Notice::Declared { version: 3 });
+    assert_eq!(heard.expect("open").notice, Notice::DeclarationInForce { version: 3 });
     assert!(receivers[2].try_recv().is_err());
     assert!(hosts[1].send(Recipients::Host("nobody".into()), leaving).is_err());
 }
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -80,7 +80,7 @@
     let sender = round * 7 % net.hosts.len();
     let before: Vec<_> = net.hosts.values().map(|host| host.heard.len()).collect();
     let (now, start) = (net.now, net.now);
-    let notice = Notice::Declared { version: round as u64 };
+    let notice = Notice::DeclarationInForce { version: round as u64 };
     net.fleet(sender).send(now, Recipients::All, notice).unwrap_or_default();
     let has_heard = |net: &Net| {
         let heard = net.hosts.values().zip(&before).filter(|(host, n)| host.heard.len() > **n);
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Notice {
     /// A request waits for this to be loaded; to the holder of the lease.
-    Wanted {
+    LoadRequested {
         /// The service.
         service: service::Id,
         /// The model.
@@ -54,7 +54,7 @@
         adapter: Option<adapter::Id>,
     },
     /// A server holds this from now on.
-    Held {
+    Loaded {
         /// The server.
         server: backend::Id,
         /// The model.
@@ -65,7 +65,7 @@
         sequence: Sequence,
     },
     /// A server holds this no more.
-    Dropped {
+    Unloaded {
         /// The server.
         server: backend::Id,
         /// The model.
@@ -76,7 +76,7 @@
         sequence: Sequence,
     },
     /// A server is leaving.
-    Leaving {
+    ServerLeaving {
         /// The server.
         server: backend::Id,
         /// Whether its entry says so, or was removed.
@@ -85,12 +85,12 @@
         revision: Revision,
     },
     /// A declaration is in force.
-    Declared {
+    DeclarationInForce {
         /// Its version.
         version: Version,
     },
     /// A server's limit changed.
-    Limited {
+    LimitChanged {
         /// The server.
         server: backend::Id,
         /// Its limit as of this change.
@@ -103,7 +103,7 @@
     /// What arrives at the sender, for the host that plans; sent once.
     Demand(Report),
     /// The sender holds the lease on orders and plans.
-    Plans {
+    LeaseAcquired {
         /// Its fence.
         fence: Fence,
     },
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -10,7 +10,7 @@
 
 fn leaving(server: usize) -> Notice {
     let server = format!("i-{server}").into();
-    Notice::Leaving { server, departure: Departure::Leaving, revision: 1 }
+    Notice::ServerLeaving { server, departure: Departure::Leaving, revision: 1 }
 }
 
 fn heard(net: &Net, host: usize) -> Vec<&Notice> {
@@ -38,8 +38,11 @@
 fn a_notice_to_one_host_reaches_only_that_one() {
     let mut net = Net::settled(6, 1);
     let now = net.now;
-    let wanted =
-        Notice::Wanted { service: "chat".into(), model: "sage".into(), adapter: Some("a3".into()) };
+    let wanted = Notice::LoadRequested {
+        service: "chat".into(),
+        model: "sage".into(),
+        adapter: Some("a3".into()),
+    };
     net.fleet(2).send(now, Recipients::Host(member(4, 0).id), wanted.clone()).expect("known");
     net.run_for(Duration::from_secs(1));
     assert_eq!(heard(&net, 4), [&wanted]);
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -66,7 +66,9 @@
 fn assert_notice_reaches_all_once(net: &mut Net) {
     const SENDER: usize = 9;
     let now = net.now;
-    net.fleet(SENDER).send(now, Recipients::All, Notice::Declared { version: 4 }).expect("known");
+    net.fleet(SENDER)
+        .send(now, Recipients::All, Notice::DeclarationInForce { version: 4 })
+        .expect("known");
     net.run_for(Duration::from_secs(2));
     for (number, host) in &net.hosts {
         assert_eq!(host.heard.len(), usize::from(*number != SENDER), "at host {number}");
@@ -107,7 +109,8 @@
 fn any_host_can_send_a_notice_to_any_other() {
     let mut net = Net::settled(82, 1);
     let now = net.now;
-    let wanted = Notice::Wanted { service: "chat".into(), model: "sage".into(), adapter: None };
+    let wanted =
+        Notice::LoadRequested { service: "chat".into(), model: "sage".into(), adapter: None };
     for host in [0, 40, 70] {
         net.fleet(host)
             .send(now, Recipients::Host(member(71, 0).id), wanted.clone())
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -159,7 +159,7 @@
         state.holder = Some((fence, self.host.id.clone()));
         drop(state);
         self.planner().begin(now);
-        self.notify(Notice::Plans { fence });
+        self.notify(Notice::LeaseAcquired { fence });
     }
 
     fn give_demand(&self, origin: Origin, arrivals: Vec<Arrival>) {
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -183,7 +183,7 @@
         self.is_newest();
         planning::declare(&mut self.planner(), &declaration, self.now());
         self.dispatcher().declare(&declaration);
-        self.notify(Notice::Declared { version });
+        self.notify(Notice::DeclarationInForce { version });
         self.declaration.store(Some(Arc::new(declaration)));
         self.plan_for_known(before.as_deref());
     }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -305,29 +305,29 @@
     while let Some(heard) = notices.recv().await {
         let now = shared.now();
         match heard.notice {
-            Notice::Wanted { model, adapter, .. } => {
+            Notice::LoadRequested { model, adapter, .. } => {
                 shared.planner().missing(&model, adapter.as_ref(), now);
                 shared.plan_wakeup.notify_one();
             }
-            Notice::Held { server, model, adapter, sequence } => {
+            Notice::Loaded { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
                 shared.dispatcher().holds(&server, &model, adapter, sequence, now);
                 shared.dispatch_wakeup.notify_one();
             }
-            Notice::Dropped { server, model, adapter, sequence } => {
+            Notice::Unloaded { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
                 shared.dispatcher().drops(&server, &model, adapter, sequence, now);
             }
-            Notice::Leaving { server, departure, revision } => {
+            Notice::ServerLeaving { server, departure, revision } => {
                 let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
                 let from = story::Heard::Peer(origin);
                 shared.departs(&server, departure, revision, &from);
             }
-            Notice::Declared { version } => {
+            Notice::DeclarationInForce { version } => {
                 // The reader of the channel ends with the process.
                 let _ = declared.send((version, heard.via));
             }
-            Notice::Limited { server, news } => {
+            Notice::LimitChanged { server, news } => {
                 let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
                 shared.limit_heard(&server, news, &origin);
             }
@@ -336,7 +336,7 @@
                     shared.demand_received(origin, report);
                 }
             }
-            Notice::Plans { fence } => {
+            Notice::LeaseAcquired { fence } => {
                 if let Some(origin) = &heard.origin {
                     shared.holder_heard(origin, fence);
                 }
@@ -379,7 +379,7 @@
     adapter: Option<&adapter::Id>,
 ) {
     let Some(holder) = shared.holder() else { return };
-    let notice = Notice::Wanted {
+    let notice = Notice::LoadRequested {
         service: service.clone(),
         model: model.clone(),
         adapter: adapter.cloned(),
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -25,7 +25,7 @@
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
             self.limit_changed(server, change, Heard::Itself);
-            self.notify(Notice::Limited { server: server.clone(), news: change.news });
+            self.notify(Notice::LimitChanged { server: server.clone(), news: change.news });
         }
     }
 
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -186,7 +186,7 @@
         let is_first_hand = was_used && *from == Heard::Store;
         if before == Some(State::Ready) && is_first_hand && server.state == State::Draining {
             let (server, departure) = (server.id.clone(), Departure::Leaving);
-            self.notify(Notice::Leaving { server, departure, revision });
+            self.notify(Notice::ServerLeaving { server, departure, revision });
         }
     }
 
@@ -202,7 +202,7 @@
             }
             if self.dispatcher().is_used(id) {
                 let (server, departure) = (id.clone(), Departure::Gone);
-                self.notify(Notice::Leaving { server, departure, revision });
+                self.notify(Notice::ServerLeaving { server, departure, revision });
             }
         }
         self.gone(id, from, "it is no longer registered");
@@ -342,7 +342,7 @@
         self.dispatcher().report(&server.id, report, self.now());
         let before = |held: &Held| server.models.iter().any(|known| known.model == held.model);
         for held in report.models.iter().filter(|held| !before(held)) {
-            self.notify(Notice::Held {
+            self.notify(Notice::Loaded {
                 server: server.id.clone(),
                 model: held.model.clone(),
                 adapter: None,
@@ -365,12 +365,17 @@
         match order.operation {
             Operation::Unload => {
                 dispatcher.drops(&server, &model, adapter, sequence, now);
-                self.notify(Notice::Dropped { server, model, adapter: adapter.cloned(), sequence });
+                self.notify(Notice::Unloaded {
+                    server,
+                    model,
+                    adapter: adapter.cloned(),
+                    sequence,
+                });
             }
             // An adapter is there before a request that is sent now.
             Operation::Load if adapter.is_some() => {
                 dispatcher.holds(&server, &model, adapter, sequence, now);
-                self.notify(Notice::Held { server, model, adapter: adapter.cloned(), sequence });
+                self.notify(Notice::Loaded { server, model, adapter: adapter.cloned(), sequence });
             }
             Operation::Load => dispatcher.coming(&server, &model, adapter, now + LOAD),
         }
