--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,8 +8,8 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, Heard, Load, Member, Notice, Part, Picture, Revision, Settings, Standing, State,
-    Tier, To, Unknown,
+    Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Publication, ReceivedNotice,
+    Recipients, Revision, Settings, State, Tier, UnknownHost,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -104,7 +104,7 @@
     client: Client,
     member: Member,
     bound: SocketAddr,
-    notices: Mutex<Option<mpsc::Receiver<Heard>>>,
+    notices: Mutex<Option<mpsc::Receiver<ReceivedNotice>>>,
     tasks: TaskTracker,
     stop: CancellationToken,
 }
@@ -156,8 +156,8 @@
     }
 
     /// Replaces a part of what this host tells; it goes out within an interval.
-    pub fn publish(&self, part: Part) {
-        self.shared.with(|fleet, now| fleet.publish(now, part));
+    pub fn publish(&self, publication: Publication) {
+        self.shared.with(|fleet, now| fleet.publish(now, publication));
     }
 
     /// Names further addresses at which hosts may be.
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&self, to: To, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&self, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, now| fleet.send(now, to, notice));
         self.shared.wake.notify_one();
         result
@@ -181,20 +181,20 @@
     /// # Errors
     ///
     /// If that host is not known.
-    pub fn send_once(&self, host: &host::Id, notice: Notice) -> Result<(), Unknown> {
+    pub fn send_once(&self, host: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, _| fleet.send_once(host, notice));
         self.shared.wake.notify_one();
         result
     }
 
     /// Notices from other hosts; to be had once.
-    pub fn notices(&self) -> Option<mpsc::Receiver<Heard>> {
+    pub fn notices(&self) -> Option<mpsc::Receiver<ReceivedNotice>> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
     /// What is known of the other hosts and what they told.
-    pub fn fleet(&self) -> Arc<Picture> {
-        self.shared.picture()
+    pub fn fleet(&self) -> Arc<FleetSnapshot> {
+        self.shared.snapshot()
     }
 
     /// Work in flight from all others, as they last told; far cheaper than [`Exchange::fleet`].
@@ -277,7 +277,7 @@
 
     /// Says goodbye, finishes the calls under way and stops listening.
     pub async fn leave(&self) {
-        self.publish(Part::State(State::Leaving));
+        self.publish(Publication::State(State::Leaving));
         for _ in 0..GOODBYES {
             self.shared.with(|fleet, _| fleet.bye());
             self.shared.wake.notify_one();
@@ -316,8 +316,8 @@
 fn members(shared: &Arc<Shared>, own: &Member) -> impl Fn() -> Vec<Member> + Send + Sync + use<> {
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
-        let picture = shared.upgrade().map(|shared| shared.picture()).unwrap_or_default();
-        let heard = picture.hosts.iter().filter(|seen| seen.standing != Standing::Silent);
-        std::iter::once(own.clone()).chain(heard.map(|seen| seen.member.clone())).collect()
+        let snapshot = shared.upgrade().map(|shared| shared.snapshot()).unwrap_or_default();
+        let heard = snapshot.hosts.iter().filter(|peer| peer.liveness != Liveness::Silent);
+        std::iter::once(own.clone()).chain(heard.map(|peer| peer.member.clone())).collect()
     }
 }
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use exchange::{
     Config, Entry, Exchange, Registered, Source,
-    fleet::{Departure, Load, Notice, Part, Revision, Standing, State, To},
+    fleet::{Departure, Liveness, Load, Notice, Publication, Recipients, Revision, State},
 };
 use rstest::rstest;
 use tokio::{
@@ -53,7 +53,7 @@
 async fn start(host: u64, seeds: Vec<SocketAddr>) -> Arc<Exchange> {
     let source = Arc::new(Holdings::default());
     let exchange = Exchange::start(config(host, seeds), source).await.expect("loopback");
-    exchange.publish(Part::State(State::Ready));
+    exchange.publish(Publication::State(State::Ready));
     exchange
 }
 
@@ -104,12 +104,12 @@
 async fn hosts_meet_through_one_seed_and_read_what_each_published() {
     let hosts = hosts(4).await;
     let load = Load { server: "i-1".into(), model: Some("sage".into()), requests: 3, tokens: 900 };
-    hosts[1].publish(Part::InFlight(vec![load.clone()]));
-    hosts[3].publish(Part::Declared(7));
+    hosts[1].publish(Publication::InFlight(vec![load.clone()]));
+    hosts[3].publish(Publication::Declared(7));
     until(|| hosts[2].fleet().at("i-1") == [load.clone()]).await;
     until(|| hosts[0].fleet().ahead(&"med-a".into(), 6).len() == 1).await;
-    let picture = hosts[0].fleet();
-    assert_eq!(picture.ahead(&"med-a".into(), 6)[0].member, *hosts[3].member());
+    let snapshot = hosts[0].fleet();
+    assert_eq!(snapshot.ahead(&"med-a".into(), 6)[0].member, *hosts[3].member());
     assert!(hosts[0].counts().sent_bytes > 0);
 }
 
@@ -119,19 +119,21 @@
     let mut receivers: Vec<_> = hosts.iter().map(|host| host.notices().expect("once")).collect();
     assert!(hosts[0].notices().is_none());
     let leaving =
-        Notice::Leaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
-    hosts[0].send(To::All, leaving.clone()).expect("known");
+        Notice::ServerLeaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
+    hosts[0].send(Recipients::All, leaving.clone()).expect("known");
     for receiver in &mut receivers[1..] {
         let heard = tokio::time::timeout(PATIENCE, receiver.recv()).await.expect("in time");
         let heard = heard.expect("open");
         assert_eq!((heard.notice, heard.via), (leaving.clone(), hosts[0].member().address));
         assert_eq!(heard.origin.as_deref(), Some("host-0"));
     }
-    hosts[1].send(To::Host("host-0".into()), Notice::Declared { version: 3 }).expect("known");
+    hosts[1]
+        .send(Recipients::Host("host-0".into()), Notice::DeclarationInForce { version: 3 })
+        .expect("known");
     let heard = tokio::time::timeout(PATIENCE, receivers[0].recv()).await.expect("in time");
-    assert_eq!(heard.expect("open").notice, Notice::Declared { version: 3 });
+    assert_eq!(heard.expect("open").notice, Notice::DeclarationInForce { version: 3 });
     assert!(receivers[2].try_recv().is_err());
-    assert!(hosts[1].send(To::Host("nobody".into()), leaving).is_err());
+    assert!(hosts[1].send(Recipients::Host("nobody".into()), leaving).is_err());
 }
 
 #[tokio::test]
@@ -237,15 +239,15 @@
     let ended = hosts.remove(2);
     let name = ended.member().id.clone();
     drop(ended);
-    let standing = |host: &Exchange| {
-        host.fleet().hosts.iter().find(|seen| seen.member.id == name).map(|seen| seen.standing)
+    let liveness = |host: &Exchange| {
+        host.fleet().hosts.iter().find(|peer| peer.member.id == name).map(|peer| peer.liveness)
     };
-    until(|| hosts.iter().all(|host| standing(host) == Some(Standing::Silent))).await;
+    until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Silent))).await;
     let mut config = config(2, vec![hosts[1].member().address]);
     config.incarnation = 1;
     let source = Arc::new(Holdings::default());
     let again = Exchange::start(config, source).await.expect("loopback");
-    until(|| hosts.iter().all(|host| standing(host) == Some(Standing::Live))).await;
+    until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Live))).await;
     drop(again);
 }
 
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -21,8 +21,8 @@
 mod link;
 mod names;
 mod notice;
-mod picture;
 mod receive;
+mod snapshot;
 mod sums;
 mod tell;
 mod view;
@@ -43,9 +43,11 @@
     wire::{Body, Item, Number, Packet, Run, Scope},
 };
 pub use self::{
-    fact::{Departure, Lease, Load, Member, Part, Reach, Revision, State, Store},
-    notice::{Notice, To},
-    picture::{Picture, Seen, Tier},
+    fact::{
+        Departure, Lease, Load, Member, Publication, Reachability, Revision, State, StoreStatus,
+    },
+    notice::{Notice, Recipients},
+    snapshot::{FleetSnapshot, PeerStatus, Tier},
     wire::DATAGRAM_BYTES,
 };
 
@@ -106,7 +108,7 @@
 
 /// What a host is taken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Liveness {
     /// It is heard.
     Live,
     /// It is heard, and says that it takes nothing new.
@@ -126,7 +128,7 @@
 
 /// A notice that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedNotice {
     /// The host that it comes from, if it is known here.
     pub origin: Option<host::Id>,
     /// Where the host that passed it on listens.
@@ -138,7 +140,7 @@
 /// The host that a notice is for is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host {0} is not known here")]
-pub struct Unknown(pub host::Id);
+pub struct UnknownHost(pub host::Id);
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -166,7 +168,7 @@
     count: u32,
     boards: [Board; Scope::ALL.len()],
     /// The newest word on the store; told at most once a heartbeat.
-    store: Option<Store>,
+    store: Option<StoreStatus>,
     hosts: Hosts,
     candidates: Candidates,
     plan: Plan,
@@ -238,32 +240,32 @@
     }
 
     /// Replaces a part of what this host tells.
-    pub fn publish(&mut self, now: Moment, part: Part) {
+    pub fn publish(&mut self, now: Moment, publication: Publication) {
         let board = &mut self.boards[Scope::Own as usize];
-        match part {
-            Part::State(state) => board.set(now, Fact::State(state)),
-            Part::Declared(version) => board.set(now, Fact::Declared(version)),
-            Part::Term(stored) => board.set(now, Fact::Term(stored)),
-            Part::Lease(Some(lease)) => board.set(now, Fact::Lease(lease)),
-            Part::Lease(None) => board.drop(now, &Key::Lease),
-            Part::Store(store) => self.note_store(now, store),
-            Part::InFlight(loads) => note_in_flight(board, now, loads),
-            Part::Arrivals(counts) => counts
+        match publication {
+            Publication::State(state) => board.set(now, Fact::State(state)),
+            Publication::Declared(version) => board.set(now, Fact::Declared(version)),
+            Publication::Term(stored) => board.set(now, Fact::Term(stored)),
+            Publication::Lease(Some(lease)) => board.set(now, Fact::Lease(lease)),
+            Publication::Lease(None) => board.drop(now, &Key::Lease),
+            Publication::Store(store) => self.note_store(now, store),
+            Publication::InFlight(loads) => note_in_flight(board, now, loads),
+            Publication::Arrivals(counts) => counts
                 .into_iter()
                 .for_each(|(service, count)| board.set(now, Fact::Arrivals(service, count))),
-            Part::Retries(counts) => counts
+            Publication::Retries(counts) => counts
                 .into_iter()
                 .for_each(|(service, count)| board.set(now, Fact::Retries(service, count))),
-            Part::Servers(servers) => {
+            Publication::Servers(servers) => {
                 let facts =
                     servers.into_iter().map(|(server, departure)| Fact::Server(server, departure));
                 replace(board, now, |key| matches!(key, Key::Server(_)), facts);
             }
-            Part::Limits(limits) => {
+            Publication::Limits(limits) => {
                 let facts = limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
                 replace(board, now, |key| matches!(key, Key::Limit(_)), facts);
             }
-            Part::Crashes(crashes) => {
+            Publication::Crashes(crashes) => {
                 let facts = crashes.into_iter().map(Fact::Crash);
                 replace(board, now, |key| matches!(key, Key::Crash(..)), facts);
             }
@@ -275,13 +277,13 @@
     /// # Errors
     ///
     /// If it is for one host and that host is not known.
-    pub fn send(&mut self, now: Moment, to: To, notice: Notice) -> Result<(), Unknown> {
+    pub fn send(&mut self, now: Moment, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         self.number += 1;
         let item = Item { origin: self.member.run(), number: self.number, notice };
         match to {
-            To::All => self.spread(now, &item, None),
-            To::Host(id) => {
-                let target = self.locate(&id).ok_or(Unknown(id))?;
+            Recipients::All => self.spread(now, &item, None),
+            Recipients::Host(id) => {
+                let target = self.locate(&id).ok_or(UnknownHost(id))?;
                 self.outbox.push(now, target, item);
             }
         }
@@ -294,8 +296,8 @@
     /// # Errors
     ///
     /// If that host is not known.
-    pub fn send_once(&mut self, id: &host::Id, notice: Notice) -> Result<(), Unknown> {
-        let target = self.locate(id).ok_or_else(|| Unknown(id.clone()))?;
+    pub fn send_once(&mut self, id: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
+        let target = self.locate(id).ok_or_else(|| UnknownHost(id.clone()))?;
         self.put(target.address, Body::Once(notice));
         Ok(())
     }
@@ -333,13 +335,13 @@
         said.unwrap_or_default()
     }
 
-    fn note_store(&mut self, now: Moment, store: Store) {
+    fn note_store(&mut self, now: Moment, store: StoreStatus) {
         let told = self.boards[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
-            Fact::Store(store) => Some(store.reach),
+            Fact::Store(store) => Some(store.reachability),
             _ => None,
         });
         self.store = Some(store);
-        if told != Some(store.reach) {
+        if told != Some(store.reachability) {
             self.next_store = now;
             self.tell_store(now);
         }
--- a/crates/policy/src/fleet/picture.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -7,8 +7,8 @@
 use crate::{dispatch::poison::Crash, quota::News, term};
 
 use super::{
-    Fleet, Standing,
-    fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, Store},
+    Fleet, Liveness,
+    fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, StoreStatus},
     fanout::Distance,
     hosts::Peer,
     sums::{Tally, Working, loads},
@@ -17,20 +17,20 @@
 
 /// Another host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct PeerStatus {
     /// Who it is.
     pub member: Member,
     /// How long ago it was heard.
     pub heard: Duration,
     /// What it is taken for.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// What it says of its own work; none if it tells this host nothing, as most hosts of a large
     /// deployment.
     pub state: Option<State>,
     /// Version of the declaration in force there; 0 if it told none.
     pub declared: Version,
     /// What it has of the store.
-    pub store: Store,
+    pub store: StoreStatus,
 }
 
 /// A host's place among those that tell each other.
@@ -46,9 +46,9 @@
 
 /// What this host knows of the others; its own part is in none of the sums.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Picture {
+pub struct FleetSnapshot {
     /// Known hosts, those that are silent among them.
-    pub hosts: Vec<Seen>,
+    pub hosts: Vec<PeerStatus>,
     /// Hosts that take work or are about to, this one among them unless it is leaving.
     pub live: usize,
     /// Work in flight from all others, by server and model.
@@ -69,10 +69,10 @@
     /// The newest lease object that any other knows.
     pub term: Option<term::Stored>,
     /// Whether any other reaches the store, and the last revision that any saw.
-    pub store: Store,
+    pub store: StoreStatus,
 }
 
-impl Picture {
+impl FleetSnapshot {
     /// Work in flight from all others at a server.
     pub fn at(&self, server: &str) -> &[Load] {
         let start = self.in_flight.partition_point(|load| &*load.server < server);
@@ -81,36 +81,38 @@
     }
 
     /// Hosts in touch whose declaration is above this version, the best to ask first.
-    pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&Seen> {
-        let mut hosts: Vec<_> = self.in_touch().filter(|seen| seen.declared > above).collect();
-        hosts.sort_by_key(|seen| (std::cmp::Reverse(seen.declared), seen.member.zone != *zone));
+    pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&PeerStatus> {
+        let mut hosts: Vec<_> = self.in_touch().filter(|status| status.declared > above).collect();
+        hosts.sort_by_key(|status| {
+            (std::cmp::Reverse(status.declared), status.member.zone != *zone)
+        });
         hosts
     }
 
     /// Hosts in touch that saw a later revision of the store, the best to ask first.
-    pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&Seen> {
+    pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&PeerStatus> {
         let mut hosts: Vec<_> =
-            self.in_touch().filter(|seen| seen.store.revision > above).collect();
-        hosts.sort_by_key(|seen| {
-            let store = std::cmp::Reverse((seen.store.reach, seen.store.revision));
-            (store, seen.member.zone != *zone)
+            self.in_touch().filter(|status| status.store.revision > above).collect();
+        hosts.sort_by_key(|status| {
+            let store = std::cmp::Reverse((status.store.reachability, status.store.revision));
+            (store, status.member.zone != *zone)
         });
         hosts
     }
 
-    fn in_touch(&self) -> impl Iterator<Item = &Seen> {
-        self.hosts.iter().filter(|seen| seen.standing != Standing::Silent)
+    fn in_touch(&self) -> impl Iterator<Item = &PeerStatus> {
+        self.hosts.iter().filter(|status| status.liveness != Liveness::Silent)
     }
 }
 
 impl Fleet {
     /// What this host knows of the others.
-    pub fn picture(&self, now: Moment) -> Picture {
-        let hosts: Vec<_> = self.hosts.iter().map(|peer| self.seen(now, peer)).collect();
-        let live = hosts.iter().filter(|seen| seen.standing == Standing::Live).count();
+    pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
+        let hosts: Vec<_> = self.hosts.iter().map(|peer| self.status_of(now, peer)).collect();
+        let live = hosts.iter().filter(|status| status.liveness == Liveness::Live).count();
         let mut tally = Tally::default();
         self.told_by_all(now).for_each(|(fact, age)| tally.add(fact, age));
-        let mut picture = Picture {
+        let mut snapshot = FleetSnapshot {
             hosts,
             live: live + usize::from(self.state(now) != State::Leaving),
             in_flight: busy(tally.in_flight),
@@ -120,19 +122,19 @@
             lease: tally.lease,
             term: tally.term,
             store: tally.store.unwrap_or_default(),
-            ..Picture::default()
+            ..FleetSnapshot::default()
         };
         for (key, total) in self.sums.totals() {
             match key {
-                Key::Arrivals(id) => *picture.arrivals.entry(id.clone()).or_default() += total,
-                Key::Retries(id) => *picture.retries.entry(id.clone()).or_default() += total,
+                Key::Arrivals(id) => *snapshot.arrivals.entry(id.clone()).or_default() += total,
+                Key::Retries(id) => *snapshot.retries.entry(id.clone()).or_default() += total,
                 _ => {}
             }
         }
-        picture
+        snapshot
     }
 
-    /// Work in flight from all others alone: what of a picture is wanted far more often than the rest.
+    /// Work in flight from all others alone: what of a snapshot is wanted far more often than the rest.
     pub fn in_flight(&self, now: Moment) -> Vec<Load> {
         let mut tally = Tally::default();
         self.told_by_all(now)
@@ -169,24 +171,24 @@
         self.told(now, Distance::Near).chain(self.told(now, Distance::Far))
     }
 
-    fn seen(&self, now: Moment, peer: &Peer) -> Seen {
-        let mut seen = Seen {
+    fn status_of(&self, now: Moment, peer: &Peer) -> PeerStatus {
+        let mut status = PeerStatus {
             member: peer.member.clone(),
             heard: now.saturating_sub(peer.heard),
-            standing: peer.standing(now),
+            liveness: peer.liveness(now),
             state: None,
             declared: 0,
-            store: Store::default(),
+            store: StoreStatus::default(),
         };
         for fact in peer.facts(now, Scope::Own) {
             match fact {
-                Fact::State(state) => seen.state = Some(*state),
-                Fact::Declared(version) => seen.declared = *version,
-                Fact::Store(store) => seen.store = *store,
+                Fact::State(state) => status.state = Some(*state),
+                Fact::Declared(version) => status.declared = *version,
+                Fact::Store(store) => status.store = *store,
                 _ => {}
             }
         }
-        seen
+        status
     }
 }
 
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, ROUGH};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
-    fleet::{Departure, Lease, Load, Part, Picture, Reach, Store},
+    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reachability, StoreStatus},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,11 +28,11 @@
     format!("service-{number}").into()
 }
 
-fn after(parts: impl IntoIterator<Item = Part>) -> Picture {
+fn after(publications: impl IntoIterator<Item = Publication>) -> FleetSnapshot {
     let mut net = Net::settled(3, 1);
-    parts.into_iter().for_each(|part| net.publish(1, part));
+    publications.into_iter().for_each(|one| net.publish(1, one));
     net.run_for(STEP * 3);
-    net.picture(0)
+    net.snapshot(0)
 }
 
 fn crash(request: u64, server: &str) -> Crash {
@@ -47,34 +47,34 @@
     }
 }
 
-fn requests(picture: &Picture) -> Vec<u64> {
-    picture.crashes.iter().map(|crash| crash.request).collect()
+fn requests(snapshot: &FleetSnapshot) -> Vec<u64> {
+    snapshot.crashes.iter().map(|crash| crash.request).collect()
 }
 
 #[test]
 fn each_part_arrives() {
     let lease = Lease { holder: "host-001".into(), fence: 8, age: Duration::from_millis(700) };
-    let store = Store { reach: Reach::Reached, revision: 4_711 };
-    let picture = after([
-        Part::Declared(12),
-        Part::Lease(Some(lease)),
-        Part::Store(store),
-        Part::InFlight(vec![load(2, 3), load(1, 5)]),
-        Part::Arrivals(vec![(service(1), 10)]),
-        Part::Servers(vec![("i-1".into(), Departure::Gone)]),
-        Part::Crashes(vec![crash(99, "s1")]),
+    let store = StoreStatus { reachability: Reachability::Reachable, revision: 4_711 };
+    let snapshot = after([
+        Publication::Declared(12),
+        Publication::Lease(Some(lease)),
+        Publication::Store(store),
+        Publication::InFlight(vec![load(2, 3), load(1, 5)]),
+        Publication::Arrivals(vec![(service(1), 10)]),
+        Publication::Servers(vec![("i-1".into(), Departure::Gone)]),
+        Publication::Crashes(vec![crash(99, "s1")]),
     ]);
-    assert_eq!(picture.in_flight, [load(1, 5), load(2, 3)]);
-    assert_eq!(picture.at("i-00000002"), [load(2, 3)]);
-    assert_eq!(picture.at("i-3"), []);
-    assert_eq!(picture.servers["i-1"], Departure::Gone);
-    assert_eq!(requests(&picture), [99]);
-    assert_eq!(picture.store, store);
-    let ahead = picture.ahead(&"zone-1".into(), 11);
+    assert_eq!(snapshot.in_flight, [load(1, 5), load(2, 3)]);
+    assert_eq!(snapshot.at("i-00000002"), [load(2, 3)]);
+    assert_eq!(snapshot.at("i-3"), []);
+    assert_eq!(snapshot.servers["i-1"], Departure::Gone);
+    assert_eq!(requests(&snapshot), [99]);
+    assert_eq!(snapshot.store, store);
+    let ahead = snapshot.ahead(&"zone-1".into(), 11);
     assert_eq!((ahead.len(), ahead[0].declared), (1, 12));
-    assert!(picture.ahead(&"zone-1".into(), 12).is_empty());
-    assert_eq!(picture.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
-    let lease = picture.lease.expect("told");
+    assert!(snapshot.ahead(&"zone-1".into(), 12).is_empty());
+    assert_eq!(snapshot.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
+    let lease = snapshot.lease.expect("told");
     assert_eq!((&*lease.holder, lease.fence), ("host-001", 8));
     assert!(lease.age >= Duration::from_millis(900), "its age grows: {:?}", lease.age);
 }
@@ -82,31 +82,31 @@
 #[test]
 fn a_part_that_is_told_anew_replaces_the_former_one() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::InFlight(vec![load(1, 5), load(2, 1)]));
-    net.publish(1, Part::Servers(vec![("i-1".into(), Departure::Leaving)]));
-    net.publish(1, Part::Crashes(vec![crash(1, "s1")]));
+    net.publish(1, Publication::InFlight(vec![load(1, 5), load(2, 1)]));
+    net.publish(1, Publication::Servers(vec![("i-1".into(), Departure::Leaving)]));
+    net.publish(1, Publication::Crashes(vec![crash(1, "s1")]));
     net.run_for(STEP * 3);
-    net.publish(1, Part::InFlight(vec![load(2, 4)]));
-    net.publish(1, Part::Servers(Vec::new()));
-    net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
+    net.publish(1, Publication::InFlight(vec![load(2, 4)]));
+    net.publish(1, Publication::Servers(Vec::new()));
+    net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(STEP * 3);
-    let picture = net.picture(0);
-    assert_eq!(picture.in_flight, [load(2, 4)]);
-    assert!(picture.servers.is_empty());
-    assert_eq!(requests(&picture), [2]);
+    let snapshot = net.snapshot(0);
+    assert_eq!(snapshot.in_flight, [load(2, 4)]);
+    assert!(snapshot.servers.is_empty());
+    assert_eq!(requests(&snapshot), [2]);
 }
 
 #[test]
 fn work_in_flight_is_summed_over_hosts_and_a_silent_one_counts_no_more() {
     let mut net = Net::settled(4, 1);
     for host in 1..4 {
-        net.publish(host, Part::InFlight(vec![load(1, host as u32)]));
+        net.publish(host, Publication::InFlight(vec![load(1, host as u32)]));
     }
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(0).in_flight, [load(1, 6)]);
+    assert_eq!(net.snapshot(0).in_flight, [load(1, 6)]);
     net.hosts.remove(&3);
     net.run_for(Duration::from_secs(4));
-    assert_eq!(net.picture(0).in_flight, [load(1, 3)]);
+    assert_eq!(net.snapshot(0).in_flight, [load(1, 3)]);
 }
 
 #[rstest]
@@ -121,55 +121,58 @@
         for (host, counts) in counts.iter_mut().enumerate() {
             (0..3).for_each(|_| counts[random.random_range(0..20)] += 1);
             let told = counts.iter().enumerate().map(|(number, count)| (service(number), *count));
-            net.publish(host, Part::Arrivals(told.collect()));
+            net.publish(host, Publication::Arrivals(told.collect()));
             let server = random.random_range(0..5);
-            net.publish(host, Part::InFlight(vec![load(server, random.random_range(1..9))]));
+            net.publish(host, Publication::InFlight(vec![load(server, random.random_range(1..9))]));
         }
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
-            let heard = net.picture(host).arrivals.values().sum::<u64>();
+            let heard = net.snapshot(host).arrivals.values().sum::<u64>();
             assert!(*before <= heard, "a count fell");
             *before = heard;
         }
     }
-    (0..HOSTS).for_each(|host| net.publish(host, Part::InFlight(vec![load(host, 2)])));
+    (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(host, 2)])));
     net.run_for(SETTLE);
     for host in 0..HOSTS {
         let others = counts.iter().enumerate().filter(|(other, _)| *other != host);
         let sent = others.map(|(_, counts)| counts.iter().sum::<u64>()).sum::<u64>();
-        let picture = net.picture(host);
-        assert_eq!(picture.arrivals.values().sum::<u64>(), sent);
+        let snapshot = net.snapshot(host);
+        assert_eq!(snapshot.arrivals.values().sum::<u64>(), sent);
         let at: Vec<_> = (0..HOSTS).filter(|other| *other != host).map(|o| load(o, 2)).collect();
-        assert_eq!(picture.in_flight, at);
+        assert_eq!(snapshot.in_flight, at);
     }
 }
 
 #[test]
 fn a_newcomer_counts_arrivals_from_when_it_listens_and_a_restart_is_not_counted_twice() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Arrivals(vec![(service(0), 1_000)]));
+    net.publish(1, Publication::Arrivals(vec![(service(0), 1_000)]));
     net.run_for(STEP * 3);
     net.start(4, 5);
     net.run_for(SETTLE);
-    assert!(net.picture(4).arrivals.is_empty());
-    net.publish(1, Part::Arrivals(vec![(service(0), 1_010)]));
+    assert!(net.snapshot(4).arrivals.is_empty());
+    net.publish(1, Publication::Arrivals(vec![(service(0), 1_010)]));
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(4).arrivals[&service(0)], 10);
-    assert_eq!(net.picture(0).arrivals[&service(0)], 1_010);
+    assert_eq!(net.snapshot(4).arrivals[&service(0)], 10);
+    assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_010);
     net.start(1, 8);
     net.run_for(SETTLE);
-    net.publish(1, Part::Arrivals(vec![(service(0), 4)]));
+    net.publish(1, Publication::Arrivals(vec![(service(0), 4)]));
     net.run_for(STEP * 3);
-    assert_eq!(net.picture(0).arrivals[&service(0)], 1_014);
+    assert_eq!(net.snapshot(0).arrivals[&service(0)], 1_014);
 }
 
 #[test]
 fn more_than_a_datagram_holds_goes_in_several() {
     let mut net = Net::settled(3, 1);
     let many: Vec<u64> = (0..1_000).map(|request| request * 0x1234_5678_9abc).collect();
-    net.publish(1, Part::Crashes(many.iter().map(|request| crash(*request, "s1")).collect()));
+    net.publish(
+        1,
+        Publication::Crashes(many.iter().map(|request| crash(*request, "s1")).collect()),
+    );
     net.run_for(SETTLE);
-    assert_eq!(requests(&net.picture(0)), many);
+    assert_eq!(requests(&net.snapshot(0)), many);
     assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
 }
 
@@ -186,11 +189,11 @@
         if step == 20 {
             net.start(4, 5);
         }
-        net.publish(1, Part::InFlight(many_loads(step)));
+        net.publish(1, Publication::InFlight(many_loads(step)));
         net.run_for(STEP);
     }
     net.run_for(SETTLE);
-    let read = net.picture(4).in_flight;
+    let read = net.snapshot(4).in_flight;
     let stale = many_loads(39).into_iter().filter(|load| !read.contains(load)).count();
     assert_eq!(stale, 0, "of {MANY} were not read");
 }
@@ -204,11 +207,14 @@
         if step == 20 {
             net.start(4, 5);
         }
-        net.publish(1, Part::InFlight((0..many).map(|server| load(server, step + 1)).collect()));
+        net.publish(
+            1,
+            Publication::InFlight((0..many).map(|server| load(server, step + 1)).collect()),
+        );
         net.run_for(STEP);
     }
     for host in [0, 4] {
-        assert_eq!(net.picture(host).in_flight.len(), many, "at host {host}");
+        assert_eq!(net.snapshot(host).in_flight.len(), many, "at host {host}");
     }
 }
 
@@ -218,7 +224,10 @@
     let sent = |net: &Net| net.hosts[&0].fleet.counts().sent;
     let before = sent(&net);
     for revision in 0..100 {
-        net.publish(0, Part::Store(Store { reach: Reach::Reached, revision }));
+        net.publish(
+            0,
+            Publication::Store(StoreStatus { reachability: Reachability::Reachable, revision }),
+        );
         net.run_for(STEP);
     }
     let heartbeats = 10 * 2 * 5;
@@ -230,10 +239,10 @@
 fn a_lost_change_is_told_again_soon_though_nothing_else_changes() {
     let mut net = Net::settled(3, 1);
     net.cut = vec![0];
-    net.publish(1, Part::Declared(5));
+    net.publish(1, Publication::Declared(5));
     net.run_for(STEP * 3 / 2);
     net.cut.clear();
-    let has_heard = |net: &Net| net.picture(0).ahead(&"zone-0".into(), 4).len() == 1;
+    let has_heard = |net: &Net| net.snapshot(0).ahead(&"zone-0".into(), 4).len() == 1;
     assert!(!has_heard(&net));
     assert!(net.run_while_not(STEP * 5, has_heard));
 }
@@ -241,17 +250,20 @@
 #[test]
 fn a_drop_is_forgotten_once_all_had_time_to_hear_of_it() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
+    net.publish(1, Publication::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
     net.run_for(STEP * 3);
     // Host 2 hears nothing of the drop before it is forgotten.
     net.cut = vec![2];
-    net.publish(1, Part::Crashes(vec![crash(2, "s1")]));
+    net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
-    net.publish(1, Part::Crashes(vec![Crash { isolation: Isolation::Isolated, ..crash(2, "s1") }]));
+    net.publish(
+        1,
+        Publication::Crashes(vec![Crash { isolation: Isolation::Isolated, ..crash(2, "s1") }]),
+    );
     net.run_for(Duration::from_secs(15));
     net.cut.clear();
     net.run_for(Duration::from_secs(8));
-    let crashes = net.picture(2).crashes;
+    let crashes = net.snapshot(2).crashes;
     assert_eq!(
         (crashes.len(), crashes[0].request, crashes[0].isolation),
         (1, 2, Isolation::Isolated)
@@ -261,11 +273,11 @@
 #[test]
 fn crashes_that_hosts_have_seen_add_up_and_each_counts_once() {
     let mut net = Net::settled(3, 1);
-    net.publish(1, Part::Crashes(vec![crash(7, "s1"), crash(7, "s2")]));
-    net.publish(2, Part::Crashes(vec![crash(7, "s2"), crash(7, "s3")]));
+    net.publish(1, Publication::Crashes(vec![crash(7, "s1"), crash(7, "s2")]));
+    net.publish(2, Publication::Crashes(vec![crash(7, "s2"), crash(7, "s3")]));
     net.run_for(STEP * 3);
-    let picture = net.picture(0);
-    let servers: Vec<&str> = picture.crashes.iter().map(|crash| &*crash.server).collect();
+    let snapshot = net.snapshot(0);
+    let servers: Vec<&str> = snapshot.crashes.iter().map(|crash| &*crash.server).collect();
     assert_eq!(servers, ["s1", "s2", "s3"]);
 }
 
@@ -273,12 +285,12 @@
 fn a_crash_grows_old_on_its_way_and_is_sent_once() {
     let mut net = Net::settled(3, 1);
     let at = |age| Crash { age: Duration::from_secs(age), ..crash(7, "s1") };
-    net.publish(1, Part::Crashes(vec![at(20)]));
+    net.publish(1, Publication::Crashes(vec![at(20)]));
     net.run_for(Duration::from_secs(10));
     let sent = net.hosts[&1].fleet.counts().sent;
-    net.publish(1, Part::Crashes(vec![at(30)]));
+    net.publish(1, Publication::Crashes(vec![at(30)]));
     net.run_for(STEP * 3);
-    let age = net.picture(0).crashes[0].age;
+    let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
     assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "it is no news");
 }
@@ -287,6 +299,7 @@
 fn the_lease_object_is_told_on() {
     let claim = policy::term::Claim::Held(Duration::from_millis(1500));
     let lease = policy::term::Lease { holder: "host-001".into(), incarnation: 7, nonce: 3, claim };
-    let picture = after([Part::Term((41, lease.clone())), Part::Term((42, lease.clone()))]);
-    assert_eq!(picture.term, Some((42, lease)));
+    let snapshot =
+        after([Publication::Term((41, lease.clone())), Publication::Term((42, lease.clone()))]);
+    assert_eq!(snapshot.term, Some((42, lease)));
 }
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use fleet_net::{Net, ROUGH, address, member};
-use policy::fleet::{Datagram, Part, Settings, Standing, State};
+use policy::fleet::{Datagram, Liveness, Publication, Settings, State};
 use rstest::rstest;
 
-fn standing(net: &Net, at: usize, of: usize) -> Option<Standing> {
-    let hosts = net.picture(at).hosts;
-    hosts.iter().find(|seen| seen.member.id == member(of, 0).id).map(|seen| seen.standing)
+fn liveness(net: &Net, at: usize, of: usize) -> Option<Liveness> {
+    let hosts = net.snapshot(at).hosts;
+    hosts.iter().find(|peer| peer.member.id == member(of, 0).id).map(|peer| peer.liveness)
 }
 
 #[rstest]
@@ -48,9 +48,9 @@
     let mut net = Net::settled(6, 1);
     net.hosts.remove(&4);
     assert!(net.run_while_not(Duration::from_secs(4), Net::is_whole));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Silent));
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Silent));
     net.run_for(Duration::from_secs(60));
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
 }
 
 #[test]
@@ -59,8 +59,8 @@
         let mut net = Net::settled(6, 1);
         net.cut = vec![4];
         net.run_for(Duration::from_secs(cut));
-        assert_eq!(net.picture(0).live, 5);
-        assert_eq!(net.picture(4).live, 1);
+        assert_eq!(net.snapshot(0).live, 5);
+        assert_eq!(net.snapshot(4).live, 1);
         net.cut.clear();
         assert!(net.run_while_not(Duration::from_secs(6), Net::is_whole), "cut for {cut} s");
     }
@@ -69,22 +69,22 @@
 #[test]
 fn a_restarted_host_is_a_new_one_and_its_former_run_counts_no_more() {
     let mut net = Net::settled(6, 1);
-    net.publish(4, Part::Declared(9));
+    net.publish(4, Publication::Declared(9));
     net.run_for(Duration::from_millis(300));
-    assert_eq!(net.picture(0).ahead(&"zone-0".into(), 0).len(), 1);
+    assert_eq!(net.snapshot(0).ahead(&"zone-0".into(), 0).len(), 1);
     // Numbers of runs need not rise.
     net.start(4, 7);
     net.run_for(Duration::from_secs(1));
     assert!(net.is_whole());
-    let hosts = net.picture(0).hosts;
-    let seen = hosts.iter().find(|seen| seen.member.id == member(4, 0).id).expect("known");
-    assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
+    let hosts = net.snapshot(0).hosts;
+    let status = hosts.iter().find(|peer| peer.member.id == member(4, 0).id).expect("known");
+    assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
 #[test]
 fn late_datagrams_of_a_former_run_change_nothing() {
     let mut net = Net::settled(3, 1);
-    net.publish(2, Part::Declared(9));
+    net.publish(2, Publication::Declared(9));
     let now = net.now + Duration::from_secs(1);
     net.fleet(2).tick(now);
     let late: Vec<Datagram> = net.fleet(2).outgoing();
@@ -94,9 +94,9 @@
     for datagram in late.iter().filter(|datagram| datagram.to == address(0)) {
         net.hand(0, address(2), &datagram.bytes);
     }
-    let hosts = net.picture(0).hosts;
-    let seen = hosts.iter().find(|seen| seen.member.address == address(2)).expect("known");
-    assert_eq!((seen.member.incarnation, seen.declared), (7, 0));
+    let hosts = net.snapshot(0).hosts;
+    let status = hosts.iter().find(|peer| peer.member.address == address(2)).expect("known");
+    assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
 #[test]
@@ -107,27 +107,27 @@
     moved.address = address(40);
     net.start_at(4, moved);
     assert!(net.run_while_not(Duration::from_secs(3), Net::is_whole));
-    let hosts = net.picture(1).hosts;
-    let seen: Vec<_> = hosts.iter().filter(|seen| seen.member.id == member(4, 0).id).collect();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].member.address, address(40));
+    let hosts = net.snapshot(1).hosts;
+    let found: Vec<_> = hosts.iter().filter(|peer| peer.member.id == member(4, 0).id).collect();
+    assert_eq!(found.len(), 1);
+    assert_eq!(found[0].member.address, address(40));
 }
 
 #[test]
 fn a_host_that_leaves_is_seen_to_and_is_gone_once_it_says_goodbye() {
     let mut net = Net::settled(6, 1);
-    net.publish(4, Part::State(State::Leaving));
+    net.publish(4, Publication::State(State::Leaving));
     net.run_for(Duration::from_millis(300));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Leaving));
-    assert_eq!(net.picture(0).live, 5);
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Leaving));
+    assert_eq!(net.snapshot(0).live, 5);
     net.fleet(4).bye();
     net.run_for(Duration::from_millis(20));
     net.hosts.remove(&4);
     net.run_for(Duration::from_millis(20));
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
     net.run_for(Duration::from_secs(10));
     assert!(net.is_whole());
-    assert_eq!(standing(&net, 0, 4), None);
+    assert_eq!(liveness(&net, 0, 4), None);
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let mut net = Net::settled(6, 1);
     let host = net.hosts.remove(&4).expect("it runs");
     net.run_for(Duration::from_secs(5));
-    assert_eq!(standing(&net, 0, 4), Some(Standing::Silent));
+    assert_eq!(liveness(&net, 0, 4), Some(Liveness::Silent));
     net.hosts.insert(4, host);
     assert!(net.run_while_not(Duration::from_secs(2), Net::is_whole));
 }
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -7,10 +7,10 @@
     time::Duration,
 };
 
-use fleet_net::{Net, ZONES, address, busy_part, member, sent_bytes};
+use fleet_net::{Net, ZONES, address, busy_publication, member, sent_bytes};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
-    fleet::{Load, Notice, Part, Standing, To},
+    fleet::{Liveness, Load, Notice, Publication, Recipients},
 };
 use rstest::rstest;
 
@@ -35,11 +35,11 @@
 }
 
 fn in_flight(net: &Net, host: usize) -> u32 {
-    net.picture(host).at("i-1").iter().map(|load| load.requests).sum()
+    net.snapshot(host).at("i-1").iter().map(|load| load.requests).sum()
 }
 
 fn arrivals(net: &Net, host: usize) -> u64 {
-    net.picture(host).arrivals.get("chat").copied().unwrap_or(0)
+    net.snapshot(host).arrivals.get("chat").copied().unwrap_or(0)
 }
 
 /// Whether each host has the sum of all others, each of which has one request in flight.
@@ -50,10 +50,12 @@
 
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
-    hosts.iter().for_each(|&host| net.publish(host, Part::InFlight(vec![load(1)])));
+    hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
     assert!(net.run_while_not(REACH, is_summed), "some host has not heard of all work");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
-    hosts.iter().for_each(|&host| net.publish(host, Part::Arrivals(vec![("chat".into(), 3)])));
+    hosts
+        .iter()
+        .for_each(|&host| net.publish(host, Publication::Arrivals(vec![("chat".into(), 3)])));
     let rise = 3 * (hosts.len() as u64 - 1);
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
@@ -64,7 +66,9 @@
 fn assert_notice_reaches_all_once(net: &mut Net) {
     const SENDER: usize = 9;
     let now = net.now;
-    net.fleet(SENDER).send(now, To::All, Notice::Declared { version: 4 }).expect("known");
+    net.fleet(SENDER)
+        .send(now, Recipients::All, Notice::DeclarationInForce { version: 4 })
+        .expect("known");
     net.run_for(Duration::from_secs(2));
     for (number, host) in &net.hosts {
         assert_eq!(host.heard.len(), usize::from(*number != SENDER), "at host {number}");
@@ -76,12 +80,12 @@
     let before = sent_bytes(net);
     for step in 0..seconds * 10 {
         let hosts: Vec<_> = net.hosts.keys().copied().collect();
-        hosts.iter().for_each(|&host| net.publish(host, busy_part(step)));
+        hosts.iter().for_each(|&host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
     assert!(net.is_whole());
-    let seen = net.picture(0).hosts;
-    assert!(seen.iter().all(|seen| seen.standing == Standing::Live));
+    let peers = net.snapshot(0).hosts;
+    assert!(peers.iter().all(|peer| peer.liveness == Liveness::Live));
     let after = sent_bytes(net);
     let rates: Vec<_> = after.iter().zip(&before).map(|(a, b)| (a - b) / seconds).collect();
     (rates.iter().sum::<u64>() / rates.len() as u64, rates.iter().max().copied().unwrap_or(0))
@@ -105,9 +109,12 @@
 fn any_host_can_send_a_notice_to_any_other() {
     let mut net = Net::settled(82, 1);
     let now = net.now;
-    let wanted = Notice::Wanted { service: "chat".into(), model: "sage".into(), adapter: None };
+    let wanted =
+        Notice::LoadRequested { service: "chat".into(), model: "sage".into(), adapter: None };
     for host in [0, 40, 70] {
-        net.fleet(host).send(now, To::Host(member(71, 0).id), wanted.clone()).expect("known");
+        net.fleet(host)
+            .send(now, Recipients::Host(member(71, 0).id), wanted.clone())
+            .expect("known");
     }
     net.run_for(Duration::from_millis(10));
     assert_eq!(net.hosts[&71].heard.len(), 3);
@@ -131,8 +138,8 @@
     const OLD: u32 = 8;
     let mut net = Net::settled(hosts, 1);
     for round in 1..=ROUNDS {
-        (1..hosts).for_each(|host| net.publish(host, busy_part(round.into())));
-        net.publish(0, Part::InFlight(vec![load(round)]));
+        (1..hosts).for_each(|host| net.publish(host, busy_publication(round.into())));
+        net.publish(0, Publication::InFlight(vec![load(round)]));
         net.run_for(ROUND);
         let oldest = (1..hosts).map(|host| in_flight(&net, host)).min();
         assert!(round < ROUNDS / 2 || Some(round - OLD) <= oldest, "{oldest:?} in round {round}");
@@ -174,11 +181,11 @@
     net.faults.loss = 0.01;
     // Signs of life to hosts that are not told begin after a round.
     net.run_for(Duration::from_secs(15));
-    net.publish(0, Part::InFlight(vec![load(3)]));
+    net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
     assert!(net.run_while_not(SOON, is_everywhere), "some host has not heard of it");
     for step in 0..15 {
-        (0..HOSTS).for_each(|host| net.publish(host, busy_part(step)));
+        (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
     }
     assert!(net.is_whole(), "a host that works was taken for silent");
@@ -188,7 +195,7 @@
 fn sums_hold_though_relays_die_and_hosts_come(#[values(1, 2)] seed: u64) {
     const HOSTS: usize = 82;
     let mut net = Net::settled(HOSTS, seed);
-    (0..HOSTS).for_each(|host| net.publish(host, Part::InFlight(vec![load(1)])));
+    (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(1)])));
     net.run_for(REACH);
     net.faults.loss = 0.02;
     // One in five is enough to hit relays of some groups.
@@ -198,7 +205,7 @@
         net.start(host, 1);
         let now = net.now;
         net.fleet(host).introduce(now, [address(1)]);
-        net.publish(host, Part::InFlight(vec![load(1)]));
+        net.publish(host, Publication::InFlight(vec![load(1)]));
     }
     assert!(net.run_while_not(MEND, |net| is_summed(net) && net.is_whole()), "after arrivals");
 }
@@ -215,7 +222,7 @@
             net.hosts.remove(&(step as usize / 25));
         }
         for host in net.hosts.keys().copied().collect::<Vec<_>>() {
-            net.publish(host, Part::Arrivals(vec![("chat".into(), step)]));
+            net.publish(host, Publication::Arrivals(vec![("chat".into(), step)]));
             sent += 1;
         }
         net.run_for(Duration::from_millis(300));
@@ -242,7 +249,7 @@
 fn assert_crashes_reach_all(hosts: usize) {
     let mut net = Net::settled(hosts, 1);
     for step in 0..30 {
-        (0..hosts).for_each(|host| net.publish(host, busy_part(step)));
+        (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
     let crash = |server: &str| Crash {
@@ -254,17 +261,17 @@
         state: CrashState::Counted,
         age: Duration::ZERO,
     };
-    net.publish(3, Part::Crashes(["s1", "s2", "s3"].map(crash).into()));
+    net.publish(3, Publication::Crashes(["s1", "s2", "s3"].map(crash).into()));
     let began = net.now;
     let is_known = |net: &Net| {
-        (0..hosts).filter(|host| *host != 3).all(|host| net.picture(host).crashes.len() == 3)
+        (0..hosts).filter(|host| *host != 3).all(|host| net.snapshot(host).crashes.len() == 3)
     };
     for step in 30.. {
         if is_known(&net) {
             break;
         }
         assert!(net.now - began < CONTACT, "some host of {hosts} has not heard in {CONTACT:?}");
-        (0..hosts).for_each(|host| net.publish(host, busy_part(step)));
+        (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
 }
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, address, member};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
-    fleet::{Fleet, Notice, Part, Settings, To},
+    fleet::{Fleet, Notice, Publication, Recipients, Settings},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -29,11 +29,11 @@
         state: CrashState::Counted,
         age: Duration::ZERO,
     };
-    net.publish(1, Part::Crashes((0..50).map(crash).collect()));
+    net.publish(1, Publication::Crashes((0..50).map(crash).collect()));
     let now = net.now + Duration::from_secs(1);
     let fleet = net.fleet(1);
     fleet.tick(now);
-    fleet.send(now, To::All, Notice::Declared { version: 3 }).expect("known");
+    fleet.send(now, Recipients::All, Notice::DeclarationInForce { version: 3 }).expect("known");
     fleet.introduce(now, [address(9)]);
     fleet.tick(now + Duration::from_secs(1));
     fleet.bye();
@@ -48,7 +48,7 @@
         let mut fleet = fleet();
         fleet.receive(NOW, address(1), &bytes);
         fleet.tick(NOW);
-        fleet.picture(NOW);
+        fleet.snapshot(NOW);
     }
 
     #[test]
@@ -56,7 +56,7 @@
         let mut fleet = fleet();
         fleet.receive(NOW, address(1), &[&[0xC1], &bytes[..]].concat());
         fleet.tick(NOW);
-        fleet.picture(NOW);
+        fleet.snapshot(NOW);
     }
 }
 
@@ -79,7 +79,7 @@
             net.hand(0, address(1), &bytes[..cut.index(bytes.len())]);
         }
         net.run_for(Duration::from_secs(1));
-        net.picture(0);
+        net.snapshot(0);
     }
 }
 
@@ -89,5 +89,5 @@
     fleet.receive(NOW, address(1), b"GET / HTTP/1.1\r\n\r\n");
     fleet.receive(NOW, address(1), b"");
     assert_eq!(fleet.counts().unreadable, 2);
-    assert!(fleet.picture(NOW).hosts.is_empty());
+    assert!(fleet.snapshot(NOW).hosts.is_empty());
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -9,10 +9,13 @@
 
 use exchange::{
     Exchange, Registered, Source,
-    fleet::{Departure, Heard, Lease, Notice, Part, Picture, Reach, Revision, State, Store, To},
+    fleet::{
+        Departure, FleetSnapshot, Lease, Notice, Publication, Reachability, ReceivedNotice,
+        Recipients, Revision, State, StoreStatus,
+    },
 };
 use observe::story::{self, Belief, PeerStanding};
-use policy::{dispatch, fleet::Standing, quota::News, term};
+use policy::{dispatch, fleet::Liveness, quota::News, term};
 use tokio::{
     sync::mpsc::{Receiver, UnboundedReceiver, unbounded_channel},
     time::sleep,
@@ -70,11 +73,11 @@
     fn is_behind(
         &mut self,
         revision: Revision,
-        picture: &Picture,
+        snapshot: &FleetSnapshot,
         patience: Duration,
         now: Moment,
     ) -> bool {
-        if picture.store.revision <= revision {
+        if snapshot.store.revision <= revision {
             self.behind = None;
             return false;
         }
@@ -120,23 +123,23 @@
     loop {
         let work = shared.dispatcher().work();
         tell(&shared, &exchange);
-        let picture = exchange.fleet();
-        stand(&shared, &picture, &mut standings);
-        take(&shared, &picture, &work);
+        let snapshot = exchange.fleet();
+        stand(&shared, &snapshot, &mut standings);
+        take(&shared, &snapshot, &work);
         want(&shared);
-        follow(&shared, &exchange, &picture).await;
+        follow(&shared, &exchange, &snapshot).await;
         sleep(ROUND.max(exchange.interval())).await;
     }
 }
 
 /// Tells which of the others talk and which have fallen silent since the last look.
-fn stand(shared: &Shared, picture: &Picture, before: &mut BTreeMap<host::Id, PeerStanding>) {
-    for seen in &picture.hosts {
-        let standing = match seen.standing {
-            Standing::Silent => PeerStanding::Silent,
+fn stand(shared: &Shared, snapshot: &FleetSnapshot, before: &mut BTreeMap<host::Id, PeerStanding>) {
+    for status in &snapshot.hosts {
+        let standing = match status.liveness {
+            Liveness::Silent => PeerStanding::Silent,
             _ => PeerStanding::Seen,
         };
-        let peer = &seen.member.id;
+        let peer = &status.member.id;
         if before.get(peer) != Some(&standing) {
             before.insert(peer.clone(), standing);
             shared.teller.belief(Belief::Peer { peer: peer.clone(), standing });
@@ -151,34 +154,39 @@
         (false, Some(_)) => State::Ready,
         (false, None) => State::Starting,
     };
-    exchange.publish(Part::State(state));
+    exchange.publish(Publication::State(state));
     if let Some(declaration) = shared.declaration() {
-        exchange.publish(Part::Declared(declaration.version));
+        exchange.publish(Publication::Declared(declaration.version));
     }
     let lease = lease(shared, now);
     if lease.is_some()
         && let Some(stored) = shared.term().stored()
     {
-        exchange.publish(Part::Term(stored));
+        exchange.publish(Publication::Term(stored));
     }
-    exchange.publish(Part::Lease(lease));
-    let reach = if shared.store.is_degraded() { Reach::Cut } else { Reach::Reached };
-    exchange.publish(Part::Store(Store { reach, revision: shared.revision() }));
+    exchange.publish(Publication::Lease(lease));
+    let reachability = if shared.store.is_degraded() {
+        Reachability::Unreachable
+    } else {
+        Reachability::Reachable
+    };
+    exchange.publish(Publication::Store(StoreStatus { reachability, revision: shared.revision() }));
     let arrivals = counts(shared, |counts| {
         counts.arrivals.iter().map(|(service, count)| (service.clone(), *count)).collect()
     });
-    exchange.publish(Part::Arrivals(arrivals));
-    exchange.publish(Part::Servers(departures(shared)));
+    exchange.publish(Publication::Arrivals(arrivals));
+    exchange.publish(Publication::Servers(departures(shared)));
     let used = shared.dispatcher().retry_totals();
-    exchange
-        .publish(Part::Retries(used.into_iter().map(|(id, used)| (id, used.retries)).collect()));
+    exchange.publish(Publication::Retries(
+        used.into_iter().map(|(id, used)| (id, used.retries)).collect(),
+    ));
     let crashes = shared.dispatcher().poison().crashes(now);
-    exchange.publish(Part::Crashes(crashes));
+    exchange.publish(Publication::Crashes(crashes));
     let limits = limits(shared);
     let was_told =
         counts(shared, |counts| std::mem::replace(&mut counts.tells_limits, !limits.is_empty()));
     if was_told || !limits.is_empty() {
-        exchange.publish(Part::Limits(limits));
+        exchange.publish(Publication::Limits(limits));
     }
 }
 
@@ -198,32 +206,32 @@
     leaving.map(|server| (server.id.clone(), Departure::Leaving)).collect()
 }
 
-fn take(shared: &Shared, picture: &Picture, own: &[dispatch::Work]) {
+fn take(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
-    let live = picture.hosts.iter().filter(|seen| seen.standing == Standing::Live);
-    let others = live.map(|seen| &seen.member.id);
-    term.hosts(picture.live, term::contender(&shared.host.id, others));
-    if let Some(stored) = &picture.term {
+    let live = snapshot.hosts.iter().filter(|status| status.liveness == Liveness::Live);
+    let others = live.map(|status| &status.member.id);
+    term.hosts(snapshot.live, term::contender(&shared.host.id, others));
+    if let Some(stored) = &snapshot.term {
         term.told(now, stored.clone());
     }
     drop(term);
     let mut dispatcher = shared.dispatcher();
-    dispatcher.hosts(u32::try_from(picture.live).unwrap_or(u32::MAX));
-    dispatcher.poison_mut().merge(&picture.crashes, now);
+    dispatcher.hosts(u32::try_from(snapshot.live).unwrap_or(u32::MAX));
+    dispatcher.poison_mut().merge(&snapshot.crashes, now);
     drop(dispatcher);
-    shared.drain(picture.servers.keys());
-    shared.quota_hosts(picture);
-    shared.demand_hosts(picture);
+    shared.drain(snapshot.servers.keys());
+    shared.quota_hosts(snapshot);
+    shared.demand_hosts(snapshot);
     if shared.term().fence(now).is_some() {
-        tell_running(shared, picture, own);
+        tell_running(shared, snapshot, own);
     }
 }
 
 /// Tells the planner what runs where.
-fn tell_running(shared: &Shared, picture: &Picture, own: &[dispatch::Work]) {
+fn tell_running(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let mut running: BTreeMap<(&backend::Id, &model::Id), u32> = BTreeMap::new();
-    let others = picture.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
+    let others = snapshot.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
     let own = own.iter().map(|(server, model, requests, _)| (server, model, *requests));
     for (server, model, requests) in own.chain(others) {
         let Some(model) = model else { continue };
@@ -241,21 +249,21 @@
 }
 
 /// Catches up with a peer that is ahead.
-async fn follow(shared: &Arc<Shared>, exchange: &Exchange, picture: &Picture) {
+async fn follow(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
     let version = shared.declaration().map_or(0, |declaration| declaration.version);
-    if let Some(ahead) = picture.ahead(&shared.host.zone, version).first() {
+    if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
     }
     // A host whose store answers lets changes gather, and is behind its peers meanwhile.
     let gather =
-        if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(picture) };
+        if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
     let patience = CUT + gather;
     let is_behind =
-        |counts: &mut Counts| counts.is_behind(shared.revision(), picture, patience, shared.now());
+        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, patience, shared.now());
     if !counts(shared, is_behind) {
         return;
     }
-    if let Some(ahead) = picture.ahead_in_store(&shared.host.zone, shared.revision()).first()
+    if let Some(ahead) = snapshot.ahead_in_store(&shared.host.zone, shared.revision()).first()
         && let Ok(Some(told)) =
             exchange.fetch_servers(ahead.member.address, shared.revision()).await
     {
@@ -281,41 +289,45 @@
 
 /// The host that listens at an address; named by the address while it is not known.
 fn peer_at(exchange: &Exchange, address: SocketAddr) -> host::Id {
-    let picture = exchange.fleet();
-    let known = picture.hosts.iter().find(|seen| seen.member.address == address);
-    known.map_or_else(|| address.to_string().into(), |seen| seen.member.id.clone())
+    let snapshot = exchange.fleet();
+    let known = snapshot.hosts.iter().find(|status| status.member.address == address);
+    known.map_or_else(|| address.to_string().into(), |status| status.member.id.clone())
 }
 
-async fn listen(shared: Arc<Shared>, exchange: Arc<Exchange>, mut notices: Receiver<Heard>) {
+async fn listen(
+    shared: Arc<Shared>,
+    exchange: Arc<Exchange>,
+    mut notices: Receiver<ReceivedNotice>,
+) {
     // A fetch takes up to its time limit, and the other notices don't wait for it.
     let (declared, versions) = unbounded_channel();
     tokio::spawn(fetch_declared(shared.clone(), exchange, versions));
     while let Some(heard) = notices.recv().await {
         let now = shared.now();
         match heard.notice {
-            Notice::Wanted { model, adapter, .. } => {
+            Notice::LoadRequested { model, adapter, .. } => {
                 shared.planner().missing(&model, adapter.as_ref(), now);
                 shared.plan_wakeup.notify_one();
             }
-            Notice::Held { server, model, adapter, sequence } => {
+            Notice::Loaded { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
                 shared.dispatcher().model_loaded(&server, &model, adapter, sequence, now);
                 shared.dispatch_wakeup.notify_one();
             }
-            Notice::Dropped { server, model, adapter, sequence } => {
+            Notice::Unloaded { server, model, adapter, sequence } => {
                 let adapter = adapter.as_ref();
                 shared.dispatcher().model_unloading(&server, &model, adapter, sequence, now);
             }
-            Notice::Leaving { server, departure, revision } => {
+            Notice::ServerLeaving { server, departure, revision } => {
                 let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
                 let from = story::Heard::Peer(origin);
                 shared.departs(&server, departure, revision, &from);
             }
-            Notice::Declared { version } => {
+            Notice::DeclarationInForce { version } => {
                 // The reader of the channel ends with the process.
                 let _ = declared.send((version, heard.via));
             }
-            Notice::Limited { server, news } => {
+            Notice::LimitChanged { server, news } => {
                 let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
                 shared.limit_heard(&server, news, &origin);
             }
@@ -324,7 +336,7 @@
                     shared.demand_received(origin, report);
                 }
             }
-            Notice::Plans { fence } => {
+            Notice::LeaseAcquired { fence } => {
                 if let Some(origin) = &heard.origin {
                     shared.holder_heard(origin, fence);
                 }
@@ -367,12 +379,12 @@
     adapter: Option<&adapter::Id>,
 ) {
     let Some(holder) = shared.holder() else { return };
-    let notice = Notice::Wanted {
+    let notice = Notice::LoadRequested {
         service: service.clone(),
         model: model.clone(),
         adapter: adapter.cloned(),
     };
-    if let Err(error) = exchange.send(To::Host(holder), notice) {
+    if let Err(error) = exchange.send(Recipients::Host(holder), notice) {
         log::debug!(host = &*shared.host.id; "{error}");
     }
 }
