--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -25,14 +25,14 @@
 mod rate;
 mod spare;
 mod store;
-mod wish;
+mod unplaced;
 
 use types::{prelude::*, routed::Sequence};
 
 pub use self::{
     demand::Work,
     planner::Planner,
-    wish::{Obstacle, Telling, Wish},
+    unplaced::{Obstacle, Telling, Unplaced},
 };
 
 /// What an order asks of a server.
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -14,7 +14,7 @@
     gain,
     picture::{Decision, Picture, store_loads},
     store::{self, Allowance, Bucket},
-    wish::{self, Wish},
+    unplaced::{self, Unplaced},
 };
 
 /// A service with model servers.
@@ -35,14 +35,14 @@
     /// Orders to runs that are over, by the server's name: a later run may yet carry them out.
     late: BTreeMap<Arc<str>, Vec<Sent>>,
     demand: Demand,
-    wishes: Vec<Wish>,
+    unplaced: Vec<Unplaced>,
 }
 
 impl Planner {
     /// Knows nothing yet.
     pub fn new(rules: Rules) -> Planner {
-        let (services, servers, late, wishes) = Default::default();
-        Planner { rules, services, servers, late, demand: Demand::default(), wishes }
+        let (services, servers, late, unplaced) = Default::default();
+        Planner { rules, services, servers, late, demand: Demand::default(), unplaced }
     }
 
     /// Takes what a service's servers are like, new or changed.
@@ -144,14 +144,14 @@
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
         self.servers.values_mut().for_each(|book| book.expire(&self.rules, now));
         self.late.retain(|_, late| late.iter().any(|sent| sent.is_open(now)));
-        self.wishes.clear();
+        self.unplaced.clear();
         let names: Vec<service::Id> = self.services.keys().cloned().collect();
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
     /// What the last plan wanted and could not order.
-    pub fn wishes(&self) -> &[Wish] {
-        &self.wishes
+    pub fn unplaced(&self) -> &[Unplaced] {
+        &self.unplaced
     }
 
     fn plan_service(&mut self, name: &service::Id, now: Moment) -> Vec<Order> {
@@ -177,7 +177,7 @@
         let mut picture = Picture::new(&self.rules, engine, sizes, &self.demand, own(), now);
         gain::plan(&mut picture, &mut store);
         adapters::plan(&mut picture);
-        self.wishes.extend(wish::wishes(&picture, &mut store));
+        self.unplaced.extend(unplaced::unplaced(&picture, &mut store));
         let decisions = picture.decisions;
         decisions.into_iter().map(|decision| self.send(decision, now)).collect()
     }
--- a/crates/policy/src/place/wish.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -16,7 +16,7 @@
 
 /// A model or adapter that is wanted and not on its way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wish {
+pub struct Unplaced {
     /// The model.
     pub model: model::Id,
     /// The adapter of that model; none for the model itself.
@@ -27,7 +27,7 @@
     pub obstacle: Obstacle,
 }
 
-/// What a wish waits for.
+/// Why an entry has no order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Obstacle {
     /// No server that could hold it is left.
@@ -69,20 +69,20 @@
 }
 
 /// What a plan that is done leaves to be wished for.
-pub(super) fn wishes(picture: &Picture, store: &mut Allowance) -> Vec<Wish> {
+pub(super) fn unplaced(picture: &Picture, store: &mut Allowance) -> Vec<Unplaced> {
     let models = 0..picture.engine.models.len();
     let wanted = models.filter(|&model| is_wanted(picture, model)).collect::<Vec<_>>();
-    let mut wishes: Vec<Wish> = wanted
+    let mut unplaced: Vec<Unplaced> = wanted
         .into_iter()
-        .map(|model| Wish {
+        .map(|model| Unplaced {
             model: picture.engine.models[model].name.clone(),
             adapter: None,
             replicas: picture.places[model].len(),
             obstacle: obstacle(picture, store, model),
         })
         .collect();
-    wishes.extend(adapters(picture));
-    wishes
+    unplaced.extend(adapters(picture));
+    unplaced
 }
 
 /// Whether requests wait for a model that is not on its way, or overrun those who have it.
@@ -122,8 +122,8 @@
 }
 
 /// Adapters that requests wait for, that stand nowhere and for which nothing was ordered.
-fn adapters(picture: &Picture) -> Vec<Wish> {
-    let mut wishes = Vec::new();
+fn adapters(picture: &Picture) -> Vec<Unplaced> {
+    let mut unplaced = Vec::new();
     let asked = picture.demand.adapters.iter();
     for (unit, _) in asked.filter(|(_, asked)| asked.waits_since(picture.now).is_some()) {
         let (model, adapter) = unit;
@@ -156,21 +156,21 @@
             () => Obstacle::StoreRate,
         };
         let (model, adapter) = (model.clone(), Some(adapter.clone()));
-        wishes.push(Wish { model, adapter, replicas: 0, obstacle });
+        unplaced.push(Unplaced { model, adapter, replicas: 0, obstacle });
     }
-    wishes
+    unplaced
 }
 
-/// A wish that doesn't last so long is not told.
+/// An entry that doesn't last so long is not told.
 const LASTS: Duration = Duration::from_millis(300);
 
-/// Time after which a wish that lasts is told again.
+/// Time after which an entry that lasts is told again.
 const AGAIN: Duration = Duration::from_secs(2);
 
 /// Wishes that are told in a second at most.
 const MOST: usize = 16;
 
-/// Which wishes are to be told, so that a shortage of hundreds floods nobody.
+/// Which unplaced entries are to be told, so that a shortage of hundreds floods nobody.
 #[derive(Clone, Debug, Default)]
 pub struct Telling {
     open: BTreeMap<(model::Id, Option<adapter::Id>), Open>,
@@ -178,7 +178,7 @@
     told: usize,
 }
 
-/// A wish that was there in the last plan.
+/// An entry that was there in the last plan.
 #[derive(Clone, Copy, Debug)]
 struct Open {
     since: Moment,
@@ -186,25 +186,25 @@
 }
 
 impl Telling {
-    /// Takes a plan's wishes; those to be told now, with the time that they have lasted.
-    pub fn take(&mut self, wishes: &[Wish], now: Moment) -> Vec<(Wish, Duration)> {
-        let key = |wish: &Wish| (wish.model.clone(), wish.adapter.clone());
+    /// Takes a plan's unplaced entries; those to be told now, with the time that they have lasted.
+    pub fn take(&mut self, unplaced: &[Unplaced], now: Moment) -> Vec<(Unplaced, Duration)> {
+        let key = |item: &Unplaced| (item.model.clone(), item.adapter.clone());
         let mut open = std::mem::take(&mut self.open);
         if now.as_secs() != self.second {
             (self.second, self.told) = (now.as_secs(), 0);
         }
         let mut told = Vec::new();
-        for wish in wishes {
-            let key = key(wish);
+        for item in unplaced {
+            let key = key(item);
             let mut entry = open.remove(&key).unwrap_or(Open { since: now, told: None });
             let lasted = now.saturating_sub(entry.since);
             let is_new = entry.told.is_none_or(|(at, obstacle)| {
-                obstacle != wish.obstacle && at + LASTS <= now || at + AGAIN <= now
+                obstacle != item.obstacle && at + LASTS <= now || at + AGAIN <= now
             });
             if LASTS <= lasted && is_new && self.told < MOST {
                 self.told += 1;
-                entry.told = Some((now, wish.obstacle));
-                told.push((wish.clone(), lasted));
+                entry.told = Some((now, item.obstacle));
+                told.push((item.clone(), lasted));
             }
             self.open.insert(key, entry);
         }
--- a/crates/policy/tests/place/wishes.rs
+++ b/crates/policy/tests/place/wishes.rs
@@ -1,6 +1,6 @@
 //! What a plan wants and can't order, and how much of it is told.
 
-use policy::place::{Obstacle, Telling, Wish, Work};
+use policy::place::{Obstacle, Telling, Unplaced, Work};
 use rstest::rstest;
 use types::prelude::*;
 
@@ -16,15 +16,15 @@
 }
 
 fn obstacles(world: &World, model: &str) -> Vec<Obstacle> {
-    let of_model = world.planner.wishes().iter().filter(|wish| &*wish.model == model);
-    of_model.map(|wish| wish.obstacle).collect()
+    let of_model = world.planner.unplaced().iter().filter(|entry| &*entry.model == model);
+    of_model.map(|entry| entry.obstacle).collect()
 }
 
 #[test]
 fn calm_leaves_no_wish() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 6]), 6, 3, 1);
     world.run(10 * SECOND);
-    assert_eq!(world.planner.wishes(), []);
+    assert_eq!(world.planner.unplaced(), []);
 }
 
 /// Two servers of two models: each is full of a model's last replicas.
@@ -74,14 +74,14 @@
             world.planner.missing(&"m00".into(), Some(&adapter.into()), world.now);
         }
         world.step();
-        let wished = world.planner.wishes().iter().filter(|wish| wish.adapter.is_some());
-        seen.extend(wished.map(|wish| wish.obstacle));
+        let unplaced = world.planner.unplaced().iter().filter(|entry| entry.adapter.is_some());
+        seen.extend(unplaced.map(|entry| entry.obstacle));
     }
     assert!(seen.contains(&Obstacle::NoRoom), "{seen:?}");
 }
 
-fn wish(model: usize, obstacle: Obstacle) -> Wish {
-    Wish { model: format!("m{model}").into(), adapter: None, replicas: 1, obstacle }
+fn unplaced(model: usize, obstacle: Obstacle) -> Unplaced {
+    Unplaced { model: format!("m{model}").into(), adapter: None, replicas: 1, obstacle }
 }
 
 #[rstest]
@@ -97,7 +97,7 @@
         if place == 2 && time == 10_000 {
             telling.take(&[], now);
         }
-        number += telling.take(&[wish(0, Obstacle::Busy)], now).len();
+        number += telling.take(&[unplaced(0, Obstacle::Busy)], now).len();
     }
     assert_eq!(number, told);
 }
@@ -105,22 +105,22 @@
 #[test]
 fn another_obstacle_is_told_sooner() {
     let mut telling = Telling::default();
-    let mut told = |obstacle, ms| telling.take(&[wish(0, obstacle)], Duration::from_millis(ms));
+    let mut told = |obstacle, ms| telling.take(&[unplaced(0, obstacle)], Duration::from_millis(ms));
     assert_eq!(told(Obstacle::Busy, 0), []);
     assert_eq!(told(Obstacle::Busy, 300).len(), 1);
     assert_eq!(told(Obstacle::NoRoom, 400), []);
     let again = told(Obstacle::NoRoom, 600);
-    assert_eq!(again, [(wish(0, Obstacle::NoRoom), Duration::from_millis(600))]);
+    assert_eq!(again, [(unplaced(0, Obstacle::NoRoom), Duration::from_millis(600))]);
 }
 
 #[test]
 fn a_shortage_of_hundreds_is_told_of_some_in_a_second() {
     let mut telling = Telling::default();
-    let wishes: Vec<Wish> = (0..300).map(|model| wish(model, Obstacle::NoRoom)).collect();
+    let unplaced: Vec<Unplaced> = (0..300).map(|model| unplaced(model, Obstacle::NoRoom)).collect();
     let mut told = 0;
     for ms in (0..1000).step_by(50) {
-        told += telling.take(&wishes, Duration::from_millis(ms)).len();
+        told += telling.take(&unplaced, Duration::from_millis(ms)).len();
     }
     assert_eq!(told, 16);
-    assert_eq!(telling.take(&wishes, SECOND).len(), 16, "others of them");
+    assert_eq!(telling.take(&unplaced, SECOND).len(), 16, "others of them");
 }
--- a/crates/relay/src/wishes.rs
+++ b/crates/relay/src/wishes.rs
@@ -18,7 +18,7 @@
 impl Wishes {
     /// Tells and counts what the last plan wanted in vain.
     pub(crate) fn tell(&mut self, shared: &Shared, now: Moment) {
-        let wishes = shared.planner().wishes().to_vec();
+        let wishes = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
             let waiting = wishes.iter().filter(|wish| wish.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.word(), waiting);
