--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -32,7 +32,7 @@
 pub use self::{
     demand::Work,
     planner::Planner,
-    unplaced::{Obstacle, Telling, Unplaced},
+    unplaced::{Obstacle, ReportLimiter, Unplaced},
 };
 
 /// What an order asks of a server.
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -172,7 +172,7 @@
 
 /// Which unplaced entries are to be told, so that a shortage of hundreds floods nobody.
 #[derive(Clone, Debug, Default)]
-pub struct Telling {
+pub struct ReportLimiter {
     open: BTreeMap<(model::Id, Option<adapter::Id>), Open>,
     second: u64,
     told: usize,
@@ -185,9 +185,9 @@
     told: Option<(Moment, Obstacle)>,
 }
 
-impl Telling {
+impl ReportLimiter {
     /// Takes a plan's unplaced entries; those to be told now, with the time that they have lasted.
-    pub fn take(&mut self, unplaced: &[Unplaced], now: Moment) -> Vec<(Unplaced, Duration)> {
+    pub fn due(&mut self, unplaced: &[Unplaced], now: Moment) -> Vec<(Unplaced, Duration)> {
         let key = |item: &Unplaced| (item.model.clone(), item.adapter.clone());
         let mut open = std::mem::take(&mut self.open);
         if now.as_secs() != self.second {
--- a/crates/policy/tests/place/wishes.rs
+++ b/crates/policy/tests/place/wishes.rs
@@ -1,6 +1,6 @@
 //! What a plan wants and can't order, and how much of it is told.
 
-use policy::place::{Obstacle, Telling, Unplaced, Work};
+use policy::place::{Obstacle, ReportLimiter, Unplaced, Work};
 use rstest::rstest;
 use types::prelude::*;
 
@@ -90,22 +90,22 @@
 #[case::again(&[0, 300, 2300], 2)]
 #[case::with_a_gap(&[0, 200, 10_000, 10_200], 0)]
 fn a_wish_is_told_if_it_lasts(#[case] times: &[u64], #[case] told: usize) {
-    let mut telling = Telling::default();
+    let mut limiter = ReportLimiter::default();
     let mut number = 0;
     for (place, &time) in times.iter().enumerate() {
         let now = Duration::from_millis(time);
         if place == 2 && time == 10_000 {
-            telling.take(&[], now);
+            limiter.due(&[], now);
         }
-        number += telling.take(&[unplaced(0, Obstacle::Busy)], now).len();
+        number += limiter.due(&[unplaced(0, Obstacle::Busy)], now).len();
     }
     assert_eq!(number, told);
 }
 
 #[test]
 fn another_obstacle_is_told_sooner() {
-    let mut telling = Telling::default();
-    let mut told = |obstacle, ms| telling.take(&[unplaced(0, obstacle)], Duration::from_millis(ms));
+    let mut limiter = ReportLimiter::default();
+    let mut told = |obstacle, ms| limiter.due(&[unplaced(0, obstacle)], Duration::from_millis(ms));
     assert_eq!(told(Obstacle::Busy, 0), []);
     assert_eq!(told(Obstacle::Busy, 300).len(), 1);
     assert_eq!(told(Obstacle::NoRoom, 400), []);
@@ -115,12 +115,12 @@
 
 #[test]
 fn a_shortage_of_hundreds_is_told_of_some_in_a_second() {
-    let mut telling = Telling::default();
+    let mut limiter = ReportLimiter::default();
     let unplaced: Vec<Unplaced> = (0..300).map(|model| unplaced(model, Obstacle::NoRoom)).collect();
     let mut told = 0;
     for ms in (0..1000).step_by(50) {
-        told += telling.take(&unplaced, Duration::from_millis(ms)).len();
+        told += limiter.due(&unplaced, Duration::from_millis(ms)).len();
     }
     assert_eq!(told, 16);
-    assert_eq!(telling.take(&unplaced, SECOND).len(), 16, "others of them");
+    assert_eq!(limiter.due(&unplaced, SECOND).len(), 16, "others of them");
 }
--- a/crates/relay/src/wishes.rs
+++ b/crates/relay/src/wishes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use observe::story::{Belief, Word};
-use policy::place::{Obstacle, Order, Telling};
+use policy::place::{Obstacle, Order, ReportLimiter};
 use types::prelude::*;
 
 use crate::{host::Shared, planning};
@@ -11,7 +11,7 @@
 /// Wishes of the plans of this host.
 #[derive(Debug, Default)]
 pub(crate) struct Wishes {
-    telling: Telling,
+    limiter: ReportLimiter,
     is_counted: bool,
 }
 
@@ -24,7 +24,7 @@
             shared.meters.wishes(obstacle.word(), waiting);
         }
         self.is_counted = true;
-        for (wish, lasted) in self.telling.take(&wishes, now) {
+        for (wish, lasted) in self.limiter.due(&wishes, now) {
             shared.teller.belief(Belief::Wish {
                 model: wish.model,
                 adapter: wish.adapter,
@@ -40,7 +40,7 @@
         if !std::mem::take(&mut self.is_counted) {
             return;
         }
-        self.telling = Telling::default();
+        self.limiter = ReportLimiter::default();
         Obstacle::ALL.iter().for_each(|obstacle| shared.meters.wishes(obstacle.word(), 0));
     }
 }
