--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -126,7 +126,7 @@
     }
 
     /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
-    pub fn dark(&mut self, servers: &[backend::Id]) {
+    pub fn set_unreachable(&mut self, servers: &[backend::Id]) {
         for (id, book) in &mut self.servers {
             book.is_dark = servers.contains(id);
         }
