--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -134,7 +134,7 @@
 
     /// Sets the limits of servers, in requests a second. A limited server counts as the part of a server that
     /// its limit leaves.
-    pub fn limited(&mut self, limits: &BTreeMap<backend::Id, f64>) {
+    pub fn set_rate_limits(&mut self, limits: &BTreeMap<backend::Id, f64>) {
         for (id, book) in &mut self.servers {
             book.limit = limits.get(id).copied();
         }
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -332,7 +332,7 @@
     let names = holders.iter().map(|holder| world.machines[*holder].server.id.clone());
     let limit = part.map(|part| part * requests / holders.len() as f64);
     let limits = names.filter_map(|id| Some((id, limit?))).collect();
-    world.planner.limited(&limits);
+    world.planner.set_rate_limits(&limits);
     ask(&mut world, &[("m00", SHARE)], 6 * SECOND);
     world.holders("m00").len()
 }
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -58,7 +58,7 @@
     drop(dispatcher);
     let mut planner = shared.planner();
     planner.set_unreachable(&dark);
-    planner.limited(&limits);
+    planner.set_rate_limits(&limits);
     for order in planner.plan(now) {
         tokio::spawn(give(shared.clone(), order));
     }
