--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -229,7 +229,7 @@
     }
     for n in 0..world.machines.len() {
         let registration = world.machines[n].registration();
-        world.planner.server(&registration, world.now);
+        world.planner.register_server(&registration, world.now);
     }
     let mut traffic = Traffic::new(site, course, strategy);
     if matches!(strategy, Strategy::Static) {
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -59,12 +59,12 @@
     }
 
     /// Forgets a service that is no longer declared.
-    pub fn retract(&mut self, service: &service::Id) {
+    pub fn remove_service(&mut self, service: &service::Id) {
         self.services.remove(service);
     }
 
     /// Takes a new or changed registration.
-    pub fn server(&mut self, server: &routed::Server, now: Moment) {
+    pub fn register_server(&mut self, server: &routed::Server, now: Moment) {
         if let Some(book) = self.servers.get_mut(&server.id) {
             return book.register(server, now);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Forgets a run of a server that has ended, but for its orders without an answer.
-    pub fn gone(&mut self, server: &backend::Id, now: Moment) {
+    pub fn remove_server(&mut self, server: &backend::Id, now: Moment) {
         let Some(book) = self.servers.remove(server) else { return };
         let (name, late) = book.end(&self.rules, now);
         if !late.is_empty() {
--- a/crates/policy/tests/place/book.rs
+++ b/crates/policy/tests/place/book.rs
@@ -18,8 +18,8 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut first = Machine::new(0, 0, 0, Vec::new());
     first.hold(&engine, &"m00".into());
-    planner.server(&first.registration(), Moment::ZERO);
-    planner.server(&Machine::new(1, 0, 1, Vec::new()).registration(), Moment::ZERO);
+    planner.register_server(&first.registration(), Moment::ZERO);
+    planner.register_server(&Machine::new(1, 0, 1, Vec::new()).registration(), Moment::ZERO);
     let orders = planner.plan(2000 * MS);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!((orders[0].operation, orders[0].expected), (Operation::Load, 0));
@@ -91,7 +91,7 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut server = Machine::new(1, 0, 1, Vec::new()).registration();
     server.sequence = 4;
-    planner.server(&server, Moment::ZERO);
+    planner.register_server(&server, Moment::ZERO);
     assert!(planner.plan(2000 * MS).is_empty());
     planner.report(&order.server, &report(4, &[]), 2100 * MS);
     assert_eq!(planner.plan(2200 * MS).len(), 1);
@@ -105,7 +105,7 @@
     let mut machine = Machine::new(0, 0, 0, Vec::new());
     machine.hold(&engine, &"m00".into());
     let mut server = machine.registration();
-    planner.server(&server, Moment::ZERO);
+    planner.register_server(&server, Moment::ZERO);
 
     planner.missing(&"m00".into(), Some(&"a1".into()), 2000 * MS);
     let load = planner.plan(2000 * MS).remove(0);
@@ -113,7 +113,7 @@
     planner.answered(&load, Outcome::Accepted, 2010 * MS);
     server.sequence = 1;
     server.models[0].adapters.push("a1".into());
-    planner.server(&server, 3000 * MS);
+    planner.register_server(&server, 3000 * MS);
 
     planner.missing(&"m00".into(), Some(&"a2".into()), 5000 * MS);
     let unload = planner.plan(5000 * MS).remove(0);
@@ -129,7 +129,7 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut machine = Machine::new(0, 0, 0, Vec::new());
     machine.hold(&engine, &"m00".into());
-    planner.server(&machine.registration(), Moment::ZERO);
+    planner.register_server(&machine.registration(), Moment::ZERO);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, &*load.model), (Operation::Load, "m01"));
     planner.answered(&load, Outcome::Accepted, 2000 * MS);
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -185,7 +185,7 @@
     let mut world = World::new(engine.clone(), 4, 4, 1);
     for machine in &mut world.machines {
         machine.hold(&engine, &"m00".into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     world.run(8 * SECOND);
     let unloads = world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload);
@@ -206,7 +206,7 @@
         for model in ["m00", "m01"] {
             machine.hold(&engine, &model.into());
         }
-        planner.server(&machine.registration(), Moment::ZERO);
+        planner.register_server(&machine.registration(), Moment::ZERO);
         for model in ["m00", "m01"] {
             let requests = if (number, model) == (server, idle) { 0 } else { 2 };
             planner.in_flight(&machine.server.id, &model.into(), requests);
@@ -244,7 +244,7 @@
         machine.held.clear();
         machine.hold(&engine, &"m00".into());
         machine.hold(&engine, &other.into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     let unloads = |world: &World| {
         world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload).count()
@@ -264,7 +264,7 @@
     let mut world = World::new(engine.clone(), 24, 4, 1);
     for machine in world.machines.iter_mut().filter(|machine| machine.held.len() < 2) {
         machine.hold(&engine, &"m00".into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     assert_eq!(world.holders("m00").len(), 13);
     ask(&mut world, &[("m00", 4.0)], 4 * SECOND);
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -90,7 +90,7 @@
             stir(&mut world, step / 100);
             world.step();
             for machine in &world.machines {
-                world.planner.server(&machine.registration(), world.now);
+                world.planner.register_server(&machine.registration(), world.now);
             }
             prop_assert!(world.record.crashed.is_empty(), "{:?}", world.record.crashed);
         }
@@ -126,6 +126,6 @@
     world.planner = Planner::new(Rules::default());
     world.planner.declare(&"lm".into(), &world.engine, world.now);
     for machine in &world.machines {
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
 }
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -109,7 +109,9 @@
         }
         let mut planner = Planner::new(Rules::default());
         planner.declare(&"lm".into(), &engine, Moment::ZERO);
-        machines.iter().for_each(|machine| planner.server(&machine.registration(), Moment::ZERO));
+        machines
+            .iter()
+            .for_each(|machine| planner.register_server(&machine.registration(), Moment::ZERO));
         World {
             planner,
             engine,
@@ -211,14 +213,14 @@
     fn replace(&mut self, number: usize, mut fresh: Machine) {
         let old = &self.machines[number];
         fresh.server.zone = old.server.zone.clone();
-        self.planner.gone(&old.server.id, self.now);
-        self.planner.server(&fresh.registration(), self.now);
+        self.planner.remove_server(&old.server.id, self.now);
+        self.planner.register_server(&fresh.registration(), self.now);
         self.machines[number] = fresh;
     }
 
     pub fn drain(&mut self, number: usize) {
         self.machines[number].server.state = State::Draining;
-        self.planner.server(&self.machines[number].registration(), self.now);
+        self.planner.register_server(&self.machines[number].registration(), self.now);
     }
 
     /// Most loads from the weight store that began within five seconds.
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -166,7 +166,7 @@
         }
         let now = self.now();
         if self.runs_models(&server) {
-            self.planner().server(&server, now);
+            self.planner().register_server(&server, now);
         }
         let was_used = self.dispatcher().is_used(&server.id);
         self.dispatcher().server(&server, now);
@@ -303,7 +303,7 @@
 
     /// A run of a server is over: nothing that was known of it counts for a later one.
     fn ended(&self, id: &backend::Id) {
-        self.planner().gone(id, self.now());
+        self.planner().remove_server(id, self.now());
         self.dispatcher().gone(id, self.now());
         self.dispatch_wakeup.notify_one();
     }
@@ -322,7 +322,7 @@
             self.directory().servers().filter(|s| !was_known(s)).cloned().collect();
         let now = self.now();
         for server in servers.iter().filter(|server| self.runs_models(server)) {
-            self.planner().server(server, now);
+            self.planner().register_server(server, now);
         }
         self.plan_wakeup.notify_one();
     }
