--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -95,7 +95,7 @@
     }
 
     /// Begins a term: forgets all demand, since another host received the last reports.
-    pub fn begin(&mut self, now: Moment) {
+    pub fn begin_term(&mut self, now: Moment) {
         self.demand = Demand::new(now);
     }
 
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -158,7 +158,7 @@
         state.reporter.begin(fence, now);
         state.holder = Some((fence, self.host.id.clone()));
         drop(state);
-        self.planner().begin(now);
+        self.planner().begin_term(now);
         self.notify(Notice::Plans { fence });
     }
 
