--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -394,7 +394,7 @@
         let Some(number) = numbers.min_by_key(order) else {
             if now < request.at + GOAL {
                 if !matches!(self.strategy, Strategy::Static) {
-                    world.planner.missing(&request.model, request.adapter.as_ref(), now);
+                    world.planner.record_waiting(&request.model, request.adapter.as_ref(), now);
                 }
                 return Some(request);
             }
@@ -429,7 +429,7 @@
 
     fn tell(&mut self, world: &mut World) {
         for ((model, adapter), work) in std::mem::take(&mut self.arrived) {
-            world.planner.arrivals(&model, adapter.as_ref(), work, world.now);
+            world.planner.record_arrivals(&model, adapter.as_ref(), work, world.now);
         }
         if matches!(self.strategy, Strategy::LastMinute) {
             return;
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -100,7 +100,7 @@
     }
 
     /// Counts requests that arrived at any host at `at`, which may be some seconds ago.
-    pub fn arrivals(
+    pub fn record_arrivals(
         &mut self,
         model: &model::Id,
         adapter: Option<&adapter::Id>,
@@ -112,7 +112,12 @@
     }
 
     /// Notes that a request waits right now for a model or adapter.
-    pub fn missing(&mut self, model: &model::Id, adapter: Option<&adapter::Id>, now: Moment) {
+    pub fn record_waiting(
+        &mut self,
+        model: &model::Id,
+        adapter: Option<&adapter::Id>,
+        now: Moment,
+    ) {
         if self.slots(model, adapter).is_some() {
             self.demand.wait(model, adapter, now);
         }
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -18,8 +18,8 @@
 
 fn ask(world: &mut World, adapter: &str) {
     let adapter = adapter.into();
-    world.planner.arrivals(&"m00".into(), Some(&adapter), ONE, world.now);
-    world.planner.missing(&"m00".into(), Some(&adapter), world.now);
+    world.planner.record_arrivals(&"m00".into(), Some(&adapter), ONE, world.now);
+    world.planner.record_waiting(&"m00".into(), Some(&adapter), world.now);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     }
     assert_eq!(world.adapter_holders("m00", "a1").len(), 1);
     for _ in 0..8 {
-        world.planner.missing(&"m00".into(), Some(&"a1".into()), world.now);
+        world.planner.record_waiting(&"m00".into(), Some(&"a1".into()), world.now);
         world.run(SECOND / 20);
     }
     assert_eq!(world.adapter_holders("m00", "a1").len(), 2);
@@ -74,7 +74,7 @@
 fn the_one_asked_for_longest_ago_makes_way() {
     let mut world = world();
     // Free room is filled once demand is known; from then on the number of places stands.
-    world.planner.arrivals(&"m00".into(), None, ONE, world.now);
+    world.planner.record_arrivals(&"m00".into(), None, ONE, world.now);
     world.run(5 * SECOND);
     let holders = world.holders("m00");
     let places = 3 * holders.len();
@@ -115,9 +115,9 @@
     for _ in 0..100 {
         for adapter in &all {
             let name = adapter.as_str().into();
-            world.planner.arrivals(&"m00".into(), Some(&name), ONE, world.now);
+            world.planner.record_arrivals(&"m00".into(), Some(&name), ONE, world.now);
             if world.adapter_holders("m00", adapter).is_empty() {
-                world.planner.missing(&"m00".into(), Some(&name), world.now);
+                world.planner.record_waiting(&"m00".into(), Some(&name), world.now);
             } else {
                 served.insert(adapter.clone());
             }
--- a/crates/policy/tests/place/book.rs
+++ b/crates/policy/tests/place/book.rs
@@ -107,7 +107,7 @@
     let mut server = machine.registration();
     planner.register_server(&server, Moment::ZERO);
 
-    planner.missing(&"m00".into(), Some(&"a1".into()), 2000 * MS);
+    planner.record_waiting(&"m00".into(), Some(&"a1".into()), 2000 * MS);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, load.adapter.as_deref()), (Operation::Load, Some("a1")));
     planner.answered(&load, Outcome::Accepted, 2010 * MS);
@@ -115,7 +115,7 @@
     server.models[0].adapters.push("a1".into());
     planner.register_server(&server, 3000 * MS);
 
-    planner.missing(&"m00".into(), Some(&"a2".into()), 5000 * MS);
+    planner.record_waiting(&"m00".into(), Some(&"a2".into()), 5000 * MS);
     let unload = planner.plan(5000 * MS).remove(0);
     assert_eq!((unload.operation, unload.adapter.as_deref()), (Operation::Unload, Some("a1")));
 }
@@ -136,7 +136,7 @@
     let busy = Report { busy: true, ..report(1, &["m00"]) };
     let mut asked = 0;
     for at in (2010..3500).step_by(10) {
-        planner.missing(&"m00".into(), Some(&"a1".into()), at * MS);
+        planner.record_waiting(&"m00".into(), Some(&"a1".into()), at * MS);
         for order in planner.plan(at * MS) {
             asked += 1;
             planner.answered(&order, Outcome::Moved, at * MS);
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -22,7 +22,7 @@
             let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
             let requests = u32::try_from(output / TOKENS).expect("few").max(1);
             let work = Work { requests, prompt: 0, output };
-            world.planner.arrivals(&(*model).into(), None, work, world.now);
+            world.planner.record_arrivals(&(*model).into(), None, work, world.now);
         }
         world.run(Duration::from_millis(100));
     }
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -25,8 +25,8 @@
     let number = world.rng.random_range(0..=model.adapters);
     let adapter = (0 < number).then(|| format!("a{number}").into());
     let work = Work { requests: 8, prompt: 6_000, output: 2_000 };
-    world.planner.arrivals(&model.name, adapter.as_ref(), work, world.now);
-    world.planner.missing(&model.name, adapter.as_ref(), world.now);
+    world.planner.record_arrivals(&model.name, adapter.as_ref(), work, world.now);
+    world.planner.record_waiting(&model.name, adapter.as_ref(), world.now);
 }
 
 proptest! {
--- a/crates/policy/tests/place/wishes.rs
+++ b/crates/policy/tests/place/wishes.rs
@@ -12,7 +12,7 @@
 fn busy(model: &str, world: &mut World, servers: f64) {
     let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
     let work = Work { requests: 10, prompt: 0, output };
-    world.planner.arrivals(&model.into(), None, work, world.now);
+    world.planner.record_arrivals(&model.into(), None, work, world.now);
 }
 
 fn obstacles(world: &World, model: &str) -> Vec<Obstacle> {
@@ -70,8 +70,8 @@
     for _ in 0..10 {
         for adapter in ["a1", "a2"] {
             let work = Work { requests: 1, prompt: 300, output: 40 };
-            world.planner.arrivals(&"m00".into(), Some(&adapter.into()), work, world.now);
-            world.planner.missing(&"m00".into(), Some(&adapter.into()), world.now);
+            world.planner.record_arrivals(&"m00".into(), Some(&adapter.into()), work, world.now);
+            world.planner.record_waiting(&"m00".into(), Some(&adapter.into()), world.now);
         }
         world.step();
         let unplaced = world.planner.unplaced().iter().filter(|entry| entry.adapter.is_some());
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -166,7 +166,7 @@
         let requests = arrivals.iter().map(|arrival| u64::from(arrival.work.requests)).sum();
         let mut planner = self.planner();
         for Arrival { subject, work, at } in arrivals {
-            planner.arrivals(&subject.model, subject.adapter.as_ref(), work, at);
+            planner.record_arrivals(&subject.model, subject.adapter.as_ref(), work, at);
         }
         drop(planner);
         self.meters.demand(origin, requests);
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -294,7 +294,7 @@
         let now = shared.now();
         match heard.notice {
             Notice::Wanted { model, adapter, .. } => {
-                shared.planner().missing(&model, adapter.as_ref(), now);
+                shared.planner().record_waiting(&model, adapter.as_ref(), now);
                 shared.plan_wakeup.notify_one();
             }
             Notice::Held { server, model, adapter, sequence } => {
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -396,7 +396,7 @@
     ) {
         let now = self.now();
         if self.term().fence(now).is_some() {
-            self.planner().missing(model, adapter, now);
+            self.planner().record_waiting(model, adapter, now);
             self.plan_wakeup.notify_one();
             return;
         }
