--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The orders to give now. Each has to be answered with [`Planner::answered`].
+    /// The orders to give now. Each has to be answered with [`Planner::record_outcome`].
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
         self.servers.values_mut().for_each(|book| book.expire(&self.rules, now));
         self.late.retain(|_, late| late.iter().any(|sent| sent.is_open(now)));
@@ -195,7 +195,7 @@
     }
 
     /// Takes what came of an order.
-    pub fn answered(&mut self, order: &Order, outcome: Outcome, now: Moment) {
+    pub fn record_outcome(&mut self, order: &Order, outcome: Outcome, now: Moment) {
         let Some(book) = self.servers.get_mut(&order.server) else { return };
         let service = self.services.get_mut(&book.service);
         let declared = service.as_ref().and_then(|service| service.sizes.get(&order.model));
--- a/crates/policy/tests/place/book.rs
+++ b/crates/policy/tests/place/book.rs
@@ -39,7 +39,7 @@
 fn after_an_answer(#[case] outcome: Outcome, #[case] at: u32, #[case] orders: usize) {
     let (mut planner, order) = start();
     assert!(planner.plan(2010 * MS).is_empty(), "one order at a time");
-    planner.answered(&order, outcome, 2020 * MS);
+    planner.record_outcome(&order, outcome, 2020 * MS);
     let again = planner.plan(at * MS);
     assert_eq!(again.len(), orders);
     assert!(again.iter().all(|again| again.expected == 0), "at the same number");
@@ -48,7 +48,7 @@
 #[test]
 fn a_report_settles_a_refusal() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Moved, 2020 * MS);
     assert_eq!(planner.unsettled(2030 * MS).count(), 1);
     planner.report(&order.server, &report(7, &[]), 2200 * MS);
     assert_eq!(planner.unsettled(2210 * MS).count(), 0);
@@ -59,7 +59,7 @@
 #[test]
 fn an_old_report_does_not_undo_an_accepted_order() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Accepted, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Accepted, 2020 * MS);
     planner.report(&order.server, &report(0, &[]), 2100 * MS);
     assert!(planner.plan(2110 * MS).is_empty(), "it is on its way");
     planner.report(&order.server, &Report { busy: true, ..report(1, &[]) }, 2200 * MS);
@@ -73,7 +73,7 @@
 #[test]
 fn a_busy_server_of_another_planner_gets_no_order() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Moved, 2020 * MS);
     planner.report(&order.server, &Report { busy: true, ..report(3, &[]) }, 2200 * MS);
     assert!(planner.plan(2300 * MS).is_empty());
     assert_eq!(planner.unsettled(2300 * MS).count(), 1);
@@ -110,7 +110,7 @@
     planner.record_waiting(&"m00".into(), Some(&"a1".into()), 2000 * MS);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, load.adapter.as_deref()), (Operation::Load, Some("a1")));
-    planner.answered(&load, Outcome::Accepted, 2010 * MS);
+    planner.record_outcome(&load, Outcome::Accepted, 2010 * MS);
     server.sequence = 1;
     server.models[0].adapters.push("a1".into());
     planner.register_server(&server, 3000 * MS);
@@ -132,14 +132,14 @@
     planner.register_server(&machine.registration(), Moment::ZERO);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, &*load.model), (Operation::Load, "m01"));
-    planner.answered(&load, Outcome::Accepted, 2000 * MS);
+    planner.record_outcome(&load, Outcome::Accepted, 2000 * MS);
     let busy = Report { busy: true, ..report(1, &["m00"]) };
     let mut asked = 0;
     for at in (2010..3500).step_by(10) {
         planner.record_waiting(&"m00".into(), Some(&"a1".into()), at * MS);
         for order in planner.plan(at * MS) {
             asked += 1;
-            planner.answered(&order, Outcome::Moved, at * MS);
+            planner.record_outcome(&order, Outcome::Moved, at * MS);
             assert_eq!(planner.unsettled(at * MS).count(), 1, "a report tells which");
         }
         if at % 50 == 0 {
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -134,7 +134,7 @@
         self.machines.iter_mut().for_each(|m| m.tick(&self.engine, &mut self.record, self.now));
         let (now, planner) = (self.now, &mut self.planner);
         for (_, order) in self.waiting.extract_if(.., |(at, _)| *at <= now) {
-            planner.answered(&order, Outcome::Unknown, now);
+            planner.record_outcome(&order, Outcome::Unknown, now);
         }
         if self.now.as_millis().is_multiple_of(50) {
             self.reports();
@@ -176,7 +176,7 @@
         let again = self.rng.random_bool(twice);
         let number = self.machines.iter().position(|m| m.server.id == order.server);
         let Some(number) = number else {
-            return self.planner.answered(order, Outcome::NotThere, self.now);
+            return self.planner.record_outcome(order, Outcome::NotThere, self.now);
         };
         let machine = &mut self.machines[number];
         if again {
@@ -192,7 +192,7 @@
         if roll < lost + late + silent {
             return self.waiting.push((self.now + TIMEOUT, order.clone()));
         }
-        self.planner.answered(order, outcome, self.now);
+        self.planner.record_outcome(order, outcome, self.now);
     }
 
     /// Ends a server and starts it anew, empty but for its disk.
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -90,7 +90,7 @@
         None => Outcome::NotThere,
     };
     let now = shared.now();
-    shared.planner().answered(&order, outcome, now);
+    shared.planner().record_outcome(&order, outcome, now);
     shared.ordered(&order, outcome);
     shared.plan_wakeup.notify_one();
 }
