--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -85,7 +85,7 @@
     Busy,
     /// Refused: the server's number has moved on, or, where servers don't say which, another one is
     /// being carried out.
-    Moved,
+    Conflict,
     /// No answer: it may have been carried out, or may yet be.
     Unknown,
     /// Refused: another run of the server, or the base model is absent.
--- a/crates/policy/src/place/book.rs
+++ b/crates/policy/src/place/book.rs
@@ -337,8 +337,8 @@
                 self.accept(order, sent.source, now, now);
                 self.drop_adapter(order);
             }
-            Outcome::Busy | Outcome::Moved if self.is_occupied(order) => self.back_off(now),
-            Outcome::AlreadyHolds | Outcome::Moved | Outcome::Busy => self.distrust(now),
+            Outcome::Busy | Outcome::Conflict if self.is_occupied(order) => self.back_off(now),
+            Outcome::AlreadyHolds | Outcome::Conflict | Outcome::Busy => self.distrust(now),
             Outcome::Unknown => self.doubt(sent.clone(), rules, now),
             Outcome::NotThere => {
                 self.certain = false;
--- a/crates/policy/tests/place/book.rs
+++ b/crates/policy/tests/place/book.rs
@@ -35,7 +35,7 @@
 #[case::accepted_is_waited_for(Outcome::Accepted, 3000, 0)]
 #[case::no_answer_is_asked_again(Outcome::Unknown, 3000, 1)]
 #[case::another_run_is_left_alone(Outcome::NotThere, 3000, 0)]
-#[case::a_refusal_waits_for_a_report(Outcome::Moved, 3000, 0)]
+#[case::a_refusal_waits_for_a_report(Outcome::Conflict, 3000, 0)]
 fn after_an_answer(#[case] outcome: Outcome, #[case] at: u32, #[case] orders: usize) {
     let (mut planner, order) = start();
     assert!(planner.plan(2010 * MS).is_empty(), "one order at a time");
@@ -48,7 +48,7 @@
 #[test]
 fn a_report_settles_a_refusal() {
     let (mut planner, order) = start();
-    planner.record_outcome(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Conflict, 2020 * MS);
     assert_eq!(planner.unsettled(2030 * MS).count(), 1);
     planner.report(&order.server, &report(7, &[]), 2200 * MS);
     assert_eq!(planner.unsettled(2210 * MS).count(), 0);
@@ -73,7 +73,7 @@
 #[test]
 fn a_busy_server_of_another_planner_gets_no_order() {
     let (mut planner, order) = start();
-    planner.record_outcome(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Conflict, 2020 * MS);
     planner.report(&order.server, &Report { busy: true, ..report(3, &[]) }, 2200 * MS);
     assert!(planner.plan(2300 * MS).is_empty());
     assert_eq!(planner.unsettled(2300 * MS).count(), 1);
@@ -139,7 +139,7 @@
         planner.record_waiting(&"m00".into(), Some(&"a1".into()), at * MS);
         for order in planner.plan(at * MS) {
             asked += 1;
-            planner.record_outcome(&order, Outcome::Moved, at * MS);
+            planner.record_outcome(&order, Outcome::Conflict, at * MS);
             assert_eq!(planner.unsettled(at * MS).count(), 1, "a report tells which");
         }
         if at % 50 == 0 {
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -143,7 +143,7 @@
             return Outcome::NotThere;
         }
         if order.expected != self.sequence {
-            return Outcome::Moved;
+            return Outcome::Conflict;
         }
         let outcome = match &order.adapter {
             None => self.model_order(engine, order, record, now),
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -133,7 +133,7 @@
     match ordered {
         Ordered::Accepted => Outcome::Accepted,
         Ordered::Holds => Outcome::AlreadyHolds,
-        Ordered::Conflict | Ordered::Fenced => Outcome::Moved,
+        Ordered::Conflict | Ordered::Fenced => Outcome::Conflict,
         Ordered::NotThere | Ordered::Invalid => Outcome::NotThere,
         Ordered::Unknown => Outcome::Unknown,
     }
