--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -103,9 +103,9 @@
     /// is slow, see [`Rules::burst`].
     pub store_burst: f64,
     /// Adapters on their way to one server at once.
-    pub adapters_at_once: usize,
+    pub adapter_loads_per_server: usize,
     /// Adapters on their way to all servers at once.
-    pub adapters_in_all: usize,
+    pub adapter_loads_total: usize,
     /// Time over which arrivals are averaged.
     pub memory: Duration,
     /// Time over which a rise shows.
@@ -122,8 +122,8 @@
             late: Duration::from_secs(15),
             store_share: 0.9,
             store_burst: 12.0,
-            adapters_at_once: 4,
-            adapters_in_all: 16,
+            adapter_loads_per_server: 4,
+            adapter_loads_total: 16,
             memory: Duration::from_secs(1),
             rise: Duration::from_millis(300),
             pace: Pace::default(),
--- a/crates/policy/src/place/adapters.rs
+++ b/crates/policy/src/place/adapters.rs
@@ -68,7 +68,7 @@
         key(a).cmp(&key(b)).then(b.rate.total_cmp(&a.rate))
     });
     for want in wants {
-        if picture.rules.adapters_in_all <= under_way {
+        if picture.rules.adapter_loads_total <= under_way {
             return;
         }
         under_way += usize::from(place(picture, &want));
@@ -115,7 +115,7 @@
 fn place(picture: &mut Picture, want: &Want) -> bool {
     let fits = |&&site: &&usize| {
         let at = &picture.sites[site];
-        let few = at.book.under_way(picture.now) < picture.rules.adapters_at_once;
+        let few = at.book.under_way(picture.now) < picture.rules.adapter_loads_per_server;
         at.open && few && !at.book.has(&want.unit) && !at.book.parting.contains(&want.unit)
     };
     let mut sites: Vec<usize> = want.ready.iter().filter(fits).copied().collect();
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -150,7 +150,7 @@
         };
         let obstacle = match () {
             () if !has_base => Obstacle::NoModel,
-            () if picture.rules.adapters_in_all <= under_way => Obstacle::StoreRate,
+            () if picture.rules.adapter_loads_total <= under_way => Obstacle::StoreRate,
             () if sites.is_empty() => Obstacle::Busy,
             () if !sites.iter().any(is_free) => Obstacle::NoRoom,
             () => Obstacle::StoreRate,
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -113,8 +113,8 @@
                 extra: routed.retry.extra,
             },
         });
-        let adapters_in_all = settings.planning.adapters_at_once;
-        let rules = place::Rules { adapters_in_all, ..place::Rules::default() };
+        let adapter_loads_total = settings.planning.adapters_at_once;
+        let rules = place::Rules { adapter_loads_total, ..place::Rules::default() };
         let stamps = observe::Clock::system();
         let teller = Teller::new(settings.host.id.clone(), incarnation, stamps, Words::Process);
         let meters = metrics.routed();
