--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -83,7 +83,7 @@
         planner.demand(id, demand(n, 0));
     }
     engines.values().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
-    for planned in planner.settle(Moment::ZERO, 64) {
+    for planned in planner.simulate(Moment::ZERO, 64) {
         if let Some(engine) = engines.get_mut(&planned.server) {
             apply(engine, &planned.action);
         }
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -51,7 +51,7 @@
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
     engines.iter().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
-    planner.settle(Moment::ZERO, ROUNDS);
+    planner.simulate(Moment::ZERO, ROUNDS);
     planner.shortages(Moment::ZERO)
 }
 
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -101,7 +101,7 @@
 
     /// Plans as if each move were done at once, until none is left or the rounds are used up.
     /// Returns the moves; for checks of what could be placed.
-    pub fn settle(&mut self, now: Moment, rounds: usize) -> Vec<Move> {
+    pub fn simulate(&mut self, now: Moment, rounds: usize) -> Vec<Move> {
         let mut all = Vec::new();
         for _ in 0..rounds {
             self.fleet.revert(now);
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -171,7 +171,7 @@
         residents: Vec::new(),
     };
     (0..3).for_each(|n| planner.engine(Moment::ZERO, engine(n)));
-    let first = planner.settle(Moment::ZERO, 4);
+    let first = planner.simulate(Moment::ZERO, 4);
     assert_eq!(first.len(), 2);
     planner.forget(&first[0].server);
     let next = planner.plan(Moment::ZERO);
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -109,7 +109,7 @@
         placed.insert(engine.server.clone(), Vec::new());
         planner.engine(Duration::ZERO, engine);
     }
-    for planned in planner.settle(Duration::ZERO, ROUNDS) {
+    for planned in planner.simulate(Duration::ZERO, ROUNDS) {
         let Some(held) = placed.get_mut(&planned.server) else { continue };
         match planned.action {
             types::order::Action::Load { unit, memory } => held.push((unit, memory)),
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -80,7 +80,7 @@
             planner.demand(id, Demand { now, ahead: now });
         }
         engines.values().for_each(|engine| planner.engine(NOW, engine.clone()));
-        for planned in planner.settle(NOW, ROUNDS) {
+        for planned in planner.simulate(NOW, ROUNDS) {
             let Some(engine) = engines.get_mut(&planned.server) else { continue };
             apply(engine, &planned.action);
         }
@@ -161,7 +161,7 @@
     for engine in lost(placed) {
         planner.forget(&engine.server);
     }
-    let moves = planner.settle(NOW, ROUNDS);
+    let moves = planner.simulate(NOW, ROUNDS);
     moves.iter().filter(|planned| planned.is_load()).count() as f64
 }
 
