--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -148,7 +148,7 @@
 }
 
 /// Least time that a replica made for demand is kept against other demand.
-pub const HOLD: Duration = Duration::from_secs(60);
+pub const MIN_DEMAND_REPLICA_AGE: Duration = Duration::from_secs(60);
 
 /// Replicas that a model gets where memory allows, whatever is declared.
-pub const REPLICAS: usize = 2;
+pub const MIN_REPLICAS: usize = 2;
--- a/crates/policy/src/plan/gain.rs
+++ b/crates/policy/src/plan/gain.rs
@@ -3,14 +3,14 @@
 //! Only the hottest engines are looked at. For each model on them, the work that would no longer
 //! miss its target with one replica more is weighed against the moves that the replica costs,
 //! with what is given up for it. Hysteresis comes from three sides: a move has a price, a replica
-//! made for demand is held for [`HOLD`] against other demand, and forecasts fall slowly.
+//! made for demand is held for [`MIN_DEMAND_REPLICA_AGE`] against other demand, and forecasts fall slowly.
 
 use std::collections::BTreeSet;
 
 use types::prelude::*;
 
 use super::{
-    Cause, HOLD,
+    Cause, MIN_DEMAND_REPLICA_AGE,
     fleet::Slot,
     heat::{KNEE, misses, pour},
     planner::Draft,
@@ -94,7 +94,7 @@
     /// Whether a replica is too young to be given up for demand.
     fn is_held(&self, slot: &Slot, id: &model::Id) -> bool {
         let since = slot.bundles.get(id).map(|bundle| bundle.since);
-        since.is_some_and(|since| self.now.saturating_sub(since) < HOLD)
+        since.is_some_and(|since| self.now.saturating_sub(since) < MIN_DEMAND_REPLICA_AGE)
     }
 
     fn weigh(
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -4,7 +4,7 @@
 
 use types::{model::Model, prelude::*};
 
-use super::{Demand, Engine, Limits, Move, REPLICAS, bucket::Bucket, fleet::Fleet, heat};
+use super::{Demand, Engine, Limits, MIN_REPLICAS, Move, bucket::Bucket, fleet::Fleet, heat};
 
 /// A declared model with what placement needs of it.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 
     /// Replicas that come before any that demand asks for.
     pub(super) fn floor(&self) -> usize {
-        REPLICAS.max(self.model.replicas as usize)
+        MIN_REPLICAS.max(self.model.replicas as usize)
     }
 }
 
