--- a/crates/policy/src/place/adapters.rs
+++ b/crates/policy/src/place/adapters.rs
@@ -79,7 +79,7 @@
 fn wants(picture: &Picture, model: &Model) -> Vec<Want> {
     let is_ready = |site: &usize| {
         let book = picture.sites[*site].book;
-        !book.is_dark && book.is_ready(&model.name)
+        !book.is_unresponsive && book.is_ready(&model.name)
     };
     let ready: Vec<usize> = (0..picture.sites.len()).filter(is_ready).collect();
     let first = (model.name.clone(), adapter::Id::from(""));
--- a/crates/policy/src/place/book.rs
+++ b/crates/policy/src/place/book.rs
@@ -121,7 +121,7 @@
     /// Orders in a row without an answer.
     pub(super) silent: u32,
     /// Whether it answers nobody.
-    pub(super) is_dark: bool,
+    pub(super) is_unresponsive: bool,
     /// Requests a second that it takes, if it names a limit.
     pub(super) limit: Option<f64>,
     /// Orders in a row that were refused while one of this planner's was carried out.
@@ -162,7 +162,7 @@
             running: BTreeMap::new(),
             since: BTreeMap::new(),
             silent: 0,
-            is_dark: false,
+            is_unresponsive: false,
             limit: None,
             refused: 0,
             is_refusal_open: false,
@@ -204,7 +204,7 @@
     /// Whether an order may be worked out now.
     pub(super) fn is_open(&self, now: Moment) -> bool {
         let here = self.standing == Standing::Here && self.certain && self.asked.is_none();
-        here && !self.is_dark && self.current != Some(Current::Foreign) && self.pause <= now
+        here && !self.is_unresponsive && self.current != Some(Current::Foreign) && self.pause <= now
     }
 
     /// Whether a report is wanted now to know what is here.
--- a/crates/policy/src/place/picture.rs
+++ b/crates/policy/src/place/picture.rs
@@ -99,7 +99,7 @@
             .collect();
         let at = |fits: &dyn Fn(&Book, &model::Id) -> bool| -> Vec<Vec<usize>> {
             let of = |model: &Model| {
-                let lit = (0..sites.len()).filter(|&s| !sites[s].book.is_dark);
+                let lit = (0..sites.len()).filter(|&s| !sites[s].book.is_unresponsive);
                 lit.filter(|&s| fits(sites[s].book, &model.name)).collect()
             };
             engine.models.iter().map(of).collect()
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -131,9 +131,9 @@
     }
 
     /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
-    pub fn set_unreachable(&mut self, servers: &[backend::Id]) {
+    pub fn set_unresponsive(&mut self, servers: &[backend::Id]) {
         for (id, book) in &mut self.servers {
-            book.is_dark = servers.contains(id);
+            book.is_unresponsive = servers.contains(id);
         }
     }
 
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -130,7 +130,7 @@
         let Some(declared) = picture.engine.models.iter().find(|m| m.name == *model) else {
             continue;
         };
-        let is_base = |site: &&Site| !site.book.is_dark && site.book.is_ready(model);
+        let is_base = |site: &&Site| !site.book.is_unresponsive && site.book.is_ready(model);
         let mut sites: Vec<&Site> = picture.sites.iter().filter(is_base).collect();
         let ordered = picture.decisions.iter().any(|decision| {
             let order = &decision.order;
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -64,7 +64,7 @@
     world.run(SECOND);
     let holders = world.adapter_holders("m00", "a1");
     let dark: Vec<_> = holders.iter().map(|&at| world.machines[at].server.id.clone()).collect();
-    world.planner.set_unreachable(&dark);
+    world.planner.set_unresponsive(&dark);
     ask(&mut world, "a1");
     world.run(SECOND / 10);
     assert!(world.adapter_holders("m00", "a1").len() > holders.len());
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -229,7 +229,7 @@
     assert!(!held.iter().all(|model| elsewhere(&world, model)), "none is only there: {held:?}");
     let dark = world.machines[2].server.id.clone();
     let orders = world.orders.len();
-    world.planner.set_unreachable(std::slice::from_ref(&dark));
+    world.planner.set_unresponsive(std::slice::from_ref(&dark));
     world.run(4 * SECOND);
     assert!(held.iter().all(|model| elsewhere(&world, model)), "{held:?}");
     assert!(world.orders[orders..].iter().all(|(_, order)| order.server != dark));
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -57,7 +57,7 @@
         limited.filter_map(|(id, news)| Some((id.clone(), news.limit?.as_f64()))).collect();
     drop(dispatcher);
     let mut planner = shared.planner();
-    planner.set_unreachable(&dark);
+    planner.set_unresponsive(&dark);
     planner.set_rate_limits(&limits);
     for order in planner.plan(now) {
         tokio::spawn(give(shared.clone(), order));
