--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -14,7 +14,7 @@
     gain,
     picture::{Decision, Picture, store_loads},
     store::{self, Allowance, Bucket},
-    wish::{self, Wish},
+    unplaced::{self, Unplaced},
 };
 
 /// A service with model servers.
@@ -35,14 +35,14 @@
     /// Orders to runs that are over, by the server's name: a later run may yet carry them out.
     late: BTreeMap<Arc<str>, Vec<Sent>>,
     demand: Demand,
-    wishes: Vec<Wish>,
+    unplaced: Vec<Unplaced>,
 }
 
 impl Planner {
     /// Knows nothing yet.
     pub fn new(rules: Rules) -> Planner {
-        let (services, servers, late, wishes) = Default::default();
-        Planner { rules, services, servers, late, demand: Demand::default(), wishes }
+        let (services, servers, late, unplaced) = Default::default();
+        Planner { rules, services, servers, late, demand: Demand::default(), unplaced }
     }
 
     /// Takes what a service's servers are like, new or changed.
@@ -59,12 +59,12 @@
     }
 
     /// Forgets a service that is no longer declared.
-    pub fn retract(&mut self, service: &service::Id) {
+    pub fn remove_service(&mut self, service: &service::Id) {
         self.services.remove(service);
     }
 
     /// Takes a new or changed registration.
-    pub fn server(&mut self, server: &routed::Server, now: Moment) {
+    pub fn register_server(&mut self, server: &routed::Server, now: Moment) {
         if let Some(book) = self.servers.get_mut(&server.id) {
             return book.register(server, now);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Forgets a run of a server that has ended, but for its orders without an answer.
-    pub fn gone(&mut self, server: &backend::Id, now: Moment) {
+    pub fn remove_server(&mut self, server: &backend::Id, now: Moment) {
         let Some(book) = self.servers.remove(server) else { return };
         let (name, late) = book.end(&self.rules, now);
         if !late.is_empty() {
@@ -95,12 +95,12 @@
     }
 
     /// Begins a term: forgets all demand, since another host received the last reports.
-    pub fn begin(&mut self, now: Moment) {
+    pub fn begin_term(&mut self, now: Moment) {
         self.demand = Demand::new(now);
     }
 
     /// Counts requests that arrived at any host at `at`, which may be some seconds ago.
-    pub fn arrivals(
+    pub fn record_arrivals(
         &mut self,
         model: &model::Id,
         adapter: Option<&adapter::Id>,
@@ -112,7 +112,12 @@
     }
 
     /// Notes that a request waits right now for a model or adapter.
-    pub fn missing(&mut self, model: &model::Id, adapter: Option<&adapter::Id>, now: Moment) {
+    pub fn record_waiting(
+        &mut self,
+        model: &model::Id,
+        adapter: Option<&adapter::Id>,
+        now: Moment,
+    ) {
         if self.slots(model, adapter).is_some() {
             self.demand.wait(model, adapter, now);
         }
@@ -126,32 +131,32 @@
     }
 
     /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
-    pub fn dark(&mut self, servers: &[backend::Id]) {
+    pub fn set_unresponsive(&mut self, servers: &[backend::Id]) {
         for (id, book) in &mut self.servers {
-            book.is_dark = servers.contains(id);
+            book.is_unresponsive = servers.contains(id);
         }
     }
 
     /// Sets the limits of servers, in requests a second. A limited server counts as the part of a server that
     /// its limit leaves.
-    pub fn limited(&mut self, limits: &BTreeMap<backend::Id, f64>) {
+    pub fn set_rate_limits(&mut self, limits: &BTreeMap<backend::Id, f64>) {
         for (id, book) in &mut self.servers {
             book.limit = limits.get(id).copied();
         }
     }
 
-    /// The orders to give now. Each has to be answered with [`Planner::answered`].
+    /// The orders to give now. Each has to be answered with [`Planner::record_outcome`].
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
         self.servers.values_mut().for_each(|book| book.expire(&self.rules, now));
         self.late.retain(|_, late| late.iter().any(|sent| sent.is_open(now)));
-        self.wishes.clear();
+        self.unplaced.clear();
         let names: Vec<service::Id> = self.services.keys().cloned().collect();
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
     /// What the last plan wanted and could not order.
-    pub fn wishes(&self) -> &[Wish] {
-        &self.wishes
+    pub fn unplaced(&self) -> &[Unplaced] {
+        &self.unplaced
     }
 
     fn plan_service(&mut self, name: &service::Id, now: Moment) -> Vec<Order> {
@@ -177,7 +182,7 @@
         let mut picture = Picture::new(&self.rules, engine, sizes, &self.demand, own(), now);
         gain::plan(&mut picture, &mut store);
         adapters::plan(&mut picture);
-        self.wishes.extend(wish::wishes(&picture, &mut store));
+        self.unplaced.extend(unplaced::unplaced(&picture, &mut store));
         let decisions = picture.decisions;
         decisions.into_iter().map(|decision| self.send(decision, now)).collect()
     }
@@ -190,7 +195,7 @@
     }
 
     /// Takes what came of an order.
-    pub fn answered(&mut self, order: &Order, outcome: Outcome, now: Moment) {
+    pub fn record_outcome(&mut self, order: &Order, outcome: Outcome, now: Moment) {
         let Some(book) = self.servers.get_mut(&order.server) else { return };
         let service = self.services.get_mut(&book.service);
         let declared = service.as_ref().and_then(|service| service.sizes.get(&order.model));
--- a/crates/policy/tests/place/book.rs
+++ b/crates/policy/tests/place/book.rs
@@ -18,8 +18,8 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut first = Machine::new(0, 0, 0, Vec::new());
     first.hold(&engine, &"m00".into());
-    planner.server(&first.registration(), Moment::ZERO);
-    planner.server(&Machine::new(1, 0, 1, Vec::new()).registration(), Moment::ZERO);
+    planner.register_server(&first.registration(), Moment::ZERO);
+    planner.register_server(&Machine::new(1, 0, 1, Vec::new()).registration(), Moment::ZERO);
     let orders = planner.plan(2000 * MS);
     assert_eq!(orders.len(), 1, "{orders:?}");
     assert_eq!((orders[0].operation, orders[0].expected), (Operation::Load, 0));
@@ -35,11 +35,11 @@
 #[case::accepted_is_waited_for(Outcome::Accepted, 3000, 0)]
 #[case::no_answer_is_asked_again(Outcome::Unknown, 3000, 1)]
 #[case::another_run_is_left_alone(Outcome::NotThere, 3000, 0)]
-#[case::a_refusal_waits_for_a_report(Outcome::Moved, 3000, 0)]
+#[case::a_refusal_waits_for_a_report(Outcome::Conflict, 3000, 0)]
 fn after_an_answer(#[case] outcome: Outcome, #[case] at: u32, #[case] orders: usize) {
     let (mut planner, order) = start();
     assert!(planner.plan(2010 * MS).is_empty(), "one order at a time");
-    planner.answered(&order, outcome, 2020 * MS);
+    planner.record_outcome(&order, outcome, 2020 * MS);
     let again = planner.plan(at * MS);
     assert_eq!(again.len(), orders);
     assert!(again.iter().all(|again| again.expected == 0), "at the same number");
@@ -48,7 +48,7 @@
 #[test]
 fn a_report_settles_a_refusal() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Conflict, 2020 * MS);
     assert_eq!(planner.unsettled(2030 * MS).count(), 1);
     planner.report(&order.server, &report(7, &[]), 2200 * MS);
     assert_eq!(planner.unsettled(2210 * MS).count(), 0);
@@ -59,7 +59,7 @@
 #[test]
 fn an_old_report_does_not_undo_an_accepted_order() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Accepted, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Accepted, 2020 * MS);
     planner.report(&order.server, &report(0, &[]), 2100 * MS);
     assert!(planner.plan(2110 * MS).is_empty(), "it is on its way");
     planner.report(&order.server, &Report { busy: true, ..report(1, &[]) }, 2200 * MS);
@@ -73,7 +73,7 @@
 #[test]
 fn a_busy_server_of_another_planner_gets_no_order() {
     let (mut planner, order) = start();
-    planner.answered(&order, Outcome::Moved, 2020 * MS);
+    planner.record_outcome(&order, Outcome::Conflict, 2020 * MS);
     planner.report(&order.server, &Report { busy: true, ..report(3, &[]) }, 2200 * MS);
     assert!(planner.plan(2300 * MS).is_empty());
     assert_eq!(planner.unsettled(2300 * MS).count(), 1);
@@ -91,7 +91,7 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut server = Machine::new(1, 0, 1, Vec::new()).registration();
     server.sequence = 4;
-    planner.server(&server, Moment::ZERO);
+    planner.register_server(&server, Moment::ZERO);
     assert!(planner.plan(2000 * MS).is_empty());
     planner.report(&order.server, &report(4, &[]), 2100 * MS);
     assert_eq!(planner.plan(2200 * MS).len(), 1);
@@ -105,17 +105,17 @@
     let mut machine = Machine::new(0, 0, 0, Vec::new());
     machine.hold(&engine, &"m00".into());
     let mut server = machine.registration();
-    planner.server(&server, Moment::ZERO);
+    planner.register_server(&server, Moment::ZERO);
 
-    planner.missing(&"m00".into(), Some(&"a1".into()), 2000 * MS);
+    planner.record_waiting(&"m00".into(), Some(&"a1".into()), 2000 * MS);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, load.adapter.as_deref()), (Operation::Load, Some("a1")));
-    planner.answered(&load, Outcome::Accepted, 2010 * MS);
+    planner.record_outcome(&load, Outcome::Accepted, 2010 * MS);
     server.sequence = 1;
     server.models[0].adapters.push("a1".into());
-    planner.server(&server, 3000 * MS);
+    planner.register_server(&server, 3000 * MS);
 
-    planner.missing(&"m00".into(), Some(&"a2".into()), 5000 * MS);
+    planner.record_waiting(&"m00".into(), Some(&"a2".into()), 5000 * MS);
     let unload = planner.plan(5000 * MS).remove(0);
     assert_eq!((unload.operation, unload.adapter.as_deref()), (Operation::Unload, Some("a1")));
 }
@@ -129,17 +129,17 @@
     planner.declare(&"lm".into(), &engine, Moment::ZERO);
     let mut machine = Machine::new(0, 0, 0, Vec::new());
     machine.hold(&engine, &"m00".into());
-    planner.server(&machine.registration(), Moment::ZERO);
+    planner.register_server(&machine.registration(), Moment::ZERO);
     let load = planner.plan(2000 * MS).remove(0);
     assert_eq!((load.operation, &*load.model), (Operation::Load, "m01"));
-    planner.answered(&load, Outcome::Accepted, 2000 * MS);
+    planner.record_outcome(&load, Outcome::Accepted, 2000 * MS);
     let busy = Report { busy: true, ..report(1, &["m00"]) };
     let mut asked = 0;
     for at in (2010..3500).step_by(10) {
-        planner.missing(&"m00".into(), Some(&"a1".into()), at * MS);
+        planner.record_waiting(&"m00".into(), Some(&"a1".into()), at * MS);
         for order in planner.plan(at * MS) {
             asked += 1;
-            planner.answered(&order, Outcome::Moved, at * MS);
+            planner.record_outcome(&order, Outcome::Conflict, at * MS);
             assert_eq!(planner.unsettled(at * MS).count(), 1, "a report tells which");
         }
         if at % 50 == 0 {
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -22,7 +22,7 @@
             let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
             let requests = u32::try_from(output / TOKENS).expect("few").max(1);
             let work = Work { requests, prompt: 0, output };
-            world.planner.arrivals(&(*model).into(), None, work, world.now);
+            world.planner.record_arrivals(&(*model).into(), None, work, world.now);
         }
         world.run(Duration::from_millis(100));
     }
@@ -185,7 +185,7 @@
     let mut world = World::new(engine.clone(), 4, 4, 1);
     for machine in &mut world.machines {
         machine.hold(&engine, &"m00".into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     world.run(8 * SECOND);
     let unloads = world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload);
@@ -206,7 +206,7 @@
         for model in ["m00", "m01"] {
             machine.hold(&engine, &model.into());
         }
-        planner.server(&machine.registration(), Moment::ZERO);
+        planner.register_server(&machine.registration(), Moment::ZERO);
         for model in ["m00", "m01"] {
             let requests = if (number, model) == (server, idle) { 0 } else { 2 };
             planner.in_flight(&machine.server.id, &model.into(), requests);
@@ -229,7 +229,7 @@
     assert!(!held.iter().all(|model| elsewhere(&world, model)), "none is only there: {held:?}");
     let dark = world.machines[2].server.id.clone();
     let orders = world.orders.len();
-    world.planner.dark(std::slice::from_ref(&dark));
+    world.planner.set_unresponsive(std::slice::from_ref(&dark));
     world.run(4 * SECOND);
     assert!(held.iter().all(|model| elsewhere(&world, model)), "{held:?}");
     assert!(world.orders[orders..].iter().all(|(_, order)| order.server != dark));
@@ -244,7 +244,7 @@
         machine.held.clear();
         machine.hold(&engine, &"m00".into());
         machine.hold(&engine, &other.into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     let unloads = |world: &World| {
         world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload).count()
@@ -264,7 +264,7 @@
     let mut world = World::new(engine.clone(), 24, 4, 1);
     for machine in world.machines.iter_mut().filter(|machine| machine.held.len() < 2) {
         machine.hold(&engine, &"m00".into());
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
     assert_eq!(world.holders("m00").len(), 13);
     ask(&mut world, &[("m00", 4.0)], 4 * SECOND);
@@ -332,7 +332,7 @@
     let names = holders.iter().map(|holder| world.machines[*holder].server.id.clone());
     let limit = part.map(|part| part * requests / holders.len() as f64);
     let limits = names.filter_map(|id| Some((id, limit?))).collect();
-    world.planner.limited(&limits);
+    world.planner.set_rate_limits(&limits);
     ask(&mut world, &[("m00", SHARE)], 6 * SECOND);
     world.holders("m00").len()
 }
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -25,8 +25,8 @@
     let number = world.rng.random_range(0..=model.adapters);
     let adapter = (0 < number).then(|| format!("a{number}").into());
     let work = Work { requests: 8, prompt: 6_000, output: 2_000 };
-    world.planner.arrivals(&model.name, adapter.as_ref(), work, world.now);
-    world.planner.missing(&model.name, adapter.as_ref(), world.now);
+    world.planner.record_arrivals(&model.name, adapter.as_ref(), work, world.now);
+    world.planner.record_waiting(&model.name, adapter.as_ref(), world.now);
 }
 
 proptest! {
@@ -90,7 +90,7 @@
             stir(&mut world, step / 100);
             world.step();
             for machine in &world.machines {
-                world.planner.server(&machine.registration(), world.now);
+                world.planner.register_server(&machine.registration(), world.now);
             }
             prop_assert!(world.record.crashed.is_empty(), "{:?}", world.record.crashed);
         }
@@ -126,6 +126,6 @@
     world.planner = Planner::new(Rules::default());
     world.planner.declare(&"lm".into(), &world.engine, world.now);
     for machine in &world.machines {
-        world.planner.server(&machine.registration(), world.now);
+        world.planner.register_server(&machine.registration(), world.now);
     }
 }
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -109,7 +109,9 @@
         }
         let mut planner = Planner::new(Rules::default());
         planner.declare(&"lm".into(), &engine, Moment::ZERO);
-        machines.iter().for_each(|machine| planner.server(&machine.registration(), Moment::ZERO));
+        machines
+            .iter()
+            .for_each(|machine| planner.register_server(&machine.registration(), Moment::ZERO));
         World {
             planner,
             engine,
@@ -132,7 +134,7 @@
         self.machines.iter_mut().for_each(|m| m.tick(&self.engine, &mut self.record, self.now));
         let (now, planner) = (self.now, &mut self.planner);
         for (_, order) in self.waiting.extract_if(.., |(at, _)| *at <= now) {
-            planner.answered(&order, Outcome::Unknown, now);
+            planner.record_outcome(&order, Outcome::Unknown, now);
         }
         if self.now.as_millis().is_multiple_of(50) {
             self.reports();
@@ -174,7 +176,7 @@
         let again = self.rng.random_bool(twice);
         let number = self.machines.iter().position(|m| m.server.id == order.server);
         let Some(number) = number else {
-            return self.planner.answered(order, Outcome::NotThere, self.now);
+            return self.planner.record_outcome(order, Outcome::NotThere, self.now);
         };
         let machine = &mut self.machines[number];
         if again {
@@ -190,7 +192,7 @@
         if roll < lost + late + silent {
             return self.waiting.push((self.now + TIMEOUT, order.clone()));
         }
-        self.planner.answered(order, outcome, self.now);
+        self.planner.record_outcome(order, outcome, self.now);
     }
 
     /// Ends a server and starts it anew, empty but for its disk.
@@ -211,14 +213,14 @@
     fn replace(&mut self, number: usize, mut fresh: Machine) {
         let old = &self.machines[number];
         fresh.server.zone = old.server.zone.clone();
-        self.planner.gone(&old.server.id, self.now);
-        self.planner.server(&fresh.registration(), self.now);
+        self.planner.remove_server(&old.server.id, self.now);
+        self.planner.register_server(&fresh.registration(), self.now);
         self.machines[number] = fresh;
     }
 
     pub fn drain(&mut self, number: usize) {
         self.machines[number].server.state = State::Draining;
-        self.planner.server(&self.machines[number].registration(), self.now);
+        self.planner.register_server(&self.machines[number].registration(), self.now);
     }
 
     /// Most loads from the weight store that began within five seconds.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -306,7 +306,7 @@
         let now = shared.now();
         match heard.notice {
             Notice::LoadRequested { model, adapter, .. } => {
-                shared.planner().missing(&model, adapter.as_ref(), now);
+                shared.planner().record_waiting(&model, adapter.as_ref(), now);
                 shared.plan_wakeup.notify_one();
             }
             Notice::Loaded { server, model, adapter, sequence } => {
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -57,8 +57,8 @@
         limited.filter_map(|(id, news)| Some((id.clone(), news.limit?.as_f64()))).collect();
     drop(dispatcher);
     let mut planner = shared.planner();
-    planner.dark(&unresponsive);
-    planner.limited(&limits);
+    planner.set_unresponsive(&unresponsive);
+    planner.set_rate_limits(&limits);
     for order in planner.plan(now) {
         tokio::spawn(give(shared.clone(), order));
     }
@@ -90,7 +90,7 @@
         None => Outcome::NotThere,
     };
     let now = shared.now();
-    shared.planner().answered(&order, outcome, now);
+    shared.planner().record_outcome(&order, outcome, now);
     shared.ordered(&order, outcome);
     shared.plan_wakeup.notify_one();
 }
@@ -133,7 +133,7 @@
     match ordered {
         Ordered::Accepted => Outcome::Accepted,
         Ordered::Holds => Outcome::AlreadyHolds,
-        Ordered::Conflict | Ordered::Fenced => Outcome::Moved,
+        Ordered::Conflict | Ordered::Fenced => Outcome::Conflict,
         Ordered::NotThere | Ordered::Invalid => Outcome::NotThere,
         Ordered::Unknown => Outcome::Unknown,
     }
--- a/crates/relay/src/wishes.rs
+++ b/crates/relay/src/wishes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use observe::story::{Belief, Word};
-use policy::place::{Obstacle, Order, Telling};
+use policy::place::{Obstacle, Order, ReportLimiter};
 use types::prelude::*;
 
 use crate::{host::Shared, planning};
@@ -11,20 +11,20 @@
 /// Wishes of the plans of this host.
 #[derive(Debug, Default)]
 pub(crate) struct Wishes {
-    telling: Telling,
+    limiter: ReportLimiter,
     is_counted: bool,
 }
 
 impl Wishes {
     /// Tells and counts what the last plan wanted in vain.
     pub(crate) fn tell(&mut self, shared: &Shared, now: Moment) {
-        let wishes = shared.planner().wishes().to_vec();
+        let wishes = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
             let waiting = wishes.iter().filter(|wish| wish.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.word(), waiting);
         }
         self.is_counted = true;
-        for (wish, lasted) in self.telling.take(&wishes, now) {
+        for (wish, lasted) in self.limiter.due(&wishes, now) {
             shared.teller.belief(Belief::Wish {
                 model: wish.model,
                 adapter: wish.adapter,
@@ -40,7 +40,7 @@
         if !std::mem::take(&mut self.is_counted) {
             return;
         }
-        self.telling = Telling::default();
+        self.limiter = ReportLimiter::default();
         Obstacle::ALL.iter().for_each(|obstacle| shared.meters.wishes(obstacle.word(), 0));
     }
 }
