--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -15,7 +15,7 @@
 //! new fence, so orders in hand from before are told apart and are to be dropped.
 //!
 //! What callers owe: the time is read from a clock that counts suspension and never jumps, right
-//! before each call; [`Term::may_order`] is asked right before an order's bytes go out, with
+//! before each call; [`OrderLease::may_order`] is asked right before an order's bytes go out, with
 //! nothing awaited in between; an order is given up, with its connection reset, once it has been
 //! under way for [`Settings::flight`]; the incarnation is unique for all time; nobody deletes the
 //! lease; a host's process has ended before its next one starts.
@@ -36,7 +36,7 @@
 
 /// What one run of a host knows about the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Term {
+pub struct OrderLease {
     host: host::Id,
     incarnation: host::Incarnation,
     settings: Settings,
@@ -84,10 +84,10 @@
     at: Moment,
 }
 
-impl Term {
+impl OrderLease {
     /// What a run of a host knows at its start.
-    pub fn new(host: host::Id, incarnation: host::Incarnation, settings: Settings) -> Term {
-        Term {
+    pub fn new(host: host::Id, incarnation: host::Incarnation, settings: Settings) -> OrderLease {
+        OrderLease {
             host,
             incarnation,
             settings,
--- a/crates/policy/tests/term.rs
+++ b/crates/policy/tests/term.rs
@@ -1,6 +1,6 @@
 //! Terms: who may send orders, and when.
 
-use policy::term::{self, Claim, Contender, Lease, Outcome, Settings, Step, Term};
+use policy::term::{self, Claim, Contender, Lease, OrderLease, Outcome, Settings, Step};
 use rstest::rstest;
 use types::prelude::*;
 
@@ -19,8 +19,8 @@
     Duration::from_millis(millis)
 }
 
-fn term(host: &str, incarnation: u64) -> Term {
-    Term::new(host.into(), incarnation, SETTINGS)
+fn term(host: &str, incarnation: u64) -> OrderLease {
+    OrderLease::new(host.into(), incarnation, SETTINGS)
 }
 
 fn lease(holder: &str, incarnation: u64, claim: Claim) -> Lease {
@@ -39,7 +39,7 @@
 }
 
 /// A holder since 1 s, by the write of revision 7.
-fn holder() -> Term {
+fn holder() -> OrderLease {
     let mut term = term("host", 1);
     assert_eq!(term.step(at(990)), Step::Read);
     term.observe(at(1000), None);
@@ -260,7 +260,7 @@
 }
 
 /// When a host takes the lease of one that froze at 0.3 s, with a renewal that it had told nobody.
-fn takes_over(mut term: Term) -> Moment {
+fn takes_over(mut term: OrderLease) -> Moment {
     let renewed = Lease { nonce: 2, ..other() };
     term.told(at(0), (7, other()));
     let times = (300..20_000).step_by(50).map(at);
@@ -277,13 +277,13 @@
 
 #[test]
 fn renewal_that_nobody_told_is_read_long_before_the_one_told_runs_out() {
-    let term = Term::new("host".into(), 1, Settings::default());
+    let term = OrderLease::new("host".into(), 1, Settings::default());
     assert!(takes_over(term) <= at(6000));
 }
 
 #[test]
 fn many_hosts_do_not_read_the_lease_each_second() {
-    let mut term = Term::new("host".into(), 1, Settings::default());
+    let mut term = OrderLease::new("host".into(), 1, Settings::default());
     term.hosts(350, Contender::First);
     term.told(at(0), (7, other()));
     assert!((300..4500).step_by(50).all(|now| term.step(at(now)) == Step::Idle));
@@ -292,7 +292,7 @@
 /// Where hosts are many, most leave a lease that nobody renews to a few, and take it in the end.
 #[test]
 fn a_standby_takes_over_when_no_other_has() {
-    let mut term = Term::new("host".into(), 1, Settings::default());
+    let mut term = OrderLease::new("host".into(), 1, Settings::default());
     term.hosts(350, Contender::Standby);
     term.told(at(0), (7, other()));
     assert!((300..10_000).step_by(50).all(|now| term.step(at(now)) == Step::Idle));
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -18,7 +18,7 @@
 use policy::{
     dispatch::{self, Change as News, Dispatcher, Terms, Ticket, Verdict},
     place::{self, Planner},
-    term::{self, Term},
+    term::{self, OrderLease},
 };
 use settings::process::{Process, Routed};
 use tokio::sync::{Notify, oneshot};
@@ -72,7 +72,7 @@
     dispatcher: Mutex<Dispatcher>,
     waiting: Mutex<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     tickets: AtomicU64,
-    term: Mutex<Term>,
+    term: Mutex<OrderLease>,
     /// When servers were last asked for reports.
     pub(crate) reports: Mutex<HashMap<backend::Id, Moment>>,
     /// Demand reports sent and received.
@@ -101,7 +101,7 @@
         let delay = CONTEND * (settings.host.id.bytes().map(u32::from).sum::<u32>() % CONTENDERS);
         let times = term::Settings { turn: routed.turn, delay, ..term::Settings::default() };
         let incarnation = rand::random();
-        let term = Term::new(settings.host.id.clone(), incarnation, times);
+        let term = OrderLease::new(settings.host.id.clone(), incarnation, times);
         let dispatcher = Dispatcher::new(dispatch::Settings {
             host: settings.host.id.clone(),
             run: incarnation,
@@ -284,7 +284,7 @@
     }
 
     /// The lease on orders.
-    pub(crate) fn term(&self) -> MutexGuard<'_, Term> {
+    pub(crate) fn term(&self) -> MutexGuard<'_, OrderLease> {
         self.term.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use policy::term::{Claim, Contender, Lease, Outcome, Settings, Step as Ask, Stored, Term};
+use policy::term::{Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Ask, Stored};
 use types::{order::Fence, prelude::*};
 
 use crate::explore::System;
@@ -71,7 +71,7 @@
 
     fn host(&self, number: usize, incarnation: host::Incarnation) -> Host {
         let named = if self.lacks == Lacks::Incarnation { 1 } else { incarnation };
-        let term = Term::new(name(number), named, self.settings());
+        let term = OrderLease::new(name(number), named, self.settings());
         Host { incarnation, term, hand: None, told: None, suspended: 0, fences: BTreeSet::new() }
     }
 
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, fmt};
 
-use policy::term::{Lease, Outcome, Revision, Stored, Term};
+use policy::term::{Lease, OrderLease, Outcome, Revision, Stored};
 use types::{host, order::Fence};
 
 /// A point in time.
@@ -22,7 +22,7 @@
 }
 
 impl State {
-    pub(super) fn call(&mut self, host: usize, body: Body, before: Option<Term>) {
+    pub(super) fn call(&mut self, host: usize, body: Body, before: Option<OrderLease>) {
         let incarnation = self.hosts[host].incarnation;
         self.calls.push(Call { host, incarnation, body, awaited: true, before });
     }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Host {
     pub(super) incarnation: host::Incarnation,
-    pub(super) term: Term,
+    pub(super) term: OrderLease,
     /// Fence under which an order was prepared.
     pub(super) hand: Option<Fence>,
     /// Revision that its watch told last.
@@ -54,7 +54,7 @@
     pub(super) body: Body,
     pub(super) awaited: bool,
     /// The host's term before the call, where the answer's time counts.
-    pub(super) before: Option<Term>,
+    pub(super) before: Option<OrderLease>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
