--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -155,7 +155,7 @@
 
     /// Takes in the lease as another host knows it; that says nothing of this host's own path to
     /// the store.
-    pub fn told(&mut self, now: Moment, (revision, lease): Stored) {
+    pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): Stored) {
         self.learn(now, revision, lease);
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Takes in what came of the write that was asked for last.
-    pub fn wrote(&mut self, now: Moment, outcome: Outcome) {
+    pub fn write_finished(&mut self, now: Moment, outcome: Outcome) {
         let Some(lease) = self.awaited.take() else { return };
         match outcome {
             Outcome::Done(revision) => {
@@ -198,7 +198,7 @@
     }
 
     /// Takes how many hosts tell each other of the lease.
-    pub fn hosts(&mut self, hosts: usize, contender: Contender) {
+    pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
         self.settings.set_hosts(hosts, contender);
     }
 
--- a/crates/policy/src/term/lease.rs
+++ b/crates/policy/src/term/lease.rs
@@ -43,9 +43,9 @@
     Idle,
     /// Read the lease, and pass it to `observe`.
     Read,
-    /// Write it if there is none, and pass the outcome to `wrote`.
+    /// Write it if there is none, and pass the outcome to `write_finished`.
     Create(Lease),
-    /// Write it if it still has this revision, and pass the outcome to `wrote`.
+    /// Write it if it still has this revision, and pass the outcome to `write_finished`.
     Replace(Revision, Lease),
 }
 
--- a/crates/policy/tests/term.rs
+++ b/crates/policy/tests/term.rs
@@ -44,7 +44,7 @@
     assert_eq!(term.step(at(990)), Step::Read);
     term.observe(at(1000), None);
     assert!(matches!(term.step(at(1000)), Step::Create(_)));
-    term.wrote(at(1050), Outcome::Done(7));
+    term.write_finished(at(1050), Outcome::Done(7));
     term
 }
 
@@ -66,7 +66,7 @@
     let mut term = holder();
     assert_eq!(term.step(at(1499)), Step::Idle);
     assert!(matches!(term.step(at(1500)), Step::Replace(7, _)));
-    term.wrote(at(1600), Outcome::Done(9));
+    term.write_finished(at(1600), Outcome::Done(9));
     assert_eq!(term.may_order(at(2700)), Some(7));
     assert_eq!(term.may_order(at(2701)), None);
 }
@@ -80,7 +80,7 @@
     term.observe(at(9010), Some((7, read)));
     assert!(matches!(term.step(at(9010)), Step::Replace(7, _)));
     assert_eq!(term.may_order(at(9020)), None);
-    term.wrote(at(9030), Outcome::Done(20));
+    term.write_finished(at(9030), Outcome::Done(20));
     assert_eq!(term.may_order(at(9030)), Some(20));
 }
 
@@ -95,10 +95,10 @@
 fn renewal_without_an_answer_adds_nothing_until_it_is_read_back() {
     let mut term = holder();
     let lost = written(term.step(at(1500)));
-    term.wrote(at(2000), Outcome::Unclear);
+    term.write_finished(at(2000), Outcome::Unclear);
     assert_eq!(term.may_order(at(2300)), None);
     assert!(matches!(term.step(at(2300)), Step::Replace(7, _)));
-    term.wrote(at(2400), Outcome::Conflict(Some((8, lost))));
+    term.write_finished(at(2400), Outcome::Conflict(Some((8, lost))));
     assert_eq!(term.may_order(at(2700)), Some(7));
     assert_eq!(term.may_order(at(2701)), None, "counts from 1.5 s, when the lost one was sent");
 }
@@ -110,7 +110,7 @@
     term.observe(at(5400), Some((7, other())));
     assert_eq!(term.step(at(5499)), Step::Idle);
     assert!(matches!(term.step(at(5500)), Step::Replace(7, _)));
-    term.wrote(at(5510), Outcome::Done(30));
+    term.write_finished(at(5510), Outcome::Done(30));
     assert_eq!(term.may_order(at(5510)), Some(30));
 }
 
@@ -152,7 +152,7 @@
     for now in (1500..9000).step_by(10) {
         if let Step::Replace(..) = term.step(at(now)) {
             assert!(now <= 2500, "no write after its term");
-            term.wrote(at(now), outcome.clone());
+            term.write_finished(at(now), outcome.clone());
         }
         assert_eq!(term.may_order(at(now)).is_some(), now <= 2200);
     }
@@ -177,7 +177,7 @@
     term.observe(at(4500), Some((7, other())));
     written(term.step(at(4500)));
     let late = lease("host", 1, Claim::Held(SETTINGS.term));
-    term.wrote(at(4600), Outcome::Conflict(Some((8, late))));
+    term.write_finished(at(4600), Outcome::Conflict(Some((8, late))));
     assert_eq!(term.may_order(at(4600)), None);
     assert_eq!(term.step(at(4899)), Step::Idle);
     assert!(matches!(term.step(at(4901)), Step::Replace(8, _)));
@@ -189,11 +189,11 @@
     term.observe(at(0), Some((7, other())));
     term.observe(at(4500), Some((7, other())));
     let late = written(term.step(at(4500)));
-    term.wrote(at(4900), Outcome::Unclear);
+    term.write_finished(at(4900), Outcome::Unclear);
     term.observe(at(7000), Some((8, late)));
     assert_eq!(term.may_order(at(7000)), None);
     assert!(matches!(term.step(at(7000)), Step::Replace(8, _)));
-    term.wrote(at(7050), Outcome::Done(9));
+    term.write_finished(at(7050), Outcome::Done(9));
     assert_eq!(term.may_order(at(7050)), Some(9));
 }
 
@@ -209,7 +209,7 @@
     assert_eq!(term.may_order(at(stop)), None);
     assert_eq!(written(term.step(at(stop))).claim, Claim::Released(at(rest)));
     assert!(!term.is_released());
-    term.wrote(at(stop + 50), Outcome::Done(9));
+    term.write_finished(at(stop + 50), Outcome::Done(9));
     assert!(term.is_released());
     assert_eq!(term.step(at(stop + 9000)), Step::Idle);
 }
@@ -219,9 +219,9 @@
     let mut term = holder();
     term.stop();
     let lost = written(term.step(at(1300)));
-    term.wrote(at(1800), Outcome::Unclear);
+    term.write_finished(at(1800), Outcome::Unclear);
     assert!(matches!(term.step(at(1800)), Step::Replace(7, _)));
-    term.wrote(at(1850), Outcome::Conflict(Some((8, lost))));
+    term.write_finished(at(1850), Outcome::Conflict(Some((8, lost))));
     assert!(term.is_released());
 }
 
@@ -229,7 +229,7 @@
 fn lease_that_was_deleted_is_written_after_a_term_and_a_turn() {
     let mut term = holder();
     term.step(at(1500));
-    term.wrote(at(1600), Outcome::Absent);
+    term.write_finished(at(1600), Outcome::Absent);
     assert_eq!(term.may_order(at(2200)), Some(7), "its term goes on");
     term.observe(at(6099), None);
     assert_eq!(term.step(at(6099)), Step::Idle);
@@ -240,9 +240,9 @@
 fn conflict_without_the_lease_is_followed_by_a_read() {
     let mut term = holder();
     let mine = written(term.step(at(1500)));
-    term.wrote(at(1550), Outcome::Unclear);
+    term.write_finished(at(1550), Outcome::Unclear);
     term.step(at(1750));
-    term.wrote(at(1800), Outcome::Conflict(None));
+    term.write_finished(at(1800), Outcome::Conflict(None));
     assert_eq!(term.step(at(1800)), Step::Read);
     term.observe(at(1810), Some((8, mine)));
     assert_eq!(term.may_order(at(2700)), Some(7));
@@ -251,8 +251,8 @@
 #[test]
 fn lease_told_by_a_peer_begins_the_wait_but_is_no_answer_of_the_store() {
     let mut term = term("host", 1);
-    term.told(at(1000), (7, other()));
-    term.told(at(5000), (7, other()));
+    term.observe_from_peer(at(1000), (7, other()));
+    term.observe_from_peer(at(5000), (7, other()));
     assert_eq!(term.step(at(5400)), Step::Idle);
     assert_eq!(term.step(at(5500)), Step::Read);
     term.observe(at(5510), Some((7, other())));
@@ -262,7 +262,7 @@
 /// When a host takes the lease of one that froze at 0.3 s, with a renewal that it had told nobody.
 fn takes_over(mut term: OrderLease) -> Moment {
     let renewed = Lease { nonce: 2, ..other() };
-    term.told(at(0), (7, other()));
+    term.observe_from_peer(at(0), (7, other()));
     let times = (300..20_000).step_by(50).map(at);
     for now in times {
         match term.step(now) {
@@ -284,8 +284,8 @@
 #[test]
 fn many_hosts_do_not_read_the_lease_each_second() {
     let mut term = OrderLease::new("host".into(), 1, Settings::default());
-    term.hosts(350, Contender::First);
-    term.told(at(0), (7, other()));
+    term.set_hosts(350, Contender::First);
+    term.observe_from_peer(at(0), (7, other()));
     assert!((300..4500).step_by(50).all(|now| term.step(at(now)) == Step::Idle));
 }
 
@@ -293,8 +293,8 @@
 #[test]
 fn a_standby_takes_over_when_no_other_has() {
     let mut term = OrderLease::new("host".into(), 1, Settings::default());
-    term.hosts(350, Contender::Standby);
-    term.told(at(0), (7, other()));
+    term.set_hosts(350, Contender::Standby);
+    term.observe_from_peer(at(0), (7, other()));
     assert!((300..10_000).step_by(50).all(|now| term.step(at(now)) == Step::Idle));
     let taken = (10_000..20_000).step_by(50).map(at).find(|now| match term.step(*now) {
         Step::Read => {
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -92,7 +92,7 @@
         Told::Refused => Outcome::Refused,
         Told::Page(_) | Told::Seen(_) | Told::Compacted | Told::Unclear => Outcome::Unclear,
     };
-    shared.term().wrote(shared.now(), outcome);
+    shared.term().write_finished(shared.now(), outcome);
 }
 
 fn stored(object: &Object) -> Option<Stored> {
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -203,9 +203,9 @@
     let mut term = shared.term();
     let live = picture.hosts.iter().filter(|seen| seen.standing == Standing::Live);
     let others = live.map(|seen| &seen.member.id);
-    term.hosts(picture.live, term::contender(&shared.host.id, others));
+    term.set_hosts(picture.live, term::contender(&shared.host.id, others));
     if let Some(stored) = &picture.term {
-        term.told(now, stored.clone());
+        term.observe_from_peer(now, stored.clone());
     }
     drop(term);
     let mut dispatcher = shared.dispatcher();
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -173,7 +173,7 @@
                     *term = before.unwrap_or(term.clone());
                     term.step(now);
                 }
-                term.wrote(now, outcome);
+                term.write_finished(now, outcome);
                 (Step::Answer(host), next)
             }
             Body::Read(read) => {
@@ -205,7 +205,7 @@
             (Lacks::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
             _ => Outcome::Unclear,
         };
-        next.hosts[host].term.wrote(now, outcome);
+        next.hosts[host].term.write_finished(now, outcome);
         Some((Step::GiveUp(host), next))
     }
 
