--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -40,17 +40,17 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Mark {
+pub struct ReportPosition {
     /// Run of the server's process.
     pub incarnation: backend::Incarnation,
     /// Number of the report within the run.
     pub sequence: u64,
 }
 
-impl Mark {
+impl ReportPosition {
     /// Place of this report.
-    pub fn of(load: &report::Load) -> Mark {
-        Mark { incarnation: load.incarnation, sequence: load.sequence }
+    pub fn of(load: &report::Load) -> ReportPosition {
+        ReportPosition { incarnation: load.incarnation, sequence: load.sequence }
     }
 }
 
@@ -63,7 +63,7 @@
     pub cause: Arc<str>,
     /// Set once nothing of it is in flight any more: reports from here on show its effect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quiet: Option<Mark>,
+    pub quiet: Option<ReportPosition>,
 }
 
 /// Promise of one server's accelerator memory, as kept in the object API.
@@ -78,7 +78,7 @@
     /// Highest fencing number given out.
     pub fence: order::Fence,
     /// The report that `seen` and `residents` come from.
-    pub mark: Mark,
+    pub mark: ReportPosition,
     /// Highest fencing number that the engine had seen.
     pub seen: order::Fence,
     /// What was in memory.
@@ -146,7 +146,7 @@
             capacity: load.capacity,
             fenced: load.fenced,
             fence: load.fence,
-            mark: Mark::of(load),
+            mark: ReportPosition::of(load),
             seen: load.fence,
             residents: load.residents.clone(),
             orders: Vec::new(),
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -9,7 +9,7 @@
 
 use types::{host::List, prelude::*};
 
-use super::{Ledger, Mark, sender::Reading, settle::Evidence};
+use super::{Ledger, ReportPosition, sender::Reading, settle::Evidence};
 
 /// Times that absence is judged by.
 #[derive(Clone, Copy, Debug)]
@@ -97,7 +97,7 @@
             .map(|order| Evidence::Gone {
                 sender: order.sender.clone(),
                 incarnation: order.incarnation,
-                after: Mark::of(&reading.load),
+                after: ReportPosition::of(&reading.load),
             })
             .collect()
     }
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use types::prelude::*;
 
-use super::{Entry, Ledger, Mark};
+use super::{Entry, Ledger, ReportPosition};
 
 /// One unsettled order, as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -41,7 +41,7 @@
     /// A report at least as new as the one that its sender named.
     Report {
         /// That report.
-        after: Mark,
+        after: ReportPosition,
     },
 }
 
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -13,7 +13,7 @@
 
 use types::{order::Ack, prelude::*};
 
-use super::{Claim, Entry, Ledger, Mark, settle::Evidence};
+use super::{Claim, Entry, Ledger, ReportPosition, settle::Evidence};
 
 /// A load report with the time that it was asked for.
 #[derive(Clone, Debug)]
@@ -142,7 +142,10 @@
             Some(State::Never) | None => Some(Evidence::Never { order: id.clone() }),
             Some(State::Quiet { since }) => {
                 let reading = reading.filter(|reading| reading.is_after(*since))?;
-                Some(Evidence::Quiet { order: id.clone(), after: Mark::of(&reading.load) })
+                Some(Evidence::Quiet {
+                    order: id.clone(),
+                    after: ReportPosition::of(&reading.load),
+                })
             }
         }
     }
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -15,7 +15,7 @@
 
 use types::prelude::*;
 
-use super::{Entry, Ledger, Mark};
+use super::{Entry, Ledger, ReportPosition};
 
 /// Something known about a server's orders.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
         /// The order.
         order: order::Id,
         /// The first report that is known to have been taken afterwards.
-        after: Mark,
+        after: ReportPosition,
     },
     /// A host's process is gone for good, and nothing that it sent is in flight.
     Gone {
@@ -41,7 +41,7 @@
         /// Its last run that is gone.
         incarnation: host::Incarnation,
         /// The first report that is known to have been taken afterwards.
-        after: Mark,
+        after: ReportPosition,
     },
 }
 
@@ -114,7 +114,7 @@
     }
 
     fn report(&mut self, load: &report::Load) {
-        let mark = Mark::of(load);
+        let mark = ReportPosition::of(load);
         if mark < self.ledger.mark || load.server != self.ledger.server {
             return;
         }
@@ -128,7 +128,7 @@
         self.drop_quiet();
     }
 
-    fn quieten(&mut self, after: Mark, applies: impl Fn(&Entry) -> bool) {
+    fn quieten(&mut self, after: ReportPosition, applies: impl Fn(&Entry) -> bool) {
         let entries = self.ledger.orders.iter_mut();
         entries
             .filter(|entry| entry.quiet.is_none() && applies(entry))
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger's decisions, case by case: what frees memory and what does not.
 
 use policy::ledger::{
-    Claim, Ledger, MOST_ORDERS, Mark, Short,
+    Claim, Ledger, MOST_ORDERS, ReportPosition, Short,
     held::Wait,
     replica::may_break,
     settle::{Evidence, How},
@@ -103,7 +103,7 @@
     assert_eq!(ledger.split().in_doubt, 80);
     assert!(ledger.reserve(claim("o3"), load("b", 30)).is_err());
 
-    let after = Mark { incarnation: 1, sequence: 3 };
+    let after = ReportPosition { incarnation: 1, sequence: 3 };
     let word = Evidence::Quiet { order: "late".into(), after };
     let ledger = ledger.settle(&[word]).ledger;
     assert_eq!(ledger.split().in_doubt, 80, "no report since the word has been seen");
@@ -185,7 +185,7 @@
     assert_eq!((held[0].memory, held[0].waits), (40, Wait::Arrival));
     assert!(held[0].settled_by.iter().any(|way| way.contains("host-1 (run 7) says")));
 
-    let after = Mark { incarnation: 1, sequence: 9 };
+    let after = ReportPosition { incarnation: 1, sequence: 9 };
     let ledger = ledger.settle(&[Evidence::Quiet { order: "o1".into(), after }]).ledger;
     assert_eq!(ledger.why_held()[0].waits, Wait::Report { after });
 }
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -1,7 +1,7 @@
 //! What a sender may say of its orders, and who counts as gone.
 
 use policy::ledger::{
-    Ledger, Mark,
+    Ledger, ReportPosition,
     absence::{Absence, Times},
     sender::{Reading, Sender},
     settle::Evidence,
@@ -77,7 +77,7 @@
     sender.answered(at(20), &id, &Ack::Accepted);
     assert!(sender.words(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
     let words = sender.words(&ledger, Some(&reading(25, 4)));
-    let after = Mark { incarnation: 1, sequence: 5 };
+    let after = ReportPosition { incarnation: 1, sequence: 5 };
     assert!(matches!(&words[..], [Evidence::Quiet { after: named, .. }] if *named == after));
 }
 
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/moves.rs
@@ -1,6 +1,6 @@
 //! What may happen next, with `policy::ledger` deciding.
 
-use policy::ledger::{Ledger, Mark, settle::Evidence};
+use policy::ledger::{Ledger, ReportPosition, settle::Evidence};
 
 use super::{
     Guard, Memory, Step,
@@ -274,10 +274,10 @@
     fn evidence(&self, known: &Known) -> Ledger {
         let mut load = words::load(&known.engine, &self.bounds);
         load.fenced |= self.is_off(Guard::Unfenced);
-        let after = Mark::of(&load);
+        let after = ReportPosition::of(&load);
         let mut ledger = (*self.ledger(known.ledger)).clone();
         if self.is_off(Guard::ReportOrder) {
-            ledger.mark = Mark::default();
+            ledger.mark = ReportPosition::default();
         }
         let never = words::orders(known.never).map(|order| Evidence::Never { order });
         let quiet = words::orders(known.quiet).map(|order| Evidence::Quiet { order, after });
