--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -9,7 +9,7 @@
 
 use types::{host::List, prelude::*};
 
-use super::{Ledger, ReportPosition, sender::Reading, settle::Evidence};
+use super::{Ledger, ReportPosition, sender::TimedReport, settle::Evidence};
 
 /// Times that absence is judged by.
 #[derive(Clone, Copy, Debug)]
@@ -87,7 +87,7 @@
     }
 
     /// What this report says of orders whose senders are gone.
-    pub fn words(&self, ledger: &Ledger, reading: &Reading) -> Vec<Evidence<'static>> {
+    pub fn words(&self, ledger: &Ledger, reading: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
             .filter(|order| {
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -17,14 +17,14 @@
 
 /// A load report with the time that it was asked for.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct TimedReport {
     /// When this host asked, by its own clock.
     pub asked: Moment,
     /// What the server said.
     pub load: report::Load,
 }
 
-impl Reading {
+impl TimedReport {
     /// Whether it shows the server later than `since`.
     pub fn is_after(&self, since: Moment) -> bool {
         self.asked.checked_sub(self.load.age).is_some_and(|taken| since < taken)
@@ -108,7 +108,7 @@
 
     /// What this run can say of its orders in a ledger that was read after this was last told of
     /// a new order.
-    pub fn words(&self, ledger: &Ledger, reading: Option<&Reading>) -> Vec<Evidence<'static>> {
+    pub fn words(&self, ledger: &Ledger, reading: Option<&TimedReport>) -> Vec<Evidence<'static>> {
         let own = ledger.orders.iter().filter(|entry| self.owns(entry));
         own.filter_map(|entry| self.word(&entry.order.id, reading)).collect()
     }
@@ -136,7 +136,7 @@
         self.orders.remove(id);
     }
 
-    fn word(&self, id: &order::Id, reading: Option<&Reading>) -> Option<Evidence<'static>> {
+    fn word(&self, id: &order::Id, reading: Option<&TimedReport>) -> Option<Evidence<'static>> {
         match self.orders.get(id) {
             Some(State::Hand | State::Flight) => None,
             Some(State::Never) | None => Some(Evidence::Never { order: id.clone() }),
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -3,7 +3,7 @@
 use policy::ledger::{
     Ledger, ReportPosition,
     absence::{Absence, Times},
-    sender::{Reading, Sender},
+    sender::{Sender, TimedReport},
     settle::Evidence,
 };
 use rstest::rstest;
@@ -43,8 +43,8 @@
     }
 }
 
-fn reading(asked: u64, age: u64) -> Reading {
-    Reading { asked: at(asked), load: load(5, age) }
+fn reading(asked: u64, age: u64) -> TimedReport {
+    TimedReport { asked: at(asked), load: load(5, age) }
 }
 
 fn sender(incarnation: u64) -> Sender {
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -3,7 +3,7 @@
 use observe::{Event, event};
 use policy::ledger::{
     Ledger,
-    sender::Reading,
+    sender::TimedReport,
     settle::{Evidence, Outcome},
 };
 use types::{prelude::*, report::Load};
@@ -92,7 +92,7 @@
     }
 
     /// A report asked for now, if a word waits for one.
-    async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<Reading> {
+    async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<TimedReport> {
         let asked = self.context.now();
         let is_wanted = self.orders.sender().wants_report(asked, ledger)
             || self.absence.wants_report(asked, ledger);
@@ -102,7 +102,7 @@
         let report = self.context.control.load(server.address);
         match tokio::time::timeout(self.context.settings.planning.order, report).await {
             Ok(Ok(load)) => {
-                Some(Reading { asked, load: Load { server: server.id.clone(), ..load } })
+                Some(TimedReport { asked, load: Load { server: server.id.clone(), ..load } })
             }
             Ok(Err(error)) => {
                 log::debug!(server = &*server.id; "fresh report: {error}");
