--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -69,17 +69,17 @@
     }
 
     /// The order is about to be sent.
-    pub fn sends(&mut self, id: &order::Id) {
+    pub fn mark_sent(&mut self, id: &order::Id) {
         self.set(id, State::Flight);
     }
 
     /// The order was not sent and never will be.
-    pub fn withdraws(&mut self, id: &order::Id) {
+    pub fn mark_not_sent(&mut self, id: &order::Id) {
         self.set(id, State::Never);
     }
 
     /// The engine answered.
-    pub fn answered(&mut self, now: Moment, id: &order::Id, ack: &Ack) {
+    pub fn mark_answered(&mut self, now: Moment, id: &order::Id, ack: &Ack) {
         let state = match ack {
             Ack::Accepted => State::Quiet { since: now },
             Ack::Stale { .. } | Ack::Refused { .. } => State::Never,
@@ -88,7 +88,7 @@
     }
 
     /// The exchange ended without an answer, and its connection is closed.
-    pub fn unanswered(&mut self, now: Moment, id: &order::Id) {
+    pub fn mark_unanswered(&mut self, now: Moment, id: &order::Id) {
         self.set(id, State::Quiet { since: now + self.linger });
     }
 
@@ -108,7 +108,11 @@
 
     /// What this run can say of its orders in a ledger that was read after this was last told of
     /// a new order.
-    pub fn words(&self, ledger: &Ledger, reading: Option<&TimedReport>) -> Vec<Evidence<'static>> {
+    pub fn evidence(
+        &self,
+        ledger: &Ledger,
+        reading: Option<&TimedReport>,
+    ) -> Vec<Evidence<'static>> {
         let own = ledger.orders.iter().filter(|entry| self.owns(entry));
         own.filter_map(|entry| self.word(&entry.order.id, reading)).collect()
     }
@@ -119,7 +123,7 @@
     }
 
     /// Forgets orders that are over and stand in none of these ledgers, which are all there are.
-    pub fn keep_only<'a>(&mut self, ledgers: impl IntoIterator<Item = &'a Ledger>) {
+    pub fn retain_in<'a>(&mut self, ledgers: impl IntoIterator<Item = &'a Ledger>) {
         let ledgers: Vec<&Ledger> = ledgers.into_iter().collect();
         let stands = |id: &order::Id| {
             let mut orders = ledgers.iter().flat_map(|ledger| &ledger.orders);
@@ -132,7 +136,7 @@
     }
 
     /// Forgets an order that is settled, or that was never reserved.
-    pub fn settled(&mut self, id: &order::Id) {
+    pub fn forget(&mut self, id: &order::Id) {
         self.orders.remove(id);
     }
 
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -64,19 +64,19 @@
 fn order_in_hand_or_in_flight_gets_no_word() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    assert!(sender.words(&ledger, Some(&reading(9, 0))).is_empty());
-    sender.sends(&id);
-    assert!(sender.words(&ledger, Some(&reading(9, 0))).is_empty());
+    assert!(sender.evidence(&ledger, Some(&reading(9, 0))).is_empty());
+    sender.mark_sent(&id);
+    assert!(sender.evidence(&ledger, Some(&reading(9, 0))).is_empty());
 }
 
 #[test]
 fn accepted_order_is_quiet_by_a_report_taken_afterwards_only() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.answered(at(20), &id, &Ack::Accepted);
-    assert!(sender.words(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
-    let words = sender.words(&ledger, Some(&reading(25, 4)));
+    sender.mark_sent(&id);
+    sender.mark_answered(at(20), &id, &Ack::Accepted);
+    assert!(sender.evidence(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
+    let words = sender.evidence(&ledger, Some(&reading(25, 4)));
     let after = ReportPosition { incarnation: 1, sequence: 5 };
     assert!(matches!(&words[..], [Evidence::Quiet { after: named, .. }] if *named == after));
 }
@@ -85,12 +85,12 @@
 fn broken_exchange_is_in_doubt_until_the_linger_time_has_passed() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.unanswered(at(20), &id);
-    assert!(sender.words(&ledger, Some(&reading(139, 0))).is_empty());
+    sender.mark_sent(&id);
+    sender.mark_unanswered(at(20), &id);
+    assert!(sender.evidence(&ledger, Some(&reading(139, 0))).is_empty());
     assert!(!sender.wants_report(at(139), &ledger));
     assert!(sender.wants_report(at(141), &ledger));
-    assert_eq!(sender.words(&ledger, Some(&reading(141, 0))).len(), 1);
+    assert_eq!(sender.evidence(&ledger, Some(&reading(141, 0))).len(), 1);
 }
 
 #[rstest]
@@ -99,17 +99,17 @@
 fn refused_order_never_ran(#[case] ack: Ack) {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.answered(at(20), &id, &ack);
-    assert!(matches!(&sender.words(&ledger, None)[..], [Evidence::Never { .. }]));
+    sender.mark_sent(&id);
+    sender.mark_answered(at(20), &id, &ack);
+    assert!(matches!(&sender.evidence(&ledger, None)[..], [Evidence::Never { .. }]));
 }
 
 #[test]
 fn own_order_that_is_not_known_was_never_sent() {
     let (ledger, id) = reserved(&mut sender(1));
-    let words = sender(1).words(&ledger, None);
+    let words = sender(1).evidence(&ledger, None);
     assert!(matches!(&words[..], [Evidence::Never { order }] if *order == id));
-    assert!(sender(2).words(&ledger, None).is_empty(), "an earlier run's order is not its own");
+    assert!(sender(2).evidence(&ledger, None).is_empty(), "an earlier run's order is not its own");
 }
 
 fn list(hosts: &[&str]) -> List {
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -107,7 +107,7 @@
         let now = self.context.now();
         if self.is_list_due(now) {
             self.book.list().await?;
-            self.orders.sender().keep_only(self.book.ledgers());
+            self.orders.sender().retain_in(self.book.ledgers());
         }
         self.settle_all().await;
         self.show();
@@ -168,7 +168,7 @@
             && !self.is_kept(unit, keeper).await
         {
             log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: nobody keeps it");
-            self.orders.sender().withdraws(&order.id);
+            self.orders.sender().mark_not_sent(&order.id);
             return;
         }
         self.context.metrics.moved(cause);
@@ -219,18 +219,18 @@
             Ok(reserved) => reserved,
             Err(short) => {
                 log::info!(server = &**server; "no reservation: {short}");
-                self.orders.sender().settled(&id);
+                self.orders.sender().forget(&id);
                 return None;
             }
         };
         match self.book.reserve(version, &next, &id).await {
             Written::Stands => Some(order),
             Written::Refused => {
-                self.orders.sender().settled(&id);
+                self.orders.sender().forget(&id);
                 None
             }
             Written::Unknown => {
-                self.orders.sender().withdraws(&id);
+                self.orders.sender().mark_not_sent(&id);
                 None
             }
         }
@@ -249,7 +249,7 @@
 
     fn send(&self, order: Order, cause: &str) {
         let Some(address) = self.address(&order.server) else {
-            self.orders.sender().withdraws(&order.id);
+            self.orders.sender().mark_not_sent(&order.id);
             return;
         };
         log::info!(
--- a/crates/stage/src/duties/plan/orders.rs
+++ b/crates/stage/src/duties/plan/orders.rs
@@ -33,7 +33,7 @@
 
     /// Sends an order whose reservation stands, and goes on without waiting for the answer.
     pub(super) fn send(&self, address: SocketAddr, order: Order) {
-        self.sender().sends(&order.id);
+        self.sender().mark_sent(&order.id);
         let orders = self.clone();
         tokio::spawn(async move { orders.exchange(address, order).await });
     }
@@ -45,22 +45,22 @@
         let now = self.context.now();
         match answer {
             Ok(Ok(ack)) => {
-                self.sender().answered(now, &order.id, &ack);
+                self.sender().mark_answered(now, &order.id, &ack);
                 log::info!(order = &*order.id, server = &*order.server; "order answered: {ack:?}");
                 let kind = event::Kind::Acknowledgement { order: order.id, ack };
                 self.context.events.record(Event::new(kind).server(&order.server));
             }
             Ok(Err(error)) if error.is_unsent() => {
                 log::warn!(order = &*order.id, server = &*order.server; "order not sent: {error}");
-                self.sender().withdraws(&order.id);
+                self.sender().mark_not_sent(&order.id);
             }
             Ok(Err(error)) => {
                 log::warn!(order = &*order.id, server = &*order.server; "order in doubt: {error}");
-                self.sender().unanswered(now, &order.id);
+                self.sender().mark_unanswered(now, &order.id);
             }
             Err(_) => {
                 log::warn!(order = &*order.id, server = &*order.server; "order in doubt: timeout");
-                self.sender().unanswered(now, &order.id);
+                self.sender().mark_unanswered(now, &order.id);
             }
         }
     }
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -33,7 +33,7 @@
             return Ok(());
         }
         self.book.list().await?;
-        self.orders.sender().keep_only(self.book.ledgers());
+        self.orders.sender().retain_in(self.book.ledgers());
         self.absence.run(now, &self.context.host().id, self.context.incarnation);
         let mut is_clear = true;
         for entry in self.engines() {
@@ -61,7 +61,7 @@
         };
         let fresh = self.fresh_report(server, &ledger).await;
         let mut known: Vec<Evidence<'_>> = report.iter().map(Evidence::Report).collect();
-        known.extend(self.orders.sender().words(&ledger, fresh.as_ref()));
+        known.extend(self.orders.sender().evidence(&ledger, fresh.as_ref()));
         if let Some(fresh) = &fresh {
             known.push(Evidence::Report(&fresh.load));
             known.extend(self.absence.words(&ledger, fresh));
@@ -139,7 +139,7 @@
     fn note(&self, outcome: Outcome) {
         for settled in &outcome.settled {
             let order = &settled.entry.order;
-            self.orders.sender().settled(&order.id);
+            self.orders.sender().forget(&order.id);
             let evidence = evidence(settled.how);
             log::info!(order = &*order.id, server = &*order.server; "order settled: {evidence}");
             let kind =
