--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -22,7 +22,7 @@
 
 /// What is known of hosts that may be gone.
 #[derive(Clone, Debug)]
-pub struct Absence {
+pub struct GoneSenders {
     times: Times,
     /// Latest known run of each host, and when this was first known.
     latest: BTreeMap<host::Id, (host::Incarnation, Moment)>,
@@ -32,14 +32,19 @@
     listed: Moment,
 }
 
-impl Absence {
+impl GoneSenders {
     /// Knows of no host yet.
-    pub fn new(times: Times) -> Absence {
-        Absence { times, latest: BTreeMap::new(), unlisted: BTreeMap::new(), listed: Moment::ZERO }
+    pub fn new(times: Times) -> GoneSenders {
+        GoneSenders {
+            times,
+            latest: BTreeMap::new(),
+            unlisted: BTreeMap::new(),
+            listed: Moment::ZERO,
+        }
     }
 
     /// A run of a host is known.
-    pub fn run(&mut self, now: Moment, host: &host::Id, incarnation: host::Incarnation) {
+    pub fn observe_run(&mut self, now: Moment, host: &host::Id, incarnation: host::Incarnation) {
         let latest = self.latest.entry(host.clone()).or_insert((incarnation, now));
         if latest.0 < incarnation {
             *latest = (incarnation, now);
@@ -47,7 +52,7 @@
     }
 
     /// Takes in a list, with the time that it was asked for and the hosts that matter.
-    pub fn list<'a>(
+    pub fn observe_list<'a>(
         &mut self,
         asked: Moment,
         list: &List,
@@ -69,7 +74,7 @@
     }
 
     /// Since when nothing of this run can arrive any more, if it is gone.
-    pub fn gone(&self, host: &host::Id, incarnation: host::Incarnation) -> Option<Moment> {
+    pub fn gone_since(&self, host: &host::Id, incarnation: host::Incarnation) -> Option<Moment> {
         let replaced = self.latest.get(host).filter(|(latest, _)| incarnation < *latest);
         let replaced = replaced.map(|(_, since)| *since);
         let unlisted = self.unlisted.get(host).map(|since| *since + self.times.list_lag);
@@ -81,17 +86,17 @@
     /// Whether a report is wanted from this server, so that orders of the gone can be settled.
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         ledger.orders.iter().any(|entry| {
-            let gone = self.gone(&entry.order.sender, entry.order.incarnation);
+            let gone = self.gone_since(&entry.order.sender, entry.order.incarnation);
             entry.quiet.is_none() && gone.is_some_and(|since| since < now)
         })
     }
 
     /// What this report says of orders whose senders are gone.
-    pub fn words(&self, ledger: &Ledger, reading: &TimedReport) -> Vec<Evidence<'static>> {
+    pub fn evidence(&self, ledger: &Ledger, reading: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
             .filter(|order| {
-                let gone = self.gone(&order.sender, order.incarnation);
+                let gone = self.gone_since(&order.sender, order.incarnation);
                 gone.is_some_and(|since| reading.is_after(since))
             })
             .map(|order| Evidence::Gone {
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -2,7 +2,7 @@
 
 use policy::ledger::{
     Ledger, ReportPosition,
-    absence::{Absence, Times},
+    absence::{GoneSenders, Times},
     sender::{Sender, TimedReport},
     settle::Evidence,
 };
@@ -123,51 +123,51 @@
     List { hosts: hosts.iter().map(entry).collect(), servers: Vec::new() }
 }
 
-fn absence() -> Absence {
-    Absence::new(Times { list_lag: LAG, linger: LINGER })
+fn gone_senders() -> GoneSenders {
+    GoneSenders::new(Times { list_lag: LAG, linger: LINGER })
 }
 
 #[test]
 fn listed_sender_is_never_gone_however_silent() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
     for time in 0..100 {
-        absence.list(at(100 * time), &list(&["host-1"]), [&host]);
+        gone_senders.observe_list(at(100 * time), &list(&["host-1"]), [&host]);
     }
-    assert_eq!(absence.gone(&host, 1), None);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
 }
 
 #[test]
 fn unlisted_sender_is_gone_after_the_lists_lag_and_the_linger_time() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.list(at(100), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None, "no later list has confirmed it");
-    absence.list(at(109), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None);
-    absence.list(at(110), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), Some(at(110) + LINGER));
+    gone_senders.observe_list(at(100), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None, "no later list has confirmed it");
+    gone_senders.observe_list(at(109), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
+    gone_senders.observe_list(at(110), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), Some(at(110) + LINGER));
 }
 
 #[test]
 fn sender_that_is_listed_again_starts_its_absence_anew() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.list(at(100), &list(&[]), [&host]);
-    absence.list(at(105), &list(&["host-1"]), [&host]);
-    absence.list(at(106), &list(&[]), [&host]);
-    absence.list(at(112), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None);
+    gone_senders.observe_list(at(100), &list(&[]), [&host]);
+    gone_senders.observe_list(at(105), &list(&["host-1"]), [&host]);
+    gone_senders.observe_list(at(106), &list(&[]), [&host]);
+    gone_senders.observe_list(at(112), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
 }
 
 #[test]
 fn earlier_run_is_gone_once_a_later_one_is_known() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.run(at(50), &host, 2);
-    assert_eq!(absence.gone(&host, 1), Some(at(50) + LINGER));
-    assert_eq!(absence.gone(&host, 2), None);
+    gone_senders.observe_run(at(50), &host, 2);
+    assert_eq!(gone_senders.gone_since(&host, 1), Some(at(50) + LINGER));
+    assert_eq!(gone_senders.gone_since(&host, 2), None);
     let (ledger, _) = reserved(&mut sender(1));
-    assert!(absence.words(&ledger, &reading(170, 0)).is_empty());
-    assert_eq!(absence.words(&ledger, &reading(171, 0)).len(), 1);
+    assert!(gone_senders.evidence(&ledger, &reading(170, 0)).is_empty());
+    assert_eq!(gone_senders.evidence(&ledger, &reading(171, 0)).len(), 1);
 }
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -21,7 +21,7 @@
 use observe::{Event, event};
 use policy::{
     ledger::{
-        absence::{Absence, Times},
+        absence::{GoneSenders, Times},
         replica::may_break,
     },
     plan::{Cause, Engine, Limits, Move, Planner},
@@ -58,7 +58,7 @@
     held: Held,
     book: Book,
     orders: Orders,
-    absence: Absence,
+    gone_senders: GoneSenders,
     planner: Planner,
     work: Work,
     configured: config::Number,
@@ -80,7 +80,7 @@
             held: Held::new(context.clone()),
             book: Book::new(context.clone()),
             orders: Orders::new(context.clone()),
-            absence: Absence::new(times),
+            gone_senders: GoneSenders::new(times),
             planner: planner(&context),
             work: Work::default(),
             configured: 0,
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -34,7 +34,7 @@
         }
         self.book.list().await?;
         self.orders.sender().retain_in(self.book.ledgers());
-        self.absence.run(now, &self.context.host().id, self.context.incarnation);
+        self.gone_senders.observe_run(now, &self.context.host().id, self.context.incarnation);
         let mut is_clear = true;
         for entry in self.engines() {
             let ledger = self.book.get(&entry.server.id).map(|stored| &stored.ledger);
@@ -64,7 +64,7 @@
         known.extend(self.orders.sender().evidence(&ledger, fresh.as_ref()));
         if let Some(fresh) = &fresh {
             known.push(Evidence::Report(&fresh.load));
-            known.extend(self.absence.words(&ledger, fresh));
+            known.extend(self.gone_senders.evidence(&ledger, fresh));
         }
         let outcome = ledger.settle(&known);
         let is_news = outcome.is_news(&ledger);
@@ -95,7 +95,7 @@
     async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<TimedReport> {
         let asked = self.context.now();
         let is_wanted = self.orders.sender().wants_report(asked, ledger)
-            || self.absence.wants_report(asked, ledger);
+            || self.gone_senders.wants_report(asked, ledger);
         if !is_wanted {
             return None;
         }
@@ -116,22 +116,24 @@
     async fn look_for_the_gone(&mut self) {
         let now = self.context.now();
         let host = self.context.host().id.clone();
-        self.absence.run(now, &host, self.context.incarnation);
+        self.gone_senders.observe_run(now, &host, self.context.incarnation);
         let orders = self.book.ledgers().flat_map(|ledger| &ledger.orders);
         let senders: Vec<(host::Id, host::Incarnation)> =
             orders.map(|entry| (entry.order.sender.clone(), entry.order.incarnation)).collect();
         for (sender, incarnation) in &senders {
-            self.absence.run(now, sender, *incarnation);
+            self.gone_senders.observe_run(now, sender, *incarnation);
         }
         let list = self.context.fleet.list();
         let is_listed = |id: &host::Id| list.hosts.iter().any(|entry| entry.host.id == *id);
         let all_listed = senders.iter().all(|(sender, _)| is_listed(sender));
-        if all_listed && !self.absence.is_watching() {
+        if all_listed && !self.gone_senders.is_watching() {
             return;
         }
         // The shared picture may be as old as an outage; absence is judged by a list of its own.
         match self.context.store.hosts().await {
-            Ok(list) => self.absence.list(now, &list, senders.iter().map(|(sender, _)| sender)),
+            Ok(list) => {
+                self.gone_senders.observe_list(now, &list, senders.iter().map(|(sender, _)| sender))
+            }
             Err(error) => log::debug!("host list for absence: {error}"),
         }
     }
