--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -99,7 +99,7 @@
                 let gone = self.gone_since(&order.sender, order.incarnation);
                 gone.is_some_and(|since| reading.is_after(since))
             })
-            .map(|order| Evidence::Gone {
+            .map(|order| Evidence::SenderGone {
                 sender: order.sender.clone(),
                 incarnation: order.incarnation,
                 after: ReportPosition::of(&reading.load),
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -143,10 +143,10 @@
     fn word(&self, id: &order::Id, reading: Option<&TimedReport>) -> Option<Evidence<'static>> {
         match self.orders.get(id) {
             Some(State::Hand | State::Flight) => None,
-            Some(State::Never) | None => Some(Evidence::Never { order: id.clone() }),
+            Some(State::Never) | None => Some(Evidence::NeverTaken { order: id.clone() }),
             Some(State::Quiet { since }) => {
                 let reading = reading.filter(|reading| reading.is_after(*since))?;
-                Some(Evidence::Quiet {
+                Some(Evidence::NotInFlight {
                     order: id.clone(),
                     after: ReportPosition::of(&reading.load),
                 })
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -23,19 +23,19 @@
     /// A load report.
     Report(&'a report::Load),
     /// The engine did not take the order and never will.
-    Never {
+    NeverTaken {
         /// The order.
         order: order::Id,
     },
     /// Nothing of the order is in flight, by its sender's word.
-    Quiet {
+    NotInFlight {
         /// The order.
         order: order::Id,
         /// The first report that is known to have been taken afterwards.
         after: ReportPosition,
     },
     /// A host's process is gone for good, and nothing that it sent is in flight.
-    Gone {
+    SenderGone {
         /// The host.
         sender: host::Id,
         /// Its last run that is gone.
@@ -51,9 +51,9 @@
     /// The engine reported that it took it.
     Taken,
     /// The engine never took it.
-    Never,
+    NeverTaken,
     /// Nothing of it is in flight; the reports show what came of it.
-    Quiet,
+    NotInFlight,
 }
 
 /// An order that was settled.
@@ -81,13 +81,13 @@
         for piece in evidence {
             match piece {
                 Evidence::Report(load) => outcome.report(load),
-                Evidence::Never { order } => {
-                    outcome.drop_where(How::Never, |entry| entry.order.id == *order);
+                Evidence::NeverTaken { order } => {
+                    outcome.drop_where(How::NeverTaken, |entry| entry.order.id == *order);
                 }
-                Evidence::Quiet { order, after } => {
+                Evidence::NotInFlight { order, after } => {
                     outcome.quieten(*after, |entry| entry.order.id == *order);
                 }
-                Evidence::Gone { sender, incarnation, after } => {
+                Evidence::SenderGone { sender, incarnation, after } => {
                     outcome.quieten(*after, |entry| {
                         entry.order.sender == *sender && entry.order.incarnation <= *incarnation
                     });
@@ -139,7 +139,7 @@
     /// Drops the orders whose effect the last report shows.
     fn drop_quiet(&mut self) {
         let mark = self.ledger.mark;
-        self.drop_where(How::Quiet, |entry| entry.quiet.is_some_and(|after| after <= mark));
+        self.drop_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
     }
 
     fn drop_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -104,7 +104,7 @@
     assert!(ledger.reserve(claim("o3"), load("b", 30)).is_err());
 
     let after = ReportPosition { incarnation: 1, sequence: 3 };
-    let word = Evidence::Quiet { order: "late".into(), after };
+    let word = Evidence::NotInFlight { order: "late".into(), after };
     let ledger = ledger.settle(&[word]).ledger;
     assert_eq!(ledger.split().in_doubt, 80, "no report since the word has been seen");
     let ledger = ledger.settle(&[Evidence::Report(&report(3, &[]))]).ledger;
@@ -150,8 +150,8 @@
 fn order_that_was_never_taken_frees_at_once() {
     let ledger = Ledger::new(&report(1, &[]));
     let (ledger, order) = reserved(&ledger, "o1", load("a", 80));
-    let outcome = ledger.settle(&[Evidence::Never { order: order.id }]);
-    assert_eq!(outcome.settled[0].how, How::Never);
+    let outcome = ledger.settle(&[Evidence::NeverTaken { order: order.id }]);
+    assert_eq!(outcome.settled[0].how, How::NeverTaken);
     assert_eq!(outcome.ledger.split().free, 100);
 }
 
@@ -161,7 +161,7 @@
     let (ledger, _) = reserved(&ledger, "old", load("a", 10));
     let newer = Claim { incarnation: 8, ..claim("new") };
     let (ledger, _) = ledger.reserve(newer, load("b", 20)).expect("it fits");
-    let gone = Evidence::Gone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
+    let gone = Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
     let outcome = ledger.settle(&[gone]);
     assert_eq!(&*outcome.settled[0].entry.order.id, "old");
     assert_eq!(outcome.ledger.split().promised, 20);
@@ -186,7 +186,7 @@
     assert!(held[0].settled_by.iter().any(|way| way.contains("host-1 (run 7) says")));
 
     let after = ReportPosition { incarnation: 1, sequence: 9 };
-    let ledger = ledger.settle(&[Evidence::Quiet { order: "o1".into(), after }]).ledger;
+    let ledger = ledger.settle(&[Evidence::NotInFlight { order: "o1".into(), after }]).ledger;
     assert_eq!(ledger.why_held()[0].waits, Wait::Report { after });
 }
 
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -78,7 +78,7 @@
     assert!(sender.evidence(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
     let words = sender.evidence(&ledger, Some(&reading(25, 4)));
     let after = ReportPosition { incarnation: 1, sequence: 5 };
-    assert!(matches!(&words[..], [Evidence::Quiet { after: named, .. }] if *named == after));
+    assert!(matches!(&words[..], [Evidence::NotInFlight { after: named, .. }] if *named == after));
 }
 
 #[test]
@@ -101,14 +101,14 @@
     let (ledger, id) = reserved(&mut sender);
     sender.mark_sent(&id);
     sender.mark_answered(at(20), &id, &ack);
-    assert!(matches!(&sender.evidence(&ledger, None)[..], [Evidence::Never { .. }]));
+    assert!(matches!(&sender.evidence(&ledger, None)[..], [Evidence::NeverTaken { .. }]));
 }
 
 #[test]
 fn own_order_that_is_not_known_was_never_sent() {
     let (ledger, id) = reserved(&mut sender(1));
     let words = sender(1).evidence(&ledger, None);
-    assert!(matches!(&words[..], [Evidence::Never { order }] if *order == id));
+    assert!(matches!(&words[..], [Evidence::NeverTaken { order }] if *order == id));
     assert!(sender(2).evidence(&ledger, None).is_empty(), "an earlier run's order is not its own");
 }
 
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/moves.rs
@@ -279,9 +279,9 @@
         if self.is_off(Guard::ReportOrder) {
             ledger.mark = ReportPosition::default();
         }
-        let never = words::orders(known.never).map(|order| Evidence::Never { order });
-        let quiet = words::orders(known.quiet).map(|order| Evidence::Quiet { order, after });
-        let gone = (0..PLANNERS).map(|planner| Evidence::Gone {
+        let never = words::orders(known.never).map(|order| Evidence::NeverTaken { order });
+        let quiet = words::orders(known.quiet).map(|order| Evidence::NotInFlight { order, after });
+        let gone = (0..PLANNERS).map(|planner| Evidence::SenderGone {
             sender: words::host(planner),
             incarnation: known.gone[planner].into(),
             after,
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -167,7 +167,7 @@
 
     fn withdraw(&self, planner: usize) -> (Step, State) {
         let (step, mut next) = self.step(planner, What::Withdraw, Doing::Idle);
-        let never = Evidence::Never { order: self.order(planner) };
+        let never = Evidence::NeverTaken { order: self.order(planner) };
         next.ledgers[planner] = self.ledgers[planner].settle(&[never]).ledger;
         next.planners[planner].tries += 1;
         (step, next)
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -156,7 +156,7 @@
 pub fn evidence(how: How) -> &'static str {
     match how {
         How::Taken => "taken",
-        How::Never => "never-taken",
-        How::Quiet => "nothing-in-flight",
+        How::NeverTaken => "never-taken",
+        How::NotInFlight => "nothing-in-flight",
     }
 }
