--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -101,7 +101,7 @@
 impl Outcome {
     /// Whether a planner would decide otherwise by the ledger than by the one `before`, so that
     /// writing it is worth a call. Reports come many times a second and mostly say the same.
-    pub fn is_news(&self, before: &Ledger) -> bool {
+    pub fn affects_planning(&self, before: &Ledger) -> bool {
         let superseded = |ledger: &Ledger| -> Vec<bool> {
             ledger.orders.iter().map(|entry| ledger.is_superseded(entry)).collect()
         };
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/moves.rs
@@ -289,7 +289,7 @@
         let report = std::iter::once(Evidence::Report(&load));
         let evidence: Vec<Evidence<'_>> = report.chain(never).chain(quiet).chain(gone).collect();
         let outcome = ledger.settle(&evidence);
-        let mut settled = if outcome.is_news(&ledger) { outcome.ledger } else { ledger };
+        let mut settled = if outcome.affects_planning(&ledger) { outcome.ledger } else { ledger };
         if self.is_off(Guard::AbsenceIsNoEvidence) {
             settled.orders.retain(|entry| match &entry.order.action {
                 types::order::Action::Load { unit, .. } => {
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -67,8 +67,8 @@
             known.extend(self.gone_senders.evidence(&ledger, fresh));
         }
         let outcome = ledger.settle(&known);
-        let is_news = outcome.is_news(&ledger);
-        if !is_news {
+        let affects_planning = outcome.affects_planning(&ledger);
+        if !affects_planning {
             self.book.learn(version, outcome.ledger);
             return;
         }
