--- a/crates/policy/src/ledger/picture.rs
+++ b/crates/policy/src/ledger/picture.rs
@@ -13,7 +13,7 @@
 impl Ledger {
     /// What takes memory: a load that is ordered counts as loading, an unload that is ordered as
     /// unloading.
-    pub fn picture(&self) -> Vec<Resident> {
+    pub fn expected_residents(&self) -> Vec<Resident> {
         let mut residents = self.residents.clone();
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         for entry in open {
--- a/crates/policy/src/ledger/replica.rs
+++ b/crates/policy/src/ledger/replica.rs
@@ -36,7 +36,7 @@
 
 /// Whether an unload that stands in its own ledger may be sent: another ledger, read after that
 /// write, keeps the unit.
-pub fn may_break<'a>(unit: &Unit, others: impl IntoIterator<Item = &'a Ledger>) -> bool {
+pub fn may_unload<'a>(unit: &Unit, others: impl IntoIterator<Item = &'a Ledger>) -> bool {
     others.into_iter().any(|ledger| ledger.keeps(unit))
 }
 
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -3,7 +3,7 @@
 use policy::ledger::{
     Claim, Ledger, MOST_ORDERS, ReportPosition, Short,
     held::Wait,
-    replica::may_break,
+    replica::may_unload,
     settle::{Evidence, How},
 };
 use rstest::rstest;
@@ -194,9 +194,9 @@
 fn two_unloads_at_once_do_not_count_on_each_other() {
     let here = Ledger::new(&report(1, &[("a", 30)]));
     let there = here.clone();
-    assert!(may_break(&unit("a"), [&there]));
+    assert!(may_unload(&unit("a"), [&there]));
     let (there, _) = reserved(&there, "o1", unload("a"));
-    assert!(!may_break(&unit("a"), [&there]));
+    assert!(!may_unload(&unit("a"), [&there]));
 }
 
 #[test]
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use policy::ledger::{Claim, Ledger, replica::may_break, settle::Evidence};
+use policy::ledger::{Claim, Ledger, replica::may_unload, settle::Evidence};
 use types::{
     order::{Action, Role},
     prelude::*,
@@ -127,7 +127,7 @@
     fn planner(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
         let now = state.planners[planner];
         let other = &state.ledgers[1 - planner];
-        let is_kept = may_break(&unit(), [other]);
+        let is_kept = may_unload(&unit(), [other]);
         match (now.doing, self.check) {
             (Doing::Idle, _) if now.tries == TRIES || !state.ready[planner] => Vec::new(),
             (Doing::Idle, Check::BeforeWrite) if is_kept => {
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -22,7 +22,7 @@
 use policy::{
     ledger::{
         absence::{GoneSenders, Times},
-        replica::may_break,
+        replica::may_unload,
     },
     plan::{Cause, Engine, Limits, Move, Planner},
 };
@@ -239,7 +239,7 @@
     /// Whether the keeper's ledger, read now, keeps the unit.
     async fn is_kept(&mut self, unit: &Unit, keeper: &backend::Id) -> bool {
         match self.book.read(keeper).await {
-            Ok(stored) => may_break(unit, stored.map(|stored| &stored.ledger)),
+            Ok(stored) => may_unload(unit, stored.map(|stored| &stored.ledger)),
             Err(error) => {
                 log::warn!(server = &**keeper; "ledger of the keeper: {error}");
                 false
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -56,7 +56,7 @@
             zone: server.zone.clone(),
             state,
             free: ledger.split().free,
-            residents: ledger.picture(),
+            residents: ledger.expected_residents(),
         })
     }
 }
