--- a/crates/policy/examples/config_size.rs
+++ b/crates/policy/examples/config_size.rs
@@ -153,9 +153,9 @@
     day.bytes_written.push(root_bytes + new as u64);
 
     let start = Instant::now();
-    let mut progress = holder.hear(draft.root.clone());
+    let mut progress = holder.observe_root(draft.root.clone());
     for part in draft.parts {
-        progress = holder.supply(part.name, part.bytes.into());
+        progress = holder.add_part(part.name, part.bytes.into());
     }
     day.hold_micros.push(micros(start.elapsed()));
     assert!(matches!(progress, Ok(Progress::InForce(_))), "{progress:?}");
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -58,7 +58,7 @@
     }
 
     /// The highest number heard of.
-    pub fn heard(&self) -> Number {
+    pub fn newest_number(&self) -> Number {
         self.pending.as_ref().map_or(self.number(), |root| root.number)
     }
 
@@ -72,10 +72,10 @@
     /// # Errors
     ///
     /// All its parts were there and don't make a configuration.
-    pub fn hear(&mut self, root: Root) -> Result<Progress, part::Fault> {
+    pub fn observe_root(&mut self, root: Root) -> Result<Progress, part::Fault> {
         let is_known = match (&self.pending, &self.in_force) {
             (None, None) => false,
-            _ => root.number <= self.heard(),
+            _ => root.number <= self.newest_number(),
         };
         if is_known {
             return Ok(Progress::Known);
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Its content isn't what its name says; the holder is as before and still needs it.
-    pub fn supply(&mut self, name: part::Name, bytes: Bytes) -> Result<Progress, part::Fault> {
+    pub fn add_part(&mut self, name: part::Name, bytes: Bytes) -> Result<Progress, part::Fault> {
         let is_needed = self.needs().contains(&name);
         if !is_needed {
             return Ok(Progress::Known);
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -58,7 +58,7 @@
 /// The configuration that a root and parts make.
 fn made(root: &Root, parts: &BTreeMap<part::Name, Vec<u8>>) -> Config {
     let mut holder = Holder::default();
-    holder.hear(root.clone()).unwrap();
+    holder.observe_root(root.clone()).unwrap();
     supply_all(&mut holder, parts);
     holder.in_force().unwrap().config.clone()
 }
@@ -243,7 +243,7 @@
     let mut number = None;
     for name in holder.needs() {
         let bytes = parts[&name].as_slice().into();
-        if let Progress::InForce(numbered) = holder.supply(name, bytes).unwrap() {
+        if let Progress::InForce(numbered) = holder.add_part(name, bytes).unwrap() {
             number = Some(numbered.number);
         }
     }
@@ -272,7 +272,7 @@
     let mut holder = Holder::default();
     let mut highest = 0;
     for heard in [2, 0, 1, 2, 4, 3, 0, 4] {
-        holder.hear(history[heard].root.clone()).unwrap();
+        holder.observe_root(history[heard].root.clone()).unwrap();
         supply_all(&mut holder, &parts);
         highest = highest.max(heard as Number + 1);
         assert_eq!(holder.number(), highest);
@@ -284,15 +284,15 @@
 fn a_newer_number_overtakes_one_whose_parts_are_missing() {
     let (history, parts) = history();
     let mut holder = Holder::default();
-    holder.hear(history[0].root.clone()).unwrap();
-    assert_eq!((holder.number(), holder.heard()), (0, 1));
-    holder.hear(history[3].root.clone()).unwrap();
+    holder.observe_root(history[0].root.clone()).unwrap();
+    assert_eq!((holder.number(), holder.newest_number()), (0, 1));
+    holder.observe_root(history[3].root.clone()).unwrap();
     // The part of number 1 comes late.
     let named = |root: &Root| root.parts().to_vec();
     let newest = named(&history[3].root);
     let late = named(&history[0].root).into_iter().find(|name| !newest.contains(name)).unwrap();
     let bytes = parts[&late].as_slice().into();
-    assert_eq!(holder.supply(late, bytes).unwrap(), Progress::Known);
+    assert_eq!(holder.add_part(late, bytes).unwrap(), Progress::Known);
     assert_eq!(holder.number(), 0);
     assert_eq!(supply_all(&mut holder, &parts), Some(4));
 }
@@ -301,12 +301,12 @@
 fn a_part_that_is_not_what_its_name_says_is_refused_and_still_needed() {
     let (history, parts) = history();
     let mut holder = Holder::default();
-    holder.hear(history[0].root.clone()).unwrap();
+    holder.observe_root(history[0].root.clone()).unwrap();
     let needs = holder.needs();
     let name = needs[0].clone();
     let mut bytes = parts[&name].clone();
     bytes[3] ^= 1;
-    assert!(holder.supply(name, bytes.into()).is_err());
+    assert!(holder.add_part(name, bytes.into()).is_err());
     assert_eq!(holder.needs(), needs);
     assert_eq!(supply_all(&mut holder, &parts), Some(1));
 }
@@ -330,7 +330,7 @@
     let text = json!(small.root).to_string();
     assert!(text.contains("\"config\":{"), "{text}");
     let mut holder = Holder::default();
-    let progress = holder.hear(serde_json::from_str(&text).unwrap()).unwrap();
+    let progress = holder.observe_root(serde_json::from_str(&text).unwrap()).unwrap();
     assert!(matches!(progress, Progress::InForce(numbered) if numbered.config == *small.config));
 
     let large = large();
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -182,7 +182,7 @@
         let mut holder = Holder::default();
         for text in &host.heard {
             // A root that holds the whole needs no parts and can't fail.
-            let _ = holder.hear(root(text));
+            let _ = holder.observe_root(root(text));
         }
         holder.number()
     }
--- a/crates/stage/src/declared.rs
+++ b/crates/stage/src/declared.rs
@@ -56,7 +56,7 @@
 impl Declared {
     /// The highest number heard of.
     pub fn heard(&self) -> Number {
-        self.holder().heard()
+        self.holder().newest_number()
     }
 
     /// The root in force without its patches, for another host that asks.
@@ -81,7 +81,7 @@
 ///
 /// A part that could not be fetched. The root is remembered: taking it again goes on from there.
 pub async fn take(context: &Context, root: Root, source: &dyn Source) -> Result<(), Error> {
-    let progress = context.declared.holder().hear(root)?;
+    let progress = context.declared.holder().observe_root(root)?;
     enforce(context, progress);
     let needs = context.declared.holder().needs();
     let mut parts = stream::iter(needs)
@@ -89,7 +89,7 @@
         .buffer_unordered(FETCHES);
     while let Some(part) = parts.next().await {
         let (name, bytes) = part?;
-        let progress = context.declared.holder().supply(name, bytes)?;
+        let progress = context.declared.holder().add_part(name, bytes)?;
         enforce(context, progress);
     }
     Ok(())
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -110,13 +110,13 @@
         return Ok(Current { root, config: Arc::new(in_force.config.clone()) });
     }
     let mut holder = Holder::default();
-    holder.hear(root.clone())?;
+    holder.observe_root(root.clone())?;
     for name in holder.needs() {
         let bytes = match context.declared.part(&name) {
             Some(bytes) => bytes,
             None => Platform(&*context.store).part(&name).await?,
         };
-        holder.supply(name, bytes)?;
+        holder.add_part(name, bytes)?;
     }
     let config = holder.in_force().map(|numbered| numbered.config.clone()).unwrap_or_default();
     Ok(Current { root, config: Arc::new(config) })
