--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -68,7 +68,7 @@
             "bytes_per_host_second": per_host.round(),
             "object_api_calls_per_second": (fleet.platform_calls - calls.0) as f64 / span,
             "list_reads_per_second": (fleet.list_calls - calls.1) as f64 / span,
-            "news_waiting": fleet.nodes.iter().map(|node| node.gossip.news_waiting()).sum::<usize>(),
+            "news_waiting": fleet.nodes.iter().map(|node| node.gossip.pending_updates()).sum::<usize>(),
             "live_to_all": fleet.is_whole(),
             "wall_s": started.elapsed().as_secs_f64(),
         })
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -177,7 +177,7 @@
     }
 
     /// Number of what is held in full; it never falls.
-    pub fn held(&self, topic: Topic) -> u64 {
+    pub fn version(&self, topic: Topic) -> u64 {
         self.held.get(&topic).copied().unwrap_or_default()
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Pieces of news that wait for a place in a heartbeat.
-    pub fn news_waiting(&self) -> usize {
+    pub fn pending_updates(&self) -> usize {
         self.queue.len()
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn list(&mut self, now: Moment, list: &host::List) -> Vec<Action> {
+    pub fn apply_list(&mut self, now: Moment, list: &host::List) -> Vec<Action> {
         let joined = self.hosts.list(now, &list.hosts, &self.me.id);
         let marks = self.servers.list(now, &list.servers, &self.me.id);
         let urgent = !marks.is_empty();
@@ -207,7 +207,7 @@
     }
 
     /// Adds hosts and backend servers that a peer named.
-    pub fn adopt(&mut self, now: Moment, list: &host::List) {
+    pub fn introduce_all(&mut self, now: Moment, list: &host::List) {
         let others = list.hosts.iter().filter(|entry| entry.host.id != self.me.id);
         for entry in others {
             self.hosts.introduce(now, &entry.host);
@@ -219,7 +219,7 @@
 
     /// The picture in the form of the platform's list: hosts and backend servers that are not gone,
     /// this host among them.
-    pub fn picture(&self, now: Moment) -> host::List {
+    pub fn to_list(&self, now: Moment) -> host::List {
         let state = |standing| match standing {
             Standing::Live | Standing::Suspected => Some(Listed::Live),
             Standing::Leaving => Some(Listed::Leaving),
@@ -239,8 +239,8 @@
     }
 
     /// Notes that this host now holds this in full; lower numbers are ignored.
-    pub fn hold(&mut self, now: Moment, topic: Topic, number: u64) -> Vec<Action> {
-        if number <= self.held(topic) {
+    pub fn set_version(&mut self, now: Moment, topic: Topic, number: u64) -> Vec<Action> {
+        if number <= self.version(topic) {
             return Vec::new();
         }
         self.held.insert(topic, number);
@@ -257,7 +257,7 @@
             .hosts
             .present()
             .map(|member| (&member.host, member.held(topic)))
-            .filter(|(_, number)| self.held(topic) < *number)
+            .filter(|(_, number)| self.version(topic) < *number)
             .collect();
         if ahead.is_empty() {
             return Vec::new();
@@ -356,7 +356,7 @@
     fn fetch(&mut self, now: Moment, topic: Topic, from: Host, number: u64) -> Option<Action> {
         let pending = self.fetching.get(&topic);
         let busy = pending.is_some_and(|fetch| number <= fetch.number && now < fetch.until);
-        if busy || number <= self.held(topic) {
+        if busy || number <= self.version(topic) {
             return None;
         }
         self.fetching.insert(topic, Fetch { number, until: now + self.settings.fetch });
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -206,8 +206,8 @@
         let mut heartbeat = Heartbeat {
             from,
             stamp: 0,
-            number: self.held(Topic::Config),
-            quarantine: self.held(Topic::Quarantine),
+            number: self.version(Topic::Config),
+            quarantine: self.version(Topic::Quarantine),
             platform_ms: self.proof.map(age),
             accused: self.hosts.get(to).and_then(Member::accusation),
             introduce: false,
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -180,7 +180,7 @@
     /// Whether every running host holds the newest number.
     pub(crate) fn is_in_force(&self) -> bool {
         let running = self.nodes.iter().filter(|node| node.running && !node.paused);
-        running.into_iter().all(|node| node.gossip.held(Topic::Config) == self.number)
+        running.into_iter().all(|node| node.gossip.version(Topic::Config) == self.number)
     }
 
     /// Whether every running host takes every running host for live.
@@ -263,7 +263,7 @@
         let interval = watch::list_interval(LIST_INTERVAL, self.nodes.len());
         self.nodes[n].next_list = self.now + interval;
         self.list_calls += 1;
-        let actions = self.nodes[n].gossip.list(self.now, &self.list.clone());
+        let actions = self.nodes[n].gossip.apply_list(self.now, &self.list.clone());
         self.perform(n, actions);
     }
 
@@ -280,15 +280,15 @@
         if !self.is_up(n) {
             return false;
         }
-        let before = self.nodes[n].gossip.held(Topic::Config);
+        let before = self.nodes[n].gossip.version(Topic::Config);
         self.nodes[n].gossip.platform_answered(self.now);
-        let actions = self.nodes[n].gossip.hold(self.now, Topic::Config, number);
+        let actions = self.nodes[n].gossip.set_version(self.now, Topic::Config, number);
         self.perform(n, actions);
         self.note_rise(n, before)
     }
 
     fn note_rise(&mut self, n: usize, before: Number) -> bool {
-        let after = self.nodes[n].gossip.held(Topic::Config);
+        let after = self.nodes[n].gossip.version(Topic::Config);
         assert!(before <= after, "host {n} went back from {before} to {after}");
         if before < after {
             self.nodes[n].reached = self.now;
@@ -327,7 +327,7 @@
                     if lost || !self.is_up(*target) { Probe::Silent } else { Probe::Reached };
                 Answer::Probe(*target, found)
             }
-            Call::Fetch => Answer::Fetch(self.nodes[to].gossip.held(Topic::Config)),
+            Call::Fetch => Answer::Fetch(self.nodes[to].gossip.version(Topic::Config)),
         };
         self.nodes[to].sent += (ANSWER_OVERHEAD + answer.bytes()) as u64;
         if self.is_lost(to, from) {
@@ -344,13 +344,13 @@
             return false;
         }
         self.nodes[from].received += (ANSWER_OVERHEAD + answer.bytes()) as u64;
-        let before = self.nodes[from].gossip.held(Topic::Config);
+        let before = self.nodes[from].gossip.version(Topic::Config);
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match answer {
             Answer::Beat(heartbeat) => gossip.answer(now, &heartbeat),
             Answer::Probe(target, probe) => gossip.probed(now, &host(target).id, probe),
-            Answer::Fetch(number) => gossip.hold(now, Topic::Config, number),
+            Answer::Fetch(number) => gossip.set_version(now, Topic::Config, number),
         };
         self.perform(from, actions);
         self.note_rise(from, before)
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -169,9 +169,9 @@
 fn a_lower_number_is_never_taken() {
     let now = Duration::ZERO;
     let mut gossip = Gossip::new(now, Settings::default(), 1, host(0), 1);
-    gossip.hold(now, Topic::Config, 9);
-    gossip.hold(now, Topic::Config, 4);
-    assert_eq!(gossip.held(Topic::Config), 9);
+    gossip.set_version(now, Topic::Config, 9);
+    gossip.set_version(now, Topic::Config, 4);
+    assert_eq!(gossip.version(Topic::Config), 9);
 }
 
 #[test]
@@ -193,10 +193,10 @@
     let bound = settings.message_bytes;
     let mut gossip = Gossip::new(Duration::ZERO, settings, 1, host(0), 1);
     let entry = |n| Entry { host: host(n), state: Listed::Live };
-    gossip.list(now, &List { hosts: vec![entry(1)], servers: Vec::new() });
-    gossip.list(now, &List { hosts: (1..350).map(entry).collect(), servers: Vec::new() });
+    gossip.apply_list(now, &List { hosts: vec![entry(1)], servers: Vec::new() });
+    gossip.apply_list(now, &List { hosts: (1..350).map(entry).collect(), servers: Vec::new() });
     gossip.set_in_flight((0..770).map(|n| InFlight(format!("server-{n}").into(), 9)).collect());
-    assert!(0 < gossip.news_waiting());
+    assert!(0 < gossip.pending_updates());
     for _ in 0..100 {
         for action in gossip.tick(now) {
             let Action::Send { heartbeat, .. } = action else { continue };
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -46,7 +46,7 @@
     let mut changes = context.config_changes();
     loop {
         let number = changes.borrow_and_update().number;
-        let actions = context.peers.gossip().hold(context.now(), Topic::Config, number);
+        let actions = context.peers.gossip().set_version(context.now(), Topic::Config, number);
         peers::perform(&context, actions);
         if changes.changed().await.is_err() {
             return;
@@ -75,7 +75,7 @@
     let actions = context.peers.gossip().answer(context.now(), &answer);
     peers::perform(context, actions);
     let known = context.peers.client().members(address).await?;
-    context.peers.gossip().adopt(context.now(), &known);
+    context.peers.gossip().introduce_all(context.now(), &known);
     apply(context);
     Ok(())
 }
@@ -83,7 +83,7 @@
 /// Lets routing go by what is known of hosts and backend servers.
 pub(super) fn apply(context: &Context) {
     let now = context.now();
-    let picture = context.peers.gossip().picture(now);
+    let picture = context.peers.gossip().to_list(now);
     if picture != *context.fleet.list() {
         context.traffic.list(&picture);
         context.fleet.set_list(picture);
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -23,7 +23,7 @@
     loop {
         let wait = match context.store.hosts().await {
             Ok(list) => {
-                let actions = context.peers.gossip().list(context.now(), &list);
+                let actions = context.peers.gossip().apply_list(context.now(), &list);
                 peers::perform(&context, actions);
                 gossip::apply(&context);
                 backoff.succeed();
--- a/crates/stage/src/peers/answers.rs
+++ b/crates/stage/src/peers/answers.rs
@@ -50,7 +50,7 @@
     async fn ping(&self) {}
 
     async fn members(&self) -> List {
-        self.0.peers.gossip().picture(self.0.now())
+        self.0.peers.gossip().to_list(self.0.now())
     }
 
     async fn fetch(&self, topic: Topic, above: u64) -> Result<Content, Failure> {
