--- a/crates/policy/src/follow.rs
+++ b/crates/policy/src/follow.rs
@@ -78,7 +78,7 @@
 /// How long a watch waits for a change, and for how long without any answer it is trusted: then it
 /// may be stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Watch {
+pub struct WatchTimes {
     /// Wait for a change, after which the store answers that there was none.
     pub wait: Duration,
     /// Time after which another is asked beside it.
@@ -91,9 +91,9 @@
 /// A watch may be stalled and nothing else show it. So scouts trust theirs only for a part of that time,
 /// and tell the others what they learn. With six hosts that takes 166 to 203 calls of the store more in half a
 /// minute, of 742 and 1,105.
-pub fn watch(up: Moment, role: Role, hosts: usize, within: Duration) -> Watch {
+pub fn watch_times(up: Moment, role: Role, hosts: usize, within: Duration) -> WatchTimes {
     let soon =
-        |wait| Watch { wait: within.mul_f64(wait), trust: within.mul_f64(wait + SCOUT_TRUST) };
+        |wait| WatchTimes { wait: within.mul_f64(wait), trust: within.mul_f64(wait + SCOUT_TRUST) };
     if up < STARTING {
         return soon(STARTING_WAIT);
     }
@@ -101,7 +101,7 @@
         Role::Scout | Role::Relay => soon(SCOUT_WAIT),
         Role::Follower => {
             let wait = for_each(WAIT_EACH, hosts).clamp(WAIT_LEAST, WAIT_MOST);
-            Watch { wait, trust: wait + TRUST }
+            WatchTimes { wait, trust: wait + TRUST }
         }
     }
 }
@@ -130,7 +130,7 @@
 ///
 /// In a deployment of many hosts most ask their relay in place of the store, where each call counts
 /// against the rate of all. What counts is how old a relay's answer is, not that datagrams arrive.
-pub fn relayed_pause(within: Duration) -> Duration {
+pub fn relay_poll_interval(within: Duration) -> Duration {
     within.mul_f64(RELAYED_PART)
 }
 
@@ -142,7 +142,7 @@
 /// Time for which a server may be used on whose entry went while the store was degraded, by a host that
 /// lets changes gather for so long: it may have gone as long ago, and both together have to end within
 /// `within`. Where they did not, a host of 82 could use it for 1.2 of that time.
-pub fn lapse(gather: Duration, within: Duration) -> Duration {
+pub fn removal_grace(gather: Duration, within: Duration) -> Duration {
     within.mul_f64(PART).min(within.mul_f64(LEFT).saturating_sub(gather))
 }
 
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -77,7 +77,7 @@
 #[case(8)]
 #[case(350)]
 fn a_scout_finds_a_stalled_watch_in_time(#[case] count: usize) {
-    let watch = follow::watch(follow::STARTING, Role::Scout, count, DRAIN);
+    let watch = follow::watch_times(follow::STARTING, Role::Scout, count, DRAIN);
     assert!(watch.wait < watch.trust, "the store has time to say that nothing changed");
     // Another is asked at the end of the trust, and its answer is told to the others.
     assert!(watch.trust < DRAIN.mul_f64(0.75), "{watch:?}");
@@ -89,7 +89,7 @@
 #[case(350)]
 fn watches_of_all_hosts_together_ask_seldom(#[case] count: usize) {
     let calls = |role| {
-        let watch = follow::watch(follow::STARTING, role, count, DRAIN);
+        let watch = follow::watch_times(follow::STARTING, role, count, DRAIN);
         assert!(watch.wait < watch.trust);
         1.0 / watch.wait.as_secs_f64()
     };
@@ -103,7 +103,7 @@
 #[test]
 fn a_host_that_knows_no_other_yet_finds_a_stalled_watch_itself() {
     for role in [Role::Scout, Role::Follower] {
-        let watch = follow::watch(Duration::ZERO, role, 1, DRAIN);
+        let watch = follow::watch_times(Duration::ZERO, role, 1, DRAIN);
         // It is held to no bound in its first seconds, and finds it as soon as it is.
         assert!(watch.wait < watch.trust && watch.trust < follow::STARTING + DRAIN, "{watch:?}");
     }
@@ -117,7 +117,7 @@
 fn a_server_whose_entry_went_is_left_alone_in_time(#[case] count: usize) {
     for role in [Role::Scout, Role::Follower] {
         let gather = settled(role, count);
-        let lapse = follow::lapse(gather, DRAIN);
+        let lapse = follow::removal_grace(gather, DRAIN);
         assert!(gather + lapse < DRAIN, "{role:?}: {gather:?} and {lapse:?}");
         assert!(Duration::ZERO < lapse, "an entry has some time to come back");
     }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -210,7 +210,7 @@
 
     /// Time for which a server is used on whose entry has just gone and may come back.
     fn lapse(&self) -> Duration {
-        follow::lapse(self.gather(), self.routed.drain)
+        follow::removal_grace(self.gather(), self.routed.drain)
     }
 
     /// Uses a server on for a time in which its entry may come back.
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -104,7 +104,7 @@
 /// enough.
 async fn follow_relay(shared: &Arc<Shared>) -> bool {
     let Some((exchange, relay)) = shared.relay() else { return false };
-    sleep(follow::relayed_pause(shared.routed.drain)).await;
+    sleep(follow::relay_poll_interval(shared.routed.drain)).await;
     let asked = shared.now();
     let Ok(Some(list)) = exchange.follow(relay.address, shared.revision()).await else {
         return false;
@@ -133,13 +133,13 @@
     }
 
     /// The times of a watch that is asked now.
-    fn watch(&self, kind: Kind) -> follow::Watch {
+    fn watch(&self, kind: Kind) -> follow::WatchTimes {
         let within = match kind {
             Kind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
         let picture = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
-        follow::watch(self.now(), self.role(&picture), picture.live, within)
+        follow::watch_times(self.now(), self.role(&picture), picture.live, within)
     }
 
     /// Time in which changes of the servers gather before this host asks for them again.
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -11,7 +11,7 @@
 
 use std::{pin::Pin, time::Duration};
 
-use policy::follow::Watch;
+use policy::follow::WatchTimes;
 use tokio::{
     select,
     sync::watch::Receiver,
@@ -53,7 +53,7 @@
     /// The first answer to a watch from this revision, or how the last one under way failed.
     ///
     /// A doubt counts as a failure of the store, in which entries of sound servers may have run out.
-    pub(super) async fn next(&mut self, since: Revision, watch: Watch) -> Told {
+    pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> Told {
         let mut oldest = self.ask(since, watch.wait);
         let mut newest: Option<Asked<'a>> = None;
         let mut trusted = Instant::now() + watch.trust;
