--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -19,7 +19,7 @@
 
 use super::{
     Epoch, Health, Settings, Standing,
-    heartbeat::{Heartbeat, InFlight, News, Topic, Word},
+    heartbeat::{Heartbeat, InFlight, Status, Topic, Update},
     hosts::{Change, Hosts},
     queue::Queue,
     servers::Servers,
@@ -27,22 +27,22 @@
 };
 
 /// Pushes of urgent news that may be made in a row.
-const PUSHES: u32 = 10;
+const PUSH_BURST: u32 = 10;
 
 /// Time in which one more push is allowed.
-const PUSH_REFILL: Duration = Duration::from_secs(1);
+const PUSH_REFILL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long after its start a host tells everyone where it is.
-const INTRODUCTION: Duration = Duration::from_secs(60);
+const INTRODUCTION_TIME: Duration = Duration::from_secs(60);
 
 /// How long a peer's in-flight digest counts.
-const DIGEST_AGE: Duration = Duration::from_secs(3);
+const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
 
 /// Paces without a tick after which the process takes itself to have been paused.
-const PAUSED_PACES: u32 = 4;
+const PAUSE_TICKS: u32 = 4;
 
 /// Beats in a row without any answer after which a host takes the fault to be its own.
-const ALONE: u32 = 6;
+const ISOLATION_BEATS: u32 = 6;
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -94,22 +94,22 @@
     started: Moment,
     hosts: Hosts,
     servers: Servers,
-    held: BTreeMap<Topic, u64>,
-    proof: Option<Moment>,
+    versions: BTreeMap<Topic, u64>,
+    platform_proof: Option<Moment>,
     queue: Queue,
     unanswered: BTreeMap<host::Id, u32>,
     probing: BTreeMap<host::Id, usize>,
-    alone: u32,
+    failed_in_a_row: u32,
     introduce_to: BTreeSet<host::Id>,
     fetching: BTreeMap<Topic, Fetch>,
-    own: Vec<InFlight>,
-    cursor: usize,
+    own_in_flight: Vec<InFlight>,
+    digest_cursor: usize,
     peers_in_flight: BTreeMap<host::Id, Digest>,
     view: pick::View,
     rank: watch::Rank,
     rank_generation: Option<u64>,
     counter: u64,
-    pushes: u32,
+    push_tokens: u32,
     refilled: Moment,
     ticked: Moment,
     superseded: bool,
@@ -144,22 +144,22 @@
             started: now,
             hosts: Hosts::new(),
             servers: Servers::new(),
-            held: BTreeMap::new(),
-            proof: None,
+            versions: BTreeMap::new(),
+            platform_proof: None,
             queue: Queue::default(),
             unanswered: BTreeMap::new(),
             probing: BTreeMap::new(),
-            alone: 0,
+            failed_in_a_row: 0,
             introduce_to: BTreeSet::new(),
             fetching: BTreeMap::new(),
-            own: Vec::new(),
-            cursor: 0,
+            own_in_flight: Vec::new(),
+            digest_cursor: 0,
             peers_in_flight: BTreeMap::new(),
             view: pick::View::default(),
             rank: watch::Rank::default(),
             rank_generation: None,
             counter: 0,
-            pushes: PUSHES,
+            push_tokens: PUSH_BURST,
             refilled: now,
             ticked: now,
             superseded: false,
@@ -178,7 +178,7 @@
 
     /// Number of what is held in full; it never falls.
     pub fn version(&self, topic: Topic) -> u64 {
-        self.held.get(&topic).copied().unwrap_or_default()
+        self.versions.get(&topic).copied().unwrap_or_default()
     }
 
     /// How new this host's word on itself is.
@@ -198,11 +198,11 @@
 
     /// Takes in the platform's list.
     pub fn apply_list(&mut self, now: Moment, list: &host::List) -> Vec<Action> {
-        let joined = self.hosts.list(now, &list.hosts, &self.me.id);
-        let marks = self.servers.list(now, &list.servers, &self.me.id);
-        let urgent = !marks.is_empty();
-        joined.into_iter().map(News::Host).for_each(|news| self.queue.push(news));
-        marks.into_iter().map(News::Server).for_each(|news| self.queue.push(news));
+        let joined = self.hosts.apply_list(now, &list.hosts, &self.me.id);
+        let observations = self.servers.apply_list(now, &list.servers, &self.me.id);
+        let urgent = !observations.is_empty();
+        joined.into_iter().map(Update::Host).for_each(|update| self.queue.push(update));
+        observations.into_iter().map(Update::Server).for_each(|update| self.queue.push(update));
         if urgent { self.push(now) } else { Vec::new() }
     }
 
@@ -243,7 +243,7 @@
         if number <= self.version(topic) {
             return Vec::new();
         }
-        self.held.insert(topic, number);
+        self.versions.insert(topic, number);
         if self.fetching.get(&topic).is_some_and(|fetch| fetch.number <= number) {
             self.fetching.remove(&topic);
         }
@@ -256,7 +256,7 @@
         let ahead: Vec<(&Host, u64)> = self
             .hosts
             .present()
-            .map(|member| (&member.host, member.held(topic)))
+            .map(|member| (&member.host, member.version(topic)))
             .filter(|(_, number)| self.version(topic) < *number)
             .collect();
         if ahead.is_empty() {
@@ -270,12 +270,12 @@
 
     /// Notes that the platform's object API answered this host.
     pub fn platform_answered(&mut self, now: Moment) {
-        self.proof = Some(now);
+        self.platform_proof = Some(now);
     }
 
     /// Age of the newest proof, seen by any host, that the platform answers.
     pub fn platform_age(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.proof.unwrap_or(self.started))
+        now.saturating_sub(self.platform_proof.unwrap_or(self.started))
     }
 
     /// Part of this host in watching the platform, as of the last tick.
@@ -294,14 +294,14 @@
     /// Notes that this host is leaving, and tells the others.
     pub fn leave(&mut self, now: Moment) -> Vec<Action> {
         self.leaving = true;
-        let word = self.word();
-        self.queue.push(News::Host(word));
+        let status = self.status();
+        self.queue.push(Update::Host(status));
         self.push(now)
     }
 
     /// Sets this host's own requests in flight.
     pub fn set_in_flight(&mut self, own: Vec<InFlight>) {
-        self.own = own;
+        self.own_in_flight = own;
     }
 
     /// Requests that the other hosts have in flight on a server, as far as they told.
@@ -309,7 +309,7 @@
         self.peers_in_flight
             .values()
             .filter_map(|digest| digest.servers.get(server))
-            .filter(|(at, _)| now < *at + DIGEST_AGE)
+            .filter(|(at, _)| now < *at + DIGEST_VALIDITY)
             .map(|(_, count)| count)
             .sum()
     }
@@ -322,29 +322,29 @@
         run: backend::Incarnation,
         leaving: bool,
     ) -> Vec<Action> {
-        let mark = self.servers.reported(now, id, run, leaving, &self.me.id);
-        self.spread(now, mark.map(News::Server))
+        let observation = self.servers.record_report(now, id, run, leaving, &self.me.id);
+        self.gossip(now, observation.map(Update::Server))
     }
 
     /// Notes that a backend server answered.
     pub fn server_answered(&mut self, now: Moment, id: &str) {
-        self.servers.answered(now, id);
+        self.servers.record_answer(now, id);
     }
 
     /// Notes that a backend server could not be reached, or cut a connection.
     pub fn server_failed(&mut self, now: Moment, id: &str) -> Vec<Action> {
-        let mark = self.servers.failed(now, id, &self.me.id);
-        self.spread(now, mark.map(News::Server))
+        let observation = self.servers.record_failure(now, id, &self.me.id);
+        self.gossip(now, observation.map(Update::Server))
     }
 
-    fn spread(&mut self, now: Moment, news: Option<News>) -> Vec<Action> {
-        let Some(news) = news else { return Vec::new() };
-        self.queue.push(news);
+    fn gossip(&mut self, now: Moment, update: Option<Update>) -> Vec<Action> {
+        let Some(update) = update else { return Vec::new() };
+        self.queue.push(update);
         self.push(now)
     }
 
-    fn word(&self) -> Word {
-        Word {
+    fn status(&self) -> Status {
+        Status {
             id: self.me.id.clone(),
             epoch: self.epoch,
             health: Health::Live,
@@ -369,7 +369,7 @@
         if entries.len() < full {
             self.servers.clear();
         }
-        self.servers.retain(|_, (at, _)| now < *at + DIGEST_AGE);
+        self.servers.retain(|_, (at, _)| now < *at + DIGEST_VALIDITY);
         let counts = entries.iter().map(|InFlight(server, count)| (server.clone(), (now, *count)));
         self.servers.extend(counts);
     }
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -8,19 +8,19 @@
 };
 
 use super::{
-    ALONE, Action, Change, Gossip, Heartbeat, INTRODUCTION, News, PAUSED_PACES, PUSH_REFILL,
-    PUSHES, Probe, Topic, Word, pick,
+    Action, Change, Gossip, Heartbeat, INTRODUCTION_TIME, ISOLATION_BEATS, PAUSE_TICKS, PUSH_BURST,
+    PUSH_REFILL_INTERVAL, Probe, Status, Topic, Update, pick,
 };
 use crate::member::{Epoch, Health, Standing, heartbeat::InFlight, hosts::Member, watch};
 
 /// Of this many beats, one tries a host that is suspected or was given up.
-const SILENT_EVERY: u64 = 4;
+const BEATS_PER_RETRY: u64 = 4;
 
 /// Room kept for the clock's stamp, which is set when a heartbeat is sent.
 const STAMP_BYTES: usize = "\"stamp\":,".len() + 20;
 
 /// Beats without an answer after which others are asked to try.
-const TRIES: u32 = 3;
+const BEATS_BEFORE_PROBE: u32 = 3;
 
 impl Gossip {
     /// Does what is due once in each pace.
@@ -29,15 +29,15 @@
             return vec![Action::Superseded];
         }
         self.note_pause(now);
-        for word in self.hosts.expire(now, &self.settings) {
-            self.tell_unless_alone(word);
+        for status in self.hosts.expire(now, &self.settings) {
+            self.gossip_unless_isolated(status);
         }
         self.servers.expire(now);
         self.renew_view(now);
         self.renew_rank();
         self.counter += 1;
         let silent =
-            self.counter.is_multiple_of(SILENT_EVERY).then(|| self.draw_silent()).flatten();
+            self.counter.is_multiple_of(BEATS_PER_RETRY).then(|| self.draw_silent()).flatten();
         let target = silent.or_else(|| self.view.next());
         let is_large = self.settings.small < self.hosts.present().count() + 1;
         let watcher = is_large.then(|| self.rank.watched_by(&self.me.id).cloned()).flatten();
@@ -81,11 +81,11 @@
         let target = member.host.clone();
         let tries = self.unanswered.entry(target.id.clone()).or_default();
         *tries += 1;
-        if *tries < TRIES {
+        if *tries < BEATS_BEFORE_PROBE {
             return self.send(now, id).into_iter().collect();
         }
         self.unanswered.remove(id);
-        self.alone = self.alone.saturating_add(1);
+        self.failed_in_a_row = self.failed_in_a_row.saturating_add(1);
         self.probe(now, &target)
     }
 
@@ -106,10 +106,10 @@
     /// Sends urgent news on to a few peers, unless that was done too often of late.
     pub(super) fn push(&mut self, now: Moment) -> Vec<Action> {
         self.refill(now);
-        if self.pushes == 0 {
+        if self.push_tokens == 0 {
             return Vec::new();
         }
-        self.pushes -= 1;
+        self.push_tokens -= 1;
         self.renew_view(now);
         self.counter += 1;
         let peers = self.view.draw(self.seed, self.counter, self.settings.fanout);
@@ -118,9 +118,9 @@
 
     fn refill(&mut self, now: Moment) {
         let passed = now.saturating_sub(self.refilled);
-        let earned = (passed.as_millis() / PUSH_REFILL.as_millis()) as u32;
-        self.pushes = self.pushes.saturating_add(earned).min(PUSHES);
-        self.refilled += PUSH_REFILL * earned;
+        let earned = (passed.as_millis() / PUSH_REFILL_INTERVAL.as_millis()) as u32;
+        self.push_tokens = self.push_tokens.saturating_add(earned).min(PUSH_BURST);
+        self.refilled += PUSH_REFILL_INTERVAL * earned;
     }
 
     fn renew_view(&mut self, now: Moment) {
@@ -139,7 +139,7 @@
     }
 
     fn note_pause(&mut self, now: Moment) {
-        if self.ticked + self.pace() * PAUSED_PACES < now {
+        if self.ticked + self.pace() * PAUSE_TICKS < now {
             self.unanswered.clear();
             self.probing.clear();
         }
@@ -185,21 +185,21 @@
     }
 
     fn suspect(&mut self, now: Moment, id: &str) {
-        if let Some(word) = self.hosts.unreachable(now, id) {
-            self.tell_unless_alone(word);
+        if let Some(status) = self.hosts.suspect(now, id) {
+            self.gossip_unless_isolated(status);
         }
     }
 
-    fn tell_unless_alone(&mut self, word: Word) {
-        if self.alone < ALONE {
-            self.queue.push(News::Host(word));
+    fn gossip_unless_isolated(&mut self, status: Status) {
+        if self.failed_in_a_row < ISOLATION_BEATS {
+            self.queue.push(Update::Host(status));
         }
     }
 
     fn heartbeat(&mut self, now: Moment, to: &str) -> Heartbeat {
-        let mut from = self.word();
+        let mut from = self.status();
         let introduced = self.introduce_to.remove(to);
-        if introduced || now < self.started + INTRODUCTION {
+        if introduced || now < self.started + INTRODUCTION_TIME {
             from.host = Some(Box::new(self.me.clone()));
         }
         let age = |proof| now.saturating_sub(proof).as_millis() as u64;
@@ -208,56 +208,66 @@
             stamp: 0,
             number: self.version(Topic::Config),
             quarantine: self.version(Topic::Quarantine),
-            platform_ms: self.proof.map(age),
+            platform_ms: self.platform_proof.map(age),
             accused: self.hosts.get(to).and_then(Member::accusation),
             introduce: false,
-            news: Vec::new(),
+            updates: Vec::new(),
             in_flight: self.own_digest(),
         };
         let used = serde_json::to_string(&heartbeat).map_or(0, |text| text.len()) + STAMP_BYTES;
         let left = self.settings.message_bytes.saturating_sub(used);
-        heartbeat.news = self.queue.take(left, self.hosts.present().count() + 1);
+        heartbeat.updates = self.queue.take(left, self.hosts.present().count() + 1);
         heartbeat
     }
 
     fn own_digest(&mut self) -> Vec<InFlight> {
-        let count = self.own.len().min(self.settings.digest);
-        let digest = self.own.iter().cycle().skip(self.cursor).take(count).cloned().collect();
-        self.cursor = (self.cursor + count).checked_rem(self.own.len()).unwrap_or_default();
+        let count = self.own_in_flight.len().min(self.settings.digest);
+        let digest = self
+            .own_in_flight
+            .iter()
+            .cycle()
+            .skip(self.digest_cursor)
+            .take(count)
+            .cloned()
+            .collect();
+        self.digest_cursor =
+            (self.digest_cursor + count).checked_rem(self.own_in_flight.len()).unwrap_or_default();
         digest
     }
 
-    fn absorb(&mut self, now: Moment, heard: &Heartbeat) -> Vec<Action> {
-        if heard.from.id == self.me.id {
-            return self.refute(&heard.from);
+    fn absorb(&mut self, now: Moment, received: &Heartbeat) -> Vec<Action> {
+        if received.from.id == self.me.id {
+            return self.refute(&received.from);
         }
-        self.alone = 0;
-        self.unanswered.remove(&heard.from.id);
-        self.probing.remove(&heard.from.id);
+        self.failed_in_a_row = 0;
+        self.unanswered.remove(&received.from.id);
+        self.probing.remove(&received.from.id);
         let mut actions = Vec::new();
         let mut urgent = false;
-        let held =
-            BTreeMap::from([(Topic::Config, heard.number), (Topic::Quarantine, heard.quarantine)]);
-        let change = self.hosts.answered(now, &heard.from, &held);
+        let versions = BTreeMap::from([
+            (Topic::Config, received.number),
+            (Topic::Quarantine, received.quarantine),
+        ]);
+        let change = self.hosts.record_answer(now, &received.from, &versions);
         urgent |= change.is_urgent();
         if change != Change::None && self.hosts.is_listed() {
-            self.queue.push(News::Host(heard.from.clone()));
+            self.queue.push(Update::Host(received.from.clone()));
         }
-        if let Some(word) = &heard.accused {
-            actions.extend(self.refute(word));
+        if let Some(status) = &received.accused {
+            actions.extend(self.refute(status));
         }
-        if let Some(age) = heard.platform_ms {
+        if let Some(age) = received.platform_ms {
             let at = now.saturating_sub(std::time::Duration::from_millis(age));
-            self.proof = self.proof.max(Some(at));
+            self.platform_proof = self.platform_proof.max(Some(at));
         }
-        for news in &heard.news {
-            urgent |= self.absorb_news(now, news, &mut actions);
+        for update in &received.updates {
+            urgent |= self.absorb_update(now, update, &mut actions);
         }
-        let digest = self.peers_in_flight.entry(heard.from.id.clone()).or_default();
-        digest.take(now, &heard.in_flight, self.settings.digest);
-        if let Some(member) = self.hosts.get(&heard.from.id) {
+        let digest = self.peers_in_flight.entry(received.from.id.clone()).or_default();
+        digest.take(now, &received.in_flight, self.settings.digest);
+        if let Some(member) = self.hosts.get(&received.from.id) {
             let from = member.host.clone();
-            let fetches = held.iter().map(|(topic, number)| (*topic, from.clone(), *number));
+            let fetches = versions.iter().map(|(topic, number)| (*topic, from.clone(), *number));
             actions.extend(
                 fetches.filter_map(|(topic, from, number)| self.fetch(now, topic, from, number)),
             );
@@ -268,23 +278,24 @@
         actions
     }
 
-    fn absorb_news(&mut self, now: Moment, news: &News, actions: &mut Vec<Action>) -> bool {
-        match news {
-            News::Host(word) if word.id == self.me.id => {
-                actions.extend(self.refute(word));
+    fn absorb_update(&mut self, now: Moment, update: &Update, actions: &mut Vec<Action>) -> bool {
+        match update {
+            Update::Host(status) if status.id == self.me.id => {
+                actions.extend(self.refute(status));
                 false
             }
-            News::Host(word) => {
-                let change = self.hosts.told(now, word, self.settings.fresh);
+            Update::Host(status) => {
+                let change = self.hosts.apply_update(now, status, self.settings.fresh);
                 if change != Change::None {
-                    self.queue.push(news.clone());
+                    self.queue.push(update.clone());
                 }
                 change.is_urgent()
             }
-            News::Server(mark) => {
-                let newly = mark.by != self.me.id && self.servers.told(now, mark);
+            Update::Server(observation) => {
+                let newly =
+                    observation.by != self.me.id && self.servers.apply_update(now, observation);
                 if newly {
-                    self.queue.push(news.clone());
+                    self.queue.push(update.clone());
                 }
                 newly
             }
@@ -292,16 +303,16 @@
     }
 
     /// Answers a word on this host itself: raises the epoch above a suspicion.
-    fn refute(&mut self, word: &Word) -> Vec<Action> {
-        if self.epoch.run < word.epoch.run {
+    fn refute(&mut self, status: &Status) -> Vec<Action> {
+        if self.epoch.run < status.epoch.run {
             self.superseded = true;
             return vec![Action::Superseded];
         }
-        let accused = word.health != Health::Live && self.epoch <= word.epoch;
+        let accused = status.health != Health::Live && self.epoch <= status.epoch;
         if accused {
-            self.epoch = Epoch { run: self.epoch.run, refuted: word.epoch.refuted + 1 };
-            let word = self.word();
-            self.queue.push(News::Host(word));
+            self.epoch = Epoch { run: self.epoch.run, refuted: status.epoch.refuted + 1 };
+            let status = self.status();
+            self.queue.push(Update::Host(status));
         }
         Vec::new()
     }
--- a/crates/policy/src/member/gossip/pick.rs
+++ b/crates/policy/src/member/gossip/pick.rs
@@ -17,8 +17,8 @@
 /// that is cut off, news must spread as fast as elsewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct View {
-    near: Vec<host::Id>,
-    far: Vec<host::Id>,
+    same_zone: Vec<host::Id>,
+    other_zones: Vec<host::Id>,
     next: usize,
     generation: Option<u64>,
     turn: u64,
@@ -45,33 +45,34 @@
             .map(|member| (rendezvous::score(&key, &member.host.id), &member.host))
             .collect();
         candidates.sort_by_key(|(score, _)| *score);
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) =
             candidates.into_iter().map(|(_, host)| host).partition(|host| host.zone == *zone);
-        let near_size =
-            near.len().min((settings.view / 2).max(settings.view.saturating_sub(far.len())));
+        let same_zone_size = same_zone
+            .len()
+            .min((settings.view / 2).max(settings.view.saturating_sub(other_zones.len())));
         let first = |hosts: Vec<&Host>, count: usize| {
             hosts.into_iter().take(count).map(|host| host.id.clone()).collect()
         };
-        self.near = first(near, near_size);
-        self.far = first(far, settings.view - near_size);
+        self.same_zone = first(same_zone, same_zone_size);
+        self.other_zones = first(other_zones, settings.view - same_zone_size);
         self.generation = Some(hosts.generation());
         self.turn = turn;
     }
 
     /// The next peer in turn.
     pub(super) fn next(&mut self) -> Option<host::Id> {
-        let place = self.next.checked_rem(self.near.len() + self.far.len())?;
+        let place = self.next.checked_rem(self.same_zone.len() + self.other_zones.len())?;
         self.next = place + 1;
-        self.near.iter().chain(&self.far).nth(place).cloned()
+        self.same_zone.iter().chain(&self.other_zones).nth(place).cloned()
     }
 
     /// Up to `count` different peers, drawn anew, half of them near.
     pub(super) fn draw(&self, seed: u64, counter: u64, count: usize) -> Vec<host::Id> {
-        let near_count = count.div_ceil(2).max(count.saturating_sub(self.far.len()));
+        let same_zone_count = count.div_ceil(2).max(count.saturating_sub(self.other_zones.len()));
         let first = counter.wrapping_mul(2 * count as u64);
-        let mut drawn = sample(&self.near, seed, first, near_count);
+        let mut drawn = sample(&self.same_zone, seed, first, same_zone_count);
         let rest = count - drawn.len();
-        drawn.extend(sample(&self.far, seed, first + count as u64, rest));
+        drawn.extend(sample(&self.other_zones, seed, first + count as u64, rest));
         drawn
     }
 }
--- a/crates/policy/src/member/heartbeat.rs
+++ b/crates/policy/src/member/heartbeat.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use types::{backend, config, host};
 
-use super::{Epoch, Health, is_zero, servers::Mark};
+use super::{Epoch, Health, is_zero, servers::Observation};
 
 /// One heartbeat, or the answer to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's word on itself.
-    pub from: Word,
+    pub from: Status,
     /// The sender's hybrid logical clock, for the order of events; set by who sends it on, and no
     /// decision goes by it.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -27,13 +27,13 @@
     pub platform_ms: Option<u64>,
     /// What the sender holds of the receiver, when it is not live.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub accused: Option<Word>,
+    pub accused: Option<Status>,
     /// Whether the receiver should say who and where it is.
     #[serde(default, skip_serializing_if = "is_false")]
     pub introduce: bool,
     /// News that spreads.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub news: Vec<News>,
+    #[serde(rename = "news", default, skip_serializing_if = "Vec::is_empty")]
+    pub updates: Vec<Update>,
     /// The sender's own requests in flight; servers that are left out have none, or did not fit.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub in_flight: Vec<InFlight>,
@@ -41,7 +41,7 @@
 
 /// A word on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Status {
     /// The host.
     pub id: host::Id,
     /// How new it is.
@@ -61,11 +61,11 @@
 /// One piece of news.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum News {
+pub enum Update {
     /// On a host.
-    Host(Word),
+    Host(Status),
     /// On a backend server.
-    Server(Mark),
+    Server(Observation),
 }
 
 /// What is told by number, and fetched by those who lack it.
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Epoch, Health, Settings, Standing,
-    heartbeat::{Topic, Word},
+    heartbeat::{Status, Topic},
 };
 
 /// A host as this one knows it.
@@ -25,12 +25,12 @@
     pub epoch: Epoch,
     /// Its health.
     pub health: Health,
-    held: BTreeMap<Topic, u64>,
+    versions: BTreeMap<Topic, u64>,
     leaving: bool,
     since: Moment,
     answered: Option<Moment>,
     listed: Option<Listed>,
-    refused: Option<Word>,
+    unrefuted: Option<Status>,
 }
 
 impl Member {
@@ -39,12 +39,12 @@
             host,
             epoch: Epoch::default(),
             health: Health::Live,
-            held: BTreeMap::new(),
+            versions: BTreeMap::new(),
             leaving: false,
             since: now,
             answered: None,
             listed: None,
-            refused: None,
+            unrefuted: None,
         }
     }
 
@@ -60,8 +60,8 @@
     }
 
     /// Number of what it said it holds in full.
-    pub fn held(&self, topic: Topic) -> u64 {
-        self.held.get(&topic).copied().unwrap_or_default()
+    pub fn version(&self, topic: Topic) -> u64 {
+        self.versions.get(&topic).copied().unwrap_or_default()
     }
 
     /// When it last answered this host, if it ever did.
@@ -70,8 +70,8 @@
     }
 
     /// What is held of it, for telling others.
-    pub fn word(&self) -> Word {
-        Word {
+    pub fn status(&self) -> Status {
+        Status {
             id: self.host.id.clone(),
             epoch: self.epoch,
             health: self.health,
@@ -81,10 +81,10 @@
     }
 
     /// The word that it has yet to refute, if there is one.
-    pub fn accusation(&self) -> Option<Word> {
-        let refuted = |word: &Word| word.epoch < self.epoch;
-        let heard = self.refused.clone().filter(|word| !refuted(word));
-        heard.or_else(|| (self.health != Health::Live).then(|| self.word()))
+    pub fn accusation(&self) -> Option<Status> {
+        let refuted = |status: &Status| status.epoch < self.epoch;
+        let unrefuted = self.unrefuted.clone().filter(|status| !refuted(status));
+        unrefuted.or_else(|| (self.health != Health::Live).then(|| self.status()))
     }
 
     fn is_fresh(&self, now: Moment, fresh: Duration) -> bool {
@@ -145,7 +145,7 @@
     /// Takes in what the platform lists; says which hosts are new since the first list.
     ///
     /// Absence removes nobody who answers, and an empty list is taken for a fault of the platform's.
-    pub fn list(&mut self, now: Moment, entries: &[host::Entry], me: &str) -> Vec<Word> {
+    pub fn apply_list(&mut self, now: Moment, entries: &[host::Entry], me: &str) -> Vec<Status> {
         if entries.is_empty() {
             return Vec::new();
         }
@@ -157,20 +157,20 @@
         entries
             .iter()
             .filter(|entry| &*entry.host.id != me)
-            .filter_map(|entry| self.list_one(now, entry, first))
+            .filter_map(|entry| self.apply_entry(now, entry, first))
             .collect()
     }
 
-    fn list_one(&mut self, now: Moment, entry: &host::Entry, first: bool) -> Option<Word> {
+    fn apply_entry(&mut self, now: Moment, entry: &host::Entry, first: bool) -> Option<Status> {
         let known = self.members.contains_key(&entry.host.id);
         let member = self.introduce(now, &entry.host);
         let before = member.standing();
         member.listed = Some(entry.state);
         let changed = member.standing() != before;
-        let mut word = member.word();
-        word.host = Some(Box::new(entry.host.clone()));
+        let mut status = member.status();
+        status.host = Some(Box::new(entry.host.clone()));
         self.generation += u64::from(changed);
-        (!known && !first).then_some(word)
+        (!known && !first).then_some(status)
     }
 
     /// Adds a host that is not known yet; a known one takes a changed address.
@@ -187,69 +187,75 @@
     }
 
     /// Takes the address that a word gives; where the platform lists the host, the list's counts.
-    fn introduce_by(&mut self, now: Moment, word: &Word) {
-        let listed = self.members.get(&word.id).is_some_and(|member| member.listed.is_some());
-        if let Some(host) = word.host.as_deref().filter(|_| !listed) {
+    fn introduce_by(&mut self, now: Moment, status: &Status) {
+        let listed = self.members.get(&status.id).is_some_and(|member| member.listed.is_some());
+        if let Some(host) = status.host.as_deref().filter(|_| !listed) {
             self.introduce(now, host);
         }
     }
 
     /// The member that a word is on, which is leaving if the word says so, and what it was before;
     /// none if the word gives no address of an unknown host, or is on an earlier run.
-    fn heard(&mut self, now: Moment, word: &Word) -> Option<(Before, &mut Member)> {
-        let unknown = !self.members.contains_key(&word.id);
-        self.introduce_by(now, word);
-        let member = self.members.get_mut(&word.id).filter(|m| m.epoch.run <= word.epoch.run)?;
+    fn resolve(&mut self, now: Moment, status: &Status) -> Option<(Before, &mut Member)> {
+        let unknown = !self.members.contains_key(&status.id);
+        self.introduce_by(now, status);
+        let member =
+            self.members.get_mut(&status.id).filter(|m| m.epoch.run <= status.epoch.run)?;
         let before = Before { unknown, run: member.epoch.run, standing: member.standing() };
-        let newer_run = before.run < word.epoch.run;
-        member.leaving = word.leaving || (member.leaving && !newer_run);
+        let newer_run = before.run < status.epoch.run;
+        member.leaving = status.leaving || (member.leaving && !newer_run);
         Some((before, member))
     }
 
     /// Takes in a host's word on itself, which it sent to this one.
-    pub fn answered(&mut self, now: Moment, word: &Word, held: &BTreeMap<Topic, u64>) -> Change {
-        let Some((before, member)) = self.heard(now, word) else { return Change::None };
-        member.epoch = member.epoch.max(word.epoch);
-        member.held.clone_from(held);
+    pub fn record_answer(
+        &mut self,
+        now: Moment,
+        status: &Status,
+        versions: &BTreeMap<Topic, u64>,
+    ) -> Change {
+        let Some((before, member)) = self.resolve(now, status) else { return Change::None };
+        member.epoch = member.epoch.max(status.epoch);
+        member.versions.clone_from(versions);
         member.answered = Some(now);
         member.set_health(now, Health::Live);
-        self.note(&word.id, &before)
+        self.note(&status.id, &before)
     }
 
     /// Takes in what another host says of a host.
-    pub fn told(&mut self, now: Moment, word: &Word, fresh: Duration) -> Change {
-        let Some((before, member)) = self.heard(now, word) else { return Change::None };
-        if (member.epoch, member.health) < (word.epoch, word.health) {
-            let newer_run = before.run < word.epoch.run;
+    pub fn apply_update(&mut self, now: Moment, status: &Status, fresh: Duration) -> Change {
+        let Some((before, member)) = self.resolve(now, status) else { return Change::None };
+        if (member.epoch, member.health) < (status.epoch, status.health) {
+            let newer_run = before.run < status.epoch.run;
             let outweighed = !newer_run && member.is_fresh(now, fresh);
-            if word.health != Health::Live && outweighed {
-                member.refused = Some(word.clone());
+            if status.health != Health::Live && outweighed {
+                member.unrefuted = Some(status.clone());
             } else {
-                member.epoch = word.epoch;
-                member.set_health(now, word.health);
+                member.epoch = status.epoch;
+                member.set_health(now, status.health);
             }
         }
-        self.note(&word.id, &before)
+        self.note(&status.id, &before)
     }
 
     /// Notes that neither this host nor any that it asked could reach a host.
-    pub fn unreachable(&mut self, now: Moment, id: &str) -> Option<Word> {
+    pub fn suspect(&mut self, now: Moment, id: &str) -> Option<Status> {
         let member = self.members.get_mut(id)?;
         if member.health != Health::Live {
             return None;
         }
         member.set_health(now, Health::Suspected);
         self.generation += 1;
-        self.members.get(id).map(Member::word)
+        self.members.get(id).map(Member::status)
     }
 
     /// Gives up hosts suspected for too long, forgets those long gone; says whom it gave up.
-    pub fn expire(&mut self, now: Moment, settings: &Settings) -> Vec<Word> {
+    pub fn expire(&mut self, now: Moment, settings: &Settings) -> Vec<Status> {
         let mut given_up = Vec::new();
         for member in self.members.values_mut() {
             if member.health == Health::Suspected && member.since + settings.suspicion <= now {
                 member.set_health(now, Health::Gone);
-                given_up.push(member.word());
+                given_up.push(member.status());
             }
         }
         let known = self.members.len();
--- a/crates/policy/src/member/queue.rs
+++ b/crates/policy/src/member/queue.rs
@@ -8,7 +8,7 @@
 
 use types::{backend, host};
 
-use super::heartbeat::News;
+use super::heartbeat::Update;
 
 /// Sends of each piece for each doubling of the fleet.
 const SENDS_PER_DOUBLING: u32 = 2;
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    news: News,
+    update: Update,
     bytes: usize,
     sent: u32,
     order: u64,
@@ -39,18 +39,18 @@
 
 impl Queue {
     /// Puts a piece in, in place of older news on the same thing.
-    pub fn push(&mut self, news: News) {
-        let bytes = serde_json::to_string(&news).map_or(0, |text| text.len()) + 1;
-        let entry = Entry { news, bytes, sent: 0, order: self.next };
+    pub fn push(&mut self, update: Update) {
+        let bytes = serde_json::to_string(&update).map_or(0, |text| text.len()) + 1;
+        let entry = Entry { update, bytes, sent: 0, order: self.next };
         self.next += 1;
-        self.entries.insert(key(&entry.news), entry);
+        self.entries.insert(key(&entry.update), entry);
         if CAPACITY < self.entries.len() {
             self.drop_most_sent();
         }
     }
 
     /// Takes pieces of at most `bytes` together, for a fleet of `hosts`.
-    pub fn take(&mut self, bytes: usize, hosts: usize) -> Vec<News> {
+    pub fn take(&mut self, bytes: usize, hosts: usize) -> Vec<Update> {
         if self.entries.is_empty() {
             return Vec::new();
         }
@@ -64,7 +64,7 @@
             }
             left -= entry.bytes;
             entry.sent += 1;
-            taken.push(entry.news.clone());
+            taken.push(entry.update.clone());
         }
         let enough = SENDS_PER_DOUBLING * (usize::BITS - hosts.leading_zeros());
         self.entries.retain(|_, entry| entry.sent < enough);
@@ -89,9 +89,11 @@
     }
 }
 
-fn key(news: &News) -> Key {
-    match news {
-        News::Host(word) => Key::Host(word.id.clone()),
-        News::Server(mark) => Key::Server(mark.server.clone(), mark.by.clone()),
+fn key(update: &Update) -> Key {
+    match update {
+        Update::Host(status) => Key::Host(status.id.clone()),
+        Update::Server(observation) => {
+            Key::Server(observation.server.clone(), observation.by.clone())
+        }
     }
 }
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -18,23 +18,23 @@
 use super::Standing;
 
 /// How long a fresh answer outweighs what others tell.
-const FRESH: Duration = Duration::from_secs(2);
+const ANSWER_VALIDITY: Duration = Duration::from_secs(2);
 
 /// How long a failure holds when nothing confirms or refutes it.
-const SUSPICION: Duration = Duration::from_secs(5);
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Silence after which an unlisted server is gone.
-const SILENCE: Duration = Duration::from_secs(30);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long the list must call a server live before a leaving mark of the list is lifted.
-const HOLD: Duration = Duration::from_secs(10);
+const LISTED_MARK_VALIDITY: Duration = Duration::from_secs(10);
 
 /// How long a leaving mark that others read off the list holds without a reading of our own.
-const MARK: Duration = Duration::from_secs(30);
+const REPORTED_MARK_VALIDITY: Duration = Duration::from_secs(30);
 
 /// What a host tells others of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Observation {
     /// The server.
     pub server: backend::Id,
     /// The run of its process, zero if not known.
@@ -67,11 +67,11 @@
     leaving: bool,
     listed: Option<Listed>,
     marked: Option<Moment>,
-    told_leaving: Option<Moment>,
+    reported_leaving: Option<Moment>,
     known: Moment,
     answered: Option<Moment>,
     failed: Option<Moment>,
-    told_silent: BTreeMap<host::Id, Moment>,
+    reported_silent: BTreeMap<host::Id, Moment>,
 }
 
 impl Member {
@@ -82,18 +82,18 @@
             leaving: false,
             listed: None,
             marked: None,
-            told_leaving: None,
+            reported_leaving: None,
             known: now,
             answered: None,
             failed: None,
-            told_silent: BTreeMap::new(),
+            reported_silent: BTreeMap::new(),
         }
     }
 
     /// What the server is taken for.
     pub fn standing(&self, now: Moment) -> Standing {
-        let heard = self.answered.unwrap_or(self.known);
-        if self.listed.is_none() && heard + SILENCE <= now {
+        let last_answer = self.answered.unwrap_or(self.known);
+        if self.listed.is_none() && last_answer + SILENCE_TIMEOUT <= now {
             return Standing::Gone;
         }
         if self.leaving || self.is_marked(now) {
@@ -104,15 +104,16 @@
 
     fn is_marked(&self, now: Moment) -> bool {
         let within = |at: Option<Moment>, span: Duration| at.is_some_and(|at| now < at + span);
-        within(self.marked, HOLD) || within(self.told_leaving, MARK)
+        within(self.marked, LISTED_MARK_VALIDITY)
+            || within(self.reported_leaving, REPORTED_MARK_VALIDITY)
     }
 
     fn is_suspected(&self, now: Moment) -> bool {
-        if self.failed.is_some_and(|at| now < at + SUSPICION) {
+        if self.failed.is_some_and(|at| now < at + SUSPICION_TIMEOUT) {
             return true;
         }
-        let fresh = self.answered.is_some_and(|at| now < at + FRESH);
-        !fresh && self.told_silent.values().any(|at| now < *at + SUSPICION)
+        let fresh = self.answered.is_some_and(|at| now < at + ANSWER_VALIDITY);
+        !fresh && self.reported_silent.values().any(|at| now < *at + SUSPICION_TIMEOUT)
     }
 }
 
@@ -146,17 +147,27 @@
     /// Takes in what the platform lists; gives the marks that others should hear.
     ///
     /// An empty list is taken for a fault of the platform's and changes nothing.
-    pub fn list(&mut self, now: Moment, entries: &[backend::Entry], me: &host::Id) -> Vec<Mark> {
+    pub fn apply_list(
+        &mut self,
+        now: Moment,
+        entries: &[backend::Entry],
+        me: &host::Id,
+    ) -> Vec<Observation> {
         if entries.is_empty() {
             return Vec::new();
         }
         for member in self.members.values_mut() {
             member.listed = None;
         }
-        entries.iter().filter_map(|entry| self.list_one(now, entry, me)).collect()
+        entries.iter().filter_map(|entry| self.apply_entry(now, entry, me)).collect()
     }
 
-    fn list_one(&mut self, now: Moment, entry: &backend::Entry, me: &host::Id) -> Option<Mark> {
+    fn apply_entry(
+        &mut self,
+        now: Moment,
+        entry: &backend::Entry,
+        me: &host::Id,
+    ) -> Option<Observation> {
         let id = entry.server.id.clone();
         let member =
             self.members.entry(id).or_insert_with(|| Member::new(entry.server.clone(), now));
@@ -165,12 +176,13 @@
         }
         member.listed = Some(entry.state);
         if entry.state == Listed::Live {
-            member.told_leaving = member.told_leaving.filter(|at| now < *at + HOLD);
+            member.reported_leaving =
+                member.reported_leaving.filter(|at| now < *at + LISTED_MARK_VALIDITY);
             return None;
         }
-        let fresh_mark = member.marked.is_none_or(|at| at + HOLD <= now);
+        let fresh_mark = member.marked.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
         member.marked = Some(now);
-        fresh_mark.then(|| mark(member, me, Seen::ListedLeaving))
+        fresh_mark.then(|| observation(member, me, Seen::ListedLeaving))
     }
 
     /// Adds a server that another host named, until the list or its own answers speak for it.
@@ -179,14 +191,14 @@
     }
 
     /// Takes in a load report of the server's own; gives a mark that others should hear.
-    pub fn reported(
+    pub fn record_report(
         &mut self,
         now: Moment,
         id: &str,
         run: backend::Incarnation,
         leaving: bool,
         me: &host::Id,
-    ) -> Option<Mark> {
+    ) -> Option<Observation> {
         let member = self.members.get_mut(id)?;
         if run < member.run {
             return None;
@@ -198,47 +210,48 @@
         let newly = leaving && !member.leaving;
         member.leaving |= leaving;
         member.answer(now);
-        newly.then(|| mark(member, me, Seen::Leaving))
+        newly.then(|| observation(member, me, Seen::Leaving))
     }
 
     /// Notes that the server answered a request.
-    pub fn answered(&mut self, now: Moment, id: &str) {
+    pub fn record_answer(&mut self, now: Moment, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.answer(now);
         }
     }
 
     /// Notes that the server could not be reached, or cut a connection; gives a mark for others.
-    pub fn failed(&mut self, now: Moment, id: &str, me: &host::Id) -> Option<Mark> {
+    pub fn record_failure(&mut self, now: Moment, id: &str, me: &host::Id) -> Option<Observation> {
         let member = self.members.get_mut(id)?;
-        let newly = member.failed.is_none_or(|at| at + SUSPICION <= now);
+        let newly = member.failed.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
         member.failed = Some(now);
-        newly.then(|| mark(member, me, Seen::Silent))
+        newly.then(|| observation(member, me, Seen::Silent))
     }
 
     /// Takes in what another host saw; says whether it was news.
-    pub fn told(&mut self, now: Moment, told: &Mark) -> bool {
-        let Some(member) = self.members.get_mut(&told.server) else { return false };
-        match told.seen {
-            Seen::Leaving if told.run < member.run => false,
+    pub fn apply_update(&mut self, now: Moment, observation: &Observation) -> bool {
+        let Some(member) = self.members.get_mut(&observation.server) else { return false };
+        match observation.seen {
+            Seen::Leaving if observation.run < member.run => false,
             Seen::Leaving => {
-                let newly = !member.leaving || member.run < told.run;
-                member.run = member.run.max(told.run);
+                let newly = !member.leaving || member.run < observation.run;
+                member.run = member.run.max(observation.run);
                 member.leaving = true;
                 newly
             }
             Seen::ListedLeaving => {
-                let newly = member.told_leaving.is_none_or(|at| at + MARK <= now);
+                let newly =
+                    member.reported_leaving.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
                 if newly {
-                    member.told_leaving = Some(now);
+                    member.reported_leaving = Some(now);
                 }
                 newly
             }
             Seen::Silent => {
-                let before = member.told_silent.get(&told.by).copied();
-                let newly = before.is_none_or(|at| at + SUSPICION <= now);
+                let before = member.reported_silent.get(&observation.by).copied();
+                let newly = before.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
                 if newly {
-                    member.told_silent.insert(told.by.clone(), now);
+                    member.reported_silent.insert(observation.by.clone(), now);
                 }
                 newly
             }
@@ -249,7 +262,7 @@
     pub fn expire(&mut self, now: Moment) {
         self.members.retain(|_, member| member.standing(now) != Standing::Gone);
         for member in self.members.values_mut() {
-            member.told_silent.retain(|_, at| now < *at + SUSPICION);
+            member.reported_silent.retain(|_, at| now < *at + SUSPICION_TIMEOUT);
         }
     }
 }
@@ -258,10 +271,10 @@
     fn answer(&mut self, now: Moment) {
         self.answered = Some(now);
         self.failed = None;
-        self.told_silent.clear();
+        self.reported_silent.clear();
     }
 }
 
-fn mark(member: &Member, me: &host::Id, seen: Seen) -> Mark {
-    Mark { server: member.server.id.clone(), run: member.run, by: me.clone(), seen }
+fn observation(member: &Member, me: &host::Id, seen: Seen) -> Observation {
+    Observation { server: member.server.id.clone(), run: member.run, by: me.clone(), seen }
 }
--- a/crates/policy/src/member/watch.rs
+++ b/crates/policy/src/member/watch.rs
@@ -21,7 +21,7 @@
 /// Age of the newest proof at which the first further host tries.
 ///
 /// More than [`TIMEOUT`] and the time that a proof takes to reach the last host.
-pub const PATIENCE: Duration = Duration::from_secs(6);
+pub const TAKEOVER_AGE: Duration = Duration::from_secs(6);
 
 /// Longest wait of one watch; its end proves that the platform answers.
 pub const TIMEOUT: Duration = Duration::from_millis(2500);
@@ -49,7 +49,7 @@
 }
 
 /// Reads of the platform's list that a whole fleet makes in a second.
-const LIST_READS: u32 = 20;
+const LIST_READS_PER_SECOND: u32 = 20;
 
 /// Who watches, and who is ready to take over.
 #[derive(Clone, Debug, Default)]
@@ -85,7 +85,7 @@
             None => Role::Watcher,
             Some(beyond) => {
                 let doublings = u32::try_from(beyond).unwrap_or(u32::MAX).min(u32::BITS - 1);
-                Role::Standby { after: PATIENCE.saturating_mul(1 << doublings) }
+                Role::Standby { after: TAKEOVER_AGE.saturating_mul(1 << doublings) }
             }
         }
     }
@@ -103,5 +103,5 @@
 /// one, so that the reads of all hosts together stay within a rate. Peers tell of changes sooner.
 pub fn list_interval(least: Duration, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-    least.max(Duration::from_secs(1) * hosts / LIST_READS)
+    least.max(Duration::from_secs(1) * hosts / LIST_READS_PER_SECOND)
 }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -264,10 +264,10 @@
     gossip.receive(now, &peer.hello(now));
     let mut teller = Gossip::new(Duration::ZERO, Settings::default(), 3, host(2), 1);
     let mut lie = teller.hello(now);
-    let mut word = peer.hello(now).from;
-    word.health = Health::Gone;
-    word.epoch.run = 4;
-    lie.news = vec![policy::member::heartbeat::News::Host(word)];
+    let mut status = peer.hello(now).from;
+    status.health = Health::Gone;
+    status.epoch.run = 4;
+    lie.updates = vec![policy::member::heartbeat::Update::Host(status)];
     let later = now + Duration::from_secs(30);
     gossip.receive(later, &lie);
     let standing = gossip.hosts().get(&host(1).id).map(|member| member.standing());
--- a/crates/policy/tests/member_servers.rs
+++ b/crates/policy/tests/member_servers.rs
@@ -4,7 +4,7 @@
 
 use policy::member::{
     Standing,
-    servers::{Mark, Seen, Servers},
+    servers::{Observation, Seen, Servers},
 };
 use rstest::rstest;
 use types::{
@@ -36,39 +36,39 @@
 
 fn known() -> Servers {
     let mut servers = Servers::new();
-    servers.list(at(0), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(0), &[entry(SERVER, Listed::Live)], &me());
     servers
 }
 
-fn told(run: u64, by: &str, seen: Seen) -> Mark {
-    Mark { server: SERVER.into(), run, by: by.into(), seen }
+fn observation(run: u64, by: &str, seen: Seen) -> Observation {
+    Observation { server: SERVER.into(), run, by: by.into(), seen }
 }
 
 #[test]
 fn a_server_that_says_it_leaves_gets_nothing_though_the_list_calls_it_live() {
     let mut servers = known();
-    let mark = servers.reported(at(1), SERVER, 3, true, &me());
-    assert_eq!(mark.map(|mark| mark.seen), Some(Seen::Leaving));
-    servers.list(at(2), &[entry(SERVER, Listed::Live)], &me());
-    servers.reported(at(3), SERVER, 3, false, &me());
+    let observation = servers.record_report(at(1), SERVER, 3, true, &me());
+    assert_eq!(observation.map(|observation| observation.seen), Some(Seen::Leaving));
+    servers.apply_list(at(2), &[entry(SERVER, Listed::Live)], &me());
+    servers.record_report(at(3), SERVER, 3, false, &me());
     assert_eq!(servers.standing(at(60), SERVER), Standing::Leaving);
 }
 
 #[test]
 fn a_new_run_of_a_server_is_not_leaving() {
     let mut servers = known();
-    servers.reported(at(1), SERVER, 3, true, &me());
-    servers.reported(at(2), SERVER, 4, false, &me());
+    servers.record_report(at(1), SERVER, 3, true, &me());
+    servers.record_report(at(2), SERVER, 4, false, &me());
     assert_eq!(servers.standing(at(2), SERVER), Standing::Live);
-    servers.told(at(3), &told(3, "stage-1", Seen::Leaving));
+    servers.apply_update(at(3), &observation(3, "stage-1", Seen::Leaving));
     assert_eq!(servers.standing(at(3), SERVER), Standing::Live, "an old run's word counted");
 }
 
 #[test]
 fn a_report_of_an_older_run_changes_nothing() {
     let mut servers = known();
-    servers.reported(at(1), SERVER, 4, false, &me());
-    assert_eq!(servers.reported(at(2), SERVER, 3, true, &me()), None);
+    servers.record_report(at(1), SERVER, 4, false, &me());
+    assert_eq!(servers.record_report(at(2), SERVER, 3, true, &me()), None);
     assert_eq!(servers.standing(at(2), SERVER), Standing::Live);
 }
 
@@ -77,11 +77,11 @@
     let mut servers = known();
     for second in 1..20 {
         let state = if second % 2 == 0 { Listed::Live } else { Listed::Leaving };
-        servers.list(at(second), &[entry(SERVER, state)], &me());
+        servers.apply_list(at(second), &[entry(SERVER, state)], &me());
         assert_eq!(servers.standing(at(second), SERVER), Standing::Leaving);
     }
     for second in 20..35 {
-        servers.list(at(second), &[entry(SERVER, Listed::Live)], &me());
+        servers.apply_list(at(second), &[entry(SERVER, Listed::Live)], &me());
     }
     assert_eq!(servers.standing(at(35), SERVER), Standing::Live);
 }
@@ -92,8 +92,8 @@
 fn a_server_that_answers_stays_though_the_list_forgets_it(#[case] list: Vec<Entry>) {
     let mut servers = known();
     for second in 1..120 {
-        servers.list(at(second), &list, &me());
-        servers.reported(at(second), SERVER, 1, false, &me());
+        servers.apply_list(at(second), &list, &me());
+        servers.record_report(at(second), SERVER, 1, false, &me());
         servers.expire(at(second));
         assert_eq!(servers.standing(at(second), SERVER), Standing::Live);
     }
@@ -102,28 +102,28 @@
 #[test]
 fn a_server_that_is_unlisted_and_silent_goes() {
     let mut servers = known();
-    servers.list(at(1), &[entry("lm-2", Listed::Live)], &me());
+    servers.apply_list(at(1), &[entry("lm-2", Listed::Live)], &me());
     servers.expire(at(60));
     assert_eq!(servers.standing(at(60), SERVER), Standing::Gone);
-    servers.list(at(61), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(61), &[entry(SERVER, Listed::Live)], &me());
     assert_eq!(servers.standing(at(61), SERVER), Standing::Live, "it was dropped for good");
 }
 
 #[test]
 fn a_failure_suspects_a_server_until_it_answers() {
     let mut servers = known();
-    assert!(servers.failed(at(1), SERVER, &me()).is_some());
-    assert!(servers.failed(at(2), SERVER, &me()).is_none(), "told twice in a row");
+    assert!(servers.record_failure(at(1), SERVER, &me()).is_some());
+    assert!(servers.record_failure(at(2), SERVER, &me()).is_none(), "told twice in a row");
     assert_eq!(servers.standing(at(2), SERVER), Standing::Suspected);
-    servers.answered(at(3), SERVER);
+    servers.record_answer(at(3), SERVER);
     assert_eq!(servers.standing(at(3), SERVER), Standing::Live);
 }
 
 #[test]
 fn what_others_could_not_reach_stays_in_use_where_it_answers() {
     let mut servers = known();
-    servers.answered(at(10), SERVER);
-    servers.told(at(10), &told(0, "stage-1", Seen::Silent));
+    servers.record_answer(at(10), SERVER);
+    servers.apply_update(at(10), &observation(0, "stage-1", Seen::Silent));
     assert_eq!(servers.standing(at(11), SERVER), Standing::Live);
     assert_eq!(servers.standing(at(13), SERVER), Standing::Suspected, "no answer since");
     assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "the word has expired");
@@ -132,8 +132,11 @@
 #[test]
 fn a_mark_of_the_list_that_a_peer_read_holds_until_ours_should_show_it() {
     let mut servers = known();
-    assert!(servers.told(at(1), &told(0, "stage-1", Seen::ListedLeaving)));
-    assert!(!servers.told(at(2), &told(0, "stage-1", Seen::ListedLeaving)), "told on twice");
+    assert!(servers.apply_update(at(1), &observation(0, "stage-1", Seen::ListedLeaving)));
+    assert!(
+        !servers.apply_update(at(2), &observation(0, "stage-1", Seen::ListedLeaving)),
+        "told on twice"
+    );
     assert_eq!(servers.standing(at(20), SERVER), Standing::Leaving);
     assert_eq!(servers.standing(at(40), SERVER), Standing::Live);
 }
@@ -141,9 +144,9 @@
 #[test]
 fn a_mark_that_a_peer_read_gives_way_to_our_own_list_once_it_has_settled() {
     let mut servers = known();
-    servers.told(at(1), &told(0, "stage-1", Seen::ListedLeaving));
-    servers.list(at(5), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_update(at(1), &observation(0, "stage-1", Seen::ListedLeaving));
+    servers.apply_list(at(5), &[entry(SERVER, Listed::Live)], &me());
     assert_eq!(servers.standing(at(5), SERVER), Standing::Leaving, "our list may lag");
-    servers.list(at(12), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(12), &[entry(SERVER, Listed::Live)], &me());
     assert_eq!(servers.standing(at(12), SERVER), Standing::Live);
 }
