--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -102,7 +102,7 @@
 
 /// What stands in the way of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Short {
+pub enum Rejection {
     /// Too little memory is free.
     #[error("{server}: {needed} MiB are needed and {free} are free, {in_doubt} are held in doubt")]
     Memory {
@@ -127,7 +127,7 @@
 
 /// Memory of one server by what is known of it; all in MiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Split {
+pub struct Usage {
     /// All of it.
     pub capacity: Mebibytes,
     /// Taken by residents or reserved.
@@ -165,11 +165,15 @@
     ///
     /// # Errors
     /// What is short; the ledger stays as it is.
-    pub fn reserve(&self, claim: Claim, action: order::Action) -> Result<(Ledger, Order), Short> {
+    pub fn reserve(
+        &self,
+        claim: Claim,
+        action: order::Action,
+    ) -> Result<(Ledger, Order), Rejection> {
         if MOST_ORDERS <= self.orders.len() {
-            return Err(Short::Orders { server: self.server.clone(), open: self.orders.len() });
+            return Err(Rejection::Orders { server: self.server.clone(), open: self.orders.len() });
         }
-        let before = self.split();
+        let before = self.usage();
         let order = Order {
             id: claim.id,
             server: self.server.clone(),
@@ -184,18 +188,18 @@
 
         let takes_memory = matches!(order.action, order::Action::Load { .. });
         if takes_memory && !next.fits() {
-            let needed = next.split().promised.saturating_sub(before.promised);
-            let Split { free, in_doubt, .. } = before;
-            return Err(Short::Memory { server: self.server.clone(), needed, free, in_doubt });
+            let needed = next.usage().promised.saturating_sub(before.promised);
+            let Usage { free, in_doubt, .. } = before;
+            return Err(Rejection::Memory { server: self.server.clone(), needed, free, in_doubt });
         }
         Ok((next, order))
     }
 
     /// Memory by what is known of it.
-    pub fn split(&self) -> Split {
+    pub fn usage(&self) -> Usage {
         let running = self.running();
         let promised = running.max(self.restarted());
-        Split {
+        Usage {
             capacity: self.capacity,
             promised,
             in_doubt: running.saturating_sub(total(&self.resident_memory())),
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger's decisions, case by case: what frees memory and what does not.
 
 use policy::ledger::{
-    Claim, Ledger, MOST_ORDERS, ReportPosition, Short,
+    Claim, Ledger, MOST_ORDERS, Rejection, ReportPosition,
     held::Wait,
     replica::may_unload,
     settle::{Evidence, How},
@@ -65,9 +65,10 @@
 fn reservation_that_does_not_fit_says_what_is_short() {
     let ledger = Ledger::new(&report(1, &[("a", 60)]));
     let (ledger, _) = reserved(&ledger, "o1", load("b", 30));
-    let short = ledger.reserve(claim("o2"), load("c", 30)).expect_err("10 are free");
-    let expected = Short::Memory { server: "engine-1".into(), needed: 30, free: 10, in_doubt: 30 };
-    assert_eq!(short, expected);
+    let rejection = ledger.reserve(claim("o2"), load("c", 30)).expect_err("10 are free");
+    let expected =
+        Rejection::Memory { server: "engine-1".into(), needed: 30, free: 10, in_doubt: 30 };
+    assert_eq!(rejection, expected);
 }
 
 #[test]
@@ -75,22 +76,22 @@
     let ledger = Ledger::new(&report(1, &[]));
     let (ledger, _) = reserved(&ledger, "o1", load("a", 80));
     let (ledger, _) = reserved(&ledger, "o2", load("a", 80));
-    assert_eq!(ledger.split().promised, 80);
+    assert_eq!(ledger.usage().promised, 80);
 }
 
 #[test]
 fn unload_frees_only_when_a_report_shows_it() {
     let ledger = Ledger::new(&report(1, &[("a", 80)]));
     let (ledger, _) = reserved(&ledger, "o1", unload("a"));
-    assert_eq!(ledger.split().free, 20);
+    assert_eq!(ledger.usage().free, 20);
 
     let leaving = Load { orders: vec!["o1".into()], ..report(2, &[("a", 80)]) };
     let ledger = ledger.settle(&[Evidence::Report(&leaving)]).ledger;
     assert!(ledger.orders.is_empty());
-    assert_eq!(ledger.split().free, 20, "the engine is still unloading");
+    assert_eq!(ledger.usage().free, 20, "the engine is still unloading");
 
     let ledger = ledger.settle(&[Evidence::Report(&report(3, &[]))]).ledger;
-    assert_eq!(ledger.split().free, 100);
+    assert_eq!(ledger.usage().free, 100);
 }
 
 #[test]
@@ -100,15 +101,15 @@
     let (ledger, _) = reserved(&ledger, "successor", unload("a"));
     let gone = Load { orders: vec!["successor".into()], fence: 2, ..report(2, &[]) };
     let ledger = ledger.settle(&[Evidence::Report(&gone)]).ledger;
-    assert_eq!(ledger.split().in_doubt, 80);
+    assert_eq!(ledger.usage().in_doubt, 80);
     assert!(ledger.reserve(claim("o3"), load("b", 30)).is_err());
 
     let after = ReportPosition { incarnation: 1, sequence: 3 };
     let word = Evidence::NotInFlight { order: "late".into(), after };
     let ledger = ledger.settle(&[word]).ledger;
-    assert_eq!(ledger.split().in_doubt, 80, "no report since the word has been seen");
+    assert_eq!(ledger.usage().in_doubt, 80, "no report since the word has been seen");
     let ledger = ledger.settle(&[Evidence::Report(&report(3, &[]))]).ledger;
-    assert_eq!(ledger.split().free, 100);
+    assert_eq!(ledger.usage().free, 100);
 }
 
 #[test]
@@ -127,7 +128,7 @@
     let restarted = Load { incarnation: 2, ..report(1, &[]) };
     let ledger = ledger.settle(&[Evidence::Report(&fenced(restarted))]).ledger;
     assert!(!ledger.is_superseded(&ledger.orders[0]), "the new run has no fencing number");
-    assert_eq!(ledger.split().in_doubt, 40);
+    assert_eq!(ledger.usage().in_doubt, 40);
 }
 
 #[rstest]
@@ -152,7 +153,7 @@
     let (ledger, order) = reserved(&ledger, "o1", load("a", 80));
     let outcome = ledger.settle(&[Evidence::NeverTaken { order: order.id }]);
     assert_eq!(outcome.settled[0].how, How::NeverTaken);
-    assert_eq!(outcome.ledger.split().free, 100);
+    assert_eq!(outcome.ledger.usage().free, 100);
 }
 
 #[test]
@@ -164,7 +165,7 @@
     let gone = Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
     let outcome = ledger.settle(&[gone]);
     assert_eq!(&*outcome.settled[0].entry.order.id, "old");
-    assert_eq!(outcome.ledger.split().promised, 20);
+    assert_eq!(outcome.ledger.usage().promised, 20);
 }
 
 #[test]
@@ -173,8 +174,8 @@
     for number in 0..MOST_ORDERS {
         (ledger, _) = reserved(&ledger, &format!("o{number}"), load("a", 1));
     }
-    let short = ledger.reserve(claim("more"), load("a", 1));
-    assert!(matches!(short, Err(Short::Orders { open: MOST_ORDERS, .. })));
+    let rejection = ledger.reserve(claim("more"), load("a", 1));
+    assert!(matches!(rejection, Err(Rejection::Orders { open: MOST_ORDERS, .. })));
 }
 
 #[test]
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -55,7 +55,7 @@
             group: server.group.clone(),
             zone: server.zone.clone(),
             state,
-            free: ledger.split().free,
+            free: ledger.usage().free,
             residents: ledger.expected_residents(),
         })
     }
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -7,7 +7,7 @@
 
 use observe::metrics::{Memory, Metrics};
 use policy::ledger::{
-    Ledger, Split,
+    Ledger, Usage,
     held::Held,
     settle::{How, Settled},
 };
@@ -55,7 +55,7 @@
     pub server: backend::Id,
     /// Its memory by what is known of it.
     #[serde(flatten)]
-    pub memory: Split,
+    pub memory: Usage,
 }
 
 /// What operators see of moves.
@@ -128,7 +128,7 @@
         });
         let servers = inner.ledgers.iter();
         let memory =
-            servers.map(|(id, ledger)| Server { server: id.clone(), memory: ledger.split() });
+            servers.map(|(id, ledger)| Server { server: id.clone(), memory: ledger.usage() });
         Status {
             current,
             open: open.collect(),
@@ -140,10 +140,10 @@
     /// Shows memory in the metrics.
     pub fn show(&self, metrics: &Metrics) {
         for (server, ledger) in &self.lock().ledgers {
-            let split = ledger.split();
-            metrics.memory(server, Memory::Promised, split.promised);
-            metrics.memory(server, Memory::InDoubt, split.in_doubt);
-            metrics.memory(server, Memory::Free, split.free);
+            let usage = ledger.usage();
+            metrics.memory(server, Memory::Promised, usage.promised);
+            metrics.memory(server, Memory::InDoubt, usage.in_doubt);
+            metrics.memory(server, Memory::Free, usage.free);
         }
     }
 
