--- a/crates/policy/src/config/check.rs
+++ b/crates/policy/src/config/check.rs
@@ -19,7 +19,7 @@
 const METHODS: [&str; 8] = ["GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "TRACE"];
 
 /// Longest name, in bytes.
-const LONGEST_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 
 /// Something wrong at one place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
     fn name(&mut self, path: &str, name: &str) {
         let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if name.is_empty() || LONGEST_NAME < name.len() || !name.chars().all(is_plain) {
+        if name.is_empty() || MAX_NAME_BYTES < name.len() || !name.chars().all(is_plain) {
             self.push(path, "a name has letters, digits, `-`, `_` and `.`, 1 to 200 of them");
         }
     }
--- a/crates/policy/src/config/decide.rs
+++ b/crates/policy/src/config/decide.rs
@@ -11,7 +11,7 @@
     fit::{self, Server, Shortage},
     merge::{self, Path},
     part::{self, Part},
-    root::{Content, LARGEST_WHOLE, digest},
+    root::{Content, MAX_INLINE_BYTES, digest},
 };
 
 /// The configuration as it was last read: the root and what its parts make.
@@ -49,7 +49,7 @@
     ) -> Result<Draft, serde_json::Error> {
         let size = serde_json::to_vec(&config)?.len();
         let config = Arc::new(config);
-        let (content, parts) = if size <= LARGEST_WHOLE {
+        let (content, parts) = if size <= MAX_INLINE_BYTES {
             (Content::Whole(config.clone()), Vec::new())
         } else {
             let cut = part::cut(&config, number, earlier)?;
@@ -124,7 +124,7 @@
     match Draft::new(number, config, current.root.parts()) {
         Ok(mut draft) => {
             draft.root.patches.clone_from(&current.root.patches);
-            draft.root.keep(patch, merge::paths(&patch.changes));
+            draft.root.record(patch, merge::paths(&patch.changes));
             Decision::Accept(Box::new(draft))
         }
         Err(error) => {
--- a/crates/policy/src/config/fit.rs
+++ b/crates/policy/src/config/fit.rs
@@ -75,16 +75,17 @@
 /// What keeps a change from being made; nothing when it can be.
 pub fn shortages(from: &Config, to: &Config, servers: &[Server]) -> Vec<Shortage> {
     let change = |(id, new)| Change { id, old: from.models.get(id), new };
-    let changes = to.models.iter().map(change).filter(Change::matters);
+    let changes = to.models.iter().map(change).filter(Change::affects_memory);
     let mut changes: Vec<Change<'_>> = changes.collect();
-    if !changes.iter().any(Change::is_judged) {
+    if !changes.iter().any(Change::needs_memory) {
         return Vec::new();
     }
     changes.sort_by_key(Change::rank);
-    let mut space = Space::new(servers);
-    space.pack(from.models.iter().filter(|(id, _)| to.models.contains_key(*id)));
-    let failures =
-        changes.iter().filter_map(|change| space.make(change).err().filter(|_| change.is_judged()));
+    let mut packing = Packing::new(servers);
+    packing.pack(from.models.iter().filter(|(id, _)| to.models.contains_key(*id)));
+    let failures = changes
+        .iter()
+        .filter_map(|change| packing.apply(change).err().filter(|_| change.needs_memory()));
     let mut shortages: Vec<Shortage> = failures.collect();
     shortages.sort_by(|one, other| (&one.group, &one.model).cmp(&(&other.group, &other.model)));
     shortages
@@ -97,7 +98,7 @@
 }
 
 /// Memory of adapters whose version is new on a model that stays, in MiB.
-fn added_adapters(old: &Model, new: &Model) -> Mebibytes {
+fn reloaded_adapters(old: &Model, new: &Model) -> Mebibytes {
     let adapters = new.adapters.iter().filter(|(id, adapter)| {
         old.adapters.get(*id).is_some_and(|old| old.version != adapter.version)
     });
@@ -113,18 +114,18 @@
 
 impl Change<'_> {
     /// Whether memory is used in another way.
-    fn matters(&self) -> bool {
-        self.is_judged()
+    fn affects_memory(&self) -> bool {
+        self.needs_memory()
             || self.old.is_some_and(|old| {
                 replica(old) != replica(self.new) || old.replicas != self.new.replicas
             })
     }
 
     /// Whether the new needs memory that the old doesn't have.
-    fn is_judged(&self) -> bool {
+    fn needs_memory(&self) -> bool {
         self.old.is_none_or(|old| {
-            is_other_unit(old, self.new)
-                || added_adapters(old, self.new) != 0
+            is_reloaded(old, self.new)
+                || reloaded_adapters(old, self.new) != 0
                 || replica(old) < replica(self.new)
                 || old.replicas < self.new.replicas
         })
@@ -139,12 +140,12 @@
 }
 
 /// Whether a model's weights have to be loaded again.
-fn is_other_unit(old: &Model, new: &Model) -> bool {
+fn is_reloaded(old: &Model, new: &Model) -> bool {
     old.version != new.version || old.group != new.group
 }
 
 /// Free memory, and who holds what.
-struct Space {
+struct Packing {
     slots: BTreeMap<backend::Group, Vec<Slot>>,
 }
 
@@ -153,14 +154,14 @@
     holds: BTreeMap<model::Id, Mebibytes>,
 }
 
-impl Space {
-    fn new(servers: &[Server]) -> Space {
+impl Packing {
+    fn new(servers: &[Server]) -> Packing {
         let mut slots: BTreeMap<backend::Group, Vec<Slot>> = BTreeMap::new();
         for server in servers {
             let slot = Slot { free: server.capacity, holds: BTreeMap::new() };
             slots.entry(server.group.clone()).or_default().push(slot);
         }
-        Space { slots }
+        Packing { slots }
     }
 
     /// Packs as many of the wanted replicas as fit, the largest first.
@@ -172,13 +173,13 @@
         // with too few.
         for round in 0..most {
             for (id, model) in models.iter().filter(|(_, model)| round < model.replicas) {
-                self.put(id, model);
+                self.place(id, model);
             }
         }
     }
 
     /// Puts one replica on the fullest server that can take it.
-    fn put(&mut self, id: &model::Id, model: &Model) -> bool {
+    fn place(&mut self, id: &model::Id, model: &Model) -> bool {
         let memory = replica(model);
         let Some(slots) = self.slots.get_mut(&model.group) else { return false };
         let fits = |slot: &&mut Slot| memory <= slot.free && !slot.holds.contains_key(id);
@@ -190,7 +191,7 @@
         true
     }
 
-    fn take(&mut self, id: &model::Id, group: &backend::Group) {
+    fn remove(&mut self, id: &model::Id, group: &backend::Group) {
         for slot in self.slots.get_mut(group).into_iter().flatten() {
             if let Some(memory) = slot.holds.remove(id) {
                 slot.free += memory;
@@ -199,41 +200,41 @@
     }
 
     /// Makes a change without a gap; leaves everything as it was when that can't be done.
-    fn make(&mut self, change: &Change<'_>) -> Result<(), Shortage> {
+    fn apply(&mut self, change: &Change<'_>) -> Result<(), Shortage> {
         let Change { id, old, new } = *change;
         if let Some(old) = old {
             self.check_beside(id, old, new)?;
-            self.take(id, &old.group);
+            self.remove(id, &old.group);
         }
-        let placed = (0..new.replicas).all(|_| self.put(id, new));
+        let placed = (0..new.replicas).all(|_| self.place(id, new));
         if placed {
             return Ok(());
         }
         let shortage = self.shortage(id, id, new, Step::Place);
-        self.take(id, &new.group);
+        self.remove(id, &new.group);
         if let Some(old) = old {
-            (0..old.replicas).all(|_| self.put(id, old));
+            (0..old.replicas).all(|_| self.place(id, old));
         }
         Err(shortage)
     }
 
     /// Checks that the new has room beside all of the old.
     fn check_beside(&mut self, id: &model::Id, old: &Model, new: &Model) -> Result<(), Shortage> {
-        let added = added_adapters(old, new);
-        if !is_other_unit(old, new) && (added == 0 || self.has_room_with(id, &new.group, added)) {
+        let added = reloaded_adapters(old, new);
+        if !is_reloaded(old, new) && (added == 0 || self.has_room_beside(id, &new.group, added)) {
             return Ok(());
         }
         // The new version is another unit: it may stand on a server that holds the old one.
         let beside: model::Id = format!("{id} {}", new.version).into();
-        if !self.put(&beside, new) {
+        if !self.place(&beside, new) {
             return Err(self.shortage(&beside, id, new, Step::Replace));
         }
-        self.take(&beside, &new.group);
+        self.remove(&beside, &new.group);
         Ok(())
     }
 
     /// Whether a server that holds a model has so much memory free.
-    fn has_room_with(&self, id: &model::Id, group: &backend::Group, memory: Mebibytes) -> bool {
+    fn has_room_beside(&self, id: &model::Id, group: &backend::Group, memory: Mebibytes) -> bool {
         let mut slots = self.slots.get(group).into_iter().flatten();
         slots.any(|slot| slot.holds.contains_key(id) && memory <= slot.free)
     }
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -19,13 +19,13 @@
 /// What a host holds of the configuration.
 #[derive(Debug, Default)]
 pub struct Holder {
-    in_force: Option<Held>,
+    in_force: Option<InForce>,
     pending: Option<Root>,
     parts: BTreeMap<part::Name, Bytes>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct InForce {
     root: Arc<Root>,
     numbered: Arc<Numbered>,
 }
@@ -44,17 +44,17 @@
 impl Holder {
     /// The configuration in force, once there is one.
     pub fn in_force(&self) -> Option<&Arc<Numbered>> {
-        self.in_force.as_ref().map(|held| &held.numbered)
+        self.in_force.as_ref().map(|in_force| &in_force.numbered)
     }
 
     /// The root in force, once there is one.
     pub fn root(&self) -> Option<&Arc<Root>> {
-        self.in_force.as_ref().map(|held| &held.root)
+        self.in_force.as_ref().map(|in_force| &in_force.root)
     }
 
     /// The number in force; zero before the first.
     pub fn number(&self) -> Number {
-        self.in_force.as_ref().map_or(0, |held| held.numbered.number)
+        self.in_force.as_ref().map_or(0, |in_force| in_force.numbered.number)
     }
 
     /// The highest number heard of.
@@ -120,14 +120,14 @@
             }
         };
         let numbered = Arc::new(Numbered { number: root.number, config });
-        self.in_force = Some(Held { root: Arc::new(root), numbered: numbered.clone() });
+        self.in_force = Some(InForce { root: Arc::new(root), numbered: numbered.clone() });
         self.drop_unnamed();
         Ok(Progress::InForce(numbered))
     }
 
     /// Drops parts that neither the root in force nor the newest one names.
     fn drop_unnamed(&mut self) {
-        let in_force = self.in_force.iter().flat_map(|held| held.root.parts());
+        let in_force = self.in_force.iter().flat_map(|in_force| in_force.root.parts());
         let pending = self.pending.iter().flat_map(|root| root.parts());
         let named: BTreeSet<part::Name> = in_force.chain(pending).cloned().collect();
         self.parts.retain(|name, _| named.contains(name));
--- a/crates/policy/src/config/part.rs
+++ b/crates/policy/src/config/part.rs
@@ -15,13 +15,13 @@
 use super::{PART_PREFIX, Root};
 
 /// A part ends after one entry in so many, on average; a power of two.
-const ENTRIES: u8 = 16;
+const ENTRIES_PER_PART: u8 = 16;
 
 /// A part ends early once it holds so many bytes.
-const LARGE: usize = 128 * 1024;
+const SPLIT_BYTES: usize = 128 * 1024;
 
 /// Digits of the number in a name, so that names sort by number.
-const DIGITS: usize = 12;
+const NUMBER_DIGITS: usize = 12;
 
 /// Name of a part: the number that it was first written for and the hash of its content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 impl Name {
     fn new(number: Number, bytes: &[u8]) -> Name {
-        Name(format!("{number:0DIGITS$}-{}", hash(bytes)))
+        Name(format!("{number:0NUMBER_DIGITS$}-{}", hash(bytes)))
     }
 
     /// Its key in the object API.
@@ -179,7 +179,7 @@
         let value = serde_json::to_value(entry)?;
         size += name.len() + serde_json::to_vec(&value)?.len();
         members.insert(name.to_string(), value);
-        if entries.peek().is_none() || LARGE < size || ends_part(name) {
+        if entries.peek().is_none() || SPLIT_BYTES < size || ends_part(name) {
             let members = Value::Object(std::mem::take(&mut members));
             chunks.push(serde_json::to_vec(&json!({ section: members }))?);
             size = 0;
@@ -189,7 +189,7 @@
 }
 
 fn ends_part(name: &str) -> bool {
-    blake3::hash(name.as_bytes()).as_bytes()[0] & (ENTRIES - 1) == 0
+    blake3::hash(name.as_bytes()).as_bytes()[0] & (ENTRIES_PER_PART - 1) == 0
 }
 
 fn hash(bytes: &[u8]) -> String {
--- a/crates/policy/src/config/root.rs
+++ b/crates/policy/src/config/root.rs
@@ -1,6 +1,6 @@
 //! The root object, which holds a small configuration or names the parts of a large one.
 //!
-//! A small one comes into force with the one value that a watch brings. Above [`LARGEST_WHOLE`]
+//! A small one comes into force with the one value that a watch brings. Above [`MAX_INLINE_BYTES`]
 //! a change would rewrite more than it needs to, and the value limit would come in sight.
 //!
 //! It also keeps the latest patches, so that a retry gets the first outcome and a stale patch is
@@ -22,19 +22,19 @@
 };
 
 /// Most patches that a root keeps.
-const MOST_PATCHES: usize = 128;
+const MAX_PATCHES: usize = 128;
 
 /// Most paths that are kept of all patches together.
-const MOST_PATHS: usize = 2048;
+const MAX_PATHS: usize = 2048;
 
 /// Most paths that are kept of one patch before they are shortened.
-const MOST_PATHS_OF_ONE: usize = 64;
+const MAX_PATHS_PER_PATCH: usize = 64;
 
 /// Names in a path to one entry of a section.
 const ENTRY_DEPTH: usize = 2;
 
 /// Largest configuration that stands in the root itself, in bytes of JSON.
-pub const LARGEST_WHOLE: usize = 32 * 1024;
+pub const MAX_INLINE_BYTES: usize = 32 * 1024;
 
 /// Root of a numbered configuration, as the object API holds it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -155,7 +155,7 @@
     }
 
     /// Keeps a patch as accepted and drops the oldest beyond the bounds.
-    pub(super) fn keep(&mut self, patch: &Patch, touched: BTreeSet<Path>) {
+    pub(super) fn record(&mut self, patch: &Patch, touched: BTreeSet<Path>) {
         self.patches.push_back(Accepted {
             id: patch.id.clone(),
             digest: digest(patch),
@@ -163,7 +163,7 @@
             paths: shorten(touched),
         });
         let mut paths: usize = self.patches.iter().map(|accepted| accepted.paths.len()).sum();
-        while MOST_PATCHES < self.patches.len() || MOST_PATHS < paths {
+        while MAX_PATCHES < self.patches.len() || MAX_PATHS < paths {
             let Some(oldest) = self.patches.pop_front() else { break };
             paths -= oldest.paths.len();
         }
@@ -183,7 +183,7 @@
 fn shorten(paths: BTreeSet<Path>) -> Vec<Path> {
     let mut paths = paths;
     for depth in [ENTRY_DEPTH, ENTRY_DEPTH - 1] {
-        if paths.len() <= MOST_PATHS_OF_ONE {
+        if paths.len() <= MAX_PATHS_PER_PATCH {
             break;
         }
         paths = paths.iter().map(|path| first_names(path, depth)).collect();
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 /// Renewals within one term, so that one lost write does not lose the lease.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TERM: u32 = 3;
 
 /// A lease, as kept in the object API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
     pub fn observe(&mut self, now: Moment, lease: Option<&Lease>) -> Step {
         let Some(lease) = lease else {
             self.seen = None;
-            return Step::Take(self.mine(0));
+            return Step::Take(self.own_lease(0));
         };
         let since = match &self.seen {
             Some(seen) if seen.lease == *lease => seen.since,
@@ -80,25 +80,29 @@
         };
         self.seen = Some(Seen { lease: lease.clone(), since });
         let unchanged = now.saturating_sub(since);
-        if self.is_mine(lease) {
-            let due = self.term / RENEWALS <= unchanged;
-            return if due { Step::Renew(self.mine(lease.renewal + 1)) } else { Step::Hold };
+        if self.is_own(lease) {
+            let due = self.term / RENEWALS_PER_TERM <= unchanged;
+            return if due { Step::Renew(self.own_lease(lease.renewal + 1)) } else { Step::Hold };
+        }
+        if unchanged < self.term {
+            Step::Wait
+        } else {
+            Step::Take(self.own_lease(lease.renewal + 1))
         }
-        if unchanged < self.term { Step::Wait } else { Step::Take(self.mine(lease.renewal + 1)) }
     }
 
     /// Whether, by what was last read, this host's lease has not run out at `now`.
     pub fn is_held(&self, now: Moment) -> bool {
         self.seen.as_ref().is_some_and(|seen| {
-            self.is_mine(&seen.lease) && now.saturating_sub(seen.since) < self.term
+            self.is_own(&seen.lease) && now.saturating_sub(seen.since) < self.term
         })
     }
 
-    fn is_mine(&self, lease: &Lease) -> bool {
+    fn is_own(&self, lease: &Lease) -> bool {
         lease.holder == self.host && lease.incarnation == self.incarnation
     }
 
-    fn mine(&self, renewal: u64) -> Lease {
+    fn own_lease(&self, renewal: u64) -> Lease {
         Lease { holder: self.host.clone(), incarnation: self.incarnation, renewal }
     }
 }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -34,7 +34,7 @@
 ///
 /// An engine lists the orders it took, and the list is bounded; an order can't drop off it
 /// unseen while fewer than that are open.
-pub const MOST_ORDERS: usize = 16;
+pub const MAX_ORDERS: usize = 16;
 
 /// Place of a report among all reports of a server.
 #[derive(
@@ -170,7 +170,7 @@
         claim: Claim,
         action: order::Action,
     ) -> Result<(Ledger, Order), Rejection> {
-        if MOST_ORDERS <= self.orders.len() {
+        if MAX_ORDERS <= self.orders.len() {
             return Err(Rejection::Orders { server: self.server.clone(), open: self.orders.len() });
         }
         let before = self.usage();
@@ -197,8 +197,8 @@
 
     /// Memory by what is known of it.
     pub fn usage(&self) -> Usage {
-        let running = self.running();
-        let promised = running.max(self.restarted());
+        let running = self.worst_case_running();
+        let promised = running.max(self.worst_case_restarted());
         Usage {
             capacity: self.capacity,
             promised,
@@ -214,17 +214,17 @@
 
     /// Whether both sums fit in the capacity.
     fn fits(&self) -> bool {
-        self.running() <= self.capacity && self.restarted() <= self.capacity
+        self.worst_case_running() <= self.capacity && self.worst_case_restarted() <= self.capacity
     }
 
     /// What the engine may come to hold as it runs.
-    fn running(&self) -> Mebibytes {
+    fn worst_case_running(&self) -> Mebibytes {
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         total(&with_loads(self.resident_memory(), open))
     }
 
     /// What the engine may come to hold after a restart that nobody has seen.
-    fn restarted(&self) -> Mebibytes {
+    fn worst_case_restarted(&self) -> Mebibytes {
         total(&with_loads(BTreeMap::new(), self.orders.iter()))
     }
 
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -92,17 +92,17 @@
     }
 
     /// What this report says of orders whose senders are gone.
-    pub fn evidence(&self, ledger: &Ledger, reading: &TimedReport) -> Vec<Evidence<'static>> {
+    pub fn evidence(&self, ledger: &Ledger, report: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
             .filter(|order| {
                 let gone = self.gone_since(&order.sender, order.incarnation);
-                gone.is_some_and(|since| reading.is_after(since))
+                gone.is_some_and(|since| report.is_after(since))
             })
             .map(|order| Evidence::SenderGone {
                 sender: order.sender.clone(),
                 incarnation: order.incarnation,
-                after: ReportPosition::of(&reading.load),
+                after: ReportPosition::of(&report.load),
             })
             .collect()
     }
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -37,7 +37,8 @@
     /// A report that shows it, or its sender's word.
     Arrival,
     /// Its sender's word only: the engine would refuse it in its present run.
-    Word,
+    #[serde(rename = "word")]
+    Sender,
     /// A report at least as new as the one that its sender named.
     Report {
         /// That report.
@@ -49,7 +50,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Wait::Arrival => write!(f, "it may still arrive"),
-            Wait::Word => write!(f, "it may still arrive after a restart of the server"),
+            Wait::Sender => write!(f, "it may still arrive after a restart of the server"),
             Wait::Report { after } => {
                 write!(f, "waits for report {} of run {}", after.sequence, after.incarnation)
             }
@@ -60,17 +61,17 @@
 impl Ledger {
     /// For each unsettled order, oldest first: why it is held and what would settle it.
     pub fn why_held(&self) -> Vec<Held> {
-        self.orders.iter().map(|entry| self.held(entry)).collect()
+        self.orders.iter().map(|entry| self.explain(entry)).collect()
     }
 
-    fn held(&self, entry: &Entry) -> Held {
+    fn explain(&self, entry: &Entry) -> Held {
         let order = &entry.order;
         let waits = match entry.quiet {
             Some(after) => Wait::Report { after },
-            None if self.is_superseded(entry) => Wait::Word,
+            None if self.is_superseded(entry) => Wait::Sender,
             None => Wait::Arrival,
         };
-        let word = format!(
+        let statement = format!(
             "{} (run {}) says that nothing of it is in flight",
             order.sender, order.incarnation
         );
@@ -79,8 +80,10 @@
             order.sender
         );
         let settled_by = match waits {
-            Wait::Arrival => vec![format!("{} reports that it took it", self.server), word, gone],
-            Wait::Word => vec![word, gone],
+            Wait::Arrival => {
+                vec![format!("{} reports that it took it", self.server), statement, gone]
+            }
+            Wait::Sender => vec![statement, gone],
             Wait::Report { after } => vec![format!(
                 "{} reports with number {} of run {} or later",
                 self.server, after.sequence, after.incarnation
--- a/crates/policy/src/ledger/picture.rs
+++ b/crates/policy/src/ledger/picture.rs
@@ -8,7 +8,7 @@
 use super::{Entry, Ledger};
 
 /// Most orders for one unit that are open at once, so that repeating leaves room for others.
-const MOST_REPEATS: usize = 4;
+const MAX_ORDERS_PER_UNIT: usize = 4;
 
 impl Ledger {
     /// What takes memory: a load that is ordered counts as loading, an unload that is ordered as
@@ -42,7 +42,9 @@
             !later.iter().any(|other| other.order.action.unit() == entry.order.action.unit())
         };
         let orders = self.orders.iter().enumerate().filter(last).map(|(_, entry)| entry);
-        orders.filter(|entry| !self.shows(entry) && self.repeats(entry) < MOST_REPEATS).collect()
+        orders
+            .filter(|entry| !self.shows(entry) && self.repeats(entry) < MAX_ORDERS_PER_UNIT)
+            .collect()
     }
 
     fn repeats(&self, entry: &Entry) -> usize {
--- a/crates/policy/src/ledger/replica.rs
+++ b/crates/policy/src/ledger/replica.rs
@@ -16,17 +16,17 @@
 
 impl Ledger {
     /// Whether some version of the unit is ready here that no order may still unload.
-    pub fn keeps(&self, unit: &Unit) -> bool {
+    pub fn keeps_replica(&self, unit: &Unit) -> bool {
         let keeps = |resident: &Resident| {
             is_version_of(&resident.unit, unit)
                 && resident.state == State::Ready
-                && !self.unloads(&resident.unit)
+                && !self.is_unloading(&resident.unit)
         };
         self.residents.iter().any(keeps)
     }
 
     /// Whether an order to unload this unit, or the model under it, is unsettled.
-    pub fn unloads(&self, unit: &Unit) -> bool {
+    pub fn is_unloading(&self, unit: &Unit) -> bool {
         self.orders.iter().any(|entry| match &entry.order.action {
             Action::Unload { unit: gone } => gone == unit || is_under(unit, gone),
             Action::Load { .. } | Action::Role { .. } => false,
@@ -37,7 +37,7 @@
 /// Whether an unload that stands in its own ledger may be sent: another ledger, read after that
 /// write, keeps the unit.
 pub fn may_unload<'a>(unit: &Unit, others: impl IntoIterator<Item = &'a Ledger>) -> bool {
-    others.into_iter().any(|ledger| ledger.keeps(unit))
+    others.into_iter().any(|ledger| ledger.keeps_replica(unit))
 }
 
 /// Whether both are versions of the same model, or of the same adapter.
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Being reserved, or reserved and about to be sent.
-    Hand,
+    Reserved,
     /// Sent, and without an answer yet.
-    Flight,
+    Sent,
     /// Never sent, or refused.
-    Never,
+    NeverTaken,
     /// Nothing of it is in flight from then on.
-    Quiet { since: Moment },
+    NotInFlight { since: Moment },
 }
 
 /// What one run of a host knows of the orders that it reserved.
@@ -64,32 +64,32 @@
     pub fn claim(&mut self, cause: Arc<str>) -> Claim {
         let id: order::Id = format!("{}/{}/{}", self.host, self.incarnation, self.next).into();
         self.next += 1;
-        self.orders.insert(id.clone(), State::Hand);
+        self.orders.insert(id.clone(), State::Reserved);
         Claim { id, sender: self.host.clone(), incarnation: self.incarnation, cause }
     }
 
     /// The order is about to be sent.
     pub fn mark_sent(&mut self, id: &order::Id) {
-        self.set(id, State::Flight);
+        self.set(id, State::Sent);
     }
 
     /// The order was not sent and never will be.
     pub fn mark_not_sent(&mut self, id: &order::Id) {
-        self.set(id, State::Never);
+        self.set(id, State::NeverTaken);
     }
 
     /// The engine answered.
     pub fn mark_answered(&mut self, now: Moment, id: &order::Id, ack: &Ack) {
         let state = match ack {
-            Ack::Accepted => State::Quiet { since: now },
-            Ack::Stale { .. } | Ack::Refused { .. } => State::Never,
+            Ack::Accepted => State::NotInFlight { since: now },
+            Ack::Stale { .. } | Ack::Refused { .. } => State::NeverTaken,
         };
         self.set(id, state);
     }
 
     /// The exchange ended without an answer, and its connection is closed.
     pub fn mark_unanswered(&mut self, now: Moment, id: &order::Id) {
-        self.set(id, State::Quiet { since: now + self.linger });
+        self.set(id, State::NotInFlight { since: now + self.linger });
     }
 
     /// Whether the order was reserved by this run.
@@ -100,8 +100,8 @@
     /// Whether a report is wanted from this server, so that a word can be given.
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         let is_due = |entry: &Entry| match self.orders.get(&entry.order.id) {
-            Some(State::Quiet { since }) => entry.quiet.is_none() && *since < now,
-            Some(State::Hand | State::Flight | State::Never) | None => false,
+            Some(State::NotInFlight { since }) => entry.quiet.is_none() && *since < now,
+            Some(State::Reserved | State::Sent | State::NeverTaken) | None => false,
         };
         ledger.orders.iter().any(|entry| self.owns(entry) && is_due(entry))
     }
@@ -111,10 +111,10 @@
     pub fn evidence(
         &self,
         ledger: &Ledger,
-        reading: Option<&TimedReport>,
+        report: Option<&TimedReport>,
     ) -> Vec<Evidence<'static>> {
         let own = ledger.orders.iter().filter(|entry| self.owns(entry));
-        own.filter_map(|entry| self.word(&entry.order.id, reading)).collect()
+        own.filter_map(|entry| self.evidence_for(&entry.order.id, report)).collect()
     }
 
     /// Whether it may have orders that are not settled.
@@ -130,8 +130,8 @@
             orders.any(|entry| entry.order.id == *id)
         };
         self.orders.retain(|id, state| match state {
-            State::Hand | State::Flight => true,
-            State::Never | State::Quiet { .. } => stands(id),
+            State::Reserved | State::Sent => true,
+            State::NeverTaken | State::NotInFlight { .. } => stands(id),
         });
     }
 
@@ -140,15 +140,19 @@
         self.orders.remove(id);
     }
 
-    fn word(&self, id: &order::Id, reading: Option<&TimedReport>) -> Option<Evidence<'static>> {
+    fn evidence_for(
+        &self,
+        id: &order::Id,
+        report: Option<&TimedReport>,
+    ) -> Option<Evidence<'static>> {
         match self.orders.get(id) {
-            Some(State::Hand | State::Flight) => None,
-            Some(State::Never) | None => Some(Evidence::NeverTaken { order: id.clone() }),
-            Some(State::Quiet { since }) => {
-                let reading = reading.filter(|reading| reading.is_after(*since))?;
+            Some(State::Reserved | State::Sent) => None,
+            Some(State::NeverTaken) | None => Some(Evidence::NeverTaken { order: id.clone() }),
+            Some(State::NotInFlight { since }) => {
+                let report = report.filter(|report| report.is_after(*since))?;
                 Some(Evidence::NotInFlight {
                     order: id.clone(),
-                    after: ReportPosition::of(&reading.load),
+                    after: ReportPosition::of(&report.load),
                 })
             }
         }
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -82,13 +82,13 @@
             match piece {
                 Evidence::Report(load) => outcome.report(load),
                 Evidence::NeverTaken { order } => {
-                    outcome.drop_where(How::NeverTaken, |entry| entry.order.id == *order);
+                    outcome.settle_where(How::NeverTaken, |entry| entry.order.id == *order);
                 }
                 Evidence::NotInFlight { order, after } => {
-                    outcome.quieten(*after, |entry| entry.order.id == *order);
+                    outcome.mark_not_in_flight(*after, |entry| entry.order.id == *order);
                 }
                 Evidence::SenderGone { sender, incarnation, after } => {
-                    outcome.quieten(*after, |entry| {
+                    outcome.mark_not_in_flight(*after, |entry| {
                         entry.order.sender == *sender && entry.order.incarnation <= *incarnation
                     });
                 }
@@ -124,25 +124,25 @@
         self.ledger.seen = load.fence;
         self.ledger.fence = self.ledger.fence.max(load.fence);
         self.ledger.residents = load.residents.clone();
-        self.drop_where(How::Taken, |entry| load.orders.contains(&entry.order.id));
-        self.drop_quiet();
+        self.settle_where(How::Taken, |entry| load.orders.contains(&entry.order.id));
+        self.settle_shown();
     }
 
-    fn quieten(&mut self, after: ReportPosition, applies: impl Fn(&Entry) -> bool) {
+    fn mark_not_in_flight(&mut self, after: ReportPosition, applies: impl Fn(&Entry) -> bool) {
         let entries = self.ledger.orders.iter_mut();
         entries
             .filter(|entry| entry.quiet.is_none() && applies(entry))
             .for_each(|entry| entry.quiet = Some(after));
-        self.drop_quiet();
+        self.settle_shown();
     }
 
     /// Drops the orders whose effect the last report shows.
-    fn drop_quiet(&mut self) {
+    fn settle_shown(&mut self) {
         let mark = self.ledger.mark;
-        self.drop_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
+        self.settle_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
     }
 
-    fn drop_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
+    fn settle_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
         let gone = self.ledger.orders.extract_if(.., |entry| applies(entry));
         self.settled.extend(gone.map(|entry| Settled { entry, how }));
     }
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -26,10 +26,10 @@
 mod settings;
 
 /// Most writes without an answer that are kept in mind; the oldest go first.
-const MOST_OPEN: usize = 16;
+const MAX_OPEN_WRITES: usize = 16;
 
 /// So that an arrival and an order under a later fence don't fall into one moment.
-const AFTER: Duration = Duration::from_nanos(1);
+const RUN_GAP: Duration = Duration::from_nanos(1);
 
 pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, Stored};
 pub use settings::{Contender, Settings, contender};
@@ -44,17 +44,17 @@
     /// The time that this host holds, or has held last.
     tenure: Option<Tenure>,
     /// Own writes that may still be carried out, or have been.
-    open: Vec<Sent>,
+    open_writes: Vec<OpenWrite>,
     /// The write whose outcome is awaited.
-    awaited: Option<Lease>,
+    pending_write: Option<Lease>,
     nonce: Nonce,
     /// When the store last answered, or was last asked to read.
-    answered: Option<Moment>,
-    asked: Option<Moment>,
+    last_answer: Option<Moment>,
+    last_read: Option<Moment>,
     /// Nothing is asked of the store before this.
-    pause: Moment,
+    idle_until: Moment,
     /// When an order may have been sent last.
-    ordered: Option<Moment>,
+    last_order: Option<Moment>,
     stopping: bool,
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sent {
+struct OpenWrite {
     nonce: Nonce,
     at: Moment,
 }
@@ -93,13 +93,13 @@
             settings,
             known: Known::Nothing,
             tenure: None,
-            open: Vec::new(),
-            awaited: None,
+            open_writes: Vec::new(),
+            pending_write: None,
             nonce: 0,
-            answered: None,
-            asked: None,
-            pause: Moment::ZERO,
-            ordered: None,
+            last_answer: None,
+            last_read: None,
+            idle_until: Moment::ZERO,
+            last_order: None,
             stopping: false,
         }
     }
@@ -110,7 +110,7 @@
     /// fence is to be dropped.
     pub fn may_order(&mut self, now: Moment) -> Option<Fence> {
         let fence = self.fence(now)?;
-        self.ordered = Some(now);
+        self.last_order = Some(now);
         Some(fence)
     }
 
@@ -133,8 +133,8 @@
     /// Whether a stopping host has nothing more to write.
     pub fn is_released(&self) -> bool {
         let named = matches!(&self.known, Known::Present { lease, .. }
-            if self.is_mine(lease) && matches!(lease.claim, Claim::Held(_)));
-        self.stopping && !named && self.open.is_empty()
+            if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)));
+        self.stopping && !named && self.open_writes.is_empty()
     }
 
     /// Sends no more orders from now on, and releases the lease at the next steps.
@@ -144,9 +144,9 @@
 
     /// Takes in the lease as read, or told by a watch; it may be old.
     pub fn observe(&mut self, now: Moment, read: Option<Stored>) {
-        self.heard(now);
+        self.note_answer(now);
         match (read, &self.known) {
-            (Some((revision, lease)), _) => self.learn(now, revision, lease),
+            (Some((revision, lease)), _) => self.apply(now, revision, lease),
             // Nobody deletes the lease, so that nobody ever held it.
             (None, Known::Nothing) => self.known = Known::Absent(now),
             (None, Known::Absent(_) | Known::Present { .. }) => (),
@@ -156,7 +156,7 @@
     /// Takes in the lease as another host knows it; that says nothing of this host's own path to
     /// the store.
     pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): Stored) {
-        self.learn(now, revision, lease);
+        self.apply(now, revision, lease);
     }
 
     /// The lease as this host knows it, for others to be told.
@@ -169,29 +169,29 @@
 
     /// Takes in what came of the write that was asked for last.
     pub fn write_finished(&mut self, now: Moment, outcome: Outcome) {
-        let Some(lease) = self.awaited.take() else { return };
+        let Some(lease) = self.pending_write.take() else { return };
         match outcome {
             Outcome::Done(revision) => {
-                self.heard(now);
-                self.learn(now, revision, lease);
+                self.note_answer(now);
+                self.apply(now, revision, lease);
             }
             Outcome::Conflict(Some((revision, lease))) => {
-                self.heard(now);
-                self.learn(now, revision, lease);
+                self.note_answer(now);
+                self.apply(now, revision, lease);
             }
             // What is known is old; the lease is read before anything else is done.
             Outcome::Conflict(None) => {
-                self.answered = None;
-                self.asked = None;
-                self.pause = Moment::ZERO;
+                self.last_answer = None;
+                self.last_read = None;
+                self.idle_until = Moment::ZERO;
             }
             Outcome::Absent => {
                 let free = now + self.settings.term + self.settings.turn;
-                self.heard(now);
+                self.note_answer(now);
                 self.known = Known::Absent(free);
             }
             Outcome::Refused => {
-                self.open.retain(|sent| sent.nonce != lease.nonce);
+                self.open_writes.retain(|sent| sent.nonce != lease.nonce);
             }
             Outcome::Unclear => (),
         }
@@ -204,7 +204,7 @@
 
     /// What to ask of the store now. After a write, nothing more until its outcome is passed in.
     pub fn step(&mut self, now: Moment) -> Step {
-        if self.awaited.is_some() || now < self.pause {
+        if self.pending_write.is_some() || now < self.idle_until {
             return Step::Idle;
         }
         if self.stopping {
@@ -216,14 +216,14 @@
         }
     }
 
-    fn heard(&mut self, now: Moment) {
-        self.answered = Some(now);
-        self.asked = None;
-        self.pause = Moment::ZERO;
+    fn note_answer(&mut self, now: Moment) {
+        self.last_answer = Some(now);
+        self.last_read = None;
+        self.idle_until = Moment::ZERO;
     }
 
     fn renew(&mut self, now: Moment, tenure: Tenure) -> Step {
-        if self.answered.is_none() {
+        if self.last_answer.is_none() {
             return self.read(now, self.settings.fresh);
         }
         match self.known {
@@ -235,14 +235,15 @@
     }
 
     fn contend(&mut self, now: Moment) -> Step {
-        let Some(free) = self.free() else { return self.read(now, self.settings.fresh) };
+        let Some(free) = self.free_at() else { return self.read(now, self.settings.fresh) };
         if now < free {
             let poll = self.settings.poll;
-            let is_news = matches!(self.known, Known::Present { since, .. } if now < since + poll);
-            return if is_news { Step::Idle } else { self.read(now, poll) };
+            let is_recent =
+                matches!(self.known, Known::Present { since, .. } if now < since + poll);
+            return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
         // A host that the store turns away must not leave writes behind that come true later.
-        if self.answered.is_none_or(|at| at + self.settings.fresh < now) {
+        if self.last_answer.is_none_or(|at| at + self.settings.fresh < now) {
             return self.read(now, self.settings.fresh);
         }
         let revision = match self.known {
@@ -255,35 +256,35 @@
     fn release(&mut self, now: Moment) -> Step {
         match &self.known {
             Known::Present { revision, lease, .. }
-                if self.is_mine(lease) && matches!(lease.claim, Claim::Held(_)) =>
+                if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)) =>
             {
-                let (revision, rest) = (*revision, self.rest(now));
+                let (revision, rest) = (*revision, self.quiet_time(now));
                 self.write(now, Some(revision), Claim::Released(rest))
             }
-            _ if self.open.is_empty() => Step::Idle,
+            _ if self.open_writes.is_empty() => Step::Idle,
             _ => self.read(now, self.settings.fresh),
         }
     }
 
     /// Time from `now` on in which no other host may send orders.
-    fn rest(&self, now: Moment) -> Duration {
+    fn quiet_time(&self, now: Moment) -> Duration {
         let Settings { turn, flight, .. } = self.settings;
-        let last = self.ordered.unwrap_or(now);
+        let last = self.last_order.unwrap_or(now);
         (last + flight + turn).saturating_sub(now)
     }
 
     /// When this host may take the lease, by what it knows of it.
-    fn free(&self) -> Option<Moment> {
+    fn free_at(&self) -> Option<Moment> {
         let Settings { turn, flight, .. } = self.settings;
-        let delay = self.settings.patience();
+        let delay = self.settings.standby_delay();
         match &self.known {
             Known::Nothing => None,
             Known::Absent(free) => Some(*free + delay),
-            Known::Present { lease, since, .. } if self.is_mine(lease) => Some(*since),
+            Known::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
             // An earlier run of this host is gone, and its orders are this host's: only the
             // fences must not fall.
             Known::Present { lease, since, .. } if lease.holder == self.host => {
-                Some(*since + flight + AFTER)
+                Some(*since + flight + RUN_GAP)
             }
             Known::Present { lease, since, .. } => Some(match lease.claim {
                 Claim::Held(term) => *since + term + turn + delay,
@@ -293,28 +294,28 @@
     }
 
     fn read(&mut self, now: Moment, every: Duration) -> Step {
-        let last = self.asked.max(self.answered);
+        let last = self.last_read.max(self.last_answer);
         if last.is_some_and(|last| now < last + every) {
             return Step::Idle;
         }
-        self.asked = Some(now);
+        self.last_read = Some(now);
         Step::Read
     }
 
     fn write(&mut self, now: Moment, on: Option<Revision>, claim: Claim) -> Step {
         self.nonce += 1;
-        self.pause = now + self.settings.renew / 2;
-        if self.open.len() == MOST_OPEN {
-            self.open.remove(0);
+        self.idle_until = now + self.settings.renew / 2;
+        if self.open_writes.len() == MAX_OPEN_WRITES {
+            self.open_writes.remove(0);
         }
-        self.open.push(Sent { nonce: self.nonce, at: now });
+        self.open_writes.push(OpenWrite { nonce: self.nonce, at: now });
         let lease = Lease {
             holder: self.host.clone(),
             incarnation: self.incarnation,
             nonce: self.nonce,
             claim,
         };
-        self.awaited = Some(lease.clone());
+        self.pending_write = Some(lease.clone());
         match on {
             Some(revision) => Step::Replace(revision, lease),
             None => Step::Create(lease),
@@ -322,34 +323,34 @@
     }
 
     /// Takes in a revision; older ones than the known one say nothing.
-    fn learn(&mut self, now: Moment, revision: Revision, lease: Lease) {
+    fn apply(&mut self, now: Moment, revision: Revision, lease: Lease) {
         if matches!(self.known, Known::Present { revision: known, .. } if revision <= known) {
             return;
         }
         // Every open write names an older revision, so that none but this one took or takes effect.
-        let open = std::mem::take(&mut self.open);
+        let open = std::mem::take(&mut self.open_writes);
         let sent = open.iter().find(|sent| sent.nonce == lease.nonce);
-        if !self.is_mine(&lease) {
+        if !self.is_own(&lease) {
             self.tenure = None;
         } else if let (Claim::Held(term), Some(sent)) = (lease.claim, sent) {
-            self.hold(revision, sent.at, sent.at + term);
+            self.extend_tenure(revision, sent.at, sent.at + term);
         }
         self.known = Known::Present { revision, lease, since: now };
     }
 
-    fn hold(&mut self, revision: Revision, sent: Moment, until: Moment) {
+    fn extend_tenure(&mut self, revision: Revision, sent: Moment, until: Moment) {
         let fence = match self.tenure {
             Some(tenure) if sent <= tenure.until => tenure.fence,
             Some(_) | None => {
                 // An earlier run of this host may have sent orders until now.
-                self.ordered = Some(sent);
+                self.last_order = Some(sent);
                 revision
             }
         };
         self.tenure = Some(Tenure { fence, sent, until });
     }
 
-    fn is_mine(&self, lease: &Lease) -> bool {
+    fn is_own(&self, lease: &Lease) -> bool {
         lease.holder == self.host && lease.incarnation == self.incarnation
     }
 }
--- a/crates/policy/src/term/settings.rs
+++ b/crates/policy/src/term/settings.rs
@@ -5,17 +5,17 @@
 use crate::member::rendezvous;
 
 /// Hosts up to which each is told of every renewal within a fraction of a second.
-const FEW: usize = 16;
+const SMALL_FLEET: usize = 16;
 
 /// [`Settings::poll`] of few hosts, who are told.
-const POLL: Duration = Duration::from_secs(1);
+const SMALL_FLEET_POLL: Duration = Duration::from_secs(1);
 
 /// [`Settings::poll`] of many hosts, whose reads together have to stay few.
-const POLL_OF_MANY: Duration = Duration::from_secs(5);
+const LARGE_FLEET_POLL: Duration = Duration::from_secs(5);
 
 /// Time that a standby leaves to the others, and after which it reads the lease. News of renewals come
 /// late where hosts are many; hosts that all contend would read it again and again.
-const STANDBY: Duration = Duration::from_secs(12);
+const STANDBY_DELAY: Duration = Duration::from_secs(12);
 
 /// Hosts of many that contend at once.
 const CONTENDERS: usize = 5;
@@ -70,7 +70,7 @@
             turn: Duration::from_secs(3),
             flight: Duration::from_millis(300),
             fresh: Duration::from_millis(500),
-            poll: POLL,
+            poll: SMALL_FLEET_POLL,
             delay: Duration::ZERO,
             contender: Contender::First,
         }
@@ -81,17 +81,17 @@
     /// Sets [`Settings::poll`] for so many hosts that tell each other.
     pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
         (self.poll, self.contender) = match contender {
-            _ if hosts <= FEW => (POLL, Contender::First),
-            Contender::First => (POLL_OF_MANY, Contender::First),
-            Contender::Standby => (STANDBY, Contender::Standby),
+            _ if hosts <= SMALL_FLEET => (SMALL_FLEET_POLL, Contender::First),
+            Contender::First => (LARGE_FLEET_POLL, Contender::First),
+            Contender::Standby => (STANDBY_DELAY, Contender::Standby),
         };
     }
 
     /// Time that a host leaves to others once a lease is free.
-    pub fn patience(&self) -> Duration {
+    pub fn standby_delay(&self) -> Duration {
         match self.contender {
             Contender::First => self.delay,
-            Contender::Standby => self.delay + STANDBY,
+            Contender::Standby => self.delay + STANDBY_DELAY,
         }
     }
 }
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -49,7 +49,7 @@
 #[test]
 fn few_hosts_ask_at_once() {
     for role in [Role::Scout, Role::Follower] {
-        assert_eq!(settled(role, follow::FEW), Duration::ZERO);
+        assert_eq!(settled(role, follow::UNPACED_HOSTS), Duration::ZERO);
     }
 }
 
@@ -117,8 +117,8 @@
 fn a_server_whose_entry_went_is_left_alone_in_time(#[case] count: usize) {
     for role in [Role::Scout, Role::Follower] {
         let gather = settled(role, count);
-        let lapse = follow::removal_grace(gather, DRAIN);
-        assert!(gather + lapse < DRAIN, "{role:?}: {gather:?} and {lapse:?}");
-        assert!(Duration::ZERO < lapse, "an entry has some time to come back");
+        let grace = follow::removal_grace(gather, DRAIN);
+        assert!(gather + grace < DRAIN, "{role:?}: {gather:?} and {grace:?}");
+        assert!(Duration::ZERO < grace, "an entry has some time to come back");
     }
 }
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger's decisions, case by case: what frees memory and what does not.
 
 use policy::ledger::{
-    Claim, Ledger, MOST_ORDERS, Rejection, ReportPosition,
+    Claim, Ledger, MAX_ORDERS, Rejection, ReportPosition,
     held::Wait,
     replica::may_unload,
     settle::{Evidence, How},
@@ -105,8 +105,8 @@
     assert!(ledger.reserve(claim("o3"), load("b", 30)).is_err());
 
     let after = ReportPosition { incarnation: 1, sequence: 3 };
-    let word = Evidence::NotInFlight { order: "late".into(), after };
-    let ledger = ledger.settle(&[word]).ledger;
+    let evidence = Evidence::NotInFlight { order: "late".into(), after };
+    let ledger = ledger.settle(&[evidence]).ledger;
     assert_eq!(ledger.usage().in_doubt, 80, "no report since the word has been seen");
     let ledger = ledger.settle(&[Evidence::Report(&report(3, &[]))]).ledger;
     assert_eq!(ledger.usage().free, 100);
@@ -171,11 +171,11 @@
 #[test]
 fn unsettled_orders_are_bounded() {
     let mut ledger = Ledger::new(&report(1, &[]));
-    for number in 0..MOST_ORDERS {
+    for number in 0..MAX_ORDERS {
         (ledger, _) = reserved(&ledger, &format!("o{number}"), load("a", 1));
     }
     let rejection = ledger.reserve(claim("more"), load("a", 1));
-    assert!(matches!(rejection, Err(Rejection::Orders { open: MOST_ORDERS, .. })));
+    assert!(matches!(rejection, Err(Rejection::Orders { open: MAX_ORDERS, .. })));
 }
 
 #[test]
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn reading(asked: u64, age: u64) -> TimedReport {
+fn report(asked: u64, age: u64) -> TimedReport {
     TimedReport { asked: at(asked), load: load(5, age) }
 }
 
@@ -64,9 +64,9 @@
 fn order_in_hand_or_in_flight_gets_no_word() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    assert!(sender.evidence(&ledger, Some(&reading(9, 0))).is_empty());
+    assert!(sender.evidence(&ledger, Some(&report(9, 0))).is_empty());
     sender.mark_sent(&id);
-    assert!(sender.evidence(&ledger, Some(&reading(9, 0))).is_empty());
+    assert!(sender.evidence(&ledger, Some(&report(9, 0))).is_empty());
 }
 
 #[test]
@@ -75,10 +75,12 @@
     let (ledger, id) = reserved(&mut sender);
     sender.mark_sent(&id);
     sender.mark_answered(at(20), &id, &Ack::Accepted);
-    assert!(sender.evidence(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
-    let words = sender.evidence(&ledger, Some(&reading(25, 4)));
+    assert!(sender.evidence(&ledger, Some(&report(25, 6))).is_empty(), "taken at 19");
+    let evidence = sender.evidence(&ledger, Some(&report(25, 4)));
     let after = ReportPosition { incarnation: 1, sequence: 5 };
-    assert!(matches!(&words[..], [Evidence::NotInFlight { after: named, .. }] if *named == after));
+    assert!(
+        matches!(&evidence[..], [Evidence::NotInFlight { after: named, .. }] if *named == after)
+    );
 }
 
 #[test]
@@ -87,10 +89,10 @@
     let (ledger, id) = reserved(&mut sender);
     sender.mark_sent(&id);
     sender.mark_unanswered(at(20), &id);
-    assert!(sender.evidence(&ledger, Some(&reading(139, 0))).is_empty());
+    assert!(sender.evidence(&ledger, Some(&report(139, 0))).is_empty());
     assert!(!sender.wants_report(at(139), &ledger));
     assert!(sender.wants_report(at(141), &ledger));
-    assert_eq!(sender.evidence(&ledger, Some(&reading(141, 0))).len(), 1);
+    assert_eq!(sender.evidence(&ledger, Some(&report(141, 0))).len(), 1);
 }
 
 #[rstest]
@@ -107,8 +109,8 @@
 #[test]
 fn own_order_that_is_not_known_was_never_sent() {
     let (ledger, id) = reserved(&mut sender(1));
-    let words = sender(1).evidence(&ledger, None);
-    assert!(matches!(&words[..], [Evidence::NeverTaken { order }] if *order == id));
+    let evidence = sender(1).evidence(&ledger, None);
+    assert!(matches!(&evidence[..], [Evidence::NeverTaken { order }] if *order == id));
     assert!(sender(2).evidence(&ledger, None).is_empty(), "an earlier run's order is not its own");
 }
 
@@ -168,6 +170,6 @@
     assert_eq!(gone_senders.gone_since(&host, 1), Some(at(50) + LINGER));
     assert_eq!(gone_senders.gone_since(&host, 2), None);
     let (ledger, _) = reserved(&mut sender(1));
-    assert!(gone_senders.evidence(&ledger, &reading(170, 0)).is_empty());
-    assert_eq!(gone_senders.evidence(&ledger, &reading(171, 0)).len(), 1);
+    assert!(gone_senders.evidence(&ledger, &report(170, 0)).is_empty());
+    assert_eq!(gone_senders.evidence(&ledger, &report(171, 0)).len(), 1);
 }
