--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -34,23 +34,23 @@
 ///
 /// An engine lists the orders it took, and the list is bounded; an order can't drop off it
 /// unseen while fewer than that are open.
-pub const MOST_ORDERS: usize = 16;
+pub const MAX_ORDERS: usize = 16;
 
 /// Place of a report among all reports of a server.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Mark {
+pub struct ReportPosition {
     /// Run of the server's process.
     pub incarnation: backend::Incarnation,
     /// Number of the report within the run.
     pub sequence: u64,
 }
 
-impl Mark {
+impl ReportPosition {
     /// Place of this report.
-    pub fn of(load: &report::Load) -> Mark {
-        Mark { incarnation: load.incarnation, sequence: load.sequence }
+    pub fn of(load: &report::Load) -> ReportPosition {
+        ReportPosition { incarnation: load.incarnation, sequence: load.sequence }
     }
 }
 
@@ -63,7 +63,7 @@
     pub cause: Arc<str>,
     /// Set once nothing of it is in flight any more: reports from here on show its effect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quiet: Option<Mark>,
+    pub quiet: Option<ReportPosition>,
 }
 
 /// Promise of one server's accelerator memory, as kept in the object API.
@@ -78,7 +78,7 @@
     /// Highest fencing number given out.
     pub fence: order::Fence,
     /// The report that `seen` and `residents` come from.
-    pub mark: Mark,
+    pub mark: ReportPosition,
     /// Highest fencing number that the engine had seen.
     pub seen: order::Fence,
     /// What was in memory.
@@ -102,7 +102,7 @@
 
 /// What stands in the way of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Short {
+pub enum Rejection {
     /// Too little memory is free.
     #[error("{server}: {needed} MiB are needed and {free} are free, {in_doubt} are held in doubt")]
     Memory {
@@ -127,7 +127,7 @@
 
 /// Memory of one server by what is known of it; all in MiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Split {
+pub struct Usage {
     /// All of it.
     pub capacity: Mebibytes,
     /// Taken by residents or reserved.
@@ -146,7 +146,7 @@
             capacity: load.capacity,
             fenced: load.fenced,
             fence: load.fence,
-            mark: Mark::of(load),
+            mark: ReportPosition::of(load),
             seen: load.fence,
             residents: load.residents.clone(),
             orders: Vec::new(),
@@ -165,11 +165,15 @@
     ///
     /// # Errors
     /// What is short; the ledger stays as it is.
-    pub fn reserve(&self, claim: Claim, action: order::Action) -> Result<(Ledger, Order), Short> {
-        if MOST_ORDERS <= self.orders.len() {
-            return Err(Short::Orders { server: self.server.clone(), open: self.orders.len() });
+    pub fn reserve(
+        &self,
+        claim: Claim,
+        action: order::Action,
+    ) -> Result<(Ledger, Order), Rejection> {
+        if MAX_ORDERS <= self.orders.len() {
+            return Err(Rejection::Orders { server: self.server.clone(), open: self.orders.len() });
         }
-        let before = self.split();
+        let before = self.usage();
         let order = Order {
             id: claim.id,
             server: self.server.clone(),
@@ -184,18 +188,18 @@
 
         let takes_memory = matches!(order.action, order::Action::Load { .. });
         if takes_memory && !next.fits() {
-            let needed = next.split().promised.saturating_sub(before.promised);
-            let Split { free, in_doubt, .. } = before;
-            return Err(Short::Memory { server: self.server.clone(), needed, free, in_doubt });
+            let needed = next.usage().promised.saturating_sub(before.promised);
+            let Usage { free, in_doubt, .. } = before;
+            return Err(Rejection::Memory { server: self.server.clone(), needed, free, in_doubt });
         }
         Ok((next, order))
     }
 
     /// Memory by what is known of it.
-    pub fn split(&self) -> Split {
-        let running = self.running();
-        let promised = running.max(self.restarted());
-        Split {
+    pub fn usage(&self) -> Usage {
+        let running = self.worst_case_running();
+        let promised = running.max(self.worst_case_restarted());
+        Usage {
             capacity: self.capacity,
             promised,
             in_doubt: running.saturating_sub(total(&self.resident_memory())),
@@ -210,17 +214,17 @@
 
     /// Whether both sums fit in the capacity.
     fn fits(&self) -> bool {
-        self.running() <= self.capacity && self.restarted() <= self.capacity
+        self.worst_case_running() <= self.capacity && self.worst_case_restarted() <= self.capacity
     }
 
     /// What the engine may come to hold as it runs.
-    fn running(&self) -> Mebibytes {
+    fn worst_case_running(&self) -> Mebibytes {
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         total(&with_loads(self.resident_memory(), open))
     }
 
     /// What the engine may come to hold after a restart that nobody has seen.
-    fn restarted(&self) -> Mebibytes {
+    fn worst_case_restarted(&self) -> Mebibytes {
         total(&with_loads(BTreeMap::new(), self.orders.iter()))
     }
 
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -15,7 +15,7 @@
 
 use types::prelude::*;
 
-use super::{Entry, Ledger, Mark};
+use super::{Entry, Ledger, ReportPosition};
 
 /// Something known about a server's orders.
 #[derive(Clone, Debug)]
@@ -23,25 +23,25 @@
     /// A load report.
     Report(&'a report::Load),
     /// The engine did not take the order and never will.
-    Never {
+    NeverTaken {
         /// The order.
         order: order::Id,
     },
     /// Nothing of the order is in flight, by its sender's word.
-    Quiet {
+    NotInFlight {
         /// The order.
         order: order::Id,
         /// The first report that is known to have been taken afterwards.
-        after: Mark,
+        after: ReportPosition,
     },
     /// A host's process is gone for good, and nothing that it sent is in flight.
-    Gone {
+    SenderGone {
         /// The host.
         sender: host::Id,
         /// Its last run that is gone.
         incarnation: host::Incarnation,
         /// The first report that is known to have been taken afterwards.
-        after: Mark,
+        after: ReportPosition,
     },
 }
 
@@ -51,9 +51,9 @@
     /// The engine reported that it took it.
     Taken,
     /// The engine never took it.
-    Never,
+    NeverTaken,
     /// Nothing of it is in flight; the reports show what came of it.
-    Quiet,
+    NotInFlight,
 }
 
 /// An order that was settled.
@@ -81,14 +81,14 @@
         for piece in evidence {
             match piece {
                 Evidence::Report(load) => outcome.report(load),
-                Evidence::Never { order } => {
-                    outcome.drop_where(How::Never, |entry| entry.order.id == *order);
+                Evidence::NeverTaken { order } => {
+                    outcome.settle_where(How::NeverTaken, |entry| entry.order.id == *order);
                 }
-                Evidence::Quiet { order, after } => {
-                    outcome.quieten(*after, |entry| entry.order.id == *order);
+                Evidence::NotInFlight { order, after } => {
+                    outcome.mark_not_in_flight(*after, |entry| entry.order.id == *order);
                 }
-                Evidence::Gone { sender, incarnation, after } => {
-                    outcome.quieten(*after, |entry| {
+                Evidence::SenderGone { sender, incarnation, after } => {
+                    outcome.mark_not_in_flight(*after, |entry| {
                         entry.order.sender == *sender && entry.order.incarnation <= *incarnation
                     });
                 }
@@ -101,7 +101,7 @@
 impl Outcome {
     /// Whether a planner would decide otherwise by the ledger than by the one `before`, so that
     /// writing it is worth a call. Reports come many times a second and mostly say the same.
-    pub fn is_news(&self, before: &Ledger) -> bool {
+    pub fn affects_planning(&self, before: &Ledger) -> bool {
         let superseded = |ledger: &Ledger| -> Vec<bool> {
             ledger.orders.iter().map(|entry| ledger.is_superseded(entry)).collect()
         };
@@ -114,7 +114,7 @@
     }
 
     fn report(&mut self, load: &report::Load) {
-        let mark = Mark::of(load);
+        let mark = ReportPosition::of(load);
         if mark < self.ledger.mark || load.server != self.ledger.server {
             return;
         }
@@ -124,25 +124,25 @@
         self.ledger.seen = load.fence;
         self.ledger.fence = self.ledger.fence.max(load.fence);
         self.ledger.residents = load.residents.clone();
-        self.drop_where(How::Taken, |entry| load.orders.contains(&entry.order.id));
-        self.drop_quiet();
+        self.settle_where(How::Taken, |entry| load.orders.contains(&entry.order.id));
+        self.settle_shown();
     }
 
-    fn quieten(&mut self, after: Mark, applies: impl Fn(&Entry) -> bool) {
+    fn mark_not_in_flight(&mut self, after: ReportPosition, applies: impl Fn(&Entry) -> bool) {
         let entries = self.ledger.orders.iter_mut();
         entries
             .filter(|entry| entry.quiet.is_none() && applies(entry))
             .for_each(|entry| entry.quiet = Some(after));
-        self.drop_quiet();
+        self.settle_shown();
     }
 
     /// Drops the orders whose effect the last report shows.
-    fn drop_quiet(&mut self) {
+    fn settle_shown(&mut self) {
         let mark = self.ledger.mark;
-        self.drop_where(How::Quiet, |entry| entry.quiet.is_some_and(|after| after <= mark));
+        self.settle_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
     }
 
-    fn drop_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
+    fn settle_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
         let gone = self.ledger.orders.extract_if(.., |entry| applies(entry));
         self.settled.extend(gone.map(|entry| Settled { entry, how }));
     }
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -1,9 +1,9 @@
 //! What a sender may say of its orders, and who counts as gone.
 
 use policy::ledger::{
-    Ledger, Mark,
-    absence::{Absence, Times},
-    sender::{Reading, Sender},
+    Ledger, ReportPosition,
+    absence::{GoneSenders, Times},
+    sender::{Sender, TimedReport},
     settle::Evidence,
 };
 use rstest::rstest;
@@ -43,8 +43,8 @@
     }
 }
 
-fn reading(asked: u64, age: u64) -> Reading {
-    Reading { asked: at(asked), load: load(5, age) }
+fn report(asked: u64, age: u64) -> TimedReport {
+    TimedReport { asked: at(asked), load: load(5, age) }
 }
 
 fn sender(incarnation: u64) -> Sender {
@@ -64,33 +64,35 @@
 fn order_in_hand_or_in_flight_gets_no_word() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    assert!(sender.words(&ledger, Some(&reading(9, 0))).is_empty());
-    sender.sends(&id);
-    assert!(sender.words(&ledger, Some(&reading(9, 0))).is_empty());
+    assert!(sender.evidence(&ledger, Some(&report(9, 0))).is_empty());
+    sender.mark_sent(&id);
+    assert!(sender.evidence(&ledger, Some(&report(9, 0))).is_empty());
 }
 
 #[test]
 fn accepted_order_is_quiet_by_a_report_taken_afterwards_only() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.answered(at(20), &id, &Ack::Accepted);
-    assert!(sender.words(&ledger, Some(&reading(25, 6))).is_empty(), "taken at 19");
-    let words = sender.words(&ledger, Some(&reading(25, 4)));
-    let after = Mark { incarnation: 1, sequence: 5 };
-    assert!(matches!(&words[..], [Evidence::Quiet { after: named, .. }] if *named == after));
+    sender.mark_sent(&id);
+    sender.mark_answered(at(20), &id, &Ack::Accepted);
+    assert!(sender.evidence(&ledger, Some(&report(25, 6))).is_empty(), "taken at 19");
+    let evidence = sender.evidence(&ledger, Some(&report(25, 4)));
+    let after = ReportPosition { incarnation: 1, sequence: 5 };
+    assert!(
+        matches!(&evidence[..], [Evidence::NotInFlight { after: named, .. }] if *named == after)
+    );
 }
 
 #[test]
 fn broken_exchange_is_in_doubt_until_the_linger_time_has_passed() {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.unanswered(at(20), &id);
-    assert!(sender.words(&ledger, Some(&reading(139, 0))).is_empty());
+    sender.mark_sent(&id);
+    sender.mark_unanswered(at(20), &id);
+    assert!(sender.evidence(&ledger, Some(&report(139, 0))).is_empty());
     assert!(!sender.wants_report(at(139), &ledger));
     assert!(sender.wants_report(at(141), &ledger));
-    assert_eq!(sender.words(&ledger, Some(&reading(141, 0))).len(), 1);
+    assert_eq!(sender.evidence(&ledger, Some(&report(141, 0))).len(), 1);
 }
 
 #[rstest]
@@ -99,17 +101,17 @@
 fn refused_order_never_ran(#[case] ack: Ack) {
     let mut sender = sender(1);
     let (ledger, id) = reserved(&mut sender);
-    sender.sends(&id);
-    sender.answered(at(20), &id, &ack);
-    assert!(matches!(&sender.words(&ledger, None)[..], [Evidence::Never { .. }]));
+    sender.mark_sent(&id);
+    sender.mark_answered(at(20), &id, &ack);
+    assert!(matches!(&sender.evidence(&ledger, None)[..], [Evidence::NeverTaken { .. }]));
 }
 
 #[test]
 fn own_order_that_is_not_known_was_never_sent() {
     let (ledger, id) = reserved(&mut sender(1));
-    let words = sender(1).words(&ledger, None);
-    assert!(matches!(&words[..], [Evidence::Never { order }] if *order == id));
-    assert!(sender(2).words(&ledger, None).is_empty(), "an earlier run's order is not its own");
+    let evidence = sender(1).evidence(&ledger, None);
+    assert!(matches!(&evidence[..], [Evidence::NeverTaken { order }] if *order == id));
+    assert!(sender(2).evidence(&ledger, None).is_empty(), "an earlier run's order is not its own");
 }
 
 fn list(hosts: &[&str]) -> List {
@@ -123,51 +125,51 @@
     List { hosts: hosts.iter().map(entry).collect(), servers: Vec::new() }
 }
 
-fn absence() -> Absence {
-    Absence::new(Times { list_lag: LAG, linger: LINGER })
+fn gone_senders() -> GoneSenders {
+    GoneSenders::new(Times { list_lag: LAG, linger: LINGER })
 }
 
 #[test]
 fn listed_sender_is_never_gone_however_silent() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
     for time in 0..100 {
-        absence.list(at(100 * time), &list(&["host-1"]), [&host]);
+        gone_senders.observe_list(at(100 * time), &list(&["host-1"]), [&host]);
     }
-    assert_eq!(absence.gone(&host, 1), None);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
 }
 
 #[test]
 fn unlisted_sender_is_gone_after_the_lists_lag_and_the_linger_time() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.list(at(100), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None, "no later list has confirmed it");
-    absence.list(at(109), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None);
-    absence.list(at(110), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), Some(at(110) + LINGER));
+    gone_senders.observe_list(at(100), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None, "no later list has confirmed it");
+    gone_senders.observe_list(at(109), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
+    gone_senders.observe_list(at(110), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), Some(at(110) + LINGER));
 }
 
 #[test]
 fn sender_that_is_listed_again_starts_its_absence_anew() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.list(at(100), &list(&[]), [&host]);
-    absence.list(at(105), &list(&["host-1"]), [&host]);
-    absence.list(at(106), &list(&[]), [&host]);
-    absence.list(at(112), &list(&[]), [&host]);
-    assert_eq!(absence.gone(&host, 1), None);
+    gone_senders.observe_list(at(100), &list(&[]), [&host]);
+    gone_senders.observe_list(at(105), &list(&["host-1"]), [&host]);
+    gone_senders.observe_list(at(106), &list(&[]), [&host]);
+    gone_senders.observe_list(at(112), &list(&[]), [&host]);
+    assert_eq!(gone_senders.gone_since(&host, 1), None);
 }
 
 #[test]
 fn earlier_run_is_gone_once_a_later_one_is_known() {
-    let mut absence = absence();
+    let mut gone_senders = gone_senders();
     let host: host::Id = "host-1".into();
-    absence.run(at(50), &host, 2);
-    assert_eq!(absence.gone(&host, 1), Some(at(50) + LINGER));
-    assert_eq!(absence.gone(&host, 2), None);
+    gone_senders.observe_run(at(50), &host, 2);
+    assert_eq!(gone_senders.gone_since(&host, 1), Some(at(50) + LINGER));
+    assert_eq!(gone_senders.gone_since(&host, 2), None);
     let (ledger, _) = reserved(&mut sender(1));
-    assert!(absence.words(&ledger, &reading(170, 0)).is_empty());
-    assert_eq!(absence.words(&ledger, &reading(171, 0)).len(), 1);
+    assert!(gone_senders.evidence(&ledger, &report(170, 0)).is_empty());
+    assert_eq!(gone_senders.evidence(&ledger, &report(171, 0)).len(), 1);
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -211,9 +211,9 @@
     let mut term = shared.term();
     let live = snapshot.hosts.iter().filter(|status| status.liveness == Liveness::Live);
     let others = live.map(|status| &status.member.id);
-    term.hosts(snapshot.live, term::contender(&shared.host.id, others));
+    term.set_hosts(snapshot.live, term::contender(&shared.host.id, others));
     if let Some(stored) = &snapshot.term {
-        term.told(now, stored.clone());
+        term.observe_from_peer(now, stored.clone());
     }
     drop(term);
     let mut dispatcher = shared.dispatcher();
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/moves.rs
@@ -1,6 +1,6 @@
 //! What may happen next, with `policy::ledger` deciding.
 
-use policy::ledger::{Ledger, Mark, settle::Evidence};
+use policy::ledger::{Ledger, ReportPosition, settle::Evidence};
 
 use super::{
     Guard, Memory, Step,
@@ -274,14 +274,14 @@
     fn evidence(&self, known: &Known) -> Ledger {
         let mut load = words::load(&known.engine, &self.bounds);
         load.fenced |= self.is_off(Guard::Unfenced);
-        let after = Mark::of(&load);
+        let after = ReportPosition::of(&load);
         let mut ledger = (*self.ledger(known.ledger)).clone();
         if self.is_off(Guard::ReportOrder) {
-            ledger.mark = Mark::default();
+            ledger.mark = ReportPosition::default();
         }
-        let never = words::orders(known.never).map(|order| Evidence::Never { order });
-        let quiet = words::orders(known.quiet).map(|order| Evidence::Quiet { order, after });
-        let gone = (0..PLANNERS).map(|planner| Evidence::Gone {
+        let never = words::orders(known.never).map(|order| Evidence::NeverTaken { order });
+        let quiet = words::orders(known.quiet).map(|order| Evidence::NotInFlight { order, after });
+        let gone = (0..PLANNERS).map(|planner| Evidence::SenderGone {
             sender: words::host(planner),
             incarnation: known.gone[planner].into(),
             after,
@@ -289,7 +289,7 @@
         let report = std::iter::once(Evidence::Report(&load));
         let evidence: Vec<Evidence<'_>> = report.chain(never).chain(quiet).chain(gone).collect();
         let outcome = ledger.settle(&evidence);
-        let mut settled = if outcome.is_news(&ledger) { outcome.ledger } else { ledger };
+        let mut settled = if outcome.affects_planning(&ledger) { outcome.ledger } else { ledger };
         if self.is_off(Guard::AbsenceIsNoEvidence) {
             settled.orders.retain(|entry| match &entry.order.action {
                 types::order::Action::Load { unit, .. } => {
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -21,8 +21,8 @@
 use observe::{Event, event};
 use policy::{
     ledger::{
-        absence::{Absence, Times},
-        replica::may_break,
+        absence::{GoneSenders, Times},
+        replica::may_unload,
     },
     plan::{Cause, Engine, Limits, Move, Planner},
 };
@@ -58,7 +58,7 @@
     held: Held,
     book: Book,
     orders: Orders,
-    absence: Absence,
+    gone_senders: GoneSenders,
     planner: Planner,
     work: Work,
     configured: config::Number,
@@ -80,7 +80,7 @@
             held: Held::new(context.clone()),
             book: Book::new(context.clone()),
             orders: Orders::new(context.clone()),
-            absence: Absence::new(times),
+            gone_senders: GoneSenders::new(times),
             planner: planner(&context),
             work: Work::default(),
             configured: 0,
@@ -107,7 +107,7 @@
         let now = self.context.now();
         if self.is_list_due(now) {
             self.book.list().await?;
-            self.orders.sender().keep_only(self.book.ledgers());
+            self.orders.sender().retain_in(self.book.ledgers());
         }
         self.settle_all().await;
         self.show();
@@ -168,7 +168,7 @@
             && !self.is_kept(unit, keeper).await
         {
             log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: nobody keeps it");
-            self.orders.sender().withdraws(&order.id);
+            self.orders.sender().mark_not_sent(&order.id);
             return;
         }
         self.context.metrics.moved(cause);
@@ -219,18 +219,18 @@
             Ok(reserved) => reserved,
             Err(short) => {
                 log::info!(server = &**server; "no reservation: {short}");
-                self.orders.sender().settled(&id);
+                self.orders.sender().forget(&id);
                 return None;
             }
         };
         match self.book.reserve(version, &next, &id).await {
             Written::Stands => Some(order),
             Written::Refused => {
-                self.orders.sender().settled(&id);
+                self.orders.sender().forget(&id);
                 None
             }
             Written::Unknown => {
-                self.orders.sender().withdraws(&id);
+                self.orders.sender().mark_not_sent(&id);
                 None
             }
         }
@@ -239,7 +239,7 @@
     /// Whether the keeper's ledger, read now, keeps the unit.
     async fn is_kept(&mut self, unit: &Unit, keeper: &backend::Id) -> bool {
         match self.book.read(keeper).await {
-            Ok(stored) => may_break(unit, stored.map(|stored| &stored.ledger)),
+            Ok(stored) => may_unload(unit, stored.map(|stored| &stored.ledger)),
             Err(error) => {
                 log::warn!(server = &**keeper; "ledger of the keeper: {error}");
                 false
@@ -249,7 +249,7 @@
 
     fn send(&self, order: Order, cause: &str) {
         let Some(address) = self.address(&order.server) else {
-            self.orders.sender().withdraws(&order.id);
+            self.orders.sender().mark_not_sent(&order.id);
             return;
         };
         log::info!(
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -55,8 +55,8 @@
             group: server.group.clone(),
             zone: server.zone.clone(),
             state,
-            free: ledger.split().free,
-            residents: ledger.picture(),
+            free: ledger.usage().free,
+            residents: ledger.expected_residents(),
         })
     }
 }
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -3,7 +3,7 @@
 use observe::{Event, event};
 use policy::ledger::{
     Ledger,
-    sender::Reading,
+    sender::TimedReport,
     settle::{Evidence, Outcome},
 };
 use types::{prelude::*, report::Load};
@@ -33,8 +33,8 @@
             return Ok(());
         }
         self.book.list().await?;
-        self.orders.sender().keep_only(self.book.ledgers());
-        self.absence.run(now, &self.context.host().id, self.context.incarnation);
+        self.orders.sender().retain_in(self.book.ledgers());
+        self.gone_senders.observe_run(now, &self.context.host().id, self.context.incarnation);
         let mut is_clear = true;
         for entry in self.engines() {
             let ledger = self.book.get(&entry.server.id).map(|stored| &stored.ledger);
@@ -61,14 +61,14 @@
         };
         let fresh = self.fresh_report(server, &ledger).await;
         let mut known: Vec<Evidence<'_>> = report.iter().map(Evidence::Report).collect();
-        known.extend(self.orders.sender().words(&ledger, fresh.as_ref()));
+        known.extend(self.orders.sender().evidence(&ledger, fresh.as_ref()));
         if let Some(fresh) = &fresh {
             known.push(Evidence::Report(&fresh.load));
-            known.extend(self.absence.words(&ledger, fresh));
+            known.extend(self.gone_senders.evidence(&ledger, fresh));
         }
         let outcome = ledger.settle(&known);
-        let is_news = outcome.is_news(&ledger);
-        if !is_news {
+        let affects_planning = outcome.affects_planning(&ledger);
+        if !affects_planning {
             self.book.learn(version, outcome.ledger);
             return;
         }
@@ -92,17 +92,17 @@
     }
 
     /// A report asked for now, if a word waits for one.
-    async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<Reading> {
+    async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<TimedReport> {
         let asked = self.context.now();
         let is_wanted = self.orders.sender().wants_report(asked, ledger)
-            || self.absence.wants_report(asked, ledger);
+            || self.gone_senders.wants_report(asked, ledger);
         if !is_wanted {
             return None;
         }
         let report = self.context.control.load(server.address);
         match tokio::time::timeout(self.context.settings.planning.order, report).await {
             Ok(Ok(load)) => {
-                Some(Reading { asked, load: Load { server: server.id.clone(), ..load } })
+                Some(TimedReport { asked, load: Load { server: server.id.clone(), ..load } })
             }
             Ok(Err(error)) => {
                 log::debug!(server = &*server.id; "fresh report: {error}");
@@ -116,22 +116,24 @@
     async fn look_for_the_gone(&mut self) {
         let now = self.context.now();
         let host = self.context.host().id.clone();
-        self.absence.run(now, &host, self.context.incarnation);
+        self.gone_senders.observe_run(now, &host, self.context.incarnation);
         let orders = self.book.ledgers().flat_map(|ledger| &ledger.orders);
         let senders: Vec<(host::Id, host::Incarnation)> =
             orders.map(|entry| (entry.order.sender.clone(), entry.order.incarnation)).collect();
         for (sender, incarnation) in &senders {
-            self.absence.run(now, sender, *incarnation);
+            self.gone_senders.observe_run(now, sender, *incarnation);
         }
         let list = self.context.fleet.list();
         let is_listed = |id: &host::Id| list.hosts.iter().any(|entry| entry.host.id == *id);
         let all_listed = senders.iter().all(|(sender, _)| is_listed(sender));
-        if all_listed && !self.absence.is_watching() {
+        if all_listed && !self.gone_senders.is_watching() {
             return;
         }
         // The shared picture may be as old as an outage; absence is judged by a list of its own.
         match self.context.store.hosts().await {
-            Ok(list) => self.absence.list(now, &list, senders.iter().map(|(sender, _)| sender)),
+            Ok(list) => {
+                self.gone_senders.observe_list(now, &list, senders.iter().map(|(sender, _)| sender))
+            }
             Err(error) => log::debug!("host list for absence: {error}"),
         }
     }
@@ -139,7 +141,7 @@
     fn note(&self, outcome: Outcome) {
         for settled in &outcome.settled {
             let order = &settled.entry.order;
-            self.orders.sender().settled(&order.id);
+            self.orders.sender().forget(&order.id);
             let evidence = evidence(settled.how);
             log::info!(order = &*order.id, server = &*order.server; "order settled: {evidence}");
             let kind =
