--- a/crates/policy/benches/path.rs
+++ b/crates/policy/benches/path.rs
@@ -5,7 +5,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
     admit::{Ticket, Work},
-    route::{Distances, Wanted},
+    route::{Destination, Distances},
     traffic::{Admission, Demand, End, Rules, Traffic},
 };
 use types::{
@@ -84,7 +84,7 @@
 
 fn demand(traffic: &Traffic, size: &Size, ticket: Ticket, now: Moment) -> Demand {
     let model = ticket.wrapping_mul(2_654_435_761) % u64::from(size.models);
-    let wanted = Wanted::Model(model::Name::parse(&format!("model-{model}")));
+    let wanted = Destination::Model(model::Name::parse(&format!("model-{model}")));
     let wanted = traffic.table.find(&wanted).unwrap();
     Demand {
         work: Work {
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -17,7 +17,7 @@
 use types::prelude::*;
 
 use self::queue::Queue;
-use crate::route::Place;
+use crate::route::DestinationIndex;
 
 /// Of this many starts from a queue, one goes to the best class below the one that is due.
 pub const LOWER_EVERY: u32 = 32;
@@ -47,9 +47,9 @@
     /// That service's share; positive.
     pub service_share: u32,
     /// What a server must have ready to run it.
-    pub wanted: Place,
+    pub wanted: DestinationIndex,
     /// The model or group that its limits belong to.
-    pub pool: Place,
+    pub pool: DestinationIndex,
     /// When its first token is due.
     pub due: Moment,
     /// Any number; spreads the times at which refused callers come back.
@@ -119,8 +119,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     bounds: Bounds,
-    queues: BTreeMap<Place, Queue>,
-    waiting: BTreeMap<Ticket, Place>,
+    queues: BTreeMap<DestinationIndex, Queue>,
+    waiting: BTreeMap<Ticket, DestinationIndex>,
 }
 
 impl Gate {
@@ -135,7 +135,7 @@
     }
 
     /// Models and groups that work waits for.
-    pub fn pools(&self) -> Vec<Place> {
+    pub fn pools(&self) -> Vec<DestinationIndex> {
         self.queues.iter().filter(|(_, queue)| !queue.is_empty()).map(|(pool, _)| *pool).collect()
     }
 
@@ -178,7 +178,11 @@
     }
 
     /// Takes out the next piece of work that has room, to be started now.
-    pub fn next(&mut self, pool: Place, room: impl Fn(Place) -> u32) -> Option<Work> {
+    pub fn next(
+        &mut self,
+        pool: DestinationIndex,
+        room: impl Fn(DestinationIndex) -> u32,
+    ) -> Option<Work> {
         let work = self.queues.get_mut(&pool)?.pop(room)?;
         self.waiting.remove(&work.ticket);
         Some(work)
@@ -187,9 +191,9 @@
     /// Refuses the waiting work whose target can no longer be met, all of it at once.
     pub fn sweep(
         &mut self,
-        pool: Place,
+        pool: DestinationIndex,
         now: Moment,
-        outlook: impl Fn(Place) -> Outlook,
+        outlook: impl Fn(DestinationIndex) -> Outlook,
     ) -> Vec<(Ticket, Refusal)> {
         let Some(queue) = self.queues.get_mut(&pool) else {
             return Vec::new();
--- a/crates/policy/src/admit/queue.rs
+++ b/crates/policy/src/admit/queue.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 use super::{LOWER_EVERY, Outlook, Ticket, Work};
-use crate::route::Place;
+use crate::route::DestinationIndex;
 
 /// Virtual time of one start at share one.
 const UNIT: u64 = 1 << 20;
@@ -31,7 +31,7 @@
 struct Account {
     passed: u64,
     share: u32,
-    flows: BTreeMap<(service::Id, Place), Flow>,
+    flows: BTreeMap<(service::Id, DestinationIndex), Flow>,
 }
 
 /// Work of one priority.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: [Class; Priority::ALL.len()],
-    places: BTreeMap<Ticket, (Priority, customer::Id, service::Id, Place, Moment)>,
+    places: BTreeMap<Ticket, (Priority, customer::Id, service::Id, DestinationIndex, Moment)>,
     starts: u32,
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// Takes out the next piece of work that has room.
-    pub fn pop(&mut self, room: impl Fn(Place) -> u32) -> Option<Work> {
+    pub fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Work> {
         let lower_first = self.starts % LOWER_EVERY == LOWER_EVERY - 1;
         let mut order: Vec<usize> =
             (0..self.classes.len()).rev().filter(|at| 0 < self.classes[*at].waiting).collect();
@@ -172,7 +172,7 @@
         self.waiting += 1;
     }
 
-    fn pop(&mut self, room: impl Fn(Place) -> u32) -> Option<Work> {
+    fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Work> {
         let account = self
             .accounts
             .values_mut()
@@ -233,7 +233,7 @@
         waiting.map(|flow| f64::from(flow.share)).sum::<f64>().max(1.0)
     }
 
-    fn weight_without(&self, own: &(service::Id, Place)) -> f64 {
+    fn weight_without(&self, own: &(service::Id, DestinationIndex)) -> f64 {
         let others =
             self.flows.iter().filter(|(key, flow)| *key != own && !flow.waiting.is_empty());
         others.map(|(_, flow)| f64::from(flow.share)).sum()
@@ -252,7 +252,7 @@
 }
 
 impl Flow {
-    fn is_open(&self, wanted: Place, room: impl Fn(Place) -> u32) -> bool {
+    fn is_open(&self, wanted: DestinationIndex, room: impl Fn(DestinationIndex) -> u32) -> bool {
         !self.waiting.is_empty() && 0 < room(wanted)
     }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -13,7 +13,7 @@
 
 use types::prelude::*;
 
-use crate::route::{Index, Place};
+use crate::route::{DestinationIndex, Index};
 
 /// How a request ended, as far as a limit cares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -208,12 +208,12 @@
     }
 }
 
-/// The pools of one host, by server and by the place of the model or group.
+/// The pools of one host, by server and by the destination of the model or group.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     law: Law,
     /// The hasher has no random state, and the order never shows.
-    pools: HashMap<(Index, Place), Pool, BuildHasherDefault<DefaultHasher>>,
+    pools: HashMap<(Index, DestinationIndex), Pool, BuildHasherDefault<DefaultHasher>>,
 }
 
 impl Pools {
@@ -223,27 +223,27 @@
     }
 
     /// How many more may start on a server for a model.
-    pub fn room(&self, server: Index, place: Place) -> u32 {
-        match self.pools.get(&(server, place)) {
+    pub fn room(&self, server: Index, destination: DestinationIndex) -> u32 {
+        match self.pools.get(&(server, destination)) {
             Some(pool) => pool.room(),
             None => Pool::new(self.law).room(),
         }
     }
 
     /// Requests in flight on a server for a model.
-    pub fn in_flight(&self, server: Index, place: Place) -> u32 {
-        self.pools.get(&(server, place)).map_or(0, Pool::in_flight)
+    pub fn in_flight(&self, server: Index, destination: DestinationIndex) -> u32 {
+        self.pools.get(&(server, destination)).map_or(0, Pool::in_flight)
     }
 
     /// The pool of a server and a model; it is made when there is none.
-    pub fn pool(&mut self, server: Index, place: Place) -> &mut Pool {
+    pub fn pool(&mut self, server: Index, destination: DestinationIndex) -> &mut Pool {
         let law = self.law;
-        self.pools.entry((server, place)).or_insert_with(|| Pool::new(law))
+        self.pools.entry((server, destination)).or_insert_with(|| Pool::new(law))
     }
 
-    /// Every pool, in the order of server and place.
-    pub fn iter(&self) -> impl Iterator<Item = (Index, Place, &Pool)> {
-        let mut keys: Vec<(Index, Place)> = self.pools.keys().copied().collect();
+    /// Every pool, in the order of server and destination.
+    pub fn iter(&self) -> impl Iterator<Item = (Index, DestinationIndex, &Pool)> {
+        let mut keys: Vec<(Index, DestinationIndex)> = self.pools.keys().copied().collect();
         keys.sort_unstable();
         keys.into_iter().map(|key| (key.0, key.1, &self.pools[&key]))
     }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -19,7 +19,7 @@
 pub use self::{
     estimate::Estimate,
     hints::Hints,
-    table::{Distances, Index, Place, Standing, Table, Wanted},
+    table::{Destination, DestinationIndex, Distances, Index, Standing, Table},
 };
 
 /// Most servers whose first-token time is estimated by chance, for one request.
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     /// Where the request's replicas are listed.
-    pub place: Place,
+    pub destination: DestinationIndex,
     /// Version in force; others are used only while no server has it ready. Empty for plain
     /// services.
     pub version: &'a str,
@@ -94,7 +94,7 @@
 fn usable(table: &Table, ask: &Ask<'_>, now: Moment) -> Vec<Index> {
     let ready = || {
         table
-            .replicas(ask.place)
+            .replicas(ask.destination)
             .iter()
             .filter(|r| table.takes_work(r.server, now) && !ask.avoid.contains(&r.server))
     };
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -14,11 +14,11 @@
 pub type Index = u32;
 
 /// Dense index of something that requests want.
-pub type Place = u32;
+pub type DestinationIndex = u32;
 
 /// What a request wants a server to have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wanted {
+pub enum Destination {
     /// A model or an adapter on it, whatever its version.
     Model(model::Name),
     /// Any server of a group of plain servers.
@@ -76,7 +76,7 @@
     says_leaving: bool,
     incarnation: backend::Incarnation,
     view: View,
-    ready: Vec<Place>,
+    ready: Vec<DestinationIndex>,
 }
 
 /// The servers that a host knows.
@@ -85,9 +85,9 @@
     distances: Distances,
     rows: Vec<Row>,
     by_id: BTreeMap<backend::Id, Index>,
-    places: BTreeMap<Wanted, Place>,
+    destinations: BTreeMap<Destination, DestinationIndex>,
     replicas: Vec<Vec<Replica>>,
-    pools: Vec<Place>,
+    pools: Vec<DestinationIndex>,
     told: BTreeMap<host::Id, Vec<(Index, Told)>>,
 }
 
@@ -98,7 +98,7 @@
             distances,
             rows: Vec::new(),
             by_id: BTreeMap::new(),
-            places: BTreeMap::new(),
+            destinations: BTreeMap::new(),
             replicas: Vec::new(),
             pools: Vec::new(),
             told: BTreeMap::new(),
@@ -129,7 +129,7 @@
         row.distance = distance;
         row.server = server.clone();
         if server.kind == backend::Kind::Plain {
-            self.set_ready(index, vec![(Wanted::Group(server.group.clone()), "".into())]);
+            self.set_ready(index, vec![(Destination::Group(server.group.clone()), "".into())]);
         }
         index
     }
@@ -149,47 +149,47 @@
         self.rows.iter().enumerate().map(|(at, row)| (at as Index, &row.server))
     }
 
-    /// The place of something wanted; it is made when there is none.
-    pub fn place(&mut self, wanted: &Wanted) -> Place {
-        if let Some(place) = self.places.get(wanted) {
-            return *place;
+    /// The destination of something wanted; it is made when there is none.
+    pub fn destination(&mut self, wanted: &Destination) -> DestinationIndex {
+        if let Some(destination) = self.destinations.get(wanted) {
+            return *destination;
         }
         let pool = match wanted {
-            Wanted::Model(model::Name { model, adapter: Some(_) }) => {
+            Destination::Model(model::Name { model, adapter: Some(_) }) => {
                 let base = model::Name { model: model.clone(), adapter: None };
-                Some(self.place(&Wanted::Model(base)))
+                Some(self.destination(&Destination::Model(base)))
             }
-            Wanted::Model(_) | Wanted::Group(_) => None,
+            Destination::Model(_) | Destination::Group(_) => None,
         };
-        let place = self.replicas.len() as Place;
-        self.places.insert(wanted.clone(), place);
+        let destination = self.replicas.len() as DestinationIndex;
+        self.destinations.insert(wanted.clone(), destination);
         self.replicas.push(Vec::new());
-        self.pools.push(pool.unwrap_or(place));
-        place
+        self.pools.push(pool.unwrap_or(destination));
+        destination
     }
 
-    /// The place that limits and queues go by: an adapter's model, else the place itself.
-    pub fn pool(&self, place: Place) -> Place {
-        self.pools.get(place as usize).copied().unwrap_or(place)
+    /// The destination that limits and queues go by: an adapter's model, else the destination itself.
+    pub fn pool(&self, destination: DestinationIndex) -> DestinationIndex {
+        self.pools.get(destination as usize).copied().unwrap_or(destination)
     }
 
-    /// What a place stands for, in words.
-    pub fn name(&self, place: Place) -> Arc<str> {
-        match self.places.iter().find(|(_, other)| **other == place) {
-            Some((Wanted::Model(name), _)) => name.to_string().into(),
-            Some((Wanted::Group(group), _)) => group.clone(),
+    /// What a destination stands for, in words.
+    pub fn name(&self, destination: DestinationIndex) -> Arc<str> {
+        match self.destinations.iter().find(|(_, other)| **other == destination) {
+            Some((Destination::Model(name), _)) => name.to_string().into(),
+            Some((Destination::Group(group), _)) => group.clone(),
             None => "".into(),
         }
     }
 
-    /// The place of something wanted, if it was heard of.
-    pub fn find(&self, wanted: &Wanted) -> Option<Place> {
-        self.places.get(wanted).copied()
+    /// The destination of something wanted, if it was heard of.
+    pub fn find(&self, wanted: &Destination) -> Option<DestinationIndex> {
+        self.destinations.get(wanted).copied()
     }
 
     /// Servers that have it ready, whatever their standing.
-    pub fn replicas(&self, place: Place) -> &[Replica] {
-        self.replicas.get(place as usize).map_or(&[], Vec::as_slice)
+    pub fn replicas(&self, destination: DestinationIndex) -> &[Replica] {
+        self.replicas.get(destination as usize).map_or(&[], Vec::as_slice)
     }
 
     /// Takes in a load report that was read at `now`, and says whether the server's process is a
@@ -291,16 +291,16 @@
         self.rows[index as usize].server.zone == self.distances.own
     }
 
-    fn set_ready(&mut self, index: Index, units: Vec<(Wanted, model::Version)>) {
-        for place in std::mem::take(&mut self.rows[index as usize].ready) {
-            self.replicas[place as usize].retain(|replica| replica.server != index);
+    fn set_ready(&mut self, index: Index, units: Vec<(Destination, model::Version)>) {
+        for destination in std::mem::take(&mut self.rows[index as usize].ready) {
+            self.replicas[destination as usize].retain(|replica| replica.server != index);
         }
         for (wanted, version) in units {
-            let place = self.place(&wanted);
-            let replicas = &mut self.replicas[place as usize];
+            let destination = self.destination(&wanted);
+            let replicas = &mut self.replicas[destination as usize];
             let at = replicas.partition_point(|replica| replica.server <= index);
             replicas.insert(at, Replica { server: index, version });
-            self.rows[index as usize].ready.push(place);
+            self.rows[index as usize].ready.push(destination);
         }
     }
 }
@@ -315,7 +315,7 @@
 }
 
 /// Models and adapters that a report shows ready; an adapter only with its model.
-fn ready_units(load: &Load) -> Vec<(Wanted, model::Version)> {
+fn ready_units(load: &Load) -> Vec<(Destination, model::Version)> {
     let ready = || load.residents.iter().filter(|r| r.state == State::Ready).map(|r| &r.unit);
     let has_model = |id: &model::Id| {
         ready().any(|unit| matches!(unit, Unit::Model { model, .. } if model == id))
@@ -324,11 +324,11 @@
         .filter_map(|unit| match unit {
             Unit::Model { model, version } => {
                 let name = model::Name { model: model.clone(), adapter: None };
-                Some((Wanted::Model(name), version.clone()))
+                Some((Destination::Model(name), version.clone()))
             }
             Unit::Adapter { model, adapter, version } => has_model(model).then(|| {
                 let name = model::Name { model: model.clone(), adapter: Some(adapter.clone()) };
-                (Wanted::Model(name), version.clone())
+                (Destination::Model(name), version.clone())
             }),
         })
         .collect()
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -17,7 +17,7 @@
     limit::{Law, Pools, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
-        self, Ask, Choice, Decision, Distances, Hints, Index, Place, Standing, Table,
+        self, Ask, Choice, Decision, DestinationIndex, Distances, Hints, Index, Standing, Table,
         estimate::Sent, hints, table::Restarted,
     },
 };
@@ -94,7 +94,7 @@
     /// Where it was sent, and what was expected.
     pub choice: Choice,
     sent: Sent,
-    pool: Place,
+    pool: DestinationIndex,
     target: Duration,
 }
 
@@ -136,7 +136,7 @@
     pub suspicion: Suspicion,
     /// Retries left.
     pub budget: Budget,
-    reserved: BTreeMap<Place, u32>,
+    reserved: BTreeMap<DestinationIndex, u32>,
     unreached: BTreeSet<Index>,
 }
 
@@ -179,7 +179,7 @@
     }
 
     /// Gives back a reservation that is not used.
-    pub fn release(&mut self, pool: Place) {
+    pub fn release(&mut self, pool: DestinationIndex) {
         if let Some(reserved) = self.reserved.get_mut(&pool) {
             *reserved = reserved.saturating_sub(1);
         }
@@ -268,14 +268,14 @@
         changes
     }
 
-    fn refuse_lost(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
+    fn refuse_lost(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
         let mut gate = std::mem::take(&mut self.gate);
         let lost = gate.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
         changes.extend(lost.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
         self.gate = gate;
     }
 
-    fn start_waiting(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
+    fn start_waiting(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
         let mut gate = std::mem::take(&mut self.gate);
         while let Some(work) = gate.next(pool, |wanted| self.room(wanted, now)) {
             *self.reserved.entry(pool).or_default() += 1;
@@ -321,7 +321,7 @@
 
 fn ask(demand: &Demand) -> Ask<'_> {
     Ask {
-        place: demand.work.wanted,
+        destination: demand.work.wanted,
         version: &demand.version,
         prefix: &demand.prefix,
         prompt_tokens: demand.prompt_tokens,
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -5,12 +5,12 @@
 use super::{Demand, Traffic, ask};
 use crate::{
     admit::Outlook,
-    route::{self, Choice, Decision, Index, Place},
+    route::{self, Choice, Decision, DestinationIndex, Index},
 };
 
 impl Traffic {
     /// How many more may start for something wanted.
-    pub fn room(&self, wanted: Place, now: Moment) -> u32 {
+    pub fn room(&self, wanted: DestinationIndex, now: Moment) -> u32 {
         let pool = self.table.pool(wanted);
         let open: u32 = self.usable(wanted, now).map(|server| self.room_on(server, pool)).sum();
         open.saturating_sub(self.reserved.get(&pool).copied().unwrap_or(0))
@@ -18,7 +18,7 @@
 
     /// How many more may start on a server: within this host's limit, and within the places that
     /// all hosts together leave there.
-    pub(super) fn room_on(&self, server: Index, pool: Place) -> u32 {
+    pub(super) fn room_on(&self, server: Index, pool: DestinationIndex) -> u32 {
         self.pools.room(server, pool).min(self.table.view(server).spare())
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// What a short request can expect.
-    pub(super) fn plain_outlook(&self, wanted: Place, now: Moment) -> Outlook {
+    pub(super) fn plain_outlook(&self, wanted: DestinationIndex, now: Moment) -> Outlook {
         let best = self
             .usable(wanted, now)
             .map(|server| {
@@ -52,7 +52,13 @@
         }
     }
 
-    fn outlook_by(&self, wanted: Place, choice: &Choice, tokens: u32, now: Moment) -> Outlook {
+    fn outlook_by(
+        &self,
+        wanted: DestinationIndex,
+        choice: &Choice,
+        tokens: u32,
+        now: Moment,
+    ) -> Outlook {
         let pool = self.table.pool(wanted);
         let (servers, hold) = self
             .usable(wanted, now)
@@ -72,17 +78,17 @@
         }
     }
 
-    fn outlook_in_doubt(&self, wanted: Place, now: Moment) -> Option<Outlook> {
+    fn outlook_in_doubt(&self, wanted: DestinationIndex, now: Moment) -> Option<Outlook> {
         let until = self.out_of_doubt(wanted)?;
         Some(Outlook { first_token: until.saturating_sub(now), ..Outlook::default() })
     }
 
     /// When only servers in doubt have it: the first of them may be tried when its time is out.
-    pub(super) fn out_of_doubt(&self, wanted: Place) -> Option<Moment> {
+    pub(super) fn out_of_doubt(&self, wanted: DestinationIndex) -> Option<Moment> {
         self.table.replicas(wanted).iter().filter_map(|r| self.table.doubted_until(r.server)).min()
     }
 
-    fn usable(&self, wanted: Place, now: Moment) -> impl Iterator<Item = Index> {
+    fn usable(&self, wanted: DestinationIndex, now: Moment) -> impl Iterator<Item = Index> {
         self.table
             .replicas(wanted)
             .iter()
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use policy::route::{
-    Ask, Choice, Decision, Distances, Hints, Index, Standing, Table, Wanted, choose,
+    Ask, Choice, Decision, Destination, Distances, Hints, Index, Standing, Table, choose,
     estimate::Told, hints,
 };
 use proptest::prelude::*;
@@ -56,8 +56,8 @@
     }
 }
 
-fn wanted() -> Wanted {
-    Wanted::Model(model::Name::parse("welcome"))
+fn wanted() -> Destination {
+    Destination::Model(model::Name::parse("welcome"))
 }
 
 /// A table of servers, each with its zone and the requests it reports running.
@@ -73,7 +73,7 @@
 
 fn ask(table: &mut Table) -> Ask<'static> {
     Ask {
-        place: table.place(&wanted()),
+        destination: table.destination(&wanted()),
         version: "1",
         prefix: &[],
         prompt_tokens: 100,
@@ -256,16 +256,16 @@
         memory: 1,
         state: State::Ready,
     };
-    let place = table.place(&Wanted::Model(model::Name::parse("welcome:es")));
+    let destination = table.destination(&Destination::Model(model::Name::parse("welcome:es")));
     let mut report = load("a", 0, &[]);
     report.residents.push(adapter.clone());
     table.report(index, &report, Duration::ZERO);
-    assert!(table.replicas(place).is_empty());
+    assert!(table.replicas(destination).is_empty());
     let mut report = load("a", 0, &["1"]);
     report.residents.push(adapter);
     table.report(index, &report, Duration::ZERO);
-    assert_eq!(table.replicas(place).len(), 1);
-    assert_eq!(table.pool(place), table.place(&wanted()));
+    assert_eq!(table.replicas(destination).len(), 1);
+    assert_eq!(table.pool(destination), table.destination(&wanted()));
 }
 
 #[test]
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -6,7 +6,7 @@
     admit::{Cause, Refusal, Ticket, Work},
     limit::Law,
     retry::Point,
-    route::{Distances, Standing, Wanted},
+    route::{Destination, Distances, Standing},
     traffic::{Admission, Again, Change, Demand, End, Flight, Rules, Traffic},
 };
 use rstest::rstest;
@@ -62,7 +62,7 @@
 }
 
 fn demand(traffic: &mut Traffic, ticket: Ticket, priority: Priority, due: u64) -> Demand {
-    let wanted = traffic.table.place(&Wanted::Model(model::Name::parse("reader")));
+    let wanted = traffic.table.destination(&Destination::Model(model::Name::parse("reader")));
     let work = Work {
         ticket,
         priority,
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -5,7 +5,7 @@
 use policy::{
     admit::{Ticket, Work},
     ledger::Ledger,
-    route::{Distances, Wanted},
+    route::{Destination, Distances},
     traffic::{Admission, Demand, End, Rules, Traffic},
 };
 use types::{
@@ -146,7 +146,7 @@
 
 fn demand(traffic: &Traffic, servers: u32, ticket: Ticket, now: Moment) -> Option<Demand> {
     let model = ticket.wrapping_mul(2_654_435_761) % u64::from(models(servers));
-    let wanted = Wanted::Model(model::Name::parse(&name("model", model as u32)));
+    let wanted = Destination::Model(model::Name::parse(&name("model", model as u32)));
     let wanted = traffic.table.find(&wanted)?;
     Some(Demand {
         work: Work {
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -9,7 +9,7 @@
 };
 use policy::{
     admit::{Cause, Refusal, Work},
-    route::Wanted,
+    route::Destination,
     traffic::Demand,
 };
 use types::{config::Config, prelude::*};
@@ -80,11 +80,11 @@
 }
 
 /// What a server must have, and the version in force.
-fn wanted(call: &Call, config: &Config) -> (Wanted, model::Version) {
+fn wanted(call: &Call, config: &Config) -> (Destination, model::Version) {
     match (&call.kind, &call.request.model) {
-        (Kind::Plain { group, .. }, _) => (Wanted::Group(group.clone()), "".into()),
-        (Kind::Model(_), Some(name)) => (Wanted::Model(name.clone()), version(config, name)),
-        (Kind::Model(_), None) => (Wanted::Model(model::Name::parse("")), "".into()),
+        (Kind::Plain { group, .. }, _) => (Destination::Group(group.clone()), "".into()),
+        (Kind::Model(_), Some(name)) => (Destination::Model(name.clone()), version(config, name)),
+        (Kind::Model(_), None) => (Destination::Model(model::Name::parse("")), "".into()),
     }
 }
 
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -19,7 +19,7 @@
     admit::{Refusal, Ticket},
     limit::{Aimd, Gradient, Law},
     retry,
-    route::{Distances, Index, Place, Standing, Wanted, estimate::Told},
+    route::{Destination, DestinationIndex, Distances, Index, Standing, estimate::Told},
     traffic::{Admission, Again, Change, Demand, Entry, Rules},
 };
 use settings::process::{self, Process};
@@ -86,9 +86,9 @@
     }
 
     /// Places of something wanted: its own, and the one of its limits and queue.
-    pub fn places(&self, wanted: &Wanted) -> (Place, Place) {
+    pub fn places(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
-        let place = table.place(wanted);
+        let place = table.destination(wanted);
         (place, table.pool(place))
     }
 
@@ -152,7 +152,7 @@
     /// What this host has in flight, by model, those of its adapters included.
     pub fn in_flight_by_model(&self) -> BTreeMap<model::Id, u32> {
         let state = self.lock();
-        let mut places: BTreeMap<Place, u32> = BTreeMap::new();
+        let mut places: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
         for (_, place, pool) in state.policy.pools.iter().filter(|(_, _, p)| 0 < p.in_flight()) {
             *places.entry(place).or_default() += pool.in_flight();
         }
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -8,7 +8,7 @@
 use policy::{
     admit::{Refusal, Ticket},
     retry::Point,
-    route::{Index, Place},
+    route::{DestinationIndex, Index},
     traffic::{End, Flight},
 };
 use tokio::sync::oneshot;
@@ -20,12 +20,12 @@
 #[derive(Debug)]
 pub struct Reservation {
     traffic: Arc<Traffic>,
-    pool: Place,
+    pool: DestinationIndex,
     is_used: AtomicBool,
 }
 
 impl Reservation {
-    pub(super) fn new(traffic: Arc<Traffic>, pool: Place) -> Reservation {
+    pub(super) fn new(traffic: Arc<Traffic>, pool: DestinationIndex) -> Reservation {
         Reservation { traffic, pool, is_used: AtomicBool::new(false) }
     }
 
@@ -48,7 +48,7 @@
 pub(super) struct Waiter {
     traffic: Arc<Traffic>,
     ticket: Ticket,
-    pool: Place,
+    pool: DestinationIndex,
     outcome: Option<oneshot::Receiver<Result<(), Refusal>>>,
 }
 
@@ -56,7 +56,7 @@
     pub(super) fn new(
         traffic: Arc<Traffic>,
         ticket: Ticket,
-        pool: Place,
+        pool: DestinationIndex,
         outcome: oneshot::Receiver<Result<(), Refusal>>,
     ) -> Waiter {
         Waiter { traffic, ticket, pool, outcome: Some(outcome) }
