--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -48,7 +48,7 @@
 
 /// Work that peers have in flight on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerLoad {
     /// Requests.
     pub requests: u32,
 }
@@ -85,7 +85,7 @@
     own: u32,
     /// Sum of the moments at which this host's requests in flight were sent.
     own_sent: Duration,
-    peers: Told,
+    peers: PeerLoad,
     backlog: u64,
     backlog_at: Moment,
     hold: Duration,
@@ -99,7 +99,7 @@
             ended: VecDeque::new(),
             own: 0,
             own_sent: Duration::ZERO,
-            peers: Told::default(),
+            peers: PeerLoad::default(),
             backlog: 0,
             backlog_at: Duration::ZERO,
             hold: FIRST_HOLD,
@@ -160,12 +160,12 @@
     }
 
     /// Work that peers have told of, all together.
-    pub fn peers(&mut self, told: Told) {
-        self.peers = told;
+    pub fn set_peer_load(&mut self, load: PeerLoad) {
+        self.peers = load;
     }
 
     /// Work that peers have told of, as last set.
-    pub fn told(&self) -> Told {
+    pub fn peer_load(&self) -> PeerLoad {
         self.peers
     }
 
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -8,7 +8,7 @@
 
 use types::{prelude::*, report::Load, resident::State};
 
-use super::estimate::{Estimate, Sent, Told, View};
+use super::estimate::{Estimate, PeerLoad, Sent, View};
 
 /// Dense index of a server.
 pub type Index = u32;
@@ -88,7 +88,7 @@
     destinations: BTreeMap<Destination, DestinationIndex>,
     replicas: Vec<Vec<Replica>>,
     pools: Vec<DestinationIndex>,
-    told: BTreeMap<host::Id, Vec<(Index, Told)>>,
+    peer_loads: BTreeMap<host::Id, Vec<(Index, PeerLoad)>>,
 }
 
 impl Table {
@@ -101,7 +101,7 @@
             destinations: BTreeMap::new(),
             replicas: Vec::new(),
             pools: Vec::new(),
-            told: BTreeMap::new(),
+            peer_loads: BTreeMap::new(),
         }
     }
 
@@ -239,25 +239,29 @@
         }
     }
 
-    /// Takes in what a peer has in flight, in place of what it told before.
-    pub fn told(&mut self, peer: &host::Id, in_flight: &[(backend::Id, Told)]) {
-        let known: Vec<(Index, Told)> = in_flight
+    /// Takes in what a peer has in flight, in place of the earlier report.
+    pub fn set_peer_load(&mut self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
+        let known: Vec<(Index, PeerLoad)> = in_flight
             .iter()
-            .filter_map(|(id, told)| self.index(id).map(|index| (index, *told)))
+            .filter_map(|(id, load)| self.index(id).map(|index| (index, *load)))
             .collect();
-        self.forget(peer);
-        for (server, told) in &known {
+        self.forget_peer(peer);
+        for (server, load) in &known {
             let view = &mut self.rows[*server as usize].view;
-            view.peers(Told { requests: view.told().requests.saturating_add(told.requests) });
+            view.set_peer_load(PeerLoad {
+                requests: view.peer_load().requests.saturating_add(load.requests),
+            });
         }
-        self.told.insert(peer.clone(), known);
+        self.peer_loads.insert(peer.clone(), known);
     }
 
     /// Forgets what a peer told, as when it is gone.
-    pub fn forget(&mut self, peer: &host::Id) {
-        for (server, told) in self.told.remove(peer).unwrap_or_default() {
+    pub fn forget_peer(&mut self, peer: &host::Id) {
+        for (server, load) in self.peer_loads.remove(peer).unwrap_or_default() {
             let view = &mut self.rows[server as usize].view;
-            view.peers(Told { requests: view.told().requests.saturating_sub(told.requests) });
+            view.set_peer_load(PeerLoad {
+                requests: view.peer_load().requests.saturating_sub(load.requests),
+            });
         }
     }
 
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -4,7 +4,7 @@
 
 use policy::route::{
     Ask, Choice, Decision, Destination, Distances, Hints, Index, Standing, Table, choose,
-    estimate::Told, hints,
+    estimate::PeerLoad, hints,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -142,14 +142,14 @@
 fn peers_work_counts_until_the_peer_is_forgotten() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 0)]);
     let ask = ask(&mut table);
-    table.told(&"host-2".into(), &[("a".into(), Told { requests: 9 })]);
-    table.told(&"host-3".into(), &[("a".into(), Told { requests: 1 })]);
+    table.set_peer_load(&"host-2".into(), &[("a".into(), PeerLoad { requests: 9 })]);
+    table.set_peer_load(&"host-3".into(), &[("a".into(), PeerLoad { requests: 1 })]);
     assert_eq!(table.view(0).in_flight(), 10);
     assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
-    table.told(&"host-2".into(), &[("a".into(), Told { requests: 2 })]);
+    table.set_peer_load(&"host-2".into(), &[("a".into(), PeerLoad { requests: 2 })]);
     assert_eq!(table.view(0).in_flight(), 3);
-    table.forget(&"host-2".into());
-    table.forget(&"host-3".into());
+    table.forget_peer(&"host-2".into());
+    table.forget_peer(&"host-3".into());
     assert_eq!(table.view(0).in_flight(), 0);
 }
 
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -134,8 +134,8 @@
 fn work_that_would_queue_on_the_server_waits_here_where_it_can_be_refused() {
     // Eight slots and one to spare, whatever the limit says.
     let mut traffic = traffic(1, 64);
-    let told = policy::route::estimate::Told { requests: 4 };
-    traffic.table.told(&"host-2".into(), &[("lector-0".into(), told)]);
+    let load = policy::route::estimate::PeerLoad { requests: 4 };
+    traffic.table.set_peer_load(&"host-2".into(), &[("lector-0".into(), load)]);
     for ticket in 0..5 {
         let (admission, demand) = admit(&mut traffic, ticket, 5000, 0);
         assert_eq!(admission, Admission::Take, "{ticket}");
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -97,7 +97,7 @@
     }
     for member in gossip.hosts().iter() {
         if member.answered().is_none_or(|at| at + TOLD <= now) {
-            context.traffic.forget(&member.host.id);
+            context.traffic.forget_peer(&member.host.id);
         }
     }
 }
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -24,7 +24,7 @@
         heartbeat::{Heartbeat, InFlight, Topic},
         rendezvous,
     },
-    route::estimate::Told,
+    route::estimate::PeerLoad,
 };
 use settings::process::Process;
 use types::prelude::*;
@@ -109,12 +109,12 @@
 
 /// Takes in what a heartbeat says of its sender's work.
 fn take_in_flight(context: &Context, heartbeat: &Heartbeat) {
-    let told: Vec<(backend::Id, Told)> = heartbeat
+    let loads: Vec<(backend::Id, PeerLoad)> = heartbeat
         .in_flight
         .iter()
-        .map(|InFlight(server, requests)| (server.clone(), Told { requests: *requests }))
+        .map(|InFlight(server, requests)| (server.clone(), PeerLoad { requests: *requests }))
         .collect();
-    context.traffic.told(&heartbeat.from.id, &told);
+    context.traffic.set_peer_load(&heartbeat.from.id, &loads);
 }
 
 /// Stamps a heartbeat that goes out, so that what its receiver does next is stamped later.
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -19,7 +19,7 @@
     admit::{Refusal, Ticket},
     limit::{Aimd, Gradient, Law},
     retry,
-    route::{Destination, DestinationIndex, Distances, Index, Standing, estimate::Told},
+    route::{Destination, DestinationIndex, Distances, Index, Standing, estimate::PeerLoad},
     traffic::{Admission, Again, Change, Demand, Entry, Rules},
 };
 use settings::process::{self, Process};
@@ -128,24 +128,24 @@
     }
 
     /// Takes in what a peer has in flight on each server.
-    pub fn told(&self, peer: &host::Id, in_flight: &[(backend::Id, Told)]) {
-        self.lock().policy.table.told(peer, in_flight);
+    pub fn set_peer_load(&self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
+        self.lock().policy.table.set_peer_load(peer, in_flight);
     }
 
     /// Forgets what a peer told.
-    pub fn forget(&self, peer: &host::Id) {
-        self.lock().policy.table.forget(peer);
+    pub fn forget_peer(&self, peer: &host::Id) {
+        self.lock().policy.table.forget_peer(peer);
     }
 
     /// What this host has in flight, by server, for its peers.
-    pub fn in_flight(&self) -> Vec<(backend::Id, Told)> {
+    pub fn in_flight(&self) -> Vec<(backend::Id, PeerLoad)> {
         let state = self.lock();
         let table = &state.policy.table;
         table
             .servers()
             .map(|(index, server)| (server.id.clone(), table.view(index).own()))
             .filter(|(_, requests)| 0 < *requests)
-            .map(|(id, requests)| (id, Told { requests }))
+            .map(|(id, requests)| (id, PeerLoad { requests }))
             .collect()
     }
 
