--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -9,7 +9,7 @@
 use types::prelude::*;
 
 use super::Point;
-use crate::route::{Index, Standing};
+use crate::route::{Eligibility, Index};
 
 /// Longest doubling, so that the shift can't overflow.
 const MOST_DOUBLINGS: u32 = 16;
@@ -55,12 +55,12 @@
         Suspicion { times, doubts: BTreeMap::new() }
     }
 
-    /// An attempt on a server failed; gives the server's standing from now on.
+    /// An attempt on a server failed; gives the server's eligibility from now on.
     ///
     /// A refusal for load is no reason to doubt a server; the limit deals with that.
-    pub fn failed(&mut self, server: Index, point: Point, now: Moment) -> Standing {
+    pub fn failed(&mut self, server: Index, point: Point, now: Moment) -> Eligibility {
         if matches!(point, Point::Refused) {
-            return self.standing(server);
+            return self.eligibility(server);
         }
         let times = self.times;
         let new = Doubt { failures: 0, until: now, phase: Phase::Out };
@@ -71,7 +71,7 @@
             doubt.failures += 1;
             doubt.until = now + (times.first * (1 << doublings)).min(times.most);
         }
-        Standing::Suspected(doubt.until)
+        Eligibility::Suspected(doubt.until)
     }
 
     /// An attempt on a server went well; true if that cleared it of a doubt.
@@ -81,16 +81,18 @@
 
     /// A request is sent to a server whose time out has passed. The end of that time is put off,
     /// so that no other follows until this one has ended.
-    pub fn try_out(&mut self, server: Index, now: Moment) -> Standing {
+    pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
         if let Some(doubt) = self.doubts.get_mut(&server) {
             doubt.until = now + self.times.first;
             doubt.phase = Phase::Trial;
         }
-        self.standing(server)
+        self.eligibility(server)
     }
 
-    /// A server's standing as far as doubt goes.
-    pub fn standing(&self, server: Index) -> Standing {
-        self.doubts.get(&server).map_or(Standing::Live, |doubt| Standing::Suspected(doubt.until))
+    /// A server's eligibility as far as doubt goes.
+    pub fn eligibility(&self, server: Index) -> Eligibility {
+        self.doubts
+            .get(&server)
+            .map_or(Eligibility::Live, |doubt| Eligibility::Suspected(doubt.until))
     }
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -19,7 +19,7 @@
 pub use self::{
     estimate::Estimate,
     hints::Hints,
-    table::{Destination, DestinationIndex, Distances, Index, Standing, Table},
+    table::{Destination, DestinationIndex, Distances, Eligibility, Index, Table},
 };
 
 /// Most servers whose first-token time is estimated by chance, for one request.
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -36,7 +36,7 @@
 
 /// Whether a server gets new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// It does.
     #[default]
     Live,
@@ -72,7 +72,7 @@
 struct Row {
     server: backend::Server,
     distance: Duration,
-    standing: Standing,
+    eligibility: Eligibility,
     says_leaving: bool,
     incarnation: backend::Incarnation,
     view: View,
@@ -116,7 +116,7 @@
                 self.rows.push(Row {
                     server: server.clone(),
                     distance,
-                    standing: Standing::Live,
+                    eligibility: Eligibility::Live,
                     says_leaving: false,
                     incarnation: 0,
                     view: View::default(),
@@ -187,7 +187,7 @@
         self.destinations.get(wanted).copied()
     }
 
-    /// Servers that have it ready, whatever their standing.
+    /// Servers that have it ready, whatever their eligibility.
     pub fn replicas(&self, destination: DestinationIndex) -> &[Replica] {
         self.replicas.get(destination as usize).map_or(&[], Vec::as_slice)
     }
@@ -210,31 +210,31 @@
     }
 
     /// Sets whether a server gets new work.
-    pub fn set_standing(&mut self, index: Index, standing: Standing) {
-        self.rows[index as usize].standing = standing;
+    pub fn set_eligibility(&mut self, index: Index, eligibility: Eligibility) {
+        self.rows[index as usize].eligibility = eligibility;
     }
 
     /// Whether a server gets new work, as last set.
-    pub fn standing(&self, index: Index) -> Standing {
-        self.rows[index as usize].standing
+    pub fn eligibility(&self, index: Index) -> Eligibility {
+        self.rows[index as usize].eligibility
     }
 
     /// Whether a server may be given something new at `now`.
     pub fn takes_work(&self, index: Index, now: Moment) -> bool {
         let row = &self.rows[index as usize];
-        match row.standing {
+        match row.eligibility {
             _ if row.says_leaving => false,
-            Standing::Live => true,
-            Standing::Suspected(until) => until <= now,
-            Standing::Leaving | Standing::Gone => false,
+            Eligibility::Live => true,
+            Eligibility::Suspected(until) => until <= now,
+            Eligibility::Leaving | Eligibility::Gone => false,
         }
     }
 
     /// When a server that is only in doubt may be tried.
     pub fn doubted_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
-        match row.standing {
-            Standing::Suspected(until) if !row.says_leaving => Some(until),
+        match row.eligibility {
+            Eligibility::Suspected(until) if !row.says_leaving => Some(until),
             _ => None,
         }
     }
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -17,7 +17,7 @@
     limit::{Law, Pools, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
-        self, Ask, Choice, Decision, DestinationIndex, Distances, Hints, Index, Standing, Table,
+        self, Ask, Choice, Decision, DestinationIndex, Distances, Eligibility, Hints, Index, Table,
         estimate::Sent, hints, table::Restarted,
     },
 };
@@ -215,8 +215,8 @@
     /// A server gave no report, since it can't be reached.
     pub fn unreachable(&mut self, server: Index, now: Moment) {
         self.unreached.insert(server);
-        let standing = self.suspicion.failed(server, Point::Connect, now);
-        self.doubt(server, standing);
+        let eligibility = self.suspicion.failed(server, Point::Connect, now);
+        self.doubt(server, eligibility);
     }
 
     /// The first token of an attempt has come.
@@ -246,8 +246,8 @@
                     Signal::Neutral
                 };
                 pool.signal(signal, now);
-                let standing = self.suspicion.failed(server, point, now);
-                self.doubt(server, standing);
+                let eligibility = self.suspicion.failed(server, point, now);
+                self.doubt(server, eligibility);
             }
         }
     }
@@ -292,9 +292,9 @@
             Decision::Send(choice) | Decision::Full(choice) => choice,
             Decision::Unready => return None,
         };
-        if matches!(self.table.standing(choice.server), Standing::Suspected(_)) {
-            let standing = self.suspicion.try_out(choice.server, now);
-            self.doubt(choice.server, standing);
+        if matches!(self.table.eligibility(choice.server), Eligibility::Suspected(_)) {
+            let eligibility = self.suspicion.try_out(choice.server, now);
+            self.doubt(choice.server, eligibility);
         }
         self.pools.pool(choice.server, pool).start();
         for prefix in &demand.prefix {
@@ -307,14 +307,14 @@
 
     fn trust(&mut self, server: Index) {
         if self.suspicion.succeeded(server) {
-            self.doubt(server, Standing::Live);
+            self.doubt(server, Eligibility::Live);
         }
     }
 
     /// Doubt never makes a server that is leaving or gone live again.
-    fn doubt(&mut self, server: Index, standing: Standing) {
-        if matches!(self.table.standing(server), Standing::Live | Standing::Suspected(_)) {
-            self.table.set_standing(server, standing);
+    fn doubt(&mut self, server: Index, eligibility: Eligibility) {
+        if matches!(self.table.eligibility(server), Eligibility::Live | Eligibility::Suspected(_)) {
+            self.table.set_eligibility(server, eligibility);
         }
     }
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -5,7 +5,7 @@
         Body, Bounds, Budget, Failure, Point, Suspicion, Verdict, budget::Share, decide,
         suspicion::Times,
     },
-    route::Standing,
+    route::Eligibility,
 };
 use rstest::rstest;
 use types::{
@@ -107,21 +107,25 @@
     let times = Times { first: Duration::from_secs(1), most: Duration::from_secs(5) };
     let mut suspicion = Suspicion::new(times);
     let at = Duration::from_secs;
-    assert_eq!(suspicion.failed(3, Point::Connect, at(0)), Standing::Suspected(at(1)));
-    assert_eq!(suspicion.failed(3, Point::Waiting, at(0)), Standing::Suspected(at(1)), "one burst");
-    assert_eq!(suspicion.try_out(3, at(1)), Standing::Suspected(at(2)), "one trial at a time");
-    assert_eq!(suspicion.failed(3, Point::Connect, at(1)), Standing::Suspected(at(3)));
+    assert_eq!(suspicion.failed(3, Point::Connect, at(0)), Eligibility::Suspected(at(1)));
+    assert_eq!(
+        suspicion.failed(3, Point::Waiting, at(0)),
+        Eligibility::Suspected(at(1)),
+        "one burst"
+    );
+    assert_eq!(suspicion.try_out(3, at(1)), Eligibility::Suspected(at(2)), "one trial at a time");
+    assert_eq!(suspicion.failed(3, Point::Connect, at(1)), Eligibility::Suspected(at(3)));
     suspicion.try_out(3, at(3));
-    assert_eq!(suspicion.failed(3, Point::Connect, at(3)), Standing::Suspected(at(7)));
+    assert_eq!(suspicion.failed(3, Point::Connect, at(3)), Eligibility::Suspected(at(7)));
     suspicion.try_out(3, at(7));
-    assert_eq!(suspicion.failed(3, Point::Connect, at(7)), Standing::Suspected(at(12)));
+    assert_eq!(suspicion.failed(3, Point::Connect, at(7)), Eligibility::Suspected(at(12)));
     assert!(suspicion.succeeded(3));
-    assert_eq!(suspicion.standing(3), Standing::Live);
+    assert_eq!(suspicion.eligibility(3), Eligibility::Live);
 }
 
 #[test]
 fn a_refusal_for_load_is_no_reason_for_doubt() {
     let mut suspicion = Suspicion::default();
-    let standing = suspicion.failed(3, Point::Refused, Duration::ZERO);
-    assert_eq!(standing, Standing::Live);
+    let eligibility = suspicion.failed(3, Point::Refused, Duration::ZERO);
+    assert_eq!(eligibility, Eligibility::Live);
 }
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -1,9 +1,9 @@
-//! Choice of a backend server: load, cached prefixes, distance, standing.
+//! Choice of a backend server: load, cached prefixes, distance, eligibility.
 
 use std::collections::BTreeMap;
 
 use policy::route::{
-    Ask, Choice, Decision, Destination, Distances, Hints, Index, Standing, Table, choose,
+    Ask, Choice, Decision, Destination, Distances, Eligibility, Hints, Index, Table, choose,
     estimate::PeerLoad, hints,
 };
 use proptest::prelude::*;
@@ -202,15 +202,15 @@
 }
 
 #[rstest]
-#[case::suspected(Standing::Suspected(Duration::from_secs(1)))]
-#[case::leaving(Standing::Leaving)]
-#[case::gone(Standing::Gone)]
-fn a_server_that_is_not_live_gets_nothing(#[case] standing: Standing) {
+#[case::suspected(Eligibility::Suspected(Duration::from_secs(1)))]
+#[case::leaving(Eligibility::Leaving)]
+#[case::gone(Eligibility::Gone)]
+fn a_server_that_is_not_live_gets_nothing(#[case] eligibility: Eligibility) {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 50)]);
     let ask = ask(&mut table);
-    table.set_standing(0, standing);
+    table.set_eligibility(0, eligibility);
     assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
-    table.set_standing(1, standing);
+    table.set_eligibility(1, eligibility);
     let decision = choose(&table, &Hints::default(), &ask, Duration::ZERO, |_| true);
     assert_eq!(decision, Decision::Unready);
 }
@@ -234,7 +234,7 @@
     table.report(1, &load("b", 30, &["2"]), Duration::ZERO);
     let new = Ask { version: "2", ..ask(&mut table) };
     assert_eq!(chosen(&table, &Hints::default(), &new).server, 1);
-    table.set_standing(1, Standing::Gone);
+    table.set_eligibility(1, Eligibility::Gone);
     assert_eq!(chosen(&table, &Hints::default(), &new).server, 0);
 }
 
@@ -295,9 +295,9 @@
             (name.as_str(), if *near { "biloxi" } else { "gulfport" }, *running)
         }).collect();
         let mut table = table(&rows);
-        for (at, (_, standing, _)) in loads.iter().enumerate() {
-            if *standing == 0 {
-                table.set_standing(at as Index, Standing::Leaving);
+        for (at, (_, eligibility, _)) in loads.iter().enumerate() {
+            if *eligibility == 0 {
+                table.set_eligibility(at as Index, Eligibility::Leaving);
             }
         }
         let owner = (owner % loads.len()) as Index;
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -6,7 +6,7 @@
     admit::{Cause, Refusal, Ticket, Work},
     limit::Law,
     retry::Point,
-    route::{Destination, Distances, Standing},
+    route::{Destination, Distances, Eligibility},
     traffic::{Admission, Again, Change, Demand, End, Flight, Rules, Traffic},
 };
 use rstest::rstest;
@@ -106,7 +106,7 @@
     let avoid = [first.choice.server];
     assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(1)), Again::At(millis(500)));
     assert_eq!(sent(traffic.dispatch_again(&demand, &avoid, millis(500))).choice.server, 0);
-    traffic.table.set_standing(0, Standing::Gone);
+    traffic.table.set_eligibility(0, Eligibility::Gone);
     assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(900)), Again::Unready);
 }
 
@@ -213,17 +213,17 @@
 }
 
 #[rstest]
-#[case(Standing::Leaving)]
-#[case(Standing::Gone)]
-fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] standing: Standing) {
+#[case(Eligibility::Leaving)]
+#[case(Eligibility::Gone)]
+fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] eligibility: Eligibility) {
     let mut traffic = traffic(1, 8);
     let (_, demand) = admit(&mut traffic, 1, 5000, 0);
     let flight = traffic.dispatch(&demand, millis(0)).unwrap();
     traffic.ended(&flight, End::Failed(Point::Connect), millis(0));
-    traffic.table.set_standing(0, standing);
+    traffic.table.set_eligibility(0, eligibility);
     traffic.answered(&flight, millis(5));
     traffic.ended(&flight, End::Whole, millis(6));
-    assert_eq!(traffic.table.standing(0), standing);
+    assert_eq!(traffic.table.eligibility(0), eligibility);
     assert_eq!(admit(&mut traffic, 2, 5000, 10).0, Admission::Unready);
 }
 
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -91,8 +91,8 @@
     let gossip = context.peers.gossip();
     for server in gossip.servers().iter() {
         if server.standing(now) == Standing::Suspected {
-            let until = route::Standing::Suspected(now + SUSPICION);
-            context.traffic.set_standing(&server.server.id, until);
+            let until = route::Eligibility::Suspected(now + SUSPICION);
+            context.traffic.set_eligibility(&server.server.id, until);
         }
     }
     for member in gossip.hosts().iter() {
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -19,7 +19,7 @@
     admit::{Refusal, Ticket},
     limit::{Aimd, Gradient, Law},
     retry,
-    route::{Destination, DestinationIndex, Distances, Index, Standing, estimate::PeerLoad},
+    route::{Destination, DestinationIndex, Distances, Eligibility, Index, estimate::PeerLoad},
     traffic::{Admission, Again, Change, Demand, Entry, Rules},
 };
 use settings::process::{self, Process};
@@ -100,13 +100,15 @@
             list.servers.iter().map(|entry| (table.add(&entry.server), entry.state)).collect();
         let known: Vec<Index> = table.servers().map(|(index, _)| index).collect();
         for index in known {
-            let standing = match (listed.get(&index), table.standing(index)) {
-                (Some(Listed::Live), Standing::Suspected(until)) => Standing::Suspected(until),
-                (Some(Listed::Live), _) => Standing::Live,
-                (Some(Listed::Leaving), _) => Standing::Leaving,
-                (None, _) => Standing::Gone,
+            let eligibility = match (listed.get(&index), table.eligibility(index)) {
+                (Some(Listed::Live), Eligibility::Suspected(until)) => {
+                    Eligibility::Suspected(until)
+                }
+                (Some(Listed::Live), _) => Eligibility::Live,
+                (Some(Listed::Leaving), _) => Eligibility::Leaving,
+                (None, _) => Eligibility::Gone,
             };
-            table.set_standing(index, standing);
+            table.set_eligibility(index, eligibility);
         }
     }
 
@@ -123,8 +125,8 @@
     }
 
     /// Sets whether a server gets new work.
-    pub fn set_standing(&self, server: &backend::Id, standing: Standing) {
-        self.with_index(server, |policy, index| policy.table.set_standing(index, standing));
+    pub fn set_eligibility(&self, server: &backend::Id, eligibility: Eligibility) {
+        self.with_index(server, |policy, index| policy.table.set_eligibility(index, eligibility));
     }
 
     /// Takes in what a peer has in flight on each server.
