--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -31,7 +31,7 @@
 
 /// What a request asks of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// Where the request's replicas are listed.
     pub destination: DestinationIndex,
     /// Version in force; others are used only while no server has it ready. Empty for plain
@@ -73,46 +73,46 @@
 pub fn choose(
     table: &Table,
     hints: &Hints,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     now: Moment,
     has_room: impl Fn(Index) -> bool,
 ) -> Decision {
-    let usable = usable(table, ask, now);
+    let usable = usable(table, criteria, now);
     if usable.is_empty() {
         return Decision::Unready;
     }
-    let cached = hints.owners(ask.prefix, now);
+    let cached = hints.owners(criteria.prefix, now);
     let (open, full): (Vec<Index>, Vec<Index>) =
         usable.into_iter().partition(|server| has_room(*server));
-    match best(table, ask, &cached, open, now) {
+    match best(table, criteria, &cached, open, now) {
         Some(choice) => Decision::Send(choice),
-        None => best(table, ask, &cached, full, now).map_or(Decision::Unready, Decision::Full),
+        None => best(table, criteria, &cached, full, now).map_or(Decision::Unready, Decision::Full),
     }
 }
 
 /// Servers that may be used, those with the version in force if there are any.
-fn usable(table: &Table, ask: &Ask<'_>, now: Moment) -> Vec<Index> {
+fn usable(table: &Table, criteria: &Criteria<'_>, now: Moment) -> Vec<Index> {
     let ready = || {
         table
-            .replicas(ask.destination)
+            .replicas(criteria.destination)
             .iter()
-            .filter(|r| table.takes_work(r.server, now) && !ask.avoid.contains(&r.server))
+            .filter(|r| table.takes_work(r.server, now) && !criteria.avoid.contains(&r.server))
     };
     let in_force: Vec<Index> =
-        ready().filter(|r| &*r.version == ask.version).map(|r| r.server).collect();
+        ready().filter(|r| &*r.version == criteria.version).map(|r| r.server).collect();
     if in_force.is_empty() { ready().map(|r| r.server).collect() } else { in_force }
 }
 
 fn best(
     table: &Table,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     cached: &[hints::Owner],
     servers: Vec<Index>,
     now: Moment,
 ) -> Option<Choice> {
-    sample(table, servers, cached, ask.seed)
+    sample(table, servers, cached, criteria.seed)
         .into_iter()
-        .map(|server| estimated(table, ask, cached, server, now))
+        .map(|server| estimated(table, criteria, cached, server, now))
         .min_by_key(|(cost, choice)| (*cost, table.view(choice.server).in_flight(), choice.server))
         .map(|(_, choice)| choice)
 }
@@ -120,7 +120,7 @@
 /// The cost that servers are compared by, and the choice that it stands for.
 fn estimated(
     table: &Table,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     cached: &[hints::Owner],
     server: Index,
     now: Moment,
@@ -128,8 +128,8 @@
     let cached_tokens = cached
         .iter()
         .find(|owner| owner.server == server)
-        .map_or(0, |owner| owner.tokens.min(ask.prompt_tokens));
-    let estimate = table.estimate(server, ask.prompt_tokens - cached_tokens, now);
+        .map_or(0, |owner| owner.tokens.min(criteria.prompt_tokens));
+    let estimate = table.estimate(server, criteria.prompt_tokens - cached_tokens, now);
     let way = table.distance(server) * 2;
     let cost = estimate.total() + way * SPILL_WEIGHT;
     (cost, Choice { server, first_token: estimate.total() + way, cached_tokens })
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -17,8 +17,8 @@
     limit::{Law, Pools, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
-        self, Ask, Choice, Decision, DestinationIndex, Distances, Eligibility, Hints, Index, Table,
-        estimate::Sent, hints, table::Restarted,
+        self, Choice, Criteria, Decision, DestinationIndex, Distances, Eligibility, Hints, Index,
+        Table, estimate::Sent, hints, table::Restarted,
     },
 };
 
@@ -286,9 +286,9 @@
 
     fn send(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Option<Flight> {
         let pool = demand.work.pool;
-        let ask = Ask { avoid, ..ask(demand) };
+        let criteria = Criteria { avoid, ..criteria(demand) };
         let has_room = |server| 0 < self.room_on(server, pool);
-        let choice = match route::choose(&self.table, &self.hints, &ask, now, has_room) {
+        let choice = match route::choose(&self.table, &self.hints, &criteria, now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => choice,
             Decision::Unready => return None,
         };
@@ -319,8 +319,8 @@
     }
 }
 
-fn ask(demand: &Demand) -> Ask<'_> {
-    Ask {
+fn criteria(demand: &Demand) -> Criteria<'_> {
+    Criteria {
         destination: demand.work.wanted,
         version: &demand.version,
         prefix: &demand.prefix,
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -2,7 +2,7 @@
 
 use types::prelude::*;
 
-use super::{Demand, Traffic, ask};
+use super::{Demand, Traffic, criteria};
 use crate::{
     admit::Outlook,
     route::{self, Choice, Decision, DestinationIndex, Index},
@@ -28,7 +28,7 @@
         let wanted = demand.work.wanted;
         let pool = demand.work.pool;
         let has_room = |server| 0 < self.room_on(server, pool);
-        match route::choose(&self.table, &self.hints, &ask(demand), now, has_room) {
+        match route::choose(&self.table, &self.hints, &criteria(demand), now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => {
                 Some(self.outlook_by(wanted, &choice, demand.prompt_tokens, now))
             }
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use policy::route::{
-    Ask, Choice, Decision, Destination, Distances, Eligibility, Hints, Index, Table, choose,
+    Choice, Criteria, Decision, Destination, Distances, Eligibility, Hints, Index, Table, choose,
     estimate::PeerLoad, hints,
 };
 use proptest::prelude::*;
@@ -71,8 +71,8 @@
     table
 }
 
-fn ask(table: &mut Table) -> Ask<'static> {
-    Ask {
+fn criteria(table: &mut Table) -> Criteria<'static> {
+    Criteria {
         destination: table.destination(&wanted()),
         version: "1",
         prefix: &[],
@@ -82,8 +82,8 @@
     }
 }
 
-fn chosen(table: &Table, hints: &Hints, ask: &Ask<'_>) -> Choice {
-    match choose(table, hints, ask, Duration::ZERO, |_| true) {
+fn chosen(table: &Table, hints: &Hints, criteria: &Criteria<'_>) -> Choice {
+    match choose(table, hints, criteria, Duration::ZERO, |_| true) {
         Decision::Send(choice) => choice,
         other => panic!("no choice: {other:?}"),
     }
@@ -92,17 +92,17 @@
 #[test]
 fn an_idle_server_goes_before_a_full_one() {
     let mut table = table(&[("a", "biloxi", 8), ("b", "biloxi", 0)]);
-    let ask = ask(&mut table);
-    assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
+    let criteria = criteria(&mut table);
+    assert_eq!(chosen(&table, &Hints::default(), &criteria).server, 1);
 }
 
 #[test]
 fn a_burst_within_one_report_is_spread_by_own_work_in_flight() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 0), ("c", "biloxi", 0)]);
-    let ask = ask(&mut table);
+    let criteria = criteria(&mut table);
     let mut counts = [0; 3];
     for _ in 0..30 {
-        let choice = chosen(&table, &Hints::default(), &ask);
+        let choice = chosen(&table, &Hints::default(), &criteria);
         table.sent(choice.server, 100, Duration::ZERO);
         counts[choice.server as usize] += 1;
     }
@@ -112,9 +112,9 @@
 #[test]
 fn among_equal_estimates_the_one_with_less_work_is_chosen() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 0)]);
-    let ask = Ask { prompt_tokens: 0, ..ask(&mut table) };
+    let criteria = Criteria { prompt_tokens: 0, ..criteria(&mut table) };
     table.sent(0, 0, Duration::ZERO);
-    assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
+    assert_eq!(chosen(&table, &Hints::default(), &criteria).server, 1);
 }
 
 #[test]
@@ -141,11 +141,11 @@
 #[test]
 fn peers_work_counts_until_the_peer_is_forgotten() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 0)]);
-    let ask = ask(&mut table);
+    let criteria = criteria(&mut table);
     table.set_peer_load(&"host-2".into(), &[("a".into(), PeerLoad { requests: 9 })]);
     table.set_peer_load(&"host-3".into(), &[("a".into(), PeerLoad { requests: 1 })]);
     assert_eq!(table.view(0).in_flight(), 10);
-    assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
+    assert_eq!(chosen(&table, &Hints::default(), &criteria).server, 1);
     table.set_peer_load(&"host-2".into(), &[("a".into(), PeerLoad { requests: 2 })]);
     assert_eq!(table.view(0).in_flight(), 3);
     table.forget_peer(&"host-2".into());
@@ -159,11 +159,11 @@
     let mut hints = Hints::new(hints::Bounds { block_tokens: 50, ..hints::Bounds::default() });
     hints.add(11, 1, Duration::ZERO);
     hints.add(12, 1, Duration::ZERO);
-    let ask = Ask { prefix: &[11, 12, 13], prompt_tokens: 400, ..ask(&mut table) };
-    let choice = chosen(&table, &hints, &ask);
+    let criteria = Criteria { prefix: &[11, 12, 13], prompt_tokens: 400, ..criteria(&mut table) };
+    let choice = chosen(&table, &hints, &criteria);
     assert_eq!((choice.server, choice.cached_tokens), (1, 100));
     table.report(1, &load("b", 40, &["1"]), Duration::ZERO);
-    assert_eq!(chosen(&table, &hints, &ask).server, 0);
+    assert_eq!(chosen(&table, &hints, &criteria).server, 0);
 }
 
 #[test]
@@ -197,8 +197,8 @@
     #[case] server: Index,
 ) {
     let mut table = table(&[("a", "biloxi", near), ("b", "gulfport", far)]);
-    let ask = ask(&mut table);
-    assert_eq!(chosen(&table, &Hints::default(), &ask).server, server);
+    let criteria = criteria(&mut table);
+    assert_eq!(chosen(&table, &Hints::default(), &criteria).server, server);
 }
 
 #[rstest]
@@ -207,11 +207,11 @@
 #[case::gone(Eligibility::Gone)]
 fn a_server_that_is_not_live_gets_nothing(#[case] eligibility: Eligibility) {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 50)]);
-    let ask = ask(&mut table);
+    let criteria = criteria(&mut table);
     table.set_eligibility(0, eligibility);
-    assert_eq!(chosen(&table, &Hints::default(), &ask).server, 1);
+    assert_eq!(chosen(&table, &Hints::default(), &criteria).server, 1);
     table.set_eligibility(1, eligibility);
-    let decision = choose(&table, &Hints::default(), &ask, Duration::ZERO, |_| true);
+    let decision = choose(&table, &Hints::default(), &criteria, Duration::ZERO, |_| true);
     assert_eq!(decision, Decision::Unready);
 }
 
@@ -232,7 +232,7 @@
 fn the_version_in_force_goes_first_and_an_old_one_keeps_the_model_reachable() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 30)]);
     table.report(1, &load("b", 30, &["2"]), Duration::ZERO);
-    let new = Ask { version: "2", ..ask(&mut table) };
+    let new = Criteria { version: "2", ..criteria(&mut table) };
     assert_eq!(chosen(&table, &Hints::default(), &new).server, 1);
     table.set_eligibility(1, Eligibility::Gone);
     assert_eq!(chosen(&table, &Hints::default(), &new).server, 0);
@@ -241,9 +241,9 @@
 #[test]
 fn a_unit_lost_in_a_restart_is_no_longer_offered() {
     let mut table = table(&[("a", "biloxi", 0)]);
-    let ask = ask(&mut table);
+    let criteria = criteria(&mut table);
     table.report(0, &Load { incarnation: 2, ..load("a", 0, &[]) }, Duration::from_millis(1));
-    let decision = choose(&table, &Hints::default(), &ask, Duration::ZERO, |_| true);
+    let decision = choose(&table, &Hints::default(), &criteria, Duration::ZERO, |_| true);
     assert_eq!(decision, Decision::Unready);
 }
 
@@ -271,9 +271,9 @@
 #[test]
 fn a_server_at_its_limit_is_passed_over() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 50)]);
-    let ask = ask(&mut table);
+    let criteria = criteria(&mut table);
     let decide = |has_room: fn(Index) -> bool| {
-        choose(&table, &Hints::default(), &ask, Duration::ZERO, has_room)
+        choose(&table, &Hints::default(), &criteria, Duration::ZERO, has_room)
     };
     assert!(matches!(decide(|server| server != 0), Decision::Send(Choice { server: 1, .. })));
     assert!(matches!(decide(|_| false), Decision::Full(Choice { server: 0, .. })));
@@ -303,8 +303,8 @@
         let owner = (owner % loads.len()) as Index;
         let mut hints = Hints::default();
         hints.add(5, owner, Duration::ZERO);
-        let ask = Ask { seed, prefix: &[5], ..ask(&mut table) };
-        let decide = || choose(&table, &hints, &ask, Duration::ZERO, |_| true);
+        let criteria = Criteria { seed, prefix: &[5], ..criteria(&mut table) };
+        let decide = || choose(&table, &hints, &criteria, Duration::ZERO, |_| true);
         prop_assert_eq!(decide(), decide());
         match decide() {
             Decision::Send(choice) => {
