--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -12,7 +12,7 @@
     stats::{Stats, millis},
     task::Task,
 };
-use crate::route::{Index, hints::Owner};
+use crate::route::{Index, hints::Holder};
 
 /// Prompt tokens that a server reads in a millisecond, until told otherwise by its pace.
 pub const READ_RATE: f64 = 30.0;
@@ -141,7 +141,7 @@
     fn best(
         &self,
         task: &Task,
-        owners: &[Owner],
+        owners: &[Holder],
         servers: impl Iterator<Item = Index>,
         now: Moment,
     ) -> Seen {
@@ -239,12 +239,12 @@
     }
 
     /// Servers that are thought to have read beginnings of the prompt.
-    fn owners(&self, task: &Task, now: Moment) -> Vec<Owner> {
+    fn owners(&self, task: &Task, now: Moment) -> Vec<Holder> {
         if task.chain.is_empty() {
             return Vec::new();
         }
         let digests: Vec<u64> = task.chain.iter().map(|(digest, _)| *digest).collect();
-        self.hints.owners(&digests, now)
+        self.hints.holders(&digests, now)
     }
 }
 
@@ -257,7 +257,7 @@
 }
 
 /// Tokens of the prompt that a server is thought to have kept. The hints count in parts.
-fn kept(task: &Task, owners: &[Owner], server: Index) -> u32 {
+fn kept(task: &Task, owners: &[Holder], server: Index) -> u32 {
     let parts = owners.iter().find(|owner| owner.server == server).map_or(0, |owner| owner.tokens);
     let kept = (parts as usize).checked_sub(1).and_then(|last| task.chain.get(last));
     kept.map_or(0, |(_, tokens)| *tokens).min(task.input())
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -81,7 +81,7 @@
     if usable.is_empty() {
         return Decision::Unready;
     }
-    let cached = hints.owners(criteria.prefix, now);
+    let cached = hints.holders(criteria.prefix, now);
     let (open, full): (Vec<Index>, Vec<Index>) =
         usable.into_iter().partition(|server| has_room(*server));
     match best(table, criteria, &cached, open, now) {
@@ -106,7 +106,7 @@
 fn best(
     table: &Table,
     criteria: &Criteria<'_>,
-    cached: &[hints::Owner],
+    cached: &[hints::Holder],
     servers: Vec<Index>,
     now: Moment,
 ) -> Option<Choice> {
@@ -121,14 +121,14 @@
 fn estimated(
     table: &Table,
     criteria: &Criteria<'_>,
-    cached: &[hints::Owner],
+    cached: &[hints::Holder],
     server: Index,
     now: Moment,
 ) -> (Duration, Choice) {
     let cached_tokens = cached
         .iter()
-        .find(|owner| owner.server == server)
-        .map_or(0, |owner| owner.tokens.min(criteria.prompt_tokens));
+        .find(|holder| holder.server == server)
+        .map_or(0, |holder| holder.tokens.min(criteria.prompt_tokens));
     let estimate = table.estimate(server, criteria.prompt_tokens - cached_tokens, now);
     let way = table.distance(server) * 2;
     let cost = estimate.total() + way * SPILL_WEIGHT;
@@ -137,7 +137,7 @@
 
 /// A few of the servers: half of the sample from the host's own zone where it has them, and every
 /// server with a cached prefix.
-fn sample(table: &Table, servers: Vec<Index>, cached: &[hints::Owner], seed: u64) -> Vec<Index> {
+fn sample(table: &Table, servers: Vec<Index>, cached: &[hints::Holder], seed: u64) -> Vec<Index> {
     if servers.len() <= SAMPLE {
         return servers;
     }
@@ -145,14 +145,14 @@
         servers.into_iter().partition(|server| table.is_near(*server));
     let from_far = far.len().min(SAMPLE / 2);
     let from_near = near.len().min(SAMPLE - from_far);
-    let owners: Vec<Index> = cached
+    let holders: Vec<Index> = cached
         .iter()
-        .map(|owner| owner.server)
+        .map(|holder| holder.server)
         .filter(|server| near.contains(server) || far.contains(server))
         .collect();
     let mut picked = draw(near, from_near, seed);
     picked.extend(draw(far, SAMPLE - from_near, seed.rotate_left(32)));
-    picked.extend(owners);
+    picked.extend(holders);
     picked.sort_unstable();
     picked.dedup();
     picked
--- a/crates/policy/src/route/hints.rs
+++ b/crates/policy/src/route/hints.rs
@@ -15,10 +15,10 @@
 use super::table::Index;
 
 /// Most servers remembered for one prefix.
-const OWNERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// Hints by prefix; the hasher has no random state, and the order never shows.
-type Generation = HashMap<u64, Owners, BuildHasherDefault<DefaultHasher>>;
+type Generation = HashMap<u64, Holders, BuildHasherDefault<DefaultHasher>>;
 
 /// Bounds of the hints.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
 
 /// A server that is thought to hold a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owner {
+pub struct Holder {
     /// The server.
     pub server: Index,
     /// Tokens of the prompt that it holds.
@@ -54,9 +54,9 @@
 
 /// The servers of one prefix, the last heard of first.
 #[derive(Clone, Copy, Debug, Default)]
-struct Owners([Option<Hint>; OWNERS]);
+struct Holders([Option<Hint>; MAX_HOLDERS]);
 
-impl Owners {
+impl Holders {
     fn iter(&self) -> impl Iterator<Item = &Hint> {
         self.0.iter().flatten()
     }
@@ -67,7 +67,8 @@
 
     fn put(&mut self, hint: Hint) {
         let same = self.0.iter().position(|h| h.is_some_and(|h| h.server == hint.server));
-        let end = same.or_else(|| self.0.iter().position(Option::is_none)).unwrap_or(OWNERS - 1);
+        let end =
+            same.or_else(|| self.0.iter().position(Option::is_none)).unwrap_or(MAX_HOLDERS - 1);
         self.0.copy_within(0..end, 1);
         self.0[0] = Some(hint);
     }
@@ -112,16 +113,16 @@
             self.young.clear();
         }
         let old = &mut self.old;
-        let owners =
+        let holders =
             self.young.entry(prefix).or_insert_with(|| old.remove(&prefix).unwrap_or_default());
-        owners.put(Hint { server, heard: now });
+        holders.put(Hint { server, heard: now });
     }
 
     /// The server has dropped this prefix.
     pub fn remove(&mut self, prefix: u64, server: Index) {
         for generation in [&mut self.young, &mut self.old] {
-            if let Some(owners) = generation.get_mut(&prefix) {
-                owners.remove(server);
+            if let Some(holders) = generation.get_mut(&prefix) {
+                holders.remove(server);
             }
         }
     }
@@ -129,9 +130,9 @@
     /// The server has lost its whole cache, as after a restart.
     pub fn clear(&mut self, server: Index) {
         for generation in [&mut self.young, &mut self.old] {
-            generation.retain(|_, owners| {
-                owners.remove(server);
-                !owners.is_empty()
+            generation.retain(|_, holders| {
+                holders.remove(server);
+                !holders.is_empty()
             });
         }
     }
@@ -140,24 +141,24 @@
     ///
     /// A cache holds whole beginnings, so the search ends at the first prefix, from the longest,
     /// that anyone holds, and looks no further than the few before it for shorter holds.
-    pub fn owners(&self, prefixes: &[u64], now: Moment) -> Vec<Owner> {
-        let mut owners: Vec<Owner> = Vec::new();
+    pub fn holders(&self, prefixes: &[u64], now: Moment) -> Vec<Holder> {
+        let mut holders: Vec<Holder> = Vec::new();
         for (at, prefix) in prefixes.iter().enumerate().rev() {
             let tokens = self.bounds.block_tokens.saturating_mul(at as u32 + 1);
-            for hint in self.hints(*prefix).iter().flat_map(|owners| owners.iter()) {
+            for hint in self.hints(*prefix).iter().flat_map(|holders| holders.iter()) {
                 let fresh = now.saturating_sub(hint.heard) < self.bounds.life;
-                if fresh && owners.iter().all(|owner| owner.server != hint.server) {
-                    owners.push(Owner { server: hint.server, tokens });
+                if fresh && holders.iter().all(|holder| holder.server != hint.server) {
+                    holders.push(Holder { server: hint.server, tokens });
                 }
             }
-            if OWNERS <= owners.len() {
+            if MAX_HOLDERS <= holders.len() {
                 break;
             }
         }
-        owners
+        holders
     }
 
-    fn hints(&self, prefix: u64) -> Option<&Owners> {
+    fn hints(&self, prefix: u64) -> Option<&Holders> {
         self.young.get(&prefix).or_else(|| self.old.get(&prefix))
     }
 }
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -171,7 +171,7 @@
     let mut hints = Hints::default();
     hints.add(11, 1, Duration::ZERO);
     hints.clear(1);
-    assert_eq!(hints.owners(&[11], Duration::ZERO), []);
+    assert_eq!(hints.holders(&[11], Duration::ZERO), []);
 }
 
 #[test]
@@ -183,8 +183,8 @@
         hints.add(prefix, 0, Duration::ZERO);
         assert!(hints.len() <= 16);
     }
-    assert_eq!(hints.owners(&[999], Duration::ZERO).len(), 1);
-    assert_eq!(hints.owners(&[999], Duration::from_secs(2)), []);
+    assert_eq!(hints.holders(&[999], Duration::ZERO).len(), 1);
+    assert_eq!(hints.holders(&[999], Duration::from_secs(2)), []);
 }
 
 #[rstest]
