--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -33,7 +33,7 @@
 
 /// How a limit is set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Law {
+pub enum Algorithm {
     /// Always the same.
     Fixed(u32),
     /// Additive increase, multiplicative decrease.
@@ -42,9 +42,9 @@
     Gradient(Gradient),
 }
 
-impl Default for Law {
-    fn default() -> Law {
-        Law::Gradient(Gradient::default())
+impl Default for Algorithm {
+    fn default() -> Algorithm {
+        Algorithm::Gradient(Gradient::default())
     }
 }
 
@@ -52,11 +52,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Aimd {
     /// Limit to begin with.
-    pub first: f64,
+    pub initial: f64,
     /// Least limit; at least one.
-    pub least: f64,
+    pub min: f64,
     /// Greatest limit.
-    pub most: f64,
+    pub max: f64,
     /// Added for each limit's worth of good answers.
     pub increase: f64,
     /// Factor on overload, below one.
@@ -70,9 +70,9 @@
 impl Default for Aimd {
     fn default() -> Aimd {
         Aimd {
-            first: 16.0,
-            least: 1.0,
-            most: 256.0,
+            initial: 16.0,
+            min: 1.0,
+            max: 256.0,
             increase: 1.0,
             decrease: 0.7,
             slow: 0.5,
@@ -81,29 +81,29 @@
     }
 }
 
-/// Parameters of the gradient law.
+/// Parameters of the gradient algorithm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gradient {
     /// Limit to begin with.
-    pub first: f64,
+    pub initial: f64,
     /// Least limit; at least one.
-    pub least: f64,
+    pub min: f64,
     /// Greatest limit.
-    pub most: f64,
-    /// How many times the usual first-token time is tolerated before the limit falls.
+    pub max: f64,
+    /// How many times the baseline first-token time is tolerated before the limit falls.
     pub tolerance: f64,
     /// Weight of a new limit against the last, between zero and one.
     pub smoothing: f64,
-    /// Samples in the mean that stands for the usual time.
+    /// Samples in the mean that stands for the baseline time.
     pub window: f64,
 }
 
 impl Default for Gradient {
     fn default() -> Gradient {
         Gradient {
-            first: 16.0,
-            least: 1.0,
-            most: 256.0,
+            initial: 16.0,
+            min: 1.0,
+            max: 256.0,
             tolerance: 1.5,
             smoothing: 0.2,
             window: 100.0,
@@ -113,23 +113,23 @@
 
 /// Work in flight on one server for one model, and its limit.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    law: Law,
+pub struct Limiter {
+    algorithm: Algorithm,
     limit: f64,
     in_flight: u32,
-    usual: f64,
+    baseline: f64,
     decreased: Moment,
 }
 
-impl Pool {
-    /// Empty, at the law's first limit.
-    pub fn new(law: Law) -> Pool {
-        let limit = match law {
-            Law::Fixed(limit) => f64::from(limit),
-            Law::Aimd(aimd) => aimd.first,
-            Law::Gradient(gradient) => gradient.first,
+impl Limiter {
+    /// Empty, at the algorithm's first limit.
+    pub fn new(algorithm: Algorithm) -> Limiter {
+        let limit = match algorithm {
+            Algorithm::Fixed(limit) => f64::from(limit),
+            Algorithm::Aimd(aimd) => aimd.initial,
+            Algorithm::Gradient(gradient) => gradient.initial,
         };
-        Pool { law, limit, in_flight: 0, usual: 0.0, decreased: Duration::ZERO }
+        Limiter { algorithm, limit, in_flight: 0, baseline: 0.0, decreased: Duration::ZERO }
     }
 
     /// Most requests in flight now.
@@ -159,10 +159,10 @@
 
     /// Takes in what a request met.
     pub fn signal(&mut self, signal: Signal, now: Moment) {
-        match self.law {
-            Law::Fixed(_) => {}
-            Law::Aimd(aimd) => self.adapt_aimd(aimd, signal, now),
-            Law::Gradient(gradient) => self.adapt_gradient(gradient, signal),
+        match self.algorithm {
+            Algorithm::Fixed(_) => {}
+            Algorithm::Aimd(aimd) => self.adapt_aimd(aimd, signal, now),
+            Algorithm::Gradient(gradient) => self.adapt_gradient(gradient, signal),
         }
     }
 
@@ -175,30 +175,30 @@
         if overload {
             if self.decreased == Duration::ZERO || aimd.pause <= now.saturating_sub(self.decreased)
             {
-                self.limit = (self.limit * aimd.decrease).max(aimd.least);
+                self.limit = (self.limit * aimd.decrease).max(aimd.min);
                 self.decreased = now.max(Duration::from_nanos(1));
             }
         } else if self.is_used() {
-            self.limit = (self.limit + aimd.increase / self.limit).min(aimd.most);
+            self.limit = (self.limit + aimd.increase / self.limit).min(aimd.max);
         }
     }
 
     fn adapt_gradient(&mut self, gradient: Gradient, signal: Signal) {
         let time = match signal {
             Signal::Neutral => return,
-            Signal::Overload => self.usual * gradient.tolerance * 2.0,
+            Signal::Overload => self.baseline * gradient.tolerance * 2.0,
             Signal::FirstToken { time, .. } => time.as_secs_f64(),
         };
         if time <= 0.0 {
             return;
         }
-        let usual = if self.usual == 0.0 { time } else { self.usual };
-        self.usual = usual + (time - usual) / gradient.window;
-        if usual < time || self.is_used() {
-            let slope = (gradient.tolerance * usual / time).clamp(0.5, 1.0);
+        let baseline = if self.baseline == 0.0 { time } else { self.baseline };
+        self.baseline = baseline + (time - baseline) / gradient.window;
+        if baseline < time || self.is_used() {
+            let slope = (gradient.tolerance * baseline / time).clamp(0.5, 1.0);
             let next = self.limit * slope + self.limit.sqrt();
             let smooth = self.limit + (next - self.limit) * gradient.smoothing;
-            self.limit = smooth.clamp(gradient.least, gradient.most);
+            self.limit = smooth.clamp(gradient.min, gradient.max);
         }
     }
 
@@ -208,48 +208,48 @@
     }
 }
 
-/// The pools of one host, by server and by the destination of the model or group.
+/// The limiters of one host, by server and by the destination of the model or group.
 #[derive(Clone, Debug, Default)]
-pub struct Pools {
-    law: Law,
+pub struct Limiters {
+    algorithm: Algorithm,
     /// The hasher has no random state, and the order never shows.
-    pools: HashMap<(Index, DestinationIndex), Pool, BuildHasherDefault<DefaultHasher>>,
+    limiters: HashMap<(Index, DestinationIndex), Limiter, BuildHasherDefault<DefaultHasher>>,
 }
 
-impl Pools {
-    /// Without pools yet; each starts by this law.
-    pub fn new(law: Law) -> Pools {
-        Pools { law, pools: HashMap::default() }
+impl Limiters {
+    /// Without limiters yet; each starts by this algorithm.
+    pub fn new(algorithm: Algorithm) -> Limiters {
+        Limiters { algorithm, limiters: HashMap::default() }
     }
 
     /// How many more may start on a server for a model.
     pub fn room(&self, server: Index, destination: DestinationIndex) -> u32 {
-        match self.pools.get(&(server, destination)) {
-            Some(pool) => pool.room(),
-            None => Pool::new(self.law).room(),
+        match self.limiters.get(&(server, destination)) {
+            Some(limiter) => limiter.room(),
+            None => Limiter::new(self.algorithm).room(),
         }
     }
 
     /// Requests in flight on a server for a model.
     pub fn in_flight(&self, server: Index, destination: DestinationIndex) -> u32 {
-        self.pools.get(&(server, destination)).map_or(0, Pool::in_flight)
+        self.limiters.get(&(server, destination)).map_or(0, Limiter::in_flight)
     }
 
-    /// The pool of a server and a model; it is made when there is none.
-    pub fn pool(&mut self, server: Index, destination: DestinationIndex) -> &mut Pool {
-        let law = self.law;
-        self.pools.entry((server, destination)).or_insert_with(|| Pool::new(law))
+    /// The limiter of a server and a model; it is made when there is none.
+    pub fn limiter(&mut self, server: Index, destination: DestinationIndex) -> &mut Limiter {
+        let algorithm = self.algorithm;
+        self.limiters.entry((server, destination)).or_insert_with(|| Limiter::new(algorithm))
     }
 
-    /// Every pool, in the order of server and destination.
-    pub fn iter(&self) -> impl Iterator<Item = (Index, DestinationIndex, &Pool)> {
-        let mut keys: Vec<(Index, DestinationIndex)> = self.pools.keys().copied().collect();
+    /// Every limiter, in the order of server and destination.
+    pub fn iter(&self) -> impl Iterator<Item = (Index, DestinationIndex, &Limiter)> {
+        let mut keys: Vec<(Index, DestinationIndex)> = self.limiters.keys().copied().collect();
         keys.sort_unstable();
-        keys.into_iter().map(|key| (key.0, key.1, &self.pools[&key]))
+        keys.into_iter().map(|key| (key.0, key.1, &self.limiters[&key]))
     }
 
-    /// Drops the pools of a server that is gone.
+    /// Drops the limiters of a server that is gone.
     pub fn forget(&mut self, server: Index) {
-        self.pools.retain(|(other, _), pool| *other != server || 0 < pool.in_flight);
+        self.limiters.retain(|(other, _), limiter| *other != server || 0 < limiter.in_flight);
     }
 }
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     admit::{self, Gate, Refusal, Ticket, Work},
-    limit::{Law, Pools, Signal},
+    limit::{Algorithm, Limiters, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
         self, Choice, Criteria, Decision, DestinationIndex, Distances, Eligibility, Hints, Index,
@@ -38,7 +38,7 @@
     /// What is admitted.
     pub entry: Entry,
     /// How limits adapt.
-    pub law: Law,
+    pub algorithm: Algorithm,
     /// Bounds of the prefix hints.
     pub hints: hints::Bounds,
     /// Bounds of the queues.
@@ -129,7 +129,7 @@
     /// Prefix hints.
     pub hints: Hints,
     /// Limits.
-    pub pools: Pools,
+    pub limiters: Limiters,
     /// Waiting work.
     pub gate: Gate,
     /// Servers in doubt.
@@ -146,7 +146,7 @@
         Traffic {
             table: Table::new(distances),
             hints: Hints::new(rules.hints),
-            pools: Pools::new(rules.law),
+            limiters: Limiters::new(rules.algorithm),
             gate: Gate::new(rules.queues),
             suspicion: Suspicion::new(rules.suspicion),
             budget: Budget::new(rules.budget),
@@ -223,7 +223,7 @@
     pub fn answered(&mut self, flight: &Flight, now: Moment) {
         let time = now.saturating_sub(flight.sent.at);
         let signal = Signal::FirstToken { time, target: flight.target };
-        self.pools.pool(flight.choice.server, flight.pool).signal(signal, now);
+        self.limiters.limiter(flight.choice.server, flight.pool).signal(signal, now);
         self.trust(flight.choice.server);
     }
 
@@ -231,8 +231,8 @@
     pub fn ended(&mut self, flight: &Flight, end: End, now: Moment) {
         let server = flight.choice.server;
         self.table.ended(server, flight.sent, now);
-        let pool = self.pools.pool(server, flight.pool);
-        pool.end();
+        let limiter = self.limiters.limiter(server, flight.pool);
+        limiter.end();
         match end {
             End::Whole => {
                 self.budget.deposit();
@@ -245,7 +245,7 @@
                 } else {
                     Signal::Neutral
                 };
-                pool.signal(signal, now);
+                limiter.signal(signal, now);
                 let eligibility = self.suspicion.failed(server, point, now);
                 self.doubt(server, eligibility);
             }
@@ -296,7 +296,7 @@
             let eligibility = self.suspicion.try_out(choice.server, now);
             self.doubt(choice.server, eligibility);
         }
-        self.pools.pool(choice.server, pool).start();
+        self.limiters.limiter(choice.server, pool).start();
         for prefix in &demand.prefix {
             self.hints.add(*prefix, choice.server, now);
         }
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -19,7 +19,7 @@
     /// How many more may start on a server: within this host's limit, and within the places that
     /// all hosts together leave there.
     pub(super) fn room_on(&self, server: Index, pool: DestinationIndex) -> u32 {
-        self.pools.room(server, pool).min(self.table.view(server).spare())
+        self.limiters.room(server, pool).min(self.table.view(server).spare())
     }
 
     /// What a request can expect; `None` if no server has what it wants, nor will once a suspicion
@@ -65,7 +65,7 @@
             .fold((0, Duration::ZERO), |(n, hold), s| (n + 1, hold + self.table.view(s).hold(now)));
         let in_flight = self
             .usable(wanted, now)
-            .map(|server| self.pools.in_flight(server, pool))
+            .map(|server| self.limiters.in_flight(server, pool))
             .sum::<u32>()
             .saturating_add(self.reserved.get(&pool).copied().unwrap_or(0));
         let way = self.table.distance(choice.server) * 2;
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -4,7 +4,7 @@
 
 use policy::{
     admit::{Cause, Refusal, Ticket, Work},
-    limit::Law,
+    limit::Algorithm,
     retry::Point,
     route::{Destination, Distances, Eligibility},
     traffic::{Admission, Again, Change, Demand, End, Flight, Rules, Traffic},
@@ -22,7 +22,7 @@
 
 fn traffic(servers: u32, limit: u32) -> Traffic {
     let distances = Distances { own: "med-a".into(), other: millis(1), named: BTreeMap::new() };
-    let rules = Rules { law: Law::Fixed(limit), ..Rules::default() };
+    let rules = Rules { algorithm: Algorithm::Fixed(limit), ..Rules::default() };
     let mut traffic = Traffic::new(distances, rules);
     for at in 0..servers {
         let server = backend::Server {
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -17,7 +17,7 @@
 use observe::Metrics;
 use policy::{
     admit::{Refusal, Ticket},
-    limit::{Aimd, Gradient, Law},
+    limit::{Aimd, Algorithm, Gradient},
     retry,
     route::{Destination, DestinationIndex, Distances, Eligibility, Index, estimate::PeerLoad},
     traffic::{Admission, Again, Change, Demand, Entry, Rules},
@@ -155,8 +155,10 @@
     pub fn in_flight_by_model(&self) -> BTreeMap<model::Id, u32> {
         let state = self.lock();
         let mut places: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
-        for (_, place, pool) in state.policy.pools.iter().filter(|(_, _, p)| 0 < p.in_flight()) {
-            *places.entry(place).or_default() += pool.in_flight();
+        for (_, destination, limiter) in
+            state.policy.limiters.iter().filter(|(_, _, limiter)| 0 < limiter.in_flight())
+        {
+            *places.entry(destination).or_default() += limiter.in_flight();
         }
         let table = &state.policy.table;
         places.into_iter().map(|(place, requests)| (table.name(place), requests)).collect()
@@ -243,9 +245,9 @@
     pub fn show(&self, metrics: &Metrics) {
         let state = self.lock();
         let table = &state.policy.table;
-        for (server, place, pool) in state.policy.pools.iter() {
-            let name = table.name(place);
-            metrics.limit(&table.server(server).id, &name, u64::from(pool.limit()));
+        for (server, destination, limiter) in state.policy.limiters.iter() {
+            let name = table.name(destination);
+            metrics.limit(&table.server(server).id, &name, u64::from(limiter.limit()));
         }
     }
 
@@ -270,12 +272,12 @@
         process::Admission::Judged => Entry::Judged,
         process::Admission::Open => Entry::Open,
     };
-    let law = match settings.limit {
-        process::Limit::Aimd => Law::Aimd(Aimd::default()),
-        process::Limit::Gradient => Law::Gradient(Gradient::default()),
-        process::Limit::Fixed(limit) => Law::Fixed(limit.get()),
+    let algorithm = match settings.limit {
+        process::Limit::Aimd => Algorithm::Aimd(Aimd::default()),
+        process::Limit::Gradient => Algorithm::Gradient(Gradient::default()),
+        process::Limit::Fixed(limit) => Algorithm::Fixed(limit.get()),
     };
-    Rules { entry, law, ..Rules::default() }
+    Rules { entry, algorithm, ..Rules::default() }
 }
 
 impl State {
