--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -8,17 +8,17 @@
 
 use types::{prelude::*, report::Load, resident::State};
 
-use super::estimate::{Estimate, Sent, Told, View};
+use super::estimate::{Estimate, PeerLoad, Sent, View};
 
 /// Dense index of a server.
 pub type Index = u32;
 
 /// Dense index of something that requests want.
-pub type Place = u32;
+pub type DestinationIndex = u32;
 
 /// What a request wants a server to have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wanted {
+pub enum Destination {
     /// A model or an adapter on it, whatever its version.
     Model(model::Name),
     /// Any server of a group of plain servers.
@@ -36,7 +36,7 @@
 
 /// Whether a server gets new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// It does.
     #[default]
     Live,
@@ -72,11 +72,11 @@
 struct Row {
     server: backend::Server,
     distance: Duration,
-    standing: Standing,
+    eligibility: Eligibility,
     says_leaving: bool,
     incarnation: backend::Incarnation,
     view: View,
-    ready: Vec<Place>,
+    ready: Vec<DestinationIndex>,
 }
 
 /// The servers that a host knows.
@@ -85,10 +85,10 @@
     distances: Distances,
     rows: Vec<Row>,
     by_id: BTreeMap<backend::Id, Index>,
-    places: BTreeMap<Wanted, Place>,
+    destinations: BTreeMap<Destination, DestinationIndex>,
     replicas: Vec<Vec<Replica>>,
-    pools: Vec<Place>,
-    told: BTreeMap<host::Id, Vec<(Index, Told)>>,
+    pools: Vec<DestinationIndex>,
+    peer_loads: BTreeMap<host::Id, Vec<(Index, PeerLoad)>>,
 }
 
 impl Table {
@@ -98,10 +98,10 @@
             distances,
             rows: Vec::new(),
             by_id: BTreeMap::new(),
-            places: BTreeMap::new(),
+            destinations: BTreeMap::new(),
             replicas: Vec::new(),
             pools: Vec::new(),
-            told: BTreeMap::new(),
+            peer_loads: BTreeMap::new(),
         }
     }
 
@@ -116,7 +116,7 @@
                 self.rows.push(Row {
                     server: server.clone(),
                     distance,
-                    standing: Standing::Live,
+                    eligibility: Eligibility::Live,
                     says_leaving: false,
                     incarnation: 0,
                     view: View::default(),
@@ -129,7 +129,7 @@
         row.distance = distance;
         row.server = server.clone();
         if server.kind == backend::Kind::Plain {
-            self.set_ready(index, vec![(Wanted::Group(server.group.clone()), "".into())]);
+            self.set_ready(index, vec![(Destination::Group(server.group.clone()), "".into())]);
         }
         index
     }
@@ -149,47 +149,47 @@
         self.rows.iter().enumerate().map(|(at, row)| (at as Index, &row.server))
     }
 
-    /// The place of something wanted; it is made when there is none.
-    pub fn place(&mut self, wanted: &Wanted) -> Place {
-        if let Some(place) = self.places.get(wanted) {
-            return *place;
+    /// The destination of something wanted; it is made when there is none.
+    pub fn destination(&mut self, wanted: &Destination) -> DestinationIndex {
+        if let Some(destination) = self.destinations.get(wanted) {
+            return *destination;
         }
         let pool = match wanted {
-            Wanted::Model(model::Name { model, adapter: Some(_) }) => {
+            Destination::Model(model::Name { model, adapter: Some(_) }) => {
                 let base = model::Name { model: model.clone(), adapter: None };
-                Some(self.place(&Wanted::Model(base)))
+                Some(self.destination(&Destination::Model(base)))
             }
-            Wanted::Model(_) | Wanted::Group(_) => None,
+            Destination::Model(_) | Destination::Group(_) => None,
         };
-        let place = self.replicas.len() as Place;
-        self.places.insert(wanted.clone(), place);
+        let destination = self.replicas.len() as DestinationIndex;
+        self.destinations.insert(wanted.clone(), destination);
         self.replicas.push(Vec::new());
-        self.pools.push(pool.unwrap_or(place));
-        place
+        self.pools.push(pool.unwrap_or(destination));
+        destination
     }
 
-    /// The place that limits and queues go by: an adapter's model, else the place itself.
-    pub fn pool(&self, place: Place) -> Place {
-        self.pools.get(place as usize).copied().unwrap_or(place)
+    /// The destination that limits and queues go by: an adapter's model, else the destination itself.
+    pub fn pool(&self, destination: DestinationIndex) -> DestinationIndex {
+        self.pools.get(destination as usize).copied().unwrap_or(destination)
     }
 
-    /// What a place stands for, in words.
-    pub fn name(&self, place: Place) -> Arc<str> {
-        match self.places.iter().find(|(_, other)| **other == place) {
-            Some((Wanted::Model(name), _)) => name.to_string().into(),
-            Some((Wanted::Group(group), _)) => group.clone(),
+    /// What a destination stands for, in words.
+    pub fn name(&self, destination: DestinationIndex) -> Arc<str> {
+        match self.destinations.iter().find(|(_, other)| **other == destination) {
+            Some((Destination::Model(name), _)) => name.to_string().into(),
+            Some((Destination::Group(group), _)) => group.clone(),
             None => "".into(),
         }
     }
 
-    /// The place of something wanted, if it was heard of.
-    pub fn find(&self, wanted: &Wanted) -> Option<Place> {
-        self.places.get(wanted).copied()
+    /// The destination of something wanted, if it was heard of.
+    pub fn find(&self, wanted: &Destination) -> Option<DestinationIndex> {
+        self.destinations.get(wanted).copied()
     }
 
-    /// Servers that have it ready, whatever their standing.
-    pub fn replicas(&self, place: Place) -> &[Replica] {
-        self.replicas.get(place as usize).map_or(&[], Vec::as_slice)
+    /// Servers that have it ready, whatever their eligibility.
+    pub fn replicas(&self, destination: DestinationIndex) -> &[Replica] {
+        self.replicas.get(destination as usize).map_or(&[], Vec::as_slice)
     }
 
     /// Takes in a load report that was read at `now`, and says whether the server's process is a
@@ -210,54 +210,58 @@
     }
 
     /// Sets whether a server gets new work.
-    pub fn set_standing(&mut self, index: Index, standing: Standing) {
-        self.rows[index as usize].standing = standing;
+    pub fn set_eligibility(&mut self, index: Index, eligibility: Eligibility) {
+        self.rows[index as usize].eligibility = eligibility;
     }
 
     /// Whether a server gets new work, as last set.
-    pub fn standing(&self, index: Index) -> Standing {
-        self.rows[index as usize].standing
+    pub fn eligibility(&self, index: Index) -> Eligibility {
+        self.rows[index as usize].eligibility
     }
 
     /// Whether a server may be given something new at `now`.
     pub fn takes_work(&self, index: Index, now: Moment) -> bool {
         let row = &self.rows[index as usize];
-        match row.standing {
+        match row.eligibility {
             _ if row.says_leaving => false,
-            Standing::Live => true,
-            Standing::Suspected(until) => until <= now,
-            Standing::Leaving | Standing::Gone => false,
+            Eligibility::Live => true,
+            Eligibility::Suspected(until) => until <= now,
+            Eligibility::Leaving | Eligibility::Gone => false,
         }
     }
 
     /// When a server that is only in doubt may be tried.
     pub fn doubted_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
-        match row.standing {
-            Standing::Suspected(until) if !row.says_leaving => Some(until),
+        match row.eligibility {
+            Eligibility::Suspected(until) if !row.says_leaving => Some(until),
             _ => None,
         }
     }
 
-    /// Takes in what a peer has in flight, in place of what it told before.
-    pub fn told(&mut self, peer: &host::Id, in_flight: &[(backend::Id, Told)]) {
-        let known: Vec<(Index, Told)> = in_flight
+    /// Takes in what a peer has in flight, in place of the earlier report.
+    pub fn set_peer_load(&mut self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
+        let known: Vec<(Index, PeerLoad)> = in_flight
             .iter()
-            .filter_map(|(id, told)| self.index(id).map(|index| (index, *told)))
+            .filter_map(|(id, load)| self.index(id).map(|index| (index, *load)))
             .collect();
-        self.forget(peer);
-        for (server, told) in &known {
+        self.forget_peer(peer);
+        for (server, load) in &known {
             let view = &mut self.rows[*server as usize].view;
-            view.peers(Told { requests: view.told().requests.saturating_add(told.requests) });
+            view.set_peer_load(PeerLoad {
+                requests: view.peer_load().requests.saturating_add(load.requests),
+            });
         }
-        self.told.insert(peer.clone(), known);
+        self.peer_loads.insert(peer.clone(), known);
     }
 
     /// Forgets what a peer told, as when it is gone.
-    pub fn forget(&mut self, peer: &host::Id) {
-        for (server, told) in self.told.remove(peer).unwrap_or_default() {
+    pub fn forget_peer(&mut self, peer: &host::Id) {
+        for (server, load) in self.peer_loads.remove(peer).unwrap_or_default() {
             let view = &mut self.rows[server as usize].view;
-            view.peers(Told { requests: view.told().requests.saturating_sub(told.requests) });
+            view.set_peer_load(PeerLoad {
+                requests: view.peer_load().requests.saturating_sub(load.requests),
+            });
         }
     }
 
@@ -291,16 +295,16 @@
         self.rows[index as usize].server.zone == self.distances.own
     }
 
-    fn set_ready(&mut self, index: Index, units: Vec<(Wanted, model::Version)>) {
-        for place in std::mem::take(&mut self.rows[index as usize].ready) {
-            self.replicas[place as usize].retain(|replica| replica.server != index);
+    fn set_ready(&mut self, index: Index, units: Vec<(Destination, model::Version)>) {
+        for destination in std::mem::take(&mut self.rows[index as usize].ready) {
+            self.replicas[destination as usize].retain(|replica| replica.server != index);
         }
         for (wanted, version) in units {
-            let place = self.place(&wanted);
-            let replicas = &mut self.replicas[place as usize];
+            let destination = self.destination(&wanted);
+            let replicas = &mut self.replicas[destination as usize];
             let at = replicas.partition_point(|replica| replica.server <= index);
             replicas.insert(at, Replica { server: index, version });
-            self.rows[index as usize].ready.push(place);
+            self.rows[index as usize].ready.push(destination);
         }
     }
 }
@@ -315,7 +319,7 @@
 }
 
 /// Models and adapters that a report shows ready; an adapter only with its model.
-fn ready_units(load: &Load) -> Vec<(Wanted, model::Version)> {
+fn ready_units(load: &Load) -> Vec<(Destination, model::Version)> {
     let ready = || load.residents.iter().filter(|r| r.state == State::Ready).map(|r| &r.unit);
     let has_model = |id: &model::Id| {
         ready().any(|unit| matches!(unit, Unit::Model { model, .. } if model == id))
@@ -324,11 +328,11 @@
         .filter_map(|unit| match unit {
             Unit::Model { model, version } => {
                 let name = model::Name { model: model.clone(), adapter: None };
-                Some((Wanted::Model(name), version.clone()))
+                Some((Destination::Model(name), version.clone()))
             }
             Unit::Adapter { model, adapter, version } => has_model(model).then(|| {
                 let name = model::Name { model: model.clone(), adapter: Some(adapter.clone()) };
-                (Wanted::Model(name), version.clone())
+                (Destination::Model(name), version.clone())
             }),
         })
         .collect()
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -14,11 +14,11 @@
 
 use crate::{
     admit::{self, Gate, Refusal, Ticket, Work},
-    limit::{Law, Pools, Signal},
+    limit::{Algorithm, Limiters, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
-        self, Ask, Choice, Decision, Distances, Hints, Index, Place, Standing, Table,
-        estimate::Sent, hints, table::Restarted,
+        self, Choice, Criteria, Decision, DestinationIndex, Distances, Eligibility, Hints, Index,
+        Table, estimate::Sent, hints, table::Restarted,
     },
 };
 
@@ -38,7 +38,7 @@
     /// What is admitted.
     pub entry: Entry,
     /// How limits adapt.
-    pub law: Law,
+    pub algorithm: Algorithm,
     /// Bounds of the prefix hints.
     pub hints: hints::Bounds,
     /// Bounds of the queues.
@@ -94,7 +94,7 @@
     /// Where it was sent, and what was expected.
     pub choice: Choice,
     sent: Sent,
-    pool: Place,
+    pool: DestinationIndex,
     target: Duration,
 }
 
@@ -129,14 +129,14 @@
     /// Prefix hints.
     pub hints: Hints,
     /// Limits.
-    pub pools: Pools,
+    pub limiters: Limiters,
     /// Waiting work.
     pub gate: Gate,
     /// Servers in doubt.
     pub suspicion: Suspicion,
     /// Retries left.
     pub budget: Budget,
-    reserved: BTreeMap<Place, u32>,
+    reserved: BTreeMap<DestinationIndex, u32>,
     unreached: BTreeSet<Index>,
 }
 
@@ -146,7 +146,7 @@
         Traffic {
             table: Table::new(distances),
             hints: Hints::new(rules.hints),
-            pools: Pools::new(rules.law),
+            limiters: Limiters::new(rules.algorithm),
             gate: Gate::new(rules.queues),
             suspicion: Suspicion::new(rules.suspicion),
             budget: Budget::new(rules.budget),
@@ -179,7 +179,7 @@
     }
 
     /// Gives back a reservation that is not used.
-    pub fn release(&mut self, pool: Place) {
+    pub fn release(&mut self, pool: DestinationIndex) {
         if let Some(reserved) = self.reserved.get_mut(&pool) {
             *reserved = reserved.saturating_sub(1);
         }
@@ -215,15 +215,15 @@
     /// A server gave no report, since it can't be reached.
     pub fn unreachable(&mut self, server: Index, now: Moment) {
         self.unreached.insert(server);
-        let standing = self.suspicion.failed(server, Point::Connect, now);
-        self.doubt(server, standing);
+        let eligibility = self.suspicion.failed(server, Point::Connect, now);
+        self.doubt(server, eligibility);
     }
 
     /// The first token of an attempt has come.
     pub fn answered(&mut self, flight: &Flight, now: Moment) {
         let time = now.saturating_sub(flight.sent.at);
         let signal = Signal::FirstToken { time, target: flight.target };
-        self.pools.pool(flight.choice.server, flight.pool).signal(signal, now);
+        self.limiters.limiter(flight.choice.server, flight.pool).signal(signal, now);
         self.trust(flight.choice.server);
     }
 
@@ -231,8 +231,8 @@
     pub fn ended(&mut self, flight: &Flight, end: End, now: Moment) {
         let server = flight.choice.server;
         self.table.ended(server, flight.sent, now);
-        let pool = self.pools.pool(server, flight.pool);
-        pool.end();
+        let limiter = self.limiters.limiter(server, flight.pool);
+        limiter.end();
         match end {
             End::Whole => {
                 self.budget.deposit();
@@ -245,9 +245,9 @@
                 } else {
                     Signal::Neutral
                 };
-                pool.signal(signal, now);
-                let standing = self.suspicion.failed(server, point, now);
-                self.doubt(server, standing);
+                limiter.signal(signal, now);
+                let eligibility = self.suspicion.failed(server, point, now);
+                self.doubt(server, eligibility);
             }
         }
     }
@@ -268,14 +268,14 @@
         changes
     }
 
-    fn refuse_lost(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
+    fn refuse_lost(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
         let mut gate = std::mem::take(&mut self.gate);
         let lost = gate.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
         changes.extend(lost.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
         self.gate = gate;
     }
 
-    fn start_waiting(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
+    fn start_waiting(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
         let mut gate = std::mem::take(&mut self.gate);
         while let Some(work) = gate.next(pool, |wanted| self.room(wanted, now)) {
             *self.reserved.entry(pool).or_default() += 1;
@@ -286,17 +286,17 @@
 
     fn send(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Option<Flight> {
         let pool = demand.work.pool;
-        let ask = Ask { avoid, ..ask(demand) };
+        let criteria = Criteria { avoid, ..criteria(demand) };
         let has_room = |server| 0 < self.room_on(server, pool);
-        let choice = match route::choose(&self.table, &self.hints, &ask, now, has_room) {
+        let choice = match route::choose(&self.table, &self.hints, &criteria, now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => choice,
             Decision::Unready => return None,
         };
-        if matches!(self.table.standing(choice.server), Standing::Suspected(_)) {
-            let standing = self.suspicion.try_out(choice.server, now);
-            self.doubt(choice.server, standing);
+        if matches!(self.table.eligibility(choice.server), Eligibility::Suspected(_)) {
+            let eligibility = self.suspicion.try_out(choice.server, now);
+            self.doubt(choice.server, eligibility);
         }
-        self.pools.pool(choice.server, pool).start();
+        self.limiters.limiter(choice.server, pool).start();
         for prefix in &demand.prefix {
             self.hints.add(*prefix, choice.server, now);
         }
@@ -307,21 +307,21 @@
 
     fn trust(&mut self, server: Index) {
         if self.suspicion.succeeded(server) {
-            self.doubt(server, Standing::Live);
+            self.doubt(server, Eligibility::Live);
         }
     }
 
     /// Doubt never makes a server that is leaving or gone live again.
-    fn doubt(&mut self, server: Index, standing: Standing) {
-        if matches!(self.table.standing(server), Standing::Live | Standing::Suspected(_)) {
-            self.table.set_standing(server, standing);
+    fn doubt(&mut self, server: Index, eligibility: Eligibility) {
+        if matches!(self.table.eligibility(server), Eligibility::Live | Eligibility::Suspected(_)) {
+            self.table.set_eligibility(server, eligibility);
         }
     }
 }
 
-fn ask(demand: &Demand) -> Ask<'_> {
-    Ask {
-        place: demand.work.wanted,
+fn criteria(demand: &Demand) -> Criteria<'_> {
+    Criteria {
+        destination: demand.work.wanted,
         version: &demand.version,
         prefix: &demand.prefix,
         prompt_tokens: demand.prompt_tokens,
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -2,15 +2,15 @@
 
 use types::prelude::*;
 
-use super::{Demand, Traffic, ask};
+use super::{Demand, Traffic, criteria};
 use crate::{
     admit::Outlook,
-    route::{self, Choice, Decision, Index, Place},
+    route::{self, Choice, Decision, DestinationIndex, Index},
 };
 
 impl Traffic {
     /// How many more may start for something wanted.
-    pub fn room(&self, wanted: Place, now: Moment) -> u32 {
+    pub fn room(&self, wanted: DestinationIndex, now: Moment) -> u32 {
         let pool = self.table.pool(wanted);
         let open: u32 = self.usable(wanted, now).map(|server| self.room_on(server, pool)).sum();
         open.saturating_sub(self.reserved.get(&pool).copied().unwrap_or(0))
@@ -18,8 +18,8 @@
 
     /// How many more may start on a server: within this host's limit, and within the places that
     /// all hosts together leave there.
-    pub(super) fn room_on(&self, server: Index, pool: Place) -> u32 {
-        self.pools.room(server, pool).min(self.table.view(server).spare())
+    pub(super) fn room_on(&self, server: Index, pool: DestinationIndex) -> u32 {
+        self.limiters.room(server, pool).min(self.table.view(server).spare())
     }
 
     /// What a request can expect; `None` if no server has what it wants, nor will once a suspicion
@@ -28,7 +28,7 @@
         let wanted = demand.work.wanted;
         let pool = demand.work.pool;
         let has_room = |server| 0 < self.room_on(server, pool);
-        match route::choose(&self.table, &self.hints, &ask(demand), now, has_room) {
+        match route::choose(&self.table, &self.hints, &criteria(demand), now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => {
                 Some(self.outlook_by(wanted, &choice, demand.prompt_tokens, now))
             }
@@ -37,7 +37,7 @@
     }
 
     /// What a short request can expect.
-    pub(super) fn plain_outlook(&self, wanted: Place, now: Moment) -> Outlook {
+    pub(super) fn plain_outlook(&self, wanted: DestinationIndex, now: Moment) -> Outlook {
         let best = self
             .usable(wanted, now)
             .map(|server| {
@@ -52,14 +52,20 @@
         }
     }
 
-    fn outlook_by(&self, wanted: Place, choice: &Choice, tokens: u32, now: Moment) -> Outlook {
+    fn outlook_by(
+        &self,
+        wanted: DestinationIndex,
+        choice: &Choice,
+        tokens: u32,
+        now: Moment,
+    ) -> Outlook {
         let pool = self.table.pool(wanted);
         let (servers, hold) = self
             .usable(wanted, now)
             .fold((0, Duration::ZERO), |(n, hold), s| (n + 1, hold + self.table.view(s).hold(now)));
         let in_flight = self
             .usable(wanted, now)
-            .map(|server| self.pools.in_flight(server, pool))
+            .map(|server| self.limiters.in_flight(server, pool))
             .sum::<u32>()
             .saturating_add(self.reserved.get(&pool).copied().unwrap_or(0));
         let way = self.table.distance(choice.server) * 2;
@@ -72,17 +78,17 @@
         }
     }
 
-    fn outlook_in_doubt(&self, wanted: Place, now: Moment) -> Option<Outlook> {
+    fn outlook_in_doubt(&self, wanted: DestinationIndex, now: Moment) -> Option<Outlook> {
         let until = self.out_of_doubt(wanted)?;
         Some(Outlook { first_token: until.saturating_sub(now), ..Outlook::default() })
     }
 
     /// When only servers in doubt have it: the first of them may be tried when its time is out.
-    pub(super) fn out_of_doubt(&self, wanted: Place) -> Option<Moment> {
+    pub(super) fn out_of_doubt(&self, wanted: DestinationIndex) -> Option<Moment> {
         self.table.replicas(wanted).iter().filter_map(|r| self.table.doubted_until(r.server)).min()
     }
 
-    fn usable(&self, wanted: Place, now: Moment) -> impl Iterator<Item = Index> {
+    fn usable(&self, wanted: DestinationIndex, now: Moment) -> impl Iterator<Item = Index> {
         self.table
             .replicas(wanted)
             .iter()
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -4,9 +4,9 @@
 
 use policy::{
     admit::{Cause, Refusal, Ticket, Work},
-    limit::Law,
+    limit::Algorithm,
     retry::Point,
-    route::{Distances, Standing, Wanted},
+    route::{Destination, Distances, Eligibility},
     traffic::{Admission, Again, Change, Demand, End, Flight, Rules, Traffic},
 };
 use rstest::rstest;
@@ -22,7 +22,7 @@
 
 fn traffic(servers: u32, limit: u32) -> Traffic {
     let distances = Distances { own: "med-a".into(), other: millis(1), named: BTreeMap::new() };
-    let rules = Rules { law: Law::Fixed(limit), ..Rules::default() };
+    let rules = Rules { algorithm: Algorithm::Fixed(limit), ..Rules::default() };
     let mut traffic = Traffic::new(distances, rules);
     for at in 0..servers {
         let server = backend::Server {
@@ -62,7 +62,7 @@
 }
 
 fn demand(traffic: &mut Traffic, ticket: Ticket, priority: Priority, due: u64) -> Demand {
-    let wanted = traffic.table.place(&Wanted::Model(model::Name::parse("reader")));
+    let wanted = traffic.table.destination(&Destination::Model(model::Name::parse("reader")));
     let work = Work {
         ticket,
         priority,
@@ -106,7 +106,7 @@
     let avoid = [first.choice.server];
     assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(1)), Again::At(millis(500)));
     assert_eq!(sent(traffic.dispatch_again(&demand, &avoid, millis(500))).choice.server, 0);
-    traffic.table.set_standing(0, Standing::Gone);
+    traffic.table.set_eligibility(0, Eligibility::Gone);
     assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(900)), Again::Unready);
 }
 
@@ -134,8 +134,8 @@
 fn work_that_would_queue_on_the_server_waits_here_where_it_can_be_refused() {
     // Eight slots and one to spare, whatever the limit says.
     let mut traffic = traffic(1, 64);
-    let told = policy::route::estimate::Told { requests: 4 };
-    traffic.table.told(&"host-2".into(), &[("lector-0".into(), told)]);
+    let load = policy::route::estimate::PeerLoad { requests: 4 };
+    traffic.table.set_peer_load(&"host-2".into(), &[("lector-0".into(), load)]);
     for ticket in 0..5 {
         let (admission, demand) = admit(&mut traffic, ticket, 5000, 0);
         assert_eq!(admission, Admission::Take, "{ticket}");
@@ -213,17 +213,17 @@
 }
 
 #[rstest]
-#[case(Standing::Leaving)]
-#[case(Standing::Gone)]
-fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] standing: Standing) {
+#[case(Eligibility::Leaving)]
+#[case(Eligibility::Gone)]
+fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] eligibility: Eligibility) {
     let mut traffic = traffic(1, 8);
     let (_, demand) = admit(&mut traffic, 1, 5000, 0);
     let flight = traffic.dispatch(&demand, millis(0)).unwrap();
     traffic.ended(&flight, End::Failed(Point::Connect), millis(0));
-    traffic.table.set_standing(0, standing);
+    traffic.table.set_eligibility(0, eligibility);
     traffic.answered(&flight, millis(5));
     traffic.ended(&flight, End::Whole, millis(6));
-    assert_eq!(traffic.table.standing(0), standing);
+    assert_eq!(traffic.table.eligibility(0), eligibility);
     assert_eq!(admit(&mut traffic, 2, 5000, 10).0, Admission::Unready);
 }
 
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -17,9 +17,9 @@
 use observe::Metrics;
 use policy::{
     admit::{Refusal, Ticket},
-    limit::{Aimd, Gradient, Law},
+    limit::{Aimd, Algorithm, Gradient},
     retry,
-    route::{Distances, Index, Place, Standing, Wanted, estimate::Told},
+    route::{Destination, DestinationIndex, Distances, Eligibility, Index, estimate::PeerLoad},
     traffic::{Admission, Again, Change, Demand, Entry, Rules},
 };
 use settings::process::{self, Process};
@@ -86,9 +86,9 @@
     }
 
     /// Places of something wanted: its own, and the one of its limits and queue.
-    pub fn places(&self, wanted: &Wanted) -> (Place, Place) {
+    pub fn places(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
-        let place = table.place(wanted);
+        let place = table.destination(wanted);
         (place, table.pool(place))
     }
 
@@ -100,13 +100,15 @@
             list.servers.iter().map(|entry| (table.add(&entry.server), entry.state)).collect();
         let known: Vec<Index> = table.servers().map(|(index, _)| index).collect();
         for index in known {
-            let standing = match (listed.get(&index), table.standing(index)) {
-                (Some(Listed::Live), Standing::Suspected(until)) => Standing::Suspected(until),
-                (Some(Listed::Live), _) => Standing::Live,
-                (Some(Listed::Leaving), _) => Standing::Leaving,
-                (None, _) => Standing::Gone,
+            let eligibility = match (listed.get(&index), table.eligibility(index)) {
+                (Some(Listed::Live), Eligibility::Suspected(until)) => {
+                    Eligibility::Suspected(until)
+                }
+                (Some(Listed::Live), _) => Eligibility::Live,
+                (Some(Listed::Leaving), _) => Eligibility::Leaving,
+                (None, _) => Eligibility::Gone,
             };
-            table.set_standing(index, standing);
+            table.set_eligibility(index, eligibility);
         }
     }
 
@@ -123,38 +125,40 @@
     }
 
     /// Sets whether a server gets new work.
-    pub fn set_standing(&self, server: &backend::Id, standing: Standing) {
-        self.with_index(server, |policy, index| policy.table.set_standing(index, standing));
+    pub fn set_eligibility(&self, server: &backend::Id, eligibility: Eligibility) {
+        self.with_index(server, |policy, index| policy.table.set_eligibility(index, eligibility));
     }
 
     /// Takes in what a peer has in flight on each server.
-    pub fn told(&self, peer: &host::Id, in_flight: &[(backend::Id, Told)]) {
-        self.lock().policy.table.told(peer, in_flight);
+    pub fn set_peer_load(&self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
+        self.lock().policy.table.set_peer_load(peer, in_flight);
     }
 
     /// Forgets what a peer told.
-    pub fn forget(&self, peer: &host::Id) {
-        self.lock().policy.table.forget(peer);
+    pub fn forget_peer(&self, peer: &host::Id) {
+        self.lock().policy.table.forget_peer(peer);
     }
 
     /// What this host has in flight, by server, for its peers.
-    pub fn in_flight(&self) -> Vec<(backend::Id, Told)> {
+    pub fn in_flight(&self) -> Vec<(backend::Id, PeerLoad)> {
         let state = self.lock();
         let table = &state.policy.table;
         table
             .servers()
             .map(|(index, server)| (server.id.clone(), table.view(index).own()))
             .filter(|(_, requests)| 0 < *requests)
-            .map(|(id, requests)| (id, Told { requests }))
+            .map(|(id, requests)| (id, PeerLoad { requests }))
             .collect()
     }
 
     /// What this host has in flight, by model, those of its adapters included.
     pub fn in_flight_by_model(&self) -> BTreeMap<model::Id, u32> {
         let state = self.lock();
-        let mut places: BTreeMap<Place, u32> = BTreeMap::new();
-        for (_, place, pool) in state.policy.pools.iter().filter(|(_, _, p)| 0 < p.in_flight()) {
-            *places.entry(place).or_default() += pool.in_flight();
+        let mut places: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
+        for (_, destination, limiter) in
+            state.policy.limiters.iter().filter(|(_, _, limiter)| 0 < limiter.in_flight())
+        {
+            *places.entry(destination).or_default() += limiter.in_flight();
         }
         let table = &state.policy.table;
         places.into_iter().map(|(place, requests)| (table.name(place), requests)).collect()
@@ -241,9 +245,9 @@
     pub fn show(&self, metrics: &Metrics) {
         let state = self.lock();
         let table = &state.policy.table;
-        for (server, place, pool) in state.policy.pools.iter() {
-            let name = table.name(place);
-            metrics.limit(&table.server(server).id, &name, u64::from(pool.limit()));
+        for (server, destination, limiter) in state.policy.limiters.iter() {
+            let name = table.name(destination);
+            metrics.limit(&table.server(server).id, &name, u64::from(limiter.limit()));
         }
     }
 
@@ -268,12 +272,12 @@
         process::Admission::Judged => Entry::Judged,
         process::Admission::Open => Entry::Open,
     };
-    let law = match settings.limit {
-        process::Limit::Aimd => Law::Aimd(Aimd::default()),
-        process::Limit::Gradient => Law::Gradient(Gradient::default()),
-        process::Limit::Fixed(limit) => Law::Fixed(limit.get()),
+    let algorithm = match settings.limit {
+        process::Limit::Aimd => Algorithm::Aimd(Aimd::default()),
+        process::Limit::Gradient => Algorithm::Gradient(Gradient::default()),
+        process::Limit::Fixed(limit) => Algorithm::Fixed(limit.get()),
     };
-    Rules { entry, law, ..Rules::default() }
+    Rules { entry, algorithm, ..Rules::default() }
 }
 
 impl State {
