--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -13,22 +13,22 @@
 mod account;
 mod arrive;
 mod choose;
-mod fleet;
-mod held;
 mod list;
 mod load;
+mod loaded;
 mod loans;
 mod pump;
 mod queue;
 mod quota;
+mod registry;
 mod server;
 mod sharers;
 mod stats;
 mod task;
 mod watch;
 
+pub mod breaker;
 pub mod budget;
-pub mod doubt;
 pub mod pace;
 pub mod poison;
 pub mod request;
@@ -47,17 +47,17 @@
 
 use self::{
     budget::Budget,
-    fleet::Fleet,
-    held::Absence,
+    loaded::Absence,
     loans::Borrowing,
+    registry::Registry,
     sharers::Sharers,
     task::{State, Task},
 };
 pub use self::{
     budget::{RetryBudgetConfig, RetryBudgetStatus, RetryTotals, loan},
-    fleet::Work,
     poison::{Fingerprint, Poison},
     pump::Missing,
+    registry::Work,
     request::{
         Answer, Cause, Change, End, NotRun, Part, RequestSpec, RetryDecision, Ticket, Unclear,
         Unreachable, Verdict,
@@ -76,16 +76,16 @@
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
 /// Prompt parts remembered in one generation.
-const HINTS: usize = 4096;
+const PREFIX_HINTS: usize = 4096;
 
 /// How long a server is thought to keep a part of a prompt.
-const HINT_LIFE: Duration = Duration::from_secs(60);
+const PREFIX_HINT_LIFE: Duration = Duration::from_secs(60);
 
 /// How long fewer hosts are seen before they count.
-const FEWER: Duration = Duration::from_secs(20);
+const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
 /// Most hosts that hear of each other's requests so soon that they don't crowd a server.
-const SMALL: u32 = 16;
+const MAX_UNCONTENDED_HOSTS: u32 = 16;
 
 /// What a host is told at its start.
 #[derive(Clone, Debug, PartialEq)]
@@ -119,40 +119,41 @@
     /// Hosts that share the retry budgets.
     sharers: Sharers,
     /// Fewer hosts that there seem to be, and since when.
-    fewer: Option<(u32, Moment)>,
+    lower_count: Option<(u32, Moment)>,
     version: Option<routed::Version>,
     routes: Routes,
-    fleet: Fleet,
+    registry: Registry,
     tasks: Map<Ticket, Task>,
     hints: Hints,
     poison: Poison,
     quotas: Quotas,
     loans: Borrowing,
     ticked: Moment,
-    looked: Moment,
+    overdue_checked: Moment,
     /// When what waits for limited servers was last looked at.
-    limits_looked: Moment,
+    limits_checked: Moment,
 }
 
 impl Dispatcher {
     /// With nothing known yet.
     pub fn new(settings: Settings) -> Dispatcher {
-        let bounds = hints::Bounds { generation: HINTS, life: HINT_LIFE, block_tokens: 1 };
+        let bounds =
+            hints::Bounds { generation: PREFIX_HINTS, life: PREFIX_HINT_LIFE, block_tokens: 1 };
         Dispatcher {
             hosts: settings.hosts.max(1),
             sharers: Sharers::new(settings.hosts, settings.retries.window),
-            fewer: None,
+            lower_count: None,
             version: None,
             routes: Routes::default(),
-            fleet: Fleet::new(settings.zone, settings.retries),
+            registry: Registry::new(settings.zone, settings.retries),
             tasks: Map::default(),
             hints: Hints::new(bounds),
             poison: Poison::new(settings.host.clone()),
             quotas: Quotas::new(settings.host, settings.run),
             loans: Borrowing::default(),
             ticked: Duration::ZERO,
-            looked: Duration::ZERO,
-            limits_looked: Duration::ZERO,
+            overdue_checked: Duration::ZERO,
+            limits_checked: Duration::ZERO,
         }
     }
 
@@ -164,7 +165,7 @@
         self.version = Some(declaration.version);
         self.routes = Routes::new(&declaration.routes);
         for service in &declaration.services {
-            self.fleet.service(&service.name);
+            self.registry.service(&service.name);
         }
     }
 
@@ -181,16 +182,16 @@
     /// Sets how many hosts share the servers. More count at once, fewer only after [`FEWER`].
     pub fn hosts(&mut self, count: u32) {
         let count = count.max(1);
-        self.fewer = match self.fewer {
+        self.lower_count = match self.lower_count {
             _ if self.hosts <= count => None,
             Some((other, since)) => Some((other.max(count), since)),
             None => Some((count, self.ticked)),
         };
-        match self.fewer {
+        match self.lower_count {
             None => self.hosts = count,
-            Some((fewer, since)) if since + FEWER <= self.ticked => {
-                self.hosts = fewer;
-                self.fewer = None;
+            Some((lower, since)) if since + SHRINK_DELAY <= self.ticked => {
+                self.hosts = lower;
+                self.lower_count = None;
             }
             Some(_) => {}
         }
@@ -199,71 +200,71 @@
     /// The store knows this run by its name, so that the next one is a later one. A run that isn't known has no part of
     /// the retries besides those for its requests.
     pub fn registered(&mut self, start: HostStart) {
-        self.sharers.begin(start);
+        self.sharers.start(start);
     }
 
     /// What a server says of itself.
     pub fn server(&mut self, server: &routed::Server, now: Moment) {
-        let index = self.fleet.put(server, now);
-        if let Some(known) = self.fleet.get_mut(index) {
+        let index = self.registry.register(server, now);
+        if let Some(known) = self.registry.get_mut(index) {
             known.is_limited = self.quotas.limit(&known.id).is_some();
         }
         if server.state == routed::State::Draining {
-            self.fleet.drain(index);
+            self.registry.drain(index);
         }
     }
 
     /// Whether a server is known and not known to leave.
     pub fn is_ready(&self, id: &backend::Id) -> bool {
-        let server = self.fleet.index(id).and_then(|index| self.fleet.get(index));
+        let server = self.registry.index(id).and_then(|index| self.registry.get(index));
         server.is_some_and(|server| server.state == routed::State::Ready)
     }
 
     /// A server takes nothing new.
     pub fn draining(&mut self, id: &backend::Id) {
-        if let Some(index) = self.fleet.index(id) {
-            self.fleet.drain(index);
+        if let Some(index) = self.registry.index(id) {
+            self.registry.drain(index);
         }
     }
 
     /// A server takes work again: its entry was written after it was said to leave.
     pub fn resume(&mut self, id: &backend::Id) {
-        if let Some(index) = self.fleet.index(id) {
-            self.fleet.resume(index);
+        if let Some(index) = self.registry.index(id) {
+            self.registry.resume(index);
         }
     }
 
     /// A server is gone.
     pub fn gone(&mut self, id: &backend::Id, now: Moment) {
         self.quotas.forget(id);
-        if let Some(index) = self.fleet.index(id) {
+        if let Some(index) = self.registry.index(id) {
             self.ended_unannounced(index, id, now);
-            self.fleet.remove(index);
+            self.registry.remove(index);
             self.hints.clear(index);
         }
     }
 
     /// A server's registration ended though it did not say that it leaves.
     pub fn unregistered(&mut self, id: &backend::Id, now: Moment) {
-        if let Some(index) = self.fleet.index(id) {
+        if let Some(index) = self.registry.index(id) {
             self.ended_unannounced(index, id, now);
         }
     }
 
     /// Charges what may have crashed a server that ended without a word.
     fn ended_unannounced(&mut self, index: Index, id: &backend::Id, now: Moment) {
-        let Some(server) = self.fleet.get(index) else { return };
+        let Some(server) = self.registry.get(index) else { return };
         if server.state == routed::State::Draining {
             return;
         }
         // One that still answers may be about to leave.
         if server.is_unresponsive(now) {
-            let flying = self.tasks.values().filter_map(|task| match &task.state {
-                State::Flying(flight) if flight.id == *id => Some(&task.ask),
+            let in_flight = self.tasks.values().filter_map(|task| match &task.state {
+                State::InFlight(attempt) if attempt.id == *id => Some(&task.spec),
                 _ => None,
             });
-            for ask in flying {
-                self.poison.unclear(ask.ticket, ask.fingerprint, id, now);
+            for spec in in_flight {
+                self.poison.unclear(spec.ticket, spec.fingerprint, id, now);
             }
         }
         self.poison.gone(id, now);
@@ -271,13 +272,13 @@
 
     /// Where a server listens.
     pub fn address(&self, id: &backend::Id) -> Option<SocketAddr> {
-        self.fleet.get(self.fleet.index(id)?).map(|server| server.address)
+        self.registry.get(self.registry.index(id)?).map(|server| server.address)
     }
 
     /// A server's report, from itself or by way of a peer.
     pub fn report(&mut self, id: &backend::Id, report: &routed::Report, now: Moment) {
-        if let Some(index) = self.fleet.index(id) {
-            self.fleet.report(index, report, now);
+        if let Some(index) = self.registry.index(id) {
+            self.registry.report(index, report, now);
         }
     }
 
@@ -290,44 +291,44 @@
         slots: u32,
         now: Moment,
     ) {
-        let Some(index) = self.fleet.index(id) else { return };
-        if let Some(server) = self.fleet.get_mut(index) {
+        let Some(index) = self.registry.index(id) else { return };
+        if let Some(server) = self.registry.get_mut(index) {
             server.slots = slots.max(1);
-            server.load.told(running, waiting, Duration::ZERO, now);
+            server.load.report(running, waiting, Duration::ZERO, now);
         }
     }
 
     /// Age of what a server last told of its work.
     pub fn report_age(&self, id: &backend::Id, now: Moment) -> Option<Duration> {
-        let server = self.fleet.get(self.fleet.index(id)?)?;
-        server.load.told_at().map(|at| now.saturating_sub(at))
+        let server = self.registry.get(self.registry.index(id)?)?;
+        server.load.reported_at().map(|at| now.saturating_sub(at))
     }
 
     /// Servers that are tried and have answered nothing for a while.
     pub fn unresponsive(&self, now: Moment) -> Vec<backend::Id> {
-        let unresponsive = self.fleet.servers().filter(|server| server.is_unresponsive(now));
+        let unresponsive = self.registry.servers().filter(|server| server.is_unresponsive(now));
         unresponsive.map(|server| server.id.clone()).collect()
     }
 
     /// All that a peer has in flight, in place of what it told before.
     pub fn peer(&mut self, host: &host::Id, work: &[Work], now: Moment) {
-        self.fleet.peer(host, work, now);
-        if SMALL < self.hosts {
-            self.fleet.meet(self.hosts);
+        self.registry.set_peer_work(host, work, now);
+        if MAX_UNCONTENDED_HOSTS < self.hosts {
+            self.registry.update_contenders(self.hosts);
         }
     }
 
     /// What this host has used of each service's retry budget since its start.
     pub fn retry_totals(&self) -> Vec<(service::Id, RetryTotals)> {
-        let services = self.fleet.services.iter();
-        services.map(|service| (service.id.clone(), service.budget.used())).collect()
+        let services = self.registry.services.iter();
+        services.map(|service| (service.id.clone(), service.budget.totals())).collect()
     }
 
     /// How the retry budget of each service stands on this host.
     pub fn retry_budgets(&self, now: Moment) -> Vec<(service::Id, RetryBudgetStatus)> {
-        let services = self.fleet.services.iter();
-        let account = |budget: &Budget| budget.account(self.sharers.extra(), now);
-        services.map(|service| (service.id.clone(), account(&service.budget))).collect()
+        let services = self.registry.services.iter();
+        let status = |budget: &Budget| budget.status(self.sharers.extra(), now);
+        services.map(|service| (service.id.clone(), status(&service.budget))).collect()
     }
 
     /// A server holds a model, or an adapter on it, after so many orders.
@@ -340,7 +341,7 @@
         now: Moment,
     ) {
         if let Some((index, model)) = self.held(id, model) {
-            self.fleet.hold(index, model, adapter, sequence, now);
+            self.registry.mark_loaded(index, model, adapter, sequence, now);
         }
     }
 
@@ -354,7 +355,7 @@
         now: Moment,
     ) {
         if let Some((index, model)) = self.held(id, model) {
-            self.fleet.drop(index, model, adapter, Absence::Ordered(sequence), now);
+            self.registry.mark_absent(index, model, adapter, Absence::Ordered(sequence), now);
         }
     }
 
@@ -367,7 +368,7 @@
         ready: Moment,
     ) {
         if let Some((index, model)) = self.held(id, model) {
-            self.fleet.expect(index, model, adapter, ready);
+            self.registry.mark_loading(index, model, adapter, ready);
         }
     }
 
@@ -382,9 +383,9 @@
     }
 
     fn held(&mut self, id: &backend::Id, model: &model::Id) -> Option<(u32, u32)> {
-        let index = self.fleet.index(id)?;
-        let service = self.fleet.get(index)?.service;
-        Some((index, self.fleet.model(service, model)))
+        let index = self.registry.index(id)?;
+        let service = self.registry.get(index)?.service;
+        Some((index, self.registry.model(service, model)))
     }
 }
 
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -4,52 +4,52 @@
 
 use super::{
     Dispatcher,
-    doubt::Cause,
-    held::Absence,
+    breaker::Cause,
+    loaded::Absence,
     pace::Median,
     request::{End, NotRun, Ticket, Unclear, Unreachable},
     server::Server,
     stats::millis,
-    task::{Flight, Phase, State, Task},
+    task::{Attempt, Phase, State, Task},
 };
 use crate::route::Index;
 
 /// How long a server that refused for being full gets nothing.
-const FULL: Duration = Duration::from_millis(60);
+const FULL_PAUSE: Duration = Duration::from_millis(60);
 
 /// Part of its slots below which a server that refuses for being full is odd.
-const ODD: f64 = 0.5;
+const EARLY_REFUSAL_FILL: f64 = 0.5;
 
 /// Slowness from which on a server's times say nothing about its service.
-const ODD_PACE: f64 = 2.0;
+const EXCLUDED_SLOWNESS: f64 = 2.0;
 
 impl Dispatcher {
     /// The request's first byte leaves; before this it was on its way to a connection.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
-        if let Some(Task { state: State::Flying(flight), .. }) = self.tasks.get_mut(&ticket) {
-            flight.sent = now;
+        if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get_mut(&ticket) {
+            attempt.sent = now;
         }
         self.poison.sent(ticket, now);
     }
 
     /// The head of its server's answer has come, whatever becomes of the rest.
     pub fn answers(&mut self, ticket: Ticket, now: Moment) {
-        if let Some(Task { state: State::Flying(flight), .. }) = self.tasks.get(&ticket) {
-            self.poison.answered(&flight.id, flight.sent, now);
+        if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
+            self.poison.answered(&attempt.id, attempt.sent, now);
         }
     }
 
     /// The first byte of its answer's body, or its first event, has come.
     pub fn first_byte(&mut self, ticket: Ticket, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
-        if let State::Flying(flight) = &mut task.state
-            && flight.phase != Phase::Begun
+        if let State::InFlight(attempt) = &mut task.state
+            && attempt.phase != Phase::Responding
         {
-            let flight = flight.clone();
-            self.learn(&task, &flight, now);
+            let attempt = attempt.clone();
+            self.record_first_byte(&task, &attempt, now);
         }
-        if let State::Flying(flight) = &mut task.state {
-            flight.phase = Phase::Begun;
+        if let State::InFlight(attempt) = &mut task.state {
+            attempt.phase = Phase::Responding;
         }
         self.reached(&mut task, now);
         self.tasks.insert(ticket, task);
@@ -58,11 +58,11 @@
     /// The last event of its stream that its caller has got.
     pub fn delivered(&mut self, ticket: Ticket, event: u64, now: Moment) {
         let Some(task) = self.tasks.get_mut(&ticket) else { return };
-        task.ask.resume = Some(event);
-        if let State::Flying(flight) = &task.state
-            && let Some(server) = self.fleet.same(flight.server, &flight.id)
+        task.spec.resume = Some(event);
+        if let State::InFlight(attempt) = &task.state
+            && let Some(server) = self.registry.get_same(attempt.server, &attempt.id)
         {
-            server.heard(now);
+            server.mark_answered(now);
         }
     }
 
@@ -72,10 +72,10 @@
         match std::mem::replace(&mut task.state, State::Idle) {
             State::Idle => {}
             State::Waiting(key, give_up) => {
-                let queue = &mut self.fleet.services[task.service as usize].queue;
+                let queue = &mut self.registry.services[task.service as usize].queue;
                 queue.remove(key, task.model, give_up);
             }
-            State::Flying(flight) => self.settle(&mut task, &flight, end, now),
+            State::InFlight(attempt) => self.settle(&mut task, &attempt, end, now),
         }
         self.refund(&mut task);
     }
@@ -84,47 +84,47 @@
     fn reached(&mut self, task: &mut Task, now: Moment) {
         task.has_arrived = true;
         if let Some(payment) = task.payment.take() {
-            self.fleet.services[task.service as usize].budget.arrived(payment, now);
+            self.registry.services[task.service as usize].budget.arrived(payment, now);
         }
     }
 
     /// An attempt is over.
-    pub(super) fn settle(&mut self, task: &mut Task, flight: &Flight, end: End, now: Moment) {
+    pub(super) fn settle(&mut self, task: &mut Task, attempt: &Attempt, end: End, now: Moment) {
         if !matches!(end, End::Unreachable(_)) {
             self.reached(task, now);
         }
-        self.poison_settled(task, flight, end, now);
-        let is_new = flight.phase != Phase::Begun;
+        self.poison_settled(task, attempt, end, now);
+        let is_new = attempt.phase != Phase::Responding;
         if is_new && matches!(end, End::Completed) {
-            self.learn(task, flight, now);
+            self.record_first_byte(task, attempt, now);
         }
-        let median = self.fleet.services[task.service as usize].median;
-        let server = self.fleet.same(flight.server, &flight.id);
-        let is_odd = server.is_none_or(|server| is_odd(server, &median, now));
-        if matches!(end, End::Completed) && !is_odd {
+        let median = self.registry.services[task.service as usize].median;
+        let server = self.registry.get_same(attempt.server, &attempt.id);
+        let is_excluded = server.is_none_or(|server| is_excluded(server, &median, now));
+        if matches!(end, End::Completed) && !is_excluded {
             let stats = match task.model {
-                Some(model) => &mut self.fleet.models[model as usize].stats,
-                None => &mut self.fleet.services[task.service as usize].stats,
+                Some(model) => &mut self.registry.models[model as usize].stats,
+                None => &mut self.registry.services[task.service as usize].stats,
             };
-            stats.held(millis(now.saturating_sub(flight.sent)) - flight.queue);
+            stats.record_hold(millis(now.saturating_sub(attempt.sent)) - attempt.queue_ms);
         }
-        self.server_settled(task, flight, end, now);
-        self.judge_grey(flight.server, task.service, now);
+        self.server_settled(task, attempt, end, now);
+        self.trip_outlier(attempt.server, task.service, now);
     }
 
-    fn poison_settled(&mut self, task: &Task, flight: &Flight, end: End, now: Moment) {
-        let fingerprint = task.ask.fingerprint;
-        let ticket = task.ask.ticket;
+    fn poison_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+        let fingerprint = task.spec.fingerprint;
+        let ticket = task.spec.ticket;
         // A server that leaves ends by itself.
         let is_leaving =
-            self.fleet.index(&flight.id).is_some_and(|index| self.fleet.is_draining(index));
+            self.registry.index(&attempt.id).is_some_and(|index| self.registry.is_draining(index));
         match end {
             End::Completed => self.poison.completed(fingerprint, now),
             End::Unclear(Unclear::Cut) if !is_leaving => {
-                self.poison.crashed(ticket, fingerprint, &flight.id, now);
+                self.poison.crashed(ticket, fingerprint, &attempt.id, now);
             }
             End::Unclear(Unclear::Silent) | End::Cancelled if !is_leaving => {
-                self.poison.unclear(ticket, fingerprint, &flight.id, now);
+                self.poison.unclear(ticket, fingerprint, &attempt.id, now);
             }
             End::ServerError
             | End::NotRun(_)
@@ -135,96 +135,102 @@
         self.poison.ended(ticket, now);
     }
 
-    fn server_settled(&mut self, task: &Task, flight: &Flight, end: End, now: Moment) {
-        let peers_at = self.fleet.peers_at();
-        let median = self.fleet.services[task.service as usize].median;
-        let ticket = task.ask.ticket;
-        let Some(server) = self.fleet.same(flight.server, &flight.id) else { return };
+    fn server_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+        let peers_at = self.registry.peers_at();
+        let median = self.registry.services[task.service as usize].median;
+        let ticket = task.spec.ticket;
+        let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
         server.load.ended(ticket);
         let in_flight = server.load.in_flight(peers_at, now);
         match end {
             End::Completed => {
-                server.heard(now);
-                server.pace.answered(&median, now);
-                server.doubt.good(ticket);
+                server.mark_answered(now);
+                server.pace.record_success(&median, now);
+                server.breaker.succeeded(ticket);
             }
             End::ServerError => {
-                server.heard(now);
-                server.pace.failed(&median, now);
+                server.mark_answered(now);
+                server.pace.record_failure(&median, now);
             }
             End::NotRun(NotRun::Full) => {
-                server.heard(now);
-                server.load.full(now + FULL);
-                if in_flight < f64::from(server.slots) * ODD && !server.is_limited {
-                    server.pace.failed(&median, now);
+                server.mark_answered(now);
+                server.load.mark_full(now + FULL_PAUSE);
+                if in_flight < f64::from(server.slots) * EARLY_REFUSAL_FILL && !server.is_limited {
+                    server.pace.record_failure(&median, now);
                 }
             }
             End::NotRun(NotRun::NotHeld) => {
-                server.heard(now);
+                server.mark_answered(now);
                 if let Some(model) = task.model {
-                    let adapter = task.ask.adapter.as_ref();
-                    self.fleet.drop(flight.server, model, adapter, Absence::Refused, now);
+                    let adapter = task.spec.adapter.as_ref();
+                    self.registry.mark_absent(
+                        attempt.server,
+                        model,
+                        adapter,
+                        Absence::Refused,
+                        now,
+                    );
                 }
             }
-            End::NotRun(NotRun::Instance) => self.fleet.drain(flight.server),
-            End::Unreachable(Unreachable::Refused) => server.doubt.raise(Cause::Refused, now),
-            End::Unreachable(Unreachable::Timeout) => server.doubt.raise(Cause::Silent, now),
+            End::NotRun(NotRun::Instance) => self.registry.drain(attempt.server),
+            End::Unreachable(Unreachable::Refused) => server.breaker.trip(Cause::Refused, now),
+            End::Unreachable(Unreachable::Timeout) => server.breaker.trip(Cause::Timeout, now),
             End::Unreachable(Unreachable::Closed) => {}
             End::Unclear(Unclear::Cut) => {
-                server.pace.failed(&median, now);
-                server.doubt.raise(Cause::Cut, now);
+                server.pace.record_failure(&median, now);
+                server.breaker.trip(Cause::Disconnected, now);
             }
             End::Unclear(Unclear::Silent) => {
-                server.pace.failed(&median, now);
-                if server.answered < flight.sent {
-                    server.doubt.raise(Cause::Silent, now);
+                server.pace.record_failure(&median, now);
+                if server.answered < attempt.sent {
+                    server.breaker.trip(Cause::Timeout, now);
                 }
             }
-            End::Unclear(Unclear::Garbled) => server.pace.failed(&median, now),
+            End::Unclear(Unclear::Garbled) => server.pace.record_failure(&median, now),
             End::Cancelled => {}
         }
-        if let Some(server) = self.fleet.same(flight.server, &flight.id) {
-            server.doubt.ended(ticket);
+        if let Some(server) = self.registry.get_same(attempt.server, &attempt.id) {
+            server.breaker.ended(ticket);
         }
     }
 
     /// Learns from the time until a first byte.
-    fn learn(&mut self, task: &Task, flight: &Flight, now: Moment) {
-        let took = millis(now.saturating_sub(flight.sent)).max(0.1);
-        let median = self.fleet.services[task.service as usize].median;
-        let Some(server) = self.fleet.same(flight.server, &flight.id) else { return };
-        server.heard(now);
-        server.load.read(task.ask.ticket);
-        if flight.is_cold {
+    fn record_first_byte(&mut self, task: &Task, attempt: &Attempt, now: Moment) {
+        let took = millis(now.saturating_sub(attempt.sent)).max(0.1);
+        let median = self.registry.services[task.service as usize].median;
+        let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
+        server.mark_answered(now);
+        server.load.prefilled(task.spec.ticket);
+        if attempt.is_cold {
             return;
         }
-        if flight.phase == Phase::Open {
-            server.pace.took(took / flight.usual, &median, now);
+        if attempt.phase == Phase::Pending {
+            server.pace.record_ratio(took / attempt.baseline_ms, &median, now);
         }
-        if is_odd(server, &median, now) {
-            return self.judge_grey(flight.server, task.service, now);
+        if is_excluded(server, &median, now) {
+            return self.trip_outlier(attempt.server, task.service, now);
         }
         let stats = match task.model {
-            Some(model) => &mut self.fleet.models[model as usize].stats,
-            None => &mut self.fleet.services[task.service as usize].stats,
+            Some(model) => &mut self.registry.models[model as usize].stats,
+            None => &mut self.registry.services[task.service as usize].stats,
         };
         // Not divided by the server's pace: the two would chase each other.
-        stats.first(took - flight.work);
-        self.judge_grey(flight.server, task.service, now);
+        stats.record_first_byte(took - attempt.work_ms);
+        self.trip_outlier(attempt.server, task.service, now);
     }
 
     /// Puts a server aside that is much worse than the others.
-    pub(super) fn judge_grey(&mut self, server: Index, service: Index, now: Moment) {
-        let median = self.fleet.services[service as usize].median;
-        if let Some(server) = self.fleet.get_mut(server)
-            && server.pace.is_grey(&median)
+    pub(super) fn trip_outlier(&mut self, server: Index, service: Index, now: Moment) {
+        let median = self.registry.services[service as usize].median;
+        if let Some(server) = self.registry.get_mut(server)
+            && server.pace.is_outlier(&median)
         {
-            server.doubt.raise(Cause::Grey, now);
+            server.breaker.trip(Cause::Outlier, now);
         }
     }
 }
 
 /// Whether a server is so slow that its times say nothing about its service.
-fn is_odd(server: &Server, median: &Median, now: Moment) -> bool {
-    ODD_PACE < server.pace.slowness(median, now)
+fn is_excluded(server: &Server, median: &Median, now: Moment) -> bool {
+    EXCLUDED_SLOWNESS < server.pace.slowness(median, now)
 }
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -10,39 +10,39 @@
     queue::{Class, Key},
     request::{Answer, Cause, End, RequestSpec, RetryDecision, Ticket, Verdict},
     stats::duration,
-    task::{Flight, Leaving, Phase, State, Task},
+    task::{Attempt, Leaving, Phase, State, Task},
 };
 
 /// Part of its patience that a request may expect to wait, in time or beyond it. Holding a request
 /// costs what it could have earned by being refused at once, up to all of it at three quarters of
 /// its patience; what is late earns three tenths. An eighth is where a likely late answer is still
 /// worth the risk.
-const HOPE: u32 = 8;
+const MAX_WAIT_DIVISOR: u32 = 8;
 
 /// Part of its goal that a request must have left, besides the time that it takes, to go before
 /// those that are late. Without it, overload serves each request when it is just too late.
-const SLACK: f64 = 0.33;
+const ON_TIME_SLACK: f64 = 0.33;
 
 /// Part of its patience that a request waits for servers while none holds what it wants: a load
 /// takes seconds, and a model that is rarely asked for is never loaded for those who were refused.
-const MISSING: f64 = 0.35;
+const UNHELD_WAIT: f64 = 0.35;
 
 /// The same, once a load is on its way.
-const COMING: f64 = 0.7;
+const LOADING_WAIT: f64 = 0.7;
 
 /// Bounds of the time after which a refused request is to come back, as parts of its patience.
 /// Callers wait a third of what they have left at the most.
-const AFTER_LEAST: u32 = 12;
-const AFTER_MOST: u32 = 5;
+const RETRY_AFTER_MIN_DIVISOR: u32 = 12;
+const RETRY_AFTER_MAX_DIVISOR: u32 = 5;
 
 /// Callers wait one part in so many of what they have left, at the most, before they come back.
-const COME_BACK: u32 = 3;
+const CALLER_WAIT_DIVISOR: u32 = 3;
 
 /// Least number of requests that end in a millisecond.
-const LEAST_ENDS: f64 = 1e-7;
+const MIN_STARTS_PER_MS: f64 = 1e-7;
 
 /// What an arrival can expect.
-struct Outlook {
+struct Estimate {
     /// Time until it starts; milliseconds.
     wait: f64,
     /// Time from there to its first byte.
@@ -51,33 +51,35 @@
 
 impl Dispatcher {
     /// Judges a request that has come.
-    pub fn arrive(&mut self, ask: RequestSpec, now: Moment) -> Verdict {
-        let service = self.fleet.service(&ask.service);
-        let model = ask.model.as_ref().map(|model| self.fleet.model(service, model));
-        self.fleet.services[service as usize].budget.request(now);
-        if self.poison.standing(ask.fingerprint) == poison::Standing::Poison {
+    pub fn arrive(&mut self, spec: RequestSpec, now: Moment) -> Verdict {
+        let service = self.registry.service(&spec.service);
+        let model = spec.model.as_ref().map(|model| self.registry.model(service, model));
+        self.registry.services[service as usize].budget.request(now);
+        if self.poison.standing(spec.fingerprint) == poison::Standing::Poison {
             return Verdict::Quarantined;
         }
-        let mut task = Task::new(ask, service, model, now);
+        let mut task = Task::new(spec, service, model, now);
         let ahead = self.ahead(&task);
         self.note_missed(&task, now);
         match self.choose(&task, now) {
             Outcome::Send(choice) if ahead == 0 => Verdict::Send(self.send(task, choice, now)),
-            Outcome::Nobody => self.wait_for_load(task, now),
+            Outcome::NoServer => self.wait_for_load(task, now),
             outcome => {
-                let outlook = self.outlook(&task, now);
+                let estimate = self.estimate_wait(&task, now);
                 // Where there is a place, what waits wants something else, and the next look at
                 // the queue sends this one.
                 let is_full = matches!(outcome, Outcome::Full);
-                if let Some(after) = self.hopeless(&task, &outlook, now).filter(|_| is_full) {
+                if let Some(after) =
+                    self.retry_after_if_futile(&task, &estimate, now).filter(|_| is_full)
+                {
                     let is_limited = self.limited_rate(&task, now).is_some();
                     let cause = if is_limited { Cause::Limit } else { Cause::Full };
                     return Verdict::Refuse { cause, after };
                 }
-                let class = class(&task, &outlook, now);
-                let give_up = give_up(&task, class, &outlook, now);
+                let class = class(&task, &estimate, now);
+                let give_up = give_up_at(&task, class, &estimate, now);
                 self.enqueue(&mut task, class, give_up, now);
-                self.tasks.insert(task.ask.ticket, task);
+                self.tasks.insert(task.spec.ticket, task);
                 Verdict::Wait
             }
         }
@@ -89,65 +91,65 @@
             return RetryDecision::GiveUp(Answer::Unclear);
         };
         let state = std::mem::replace(&mut task.state, State::Idle);
-        let State::Flying(flight) = state else {
-            let after = after(&task, 0.0);
+        let State::InFlight(attempt) = state else {
+            let after = retry_delay(&task, 0.0);
             return RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Late, after });
         };
-        self.settle(&mut task, &flight, end, now);
-        task.tried(&flight.id, end);
+        self.settle(&mut task, &attempt, end, now);
+        task.record_attempt(&attempt.id, end);
         let outcome = self.choose(&task, now);
-        if let Err(cause) = self.may_repeat(&mut task, end, &outcome, now) {
+        if let Err(cause) = self.pay_for_retry(&mut task, end, &outcome, now) {
             self.refund(&mut task);
             return RetryDecision::GiveUp(self.answer(&task, end, cause, now));
         }
         match outcome {
             Outcome::Send(choice) => RetryDecision::Send(self.send(task, choice, now)),
             Outcome::Full => {
-                self.wait_again(task, Duration::ZERO, now);
+                self.requeue(task, Duration::ZERO, now);
                 RetryDecision::Wait
             }
-            Outcome::Nobody => self.wait_for_another(task, now),
+            Outcome::NoServer => self.wait_for_another(task, now),
         }
     }
 
     /// Gives back what was paid for an arrival that is not to come.
     pub(super) fn refund(&mut self, task: &mut Task) {
         if let Some(payment) = task.payment.take() {
-            self.fleet.services[task.service as usize].budget.refund(payment);
+            self.registry.services[task.service as usize].budget.refund(payment);
         }
     }
 
     /// Keeps a request that was tried until another server has a place for it: what may have run as
     /// long as its time allows, since all that it could still earn is lost otherwise; what did not
     /// run no longer than a late one, or until then.
-    fn wait_again(&mut self, mut task: Task, until: Moment, now: Moment) {
-        let outlook = self.outlook(&task, now);
+    fn requeue(&mut self, mut task: Task, until: Moment, now: Moment) {
+        let estimate = self.estimate_wait(&task, now);
         let give_up = match task.runs {
-            0 => give_up(&task, Class::Late, &outlook, now).max(until),
-            _ => last(&task, &outlook),
+            0 => give_up_at(&task, Class::Late, &estimate, now).max(until),
+            _ => latest_start(&task, &estimate),
         };
-        self.enqueue(&mut task, Class::Begun, give_up, now);
-        self.tasks.insert(task.ask.ticket, task);
+        self.enqueue(&mut task, Class::Retried, give_up, now);
+        self.tasks.insert(task.spec.ticket, task);
     }
 
     fn wait_for_another(&mut self, task: Task, now: Moment) -> RetryDecision {
-        let coming = self.coming_at(&task);
-        let (model, adapter) = (task.ask.model.clone(), task.ask.adapter.clone());
-        let until = missing_until(&task, coming);
-        self.wait_again(task, until, now);
-        let missing = model.filter(|_| coming.is_none());
+        let ready = self.loaded_at(&task);
+        let (model, adapter) = (task.spec.model.clone(), task.spec.adapter.clone());
+        let until = unheld_until(&task, ready);
+        self.requeue(task, until, now);
+        let missing = model.filter(|_| ready.is_none());
         missing.map_or(RetryDecision::Wait, |model| RetryDecision::Missing { model, adapter })
     }
 
     /// Whether another attempt is allowed and paid for, or else why not.
-    fn may_repeat(
+    fn pay_for_retry(
         &mut self,
         task: &mut Task,
         end: End,
         outcome: &Outcome,
         now: Moment,
     ) -> Result<(), Cause> {
-        self.is_of_use(task, end, now)?;
+        self.check_retry(task, end, now)?;
         // A loan pays for what leaves at once, and the time for that is over.
         task.payment = task.payment.filter(|payment| *payment == Payment::Own);
         // What has reached no server so far arrives for the first time.
@@ -155,30 +157,30 @@
             return Ok(());
         }
         let (need, extra) = (task.need(), self.sharers.extra());
-        let budget = &mut self.fleet.services[task.service as usize].budget;
+        let budget = &mut self.registry.services[task.service as usize].budget;
         task.payment = match outcome {
             Outcome::Send(_) => budget.pay(need, extra, now),
-            Outcome::Full | Outcome::Nobody => budget.reserve(need, extra, now),
+            Outcome::Full | Outcome::NoServer => budget.reserve(need, extra, now),
         };
         task.payment.map(|_| ()).ok_or(Cause::Budget)
     }
 
     /// Whether another attempt is allowed, apart from its price, or else why not.
-    pub(super) fn is_of_use(&self, task: &Task, end: End, now: Moment) -> Result<(), Cause> {
+    pub(super) fn check_retry(&self, task: &Task, end: End, now: Moment) -> Result<(), Cause> {
         let is_allowed = match end {
             End::Completed | End::Cancelled => false,
             End::NotRun(_) | End::Unreachable(_) => true,
-            End::ServerError | End::Unclear(_) => task.ask.is_repeatable(),
+            End::ServerError | End::Unclear(_) => task.spec.is_repeatable(),
         };
         let serve = duration(self.stats(task).base());
-        let is_poison = self.poison.standing(task.ask.fingerprint) == poison::Standing::Poison;
+        let is_poison = self.poison.standing(task.spec.fingerprint) == poison::Standing::Poison;
         if !is_allowed || !task.has_tries() {
             return Err(Cause::Attempts);
         }
         if is_poison {
             return Err(Cause::Poison);
         }
-        if task.ask.deadline <= now + serve {
+        if task.spec.deadline <= now + serve {
             return Err(Cause::Late);
         }
         Ok(())
@@ -186,7 +188,7 @@
 
     fn answer(&self, task: &Task, end: End, cause: Cause, now: Moment) -> Answer {
         match end {
-            _ if task.runs == 0 => Answer::NotRun { cause, after: self.come_back(task, now) },
+            _ if task.runs == 0 => Answer::NotRun { cause, after: self.retry_after(task, now) },
             End::Completed | End::ServerError => Answer::Server,
             End::NotRun(_) | End::Unreachable(_) | End::Unclear(_) | End::Cancelled => {
                 Answer::Unclear
@@ -196,32 +198,32 @@
 
     /// Takes a place at the chosen server.
     pub(super) fn send(&mut self, mut task: Task, choice: Choice, now: Moment) -> backend::Id {
-        let ticket = task.ask.ticket;
+        let ticket = task.spec.ticket;
         let suspect = self.is_suspect(&task);
-        for (digest, _) in &task.chain {
+        for (digest, _) in &task.prefixes {
             self.hints.add(*digest, choice.server, now);
         }
         let memory = task.memory();
-        let server = self.fleet.get_mut(choice.server).expect("a chosen server is there");
+        let server = self.registry.get_mut(choice.server).expect("a chosen server is there");
         if server.is_limited {
             self.quotas.sent(&server.id, now);
         }
-        server.load.sent(ticket, choice.unread, memory, now);
-        server.doubt.sent(ticket, now);
+        server.load.sent(ticket, choice.prefill, memory, now);
+        server.breaker.sent(ticket, now);
         let id = server.id.clone();
         if suspect {
-            self.poison.try_out(ticket, task.ask.fingerprint, &id);
+            self.poison.start_trial(ticket, task.spec.fingerprint, &id);
         }
-        task.state = State::Flying(Flight {
+        task.state = State::InFlight(Attempt {
             server: choice.server,
             id: id.clone(),
             sent: now,
-            usual: choice.usual,
-            work: choice.work,
-            queue: choice.queue,
-            expected: choice.expected,
+            baseline_ms: choice.baseline_ms,
+            work_ms: choice.work_ms,
+            queue_ms: choice.queue_ms,
+            expected_ms: choice.expected_ms,
             is_cold: server.is_cold(now),
-            phase: Phase::Open,
+            phase: Phase::Pending,
             leaving: Leaving::No,
         });
         self.tasks.insert(ticket, task);
@@ -229,60 +231,61 @@
     }
 
     fn wait_for_load(&mut self, mut task: Task, now: Moment) -> Verdict {
-        let coming = self.coming_at(&task);
-        if let Some(ready) = coming.filter(|ready| self.is_too_late(&task, *ready)) {
-            let most = task.ask.deadline.saturating_sub(now) / COME_BACK;
+        let ready = self.loaded_at(&task);
+        if let Some(ready) = ready.filter(|ready| self.is_too_late(&task, *ready)) {
+            let most = task.spec.deadline.saturating_sub(now) / CALLER_WAIT_DIVISOR;
             let after = ready.saturating_sub(now).min(most);
             return Verdict::Refuse { cause: Cause::NoServer, after };
         }
-        let give_up = missing_until(&task, coming);
-        let missing = task.ask.model.clone().filter(|_| coming.is_none());
-        let adapter = task.ask.adapter.clone();
+        let give_up = unheld_until(&task, ready);
+        let missing = task.spec.model.clone().filter(|_| ready.is_none());
+        let adapter = task.spec.adapter.clone();
         self.enqueue(&mut task, Class::OnTime, give_up, now);
-        self.tasks.insert(task.ask.ticket, task);
+        self.tasks.insert(task.spec.ticket, task);
         missing.map_or(Verdict::Wait, |model| Verdict::Missing { model, adapter })
     }
 
     /// Whether its caller will have left when a load that it waits for is done: loads take seconds.
     fn is_too_late(&self, task: &Task, ready: Moment) -> bool {
-        task.leaves() < ready + duration(self.stats(task).base())
+        task.caller_leaves_at() < ready + duration(self.stats(task).base())
     }
 
     /// When a load that the request waits for should be done.
-    fn coming_at(&self, task: &Task) -> Option<Moment> {
-        let coming = &self.fleet.models[task.model? as usize].coming;
+    fn loaded_at(&self, task: &Task) -> Option<Moment> {
+        let loading = &self.registry.models[task.model? as usize].loading;
         let is_other = |index| {
-            let server = self.fleet.get(index);
-            server.is_some_and(|server| !task.ask.avoid.contains(&server.id))
+            let server = self.registry.get(index);
+            server.is_some_and(|server| !task.spec.avoid.contains(&server.id))
         };
-        let wanted =
-            coming.iter().filter(|(at, adapter, _)| *adapter == task.ask.adapter && is_other(*at));
+        let wanted = loading
+            .iter()
+            .filter(|(at, adapter, _)| *adapter == task.spec.adapter && is_other(*at));
         wanted.map(|(_, _, ready)| *ready).min()
     }
 
     pub(super) fn enqueue(&mut self, task: &mut Task, class: Class, give_up: Moment, now: Moment) {
-        let serve = duration(self.stats(task).base()) + task.ask.goal.mul_f64(SLACK);
+        let serve = duration(self.stats(task).base()) + task.spec.goal.mul_f64(ON_TIME_SLACK);
         let due = match class {
-            Class::Begun => now,
+            Class::Retried => now,
             Class::OnTime | Class::Late => task.due.saturating_sub(serve),
         };
-        let key = Key { priority: task.ask.priority, class, due, ticket: task.ask.ticket };
+        let key = Key { priority: task.spec.priority, class, due, ticket: task.spec.ticket };
         task.state = State::Waiting(key, give_up);
-        self.fleet.services[task.service as usize].queue.add(key, task.model, give_up);
+        self.registry.services[task.service as usize].queue.add(key, task.model, give_up);
     }
 
     fn ahead(&self, task: &Task) -> u32 {
-        let queue = &self.fleet.services[task.service as usize].queue;
-        queue.ahead(task.model, task.ask.priority)
+        let queue = &self.registry.services[task.service as usize].queue;
+        queue.ahead(task.model, task.spec.priority)
     }
 
     /// What a request can expect that waits now, by the pace at which places become free and this
     /// host's part of them.
-    fn outlook(&self, task: &Task, now: Moment) -> Outlook {
+    fn estimate_wait(&self, task: &Task, now: Moment) -> Estimate {
         let (mut slots, mut own, mut all) = (0.0, 1.0, 1.0);
         let mut limited = None;
         for index in self.list(task).sample(task.seed()) {
-            let Some(server) = self.fleet.get(index) else { continue };
+            let Some(server) = self.registry.get(index) else { continue };
             if !self.is_able(task, server) {
                 continue;
             }
@@ -291,95 +294,106 @@
                 None => slots += f64::from(server.slots),
             }
             own += f64::from(server.load.own());
-            all += server.load.in_flight(self.fleet.peers_at(), now);
+            all += server.load.in_flight(self.registry.peers_at(), now);
         }
         let stats = self.stats(task);
         let part = (own / all).max(0.5 / f64::from(self.hosts));
         let slots = if limited.is_some() { slots } else { f64::max(slots, 1.0) };
-        let ends = (slots / stats.hold() * part + limited.unwrap_or(0.0)).max(LEAST_ENDS);
+        let starts = (slots / stats.hold() * part + limited.unwrap_or(0.0)).max(MIN_STARTS_PER_MS);
         let ahead = f64::from(self.ahead(task)) + 1.0;
-        Outlook { wait: ahead / ends, serve: self.serve(task) }
+        Estimate { wait: ahead / starts, serve: self.serve(task) }
     }
 
     /// Time from a request's start to its first byte, in milliseconds.
     fn serve(&self, task: &Task) -> f64 {
-        let reading = f64::from(task.input()) / super::choose::READ_RATE;
+        let reading = f64::from(task.input()) / super::choose::PREFILL_TOKENS_PER_MS;
         let reading = if task.model.is_some() { reading } else { 0.0 };
         self.stats(task).base() + reading
     }
 
     /// When to come back, if it is no use to wait here.
-    fn hopeless(&self, task: &Task, outlook: &Outlook, now: Moment) -> Option<Duration> {
-        let start = now + duration(outlook.wait);
-        let served = start + duration(outlook.serve);
-        let most = task.due.max(now) + task.patience() / HOPE;
-        let is_lost = task.leaves() < served || most < start;
-        is_lost.then(|| after(task, outlook.wait))
+    fn retry_after_if_futile(
+        &self,
+        task: &Task,
+        estimate: &Estimate,
+        now: Moment,
+    ) -> Option<Duration> {
+        let start = now + duration(estimate.wait);
+        let served = start + duration(estimate.serve);
+        let most = task.due.max(now) + task.patience() / MAX_WAIT_DIVISOR;
+        let is_lost = task.caller_leaves_at() < served || most < start;
+        is_lost.then(|| retry_delay(task, estimate.wait))
     }
 
     /// When to come back, if it is no use to wait behind so many requests for servers at which so many start
     /// each millisecond.
-    pub(super) fn hopeless_at(
+    pub(super) fn retry_after_if_futile_at(
         &self,
         task: &Task,
         ahead: f64,
         rate: f64,
         now: Moment,
     ) -> Option<Duration> {
-        let outlook = Outlook { wait: ahead / rate.max(LEAST_ENDS), serve: self.serve(task) };
-        self.hopeless(task, &outlook, now)
+        let estimate =
+            Estimate { wait: ahead / rate.max(MIN_STARTS_PER_MS), serve: self.serve(task) };
+        self.retry_after_if_futile(task, &estimate, now)
     }
 
     /// The refusal of a request that has waited in vain.
     pub(super) fn refusal(&self, task: &Task, now: Moment) -> Verdict {
-        let cause = if self.is_held(task) { Cause::Full } else { Cause::NoServer };
-        Verdict::Refuse { cause, after: self.come_back(task, now) }
+        let cause = if self.has_able_server(task) { Cause::Full } else { Cause::NoServer };
+        Verdict::Refuse { cause, after: self.retry_after(task, now) }
     }
 
     /// When a request that is refused now is to come back.
-    pub(super) fn come_back(&self, task: &Task, now: Moment) -> Duration {
-        after(task, self.outlook(task, now).wait)
+    pub(super) fn retry_after(&self, task: &Task, now: Moment) -> Duration {
+        retry_delay(task, self.estimate_wait(task, now).wait)
     }
 
     /// Until when a request waits that is late from now on.
     pub(super) fn late_until(&self, task: &Task, now: Moment) -> Option<Moment> {
-        let outlook = self.outlook(task, now);
-        let hope = task.patience() / HOPE;
-        (duration(outlook.wait) < hope).then(|| give_up(task, Class::Late, &outlook, now))
+        let estimate = self.estimate_wait(task, now);
+        let max_wait = task.patience() / MAX_WAIT_DIVISOR;
+        (duration(estimate.wait) < max_wait).then(|| give_up_at(task, Class::Late, &estimate, now))
     }
 }
 
-fn class(task: &Task, outlook: &Outlook, now: Moment) -> Class {
-    if now + duration(outlook.serve) < task.due { Class::OnTime } else { Class::Late }
+fn class(task: &Task, estimate: &Estimate, now: Moment) -> Class {
+    if now + duration(estimate.serve) < task.due { Class::OnTime } else { Class::Late }
 }
 
 /// The last moment at which it is of use to send a request.
-fn last(task: &Task, outlook: &Outlook) -> Moment {
-    task.leaves().saturating_sub(duration(outlook.serve))
+fn latest_start(task: &Task, estimate: &Estimate) -> Moment {
+    task.caller_leaves_at().saturating_sub(duration(estimate.serve))
 }
 
 /// Until when a request waits.
-fn give_up(task: &Task, class: Class, outlook: &Outlook, now: Moment) -> Moment {
-    let last = last(task, outlook);
+fn give_up_at(task: &Task, class: Class, estimate: &Estimate, now: Moment) -> Moment {
+    let last = latest_start(task, estimate);
     match class {
         Class::OnTime => last,
-        Class::Begun | Class::Late => last.min(now.max(task.due) + task.patience() / HOPE),
+        Class::Retried | Class::Late => {
+            last.min(now.max(task.due) + task.patience() / MAX_WAIT_DIVISOR)
+        }
     }
 }
 
 /// Until when a request waits that no server could run.
-fn missing_until(task: &Task, coming: Option<Moment>) -> Moment {
+fn unheld_until(task: &Task, ready: Option<Moment>) -> Moment {
     let until = |part| task.arrived + task.patience().mul_f64(part);
-    match coming {
-        Some(ready) => (ready + task.patience() / HOPE).max(until(MISSING)).min(until(COMING)),
-        None => until(MISSING),
+    match ready {
+        Some(ready) => (ready + task.patience() / MAX_WAIT_DIVISOR)
+            .max(until(UNHELD_WAIT))
+            .min(until(LOADING_WAIT)),
+        None => until(UNHELD_WAIT),
     }
 }
 
 /// When to come back: about when those ahead are through, and up to half as long again, so that
 /// those refused together do not return together.
-fn after(task: &Task, wait: f64) -> Duration {
+fn retry_delay(task: &Task, wait: f64) -> Duration {
     let patience = task.patience();
-    let base = duration(wait).clamp(patience / AFTER_LEAST, patience / AFTER_MOST);
+    let base = duration(wait)
+        .clamp(patience / RETRY_AFTER_MIN_DIVISOR, patience / RETRY_AFTER_MAX_DIVISOR);
     base + base / 2 * (task.seed() % 256) as u32 / 256
 }
--- a/crates/policy/src/dispatch/doubt.rs
+++ b/crates/policy/src/dispatch/breaker.rs
@@ -11,31 +11,31 @@
 use super::request::Ticket;
 
 /// Most doublings.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// How long a trial is kept for a request that may be repeated.
-const PATIENCE: Duration = Duration::from_secs(1);
+const IDEMPOTENT_TRIAL_WAIT: Duration = Duration::from_secs(1);
 
 /// Why a server is in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// A connection broke.
-    Cut,
+    Disconnected,
     /// It refused a connection.
     Refused,
     /// It did not answer in time.
-    Silent,
+    Timeout,
     /// It is slower than others, or fails more often.
-    Grey,
+    Outlier,
 }
 
 impl Cause {
     fn times(self) -> (Duration, Duration) {
         let (first, most) = match self {
-            Cause::Cut => (150, 2_000),
+            Cause::Disconnected => (150, 2_000),
             Cause::Refused => (500, 4_000),
-            Cause::Silent => (1_000, 8_000),
-            Cause::Grey => (1_000, 8_000),
+            Cause::Timeout => (1_000, 8_000),
+            Cause::Outlier => (1_000, 8_000),
         };
         (Duration::from_millis(first), Duration::from_millis(most))
     }
@@ -43,19 +43,19 @@
 
 /// How far a server may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum State {
     /// Freely.
-    Good,
+    Closed,
     /// By one request that may be repeated.
-    Trial,
+    HalfOpen,
     /// By one request, since none that may be repeated has come.
-    Overdue,
+    HalfOpenAny,
     /// Only if there is no other.
-    Aside,
+    Open,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Trip {
     cause: Cause,
     times: u32,
     until: Moment,
@@ -64,68 +64,68 @@
 
 /// Doubt in one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Doubt {
-    held: Option<Held>,
+pub struct Breaker {
+    trip: Option<Trip>,
 }
 
-impl Doubt {
+impl Breaker {
     /// How far the server may be used.
-    pub fn standing(&self, now: Moment) -> Standing {
-        match self.held {
-            None => Standing::Good,
-            Some(held) if held.trial.is_some() || now < held.until => Standing::Aside,
-            Some(held) if now < held.until + PATIENCE => Standing::Trial,
-            Some(_) => Standing::Overdue,
+    pub fn state(&self, now: Moment) -> State {
+        match self.trip {
+            None => State::Closed,
+            Some(trip) if trip.trial.is_some() || now < trip.until => State::Open,
+            Some(trip) if now < trip.until + IDEMPOTENT_TRIAL_WAIT => State::HalfOpen,
+            Some(_) => State::HalfOpenAny,
         }
     }
 
     /// Whether it is in doubt since it answers nothing, rather than slowly or badly.
     pub fn is_unreachable(&self) -> bool {
-        self.held.is_some_and(|held| match held.cause {
-            Cause::Cut | Cause::Refused | Cause::Silent => true,
-            Cause::Grey => false,
+        self.trip.is_some_and(|trip| match trip.cause {
+            Cause::Disconnected | Cause::Refused | Cause::Timeout => true,
+            Cause::Outlier => false,
         })
     }
 
     /// The server failed. What fails while it is put aside was sent before, and says nothing new.
-    pub fn raise(&mut self, cause: Cause, now: Moment) {
-        let times = match self.held {
-            Some(held) if now < held.until => return,
-            Some(held) => (held.times + 1).min(DOUBLINGS),
+    pub fn trip(&mut self, cause: Cause, now: Moment) {
+        let times = match self.trip {
+            Some(trip) if now < trip.until => return,
+            Some(trip) => (trip.times + 1).min(MAX_DOUBLINGS),
             None => 0,
         };
         let (first, most) = cause.times();
         let until = now + (first * (1 << times)).min(most);
-        self.held = Some(Held { cause, times, until, trial: None });
+        self.trip = Some(Trip { cause, times, until, trial: None });
     }
 
     /// A request is sent there.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
-        if let Some(held) = &mut self.held
-            && held.until <= now
+        if let Some(trip) = &mut self.trip
+            && trip.until <= now
         {
-            held.trial = Some(ticket);
+            trip.trial = Some(ticket);
         }
     }
 
     /// A request is over that was sent there.
     pub fn ended(&mut self, ticket: Ticket) {
-        if let Some(held) = &mut self.held
-            && held.trial == Some(ticket)
+        if let Some(trip) = &mut self.trip
+            && trip.trial == Some(ticket)
         {
-            held.trial = None;
+            trip.trial = None;
         }
     }
 
     /// An answer came whole; whether it was in time decides for a server that was slow.
-    pub fn good(&mut self, ticket: Ticket) {
-        let Some(held) = self.held else { return };
-        let is_cleared = match held.cause {
-            Cause::Cut | Cause::Refused | Cause::Silent => true,
-            Cause::Grey => held.trial == Some(ticket),
+    pub fn succeeded(&mut self, ticket: Ticket) {
+        let Some(trip) = self.trip else { return };
+        let is_cleared = match trip.cause {
+            Cause::Disconnected | Cause::Refused | Cause::Timeout => true,
+            Cause::Outlier => trip.trial == Some(ticket),
         };
         if is_cleared {
-            self.held = None;
+            self.trip = None;
         }
     }
 }
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -29,32 +29,32 @@
 };
 
 /// Part of the extra that is used, for hosts that join, leave or count a moment later.
-const MARGIN: f64 = 0.8;
+const EXTRA_MARGIN: f64 = 0.8;
 
 /// Part of the ratio that a host uses by its least window.
-const STEADY: f64 = 0.45;
+const STEADY_PART: f64 = 0.45;
 
 /// Part of the ratio that a host uses by its last window.
-const RECENT: f64 = 0.25;
+const RECENT_PART: f64 = 0.25;
 
 /// Part of what may be used that is kept for requests which are lost without.
-const RESERVED: f64 = 0.25;
+const RESERVED_PART: f64 = 0.25;
 
 /// Parts of a window in which requests are counted.
-const PARTS: u32 = 100;
+const WINDOW_PARTS: u32 = 100;
 
 /// Retries that are left from which on a host borrows others.
-const FEW: f64 = 3.0;
+const LOW_RETRIES: f64 = 3.0;
 
 /// How long after it was last asked for a retry a host borrows.
-const WANTED: Duration = Duration::from_millis(250);
+const DEMAND_MEMORY: Duration = Duration::from_millis(250);
 
 /// Part of what is left that a host lends at once.
-const LENDS: f64 = 0.5;
+const LEND_PART: f64 = 0.5;
 
 /// Part of a window by which the least one is shortened: callers sent a request that long before it
 /// was counted, and windows begin between two parts.
-const LATE: f64 = 0.05;
+const WINDOW_SHORTENING: f64 = 0.05;
 
 /// The budget's terms.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,9 +77,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
     /// The caller can try again by itself.
-    Usual,
+    Normal,
     /// What was done so far is lost without.
-    Great,
+    High,
 }
 
 /// Counts of a service since some start; they only rise.
@@ -129,14 +129,14 @@
 /// One service's budget on one host.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    terms: RetryBudgetConfig,
+    config: RetryBudgetConfig,
     requests: Series,
     /// Retries that have arrived, or can't any more.
     retries: Series,
     /// Retries that were paid and may still arrive.
     open: u64,
     /// What this host has used since its start.
-    used: RetryTotals,
+    totals: RetryTotals,
     /// Retries that were asked for in vain since its start.
     refused: u64,
     /// When a retry was last asked for.
@@ -149,15 +149,15 @@
 
 impl Budget {
     /// A budget by these terms.
-    pub fn new(terms: RetryBudgetConfig) -> Budget {
-        let requests = Series::new(terms.window, terms.window / PARTS);
-        let retries = Series::new(terms.window, Duration::ZERO);
+    pub fn new(config: RetryBudgetConfig) -> Budget {
+        let requests = Series::new(config.window, config.window / WINDOW_PARTS);
+        let retries = Series::new(config.window, Duration::ZERO);
         Budget {
-            terms,
+            config,
             requests,
             retries,
             open: 0,
-            used: RetryTotals::default(),
+            totals: RetryTotals::default(),
             refused: 0,
             wanted: None,
             borrowed: Loans::default(),
@@ -167,7 +167,7 @@
 
     /// A request has come, whatever becomes of it.
     pub fn request(&mut self, now: Moment) {
-        self.used.requests += 1;
+        self.totals.requests += 1;
         self.requests.add(1, now);
     }
 
@@ -187,7 +187,7 @@
     /// Counts a retry that was asked for.
     fn note(&mut self, payment: Option<Payment>) -> Option<Payment> {
         match payment {
-            Some(_) => self.used.retries += 1,
+            Some(_) => self.totals.retries += 1,
             None => self.refused += 1,
         }
         payment
@@ -217,15 +217,15 @@
 
     /// Whether what has been paid is within this host's share, which may have shrunk since.
     pub fn is_covered(&self, extra: Extra, now: Moment) -> bool {
-        0.0 <= self.own_left(Need::Great, extra, now)
+        0.0 <= self.own_left(Need::High, extra, now)
     }
 
     /// Lends so many retries at the most, and returns how many.
     pub fn lend(&mut self, wanted: u32, extra: Extra, now: Moment) -> u32 {
-        let spare = self.own_left(Need::Usual, extra, now).max(0.0) * LENDS;
+        let spare = self.own_left(Need::Normal, extra, now).max(0.0) * LEND_PART;
         let lent = wanted.min(spare as u32);
         self.lent.expire(now);
-        self.lent.add(lent, now + LENT + self.terms.window);
+        self.lent.add(lent, now + LENT + self.config.window);
         lent
     }
 
@@ -237,8 +237,8 @@
 
     /// Whether retries are wanted and few are left.
     pub fn is_short(&self, extra: Extra, now: Moment) -> bool {
-        let is_wanted = self.wanted.is_some_and(|at| now < at + WANTED);
-        is_wanted && self.left(Need::Usual, extra, now) < FEW
+        let is_wanted = self.wanted.is_some_and(|at| now < at + DEMAND_MEMORY);
+        is_wanted && self.left(Need::Normal, extra, now) < LOW_RETRIES
     }
 
     /// Retries that are left, borrowed ones among them.
@@ -249,45 +249,45 @@
 
     /// What is left of this host's own share; below none if it has shrunk.
     fn own_left(&self, need: Need, extra: Extra, now: Moment) -> f64 {
-        let kept = match need {
-            Need::Usual => 1.0 - RESERVED,
-            Need::Great => 1.0,
+        let usable = match need {
+            Need::Normal => 1.0 - RESERVED_PART,
+            Need::High => 1.0,
         };
         let used = (self.retries.last(now) + self.open) as f64 + f64::from(self.lent.count(now));
-        self.share(extra, now) * kept - used
+        self.share(extra, now) * usable - used
     }
 
     /// How it stands.
-    pub fn account(&self, extra: Extra, now: Moment) -> RetryBudgetStatus {
+    pub fn status(&self, extra: Extra, now: Moment) -> RetryBudgetStatus {
         RetryBudgetStatus {
             requests: self.requests.last(now),
             retries: self.retries.last(now),
             open: self.open,
             refused: self.refused,
-            left: self.left(Need::Great, extra, now),
+            left: self.left(Need::High, extra, now),
             hosts: extra.hosts,
         }
     }
 
     /// What this host has used since its start.
-    pub fn used(&self) -> RetryTotals {
-        self.used
+    pub fn totals(&self) -> RetryTotals {
+        self.totals
     }
 
     /// What this host may use in a window.
     fn share(&self, extra: Extra, now: Moment) -> f64 {
-        let steady = STEADY * self.least_requests(now) as f64;
-        let recent = RECENT * self.requests.last(now) as f64;
+        let steady = STEADY_PART * self.least_requests(now) as f64;
+        let recent = RECENT_PART * self.requests.last(now) as f64;
         let is_due = extra.from.is_some_and(|from| from <= now);
-        let part = self.terms.extra * MARGIN / f64::from(extra.hosts.max(1));
-        self.terms.ratio * (steady + recent) + if is_due { part } else { 0.0 }
+        let part = self.config.extra * EXTRA_MARGIN / f64::from(extra.hosts.max(1));
+        self.config.ratio * (steady + recent) + if is_due { part } else { 0.0 }
     }
 
     /// Requests of the least window that ended within the last one.
     fn least_requests(&self, now: Moment) -> u64 {
-        let part = self.terms.window / PARTS;
-        let length = self.terms.window.mul_f64(1.0 - LATE);
-        let windows = (0..=PARTS).map(|parts| {
+        let part = self.config.window / WINDOW_PARTS;
+        let length = self.config.window.mul_f64(1.0 - WINDOW_SHORTENING);
+        let windows = (0..=WINDOW_PARTS).map(|parts| {
             let end = now.checked_sub(part * parts)?;
             let from = end.saturating_sub(length);
             Some(self.requests.between(from, end.saturating_sub(part)))
--- a/crates/policy/src/dispatch/budget/loan.rs
+++ b/crates/policy/src/dispatch/budget/loan.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Content {
     /// The sender would borrow so many retries.
-    Ask(u32),
+    Request(u32),
     /// The sender lends so many, or none.
     Grant(u32),
 }
--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -5,8 +5,8 @@
 
 use super::{
     Dispatcher,
-    doubt::Standing,
-    list::{List, SAMPLE, Side},
+    breaker::State,
+    list::{Locality, MAX_SAMPLE, ServerList},
     mixed, poison,
     server::Server,
     stats::{Stats, millis},
@@ -15,22 +15,22 @@
 use crate::route::{Index, hints::Owner};
 
 /// Prompt tokens that a server reads in a millisecond, until told otherwise by its pace.
-pub const READ_RATE: f64 = 30.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 30.0;
 
 /// What a token that some server has read already counts for, since reading it again is waste.
-const READ_AGAIN: f64 = 2.0;
+const PREFILL_REPEAT_FACTOR: f64 = 2.0;
 
 /// What the way to another zone must gain, in milliseconds: plain answers are small, streams long.
-const FAR_PLAIN: f64 = 3.0;
-const FAR_STREAM: f64 = 10.0;
+const OTHER_ZONE_PLAIN_MS: f64 = 3.0;
+const OTHER_ZONE_STREAM_MS: f64 = 10.0;
 
 /// Part of the goal that a full server counts for more than an empty one.
-const SPREAD: f64 = 0.1;
+const FULL_SERVER_COST: f64 = 0.1;
 
 /// Part of the goal within which the choice is by chance, and the most of it in milliseconds, less
 /// than the way to another zone.
-const CHANCE: f64 = 0.01;
-const CHANCE_MOST: f64 = 2.0;
+const JITTER: f64 = 0.01;
+const MAX_JITTER_MS: f64 = 2.0;
 
 /// Part of the goal that may pass in a server's own queue, so that no place stays empty between
 /// an end there and the next request from here.
@@ -39,26 +39,26 @@
 /// Part of the KV memory beyond which preemption begins to threaten, what each further part
 /// counts in milliseconds, and the part beyond which nothing more is sent.
 const MEMORY_SOFT: f64 = 0.85;
-const MEMORY_COST: f64 = 2000.0;
+const MEMORY_COST_MS: f64 = 2000.0;
 const MEMORY_HARD: f64 = 0.97;
 
 /// Part of the pause that streams allow within which a server may read what waits there. Each piece
 /// of a prompt that it reads comes between the tokens of all streams that run there.
-const READ_IN_PAUSE: f64 = 0.5;
+const PREFILL_IN_PAUSE: f64 = 0.5;
 
 /// What a request in flight counts for, where a server may crash.
-const AT_STAKE: f64 = 10_000.0;
+const SUSPECT_COST_MS: f64 = 10_000.0;
 
 /// The server chosen, with what is expected of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
     pub server: Index,
-    pub usual: f64,
-    pub work: f64,
-    pub queue: f64,
-    pub expected: f64,
-    pub unread: u32,
-    cost: f64,
+    pub baseline_ms: f64,
+    pub work_ms: f64,
+    pub queue_ms: f64,
+    pub expected_ms: f64,
+    pub prefill: u32,
+    cost_ms: f64,
 }
 
 /// Outcome of a choice.
@@ -69,121 +69,123 @@
     /// Servers could run it, and none has a place.
     Full,
     /// No server could run it.
-    Nobody,
+    NoServer,
 }
 
 /// What servers were found beside the best one.
 #[derive(Default)]
-struct Seen {
+struct Candidates {
     best: Option<Choice>,
     /// The best of those put aside.
-    aside: Option<Choice>,
+    tripped: Option<Choice>,
     /// Whether a server that is in no doubt and has a permit left could run it.
-    is_any_good: bool,
+    has_usable: bool,
     /// Whether any server could run it.
-    is_any: bool,
+    has_able: bool,
 }
 
 impl Dispatcher {
     /// Chooses a server for a request.
     pub(super) fn choose(&self, task: &Task, now: Moment) -> Outcome {
-        if self.is_suspect(task) && self.poison.is_held_back(task.ask.fingerprint, now) {
+        if self.is_suspect(task) && self.poison.must_wait(task.spec.fingerprint, now) {
             return Outcome::Full;
         }
         let owners = self.owners(task, now);
         let list = self.list(task);
         let sampled = list.sample(task.seed()).chain(owners.iter().map(|owner| owner.server));
-        let mut seen = self.best(task, &owners, sampled, now);
-        if seen.best.is_none() && SAMPLE < list.all().len() {
-            seen = self.best(task, &owners, list.all().iter().copied(), now);
+        let mut found = self.search(task, &owners, sampled, now);
+        if found.best.is_none() && MAX_SAMPLE < list.all().len() {
+            found = self.search(task, &owners, list.all().iter().copied(), now);
         }
-        match seen {
-            Seen { best: Some(choice), .. } => Outcome::Send(choice),
-            Seen { aside: Some(choice), is_any_good: false, .. } => Outcome::Send(choice),
-            Seen { is_any: true, .. } => Outcome::Full,
-            Seen { .. } => Outcome::Nobody,
+        match found {
+            Candidates { best: Some(choice), .. } => Outcome::Send(choice),
+            Candidates { tripped: Some(choice), has_usable: false, .. } => Outcome::Send(choice),
+            Candidates { has_able: true, .. } => Outcome::Full,
+            Candidates { .. } => Outcome::NoServer,
         }
     }
 
     /// Servers that could run the request, but for its adapter.
-    pub(super) fn list(&self, task: &Task) -> &List {
+    pub(super) fn list(&self, task: &Task) -> &ServerList {
         match task.model {
-            Some(model) => &self.fleet.models[model as usize].list,
-            None => &self.fleet.services[task.service as usize].list,
+            Some(model) => &self.registry.models[model as usize].list,
+            None => &self.registry.services[task.service as usize].list,
         }
     }
 
     /// Times of requests like this one.
     pub(super) fn stats(&self, task: &Task) -> &Stats {
         match task.model {
-            Some(model) => &self.fleet.models[model as usize].stats,
-            None => &self.fleet.services[task.service as usize].stats,
+            Some(model) => &self.registry.models[model as usize].stats,
+            None => &self.registry.services[task.service as usize].stats,
         }
     }
 
     /// Whether a server, its standing aside, could run the request.
     pub(super) fn is_able(&self, task: &Task, server: &Server) -> bool {
-        let adapter = task.ask.adapter.as_ref();
-        let holds = task.model.is_none_or(|model| server.held.holds(model, adapter));
-        holds && !task.ask.avoid.contains(&server.id)
+        let adapter = task.spec.adapter.as_ref();
+        let holds = task.model.is_none_or(|model| server.models.holds(model, adapter));
+        holds && !task.spec.avoid.contains(&server.id)
     }
 
     /// Whether any server could run the request.
-    pub(super) fn is_held(&self, task: &Task) -> bool {
-        let servers = self.list(task).all().iter().filter_map(|at| self.fleet.get(*at));
+    pub(super) fn has_able_server(&self, task: &Task) -> bool {
+        let servers = self.list(task).all().iter().filter_map(|at| self.registry.get(*at));
         servers.into_iter().any(|server| self.is_able(task, server))
     }
 
     pub(super) fn is_suspect(&self, task: &Task) -> bool {
-        self.poison.standing(task.ask.fingerprint) == poison::Standing::Suspect
+        self.poison.standing(task.spec.fingerprint) == poison::Standing::Suspect
     }
 
-    fn best(
+    fn search(
         &self,
         task: &Task,
         owners: &[Owner],
         servers: impl Iterator<Item = Index>,
         now: Moment,
-    ) -> Seen {
-        let mut seen = Seen::default();
+    ) -> Candidates {
+        let mut found = Candidates::default();
         let is_suspect = self.is_suspect(task);
         for index in servers {
-            let Some(server) = self.fleet.get(index) else { continue };
-            if is_suspect && self.poison.is_tried(&server.id, now) {
-                seen.is_any = true;
+            let Some(server) = self.registry.get(index) else { continue };
+            if is_suspect && self.poison.runs_suspect(&server.id, now) {
+                found.has_able = true;
                 continue;
             }
             if server.state == types::routed::State::Draining || !self.is_able(task, server) {
                 continue;
             }
-            seen.is_any = true;
-            let standing = server.doubt.standing(now);
-            let is_usable = match standing {
-                Standing::Good | Standing::Overdue => true,
-                Standing::Trial => task.ask.is_repeatable(),
-                Standing::Aside => false,
+            found.has_able = true;
+            let state = server.breaker.state(now);
+            let is_usable = match state {
+                State::Closed | State::HalfOpenAny => true,
+                State::HalfOpen => task.spec.is_repeatable(),
+                State::Open => false,
             };
             // A server in doubt is better than one that takes no more.
-            seen.is_any_good |= standing == Standing::Good && self.has_permit(server, now);
-            let unread = task.input() - kept(task, owners, index);
-            if !self.has_place(task, index, server, now) || !leaves_breath(task, server, unread) {
+            found.has_usable |= state == State::Closed && self.has_permit(server, now);
+            let prefill = task.input() - cached_tokens(task, owners, index);
+            if !self.has_place(task, index, server, now)
+                || !keeps_stream_pauses(task, server, prefill)
+            {
                 continue;
             }
-            let choice = self.judge(task, unread, index, server, now);
-            let best = if is_usable { &mut seen.best } else { &mut seen.aside };
-            if best.is_none_or(|best| choice.cost < best.cost) {
+            let choice = self.estimate(task, prefill, index, server, now);
+            let best = if is_usable { &mut found.best } else { &mut found.tripped };
+            if best.is_none_or(|best| choice.cost_ms < best.cost_ms) {
                 *best = Some(choice);
             }
         }
-        seen
+        found
     }
 
     /// Whether a server takes one more without making it wait for long.
     fn has_place(&self, task: &Task, index: Index, server: &Server, now: Moment) -> bool {
         let slots = f64::from(server.slots);
-        let wait = millis(task.ask.goal) * OVERFILL;
+        let wait = millis(task.spec.goal) * OVERFILL;
         let more = (wait * slots / self.stats(task).hold()).clamp(1.0, (slots / 2.0).max(1.0));
-        let in_flight = server.load.in_flight(self.fleet.peers_at(), now);
+        let in_flight = server.load.in_flight(self.registry.peers_at(), now);
         let memory = server.load.memory_used(task.memory());
         let has_memory = memory.is_none_or(|used| used < MEMORY_HARD) || in_flight < 1.0;
         let free = slots + more - in_flight;
@@ -195,78 +197,80 @@
     /// Whether it is this request's turn to take one of so many places, which a crowd of hosts sees
     /// as free. Each draws anew when peers have told anew.
     fn is_turn(&self, task: &Task, index: Index, free: f64) -> bool {
-        let crowd = self.fleet.get(index).map_or(1.0, |server| server.load.crowd());
-        let round = self.fleet.peers_at().map_or(0, |at| at.as_millis() as u64);
+        let contenders = self.registry.get(index).map_or(1.0, |server| server.load.contenders());
+        let round = self.registry.peers_at().map_or(0, |at| at.as_millis() as u64);
         let lot = mixed(mixed(task.seed() ^ round) ^ u64::from(index)) % 1024;
-        crowd <= free || (lot as f64) * crowd < free * 1024.0
+        contenders <= free || (lot as f64) * contenders < free * 1024.0
     }
 
     /// What is expected of a server.
-    fn judge(
+    fn estimate(
         &self,
         task: &Task,
-        unread: u32,
+        prefill: u32,
         index: Index,
         server: &Server,
         now: Moment,
     ) -> Choice {
         let stats = self.stats(task);
-        let median = &self.fleet.services[task.service as usize].median;
-        let goal = millis(task.ask.goal);
+        let median = &self.registry.services[task.service as usize].median;
+        let goal = millis(task.spec.goal);
         let slots = f64::from(server.slots);
-        let in_flight = server.load.in_flight(self.fleet.peers_at(), now);
+        let in_flight = server.load.in_flight(self.registry.peers_at(), now);
 
-        let reading = (server.load.unread() as f64 + f64::from(unread)) / READ_RATE;
-        let queue = (in_flight + 1.0 - slots).max(0.0) / slots * stats.hold();
-        let work = if task.model.is_some() { reading + queue } else { queue };
-        let usual = stats.base() + work;
-        let expected = usual * server.pace.slowness(median, now) * server.cold(now);
+        let reading = (server.load.prefill() as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
+        let queue_ms = (in_flight + 1.0 - slots).max(0.0) / slots * stats.hold();
+        let work_ms = if task.model.is_some() { reading + queue_ms } else { queue_ms };
+        let baseline_ms = stats.base() + work_ms;
+        let expected_ms =
+            baseline_ms * server.pace.slowness(median, now) * server.cold_start_slowdown(now);
 
-        let waste = if task.model.is_some() { f64::from(unread) / READ_RATE } else { 0.0 };
+        let waste =
+            if task.model.is_some() { f64::from(prefill) / PREFILL_TOKENS_PER_MS } else { 0.0 };
         let failing = server.pace.excess(median, now) * goal;
         let memory = server.load.memory_used(task.memory()).unwrap_or(0.0);
-        let stake = if self.is_suspect(task) { AT_STAKE * in_flight } else { 0.0 };
+        let stake = if self.is_suspect(task) { SUSPECT_COST_MS * in_flight } else { 0.0 };
         let chance = (mixed(task.seed() ^ u64::from(index)) % 1024) as f64 / 1024.0;
-        let cost = expected
-            + waste * (READ_AGAIN - 1.0)
+        let cost_ms = expected_ms
+            + waste * (PREFILL_REPEAT_FACTOR - 1.0)
             + failing
-            + (memory - MEMORY_SOFT).max(0.0) * MEMORY_COST
-            + (in_flight / slots).powi(2) * goal * SPREAD
-            + far(task.ask.kind, server.side)
-            + chance * (goal * CHANCE).min(CHANCE_MOST)
+            + (memory - MEMORY_SOFT).max(0.0) * MEMORY_COST_MS
+            + (in_flight / slots).powi(2) * goal * FULL_SERVER_COST
+            + zone_cost(task.spec.kind, server.locality)
+            + chance * (goal * JITTER).min(MAX_JITTER_MS)
             + stake;
-        Choice { server: index, usual, work, queue, expected, unread, cost }
+        Choice { server: index, baseline_ms, work_ms, queue_ms, expected_ms, prefill, cost_ms }
     }
 
     /// Servers that are thought to have read beginnings of the prompt.
     fn owners(&self, task: &Task, now: Moment) -> Vec<Owner> {
-        if task.chain.is_empty() {
+        if task.prefixes.is_empty() {
             return Vec::new();
         }
-        let digests: Vec<u64> = task.chain.iter().map(|(digest, _)| *digest).collect();
+        let digests: Vec<u64> = task.prefixes.iter().map(|(digest, _)| *digest).collect();
         self.hints.owners(&digests, now)
     }
 }
 
 /// Whether a server that reads the prompt too still passes on its streams without long pauses.
-fn leaves_breath(task: &Task, server: &Server, unread: u32) -> bool {
-    let waiting = server.load.unread();
-    let reading = (waiting as f64 + f64::from(unread)) / READ_RATE;
-    let pause = task.ask.pause.filter(|_| task.model.is_some());
-    waiting == 0 || pause.is_none_or(|pause| reading <= millis(pause) * READ_IN_PAUSE)
+fn keeps_stream_pauses(task: &Task, server: &Server, prefill: u32) -> bool {
+    let waiting = server.load.prefill();
+    let reading = (waiting as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
+    let pause = task.spec.pause.filter(|_| task.model.is_some());
+    waiting == 0 || pause.is_none_or(|pause| reading <= millis(pause) * PREFILL_IN_PAUSE)
 }
 
 /// Tokens of the prompt that a server is thought to have kept. The hints count in parts.
-fn kept(task: &Task, owners: &[Owner], server: Index) -> u32 {
+fn cached_tokens(task: &Task, owners: &[Owner], server: Index) -> u32 {
     let parts = owners.iter().find(|owner| owner.server == server).map_or(0, |owner| owner.tokens);
-    let kept = (parts as usize).checked_sub(1).and_then(|last| task.chain.get(last));
+    let kept = (parts as usize).checked_sub(1).and_then(|last| task.prefixes.get(last));
     kept.map_or(0, |(_, tokens)| *tokens).min(task.input())
 }
 
-fn far(kind: Kind, side: Side) -> f64 {
-    match (side, kind) {
-        (Side::Near, _) => 0.0,
-        (Side::Far, Kind::Stream) => FAR_STREAM,
-        (Side::Far, Kind::Idempotent | Kind::NonIdempotent) => FAR_PLAIN,
+fn zone_cost(kind: Kind, locality: Locality) -> f64 {
+    match (locality, kind) {
+        (Locality::SameZone, _) => 0.0,
+        (Locality::OtherZone, Kind::Stream) => OTHER_ZONE_STREAM_MS,
+        (Locality::OtherZone, Kind::Idempotent | Kind::NonIdempotent) => OTHER_ZONE_PLAIN_MS,
     }
 }
--- a/crates/policy/src/dispatch/list.rs
+++ b/crates/policy/src/dispatch/list.rs
@@ -3,36 +3,36 @@
 use crate::route::Index;
 
 /// Most servers that are looked at for one request, unless none of them has a place.
-pub const SAMPLE: usize = 24;
+pub const MAX_SAMPLE: usize = 24;
 
 /// Servers by number.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct ServerList {
     servers: Vec<Index>,
-    near: usize,
+    same_zone: usize,
 }
 
 /// Which zone a server stands in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Locality {
     /// The host's own.
-    Near,
+    SameZone,
     /// Another.
-    Far,
+    OtherZone,
 }
 
-impl List {
+impl ServerList {
     /// Adds a server that may be there.
-    pub fn add(&mut self, server: Index, side: Side) {
+    pub fn add(&mut self, server: Index, locality: Locality) {
         if self.servers.contains(&server) {
             return;
         }
-        match side {
-            Side::Near => {
-                self.servers.insert(self.near, server);
-                self.near += 1;
+        match locality {
+            Locality::SameZone => {
+                self.servers.insert(self.same_zone, server);
+                self.same_zone += 1;
             }
-            Side::Far => self.servers.push(server),
+            Locality::OtherZone => self.servers.push(server),
         }
     }
 
@@ -40,8 +40,8 @@
     pub fn remove(&mut self, server: Index) {
         let Some(at) = self.servers.iter().position(|other| *other == server) else { return };
         self.servers.remove(at);
-        if at < self.near {
-            self.near -= 1;
+        if at < self.same_zone {
+            self.same_zone -= 1;
         }
     }
 
@@ -52,15 +52,17 @@
 
     /// A few of them by chance, half from the own zone if it has so many; all if they are few.
     pub fn sample(&self, seed: u64) -> impl Iterator<Item = Index> {
-        let (near, far) = self.servers.split_at(self.near);
-        let of_near = near.len().min(SAMPLE - far.len().min(SAMPLE / 2));
-        let of_far = far.len().min(SAMPLE - of_near);
-        from(near, seed).take(of_near).chain(from(far, seed.rotate_left(32)).take(of_far))
+        let (same, other) = self.servers.split_at(self.same_zone);
+        let from_same = same.len().min(MAX_SAMPLE - other.len().min(MAX_SAMPLE / 2));
+        let from_other = other.len().min(MAX_SAMPLE - from_same);
+        rotated(same, seed)
+            .take(from_same)
+            .chain(rotated(other, seed.rotate_left(32)).take(from_other))
     }
 }
 
 /// All of a slice, from a place by chance and round.
-fn from(servers: &[Index], seed: u64) -> impl Iterator<Item = Index> {
+fn rotated(servers: &[Index], seed: u64) -> impl Iterator<Item = Index> {
     let start = (seed % servers.len().max(1) as u64) as usize;
     servers[start..].iter().chain(&servers[..start]).copied()
 }
--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -14,31 +14,31 @@
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
 
 /// Time for which a host knows what it sent to a server.
-pub const LATELY: Duration = Duration::from_millis(1_500);
+pub const RECENT_WINDOW: Duration = Duration::from_millis(1_500);
 
 /// Age at which what others tell counts no more.
-pub const TOLD_LIFE: Duration = Duration::from_secs(2);
+pub const LOAD_MAX_AGE: Duration = Duration::from_secs(2);
 
 /// Age at which what is told has lost half of its weight.
-const HALF: f64 = 20.0;
+const HALF_WEIGHT_AGE_MS: f64 = 20.0;
 
 /// By how much the hosts that turn to one server seem to be more when it has more than its slots,
 /// and fewer when it has less.
-const CROWD_RISE: f64 = 1.3;
-const CROWD_FALL: f64 = 1.1;
+const CONTENDERS_GROWTH: f64 = 1.3;
+const CONTENDERS_DECAY: f64 = 1.1;
 
 /// A request of this host that the server has.
 #[derive(Clone, Copy, Debug)]
-struct Own {
+struct OwnRequest {
     ticket: Ticket,
     sent: Moment,
-    unread: u32,
+    prefill: u32,
     memory: u32,
 }
 
 /// What the server has told.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedLoad {
     at: Moment,
     others: u32,
 }
@@ -54,44 +54,44 @@
 /// Work of one server.
 #[derive(Clone, Debug)]
 pub struct Load {
-    own: Vec<Own>,
+    own: Vec<OwnRequest>,
     /// Requests sent lately, some of which a report that comes now does not know.
-    lately: VecDeque<Moment>,
-    told: Option<Told>,
+    recent_sends: VecDeque<Moment>,
+    reported: Option<ReportedLoad>,
     memory: Option<Memory>,
     peers: u32,
-    peers_unread: u64,
+    peers_prefill: u64,
     full_until: Moment,
-    crowd: f64,
+    contenders: f64,
 }
 
 impl Default for Load {
     fn default() -> Load {
         Load {
             own: Vec::new(),
-            lately: VecDeque::new(),
-            told: None,
+            recent_sends: VecDeque::new(),
+            reported: None,
             memory: None,
             peers: 0,
-            peers_unread: 0,
+            peers_prefill: 0,
             full_until: Duration::ZERO,
-            crowd: 1.0,
+            contenders: 1.0,
         }
     }
 }
 
 impl Load {
     /// A request is sent, with so many prompt tokens to read and so much memory to fill.
-    pub fn sent(&mut self, ticket: Ticket, unread: u32, memory: u32, now: Moment) {
-        self.own.push(Own { ticket, sent: now, unread, memory });
-        self.lately.push_back(now);
-        self.forget_lately(now);
+    pub fn sent(&mut self, ticket: Ticket, prefill: u32, memory: u32, now: Moment) {
+        self.own.push(OwnRequest { ticket, sent: now, prefill, memory });
+        self.recent_sends.push_back(now);
+        self.expire_recent_sends(now);
     }
 
     /// Its prompt is read.
-    pub fn read(&mut self, ticket: Ticket) {
+    pub fn prefilled(&mut self, ticket: Ticket) {
         if let Some(own) = self.own.iter_mut().find(|own| own.ticket == ticket) {
-            own.unread = 0;
+            own.prefill = 0;
         }
     }
 
@@ -101,26 +101,26 @@
     }
 
     /// The server told what it has, as of `lag` ago.
-    pub fn told(&mut self, running: u32, waiting: u32, lag: Duration, now: Moment) {
+    pub fn report(&mut self, running: u32, waiting: u32, lag: Duration, now: Moment) {
         let at = now.saturating_sub(lag);
-        if self.told.is_some_and(|told| at < told.at) {
+        if self.reported.is_some_and(|reported| at < reported.at) {
             return;
         }
-        self.forget_lately(now);
+        self.expire_recent_sends(now);
         let since = self.sent_since(at) as usize;
         let own = self.own.len().saturating_sub(since) as u32;
         let others = running.saturating_add(waiting).saturating_sub(own);
-        self.told = Some(Told { at, others });
+        self.reported = Some(ReportedLoad { at, others });
     }
 
     /// Requests sent after a moment that is not longer ago than [`LATELY`].
     pub fn sent_since(&self, at: Moment) -> u32 {
-        (self.lately.len() - self.lately.partition_point(|sent| *sent <= at)) as u32
+        (self.recent_sends.len() - self.recent_sends.partition_point(|sent| *sent <= at)) as u32
     }
 
     /// When the server last told of its work.
-    pub fn told_at(&self) -> Option<Moment> {
-        self.told.map(|told| told.at)
+    pub fn reported_at(&self) -> Option<Moment> {
+        self.reported.map(|reported| reported.at)
     }
 
     /// The server told of its KV memory.
@@ -129,31 +129,31 @@
     }
 
     /// The server refused since it is full.
-    pub fn full(&mut self, until: Moment) {
+    pub fn mark_full(&mut self, until: Moment) {
         self.full_until = self.full_until.max(until);
     }
 
     /// Peers have so much more, and less, than was known.
     pub fn peers(&mut self, more: (u32, u64), less: (u32, u64)) {
         self.peers = (self.peers + more.0).saturating_sub(less.0);
-        self.peers_unread = (self.peers_unread + more.1).saturating_sub(less.1);
+        self.peers_prefill = (self.peers_prefill + more.1).saturating_sub(less.1);
     }
 
     /// Finds anew, by what peers have told, how many hosts turn to the server at once. They see the
     /// same free place at the same moment, and hear of each other's requests only later.
-    pub fn meet(&mut self, slots: u32, hosts: u32) {
+    pub fn update_contenders(&mut self, slots: u32, hosts: u32) {
         let all = self.own() + self.peers;
         if slots < all {
-            self.crowd *= CROWD_RISE;
+            self.contenders *= CONTENDERS_GROWTH;
         } else if all < slots {
-            self.crowd /= CROWD_FALL;
+            self.contenders /= CONTENDERS_DECAY;
         }
-        self.crowd = self.crowd.clamp(1.0, f64::from(hosts.max(1)));
+        self.contenders = self.contenders.clamp(1.0, f64::from(hosts.max(1)));
     }
 
     /// Hosts that turn to the server at once.
-    pub fn crowd(&self) -> f64 {
-        self.crowd
+    pub fn contenders(&self) -> f64 {
+        self.contenders
     }
 
     /// Requests of this host.
@@ -167,13 +167,13 @@
     }
 
     /// Prompt tokens that wait to be read.
-    pub fn unread(&self) -> u64 {
-        self.own_unread() + self.peers_unread
+    pub fn prefill(&self) -> u64 {
+        self.own_prefill() + self.peers_prefill
     }
 
     /// Those of them that are of this host's requests.
-    pub fn own_unread(&self) -> u64 {
-        self.own.iter().map(|own| u64::from(own.unread)).sum()
+    pub fn own_prefill(&self) -> u64 {
+        self.own.iter().map(|own| u64::from(own.prefill)).sum()
     }
 
     /// Part of the KV memory that will be in use, with so much more, if the server tells of it.
@@ -190,22 +190,23 @@
     }
 
     fn others(&self, peers_at: Option<Moment>, now: Moment) -> f64 {
-        let fresh = |at: &Moment| now < *at + TOLD_LIFE;
-        let told = self.told.filter(|told| fresh(&told.at));
-        let told = told.map_or((0.0, 0.0), |told| (weight(told.at, now), f64::from(told.others)));
+        let fresh = |at: &Moment| now < *at + LOAD_MAX_AGE;
+        let reported = self.reported.filter(|reported| fresh(&reported.at));
+        let reported = reported
+            .map_or((0.0, 0.0), |reported| (weight(reported.at, now), f64::from(reported.others)));
         let peers = peers_at.filter(fresh);
         let peers = peers.map_or((0.0, 0.0), |at| (weight(at, now), f64::from(self.peers)));
-        let sum = told.0 + peers.0;
-        if sum == 0.0 { 0.0 } else { (told.0 * told.1 + peers.0 * peers.1) / sum }
+        let sum = reported.0 + peers.0;
+        if sum == 0.0 { 0.0 } else { (reported.0 * reported.1 + peers.0 * peers.1) / sum }
     }
 
-    fn forget_lately(&mut self, now: Moment) {
-        while self.lately.front().is_some_and(|sent| *sent + LATELY < now) {
-            self.lately.pop_front();
+    fn expire_recent_sends(&mut self, now: Moment) {
+        while self.recent_sends.front().is_some_and(|sent| *sent + RECENT_WINDOW < now) {
+            self.recent_sends.pop_front();
         }
     }
 }
 
 fn weight(at: Moment, now: Moment) -> f64 {
-    1.0 / (now.saturating_sub(at).as_secs_f64() * 1000.0 + HALF)
+    1.0 / (now.saturating_sub(at).as_secs_f64() * 1000.0 + HALF_WEIGHT_AGE_MS)
 }
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -9,21 +9,21 @@
 use crate::route::Index;
 
 /// Time after which an ask counts as lost.
-const UNANSWERED: Duration = Duration::from_millis(100);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time between two asks.
-const BETWEEN: Duration = Duration::from_millis(25);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Hosts that have nothing to lend, one after the other, after which none is asked for a while.
-const DENIALS: u32 = 4;
+const MAX_DENIALS: u32 = 4;
 
 /// How long none is asked then.
-const PAUSE: Duration = Duration::from_secs(1);
+const DENIAL_PAUSE: Duration = Duration::from_secs(1);
 
 /// Asks of this host for loans, and messages on their way.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Borrowing {
-    asks: Map<Index, Ask>,
+    requests: Map<Index, LoanRequests>,
     /// Hosts asked so far.
     turn: usize,
     outgoing: Vec<(host::Id, Message)>,
@@ -31,7 +31,7 @@
 
 /// The last ask for one service.
 #[derive(Clone, Debug, Default)]
-struct Ask {
+struct LoanRequests {
     /// When it was sent, while no answer has come.
     open: Option<Moment>,
     /// From when on another may be sent.
@@ -40,10 +40,10 @@
     denials: u32,
 }
 
-impl Ask {
+impl LoanRequests {
     /// Whether another may be sent.
     fn is_due(&self, now: Moment) -> bool {
-        let is_open = self.open.is_some_and(|sent| now < sent + UNANSWERED);
+        let is_open = self.open.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
         !is_open && self.next <= now
     }
 }
@@ -56,11 +56,11 @@
 
     /// Takes in another host's message on loans.
     pub fn loan_received(&mut self, from: &host::Id, message: &Message, now: Moment) {
-        let service = self.fleet.service(&message.service);
+        let service = self.registry.service(&message.service);
         match message.content {
-            Content::Ask(wanted) => {
+            Content::Request(wanted) => {
                 let extra = self.sharers.extra();
-                let budget = &mut self.fleet.services[service as usize].budget;
+                let budget = &mut self.registry.services[service as usize].budget;
                 let lent = budget.lend(wanted, extra, now);
                 let answer = Message { content: Content::Grant(lent), ..message.clone() };
                 self.loans.outgoing.push((from.clone(), answer));
@@ -70,35 +70,35 @@
     }
 
     fn granted(&mut self, service: Index, lent: u32, asked: Moment, now: Moment) {
-        let Some(ask) = self.loans.asks.get_mut(&service) else { return };
-        if ask.open != Some(asked) {
+        let Some(request) = self.loans.requests.get_mut(&service) else { return };
+        if request.open != Some(asked) {
             return;
         }
-        ask.open = None;
-        ask.denials = if lent == 0 { ask.denials + 1 } else { 0 };
-        if ask.denials == DENIALS {
-            (ask.denials, ask.next) = (0, now + PAUSE);
+        request.open = None;
+        request.denials = if lent == 0 { request.denials + 1 } else { 0 };
+        if request.denials == MAX_DENIALS {
+            (request.denials, request.next) = (0, now + DENIAL_PAUSE);
         }
-        self.fleet.services[service as usize].budget.borrow(lent, asked + USABLE, now);
+        self.registry.services[service as usize].budget.borrow(lent, asked + USABLE, now);
     }
 
     /// Asks the next host for each service that is short of retries.
     pub(super) fn ask_for_loans(&mut self, now: Moment) {
         let extra = self.sharers.extra();
-        let services = self.fleet.services.iter().enumerate();
+        let services = self.registry.services.iter().enumerate();
         let short = services.filter(|(_, service)| service.budget.is_short(extra, now));
         let short: Vec<(Index, service::Id)> =
             short.map(|(index, service)| (index as Index, service.id.clone())).collect();
         for (index, service) in short {
-            if !self.loans.asks.entry(index).or_default().is_due(now) {
+            if !self.loans.requests.entry(index).or_default().is_due(now) {
                 continue;
             }
             let Some(lender) = self.next_lender() else { return };
-            let Borrowing { asks, outgoing, .. } = &mut self.loans;
-            let ask = asks.entry(index).or_default();
-            ask.open = Some(now);
-            ask.next = now + BETWEEN;
-            let content = Content::Ask(PORTION);
+            let Borrowing { requests, outgoing, .. } = &mut self.loans;
+            let request = requests.entry(index).or_default();
+            request.open = Some(now);
+            request.next = now + REQUEST_INTERVAL;
+            let content = Content::Request(PORTION);
             outgoing.push((lender, Message { service, asked: now, content }));
             self.loans.turn += 1;
         }
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -40,32 +40,32 @@
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
 /// Remaining life below which what others still send is not learnt again.
-const LEAST_LIFE: Duration = Duration::from_secs(5);
+const MIN_REMAINING_LIFE: Duration = Duration::from_secs(5);
 
 /// Most requests known; those with the fewest crashes are forgotten first.
-const MOST_REQUESTS: usize = 1024;
+const MAX_REQUESTS: usize = 1024;
 
 /// Most crashes sent to other hosts; requests with the most crashes go first.
-const MOST_SENT: usize = 128;
+const MAX_SENT: usize = 128;
 
 /// How long a void crash of a request that is no suspect is sent.
-const VOID_SENT: Duration = Duration::from_secs(10);
+const VOID_SEND_TIME: Duration = Duration::from_secs(10);
 
 /// Time between the end of an attempt and the end of its server's registration within which the
 /// attempt may have crashed the server.
-const UNCLEAR: Duration = Duration::from_secs(8);
+const UNRESOLVED_LIFE: Duration = Duration::from_secs(8);
 
 /// How long at least a request that ended whole crashes no server, as far as is known.
-const WHOLE: Duration = Duration::from_secs(10);
+const COMPLETED_LIFE: Duration = Duration::from_secs(10);
 
 /// Most requests kept that ended whole, in each of two generations.
-const MOST_WHOLE: usize = 4096;
+const MAX_COMPLETED: usize = 4096;
 
 /// How long a suspect's run keeps others away, in case that the end of its run is not told.
-const OPEN: Duration = Duration::from_secs(20);
+const MAX_RUN: Duration = Duration::from_secs(20);
 
 /// Most attempts kept whose servers may have crashed.
-const MOST_UNCLEAR: usize = 512;
+const MAX_UNRESOLVED: usize = 512;
 
 /// What is thought of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -156,59 +156,60 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct CrashRecord {
     turn: u32,
     isolation: Isolation,
     state: CrashState,
     /// Until when it would be known at the most.
     until: Moment,
     /// When this host learnt of it.
-    learnt: Moment,
+    seen_at: Moment,
     /// When this host last told others that it is void.
-    voided: Option<Moment>,
+    voided_at: Option<Moment>,
 }
 
-impl Known {
+impl CrashRecord {
     fn age(&self, now: Moment) -> Duration {
         LIFE.saturating_sub(self.until.saturating_sub(now))
     }
 
-    fn counts(&self) -> bool {
+    fn is_counted(&self) -> bool {
         self.state == CrashState::Counted
     }
 
-    fn is_open(&self, now: Moment) -> bool {
-        self.state == CrashState::Running && self.age(now) < OPEN
+    fn is_running(&self, now: Moment) -> bool {
+        self.state == CrashState::Running && self.age(now) < MAX_RUN
     }
 }
 
 /// A run of a server, and the host that sent the request there.
-type Place = (backend::Id, host::Id);
+type CrashKey = (backend::Id, host::Id);
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    crashes: BTreeMap<Place, Known>,
+    crashes: BTreeMap<CrashKey, CrashRecord>,
     reported: Option<Standing>,
 }
 
 impl Entry {
     /// What hosts know of the request at a server.
-    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a Known> {
+    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
         let there = self.crashes.iter().filter(move |((at, _), _)| at == server);
-        there.map(|(_, known)| known)
+        there.map(|(_, record)| record)
     }
 
     /// Servers whose crashes count, but for what another request explains.
     fn counted(&self) -> BTreeSet<&backend::Id> {
-        let counted = self.crashes.iter().filter(|(_, known)| known.counts());
+        let counted = self.crashes.iter().filter(|(_, record)| record.is_counted());
         counted.map(|((server, _), _)| server).collect()
     }
 
     /// When it is forgotten: by its youngest crash, and by whether it ran apart in any.
     fn until(&self) -> Moment {
-        let youngest = self.crashes.values().map(|known| known.until).max().unwrap_or_default();
-        let was_apart = self.crashes.values().any(|known| known.isolation == Isolation::Isolated);
-        if was_apart { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
+        let youngest = self.crashes.values().map(|record| record.until).max().unwrap_or_default();
+        let was_isolated =
+            self.crashes.values().any(|record| record.isolation == Isolation::Isolated);
+        if was_isolated { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
     }
 }
 
@@ -222,7 +223,7 @@
 
 /// An attempt that ended without telling whether its server crashed.
 #[derive(Clone, Debug)]
-struct Unclear {
+struct UnresolvedAttempt {
     request: Fingerprint,
     server: backend::Id,
     isolation: Isolation,
@@ -231,15 +232,15 @@
 
 /// Requests that ended whole lately: the older generation goes when the younger is full or old.
 #[derive(Clone, Debug, Default)]
-struct Whole {
+struct CompletedRequests {
     young: BTreeSet<Fingerprint>,
     old: BTreeSet<Fingerprint>,
     since: Moment,
 }
 
-impl Whole {
+impl CompletedRequests {
     fn add(&mut self, request: Fingerprint, now: Moment) {
-        if self.since + WHOLE <= now || MOST_WHOLE <= self.young.len() {
+        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.young.len() {
             self.old = std::mem::take(&mut self.young);
             self.since = now;
         }
@@ -247,7 +248,7 @@
     }
 
     fn has(&self, request: Fingerprint, now: Moment) -> bool {
-        let is_recent = now < self.since + WHOLE;
+        let is_recent = now < self.since + COMPLETED_LIFE;
         is_recent && (self.young.contains(&request) || self.old.contains(&request))
     }
 }
@@ -260,8 +261,8 @@
     /// Requests by the servers that they were at.
     at_servers: BTreeMap<backend::Id, BTreeSet<Fingerprint>>,
     trial: Option<Trial>,
-    unclear: VecDeque<Unclear>,
-    whole: Whole,
+    unresolved: VecDeque<UnresolvedAttempt>,
+    completed: CompletedRequests,
     /// Requests about which something was learnt since the last look.
     changed: BTreeSet<Fingerprint>,
 }
@@ -274,8 +275,8 @@
             entries: Map::default(),
             at_servers: BTreeMap::new(),
             trial: None,
-            unclear: VecDeque::new(),
-            whole: Whole::default(),
+            unresolved: VecDeque::new(),
+            completed: CompletedRequests::default(),
             changed: BTreeSet::new(),
         }
     }
@@ -294,21 +295,21 @@
     }
 
     /// Whether a suspect has to wait: another one runs here, or the same request anywhere.
-    pub fn is_held_back(&self, request: Fingerprint, now: Moment) -> bool {
+    pub fn must_wait(&self, request: Fingerprint, now: Moment) -> bool {
         let entry = self.entries.get(&request);
-        let runs = || entry.is_some_and(|entry| entry.crashes.values().any(|k| k.is_open(now)));
+        let runs = || entry.is_some_and(|entry| entry.crashes.values().any(|k| k.is_running(now)));
         self.trial.is_some() || runs()
     }
 
     /// Whether a suspect runs on a server.
-    pub fn is_tried(&self, server: &backend::Id, now: Moment) -> bool {
+    pub fn runs_suspect(&self, server: &backend::Id, now: Moment) -> bool {
         let there = self.at_servers.get(server).into_iter().flatten();
         let mut there = there.filter_map(|request| self.entries.get(request));
-        there.any(|entry| entry.at(server).any(|known| known.is_open(now)))
+        there.any(|entry| entry.at(server).any(|record| record.is_running(now)))
     }
 
     /// A suspect goes to a server.
-    pub fn try_out(&mut self, ticket: Ticket, request: Fingerprint, server: &backend::Id) {
+    pub fn start_trial(&mut self, ticket: Ticket, request: Fingerprint, server: &backend::Id) {
         self.trial = Some(Trial { ticket, request, server: server.clone() });
     }
 
@@ -316,7 +317,7 @@
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         let trial = self.trial.as_ref().filter(|trial| trial.ticket == ticket);
         if let Some(Trial { request, server, .. }) = trial.cloned() {
-            self.note(request, &server, Isolation::Isolated, CrashState::Running, now);
+            self.record(request, &server, Isolation::Isolated, CrashState::Running, now);
         }
     }
 
@@ -328,11 +329,11 @@
         server: &backend::Id,
         now: Moment,
     ) {
-        self.note(request, server, Isolation::Shared, CrashState::Counted, now);
+        self.record(request, server, Isolation::Shared, CrashState::Counted, now);
         // Whichever connection is found broken first, the suspect explains the crash.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
-            self.note(suspect, server, Isolation::Isolated, CrashState::Counted, now);
+            self.record(suspect, server, Isolation::Isolated, CrashState::Counted, now);
         }
     }
 
@@ -346,63 +347,72 @@
     ) {
         let is_trial = self.trial.as_ref().is_some_and(|trial| trial.ticket == ticket);
         let isolation = if is_trial { Isolation::Isolated } else { Isolation::Shared };
-        if self.unclear.len() == MOST_UNCLEAR {
-            self.unclear.pop_front();
+        if self.unresolved.len() == MAX_UNRESOLVED {
+            self.unresolved.pop_front();
         }
-        self.unclear.push_back(Unclear { request, server: server.clone(), isolation, at: now });
+        self.unresolved.push_back(UnresolvedAttempt {
+            request,
+            server: server.clone(),
+            isolation,
+            at: now,
+        });
     }
 
     /// A server's registration ended though it did not say that it leaves.
     pub fn gone(&mut self, server: &backend::Id, now: Moment) {
-        let (of_it, others) = std::mem::take(&mut self.unclear)
+        let (of_server, others) = std::mem::take(&mut self.unresolved)
             .into_iter()
             .partition(|unclear| unclear.server == *server);
-        self.unclear = others;
-        let of_it: VecDeque<Unclear> = of_it;
-        for Unclear { request, isolation, at, .. } in of_it {
-            if now < at + UNCLEAR {
-                self.note(request, server, isolation, CrashState::Counted, now);
+        self.unresolved = others;
+        let of_server: VecDeque<UnresolvedAttempt> = of_server;
+        for UnresolvedAttempt { request, isolation, at, .. } in of_server {
+            if now < at + UNRESOLVED_LIFE {
+                self.record(request, server, isolation, CrashState::Counted, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
-            if entry.is_some_and(|entry| entry.at(server).any(|known| known.is_open(now))) {
-                self.note(request, server, Isolation::Isolated, CrashState::Counted, now);
+            if entry.is_some_and(|entry| entry.at(server).any(|record| record.is_running(now))) {
+                self.record(request, server, Isolation::Isolated, CrashState::Counted, now);
             }
         }
     }
 
     /// A server answered what was sent to it at a time, so it did not crash before.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
-        let is_resolved = |unclear: &Unclear| unclear.server == *server && unclear.at < sent;
+        let is_resolved =
+            |unclear: &UnresolvedAttempt| unclear.server == *server && unclear.at < sent;
         let resolved: Vec<Fingerprint> =
-            self.unclear.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
-        self.unclear.retain(|unclear| !is_resolved(unclear));
+            self.unresolved.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
+        self.unresolved.retain(|unclear| !is_resolved(unclear));
         for request in resolved {
-            self.void(request, now, |at, known| at == server && known.state == CrashState::Running);
+            self.void(request, now, |at, record| {
+                at == server && record.state == CrashState::Running
+            });
         }
         let Some(requests) = self.at_servers.get(server) else { return };
         for request in requests.clone() {
-            let is_before = |known: &Known| known.counts() && known.learnt < sent;
-            self.void(request, now, |at, known| at == server && is_before(known));
+            let is_before = |record: &CrashRecord| record.is_counted() && record.seen_at < sent;
+            self.void(request, now, |at, record| at == server && is_before(record));
         }
     }
 
     /// A request got its whole answer.
     pub fn completed(&mut self, request: Fingerprint, now: Moment) {
-        self.whole.add(request, now);
+        self.completed.add(request, now);
         self.void(request, now, |_, _| true);
     }
 
     /// An attempt is over, whatever came of it.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
-        let is_same =
-            |unclear: &Unclear| unclear.request == trial.request && unclear.server == trial.server;
-        if !self.unclear.iter().any(is_same) {
-            let is_open = |known: &Known| known.state == CrashState::Running;
-            self.void(trial.request, now, |at, known| *at == trial.server && is_open(known));
+        let is_same = |unclear: &UnresolvedAttempt| {
+            unclear.request == trial.request && unclear.server == trial.server
+        };
+        if !self.unresolved.iter().any(is_same) {
+            let is_running = |record: &CrashRecord| record.state == CrashState::Running;
+            self.void(trial.request, now, |at, record| *at == trial.server && is_running(record));
         }
     }
 
@@ -412,21 +422,23 @@
         let mut sent = Vec::new();
         for (request, entry) in &self.entries {
             let standing = self.standing(*request);
-            for (place, known) in &entry.crashes {
-                let is_sent = match known.state {
-                    CrashState::Void => known.voided.is_some_and(|at| now < at + VOID_SENT),
+            for (key, record) in &entry.crashes {
+                let is_sent = match record.state {
+                    CrashState::Void => {
+                        record.voided_at.is_some_and(|at| now < at + VOID_SEND_TIME)
+                    }
                     CrashState::Running | CrashState::Counted => {
-                        Standing::Clear < standing || place.1 == self.host
+                        Standing::Clear < standing || key.1 == self.host
                     }
                 };
                 if is_sent {
-                    let rank = (standing, known.state != CrashState::Void, known.until, *request);
-                    sent.push((rank, crash(*request, place, known, now)));
+                    let rank = (standing, record.state != CrashState::Void, record.until, *request);
+                    sent.push((rank, crash(*request, key, record, now)));
                 }
             }
         }
         sent.sort_unstable_by(|(a, _), (b, _)| b.cmp(a));
-        sent.into_iter().take(MOST_SENT).map(|(_, crash)| crash).collect()
+        sent.into_iter().take(MAX_SENT).map(|(_, crash)| crash).collect()
     }
 
     /// All crashes of the requests that are refused, and whether this host saw one of a request's.
@@ -447,10 +459,10 @@
             let is_known = self
                 .entries
                 .get(&crash.request)
-                .is_some_and(|entry| entry.crashes.contains_key(&place(crash)));
+                .is_some_and(|entry| entry.crashes.contains_key(&key(crash)));
             let is_ending = match crash.isolation {
-                Isolation::Shared => SUSPICION < crash.age + LEAST_LIFE,
-                Isolation::Isolated => left < LEAST_LIFE,
+                Isolation::Shared => SUSPICION < crash.age + MIN_REMAINING_LIFE,
+                Isolation::Isolated => left < MIN_REMAINING_LIFE,
             };
             if is_known || !is_ending {
                 self.join(crash, now + left, now);
@@ -476,13 +488,13 @@
 
     /// Drops what is old.
     pub fn expire(&mut self, now: Moment) {
-        let (old, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unclear)
+        let (old, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.at + UNCLEAR <= now);
-        self.unclear = kept;
-        for Unclear { request, server, .. } in old {
-            self.void(request, now, |at, known| {
-                *at == server && known.state == CrashState::Running
+            .partition(|unclear| unclear.at + UNRESOLVED_LIFE <= now);
+        self.unresolved = kept;
+        for UnresolvedAttempt { request, server, .. } in old {
+            self.void(request, now, |at, record| {
+                *at == server && record.state == CrashState::Running
             });
         }
         let old = self.entries.iter().filter(|(_, entry)| entry.until() <= now);
@@ -500,20 +512,22 @@
     /// Servers of the crashes that count, but for those where another request ran apart. Of two that did
     /// on one server neither explains its crash.
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
-        let is_apart = |server: &backend::Id, other: &Entry| {
-            other.at(server).any(|known| known.isolation == Isolation::Isolated && known.counts())
+        let ran_isolated = |server: &backend::Id, other: &Entry| {
+            other
+                .at(server)
+                .any(|record| record.isolation == Isolation::Isolated && record.is_counted())
         };
-        let is_other_apart = |server: &backend::Id| {
-            self.others(request, server).any(|(_, other)| is_apart(server, other))
+        let other_ran_isolated = |server: &backend::Id| {
+            self.others(request, server).any(|(_, other)| ran_isolated(server, other))
         };
-        entry.counted().into_iter().filter(|server| !is_other_apart(server)).collect()
+        entry.counted().into_iter().filter(|server| !other_ran_isolated(server)).collect()
     }
 
     /// Whether another request was there that has crashed enough servers to be refused, and more than
     /// this one, which has crashed so many.
     fn is_explained(&self, request: Fingerprint, server: &backend::Id, own: usize) -> bool {
         self.others(request, server).any(|(fingerprint, other)| {
-            let is_there = other.at(server).any(Known::counts);
+            let is_there = other.at(server).any(CrashRecord::is_counted);
             is_there && own.max(POISON - 1) < self.counted(fingerprint, other).len()
         })
     }
@@ -529,7 +543,7 @@
         others.filter_map(|other| Some((*other, self.entries.get(other)?)))
     }
 
-    fn note(
+    fn record(
         &mut self,
         request: Fingerprint,
         server: &backend::Id,
@@ -537,10 +551,10 @@
         state: CrashState,
         now: Moment,
     ) {
-        let place = (server.clone(), self.host.clone());
-        let known = self.entries.get(&request).and_then(|entry| entry.crashes.get(&place));
-        let turn = known.map_or(0, |known| {
-            known.turn.saturating_add(u32::from(known.state == CrashState::Void))
+        let key = (server.clone(), self.host.clone());
+        let record = self.entries.get(&request).and_then(|entry| entry.crashes.get(&key));
+        let turn = record.map_or(0, |record| {
+            record.turn.saturating_add(u32::from(record.state == CrashState::Void))
         });
         let crash = Crash {
             request,
@@ -557,21 +571,21 @@
 
     fn join(&mut self, crash: &Crash, until: Moment, now: Moment) {
         let entry = self.entries.entry(crash.request).or_default();
-        let state = match self.whole.has(crash.request, now) {
+        let state = match self.completed.has(crash.request, now) {
             true => CrashState::Void,
             false => crash.state,
         };
         // What is void here is told again to whoever doesn't know it.
-        let voided = (state != crash.state).then_some(now);
-        let new = Known {
+        let voided_at = (state != crash.state).then_some(now);
+        let new = CrashRecord {
             turn: crash.turn,
             isolation: crash.isolation,
             state,
             until,
-            learnt: now,
-            voided,
+            seen_at: now,
+            voided_at,
         };
-        match entry.crashes.entry(place(crash)) {
+        match entry.crashes.entry(key(crash)) {
             Slot::Vacant(slot) => {
                 slot.insert(new);
                 self.changed.insert(crash.request);
@@ -582,21 +596,21 @@
                     self.changed.insert(crash.request);
                 }
                 Ordering::Equal => {
-                    let known = slot.get_mut();
-                    if known.isolation < crash.isolation || known.state < state {
+                    let record = slot.get_mut();
+                    if record.isolation < crash.isolation || record.state < state {
                         self.changed.insert(crash.request);
                     }
-                    if known.state < CrashState::Counted && state == CrashState::Counted {
+                    if record.state < CrashState::Counted && state == CrashState::Counted {
                         // The crash is later than the begin of the run.
-                        known.learnt = now;
+                        record.seen_at = now;
                     }
-                    let is_void = known.state == CrashState::Void;
+                    let is_void = record.state == CrashState::Void;
                     if is_void && crash.state == CrashState::Counted {
-                        known.voided = Some(now);
+                        record.voided_at = Some(now);
                     }
-                    known.isolation = known.isolation.max(crash.isolation);
-                    known.state = known.state.max(state);
-                    known.until = known.until.min(until);
+                    record.isolation = record.isolation.max(crash.isolation);
+                    record.state = record.state.max(state);
+                    record.until = record.until.min(until);
                 }
                 Ordering::Greater => return,
             },
@@ -613,13 +627,13 @@
         &mut self,
         request: Fingerprint,
         now: Moment,
-        is_meant: impl Fn(&backend::Id, &Known) -> bool,
+        is_meant: impl Fn(&backend::Id, &CrashRecord) -> bool,
     ) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        for ((server, _), known) in &mut entry.crashes {
-            if known.state < CrashState::Void && is_meant(server, known) {
-                known.state = CrashState::Void;
-                known.voided = Some(now);
+        for ((server, _), record) in &mut entry.crashes {
+            if record.state < CrashState::Void && is_meant(server, record) {
+                record.state = CrashState::Void;
+                record.voided_at = Some(now);
                 self.changed.insert(request);
                 self.changed.extend(self.at_servers.get(server).into_iter().flatten());
             }
@@ -639,7 +653,7 @@
 
     /// Forgets the requests with the fewest crashes, the oldest of them first.
     fn keep_within_bounds(&mut self) {
-        let excess = self.entries.len().saturating_sub(MOST_REQUESTS);
+        let excess = self.entries.len().saturating_sub(MAX_REQUESTS);
         if excess == 0 {
             return;
         }
@@ -652,23 +666,23 @@
     }
 }
 
-fn place(crash: &Crash) -> Place {
+fn key(crash: &Crash) -> CrashKey {
     (crash.server.clone(), crash.witness.clone())
 }
 
 fn list(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
-    entry.crashes.iter().map(|(place, known)| crash(request, place, known, now)).collect()
+    entry.crashes.iter().map(|(key, record)| crash(request, key, record, now)).collect()
 }
 
-fn crash(request: Fingerprint, place: &Place, known: &Known, now: Moment) -> Crash {
-    let (server, witness) = place.clone();
+fn crash(request: Fingerprint, key: &CrashKey, record: &CrashRecord, now: Moment) -> Crash {
+    let (server, witness) = key.clone();
     Crash {
         request,
         server,
         witness,
-        turn: known.turn,
-        isolation: known.isolation,
-        state: known.state,
-        age: known.age(now),
+        turn: record.turn,
+        isolation: record.isolation,
+        state: record.state,
+        age: record.age(now),
     }
 }
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -7,9 +7,9 @@
 use super::{
     Dispatcher,
     choose::Outcome,
-    fleet::Work,
     poison,
     queue::{Class, Key},
+    registry::Work,
     request::{Cause, Change, LEAST_URGENT, Verdict},
     stats::duration,
     task::{Phase, State, Task},
@@ -17,13 +17,13 @@
 use crate::route::Index;
 
 /// Time between two looks at what changes slowly.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between two looks for overdue answers.
-const LOOK: Duration = Duration::from_millis(20);
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Most waiting requests looked at in one go, for each service.
-pub(super) const LOOKED_AT: usize = 256;
+pub(super) const SCAN_LIMIT: usize = 256;
 
 /// What has been found to have no place.
 type Blocked = (Option<Index>, Option<adapter::Id>);
@@ -36,20 +36,20 @@
     /// to wait among it, and every few milliseconds.
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
-        self.fleet.settle(now);
-        if self.ticked + TICK <= now {
+        self.registry.apply_deferred(now);
+        if self.ticked + TICK_INTERVAL <= now {
             self.ticked = now;
-            self.fleet.tick(now);
+            self.registry.tick(now);
             self.poison.expire(now);
         }
-        if self.looked + LOOK <= now {
-            self.looked = now;
-            self.look(now, &mut changes);
+        if self.overdue_checked + OVERDUE_CHECK_INTERVAL <= now {
+            self.overdue_checked = now;
+            self.check_overdue(now, &mut changes);
         }
-        for service in 0..self.fleet.services.len() {
-            if !self.fleet.services[service].queue.is_empty() {
-                self.move_late(service, now);
-                self.place(service, now, &mut changes);
+        for service in 0..self.registry.services.len() {
+            if !self.registry.services[service].queue.is_empty() {
+                self.demote_late(service, now);
+                self.dispatch_waiting(service, now, &mut changes);
                 self.give_up(service, now, &mut changes);
             }
         }
@@ -60,42 +60,44 @@
 
     /// Requests that wait, on all queues.
     pub fn waiting(&self) -> usize {
-        self.fleet.services.iter().map(|service| service.queue.len()).sum()
+        self.registry.services.iter().map(|service| service.queue.len()).sum()
     }
 
     /// What this host has at servers, for peers: by server and model, with the prompt tokens of
     /// requests whose answer has not begun.
     pub fn work(&self) -> Vec<Work> {
         let mut work: BTreeMap<(&backend::Id, &Option<model::Id>), (u32, u64)> = BTreeMap::new();
-        for Task { ask, state, .. } in self.tasks.values() {
-            let State::Flying(flight) = state else { continue };
-            let (requests, unread) = work.entry((&flight.id, &ask.model)).or_default();
+        for Task { spec, state, .. } in self.tasks.values() {
+            let State::InFlight(attempt) = state else { continue };
+            let (requests, prefill) = work.entry((&attempt.id, &spec.model)).or_default();
             *requests += 1;
-            *unread += match flight.phase {
-                Phase::Open | Phase::Overdue => ask.input.into(),
-                Phase::Begun => 0,
+            *prefill += match attempt.phase {
+                Phase::Pending | Phase::Overdue => spec.input.into(),
+                Phase::Responding => 0,
             };
         }
         let work = work.into_iter();
-        work.map(|((id, model), (requests, unread))| (id.clone(), model.clone(), requests, unread))
-            .collect()
+        work.map(|((id, model), (requests, prefill))| {
+            (id.clone(), model.clone(), requests, prefill)
+        })
+        .collect()
     }
 
     /// Models and adapters that requests wait for and no server holds, with their number.
     pub fn missing(&self) -> Vec<Missing> {
-        let waiting = self.fleet.services.iter().flat_map(|service| service.queue.iter());
+        let waiting = self.registry.services.iter().flat_map(|service| service.queue.iter());
         let tasks = waiting.filter_map(|key| self.tasks.get(&key.ticket));
         let mut missing: Vec<Missing> = Vec::new();
         for task in tasks.filter(|task| task.model.is_some()) {
             let is_same = |other: &&mut Missing| {
                 (&other.0, Some(&other.1), &other.2)
-                    == (&task.ask.service, task.ask.model.as_ref(), &task.ask.adapter)
+                    == (&task.spec.service, task.spec.model.as_ref(), &task.spec.adapter)
             };
-            match (missing.iter_mut().find(is_same), &task.ask.model) {
+            match (missing.iter_mut().find(is_same), &task.spec.model) {
                 (Some(other), _) => other.3 += 1,
-                (None, Some(model)) if !self.is_held(task) => {
-                    let ask = &task.ask;
-                    missing.push((ask.service.clone(), model.clone(), ask.adapter.clone(), 1));
+                (None, Some(model)) if !self.has_able_server(task) => {
+                    let spec = &task.spec;
+                    missing.push((spec.service.clone(), model.clone(), spec.adapter.clone(), 1));
                 }
                 (None, _) => {}
             }
@@ -105,23 +107,23 @@
 
     /// Models that requests wait for, with their number.
     pub fn wanted(&self) -> Vec<(service::Id, model::Id, u32)> {
-        let queues = self.fleet.services.iter().map(|service| (&service.id, &service.queue));
+        let queues = self.registry.services.iter().map(|service| (&service.id, &service.queue));
         let wanted = queues.flat_map(|(id, queue)| queue.wanted().map(move |wanted| (id, wanted)));
         wanted
             .filter_map(|(service, (model, count))| {
-                let model = &self.fleet.models[model? as usize];
+                let model = &self.registry.models[model? as usize];
                 Some((service.clone(), model.id.clone(), count))
             })
             .collect()
     }
 
     /// Puts requests that can't be in time any more behind those that can, or gives them up.
-    fn move_late(&mut self, service: usize, now: Moment) {
+    fn demote_late(&mut self, service: usize, now: Moment) {
         for priority in 0..=LEAST_URGENT {
-            while let Some(key) = self.fleet.services[service].queue.missed(priority, now) {
+            while let Some(key) = self.registry.services[service].queue.next_missed(priority, now) {
                 let Some(mut task) = self.take(service, key) else { break };
                 let State::Waiting(_, before) = task.state else { continue };
-                let is_missing = !self.is_held(&task);
+                let is_missing = !self.has_able_server(&task);
                 let until = match self.late_until(&task, now) {
                     _ if is_missing => before,
                     Some(until) => until.min(before),
@@ -134,25 +136,26 @@
     }
 
     /// Sends what has a place now, in order.
-    fn place(&mut self, service: usize, now: Moment, changes: &mut Vec<Change>) {
-        let keys: Vec<Key> = self.fleet.services[service].queue.iter().take(LOOKED_AT).collect();
+    fn dispatch_waiting(&mut self, service: usize, now: Moment, changes: &mut Vec<Change>) {
+        let keys: Vec<Key> =
+            self.registry.services[service].queue.iter().take(SCAN_LIMIT).collect();
         let mut blocked: Vec<Blocked> = Vec::new();
         for key in keys {
             let Some(task) = self.tasks.get(&key.ticket) else { continue };
-            let wants = (task.model, &task.ask.adapter);
+            let wants = (task.model, &task.spec.adapter);
             if blocked.iter().any(|(model, adapter)| (*model, adapter) == wants) {
                 continue;
             }
             // What has no time left is about to be given up.
-            if task.ask.deadline <= now + duration(self.stats(task).base()) {
+            if task.spec.deadline <= now + duration(self.stats(task).base()) {
                 continue;
             }
-            let verdict = match self.poison.standing(task.ask.fingerprint) {
+            let verdict = match self.poison.standing(task.spec.fingerprint) {
                 poison::Standing::Poison => Some(Verdict::Quarantined),
                 poison::Standing::Clear | poison::Standing::Suspect => None,
             };
             let outcome = self.choose(task, now);
-            let is_like_others = task.ask.avoid.is_empty() && !self.is_suspect(task);
+            let is_like_others = task.spec.avoid.is_empty() && !self.is_suspect(task);
             match (verdict, outcome) {
                 (Some(verdict), _) => {
                     self.drop_waiting(service, key);
@@ -168,17 +171,17 @@
                     let verdict = Verdict::Send(self.send(task, choice, now));
                     changes.push(Change { ticket: key.ticket, verdict });
                 }
-                (None, Outcome::Full | Outcome::Nobody) if is_like_others => {
-                    blocked.push((task.model, task.ask.adapter.clone()));
+                (None, Outcome::Full | Outcome::NoServer) if is_like_others => {
+                    blocked.push((task.model, task.spec.adapter.clone()));
                 }
-                (None, Outcome::Full | Outcome::Nobody) => {}
+                (None, Outcome::Full | Outcome::NoServer) => {}
             }
         }
     }
 
     /// Refuses what has waited for too long.
     fn give_up(&mut self, service: usize, now: Moment, changes: &mut Vec<Change>) {
-        while let Some(ticket) = self.fleet.services[service].queue.lapsed(now) {
+        while let Some(ticket) = self.registry.services[service].queue.next_expired(now) {
             let Some(State::Waiting(key, _)) = self.tasks.get(&ticket).map(|task| &task.state)
             else {
                 break;
@@ -195,14 +198,14 @@
 
     /// Whether what was paid for a request's next arrival is still within the budget.
     fn is_covered(&self, task: &Task, now: Moment) -> bool {
-        let budget = &self.fleet.services[task.service as usize].budget;
+        let budget = &self.registry.services[task.service as usize].budget;
         task.payment.is_none() || budget.is_covered(self.sharers.extra(), now)
     }
 
     /// What becomes of a request whose payment isn't within the budget any more.
     fn unpaid(&self, task: &Task, now: Moment) -> Verdict {
         match task.runs {
-            0 => Verdict::Refuse { cause: Cause::Budget, after: self.come_back(task, now) },
+            0 => Verdict::Refuse { cause: Cause::Budget, after: self.retry_after(task, now) },
             _ => Verdict::Unclear,
         }
     }
@@ -218,7 +221,7 @@
     pub(super) fn take(&mut self, service: usize, key: Key) -> Option<Task> {
         let task = self.tasks.remove(&key.ticket)?;
         if let State::Waiting(key, give_up) = &task.state {
-            self.fleet.services[service].queue.remove(*key, task.model, *give_up);
+            self.registry.services[service].queue.remove(*key, task.model, *give_up);
         }
         Some(task)
     }
--- a/crates/policy/src/dispatch/queue.rs
+++ b/crates/policy/src/dispatch/queue.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// It goes on what a server had begun.
-    Begun,
+    Retried,
     /// All.
     OnTime,
     /// A part.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     order: BTreeSet<Key>,
-    lapses: BTreeSet<(Moment, Ticket)>,
+    expiries: BTreeSet<(Moment, Ticket)>,
     counts: Map<Option<Index>, [u32; PRIORITIES]>,
 }
 
@@ -63,7 +63,7 @@
     /// Adds a request that wants this model, until it is given up.
     pub fn add(&mut self, key: Key, model: Option<Index>, give_up: Moment) {
         self.order.insert(key);
-        self.lapses.insert((give_up, key.ticket));
+        self.expiries.insert((give_up, key.ticket));
         self.counts.entry(model).or_default()[usize::from(key.priority)] += 1;
     }
 
@@ -72,7 +72,7 @@
         if !self.order.remove(&key) {
             return;
         }
-        self.lapses.remove(&(give_up, key.ticket));
+        self.expiries.remove(&(give_up, key.ticket));
         if let Some(counts) = self.counts.get_mut(&model) {
             let count = &mut counts[usize::from(key.priority)];
             *count = count.saturating_sub(1);
@@ -94,12 +94,12 @@
     }
 
     /// The next request to be given up, if its time has come.
-    pub fn lapsed(&self, now: Moment) -> Option<Ticket> {
-        self.lapses.first().filter(|(at, _)| *at <= now).map(|(_, ticket)| *ticket)
+    pub fn next_expired(&self, now: Moment) -> Option<Ticket> {
+        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, ticket)| *ticket)
     }
 
     /// The first on-time request of this priority, if it can't be in time any more.
-    pub fn missed(&self, priority: u8, now: Moment) -> Option<Key> {
+    pub fn next_missed(&self, priority: u8, now: Moment) -> Option<Key> {
         let first = Key { priority, class: Class::OnTime, due: Duration::ZERO, ticket: 0 };
         let key = self.order.range(first..).next()?;
         let is_on_time = key.priority == priority && key.class == Class::OnTime;
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -6,8 +6,8 @@
 
 use super::{
     Dispatcher,
-    load::LATELY,
-    pump::LOOKED_AT,
+    load::RECENT_WINDOW,
+    pump::SCAN_LIMIT,
     queue::{Class, Key},
     request::{Cause, Change, LEAST_URGENT, Verdict},
     server::Server,
@@ -19,7 +19,7 @@
 };
 
 /// Time between two looks at what waits for limited servers.
-const LOOK: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Dispatcher {
     /// The quotas of limited servers.
@@ -35,7 +35,7 @@
         sent: Moment,
         now: Moment,
     ) -> Option<quota::Change> {
-        self.fleet.index(id)?;
+        self.registry.index(id)?;
         let change = self.quotas.named(id, limit, sent, now)?;
         self.limit_changed(id, change, now);
         Some(change)
@@ -87,14 +87,14 @@
     /// Sets how many hosts the store lists, whether or not they run.
     pub fn share_listed(&mut self, hosts: u32) {
         self.quotas.listed(hosts);
-        self.sharers.list(hosts);
+        self.sharers.set_listed(hosts);
     }
 
     fn limit_changed(&mut self, id: &backend::Id, change: quota::Change, now: Moment) {
-        let server = self.fleet.index(id).and_then(|index| self.fleet.get_mut(index));
+        let server = self.registry.index(id).and_then(|index| self.registry.get_mut(index));
         let before = server.map_or(0, |server| {
             server.is_limited = change.news.limit.is_some();
-            server.load.sent_since(now.saturating_sub(LATELY))
+            server.load.sent_since(now.saturating_sub(RECENT_WINDOW))
         });
         self.quotas.changed(id, change, before, now);
     }
@@ -132,8 +132,8 @@
 
     /// Refuses what can't be served in time by limited servers alone, and asks for permits.
     pub(super) fn tick_quotas(&mut self, now: Moment, changes: &mut Vec<Change>) {
-        if !self.quotas.is_idle() && self.limits_looked + LOOK <= now {
-            self.limits_looked = now;
+        if !self.quotas.is_idle() && self.limits_checked + CHECK_INTERVAL <= now {
+            self.limits_checked = now;
             self.refuse_limited(now, changes);
             let wants = self.wants();
             wants.iter().for_each(|(id, want)| self.quotas.wait(id, *want));
@@ -144,7 +144,7 @@
     /// Limited servers that take work.
     fn limited(&self) -> impl Iterator<Item = (&backend::Id, &Server)> {
         self.quotas.limited().filter_map(|id| {
-            let server = self.fleet.get(self.fleet.index(id)?)?;
+            let server = self.registry.get(self.registry.index(id)?)?;
             (server.state == types::routed::State::Ready).then_some((id, server))
         })
     }
@@ -156,12 +156,12 @@
             self.quotas.limited().map(|id| (id.clone(), none)).collect();
         for (id, server) in self.limited() {
             let Some(want) = wants.get_mut(id) else { continue };
-            let queue = &self.fleet.services[server.service as usize].queue;
-            let tasks = queue.iter().take(LOOKED_AT);
+            let queue = &self.registry.services[server.service as usize].queue;
+            let tasks = queue.iter().take(SCAN_LIMIT);
             for task in tasks.filter_map(|key| self.tasks.get(&key.ticket)) {
                 if self.is_able(task, server) {
                     want.permits += 1;
-                    want.urgency = want.urgency.min(task.ask.priority);
+                    want.urgency = want.urgency.min(task.spec.priority);
                 }
             }
         }
@@ -179,7 +179,7 @@
     pub(super) fn limited_rate(&self, task: &Task, now: Moment) -> Option<f64> {
         let mut rate = None;
         for index in self.list(task).all() {
-            let Some(server) = self.fleet.get(*index) else { continue };
+            let Some(server) = self.registry.get(*index) else { continue };
             if !self.is_able(task, server) {
                 continue;
             }
@@ -192,16 +192,17 @@
     /// that wait for them, over all hosts.
     fn refuse_limited(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut refused: Vec<(usize, Key, Duration)> = Vec::new();
-        for (service, known) in self.fleet.services.iter().enumerate() {
+        for (service, known) in self.registry.services.iter().enumerate() {
             let mut ahead: BTreeMap<Option<Index>, u32> = BTreeMap::new();
-            for key in known.queue.iter().take(LOOKED_AT) {
+            for key in known.queue.iter().take(SCAN_LIMIT) {
                 let Some(task) = self.tasks.get(&key.ticket) else { continue };
                 let place = ahead.entry(task.model).or_default();
                 let Some(rate) = self.limited_rate(task, now) else { continue };
                 // Hosts with as many requests each take turns.
                 let turn = (task.seed() % 1024) as f64 / 1024.0;
-                let after = self.hopeless_at(task, f64::from(*place) + turn, rate, now);
-                match after.filter(|_| key.class != Class::Begun) {
+                let after =
+                    self.retry_after_if_futile_at(task, f64::from(*place) + turn, rate, now);
+                match after.filter(|_| key.class != Class::Retried) {
                     Some(after) => refused.push((service, key, after)),
                     None => *place += 1,
                 }
--- a/crates/policy/src/dispatch/fleet.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -11,9 +11,9 @@
 use super::{
     Map,
     budget::{Budget, RetryBudgetConfig},
-    held::Absence,
-    list::{List, Side},
-    load::{REPORT_LAG, TOLD_LIFE},
+    list::{Locality, ServerList},
+    load::{LOAD_MAX_AGE, REPORT_LAG},
+    loaded::Absence,
     pace::Median,
     queue::Queue,
     server::Server,
@@ -30,7 +30,7 @@
     /// Its name.
     pub id: service::Id,
     /// Its servers that take work.
-    pub list: List,
+    pub list: ServerList,
     /// Times of its requests, if it is plain.
     pub stats: Stats,
     /// What its servers have in common.
@@ -47,11 +47,11 @@
     /// Its name.
     pub id: model::Id,
     /// Servers that hold it and take work.
-    pub list: List,
+    pub list: ServerList,
     /// Times of its requests.
     pub stats: Stats,
     /// Loads that were ordered: server, adapter, and when it should be there.
-    pub coming: Vec<(Index, Option<adapter::Id>, Moment)>,
+    pub loading: Vec<(Index, Option<adapter::Id>, Moment)>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -62,9 +62,9 @@
 
 /// All servers.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct Registry {
     zone: availability::Id,
-    terms: RetryBudgetConfig,
+    config: RetryBudgetConfig,
     servers: Vec<Option<Server>>,
     free: Vec<Index>,
     ids: Map<backend::Id, Index>,
@@ -77,15 +77,15 @@
     peers: BTreeMap<host::Id, Peer>,
     peers_at: Option<Moment>,
     /// When news of what servers hold count that were put off.
-    news_at: Option<Moment>,
+    deferred_at: Option<Moment>,
 }
 
-impl Fleet {
+impl Registry {
     /// Without servers yet, seen from this zone.
-    pub fn new(zone: availability::Id, terms: RetryBudgetConfig) -> Fleet {
-        Fleet {
+    pub fn new(zone: availability::Id, config: RetryBudgetConfig) -> Registry {
+        Registry {
             zone,
-            terms,
+            config,
             servers: Vec::new(),
             free: Vec::new(),
             ids: Map::default(),
@@ -95,7 +95,7 @@
             model_ids: Map::default(),
             peers: BTreeMap::new(),
             peers_at: None,
-            news_at: None,
+            deferred_at: None,
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// The server with this number if it is still this one.
-    pub fn same(&mut self, index: Index, id: &backend::Id) -> Option<&mut Server> {
+    pub fn get_same(&mut self, index: Index, id: &backend::Id) -> Option<&mut Server> {
         self.get_mut(index).filter(|server| server.id == *id)
     }
 
@@ -137,10 +137,10 @@
         let index = self.services.len() as Index;
         self.services.push(Service {
             id: id.clone(),
-            list: List::default(),
+            list: ServerList::default(),
             stats: Stats::plain(),
             median: Median::default(),
-            budget: Budget::new(self.terms),
+            budget: Budget::new(self.config),
             queue: Queue::default(),
         });
         self.service_ids.insert(id.clone(), index);
@@ -156,9 +156,9 @@
         let index = self.models.len() as Index;
         self.models.push(Model {
             id: id.clone(),
-            list: List::default(),
+            list: ServerList::default(),
             stats: Stats::model(),
-            coming: Vec::new(),
+            loading: Vec::new(),
         });
         self.model_ids.insert(key, index);
         index
@@ -170,18 +170,18 @@
     }
 
     /// Takes in what a server says of itself.
-    pub fn put(&mut self, told: &routed::Server, now: Moment) -> Index {
-        let service = self.service(&told.service);
-        let index = match self.index(&told.id) {
+    pub fn register(&mut self, registration: &routed::Server, now: Moment) -> Index {
+        let service = self.service(&registration.service);
+        let index = match self.index(&registration.id) {
             Some(index) => {
                 if let Some(server) = self.get_mut(index) {
-                    server.update(told);
+                    server.update(registration);
                 }
                 index
             }
-            None => self.add(told, service, now),
+            None => self.add(registration, service, now),
         };
-        self.hold_all(index, &told.models, told.sequence, now);
+        self.apply_models(index, &registration.models, registration.sequence, now);
         index
     }
 
@@ -214,13 +214,13 @@
     /// Takes in a server's report.
     pub fn report(&mut self, index: Index, report: &routed::Report, now: Moment) {
         let Some(server) = self.get_mut(index) else { return };
-        server.load.told(report.running, report.queued, REPORT_LAG, now);
+        server.load.report(report.running, report.queued, REPORT_LAG, now);
         server.load.memory(report.kv_used, report.kv_total, now);
-        self.hold_all(index, &report.models, report.sequence, now);
+        self.apply_models(index, &report.models, report.sequence, now);
     }
 
     /// A server holds this after so many orders.
-    pub fn hold(
+    pub fn mark_loaded(
         &mut self,
         index: Index,
         model: Index,
@@ -229,17 +229,17 @@
         now: Moment,
     ) {
         let Some(server) = self.get_mut(index) else { return };
-        if server.held.is_later(model, adapter, sequence) {
+        if server.models.is_superseded(model, adapter, sequence) {
             return;
         }
-        server.held.put(model, adapter, sequence, now);
-        let coming = &mut self.models[model as usize].coming;
-        coming.retain(|(at, wanted, _)| *at != index || wanted.as_ref() != adapter);
+        server.models.mark_loaded(model, adapter, sequence, now);
+        let loading = &mut self.models[model as usize].loading;
+        loading.retain(|(at, wanted, _)| *at != index || wanted.as_ref() != adapter);
         self.list(index);
     }
 
     /// A server was ordered to load this, and should be done by then.
-    pub fn expect(
+    pub fn mark_loading(
         &mut self,
         index: Index,
         model: Index,
@@ -247,12 +247,12 @@
         ready: Moment,
     ) {
         let Some(server) = self.get_mut(index) else { return };
-        server.held.expect(model);
-        self.models[model as usize].coming.push((index, adapter.cloned(), ready));
+        server.models.mark_loading(model);
+        self.models[model as usize].loading.push((index, adapter.cloned(), ready));
     }
 
     /// A server holds this no more, whatever it reports for a while.
-    pub fn drop(
+    pub fn mark_absent(
         &mut self,
         index: Index,
         model: Index,
@@ -262,52 +262,52 @@
     ) {
         let Some(server) = self.get_mut(index) else { return };
         if let Absence::Ordered(sequence) = why
-            && server.held.is_later(model, adapter, sequence)
+            && server.models.is_superseded(model, adapter, sequence)
         {
             return;
         }
-        server.held.drop(model, adapter, why, now);
+        server.models.mark_absent(model, adapter, why, now);
         if adapter.is_none() {
             self.models[model as usize].list.remove(index);
         }
     }
 
     /// Lets news count that first-hand knowledge has put off until now.
-    pub fn settle(&mut self, now: Moment) {
-        if self.news_at.is_none_or(|at| now < at) {
+    pub fn apply_deferred(&mut self, now: Moment) {
+        if self.deferred_at.is_none_or(|at| now < at) {
             return;
         }
         for index in 0..self.servers.len() as Index {
             let Some(server) = self.get_mut(index) else { continue };
-            if server.held.next_news().is_some_and(|at| at <= now) {
-                server.held.settle(now);
+            if server.models.next_deferred().is_some_and(|at| at <= now) {
+                server.models.apply_deferred(now);
                 self.list(index);
             }
         }
         let servers = self.servers.iter().flatten();
-        self.news_at = servers.filter_map(|server| server.held.next_news()).min();
+        self.deferred_at = servers.filter_map(|server| server.models.next_deferred()).min();
     }
 
     /// Takes in all the work that a peer has, in place of what it told before.
-    pub fn peer(&mut self, host: &host::Id, work: &[Work], now: Moment) {
+    pub fn set_peer_work(&mut self, host: &host::Id, work: &[Work], now: Moment) {
         self.forget_peer(host);
         let work: Vec<(Index, u32, u64)> = work
             .iter()
-            .filter_map(|(id, _, requests, unread)| Some((self.index(id)?, *requests, *unread)))
+            .filter_map(|(id, _, requests, prefill)| Some((self.index(id)?, *requests, *prefill)))
             .collect();
-        for (server, requests, unread) in &work {
+        for (server, requests, prefill) in &work {
             if let Some(server) = self.get_mut(*server) {
-                server.load.peers((*requests, *unread), (0, 0));
+                server.load.peers((*requests, *prefill), (0, 0));
             }
         }
         self.peers.insert(host.clone(), Peer { at: now, work });
-        self.date_peers();
+        self.update_peers_at();
     }
 
     /// So many hosts share the servers, and what peers have in flight is as of now.
-    pub fn meet(&mut self, hosts: u32) {
+    pub fn update_contenders(&mut self, hosts: u32) {
         for server in self.servers.iter_mut().flatten() {
-            server.load.meet(server.slots, hosts);
+            server.load.update_contenders(server.slots, hosts);
         }
     }
 
@@ -316,15 +316,15 @@
         let old: Vec<host::Id> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.at + TOLD_LIFE <= now)
+            .filter(|(_, peer)| peer.at + LOAD_MAX_AGE <= now)
             .map(|(host, _)| host.clone())
             .collect();
         old.iter().for_each(|host| self.forget_peer(host));
-        self.date_peers();
+        self.update_peers_at();
         for model in &mut self.models {
-            model.coming.retain(|(_, _, ready)| now < *ready + TOLD_LIFE);
+            model.loading.retain(|(_, _, ready)| now < *ready + LOAD_MAX_AGE);
         }
-        let Fleet { services, servers, .. } = self;
+        let Registry { services, servers, .. } = self;
         for service in services {
             let paces = service.list.all().iter().filter_map(|at| servers[*at as usize].as_ref());
             service.median = Median::of(paces.map(|server| &server.pace));
@@ -333,21 +333,22 @@
 
     fn forget_peer(&mut self, host: &host::Id) {
         let Some(peer) = self.peers.remove(host) else { return };
-        for (server, requests, unread) in peer.work {
+        for (server, requests, prefill) in peer.work {
             if let Some(server) = self.get_mut(server) {
-                server.load.peers((0, 0), (requests, unread));
+                server.load.peers((0, 0), (requests, prefill));
             }
         }
     }
 
-    fn date_peers(&mut self) {
+    fn update_peers_at(&mut self) {
         let sum: Duration = self.peers.values().map(|peer| peer.at).sum();
         self.peers_at = sum.checked_div(self.peers.len() as u32);
     }
 
-    fn add(&mut self, told: &routed::Server, service: Index, now: Moment) -> Index {
-        let side = if told.zone == self.zone { Side::Near } else { Side::Far };
-        let server = Some(Server::new(told, service, side, now));
+    fn add(&mut self, registration: &routed::Server, service: Index, now: Moment) -> Index {
+        let locality =
+            if registration.zone == self.zone { Locality::SameZone } else { Locality::OtherZone };
+        let server = Some(Server::new(registration, service, locality, now));
         let index = match self.free.pop() {
             Some(index) => {
                 self.servers[index as usize] = server;
@@ -358,11 +359,11 @@
                 self.servers.len() as Index - 1
             }
         };
-        self.ids.insert(told.id.clone(), index);
+        self.ids.insert(registration.id.clone(), index);
         index
     }
 
-    fn hold_all(
+    fn apply_models(
         &mut self,
         index: Index,
         models: &[routed::Held],
@@ -376,31 +377,31 @@
             .collect();
         self.unlist(index);
         if let Some(server) = self.get_mut(index) {
-            server.held.told(models.into_iter(), sequence, now);
-            let next = server.held.next_news();
-            self.news_at = self.news_at.into_iter().chain(next).min();
+            server.models.apply_report(models.into_iter(), sequence, now);
+            let next = server.models.next_deferred();
+            self.deferred_at = self.deferred_at.into_iter().chain(next).min();
         }
         self.list(index);
     }
 
     /// Enters a server that takes work in the lists of its service and models.
     fn list(&mut self, index: Index) {
-        let Fleet { servers, services, models, .. } = self;
+        let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         if server.state == routed::State::Draining {
             return;
         }
-        services[server.service as usize].list.add(index, server.side);
-        for model in server.held.models() {
-            models[model as usize].list.add(index, server.side);
+        services[server.service as usize].list.add(index, server.locality);
+        for model in server.models.indexes() {
+            models[model as usize].list.add(index, server.locality);
         }
     }
 
     fn unlist(&mut self, index: Index) {
-        let Fleet { servers, services, models, .. } = self;
+        let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         services[server.service as usize].list.remove(index);
-        for model in server.held.models() {
+        for model in server.models.indexes() {
             models[model as usize].list.remove(index);
         }
     }
--- a/crates/policy/src/dispatch/routes.rs
+++ b/crates/policy/src/dispatch/routes.rs
@@ -26,13 +26,13 @@
     ///
     /// Prefixes end with a slash, so each candidate is a cut of the path after one of its slashes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
-        let prefixes = self.by_host.get(&*small(host))?;
+        let prefixes = self.by_host.get(&*lowercase(host))?;
         path.rmatch_indices('/').find_map(|(at, _)| prefixes.get(&path[..=at]))
     }
 }
 
 /// In small letters.
-fn small(host: &str) -> Cow<'_, str> {
+fn lowercase(host: &str) -> Cow<'_, str> {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return host.to_ascii_lowercase().into();
     }
--- a/crates/policy/src/dispatch/server.rs
+++ b/crates/policy/src/dispatch/server.rs
@@ -4,11 +4,11 @@
 
 use types::{prelude::*, routed};
 
-use super::{doubt::Doubt, held::Held, list::Side, load::Load, pace::Pace};
+use super::{breaker::Breaker, list::Locality, load::Load, loaded::LoadedModels, pace::Pace};
 use crate::route::Index;
 
 /// How many times slower a server is thought to be for a while after its start.
-const COLD: f64 = 1.6;
+const COLD_START_SLOWDOWN: f64 = 1.6;
 
 /// Silence of a server in doubt after which it is taken for lost, until it answers again. Its
 /// registration stays for seconds.
@@ -24,13 +24,13 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it stands in the host's zone.
-    pub side: Side,
+    pub locality: Locality,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes work.
     pub state: routed::State,
     /// What it holds.
-    pub held: Held,
+    pub models: LoadedModels,
     /// Its work.
     pub load: Load,
     /// Its speed and failures.
@@ -38,7 +38,7 @@
     /// Whether it names a limit.
     pub is_limited: bool,
     /// Whether it is put aside.
-    pub doubt: Doubt,
+    pub breaker: Breaker,
     /// When it last gave any answer to this host.
     pub answered: Moment,
     /// Requests that it has left without an answer for too long, since then.
@@ -48,43 +48,48 @@
 
 impl Server {
     /// A server that has just registered.
-    pub fn new(told: &routed::Server, service: Index, side: Side, now: Moment) -> Server {
+    pub fn new(
+        registration: &routed::Server,
+        service: Index,
+        locality: Locality,
+        now: Moment,
+    ) -> Server {
         Server {
-            id: told.id.clone(),
+            id: registration.id.clone(),
             service,
-            address: told.address,
-            side,
-            slots: told.slots.max(1),
-            state: told.state,
-            held: Held::default(),
+            address: registration.address,
+            locality,
+            slots: registration.slots.max(1),
+            state: registration.state,
+            models: LoadedModels::default(),
             load: Load::default(),
             pace: Pace::default(),
             is_limited: false,
-            doubt: Doubt::default(),
+            breaker: Breaker::default(),
             answered: now,
             unanswered: 0,
-            cold_until: now + told.cold,
+            cold_until: now + registration.cold,
         }
     }
 
     /// What it says of itself now. A server that leaves is not brought back by a late entry.
-    pub fn update(&mut self, told: &routed::Server) {
-        self.address = told.address;
-        self.slots = told.slots.max(1);
-        if told.state == routed::State::Draining {
-            self.state = told.state;
+    pub fn update(&mut self, registration: &routed::Server) {
+        self.address = registration.address;
+        self.slots = registration.slots.max(1);
+        if registration.state == routed::State::Draining {
+            self.state = registration.state;
         }
     }
 
     /// Any answer came from it.
-    pub fn heard(&mut self, now: Moment) {
+    pub fn mark_answered(&mut self, now: Moment) {
         self.answered = now;
         self.unanswered = 0;
     }
 
     /// Whether it is tried and has answered nothing for a while.
     pub fn is_unresponsive(&self, now: Moment) -> bool {
-        self.doubt.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
+        self.breaker.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
     }
 
     /// Whether it has only just started and is slow.
@@ -93,7 +98,7 @@
     }
 
     /// How many times slower it is since it has only just started.
-    pub fn cold(&self, now: Moment) -> f64 {
-        if self.is_cold(now) { COLD } else { 1.0 }
+    pub fn cold_start_slowdown(&self, now: Moment) -> f64 {
+        if self.is_cold(now) { COLD_START_SLOWDOWN } else { 1.0 }
     }
 }
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -10,7 +10,7 @@
 use super::{HostStart, budget::Extra};
 
 /// How long fewer hosts are seen before they share the budgets among themselves.
-const FEWER: Duration = Duration::from_secs(20);
+const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
 /// The largest number of hosts seen lately, and this run's part of what they share.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     }
 
     /// Sets how many hosts the store lists, whether or not they run.
-    pub(super) fn list(&mut self, hosts: u32) {
+    pub(super) fn set_listed(&mut self, hosts: u32) {
         self.listed = hosts;
     }
 
@@ -43,13 +43,13 @@
             self.counts.pop_back();
         }
         self.counts.push_back((now, count.max(1)));
-        while self.counts.front().is_some_and(|(seen, _)| *seen + FEWER <= now) {
+        while self.counts.front().is_some_and(|(seen, _)| *seen + SHRINK_DELAY <= now) {
             self.counts.pop_front();
         }
     }
 
     /// This run has a part: the first at once, a later one when what the one before has spent counts no more.
-    pub(super) fn begin(&mut self, start: HostStart) {
+    pub(super) fn start(&mut self, start: HostStart) {
         self.from.get_or_insert(match start {
             HostStart::First => Duration::ZERO,
             HostStart::Restart => self.window,
--- a/crates/policy/src/dispatch/stats.rs
+++ b/crates/policy/src/dispatch/stats.rs
@@ -3,35 +3,45 @@
 use types::prelude::*;
 
 /// Weight of a new sample once there are many: one in this many.
-const WEIGHT: f64 = 16.0;
+const MAX_SAMPLES: f64 = 16.0;
 
 /// Least part of what is thought that a sample counts for: what was taken off it is a guess.
-const LEAST: f64 = 0.25;
+const MIN_SAMPLE_PART: f64 = 0.25;
 
 /// What is assumed of a model before any request ended, in milliseconds.
-const MODEL: (f64, f64) = (60.0, 1_000.0);
+const MODEL_DEFAULTS_MS: (f64, f64) = (60.0, 1_000.0);
 
 /// What is assumed of a plain service.
-const PLAIN: (f64, f64) = (30.0, 30.0);
+const PLAIN_DEFAULTS_MS: (f64, f64) = (30.0, 30.0);
 
 /// Times of one model or plain service, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Stats {
     base: f64,
     hold: f64,
-    bases: f64,
-    holds: f64,
+    base_samples: f64,
+    hold_samples: f64,
 }
 
 impl Stats {
     /// Of a model.
     pub fn model() -> Stats {
-        Stats { base: MODEL.0, hold: MODEL.1, bases: 1.0, holds: 1.0 }
+        Stats {
+            base: MODEL_DEFAULTS_MS.0,
+            hold: MODEL_DEFAULTS_MS.1,
+            base_samples: 1.0,
+            hold_samples: 1.0,
+        }
     }
 
     /// Of a plain service.
     pub fn plain() -> Stats {
-        Stats { base: PLAIN.0, hold: PLAIN.1, bases: 1.0, holds: 1.0 }
+        Stats {
+            base: PLAIN_DEFAULTS_MS.0,
+            hold: PLAIN_DEFAULTS_MS.1,
+            base_samples: 1.0,
+            hold_samples: 1.0,
+        }
     }
 
     /// Time to the first byte on an idle server of the usual speed, its prompt's reading aside.
@@ -45,16 +55,17 @@
     }
 
     /// A first byte came after so long on an idle server.
-    pub fn first(&mut self, millis: f64) {
-        self.bases = (self.bases + 1.0).min(WEIGHT);
-        self.base =
-            (self.base.ln() + (millis.max(self.base * LEAST) / self.base).ln() / self.bases).exp();
+    pub fn record_first_byte(&mut self, millis: f64) {
+        self.base_samples = (self.base_samples + 1.0).min(MAX_SAMPLES);
+        self.base = (self.base.ln()
+            + (millis.max(self.base * MIN_SAMPLE_PART) / self.base).ln() / self.base_samples)
+            .exp();
     }
 
     /// A request held its place so long, by what was expected of its wait for it.
-    pub fn held(&mut self, millis: f64) {
-        self.holds = (self.holds + 1.0).min(WEIGHT);
-        self.hold += (millis.max(self.hold * LEAST) - self.hold) / self.holds;
+    pub fn record_hold(&mut self, millis: f64) {
+        self.hold_samples = (self.hold_samples + 1.0).min(MAX_SAMPLES);
+        self.hold += (millis.max(self.hold * MIN_SAMPLE_PART) - self.hold) / self.hold_samples;
     }
 }
 
--- a/crates/policy/tests/dispatch/doubt.rs
+++ b/crates/policy/tests/dispatch/breaker.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use types::routed::Kind;
 
-use crate::fixture::{ask, at, plain, sent};
+use crate::fixture::{at, plain, request, sent};
 
 const IDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 
@@ -13,7 +13,7 @@
     let mut got = 0;
     for ticket in from..from + count {
         let now = at(ticket * 250);
-        let server = sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
+        let server = sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
         let (end, millis) = if &*server == "s1" { odd(ticket) } else { (End::Completed, 30) };
         got += usize::from(&*server == "s1");
         let mut passed = 0;
@@ -55,12 +55,12 @@
     let mut host = plain(&["s1", "s2"]);
     for ticket in 0..40 {
         let now = at(ticket * 100);
-        sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
+        sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
         host.ended(ticket, End::ServerError, now + at(30));
         host.pump(now + at(31));
     }
     let used: Vec<_> = (50..54)
-        .map(|n| sent(host.arrive(ask(n, Kind::Idempotent, at(5_000)), at(5_000))))
+        .map(|n| sent(host.arrive(request(n, Kind::Idempotent, at(5_000)), at(5_000))))
         .collect();
     assert!(used.contains(&"s1".into()) && used.contains(&"s2".into()));
 }
@@ -68,24 +68,24 @@
 #[rstest]
 fn a_crashed_server_is_tried_again_after_half_a_second() {
     let mut host = plain(&["s1"]);
-    sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::Idempotent, at(0)), at(0)));
     host.server(&crate::fixture::server("s2", "b", &[]), at(0));
     host.ended(1, End::Unreachable(Unreachable::Refused), at(0));
     for n in 2..4 {
-        assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(400)), at(400))), "s2");
+        assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(400)), at(400))), "s2");
         host.ended(n, End::Completed, at(430));
     }
     // One request tries it, and no other till it has ended.
-    assert_eq!(&*sent(host.arrive(ask(4, Kind::Idempotent, at(600)), at(600))), "s1");
-    assert_eq!(&*sent(host.arrive(ask(5, Kind::Idempotent, at(600)), at(600))), "s2");
+    assert_eq!(&*sent(host.arrive(request(4, Kind::Idempotent, at(600)), at(600))), "s1");
+    assert_eq!(&*sent(host.arrive(request(5, Kind::Idempotent, at(600)), at(600))), "s2");
     host.ended(4, End::Unreachable(Unreachable::Refused), at(601));
-    assert_eq!(&*sent(host.arrive(ask(6, Kind::Idempotent, at(1_200)), at(1_200))), "s2");
+    assert_eq!(&*sent(host.arrive(request(6, Kind::Idempotent, at(1_200)), at(1_200))), "s2");
 }
 
 #[rstest]
 fn a_kept_connection_that_ended_says_nothing_of_its_server() {
     let mut host = plain(&["s1"]);
-    sent(host.arrive(ask(1, Kind::NonIdempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::NonIdempotent, at(0)), at(0)));
     let again = host.attempt_failed(1, End::Unreachable(Unreachable::Closed), at(1));
     assert_eq!(again, RetryDecision::Send("s1".into()));
 }
@@ -93,22 +93,22 @@
 #[rstest]
 fn what_runs_once_tries_no_server_out() {
     let mut host = plain(&["s1"]);
-    sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::Idempotent, at(0)), at(0)));
     host.server(&crate::fixture::server("s2", "b", &[]), at(0));
     host.ended(1, End::Unreachable(Unreachable::Refused), at(0));
-    assert_eq!(&*sent(host.arrive(ask(2, Kind::NonIdempotent, at(700)), at(700))), "s2");
+    assert_eq!(&*sent(host.arrive(request(2, Kind::NonIdempotent, at(700)), at(700))), "s2");
 }
 
 #[rstest]
 fn if_all_are_in_doubt_they_are_used_anyway() {
     let mut host = plain(&["s1", "s2"]);
     for n in 0..2 {
-        sent(host.arrive(ask(n, Kind::Idempotent, at(0)), at(0)));
+        sent(host.arrive(request(n, Kind::Idempotent, at(0)), at(0)));
     }
     for n in 0..2 {
         host.ended(n, End::Unclear(Unclear::Cut), at(1));
     }
-    sent(host.arrive(ask(3, Kind::NonIdempotent, at(2)), at(2)));
+    sent(host.arrive(request(3, Kind::NonIdempotent, at(2)), at(2)));
 }
 
 #[rstest]
@@ -117,7 +117,7 @@
 fn a_server_that_answers_nothing_is_taken_for_lost_until_it_answers(#[case] end: End) {
     let mut host = plain(&["s1"]);
     let try_at = |host: &mut Dispatcher, ticket: u64, end: End| {
-        sent(host.arrive(ask(ticket, Kind::Idempotent, at(ticket)), at(ticket)));
+        sent(host.arrive(request(ticket, Kind::Idempotent, at(ticket)), at(ticket)));
         host.ended(ticket, end, at(ticket + 1));
     };
     try_at(&mut host, 0, End::Completed);
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -13,7 +13,7 @@
 
 use crate::fixture::at;
 
-const TERMS: RetryBudgetConfig =
+const CONFIG: RetryBudgetConfig =
     RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
 
 /// A part of a run that has it from its start on.
@@ -29,26 +29,26 @@
 }
 
 fn spend(budget: &mut Budget, hosts: u32, now: Moment) -> u32 {
-    (0..1000).take_while(|_| pay(budget, Need::Great, part(hosts), now).is_some()).count() as u32
+    (0..1000).take_while(|_| pay(budget, Need::High, part(hosts), now).is_some()).count() as u32
 }
 
 #[rstest]
 fn a_host_without_requests_has_its_part_of_the_extra() {
-    let spent = spend(&mut Budget::new(TERMS), 5, at(0));
+    let spent = spend(&mut Budget::new(CONFIG), 5, at(0));
     assert!((5..=10).contains(&spent), "{spent}");
 }
 
 #[rstest]
 fn a_part_is_kept_for_what_would_be_lost() {
-    let mut budget = Budget::new(TERMS);
-    let withdraw = |budget: &mut Budget| pay(budget, Need::Usual, part(1), at(0));
+    let mut budget = Budget::new(CONFIG);
+    let withdraw = |budget: &mut Budget| pay(budget, Need::Normal, part(1), at(0));
     let usual = (0..1000).take_while(|_| withdraw(&mut budget).is_some()).count();
     assert!(0 < usual && 0 < spend(&mut budget, 1, at(0)));
 }
 
 #[rstest]
 fn what_was_used_comes_back_after_a_whole_window() {
-    let mut budget = Budget::new(TERMS);
+    let mut budget = Budget::new(CONFIG);
     let first = spend(&mut budget, 1, at(0));
     assert_eq!(spend(&mut budget, 1, at(10_000)), 0);
     assert_eq!(spend(&mut budget, 1, at(10_001)), first);
@@ -63,38 +63,38 @@
     #[case] now: u64,
 ) {
     let part = Extra { hosts: 1, from: from.map(at) };
-    let mut budget = Budget::new(TERMS);
-    assert_eq!(pay(&mut budget, Need::Great, part, at(now)), None);
+    let mut budget = Budget::new(CONFIG);
+    assert_eq!(pay(&mut budget, Need::High, part, at(now)), None);
     (0..100).for_each(|_| budget.request(at(now)));
-    assert!(pay(&mut budget, Need::Great, part, at(now)).is_some());
+    assert!(pay(&mut budget, Need::High, part, at(now)).is_some());
 }
 
 #[rstest]
 fn a_retry_counts_until_a_window_after_its_arrival() {
-    let mut budget = Budget::new(TERMS);
-    let whole = spend(&mut Budget::new(TERMS), 1, at(0));
-    let payment = budget.reserve(Need::Great, part(1), at(0)).unwrap();
-    assert_eq!(budget.left(Need::Great, part(1), at(15_000)), f64::from(whole - 1));
+    let mut budget = Budget::new(CONFIG);
+    let whole = spend(&mut Budget::new(CONFIG), 1, at(0));
+    let payment = budget.reserve(Need::High, part(1), at(0)).unwrap();
+    assert_eq!(budget.left(Need::High, part(1), at(15_000)), f64::from(whole - 1));
     budget.arrived(payment, at(15_000));
-    assert_eq!(budget.left(Need::Great, part(1), at(25_000)), f64::from(whole - 1));
-    assert_eq!(budget.left(Need::Great, part(1), at(25_001)), f64::from(whole));
+    assert_eq!(budget.left(Need::High, part(1), at(25_000)), f64::from(whole - 1));
+    assert_eq!(budget.left(Need::High, part(1), at(25_001)), f64::from(whole));
 }
 
 #[rstest]
 fn a_retry_that_never_leaves_is_given_back() {
-    let mut budget = Budget::new(TERMS);
-    let whole = budget.left(Need::Great, part(1), at(0));
-    let payment = budget.reserve(Need::Great, part(1), at(0)).unwrap();
+    let mut budget = Budget::new(CONFIG);
+    let whole = budget.left(Need::High, part(1), at(0));
+    let payment = budget.reserve(Need::High, part(1), at(0)).unwrap();
     budget.refund(payment);
-    assert_eq!(budget.left(Need::Great, part(1), at(0)), whole);
+    assert_eq!(budget.left(Need::High, part(1), at(0)), whole);
 }
 
 /// Three idle hosts lend what they have to a fourth, which asks each in turn.
 #[rstest]
 fn a_host_may_pass_its_share_while_others_lend_theirs() {
-    let share = spend(&mut Budget::new(TERMS), 4, at(0));
-    let mut lenders = vec![Budget::new(TERMS); 3];
-    let mut borrower = Budget::new(TERMS);
+    let share = spend(&mut Budget::new(CONFIG), 4, at(0));
+    let mut lenders = vec![Budget::new(CONFIG); 3];
+    let mut borrower = Budget::new(CONFIG);
     let spent: u32 = (0..20)
         .map(|turn| {
             let now = at(turn * 10);
@@ -113,10 +113,10 @@
 #[case(11_900, false)]
 #[case(12_001, true)]
 fn what_is_lent_is_not_used_by_the_lender(#[case] later: u64, #[case] is_back: bool) {
-    let mut lender = Budget::new(TERMS);
+    let mut lender = Budget::new(CONFIG);
     let lent: u32 = (0..100).map(|_| lender.lend(PORTION, part(1), at(0))).sum();
     assert!(0 < lent);
-    let whole = spend(&mut Budget::new(TERMS), 1, at(0));
+    let whole = spend(&mut Budget::new(CONFIG), 1, at(0));
     let expected = if is_back { whole } else { whole - lent };
     assert_eq!(spend(&mut lender, 1, at(later)), expected);
 }
@@ -125,14 +125,14 @@
 #[case(499, 3)]
 #[case(500, 0)]
 fn a_loan_is_used_soon_or_never(#[case] later: u64, #[case] used: u32) {
-    let mut borrower = Budget::new(RetryBudgetConfig { extra: 0.0, ..TERMS });
+    let mut borrower = Budget::new(RetryBudgetConfig { extra: 0.0, ..CONFIG });
     borrower.borrow(3, at(0) + USABLE, at(0));
     assert_eq!(spend(&mut borrower, 1, at(later)), used);
 }
 
 #[rstest]
 fn a_host_that_is_short_lends_nothing() {
-    let mut budget = Budget::new(TERMS);
+    let mut budget = Budget::new(CONFIG);
     spend(&mut budget, 4, at(0));
     assert_eq!(budget.lend(PORTION, part(4), at(0)), 0);
 }
@@ -186,7 +186,7 @@
 /// which loans are lost on their way.
 fn overdrawn(demand: &[Vec<(u32, u32)>], lost: Option<&[bool]>) -> Option<isize> {
     let steps = demand.iter().map(Vec::len).max().unwrap_or(0);
-    let mut budgets = vec![Budget::new(TERMS); demand.len()];
+    let mut budgets = vec![Budget::new(CONFIG); demand.len()];
     let (all, demand_len) = (demand.len() as u32, demand.len());
     let (mut requests, mut retries) = (vec![0_u32; steps], vec![0_u32; steps]);
     for step in 0..steps {
@@ -206,8 +206,7 @@
             let (arrived, wanted) = demand.get(step).copied().unwrap_or_default();
             (0..arrived).for_each(|_| budget.request(now));
             requests[step] += arrived;
-            let granted =
-                (0..wanted).filter(|_| pay(budget, Need::Great, part(all), now).is_some());
+            let granted = (0..wanted).filter(|_| pay(budget, Need::High, part(all), now).is_some());
             retries[step] += granted.count() as u32;
         }
     }
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -7,13 +7,13 @@
     routed::{Kind, Report, Server},
 };
 
-use crate::fixture::{ask, at, generation, host, plain, report, sent, server};
+use crate::fixture::{at, generation, host, plain, report, request, sent, server};
 
 #[rstest]
 fn work_spreads_over_servers() {
     let mut host = plain(&["s1", "s2", "s3"]);
     let mut used: Vec<_> =
-        (0..3).map(|n| sent(host.arrive(ask(n, Kind::Idempotent, at(0)), at(0)))).collect();
+        (0..3).map(|n| sent(host.arrive(request(n, Kind::Idempotent, at(0)), at(0)))).collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 3);
@@ -24,15 +24,15 @@
     let mut host = plain(&["s1", "s2"]);
     host.peer(&"b".into(), &[("s1".into(), None, 2, 0)], at(0));
     for n in 0..2 {
-        assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(0)), at(0))), "s2");
+        assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(0)), at(0))), "s2");
     }
     host.peer(&"b".into(), &[("s2".into(), None, 2, 0)], at(10));
-    assert_eq!(&*sent(host.arrive(ask(5, Kind::Idempotent, at(10)), at(10))), "s1");
+    assert_eq!(&*sent(host.arrive(request(5, Kind::Idempotent, at(10)), at(10))), "s1");
     // Two places of s1 are taken by now, and what the peer told of s2 is forgotten.
-    sent(host.arrive(ask(6, Kind::Idempotent, at(10)), at(10)));
+    sent(host.arrive(request(6, Kind::Idempotent, at(10)), at(10)));
     (0..2).for_each(|n| host.ended(n, End::Completed, at(20)));
     host.pump(at(2_100));
-    assert_eq!(&*sent(host.arrive(ask(7, Kind::Idempotent, at(2_100)), at(2_100))), "s2");
+    assert_eq!(&*sent(host.arrive(request(7, Kind::Idempotent, at(2_100)), at(2_100))), "s2");
 }
 
 #[rstest]
@@ -40,7 +40,7 @@
     let mut host = plain(&["s1", "s2"]);
     host.server_load(&"s1".into(), 2, 4, 2, at(0));
     for n in 0..3 {
-        assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(1)), at(1))), "s2");
+        assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(1)), at(1))), "s2");
     }
 }
 
@@ -188,11 +188,11 @@
     host.server(&server("far", "b", &[]), at(0));
     for ticket in 0..10 {
         let now = at(ticket * 100);
-        assert_eq!(&*sent(host.arrive(ask(ticket, Kind::Idempotent, now), now)), "near");
+        assert_eq!(&*sent(host.arrive(request(ticket, Kind::Idempotent, now), now)), "near");
         host.ended(ticket, End::Completed, now + at(30));
     }
     host.server_load(&"near".into(), 2, 1, 2, at(2_000));
-    assert_eq!(&*sent(host.arrive(ask(20, Kind::Idempotent, at(2_000)), at(2_000))), "far");
+    assert_eq!(&*sent(host.arrive(request(20, Kind::Idempotent, at(2_000)), at(2_000))), "far");
 }
 
 #[rstest]
@@ -214,7 +214,7 @@
     // It is ready no more, though a late entry says so.
     host.server(&server("s1", "a", &[]), at(1));
     for n in 0..2 {
-        assert_eq!(&*sent(host.arrive(ask(n, Kind::Idempotent, at(1)), at(1))), "s3");
+        assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(1)), at(1))), "s3");
     }
     assert_eq!(host.address(&"s2".into()), None);
 }
@@ -234,8 +234,9 @@
 fn servers_to_be_avoided_are() {
     let mut host = plain(&["s1", "s2"]);
     for n in 0..2 {
-        let ask = RequestSpec { avoid: vec!["s1".into()], ..ask(n, Kind::Idempotent, at(0)) };
-        assert_eq!(&*sent(host.arrive(ask, at(0))), "s2");
+        let request =
+            RequestSpec { avoid: vec!["s1".into()], ..request(n, Kind::Idempotent, at(0)) };
+        assert_eq!(&*sent(host.arrive(request, at(0))), "s2");
     }
 }
 
@@ -244,8 +245,9 @@
 fn ties_are_broken_by_the_request() {
     let ids: Vec<String> = (0..40).map(|n| format!("s{n}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut used: Vec<_> =
-        (0..40).map(|n| sent(plain(&ids).arrive(ask(n, Kind::Idempotent, at(0)), at(0)))).collect();
+    let mut used: Vec<_> = (0..40)
+        .map(|n| sent(plain(&ids).arrive(request(n, Kind::Idempotent, at(0)), at(0))))
+        .collect();
     used.sort();
     used.dedup();
     assert!(15 < used.len(), "{}", used.len());
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -16,7 +16,7 @@
     routed::{Kind, Server},
 };
 
-use crate::fixture::{among, ask, at, server};
+use crate::fixture::{among, at, request, server};
 
 const HOSTS: usize = 82;
 const SERVERS: usize = 3;
@@ -128,9 +128,9 @@
         self.after(gap, Event::Arrive);
         let ticket = u64::from(self.sum.arrived);
         self.sum.arrived += 1;
-        let asked = ask(ticket, Kind::NonIdempotent, self.now);
-        let ask = RequestSpec { goal: GOAL, deadline: self.now + PATIENCE, ..asked };
-        let verdict = self.hosts[host_of(ticket)].arrive(ask, self.now);
+        let asked = request(ticket, Kind::NonIdempotent, self.now);
+        let request = RequestSpec { goal: GOAL, deadline: self.now + PATIENCE, ..asked };
+        let verdict = self.hosts[host_of(ticket)].arrive(request, self.now);
         self.carry_out(ticket, &verdict);
     }
 
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -61,9 +61,9 @@
     }
 }
 
-pub fn ask(ticket: Ticket, kind: Kind, now: Moment) -> RequestSpec {
-    let ask = RequestSpec::new(ticket, &route(kind), &"app".into(), now + PATIENCE);
-    RequestSpec { fingerprint: ticket, ..ask }
+pub fn request(ticket: Ticket, kind: Kind, now: Moment) -> RequestSpec {
+    let request = RequestSpec::new(ticket, &route(kind), &"app".into(), now + PATIENCE);
+    RequestSpec { fingerprint: ticket, ..request }
 }
 
 /// A request for a model.
@@ -72,7 +72,7 @@
         model: Some(model.into()),
         input: 300,
         output: 100,
-        ..ask(ticket, Kind::Stream, now)
+        ..request(ticket, Kind::Stream, now)
     }
 }
 
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -7,7 +7,7 @@
     routed::{Kind, Rate},
 };
 
-use crate::fixture::{PATIENCE, ask, at, plain, sent};
+use crate::fixture::{PATIENCE, at, plain, request, sent};
 
 /// When servers name their limits. A host lends no share of its own right after its start.
 const NAMED: u64 = 10_000;
@@ -24,7 +24,7 @@
 }
 
 fn page(ticket: Ticket, millis: u64) -> RequestSpec {
-    ask(ticket, Kind::Idempotent, at(millis))
+    request(ticket, Kind::Idempotent, at(millis))
 }
 
 /// Requests of one kind that come evenly until a moment, and end 30 ms after they are sent; those sent by
@@ -37,7 +37,7 @@
 
 fn play(host: &mut Dispatcher, every: u64, until: u64) -> Played {
     let mut played = Played::default();
-    let mut flying: Vec<(u64, Ticket)> = Vec::new();
+    let mut in_flight: Vec<(u64, Ticket)> = Vec::new();
     let mut came = std::collections::BTreeMap::new();
     for now in (NAMED..until).step_by(5) {
         let mut verdicts = Vec::new();
@@ -45,7 +45,7 @@
             came.insert(now, now);
             verdicts.push((now, host.arrive(page(now, now), at(now))));
         }
-        flying.retain(|(end, ticket)| {
+        in_flight.retain(|(end, ticket)| {
             let is_over = *end <= now;
             if is_over {
                 host.ended(*ticket, End::Completed, at(now));
@@ -58,7 +58,7 @@
             match verdict {
                 Verdict::Send(server) => {
                     played.sent.push((now, server));
-                    flying.push((now + 30, ticket));
+                    in_flight.push((now + 30, ticket));
                 }
                 Verdict::Refuse { cause, after } => {
                     played.refused.push((at(now - came[&ticket]), cause, after));
@@ -129,8 +129,8 @@
 fn the_urgent_get_the_permits_first() {
     let mut host = limited(&["s1"], &[("s1", 4.0)]);
     for (ticket, priority) in [(1, 5), (2, 0), (3, 3)] {
-        let ask = RequestSpec { priority, ..page(ticket, NAMED) };
-        assert_eq!(host.arrive(ask, at(NAMED)), Verdict::Wait, "{ticket}");
+        let request = RequestSpec { priority, ..page(ticket, NAMED) };
+        assert_eq!(host.arrive(request, at(NAMED)), Verdict::Wait, "{ticket}");
     }
     let mut order = Vec::new();
     for now in (NAMED..NAMED + 900).step_by(5) {
@@ -164,9 +164,9 @@
 fn rejections_of_a_limited_server_put_it_in_no_doubt() {
     let mut host = limited(&["s1", "s2"], &[("s1", 5.0)]);
     let mut rejected = Vec::new();
-    let mut flying = Vec::new();
+    let mut in_flight = Vec::new();
     for now in (NAMED..NAMED + 20_000).step_by(5) {
-        flying.retain(|(end, ticket)| {
+        in_flight.retain(|(end, ticket)| {
             let is_over = *end <= now;
             if is_over {
                 host.ended(*ticket, End::Completed, at(now));
@@ -185,7 +185,7 @@
                     rejected.push(now);
                     host.ended(ticket, End::NotRun(NotRun::Full), at(now));
                 }
-                Verdict::Send(_) => flying.push((now + 30, ticket)),
+                Verdict::Send(_) => in_flight.push((now + 30, ticket)),
                 _ => {}
             }
         }
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
-use crate::fixture::{ask, at, plain, sent, server};
+use crate::fixture::{at, plain, request, sent, server};
 
 const REFUSED: End = End::Unreachable(Unreachable::Refused);
 
@@ -28,7 +28,7 @@
 /// Whether a request whose first attempt didn't run is sent once more.
 fn retry(host: &mut Dispatcher, now: Moment) -> bool {
     let ticket = next_ticket(host);
-    sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
+    sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
     let again = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
     host.ended(ticket, End::Cancelled, now);
     matches!(again, RetryDecision::Send(_))
@@ -56,8 +56,8 @@
 #[rstest]
 fn a_host_that_is_short_asks_another_and_uses_its_loan() {
     let mut host = short();
-    let ask = asked(&mut host, at(10));
-    host.loan_received(&"b".into(), &lends(&ask, 2), at(20));
+    let request = asked(&mut host, at(10));
+    host.loan_received(&"b".into(), &lends(&request, 2), at(20));
     assert!(retry(&mut host, at(30)) && retry(&mut host, at(30)));
     assert!(!retry(&mut host, at(30)));
 }
@@ -65,8 +65,8 @@
 #[rstest]
 fn a_loan_that_comes_late_is_not_used() {
     let mut host = short();
-    let ask = asked(&mut host, at(10));
-    host.loan_received(&"b".into(), &lends(&ask, 2), at(510));
+    let request = asked(&mut host, at(10));
+    host.loan_received(&"b".into(), &lends(&request, 2), at(510));
     assert!(!retry(&mut host, at(510)));
 }
 
@@ -100,9 +100,9 @@
 #[rstest]
 fn a_host_lends_what_it_does_not_need_and_says_so() {
     let mut host = plain(&["s1"]);
-    let ask = Message { service: "app".into(), asked: at(7), content: Content::Ask(8) };
-    host.loan_received(&"b".into(), &ask, at(0));
-    assert_eq!(host.loans_outgoing(), [("b".into(), lends(&ask, 8))]);
+    let request = Message { service: "app".into(), asked: at(7), content: Content::Request(8) };
+    host.loan_received(&"b".into(), &request, at(0));
+    assert_eq!(host.loans_outgoing(), [("b".into(), lends(&request, 8))]);
 }
 
 /// A loan pays for what leaves at once: what waits may arrive when its lender counts it no more.
@@ -112,7 +112,7 @@
     let ask_for = asked(&mut host, at(10));
     host.loan_received(&"b".into(), &lends(&ask_for, 2), at(20));
     let ticket = next_ticket(&host);
-    sent(host.arrive(ask(ticket, Kind::Idempotent, at(30)), at(30)));
+    sent(host.arrive(request(ticket, Kind::Idempotent, at(30)), at(30)));
     assert!(matches!(
         host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), at(30)),
         RetryDecision::Send(_)
@@ -136,7 +136,7 @@
     for ticket in &tickets {
         let deadline = at(20_000);
         sent(host.arrive(
-            RequestSpec { deadline, resume: Some(1), ..ask(*ticket, Kind::Idempotent, at(0)) },
+            RequestSpec { deadline, resume: Some(1), ..request(*ticket, Kind::Idempotent, at(0)) },
             at(0),
         ));
     }
--- a/crates/policy/tests/dispatch/main.rs
+++ b/crates/policy/tests/dispatch/main.rs
@@ -1,9 +1,9 @@
 //! Dispatch of routed requests.
 
+mod breaker;
 mod budget;
 mod choice;
 mod crowd;
-mod doubt;
 mod fixture;
 mod limits;
 mod loans;
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
-use crate::fixture::{ask, at, server};
+use crate::fixture::{at, request, server};
 
 /// Time between two digests to peers.
 const DIGEST: Duration = Duration::from_millis(200);
@@ -69,7 +69,7 @@
     events: BinaryHeap<Reverse<(Moment, Event)>>,
     hosts: Vec<Dispatcher>,
     nodes: Vec<Node>,
-    flights: BTreeMap<Ticket, Moment>,
+    in_flight: BTreeMap<Ticket, Moment>,
     sum: Sum,
 }
 
@@ -104,7 +104,7 @@
             events: BinaryHeap::new(),
             hosts: (0..play.hosts).map(host).collect(),
             nodes: (0..play.servers).map(|_| Node::default()).collect(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sum: Sum::default(),
         };
         world.after(Duration::ZERO, Event::Arrive);
@@ -153,14 +153,14 @@
         self.after(gap, Event::Arrive);
         let ticket = u64::from(self.sum.arrived);
         self.sum.arrived += 1;
-        let ask = RequestSpec {
+        let request = RequestSpec {
             goal: GOAL,
             deadline: self.now + PATIENCE,
-            ..ask(ticket, Kind::NonIdempotent, self.now)
+            ..request(ticket, Kind::NonIdempotent, self.now)
         };
-        self.flights.insert(ticket, self.now);
+        self.in_flight.insert(ticket, self.now);
         let host = self.host_of(ticket);
-        let verdict = self.hosts[host].arrive(ask, self.now);
+        let verdict = self.hosts[host].arrive(request, self.now);
         self.carry_out(ticket, verdict);
     }
 
@@ -176,7 +176,7 @@
 
     fn refused(&mut self, ticket: Ticket) {
         self.sum.refused += 1;
-        let held = self.now - self.flights[&ticket];
+        let held = self.now - self.in_flight[&ticket];
         self.sum.refused_late += u32::from(GOAL < held);
     }
 
@@ -218,7 +218,7 @@
         let (host, now) = (self.host_of(ticket), self.now);
         self.tell_load(server, host);
         self.hosts[host].ended(ticket, End::Completed, now);
-        match now - self.flights[&ticket] {
+        match now - self.in_flight[&ticket] {
             time if time <= GOAL => self.sum.in_time += 1,
             time if time <= PATIENCE => self.sum.late += 1,
             _ => {}
