--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
-use crate::fixture::{ask, at, plain, sent, server};
+use crate::fixture::{at, plain, request, sent, server};
 
 const CUT: End = End::Unclear(Unclear::Cut);
 
@@ -99,7 +99,7 @@
     let mut poison = poison();
     crash(&mut poison, 7, &["s1", "s2"]);
     crash(&mut poison, 8, &["s1"]);
-    poison.try_out(7, 7, &"s3".into());
+    poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
     // In whichever order the connections are found broken.
     crash(&mut poison, 8, &["s3"]);
@@ -118,7 +118,7 @@
 fn a_suspect_that_ends_whole_explains_nothing() {
     let mut poison = poison();
     crash(&mut poison, 7, &["s1", "s2"]);
-    poison.try_out(7, 7, &"s3".into());
+    poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
     crash(&mut poison, 8, &["s3", "s4", "s5"]);
     assert_eq!(poison.standing(8), Standing::Suspect);
@@ -269,7 +269,7 @@
     let mut poisons = hosts::<2>();
     for (poison, request) in poisons.iter_mut().zip([7, 8]) {
         crash(poison, request, &["s1", "s2"]);
-        poison.try_out(1, request, &"s3".into());
+        poison.start_trial(1, request, &"s3".into());
         poison.sent(1, at(0));
         poison.crashed(1, request, &"s3".into(), at(1));
         poison.ended(1, at(1));
@@ -279,7 +279,7 @@
         assert!(poisons.iter().all(|poison| poison.standing(request) == Standing::Suspect));
     }
     // The next run tells which of them it is.
-    poisons[0].try_out(2, 7, &"s4".into());
+    poisons[0].start_trial(2, 7, &"s4".into());
     poisons[0].sent(2, at(10));
     poisons[0].crashed(2, 7, &"s4".into(), at(11));
     poisons[0].ended(2, at(11));
@@ -292,15 +292,15 @@
 fn a_suspect_runs_on_one_host_and_alone_on_its_server() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
-    assert!(poisons[1].is_held_back(7, at(2)));
-    assert!(poisons[1].is_tried(&"s3".into(), at(2)));
+    assert!(poisons[1].must_wait(7, at(2)));
+    assert!(poisons[1].runs_suspect(&"s3".into(), at(2)));
     poisons[0].ended(1, at(3));
     exchange(&mut poisons, at(4));
-    assert!(!poisons[1].is_held_back(7, at(5)));
-    assert!(!poisons[1].is_tried(&"s3".into(), at(5)));
+    assert!(!poisons[1].must_wait(7, at(5)));
+    assert!(!poisons[1].runs_suspect(&"s3".into(), at(5)));
 }
 
 /// The runs before on the same server were void.
@@ -308,11 +308,11 @@
 fn a_crash_counts_on_a_server_that_a_request_ran_on_before() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     poisons[0].ended(1, at(3));
     exchange(&mut poisons, at(4));
-    poisons[1].try_out(1, 7, &"s3".into());
+    poisons[1].start_trial(1, 7, &"s3".into());
     poisons[1].sent(1, at(5));
     poisons[1].crashed(1, 7, &"s3".into(), at(6));
     poisons[1].ended(1, at(6));
@@ -328,7 +328,7 @@
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
     crash(&mut poisons[1], 7, &["s4", "s5"]);
-    poisons[1].try_out(1, 7, &"s3".into());
+    poisons[1].start_trial(1, 7, &"s3".into());
     poisons[1].sent(1, at(1));
     poisons[1].ended(1, at(2));
     exchange(&mut poisons, at(3));
@@ -340,7 +340,7 @@
 fn a_suspect_whose_host_ended_with_its_server_is_refused() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
     let [_, mut other] = poisons;
@@ -352,10 +352,10 @@
 fn a_suspect_whose_host_ended_keeps_nobody_away_for_long() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
-    assert!(!poisons[1].is_held_back(7, at(21_000)));
+    assert!(!poisons[1].must_wait(7, at(21_000)));
 }
 
 #[rstest]
@@ -391,8 +391,9 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         ticket += 2;
-        let innocent = RequestSpec { fingerprint: 1, ..ask(ticket, Kind::Idempotent, now) };
-        let poison = RequestSpec { fingerprint: 666, ..ask(ticket + 1, Kind::NonIdempotent, now) };
+        let innocent = RequestSpec { fingerprint: 1, ..request(ticket, Kind::Idempotent, now) };
+        let poison =
+            RequestSpec { fingerprint: 666, ..request(ticket + 1, Kind::NonIdempotent, now) };
         let first = sent(host.arrive(innocent, now));
         let Verdict::Send(second) = host.arrive(poison, now) else {
             host.ended(ticket, End::Completed, now + at(30));
@@ -411,7 +412,7 @@
         }
     }
     assert_eq!(crashes, POISON);
-    let poison = RequestSpec { fingerprint: 666, ..ask(999, Kind::NonIdempotent, at(20_000)) };
+    let poison = RequestSpec { fingerprint: 666, ..request(999, Kind::NonIdempotent, at(20_000)) };
     assert_eq!(host.arrive(poison, at(20_000)), Verdict::Quarantined);
 }
 
@@ -426,7 +427,7 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         let ticket = round + 1;
-        let poison = RequestSpec { fingerprint: 666, ..ask(ticket, Kind::NonIdempotent, now) };
+        let poison = RequestSpec { fingerprint: 666, ..request(ticket, Kind::NonIdempotent, now) };
         let Verdict::Send(server) = host.arrive(poison, now) else { continue };
         ended += 1;
         host.ended(ticket, end, now + at(100));
@@ -441,7 +442,7 @@
     let mut host = plain(&["s1", "s2"]);
     host.poison_mut().merge(&heard(7, &["x1", "x2"], Isolation::Shared), at(0));
     let suspect =
-        |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
+        |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
     host.sent(1, at(1));
     host.ended(1, End::Cancelled, at(100));
@@ -455,7 +456,8 @@
 #[rstest]
 fn servers_that_cut_all_their_answers_quarantine_nothing_for_long() {
     let mut host = plain(&["s1", "s2", "s3"]);
-    let same = |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::Idempotent, now) };
+    let same =
+        |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::Idempotent, now) };
     sent(host.arrive(same(1, at(0)), at(0)));
     for now in [5, 10, 15] {
         host.answers(1, at(now));
@@ -464,7 +466,7 @@
     assert_eq!(host.poison().standing(7), Standing::Poison);
     for ticket in 2..8 {
         let now = at(20 * ticket);
-        let other = RequestSpec { fingerprint: ticket, ..ask(ticket, Kind::Idempotent, now) };
+        let other = RequestSpec { fingerprint: ticket, ..request(ticket, Kind::Idempotent, now) };
         sent(host.arrive(other, now));
         host.sent(ticket, now);
         host.answers(ticket, now + at(5));
@@ -480,8 +482,8 @@
         let now = at(round * 1_000);
         let id = format!("s{round}");
         host.server(&server(&id, "a", &[]), now);
-        let ask = RequestSpec { fingerprint: 7, ..ask(round, Kind::NonIdempotent, now) };
-        sent(host.arrive(ask, now));
+        let request = RequestSpec { fingerprint: 7, ..request(round, Kind::NonIdempotent, now) };
+        sent(host.arrive(request, now));
         host.draining(&id.as_str().into());
         host.ended(round, CUT, now + at(100));
         host.gone(&id.as_str().into(), now + at(200));
@@ -496,10 +498,10 @@
         host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
     }
     let suspect =
-        |ticket, fingerprint| RequestSpec { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
+        |ticket, fingerprint| RequestSpec { fingerprint, ..request(ticket, Kind::Stream, at(0)) };
     sent(host.arrive(suspect(1, 7), at(0)));
     assert_eq!(host.arrive(suspect(2, 8), at(0)), Verdict::Wait);
-    host.arrive(ask(3, Kind::Stream, at(0)), at(0));
+    host.arrive(request(3, Kind::Stream, at(0)), at(0));
     let tickets = |changes: Vec<Change>| changes.iter().map(|c| c.ticket).collect::<Vec<_>>();
     assert_eq!(tickets(host.pump(at(10))), [3]);
     host.ended(1, End::Completed, at(30));
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -7,15 +7,17 @@
     routed::{Kind, Server},
 };
 
-use crate::fixture::{GOAL, PATIENCE, ask, at, generation, host, plain, sent, server};
+use crate::fixture::{GOAL, PATIENCE, at, generation, host, plain, request, sent, server};
 
 /// Fills all places of one server with requests 0, 1, ..; gives the first number that waits.
 fn fill(host: &mut Dispatcher, now: Moment) -> u64 {
-    (0..100).find(|n| host.arrive(ask(*n, Kind::NonIdempotent, now), now) == Verdict::Wait).unwrap()
+    (0..100)
+        .find(|n| host.arrive(request(*n, Kind::NonIdempotent, now), now) == Verdict::Wait)
+        .unwrap()
 }
 
 fn ranked(ticket: u64, priority: u8, now: Moment) -> RequestSpec {
-    RequestSpec { priority, ..ask(ticket, Kind::Idempotent, now) }
+    RequestSpec { priority, ..request(ticket, Kind::Idempotent, now) }
 }
 
 fn next(host: &mut Dispatcher, ended: u64, now: Moment) -> Vec<u64> {
@@ -37,8 +39,8 @@
     let waiting = fill(&mut host, at(0));
     let late = ranked(11, 2, at(20));
     let soon = RequestSpec { goal: GOAL / 2, ..ranked(12, 2, at(20)) };
-    for ask in [ranked(10, 5, at(20)), late, soon, ranked(13, 0, at(20))] {
-        assert_eq!(host.arrive(ask, at(20)), Verdict::Wait);
+    for request in [ranked(10, 5, at(20)), late, soon, ranked(13, 0, at(20))] {
+        assert_eq!(host.arrive(request, at(20)), Verdict::Wait);
     }
     let order: Vec<_> = (0..3).flat_map(|ended| next(&mut host, ended, at(30 + ended))).collect();
     assert_eq!(order, [13, 12, waiting]);
@@ -51,7 +53,7 @@
 fn what_can_still_be_in_time_goes_before_what_is_late() {
     let mut host = plain(&["s1"]);
     let waiting = fill(&mut host, at(0));
-    assert_eq!(host.arrive(ask(50, Kind::Idempotent, at(390)), at(390)), Verdict::Wait);
+    assert_eq!(host.arrive(request(50, Kind::Idempotent, at(390)), at(390)), Verdict::Wait);
     assert_eq!(host.pump(at(395)), []);
     assert_eq!(next(&mut host, 0, at(400)), [50]);
     assert_eq!(next(&mut host, 1, at(410)), [waiting]);
@@ -78,7 +80,7 @@
     let mut host = plain(&["s1"]);
     fill(&mut host, at(0));
     let mut afters: Vec<Duration> = (100..2_000)
-        .filter_map(|n| match host.arrive(ask(n, Kind::Idempotent, at(1)), at(1)) {
+        .filter_map(|n| match host.arrive(request(n, Kind::Idempotent, at(1)), at(1)) {
             Verdict::Refuse { cause: Cause::Full, after } => Some(after),
             _ => None,
         })
@@ -93,7 +95,7 @@
 #[rstest]
 fn nothing_is_refused_while_there_is_a_place() {
     let mut host = plain(&["s1", "s2"]);
-    let hasty = RequestSpec { deadline: at(5), ..ask(1, Kind::NonIdempotent, at(0)) };
+    let hasty = RequestSpec { deadline: at(5), ..request(1, Kind::NonIdempotent, at(0)) };
     sent(host.arrive(hasty, at(0)));
 }
 
--- a/crates/policy/tests/dispatch/reading.rs
+++ b/crates/policy/tests/dispatch/reading.rs
@@ -118,11 +118,12 @@
             inputs.push(input);
             world.arrived += 1;
             let host = random.random_range(0..HOSTS);
-            let ask = generation(ticket, MODEL, at(millis));
+            let request = generation(ticket, MODEL, at(millis));
             let (pause, goal) = (Some(PAUSE), Duration::from_millis(800));
             let deadline = at(millis + 8_000);
-            let ask = RequestSpec { input, pause, goal, deadline, fingerprint: ticket, ..ask };
-            let verdict = world.hosts[host].arrive(ask, at(millis));
+            let request =
+                RequestSpec { input, pause, goal, deadline, fingerprint: ticket, ..request };
+            let verdict = world.hosts[host].arrive(request, at(millis));
             world.carry_out(host, ticket, input, &verdict);
         }
         for host in 0..HOSTS {
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use types::{host, routed::Kind};
 
-use crate::fixture::{ask, at, generation, host, plain, sent, server};
+use crate::fixture::{at, generation, host, plain, request, sent, server};
 
 const CUT: End = End::Unclear(Unclear::Cut);
 const SILENT: End = End::Unclear(Unclear::Silent);
@@ -33,7 +33,7 @@
 ) {
     let start = || {
         let mut host = servers();
-        let first = sent(host.arrive(RequestSpec { resumable, ..ask(1, kind, at(0)) }, at(0)));
+        let first = sent(host.arrive(RequestSpec { resumable, ..request(1, kind, at(0)) }, at(0)));
         (host, first)
     };
     for end in repeated {
@@ -57,14 +57,14 @@
 #[case::unclear(Kind::NonIdempotent, CUT, Answer::Unclear)]
 fn the_answer_says_what_is_known(#[case] kind: Kind, #[case] end: End, #[case] expected: Answer) {
     let mut host = servers();
-    sent(host.arrive(ask(1, kind, at(0)), at(0)));
+    sent(host.arrive(request(1, kind, at(0)), at(0)));
     assert_eq!(host.attempt_failed(1, end, at(10)), RetryDecision::GiveUp(expected));
 }
 
 #[rstest]
 fn servers_that_may_have_run_it_are_bounded_by_the_route() {
     let mut host = servers();
-    sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::Idempotent, at(0)), at(0)));
     assert!(matches!(host.attempt_failed(1, SILENT, at(10)), RetryDecision::Send(_)));
     assert!(matches!(host.attempt_failed(1, SILENT, at(20)), RetryDecision::Send(_)));
     assert_eq!(host.attempt_failed(1, SILENT, at(30)), RetryDecision::GiveUp(Answer::Unclear));
@@ -82,7 +82,7 @@
 fn a_request_that_is_given_up_for_the_budget_says_so() {
     let mut host = servers();
     let mut refused = (0..1_000).map(|ticket| {
-        sent(host.arrive(ask(ticket, Kind::NonIdempotent, at(0)), at(0)));
+        sent(host.arrive(request(ticket, Kind::NonIdempotent, at(0)), at(0)));
         let again = host.attempt_failed(ticket, OTHER_MODEL, at(1));
         host.ended(ticket, End::Cancelled, at(1));
         again
@@ -93,14 +93,14 @@
 #[rstest]
 fn a_request_that_is_given_up_for_its_time_says_so() {
     let mut host = servers();
-    sent(host.arrive(ask(1, Kind::NonIdempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::NonIdempotent, at(0)), at(0)));
     assert_eq!(cause(host.attempt_failed(1, FULL, at(3_990))), Some(Cause::Late));
 }
 
 #[rstest]
 fn a_request_that_no_server_ran_says_so_in_the_end() {
     let mut host = servers();
-    sent(host.arrive(ask(1, Kind::NonIdempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::NonIdempotent, at(0)), at(0)));
     let last = (1..20)
         .map(|n| host.attempt_failed(1, FULL, at(n)))
         .find(|a| !matches!(a, RetryDecision::Send(_)));
@@ -110,7 +110,7 @@
 #[rstest]
 fn nothing_is_repeated_without_time() {
     let mut host = servers();
-    sent(host.arrive(ask(1, Kind::Idempotent, at(0)), at(0)));
+    sent(host.arrive(request(1, Kind::Idempotent, at(0)), at(0)));
     assert!(matches!(host.attempt_failed(1, CUT, at(3_990)), RetryDecision::GiveUp(_)));
 }
 
@@ -120,7 +120,7 @@
     let mut tickets = 0..;
     let mut one = |end| {
         let ticket = tickets.next().unwrap();
-        host.arrive(ask(ticket, Kind::Idempotent, at(0)), at(0));
+        host.arrive(request(ticket, Kind::Idempotent, at(0)), at(0));
         let again = host.attempt_failed(ticket, end, at(1));
         host.ended(ticket, End::Cancelled, at(1));
         again
@@ -161,7 +161,7 @@
     }
     let now = at(seconds * 1_000);
     let granted = (0..60).filter(|ticket| {
-        sent(host.arrive(ask(*ticket, Kind::Idempotent, now), now));
+        sent(host.arrive(request(*ticket, Kind::Idempotent, now), now));
         let again = host.attempt_failed(*ticket, End::NotRun(NotRun::NotHeld), now);
         host.ended(*ticket, End::Cancelled, now);
         matches!(again, RetryDecision::Send(_))
@@ -200,7 +200,7 @@
     let mut host = plain(&["s1", "s2"]);
     let mut sent_to = std::collections::BTreeMap::new();
     let waiting = (0..20)
-        .find(|n| match host.arrive(ask(*n, Kind::Idempotent, at(0)), at(0)) {
+        .find(|n| match host.arrive(request(*n, Kind::Idempotent, at(0)), at(0)) {
             policy::dispatch::Verdict::Send(server) => {
                 sent_to.insert(*n, server);
                 false
@@ -221,9 +221,9 @@
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &["x"])]), at(0));
     host.server(&server("s2", "a", &[("m1", &[])]), at(0));
-    let ask =
+    let request =
         RequestSpec { adapter: Some("x".into()), resumable: true, ..generation(1, "m1", at(0)) };
-    assert_eq!(&*sent(host.arrive(ask, at(0))), "s1");
+    assert_eq!(&*sent(host.arrive(request, at(0))), "s1");
     let again = host.attempt_failed(1, CUT, at(10));
     assert_eq!(again, RetryDecision::Missing { model: "m1".into(), adapter: Some("x".into()) });
     host
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -13,7 +13,7 @@
 use types::{prelude::*, routed::Kind};
 
 use crate::{
-    fixture::{ask, at, server},
+    fixture::{at, request, server},
     rule::{Excess, overdrawn},
 };
 
@@ -73,7 +73,7 @@
     dispatcher: Dispatcher,
     born: Moment,
     /// Requests at servers, by the step at which they are answered.
-    flights: BTreeMap<usize, Vec<Ticket>>,
+    in_flight: BTreeMap<usize, Vec<Ticket>>,
 }
 
 impl Host {
@@ -87,7 +87,7 @@
         });
         dispatcher.share_listed(hosts as u32);
         dispatcher.registered(start);
-        Host { dispatcher, born, flights: BTreeMap::new() }
+        Host { dispatcher, born, in_flight: BTreeMap::new() }
     }
 }
 
@@ -233,7 +233,7 @@
 
     fn answer(&mut self, host: usize, second: Second) {
         let now = self.time(host);
-        let Some(tickets) = self.hosts[host].flights.remove(&self.step) else { return };
+        let Some(tickets) = self.hosts[host].in_flight.remove(&self.step) else { return };
         for ticket in tickets {
             let dispatcher = &mut self.hosts[host].dispatcher;
             let end = match second {
@@ -267,7 +267,7 @@
             deadline: now + PATIENCE,
             attempts: 4,
             resume,
-            ..ask(ticket, Kind::Idempotent, now)
+            ..request(ticket, Kind::Idempotent, now)
         };
         if let Verdict::Send(_) = self.hosts[host].dispatcher.arrive(asked, now) {
             self.arrive(host, ticket);
@@ -282,7 +282,7 @@
         }
         *before += 1;
         let done = self.step + self.plan.work;
-        self.hosts[host].flights.entry(done).or_default().push(ticket);
+        self.hosts[host].in_flight.entry(done).or_default().push(ticket);
     }
 }
 
@@ -400,9 +400,9 @@
     let plan = Plan::new(hosts, [seconds(25, calm), seconds(10, failing)].concat());
     let world = World::new(plan).play();
     assert_eq!(world.excess(), None);
-    let terms = RetryBudgetConfig::default();
-    let requests = (2 * hosts * STEPS_A_SECOND) as f64 * terms.window.as_secs_f64();
-    let allowed = terms.ratio * requests + terms.extra;
+    let config = RetryBudgetConfig::default();
+    let requests = (2 * hosts * STEPS_A_SECOND) as f64 * config.window.as_secs_f64();
+    let allowed = config.ratio * requests + config.extra;
     let used = world.retries.len() as f64;
     assert!(0 < world.refused && 0.4 * allowed < used, "{used} of {allowed}");
 }
--- a/crates/policy/tests/dispatch/rule.rs
+++ b/crates/policy/tests/dispatch/rule.rs
@@ -18,9 +18,9 @@
 pub fn overdrawn(
     requests: &[Moment],
     retries: &[Moment],
-    terms: &RetryBudgetConfig,
+    config: &RetryBudgetConfig,
 ) -> Option<Excess> {
-    let window = terms.window;
+    let window = config.window;
     let count = |times: &[Moment], end: Moment| {
         let from = times.partition_point(|at| *at + window < end);
         let to = times.partition_point(|at| *at <= end);
@@ -29,7 +29,7 @@
     let excess = |end: Moment| {
         let ends = [Some(end), end.checked_sub(window / 2), end.checked_sub(window)];
         let paying = ends.into_iter().flatten().map(|end| count(requests, end)).max();
-        let allowed = terms.ratio * paying.unwrap_or(0) as f64 + terms.extra;
+        let allowed = config.ratio * paying.unwrap_or(0) as f64 + config.extra;
         let retries = count(retries, end);
         (allowed < retries as f64).then_some(Excess { end, retries, allowed })
     };
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -6,13 +6,13 @@
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
-use crate::fixture::{ask, at, plain, sent};
+use crate::fixture::{at, plain, request, sent};
 
 /// Two requests at one server, which then says nothing.
 fn dark(kind: Kind, resumable: bool) -> Dispatcher {
     let mut host = plain(&["s1"]);
     for ticket in 0..2 {
-        sent(host.arrive(RequestSpec { resumable, ..ask(ticket, kind, at(0)) }, at(0)));
+        sent(host.arrive(RequestSpec { resumable, ..request(ticket, kind, at(0)) }, at(0)));
     }
     host.server(&crate::fixture::server("s2", "b", &[]), at(1));
     host
@@ -34,7 +34,7 @@
     assert!(left.iter().all(|(_, now)| at(500) < *now && *now < at(1_000)), "{left:?}");
     let again = host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_000));
     assert_eq!(again, RetryDecision::Send("s2".into()));
-    assert_eq!(&*sent(host.arrive(ask(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
+    assert_eq!(&*sent(host.arrive(request(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
 }
 
 /// A server is left only for another that takes the request: what had left and then found none was
@@ -44,7 +44,7 @@
     let mut host = dark(Kind::Idempotent, false);
     for ticket in 2..200 {
         // They fill the second server, and wait then.
-        host.arrive(ask(ticket, Kind::NonIdempotent, at(2)), at(2));
+        host.arrive(request(ticket, Kind::NonIdempotent, at(2)), at(2));
     }
     assert_eq!(leaves(&mut host, at(0)), []);
     assert_eq!(host.leave(0, at(3_000)), None);
@@ -61,8 +61,8 @@
     let mut host = dark(Kind::Stream, true);
     let most = 10_000;
     let retries = (10..most).find(|ticket| {
-        let ask = RequestSpec { attempts: 2, ..ask(*ticket, Kind::Idempotent, at(2)) };
-        let Verdict::Send(_) = host.arrive(ask, at(2)) else { return true };
+        let request = RequestSpec { attempts: 2, ..request(*ticket, Kind::Idempotent, at(2)) };
+        let Verdict::Send(_) = host.arrive(request, at(2)) else { return true };
         let is_spent = matches!(
             host.attempt_failed(*ticket, End::Unclear(Unclear::Cut), at(2)),
             RetryDecision::GiveUp(_)
@@ -99,11 +99,11 @@
 #[rstest]
 fn an_answer_that_is_lost_alone_is_given_up_while_others_come() {
     let mut host = plain(&["s1", "s2"]);
-    let first = sent(host.arrive(ask(0, Kind::Idempotent, at(0)), at(0)));
+    let first = sent(host.arrive(request(0, Kind::Idempotent, at(0)), at(0)));
     let mut left: Vec<Change> = Vec::new();
     for ticket in 1..60 {
         let now = at(ticket * 50);
-        sent(host.arrive(ask(ticket, Kind::Idempotent, now), now));
+        sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
         host.ended(ticket, End::Completed, now + at(30));
         left.extend(host.pump(now + at(30)));
     }
