--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,14 +1,15 @@
-//! Dispatch of requests that are routed by host and path.
+//! Dispatch of requests that are routed by host name and path.
 //!
-//! One [`Dispatcher`] stands in each host. It knows the routes in force, the servers with what they
-//! hold and how much they have to do, and the requests of this host, and decides for each request
-//! where it goes, whether it waits here, or that it is refused. It has no I/O and no clock: what
-//! happens is told to it, with the time.
+//! Each host has one [`Dispatcher`]. It knows the routes in force, the servers with their models
+//! and load, and the requests of this host. For each request it decides which server gets it,
+//! whether it waits in a queue on this host, or that it is refused. It does no I/O and reads no
+//! clock: events are passed in together with the time.
 //!
-//! A request's life is [`arrive`](Dispatcher::arrive), perhaps a wait that
-//! [`pump`](Dispatcher::pump) ends, [`sent`](Dispatcher::sent), [`first_byte`](Dispatcher::first_byte), and
-//! either [`ended`](Dispatcher::ended) or, after a failed attempt, [`attempt_failed`](Dispatcher::attempt_failed).
-//! The reasons behind the figures are in `docs/design/dispatch.md`.
+//! A request goes through [`arrive`](Dispatcher::arrive), possibly a wait that
+//! [`pump`](Dispatcher::pump) ends, [`sent`](Dispatcher::sent),
+//! [`first_byte`](Dispatcher::first_byte), and then either [`ended`](Dispatcher::ended) or, after a
+//! failed attempt, [`attempt_failed`](Dispatcher::attempt_failed). The reasons behind the constants
+//! are in `docs/design/dispatch.md`.
 
 mod account;
 mod arrive;
@@ -72,42 +73,42 @@
     },
 };
 
-/// A map without random state; its order never shows.
+/// A map with a fixed hasher seed. Its iteration order never affects a decision.
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
-/// Prompt parts remembered in one generation.
+/// Prompt prefixes remembered in each generation of the hints.
 const PREFIX_HINTS: usize = 4096;
 
-/// How long a server is thought to keep a part of a prompt.
+/// How long a server is assumed to keep a prompt prefix in its cache.
 const PREFIX_HINT_LIFE: Duration = Duration::from_secs(60);
 
-/// How long fewer hosts are seen before they count.
+/// How long a lower number of hosts must be seen before it takes effect.
 const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
-/// Most hosts that hear of each other's requests so soon that they don't crowd a server.
+/// Most hosts that exchange their requests in flight fast enough not to overload a server together.
 const MAX_UNCONTENDED_HOSTS: u32 = 16;
 
-/// What a host is told at its start.
+/// Settings of a host's dispatcher, fixed for the life of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The host.
+    /// The host's id.
     pub host: host::Id,
-    /// Its run.
+    /// The run of the host, which tells its messages from those of earlier runs.
     pub run: host::Incarnation,
-    /// The host's availability zone.
+    /// The host's availability zone; its servers are preferred.
     pub zone: availability::Id,
-    /// Hosts that there are until others are known.
+    /// Number of hosts to assume until others have been observed.
     pub hosts: u32,
-    /// RetryBudgetConfig of the retry budget.
+    /// Limits of the retry budget of each service.
     pub retries: RetryBudgetConfig,
 }
 
-/// A run of a host, as the store knows its name.
+/// Whether the host's name was registered in the store before this start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStart {
-    /// The first under this name.
+    /// The first start under this name.
     First,
-    /// A later one, which doesn't know what the one before has spent.
+    /// A later start, which doesn't know what the run before has spent of the retry budgets.
     Restart,
 }
 
@@ -118,7 +119,7 @@
     hosts: u32,
     /// Hosts that share the retry budgets.
     sharers: Sharers,
-    /// Fewer hosts that there seem to be, and since when.
+    /// The highest of the numbers below [`hosts`](Self::hosts) observed lately, and since when.
     lower_count: Option<(u32, Moment)>,
     version: Option<routed::Version>,
     routes: Routes,
@@ -130,12 +131,12 @@
     loans: Borrowing,
     ticked: Moment,
     overdue_checked: Moment,
-    /// When what waits for limited servers was last looked at.
+    /// When the requests that wait for limited servers were last checked.
     limits_checked: Moment,
 }
 
 impl Dispatcher {
-    /// With nothing known yet.
+    /// Creates a dispatcher without routes, servers or requests.
     pub fn new(settings: Settings) -> Dispatcher {
         let bounds =
             hints::Bounds { generation: PREFIX_HINTS, life: PREFIX_HINT_LIFE, block_tokens: 1 };
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Takes in a declaration, unless a later one is in force.
+    /// Applies a declaration unless a newer one is in force.
     pub fn declare(&mut self, declaration: &Declaration) {
         if self.version.is_some_and(|version| declaration.version < version) {
             return;
@@ -169,17 +170,18 @@
         }
     }
 
-    /// Number of the declaration in force.
+    /// Version of the declaration in force.
     pub fn version(&self) -> Option<routed::Version> {
         self.version
     }
 
-    /// The route of a request: the longest prefix of its path among those of its host.
+    /// Returns the route with the longest prefix of the path among the routes of the host name.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.find(host, path)
     }
 
-    /// Sets how many hosts share the servers. More count at once, fewer only after [`FEWER`].
+    /// Sets how many hosts share the servers. A higher number takes effect at once, a lower one
+    /// only after [`SHRINK_DELAY`].
     pub fn hosts(&mut self, count: u32) {
         let count = count.max(1);
         self.lower_count = match self.lower_count {
@@ -197,13 +199,14 @@
         }
     }
 
-    /// The store knows this run by its name, so that the next one is a later one. A run that isn't known has no part of
-    /// the retries besides those for its requests.
+    /// Records that this run is registered in the store, so that the next start is a
+    /// [`HostStart::Restart`]. A run that isn't registered has no share of the extra retries, only
+    /// those that its own requests pay for.
     pub fn registered(&mut self, start: HostStart) {
         self.sharers.start(start);
     }
 
-    /// What a server says of itself.
+    /// Applies a server's registration.
     pub fn server(&mut self, server: &routed::Server, now: Moment) {
         let index = self.registry.register(server, now);
         if let Some(known) = self.registry.get_mut(index) {
@@ -214,27 +217,28 @@
         }
     }
 
-    /// Whether a server is known and not known to leave.
+    /// Whether a server is known and not draining.
     pub fn is_ready(&self, id: &backend::Id) -> bool {
         let server = self.registry.index(id).and_then(|index| self.registry.get(index));
         server.is_some_and(|server| server.state == routed::State::Ready)
     }
 
-    /// A server takes nothing new.
+    /// Records that a server takes no new requests.
     pub fn draining(&mut self, id: &backend::Id) {
         if let Some(index) = self.registry.index(id) {
             self.registry.drain(index);
         }
     }
 
-    /// A server takes work again: its entry was written after it was said to leave.
+    /// Records that a server takes requests again: its registration was written after the message
+    /// that it leaves.
     pub fn resume(&mut self, id: &backend::Id) {
         if let Some(index) = self.registry.index(id) {
             self.registry.resume(index);
         }
     }
 
-    /// A server is gone.
+    /// Removes a server.
     pub fn gone(&mut self, id: &backend::Id, now: Moment) {
         self.quotas.forget(id);
         if let Some(index) = self.registry.index(id) {
@@ -244,20 +248,20 @@
         }
     }
 
-    /// A server's registration ended though it did not say that it leaves.
+    /// Records that a server's registration ended without notice.
     pub fn unregistered(&mut self, id: &backend::Id, now: Moment) {
         if let Some(index) = self.registry.index(id) {
             self.ended_unannounced(index, id, now);
         }
     }
 
-    /// Charges what may have crashed a server that ended without a word.
+    /// Charges the requests that may have crashed a server which ended without draining.
     fn ended_unannounced(&mut self, index: Index, id: &backend::Id, now: Moment) {
         let Some(server) = self.registry.get(index) else { return };
         if server.state == routed::State::Draining {
             return;
         }
-        // One that still answers may be about to leave.
+        // A server that still answers may be about to drain.
         if server.is_unresponsive(now) {
             let in_flight = self.tasks.values().filter_map(|task| match &task.state {
                 State::InFlight(attempt) if attempt.id == *id => Some(&task.spec),
@@ -270,19 +274,19 @@
         self.poison.gone(id, now);
     }
 
-    /// Where a server listens.
+    /// The address at which a server listens.
     pub fn address(&self, id: &backend::Id) -> Option<SocketAddr> {
         self.registry.get(self.registry.index(id)?).map(|server| server.address)
     }
 
-    /// A server's report, from itself or by way of a peer.
+    /// Applies a server's load report, received from the server or through a peer.
     pub fn report(&mut self, id: &backend::Id, report: &routed::Report, now: Moment) {
         if let Some(index) = self.registry.index(id) {
             self.registry.report(index, report, now);
         }
     }
 
-    /// The load that a server told with an answer.
+    /// Applies the load that a server sent along with a response.
     pub fn server_load(
         &mut self,
         id: &backend::Id,
@@ -298,19 +302,19 @@
         }
     }
 
-    /// Age of what a server last told of its work.
+    /// Age of the newest load that a server reported.
     pub fn report_age(&self, id: &backend::Id, now: Moment) -> Option<Duration> {
         let server = self.registry.get(self.registry.index(id)?)?;
         server.load.reported_at().map(|at| now.saturating_sub(at))
     }
 
-    /// Servers that are tried and have answered nothing for a while.
+    /// Servers whose circuit breaker is tripped and that have answered nothing for a second.
     pub fn unresponsive(&self, now: Moment) -> Vec<backend::Id> {
         let unresponsive = self.registry.servers().filter(|server| server.is_unresponsive(now));
         unresponsive.map(|server| server.id.clone()).collect()
     }
 
-    /// All that a peer has in flight, in place of what it told before.
+    /// Replaces the requests that a peer has in flight by those of its newest digest.
     pub fn peer(&mut self, host: &host::Id, work: &[Work], now: Moment) {
         self.registry.set_peer_work(host, work, now);
         if MAX_UNCONTENDED_HOSTS < self.hosts {
@@ -318,20 +322,21 @@
         }
     }
 
-    /// What this host has used of each service's retry budget since its start.
+    /// Requests and retries of each service on this host since its start.
     pub fn retry_totals(&self) -> Vec<(service::Id, RetryTotals)> {
         let services = self.registry.services.iter();
         services.map(|service| (service.id.clone(), service.budget.totals())).collect()
     }
 
-    /// How the retry budget of each service stands on this host.
+    /// State of each service's retry budget on this host.
     pub fn retry_budgets(&self, now: Moment) -> Vec<(service::Id, RetryBudgetStatus)> {
         let services = self.registry.services.iter();
         let status = |budget: &Budget| budget.status(self.sharers.extra(), now);
         services.map(|service| (service.id.clone(), status(&service.budget))).collect()
     }
 
-    /// A server holds a model, or an adapter on it, after so many orders.
+    /// Records that a server has loaded a model, or an adapter on it, as of one of its order
+    /// sequence numbers.
     pub fn model_loaded(
         &mut self,
         id: &backend::Id,
@@ -345,7 +350,8 @@
         }
     }
 
-    /// A server is about to drop a model, or an adapter on it, after so many orders.
+    /// Records that a server was ordered to unload a model, or an adapter on it, by the order of
+    /// this sequence number.
     pub fn model_unloading(
         &mut self,
         id: &backend::Id,
@@ -359,7 +365,8 @@
         }
     }
 
-    /// A server was ordered to load a model, or an adapter on it, and should be done by then.
+    /// Records that a server was ordered to load a model, or an adapter on it, with the expected
+    /// time of completion.
     pub fn model_loading(
         &mut self,
         id: &backend::Id,
@@ -377,7 +384,7 @@
         &self.poison
     }
 
-    /// Requests that crash servers, to be changed by what others know of them.
+    /// Requests that crash servers, for merging what other hosts and the store know.
     pub fn poison_mut(&mut self) -> &mut Poison {
         &mut self.poison
     }
--- a/crates/policy/src/dispatch/list.rs
+++ b/crates/policy/src/dispatch/list.rs
@@ -2,27 +2,25 @@
 
 use crate::route::Index;
 
-/// Most servers that are looked at for one request, unless none of them has a place.
+/// Most servers examined for one request, unless none of these has a place.
 pub const MAX_SAMPLE: usize = 24;
 
-/// Servers by number.
+/// Servers by index; the first [`same_zone`](Self::same_zone) of them are in the host's own zone.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     servers: Vec<Index>,
     same_zone: usize,
 }
 
-/// Which zone a server stands in.
+/// Whether a server is in the host's own zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Locality {
-    /// The host's own.
     SameZone,
-    /// Another.
     OtherZone,
 }
 
 impl ServerList {
-    /// Adds a server that may be there.
+    /// Adds a server unless it is listed already.
     pub fn add(&mut self, server: Index, locality: Locality) {
         if self.servers.contains(&server) {
             return;
@@ -36,7 +34,7 @@
         }
     }
 
-    /// Removes a server that may not be there.
+    /// Removes a server if it is listed.
     pub fn remove(&mut self, server: Index) {
         let Some(at) = self.servers.iter().position(|other| *other == server) else { return };
         self.servers.remove(at);
@@ -45,12 +43,12 @@
         }
     }
 
-    /// All of them.
     pub fn all(&self) -> &[Index] {
         &self.servers
     }
 
-    /// A few of them by chance, half from the own zone if it has so many; all if they are few.
+    /// Returns up to [`MAX_SAMPLE`] servers, chosen by the seed: half of them from the own zone
+    /// where it has so many, and all servers if there are no more.
     pub fn sample(&self, seed: u64) -> impl Iterator<Item = Index> {
         let (same, other) = self.servers.split_at(self.same_zone);
         let from_same = same.len().min(MAX_SAMPLE - other.len().min(MAX_SAMPLE / 2));
@@ -61,7 +59,7 @@
     }
 }
 
-/// All of a slice, from a place by chance and round.
+/// Iterates over the whole slice, starting at a place that the seed gives and wrapping around.
 fn rotated(servers: &[Index], seed: u64) -> impl Iterator<Item = Index> {
     let start = (seed % servers.len().max(1) as u64) as usize;
     servers[start..].iter().chain(&servers[..start]).copied()
--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -1,8 +1,8 @@
 //! How much work a server has, as far as this host can know.
 //!
-//! Its own part a host knows for certain. The others' part is told in two ways: by the server, in
-//! reports and with its answers, and by the peers, in their digests. Each is as good as it is
-//! fresh, so they are weighed by their age.
+//! A host knows its own requests for certain. The requests of other hosts are reported in two ways:
+//! by the server, in reports and with its responses, and by the peers, in their digests. Both go
+//! stale, so each is weighted by its age.
 
 use std::collections::VecDeque;
 
@@ -10,24 +10,24 @@
 
 use super::request::Ticket;
 
-/// Age of a server's report when it comes.
+/// Age of a server's report when it arrives.
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// Time for which a host knows what it sent to a server.
+/// How long a host remembers the times at which it sent requests to a server.
 pub const RECENT_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Age at which what others tell counts no more.
+/// Age at which reports and digests are ignored.
 pub const LOAD_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// Age at which what is told has lost half of its weight.
+/// Age in milliseconds at which a report or digest has lost half of its weight.
 const HALF_WEIGHT_AGE_MS: f64 = 20.0;
 
-/// By how much the hosts that turn to one server seem to be more when it has more than its slots,
-/// and fewer when it has less.
+/// Factors by which the estimated number of hosts contending for a server grows while the server
+/// has more requests than slots, and shrinks while it has fewer.
 const CONTENDERS_GROWTH: f64 = 1.3;
 const CONTENDERS_DECAY: f64 = 1.1;
 
-/// A request of this host that the server has.
+/// A request of this host at the server.
 #[derive(Clone, Copy, Debug)]
 struct OwnRequest {
     ticket: Ticket,
@@ -36,14 +36,14 @@
     memory: u32,
 }
 
-/// What the server has told.
+/// Requests of other hosts, derived from the server's newest report.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
     at: Moment,
     others: u32,
 }
 
-/// What the server has told of its KV memory.
+/// KV memory in tokens, from the server's newest report.
 #[derive(Clone, Copy, Debug)]
 struct Memory {
     at: Moment,
@@ -51,11 +51,11 @@
     total: u64,
 }
 
-/// Work of one server.
 #[derive(Clone, Debug)]
 pub struct Load {
     own: Vec<OwnRequest>,
-    /// Requests sent lately, some of which a report that comes now does not know.
+    /// When requests were sent lately. A report that arrives now may not include the newest of
+    /// them.
     recent_sends: VecDeque<Moment>,
     reported: Option<ReportedLoad>,
     memory: Option<Memory>,
@@ -81,26 +81,27 @@
 }
 
 impl Load {
-    /// A request is sent, with so many prompt tokens to read and so much memory to fill.
+    /// Adds a request that is sent, with the prompt tokens to prefill and the KV memory to fill, in
+    /// tokens.
     pub fn sent(&mut self, ticket: Ticket, prefill: u32, memory: u32, now: Moment) {
         self.own.push(OwnRequest { ticket, sent: now, prefill, memory });
         self.recent_sends.push_back(now);
         self.expire_recent_sends(now);
     }
 
-    /// Its prompt is read.
+    /// Records that the request's prompt is prefilled.
     pub fn prefilled(&mut self, ticket: Ticket) {
         if let Some(own) = self.own.iter_mut().find(|own| own.ticket == ticket) {
             own.prefill = 0;
         }
     }
 
-    /// It is over.
+    /// Removes a request.
     pub fn ended(&mut self, ticket: Ticket) {
         self.own.retain(|own| own.ticket != ticket);
     }
 
-    /// The server told what it has, as of `lag` ago.
+    /// Applies the server's count of its requests, as of `lag` ago.
     pub fn report(&mut self, running: u32, waiting: u32, lag: Duration, now: Moment) {
         let at = now.saturating_sub(lag);
         if self.reported.is_some_and(|reported| at < reported.at) {
@@ -113,34 +114,34 @@
         self.reported = Some(ReportedLoad { at, others });
     }
 
-    /// Requests sent after a moment that is not longer ago than [`LATELY`].
+    /// Number of requests sent after a moment, which must not be longer ago than [`RECENT_WINDOW`].
     pub fn sent_since(&self, at: Moment) -> u32 {
         (self.recent_sends.len() - self.recent_sends.partition_point(|sent| *sent <= at)) as u32
     }
 
-    /// When the server last told of its work.
+    /// When the server last reported its requests.
     pub fn reported_at(&self) -> Option<Moment> {
         self.reported.map(|reported| reported.at)
     }
 
-    /// The server told of its KV memory.
+    /// Applies the server's report of its KV memory.
     pub fn memory(&mut self, used: u64, total: u64, now: Moment) {
         self.memory = Some(Memory { at: now.saturating_sub(REPORT_LAG), used, total });
     }
 
-    /// The server refused since it is full.
+    /// Records that the server refused a request because it is full.
     pub fn mark_full(&mut self, until: Moment) {
         self.full_until = self.full_until.max(until);
     }
 
-    /// Peers have so much more, and less, than was known.
+    /// Adds to and subtracts from the requests and prefill tokens of peers.
     pub fn peers(&mut self, more: (u32, u64), less: (u32, u64)) {
         self.peers = (self.peers + more.0).saturating_sub(less.0);
         self.peers_prefill = (self.peers_prefill + more.1).saturating_sub(less.1);
     }
 
-    /// Finds anew, by what peers have told, how many hosts turn to the server at once. They see the
-    /// same free place at the same moment, and hear of each other's requests only later.
+    /// Estimates anew, from what peers have sent, how many hosts contend for the server. They see
+    /// the same free slot at the same moment, and see each other's requests only later.
     pub fn update_contenders(&mut self, slots: u32, hosts: u32) {
         let all = self.own() + self.peers;
         if slots < all {
@@ -151,7 +152,7 @@
         self.contenders = self.contenders.clamp(1.0, f64::from(hosts.max(1)));
     }
 
-    /// Hosts that turn to the server at once.
+    /// Estimated number of hosts that contend for the server.
     pub fn contenders(&self) -> f64 {
         self.contenders
     }
@@ -161,22 +162,23 @@
         self.own.len() as u32
     }
 
-    /// Requests of all hosts, where peers' figures are as of `peers_at`.
+    /// Requests of all hosts, where the peers' digests are as of `peers_at`.
     pub fn in_flight(&self, peers_at: Option<Moment>, now: Moment) -> f64 {
         f64::from(self.own()) + self.others(peers_at, now)
     }
 
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait to be prefilled.
     pub fn prefill(&self) -> u64 {
         self.own_prefill() + self.peers_prefill
     }
 
-    /// Those of them that are of this host's requests.
+    /// Prompt tokens of this host's requests that wait to be prefilled.
     pub fn own_prefill(&self) -> u64 {
         self.own.iter().map(|own| u64::from(own.prefill)).sum()
     }
 
-    /// Part of the KV memory that will be in use, with so much more, if the server tells of it.
+    /// Part of the KV memory that is in use once `more` tokens are added; `None` if the server
+    /// doesn't report it.
     pub fn memory_used(&self, more: u32) -> Option<f64> {
         let memory = self.memory.filter(|memory| 0 < memory.total)?;
         let since = self.own.iter().filter(|own| memory.at < own.sent);
@@ -184,7 +186,7 @@
         Some((memory.used + since + u64::from(more)) as f64 / memory.total as f64)
     }
 
-    /// Whether it has said that it is full, and not long ago.
+    /// Whether the server has refused a request as full a short time ago.
     pub fn is_full(&self, now: Moment) -> bool {
         now < self.full_until
     }
--- a/crates/policy/src/dispatch/request.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatcher, and what comes out.
+//! Input and output of the dispatcher.
 
 use types::{
     prelude::*,
@@ -8,55 +8,56 @@
 pub use super::poison::Fingerprint;
 pub use crate::admit::Ticket;
 
-/// A part of a prompt: its id, and its length in tokens.
+/// One part of a prompt: its id, and its length in tokens.
 pub type Part = (u64, u32);
 
-/// Priorities go from 0, the most urgent, to this.
+/// Priorities go from 0, the most urgent, to this value.
 pub const LEAST_URGENT: u8 = 9;
 
-/// A request that wants a server.
+/// What a request needs from a server, and within which limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSpec {
-    /// Its number on this host.
+    /// The request's number on this host.
     pub ticket: Ticket,
-    /// What it is known by when it comes again.
+    /// Digest by which a repetition of the same request is recognized, also on other hosts.
     pub fingerprint: Fingerprint,
-    /// The service.
+    /// The service that the route selected.
     pub service: service::Id,
-    /// The model, for model services.
+    /// The model; `None` for services without models.
     pub model: Option<model::Id>,
-    /// The adapter on the model.
+    /// The adapter on the model, if the request names one.
     pub adapter: Option<adapter::Id>,
-    /// Parts of its prompt, in order.
+    /// Parts of the prompt, in order.
     pub prompt: Vec<Part>,
-    /// Length of its prompt in tokens.
+    /// Length of the prompt in tokens.
     pub input: u32,
-    /// Most tokens that it makes.
+    /// Most tokens that the response may have.
     pub output: u32,
-    /// Rank; 0 goes first.
+    /// Priority from the route; 0 is served first, [`LEAST_URGENT`] last.
     pub priority: u8,
-    /// What may be done with it.
+    /// Whether the request may be repeated, and whether it is a stream.
     pub kind: Kind,
-    /// Whether a stream may go on at another server.
+    /// Whether a stream may be resumed at another server.
     pub resumable: bool,
-    /// Most servers that may run it.
+    /// Most servers that may run the request.
     pub attempts: u32,
-    /// Time within which it earns all.
+    /// Time to the first byte within which the request earns its full value.
     pub goal: Duration,
-    /// Longest pause between events with which it still earns all.
+    /// Longest pause between two events of a stream with which the request still earns its full
+    /// value.
     pub pause: Option<Duration>,
-    /// Silence after which its caller leaves, if that is known.
+    /// Time without a byte after which the caller leaves, if known.
     pub silence: Option<Duration>,
-    /// When its caller has given up.
+    /// When the caller's time is over.
     pub deadline: Moment,
-    /// Servers that are not to be used.
+    /// Servers that must not get the request.
     pub avoid: Vec<backend::Id>,
-    /// The event after which it goes on.
+    /// The last event that the caller has received; the stream resumes after it.
     pub resume: Option<u64>,
 }
 
 impl RequestSpec {
-    /// A request of a route, with nothing known of models.
+    /// Creates the spec of a request on a route, without a model or prompt.
     pub fn new(
         ticket: Ticket,
         route: &Route,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether more than one server may run the request.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -95,144 +96,144 @@
     }
 }
 
-/// What becomes of a request.
+/// What happens to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to this server; its place there is taken.
+    /// The request goes to this server, where a place is reserved for it.
     Send(backend::Id),
-    /// It waits here; [`pump`](super::Dispatcher::pump) tells more.
+    /// The request waits on this host; [`pump`](super::Dispatcher::pump) returns what follows.
     Wait,
-    /// It waits here, and no server holds what it asks for.
+    /// The request waits on this host, and no server has its model or adapter loaded.
     Missing {
         /// The model.
         model: model::Id,
         /// The adapter.
         adapter: Option<adapter::Id>,
     },
-    /// It has not run and is not going to.
+    /// The request has not run and is not going to.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         cause: Cause,
-        /// When to come back, from now.
+        /// Delay after which the caller may retry.
         after: Duration,
     },
-    /// It crashes servers, and must reach none again.
+    /// The request crashes servers and must not reach any.
     Quarantined,
-    /// The request is to leave its unresponsive server, if [`leave`](super::Dispatcher::leave) finds
-    /// another one.
+    /// The request is to leave its unresponsive server, if [`leave`](super::Dispatcher::leave)
+    /// finds another one.
     Leave,
-    /// It is over after an attempt that may have run.
+    /// The request is over after an attempt that may have run.
     Unclear,
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// No server that may be used holds what it asks for.
+    /// No usable server has the model or adapter loaded.
     NoServer,
-    /// All servers are full, and it can't be in time.
+    /// All servers are full, and the request can't be served in time.
     Full,
-    /// The servers that could run it are limited, and it can't be in time.
+    /// The servers that could run the request are rate limited, and it can't be served in time.
     Limit,
-    /// Its time is over.
+    /// The request's time is over.
     Late,
-    /// It was sent to as many servers as it may be.
+    /// No further attempt is allowed.
     Attempts,
-    /// There is no budget to ask more servers.
+    /// The retry budget is used up.
     Budget,
-    /// Requests like it crash servers.
+    /// Requests with this fingerprint crash servers.
     Poison,
 }
 
-/// News of a request that waited.
+/// What became of a request that waited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The request.
+    /// The request's number on this host.
     pub ticket: Ticket,
-    /// What becomes of it.
+    /// What happens to the request now.
     pub verdict: Verdict,
 }
 
 /// How an attempt at a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
-    /// With its whole answer.
+    /// The response was received completely.
     Completed,
-    /// With the server's own failure; it ran.
+    /// The server answered with a failure of its own; the request ran.
     ServerError,
-    /// The server says that it did not run.
+    /// The server reports that the request did not run.
     NotRun(NotRun),
     /// There was no connection, and nothing was sent.
     Unreachable(Unreachable),
-    /// It may have run.
+    /// The request may have run.
     Unclear(Unclear),
-    /// The caller has gone.
+    /// The caller has left.
     Cancelled,
 }
 
 /// Why a server did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotRun {
-    /// It is full.
+    /// The server is full.
     Full,
-    /// It does not hold the model or adapter.
+    /// The server does not have the model or adapter loaded.
     NotHeld,
-    /// It is another run of the server, or another server.
+    /// Another server, or another run of the server, answered at the address.
     Instance,
 }
 
 /// Why there was no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Unreachable {
-    /// It was refused.
+    /// The connection was refused.
     Refused,
-    /// It was not made in time.
+    /// The connection was not established in time.
     Timeout,
-    /// A kept one had ended, which says nothing of the server.
+    /// A pooled connection had been closed, which says nothing about the server.
     Closed,
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Unclear {
     /// The connection was reset or closed.
     Cut,
-    /// No answer came in time, or its stream stopped.
+    /// No response came in time, or its stream stalled.
     Silent,
-    /// What came was no answer to it.
+    /// What was received is not a valid response.
     Garbled,
 }
 
 /// What follows a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It goes to this server next.
+    /// The request goes to this server next.
     Send(backend::Id),
-    /// It waits here for a server.
+    /// The request waits on this host for a server.
     Wait,
-    /// It waits here, and no other server holds what it asks for.
+    /// The request waits on this host, and no other server has its model or adapter loaded.
     Missing {
         /// The model.
         model: model::Id,
         /// The adapter.
         adapter: Option<adapter::Id>,
     },
-    /// It is over.
+    /// The request is over.
     GiveUp(Answer),
 }
 
-/// What the caller is told at the end.
+/// What the caller is answered at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What the server answered.
+    /// The response of the server.
     Server,
-    /// That it did not run and is not going to.
+    /// That the request did not run and is not going to.
     NotRun {
-        /// Why.
+        /// Why it did not run.
         cause: Cause,
-        /// When to come back, from now.
+        /// Delay after which the caller may retry.
         after: Duration,
     },
-    /// That it may have run.
+    /// That the request may have run.
     Unclear,
 }
--- a/crates/policy/src/dispatch/server.rs
+++ b/crates/policy/src/dispatch/server.rs
@@ -1,4 +1,4 @@
-//! What a host knows of one server.
+//! What a host knows about one server.
 
 use std::net::SocketAddr;
 
@@ -7,47 +7,43 @@
 use super::{breaker::Breaker, list::Locality, load::Load, loaded::LoadedModels, pace::Pace};
 use crate::route::Index;
 
-/// How many times slower a server is thought to be for a while after its start.
+/// How many times slower a server is assumed to be for a while after its start.
 const COLD_START_SLOWDOWN: f64 = 1.6;
 
-/// Silence of a server in doubt after which it is taken for lost, until it answers again. Its
-/// registration stays for seconds.
+/// Silence of a server with a tripped breaker after which it is taken for lost until it answers
+/// again. Its registration lasts for seconds longer.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
-/// One server.
+/// One run of a server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// This run of it.
+    /// Id of this run.
     pub id: backend::Id,
-    /// Its service.
     pub service: Index,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Whether it stands in the host's zone.
     pub locality: Locality,
-    /// Requests that it runs at once.
+    /// Requests that the server runs at once.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the server takes new requests.
     pub state: routed::State,
-    /// What it holds.
+    /// Models and adapters that the server has loaded.
     pub models: LoadedModels,
-    /// Its work.
+    /// Requests and memory in use, of this host and of others.
     pub load: Load,
-    /// Its speed and failures.
+    /// Speed and failure rate.
     pub pace: Pace,
-    /// Whether it names a limit.
+    /// Whether the server names a rate limit.
     pub is_limited: bool,
-    /// Whether it is put aside.
+    /// Circuit breaker of this host for the server.
     pub breaker: Breaker,
-    /// When it last gave any answer to this host.
+    /// When the server last sent any response to this host.
     pub answered: Moment,
-    /// Requests that it has left without an answer for too long, since then.
+    /// Requests whose response has become overdue since [`answered`](Self::answered).
     pub unanswered: u32,
     cold_until: Moment,
 }
 
 impl Server {
-    /// A server that has just registered.
     pub fn new(
         registration: &routed::Server,
         service: Index,
@@ -72,7 +68,7 @@
         }
     }
 
-    /// What it says of itself now. A server that leaves is not brought back by a late entry.
+    /// Applies a newer registration. A late registration does not take a server out of draining.
     pub fn update(&mut self, registration: &routed::Server) {
         self.address = registration.address;
         self.slots = registration.slots.max(1);
@@ -81,23 +77,24 @@
         }
     }
 
-    /// Any answer came from it.
+    /// Records that any response was received from the server.
     pub fn mark_answered(&mut self, now: Moment) {
         self.answered = now;
         self.unanswered = 0;
     }
 
-    /// Whether it is tried and has answered nothing for a while.
+    /// Whether the breaker is tripped for want of answers and nothing was received for
+    /// [`UNRESPONSIVE_AFTER`].
     pub fn is_unresponsive(&self, now: Moment) -> bool {
         self.breaker.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
     }
 
-    /// Whether it has only just started and is slow.
+    /// Whether the server has just started and is slow therefore.
     pub fn is_cold(&self, now: Moment) -> bool {
         now < self.cold_until
     }
 
-    /// How many times slower it is since it has only just started.
+    /// How many times slower the server is assumed to be because it has just started.
     pub fn cold_start_slowdown(&self, now: Moment) -> f64 {
         if self.is_cold(now) { COLD_START_SLOWDOWN } else { 1.0 }
     }
