--- a/crates/policy/src/dispatch/breaker.rs
+++ b/crates/policy/src/dispatch/breaker.rs
@@ -1,35 +1,36 @@
-//! Which servers are put aside, and how they come back.
+//! Circuit breakers of servers.
 //!
-//! A server in doubt gets nothing until its time is over. Then one request at a time may try it,
-//! and the doubt is cleared by an answer that is whole and in time. Each further failure doubles
-//! the time. A refused connection mostly means a crash: the restart registers under a new id, so
-//! asking again soon costs little. A server that is grey costs its callers much, so its times are
-//! longer.
+//! A server whose breaker is open gets no requests until a time is over. Then one request at a time
+//! may try it, and a complete response in time closes the breaker. Each further failure doubles the
+//! time. A refused connection usually means a crash: the restarted server registers under a new id,
+//! so trying the old one again soon costs little. A server that is an outlier costs its callers
+//! much, so its times are longer.
 
 use types::prelude::*;
 
 use super::request::Ticket;
 
-/// Most doublings.
+/// Most doublings of the open time.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// How long a trial is kept for a request that may be repeated.
+/// How long a trial is reserved for a request that may be repeated.
 const IDEMPOTENT_TRIAL_WAIT: Duration = Duration::from_secs(1);
 
-/// Why a server is in doubt.
+/// Why a breaker was tripped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// A connection broke.
     Disconnected,
-    /// It refused a connection.
+    /// The server refused a connection.
     Refused,
-    /// It did not answer in time.
+    /// The server did not answer in time.
     Timeout,
-    /// It is slower than others, or fails more often.
+    /// The server is much slower than the others of its service, or fails more often.
     Outlier,
 }
 
 impl Cause {
+    /// First and longest time for which the breaker stays open.
     fn times(self) -> (Duration, Duration) {
         let (first, most) = match self {
             Cause::Disconnected => (150, 2_000),
@@ -41,19 +42,20 @@
     }
 }
 
-/// How far a server may be used.
+/// Which requests the server may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Freely.
+    /// All requests.
     Closed,
-    /// By one request that may be repeated.
+    /// One request, which must be repeatable.
     HalfOpen,
-    /// By one request, since none that may be repeated has come.
+    /// One request of any kind, since no repeatable one has arrived in time.
     HalfOpenAny,
-    /// Only if there is no other.
+    /// None, unless there is no other server.
     Open,
 }
 
+/// The failure that tripped the breaker.
 #[derive(Clone, Copy, Debug)]
 struct Trip {
     cause: Cause,
@@ -62,14 +64,14 @@
     trial: Option<Ticket>,
 }
 
-/// Doubt in one server.
+/// One host's circuit breaker for one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Breaker {
     trip: Option<Trip>,
 }
 
 impl Breaker {
-    /// How far the server may be used.
+    /// Which requests the server may get now.
     pub fn state(&self, now: Moment) -> State {
         match self.trip {
             None => State::Closed,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Whether it is in doubt since it answers nothing, rather than slowly or badly.
+    /// Whether the breaker was tripped because nothing was answered, rather than slowly or badly.
     pub fn is_unreachable(&self) -> bool {
         self.trip.is_some_and(|trip| match trip.cause {
             Cause::Disconnected | Cause::Refused | Cause::Timeout => true,
@@ -87,7 +89,8 @@
         })
     }
 
-    /// The server failed. What fails while it is put aside was sent before, and says nothing new.
+    /// Records a failure. A request that fails while the breaker is open was sent before, and
+    /// changes nothing.
     pub fn trip(&mut self, cause: Cause, now: Moment) {
         let times = match self.trip {
             Some(trip) if now < trip.until => return,
@@ -99,7 +102,7 @@
         self.trip = Some(Trip { cause, times, until, trial: None });
     }
 
-    /// A request is sent there.
+    /// Records that a request is sent to the server.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(trip) = &mut self.trip
             && trip.until <= now
@@ -108,7 +111,7 @@
         }
     }
 
-    /// A request is over that was sent there.
+    /// Records that a request at the server is over.
     pub fn ended(&mut self, ticket: Ticket) {
         if let Some(trip) = &mut self.trip
             && trip.trial == Some(ticket)
@@ -117,7 +120,8 @@
         }
     }
 
-    /// An answer came whole; whether it was in time decides for a server that was slow.
+    /// Records a complete response. A breaker that was tripped by an outlier closes only if the
+    /// response is that of its trial.
     pub fn succeeded(&mut self, ticket: Ticket) {
         let Some(trip) = self.trip else { return };
         let is_cleared = match trip.cause {
--- a/crates/policy/src/dispatch/loaded.rs
+++ b/crates/policy/src/dispatch/loaded.rs
@@ -1,67 +1,66 @@
-//! Which models and adapters a server holds.
+//! Which models and adapters a server has loaded.
 //!
-//! Reports are late. What this host has learnt at first hand, that an order is done or that the
-//! server refused for want of the model, goes before what is told within [`GUARD`] of it. An order
-//! to drop a model is carried out only when its requests have ended, so it goes before reports for
-//! [`ORDERED`]. Registrations come only when something changes, so what one lists meanwhile is kept
-//! and counts after that time. It counts at once where the server has taken an order since: it can
-//! hold again what it refused.
+//! Reports are late. First-hand knowledge, that an order is done or that the server refused a
+//! request for want of the model, overrides what is reported within [`FIRST_HAND_PRECEDENCE`]. An
+//! order to unload a model is carried out only when the model's requests have ended, so it
+//! overrides reports for [`UNLOAD_PRECEDENCE`]. Registrations are sent only when something changes,
+//! so what one lists in the meantime is stored and applied after that time. It is applied at once
+//! if the server has taken an order since the refusal, as the server may have loaded again what it
+//! refused.
 //!
-//! Notices of other hosts may come late and in any order. Each says after how many orders of the server
-//! it holds, and one that is older than what is known of the same model changes nothing.
+//! Notices of other hosts may arrive late and in any order. Each carries the sequence number of the
+//! server's orders, and a notice older than what is known of the same model changes nothing.
 
 use types::{prelude::*, routed};
 
 use crate::route::Index;
 
-/// How long first-hand knowledge goes before reports.
+/// How long first-hand knowledge overrides reports.
 pub const FIRST_HAND_PRECEDENCE: Duration = Duration::from_millis(500);
 
-/// How long an order to drop something goes before reports.
+/// How long an order to unload overrides reports.
 pub const UNLOAD_PRECEDENCE: Duration = Duration::from_secs(3);
 
-/// A model on a server.
+/// A model that a server has loaded, with its adapters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct LoadedModel {
     model: Index,
     adapters: Vec<adapter::Id>,
 }
 
-/// What is known at first hand of a model on a server, or of an adapter on it.
+/// First-hand knowledge of a model on a server, or of an adapter on it.
 #[derive(Clone, Debug)]
 struct Override {
     model: Index,
     adapter: Option<adapter::Id>,
     presence: Presence,
-    /// Orders that the server had accepted by then, if that is known.
+    /// Sequence number of the server's orders at that time, if known.
     sequence: Option<routed::Sequence>,
-    /// Until when reports change nothing.
+    /// Until when reports are overridden.
     until: Moment,
 }
 
-/// What is known of it.
+/// Whether a model or adapter is loaded.
 #[derive(Clone, Debug)]
 enum Presence {
-    /// It is there.
     Present,
-    /// It is not there.
     Absent {
         why: Absence,
-        /// What the latest news list in spite of it, with the model's adapters.
+        /// What the latest report lists in spite of the absence, with the model's adapters.
         listed: Option<LoadedModel>,
     },
 }
 
-/// Why something is not there.
+/// Why a model or adapter is not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// The server was ordered to drop it, by the last of so many orders.
+    /// The server was ordered to unload it, by the order of this sequence number.
     Ordered(routed::Sequence),
     /// The server refused a request for want of it.
     Refused,
 }
 
-/// What one server holds.
+/// Models and adapters that one server has loaded.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedModels {
     models: Vec<LoadedModel>,
@@ -70,18 +69,19 @@
 }
 
 impl LoadedModels {
-    /// Whether it holds the model, and the adapter if one is named.
+    /// Whether the model is loaded, and the adapter if one is named.
     pub fn holds(&self, model: Index, adapter: Option<&adapter::Id>) -> bool {
         let holding = self.models.iter().find(|h| h.model == model);
         holding.is_some_and(|h| adapter.is_none_or(|adapter| h.adapters.contains(adapter)))
     }
 
-    /// Models that it holds.
+    /// Models that are loaded.
     pub fn indexes(&self) -> impl Iterator<Item = Index> {
         self.models.iter().map(|h| h.model)
     }
 
-    /// Whether something later is known of the model, or of the adapter on it, than after so many orders.
+    /// Whether something newer than this sequence number is known of the model, or of the adapter
+    /// on it.
     pub fn is_superseded(
         &self,
         model: Index,
@@ -95,7 +95,7 @@
         sequence < self.sequence || known.any(|known| sequence < known)
     }
 
-    /// Takes in that the server holds a model, or an adapter on it, after so many orders.
+    /// Records that the model, or the adapter on it, is loaded as of this sequence number.
     pub fn mark_loaded(
         &mut self,
         model: Index,
@@ -115,13 +115,14 @@
         self.add(model, adapter);
     }
 
-    /// It loads this again, so reports that have it are news.
+    /// Records that the model is being loaded again, so that reports which list it are applied at
+    /// once.
     pub fn mark_loading(&mut self, model: Index) {
         self.overrides.retain(|entry| entry.model != model);
     }
 
-    /// It holds this no more, whatever reports say for a while: the adapter if one is named, or
-    /// else the model with its adapters.
+    /// Records that the adapter, or without one the model with its adapters, is not loaded,
+    /// whatever reports list for a while.
     pub fn mark_absent(
         &mut self,
         model: Index,
@@ -147,7 +148,8 @@
         self.remove(model, adapter);
     }
 
-    /// Takes in all that it told, after so many orders; what is older than known is left out.
+    /// Replaces all models by a report as of this sequence number, unless a newer one is known.
+    /// Overrides stay in force.
     pub fn apply_report(
         &mut self,
         models: impl Iterator<Item = (Index, Vec<adapter::Id>)>,
@@ -174,13 +176,13 @@
         self.overrides = overrides;
     }
 
-    /// When the next news that were put off count.
+    /// When the next deferred part of a report is to be applied.
     pub fn next_deferred(&self) -> Option<Moment> {
         let deferred = self.overrides.iter().filter(|entry| entry.listed().is_some());
         deferred.map(|entry| entry.until).min()
     }
 
-    /// News that were put off until now count.
+    /// Applies the parts of reports that were deferred until now.
     pub fn apply_deferred(&mut self, now: Moment) {
         let is_over = |entry: &Override| entry.until <= now && entry.listed().is_some();
         let over: Vec<Override> = self.overrides.extract_if(.., |entry| is_over(entry)).collect();
@@ -188,13 +190,13 @@
             self.add(*model, None);
             adapters.iter().for_each(|adapter| self.add(*model, Some(adapter)));
         }
-        // What is known to be absent still is.
+        // Overrides that last longer still apply.
         let absent = self.overrides.iter().filter(|entry| !entry.is_present());
         let absent: Vec<_> = absent.map(|l| (l.model, l.adapter.clone())).collect();
         absent.iter().for_each(|(model, adapter)| self.remove(*model, adapter.as_ref()));
     }
 
-    /// The part of a model's holding that an absence is about.
+    /// The part of a model's entry in the report that an absence overrides.
     fn listed(&self, model: Index, adapter: Option<&adapter::Id>) -> Option<LoadedModel> {
         let holding = self.models.iter().find(|h| h.model == model)?;
         match adapter {
--- a/crates/policy/src/dispatch/pace.rs
+++ b/crates/policy/src/dispatch/pace.rs
@@ -1,41 +1,43 @@
-//! How fast a server is against the others of its service, and how often it fails.
+//! How fast a server is compared with the others of its service, and how often it fails.
 //!
-//! Both are means that forget, held against the median of the service, so that what all servers
-//! have in common, such as a slow model or a kind of request that often fails, speaks against none.
-//! Slowness is kept as a logarithm: twice as slow weighs as much as twice as fast. Without new
-//! samples a server's figures go back to the median, so it is tried again in time.
+//! Both figures are exponentially weighted means, compared with the median of the service, so that
+//! what all servers have in common, such as a slow model or a kind of request that often fails,
+//! counts against none. Slowness is stored as a logarithm: twice as slow weighs as much as twice as
+//! fast. Without new samples a server's figures return to the median, so the server is tried again
+//! in time.
 
 use types::prelude::*;
 
-/// Weight of a new sample of time: one in this many.
+/// Divisor of the weight of a new time sample.
 const TIME_WEIGHT: f64 = 4.0;
 
-/// Age at which the last sample of time says little, and the weight of a new one then.
+/// Age at which the last time sample says little, and the divisor of a new one's weight then.
 const STALE_AFTER: Duration = Duration::from_millis(500);
 const STALE_TIME_WEIGHT: f64 = 2.0;
 
-/// Weight of a new outcome: one in this many.
+/// Divisor of the weight of a new outcome.
 const OUTCOME_WEIGHT: f64 = 6.0;
 
 /// Samples before a server is judged.
 const MIN_SAMPLES: u32 = 3;
 
-/// Longest ratio that one sample counts for, as a logarithm.
+/// Bound of one sample's time ratio, as a logarithm.
 const MAX_LOG_RATIO: f64 = 2.5;
 
-/// Slowness against the median, as a logarithm, from which on a server is grey: three times.
+/// Slowness relative to the median, as a logarithm, above which a server is an outlier: three
+/// times.
 const OUTLIER_LOG_RATIO: f64 = 1.1;
 
-/// Share of failures over the median from which on a server is grey.
+/// Share of failures above the median beyond which a server is an outlier.
 const OUTLIER_FAILURE_EXCESS: f64 = 0.35;
 
-/// Share of failures over the median that is still chance.
+/// Share of failures above the median that is attributed to chance.
 const TOLERATED_FAILURE_EXCESS: f64 = 0.1;
 
-/// Time in which figures without new samples lose half of their weight.
+/// Age in seconds at which figures without new samples have lost half of their weight.
 const HALF_WEIGHT_AGE_SECS: f64 = 5.0;
 
-/// Pace of one server.
+/// Speed and failure rate of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     log_ratio: f64,
@@ -46,7 +48,7 @@
     seen: Moment,
 }
 
-/// Medians of a service.
+/// Median speed and failure rate of a service's servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Median {
     log_ratio: f64,
@@ -54,7 +56,7 @@
 }
 
 impl Median {
-    /// The medians of these servers.
+    /// Computes the medians of these servers.
     pub fn of<'a>(paces: impl Iterator<Item = &'a Pace> + Clone) -> Median {
         let log_ratio = paces.clone().filter(|p| MIN_SAMPLES <= p.times).map(|p| p.log_ratio);
         let failing = paces.filter(|p| MIN_SAMPLES <= p.outcomes).map(|p| p.failing);
@@ -63,7 +65,7 @@
 }
 
 impl Pace {
-    /// An answer took so many times the expected time.
+    /// Records that a response took `ratio` times the expected time.
     pub fn record_ratio(&mut self, ratio: f64, median: &Median, now: Moment) {
         let sample = ratio.max(0.01).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
         let is_stale = self.times == 0 || self.timed + STALE_AFTER < now;
@@ -75,29 +77,29 @@
         self.timed = now;
     }
 
-    /// A request failed there.
+    /// Records a failed request.
     pub fn record_failure(&mut self, median: &Median, now: Moment) {
         self.outcome(1.0, median, now);
     }
 
-    /// A request was answered well.
+    /// Records a request that was answered well.
     pub fn record_success(&mut self, median: &Median, now: Moment) {
         self.outcome(0.0, median, now);
     }
 
-    /// How many times slower than the median it is thought to be.
+    /// Estimated time relative to the median; 2 is twice as slow.
     pub fn slowness(&self, median: &Median, now: Moment) -> f64 {
         ((self.log_ratio - median.log_ratio) * remaining_weight(self.timed, now)).exp()
     }
 
-    /// Its share of failures over what is usual.
+    /// Share of failures above the median, less what is attributed to chance.
     pub fn excess(&self, median: &Median, now: Moment) -> f64 {
         ((self.failing - median.failing) * remaining_weight(self.seen, now)
             - TOLERATED_FAILURE_EXCESS)
             .max(0.0)
     }
 
-    /// Whether it is so much worse than the others that it is to be put aside.
+    /// Whether the server is so much worse than the others that its breaker is to be tripped.
     pub fn is_outlier(&self, median: &Median) -> bool {
         let log_ratio =
             MIN_SAMPLES <= self.times && OUTLIER_LOG_RATIO < self.log_ratio - median.log_ratio;
@@ -115,7 +117,7 @@
     }
 }
 
-/// What remains of figures that are so old.
+/// Weight of figures last updated at `at`.
 fn remaining_weight(at: Moment, now: Moment) -> f64 {
     HALF_WEIGHT_AGE_SECS / (HALF_WEIGHT_AGE_SECS + now.saturating_sub(at).as_secs_f64())
 }
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -1,8 +1,8 @@
 //! All servers, by id, service and model.
 //!
-//! Names become dense numbers when they are first heard of, so that a choice walks vectors. The
-//! number of a server that is gone goes to a later one, so what is kept beside a number for long
-//! also keeps the id.
+//! Names are mapped to dense indexes when they are first seen, so that a choice walks vectors. The
+//! index of a removed server is reused, so what is stored with an index for long also stores the
+//! server's id.
 
 use std::collections::BTreeMap;
 
@@ -21,46 +21,43 @@
 };
 use crate::route::Index;
 
-/// Work that a host has at a server: the server, a model, requests, and prompt tokens to be read.
+/// Requests that a host has at a server: the server, the model, the number of requests, and the
+/// prompt tokens to prefill.
 pub type Work = (backend::Id, Option<model::Id>, u32, u64);
 
-/// A service and what belongs to it on this host.
+/// A service with the state that belongs to it on this host.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
     pub id: service::Id,
-    /// Its servers that take work.
+    /// Servers that take new requests.
     pub list: ServerList,
-    /// Times of its requests, if it is plain.
+    /// Request times, if the service has no models.
     pub stats: Stats,
-    /// What its servers have in common.
+    /// Median speed and failure rate of its servers.
     pub median: Median,
-    /// What is left for retries.
     pub budget: Budget,
-    /// Requests that wait.
     pub queue: Queue,
 }
 
 /// A model of a service.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// Its name.
     pub id: model::Id,
-    /// Servers that hold it and take work.
+    /// Servers that have the model loaded and take new requests.
     pub list: ServerList,
-    /// Times of its requests.
     pub stats: Stats,
-    /// Loads that were ordered: server, adapter, and when it should be there.
+    /// Loads that were ordered: server, adapter, and expected time of completion.
     pub loading: Vec<(Index, Option<adapter::Id>, Moment)>,
 }
 
+/// Requests in flight of another host, from its newest digest.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     at: Moment,
     work: Vec<(Index, u32, u64)>,
 }
 
-/// All servers.
+/// All servers, services and models.
 #[derive(Clone, Debug)]
 pub struct Registry {
     zone: availability::Id,
@@ -68,20 +65,21 @@
     servers: Vec<Option<Server>>,
     free: Vec<Index>,
     ids: Map<backend::Id, Index>,
-    /// Services by number.
+    /// Services by index.
     pub services: Vec<Service>,
     service_ids: Map<service::Id, Index>,
-    /// Models by number.
+    /// Models by index.
     pub models: Vec<Model>,
     model_ids: Map<(Index, model::Id), Index>,
     peers: BTreeMap<host::Id, Peer>,
+    /// Mean time of the peers' digests.
     peers_at: Option<Moment>,
-    /// When news of what servers hold count that were put off.
+    /// When the next deferred part of a server's report is to be applied.
     deferred_at: Option<Moment>,
 }
 
 impl Registry {
-    /// Without servers yet, seen from this zone.
+    /// Creates a registry without servers, for a host in this zone.
     pub fn new(zone: availability::Id, config: RetryBudgetConfig) -> Registry {
         Registry {
             zone,
@@ -99,37 +97,32 @@
         }
     }
 
-    /// A server by number.
     pub fn get(&self, index: Index) -> Option<&Server> {
         self.servers.get(index as usize)?.as_ref()
     }
 
-    /// A server by number, to be changed.
     pub fn get_mut(&mut self, index: Index) -> Option<&mut Server> {
         self.servers.get_mut(index as usize)?.as_mut()
     }
 
-    /// All servers.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().flatten()
     }
 
-    /// A server's number.
     pub fn index(&self, id: &str) -> Option<Index> {
         self.ids.get(id).copied()
     }
 
-    /// Whether a server is known to leave.
     pub fn is_draining(&self, index: Index) -> bool {
         self.get(index).is_some_and(|server| server.state == routed::State::Draining)
     }
 
-    /// The server with this number if it is still this one.
+    /// Returns the server with this index if it still has this id.
     pub fn get_same(&mut self, index: Index, id: &backend::Id) -> Option<&mut Server> {
         self.get_mut(index).filter(|server| server.id == *id)
     }
 
-    /// A service's number; it gets one when it has none.
+    /// Returns the index of a service, adding the service if it is new.
     pub fn service(&mut self, id: &service::Id) -> Index {
         if let Some(index) = self.service_ids.get(id) {
             return *index;
@@ -147,7 +140,7 @@
         index
     }
 
-    /// A model's number; it gets one when it has none.
+    /// Returns the index of a model, adding the model if it is new.
     pub fn model(&mut self, service: Index, id: &model::Id) -> Index {
         let key = (service, id.clone());
         if let Some(index) = self.model_ids.get(&key) {
@@ -164,12 +157,12 @@
         index
     }
 
-    /// When peers' figures are of, on the mean.
+    /// Mean time of the peers' digests; `None` without digests.
     pub fn peers_at(&self) -> Option<Moment> {
         self.peers_at
     }
 
-    /// Takes in what a server says of itself.
+    /// Applies a server's registration.
     pub fn register(&mut self, registration: &routed::Server, now: Moment) -> Index {
         let service = self.service(&registration.service);
         let index = match self.index(&registration.id) {
@@ -185,21 +178,20 @@
         index
     }
 
-    /// A server takes nothing new.
+    /// Takes a server out of the lists of those that take new requests.
     pub fn drain(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Draining;
         self.unlist(index);
     }
 
-    /// A server takes work again.
+    /// Lists a server again as one that takes new requests.
     pub fn resume(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Ready;
         self.list(index);
     }
 
-    /// A server is gone.
     pub fn remove(&mut self, index: Index) {
         self.unlist(index);
         for peer in self.peers.values_mut() {
@@ -211,7 +203,7 @@
         }
     }
 
-    /// Takes in a server's report.
+    /// Applies a server's load report.
     pub fn report(&mut self, index: Index, report: &routed::Report, now: Moment) {
         let Some(server) = self.get_mut(index) else { return };
         server.load.report(report.running, report.queued, REPORT_LAG, now);
@@ -219,7 +211,8 @@
         self.apply_models(index, &report.models, report.sequence, now);
     }
 
-    /// A server holds this after so many orders.
+    /// Records that a server has loaded a model, or an adapter on it, unless something newer is
+    /// known.
     pub fn mark_loaded(
         &mut self,
         index: Index,
@@ -238,7 +231,7 @@
         self.list(index);
     }
 
-    /// A server was ordered to load this, and should be done by then.
+    /// Records an order to load, with the expected time of completion.
     pub fn mark_loading(
         &mut self,
         index: Index,
@@ -251,7 +244,8 @@
         self.models[model as usize].loading.push((index, adapter.cloned(), ready));
     }
 
-    /// A server holds this no more, whatever it reports for a while.
+    /// Records that a server does not have a model, or an adapter on it, whatever it reports for a
+    /// while.
     pub fn mark_absent(
         &mut self,
         index: Index,
@@ -272,7 +266,7 @@
         }
     }
 
-    /// Lets news count that first-hand knowledge has put off until now.
+    /// Applies the parts of reports that first-hand knowledge has deferred until now.
     pub fn apply_deferred(&mut self, now: Moment) {
         if self.deferred_at.is_none_or(|at| now < at) {
             return;
@@ -288,7 +282,7 @@
         self.deferred_at = servers.filter_map(|server| server.models.next_deferred()).min();
     }
 
-    /// Takes in all the work that a peer has, in place of what it told before.
+    /// Replaces the requests that a peer has in flight by those of its newest digest.
     pub fn set_peer_work(&mut self, host: &host::Id, work: &[Work], now: Moment) {
         self.forget_peer(host);
         let work: Vec<(Index, u32, u64)> = work
@@ -304,14 +298,14 @@
         self.update_peers_at();
     }
 
-    /// So many hosts share the servers, and what peers have in flight is as of now.
+    /// Estimates the hosts that contend for each server, among `hosts` that share the servers.
     pub fn update_contenders(&mut self, hosts: u32) {
         for server in self.servers.iter_mut().flatten() {
             server.load.update_contenders(server.slots, hosts);
         }
     }
 
-    /// Forgets what is too old, and finds the medians anew.
+    /// Removes expired digests and orders, and recomputes the medians.
     pub fn tick(&mut self, now: Moment) {
         let old: Vec<host::Id> = self
             .peers
@@ -384,7 +378,7 @@
         self.list(index);
     }
 
-    /// Enters a server that takes work in the lists of its service and models.
+    /// Adds a server that takes new requests to the lists of its service and models.
     fn list(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -1,7 +1,7 @@
 //! How many hosts share the retry budgets.
 //!
-//! More count at once, fewer only after a while: a host that has left may have spent its share just
-//! before, and that still counts in the windows to come.
+//! A higher number takes effect at once, a lower one only after a while: a host that has left may
+//! have spent its share just before, and that still counts in the windows to come.
 
 use std::collections::VecDeque;
 
@@ -9,24 +9,24 @@
 
 use super::{HostStart, budget::Extra};
 
-/// How long fewer hosts are seen before they share the budgets among themselves.
+/// How long a lower number of hosts must be seen before it takes effect.
 const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
-/// The largest number of hosts seen lately, and this run's part of what they share.
+/// The highest number of hosts seen lately, and this run's share of the extra retries.
 #[derive(Clone, Debug)]
 pub(super) struct Sharers {
     /// Length of the budgets' window.
     window: Duration,
-    /// From when on this run has a part.
+    /// From when on this run has a share of the extra retries.
     from: Option<Moment>,
     /// Hosts that the store lists.
     listed: u32,
-    /// Falling numbers, and when each was last seen.
+    /// Decreasing numbers of hosts, and when each was last seen.
     counts: VecDeque<(Moment, u32)>,
 }
 
 impl Sharers {
-    /// Begins with a number that holds until others are known for a while.
+    /// Starts with a number that holds until others have been seen for a while.
     pub(super) fn new(count: u32, window: Duration) -> Sharers {
         Sharers { window, from: None, listed: 0, counts: [(Duration::ZERO, count.max(1))].into() }
     }
@@ -36,7 +36,8 @@
         self.listed = hosts;
     }
 
-    /// Takes in the number of hosts known now; those that were never heard count by the store's list.
+    /// Applies the number of hosts known now. Hosts from which nothing was ever received are
+    /// counted by the store's list.
     pub(super) fn observe(&mut self, count: u32, now: Moment) {
         let count = count.max(self.listed);
         while self.counts.back().is_some_and(|(_, other)| *other <= count) {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// This run has a part: the first at once, a later one when what the one before has spent counts no more.
+    /// Gives this run its share: a first start at once, a restart when what the run before has
+    /// spent is out of the window.
     pub(super) fn start(&mut self, start: HostStart) {
         self.from.get_or_insert(match start {
             HostStart::First => Duration::ZERO,
@@ -56,7 +58,7 @@
         });
     }
 
-    /// What this host has of the extra.
+    /// This host's share of the extra retries.
     pub(super) fn extra(&self) -> Extra {
         let hosts = self.counts.front().map_or(1, |(_, count)| *count);
         Extra { hosts, from: self.from }
--- a/crates/policy/src/dispatch/stats.rs
+++ b/crates/policy/src/dispatch/stats.rs
@@ -1,20 +1,22 @@
-//! How long requests of one model or plain service take, learnt from those that ended.
+//! How long requests of one model, or of one service without models, take, learnt from those that
+//! ended.
 
 use types::prelude::*;
 
-/// Weight of a new sample once there are many: one in this many.
+/// Weight of a new sample: one in the number of samples so far, at most this many.
 const MAX_SAMPLES: f64 = 16.0;
 
-/// Least part of what is thought that a sample counts for: what was taken off it is a guess.
+/// Smallest part of the current mean that a sample counts as: what was subtracted from the sample
+/// is an estimate.
 const MIN_SAMPLE_PART: f64 = 0.25;
 
-/// What is assumed of a model before any request ended, in milliseconds.
+/// Base and hold time assumed for a model before any request has ended, in milliseconds.
 const MODEL_DEFAULTS_MS: (f64, f64) = (60.0, 1_000.0);
 
-/// What is assumed of a plain service.
+/// The same for a service without models.
 const PLAIN_DEFAULTS_MS: (f64, f64) = (30.0, 30.0);
 
-/// Times of one model or plain service, in milliseconds.
+/// Times of one model, or of one service without models, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Stats {
     base: f64,
@@ -24,7 +26,6 @@
 }
 
 impl Stats {
-    /// Of a model.
     pub fn model() -> Stats {
         Stats {
             base: MODEL_DEFAULTS_MS.0,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Of a plain service.
+    /// Times of a service without models.
     pub fn plain() -> Stats {
         Stats {
             base: PLAIN_DEFAULTS_MS.0,
@@ -44,17 +45,17 @@
         }
     }
 
-    /// Time to the first byte on an idle server of the usual speed, its prompt's reading aside.
+    /// Time to the first byte on an idle server of median speed, without the prefill.
     pub fn base(&self) -> f64 {
         self.base
     }
 
-    /// Time that a request holds its place.
+    /// Time that a request occupies a slot.
     pub fn hold(&self) -> f64 {
         self.hold
     }
 
-    /// A first byte came after so long on an idle server.
+    /// Records the time to the first byte, less what the load of the server explains.
     pub fn record_first_byte(&mut self, millis: f64) {
         self.base_samples = (self.base_samples + 1.0).min(MAX_SAMPLES);
         self.base = (self.base.ln()
@@ -62,19 +63,18 @@
             .exp();
     }
 
-    /// A request held its place so long, by what was expected of its wait for it.
+    /// Records the time that a request occupied a slot, less the expected wait for the slot.
     pub fn record_hold(&mut self, millis: f64) {
         self.hold_samples = (self.hold_samples + 1.0).min(MAX_SAMPLES);
         self.hold += (millis.max(self.hold * MIN_SAMPLE_PART) - self.hold) / self.hold_samples;
     }
 }
 
-/// A time in milliseconds.
 pub fn millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1000.0
 }
 
-/// A time of so many milliseconds.
+/// Converts milliseconds, bounded to one hour.
 pub fn duration(millis: f64) -> Duration {
     Duration::from_secs_f64(millis.clamp(0.0, 3.6e6) / 1000.0)
 }
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -10,16 +10,16 @@
 };
 use crate::route::Index;
 
-/// Tries beyond the attempts of its route that a request may make in all, where servers say that
-/// they did not run it.
+/// Tries beyond the attempts of the route that a request may make where servers report that they
+/// did not run it.
 const EXTRA_TRIES: u32 = 3;
 
-/// Where a request stands.
+/// Where a request is.
 #[derive(Clone, Debug)]
 pub enum State {
     /// Between two decisions.
     Idle,
-    /// In the queue until it is given up.
+    /// In the queue until it is given up at this time.
     Waiting(Key, Moment),
     /// At a server.
     InFlight(Attempt),
@@ -28,79 +28,70 @@
 /// An attempt at a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The server's number.
+    /// The server's index, which may be reused for another server.
     pub server: Index,
-    /// The server.
     pub id: backend::Id,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Moment,
-    /// Expected time to the first byte at a server of the usual speed; milliseconds.
+    /// Expected time to the first byte at a server of median speed, in milliseconds.
     pub baseline_ms: f64,
-    /// The part of it that comes from other work and the prompt.
+    /// The part of `baseline_ms` that other requests and the prompt cause.
     pub work_ms: f64,
-    /// The part of that which is a wait for a place.
+    /// The part of `work_ms` that is the wait for a slot.
     pub queue_ms: f64,
-    /// Expected time to the first byte at this one.
+    /// Expected time to the first byte at this server, in milliseconds.
     pub expected_ms: f64,
-    /// Whether it was sent to a server that had only just started.
+    /// Whether the server had just started.
     pub is_cold: bool,
-    /// What has come of it.
     pub phase: Phase,
-    /// Whether it is to leave its server.
     pub leaving: Leaving,
 }
 
-/// What has come of an attempt.
+/// How far the response to an attempt is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing.
+    /// Nothing was received.
     Pending,
-    /// Nothing, for too long.
+    /// Nothing was received for too long.
     Overdue,
-    /// The first byte.
+    /// The first byte was received.
     Responding,
 }
 
-/// Whether an attempt is to leave its server.
+/// Whether an attempt is to be moved from its server to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leaving {
     /// The attempt stays with its server.
     No,
-    /// The attempt is to leave, but no other server was found at this time.
+    /// The attempt is to be moved, but no other server was found at this time.
     Seeking(Moment),
-    /// The attempt was told to leave.
+    /// The caller of the dispatcher was asked to move the attempt.
     Requested,
 }
 
 /// A request of this host.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// What it asks.
     pub spec: RequestSpec,
-    /// Its service.
     pub service: Index,
-    /// Its model.
     pub model: Option<Index>,
-    /// When it came.
     pub arrived: Moment,
-    /// When it is late.
+    /// When the request becomes late.
     pub due: Moment,
-    /// Digests of the beginnings of its prompt, with their length in tokens.
+    /// Digests of the prefixes of the prompt, with their length in tokens.
     pub prefixes: Vec<(u64, u32)>,
-    /// Whether it may have arrived at a server.
+    /// Whether the request may have arrived at a server.
     pub has_arrived: bool,
-    /// How its next arrival was paid, if it was.
+    /// How the next arrival at a server was paid, if it was.
     pub payment: Option<Payment>,
-    /// Servers that may have run it.
+    /// Servers that may have run the request.
     pub runs: u32,
-    /// Servers that it was sent to.
+    /// Servers that the request was sent to.
     pub tries: u32,
-    /// Where it stands.
     pub state: State,
 }
 
 impl Task {
-    /// A request that has just come.
     pub fn new(spec: RequestSpec, service: Index, model: Option<Index>, now: Moment) -> Task {
         let prefixes = prefixes(&spec, model);
         let due = now + spec.goal;
@@ -120,12 +111,12 @@
         }
     }
 
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     pub fn input(&self) -> u32 {
         self.spec.input.max(self.prefixes.last().map_or(0, |(_, tokens)| *tokens))
     }
 
-    /// KV memory that it fills, in tokens.
+    /// KV memory that the request fills, in tokens.
     pub fn memory(&self) -> u32 {
         match self.model {
             Some(_) => self.input().saturating_add(self.spec.output),
@@ -133,22 +124,23 @@
         }
     }
 
-    /// Time that its caller gives it, from its arrival.
+    /// Time that the caller gives the request, from its arrival.
     pub fn patience(&self) -> Duration {
         self.caller_leaves_at().saturating_sub(self.arrived)
     }
 
-    /// When its caller leaves if nothing comes. Callers of streams bear a silence that is much shorter
-    /// than their deadline: what is held beyond it is answered to nobody, while a refusal in time
-    /// brings the caller back. Waits bounded by the deadline alone left 78 of a busy minute's 9,117
-    /// requests, at nine hosts before 21 servers, waiting until their callers had gone; 1 with this.
+    /// When the caller leaves if nothing is received. Callers of streams bear a silence that is
+    /// much shorter than their deadline: what is held beyond it is answered to nobody, while a
+    /// refusal in time brings the caller back. With waits bounded by the deadline alone, 78 of a
+    /// busy minute's 9,117 requests, at nine hosts with 21 servers, waited until their callers had
+    /// left; with this bound 1 did.
     pub fn caller_leaves_at(&self) -> Moment {
         let silence = self.spec.silence.filter(|_| self.spec.resume.is_none());
         let leaves_at = silence.map_or(self.spec.deadline, |silence| self.arrived + silence);
         leaves_at.min(self.spec.deadline)
     }
 
-    /// An attempt at a server has ended.
+    /// Records that an attempt at a server has ended.
     pub fn record_attempt(&mut self, server: &backend::Id, end: End) {
         self.tries += 1;
         self.runs += match end {
@@ -165,23 +157,23 @@
         self.runs < self.spec.attempts && self.tries < self.spec.attempts + EXTRA_TRIES
     }
 
-    /// Whether another server may be tried if this attempt may have run.
+    /// Whether another server may be tried if the current attempt may have run.
     pub fn has_another_try(&self) -> bool {
         self.runs + 1 < self.spec.attempts
     }
 
-    /// How much depends on its retry.
+    /// How much depends on a retry of the request.
     pub fn need(&self) -> Need {
         if self.spec.resume.is_some() { Need::High } else { Need::Normal }
     }
 
-    /// A number by which like requests differ, the same for each look.
+    /// A number by which similar requests differ, the same at each call.
     pub fn seed(&self) -> u64 {
         mixed(self.spec.ticket ^ self.spec.fingerprint.rotate_left(17))
     }
 }
 
-/// Digests of the beginnings of a prompt on its model and adapter, the shortest first.
+/// Digests of the prefixes of a prompt on its model and adapter, the shortest first.
 fn prefixes(spec: &RequestSpec, model: Option<Index>) -> Vec<(u64, u32)> {
     let Some(model) = model else { return Vec::new() };
     let adapter = spec.adapter.as_deref().unwrap_or_default();
