--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -345,7 +345,7 @@
         sequence: Sequence,
         now: Moment,
     ) {
-        if let Some((index, model)) = self.held(id, model) {
+        if let Some((index, model)) = self.server_and_model(id, model) {
             self.registry.mark_loaded(index, model, adapter, sequence, now);
         }
     }
@@ -360,7 +360,7 @@
         sequence: Sequence,
         now: Moment,
     ) {
-        if let Some((index, model)) = self.held(id, model) {
+        if let Some((index, model)) = self.server_and_model(id, model) {
             self.registry.mark_absent(index, model, adapter, Absence::Ordered(sequence), now);
         }
     }
@@ -374,7 +374,7 @@
         adapter: Option<&adapter::Id>,
         ready: Moment,
     ) {
-        if let Some((index, model)) = self.held(id, model) {
+        if let Some((index, model)) = self.server_and_model(id, model) {
             self.registry.mark_loading(index, model, adapter, ready);
         }
     }
@@ -389,7 +389,8 @@
         &mut self.poison
     }
 
-    fn held(&mut self, id: &backend::Id, model: &model::Id) -> Option<(u32, u32)> {
+    /// Indexes of a server and of a model of its service.
+    fn server_and_model(&mut self, id: &backend::Id, model: &model::Id) -> Option<(u32, u32)> {
         let index = self.registry.index(id)?;
         let service = self.registry.get(index)?.service;
         Some((index, self.registry.model(service, model)))
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -1,4 +1,4 @@
-//! What happens to requests at their servers, and what is learnt from it.
+//! Events of requests at their servers, and the statistics derived from them.
 
 use types::prelude::*;
 
@@ -14,17 +14,18 @@
 };
 use crate::route::Index;
 
-/// How long a server that refused for being full gets nothing.
+/// How long a server that refused a request as full gets none.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// Part of its slots below which a server that refuses for being full is odd.
+/// Part of its slots below which a server that refuses requests as full counts as failing.
 const EARLY_REFUSAL_FILL: f64 = 0.5;
 
-/// Slowness from which on a server's times say nothing about its service.
+/// Slowness above which a server's times are excluded from the statistics of its service.
 const EXCLUDED_SLOWNESS: f64 = 2.0;
 
 impl Dispatcher {
-    /// The request's first byte leaves; before this it was on its way to a connection.
+    /// Records that the first byte of the request is sent; until then it was waiting for a
+    /// connection.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get_mut(&ticket) {
             attempt.sent = now;
@@ -32,14 +33,14 @@
         self.poison.sent(ticket, now);
     }
 
-    /// The head of its server's answer has come, whatever becomes of the rest.
+    /// Records that the head of the server's response was received, whatever becomes of the rest.
     pub fn answers(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
             self.poison.answered(&attempt.id, attempt.sent, now);
         }
     }
 
-    /// The first byte of its answer's body, or its first event, has come.
+    /// Records the first byte of the response's body, or the first event of its stream.
     pub fn first_byte(&mut self, ticket: Ticket, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
         if let State::InFlight(attempt) = &mut task.state
@@ -55,7 +56,7 @@
         self.tasks.insert(ticket, task);
     }
 
-    /// The last event of its stream that its caller has got.
+    /// Records the last event of the stream that the caller has received.
     pub fn delivered(&mut self, ticket: Ticket, event: u64, now: Moment) {
         let Some(task) = self.tasks.get_mut(&ticket) else { return };
         task.spec.resume = Some(event);
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The request is over, at a server or in the queue.
+    /// Records that the request is over, at a server or in the queue.
     pub fn ended(&mut self, ticket: Ticket, end: End, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
         match std::mem::replace(&mut task.state, State::Idle) {
@@ -80,7 +81,7 @@
         self.refund(&mut task);
     }
 
-    /// The attempt under way has arrived, or is counted so since it may have.
+    /// Records that the current attempt has arrived, or may have arrived, at its server.
     fn reached(&mut self, task: &mut Task, now: Moment) {
         task.has_arrived = true;
         if let Some(payment) = task.payment.take() {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// An attempt is over.
+    /// Records that an attempt is over.
     pub(super) fn settle(&mut self, task: &mut Task, attempt: &Attempt, end: End, now: Moment) {
         if !matches!(end, End::Unreachable(_)) {
             self.reached(task, now);
@@ -115,7 +116,7 @@
     fn poison_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let fingerprint = task.spec.fingerprint;
         let ticket = task.spec.ticket;
-        // A server that leaves ends by itself.
+        // A draining server ends on its own.
         let is_leaving =
             self.registry.index(&attempt.id).is_some_and(|index| self.registry.is_draining(index));
         match end {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Learns from the time until a first byte.
+    /// Updates the statistics with the time to the first byte.
     fn record_first_byte(&mut self, task: &Task, attempt: &Attempt, now: Moment) {
         let took = millis(now.saturating_sub(attempt.sent)).max(0.1);
         let median = self.registry.services[task.service as usize].median;
@@ -214,12 +215,12 @@
             Some(model) => &mut self.registry.models[model as usize].stats,
             None => &mut self.registry.services[task.service as usize].stats,
         };
-        // Not divided by the server's pace: the two would chase each other.
+        // Not divided by the server's pace: each of the two estimates would then follow the other.
         stats.record_first_byte(took - attempt.work_ms);
         self.trip_outlier(attempt.server, task.service, now);
     }
 
-    /// Puts a server aside that is much worse than the others.
+    /// Trips the breaker of a server that is much worse than the others.
     pub(super) fn trip_outlier(&mut self, server: Index, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         if let Some(server) = self.registry.get_mut(server)
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -13,44 +13,45 @@
     task::{Attempt, Leaving, Phase, State, Task},
 };
 
-/// Part of its patience that a request may expect to wait, in time or beyond it. Holding a request
-/// costs what it could have earned by being refused at once, up to all of it at three quarters of
-/// its patience; what is late earns three tenths. An eighth is where a likely late answer is still
-/// worth the risk.
+/// A request may expect to wait one part in this many of its patience, in time or beyond its due
+/// time. Holding a request costs what it could have earned if refused at once, up to all of it at
+/// three quarters of its patience, while a late response earns three tenths. At one eighth a
+/// response that is likely to be late is still worth the risk.
 const MAX_WAIT_DIVISOR: u32 = 8;
 
-/// Part of its goal that a request must have left, besides the time that it takes, to go before
-/// those that are late. Without it, overload serves each request when it is just too late.
+/// Part of its goal that a request must have left, in addition to its own time, to go before those
+/// that are late. Without this slack, an overloaded host serves each request when it is just too
+/// late.
 const ON_TIME_SLACK: f64 = 0.33;
 
-/// Part of its patience that a request waits for servers while none holds what it wants: a load
-/// takes seconds, and a model that is rarely asked for is never loaded for those who were refused.
+/// Part of its patience that a request waits while no server has its model: a load takes seconds,
+/// and a model that is rarely requested is never loaded if its requests are refused.
 const UNHELD_WAIT: f64 = 0.35;
 
-/// The same, once a load is on its way.
+/// The same once the model is being loaded.
 const LOADING_WAIT: f64 = 0.7;
 
-/// Bounds of the time after which a refused request is to come back, as parts of its patience.
-/// Callers wait a third of what they have left at the most.
+/// The delay after which a refused request may be retried is at least and at most one part in this
+/// many of its patience. Callers wait a third of the time they have left at the most.
 const RETRY_AFTER_MIN_DIVISOR: u32 = 12;
 const RETRY_AFTER_MAX_DIVISOR: u32 = 5;
 
-/// Callers wait one part in so many of what they have left, at the most, before they come back.
+/// Callers wait at most one part in this many of the time they have left before they retry.
 const CALLER_WAIT_DIVISOR: u32 = 3;
 
-/// Least number of requests that end in a millisecond.
+/// Lower bound of the rate at which requests are assumed to start.
 const MIN_STARTS_PER_MS: f64 = 1e-7;
 
-/// What an arrival can expect.
+/// Expected times of a request, in milliseconds.
 struct Estimate {
-    /// Time until it starts; milliseconds.
+    /// Time until the request starts.
     wait: f64,
-    /// Time from there to its first byte.
+    /// Time from the start to the first byte.
     serve: f64,
 }
 
 impl Dispatcher {
-    /// Judges a request that has come.
+    /// Decides on a request that has arrived.
     pub fn arrive(&mut self, spec: RequestSpec, now: Moment) -> Verdict {
         let service = self.registry.service(&spec.service);
         let model = spec.model.as_ref().map(|model| self.registry.model(service, model));
@@ -66,8 +67,8 @@
             Outcome::NoServer => self.wait_for_load(task, now),
             outcome => {
                 let estimate = self.estimate_wait(&task, now);
-                // Where there is a place, what waits wants something else, and the next look at
-                // the queue sends this one.
+                // While a server has a place, the requests that wait need another one, and the next
+                // pump of the queue sends this request.
                 let is_full = matches!(outcome, Outcome::Full);
                 if let Some(after) =
                     self.retry_after_if_futile(&task, &estimate, now).filter(|_| is_full)
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Judges what follows an attempt that failed. The request is over if it is given up.
+    /// Decides what follows an attempt that failed. After [`RetryDecision::GiveUp`] the request is
+    /// over.
     pub fn attempt_failed(&mut self, ticket: Ticket, end: End, now: Moment) -> RetryDecision {
         let Some(mut task) = self.tasks.remove(&ticket) else {
             return RetryDecision::GiveUp(Answer::Unclear);
@@ -112,16 +114,16 @@
         }
     }
 
-    /// Gives back what was paid for an arrival that is not to come.
+    /// Returns the payment for an arrival that will not take place.
     pub(super) fn refund(&mut self, task: &mut Task) {
         if let Some(payment) = task.payment.take() {
             self.registry.services[task.service as usize].budget.refund(payment);
         }
     }
 
-    /// Keeps a request that was tried until another server has a place for it: what may have run as
-    /// long as its time allows, since all that it could still earn is lost otherwise; what did not
-    /// run no longer than a late one, or until then.
+    /// Queues a request that was tried until another server has a place for it. A request that may
+    /// have run waits as long as its time allows, since all that it could still earn is lost
+    /// otherwise; one that did not run waits no longer than a late request, or until `until`.
     fn requeue(&mut self, mut task: Task, until: Moment, now: Moment) {
         let estimate = self.estimate_wait(&task, now);
         let give_up = match task.runs {
@@ -141,7 +143,8 @@
         missing.map_or(RetryDecision::Wait, |model| RetryDecision::Missing { model, adapter })
     }
 
-    /// Whether another attempt is allowed and paid for, or else why not.
+    /// Checks that another attempt is allowed, and pays for it; the error is the cause of the
+    /// refusal.
     fn pay_for_retry(
         &mut self,
         task: &mut Task,
@@ -150,9 +153,9 @@
         now: Moment,
     ) -> Result<(), Cause> {
         self.check_retry(task, end, now)?;
-        // A loan pays for what leaves at once, and the time for that is over.
+        // A loan pays only for a request that is sent at once, and the time for that is over.
         task.payment = task.payment.filter(|payment| *payment == Payment::Own);
-        // What has reached no server so far arrives for the first time.
+        // A request that has reached no server so far arrives for the first time.
         if !task.has_arrived || task.payment.is_some() {
             return Ok(());
         }
@@ -165,7 +168,7 @@
         task.payment.map(|_| ()).ok_or(Cause::Budget)
     }
 
-    /// Whether another attempt is allowed, apart from its price, or else why not.
+    /// Checks that another attempt is allowed, regardless of the retry budget.
     pub(super) fn check_retry(&self, task: &Task, end: End, now: Moment) -> Result<(), Cause> {
         let is_allowed = match end {
             End::Completed | End::Cancelled => false,
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Takes a place at the chosen server.
+    /// Reserves a place at the chosen server.
     pub(super) fn send(&mut self, mut task: Task, choice: Choice, now: Moment) -> backend::Id {
         let ticket = task.spec.ticket;
         let suspect = self.is_suspect(&task);
@@ -245,12 +248,12 @@
         missing.map_or(Verdict::Wait, |model| Verdict::Missing { model, adapter })
     }
 
-    /// Whether its caller will have left when a load that it waits for is done: loads take seconds.
+    /// Whether the caller will have left when the load is done; loads take seconds.
     fn is_too_late(&self, task: &Task, ready: Moment) -> bool {
         task.caller_leaves_at() < ready + duration(self.stats(task).base())
     }
 
-    /// When a load that the request waits for should be done.
+    /// When a load that the request waits for is expected to be done.
     fn loaded_at(&self, task: &Task) -> Option<Moment> {
         let loading = &self.registry.models[task.model? as usize].loading;
         let is_other = |index| {
@@ -279,8 +282,8 @@
         queue.ahead(task.model, task.spec.priority)
     }
 
-    /// What a request can expect that waits now, by the pace at which places become free and this
-    /// host's part of them.
+    /// Estimates the times of a request that is queued now, from the rate at which slots become
+    /// free and this host's share of them.
     fn estimate_wait(&self, task: &Task, now: Moment) -> Estimate {
         let (mut slots, mut own, mut all) = (0.0, 1.0, 1.0);
         let mut limited = None;
@@ -311,7 +314,7 @@
         self.stats(task).base() + reading
     }
 
-    /// When to come back, if it is no use to wait here.
+    /// Returns the delay before a retry if it is of no use to wait here.
     fn retry_after_if_futile(
         &self,
         task: &Task,
@@ -325,8 +328,8 @@
         is_lost.then(|| retry_delay(task, estimate.wait))
     }
 
-    /// When to come back, if it is no use to wait behind so many requests for servers at which so many start
-    /// each millisecond.
+    /// Returns the delay before a retry if it is of no use to wait behind `ahead` requests for
+    /// servers at which `rate` requests start each millisecond.
     pub(super) fn retry_after_if_futile_at(
         &self,
         task: &Task,
@@ -345,12 +348,12 @@
         Verdict::Refuse { cause, after: self.retry_after(task, now) }
     }
 
-    /// When a request that is refused now is to come back.
+    /// Delay before a retry of a request that is refused now.
     pub(super) fn retry_after(&self, task: &Task, now: Moment) -> Duration {
         retry_delay(task, self.estimate_wait(task, now).wait)
     }
 
-    /// Until when a request waits that is late from now on.
+    /// Until when a request waits that is late from now on; `None` if it is not worth waiting.
     pub(super) fn late_until(&self, task: &Task, now: Moment) -> Option<Moment> {
         let estimate = self.estimate_wait(task, now);
         let max_wait = task.patience() / MAX_WAIT_DIVISOR;
@@ -389,8 +392,8 @@
     }
 }
 
-/// When to come back: about when those ahead are through, and up to half as long again, so that
-/// those refused together do not return together.
+/// Delay before a retry: about the time until the requests ahead are through, and up to half as
+/// long again, so that requests refused together do not return together.
 fn retry_delay(task: &Task, wait: f64) -> Duration {
     let patience = task.patience();
     let base = duration(wait)
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -1,21 +1,25 @@
 //! The retry budget that all hosts share.
 //!
 //! In any span of one window, the arrivals at a service's servers beyond the first of each request
-//! stay under `ratio` of its requests and `extra`, over all hosts. Each host keeps to a share that
-//! rests on what it knows by itself, so that the sum holds whatever hosts hear of each other.
+//! stay under `ratio` times its requests plus `extra`, over all hosts. Each host keeps to a share
+//! that is based on what it knows by itself, so that the sum holds regardless of which messages
+//! hosts receive from each other.
 //!
-//! Requests pay in the window in which a retry is counted, or in the one before it. A host's share of
-//! the ratio has two parts. The steady one goes by the least of its windows that ended within the last
-//! one: whatever window a retry is counted in, the one before it has at least as many. The recent one
-//! goes by its last window, which may reach over both of these; so its part counts twice. With the sum
-//! of the steady part and twice the recent one at one or less, the hosts' shares add up to no more than
-//! the ratio, also where hosts are asked one after the other.
+//! Requests pay for retries in the window in which a retry is counted, or in the one before it. A
+//! host's share of the ratio has two parts. The steady part is based on the smallest of its windows
+//! that ended within the last one: whatever window a retry is counted in, the one before it has at
+//! least as many requests. The recent part is based on its last window, which may overlap both of
+//! these windows, so it counts twice. With the sum of the steady part and twice the recent part at
+//! one or less, the hosts' shares add up to no more than the ratio, also where the requests reach
+//! one host after the other.
 //!
-//! A retry counts from its payment until it can't arrive any more, and a window from then on, so that one that waits for a
-//! server, a connection, or a host that was frozen is in the account whenever it arrives.
+//! A retry counts from its payment until it can't arrive any more, and a window from then on. So a
+//! retry that waits for a server or a connection, or was delayed while its host was frozen, is
+//! accounted for whenever it arrives.
 //!
-//! The extra is shared equally. An earlier run of a host may have spent its part just before its end, and nobody knows;
-//! so a later run has none for one window. What a host doesn't need of its share it may lend ([`loan`]).
+//! The extra is shared equally. An earlier run of a host may have spent its share just before its
+//! end without any record of it, so a restarted host has none for one window. A host may lend what
+//! it doesn't need of its share ([`loan`]).
 
 pub mod loan;
 
@@ -28,42 +32,43 @@
     series::Series,
 };
 
-/// Part of the extra that is used, for hosts that join, leave or count a moment later.
+/// Part of the extra that is used. The rest allows for hosts that join, leave or count a moment
+/// later.
 const EXTRA_MARGIN: f64 = 0.8;
 
-/// Part of the ratio that a host uses by its least window.
+/// Part of the ratio that a host uses of its smallest window.
 const STEADY_PART: f64 = 0.45;
 
-/// Part of the ratio that a host uses by its last window.
+/// Part of the ratio that a host uses of its last window.
 const RECENT_PART: f64 = 0.25;
 
-/// Part of what may be used that is kept for requests which are lost without.
+/// Part of the share that is reserved for requests whose work is lost without a retry.
 const RESERVED_PART: f64 = 0.25;
 
 /// Parts of a window in which requests are counted.
 const WINDOW_PARTS: u32 = 100;
 
-/// Retries that are left from which on a host borrows others.
+/// Number of retries left below which a host borrows more.
 const LOW_RETRIES: f64 = 3.0;
 
-/// How long after it was last asked for a retry a host borrows.
+/// How long after the last request for a retry a host borrows.
 const DEMAND_MEMORY: Duration = Duration::from_millis(250);
 
 /// Part of what is left that a host lends at once.
 const LEND_PART: f64 = 0.5;
 
-/// Part of a window by which the least one is shortened: callers sent a request that long before it
-/// was counted, and windows begin between two parts.
+/// Part of a window by which the smallest one is shortened: callers sent a request up to this long
+/// before it was counted, and windows begin between two parts.
 const WINDOW_SHORTENING: f64 = 0.05;
 
-/// The budget's terms.
+/// Limits of a service's retry budget, over all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries besides, over all hosts.
+    /// Retries allowed in addition, in each window.
     pub extra: f64,
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -76,31 +81,31 @@
 /// How much depends on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// The caller can try again by itself.
+    /// The caller can retry by itself.
     Normal,
-    /// What was done so far is lost without.
+    /// The work done so far is lost without a retry.
     High,
 }
 
-/// Counts of a service since some start; they only rise.
+/// Requests and retries of a service since the start of the host. Both only increase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryTotals {
-    /// Requests.
+    /// Requests that have arrived at the host.
     pub requests: u64,
-    /// Retries.
+    /// Retries that were paid, with the host's own share or a loan.
     pub retries: u64,
 }
 
-/// A budget as one host has it, over the last window.
+/// State of a service's budget on one host, over the last window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudgetStatus {
-    /// Requests.
+    /// Requests that have arrived at the host.
     pub requests: u64,
-    /// Retries that have arrived.
+    /// Retries that have arrived at a server, or can't any more.
     pub retries: u64,
     /// Retries that were paid and may still arrive.
     pub open: u64,
-    /// Retries that were refused since the host's start.
+    /// Retries refused since the host's start.
     pub refused: u64,
     /// Retries that may still be made.
     pub left: f64,
@@ -108,25 +113,25 @@
     pub hosts: u32,
 }
 
-/// How a retry was paid that may still arrive.
+/// How a retry that may still arrive was paid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payment {
     /// From the host's own share.
     Own,
-    /// With a loan, which its lender counts.
+    /// With a loan, which its lender accounts for.
     Borrowed,
 }
 
-/// A host's part of the extra.
+/// A host's share of the extra retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extra {
-    /// Hosts that have one.
+    /// Hosts that share the extra equally.
     pub hosts: u32,
-    /// From when on this run of the host has its own.
+    /// From when on this run of the host has its share; `None` while the run isn't registered.
     pub from: Option<Moment>,
 }
 
-/// One service's budget on one host.
+/// One service's retry budget on one host.
 #[derive(Clone, Debug)]
 pub struct Budget {
     config: RetryBudgetConfig,
@@ -135,20 +140,19 @@
     retries: Series,
     /// Retries that were paid and may still arrive.
     open: u64,
-    /// What this host has used since its start.
     totals: RetryTotals,
-    /// Retries that were asked for in vain since its start.
+    /// Retries refused since the host's start.
     refused: u64,
-    /// When a retry was last asked for.
+    /// When a retry was last requested.
     wanted: Option<Moment>,
-    /// What others have lent to this host.
+    /// Loans from other hosts.
     borrowed: Loans,
-    /// What it has lent, until it counts no more.
+    /// Loans to other hosts, until they no longer count.
     lent: Loans,
 }
 
 impl Budget {
-    /// A budget by these terms.
+    /// Creates a budget without requests or retries.
     pub fn new(config: RetryBudgetConfig) -> Budget {
         let requests = Series::new(config.window, config.window / WINDOW_PARTS);
         let retries = Series::new(config.window, Duration::ZERO);
@@ -165,26 +169,27 @@
         }
     }
 
-    /// A request has come, whatever becomes of it.
+    /// Counts a request that has arrived, whatever becomes of it.
     pub fn request(&mut self, now: Moment) {
         self.totals.requests += 1;
         self.requests.add(1, now);
     }
 
-    /// Pays for a retry that leaves at once, if there is one left.
+    /// Pays for a retry that is sent at once, from this host's share or a loan. Returns `None` if
+    /// none is left.
     pub fn pay(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let own = self.take_own(need, extra, now);
         let payment = own.or_else(|| self.borrowed.take(now).map(|()| Payment::Borrowed));
         self.note(payment)
     }
 
-    /// Pays for a retry that waits, from this host's own share.
+    /// Pays for a retry that waits, from this host's own share only.
     pub fn reserve(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let payment = self.take_own(need, extra, now);
         self.note(payment)
     }
 
-    /// Counts a retry that was asked for.
+    /// Counts a retry that was paid or refused.
     fn note(&mut self, payment: Option<Payment>) -> Option<Payment> {
         match payment {
             Some(_) => self.totals.retries += 1,
@@ -200,7 +205,7 @@
         has_left.then_some(Payment::Own)
     }
 
-    /// A retry that was paid has arrived, or can't any more.
+    /// Records that a paid retry has arrived, or can't any more.
     pub fn arrived(&mut self, payment: Payment, now: Moment) {
         if payment == Payment::Own {
             self.open = self.open.saturating_sub(1);
@@ -208,19 +213,19 @@
         }
     }
 
-    /// A retry that was paid has not left, and is not going to.
+    /// Records that a paid retry was not sent and is not going to be.
     pub fn refund(&mut self, payment: Payment) {
         if payment == Payment::Own {
             self.open = self.open.saturating_sub(1);
         }
     }
 
-    /// Whether what has been paid is within this host's share, which may have shrunk since.
+    /// Whether all payments are within this host's share, which may have shrunk since.
     pub fn is_covered(&self, extra: Extra, now: Moment) -> bool {
         0.0 <= self.own_left(Need::High, extra, now)
     }
 
-    /// Lends so many retries at the most, and returns how many.
+    /// Lends at most `wanted` retries, and returns how many.
     pub fn lend(&mut self, wanted: u32, extra: Extra, now: Moment) -> u32 {
         let spare = self.own_left(Need::Normal, extra, now).max(0.0) * LEND_PART;
         let lent = wanted.min(spare as u32);
@@ -229,25 +234,25 @@
         lent
     }
 
-    /// Takes in what another host lends until a time.
+    /// Adds what another host lends until `until`.
     pub fn borrow(&mut self, count: u32, until: Moment, now: Moment) {
         self.borrowed.expire(now);
         self.borrowed.add(count, until);
     }
 
-    /// Whether retries are wanted and few are left.
+    /// Whether retries were requested lately and few are left.
     pub fn is_short(&self, extra: Extra, now: Moment) -> bool {
         let is_wanted = self.wanted.is_some_and(|at| now < at + DEMAND_MEMORY);
         is_wanted && self.left(Need::Normal, extra, now) < LOW_RETRIES
     }
 
-    /// Retries that are left, borrowed ones among them.
+    /// Retries that are left, including borrowed ones.
     pub fn left(&self, need: Need, extra: Extra, now: Moment) -> f64 {
         let borrowed = f64::from(self.borrowed.count(now));
         self.own_left(need, extra, now).max(0.0) + borrowed
     }
 
-    /// What is left of this host's own share; below none if it has shrunk.
+    /// What is left of this host's own share; negative if the share has shrunk.
     fn own_left(&self, need: Need, extra: Extra, now: Moment) -> f64 {
         let usable = match need {
             Need::Normal => 1.0 - RESERVED_PART,
@@ -257,7 +262,7 @@
         self.share(extra, now) * usable - used
     }
 
-    /// How it stands.
+    /// State of the budget, over the last window.
     pub fn status(&self, extra: Extra, now: Moment) -> RetryBudgetStatus {
         RetryBudgetStatus {
             requests: self.requests.last(now),
@@ -269,12 +274,12 @@
         }
     }
 
-    /// What this host has used since its start.
+    /// Requests and retries of this host since its start.
     pub fn totals(&self) -> RetryTotals {
         self.totals
     }
 
-    /// What this host may use in a window.
+    /// Retries that this host may use in a window.
     fn share(&self, extra: Extra, now: Moment) -> f64 {
         let steady = STEADY_PART * self.least_requests(now) as f64;
         let recent = RECENT_PART * self.requests.last(now) as f64;
@@ -283,7 +288,7 @@
         self.config.ratio * (steady + recent) + if is_due { part } else { 0.0 }
     }
 
-    /// Requests of the least window that ended within the last one.
+    /// Requests in the smallest window that ended within the last one.
     fn least_requests(&self, now: Moment) -> u64 {
         let part = self.config.window / WINDOW_PARTS;
         let length = self.config.window.mul_f64(1.0 - WINDOW_SHORTENING);
--- a/crates/policy/src/dispatch/budget/series.rs
+++ b/crates/policy/src/dispatch/budget/series.rs
@@ -1,31 +1,31 @@
-//! Counts over time.
+//! Counts of events over time.
 
 use std::collections::VecDeque;
 
 use types::prelude::*;
 
-/// Windows that are remembered: the one that ends now, and the one before.
+/// Windows that are retained: the one that ends now, the one before, and a margin.
 const RETAINED_WINDOWS: f64 = 2.1;
 
-/// How often something happened, and when.
+/// Cumulative counts of an event over time.
 #[derive(Clone, Debug)]
 pub struct Series {
     window: Duration,
-    /// What happens within so short a time counts as at its beginning.
+    /// Events within this time of an entry are counted in it.
     resolution: Duration,
-    /// Moments and how often it had happened by then, the oldest first.
+    /// Times and the number of events up to the end of each entry, the oldest first.
     sums: VecDeque<(Moment, u64)>,
-    /// How often before the oldest of them.
+    /// Number of events before the oldest entry.
     evicted: u64,
 }
 
 impl Series {
-    /// Nothing yet, to be looked at over windows of this length.
+    /// Creates an empty series for windows of this length.
     pub fn new(window: Duration, resolution: Duration) -> Series {
         Series { window, resolution, sums: VecDeque::new(), evicted: 0 }
     }
 
-    /// It happened so often.
+    /// Adds `count` events.
     pub fn add(&mut self, count: u64, now: Moment) {
         if count == 0 {
             return;
@@ -42,12 +42,12 @@
         }
     }
 
-    /// How often in the last window. It holds both of its ends.
+    /// Number of events in the last window, both ends included.
     pub fn last(&self, now: Moment) -> u64 {
         self.between(now.saturating_sub(self.window), now)
     }
 
-    /// How often in a span, both ends included.
+    /// Number of events in a span, both ends included.
     pub fn between(&self, from: Moment, to: Moment) -> u64 {
         let sum = |until: usize| until.checked_sub(1).map_or(self.evicted, |at| self.sums[at].1);
         let before = sum(self.sums.partition_point(|(at, _)| *at < from));
--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -1,5 +1,5 @@
-//! Choice of a server: the smallest expected time to the first byte, with what else counts turned
-//! into time.
+//! Choice of a server: the one with the lowest cost, which is the expected time to the first byte
+//! plus other criteria expressed as time.
 
 use types::{prelude::*, routed::Kind};
 
@@ -14,42 +14,47 @@
 };
 use crate::route::{Index, hints::Owner};
 
-/// Prompt tokens that a server reads in a millisecond, until told otherwise by its pace.
+/// Prompt tokens that a server is assumed to prefill in a millisecond; its pace corrects the
+/// expected time.
 pub const PREFILL_TOKENS_PER_MS: f64 = 30.0;
 
-/// What a token that some server has read already counts for, since reading it again is waste.
+/// Cost of a prompt token that the chosen server must prefill, relative to its time: prefilling
+/// what another server may have cached is waste.
 const PREFILL_REPEAT_FACTOR: f64 = 2.0;
 
-/// What the way to another zone must gain, in milliseconds: plain answers are small, streams long.
+/// Gain in milliseconds that a server in another zone must offer: plain responses are small,
+/// streams long.
 const OTHER_ZONE_PLAIN_MS: f64 = 3.0;
 const OTHER_ZONE_STREAM_MS: f64 = 10.0;
 
-/// Part of the goal that a full server counts for more than an empty one.
+/// Part of the goal that a full server costs more than an empty one.
 const FULL_SERVER_COST: f64 = 0.1;
 
-/// Part of the goal within which the choice is by chance, and the most of it in milliseconds, less
-/// than the way to another zone.
+/// Part of the goal within which the choice is random, and its upper bound in milliseconds, which
+/// is less than the cost of another zone.
 const JITTER: f64 = 0.01;
 const MAX_JITTER_MS: f64 = 2.0;
 
-/// Part of the goal that may pass in a server's own queue, so that no place stays empty between
-/// an end there and the next request from here.
+/// Part of the goal that a request may wait in a server's own queue, so that no slot stays empty
+/// between the end of a request there and the arrival of the next from this host.
 const OVERFILL: f64 = 0.125;
 
-/// Part of the KV memory beyond which preemption begins to threaten, what each further part
-/// counts in milliseconds, and the part beyond which nothing more is sent.
+/// Part of the KV memory above which preemption becomes likely; the cost in milliseconds per unit
+/// of that part above it; and the part above which nothing more is sent.
 const MEMORY_SOFT: f64 = 0.85;
 const MEMORY_COST_MS: f64 = 2000.0;
 const MEMORY_HARD: f64 = 0.97;
 
-/// Part of the pause that streams allow within which a server may read what waits there. Each piece
-/// of a prompt that it reads comes between the tokens of all streams that run there.
+/// Part of the allowed pause between events that a server may take to prefill all waiting prompts.
+/// Each piece of a prompt is prefilled between the tokens of all streams on the server.
 const PREFILL_IN_PAUSE: f64 = 0.5;
 
-/// What a request in flight counts for, where a server may crash.
+/// Cost in milliseconds of each request in flight on a server that gets a suspect, as the server
+/// may crash.
 const SUSPECT_COST_MS: f64 = 10_000.0;
 
-/// The server chosen, with what is expected of it.
+/// The chosen server, with the expected times and their parts as in
+/// [`Attempt`](super::task::Attempt).
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
     pub server: Index,
@@ -61,26 +66,24 @@
     cost_ms: f64,
 }
 
-/// Outcome of a choice.
 #[derive(Clone, Copy, Debug)]
 pub enum Outcome {
-    /// This server.
     Send(Choice),
-    /// Servers could run it, and none has a place.
+    /// Servers could run the request, and none has a place for it.
     Full,
-    /// No server could run it.
+    /// No server could run the request.
     NoServer,
 }
 
-/// What servers were found beside the best one.
+/// The result of a search among servers.
 #[derive(Default)]
 struct Candidates {
     best: Option<Choice>,
-    /// The best of those put aside.
+    /// The best server among those whose breaker is open.
     tripped: Option<Choice>,
-    /// Whether a server that is in no doubt and has a permit left could run it.
+    /// Whether a server with a closed breaker and a permit left could run the request.
     has_usable: bool,
-    /// Whether any server could run it.
+    /// Whether any server could run the request.
     has_able: bool,
 }
 
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Servers that could run the request, but for its adapter.
+    /// Servers that could run the request, regardless of its adapter.
     pub(super) fn list(&self, task: &Task) -> &ServerList {
         match task.model {
             Some(model) => &self.registry.models[model as usize].list,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Times of requests like this one.
+    /// Times of requests for the same model or service.
     pub(super) fn stats(&self, task: &Task) -> &Stats {
         match task.model {
             Some(model) => &self.registry.models[model as usize].stats,
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Whether a server, its standing aside, could run the request.
+    /// Whether a server could run the request, regardless of its state, breaker and load.
     pub(super) fn is_able(&self, task: &Task, server: &Server) -> bool {
         let adapter = task.spec.adapter.as_ref();
         let holds = task.model.is_none_or(|model| server.models.holds(model, adapter));
@@ -163,7 +166,7 @@
                 State::HalfOpen => task.spec.is_repeatable(),
                 State::Open => false,
             };
-            // A server in doubt is better than one that takes no more.
+            // A server with a tripped breaker is better than one that takes no more requests.
             found.has_usable |= state == State::Closed && self.has_permit(server, now);
             let prefill = task.input() - cached_tokens(task, owners, index);
             if !self.has_place(task, index, server, now)
@@ -180,7 +183,7 @@
         found
     }
 
-    /// Whether a server takes one more without making it wait for long.
+    /// Whether a server takes one more request without making it wait for long.
     fn has_place(&self, task: &Task, index: Index, server: &Server, now: Moment) -> bool {
         let slots = f64::from(server.slots);
         let wait = millis(task.spec.goal) * OVERFILL;
@@ -194,8 +197,8 @@
         is_free && self.has_permit(server, now) && is_turn()
     }
 
-    /// Whether it is this request's turn to take one of so many places, which a crowd of hosts sees
-    /// as free. Each draws anew when peers have told anew.
+    /// Whether this request may take one of the server's free places, which all contending hosts
+    /// see. Each request draws a new lot whenever new digests of peers have arrived.
     fn is_turn(&self, task: &Task, index: Index, free: f64) -> bool {
         let contenders = self.registry.get(index).map_or(1.0, |server| server.load.contenders());
         let round = self.registry.peers_at().map_or(0, |at| at.as_millis() as u64);
@@ -203,7 +206,7 @@
         contenders <= free || (lot as f64) * contenders < free * 1024.0
     }
 
-    /// What is expected of a server.
+    /// Estimates the times and the cost of a request at a server.
     fn estimate(
         &self,
         task: &Task,
@@ -242,7 +245,7 @@
         Choice { server: index, baseline_ms, work_ms, queue_ms, expected_ms, prefill, cost_ms }
     }
 
-    /// Servers that are thought to have read beginnings of the prompt.
+    /// Servers assumed to have prefixes of the prompt in their cache.
     fn owners(&self, task: &Task, now: Moment) -> Vec<Owner> {
         if task.prefixes.is_empty() {
             return Vec::new();
@@ -252,7 +255,8 @@
     }
 }
 
-/// Whether a server that reads the prompt too still passes on its streams without long pauses.
+/// Whether a server that also prefills this prompt still emits the events of its streams without
+/// long pauses.
 fn keeps_stream_pauses(task: &Task, server: &Server, prefill: u32) -> bool {
     let waiting = server.load.prefill();
     let reading = (waiting as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
@@ -260,11 +264,11 @@
     waiting == 0 || pause.is_none_or(|pause| reading <= millis(pause) * PREFILL_IN_PAUSE)
 }
 
-/// Tokens of the prompt that a server is thought to have kept. The hints count in parts.
+/// Tokens of the prompt that a server is assumed to have in its cache. The hints count in parts.
 fn cached_tokens(task: &Task, owners: &[Owner], server: Index) -> u32 {
     let parts = owners.iter().find(|owner| owner.server == server).map_or(0, |owner| owner.tokens);
-    let kept = (parts as usize).checked_sub(1).and_then(|last| task.prefixes.get(last));
-    kept.map_or(0, |(_, tokens)| *tokens).min(task.input())
+    let cached = (parts as usize).checked_sub(1).and_then(|last| task.prefixes.get(last));
+    cached.map_or(0, |(_, tokens)| *tokens).min(task.input())
 }
 
 fn zone_cost(kind: Kind, locality: Locality) -> f64 {
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -1,4 +1,4 @@
-//! Which host is asked for a loan of retries, and when.
+//! Requests for loans of retries: which host is asked, and when.
 
 use types::prelude::*;
 
@@ -8,40 +8,39 @@
 };
 use crate::route::Index;
 
-/// Time after which an ask counts as lost.
+/// Time after which a request without an answer counts as lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time between two asks.
+/// Minimum time between two requests for one service.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Hosts that have nothing to lend, one after the other, after which none is asked for a while.
+/// Consecutive denials after which no host is asked for [`DENIAL_PAUSE`].
 const MAX_DENIALS: u32 = 4;
 
-/// How long none is asked then.
 const DENIAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Asks of this host for loans, and messages on their way.
+/// Loan requests of this host, and messages to be sent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Borrowing {
     requests: Map<Index, LoanRequests>,
-    /// Hosts asked so far.
+    /// Number of requests sent so far, which selects the next lender.
     turn: usize,
     outgoing: Vec<(host::Id, Message)>,
 }
 
-/// The last ask for one service.
+/// Loan requests for one service.
 #[derive(Clone, Debug, Default)]
 struct LoanRequests {
-    /// When it was sent, while no answer has come.
+    /// When the last request was sent, while it has no answer.
     open: Option<Moment>,
-    /// From when on another may be sent.
+    /// When the next request may be sent.
     next: Moment,
-    /// Hosts in a row that had nothing to lend.
+    /// Consecutive answers that lent nothing.
     denials: u32,
 }
 
 impl LoanRequests {
-    /// Whether another may be sent.
+    /// Whether the next request may be sent.
     fn is_due(&self, now: Moment) -> bool {
         let is_open = self.open.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
         !is_open && self.next <= now
@@ -54,7 +53,7 @@
         std::mem::take(&mut self.loans.outgoing)
     }
 
-    /// Takes in another host's message on loans.
+    /// Applies another host's message on loans.
     pub fn loan_received(&mut self, from: &host::Id, message: &Message, now: Moment) {
         let service = self.registry.service(&message.service);
         match message.content {
@@ -82,7 +81,7 @@
         self.registry.services[service as usize].budget.borrow(lent, asked + USABLE, now);
     }
 
-    /// Asks the next host for each service that is short of retries.
+    /// Requests a loan from the next host for each service that is short of retries.
     pub(super) fn ask_for_loans(&mut self, now: Moment) {
         let extra = self.sharers.extra();
         let services = self.registry.services.iter().enumerate();
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -1,18 +1,18 @@
 //! Requests that crash the servers that run them.
 //!
-//! A crash is a fact: a request was at a run of a server when that run ended. A host holds the set of
-//! the crashes that it knows and sends it on, those that it only heard of among them. Sets join in any
-//! order and however often, so no crash counts twice, a host that restarts learns them from any other,
-//! and a host that falls silent takes nothing with it.
+//! A [`Crash`] states that a request was at a run of a server when that run ended. Each host stores
+//! the crashes that it knows and sends them to others, including those that it only received. Sets
+//! of crashes are merged in any order and any number of times, so no crash counts twice, a
+//! restarted host gets them from any other, and a host that fails takes no information with it.
 //!
 //! A crash stops counting when it is void: the server's run answered something that was sent to it
-//! later, or the request ended whole somewhere. It doesn't count either while another request explains
-//! it: one that ran apart on that server, or one that has crashed more servers and is refused.
+//! later, or the request completed somewhere. It also doesn't count while another request explains
+//! it: one that ran isolated on that server, or one that has crashed more servers and is refused.
 //!
-//! From the second crash on a request is a suspect and runs apart from other suspects: one at a time
-//! on a host, on the server with the least to lose. Hosts tell each other of such runs as of crashes,
-//! so that no other host sends the same request, or another suspect to the same server, meanwhile.
-//! After the third crash a request reaches no server.
+//! From the second crash on a request is a suspect and runs isolated from other suspects: one at a
+//! time on a host, on the server with the least to lose. Hosts advertise such runs like crashes, so
+//! that no other host sends the same request, or another suspect to the same server, in the
+//! meantime. After the third crash the request is refused by all hosts.
 
 use std::{
     cmp::Ordering,
@@ -24,72 +24,72 @@
 
 use super::{Map, request::Ticket};
 
-/// What a request is known by: a digest of its path and body, which are what a server sees.
+/// Identifies a request: a digest of its path and body, which are what a server sees.
 pub type Fingerprint = u64;
 
-/// Crashes from which on a request runs apart.
+/// Number of crashes from which on a request is a suspect.
 pub const SUSPECT: usize = 2;
 
-/// Crashes after which a request reaches no server.
+/// Number of crashes from which on a request is refused.
 pub const POISON: usize = 3;
 
-/// How long a request is known after its last crash, if it ran apart in one of them.
+/// How long a request is remembered after its last crash, if it ran isolated in one of its crashes.
 pub const LIFE: Duration = Duration::from_secs(3600);
 
-/// How long it is known if others were beside it in each of its crashes.
+/// How long a request is remembered that shared the server with others in each of its crashes.
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
-/// Remaining life below which what others still send is not learnt again.
+/// Remaining life below which a received crash is not added again.
 const MIN_REMAINING_LIFE: Duration = Duration::from_secs(5);
 
-/// Most requests known; those with the fewest crashes are forgotten first.
+/// Most requests remembered; those with the fewest crashes are evicted first.
 const MAX_REQUESTS: usize = 1024;
 
-/// Most crashes sent to other hosts; requests with the most crashes go first.
+/// Most crashes sent to other hosts; those of requests with the most crashes are sent first.
 const MAX_SENT: usize = 128;
 
-/// How long a void crash of a request that is no suspect is sent.
+/// How long a void crash of a request that is not a suspect is sent.
 const VOID_SEND_TIME: Duration = Duration::from_secs(10);
 
 /// Time between the end of an attempt and the end of its server's registration within which the
 /// attempt may have crashed the server.
 const UNRESOLVED_LIFE: Duration = Duration::from_secs(8);
 
-/// How long at least a request that ended whole crashes no server, as far as is known.
+/// How long at least a completed request is assumed to crash no server.
 const COMPLETED_LIFE: Duration = Duration::from_secs(10);
 
-/// Most requests kept that ended whole, in each of two generations.
+/// Most completed requests remembered in each of two generations.
 const MAX_COMPLETED: usize = 4096;
 
-/// How long a suspect's run keeps others away, in case that the end of its run is not told.
+/// How long a suspect's run keeps other suspects away if the end of the run is not reported.
 const MAX_RUN: Duration = Duration::from_secs(20);
 
-/// Most attempts kept whose servers may have crashed.
+/// Most attempts remembered whose servers may have crashed.
 const MAX_UNRESOLVED: usize = 512;
 
-/// What is thought of a request.
+/// How a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// The request is sent like any other.
     Clear,
-    /// The request runs apart from other suspects.
+    /// The request runs isolated from other suspects.
     Suspect,
-    /// The request reaches no server.
+    /// The request is refused.
     Poison,
 }
 
-/// How a request ran on the server that crashed; the later one overrules the earlier.
+/// How a request ran on the server that crashed. In a merge the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Isolation {
-    /// Shared others that are as likely to have crashed it.
+    /// Together with other requests that are as likely to have crashed the server.
     #[serde(rename = "Beside")]
     Shared,
-    /// As the one suspect there.
+    /// As the only suspect on the server.
     #[serde(rename = "Apart")]
     Isolated,
 }
 
-/// Whether a crash counts; the later one overrules the earlier.
+/// Whether a crash counts. In a merge the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashState {
     /// The server has not crashed so far: a suspect runs there.
@@ -102,9 +102,9 @@
     Void,
 }
 
-/// A request was at a run of a server when that run ended.
+/// States that a request was at a run of a server when that run ended.
 ///
-/// Each host writes what it saw itself: it alone begins a turn, and any host may find it void.
+/// Only the witness starts a new turn; any host may find the crash void.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
@@ -113,21 +113,22 @@
     pub server: backend::Id,
     /// The host that sent the request there.
     pub witness: host::Id,
-    /// Times that it did before, and nothing came of it; a later turn overrules an earlier one.
+    /// Number of earlier runs of the request on the server whose crash was void. In a merge the
+    /// higher turn wins.
     pub turn: u32,
     /// How the request ran there.
     #[serde(rename = "role")]
     pub isolation: Isolation,
-    /// Whether it counts.
+    /// Whether the crash counts.
     #[serde(rename = "verdict")]
     pub state: CrashState,
-    /// Time since it was seen.
+    /// Time since the crash was seen.
     #[serde(with = "types::time::millis")]
     pub age: Duration,
 }
 
 impl Crash {
-    /// What two hosts know of one crash, together.
+    /// Merges what two hosts know of one crash.
     #[must_use]
     pub fn joined(self, other: &Crash) -> Crash {
         match self.turn.cmp(&other.turn) {
@@ -144,14 +145,14 @@
     }
 }
 
-/// A change of what is thought of a request, with the crashes behind it.
+/// A change of a request's standing, with the crashes behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandingChange {
     /// The request.
     pub request: Fingerprint,
-    /// What is thought of it now.
+    /// The new standing.
     pub standing: Standing,
-    /// The crashes that are known, void ones among them.
+    /// All known crashes of the request, including void ones.
     pub crashes: Vec<Crash>,
 }
 
@@ -160,11 +161,11 @@
     turn: u32,
     isolation: Isolation,
     state: CrashState,
-    /// Until when it would be known at the most.
+    /// When the crash expires at the latest.
     until: Moment,
-    /// When this host learnt of it.
+    /// When this host added the record, or when the run of a suspect was first recorded as a crash.
     seen_at: Moment,
-    /// When this host last told others that it is void.
+    /// When this host last found the crash void, from which on it sends that to others.
     voided_at: Option<Moment>,
 }
 
@@ -182,7 +183,7 @@
     }
 }
 
-/// A run of a server, and the host that sent the request there.
+/// The run of a server, and the host that sent the request there.
 type CrashKey = (backend::Id, host::Id);
 
 #[derive(Clone, Debug, Default)]
@@ -192,19 +193,20 @@
 }
 
 impl Entry {
-    /// What hosts know of the request at a server.
+    /// Records of the request at a server, by all hosts.
     fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
         let there = self.crashes.iter().filter(move |((at, _), _)| at == server);
         there.map(|(_, record)| record)
     }
 
-    /// Servers whose crashes count, but for what another request explains.
+    /// Servers whose crashes count, regardless of whether another request explains them.
     fn counted(&self) -> BTreeSet<&backend::Id> {
         let counted = self.crashes.iter().filter(|(_, record)| record.is_counted());
         counted.map(|((server, _), _)| server).collect()
     }
 
-    /// When it is forgotten: by its youngest crash, and by whether it ran apart in any.
+    /// When the request is forgotten, which depends on its newest crash and on whether it ran
+    /// isolated in any.
     fn until(&self) -> Moment {
         let youngest = self.crashes.values().map(|record| record.until).max().unwrap_or_default();
         let was_isolated =
@@ -213,7 +215,7 @@
     }
 }
 
-/// The run of a suspect, apart from other suspects.
+/// The isolated run of a suspect.
 #[derive(Clone, Debug)]
 struct Trial {
     ticket: Ticket,
@@ -221,7 +223,7 @@
     server: backend::Id,
 }
 
-/// An attempt that ended without telling whether its server crashed.
+/// An attempt that ended without showing whether its server crashed.
 #[derive(Clone, Debug)]
 struct UnresolvedAttempt {
     request: Fingerprint,
@@ -230,7 +232,8 @@
     at: Moment,
 }
 
-/// Requests that ended whole lately: the older generation goes when the younger is full or old.
+/// Requests that completed lately. The older generation is dropped when the younger one is full or
+/// old.
 #[derive(Clone, Debug, Default)]
 struct CompletedRequests {
     young: BTreeSet<Fingerprint>,
@@ -253,7 +256,7 @@
     }
 }
 
-/// Crashes by request.
+/// Crashes by request, as one host knows them.
 #[derive(Clone, Debug)]
 pub struct Poison {
     host: host::Id,
@@ -263,12 +266,12 @@
     trial: Option<Trial>,
     unresolved: VecDeque<UnresolvedAttempt>,
     completed: CompletedRequests,
-    /// Requests about which something was learnt since the last look.
+    /// Requests whose records have changed since the last call of [`Poison::take_changes`].
     changed: BTreeSet<Fingerprint>,
 }
 
 impl Poison {
-    /// Nothing is known yet on this host.
+    /// Creates a record of this host without crashes.
     pub fn new(host: host::Id) -> Poison {
         Poison {
             host,
@@ -281,7 +284,7 @@
         }
     }
 
-    /// What is thought of a request.
+    /// How a request is to be treated.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         let Some(entry) = self.entries.get(&request) else { return Standing::Clear };
         if entry.crashes.len() < SUSPECT {
@@ -294,7 +297,8 @@
         }
     }
 
-    /// Whether a suspect has to wait: another one runs here, or the same request anywhere.
+    /// Whether a suspect has to wait, because another one runs on this host or the same request
+    /// anywhere.
     pub fn must_wait(&self, request: Fingerprint, now: Moment) -> bool {
         let entry = self.entries.get(&request);
         let runs = || entry.is_some_and(|entry| entry.crashes.values().any(|k| k.is_running(now)));
@@ -308,12 +312,12 @@
         there.any(|entry| entry.at(server).any(|record| record.is_running(now)))
     }
 
-    /// A suspect goes to a server.
+    /// Records that a suspect is assigned to a server.
     pub fn start_trial(&mut self, ticket: Ticket, request: Fingerprint, server: &backend::Id) {
         self.trial = Some(Trial { ticket, request, server: server.clone() });
     }
 
-    /// A request is on its way to its server; before this nothing has left.
+    /// Records that the first byte of a request is sent to its server.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         let trial = self.trial.as_ref().filter(|trial| trial.ticket == ticket);
         if let Some(Trial { request, server, .. }) = trial.cloned() {
@@ -321,7 +325,7 @@
         }
     }
 
-    /// A request's run was cut off by what looks like a crash of its server.
+    /// Records that a request's run was cut off by what looks like a crash of its server.
     pub fn crashed(
         &mut self,
         ticket: Ticket,
@@ -337,7 +341,8 @@
         }
     }
 
-    /// A request's attempt ended without a word of its server, which may crash by it all the same.
+    /// Records that a request's attempt ended without a response. The server may crash by it all
+    /// the same.
     pub fn unclear(
         &mut self,
         ticket: Ticket,
@@ -358,7 +363,7 @@
         });
     }
 
-    /// A server's registration ended though it did not say that it leaves.
+    /// Records that a server's registration ended without draining.
     pub fn gone(&mut self, server: &backend::Id, now: Moment) {
         let (of_server, others) = std::mem::take(&mut self.unresolved)
             .into_iter()
@@ -379,7 +384,8 @@
         }
     }
 
-    /// A server answered what was sent to it at a time, so it did not crash before.
+    /// Records that a server answered what was sent to it at `sent`, so that it did not crash
+    /// before.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
         let is_resolved =
             |unclear: &UnresolvedAttempt| unclear.server == *server && unclear.at < sent;
@@ -398,13 +404,13 @@
         }
     }
 
-    /// A request got its whole answer.
+    /// Records that a request received its complete response.
     pub fn completed(&mut self, request: Fingerprint, now: Moment) {
         self.completed.add(request, now);
         self.void(request, now, |_, _| true);
     }
 
-    /// An attempt is over, whatever came of it.
+    /// Records that an attempt is over, whatever its outcome.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
         let is_same = |unclear: &UnresolvedAttempt| {
@@ -416,8 +422,8 @@
         }
     }
 
-    /// Crashes for other hosts: those of suspects, what this host saw of others, and for a while what is
-    /// void.
+    /// Crashes to be sent to other hosts: those of suspects, what this host saw of other requests,
+    /// and void ones for a while.
     pub fn crashes(&self, now: Moment) -> Vec<Crash> {
         let mut sent = Vec::new();
         for (request, entry) in &self.entries {
@@ -441,7 +447,8 @@
         sent.into_iter().take(MAX_SENT).map(|(_, crash)| crash).collect()
     }
 
-    /// All crashes of the requests that are refused, and whether this host saw one of a request's.
+    /// All crashes of each request that is refused, and whether this host is the witness of one of
+    /// these.
     pub fn refused(&self, now: Moment) -> Vec<(Vec<Crash>, bool)> {
         let refused =
             self.entries.iter().filter(|(request, _)| self.standing(**request) == Standing::Poison);
@@ -452,7 +459,7 @@
         refused.map(crashes).collect()
     }
 
-    /// Joins what other hosts, or the store, know.
+    /// Merges crashes that other hosts or the store know.
     pub fn merge(&mut self, crashes: &[Crash], now: Moment) {
         for crash in crashes {
             let Some(left) = LIFE.checked_sub(crash.age) else { continue };
@@ -471,7 +478,7 @@
         self.keep_within_bounds();
     }
 
-    /// Changes of what is thought of requests, since the last call.
+    /// Returns the changes of standings since the last call.
     pub fn take_changes(&mut self, now: Moment) -> Vec<StandingChange> {
         let mut changes = Vec::new();
         for request in std::mem::take(&mut self.changed) {
@@ -486,12 +493,12 @@
         changes
     }
 
-    /// Drops what is old.
+    /// Removes expired requests and unresolved attempts.
     pub fn expire(&mut self, now: Moment) {
-        let (old, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
+        let (old, recent): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
             .partition(|unclear| unclear.at + UNRESOLVED_LIFE <= now);
-        self.unresolved = kept;
+        self.unresolved = recent;
         for UnresolvedAttempt { request, server, .. } in old {
             self.void(request, now, |at, record| {
                 *at == server && record.state == CrashState::Running
@@ -502,15 +509,15 @@
         old.into_iter().for_each(|request| self.forget(request));
     }
 
-    /// Crashes that count, but for those that another request explains.
+    /// Number of crashes that count and that no other request explains.
     fn count(&self, request: Fingerprint, entry: &Entry) -> usize {
         let counted = self.counted(request, entry);
         let own = counted.len();
         counted.iter().filter(|server| !self.is_explained(request, server, own)).count()
     }
 
-    /// Servers of the crashes that count, but for those where another request ran apart. Of two that did
-    /// on one server neither explains its crash.
+    /// Servers of the crashes that count, except those where another request ran isolated. Of two
+    /// requests that ran isolated on one server neither explains its crash.
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
         let ran_isolated = |server: &backend::Id, other: &Entry| {
             other
@@ -523,8 +530,8 @@
         entry.counted().into_iter().filter(|server| !other_ran_isolated(server)).collect()
     }
 
-    /// Whether another request was there that has crashed enough servers to be refused, and more than
-    /// this one, which has crashed so many.
+    /// Whether a crash is explained by another request at the server that has crashed enough
+    /// servers to be refused, and more than this request, which has crashed `own`.
     fn is_explained(&self, request: Fingerprint, server: &backend::Id, own: usize) -> bool {
         self.others(request, server).any(|(fingerprint, other)| {
             let is_there = other.at(server).any(CrashRecord::is_counted);
@@ -575,7 +582,7 @@
             true => CrashState::Void,
             false => crash.state,
         };
-        // What is void here is told again to whoever doesn't know it.
+        // A crash that only this host knows to be void is sent again.
         let voided_at = (state != crash.state).then_some(now);
         let new = CrashRecord {
             turn: crash.turn,
@@ -601,7 +608,7 @@
                         self.changed.insert(crash.request);
                     }
                     if record.state < CrashState::Counted && state == CrashState::Counted {
-                        // The crash is later than the begin of the run.
+                        // The crash is later than the start of the run.
                         record.seen_at = now;
                     }
                     let is_void = record.state == CrashState::Void;
@@ -617,7 +624,7 @@
         }
         let there = self.at_servers.entry(crash.server.clone()).or_default();
         there.insert(crash.request);
-        // What one crash explains changes with it.
+        // The requests that this crash explains change with it.
         if 1 < there.len() && self.changed.contains(&crash.request) {
             self.changed.extend(there.iter().copied());
         }
@@ -651,7 +658,7 @@
         }
     }
 
-    /// Forgets the requests with the fewest crashes, the oldest of them first.
+    /// Evicts the requests with the fewest crashes, the oldest of them first.
     fn keep_within_bounds(&mut self) {
         let excess = self.entries.len().saturating_sub(MAX_REQUESTS);
         if excess == 0 {
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -1,4 +1,4 @@
-//! The queues: what goes next, and what is given up.
+//! The queues: which request is sent next, and which is given up.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +16,25 @@
 };
 use crate::route::Index;
 
-/// Time between two looks at what changes slowly.
+/// Interval of the work on what changes slowly.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two looks for overdue answers.
+/// Interval of the checks for overdue responses.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Most waiting requests looked at in one go, for each service.
+/// Most waiting requests examined in one call, for each service.
 pub(super) const SCAN_LIMIT: usize = 256;
 
-/// What has been found to have no place.
+/// A model and adapter for which no server has a place.
 type Blocked = (Option<Index>, Option<adapter::Id>);
 
-/// What no server holds: a service, a model, an adapter, and how many requests wait for it.
+/// A model or adapter that no server has loaded: the service, the model, the adapter, and the
+/// number of requests that wait for it.
 pub type Missing = (service::Id, model::Id, Option<adapter::Id>, u32);
 
 impl Dispatcher {
-    /// Moves the queues on; to be called after anything has changed, an arrival that is
-    /// to wait among it, and every few milliseconds.
+    /// Advances the queues. To be called after any change, including an arrival that has to wait,
+    /// and every few milliseconds.
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         self.registry.apply_deferred(now);
@@ -58,13 +59,13 @@
         changes
     }
 
-    /// Requests that wait, on all queues.
+    /// Number of requests in all queues.
     pub fn waiting(&self) -> usize {
         self.registry.services.iter().map(|service| service.queue.len()).sum()
     }
 
-    /// What this host has at servers, for peers: by server and model, with the prompt tokens of
-    /// requests whose answer has not begun.
+    /// This host's requests in flight, for peers: by server and model, with the prompt tokens of
+    /// those whose response has not begun.
     pub fn work(&self) -> Vec<Work> {
         let mut work: BTreeMap<(&backend::Id, &Option<model::Id>), (u32, u64)> = BTreeMap::new();
         for Task { spec, state, .. } in self.tasks.values() {
@@ -83,7 +84,8 @@
         .collect()
     }
 
-    /// Models and adapters that requests wait for and no server holds, with their number.
+    /// Models and adapters that requests wait for and no server has loaded, with the number of
+    /// requests.
     pub fn missing(&self) -> Vec<Missing> {
         let waiting = self.registry.services.iter().flat_map(|service| service.queue.iter());
         let tasks = waiting.filter_map(|key| self.tasks.get(&key.ticket));
@@ -105,7 +107,7 @@
         missing
     }
 
-    /// Models that requests wait for, with their number.
+    /// Models that requests wait for, with the number of requests.
     pub fn wanted(&self) -> Vec<(service::Id, model::Id, u32)> {
         let queues = self.registry.services.iter().map(|service| (&service.id, &service.queue));
         let wanted = queues.flat_map(|(id, queue)| queue.wanted().map(move |wanted| (id, wanted)));
@@ -117,7 +119,7 @@
             .collect()
     }
 
-    /// Puts requests that can't be in time any more behind those that can, or gives them up.
+    /// Moves requests that can't be in time any more behind those that can, or gives them up.
     fn demote_late(&mut self, service: usize, now: Moment) {
         for priority in 0..=LEAST_URGENT {
             while let Some(key) = self.registry.services[service].queue.next_missed(priority, now) {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Sends what has a place now, in order.
+    /// Sends the requests for which a server has a place, in the order of service.
     fn dispatch_waiting(&mut self, service: usize, now: Moment, changes: &mut Vec<Change>) {
         let keys: Vec<Key> =
             self.registry.services[service].queue.iter().take(SCAN_LIMIT).collect();
@@ -146,7 +148,7 @@
             if blocked.iter().any(|(model, adapter)| (*model, adapter) == wants) {
                 continue;
             }
-            // What has no time left is about to be given up.
+            // A request without time left is about to be given up.
             if task.spec.deadline <= now + duration(self.stats(task).base()) {
                 continue;
             }
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Refuses what has waited for too long.
+    /// Refuses requests that have waited for too long.
     fn give_up(&mut self, service: usize, now: Moment, changes: &mut Vec<Change>) {
         while let Some(ticket) = self.registry.services[service].queue.next_expired(now) {
             let Some(State::Waiting(key, _)) = self.tasks.get(&ticket).map(|task| &task.state)
@@ -196,13 +198,13 @@
         }
     }
 
-    /// Whether what was paid for a request's next arrival is still within the budget.
+    /// Whether the payment for a request's next arrival is still within the budget.
     fn is_covered(&self, task: &Task, now: Moment) -> bool {
         let budget = &self.registry.services[task.service as usize].budget;
         task.payment.is_none() || budget.is_covered(self.sharers.extra(), now)
     }
 
-    /// What becomes of a request whose payment isn't within the budget any more.
+    /// Verdict on a request whose payment is no longer within the budget.
     fn unpaid(&self, task: &Task, now: Moment) -> Verdict {
         match task.runs {
             0 => Verdict::Refuse { cause: Cause::Budget, after: self.retry_after(task, now) },
@@ -210,14 +212,14 @@
         }
     }
 
-    /// Gives up a request that waits.
+    /// Gives up a waiting request.
     pub(super) fn drop_waiting(&mut self, service: usize, key: Key) {
         if let Some(mut task) = self.take(service, key) {
             self.refund(&mut task);
         }
     }
 
-    /// Takes a request out of its queue and the tasks.
+    /// Removes a request from its queue and from the tasks.
     pub(super) fn take(&mut self, service: usize, key: Key) -> Option<Task> {
         let task = self.tasks.remove(&key.ticket)?;
         if let State::Waiting(key, give_up) = &task.state {
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -1,4 +1,4 @@
-//! Limited servers: who may send there, and what waits for permits.
+//! Rate-limited servers: which requests may be sent to them, and which wait for permits.
 
 use std::collections::BTreeMap;
 
@@ -18,16 +18,16 @@
     route::Index,
 };
 
-/// Time between two looks at what waits for limited servers.
+/// Interval of the checks of requests that wait for limited servers.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Dispatcher {
-    /// The quotas of limited servers.
+    /// Quotas of the rate-limited servers.
     pub fn quotas(&self) -> &Quotas {
         &self.quotas
     }
 
-    /// Takes in the limit that an answer of a server names whose request left at `sent`.
+    /// Applies the limit that a server names in the response to a request sent at `sent`.
     pub fn limit_named(
         &mut self,
         id: &backend::Id,
@@ -41,7 +41,7 @@
         Some(change)
     }
 
-    /// Takes in what another host believes of a server's limit.
+    /// Applies a server's limit as another host knows it.
     pub fn limit_received(
         &mut self,
         id: &backend::Id,
@@ -53,7 +53,7 @@
         Some(change)
     }
 
-    /// Takes in another host's message on quotas, and returns the changes of limits that it told of.
+    /// Applies another host's message on quotas, and returns the changes of limits in it.
     pub fn quota_received(
         &mut self,
         from: &host::Id,
@@ -72,8 +72,8 @@
         self.quotas.outgoing()
     }
 
-    /// Takes in the other hosts that are known, whether each is heard, and which of all take part in what
-    /// hosts share: quotas and retry budgets.
+    /// Sets the other known hosts, with whether each is live, and the hosts that share the quotas
+    /// and retry budgets.
     pub fn share_among<'a>(
         &mut self,
         known: impl Iterator<Item = (&'a host::Id, bool)>,
@@ -99,7 +99,7 @@
         self.quotas.changed(id, change, before, now);
     }
 
-    /// Takes a permit for an order to a server, if one is needed and there.
+    /// Takes a permit for an order to a server. Returns false if one is needed and none is left.
     pub fn take_permit(&mut self, id: &backend::Id, now: Moment) -> bool {
         if self.quotas.limit(id).is_none() {
             return true;
@@ -112,12 +112,12 @@
         has_permit
     }
 
-    /// Whether a request may be sent to a server now, as far as its limit goes.
+    /// Whether a server's limit allows a request to be sent now.
     pub(super) fn has_permit(&self, server: &Server, now: Moment) -> bool {
         !server.is_limited || self.quotas.has_permit(&server.id, now)
     }
 
-    /// Notes a request that could have gone to limited servers but for permits.
+    /// Records the limited servers that could have run the request if a permit had been left.
     pub(super) fn note_missed(&mut self, task: &Task, now: Moment) {
         if self.quotas.is_idle() {
             return;
@@ -130,7 +130,7 @@
         missed.iter().for_each(|id| self.quotas.missed(id, now));
     }
 
-    /// Refuses what can't be served in time by limited servers alone, and asks for permits.
+    /// Refuses what can't be served in time by limited servers alone, and requests permits.
     pub(super) fn tick_quotas(&mut self, now: Moment, changes: &mut Vec<Change>) {
         if !self.quotas.is_idle() && self.limits_checked + CHECK_INTERVAL <= now {
             self.limits_checked = now;
@@ -141,7 +141,7 @@
         self.quotas.tick(now);
     }
 
-    /// Limited servers that take work.
+    /// Limited servers that take new requests.
     fn limited(&self) -> impl Iterator<Item = (&backend::Id, &Server)> {
         self.quotas.limited().filter_map(|id| {
             let server = self.registry.get(self.registry.index(id)?)?;
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Permits that waiting requests want, by limited server.
+    /// Permits that waiting requests need, by limited server.
     fn wants(&self) -> BTreeMap<backend::Id, Want> {
         let none = Want { permits: 0, urgency: LEAST_URGENT };
         let mut wants: BTreeMap<_, _> =
@@ -168,14 +168,14 @@
         wants
     }
 
-    /// Rate at which this host's requests start at a server each millisecond, if the server is limited.
+    /// Requests of this host that start at a server each millisecond, if the server is limited.
     pub(super) fn own_rate(&self, server: &Server, now: Moment) -> Option<f64> {
         let rate = server.is_limited.then(|| self.quotas.own_rate(&server.id, now))??;
         Some(rate / 1e3)
     }
 
-    /// Rate at which this host's requests start at the servers that could run one, each millisecond, if
-    /// all of these are limited.
+    /// Requests of this host that start each millisecond at the servers that could run a request,
+    /// if all of these are limited.
     pub(super) fn limited_rate(&self, task: &Task, now: Moment) -> Option<f64> {
         let mut rate = None;
         for index in self.list(task).all() {
@@ -188,8 +188,8 @@
         rate
     }
 
-    /// Refuses what waits for limited servers alone and can't be served in time by its place among all
-    /// that wait for them, over all hosts.
+    /// Refuses requests that wait for limited servers alone and can't be served in time by their
+    /// place among all waiting requests, over all hosts.
     fn refuse_limited(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut refused: Vec<(usize, Key, Duration)> = Vec::new();
         for (service, known) in self.registry.services.iter().enumerate() {
@@ -198,7 +198,7 @@
                 let Some(task) = self.tasks.get(&key.ticket) else { continue };
                 let place = ahead.entry(task.model).or_default();
                 let Some(rate) = self.limited_rate(task, now) else { continue };
-                // Hosts with as many requests each take turns.
+                // Hosts with the same number of requests take turns.
                 let turn = (task.seed() % 1024) as f64 / 1024.0;
                 let after =
                     self.retry_after_if_futile_at(task, f64::from(*place) + turn, rate, now);
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -367,7 +367,7 @@
         let Some(service) = self.get(index).map(|server| server.service) else { return };
         let models: Vec<(Index, Vec<adapter::Id>)> = models
             .iter()
-            .map(|held| (self.model(service, &held.model), held.adapters.clone()))
+            .map(|loaded| (self.model(service, &loaded.model), loaded.adapters.clone()))
             .collect();
         self.unlist(index);
         if let Some(server) = self.get_mut(index) {
--- a/crates/policy/src/dispatch/routes.rs
+++ b/crates/policy/src/dispatch/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path.
+//! Routes by host name and path.
 
 use std::{borrow::Cow, collections::BTreeMap};
 
@@ -7,12 +7,12 @@
 /// Routes of the declaration in force.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
-    /// By host in small letters, then prefix.
+    /// By lower-case host name, then path prefix.
     by_host: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Route>>,
 }
 
 impl Routes {
-    /// Takes in all routes.
+    /// Indexes all routes of a declaration.
     pub fn new(routes: &[Route]) -> Routes {
         let mut by_host: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Route>> = BTreeMap::new();
         for route in routes {
@@ -22,16 +22,16 @@
         Routes { by_host }
     }
 
-    /// The route with the longest prefix that begins the path, however the host is spelled.
+    /// Returns the route with the longest prefix of the path. The case of the host name does not
+    /// matter.
     ///
-    /// Prefixes end with a slash, so each candidate is a cut of the path after one of its slashes.
+    /// Prefixes end with a slash, so each candidate is the path up to one of its slashes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.by_host.get(&*lowercase(host))?;
         path.rmatch_indices('/').find_map(|(at, _)| prefixes.get(&path[..=at]))
     }
 }
 
-/// In small letters.
 fn lowercase(host: &str) -> Cow<'_, str> {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return host.to_ascii_lowercase().into();
@@ -39,7 +39,8 @@
     host.into()
 }
 
-/// The service that takes a request of the route; one hash gives one service.
+/// Selects the service for a request of the route by the weights of its split. Equal hashes select
+/// the same service; `None` if all weights are zero.
 pub fn split(route: &Route, hash: u64) -> Option<&service::Id> {
     let total: u64 = route.split.iter().map(|share| u64::from(share.weight)).sum();
     let mut left = super::mixed(hash).checked_rem(total)?;
--- a/crates/policy/src/dispatch/stats.rs
+++ b/crates/policy/src/dispatch/stats.rs
@@ -1,5 +1,5 @@
-//! How long requests of one model, or of one service without models, take, learnt from those that
-//! ended.
+//! How long requests of one model, or of one service without models, take, measured on those that
+//! have ended.
 
 use types::prelude::*;
 
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -130,7 +130,7 @@
     }
 
     /// When the caller leaves if nothing is received. Callers of streams bear a silence that is
-    /// much shorter than their deadline: what is held beyond it is answered to nobody, while a
+    /// much shorter than their deadline: what waits beyond it is answered to nobody, while a
     /// refusal in time brings the caller back. With waits bounded by the deadline alone, 78 of a
     /// busy minute's 9,117 requests, at nine hosts with 21 servers, waited until their callers had
     /// left; with this bound 1 did.
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -1,9 +1,9 @@
-//! Answers that are overdue, and servers that have gone silent.
+//! Overdue responses and unresponsive servers.
 //!
-//! A server that went dark resets nothing, so its requests must be taken from it. That is done
-//! only with those that may run again, and only once something else than load explains the
-//! silence: nothing at all comes from the server, or it has answered others long after this one
-//! was due.
+//! A server that stops responding does not reset its connections, so its requests must be moved to
+//! other servers. Only requests that may run again are moved, and only once something other than
+//! load explains the silence: nothing at all is received from the server, or the server has
+//! answered other requests long after this one was due.
 
 use types::{prelude::*, routed::Kind};
 
@@ -18,35 +18,35 @@
 };
 use crate::route::Index;
 
-/// Times the expected time, and part of the goal besides, after which an answer is overdue.
+/// A response is overdue after this multiple of the expected time plus this part of the goal.
 const OVERDUE_TIMES: f64 = 4.0;
 const OVERDUE_GOAL: f64 = 0.5;
 
-/// Requests left without an answer, none having come since, after which a server is put aside.
+/// Overdue responses, without any response in between, after which the server's breaker is tripped.
 const MAX_UNANSWERED: u32 = 2;
 
-/// Silence of a server after which a request that it has not begun to answer is taken from it: at
-/// least so long, and so many times its goal and the expected time.
+/// Silence of a server after which a request without a response is moved: at least this long, and
+/// at least these multiples of the goal and of the expected time.
 const MIN_SILENCE: Duration = Duration::from_millis(600);
 const SILENT_GOAL: f64 = 1.5;
 const SILENT_TIMES: f64 = 6.0;
 
-/// Silence of a server after which a stream that it has begun is taken from it.
+/// Silence of a server after which a stream that has begun is moved.
 const STALLED: Duration = Duration::from_millis(800);
 
-/// Times its goal and the expected time after which a request is taken from a server that answers
-/// others.
+/// Multiples of the goal and of the expected time after which a request is moved from a server that
+/// answers others.
 const HUNG_GOAL: f64 = 2.5;
 const HUNG_TIMES: f64 = 8.0;
 
-/// Time between two looks for another server for a request that is to leave its own.
+/// Time between two searches of another server for a request that is to be moved.
 const SEEK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How an attempt ends whose server is left.
+/// End of an attempt that is moved from its server.
 const SILENCE: End = End::Unclear(Unclear::Silent);
 
 impl Dispatcher {
-    /// Looks for requests whose answer is overdue, and for those that are to leave their server.
+    /// Checks for overdue responses, and for requests that are to be moved from their server.
     pub(super) fn check_overdue(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut overdue: Vec<(Ticket, Attempt, Index)> = Vec::new();
         let mut left: Vec<Ticket> = Vec::new();
@@ -86,7 +86,8 @@
         }
     }
 
-    /// A request as it goes to another server from a silent one, if one takes it now.
+    /// Returns the request in its state after leaving its silent server, with the server that takes
+    /// it, if one does now.
     fn find_other_server(&self, ticket: Ticket, now: Moment) -> Option<(Task, Choice)> {
         let before = self.tasks.get(&ticket)?;
         let State::InFlight(attempt) = &before.state else { return None };
@@ -98,9 +99,10 @@
         (1.0 <= budget.left(task.need(), self.sharers.extra(), now)).then_some((task, choice))
     }
 
-    /// Takes a request from a server that is silent to another one, which it returns. Nothing changes if
-    /// no other has a place for it or no retry is left: a slow server is better than none, and a request
-    /// that was let go of first ended without an answer though its server was at work on it.
+    /// Moves a request from a silent server to another one, which is returned. Nothing changes if
+    /// no other server has a place or no retry is left: a slow server is better than none, and a
+    /// request that left its server first ended without a response though the server was at work on
+    /// it.
     pub fn leave(&mut self, ticket: Ticket, now: Moment) -> Option<backend::Id> {
         let Some((mut task, choice)) = self.find_other_server(ticket, now) else {
             self.set_leaving(ticket, Leaving::Seeking(now));
@@ -130,7 +132,7 @@
     }
 }
 
-/// Whether a request is to leave the server that it was sent to.
+/// Whether a request is to be moved from its server.
 fn should_leave(task: &Task, registry: &mut super::registry::Registry, now: Moment) -> bool {
     let State::InFlight(attempt) = &task.state else { return false };
     let is_known = match attempt.leaving {
@@ -148,7 +150,7 @@
     }
 }
 
-/// Whether an answer that has not begun can be thought lost.
+/// Whether a response that has not begun can be taken for lost.
 fn is_lost(task: &Task, attempt: &Attempt, server: &Server, now: Moment) -> bool {
     let after = |goal: f64, times: f64| {
         task.spec.goal.mul_f64(goal).max(duration(attempt.expected_ms * times))
