--- a/crates/policy/tests/dispatch/breaker.rs
+++ b/crates/policy/tests/dispatch/breaker.rs
@@ -8,13 +8,20 @@
 
 const IDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 
-/// Plays requests one after the other, `s1` behaving by `odd`; how many of them it got.
-fn play(host: &mut Dispatcher, from: u64, count: u64, odd: impl Fn(u64) -> (End, u64)) -> usize {
+/// Plays requests one after the other, where `s1` behaves as given; returns how many of them `s1`
+/// got.
+fn play(
+    host: &mut Dispatcher,
+    from: u64,
+    count: u64,
+    s1_behavior: impl Fn(u64) -> (End, u64),
+) -> usize {
     let mut got = 0;
     for ticket in from..from + count {
         let now = at(ticket * 250);
         let server = sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
-        let (end, millis) = if &*server == "s1" { odd(ticket) } else { (End::Completed, 30) };
+        let (end, millis) =
+            if &*server == "s1" { s1_behavior(ticket) } else { (End::Completed, 30) };
         got += usize::from(&*server == "s1");
         let mut passed = 0;
         while passed + 25 < millis {
@@ -34,10 +41,10 @@
 #[case::garbles(|_| (End::Unclear(Unclear::Garbled), 20), 12)]
 #[case::slow(|_| (End::Completed, 225), 12)]
 #[case::hangs(|_| (End::Unclear(Unclear::Silent), 2_000), 12)]
-fn a_grey_server_gets_little(#[case] odd: fn(u64) -> (End, u64), #[case] most: usize) {
+fn a_grey_server_gets_little(#[case] s1_behavior: fn(u64) -> (End, u64), #[case] most: usize) {
     let mut host = plain(&IDS);
     play(&mut host, 0, 40, |_| (End::Completed, 30));
-    let got = play(&mut host, 40, 100, odd);
+    let got = play(&mut host, 40, 100, s1_behavior);
     assert!(got <= most, "{got} of 100");
 }
 
@@ -75,7 +82,7 @@
         assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(400)), at(400))), "s2");
         host.ended(n, End::Completed, at(430));
     }
-    // One request tries it, and no other till it has ended.
+    // One request tries the server, and no other until it has ended.
     assert_eq!(&*sent(host.arrive(request(4, Kind::Idempotent, at(600)), at(600))), "s1");
     assert_eq!(&*sent(host.arrive(request(5, Kind::Idempotent, at(600)), at(600))), "s2");
     host.ended(4, End::Unreachable(Unreachable::Refused), at(601));
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -16,7 +16,7 @@
 const CONFIG: RetryBudgetConfig =
     RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
 
-/// A part of a run that has it from its start on.
+/// The share of a run that has it from its start on.
 fn part(hosts: u32) -> Extra {
     Extra { hosts, from: Some(at(0)) }
 }
@@ -89,7 +89,7 @@
     assert_eq!(budget.left(Need::High, part(1), at(0)), whole);
 }
 
-/// Three idle hosts lend what they have to a fourth, which asks each in turn.
+/// Three idle hosts lend to a fourth, which asks each in turn.
 #[rstest]
 fn a_host_may_pass_its_share_while_others_lend_theirs() {
     let share = spend(&mut Budget::new(CONFIG), 4, at(0));
@@ -107,7 +107,7 @@
     assert!(share * 2 < spent, "{spent}, {share} alone");
 }
 
-/// From a loan until nothing can arrive any more that it paid, and a window from then on.
+/// A loan counts until nothing that it paid for can arrive any more, and for a window from then on.
 #[rstest]
 #[case(0, false)]
 #[case(11_900, false)]
@@ -137,7 +137,7 @@
     assert_eq!(budget.lend(PORTION, part(4), at(0)), 0);
 }
 
-/// Requests and retries that are asked for, by host, at steps of 50 ms.
+/// Arriving requests and wanted retries, by host, at steps of 50 ms.
 fn demand() -> impl Strategy<Value = Vec<Vec<(u32, u32)>>> {
     let phase = (0..12_u32, 0..12_u32, 1..160_usize);
     let host = prop::collection::vec(phase, 1..5).prop_map(|phases| {
@@ -154,7 +154,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is asked for, no window of the fleet has more retries than the terms allow.
+    /// Whatever is wanted, no window over all hosts has more retries than the config allows.
     #[test]
     fn no_window_is_overdrawn(demand in demand()) {
         prop_assert_eq!(overdrawn(&demand, None), None);
@@ -170,8 +170,8 @@
     }
 }
 
-/// Two hosts, the second asked when the first no longer is, each with failures at the end of its
-/// requests: both spend within one window.
+/// Two hosts get requests, the second when the first gets no more, each with failures at the end of
+/// its requests: both spend within one window.
 #[rstest]
 fn hosts_asked_one_after_the_other_keep_the_budget() {
     let quiet = |steps: usize| vec![(0, 0); steps];
@@ -182,8 +182,8 @@
     assert_eq!(overdrawn(&[early, late], None), None);
 }
 
-/// The last step of the first window with more retries than the terms allow. Hosts lend each other, if it is told
-/// which loans are lost on their way.
+/// Returns the last step of the first window with more retries than the config allows. With `lost`,
+/// hosts lend to each other, and `lost` tells which loans are lost on their way.
 fn overdrawn(demand: &[Vec<(u32, u32)>], lost: Option<&[bool]>) -> Option<isize> {
     let steps = demand.iter().map(Vec::len).max().unwrap_or(0);
     let mut budgets = vec![Budget::new(CONFIG); demand.len()];
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -28,7 +28,7 @@
     }
     host.peer(&"b".into(), &[("s2".into(), None, 2, 0)], at(10));
     assert_eq!(&*sent(host.arrive(request(5, Kind::Idempotent, at(10)), at(10))), "s1");
-    // Two places of s1 are taken by now, and what the peer told of s2 is forgotten.
+    // Two slots of s1 are in use by now, and the peer's digest on s2 has expired.
     sent(host.arrive(request(6, Kind::Idempotent, at(10)), at(10)));
     (0..2).for_each(|n| host.ended(n, End::Completed, at(20)));
     host.pump(at(2_100));
@@ -68,7 +68,7 @@
     assert_eq!(host.arrive(generation(2, "m1", at(5)), at(5)), Verdict::Wait);
     assert_eq!(host.pump(at(800)), []);
     host.model_loaded(&"s1".into(), &"m1".into(), None, 1, at(900));
-    // A report from before the load was done takes nothing back.
+    // A report from before the load was done does not remove the model.
     host.report(&"s1".into(), &report(0, &[]), at(950));
     let changes = host.pump(at(950));
     assert_eq!(changes.len(), 2);
@@ -141,7 +141,7 @@
     assert!(matches!(next, Verdict::Missing { .. }));
     assert_eq!(host.missing(), [("app".into(), "m1".into(), None, 1)]);
     assert_eq!(&*sent(host.arrive(generation(2, "m2", at(1_500)), at(1_500))), "s1");
-    // Unless it is ordered there again.
+    // Unless the server is ordered to load it again.
     host.model_loading(&"s1".into(), &"m1".into(), None, at(1_900));
     host.report(&"s1".into(), &report(0, &[("m1", &[]), ("m2", &[])]), at(1_900));
     assert_eq!(host.pump(at(1_900)).len(), 1);
@@ -168,7 +168,7 @@
         host.first_byte(ticket, now + at(60));
         host.ended(ticket, End::Completed, now + at(90));
     }
-    // The same part behind another is another prompt, and so is it on another model.
+    // The same part after another one is another prefix, and so it is on another model.
     let used: Vec<_> = (20..40)
         .map(|ticket| {
             let now = at(2_000 + ticket * 200);
@@ -211,7 +211,7 @@
     let mut host = plain(&["s1", "s2", "s3"]);
     host.draining(&"s1".into());
     host.gone(&"s2".into(), at(0));
-    // It is ready no more, though a late entry says so.
+    // The server stays in draining although a late registration says that it is ready.
     host.server(&server("s1", "a", &[]), at(1));
     for n in 0..2 {
         assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(1)), at(1))), "s3");
@@ -253,44 +253,44 @@
     assert!(15 < used.len(), "{}", used.len());
 }
 
-/// What a host is told of a model on a server, after so many of the server's orders.
+/// What a host receives about a model on a server, with the sequence number of the server's orders.
 #[derive(Clone, Copy, Debug)]
 enum Notice {
-    Held(u64),
-    Dropped(u64),
-    /// All that the server holds, with the model or without.
+    Loaded(u64),
+    Unloaded(u64),
+    /// All models on the server, with this model or without.
     Listed(u64, bool),
 }
 
-fn tell(host: &mut Dispatcher, notice: Notice, now: Moment) {
+fn notify(host: &mut Dispatcher, notice: Notice, now: Moment) {
     let (id, model) = ("s1".into(), "m1".into());
     match notice {
-        Notice::Held(sequence) => host.model_loaded(&id, &model, None, sequence, now),
-        Notice::Dropped(sequence) => host.model_unloading(&id, &model, None, sequence, now),
-        Notice::Listed(sequence, is_held) => {
-            let models: &[(&str, &[&str])] = if is_held { &[("m1", &[])] } else { &[] };
+        Notice::Loaded(sequence) => host.model_loaded(&id, &model, None, sequence, now),
+        Notice::Unloaded(sequence) => host.model_unloading(&id, &model, None, sequence, now),
+        Notice::Listed(sequence, is_loaded) => {
+            let models: &[(&str, &[&str])] = if is_loaded { &[("m1", &[])] } else { &[] };
             host.report(&id, &Report { sequence, ..report(0, models) }, now);
         }
     }
 }
 
 #[rstest]
-#[case::dropped_last([Notice::Held(5), Notice::Dropped(6)], false)]
-#[case::dropped_last_but_told_first([Notice::Dropped(6), Notice::Held(5)], false)]
-#[case::held_last([Notice::Dropped(5), Notice::Held(6)], true)]
-#[case::held_last_but_told_first([Notice::Held(6), Notice::Dropped(5)], true)]
-#[case::an_old_notice_after_a_list_without([Notice::Listed(6, false), Notice::Held(5)], false)]
-#[case::an_old_notice_after_a_list_with([Notice::Listed(6, true), Notice::Dropped(5)], true)]
-#[case::as_old_as_the_list([Notice::Listed(5, false), Notice::Held(5)], true)]
+#[case::dropped_last([Notice::Loaded(5), Notice::Unloaded(6)], false)]
+#[case::dropped_last_but_told_first([Notice::Unloaded(6), Notice::Loaded(5)], false)]
+#[case::held_last([Notice::Unloaded(5), Notice::Loaded(6)], true)]
+#[case::held_last_but_told_first([Notice::Loaded(6), Notice::Unloaded(5)], true)]
+#[case::an_old_notice_after_a_list_without([Notice::Listed(6, false), Notice::Loaded(5)], false)]
+#[case::an_old_notice_after_a_list_with([Notice::Listed(6, true), Notice::Unloaded(5)], true)]
+#[case::as_old_as_the_list([Notice::Listed(5, false), Notice::Loaded(5)], true)]
 fn notices_count_by_the_servers_orders_whenever_they_come(
     #[case] notices: [Notice; 2],
-    #[case] is_held: bool,
+    #[case] is_loaded: bool,
 ) {
     let mut host = host();
     host.server(&server("s1", "a", &[]), at(0));
     for (place, notice) in (1..).zip(notices) {
-        tell(&mut host, notice, at(place * 10));
+        notify(&mut host, notice, at(place * 10));
     }
     let verdict = host.arrive(generation(1, "m1", at(30)), at(30));
-    assert_eq!(matches!(verdict, Verdict::Send(_)), is_held, "{verdict:?}");
+    assert_eq!(matches!(verdict, Verdict::Send(_)), is_loaded, "{verdict:?}");
 }
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -1,4 +1,4 @@
-//! Many hosts before few servers, whose load each host knows a little late.
+//! Many hosts in front of few servers, whose load each host knows a little late.
 
 use std::{
     cmp::Reverse,
@@ -21,14 +21,14 @@
 const HOSTS: usize = 82;
 const SERVERS: usize = 3;
 const SLOTS: usize = 24;
-/// Requests that a server lets wait beside those that it runs.
+/// Requests that a server queues in addition to those that it runs.
 const QUEUE: usize = 8;
 const GOAL: Duration = Duration::from_millis(400);
 const PATIENCE: Duration = Duration::from_secs(4);
 const MEAN_WORK: f64 = 0.8;
 const DIGEST: Duration = Duration::from_millis(60);
-/// Digests after which a host has what another told.
-const LATE: usize = 2;
+/// Digests after which a host has received another's.
+const DIGESTS_LATE: usize = 2;
 const SPAN: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +44,7 @@
 struct Sum {
     arrived: u32,
     done: u32,
-    sheds: u32,
+    rejections: u32,
     waited: Duration,
 }
 
@@ -61,8 +61,8 @@
     events: BinaryHeap<Reverse<(Moment, Event)>>,
     hosts: Vec<Dispatcher>,
     nodes: Vec<Node>,
-    /// Each host's work at the last digests, the newest first.
-    told: VecDeque<Vec<BTreeMap<backend::Id, u32>>>,
+    /// Each host's requests in flight at the last digests, the newest first.
+    digests: VecDeque<Vec<BTreeMap<backend::Id, u32>>>,
     sum: Sum,
 }
 
@@ -75,8 +75,8 @@
 }
 
 fn host() -> Dispatcher {
-    let told = |n| Server { slots: SLOTS as u32, ..server(&id(n), "a", &[]) };
-    among(HOSTS, (0..SERVERS).map(told))
+    let registration = |n| Server { slots: SLOTS as u32, ..server(&id(n), "a", &[]) };
+    among(HOSTS, (0..SERVERS).map(registration))
 }
 
 impl World {
@@ -88,7 +88,7 @@
             events: BinaryHeap::new(),
             hosts: (0..HOSTS).map(|_| host()).collect(),
             nodes: (0..SERVERS).map(|_| Node::default()).collect(),
-            told: VecDeque::new(),
+            digests: VecDeque::new(),
             sum: Sum::default(),
         };
         for event in [Event::Arrive, Event::Pump, Event::Digest] {
@@ -152,8 +152,8 @@
         if self.nodes[server].queue.len() < QUEUE {
             return self.nodes[server].queue.push_back((ticket, self.now));
         }
-        self.sum.sheds += 1;
-        self.tell_load(server, host_of(ticket));
+        self.sum.rejections += 1;
+        self.report_load(server, host_of(ticket));
         let again =
             self.hosts[host_of(ticket)].attempt_failed(ticket, End::NotRun(NotRun::Full), self.now);
         if let RetryDecision::Send(server) = again {
@@ -175,12 +175,12 @@
         }
         self.sum.done += 1;
         let host = host_of(ticket);
-        self.tell_load(server, host);
+        self.report_load(server, host);
         self.hosts[host].ended(ticket, End::Completed, self.now);
         self.pump(host);
     }
 
-    fn tell_load(&mut self, server: usize, host: usize) {
+    fn report_load(&mut self, server: usize, host: usize) {
         let node = &self.nodes[server];
         let (running, waiting) = (node.running as u32, node.queue.len() as u32);
         self.hosts[host].server_load(&id(server), running, waiting, SLOTS as u32, self.now);
@@ -191,16 +191,16 @@
         changes.iter().for_each(|change| self.carry_out(change.ticket, &change.verdict));
     }
 
-    /// All hear the sums of what the others had some digests ago.
+    /// Sends each host the sums of the other hosts' requests as of some digests ago.
     fn digest(&mut self) {
         let work =
             |host: &Dispatcher| host.work().into_iter().map(|(id, _, n, _)| (id, n)).collect();
-        self.told.push_front(self.hosts.iter().map(work).collect());
-        self.told.truncate(LATE + 1);
-        let told = self.told.back().expect("it was just put there");
+        self.digests.push_front(self.hosts.iter().map(work).collect());
+        self.digests.truncate(DIGESTS_LATE + 1);
+        let late = self.digests.back().expect("a digest was just added");
         let mut all: BTreeMap<&backend::Id, u32> = BTreeMap::new();
-        told.iter().flatten().for_each(|(id, n)| *all.entry(id).or_default() += n);
-        for (host, own) in self.hosts.iter_mut().zip(told) {
+        late.iter().flatten().for_each(|(id, n)| *all.entry(id).or_default() += n);
+        for (host, own) in self.hosts.iter_mut().zip(late) {
             let others = all.iter().map(|(id, n)| (*id, n - own.get(*id).unwrap_or(&0)));
             let work: Vec<Work> = others.map(|(id, n)| (id.clone(), None, n, 0)).collect();
             host.peer(&"peers".into(), &work, self.now);
@@ -209,7 +209,7 @@
     }
 }
 
-/// What is over waits at the hosts, not at the servers, and few places stay empty for that.
+/// Excess requests wait at the hosts, not at the servers, and few slots stay empty because of that.
 #[rstest]
 fn hosts_that_know_each_others_work_late_do_not_crowd_servers(
     #[values(0.8, 1.0, 1.3, 2.0)] load: f64,
@@ -220,5 +220,5 @@
     let waited = sum.waited / sum.done.max(1);
     assert!(0.84 < share, "{share}: {sum:?}");
     assert!(waited < GOAL / 4, "{waited:?}: {sum:?}");
-    assert!(sum.sheds * 10 < sum.arrived, "{sum:?}");
+    assert!(sum.rejections * 10 < sum.arrived, "{sum:?}");
 }
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -27,7 +27,7 @@
     host
 }
 
-/// One of so many hosts that all hear each other, with these servers.
+/// One of `hosts` hosts that are all connected, with these servers.
 pub fn among(hosts: usize, servers: impl Iterator<Item = Server>) -> Dispatcher {
     let hosts = hosts as u32;
     let mut host = Dispatcher::new(Settings {
@@ -66,7 +66,7 @@
     RequestSpec { fingerprint: ticket, ..request }
 }
 
-/// A request for a model.
+/// A streamed request for a model.
 pub fn generation(ticket: Ticket, model: &str, now: Moment) -> RequestSpec {
     RequestSpec {
         model: Some(model.into()),
@@ -108,14 +108,14 @@
     Report { models: held(models), running, ..Report::default() }
 }
 
-/// A host with plain servers in its zone.
+/// A host with servers without models, in its own zone.
 pub fn plain(ids: &[&str]) -> Dispatcher {
     let mut host = host();
     ids.iter().for_each(|id| host.server(&server(id, "a", &[]), at(0)));
     host
 }
 
-/// The server that a request is sent to.
+/// The server that a request is sent to; panics for any other verdict.
 #[track_caller]
 pub fn sent(verdict: Verdict) -> backend::Id {
     match verdict {
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name a limit: where requests go, wait and are refused.
+//! Servers that name a rate limit: where requests are sent, wait and are refused.
 
 use policy::dispatch::{Cause, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -9,10 +9,11 @@
 
 use crate::fixture::{PATIENCE, at, plain, request, sent};
 
-/// When servers name their limits. A host lends no share of its own right after its start.
+/// Time in milliseconds at which servers name their limits. A host lends no share of its own right
+/// after its start.
 const NAMED: u64 = 10_000;
 
-/// A host with plain servers, those first named with a limit.
+/// A host with servers without models; `limits` are those that name a limit.
 fn limited(ids: &[&str], limits: &[(&str, f64)]) -> Dispatcher {
     let mut host = plain(ids);
     for (id, limit) in limits {
@@ -27,14 +28,15 @@
     request(ticket, Kind::Idempotent, at(millis))
 }
 
-/// Requests of one kind that come evenly until a moment, and end 30 ms after they are sent; those sent by
-/// server, and those refused with the time until then.
+/// Requests sent, with their time in milliseconds and server, and requests refused, with the time
+/// that they waited, the cause and the delay before a retry.
 #[derive(Default)]
 struct Played {
     sent: Vec<(u64, backend::Id)>,
     refused: Vec<(Duration, Cause, Duration)>,
 }
 
+/// Plays requests that arrive evenly until a moment and end 30 ms after they are sent.
 fn play(host: &mut Dispatcher, every: u64, until: u64) -> Played {
     let mut played = Played::default();
     let mut in_flight: Vec<(u64, Ticket)> = Vec::new();
@@ -96,14 +98,14 @@
     let late = played.refused.iter().filter(|(waited, ..)| PATIENCE / 4 < *waited).count();
     assert_eq!(late, 0, "{:?}", played.refused);
     let at_once = played.refused.iter().filter(|(waited, ..)| *waited <= at(20)).count();
-    // Those that wait a little are the few that a permit might still have come for.
+    // Those that wait a little are the few that could still have got a permit.
     assert!(played.refused.len() * 8 / 10 <= at_once, "{at_once} of {}", played.refused.len());
     assert!(played.refused.iter().all(|(_, cause, after)| {
         *cause == Cause::Limit && PATIENCE / 12 <= *after && *after <= PATIENCE / 3
     }));
 }
 
-/// What waits when a limit falls is refused then, and not when its time is over.
+/// Requests that wait when a limit falls are refused then, and not when their time is over.
 #[test]
 fn what_waits_in_vain_once_a_limit_falls_is_refused_at_once() {
     let mut host = limited(&["s1"], &[("s1", 20.0)]);
@@ -159,7 +161,7 @@
     assert_eq!(host.quotas().counts().used - before, u64::from(is_sent), "{again:?}");
 }
 
-/// A limited server that rejects all it gets is asked as often as its limit allows, to the end.
+/// A limited server that rejects all requests gets as many as its limit allows, to the end.
 #[test]
 fn rejections_of_a_limited_server_put_it_in_no_doubt() {
     let mut host = limited(&["s1", "s2"], &[("s1", 5.0)]);
@@ -194,13 +196,13 @@
     assert!(30 <= late, "{late} requests in the last 10 s");
 }
 
-/// A limited server without a permit is no reason to spare one that is in doubt.
+/// A server with a tripped breaker is used if the only other one is limited and has no permit.
 #[test]
 fn a_server_in_doubt_is_used_where_the_others_are_limited() {
     let mut host = limited(&["s1", "s2"], &[("s2", 0.5)]);
     let now = NAMED + 100;
     assert_eq!(*sent(host.arrive(page(1, now), at(now))), *"s1");
-    // What is cut puts s1 in doubt for a while.
+    // The cut connection trips the breaker of s1 for a while.
     host.ended(1, End::Unclear(policy::dispatch::Unclear::Cut), at(now + 5));
     assert_eq!(*sent(host.arrive(page(2, now + 10), at(now + 10))), *"s1");
 }
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -1,4 +1,4 @@
-//! Who lends retries to whom, and what a loan pays for.
+//! Which host lends retries to which, and what a loan pays for.
 
 use policy::dispatch::{
     Answer, Cause, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Ticket, Unclear,
@@ -39,8 +39,8 @@
     host.retry_totals().iter().map(|(_, used)| used.requests).sum::<u64>() + 1
 }
 
-/// The host's ask for a loan.
-fn asked(host: &mut Dispatcher, now: Moment) -> Message {
+/// The host's request for a loan.
+fn loan_request(host: &mut Dispatcher, now: Moment) -> Message {
     host.pump(now);
     let mut outgoing = host.loans_outgoing();
     assert_eq!(outgoing.len(), 1, "{outgoing:?}");
@@ -49,15 +49,15 @@
     message
 }
 
-fn lends(message: &Message, count: u32) -> Message {
+fn grant(message: &Message, count: u32) -> Message {
     Message { content: Content::Grant(count), ..message.clone() }
 }
 
 #[rstest]
 fn a_host_that_is_short_asks_another_and_uses_its_loan() {
     let mut host = short();
-    let request = asked(&mut host, at(10));
-    host.loan_received(&"b".into(), &lends(&request, 2), at(20));
+    let request = loan_request(&mut host, at(10));
+    host.loan_received(&"b".into(), &grant(&request, 2), at(20));
     assert!(retry(&mut host, at(30)) && retry(&mut host, at(30)));
     assert!(!retry(&mut host, at(30)));
 }
@@ -65,36 +65,36 @@
 #[rstest]
 fn a_loan_that_comes_late_is_not_used() {
     let mut host = short();
-    let request = asked(&mut host, at(10));
-    host.loan_received(&"b".into(), &lends(&request, 2), at(510));
+    let request = loan_request(&mut host, at(10));
+    host.loan_received(&"b".into(), &grant(&request, 2), at(510));
     assert!(!retry(&mut host, at(510)));
 }
 
 #[rstest]
 fn an_answer_that_comes_twice_or_to_an_earlier_ask_lends_nothing() {
     let mut host = short();
-    let first = asked(&mut host, at(10));
-    let second = asked(&mut host, at(120));
-    host.loan_received(&"b".into(), &lends(&first, 2), at(130));
+    let first = loan_request(&mut host, at(10));
+    let second = loan_request(&mut host, at(120));
+    host.loan_received(&"b".into(), &grant(&first, 2), at(130));
     assert!(!retry(&mut host, at(130)));
-    host.loan_received(&"b".into(), &lends(&second, 1), at(140));
-    host.loan_received(&"b".into(), &lends(&second, 1), at(140));
+    host.loan_received(&"b".into(), &grant(&second, 1), at(140));
+    host.loan_received(&"b".into(), &grant(&second, 1), at(140));
     assert!(retry(&mut host, at(150)) && !retry(&mut host, at(150)));
 }
 
 #[rstest]
 fn hosts_that_have_nothing_to_lend_are_not_asked_for_a_while() {
     let mut host = short();
-    let mut asks = 0;
+    let mut requests = 0;
     for now in (10..1_000).step_by(10).map(at) {
         retry(&mut host, now);
         host.pump(now);
         for (from, message) in host.loans_outgoing() {
-            asks += 1;
-            host.loan_received(&from, &lends(&message, 0), now);
+            requests += 1;
+            host.loan_received(&from, &grant(&message, 0), now);
         }
     }
-    assert_eq!(asks, 4);
+    assert_eq!(requests, 4);
 }
 
 #[rstest]
@@ -102,15 +102,16 @@
     let mut host = plain(&["s1"]);
     let request = Message { service: "app".into(), asked: at(7), content: Content::Request(8) };
     host.loan_received(&"b".into(), &request, at(0));
-    assert_eq!(host.loans_outgoing(), [("b".into(), lends(&request, 8))]);
+    assert_eq!(host.loans_outgoing(), [("b".into(), grant(&request, 8))]);
 }
 
-/// A loan pays for what leaves at once: what waits may arrive when its lender counts it no more.
+/// A loan pays only for what is sent at once: a retry that waits may arrive when the lender no
+/// longer counts the loan.
 #[rstest]
 fn a_loan_does_not_pay_for_what_waits() {
     let mut host = short();
-    let ask_for = asked(&mut host, at(10));
-    host.loan_received(&"b".into(), &lends(&ask_for, 2), at(20));
+    let loan = loan_request(&mut host, at(10));
+    host.loan_received(&"b".into(), &grant(&loan, 2), at(20));
     let ticket = next_ticket(&host);
     sent(host.arrive(request(ticket, Kind::Idempotent, at(30)), at(30)));
     assert!(matches!(
@@ -127,7 +128,7 @@
     );
 }
 
-/// Its requests pay for more retries than are left of them a window later.
+/// The requests pay for more retries when they arrive than are covered a window later.
 #[rstest]
 fn what_waits_is_given_up_at_once_when_the_share_has_shrunk() {
     let mut host = plain(&["s1"]);
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -1,4 +1,4 @@
-//! A small fleet of hosts and servers under virtual time, to see what the decisions add up to.
+//! A few hosts and servers in virtual time, to check the combined effect of the decisions.
 
 use std::{
     cmp::Reverse,
@@ -19,9 +19,10 @@
 /// Time between two digests to peers.
 const DIGEST: Duration = Duration::from_millis(200);
 
-/// What is played: hosts, servers of six slots, arrivals a second, mean work in milliseconds.
+/// Numbers of hosts and of servers with six slots, arrivals per second, and how many times slower
+/// the first server is than the others.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     hosts: usize,
     servers: usize,
     rate: f64,
@@ -43,7 +44,7 @@
     Digest(usize),
 }
 
-/// What came of the requests.
+/// Outcomes of the requests.
 #[derive(Debug, Default)]
 struct Sum {
     arrived: u32,
@@ -51,9 +52,9 @@
     late: u32,
     refused: u32,
     refused_late: u32,
-    sheds: u32,
+    rejections: u32,
     most_waiting: usize,
-    far: u32,
+    other_zone: u32,
 }
 
 #[derive(Default)]
@@ -63,7 +64,7 @@
 }
 
 struct World {
-    play: Play,
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Moment,
     events: BinaryHeap<Reverse<(Moment, Event)>>,
@@ -78,11 +79,11 @@
 }
 
 impl World {
-    fn new(play: Play) -> World {
+    fn new(scenario: Scenario) -> World {
         let zones = ["a", "b", "c", "d"];
         let host = |at: usize| {
             let zone = zones[at % zones.len()].into();
-            let hosts = play.hosts as u32;
+            let hosts = scenario.hosts as u32;
             let mut host = Dispatcher::new(Settings {
                 host: "a".into(),
                 run: 1,
@@ -91,26 +92,29 @@
                 retries: RetryBudgetConfig::default(),
             });
             host.registered(HostStart::First);
-            for n in 0..play.servers {
-                let told = server(&id(n), zones[n % zones.len()], &[]);
-                host.server(&types::routed::Server { slots: SLOTS as u32, ..told }, Duration::ZERO);
+            for n in 0..scenario.servers {
+                let registration = server(&id(n), zones[n % zones.len()], &[]);
+                host.server(
+                    &types::routed::Server { slots: SLOTS as u32, ..registration },
+                    Duration::ZERO,
+                );
             }
             host
         };
         let mut world = World {
-            play,
+            scenario,
             rng: ChaCha8Rng::seed_from_u64(7),
             now: Duration::ZERO,
             events: BinaryHeap::new(),
-            hosts: (0..play.hosts).map(host).collect(),
-            nodes: (0..play.servers).map(|_| Node::default()).collect(),
+            hosts: (0..scenario.hosts).map(host).collect(),
+            nodes: (0..scenario.servers).map(|_| Node::default()).collect(),
             in_flight: BTreeMap::new(),
             sum: Sum::default(),
         };
         world.after(Duration::ZERO, Event::Arrive);
         world.after(Duration::ZERO, Event::Pump);
-        for host in 0..play.hosts {
-            world.after(DIGEST * host as u32 / play.hosts as u32, Event::Digest(host));
+        for host in 0..scenario.hosts {
+            world.after(DIGEST * host as u32 / scenario.hosts as u32, Event::Digest(host));
         }
         world
     }
@@ -125,7 +129,7 @@
     }
 
     fn host_of(&self, ticket: Ticket) -> usize {
-        ticket as usize % self.play.hosts
+        ticket as usize % self.scenario.hosts
     }
 
     fn play(mut self, time: Duration) -> Sum {
@@ -139,7 +143,7 @@
                 Event::Reach(server, ticket) => self.reach(server, ticket),
                 Event::Done(server, ticket) => self.done(server, ticket),
                 Event::Pump => {
-                    (0..self.play.hosts).for_each(|host| self.pump(host));
+                    (0..self.scenario.hosts).for_each(|host| self.pump(host));
                     self.after(at(10), Event::Pump);
                 }
                 Event::Digest(host) => self.digest(host),
@@ -149,7 +153,7 @@
     }
 
     fn arrive(&mut self) {
-        let gap = self.exponential(1000.0 / self.play.rate);
+        let gap = self.exponential(1000.0 / self.scenario.rate);
         self.after(gap, Event::Arrive);
         let ticket = u64::from(self.sum.arrived);
         self.sum.arrived += 1;
@@ -182,7 +186,7 @@
 
     fn send(&mut self, server: &backend::Id, ticket: Ticket) {
         let server: usize = server[1..].parse().unwrap();
-        self.sum.far += u32::from(server % 4 != self.host_of(ticket) % 4);
+        self.sum.other_zone += u32::from(server % 4 != self.host_of(ticket) % 4);
         self.after(at(1), Event::Reach(server, ticket));
     }
 
@@ -193,9 +197,9 @@
         if self.nodes[server].queue.len() < QUEUE {
             return self.nodes[server].queue.push_back(ticket);
         }
-        self.sum.sheds += 1;
+        self.sum.rejections += 1;
         let (host, now) = (self.host_of(ticket), self.now);
-        self.tell_load(server, host);
+        self.report_load(server, host);
         match self.hosts[host].attempt_failed(ticket, End::NotRun(NotRun::Full), now) {
             RetryDecision::Send(server) => self.send(&server, ticket),
             RetryDecision::Wait | RetryDecision::Missing { .. } => {}
@@ -205,7 +209,7 @@
 
     fn start(&mut self, server: usize, ticket: Ticket) {
         self.nodes[server].running += 1;
-        let slow = if server == 0 { self.play.slow } else { 1.0 };
+        let slow = if server == 0 { self.scenario.slow } else { 1.0 };
         let work = self.exponential(WORK / 2.0) + at(WORK as u64 / 2);
         self.after(work.mul_f64(slow), Event::Done(server, ticket));
     }
@@ -216,7 +220,7 @@
             self.start(server, next);
         }
         let (host, now) = (self.host_of(ticket), self.now);
-        self.tell_load(server, host);
+        self.report_load(server, host);
         self.hosts[host].ended(ticket, End::Completed, now);
         match now - self.in_flight[&ticket] {
             time if time <= GOAL => self.sum.in_time += 1,
@@ -226,7 +230,7 @@
         self.pump(host);
     }
 
-    fn tell_load(&mut self, server: usize, host: usize) {
+    fn report_load(&mut self, server: usize, host: usize) {
         let node = &self.nodes[server];
         let (running, waiting) = (node.running as u32, node.queue.len() as u32);
         self.hosts[host].server_load(&id(server), running, waiting, SLOTS as u32, self.now);
@@ -241,37 +245,37 @@
     fn digest(&mut self, host: usize) {
         let work: Vec<Work> = self.hosts[host].work();
         let name: host::Id = format!("h{host}").into();
-        for other in (0..self.play.hosts).filter(|other| *other != host) {
+        for other in (0..self.scenario.hosts).filter(|other| *other != host) {
             self.hosts[other].peer(&name, &work, self.now);
         }
         self.after(DIGEST, Event::Digest(host));
     }
 }
 
-/// What a play's servers can do, over its whole time.
-fn capacity(play: &Play, time: Duration) -> f64 {
-    let servers = play.servers as f64 - 1.0 + 1.0 / play.slow;
+/// Requests that the servers can run in this time.
+fn capacity(scenario: &Scenario, time: Duration) -> f64 {
+    let servers = scenario.servers as f64 - 1.0 + 1.0 / scenario.slow;
     servers * SLOTS as f64 * 1000.0 / WORK * time.as_secs_f64()
 }
 
-/// Nothing is lost while there is room, and an overload costs no more than what is over.
+/// Nothing is lost while there is capacity, and an overload costs no more than the excess.
 #[rstest]
 fn what_the_servers_can_do_is_done_in_time(
     #[values(0.5, 0.9, 1.3, 2.0, 4.0)] load: f64,
     #[values(1.0, 1.3, 7.5)] slow: f64,
 ) {
     let time = Duration::from_secs(20);
-    let play = Play { hosts: 6, servers: 4, rate: 0.0, slow };
-    let capacity = capacity(&play, time);
-    let play = Play { rate: load * capacity / time.as_secs_f64(), ..play };
-    let sum = World::new(play).play(time);
+    let scenario = Scenario { hosts: 6, servers: 4, rate: 0.0, slow };
+    let capacity = capacity(&scenario, time);
+    let scenario = Scenario { rate: load * capacity / time.as_secs_f64(), ..scenario };
+    let sum = World::new(scenario).play(time);
     let best = capacity.min(f64::from(sum.arrived));
     let share = |count: u32| f64::from(count) / best;
     let least = if load < 1.0 { 0.97 } else { 0.9 };
     assert!(least < share(sum.in_time), "{} in time: {sum:?}", share(sum.in_time));
     assert!(least < share(sum.in_time + sum.late), "{sum:?}");
-    // Hosts queue, servers need not refuse; and who is refused hears of it soon.
-    assert!(sum.sheds < 20, "{sum:?}");
+    // Hosts queue, so servers need not reject, and refusals come early.
+    assert!(sum.rejections < 20, "{sum:?}");
     assert!(sum.refused_late * 12 < sum.arrived, "{sum:?}");
     assert!(0.6 < load || sum.refused == 0, "{sum:?}");
 }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -21,12 +21,12 @@
     }
 }
 
-/// Hosts that know nothing yet.
+/// The records of several hosts without crashes.
 fn hosts<const N: usize>() -> [Poison; N] {
     std::array::from_fn(|place| Poison::new(format!("host-{place}").as_str().into()))
 }
 
-/// Each of these hosts hears what the others send.
+/// Merges into each host's record what the others send.
 fn exchange(poisons: &mut [Poison], now: Moment) {
     let sent: Vec<Vec<Crash>> = poisons.iter().map(|poison| poison.crashes(now)).collect();
     for (to, poison) in poisons.iter_mut().enumerate() {
@@ -36,7 +36,7 @@
 }
 
 /// Crashes of one request, as another host sends them.
-fn heard(request: Fingerprint, servers: &[&str], isolation: Isolation) -> Vec<Crash> {
+fn received(request: Fingerprint, servers: &[&str], isolation: Isolation) -> Vec<Crash> {
     let crash = |server: &&str| Crash {
         request,
         server: (*server).into(),
@@ -56,7 +56,7 @@
     let mut poison = poison();
     let expected = [Standing::Clear, Standing::Suspect, Standing::Poison];
     for (server, expected) in ["s1", "s2", "s3"].into_iter().zip(expected) {
-        poison.merge(&heard(7, &[server], isolation), at(0));
+        poison.merge(&received(7, &[server], isolation), at(0));
         assert_eq!(poison.standing(7), expected);
     }
     poison.expire(life.saturating_sub(at(1)));
@@ -101,19 +101,19 @@
     crash(&mut poison, 8, &["s1"]);
     poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
-    // In whichever order the connections are found broken.
+    // The order in which the broken connections are found does not matter.
     crash(&mut poison, 8, &["s3"]);
     crash(&mut poison, 7, &["s3"]);
     poison.ended(7, at(0));
     crash(&mut poison, 9, &["s3"]);
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
-    // What was beside it on another host is explained as well.
-    poison.merge(&heard(10, &["s3", "s4"], Isolation::Shared), at(1));
+    // A request that shared the server on another host is explained as well.
+    poison.merge(&received(10, &["s3", "s4"], Isolation::Shared), at(1));
     assert_eq!(poison.standing(10), Standing::Clear);
 }
 
-/// The suspect ends whole, so that what was beside it on the server counts again.
+/// The suspect completes, so that the crash of a request beside it on the server counts again.
 #[rstest]
 fn a_suspect_that_ends_whole_explains_nothing() {
     let mut poison = poison();
@@ -129,8 +129,8 @@
 #[rstest]
 fn a_request_that_is_refused_explains_crashes_of_others() {
     let mut poison = poison();
-    poison.merge(&heard(7, &["s1", "s2", "s3", "s4"], Isolation::Shared), at(0));
-    poison.merge(&heard(8, &["s1", "s2", "s3"], Isolation::Shared), at(0));
+    poison.merge(&received(7, &["s1", "s2", "s3", "s4"], Isolation::Shared), at(0));
+    poison.merge(&received(8, &["s1", "s2", "s3"], Isolation::Shared), at(0));
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
 }
@@ -157,7 +157,7 @@
     assert!(poisons.iter().all(|poison| poison.standing(8) == Standing::Clear));
 }
 
-/// Two hosts that each saw one crash of a server saw the same one.
+/// Two hosts that each report one crash of a server report the same one.
 #[rstest]
 fn a_crash_that_two_hosts_saw_counts_once() {
     let mut poisons = hosts::<3>();
@@ -187,8 +187,8 @@
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
     exchange(&mut poisons, at(1));
-    let [_, heard] = poisons;
-    let mut later = [heard, Poison::new("host-9".into())];
+    let [_, receiver] = poisons;
+    let mut later = [receiver, Poison::new("host-9".into())];
     exchange(&mut later, at(2));
     assert_eq!(later[1].standing(7), Standing::Poison);
 }
@@ -208,7 +208,7 @@
 fn crashes_are_as_old_everywhere_and_end_everywhere() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
-    // Each host sends what it has as long as it has it.
+    // Each host sends its crashes as long as it has them.
     for second in 1..700 {
         let now = Duration::from_secs(second);
         poisons.iter_mut().for_each(|poison| poison.expire(now));
@@ -278,7 +278,7 @@
     for request in [7, 8] {
         assert!(poisons.iter().all(|poison| poison.standing(request) == Standing::Suspect));
     }
-    // The next run tells which of them it is.
+    // The next run shows which of the two it is.
     poisons[0].start_trial(2, 7, &"s4".into());
     poisons[0].sent(2, at(10));
     poisons[0].crashed(2, 7, &"s4".into(), at(11));
@@ -303,7 +303,7 @@
     assert!(!poisons[1].runs_suspect(&"s3".into(), at(5)));
 }
 
-/// The runs before on the same server were void.
+/// The earlier runs on the same server were void.
 #[rstest]
 fn a_crash_counts_on_a_server_that_a_request_ran_on_before() {
     let mut poisons = hosts::<2>();
@@ -322,7 +322,7 @@
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// A host that has not heard of the crash finds nobody there.
+/// A host without the report of the crash sends the request to the server that is gone.
 #[rstest]
 fn a_run_that_reached_nobody_voids_no_crash() {
     let mut poisons = hosts::<2>();
@@ -335,7 +335,7 @@
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// Nobody tells of the end of the run.
+/// No host reports the end of the run.
 #[rstest]
 fn a_suspect_whose_host_ended_with_its_server_is_refused() {
     let mut poisons = hosts::<2>();
@@ -380,8 +380,8 @@
     assert!(matches!(again, RetryDecision::Send(_)), "{again:?}");
 }
 
-/// A request that crashes all that run it, coming again and again, costs three servers, and the
-/// innocents that were beside it are served.
+/// A request that crashes every server costs three servers however often it is repeated, and the
+/// innocent requests beside it are served.
 #[rstest]
 fn a_poison_request_costs_three_servers() {
     let mut host = plain(&[]);
@@ -416,7 +416,7 @@
     assert_eq!(host.arrive(poison, at(20_000)), Verdict::Quarantined);
 }
 
-/// The crash is seen as silence, or not at all since the caller has left.
+/// The crash shows as silence, or not at all since the caller has left.
 #[rstest]
 fn a_poison_request_whose_crashes_are_not_seen_as_cuts_costs_three_servers(
     #[values(End::Unclear(Unclear::Silent), End::Cancelled)] end: End,
@@ -436,11 +436,11 @@
     assert_eq!(ended, POISON);
 }
 
-/// Its server's end is seen seconds later.
+/// The end of the server is known only seconds later.
 #[rstest]
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
-    host.poison_mut().merge(&heard(7, &["x1", "x2"], Isolation::Shared), at(0));
+    host.poison_mut().merge(&received(7, &["x1", "x2"], Isolation::Shared), at(0));
     let suspect =
         |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
@@ -452,7 +452,7 @@
     assert!(changes.iter().any(|change| change.verdict == Verdict::Quarantined), "{changes:?}");
 }
 
-/// All connections are cut in the middle of answers, and no server has crashed.
+/// All connections are cut in the middle of responses, and no server has crashed.
 #[rstest]
 fn servers_that_cut_all_their_answers_quarantine_nothing_for_long() {
     let mut host = plain(&["s1", "s2", "s3"]);
@@ -495,7 +495,7 @@
 fn suspects_run_one_at_a_time() {
     let mut host = plain(&["s1", "s2", "s3", "s4"]);
     for fingerprint in [7, 8] {
-        host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
+        host.poison_mut().merge(&received(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
     }
     let suspect =
         |ticket, fingerprint| RequestSpec { fingerprint, ..request(ticket, Kind::Stream, at(0)) };
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! What waits, in which order, and what is refused.
+//! Which requests wait, in which order, and which are refused.
 
 use policy::dispatch::{Cause, Change, Dispatcher, End, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -9,7 +9,7 @@
 
 use crate::fixture::{GOAL, PATIENCE, at, generation, host, plain, request, sent, server};
 
-/// Fills all places of one server with requests 0, 1, ..; gives the first number that waits.
+/// Fills all places of one server with requests 0, 1, ..; returns the first number that waits.
 fn fill(host: &mut Dispatcher, now: Moment) -> u64 {
     (0..100)
         .find(|n| host.arrive(request(*n, Kind::NonIdempotent, now), now) == Verdict::Wait)
@@ -95,8 +95,8 @@
 #[rstest]
 fn nothing_is_refused_while_there_is_a_place() {
     let mut host = plain(&["s1", "s2"]);
-    let hasty = RequestSpec { deadline: at(5), ..request(1, Kind::NonIdempotent, at(0)) };
-    sent(host.arrive(hasty, at(0)));
+    let brief = RequestSpec { deadline: at(5), ..request(1, Kind::NonIdempotent, at(0)) };
+    sent(host.arrive(brief, at(0)));
 }
 
 #[rstest]
@@ -110,7 +110,8 @@
     assert!(matches!(refused[..], [Verdict::Refuse { cause: Cause::NoServer, .. }]), "{refused:?}");
 }
 
-/// The caller of a stream leaves long before its deadline, and comes back only if it is told so.
+/// The caller of a stream leaves long before its deadline, and retries only if it is refused
+/// before.
 #[rstest]
 #[case::for_a_load("m2")]
 #[case::for_a_place("m1")]
@@ -128,7 +129,8 @@
     assert_eq!(host.waiting(), 0);
 }
 
-/// It is told when the model will be there, rather than held until its caller leaves.
+/// The refusal says when the model will be loaded, instead of holding the request until its caller
+/// leaves.
 #[rstest]
 fn a_request_whose_load_comes_too_late_is_refused_at_once() {
     let mut host = host();
@@ -143,7 +145,7 @@
     assert_eq!(host.arrive(brief(2, 2_000), at(0)), Verdict::Wait);
 }
 
-/// A request whose model waits for a load holds up none that has a server.
+/// A request whose adapter waits to be loaded does not hold up a request that has a server.
 #[rstest]
 fn a_missing_adapter_holds_nobody_up() {
     let mut host = host();
@@ -167,14 +169,14 @@
     assert_eq!(next(&mut host, 0, at(2)), Vec::<u64>::new());
 }
 
-/// A server that holds `m1` and runs more at once than are asked for here.
+/// A host whose server has `m1` loaded and more slots than these tests use.
 fn wide() -> Dispatcher {
     let mut host = host();
     host.server(&Server { slots: 64, ..server("s1", "a", &[("m1", &[])]) }, at(0));
     host
 }
 
-/// A stream whose prompt takes its server 20 ms to read, and whose events may pause for 150 ms.
+/// A stream whose prompt takes its server 20 ms to prefill, and whose events may pause for 150 ms.
 fn paced(ticket: Ticket, now: Moment) -> RequestSpec {
     RequestSpec { input: 600, pause: Some(PAUSE), ..generation(ticket, "m1", now) }
 }
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -104,7 +104,7 @@
     let last = (1..20)
         .map(|n| host.attempt_failed(1, FULL, at(n)))
         .find(|a| !matches!(a, RetryDecision::Send(_)));
-    assert_eq!(last.and_then(cause), Some(Cause::Attempts), "told as not run, with its cause");
+    assert_eq!(last.and_then(cause), Some(Cause::Attempts), "answered as not run, with its cause");
 }
 
 #[rstest]
@@ -129,33 +129,33 @@
     assert!(matches!(one(REFUSED), RetryDecision::Send(_)));
 }
 
-/// What a host is told of the four others in each second.
+/// What a host knows of the four others in each second.
 #[derive(Clone, Copy)]
 enum Others {
-    /// So many are heard, and the rest is silent.
-    Heard(usize),
-    /// So many are heard, and the rest is known from the store's list alone.
+    /// This many are connected, and the others are silent.
+    Connected(usize),
+    /// This many are connected, and the others are known only from the store's list.
     Listed(usize),
-    /// All have said goodbye.
-    Gone,
+    /// All have announced that they leave.
+    Left,
 }
 
-/// Retries that are granted at once, after so many seconds in which others were heard or not.
+/// Retries that are granted at once, after `seconds` in which the others were as given.
 fn granted_after(seconds: u64, others: Others) -> usize {
     let mut host = servers();
     let names: Vec<host::Id> = (1..5).map(|number| format!("h{number}").into()).collect();
     match others {
         Others::Listed(_) => host.share_listed(5),
-        Others::Heard(_) | Others::Gone => {
+        Others::Connected(_) | Others::Left => {
             host.share_among(names.iter().map(|name| (name, true)), names.clone(), at(0));
         }
     }
     for second in 0..=seconds {
         let known = names.iter().enumerate();
         let known = known.filter_map(|(number, name)| match others {
-            Others::Heard(count) => Some((name, number < count)),
+            Others::Connected(count) => Some((name, number < count)),
             Others::Listed(count) => (number < count).then_some((name, true)),
-            Others::Gone => None,
+            Others::Left => None,
         });
         host.share_among(known, vec!["a".into()], at(second * 1_000));
     }
@@ -171,28 +171,28 @@
 
 #[rstest]
 fn a_host_that_hears_nobody_keeps_to_its_share(#[values(15, 25, 600)] seconds: u64) {
-    let share = granted_after(0, Others::Heard(4));
+    let share = granted_after(0, Others::Connected(4));
     assert!(0 < share);
-    assert_eq!(granted_after(seconds, Others::Heard(0)), share);
-    assert_eq!(granted_after(seconds, Others::Heard(2)), share);
+    assert_eq!(granted_after(seconds, Others::Connected(0)), share);
+    assert_eq!(granted_after(seconds, Others::Connected(2)), share);
 }
 
 #[rstest]
 fn hosts_that_were_never_heard_count_by_the_list(#[values(0, 1, 3)] heard: usize) {
-    let share = granted_after(0, Others::Heard(4));
+    let share = granted_after(0, Others::Connected(4));
     assert_eq!(granted_after(600, Others::Listed(heard)), share);
 }
 
 #[rstest]
 fn a_host_that_hears_nearly_all_others_shares_with_them_after_a_while() {
-    let share = granted_after(0, Others::Heard(4));
-    assert_eq!(granted_after(35, Others::Heard(3)), share);
-    assert!(share < granted_after(45, Others::Heard(3)));
+    let share = granted_after(0, Others::Connected(4));
+    assert_eq!(granted_after(35, Others::Connected(3)), share);
+    assert!(share < granted_after(45, Others::Connected(3)));
 }
 
 #[rstest]
 fn the_share_of_a_host_that_has_said_goodbye_is_used_after_a_while() {
-    assert!(granted_after(15, Others::Gone) * 2 < granted_after(25, Others::Gone));
+    assert!(granted_after(15, Others::Left) * 2 < granted_after(25, Others::Left));
 }
 
 #[rstest]
@@ -216,7 +216,7 @@
     assert!(changes.contains(&0), "{changes:?}, {waiting}");
 }
 
-/// A resumable stream whose only holder of its adapter has cut it, at 10 ms of its 4 s.
+/// A resumable stream that the only server with its adapter has cut, at 10 ms of its 4 s.
 fn cut_by_the_only_holder() -> Dispatcher {
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &["x"])]), at(0));
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -1,6 +1,6 @@
-//! The retry budget over a fleet of hosts that are cut off, restarted, late, and left without servers.
+//! The retry budget over hosts that are partitioned, restarted, delayed, and left without servers.
 //!
-//! What counts is what arrives at servers, and when; see [`rule`](crate::rule).
+//! Checked is what arrives at servers, and when; see [`rule`](crate::rule).
 
 use std::collections::BTreeMap;
 
@@ -26,36 +26,36 @@
 const SERVERS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 const SLOTS: u32 = 10_000;
 
-/// Time that callers give.
+/// Time from the arrival of a request to its deadline.
 const PATIENCE: Duration = Duration::from_secs(15);
 
-/// A second of a play.
+/// What happens in one second of a play.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
-    /// New requests at each host, in a step.
+    /// New requests at each host, in a step that has any.
     requests: usize,
-    /// Steps between two such steps.
+    /// Steps between two steps with new requests.
     pause: usize,
     /// Whether servers fail what they run.
     fails: bool,
     /// Whether there are no servers.
-    is_bare: bool,
-    /// Whether hosts don't hear each other.
-    is_deaf: bool,
+    is_without_servers: bool,
+    /// Whether hosts receive nothing from each other.
+    is_partitioned: bool,
 }
 
-/// What befalls a fleet.
+/// Everything that happens to the hosts of a play.
 #[derive(Clone, Debug)]
 struct Plan {
     hosts: usize,
     seconds: Vec<Second>,
-    /// Steps at which a host is killed and starts anew at once.
+    /// Steps at which a host is killed and restarted at once.
     restarts: Vec<(usize, usize)>,
     /// Steps that a message takes from one host to another.
     late: usize,
     /// Steps until a server has answered.
     work: usize,
-    /// Whether requests are streams that go on after an event.
+    /// Whether requests are streams that resume after an event.
     is_resumed: bool,
 }
 
@@ -95,15 +95,15 @@
     plan: Plan,
     hosts: Vec<Host>,
     step: usize,
-    is_bare: bool,
+    is_without_servers: bool,
     tickets: Ticket,
-    /// Arrivals of each request.
+    /// Number of arrivals of each request.
     arrivals: BTreeMap<Ticket, usize>,
     requests: Vec<Moment>,
     retries: Vec<Moment>,
-    /// Retries that were wanted and had no budget.
+    /// Retries that were refused for want of budget.
     refused: usize,
-    /// Asks and loans on their way, by the step at which they arrive and the receiver.
+    /// Messages on loans that are on their way, by the step at which they arrive and the receiver.
     messages: BTreeMap<(usize, usize), Vec<(usize, Message)>>,
 }
 
@@ -116,7 +116,7 @@
             plan,
             hosts,
             step: 0,
-            is_bare: true,
+            is_without_servers: true,
             tickets: 0,
             arrivals: BTreeMap::new(),
             requests: Vec::new(),
@@ -124,7 +124,7 @@
             refused: 0,
             messages: BTreeMap::new(),
         };
-        world.serve(false);
+        world.set_servers(false);
         world
     }
 
@@ -152,8 +152,8 @@
     }
 
     fn step(&mut self, second: Second) {
-        if second.is_bare != self.is_bare {
-            self.serve(second.is_bare);
+        if second.is_without_servers != self.is_without_servers {
+            self.set_servers(second.is_without_servers);
         }
         for (step, host) in self.plan.restarts.clone() {
             if step == self.step {
@@ -161,7 +161,7 @@
             }
         }
         for host in 0..self.plan.hosts {
-            self.hear(host, second.is_deaf);
+            self.receive(host, second.is_partitioned);
             self.answer(host, second);
             if self.step.is_multiple_of(second.pause + 1) {
                 (0..second.requests).for_each(|_| self.request(host));
@@ -172,22 +172,22 @@
                     self.arrive(host, change.ticket);
                 }
             }
-            self.lend(host);
+            self.send_loan_messages(host);
         }
     }
 
-    /// All servers go, or come back.
-    fn serve(&mut self, is_bare: bool) {
-        self.is_bare = is_bare;
-        (0..self.plan.hosts).for_each(|host| self.see(host));
+    /// Removes all servers, or adds them again.
+    fn set_servers(&mut self, is_without_servers: bool) {
+        self.is_without_servers = is_without_servers;
+        (0..self.plan.hosts).for_each(|host| self.update_servers(host));
     }
 
-    /// A host sees which servers there are.
-    fn see(&mut self, host: usize) {
-        let (now, is_bare) = (self.time(host), self.is_bare);
+    /// Tells a host which servers there are.
+    fn update_servers(&mut self, host: usize) {
+        let (now, is_without_servers) = (self.time(host), self.is_without_servers);
         let dispatcher = &mut self.hosts[host].dispatcher;
         for id in SERVERS {
-            match is_bare {
+            match is_without_servers {
                 true => dispatcher.gone(&id.into(), now),
                 false => dispatcher
                     .server(&types::routed::Server { slots: SLOTS, ..server(id, "a", &[]) }, now),
@@ -197,33 +197,33 @@
 
     fn restart(&mut self, place: usize) {
         self.hosts[place] = Host::start(place, self.plan.hosts, self.now(), HostStart::Restart);
-        self.see(place);
+        self.update_servers(place);
     }
 
-    /// What a host is told of the others, and the loans that have reached it.
-    fn hear(&mut self, host: usize, is_deaf: bool) {
+    /// Passes to a host which others are connected, and the messages on loans that have arrived.
+    fn receive(&mut self, host: usize, is_partitioned: bool) {
         let now = self.time(host);
         let names: Vec<host::Id> = (0..self.plan.hosts).map(name).collect();
-        let is_heard = |other: usize| other == host || !is_deaf;
+        let is_connected = |other: usize| other == host || !is_partitioned;
         let known = names.iter().enumerate().filter(|(other, _)| *other != host);
-        let known = known.map(|(other, name)| (name, is_heard(other)));
+        let known = known.map(|(other, name)| (name, is_connected(other)));
         let live: Vec<host::Id> = names
             .iter()
             .enumerate()
-            .filter(|(other, _)| is_heard(*other))
+            .filter(|(other, _)| is_connected(*other))
             .map(|it| it.1.clone())
             .collect();
         let dispatcher = &mut self.hosts[host].dispatcher;
         dispatcher.hosts(live.len() as u32);
         dispatcher.share_among(known, live, now);
         let arrived = self.messages.remove(&(self.step, host)).unwrap_or_default();
-        for (from, message) in arrived.into_iter().filter(|_| !is_deaf) {
+        for (from, message) in arrived.into_iter().filter(|_| !is_partitioned) {
             self.hosts[host].dispatcher.loan_received(&name(from), &message, now);
         }
     }
 
-    /// Sends a host's asks and loans on their way.
-    fn lend(&mut self, host: usize) {
+    /// Sends a host's messages on loans.
+    fn send_loan_messages(&mut self, host: usize) {
         for (to, message) in self.hosts[host].dispatcher.loans_outgoing() {
             let to = (0..self.plan.hosts).find(|other| name(*other) == to).unwrap();
             let at = (self.step + self.plan.late, to);
@@ -237,7 +237,7 @@
         for ticket in tickets {
             let dispatcher = &mut self.hosts[host].dispatcher;
             let end = match second {
-                Second { is_bare: true, .. } => End::Unclear(Unclear::Cut),
+                Second { is_without_servers: true, .. } => End::Unclear(Unclear::Cut),
                 Second { fails: true, .. } => End::ServerError,
                 Second { .. } => {
                     dispatcher.ended(ticket, End::Completed, now);
@@ -274,7 +274,7 @@
         }
     }
 
-    /// A request arrives at a server.
+    /// Records that a request arrives at a server.
     fn arrive(&mut self, host: usize, ticket: Ticket) {
         let before = self.arrivals.entry(ticket).or_default();
         if 0 < *before {
@@ -286,14 +286,20 @@
     }
 }
 
-/// So many seconds alike.
+/// The same second `count` times.
 fn seconds(count: usize, second: Second) -> Vec<Second> {
     vec![second; count]
 }
 
-const CALM: Second = Second { requests: 0, pause: 0, fails: false, is_bare: false, is_deaf: false };
+const CALM: Second = Second {
+    requests: 0,
+    pause: 0,
+    fails: false,
+    is_without_servers: false,
+    is_partitioned: false,
+};
 
-/// A service that is little asked for, all of whose requests fail.
+/// A service with few requests, all of which fail.
 const FAILING: Second = Second { requests: 1, pause: 9, fails: true, ..CALM };
 
 #[rstest]
@@ -301,22 +307,23 @@
 #[case::for_25_s(25)]
 #[case::for_60_s(60)]
 fn hosts_that_do_not_hear_each_other_keep_the_budget_together(#[case] cut: usize) {
-    let deaf = Second { is_deaf: true, ..CALM };
-    let failing = Second { is_deaf: true, ..FAILING };
-    let plan = Plan::new(6, [seconds(15, CALM), seconds(cut, deaf), seconds(15, failing)].concat());
+    let partitioned = Second { is_partitioned: true, ..CALM };
+    let failing = Second { is_partitioned: true, ..FAILING };
+    let plan =
+        Plan::new(6, [seconds(15, CALM), seconds(cut, partitioned), seconds(15, failing)].concat());
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// They know of each other by the store's list alone.
+/// Hosts know of each other only by the store's list.
 #[rstest]
 fn hosts_that_have_never_heard_each_other_keep_the_budget_together() {
-    let deaf = Second { is_deaf: true, ..CALM };
-    let failing = Second { is_deaf: true, ..FAILING };
-    let plan = Plan::new(6, [seconds(25, deaf), seconds(15, failing)].concat());
+    let partitioned = Second { is_partitioned: true, ..CALM };
+    let failing = Second { is_partitioned: true, ..FAILING };
+    let plan = Plan::new(6, [seconds(25, partitioned), seconds(15, failing)].concat());
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Hosts that are restarted one after the other, so many times each.
+/// Hosts that are restarted one after the other, `times` times each.
 fn restarted(times: usize, gap: usize) -> Plan {
     let mut plan =
         Plan::new(6, [seconds(20, CALM), seconds(20, FAILING), seconds(10, CALM)].concat());
@@ -336,11 +343,11 @@
 #[rstest]
 fn a_retry_that_waits_counts_when_it_arrives() {
     let busy = Second { requests: 5, ..CALM };
-    let bare = Second { is_bare: true, ..CALM };
+    let without_servers = Second { is_without_servers: true, ..CALM };
     let failing = Second { fails: true, ..CALM };
     let phases = [
         seconds(1, busy),
-        seconds(10, bare),
+        seconds(10, without_servers),
         seconds(1, CALM),
         seconds(1, Second { fails: true, ..busy }),
         seconds(9, failing),
@@ -356,14 +363,15 @@
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Seconds of a play: what is asked, whether it fails, whether there are servers, who hears whom.
-fn course() -> impl Strategy<Value = Vec<Second>> {
+/// Seconds of a play: requests, whether they fail, whether there are servers, whether hosts are
+/// partitioned.
+fn seconds_strategy() -> impl Strategy<Value = Vec<Second>> {
     let requests = (0..4_usize, prop_oneof![Just(0_usize), 3..20_usize]);
     let phase = (requests, any::<bool>(), prop::bool::weighted(0.2), any::<bool>(), 1..35_usize);
     let phases = prop::collection::vec(phase, 2..7);
     phases.prop_map(|phases| {
-        let phase = |((requests, pause), fails, is_bare, is_deaf, length)| {
-            seconds(length, Second { requests, pause, fails, is_bare, is_deaf })
+        let phase = |((requests, pause), fails, is_without_servers, is_partitioned, length)| {
+            seconds(length, Second { requests, pause, fails, is_without_servers, is_partitioned })
         };
         phases.into_iter().flat_map(phase).collect()
     })
@@ -371,7 +379,7 @@
 
 fn plan() -> impl Strategy<Value = Plan> {
     let restarts = prop::collection::vec((0..2_000_usize, 0..6_usize), 0..24);
-    (1..=6_usize, course(), restarts, 1..30_usize, 1..40_usize, any::<bool>()).prop_map(
+    (1..=6_usize, seconds_strategy(), restarts, 1..30_usize, 1..40_usize, any::<bool>()).prop_map(
         |(hosts, seconds, restarts, late, work, is_resumed)| {
             let restarts = restarts.into_iter().map(|(step, host)| (step, host % hosts)).collect();
             Plan { hosts, seconds, restarts, late, work, is_resumed }
@@ -392,7 +400,8 @@
     }
 }
 
-/// A fleet whose requests all fail, long after its start. A quarter is kept for resumed streams.
+/// Hosts whose requests all fail, long after their start. A quarter is reserved for resumed
+/// streams.
 #[rstest]
 fn a_steady_fleet_uses_most_of_what_the_terms_allow(#[values(1, 6, 16)] hosts: usize) {
     let calm = Second { requests: 2, ..CALM };
--- a/crates/policy/tests/dispatch/routes.rs
+++ b/crates/policy/tests/dispatch/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path, and weighted splits.
+//! Routes by host name and path, and weighted splits.
 
 use rstest::rstest;
 use types::routed::{Declaration, Kind, Route, Share};
--- a/crates/policy/tests/dispatch/rule.rs
+++ b/crates/policy/tests/dispatch/rule.rs
@@ -1,20 +1,21 @@
-//! The rule on retries, over what arrived at the servers of one service from all hosts.
+//! The limit on retries, checked on what arrived at the servers of one service from all hosts.
 
 use policy::dispatch::RetryBudgetConfig;
 use types::prelude::*;
 
-/// A window with more arrivals beyond the first of each request than the terms allow.
+/// A window with more arrivals beyond the first of each request than the config allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
     /// The window's end.
     pub end: Moment,
-    /// Arrivals beyond the first.
+    /// Arrivals beyond the first of each request.
     pub retries: usize,
-    /// What the terms allow.
+    /// What the config allows.
     pub allowed: f64,
 }
 
-/// The first window that is overdrawn; both lists are in the order of time.
+/// Returns the first window with more retries than the config allows; both lists are sorted by
+/// time.
 pub fn overdrawn(
     requests: &[Moment],
     retries: &[Moment],
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -1,4 +1,4 @@
-//! Requests are taken from servers that went dark.
+//! Requests are moved from servers that stop responding.
 
 use policy::dispatch::{
     Change, Dispatcher, End, RequestSpec, RetryDecision, Ticket, Unclear, Verdict,
@@ -8,8 +8,8 @@
 
 use crate::fixture::{at, plain, request, sent};
 
-/// Two requests at one server, which then says nothing.
-fn dark(kind: Kind, resumable: bool) -> Dispatcher {
+/// Two requests at one server, which sends nothing afterwards, and a second server.
+fn unresponsive(kind: Kind, resumable: bool) -> Dispatcher {
     let mut host = plain(&["s1"]);
     for ticket in 0..2 {
         sent(host.arrive(RequestSpec { resumable, ..request(ticket, kind, at(0)) }, at(0)));
@@ -18,8 +18,8 @@
     host
 }
 
-/// When each request is told to leave, looking every 20 ms for 3 s.
-fn leaves(host: &mut Dispatcher, from: Moment) -> Vec<(Ticket, Moment)> {
+/// When each request is asked to leave its server, with a pump every 20 ms for 3 s.
+fn moved_requests(host: &mut Dispatcher, from: Moment) -> Vec<(Ticket, Moment)> {
     let looks = (1..150).map(|n| from + at(n * 20));
     let changes = looks.flat_map(|now| host.pump(now).into_iter().map(move |it| (it, now)));
     let leaving = changes.filter(|(change, _)| change.verdict == Verdict::Leave);
@@ -28,37 +28,37 @@
 
 #[rstest]
 fn those_that_may_run_again_leave_once() {
-    let mut host = dark(Kind::Idempotent, false);
-    let left = leaves(&mut host, at(0));
-    assert_eq!(left.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
-    assert!(left.iter().all(|(_, now)| at(500) < *now && *now < at(1_000)), "{left:?}");
+    let mut host = unresponsive(Kind::Idempotent, false);
+    let moved = moved_requests(&mut host, at(0));
+    assert_eq!(moved.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
+    assert!(moved.iter().all(|(_, now)| at(500) < *now && *now < at(1_000)), "{moved:?}");
     let again = host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_000));
     assert_eq!(again, RetryDecision::Send("s2".into()));
     assert_eq!(&*sent(host.arrive(request(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
 }
 
-/// A server is left only for another that takes the request: what had left and then found none was
-/// lost, though its server was at work on it.
+/// A request leaves its server only for another one that takes it: a request that left and then
+/// found no other server was lost, though its server was at work on it.
 #[rstest]
 fn a_server_is_kept_until_another_has_a_place() {
-    let mut host = dark(Kind::Idempotent, false);
+    let mut host = unresponsive(Kind::Idempotent, false);
     for ticket in 2..200 {
-        // They fill the second server, and wait then.
+        // These fill the second server; the rest wait.
         host.arrive(request(ticket, Kind::NonIdempotent, at(2)), at(2));
     }
-    assert_eq!(leaves(&mut host, at(0)), []);
+    assert_eq!(moved_requests(&mut host, at(0)), []);
     assert_eq!(host.leave(0, at(3_000)), None);
     for ticket in 2..200 {
         host.ended(ticket, End::Cancelled, at(3_010));
     }
-    assert_eq!(leaves(&mut host, at(3_010)).len(), 2);
+    assert_eq!(moved_requests(&mut host, at(3_010)).len(), 2);
     assert_eq!(host.leave(0, at(3_200)), Some("s2".into()));
 }
 
-/// A stalled stream that can't be paid for stays where it is.
+/// A stalled stream whose retry can't be paid for stays with its server.
 #[rstest]
 fn a_server_is_kept_while_no_retry_is_left() {
-    let mut host = dark(Kind::Stream, true);
+    let mut host = unresponsive(Kind::Stream, true);
     let most = 10_000;
     let retries = (10..most).find(|ticket| {
         let request = RequestSpec { attempts: 2, ..request(*ticket, Kind::Idempotent, at(2)) };
@@ -80,34 +80,34 @@
 #[case::once(Kind::NonIdempotent)]
 #[case::stream(Kind::Stream)]
 fn those_that_run_once_stay(#[case] kind: Kind) {
-    assert_eq!(leaves(&mut dark(kind, false), at(0)), []);
+    assert_eq!(moved_requests(&mut unresponsive(kind, false), at(0)), []);
 }
 
 #[rstest]
 fn a_stream_leaves_when_nothing_more_comes_from_its_server() {
-    let mut host = dark(Kind::Stream, true);
+    let mut host = unresponsive(Kind::Stream, true);
     host.first_byte(0, at(50));
     host.first_byte(1, at(60));
     for n in 3..100 {
         host.delivered(0, n, at(n * 20));
         assert_eq!(host.pump(at(n * 20)), []);
     }
-    let left = leaves(&mut host, at(2_000));
-    assert_eq!(left.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
+    let moved = moved_requests(&mut host, at(2_000));
+    assert_eq!(moved.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
 }
 
 #[rstest]
 fn an_answer_that_is_lost_alone_is_given_up_while_others_come() {
     let mut host = plain(&["s1", "s2"]);
     let first = sent(host.arrive(request(0, Kind::Idempotent, at(0)), at(0)));
-    let mut left: Vec<Change> = Vec::new();
+    let mut moved: Vec<Change> = Vec::new();
     for ticket in 1..60 {
         let now = at(ticket * 50);
         sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
         host.ended(ticket, End::Completed, now + at(30));
-        left.extend(host.pump(now + at(30)));
+        moved.extend(host.pump(now + at(30)));
     }
-    assert_eq!(left, [Change { ticket: 0, verdict: Verdict::Leave }]);
+    assert_eq!(moved, [Change { ticket: 0, verdict: Verdict::Leave }]);
     assert_ne!(
         host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_100)),
         RetryDecision::Send(first)
