--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -1,8 +1,8 @@
 //! How much work a server has, as far as this host can know.
 //!
-//! Its own part a host knows for certain. The others' part is told in two ways: by the server, in
-//! reports and with its answers, and by the peers, in their digests. Each is as good as it is
-//! fresh, so they are weighed by their age.
+//! A host knows its own requests for certain. The requests of other hosts are reported in two ways:
+//! by the server, in reports and with its responses, and by the peers, in their digests. Both go
+//! stale, so each is weighted by its age.
 
 use std::collections::VecDeque;
 
@@ -10,40 +10,40 @@
 
 use super::request::Ticket;
 
-/// Age of a server's report when it comes.
+/// Age of a server's report when it arrives.
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// Time for which a host knows what it sent to a server.
-pub const LATELY: Duration = Duration::from_millis(1_500);
+/// How long a host remembers the times at which it sent requests to a server.
+pub const RECENT_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Age at which what others tell counts no more.
-pub const TOLD_LIFE: Duration = Duration::from_secs(2);
+/// Age at which reports and digests are ignored.
+pub const LOAD_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// Age at which what is told has lost half of its weight.
-const HALF: f64 = 20.0;
+/// Age in milliseconds at which a report or digest has lost half of its weight.
+const HALF_WEIGHT_AGE_MS: f64 = 20.0;
 
-/// By how much the hosts that turn to one server seem to be more when it has more than its slots,
-/// and fewer when it has less.
-const CROWD_RISE: f64 = 1.3;
-const CROWD_FALL: f64 = 1.1;
+/// Factors by which the estimated number of hosts contending for a server grows while the server
+/// has more requests than slots, and shrinks while it has fewer.
+const CONTENDERS_GROWTH: f64 = 1.3;
+const CONTENDERS_DECAY: f64 = 1.1;
 
-/// A request of this host that the server has.
+/// A request of this host at the server.
 #[derive(Clone, Copy, Debug)]
-struct Own {
+struct OwnRequest {
     ticket: Ticket,
     sent: Moment,
-    unread: u32,
+    prefill: u32,
     memory: u32,
 }
 
-/// What the server has told.
+/// Requests of other hosts, derived from the server's newest report.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedLoad {
     at: Moment,
     others: u32,
 }
 
-/// What the server has told of its KV memory.
+/// KV memory in tokens, from the server's newest report.
 #[derive(Clone, Copy, Debug)]
 struct Memory {
     at: Moment,
@@ -51,109 +51,110 @@
     total: u64,
 }
 
-/// Work of one server.
 #[derive(Clone, Debug)]
 pub struct Load {
-    own: Vec<Own>,
-    /// Requests sent lately, some of which a report that comes now does not know.
-    lately: VecDeque<Moment>,
-    told: Option<Told>,
+    own: Vec<OwnRequest>,
+    /// When requests were sent lately. A report that arrives now may not include the newest of
+    /// them.
+    recent_sends: VecDeque<Moment>,
+    reported: Option<ReportedLoad>,
     memory: Option<Memory>,
     peers: u32,
-    peers_unread: u64,
+    peers_prefill: u64,
     full_until: Moment,
-    crowd: f64,
+    contenders: f64,
 }
 
 impl Default for Load {
     fn default() -> Load {
         Load {
             own: Vec::new(),
-            lately: VecDeque::new(),
-            told: None,
+            recent_sends: VecDeque::new(),
+            reported: None,
             memory: None,
             peers: 0,
-            peers_unread: 0,
+            peers_prefill: 0,
             full_until: Duration::ZERO,
-            crowd: 1.0,
+            contenders: 1.0,
         }
     }
 }
 
 impl Load {
-    /// A request is sent, with so many prompt tokens to read and so much memory to fill.
-    pub fn sent(&mut self, ticket: Ticket, unread: u32, memory: u32, now: Moment) {
-        self.own.push(Own { ticket, sent: now, unread, memory });
-        self.lately.push_back(now);
-        self.forget_lately(now);
+    /// Adds a request that is sent, with the prompt tokens to prefill and the KV memory to fill, in
+    /// tokens.
+    pub fn sent(&mut self, ticket: Ticket, prefill: u32, memory: u32, now: Moment) {
+        self.own.push(OwnRequest { ticket, sent: now, prefill, memory });
+        self.recent_sends.push_back(now);
+        self.expire_recent_sends(now);
     }
 
-    /// Its prompt is read.
-    pub fn read(&mut self, ticket: Ticket) {
+    /// Records that the request's prompt is prefilled.
+    pub fn prefilled(&mut self, ticket: Ticket) {
         if let Some(own) = self.own.iter_mut().find(|own| own.ticket == ticket) {
-            own.unread = 0;
+            own.prefill = 0;
         }
     }
 
-    /// It is over.
+    /// Removes a request.
     pub fn ended(&mut self, ticket: Ticket) {
         self.own.retain(|own| own.ticket != ticket);
     }
 
-    /// The server told what it has, as of `lag` ago.
-    pub fn told(&mut self, running: u32, waiting: u32, lag: Duration, now: Moment) {
+    /// Applies the server's count of its requests, as of `lag` ago.
+    pub fn report(&mut self, running: u32, waiting: u32, lag: Duration, now: Moment) {
         let at = now.saturating_sub(lag);
-        if self.told.is_some_and(|told| at < told.at) {
+        if self.reported.is_some_and(|reported| at < reported.at) {
             return;
         }
-        self.forget_lately(now);
+        self.expire_recent_sends(now);
         let since = self.sent_since(at) as usize;
         let own = self.own.len().saturating_sub(since) as u32;
         let others = running.saturating_add(waiting).saturating_sub(own);
-        self.told = Some(Told { at, others });
+        self.reported = Some(ReportedLoad { at, others });
     }
 
-    /// Requests sent after a moment that is not longer ago than [`LATELY`].
+    /// Number of requests sent after a moment, which must not be longer ago than [`RECENT_WINDOW`].
     pub fn sent_since(&self, at: Moment) -> u32 {
-        (self.lately.len() - self.lately.partition_point(|sent| *sent <= at)) as u32
+        (self.recent_sends.len() - self.recent_sends.partition_point(|sent| *sent <= at)) as u32
     }
 
-    /// When the server last told of its work.
-    pub fn told_at(&self) -> Option<Moment> {
-        self.told.map(|told| told.at)
+    /// When the server last reported its requests.
+    pub fn reported_at(&self) -> Option<Moment> {
+        self.reported.map(|reported| reported.at)
     }
 
-    /// The server told of its KV memory.
+    /// Applies the server's report of its KV memory.
     pub fn memory(&mut self, used: u64, total: u64, now: Moment) {
         self.memory = Some(Memory { at: now.saturating_sub(REPORT_LAG), used, total });
     }
 
-    /// The server refused since it is full.
-    pub fn full(&mut self, until: Moment) {
+    /// Records that the server refused a request because it is full.
+    pub fn mark_full(&mut self, until: Moment) {
         self.full_until = self.full_until.max(until);
     }
 
-    /// Peers have so much more, and less, than was known.
+    /// Adds to and subtracts from the requests and prefill tokens of peers.
     pub fn peers(&mut self, more: (u32, u64), less: (u32, u64)) {
         self.peers = (self.peers + more.0).saturating_sub(less.0);
-        self.peers_unread = (self.peers_unread + more.1).saturating_sub(less.1);
+        self.peers_prefill = (self.peers_prefill + more.1).saturating_sub(less.1);
     }
 
-    /// Finds anew, by what peers have told, how many hosts turn to the server at once. They see the
-    /// same free place at the same moment, and hear of each other's requests only later.
-    pub fn meet(&mut self, slots: u32, hosts: u32) {
+    /// Estimates anew, from what peers have sent, how many hosts contend for the server. They see
+    /// the same free slot at the same moment, and see each other's requests only later.
+    pub fn update_contenders(&mut self, slots: u32, hosts: u32) {
         let all = self.own() + self.peers;
         if slots < all {
-            self.crowd *= CROWD_RISE;
+            self.contenders *= CONTENDERS_GROWTH;
         } else if all < slots {
-            self.crowd /= CROWD_FALL;
+            self.contenders /= CONTENDERS_DECAY;
         }
-        self.crowd = self.crowd.clamp(1.0, f64::from(hosts.max(1)));
+        self.contenders = self.contenders.clamp(1.0, f64::from(hosts.max(1)));
     }
 
-    /// Hosts that turn to the server at once.
-    pub fn crowd(&self) -> f64 {
-        self.crowd
+    /// Estimated number of hosts that contend for the server.
+    pub fn contenders(&self) -> f64 {
+        self.contenders
     }
 
     /// Requests of this host.
@@ -161,22 +162,23 @@
         self.own.len() as u32
     }
 
-    /// Requests of all hosts, where peers' figures are as of `peers_at`.
+    /// Requests of all hosts, where the peers' digests are as of `peers_at`.
     pub fn in_flight(&self, peers_at: Option<Moment>, now: Moment) -> f64 {
         f64::from(self.own()) + self.others(peers_at, now)
     }
 
-    /// Prompt tokens that wait to be read.
-    pub fn unread(&self) -> u64 {
-        self.own_unread() + self.peers_unread
+    /// Prompt tokens that wait to be prefilled.
+    pub fn prefill(&self) -> u64 {
+        self.own_prefill() + self.peers_prefill
     }
 
-    /// Those of them that are of this host's requests.
-    pub fn own_unread(&self) -> u64 {
-        self.own.iter().map(|own| u64::from(own.unread)).sum()
+    /// Prompt tokens of this host's requests that wait to be prefilled.
+    pub fn own_prefill(&self) -> u64 {
+        self.own.iter().map(|own| u64::from(own.prefill)).sum()
     }
 
-    /// Part of the KV memory that will be in use, with so much more, if the server tells of it.
+    /// Part of the KV memory that is in use once `more` tokens are added; `None` if the server
+    /// doesn't report it.
     pub fn memory_used(&self, more: u32) -> Option<f64> {
         let memory = self.memory.filter(|memory| 0 < memory.total)?;
         let since = self.own.iter().filter(|own| memory.at < own.sent);
@@ -184,28 +186,29 @@
         Some((memory.used + since + u64::from(more)) as f64 / memory.total as f64)
     }
 
-    /// Whether it has said that it is full, and not long ago.
+    /// Whether the server has refused a request as full a short time ago.
     pub fn is_full(&self, now: Moment) -> bool {
         now < self.full_until
     }
 
     fn others(&self, peers_at: Option<Moment>, now: Moment) -> f64 {
-        let fresh = |at: &Moment| now < *at + TOLD_LIFE;
-        let told = self.told.filter(|told| fresh(&told.at));
-        let told = told.map_or((0.0, 0.0), |told| (weight(told.at, now), f64::from(told.others)));
+        let fresh = |at: &Moment| now < *at + LOAD_MAX_AGE;
+        let reported = self.reported.filter(|reported| fresh(&reported.at));
+        let reported = reported
+            .map_or((0.0, 0.0), |reported| (weight(reported.at, now), f64::from(reported.others)));
         let peers = peers_at.filter(fresh);
         let peers = peers.map_or((0.0, 0.0), |at| (weight(at, now), f64::from(self.peers)));
-        let sum = told.0 + peers.0;
-        if sum == 0.0 { 0.0 } else { (told.0 * told.1 + peers.0 * peers.1) / sum }
+        let sum = reported.0 + peers.0;
+        if sum == 0.0 { 0.0 } else { (reported.0 * reported.1 + peers.0 * peers.1) / sum }
     }
 
-    fn forget_lately(&mut self, now: Moment) {
-        while self.lately.front().is_some_and(|sent| *sent + LATELY < now) {
-            self.lately.pop_front();
+    fn expire_recent_sends(&mut self, now: Moment) {
+        while self.recent_sends.front().is_some_and(|sent| *sent + RECENT_WINDOW < now) {
+            self.recent_sends.pop_front();
         }
     }
 }
 
 fn weight(at: Moment, now: Moment) -> f64 {
-    1.0 / (now.saturating_sub(at).as_secs_f64() * 1000.0 + HALF)
+    1.0 / (now.saturating_sub(at).as_secs_f64() * 1000.0 + HALF_WEIGHT_AGE_MS)
 }
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -1,18 +1,18 @@
 //! Requests that crash the servers that run them.
 //!
-//! A crash is a fact: a request was at a run of a server when that run ended. A host holds the set of
-//! the crashes that it knows and sends it on, those that it only heard of among them. Sets join in any
-//! order and however often, so no crash counts twice, a host that restarts learns them from any other,
-//! and a host that falls silent takes nothing with it.
+//! A [`Crash`] states that a request was at a run of a server when that run ended. Each host stores
+//! the crashes that it knows and sends them to others, including those that it only received. Sets
+//! of crashes are merged in any order and any number of times, so no crash counts twice, a
+//! restarted host gets them from any other, and a host that fails takes no information with it.
 //!
 //! A crash stops counting when it is void: the server's run answered something that was sent to it
-//! later, or the request ended whole somewhere. It doesn't count either while another request explains
-//! it: one that ran apart on that server, or one that has crashed more servers and is refused.
+//! later, or the request completed somewhere. It also doesn't count while another request explains
+//! it: one that ran isolated on that server, or one that has crashed more servers and is refused.
 //!
-//! From the second crash on a request is a suspect and runs apart from other suspects: one at a time
-//! on a host, on the server with the least to lose. Hosts tell each other of such runs as of crashes,
-//! so that no other host sends the same request, or another suspect to the same server, meanwhile.
-//! After the third crash a request reaches no server.
+//! From the second crash on a request is a suspect and runs isolated from other suspects: one at a
+//! time on a host, on the server with the least to lose. Hosts advertise such runs like crashes, so
+//! that no other host sends the same request, or another suspect to the same server, in the
+//! meantime. After the third crash the request is refused by all hosts.
 
 use std::{
     cmp::Ordering,
@@ -24,72 +24,72 @@
 
 use super::{Map, request::Ticket};
 
-/// What a request is known by: a digest of its path and body, which are what a server sees.
+/// Identifies a request: a digest of its path and body, which are what a server sees.
 pub type Fingerprint = u64;
 
-/// Crashes from which on a request runs apart.
+/// Number of crashes from which on a request is a suspect.
 pub const SUSPECT: usize = 2;
 
-/// Crashes after which a request reaches no server.
+/// Number of crashes from which on a request is refused.
 pub const POISON: usize = 3;
 
-/// How long a request is known after its last crash, if it ran apart in one of them.
+/// How long a request is remembered after its last crash, if it ran isolated in one of its crashes.
 pub const LIFE: Duration = Duration::from_secs(3600);
 
-/// How long it is known if others were beside it in each of its crashes.
+/// How long a request is remembered that shared the server with others in each of its crashes.
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
-/// Remaining life below which what others still send is not learnt again.
-const LEAST_LIFE: Duration = Duration::from_secs(5);
+/// Remaining life below which a received crash is not added again.
+const MIN_REMAINING_LIFE: Duration = Duration::from_secs(5);
 
-/// Most requests known; those with the fewest crashes are forgotten first.
-const MOST_REQUESTS: usize = 1024;
+/// Most requests remembered; those with the fewest crashes are evicted first.
+const MAX_REQUESTS: usize = 1024;
 
-/// Most crashes sent to other hosts; requests with the most crashes go first.
-const MOST_SENT: usize = 128;
+/// Most crashes sent to other hosts; those of requests with the most crashes are sent first.
+const MAX_SENT: usize = 128;
 
-/// How long a void crash of a request that is no suspect is sent.
-const VOID_SENT: Duration = Duration::from_secs(10);
+/// How long a void crash of a request that is not a suspect is sent.
+const VOID_SEND_TIME: Duration = Duration::from_secs(10);
 
 /// Time between the end of an attempt and the end of its server's registration within which the
 /// attempt may have crashed the server.
-const UNCLEAR: Duration = Duration::from_secs(8);
+const UNRESOLVED_LIFE: Duration = Duration::from_secs(8);
 
-/// How long at least a request that ended whole crashes no server, as far as is known.
-const WHOLE: Duration = Duration::from_secs(10);
+/// How long at least a completed request is assumed to crash no server.
+const COMPLETED_LIFE: Duration = Duration::from_secs(10);
 
-/// Most requests kept that ended whole, in each of two generations.
-const MOST_WHOLE: usize = 4096;
+/// Most completed requests remembered in each of two generations.
+const MAX_COMPLETED: usize = 4096;
 
-/// How long a suspect's run keeps others away, in case that the end of its run is not told.
-const OPEN: Duration = Duration::from_secs(20);
+/// How long a suspect's run keeps other suspects away if the end of the run is not reported.
+const MAX_RUN: Duration = Duration::from_secs(20);
 
-/// Most attempts kept whose servers may have crashed.
-const MOST_UNCLEAR: usize = 512;
+/// Most attempts remembered whose servers may have crashed.
+const MAX_UNRESOLVED: usize = 512;
 
-/// What is thought of a request.
+/// How a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// The request is sent like any other.
     Clear,
-    /// The request runs apart from other suspects.
+    /// The request runs isolated from other suspects.
     Suspect,
-    /// The request reaches no server.
+    /// The request is refused.
     Poison,
 }
 
-/// How a request ran on the server that crashed; the later one overrules the earlier.
+/// How a request ran on the server that crashed. In a merge the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Isolation {
-    /// Shared others that are as likely to have crashed it.
+    /// Together with other requests that are as likely to have crashed the server.
     #[serde(rename = "Beside")]
     Shared,
-    /// As the one suspect there.
+    /// As the only suspect on the server.
     #[serde(rename = "Apart")]
     Isolated,
 }
 
-/// Whether a crash counts; the later one overrules the earlier.
+/// Whether a crash counts. In a merge the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashState {
     /// The server has not crashed so far: a suspect runs there.
@@ -102,9 +102,9 @@
     Void,
 }
 
-/// A request was at a run of a server when that run ended.
+/// States that a request was at a run of a server when that run ended.
 ///
-/// Each host writes what it saw itself: it alone begins a turn, and any host may find it void.
+/// Only the witness starts a new turn; any host may find the crash void.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
@@ -113,21 +113,22 @@
     pub server: backend::Id,
     /// The host that sent the request there.
     pub witness: host::Id,
-    /// Times that it did before, and nothing came of it; a later turn overrules an earlier one.
+    /// Number of earlier runs of the request on the server whose crash was void. In a merge the
+    /// higher turn wins.
     pub turn: u32,
     /// How the request ran there.
     #[serde(rename = "role")]
     pub isolation: Isolation,
-    /// Whether it counts.
+    /// Whether the crash counts.
     #[serde(rename = "verdict")]
     pub state: CrashState,
-    /// Time since it was seen.
+    /// Time since the crash was seen.
     #[serde(with = "types::time::millis")]
     pub age: Duration,
 }
 
 impl Crash {
-    /// What two hosts know of one crash, together.
+    /// Merges what two hosts know of one crash.
     #[must_use]
     pub fn joined(self, other: &Crash) -> Crash {
         match self.turn.cmp(&other.turn) {
@@ -144,75 +145,77 @@
     }
 }
 
-/// A change of what is thought of a request, with the crashes behind it.
+/// A change of a request's standing, with the crashes behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandingChange {
     /// The request.
     pub request: Fingerprint,
-    /// What is thought of it now.
+    /// The new standing.
     pub standing: Standing,
-    /// The crashes that are known, void ones among them.
+    /// All known crashes of the request, including void ones.
     pub crashes: Vec<Crash>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct CrashRecord {
     turn: u32,
     isolation: Isolation,
     state: CrashState,
-    /// Until when it would be known at the most.
+    /// When the crash expires at the latest.
     until: Moment,
-    /// When this host learnt of it.
-    learnt: Moment,
-    /// When this host last told others that it is void.
-    voided: Option<Moment>,
+    /// When this host added the record, or when the run of a suspect was first recorded as a crash.
+    seen_at: Moment,
+    /// When this host last found the crash void, from which on it sends that to others.
+    voided_at: Option<Moment>,
 }
 
-impl Known {
+impl CrashRecord {
     fn age(&self, now: Moment) -> Duration {
         LIFE.saturating_sub(self.until.saturating_sub(now))
     }
 
-    fn counts(&self) -> bool {
+    fn is_counted(&self) -> bool {
         self.state == CrashState::Counted
     }
 
-    fn is_open(&self, now: Moment) -> bool {
-        self.state == CrashState::Running && self.age(now) < OPEN
+    fn is_running(&self, now: Moment) -> bool {
+        self.state == CrashState::Running && self.age(now) < MAX_RUN
     }
 }
 
-/// A run of a server, and the host that sent the request there.
-type Place = (backend::Id, host::Id);
+/// The run of a server, and the host that sent the request there.
+type CrashKey = (backend::Id, host::Id);
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    crashes: BTreeMap<Place, Known>,
+    crashes: BTreeMap<CrashKey, CrashRecord>,
     reported: Option<Standing>,
 }
 
 impl Entry {
-    /// What hosts know of the request at a server.
-    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a Known> {
+    /// Records of the request at a server, by all hosts.
+    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
         let there = self.crashes.iter().filter(move |((at, _), _)| at == server);
-        there.map(|(_, known)| known)
+        there.map(|(_, record)| record)
     }
 
-    /// Servers whose crashes count, but for what another request explains.
+    /// Servers whose crashes count, regardless of whether another request explains them.
     fn counted(&self) -> BTreeSet<&backend::Id> {
-        let counted = self.crashes.iter().filter(|(_, known)| known.counts());
+        let counted = self.crashes.iter().filter(|(_, record)| record.is_counted());
         counted.map(|((server, _), _)| server).collect()
     }
 
-    /// When it is forgotten: by its youngest crash, and by whether it ran apart in any.
+    /// When the request is forgotten, which depends on its newest crash and on whether it ran
+    /// isolated in any.
     fn until(&self) -> Moment {
-        let youngest = self.crashes.values().map(|known| known.until).max().unwrap_or_default();
-        let was_apart = self.crashes.values().any(|known| known.isolation == Isolation::Isolated);
-        if was_apart { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
+        let youngest = self.crashes.values().map(|record| record.until).max().unwrap_or_default();
+        let was_isolated =
+            self.crashes.values().any(|record| record.isolation == Isolation::Isolated);
+        if was_isolated { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
     }
 }
 
-/// The run of a suspect, apart from other suspects.
+/// The isolated run of a suspect.
 #[derive(Clone, Debug)]
 struct Trial {
     ticket: Ticket,
@@ -220,26 +223,27 @@
     server: backend::Id,
 }
 
-/// An attempt that ended without telling whether its server crashed.
+/// An attempt that ended without showing whether its server crashed.
 #[derive(Clone, Debug)]
-struct Unclear {
+struct UnresolvedAttempt {
     request: Fingerprint,
     server: backend::Id,
     isolation: Isolation,
     at: Moment,
 }
 
-/// Requests that ended whole lately: the older generation goes when the younger is full or old.
+/// Requests that completed lately. The older generation is dropped when the younger one is full or
+/// old.
 #[derive(Clone, Debug, Default)]
-struct Whole {
+struct CompletedRequests {
     young: BTreeSet<Fingerprint>,
     old: BTreeSet<Fingerprint>,
     since: Moment,
 }
 
-impl Whole {
+impl CompletedRequests {
     fn add(&mut self, request: Fingerprint, now: Moment) {
-        if self.since + WHOLE <= now || MOST_WHOLE <= self.young.len() {
+        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.young.len() {
             self.old = std::mem::take(&mut self.young);
             self.since = now;
         }
@@ -247,12 +251,12 @@
     }
 
     fn has(&self, request: Fingerprint, now: Moment) -> bool {
-        let is_recent = now < self.since + WHOLE;
+        let is_recent = now < self.since + COMPLETED_LIFE;
         is_recent && (self.young.contains(&request) || self.old.contains(&request))
     }
 }
 
-/// Crashes by request.
+/// Crashes by request, as one host knows them.
 #[derive(Clone, Debug)]
 pub struct Poison {
     host: host::Id,
@@ -260,27 +264,27 @@
     /// Requests by the servers that they were at.
     at_servers: BTreeMap<backend::Id, BTreeSet<Fingerprint>>,
     trial: Option<Trial>,
-    unclear: VecDeque<Unclear>,
-    whole: Whole,
-    /// Requests about which something was learnt since the last look.
+    unresolved: VecDeque<UnresolvedAttempt>,
+    completed: CompletedRequests,
+    /// Requests whose records have changed since the last call of [`Poison::take_changes`].
     changed: BTreeSet<Fingerprint>,
 }
 
 impl Poison {
-    /// Nothing is known yet on this host.
+    /// Creates a record of this host without crashes.
     pub fn new(host: host::Id) -> Poison {
         Poison {
             host,
             entries: Map::default(),
             at_servers: BTreeMap::new(),
             trial: None,
-            unclear: VecDeque::new(),
-            whole: Whole::default(),
+            unresolved: VecDeque::new(),
+            completed: CompletedRequests::default(),
             changed: BTreeSet::new(),
         }
     }
 
-    /// What is thought of a request.
+    /// How a request is to be treated.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         let Some(entry) = self.entries.get(&request) else { return Standing::Clear };
         if entry.crashes.len() < SUSPECT {
@@ -293,34 +297,35 @@
         }
     }
 
-    /// Whether a suspect has to wait: another one runs here, or the same request anywhere.
-    pub fn is_held_back(&self, request: Fingerprint, now: Moment) -> bool {
+    /// Whether a suspect has to wait, because another one runs on this host or the same request
+    /// anywhere.
+    pub fn must_wait(&self, request: Fingerprint, now: Moment) -> bool {
         let entry = self.entries.get(&request);
-        let runs = || entry.is_some_and(|entry| entry.crashes.values().any(|k| k.is_open(now)));
+        let runs = || entry.is_some_and(|entry| entry.crashes.values().any(|k| k.is_running(now)));
         self.trial.is_some() || runs()
     }
 
     /// Whether a suspect runs on a server.
-    pub fn is_tried(&self, server: &backend::Id, now: Moment) -> bool {
+    pub fn runs_suspect(&self, server: &backend::Id, now: Moment) -> bool {
         let there = self.at_servers.get(server).into_iter().flatten();
         let mut there = there.filter_map(|request| self.entries.get(request));
-        there.any(|entry| entry.at(server).any(|known| known.is_open(now)))
+        there.any(|entry| entry.at(server).any(|record| record.is_running(now)))
     }
 
-    /// A suspect goes to a server.
-    pub fn try_out(&mut self, ticket: Ticket, request: Fingerprint, server: &backend::Id) {
+    /// Records that a suspect is assigned to a server.
+    pub fn start_trial(&mut self, ticket: Ticket, request: Fingerprint, server: &backend::Id) {
         self.trial = Some(Trial { ticket, request, server: server.clone() });
     }
 
-    /// A request is on its way to its server; before this nothing has left.
+    /// Records that the first byte of a request is sent to its server.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         let trial = self.trial.as_ref().filter(|trial| trial.ticket == ticket);
         if let Some(Trial { request, server, .. }) = trial.cloned() {
-            self.note(request, &server, Isolation::Isolated, CrashState::Running, now);
+            self.record(request, &server, Isolation::Isolated, CrashState::Running, now);
         }
     }
 
-    /// A request's run was cut off by what looks like a crash of its server.
+    /// Records that a request's run was cut off by what looks like a crash of its server.
     pub fn crashed(
         &mut self,
         ticket: Ticket,
@@ -328,15 +333,16 @@
         server: &backend::Id,
         now: Moment,
     ) {
-        self.note(request, server, Isolation::Shared, CrashState::Counted, now);
+        self.record(request, server, Isolation::Shared, CrashState::Counted, now);
         // Whichever connection is found broken first, the suspect explains the crash.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
-            self.note(suspect, server, Isolation::Isolated, CrashState::Counted, now);
+            self.record(suspect, server, Isolation::Isolated, CrashState::Counted, now);
         }
     }
 
-    /// A request's attempt ended without a word of its server, which may crash by it all the same.
+    /// Records that a request's attempt ended without a response. The server may crash by it all
+    /// the same.
     pub fn unclear(
         &mut self,
         ticket: Ticket,
@@ -346,90 +352,103 @@
     ) {
         let is_trial = self.trial.as_ref().is_some_and(|trial| trial.ticket == ticket);
         let isolation = if is_trial { Isolation::Isolated } else { Isolation::Shared };
-        if self.unclear.len() == MOST_UNCLEAR {
-            self.unclear.pop_front();
+        if self.unresolved.len() == MAX_UNRESOLVED {
+            self.unresolved.pop_front();
         }
-        self.unclear.push_back(Unclear { request, server: server.clone(), isolation, at: now });
+        self.unresolved.push_back(UnresolvedAttempt {
+            request,
+            server: server.clone(),
+            isolation,
+            at: now,
+        });
     }
 
-    /// A server's registration ended though it did not say that it leaves.
+    /// Records that a server's registration ended without draining.
     pub fn gone(&mut self, server: &backend::Id, now: Moment) {
-        let (of_it, others) = std::mem::take(&mut self.unclear)
+        let (of_server, others) = std::mem::take(&mut self.unresolved)
             .into_iter()
             .partition(|unclear| unclear.server == *server);
-        self.unclear = others;
-        let of_it: VecDeque<Unclear> = of_it;
-        for Unclear { request, isolation, at, .. } in of_it {
-            if now < at + UNCLEAR {
-                self.note(request, server, isolation, CrashState::Counted, now);
+        self.unresolved = others;
+        let of_server: VecDeque<UnresolvedAttempt> = of_server;
+        for UnresolvedAttempt { request, isolation, at, .. } in of_server {
+            if now < at + UNRESOLVED_LIFE {
+                self.record(request, server, isolation, CrashState::Counted, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
-            if entry.is_some_and(|entry| entry.at(server).any(|known| known.is_open(now))) {
-                self.note(request, server, Isolation::Isolated, CrashState::Counted, now);
+            if entry.is_some_and(|entry| entry.at(server).any(|record| record.is_running(now))) {
+                self.record(request, server, Isolation::Isolated, CrashState::Counted, now);
             }
         }
     }
 
-    /// A server answered what was sent to it at a time, so it did not crash before.
+    /// Records that a server answered what was sent to it at `sent`, so that it did not crash
+    /// before.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
-        let is_resolved = |unclear: &Unclear| unclear.server == *server && unclear.at < sent;
+        let is_resolved =
+            |unclear: &UnresolvedAttempt| unclear.server == *server && unclear.at < sent;
         let resolved: Vec<Fingerprint> =
-            self.unclear.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
-        self.unclear.retain(|unclear| !is_resolved(unclear));
+            self.unresolved.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
+        self.unresolved.retain(|unclear| !is_resolved(unclear));
         for request in resolved {
-            self.void(request, now, |at, known| at == server && known.state == CrashState::Running);
+            self.void(request, now, |at, record| {
+                at == server && record.state == CrashState::Running
+            });
         }
         let Some(requests) = self.at_servers.get(server) else { return };
         for request in requests.clone() {
-            let is_before = |known: &Known| known.counts() && known.learnt < sent;
-            self.void(request, now, |at, known| at == server && is_before(known));
+            let is_before = |record: &CrashRecord| record.is_counted() && record.seen_at < sent;
+            self.void(request, now, |at, record| at == server && is_before(record));
         }
     }
 
-    /// A request got its whole answer.
+    /// Records that a request received its complete response.
     pub fn completed(&mut self, request: Fingerprint, now: Moment) {
-        self.whole.add(request, now);
+        self.completed.add(request, now);
         self.void(request, now, |_, _| true);
     }
 
-    /// An attempt is over, whatever came of it.
+    /// Records that an attempt is over, whatever its outcome.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
-        let is_same =
-            |unclear: &Unclear| unclear.request == trial.request && unclear.server == trial.server;
-        if !self.unclear.iter().any(is_same) {
-            let is_open = |known: &Known| known.state == CrashState::Running;
-            self.void(trial.request, now, |at, known| *at == trial.server && is_open(known));
+        let is_same = |unclear: &UnresolvedAttempt| {
+            unclear.request == trial.request && unclear.server == trial.server
+        };
+        if !self.unresolved.iter().any(is_same) {
+            let is_running = |record: &CrashRecord| record.state == CrashState::Running;
+            self.void(trial.request, now, |at, record| *at == trial.server && is_running(record));
         }
     }
 
-    /// Crashes for other hosts: those of suspects, what this host saw of others, and for a while what is
-    /// void.
+    /// Crashes to be sent to other hosts: those of suspects, what this host saw of other requests,
+    /// and void ones for a while.
     pub fn crashes(&self, now: Moment) -> Vec<Crash> {
         let mut sent = Vec::new();
         for (request, entry) in &self.entries {
             let standing = self.standing(*request);
-            for (place, known) in &entry.crashes {
-                let is_sent = match known.state {
-                    CrashState::Void => known.voided.is_some_and(|at| now < at + VOID_SENT),
+            for (key, record) in &entry.crashes {
+                let is_sent = match record.state {
+                    CrashState::Void => {
+                        record.voided_at.is_some_and(|at| now < at + VOID_SEND_TIME)
+                    }
                     CrashState::Running | CrashState::Counted => {
-                        Standing::Clear < standing || place.1 == self.host
+                        Standing::Clear < standing || key.1 == self.host
                     }
                 };
                 if is_sent {
-                    let rank = (standing, known.state != CrashState::Void, known.until, *request);
-                    sent.push((rank, crash(*request, place, known, now)));
+                    let rank = (standing, record.state != CrashState::Void, record.until, *request);
+                    sent.push((rank, crash(*request, key, record, now)));
                 }
             }
         }
         sent.sort_unstable_by(|(a, _), (b, _)| b.cmp(a));
-        sent.into_iter().take(MOST_SENT).map(|(_, crash)| crash).collect()
+        sent.into_iter().take(MAX_SENT).map(|(_, crash)| crash).collect()
     }
 
-    /// All crashes of the requests that are refused, and whether this host saw one of a request's.
+    /// All crashes of each request that is refused, and whether this host is the witness of one of
+    /// these.
     pub fn refused(&self, now: Moment) -> Vec<(Vec<Crash>, bool)> {
         let refused =
             self.entries.iter().filter(|(request, _)| self.standing(**request) == Standing::Poison);
@@ -440,17 +459,17 @@
         refused.map(crashes).collect()
     }
 
-    /// Joins what other hosts, or the store, know.
+    /// Merges crashes that other hosts or the store know.
     pub fn merge(&mut self, crashes: &[Crash], now: Moment) {
         for crash in crashes {
             let Some(left) = LIFE.checked_sub(crash.age) else { continue };
             let is_known = self
                 .entries
                 .get(&crash.request)
-                .is_some_and(|entry| entry.crashes.contains_key(&place(crash)));
+                .is_some_and(|entry| entry.crashes.contains_key(&key(crash)));
             let is_ending = match crash.isolation {
-                Isolation::Shared => SUSPICION < crash.age + LEAST_LIFE,
-                Isolation::Isolated => left < LEAST_LIFE,
+                Isolation::Shared => SUSPICION < crash.age + MIN_REMAINING_LIFE,
+                Isolation::Isolated => left < MIN_REMAINING_LIFE,
             };
             if is_known || !is_ending {
                 self.join(crash, now + left, now);
@@ -459,7 +478,7 @@
         self.keep_within_bounds();
     }
 
-    /// Changes of what is thought of requests, since the last call.
+    /// Returns the changes of standings since the last call.
     pub fn take_changes(&mut self, now: Moment) -> Vec<StandingChange> {
         let mut changes = Vec::new();
         for request in std::mem::take(&mut self.changed) {
@@ -474,15 +493,15 @@
         changes
     }
 
-    /// Drops what is old.
+    /// Removes expired requests and unresolved attempts.
     pub fn expire(&mut self, now: Moment) {
-        let (old, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unclear)
+        let (old, recent): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.at + UNCLEAR <= now);
-        self.unclear = kept;
-        for Unclear { request, server, .. } in old {
-            self.void(request, now, |at, known| {
-                *at == server && known.state == CrashState::Running
+            .partition(|unclear| unclear.at + UNRESOLVED_LIFE <= now);
+        self.unresolved = recent;
+        for UnresolvedAttempt { request, server, .. } in old {
+            self.void(request, now, |at, record| {
+                *at == server && record.state == CrashState::Running
             });
         }
         let old = self.entries.iter().filter(|(_, entry)| entry.until() <= now);
@@ -490,30 +509,32 @@
         old.into_iter().for_each(|request| self.forget(request));
     }
 
-    /// Crashes that count, but for those that another request explains.
+    /// Number of crashes that count and that no other request explains.
     fn count(&self, request: Fingerprint, entry: &Entry) -> usize {
         let counted = self.counted(request, entry);
         let own = counted.len();
         counted.iter().filter(|server| !self.is_explained(request, server, own)).count()
     }
 
-    /// Servers of the crashes that count, but for those where another request ran apart. Of two that did
-    /// on one server neither explains its crash.
+    /// Servers of the crashes that count, except those where another request ran isolated. Of two
+    /// requests that ran isolated on one server neither explains its crash.
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
-        let is_apart = |server: &backend::Id, other: &Entry| {
-            other.at(server).any(|known| known.isolation == Isolation::Isolated && known.counts())
+        let ran_isolated = |server: &backend::Id, other: &Entry| {
+            other
+                .at(server)
+                .any(|record| record.isolation == Isolation::Isolated && record.is_counted())
         };
-        let is_other_apart = |server: &backend::Id| {
-            self.others(request, server).any(|(_, other)| is_apart(server, other))
+        let other_ran_isolated = |server: &backend::Id| {
+            self.others(request, server).any(|(_, other)| ran_isolated(server, other))
         };
-        entry.counted().into_iter().filter(|server| !is_other_apart(server)).collect()
+        entry.counted().into_iter().filter(|server| !other_ran_isolated(server)).collect()
     }
 
-    /// Whether another request was there that has crashed enough servers to be refused, and more than
-    /// this one, which has crashed so many.
+    /// Whether a crash is explained by another request at the server that has crashed enough
+    /// servers to be refused, and more than this request, which has crashed `own`.
     fn is_explained(&self, request: Fingerprint, server: &backend::Id, own: usize) -> bool {
         self.others(request, server).any(|(fingerprint, other)| {
-            let is_there = other.at(server).any(Known::counts);
+            let is_there = other.at(server).any(CrashRecord::is_counted);
             is_there && own.max(POISON - 1) < self.counted(fingerprint, other).len()
         })
     }
@@ -529,7 +550,7 @@
         others.filter_map(|other| Some((*other, self.entries.get(other)?)))
     }
 
-    fn note(
+    fn record(
         &mut self,
         request: Fingerprint,
         server: &backend::Id,
@@ -537,10 +558,10 @@
         state: CrashState,
         now: Moment,
     ) {
-        let place = (server.clone(), self.host.clone());
-        let known = self.entries.get(&request).and_then(|entry| entry.crashes.get(&place));
-        let turn = known.map_or(0, |known| {
-            known.turn.saturating_add(u32::from(known.state == CrashState::Void))
+        let key = (server.clone(), self.host.clone());
+        let record = self.entries.get(&request).and_then(|entry| entry.crashes.get(&key));
+        let turn = record.map_or(0, |record| {
+            record.turn.saturating_add(u32::from(record.state == CrashState::Void))
         });
         let crash = Crash {
             request,
@@ -557,21 +578,21 @@
 
     fn join(&mut self, crash: &Crash, until: Moment, now: Moment) {
         let entry = self.entries.entry(crash.request).or_default();
-        let state = match self.whole.has(crash.request, now) {
+        let state = match self.completed.has(crash.request, now) {
             true => CrashState::Void,
             false => crash.state,
         };
-        // What is void here is told again to whoever doesn't know it.
-        let voided = (state != crash.state).then_some(now);
-        let new = Known {
+        // A crash that only this host knows to be void is sent again.
+        let voided_at = (state != crash.state).then_some(now);
+        let new = CrashRecord {
             turn: crash.turn,
             isolation: crash.isolation,
             state,
             until,
-            learnt: now,
-            voided,
+            seen_at: now,
+            voided_at,
         };
-        match entry.crashes.entry(place(crash)) {
+        match entry.crashes.entry(key(crash)) {
             Slot::Vacant(slot) => {
                 slot.insert(new);
                 self.changed.insert(crash.request);
@@ -582,28 +603,28 @@
                     self.changed.insert(crash.request);
                 }
                 Ordering::Equal => {
-                    let known = slot.get_mut();
-                    if known.isolation < crash.isolation || known.state < state {
+                    let record = slot.get_mut();
+                    if record.isolation < crash.isolation || record.state < state {
                         self.changed.insert(crash.request);
                     }
-                    if known.state < CrashState::Counted && state == CrashState::Counted {
-                        // The crash is later than the begin of the run.
-                        known.learnt = now;
+                    if record.state < CrashState::Counted && state == CrashState::Counted {
+                        // The crash is later than the start of the run.
+                        record.seen_at = now;
                     }
-                    let is_void = known.state == CrashState::Void;
+                    let is_void = record.state == CrashState::Void;
                     if is_void && crash.state == CrashState::Counted {
-                        known.voided = Some(now);
+                        record.voided_at = Some(now);
                     }
-                    known.isolation = known.isolation.max(crash.isolation);
-                    known.state = known.state.max(state);
-                    known.until = known.until.min(until);
+                    record.isolation = record.isolation.max(crash.isolation);
+                    record.state = record.state.max(state);
+                    record.until = record.until.min(until);
                 }
                 Ordering::Greater => return,
             },
         }
         let there = self.at_servers.entry(crash.server.clone()).or_default();
         there.insert(crash.request);
-        // What one crash explains changes with it.
+        // The requests that this crash explains change with it.
         if 1 < there.len() && self.changed.contains(&crash.request) {
             self.changed.extend(there.iter().copied());
         }
@@ -613,13 +634,13 @@
         &mut self,
         request: Fingerprint,
         now: Moment,
-        is_meant: impl Fn(&backend::Id, &Known) -> bool,
+        is_meant: impl Fn(&backend::Id, &CrashRecord) -> bool,
     ) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
-        for ((server, _), known) in &mut entry.crashes {
-            if known.state < CrashState::Void && is_meant(server, known) {
-                known.state = CrashState::Void;
-                known.voided = Some(now);
+        for ((server, _), record) in &mut entry.crashes {
+            if record.state < CrashState::Void && is_meant(server, record) {
+                record.state = CrashState::Void;
+                record.voided_at = Some(now);
                 self.changed.insert(request);
                 self.changed.extend(self.at_servers.get(server).into_iter().flatten());
             }
@@ -637,9 +658,9 @@
         }
     }
 
-    /// Forgets the requests with the fewest crashes, the oldest of them first.
+    /// Evicts the requests with the fewest crashes, the oldest of them first.
     fn keep_within_bounds(&mut self) {
-        let excess = self.entries.len().saturating_sub(MOST_REQUESTS);
+        let excess = self.entries.len().saturating_sub(MAX_REQUESTS);
         if excess == 0 {
             return;
         }
@@ -652,23 +673,23 @@
     }
 }
 
-fn place(crash: &Crash) -> Place {
+fn key(crash: &Crash) -> CrashKey {
     (crash.server.clone(), crash.witness.clone())
 }
 
 fn list(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
-    entry.crashes.iter().map(|(place, known)| crash(request, place, known, now)).collect()
+    entry.crashes.iter().map(|(key, record)| crash(request, key, record, now)).collect()
 }
 
-fn crash(request: Fingerprint, place: &Place, known: &Known, now: Moment) -> Crash {
-    let (server, witness) = place.clone();
+fn crash(request: Fingerprint, key: &CrashKey, record: &CrashRecord, now: Moment) -> Crash {
+    let (server, witness) = key.clone();
     Crash {
         request,
         server,
         witness,
-        turn: known.turn,
-        isolation: known.isolation,
-        state: known.state,
-        age: known.age(now),
+        turn: record.turn,
+        isolation: record.isolation,
+        state: record.state,
+        age: record.age(now),
     }
 }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use types::{prelude::*, routed::Kind};
 
-use crate::fixture::{ask, at, plain, sent, server};
+use crate::fixture::{at, plain, request, sent, server};
 
 const CUT: End = End::Unclear(Unclear::Cut);
 
@@ -21,12 +21,12 @@
     }
 }
 
-/// Hosts that know nothing yet.
+/// The records of several hosts without crashes.
 fn hosts<const N: usize>() -> [Poison; N] {
     std::array::from_fn(|place| Poison::new(format!("host-{place}").as_str().into()))
 }
 
-/// Each of these hosts hears what the others send.
+/// Merges into each host's record what the others send.
 fn exchange(poisons: &mut [Poison], now: Moment) {
     let sent: Vec<Vec<Crash>> = poisons.iter().map(|poison| poison.crashes(now)).collect();
     for (to, poison) in poisons.iter_mut().enumerate() {
@@ -36,7 +36,7 @@
 }
 
 /// Crashes of one request, as another host sends them.
-fn heard(request: Fingerprint, servers: &[&str], isolation: Isolation) -> Vec<Crash> {
+fn received(request: Fingerprint, servers: &[&str], isolation: Isolation) -> Vec<Crash> {
     let crash = |server: &&str| Crash {
         request,
         server: (*server).into(),
@@ -56,7 +56,7 @@
     let mut poison = poison();
     let expected = [Standing::Clear, Standing::Suspect, Standing::Poison];
     for (server, expected) in ["s1", "s2", "s3"].into_iter().zip(expected) {
-        poison.merge(&heard(7, &[server], isolation), at(0));
+        poison.merge(&received(7, &[server], isolation), at(0));
         assert_eq!(poison.standing(7), expected);
     }
     poison.expire(life.saturating_sub(at(1)));
@@ -99,26 +99,26 @@
     let mut poison = poison();
     crash(&mut poison, 7, &["s1", "s2"]);
     crash(&mut poison, 8, &["s1"]);
-    poison.try_out(7, 7, &"s3".into());
+    poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
-    // In whichever order the connections are found broken.
+    // The order in which the broken connections are found does not matter.
     crash(&mut poison, 8, &["s3"]);
     crash(&mut poison, 7, &["s3"]);
     poison.ended(7, at(0));
     crash(&mut poison, 9, &["s3"]);
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
-    // What was beside it on another host is explained as well.
-    poison.merge(&heard(10, &["s3", "s4"], Isolation::Shared), at(1));
+    // A request that shared the server on another host is explained as well.
+    poison.merge(&received(10, &["s3", "s4"], Isolation::Shared), at(1));
     assert_eq!(poison.standing(10), Standing::Clear);
 }
 
-/// The suspect ends whole, so that what was beside it on the server counts again.
+/// The suspect completes, so that the crash of a request beside it on the server counts again.
 #[rstest]
 fn a_suspect_that_ends_whole_explains_nothing() {
     let mut poison = poison();
     crash(&mut poison, 7, &["s1", "s2"]);
-    poison.try_out(7, 7, &"s3".into());
+    poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
     crash(&mut poison, 8, &["s3", "s4", "s5"]);
     assert_eq!(poison.standing(8), Standing::Suspect);
@@ -129,8 +129,8 @@
 #[rstest]
 fn a_request_that_is_refused_explains_crashes_of_others() {
     let mut poison = poison();
-    poison.merge(&heard(7, &["s1", "s2", "s3", "s4"], Isolation::Shared), at(0));
-    poison.merge(&heard(8, &["s1", "s2", "s3"], Isolation::Shared), at(0));
+    poison.merge(&received(7, &["s1", "s2", "s3", "s4"], Isolation::Shared), at(0));
+    poison.merge(&received(8, &["s1", "s2", "s3"], Isolation::Shared), at(0));
     assert_eq!(poison.standing(7), Standing::Poison);
     assert_eq!(poison.standing(8), Standing::Clear);
 }
@@ -157,7 +157,7 @@
     assert!(poisons.iter().all(|poison| poison.standing(8) == Standing::Clear));
 }
 
-/// Two hosts that each saw one crash of a server saw the same one.
+/// Two hosts that each report one crash of a server report the same one.
 #[rstest]
 fn a_crash_that_two_hosts_saw_counts_once() {
     let mut poisons = hosts::<3>();
@@ -187,8 +187,8 @@
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
     exchange(&mut poisons, at(1));
-    let [_, heard] = poisons;
-    let mut later = [heard, Poison::new("host-9".into())];
+    let [_, receiver] = poisons;
+    let mut later = [receiver, Poison::new("host-9".into())];
     exchange(&mut later, at(2));
     assert_eq!(later[1].standing(7), Standing::Poison);
 }
@@ -208,7 +208,7 @@
 fn crashes_are_as_old_everywhere_and_end_everywhere() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
-    // Each host sends what it has as long as it has it.
+    // Each host sends its crashes as long as it has them.
     for second in 1..700 {
         let now = Duration::from_secs(second);
         poisons.iter_mut().for_each(|poison| poison.expire(now));
@@ -269,7 +269,7 @@
     let mut poisons = hosts::<2>();
     for (poison, request) in poisons.iter_mut().zip([7, 8]) {
         crash(poison, request, &["s1", "s2"]);
-        poison.try_out(1, request, &"s3".into());
+        poison.start_trial(1, request, &"s3".into());
         poison.sent(1, at(0));
         poison.crashed(1, request, &"s3".into(), at(1));
         poison.ended(1, at(1));
@@ -278,8 +278,8 @@
     for request in [7, 8] {
         assert!(poisons.iter().all(|poison| poison.standing(request) == Standing::Suspect));
     }
-    // The next run tells which of them it is.
-    poisons[0].try_out(2, 7, &"s4".into());
+    // The next run shows which of the two it is.
+    poisons[0].start_trial(2, 7, &"s4".into());
     poisons[0].sent(2, at(10));
     poisons[0].crashed(2, 7, &"s4".into(), at(11));
     poisons[0].ended(2, at(11));
@@ -292,27 +292,27 @@
 fn a_suspect_runs_on_one_host_and_alone_on_its_server() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
-    assert!(poisons[1].is_held_back(7, at(2)));
-    assert!(poisons[1].is_tried(&"s3".into(), at(2)));
+    assert!(poisons[1].must_wait(7, at(2)));
+    assert!(poisons[1].runs_suspect(&"s3".into(), at(2)));
     poisons[0].ended(1, at(3));
     exchange(&mut poisons, at(4));
-    assert!(!poisons[1].is_held_back(7, at(5)));
-    assert!(!poisons[1].is_tried(&"s3".into(), at(5)));
+    assert!(!poisons[1].must_wait(7, at(5)));
+    assert!(!poisons[1].runs_suspect(&"s3".into(), at(5)));
 }
 
-/// The runs before on the same server were void.
+/// The earlier runs on the same server were void.
 #[rstest]
 fn a_crash_counts_on_a_server_that_a_request_ran_on_before() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     poisons[0].ended(1, at(3));
     exchange(&mut poisons, at(4));
-    poisons[1].try_out(1, 7, &"s3".into());
+    poisons[1].start_trial(1, 7, &"s3".into());
     poisons[1].sent(1, at(5));
     poisons[1].crashed(1, 7, &"s3".into(), at(6));
     poisons[1].ended(1, at(6));
@@ -322,25 +322,25 @@
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// A host that has not heard of the crash finds nobody there.
+/// A host without the report of the crash sends the request to the server that is gone.
 #[rstest]
 fn a_run_that_reached_nobody_voids_no_crash() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2", "s3"]);
     crash(&mut poisons[1], 7, &["s4", "s5"]);
-    poisons[1].try_out(1, 7, &"s3".into());
+    poisons[1].start_trial(1, 7, &"s3".into());
     poisons[1].sent(1, at(1));
     poisons[1].ended(1, at(2));
     exchange(&mut poisons, at(3));
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// Nobody tells of the end of the run.
+/// No host reports the end of the run.
 #[rstest]
 fn a_suspect_whose_host_ended_with_its_server_is_refused() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
     let [_, mut other] = poisons;
@@ -352,10 +352,10 @@
 fn a_suspect_whose_host_ended_keeps_nobody_away_for_long() {
     let mut poisons = hosts::<2>();
     crash(&mut poisons[0], 7, &["s1", "s2"]);
-    poisons[0].try_out(1, 7, &"s3".into());
+    poisons[0].start_trial(1, 7, &"s3".into());
     poisons[0].sent(1, at(0));
     exchange(&mut poisons, at(1));
-    assert!(!poisons[1].is_held_back(7, at(21_000)));
+    assert!(!poisons[1].must_wait(7, at(21_000)));
 }
 
 #[rstest]
@@ -380,8 +380,8 @@
     assert!(matches!(again, RetryDecision::Send(_)), "{again:?}");
 }
 
-/// A request that crashes all that run it, coming again and again, costs three servers, and the
-/// innocents that were beside it are served.
+/// A request that crashes every server costs three servers however often it is repeated, and the
+/// innocent requests beside it are served.
 #[rstest]
 fn a_poison_request_costs_three_servers() {
     let mut host = plain(&[]);
@@ -391,8 +391,9 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         ticket += 2;
-        let innocent = RequestSpec { fingerprint: 1, ..ask(ticket, Kind::Idempotent, now) };
-        let poison = RequestSpec { fingerprint: 666, ..ask(ticket + 1, Kind::NonIdempotent, now) };
+        let innocent = RequestSpec { fingerprint: 1, ..request(ticket, Kind::Idempotent, now) };
+        let poison =
+            RequestSpec { fingerprint: 666, ..request(ticket + 1, Kind::NonIdempotent, now) };
         let first = sent(host.arrive(innocent, now));
         let Verdict::Send(second) = host.arrive(poison, now) else {
             host.ended(ticket, End::Completed, now + at(30));
@@ -411,11 +412,11 @@
         }
     }
     assert_eq!(crashes, POISON);
-    let poison = RequestSpec { fingerprint: 666, ..ask(999, Kind::NonIdempotent, at(20_000)) };
+    let poison = RequestSpec { fingerprint: 666, ..request(999, Kind::NonIdempotent, at(20_000)) };
     assert_eq!(host.arrive(poison, at(20_000)), Verdict::Quarantined);
 }
 
-/// The crash is seen as silence, or not at all since the caller has left.
+/// The crash shows as silence, or not at all since the caller has left.
 #[rstest]
 fn a_poison_request_whose_crashes_are_not_seen_as_cuts_costs_three_servers(
     #[values(End::Unclear(Unclear::Silent), End::Cancelled)] end: End,
@@ -426,7 +427,7 @@
         let now = at(round * 1_000);
         host.server(&server(&format!("s{round}"), "a", &[]), now);
         let ticket = round + 1;
-        let poison = RequestSpec { fingerprint: 666, ..ask(ticket, Kind::NonIdempotent, now) };
+        let poison = RequestSpec { fingerprint: 666, ..request(ticket, Kind::NonIdempotent, now) };
         let Verdict::Send(server) = host.arrive(poison, now) else { continue };
         ended += 1;
         host.ended(ticket, end, now + at(100));
@@ -435,13 +436,13 @@
     assert_eq!(ended, POISON);
 }
 
-/// Its server's end is seen seconds later.
+/// The end of the server is known only seconds later.
 #[rstest]
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
-    host.poison_mut().merge(&heard(7, &["x1", "x2"], Isolation::Shared), at(0));
+    host.poison_mut().merge(&received(7, &["x1", "x2"], Isolation::Shared), at(0));
     let suspect =
-        |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::NonIdempotent, now) };
+        |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::NonIdempotent, now) };
     let server = sent(host.arrive(suspect(1, at(0)), at(0)));
     host.sent(1, at(1));
     host.ended(1, End::Cancelled, at(100));
@@ -451,11 +452,12 @@
     assert!(changes.iter().any(|change| change.verdict == Verdict::Quarantined), "{changes:?}");
 }
 
-/// All connections are cut in the middle of answers, and no server has crashed.
+/// All connections are cut in the middle of responses, and no server has crashed.
 #[rstest]
 fn servers_that_cut_all_their_answers_quarantine_nothing_for_long() {
     let mut host = plain(&["s1", "s2", "s3"]);
-    let same = |ticket, now| RequestSpec { fingerprint: 7, ..ask(ticket, Kind::Idempotent, now) };
+    let same =
+        |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::Idempotent, now) };
     sent(host.arrive(same(1, at(0)), at(0)));
     for now in [5, 10, 15] {
         host.answers(1, at(now));
@@ -464,7 +466,7 @@
     assert_eq!(host.poison().standing(7), Standing::Poison);
     for ticket in 2..8 {
         let now = at(20 * ticket);
-        let other = RequestSpec { fingerprint: ticket, ..ask(ticket, Kind::Idempotent, now) };
+        let other = RequestSpec { fingerprint: ticket, ..request(ticket, Kind::Idempotent, now) };
         sent(host.arrive(other, now));
         host.sent(ticket, now);
         host.answers(ticket, now + at(5));
@@ -480,8 +482,8 @@
         let now = at(round * 1_000);
         let id = format!("s{round}");
         host.server(&server(&id, "a", &[]), now);
-        let ask = RequestSpec { fingerprint: 7, ..ask(round, Kind::NonIdempotent, now) };
-        sent(host.arrive(ask, now));
+        let request = RequestSpec { fingerprint: 7, ..request(round, Kind::NonIdempotent, now) };
+        sent(host.arrive(request, now));
         host.draining(&id.as_str().into());
         host.ended(round, CUT, now + at(100));
         host.gone(&id.as_str().into(), now + at(200));
@@ -493,13 +495,13 @@
 fn suspects_run_one_at_a_time() {
     let mut host = plain(&["s1", "s2", "s3", "s4"]);
     for fingerprint in [7, 8] {
-        host.poison_mut().merge(&heard(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
+        host.poison_mut().merge(&received(fingerprint, &["x1", "x2"], Isolation::Shared), at(0));
     }
     let suspect =
-        |ticket, fingerprint| RequestSpec { fingerprint, ..ask(ticket, Kind::Stream, at(0)) };
+        |ticket, fingerprint| RequestSpec { fingerprint, ..request(ticket, Kind::Stream, at(0)) };
     sent(host.arrive(suspect(1, 7), at(0)));
     assert_eq!(host.arrive(suspect(2, 8), at(0)), Verdict::Wait);
-    host.arrive(ask(3, Kind::Stream, at(0)), at(0));
+    host.arrive(request(3, Kind::Stream, at(0)), at(0));
     let tickets = |changes: Vec<Change>| changes.iter().map(|c| c.ticket).collect::<Vec<_>>();
     assert_eq!(tickets(host.pump(at(10))), [3]);
     host.ended(1, End::Completed, at(30));
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! What waits, in which order, and what is refused.
+//! Which requests wait, in which order, and which are refused.
 
 use policy::dispatch::{Cause, Change, Dispatcher, End, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -7,15 +7,17 @@
     routed::{Kind, Server},
 };
 
-use crate::fixture::{GOAL, PATIENCE, ask, at, generation, host, plain, sent, server};
+use crate::fixture::{GOAL, PATIENCE, at, generation, host, plain, request, sent, server};
 
-/// Fills all places of one server with requests 0, 1, ..; gives the first number that waits.
+/// Fills all places of one server with requests 0, 1, ..; returns the first number that waits.
 fn fill(host: &mut Dispatcher, now: Moment) -> u64 {
-    (0..100).find(|n| host.arrive(ask(*n, Kind::NonIdempotent, now), now) == Verdict::Wait).unwrap()
+    (0..100)
+        .find(|n| host.arrive(request(*n, Kind::NonIdempotent, now), now) == Verdict::Wait)
+        .unwrap()
 }
 
 fn ranked(ticket: u64, priority: u8, now: Moment) -> RequestSpec {
-    RequestSpec { priority, ..ask(ticket, Kind::Idempotent, now) }
+    RequestSpec { priority, ..request(ticket, Kind::Idempotent, now) }
 }
 
 fn next(host: &mut Dispatcher, ended: u64, now: Moment) -> Vec<u64> {
@@ -37,8 +39,8 @@
     let waiting = fill(&mut host, at(0));
     let late = ranked(11, 2, at(20));
     let soon = RequestSpec { goal: GOAL / 2, ..ranked(12, 2, at(20)) };
-    for ask in [ranked(10, 5, at(20)), late, soon, ranked(13, 0, at(20))] {
-        assert_eq!(host.arrive(ask, at(20)), Verdict::Wait);
+    for request in [ranked(10, 5, at(20)), late, soon, ranked(13, 0, at(20))] {
+        assert_eq!(host.arrive(request, at(20)), Verdict::Wait);
     }
     let order: Vec<_> = (0..3).flat_map(|ended| next(&mut host, ended, at(30 + ended))).collect();
     assert_eq!(order, [13, 12, waiting]);
@@ -51,7 +53,7 @@
 fn what_can_still_be_in_time_goes_before_what_is_late() {
     let mut host = plain(&["s1"]);
     let waiting = fill(&mut host, at(0));
-    assert_eq!(host.arrive(ask(50, Kind::Idempotent, at(390)), at(390)), Verdict::Wait);
+    assert_eq!(host.arrive(request(50, Kind::Idempotent, at(390)), at(390)), Verdict::Wait);
     assert_eq!(host.pump(at(395)), []);
     assert_eq!(next(&mut host, 0, at(400)), [50]);
     assert_eq!(next(&mut host, 1, at(410)), [waiting]);
@@ -78,7 +80,7 @@
     let mut host = plain(&["s1"]);
     fill(&mut host, at(0));
     let mut afters: Vec<Duration> = (100..2_000)
-        .filter_map(|n| match host.arrive(ask(n, Kind::Idempotent, at(1)), at(1)) {
+        .filter_map(|n| match host.arrive(request(n, Kind::Idempotent, at(1)), at(1)) {
             Verdict::Refuse { cause: Cause::Full, after } => Some(after),
             _ => None,
         })
@@ -93,8 +95,8 @@
 #[rstest]
 fn nothing_is_refused_while_there_is_a_place() {
     let mut host = plain(&["s1", "s2"]);
-    let hasty = RequestSpec { deadline: at(5), ..ask(1, Kind::NonIdempotent, at(0)) };
-    sent(host.arrive(hasty, at(0)));
+    let brief = RequestSpec { deadline: at(5), ..request(1, Kind::NonIdempotent, at(0)) };
+    sent(host.arrive(brief, at(0)));
 }
 
 #[rstest]
@@ -108,7 +110,8 @@
     assert!(matches!(refused[..], [Verdict::Refuse { cause: Cause::NoServer, .. }]), "{refused:?}");
 }
 
-/// The caller of a stream leaves long before its deadline, and comes back only if it is told so.
+/// The caller of a stream leaves long before its deadline, and retries only if it is refused
+/// before.
 #[rstest]
 #[case::for_a_load("m2")]
 #[case::for_a_place("m1")]
@@ -126,7 +129,8 @@
     assert_eq!(host.waiting(), 0);
 }
 
-/// It is told when the model will be there, rather than held until its caller leaves.
+/// The refusal says when the model will be loaded, instead of holding the request until its caller
+/// leaves.
 #[rstest]
 fn a_request_whose_load_comes_too_late_is_refused_at_once() {
     let mut host = host();
@@ -141,7 +145,7 @@
     assert_eq!(host.arrive(brief(2, 2_000), at(0)), Verdict::Wait);
 }
 
-/// A request whose model waits for a load holds up none that has a server.
+/// A request whose adapter waits to be loaded does not hold up a request that has a server.
 #[rstest]
 fn a_missing_adapter_holds_nobody_up() {
     let mut host = host();
@@ -165,14 +169,14 @@
     assert_eq!(next(&mut host, 0, at(2)), Vec::<u64>::new());
 }
 
-/// A server that holds `m1` and runs more at once than are asked for here.
+/// A host whose server has `m1` loaded and more slots than these tests use.
 fn wide() -> Dispatcher {
     let mut host = host();
     host.server(&Server { slots: 64, ..server("s1", "a", &[("m1", &[])]) }, at(0));
     host
 }
 
-/// A stream whose prompt takes its server 20 ms to read, and whose events may pause for 150 ms.
+/// A stream whose prompt takes its server 20 ms to prefill, and whose events may pause for 150 ms.
 fn paced(ticket: Ticket, now: Moment) -> RequestSpec {
     RequestSpec { input: 600, pause: Some(PAUSE), ..generation(ticket, "m1", now) }
 }
--- a/crates/policy/tests/dispatch/rule.rs
+++ b/crates/policy/tests/dispatch/rule.rs
@@ -1,26 +1,27 @@
-//! The rule on retries, over what arrived at the servers of one service from all hosts.
+//! The limit on retries, checked on what arrived at the servers of one service from all hosts.
 
 use policy::dispatch::RetryBudgetConfig;
 use types::prelude::*;
 
-/// A window with more arrivals beyond the first of each request than the terms allow.
+/// A window with more arrivals beyond the first of each request than the config allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
     /// The window's end.
     pub end: Moment,
-    /// Arrivals beyond the first.
+    /// Arrivals beyond the first of each request.
     pub retries: usize,
-    /// What the terms allow.
+    /// What the config allows.
     pub allowed: f64,
 }
 
-/// The first window that is overdrawn; both lists are in the order of time.
+/// Returns the first window with more retries than the config allows; both lists are sorted by
+/// time.
 pub fn overdrawn(
     requests: &[Moment],
     retries: &[Moment],
-    terms: &RetryBudgetConfig,
+    config: &RetryBudgetConfig,
 ) -> Option<Excess> {
-    let window = terms.window;
+    let window = config.window;
     let count = |times: &[Moment], end: Moment| {
         let from = times.partition_point(|at| *at + window < end);
         let to = times.partition_point(|at| *at <= end);
@@ -29,7 +30,7 @@
     let excess = |end: Moment| {
         let ends = [Some(end), end.checked_sub(window / 2), end.checked_sub(window)];
         let paying = ends.into_iter().flatten().map(|end| count(requests, end)).max();
-        let allowed = terms.ratio * paying.unwrap_or(0) as f64 + terms.extra;
+        let allowed = config.ratio * paying.unwrap_or(0) as f64 + config.extra;
         let retries = count(retries, end);
         (allowed < retries as f64).then_some(Excess { end, retries, allowed })
     };
