--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -29,7 +29,7 @@
 
 /// Where a stream that breaks off could go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
+pub enum ResumePoint {
     /// Nothing has been given out.
     Start,
     /// After this event.
@@ -52,7 +52,7 @@
 pub struct Splitter {
     held: Bytes,
     last: Option<Id>,
-    point: Point,
+    point: ResumePoint,
     place: Place,
 }
 
@@ -83,7 +83,7 @@
     /// A stream that begins after an event which the caller has, or at its first.
     pub fn new(after: Option<Id>) -> Splitter {
         let place = if after.is_some() { Place::Ahead } else { Place::Joined };
-        Splitter { held: Bytes::new(), last: after, point: Point::Start, place }
+        Splitter { held: Bytes::new(), last: after, point: ResumePoint::Start, place }
     }
 
     /// Takes a piece as it comes.
@@ -107,17 +107,17 @@
     }
 
     /// Gives out what is held back; for a stream whose end is known to be its true one.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         std::mem::take(&mut self.held)
     }
 
     /// Whether a half event is held back.
-    pub fn is_halfway(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.held.is_empty()
     }
 
     /// Where the stream could go on.
-    pub fn point(&self) -> Point {
+    pub fn point(&self) -> ResumePoint {
         self.point
     }
 
@@ -144,7 +144,7 @@
             Some(Event::Comment) => Verdict::Pass,
             Some(Event::Unnumbered) if self.place == Place::Ahead => Verdict::Drop,
             Some(Event::Unnumbered) => {
-                self.point = Point::Unknown;
+                self.point = ResumePoint::Unknown;
                 Verdict::Pass
             }
             Some(Event::Numbered(id)) => self.judge_number(id),
@@ -158,7 +158,7 @@
             Some(_) | None => {}
         }
         self.last = Some(id);
-        self.point = Point::After(id);
+        self.point = ResumePoint::After(id);
         self.place = Place::Joined;
         Verdict::Pass
     }
--- a/crates/policy/tests/event.rs
+++ b/crates/policy/tests/event.rs
@@ -1,7 +1,7 @@
 //! Events whole, once and in order.
 
 use bytes::Bytes;
-use policy::event::{Fault, Point, Splitter, Taken};
+use policy::event::{Fault, ResumePoint, Splitter, Taken};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
 
@@ -35,11 +35,11 @@
 fn half_an_event_is_held_back(#[case] half: &str, #[case] rest: &str) {
     let mut splitter = Splitter::new(None);
     let taken = take(&mut splitter, &(event(1) + half));
-    assert_eq!((text(&taken), splitter.point()), (&*event(1), Point::After(1)));
-    assert!(splitter.is_halfway());
+    assert_eq!((text(&taken), splitter.point()), (&*event(1), ResumePoint::After(1)));
+    assert!(splitter.has_partial_event());
     let taken = take(&mut splitter, rest);
-    assert_eq!((text(&taken), splitter.point()), (&*event(2), Point::After(2)));
-    assert!(!splitter.is_halfway());
+    assert_eq!((text(&taken), splitter.point()), (&*event(2), ResumePoint::After(2)));
+    assert!(!splitter.has_partial_event());
 }
 
 #[rstest]
@@ -85,11 +85,11 @@
     let mut splitter = Splitter::new(None);
     take(&mut splitter, &event(1));
     take(&mut splitter, ": comment\n\n");
-    assert_eq!(splitter.point(), Point::After(1));
+    assert_eq!(splitter.point(), ResumePoint::After(1));
     take(&mut splitter, "data: end\n\n");
-    assert_eq!(splitter.point(), Point::Unknown);
+    assert_eq!(splitter.point(), ResumePoint::Unknown);
     take(&mut splitter, &event(2));
-    assert_eq!(splitter.point(), Point::After(2));
+    assert_eq!(splitter.point(), ResumePoint::After(2));
 }
 
 #[test]
@@ -108,14 +108,14 @@
     assert_eq!(take(&mut splitter, &piece).fault, None);
     assert_eq!(take(&mut splitter, &piece).fault, None);
     assert_eq!(take(&mut splitter, &piece).fault, Some(Fault::TooLarge));
-    assert!(!splitter.is_halfway());
+    assert!(!splitter.has_partial_event());
 }
 
 #[test]
 fn the_rest_is_given_out_at_the_true_end() {
     let mut splitter = Splitter::new(None);
     take(&mut splitter, &(event(1) + "data: end\n"));
-    assert_eq!(splitter.rest(), "data: end\n");
+    assert_eq!(splitter.take_remainder(), "data: end\n");
 }
 
 proptest! {
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use http_body::{Body, Frame};
-use policy::event::{Point, Splitter};
+use policy::event::{ResumePoint, Splitter};
 
 use crate::{
     attempt::{End, Failed, Link},
@@ -118,7 +118,7 @@
                 Poll::Ready(self.take(piece))
             }
             Poll::Ready(Some(Err(error))) => Poll::Ready(Step::Broken(error.into())),
-            Poll::Ready(None) if link.end == End::Close && self.splitter.is_halfway() => {
+            Poll::Ready(None) if link.end == End::Close && self.splitter.has_partial_event() => {
                 Poll::Ready(Step::Broken(Cut::Half))
             }
             Poll::Ready(None) => Poll::Ready(self.finish()),
@@ -136,12 +136,14 @@
                 self.call.account.first();
             }
             let passed = match (self.splitter.point(), before) {
-                (Point::After(event), Point::After(before)) => event.saturating_sub(before),
-                (Point::After(event), Point::Start) => event,
-                (Point::Start | Point::Unknown, _) | (_, Point::Unknown) => 1,
+                (ResumePoint::After(event), ResumePoint::After(before)) => {
+                    event.saturating_sub(before)
+                }
+                (ResumePoint::After(event), ResumePoint::Start) => event,
+                (ResumePoint::Start | ResumePoint::Unknown, _) | (_, ResumePoint::Unknown) => 1,
             };
             self.call.trace.passed(u32::try_from(passed).unwrap_or(u32::MAX));
-            if let Point::After(event) = self.splitter.point() {
+            if let ResumePoint::After(event) = self.splitter.point() {
                 self.call.account.delivered(event);
             }
         }
@@ -158,7 +160,7 @@
             self.call.account.end(Failed::Whole);
             self.call.trace.answered(None);
         }
-        Step::Pass(self.splitter.rest())
+        Step::Pass(self.splitter.take_remainder())
     }
 
     fn poll_watch(&mut self, context: &mut Context<'_>) -> Poll<Step> {
@@ -216,7 +218,7 @@
             _ => None,
         };
         self.state = match &self.resume {
-            Resume::At(again, _) if self.splitter.point() != Point::Unknown => {
+            Resume::At(again, _) if self.splitter.point() != ResumePoint::Unknown => {
                 let resuming = again.start(flight, self.after(), Ended::Failed(cut.failed()));
                 self.switch();
                 State::Resuming(resuming, cut)
@@ -232,7 +234,9 @@
     /// Goes on at another server in place of a silent one, if one takes the stream.
     fn leave(&mut self) -> Option<State> {
         let Resume::At(again, _) = &self.resume else { return None };
-        if self.splitter.point() == Point::Unknown || !matches!(self.state, State::Streaming(_)) {
+        if self.splitter.point() == ResumePoint::Unknown
+            || !matches!(self.state, State::Streaming(_))
+        {
             return None;
         }
         let left = again.leave()?;
@@ -248,8 +252,8 @@
     /// The last event that the caller has.
     fn after(&self) -> Option<u64> {
         match self.splitter.point() {
-            Point::After(id) => Some(id),
-            Point::Start | Point::Unknown => None,
+            ResumePoint::After(id) => Some(id),
+            ResumePoint::Start | ResumePoint::Unknown => None,
         }
     }
 
