--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -203,8 +203,8 @@
     }
 
     /// Whether there are so many hosts that digests wait for a budget.
-    pub fn is_wide(&self) -> bool {
-        self.shared.with(|fleet, _| fleet.is_wide())
+    pub fn is_grouped(&self) -> bool {
+        self.shared.with(|fleet, _| fleet.is_grouped())
     }
 
     /// This host's place among those that tell each other.
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -7,7 +7,7 @@
 //! rest says little. News that can't wait goes out at once as a [`Notice`] and is sent again until
 //! it is acknowledged.
 //!
-//! Up to [`Settings::small`] hosts tell all others. Above it they stand in groups within their
+//! Up to [`Settings::full_mesh_limit`] hosts tell all others. Above it they stand in groups within their
 //! zone; one relay of each group trades sums with the other relays (see `fanout`).
 //!
 //! All of it is plain state: datagrams and the time go in, datagrams come out. Silence of a host is
@@ -57,51 +57,51 @@
     /// Between digests to a host of the same zone that has something to hear.
     pub interval: Duration,
     /// The same, to a host of another zone.
-    pub far_interval: Duration,
+    pub cross_zone_interval: Duration,
     /// Between digests to a host that has nothing to hear.
     pub heartbeat: Duration,
     /// After which a host that was told, and not heard, is silent.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Between signs of life to a host of a larger deployment that is not told; longer if there
     /// are many.
-    pub far_round: Duration,
+    pub keepalive_interval: Duration,
     /// After which a silent host is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
     /// Most hosts that all tell each other.
-    pub small: usize,
-    /// Hosts for which `wide_tick`, `wide_interval` and `budget` are meant; fewer tell sooner and more.
-    pub target: usize,
+    pub full_mesh_limit: usize,
+    /// Hosts for which `grouped_tick`, `grouped_interval` and `bytes_per_second` are meant; fewer tell sooner and more.
+    pub reference_hosts: usize,
     /// Between looks, in a deployment of the target's size, at who is due.
-    pub wide_tick: Duration,
+    pub grouped_tick: Duration,
     /// Between digests there.
-    pub wide_interval: Duration,
+    pub grouped_interval: Duration,
     /// Between digests, in a deployment that is larger than small, to a host that has nothing to hear.
-    pub wide_heartbeat: Duration,
+    pub grouped_heartbeat: Duration,
     /// After which a host there that was told, and not heard, is silent.
-    pub wide_silence: Duration,
+    pub grouped_silence_timeout: Duration,
     /// Bytes a second that a host of a deployment of the target's size sends in digests.
-    pub budget: u32,
+    pub bytes_per_second: u32,
     /// The same, of any larger than small.
-    pub most_budget: u32,
+    pub max_bytes_per_second: u32,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             interval: Duration::from_millis(5),
-            far_interval: Duration::from_millis(5),
+            cross_zone_interval: Duration::from_millis(5),
             heartbeat: Duration::from_millis(500),
-            silence: Duration::from_secs(3),
-            far_round: Duration::from_secs(3),
-            forget: Duration::from_secs(60),
-            small: 16,
-            target: 350,
-            wide_tick: Duration::from_millis(100),
-            wide_interval: Duration::from_millis(250),
-            wide_heartbeat: Duration::from_secs(1),
-            wide_silence: Duration::from_secs(6),
-            budget: 3_000,
-            most_budget: 150_000,
+            silence_timeout: Duration::from_secs(3),
+            keepalive_interval: Duration::from_secs(3),
+            forget_after: Duration::from_secs(60),
+            full_mesh_limit: 16,
+            reference_hosts: 350,
+            grouped_tick: Duration::from_millis(100),
+            grouped_interval: Duration::from_millis(250),
+            grouped_heartbeat: Duration::from_secs(1),
+            grouped_silence_timeout: Duration::from_secs(6),
+            bytes_per_second: 3_000,
+            max_bytes_per_second: 150_000,
         }
     }
 }
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -2,7 +2,7 @@
 //!
 //! In a small deployment: all others. In a larger one every host knows all others by rare greetings,
 //! and works out from them, alike on every host, how its zone divides into groups of at most
-//! [`Settings::small`]. A host tells its own group. The first of the group that is in touch, by
+//! [`Settings::full_mesh_limit`]. A host tells its own group. The first of the group that is in touch, by
 //! rendezvous hashing, is its relay: it tells the other relays the sums of its group, and its group
 //! the sums of all others. So what a host sends is bounded by the size of a group and the number of
 //! groups, and a fact reaches everybody in three steps.
@@ -98,7 +98,7 @@
         self.tells.contains_key(id)
     }
 
-    pub(super) fn is_wide(&self) -> bool {
+    pub(super) fn is_grouped(&self) -> bool {
         self.role != Role::Equal
     }
 
@@ -113,33 +113,38 @@
 
     /// Between looks at who is due.
     pub(super) fn tick(&self, settings: &Settings) -> Duration {
-        if self.is_wide() { self.paced(settings, settings.wide_tick) } else { settings.interval }
+        if self.is_grouped() {
+            self.paced(settings, settings.grouped_tick)
+        } else {
+            settings.interval
+        }
     }
 
     pub(super) fn heartbeat(&self, settings: &Settings) -> Duration {
-        if self.is_wide() { settings.wide_heartbeat } else { settings.heartbeat }
+        if self.is_grouped() { settings.grouped_heartbeat } else { settings.heartbeat }
     }
 
     /// After which a host that is told, and not heard, is silent.
     pub(super) fn silence(&self, settings: &Settings) -> Duration {
-        if self.is_wide() { settings.wide_silence } else { settings.silence }
+        if self.is_grouped() { settings.grouped_silence_timeout } else { settings.silence_timeout }
     }
 
     /// Bytes a second that may be sent in digests. Fewer hosts than the target's have fewer relays
     /// to tell and more of each other's work to know of, and the bound on bytes is the target's.
     pub(super) fn budget(&self, settings: &Settings) -> f64 {
-        let (least, most) = (f64::from(settings.budget), f64::from(settings.most_budget));
+        let (least, most) =
+            (f64::from(settings.bytes_per_second), f64::from(settings.max_bytes_per_second));
         (least * self.room_to_target(settings).powi(3)).clamp(least, most.max(least))
     }
 
     /// Between digests, and between sums, in a large deployment.
-    pub(super) fn wide_interval(&self, settings: &Settings) -> Duration {
-        self.paced(settings, settings.wide_interval)
+    pub(super) fn grouped_interval(&self, settings: &Settings) -> Duration {
+        self.paced(settings, settings.grouped_interval)
     }
 
     /// How many times the target's hosts are as many as there are here.
     fn room_to_target(&self, settings: &Settings) -> f64 {
-        settings.target as f64 / self.hosts.max(1) as f64
+        settings.reference_hosts as f64 / self.hosts.max(1) as f64
     }
 
     /// What is a time of the target's for these hosts.
@@ -152,7 +157,7 @@
     /// much there is to tell; otherwise they would take this host for silent.
     pub(super) fn room(&self, settings: &Settings) -> usize {
         const MOST: usize = DATAGRAM_BYTES - HEAD_BYTES;
-        if !self.is_wide() {
+        if !self.is_grouped() {
             return MOST;
         }
         let in_round = self.budget(settings) * TABLES_SHARE * TELLING_ROUND.as_secs_f64();
@@ -162,16 +167,16 @@
 
     /// Time after which what was not acknowledged is sent again.
     pub(super) fn resend(&self, settings: &Settings) -> Duration {
-        match self.is_wide() {
-            true => settings.wide_heartbeat + self.wide_interval(settings),
-            false => settings.interval.max(settings.far_interval) * 3,
+        match self.is_grouped() {
+            true => settings.grouped_heartbeat + self.grouped_interval(settings),
+            false => settings.interval.max(settings.cross_zone_interval) * 3,
         }
     }
 
     /// What is owed that does not wait for the next heartbeat. Receipts of their own would be most
     /// of what hosts of a large deployment send.
     pub(super) fn urgent_debt(&self) -> Debt {
-        if self.is_wide() { Debt::Gap } else { Debt::Receipt }
+        if self.is_grouped() { Debt::Gap } else { Debt::Receipt }
     }
 
     pub(super) fn interval(
@@ -182,8 +187,8 @@
     ) -> Duration {
         match self.role {
             Role::Equal if own == other => settings.interval,
-            Role::Equal => settings.far_interval,
-            Role::Member | Role::Relay => self.wide_interval(settings),
+            Role::Equal => settings.cross_zone_interval,
+            Role::Member | Role::Relay => self.grouped_interval(settings),
         }
     }
 }
@@ -193,13 +198,13 @@
     pub(super) fn make_plan(&self, now: Moment) -> Plan {
         let in_touch: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
         let hosts = in_touch.len() + 1;
-        if in_touch.len() < self.settings.small {
+        if in_touch.len() < self.settings.full_mesh_limit {
             let tells = in_touch.iter().map(|peer| (peer.member.id.clone(), EQUAL));
             return Plan { role: Role::Equal, hosts, tells: tells.collect(), relay: None };
         }
         let mut members: Vec<_> = in_touch.iter().map(|peer| (peer.ranks, &peer.member)).collect();
         members.push((self.ranks, &self.member));
-        let groups = groups(&members, self.settings.small);
+        let groups = groups(&members, self.settings.full_mesh_limit);
         let is_own = |group: &&Vec<Ranked>| group.iter().any(|(_, one)| one.id == self.member.id);
         let (own, others): (Vec<_>, Vec<_>) = groups.iter().partition(is_own);
         let relay = own.iter().find_map(|group| self.relay(now, group));
@@ -209,7 +214,7 @@
         };
         let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
         // Whoever tells this host is answered, so that differing views of the groups do no harm.
-        let lately = self.settings.wide_heartbeat * 2;
+        let lately = self.settings.grouped_heartbeat * 2;
         let tell_this = in_touch.iter().filter(|p| p.asked.is_some_and(|at| now < at + lately));
         let mut tells: BTreeMap<_, _> =
             tell_this.map(|peer| (peer.member.id.clone(), MARKS_ONLY)).collect();
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -246,8 +246,8 @@
 
     /// Takes out hosts that were silent for too long.
     pub(super) fn forget(&mut self, now: Moment, settings: &Settings) -> Vec<Member> {
-        self.former.retain(|_, former| now < former.since + settings.forget);
-        let is_gone = |peer: &&Peer| peer.is_silent() && peer.heard + settings.forget <= now;
+        self.former.retain(|_, former| now < former.since + settings.forget_after);
+        let is_gone = |peer: &&Peer| peer.is_silent() && peer.heard + settings.forget_after <= now;
         let gone: Vec<_> =
             self.peers.values().filter(is_gone).map(|peer| peer.member.clone()).collect();
         for member in &gone {
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -195,7 +195,7 @@
 
     fn is_first(&mut self, now: Moment, item: &Item) -> bool {
         if self.windows.len() >= MOST_WINDOWS {
-            let horizon = self.settings.forget;
+            let horizon = self.settings.forget_after;
             self.windows.retain(|_, window| now < window.used + horizon);
         }
         let window = self.windows.entry(item.origin).or_default();
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -144,15 +144,15 @@
     }
 
     /// Whether there are so many hosts that digests wait for a budget.
-    pub fn is_wide(&self) -> bool {
-        self.plan.is_wide()
+    pub fn is_grouped(&self) -> bool {
+        self.plan.is_grouped()
     }
 
     /// This host's place among those that tell each other.
     pub fn tier(&self) -> Tier {
         let relay = self.plan.relay().and_then(|id| self.hosts.get(id));
         match relay {
-            _ if !self.plan.is_wide() => Tier::Equal,
+            _ if !self.plan.is_grouped() => Tier::Equal,
             _ if self.plan.is_relay() => Tier::Relay,
             Some(peer) if !peer.is_silent() => Tier::Member(peer.member.clone()),
             Some(_) | None => Tier::Equal,
@@ -161,8 +161,8 @@
 
     /// Time between two digests that a host sends or gets.
     pub fn interval(&self) -> Duration {
-        match self.plan.is_wide() {
-            true => self.plan.wide_interval(&self.settings),
+        match self.plan.is_grouped() {
+            true => self.plan.grouped_interval(&self.settings),
             false => self.settings.interval,
         }
     }
--- a/crates/policy/src/fleet/sums.rs
+++ b/crates/policy/src/fleet/sums.rs
@@ -162,10 +162,10 @@
     pub(super) fn sum_up(&mut self, now: Moment, plan: &Plan) {
         self.sums.sources =
             plan.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
-        if !plan.is_wide() || now < self.next_sum {
+        if !plan.is_grouped() || now < self.next_sum {
             return;
         }
-        self.next_sum = now + plan.wide_interval(&self.settings);
+        self.next_sum = now + plan.grouped_interval(&self.settings);
         self.hosts.miss_absent(now, plan.silence(&self.settings));
         if !plan.is_relay() {
             return;
--- a/crates/policy/src/fleet/tell.rs
+++ b/crates/policy/src/fleet/tell.rs
@@ -103,7 +103,7 @@
             self.outbox.abandon(member.run());
             self.candidates.try_out(now, member.address);
         }
-        let horizon = self.settings.forget;
+        let horizon = self.settings.forget_after;
         self.boards.iter_mut().for_each(|board| board.retire(now, horizon));
     }
 
@@ -133,7 +133,7 @@
         due.sort();
         self.purse.fill(now, plan.budget(&self.settings));
         for (_, id, scopes) in due {
-            if plan.is_wide() && !self.purse.has_left() {
+            if plan.is_grouped() && !self.purse.has_left() {
                 break;
             }
             self.tell(now, &id, scopes, room);
@@ -178,14 +178,14 @@
         let far = self.hosts.iter().filter(|peer| !plan.has(&peer.member.id)).count();
         let share = plan.budget(&self.settings) * FAR_SHARE;
         let span = Duration::from_secs_f64((far * HERE_BYTES) as f64 / share.max(1.0));
-        span.max(self.settings.far_round)
+        span.max(self.settings.keepalive_interval)
     }
 
     fn greet_candidates(&mut self, now: Moment, plan: &Plan) {
         self.greeting_purse.fill(now, plan.budget(&self.settings) * GREETING_SHARE);
         let (hosts, own) = (&self.hosts, self.member.address);
         let is_known = |address| address == own || hosts.has_address(address);
-        let again = match plan.is_wide() {
+        let again = match plan.is_grouped() {
             true => usize::from(self.greeting_purse.has_left()),
             false => usize::MAX,
         };
@@ -208,7 +208,7 @@
         let mut due: Vec<_> = due.map(|peer| (peer.greeted, peer.member.id.clone())).collect();
         due.sort();
         for (_, id) in due {
-            if plan.is_wide() && !self.greeting_purse.has_left() {
+            if plan.is_grouped() && !self.greeting_purse.has_left() {
                 return;
             }
             let Some(peer) = self.hosts.get_mut(&id) else { continue };
@@ -256,7 +256,7 @@
     /// Whether there is budget to answer a host that is known.
     pub(super) fn may_answer(&mut self, now: Moment) -> bool {
         self.answer_purse.fill(now, self.plan.budget(&self.settings) * GREETING_SHARE);
-        !self.plan.is_wide() || self.answer_purse.has_left()
+        !self.plan.is_grouped() || self.answer_purse.has_left()
     }
 
     /// Says who this host is.
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -48,7 +48,7 @@
             shared.dispatcher().peer(&PEERS.into(), &work, now);
             (others, taken) = (told, now);
         }
-        sleep(if exchange.is_wide() { SLOW } else { FRESH }).await;
+        sleep(if exchange.is_grouped() { SLOW } else { FRESH }).await;
     }
 }
 
