--- a/crates/policy/src/demand/reporter.rs
+++ b/crates/policy/src/demand/reporter.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the next report, or none if nothing is due. Call again while [`Reporter::has_news`] holds.
+    /// Returns the next report, or none if nothing is due. Call again while [`Reporter::has_unsent`] holds.
     pub fn report(&mut self, now: Moment) -> Option<Report> {
         let fence = self.fence?;
         let is_due = |total: &Total| {
@@ -126,7 +126,7 @@
     }
 
     /// Whether a total has changed that was not sent since.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         self.totals.values().any(|total| total.sends == 0)
     }
 }
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -42,7 +42,7 @@
 /// All that a reporter has to say now.
 fn reports(reporter: &mut Reporter, now: Moment) -> Vec<Report> {
     let mut reports = Vec::new();
-    while reporter.has_news() {
+    while reporter.has_unsent() {
         reports.extend(reporter.report(now));
     }
     reports
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -121,7 +121,7 @@
         self.begin_term(fence, now);
         let mut state = self.demand.lock();
         let mut arrivals = Vec::new();
-        while state.reporter.has_news()
+        while state.reporter.has_unsent()
             && let Some(report) = state.reporter.report(now)
         {
             arrivals.extend(state.collector.take(&self.host.id, report, now));
@@ -138,7 +138,7 @@
         };
         state.reporter.begin(fence, now);
         let mut reports: Vec<_> = state.reporter.report(now).into_iter().collect();
-        while state.reporter.has_news() && reports.len() < MOST_REPORTS {
+        while state.reporter.has_unsent() && reports.len() < MOST_REPORTS {
             reports.extend(state.reporter.report(now));
         }
         drop(state);
