--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -13,19 +13,19 @@
 //! All of it is plain state: datagrams and the time go in, datagrams come out. Silence of a host is
 //! a hint for shares and routes and never a ground for anything that must be safe.
 
-mod board;
+mod aggregate;
 mod candidates;
 mod fact;
 mod fanout;
 mod hosts;
 mod link;
+mod local_table;
 mod names;
 mod notice;
 mod receive;
+mod remote_table;
+mod send;
 mod snapshot;
-mod sums;
-mod tell;
-mod view;
 mod wire;
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
@@ -33,13 +33,13 @@
 use types::{host, time::Moment};
 
 use self::{
-    board::Board,
+    aggregate::Counters,
     candidates::Candidates,
     fact::{Fact, Key},
-    fanout::{Plan, Ranks},
+    fanout::{Fanout, Ranks},
     hosts::Hosts,
+    local_table::LocalTable,
     notice::{Outbox, Window},
-    sums::Sums,
     wire::{Body, Item, Number, Packet, Run, Scope},
 };
 pub use self::{
@@ -166,27 +166,27 @@
     member: Member,
     ranks: Ranks,
     count: u32,
-    boards: [Board; Scope::ALL.len()],
+    local_tables: [LocalTable; Scope::ALL.len()],
     /// The newest word on the store; told at most once a heartbeat.
     store: Option<StoreStatus>,
     hosts: Hosts,
     candidates: Candidates,
-    plan: Plan,
-    sums: Sums,
+    fanout: Fanout,
+    counters: Counters,
     outbox: Outbox,
     number: Number,
     windows: BTreeMap<Run, Window>,
     outgoing: Vec<Datagram>,
-    has_gone: bool,
+    has_left: bool,
     counts: Counts,
-    purse: tell::Purse,
-    greeting_purse: tell::Purse,
-    answer_purse: tell::Purse,
+    digest_bucket: send::TokenBucket,
+    greeting_bucket: send::TokenBucket,
+    answer_bucket: send::TokenBucket,
     next_tick: Moment,
     next_store: Moment,
-    next_sum: Moment,
-    next_round: Moment,
-    rounds: usize,
+    next_aggregation: Moment,
+    next_introduction: Moment,
+    introductions: usize,
 }
 
 impl Fleet {
@@ -197,35 +197,35 @@
         member: Member,
         seeds: impl IntoIterator<Item = SocketAddr>,
     ) -> Fleet {
-        let mut boards: [Board; Scope::ALL.len()] = Default::default();
-        boards[Scope::Own as usize].set(now, Fact::State(State::default()));
+        let mut local_tables: [LocalTable; Scope::ALL.len()] = Default::default();
+        local_tables[Scope::Own as usize].set(now, Fact::State(State::default()));
         let mut candidates = Candidates::default();
-        seeds.into_iter().for_each(|address| candidates.keep(now, address));
+        seeds.into_iter().for_each(|address| candidates.add(now, address));
         Fleet {
-            purse: tell::Purse::new(now),
-            greeting_purse: tell::Purse::new(now),
-            answer_purse: tell::Purse::new(now),
+            digest_bucket: send::TokenBucket::new(now),
+            greeting_bucket: send::TokenBucket::new(now),
+            answer_bucket: send::TokenBucket::new(now),
             settings,
             ranks: Ranks::of(&member.id),
             member,
             count: 0,
-            boards,
+            local_tables,
             store: None,
             hosts: Hosts::default(),
             candidates,
-            plan: Plan::default(),
-            sums: Sums::default(),
+            fanout: Fanout::default(),
+            counters: Counters::default(),
             outbox: Outbox::default(),
             number: 0,
             windows: BTreeMap::new(),
             outgoing: Vec::new(),
-            has_gone: false,
+            has_left: false,
             counts: Counts::default(),
             next_tick: now,
             next_store: now,
-            next_sum: now,
-            next_round: now + tell::ROUND,
-            rounds: 0,
+            next_aggregation: now,
+            next_introduction: now + send::INTRODUCTION_INTERVAL,
+            introductions: 0,
         }
     }
 
@@ -236,38 +236,38 @@
 
     /// Names further addresses at which hosts may be.
     pub fn introduce(&mut self, now: Moment, addresses: impl IntoIterator<Item = SocketAddr>) {
-        addresses.into_iter().for_each(|address| self.candidates.keep(now, address));
+        addresses.into_iter().for_each(|address| self.candidates.add(now, address));
     }
 
-    /// Replaces a part of what this host tells.
+    /// Replaces a part of what this host targets.
     pub fn publish(&mut self, now: Moment, publication: Publication) {
-        let board = &mut self.boards[Scope::Own as usize];
+        let local = &mut self.local_tables[Scope::Own as usize];
         match publication {
-            Publication::State(state) => board.set(now, Fact::State(state)),
-            Publication::Declared(version) => board.set(now, Fact::Declared(version)),
-            Publication::Term(stored) => board.set(now, Fact::Term(stored)),
-            Publication::Lease(Some(lease)) => board.set(now, Fact::Lease(lease)),
-            Publication::Lease(None) => board.drop(now, &Key::Lease),
+            Publication::State(state) => local.set(now, Fact::State(state)),
+            Publication::Declared(version) => local.set(now, Fact::Declared(version)),
+            Publication::Term(stored) => local.set(now, Fact::Term(stored)),
+            Publication::Lease(Some(lease)) => local.set(now, Fact::Lease(lease)),
+            Publication::Lease(None) => local.remove(now, &Key::Lease),
             Publication::Store(store) => self.note_store(now, store),
-            Publication::InFlight(loads) => note_in_flight(board, now, loads),
+            Publication::InFlight(loads) => set_in_flight(local, now, loads),
             Publication::Arrivals(counts) => counts
                 .into_iter()
-                .for_each(|(service, count)| board.set(now, Fact::Arrivals(service, count))),
+                .for_each(|(service, count)| local.set(now, Fact::Arrivals(service, count))),
             Publication::Retries(counts) => counts
                 .into_iter()
-                .for_each(|(service, count)| board.set(now, Fact::Retries(service, count))),
+                .for_each(|(service, count)| local.set(now, Fact::Retries(service, count))),
             Publication::Servers(servers) => {
                 let facts =
                     servers.into_iter().map(|(server, departure)| Fact::Server(server, departure));
-                replace(board, now, |key| matches!(key, Key::Server(_)), facts);
+                replace(local, now, |key| matches!(key, Key::Server(_)), facts);
             }
             Publication::Limits(limits) => {
                 let facts = limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
-                replace(board, now, |key| matches!(key, Key::Limit(_)), facts);
+                replace(local, now, |key| matches!(key, Key::Limit(_)), facts);
             }
             Publication::Crashes(crashes) => {
                 let facts = crashes.into_iter().map(Fact::Crash);
-                replace(board, now, |key| matches!(key, Key::Crash(..)), facts);
+                replace(local, now, |key| matches!(key, Key::Crash(..)), facts);
             }
         }
     }
@@ -281,7 +281,7 @@
         self.number += 1;
         let item = Item { origin: self.member.run(), number: self.number, notice };
         match to {
-            Recipients::All => self.spread(now, &item, None),
+            Recipients::All => self.multicast(now, &item, None),
             Recipients::Host(id) => {
                 let target = self.locate(&id).ok_or(UnknownHost(id))?;
                 self.outbox.push(now, target, item);
@@ -298,14 +298,14 @@
     /// If that host is not known.
     pub fn send_once(&mut self, id: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
         let target = self.locate(id).ok_or_else(|| UnknownHost(id.clone()))?;
-        self.put(target.address, Body::Once(notice));
+        self.put(target.address, Body::OneShot(notice));
         Ok(())
     }
 
     /// Tells all hosts in touch that this one ends. From then on it tells nothing else: a digest that
     /// came after the goodbye would make it known again.
     pub fn bye(&mut self) {
-        self.has_gone = true;
+        self.has_left = true;
         let in_touch = self.hosts.iter().filter(|peer| !peer.is_silent());
         let addresses: Vec<_> = in_touch.map(|peer| peer.member.address).collect();
         addresses.into_iter().for_each(|address| self.put(address, Body::Bye));
@@ -328,38 +328,40 @@
 
     /// What this host says of its own work.
     fn state(&self, now: Moment) -> State {
-        let said = self.boards[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
-            Fact::State(state) => Some(*state),
-            _ => None,
-        });
+        let said =
+            self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
+                Fact::State(state) => Some(*state),
+                _ => None,
+            });
         said.unwrap_or_default()
     }
 
     fn note_store(&mut self, now: Moment, store: StoreStatus) {
-        let told = self.boards[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
-            Fact::Store(store) => Some(store.reachability),
-            _ => None,
-        });
+        let told =
+            self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
+                Fact::Store(store) => Some(store.reachability),
+                _ => None,
+            });
         self.store = Some(store);
         if told != Some(store.reachability) {
             self.next_store = now;
-            self.tell_store(now);
+            self.publish_store(now);
         }
     }
 
     /// Revisions rise all the time; told each time they would keep every host from resting.
-    fn tell_store(&mut self, now: Moment) {
+    fn publish_store(&mut self, now: Moment) {
         if now < self.next_store {
             return;
         }
         let Some(store) = self.store.take() else { return };
-        self.boards[Scope::Own as usize].set(now, Fact::Store(store));
+        self.local_tables[Scope::Own as usize].set(now, Fact::Store(store));
         self.next_store = now + self.settings.heartbeat;
     }
 
     /// Puts a packet among those to be sent.
     fn put(&mut self, to: SocketAddr, body: Body) {
-        if self.has_gone && body != Body::Bye {
+        if self.has_left && body != Body::Bye {
             return;
         }
         self.count += 1;
@@ -367,33 +369,33 @@
         let bytes = wire::encode(&packet);
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.purse.spend(bytes.len());
+        self.digest_bucket.spend(bytes.len());
         self.outgoing.push(Datagram { to, bytes });
     }
 }
 
-fn note_in_flight(board: &mut Board, now: Moment, loads: Vec<Load>) {
-    let at_rest = board.keys(|key| matches!(key, Key::InFlight(..)));
+fn set_in_flight(local: &mut LocalTable, now: Moment, loads: Vec<Load>) {
+    let at_rest = local.keys(|key| matches!(key, Key::InFlight(..)));
     let busy: Vec<_> = loads.into_iter().map(Fact::InFlight).collect();
     let named: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
     for key in at_rest.into_iter().filter(|key| !named.contains(key)) {
         // It keeps its name for a while: work often comes back to where it was.
         let Key::InFlight(server, model) = key else { continue };
-        board.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
+        local.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
     }
-    busy.into_iter().for_each(|fact| board.set(now, fact));
+    busy.into_iter().for_each(|fact| local.set(now, fact));
 }
 
 fn replace(
-    board: &mut Board,
+    local: &mut LocalTable,
     now: Moment,
     which: impl Fn(&Key) -> bool,
     facts: impl Iterator<Item = Fact>,
 ) {
-    let mut former: std::collections::BTreeSet<_> = board.keys(which).into_iter().collect();
+    let mut former: std::collections::BTreeSet<_> = local.keys(which).into_iter().collect();
     for fact in facts {
         former.remove(&fact.key());
-        board.set(now, fact);
+        local.set(now, fact);
     }
-    former.iter().for_each(|key| board.drop(now, key));
+    former.iter().for_each(|key| local.remove(now, key));
 }
--- a/crates/policy/src/fleet/sums.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -1,4 +1,4 @@
-//! Sums over what several hosts tell.
+//! Counters over what several hosts tell.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 use std::time::Duration;
@@ -14,47 +14,52 @@
 use super::{
     Fleet,
     fact::{Departure, Fact, Key, Lease, Load, StoreStatus},
-    fanout::{Distance, Plan},
-    hosts::Pulse,
-    replace, view,
+    fanout::{Fanout, Provenance},
+    hosts::Contact,
+    remote_table, replace,
     wire::{Run, Scope},
 };
 
 /// Counts that only rise, as far as this host heard them rise.
 #[derive(Debug, Default)]
-pub(super) struct Sums {
-    sources: BTreeMap<(host::Id, Scope), Distance>,
-    near: BTreeMap<Key, u64>,
-    far: BTreeMap<Key, u64>,
+pub(super) struct Counters {
+    sources: BTreeMap<(host::Id, Scope), Provenance>,
+    direct: BTreeMap<Key, u64>,
+    aggregated: BTreeMap<Key, u64>,
 }
 
-impl Sums {
+impl Counters {
     /// Takes by how much counts rose, if their teller counts here.
-    pub(super) fn take(&mut self, id: &host::Id, scope: Scope, news: view::News) {
+    pub(super) fn take(
+        &mut self,
+        id: &host::Id,
+        scope: Scope,
+        increments: remote_table::Increments,
+    ) {
         let totals = match self.sources.get(&(id.clone(), scope)) {
-            Some(Distance::Near) => &mut self.near,
-            Some(Distance::Far) => &mut self.far,
+            Some(Provenance::Direct) => &mut self.direct,
+            Some(Provenance::Aggregated) => &mut self.aggregated,
             None => return,
         };
-        for (key, rise) in news.rises {
+        for (key, increment) in increments.counters {
             let total = totals.entry(key).or_default();
-            *total = total.saturating_add(rise);
+            *total = total.saturating_add(increment);
         }
     }
 
     /// All counts.
     pub(super) fn totals(&self) -> impl Iterator<Item = (&Key, u64)> {
-        self.near.iter().chain(&self.far).map(|(key, total)| (key, *total))
+        self.direct.iter().chain(&self.aggregated).map(|(key, total)| (key, *total))
     }
 }
 
 /// Requests and prompt tokens at servers, by server and model.
-pub(super) type Working = BTreeMap<(backend::Id, Option<model::Id>), (u32, u64)>;
+pub(super) type LoadSums = BTreeMap<(backend::Id, Option<model::Id>), (u32, u64)>;
 
 /// Facts of several hosts, as one.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    pub(super) in_flight: Working,
+    pub(super) in_flight: LoadSums,
     pub(super) servers: BTreeMap<backend::Id, Departure>,
     pub(super) crashes: BTreeMap<(Fingerprint, backend::Id, host::Id), Crash>,
     pub(super) lease: Option<Lease>,
@@ -74,7 +79,7 @@
                 *tokens = tokens.saturating_add(load.tokens);
             }
             Fact::Server(server, departure) => {
-                raise(self.servers.entry(server.clone()), *departure)
+                merge_max(self.servers.entry(server.clone()), *departure)
             }
             Fact::Crash(crash) => {
                 let aged = Crash { age: crash.age + age, ..crash.clone() };
@@ -91,7 +96,7 @@
                     self.term = Some(stored.clone());
                 }
             }
-            Fact::Lease(lease) => self.believe(Lease { age: lease.age + age, ..lease.clone() }),
+            Fact::Lease(lease) => self.merge_lease(Lease { age: lease.age + age, ..lease.clone() }),
             Fact::Store(store) => {
                 let best = self.store.unwrap_or_default();
                 let reachability = best.reachability.max(store.reachability);
@@ -110,7 +115,7 @@
     }
 
     /// A higher fence is the newer belief; of the same one, the later renewal.
-    fn believe(&mut self, lease: Lease) {
+    fn merge_lease(&mut self, lease: Lease) {
         let is_newer = self.lease.as_ref().is_none_or(|held| {
             (held.fence, std::cmp::Reverse(held.age)) < (lease.fence, std::cmp::Reverse(lease.age))
         });
@@ -134,61 +139,65 @@
 }
 
 /// Work as loads, those at rest among them.
-pub(super) fn loads(working: Working) -> impl Iterator<Item = Load> {
+pub(super) fn loads(sums: LoadSums) -> impl Iterator<Item = Load> {
     let load = |((server, model), (requests, tokens))| Load { server, model, requests, tokens };
-    working.into_iter().map(load)
+    sums.into_iter().map(load)
 }
 
-fn raise<K: Ord, V: Ord + Copy>(entry: Entry<'_, K, V>, value: V) {
+fn merge_max<K: Ord, V: Ord + Copy>(entry: Entry<'_, K, V>, value: V) {
     entry.and_modify(|held| *held = value.max(*held)).or_insert(value);
 }
 
 impl Fleet {
-    /// Facts of other hosts at this distance.
-    pub(super) fn told(
+    /// Facts of other hosts at this provenance.
+    pub(super) fn received_facts(
         &self,
         now: Moment,
-        distance: Distance,
+        provenance: Provenance,
     ) -> impl Iterator<Item = (&Fact, Duration)> {
-        let sources = self.sums.sources.iter().filter(move |(_, at)| **at == distance);
-        let views = sources.filter_map(move |((id, scope), _)| {
+        let sources = self.counters.sources.iter().filter(move |(_, at)| **at == provenance);
+        let remote_tables = sources.filter_map(move |((id, scope), _)| {
             let peer = self.hosts.get(id).filter(|peer| !peer.is_silent())?;
-            peer.views.get(scope)
+            peer.remote_tables.get(scope)
         });
-        views.flat_map(move |view| view.facts(now))
+        remote_tables.flat_map(move |remote| remote.facts(now))
     }
 
     /// Brings up to date who counts, and what this host relays.
-    pub(super) fn sum_up(&mut self, now: Moment, plan: &Plan) {
-        self.sums.sources =
-            plan.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
-        if !plan.is_grouped() || now < self.next_sum {
+    pub(super) fn aggregate(&mut self, now: Moment, fanout: &Fanout) {
+        self.counters.sources =
+            fanout.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
+        if !fanout.is_grouped() || now < self.next_aggregation {
             return;
         }
-        self.next_sum = now + plan.grouped_interval(&self.settings);
-        self.hosts.miss_absent(now, plan.silence(&self.settings));
-        if !plan.is_relay() {
+        self.next_aggregation = now + fanout.grouped_interval(&self.settings);
+        self.hosts.mark_absent(now, fanout.silence(&self.settings));
+        if !fanout.is_relay() {
             return;
         }
         let mut rest = Tally::default();
-        self.told(now, Distance::Far).for_each(|(fact, age)| rest.add(fact, age));
-        let own = &self.boards[Scope::Own as usize];
+        self.received_facts(now, Provenance::Aggregated)
+            .for_each(|(fact, age)| rest.add(fact, age));
+        let own = &self.local_tables[Scope::Own as usize];
         let mut group = Tally::default();
-        own.facts(now).chain(self.told(now, Distance::Near)).for_each(|(f, age)| group.add(f, age));
-        let lapsed = self.hosts.iter().filter(|peer| peer.pulse == Pulse::Lapsed);
+        own.facts(now)
+            .chain(self.received_facts(now, Provenance::Direct))
+            .for_each(|(f, age)| group.add(f, age));
+        let lapsed = self.hosts.iter().filter(|peer| peer.contact == Contact::TimedOut);
         group.absent = lapsed.map(|peer| (peer.member.id.clone(), peer.member.run())).collect();
-        let mut totals = self.sums.near.clone();
+        let mut totals = self.counters.direct.clone();
         for (key, count) in own.facts(now).filter_map(|(f, _)| Some((f.key(), f.total()?))) {
             *totals.entry(key).or_default() += count;
         }
-        let group: Vec<_> = group.into_facts().chain(rising(&totals)).collect();
-        let rest: Vec<_> = rest.into_facts().chain(rising(&self.sums.far)).collect();
-        replace(&mut self.boards[Scope::Group as usize], now, |_| true, group.into_iter());
-        replace(&mut self.boards[Scope::Rest as usize], now, |_| true, rest.into_iter());
+        let group: Vec<_> = group.into_facts().chain(counter_facts(&totals)).collect();
+        let rest: Vec<_> =
+            rest.into_facts().chain(counter_facts(&self.counters.aggregated)).collect();
+        replace(&mut self.local_tables[Scope::Group as usize], now, |_| true, group.into_iter());
+        replace(&mut self.local_tables[Scope::Rest as usize], now, |_| true, rest.into_iter());
     }
 }
 
-fn rising(totals: &BTreeMap<Key, u64>) -> impl Iterator<Item = Fact> {
+fn counter_facts(totals: &BTreeMap<Key, u64>) -> impl Iterator<Item = Fact> {
     totals.iter().filter_map(|(key, total)| match key {
         Key::Arrivals(service) => Some(Fact::Arrivals(service.clone(), *total)),
         Key::Retries(service) => Some(Fact::Retries(service.clone(), *total)),
--- a/crates/policy/src/fleet/candidates.rs
+++ b/crates/policy/src/fleet/candidates.rs
@@ -4,25 +4,25 @@
 
 use types::time::Moment;
 
-use super::wire::Wish;
+use super::wire::Reply;
 
 /// Pause before an address is tried again; doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Longest such pause.
-const LAST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Most addresses that are tried at once.
-const MOST_AT_ONCE: usize = 32;
+const MAX_AT_ONCE: usize = 32;
 
 /// How long the address of a forgotten host is tried.
-const LINGER: Duration = Duration::from_secs(600);
+const FORGOTTEN_RETRY_PERIOD: Duration = Duration::from_secs(600);
 
 /// Whether an address was tried before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Try {
+pub(super) enum Attempt {
     First,
-    Again,
+    Repeat,
 }
 
 #[derive(Debug, Default)]
@@ -37,14 +37,15 @@
 
 impl Candidates {
     /// Takes an address to be tried for good.
-    pub(super) fn keep(&mut self, now: Moment, address: SocketAddr) {
-        let candidate = Candidate { next: now, pause: FIRST_PAUSE, until: None };
+    pub(super) fn add(&mut self, now: Moment, address: SocketAddr) {
+        let candidate = Candidate { next: now, pause: MIN_BACKOFF, until: None };
         self.0.entry(address).or_insert(candidate).until = None;
     }
 
     /// Takes an address to be tried for a while.
-    pub(super) fn try_out(&mut self, now: Moment, address: SocketAddr) {
-        let candidate = Candidate { next: now, pause: FIRST_PAUSE, until: Some(now + LINGER) };
+    pub(super) fn add_temporary(&mut self, now: Moment, address: SocketAddr) {
+        let candidate =
+            Candidate { next: now, pause: MIN_BACKOFF, until: Some(now + FORGOTTEN_RETRY_PERIOD) };
         self.0.entry(address).or_insert(candidate);
     }
 
@@ -55,30 +56,30 @@
         now: Moment,
         again: usize,
         is_known: impl Fn(SocketAddr) -> bool,
-    ) -> Vec<(SocketAddr, Wish, Try)> {
+    ) -> Vec<(SocketAddr, Reply, Attempt)> {
         self.0.retain(|_, candidate| candidate.until.is_none_or(|until| now < until));
         let (known, unknown): (Vec<_>, Vec<_>) =
             self.0.iter_mut().partition(|(address, _)| is_known(**address));
         for (_, candidate) in known {
             candidate.next = now;
-            candidate.pause = FIRST_PAUSE;
+            candidate.pause = MIN_BACKOFF;
         }
         let due = unknown.into_iter().filter(|(_, candidate)| candidate.next <= now);
         let (fresh, mut tried): (Vec<_>, Vec<_>) =
-            due.partition(|(_, candidate)| candidate.pause == FIRST_PAUSE);
+            due.partition(|(_, candidate)| candidate.pause == MIN_BACKOFF);
         tried.sort_by_key(|(_, candidate)| candidate.next);
-        let fresh = fresh.into_iter().map(|one| (one, Try::First));
-        let tried = tried.into_iter().take(again).map(|one| (one, Try::Again));
-        let due = fresh.chain(tried).take(MOST_AT_ONCE);
+        let fresh = fresh.into_iter().map(|one| (one, Attempt::First));
+        let tried = tried.into_iter().take(again).map(|one| (one, Attempt::Repeat));
+        let due = fresh.chain(tried).take(MAX_AT_ONCE);
         due.map(|((&address, candidate), which)| (address, candidate.start(now), which)).collect()
     }
 }
 
 impl Candidate {
     /// Notes that it is tried; what it is asked.
-    fn start(&mut self, now: Moment) -> Wish {
+    fn start(&mut self, now: Moment) -> Reply {
         self.next = now + self.pause;
-        self.pause = (self.pause * 2).min(LAST_PAUSE);
-        self.until.map_or(Wish::Everyone, |_| Wish::Identity)
+        self.pause = (self.pause * 2).min(MAX_BACKOFF);
+        self.until.map_or(Reply::Members, |_| Reply::Identity)
     }
 }
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -134,7 +134,7 @@
     Limits(Vec<(backend::Id, News)>),
 }
 
-/// One thing that a host tells.
+/// One thing that a host targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Fact {
     State(State),
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -1,4 +1,4 @@
-//! Whom a host tells.
+//! Whom a host targets.
 //!
 //! In a small deployment: all others. In a larger one every host knows all others by rare greetings,
 //! and works out from them, alike on every host, how its zone divides into groups of at most
@@ -14,7 +14,7 @@
 use super::{
     Fleet, Liveness, Settings,
     fact::{Member, State},
-    link::Debt,
+    link::PendingAck,
     wire::{DATAGRAM_BYTES, HEAD_BYTES, Scope},
 };
 use crate::member::rendezvous;
@@ -23,14 +23,14 @@
 const GROUP_KEY: &[u8] = b"group";
 const RELAY_KEY: &[u8] = b"relay";
 
-/// Time in which a host of a large deployment tells all whom it tells.
-const TELLING_ROUND: Duration = Duration::from_secs(3);
+/// Time in which a host of a large deployment tells all whom it targets.
+const DIGEST_ROUND: Duration = Duration::from_secs(3);
 
 /// Share of the budget that is for tables.
-const TABLES_SHARE: f64 = 0.5;
+const DELTAS_SHARE: f64 = 0.5;
 
-/// Room that a digest has for tables, at the least.
-const LEAST_ROOM: usize = 100;
+/// SizeLimit that a digest has for tables, at the least.
+const MIN_DELTA_BYTES: usize = 100;
 
 /// Where a host stands among others, alike on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,11 +47,11 @@
 
 /// Whom a host tells what.
 #[derive(Debug, Default)]
-pub(super) struct Plan {
+pub(super) struct Fanout {
     role: Role,
     /// Hosts in touch, this one among them.
     hosts: usize,
-    tells: BTreeMap<host::Id, &'static [Scope]>,
+    targets: BTreeMap<host::Id, &'static [Scope]>,
     /// The relay of its group.
     relay: Option<host::Id>,
 }
@@ -66,36 +66,39 @@
     Relay,
 }
 
-/// How a host counts what another tells.
+/// How a host counts what another targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Distance {
+pub(super) enum Provenance {
     /// As one of its own group.
-    Near,
+    Direct,
     /// As the sum of others.
-    Far,
+    Aggregated,
 }
 
-impl Plan {
+impl Fanout {
     /// Whose tables make up this host's snapshot, without any host's facts twice.
-    pub(super) fn sources(&self) -> impl Iterator<Item = (&host::Id, Scope, Distance)> {
-        self.tells.iter().flat_map(|(id, scopes)| match (self.role, *scopes) {
-            (Role::Equal, _) => vec![(id, Scope::Own, Distance::Near)],
+    pub(super) fn sources(&self) -> impl Iterator<Item = (&host::Id, Scope, Provenance)> {
+        self.targets.iter().flat_map(|(id, scopes)| match (self.role, *scopes) {
+            (Role::Equal, _) => vec![(id, Scope::Own, Provenance::Direct)],
             (Role::Member, [Scope::Own]) if self.relay.as_ref() == Some(id) => {
-                vec![(id, Scope::Own, Distance::Near), (id, Scope::Rest, Distance::Far)]
+                vec![
+                    (id, Scope::Own, Provenance::Direct),
+                    (id, Scope::Rest, Provenance::Aggregated),
+                ]
             }
-            (Role::Member, [Scope::Own]) => vec![(id, Scope::Own, Distance::Near)],
-            (Role::Relay, [Scope::Own, Scope::Rest]) => vec![(id, Scope::Own, Distance::Near)],
-            (Role::Relay, [Scope::Group]) => vec![(id, Scope::Group, Distance::Far)],
+            (Role::Member, [Scope::Own]) => vec![(id, Scope::Own, Provenance::Direct)],
+            (Role::Relay, [Scope::Own, Scope::Rest]) => vec![(id, Scope::Own, Provenance::Direct)],
+            (Role::Relay, [Scope::Group]) => vec![(id, Scope::Group, Provenance::Aggregated)],
             _ => Vec::new(),
         })
     }
 
-    pub(super) fn tells(&self) -> impl Iterator<Item = (&host::Id, &'static [Scope])> {
-        self.tells.iter().map(|(id, scopes)| (id, *scopes))
+    pub(super) fn targets(&self) -> impl Iterator<Item = (&host::Id, &'static [Scope])> {
+        self.targets.iter().map(|(id, scopes)| (id, *scopes))
     }
 
     pub(super) fn has(&self, id: &str) -> bool {
-        self.tells.contains_key(id)
+        self.targets.contains_key(id)
     }
 
     pub(super) fn is_grouped(&self) -> bool {
@@ -114,7 +117,7 @@
     /// Between looks at who is due.
     pub(super) fn tick(&self, settings: &Settings) -> Duration {
         if self.is_grouped() {
-            self.paced(settings, settings.grouped_tick)
+            self.scaled(settings, settings.grouped_tick)
         } else {
             settings.interval
         }
@@ -134,35 +137,35 @@
     pub(super) fn budget(&self, settings: &Settings) -> f64 {
         let (least, most) =
             (f64::from(settings.bytes_per_second), f64::from(settings.max_bytes_per_second));
-        (least * self.room_to_target(settings).powi(3)).clamp(least, most.max(least))
+        (least * self.scale(settings).powi(3)).clamp(least, most.max(least))
     }
 
     /// Between digests, and between sums, in a large deployment.
     pub(super) fn grouped_interval(&self, settings: &Settings) -> Duration {
-        self.paced(settings, settings.grouped_interval)
+        self.scaled(settings, settings.grouped_interval)
     }
 
     /// How many times the target's hosts are as many as there are here.
-    fn room_to_target(&self, settings: &Settings) -> f64 {
+    fn scale(&self, settings: &Settings) -> f64 {
         settings.reference_hosts as f64 / self.hosts.max(1) as f64
     }
 
     /// What is a time of the target's for these hosts.
-    fn paced(&self, settings: &Settings, time: Duration) -> Duration {
-        let part = self.room_to_target(settings).max(1.0);
+    fn scaled(&self, settings: &Settings, time: Duration) -> Duration {
+        let part = self.scale(settings).max(1.0);
         time.div_f64(part).max(settings.interval)
     }
 
     /// Bytes of tables in a digest. In a large deployment all are told within a few seconds, however
     /// much there is to tell; otherwise they would take this host for silent.
-    pub(super) fn room(&self, settings: &Settings) -> usize {
+    pub(super) fn delta_bytes(&self, settings: &Settings) -> usize {
         const MOST: usize = DATAGRAM_BYTES - HEAD_BYTES;
         if !self.is_grouped() {
             return MOST;
         }
-        let in_round = self.budget(settings) * TABLES_SHARE * TELLING_ROUND.as_secs_f64();
-        let each = in_round as usize / self.tells.len().max(1);
-        each.clamp(LEAST_ROOM, MOST)
+        let in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
+        let each = in_round as usize / self.targets.len().max(1);
+        each.clamp(MIN_DELTA_BYTES, MOST)
     }
 
     /// Time after which what was not acknowledged is sent again.
@@ -175,8 +178,8 @@
 
     /// What is owed that does not wait for the next heartbeat. Receipts of their own would be most
     /// of what hosts of a large deployment send.
-    pub(super) fn urgent_debt(&self) -> Debt {
-        if self.is_grouped() { Debt::Gap } else { Debt::Receipt }
+    pub(super) fn urgent_ack(&self) -> PendingAck {
+        if self.is_grouped() { PendingAck::Gap } else { PendingAck::Read }
     }
 
     pub(super) fn interval(
@@ -195,12 +198,12 @@
 
 impl Fleet {
     /// Whom this host tells from now on.
-    pub(super) fn make_plan(&self, now: Moment) -> Plan {
+    pub(super) fn compute_fanout(&self, now: Moment) -> Fanout {
         let in_touch: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
         let hosts = in_touch.len() + 1;
         if in_touch.len() < self.settings.full_mesh_limit {
-            let tells = in_touch.iter().map(|peer| (peer.member.id.clone(), EQUAL));
-            return Plan { role: Role::Equal, hosts, tells: tells.collect(), relay: None };
+            let targets = in_touch.iter().map(|peer| (peer.member.id.clone(), EQUAL));
+            return Fanout { role: Role::Equal, hosts, targets: targets.collect(), relay: None };
         }
         let mut members: Vec<_> = in_touch.iter().map(|peer| (peer.ranks, &peer.member)).collect();
         members.push((self.ranks, &self.member));
@@ -213,18 +216,19 @@
             _ => Role::Member,
         };
         let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
-        // Whoever tells this host is answered, so that differing views of the groups do no harm.
+        // Whoever tells this host is answered, so that differing remote_tables of the groups do no harm.
         let lately = self.settings.grouped_heartbeat * 2;
-        let tell_this = in_touch.iter().filter(|p| p.asked.is_some_and(|at| now < at + lately));
-        let mut tells: BTreeMap<_, _> =
-            tell_this.map(|peer| (peer.member.id.clone(), MARKS_ONLY)).collect();
-        tells.extend(own.into_iter().flatten().map(|(_, one)| (one.id.clone(), scopes)));
+        let tell_this =
+            in_touch.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
+        let mut targets: BTreeMap<_, _> =
+            tell_this.map(|peer| (peer.member.id.clone(), NO_TABLES)).collect();
+        targets.extend(own.into_iter().flatten().map(|(_, one)| (one.id.clone(), scopes)));
         if role == Role::Relay {
             let relays = others.iter().filter_map(|group| self.relay(now, group));
-            tells.extend(relays.map(|id| (id, RELAY_TO_RELAY)));
+            targets.extend(relays.map(|id| (id, RELAY_TO_RELAY)));
         }
-        tells.remove(&self.member.id);
-        Plan { role, hosts, tells, relay }
+        targets.remove(&self.member.id);
+        Fanout { role, hosts, targets, relay }
     }
 
     /// The relay of a group: one that stays, if there is one.
@@ -241,12 +245,12 @@
 const EQUAL: &[Scope] = &[Scope::Own];
 const RELAY_TO_GROUP: &[Scope] = &[Scope::Own, Scope::Rest];
 const RELAY_TO_RELAY: &[Scope] = &[Scope::Group];
-const MARKS_ONLY: &[Scope] = &[];
+const NO_TABLES: &[Scope] = &[];
 
 type Ranked<'a> = (Ranks, &'a Member);
 
 /// Divides hosts into groups of one zone each. The first bits of a host's rank say which is its
-/// group, so that hosts with differing views of who is there place all others alike.
+/// group, so that hosts with differing remote_tables of who is there place all others alike.
 fn groups<'a>(members: &[Ranked<'a>], most: usize) -> Vec<Vec<Ranked<'a>>> {
     let mut zones = BTreeMap::<_, Vec<_>>::new();
     for (ranks, member) in members {
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -13,12 +13,12 @@
     fact::{Fact, Member, State},
     fanout::Ranks,
     link::Link,
-    view::View,
+    remote_table::RemoteTable,
     wire::{Run, Scope},
 };
 
 /// Packets of a replaced run after which it is believed to be the present one.
-const INSISTENCE: u32 = 3;
+const PACKETS_TO_REINSTATE: u32 = 3;
 
 #[derive(Debug)]
 pub(super) struct Peer {
@@ -26,13 +26,13 @@
     pub(super) ranks: Ranks,
     /// Packets that its run has sent, as far as is known.
     pub(super) count: u32,
-    pub(super) heard: Moment,
+    pub(super) last_received: Moment,
     /// When a digest came that wants an answer.
-    pub(super) asked: Option<Moment>,
+    pub(super) last_digest: Option<Moment>,
     /// Since when this host tells it.
-    pub(super) joined: Option<Moment>,
-    pub(super) pulse: Pulse,
-    pub(super) views: BTreeMap<Scope, View>,
+    pub(super) target_since: Option<Moment>,
+    pub(super) contact: Contact,
+    pub(super) remote_tables: BTreeMap<Scope, RemoteTable>,
     pub(super) link: Link,
     /// When it was last greeted.
     pub(super) greeted: Option<Moment>,
@@ -46,11 +46,11 @@
             ranks: Ranks::of(&member.id),
             member,
             count,
-            heard: now,
-            asked: None,
-            joined: None,
-            pulse: Pulse::default(),
-            views: BTreeMap::new(),
+            last_received: now,
+            last_digest: None,
+            target_since: None,
+            contact: Contact::default(),
+            remote_tables: BTreeMap::new(),
             link: Link::default(),
             greeted: Some(now),
             answered: None,
@@ -58,29 +58,32 @@
     }
 
     pub(super) fn is_silent(&self) -> bool {
-        self.pulse != Pulse::Felt
+        self.contact != Contact::Alive
     }
 
     /// Notes that it is among those that this host tells, or no longer; and whether it is silent.
-    pub(super) fn attend(&mut self, now: Moment, silence: Duration, company: Company) {
-        match company {
-            Company::Apart => {
-                self.joined = None;
-                if self.pulse == Pulse::Felt && self.heard + silence <= now {
-                    self.pulse = Pulse::Absent;
+    pub(super) fn update_contact(&mut self, now: Moment, silence: Duration, exchange: Exchange) {
+        match exchange {
+            Exchange::Keepalives => {
+                self.target_since = None;
+                if self.contact == Contact::Alive && self.last_received + silence <= now {
+                    self.contact = Contact::Absent;
                 }
             }
-            Company::Together => {
-                let joined = *self.joined.get_or_insert(now);
-                if joined.max(self.heard) + silence <= now {
-                    self.pulse = Pulse::Lapsed;
+            Exchange::Digests => {
+                let since = *self.target_since.get_or_insert(now);
+                if since.max(self.last_received) + silence <= now {
+                    self.contact = Contact::TimedOut;
                 }
             }
         }
     }
 
     pub(super) fn facts(&self, now: Moment, scope: Scope) -> impl Iterator<Item = &Fact> {
-        self.views.get(&scope).into_iter().flat_map(move |view| view.facts(now).map(|(f, _)| f))
+        self.remote_tables
+            .get(&scope)
+            .into_iter()
+            .flat_map(move |remote| remote.facts(now).map(|(f, _)| f))
     }
 
     /// What it says of its own work.
@@ -105,46 +108,46 @@
 
 /// Whether this host tells a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Company {
-    Together,
-    Apart,
+pub(super) enum Exchange {
+    Digests,
+    Keepalives,
 }
 
 /// Whether a host is there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Pulse {
+pub(super) enum Contact {
     #[default]
-    Felt,
+    Alive,
     /// This host told it and no longer hears it.
-    Lapsed,
+    TimedOut,
     /// This host does not tell it, and it was not heard for long, or a relay does not hear it.
     Absent,
 }
 
 /// A run that is over, as far as is known.
 #[derive(Debug)]
-struct Former {
+struct ReplacedRun {
     count: u32,
-    insisted: u32,
+    packets: u32,
     since: Moment,
 }
 
 /// What became of word from a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Word {
+pub(super) enum Freshness {
     /// From the present run of a known host, and new.
     New,
     /// Older than what was heard from it, or from a run that is over.
-    Old,
+    Stale,
     /// From a run that is not known.
-    Unknown,
+    UnknownRun,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Hosts {
     peers: BTreeMap<host::Id, Peer>,
     runs: BTreeMap<Run, host::Id>,
-    former: BTreeMap<Run, Former>,
+    replaced: BTreeMap<Run, ReplacedRun>,
 }
 
 impl Hosts {
@@ -177,31 +180,31 @@
     }
 
     /// Takes word from a run by its count.
-    pub(super) fn hear(&mut self, now: Moment, run: Run, count: u32) -> Word {
+    pub(super) fn observe(&mut self, now: Moment, run: Run, count: u32) -> Freshness {
         if let Some(peer) = self.by_run_mut(run) {
             if count <= peer.count {
-                return Word::Old;
+                return Freshness::Stale;
             }
             peer.count = count;
-            peer.heard = now;
-            peer.pulse = Pulse::Felt;
-            return Word::New;
+            peer.last_received = now;
+            peer.contact = Contact::Alive;
+            return Freshness::New;
         }
-        let Some(former) = self.former.get_mut(&run) else { return Word::Unknown };
+        let Some(former) = self.replaced.get_mut(&run) else { return Freshness::UnknownRun };
         if count <= former.count {
-            return Word::Old;
+            return Freshness::Stale;
         }
         former.count = count;
-        former.insisted += 1;
-        if former.insisted < INSISTENCE {
-            return Word::Old;
+        former.packets += 1;
+        if former.packets < PACKETS_TO_REINSTATE {
+            return Freshness::Stale;
         }
-        self.former.remove(&run);
-        Word::Unknown
+        self.replaced.remove(&run);
+        Freshness::UnknownRun
     }
 
     /// Takes who a host is from itself; the run that it replaces, if any.
-    pub(super) fn learn(&mut self, now: Moment, member: Member, count: u32) -> Option<Run> {
+    pub(super) fn register(&mut self, now: Moment, member: Member, count: u32) -> Option<Run> {
         if let Some(peer) = self.by_run_mut(member.run()) {
             peer.member = member;
             return None;
@@ -221,33 +224,35 @@
         let peer = self.peers.remove(id)?;
         let run = peer.member.run();
         self.runs.remove(&run);
-        self.former.insert(run, Former { count: peer.count, insisted: 0, since: now });
+        self.replaced.insert(run, ReplacedRun { count: peer.count, packets: 0, since: now });
         Some(run)
     }
 
     /// Takes from relays which hosts they do not hear, of those that this host does not tell.
-    pub(super) fn miss_absent(&mut self, now: Moment, silence: Duration) {
-        let views = self.peers.values().filter(|peer| !peer.is_silent());
-        let views = views.flat_map(|peer| peer.views.iter());
-        let relayed = views.filter(|(scope, _)| **scope != Scope::Own);
-        let facts = relayed.flat_map(|(_, view)| view.facts(now));
+    pub(super) fn mark_absent(&mut self, now: Moment, silence: Duration) {
+        let remote_tables = self.peers.values().filter(|peer| !peer.is_silent());
+        let remote_tables = remote_tables.flat_map(|peer| peer.remote_tables.iter());
+        let relayed = remote_tables.filter(|(scope, _)| **scope != Scope::Own);
+        let facts = relayed.flat_map(|(_, remote)| remote.facts(now));
         let absent = facts.filter_map(|(fact, _)| match fact {
             Fact::Absent(id, run) => Some((id.clone(), *run)),
             _ => None,
         });
         for (id, run) in absent.collect::<Vec<_>>() {
             let peer = self.peers.get_mut(&id).filter(|peer| peer.member.run() == run);
-            let peer = peer.filter(|peer| peer.joined.is_none() && peer.pulse == Pulse::Felt);
-            if let Some(peer) = peer.filter(|peer| peer.heard + silence <= now) {
-                peer.pulse = Pulse::Absent;
+            let peer =
+                peer.filter(|peer| peer.target_since.is_none() && peer.contact == Contact::Alive);
+            if let Some(peer) = peer.filter(|peer| peer.last_received + silence <= now) {
+                peer.contact = Contact::Absent;
             }
         }
     }
 
     /// Takes out hosts that were silent for too long.
     pub(super) fn forget(&mut self, now: Moment, settings: &Settings) -> Vec<Member> {
-        self.former.retain(|_, former| now < former.since + settings.forget_after);
-        let is_gone = |peer: &&Peer| peer.is_silent() && peer.heard + settings.forget_after <= now;
+        self.replaced.retain(|_, former| now < former.since + settings.forget_after);
+        let is_gone =
+            |peer: &&Peer| peer.is_silent() && peer.last_received + settings.forget_after <= now;
         let gone: Vec<_> =
             self.peers.values().filter(is_gone).map(|peer| peer.member.clone()).collect();
         for member in &gone {
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -5,9 +5,9 @@
 use types::time::Moment;
 
 use super::{
-    board::{Board, Room},
+    local_table::{LocalTable, SizeLimit},
     names::Names,
-    wire::{Edition, Mark, Scope, Table},
+    wire::{Delta, Edition, Mark, Scope},
 };
 
 /// Sent, acknowledged, and what this host still has to say.
@@ -15,8 +15,8 @@
 pub(super) struct Link {
     tables: [Progress; Scope::ALL.len()],
     /// When it was last told.
-    pub(super) told: Option<Moment>,
-    pub(super) debt: Debt,
+    pub(super) last_digest: Option<Moment>,
+    pub(super) pending_ack: PendingAck,
 }
 
 #[derive(Debug, Default)]
@@ -45,11 +45,11 @@
 
 /// What this host owes the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Debt {
+pub(super) enum PendingAck {
     #[default]
-    Nothing,
+    None,
     /// Word that its changes were read.
-    Receipt,
+    Read,
     /// Word that a datagram was lost.
     Gap,
 }
@@ -82,33 +82,33 @@
     }
 
     /// Whether there is something that it was not sent.
-    pub(super) fn lacks(&self, scope: Scope, board: &Board) -> bool {
-        self.tables[scope as usize].sent < board.last()
+    pub(super) fn lacks(&self, scope: Scope, local: &LocalTable) -> bool {
+        self.tables[scope as usize].sent < local.last()
     }
 
     /// What it was not sent yet, in this many bytes; taken for sent from now on.
-    pub(super) fn table(
+    pub(super) fn delta(
         &mut self,
         now: Moment,
         scope: Scope,
-        board: &mut Board,
-        room: Room,
-    ) -> Option<Table> {
+        local: &mut LocalTable,
+        room: SizeLimit,
+    ) -> Option<Delta> {
         let progress = &mut self.tables[scope as usize];
-        if board.last() <= progress.sent {
+        if local.last() <= progress.sent {
             return None;
         }
-        if progress.acked < board.floor() {
+        if progress.acked < local.floor() {
             // The reader starts over, unless word of what it read is still on its way.
             progress.names.clear();
         }
-        let table = board.table(now, scope, progress.sent, &progress.names, room);
-        if table.span == 0 {
+        let delta = local.delta(now, scope, progress.sent, &progress.names, room);
+        if delta.span == 0 {
             return None;
         }
-        progress.names.note(&table);
-        progress.sent += table.span;
+        progress.names.note(&delta);
+        progress.sent += delta.span;
         progress.open = progress.open.or(Some(now));
-        Some(table)
+        Some(delta)
     }
 }
--- a/crates/policy/src/fleet/board.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -13,46 +13,46 @@
 use super::{
     fact::{Fact, Key},
     names::{Name, Names},
-    wire::{self, Change, Edition, Extent, Line, Scope, Slot, Table},
+    wire::{self, Change, Delta, Edition, Extent, Line, Scope, Slot},
 };
 
 /// Largest fact; larger ones are not told.
-const FACT_BYTES: usize = 600;
+const MAX_FACT_BYTES: usize = 600;
 
 /// Most by which the time of a crash may seem to shift between two readings of it.
-const CRASH_SHIFT: Duration = Duration::from_secs(1);
+const CRASH_TIME_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// Most by which the time of a lease's renewal may seem to shift between two readings of one.
-const RENEWAL_SHIFT: Duration = Duration::from_millis(100);
+const RENEWAL_TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Bytes of a table without its lines, at the most.
-const TABLE_BYTES: usize = 40;
+/// Bytes of a table without its lines, at the max.
+const DELTA_HEAD_BYTES: usize = 40;
 
 /// Bytes that a table may take.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Room {
+pub(super) struct SizeLimit {
     /// If it has more than one line.
-    pub(super) usual: usize,
+    pub(super) normal: usize,
     /// In any case.
-    pub(super) most: usize,
+    pub(super) max: usize,
 }
 
-impl Room {
+impl SizeLimit {
     /// What is left after so many bytes.
-    pub(super) fn without(self, bytes: usize) -> Room {
-        let Room { usual, most } = self;
-        Room { usual: usual.saturating_sub(bytes), most: most.saturating_sub(bytes) }
+    pub(super) fn without(self, bytes: usize) -> SizeLimit {
+        let SizeLimit { normal, max } = self;
+        SizeLimit { normal: normal.saturating_sub(bytes), max: max.saturating_sub(bytes) }
     }
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Board {
+pub(super) struct LocalTable {
     entries: BTreeMap<Slot, Entry>,
     slots: BTreeMap<Key, Slot>,
     editions: BTreeMap<Edition, Slot>,
     last: Edition,
     /// The newest edition that any reader was sent.
-    told: Edition,
+    sent: Edition,
     next: Slot,
     floor: Edition,
 }
@@ -63,10 +63,10 @@
     /// None once it is dropped.
     fact: Option<Fact>,
     edition: Edition,
-    noted: Moment,
+    updated: Moment,
 }
 
-impl Board {
+impl LocalTable {
     /// The newest edition.
     pub(super) fn last(&self) -> Edition {
         self.last
@@ -79,7 +79,7 @@
 
     /// Facts that stand, and how old they are.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
-        let age = move |entry: &Entry| now.saturating_sub(entry.noted);
+        let age = move |entry: &Entry| now.saturating_sub(entry.updated);
         self.entries.values().filter_map(move |entry| Some((entry.fact.as_ref()?, age(entry))))
     }
 
@@ -88,13 +88,13 @@
         let key = fact.key();
         match self.slots.get(&key).copied() {
             Some(slot) => self.replace(now, slot, Some(fact)),
-            None if wire::size(&fact) > FACT_BYTES => {}
+            None if wire::size(&fact) > MAX_FACT_BYTES => {}
             None => self.add(now, key, fact),
         }
     }
 
     /// Tells no more of a key.
-    pub(super) fn drop(&mut self, now: Moment, key: &Key) {
+    pub(super) fn remove(&mut self, now: Moment, key: &Key) {
         if let Some(slot) = self.slots.get(key).copied() {
             self.replace(now, slot, None);
         }
@@ -107,8 +107,8 @@
     }
 
     /// Drops work that has been at rest for so long, and forgets drops that are as old.
-    pub(super) fn retire(&mut self, now: Moment, age: Duration) {
-        let is_old = |entry: &&Entry| entry.noted + age <= now;
+    pub(super) fn expire(&mut self, now: Moment, age: Duration) {
+        let is_old = |entry: &&Entry| entry.updated + age <= now;
         let at_rest = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_at_rest);
         let old = self.entries.values().filter(is_old);
         let (rested, others): (Vec<_>, Vec<_>) = old.partition(at_rest);
@@ -119,44 +119,44 @@
             self.forget(edition);
         }
         for key in rested {
-            self.drop(now, &key);
+            self.remove(now, &key);
         }
     }
 
     /// What stands above `from`, in this room, for a reader that knows these names; taken
     /// for told from now on.
-    pub(super) fn table(
+    pub(super) fn delta(
         &mut self,
         now: Moment,
         scope: Scope,
         from: Edition,
         names: &Names,
-        room: Room,
-    ) -> Table {
-        let mut room = room.without(TABLE_BYTES);
+        room: SizeLimit,
+    ) -> Delta {
+        let mut room = room.without(DELTA_HEAD_BYTES);
         let mut to = from;
         let mut lines = Vec::new();
-        let mut extent = Extent::Whole;
+        let mut extent = Extent::Complete;
         for (&edition, &slot) in self.editions.range(from.saturating_add(1)..) {
             let Some(entry) = self.entries.get(&slot) else { continue };
             let change = entry.change(now, names.get(slot));
             let line = Line { step: edition - to, slot, change };
             let size = wire::size(&line);
             // One line goes also where there is little room.
-            let left = if lines.is_empty() { room.most } else { room.usual };
+            let left = if lines.is_empty() { room.max } else { room.normal };
             if left < size {
-                extent = Extent::Part;
+                extent = Extent::Partial;
                 break;
             }
             room = room.without(size);
             to = edition;
             lines.push(line);
         }
-        if extent == Extent::Whole {
+        if extent == Extent::Complete {
             to = self.last.max(from);
         }
-        self.told = self.told.max(to);
-        Table { scope, floor: self.floor, from, span: to - from, extent, lines }
+        self.sent = self.sent.max(to);
+        Delta { scope, floor: self.floor, from, span: to - from, extent, lines }
     }
 
     fn add(&mut self, now: Moment, key: Key, fact: Fact) {
@@ -165,18 +165,18 @@
         self.last = edition;
         self.slots.insert(key.clone(), slot);
         self.editions.insert(edition, slot);
-        let entry = Entry { key, fact: Some(fact), edition, noted: now };
+        let entry = Entry { key, fact: Some(fact), edition, updated: now };
         self.entries.insert(slot, entry);
     }
 
     fn replace(&mut self, now: Moment, slot: Slot, fact: Option<Fact>) {
         let Some(entry) = self.entries.get_mut(&slot) else { return };
-        if entry.says(now, fact.as_ref()) {
+        if entry.matches(now, fact.as_ref()) {
             return;
         }
         entry.fact = fact;
-        entry.noted = now;
-        if entry.edition > self.told {
+        entry.updated = now;
+        if entry.edition > self.sent {
             return;
         }
         self.last += 1;
@@ -196,28 +196,28 @@
 
 impl Entry {
     /// Whether it says so already.
-    fn says(&self, now: Moment, fact: Option<&Fact>) -> bool {
+    fn matches(&self, now: Moment, fact: Option<&Fact>) -> bool {
         match (&self.fact, fact) {
             (Some(Fact::Lease(old)), Some(Fact::Lease(new))) => {
-                let aged = old.age + now.saturating_sub(self.noted);
+                let aged = old.age + now.saturating_sub(self.updated);
                 (&old.holder, old.fence) == (&new.holder, new.fence)
-                    && aged.abs_diff(new.age) <= RENEWAL_SHIFT
+                    && aged.abs_diff(new.age) <= RENEWAL_TIME_TOLERANCE
             }
             (Some(Fact::Crash(old)), Some(Fact::Crash(new))) => {
-                let aged = old.age + now.saturating_sub(self.noted);
+                let aged = old.age + now.saturating_sub(self.updated);
                 Crash { age: new.age, ..old.clone() } == *new
-                    && aged.abs_diff(new.age) <= CRASH_SHIFT
+                    && aged.abs_diff(new.age) <= CRASH_TIME_TOLERANCE
             }
             (old, new) => old.as_ref() == new,
         }
     }
 
     fn change(&self, now: Moment, name: Name) -> Change {
-        let Some(fact) = &self.fact else { return Change::Dropped };
+        let Some(fact) = &self.fact else { return Change::Removed };
         match fact.numbers().filter(|_| name == Name::Known) {
             Some((first, 0)) => Change::One(first),
             Some((first, second)) => Change::Two(first, second),
-            None => Change::Fact(fact.aged(now.saturating_sub(self.noted))),
+            None => Change::Fact(fact.aged(now.saturating_sub(self.updated))),
         }
     }
 }
--- a/crates/policy/src/fleet/names.rs
+++ b/crates/policy/src/fleet/names.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use super::wire::{Change, Edition, Slot, Table};
+use super::wire::{Change, Delta, Edition, Slot};
 
 /// Whether a reader can tell what a slot stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,15 +47,15 @@
     }
 
     /// Notes what a table names, and what it drops.
-    pub(super) fn note(&mut self, table: &Table) {
-        let mut edition = table.from;
-        for line in &table.lines {
+    pub(super) fn note(&mut self, delta: &Delta) {
+        let mut edition = delta.from;
+        for line in &delta.lines {
             edition += line.step;
             match &line.change {
                 Change::Fact(fact) if fact.numbers().is_some() => {
                     self.sent.entry(line.slot).or_insert(edition);
                 }
-                Change::Dropped => {
+                Change::Removed => {
                     self.sent.remove(&line.slot);
                 }
                 Change::Fact(_) | Change::One(_) | Change::Two(..) => {}
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -27,19 +27,19 @@
 };
 
 /// Times that a notice is sent, at the most.
-const TRIES: u32 = 5;
+const MAX_SENDS: u32 = 5;
 
 /// Pause before a notice is sent again; doubled each time.
-const PAUSE: Duration = Duration::from_millis(50);
+const FIRST_RESEND_DELAY: Duration = Duration::from_millis(50);
 
 /// Most notices that wait to be acknowledged.
-const MOST_WAITING: usize = 4_096;
+const MAX_WAITING: usize = 4_096;
 
 /// The least address.
-const FIRST: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const MIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Numbers below the highest one that are remembered one by one.
-const WINDOW: u64 = u128::BITS as u64;
+const WINDOW_BITS: u64 = u128::BITS as u64;
 
 /// News that can't wait.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -122,7 +122,7 @@
 #[derive(Debug)]
 struct Waiting {
     item: Item,
-    tries: u32,
+    sends: u32,
     next: Moment,
 }
 
@@ -156,7 +156,7 @@
 
 impl Outbox {
     pub(super) fn push(&mut self, now: Moment, target: Target, item: Item) {
-        if self.length >= MOST_WAITING {
+        if self.length >= MAX_WAITING {
             self.lost += 1;
             return;
         }
@@ -166,7 +166,7 @@
             .entry(target)
             .or_insert_with(|| Queue { waiting: Vec::new(), earliest: now });
         queue.earliest = queue.earliest.min(now);
-        queue.waiting.push(Waiting { item, tries: 0, next: now });
+        queue.waiting.push(Waiting { item, sends: 0, next: now });
     }
 
     /// When the next one is due.
@@ -180,35 +180,35 @@
         for (_, queue) in self.of(run) {
             queue.waiting.retain(|one| !is_taken(one));
         }
-        self.tidy();
+        self.remove_empty();
     }
 
     /// Gives up on what is meant for a run that is over.
     pub(super) fn abandon(&mut self, run: Run) {
         self.queues.retain(|target, _| target.run != run);
-        self.tidy();
+        self.remove_empty();
     }
 
-    /// What is due, in lots that fit a datagram.
+    /// What is due, in batches that fit a datagram.
     pub(super) fn due(&mut self, now: Moment) -> Vec<(SocketAddr, Vec<Item>)> {
-        let mut lots = Vec::new();
+        let mut batches = Vec::new();
         for (target, queue) in self.queues.iter_mut().filter(|(_, queue)| queue.earliest <= now) {
             let before = queue.waiting.len();
-            queue.waiting.retain(|one| now < one.next || one.tries < TRIES);
+            queue.waiting.retain(|one| now < one.next || one.sends < MAX_SENDS);
             self.lost += (before - queue.waiting.len()) as u64;
-            lots.extend(pack(queue.due(now)).into_iter().map(|lot| (target.address, lot)));
+            batches.extend(pack(queue.due(now)).into_iter().map(|batch| (target.address, batch)));
         }
-        self.tidy();
-        lots
+        self.remove_empty();
+        batches
     }
 
     /// Queues for a run: one for each address that it was known at.
     fn of(&mut self, run: Run) -> impl Iterator<Item = (&Target, &mut Queue)> {
-        let first = Target { run, address: FIRST };
+        let first = Target { run, address: MIN_ADDRESS };
         self.queues.range_mut(first..).take_while(move |(target, _)| target.run == run)
     }
 
-    fn tidy(&mut self) {
+    fn remove_empty(&mut self) {
         self.queues.retain(|_, queue| !queue.waiting.is_empty());
         self.length = self.queues.values().map(|queue| queue.waiting.len()).sum();
     }
@@ -219,8 +219,8 @@
     fn due(&mut self, now: Moment) -> Vec<Item> {
         let due = self.waiting.iter_mut().filter(|one| one.next <= now);
         let items = due.map(|one| {
-            one.next = now + PAUSE * 2_u32.saturating_pow(one.tries);
-            one.tries += 1;
+            one.next = now + FIRST_RESEND_DELAY * 2_u32.saturating_pow(one.sends);
+            one.sends += 1;
             one.item.clone()
         });
         let items = items.collect();
@@ -229,46 +229,46 @@
     }
 }
 
-/// Puts things into lots that each fit a datagram.
+/// Puts things into batches that each fit a datagram.
 pub(super) fn pack<T: Serialize>(items: impl IntoIterator<Item = T>) -> Vec<Vec<T>> {
     const ROOM: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
-    let (mut lots, mut left) = (Vec::<Vec<T>>::new(), 0);
+    let (mut batches, mut left) = (Vec::<Vec<T>>::new(), 0);
     for item in items {
         let size = wire::size(&item);
-        match lots.last_mut() {
-            Some(lot) if size <= left => {
+        match batches.last_mut() {
+            Some(batch) if size <= left => {
                 left -= size;
-                lot.push(item);
+                batch.push(item);
             }
             _ => {
                 left = ROOM.saturating_sub(size);
-                lots.push(vec![item]);
+                batches.push(vec![item]);
             }
         }
     }
-    lots
+    batches
 }
 
 /// Which notices of a run were seen.
 #[derive(Debug, Default)]
 pub(super) struct Window {
-    top: Number,
+    highest: Number,
     /// Bit n stands for the number n below the top.
     seen: u128,
-    pub(super) used: Moment,
+    pub(super) last_used: Moment,
 }
 
 impl Window {
     /// Whether this is the first sight of a number; too old ones count as seen.
     pub(super) fn is_first(&mut self, number: Number) -> bool {
-        if number > self.top || self.seen == 0 {
-            let shift = number.saturating_sub(self.top);
-            self.seen = if shift < WINDOW { self.seen << shift } else { 0 } | 1;
-            self.top = number;
+        if number > self.highest || self.seen == 0 {
+            let shift = number.saturating_sub(self.highest);
+            self.seen = if shift < WINDOW_BITS { self.seen << shift } else { 0 } | 1;
+            self.highest = number;
             return true;
         }
-        let below = self.top - number;
-        if below >= WINDOW || self.seen & (1 << below) != 0 {
+        let below = self.highest - number;
+        if below >= WINDOW_BITS || self.seen & (1 << below) != 0 {
             return false;
         }
         self.seen |= 1 << below;
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -6,19 +6,19 @@
 
 use super::{
     Fleet, ReceivedNotice,
-    hosts::Word,
-    link::Debt,
+    hosts::Freshness,
+    link::PendingAck,
     notice::{self, Notice, Target},
-    tell::HELLO_BYTES,
-    view::View,
-    wire::{self, Body, Digest, Hello, Item, Mark, Run, Wish},
+    remote_table::RemoteTable,
+    send::HELLO_BYTES,
+    wire::{self, Body, Digest, Hello, Item, Mark, Reply, Run},
 };
 
 /// Pause between two greetings to one host, and between two answers.
 const GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Most runs whose notices are told apart.
-const MOST_WINDOWS: usize = 4_096;
+const MAX_WINDOWS: usize = 4_096;
 
 impl Fleet {
     /// Takes a datagram; the notices in it that are new here.
@@ -38,22 +38,22 @@
                 if self.take_digest(now, from, run, count, digest)
                     && let Some(peer) = self.hosts.by_run_mut(run)
                 {
-                    peer.asked = Some(now);
+                    peer.last_digest = Some(now);
                 }
             }
             Body::Answer(digest) => {
                 self.take_digest(now, from, run, count, digest);
             }
-            Body::Here if self.hosts.hear(now, run, count) == Word::Unknown => {
-                self.on_stranger(now, from);
+            Body::Keepalive if self.hosts.observe(now, run, count) == Freshness::UnknownRun => {
+                self.on_unknown_run(now, from);
             }
-            Body::Here => {}
+            Body::Keepalive => {}
             Body::Hello(hello) if hello.member.id == self.member.id => {}
             Body::Hello(hello) => self.on_hello(now, run, count, hello),
             Body::Notices(items) => return self.on_notices(now, from, run, items),
             Body::Acks(taken) => self.outbox.acknowledge(run, &taken),
             Body::Bye => self.on_bye(now, run, count),
-            Body::Once(notice) => return self.on_once(now, from, run, notice),
+            Body::OneShot(notice) => return self.on_one_shot(now, from, run, notice),
         }
         Vec::new()
     }
@@ -67,67 +67,67 @@
         count: u32,
         digest: Digest,
     ) -> bool {
-        match self.hosts.hear(now, run, count) {
-            Word::Old => return false,
-            Word::Unknown => {
-                self.on_stranger(now, from);
+        match self.hosts.observe(now, run, count) {
+            Freshness::Stale => return false,
+            Freshness::UnknownRun => {
+                self.on_unknown_run(now, from);
                 return false;
             }
-            Word::New => {}
+            Freshness::New => {}
         }
         let is_meant = digest.to == wire::tail(self.member.run());
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
         if !is_meant {
             // It takes this host for a run of it that is over.
-            let is_soon = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
-            peer.greeted = if is_soon { peer.greeted } else { Some(now) };
+            let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
+            peer.greeted = if is_recent { peer.greeted } else { Some(now) };
             let address = peer.member.address;
-            if !is_soon {
-                self.greet(address, Wish::Nothing);
+            if !is_recent {
+                self.greet(address, Reply::None);
             }
             return false;
         }
         for (scope, mark) in digest.marks {
             peer.link.acknowledge(now, scope, mark);
         }
-        for table in digest.tables {
-            let scope = table.scope;
-            let view = peer.views.entry(scope).or_insert_with(View::default);
-            let news = view.take(now, table);
-            let debt = match view.mark() {
-                Mark::Gap(_) => Debt::Gap,
-                Mark::Read(_) => Debt::Receipt,
+        for delta in digest.deltas {
+            let scope = delta.scope;
+            let remote = peer.remote_tables.entry(scope).or_insert_with(RemoteTable::default);
+            let increments = remote.merge(now, delta);
+            let pending_ack = match remote.mark() {
+                Mark::Gap(_) => PendingAck::Gap,
+                Mark::Read(_) => PendingAck::Read,
             };
-            peer.link.debt = peer.link.debt.max(debt);
-            self.sums.take(&peer.member.id, scope, news);
+            peer.link.pending_ack = peer.link.pending_ack.max(pending_ack);
+            self.counters.take(&peer.member.id, scope, increments);
         }
         true
     }
 
-    fn on_stranger(&mut self, now: Moment, from: SocketAddr) {
+    fn on_unknown_run(&mut self, now: Moment, from: SocketAddr) {
         if self.hosts.has_address(from) {
             // The host that is known there runs anew.
-            self.greet(from, Wish::Identity);
+            self.greet(from, Reply::Identity);
         } else {
-            self.candidates.try_out(now, from);
+            self.candidates.add_temporary(now, from);
         }
     }
 
     fn on_hello(&mut self, now: Moment, run: Run, count: u32, hello: Hello) {
-        if run != hello.member.run() || self.hosts.hear(now, run, count) == Word::Old {
+        if run != hello.member.run() || self.hosts.observe(now, run, count) == Freshness::Stale {
             return;
         }
         let id = hello.member.id.clone();
         let is_first = self.hosts.by_run(run).is_none();
-        if let Some(replaced) = self.hosts.learn(now, hello.member, count) {
+        if let Some(replaced) = self.hosts.register(now, hello.member, count) {
             self.outbox.abandon(replaced);
         }
         for other in hello.known.into_iter().filter(|other| other.id != self.member.id) {
             if self.hosts.by_run(other.run()).is_none() {
-                self.candidates.try_out(now, other.address);
+                self.candidates.add_temporary(now, other.address);
             }
         }
-        if hello.wish == Wish::Nothing || !(is_first || self.may_answer(now)) {
+        if hello.reply == Reply::None || !(is_first || self.may_answer(now)) {
             return;
         }
         let Some(peer) = self.hosts.get_mut(&id) else { return };
@@ -136,17 +136,17 @@
         }
         peer.answered = Some(now);
         let address = peer.member.address;
-        match hello.wish {
-            Wish::Everyone => self.introduce_others(address),
-            Wish::Identity | Wish::Nothing => self.greet(address, Wish::Nothing),
+        match hello.reply {
+            Reply::Members => self.introduce_others(address),
+            Reply::Identity | Reply::None => self.greet(address, Reply::None),
         }
         if !is_first {
-            self.answer_purse.spend(HELLO_BYTES);
+            self.answer_bucket.spend(HELLO_BYTES);
         }
     }
 
-    /// Takes a notice that is sent once. It may be older than what was heard since: whoever reads it tells.
-    fn on_once(
+    /// Takes a notice that is sent once. It may be older than what was heard since: whoever reads it targets.
+    fn on_one_shot(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -154,14 +154,14 @@
         notice: Notice,
     ) -> Vec<ReceivedNotice> {
         let Some(peer) = self.hosts.by_run(run) else {
-            self.on_stranger(now, from);
+            self.on_unknown_run(now, from);
             return Vec::new();
         };
         vec![ReceivedNotice { origin: Some(peer.member.id.clone()), via: from, notice }]
     }
 
     fn on_bye(&mut self, now: Moment, run: Run, count: u32) {
-        if self.hosts.hear(now, run, count) != Word::New {
+        if self.hosts.observe(now, run, count) != Freshness::New {
             return;
         }
         let Some(id) = self.hosts.by_run(run).map(|peer| peer.member.id.clone()) else { return };
@@ -177,29 +177,29 @@
         items: Vec<Item>,
     ) -> Vec<ReceivedNotice> {
         let taken = items.iter().map(|item| (item.origin, item.number));
-        for lot in notice::pack(taken) {
-            self.put(from, Body::Acks(lot));
+        for batch in notice::pack(taken) {
+            self.put(from, Body::Acks(batch));
         }
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         for item in items {
             if item.origin == self.member.run() || !self.is_first(now, &item) {
                 continue;
             }
             let origin = self.hosts.by_run(item.origin).map(|peer| peer.member.id.clone());
-            heard.push(ReceivedNotice { origin, via: from, notice: item.notice.clone() });
-            self.pass_on(now, run, &item);
+            received.push(ReceivedNotice { origin, via: from, notice: item.notice.clone() });
+            self.forward(now, run, &item);
         }
         self.flush_notices(now);
-        heard
+        received
     }
 
     fn is_first(&mut self, now: Moment, item: &Item) -> bool {
-        if self.windows.len() >= MOST_WINDOWS {
+        if self.windows.len() >= MAX_WINDOWS {
             let horizon = self.settings.forget_after;
-            self.windows.retain(|_, window| now < window.used + horizon);
+            self.windows.retain(|_, window| now < window.last_used + horizon);
         }
         let window = self.windows.entry(item.origin).or_default();
-        window.used = now;
+        window.last_used = now;
         window.is_first(item.number)
     }
 
--- a/crates/policy/src/fleet/view.rs
+++ b/crates/policy/src/fleet/remote_table.rs
@@ -9,21 +9,21 @@
 
 use super::{
     fact::{Fact, Key},
-    wire::{Change, Edition, Extent, Mark, Slot, Table},
+    wire::{Change, Delta, Edition, Extent, Mark, Slot},
 };
 
 #[derive(Debug, Default)]
-pub(super) struct View {
+pub(super) struct RemoteTable {
     facts: BTreeMap<Slot, (Fact, Moment)>,
     read: Edition,
-    joint: Joint,
+    continuity: Continuity,
     history: History,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Joint {
+enum Continuity {
     #[default]
-    Joined,
+    Contiguous,
     Gap,
 }
 
@@ -37,81 +37,89 @@
 
 /// What a table brought.
 #[derive(Debug, Default, PartialEq)]
-pub(super) struct News {
+pub(super) struct Increments {
     /// By how much each rising count rose.
-    pub(super) rises: Vec<(Key, u64)>,
+    pub(super) counters: Vec<(Key, u64)>,
 }
 
-impl View {
+impl RemoteTable {
     /// Facts, and how old they are.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
-        self.facts.values().map(move |(fact, noted)| (fact, now.saturating_sub(*noted)))
+        self.facts.values().map(move |(fact, updated)| (fact, now.saturating_sub(*updated)))
     }
 
     /// How far it was read.
     pub(super) fn mark(&self) -> Mark {
-        match self.joint {
-            Joint::Joined => Mark::Read(self.read),
-            Joint::Gap => Mark::Gap(self.read),
+        match self.continuity {
+            Continuity::Contiguous => Mark::Read(self.read),
+            Continuity::Gap => Mark::Gap(self.read),
         }
     }
 
     /// Takes changes that join up with what was read.
-    pub(super) fn take(&mut self, now: Moment, table: Table) -> News {
-        let Some(end) = table.from.checked_add(table.span) else { return News::default() };
-        if 0 < self.read && self.read < table.floor {
+    pub(super) fn merge(&mut self, now: Moment, delta: Delta) -> Increments {
+        let Some(end) = delta.from.checked_add(delta.span) else { return Increments::default() };
+        if 0 < self.read && self.read < delta.floor {
             // What was dropped meanwhile is no longer told.
-            *self = View::default();
+            *self = RemoteTable::default();
         }
-        if table.from > self.read {
-            self.joint = Joint::Gap;
-            return News::default();
+        if delta.from > self.read {
+            self.continuity = Continuity::Gap;
+            return Increments::default();
         }
-        self.joint = Joint::Joined;
+        self.continuity = Continuity::Contiguous;
         if end <= self.read {
-            return News::default();
+            return Increments::default();
         }
-        let mut news = News::default();
-        let mut edition = table.from;
-        for line in table.lines {
+        let mut increments = Increments::default();
+        let mut edition = delta.from;
+        for line in delta.lines {
             edition = edition.saturating_add(line.step);
-            if edition > self.read && !self.apply(now, line.slot, line.change, &mut news) {
-                self.joint = Joint::Gap;
-                return news;
+            if edition > self.read
+                && !self.apply_change(now, line.slot, line.change, &mut increments)
+            {
+                self.continuity = Continuity::Gap;
+                return increments;
             }
         }
         self.read = end;
-        if table.extent == Extent::Whole {
+        if delta.extent == Extent::Complete {
             self.history = History::Read;
         }
-        news
+        increments
     }
 
     /// Takes a change; false if it is about a fact that was never told.
-    fn apply(&mut self, now: Moment, slot: Slot, change: Change, news: &mut News) -> bool {
+    fn apply_change(
+        &mut self,
+        now: Moment,
+        slot: Slot,
+        change: Change,
+        increments: &mut Increments,
+    ) -> bool {
         let (first, second) = match change {
             Change::One(first) => (first, 0),
             Change::Two(first, second) => (first, second),
             Change::Fact(fact) => {
-                self.put(now, slot, fact, news);
+                self.put(now, slot, fact, increments);
                 return true;
             }
-            Change::Dropped => {
+            Change::Removed => {
                 self.facts.remove(&slot);
                 return true;
             }
         };
-        let Some((fact, noted)) = self.facts.get_mut(&slot) else { return false };
+        let Some((fact, updated)) = self.facts.get_mut(&slot) else { return false };
         let before = fact.total();
-        *noted = now;
+        *updated = now;
         let has_numbers = fact.set_numbers(first, second);
         if let Some((before, after)) = before.zip(fact.total()).filter(|(old, new)| old < new) {
-            news.rises.push((fact.key(), after - before));
+            increments.counters.push((fact.key(), after - before));
         }
         has_numbers
     }
 
-    fn put(&mut self, now: Moment, slot: Slot, fact: Fact, news: &mut News) {
+    fn put(&mut self, now: Moment, slot: Slot, fact: Fact, increments: &mut Increments) {
         let former = self.facts.get(&slot).filter(|(former, _)| former.key() == fact.key());
         let before = match (former, self.history) {
             (Some((former, _)), _) => former.total(),
@@ -120,7 +128,7 @@
             (None, History::Read) => Some(0),
         };
         if let Some((before, after)) = before.zip(fact.total()).filter(|(old, new)| old < new) {
-            news.rises.push((fact.key(), after - before));
+            increments.counters.push((fact.key(), after - before));
         }
         self.facts.insert(slot, (fact, now));
     }
--- /dev/null
+++ b/crates/policy/src/fleet/send.rs
@@ -0,0 +1,328 @@
+//! What goes out, and when.
+
+use std::{net::SocketAddr, time::Duration};
+
+use types::{host, time::Moment};
+
+use super::{
+    Fleet,
+    candidates::Attempt,
+    fact::Member,
+    fanout::Fanout,
+    hosts::{Exchange, Peer},
+    link::PendingAck,
+    local_table::SizeLimit,
+    notice::{self, Target},
+    wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
+};
+
+/// Between two rounds in which one host hears of some others.
+pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Pause between two greetings to a silent host.
+const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
+
+/// Pause between two greetings to a host that is about to be taken for silent.
+const MISSED_GREETING_PAUSE: Duration = Duration::from_millis(200);
+
+/// Seconds for which what was not spent may still be.
+const BURST_SECONDS: f64 = 0.25;
+
+/// Bytes of a sign of life on the network.
+const KEEPALIVE_BYTES: usize = 41;
+
+/// Bytes of a greeting without the network's headers, about.
+pub(super) const HELLO_BYTES: usize = 60;
+
+/// Share of the budget that signs of life may take.
+const KEEPALIVE_SHARE: f64 = 0.25;
+
+/// Share of the budget that greetings may take in a large deployment, but for first ones; and
+/// answers to them as much again.
+const GREETING_SHARE: f64 = 0.1;
+
+/// Rounds after which a host that is not told is silent.
+const MISSED_KEEPALIVES: u32 = 4;
+
+/// Bytes that the network's own headers add to a datagram.
+const NETWORK_BYTES: usize = 28;
+
+/// What may still be spent in a large deployment.
+#[derive(Debug)]
+pub(super) struct TokenBucket {
+    left: f64,
+    rate: f64,
+    filled: Moment,
+}
+
+impl TokenBucket {
+    pub(super) fn new(now: Moment) -> TokenBucket {
+        TokenBucket { left: 0.0, rate: 0.0, filled: now }
+    }
+
+    fn has_tokens(&self) -> bool {
+        self.left > 0.0
+    }
+
+    /// Takes what a datagram costs; a pending_ack never grows beyond a second's worth.
+    pub(super) fn spend(&mut self, bytes: usize) {
+        self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
+    }
+
+    /// Takes so many bytes a second from now on.
+    fn fill(&mut self, now: Moment, rate: f64) {
+        self.rate = rate;
+        let span = now.saturating_sub(self.filled).as_secs_f64();
+        self.left = (self.left + span * self.rate).min(self.rate * BURST_SECONDS);
+        self.filled = now;
+    }
+}
+
+impl Fleet {
+    /// Does what is due.
+    pub fn tick(&mut self, now: Moment) {
+        if self.next_tick <= now {
+            self.next_tick = (self.next_tick + self.fanout.tick(&self.settings)).max(now);
+            self.publish_store(now);
+            self.clean(now);
+            let fanout = self.compute_fanout(now);
+            self.update_contacts(now, &fanout);
+            self.aggregate(now, &fanout);
+            self.send_digests(now, &fanout);
+            self.greet_candidates(now, &fanout);
+            self.greet_missed(now, &fanout);
+            self.send_keepalives(now, &fanout);
+            self.fanout = fanout;
+            self.introduce_in_turn(now);
+        }
+        self.flush_notices(now);
+    }
+
+    fn clean(&mut self, now: Moment) {
+        for member in self.hosts.forget(now, &self.settings) {
+            self.outbox.abandon(member.run());
+            self.candidates.add_temporary(now, member.address);
+        }
+        let horizon = self.settings.forget_after;
+        self.local_tables.iter_mut().for_each(|local| local.expire(now, horizon));
+    }
+
+    fn send_digests(&mut self, now: Moment, fanout: &Fanout) {
+        let settings = &self.settings;
+        let heartbeat = fanout.heartbeat(settings);
+        let told = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
+        // Others answer in rounds of their own, which are about as late.
+        let oldest = told.min().map_or(Duration::ZERO, |told| now.saturating_sub(told));
+        let resend = fanout.resend(settings) + oldest.saturating_sub(heartbeat) * 2;
+        let room = fanout.delta_bytes(settings);
+        let slack = fanout.tick(settings) / 4;
+        let mut due = Vec::new();
+        for (id, scopes) in fanout.targets() {
+            let Some(peer) = self.hosts.get_mut(id) else { continue };
+            peer.link.resend(now, resend);
+            let has_news = peer.link.pending_ack >= fanout.urgent_ack()
+                || scopes.iter().any(|&s| peer.link.lacks(s, &self.local_tables[s as usize]));
+            let wait = match has_news {
+                true => fanout.interval(settings, &self.member.zone, &peer.member.zone),
+                false => heartbeat,
+            };
+            if peer.link.last_digest.is_none_or(|told| told + wait <= now + slack) {
+                due.push((peer.link.last_digest, id.clone(), scopes));
+            }
+        }
+        due.sort();
+        self.digest_bucket.fill(now, fanout.budget(&self.settings));
+        for (_, id, scopes) in due {
+            if fanout.is_grouped() && !self.digest_bucket.has_tokens() {
+                break;
+            }
+            self.send_digest(now, &id, scopes, room);
+        }
+    }
+
+    fn send_digest(&mut self, now: Moment, id: &host::Id, scopes: &[Scope], room: usize) {
+        let Some(peer) = self.hosts.get_mut(id) else { return };
+        let marks: Vec<_> =
+            peer.remote_tables.iter().map(|(scope, remote)| (*scope, remote.mark())).collect();
+        let mut room = SizeLimit { normal: room, max: DATAGRAM_BYTES - HEAD_BYTES };
+        let mut deltas = Vec::new();
+        for &scope in scopes {
+            let local = &mut self.local_tables[scope as usize];
+            let Some(delta) = peer.link.delta(now, scope, local, room) else { continue };
+            room = room.without(wire::size(&delta));
+            deltas.push(delta);
+        }
+        peer.link.last_digest = Some(now);
+        peer.link.pending_ack = PendingAck::None;
+        let to = wire::tail(peer.member.run());
+        let address = peer.member.address;
+        let digest = Digest { to, marks, deltas };
+        // Two hosts that only answer each other would never stop.
+        let body = if scopes.is_empty() { Body::Answer(digest) } else { Body::Digest(digest) };
+        self.put(address, body);
+    }
+
+    /// Notes who is told from now on, and who is no longer heard.
+    fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
+        let silence = fanout.silence(&self.settings);
+        let keepalive_silence = self.keepalive_round(fanout) * MISSED_KEEPALIVES;
+        for peer in self.hosts.iter_mut() {
+            match fanout.has(&peer.member.id) {
+                true => peer.update_contact(now, silence, Exchange::Digests),
+                false => peer.update_contact(now, keepalive_silence, Exchange::Keepalives),
+            }
+        }
+    }
+
+    /// Time in which each host that is not told gets a sign of life, within a share of the budget.
+    fn keepalive_round(&self, fanout: &Fanout) -> Duration {
+        let far = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
+        let share = fanout.budget(&self.settings) * KEEPALIVE_SHARE;
+        let span = Duration::from_secs_f64((far * KEEPALIVE_BYTES) as f64 / share.max(1.0));
+        span.max(self.settings.keepalive_interval)
+    }
+
+    fn greet_candidates(&mut self, now: Moment, fanout: &Fanout) {
+        self.greeting_bucket.fill(now, fanout.budget(&self.settings) * GREETING_SHARE);
+        let (hosts, own) = (&self.hosts, self.member.address);
+        let is_known = |address| address == own || hosts.has_address(address);
+        let again = match fanout.is_grouped() {
+            true => usize::from(self.greeting_bucket.has_tokens()),
+            false => usize::MAX,
+        };
+        for (address, reply, which) in self.candidates.due(now, again, is_known) {
+            self.greet(address, reply);
+            if which == Attempt::Repeat {
+                self.greeting_bucket.spend(HELLO_BYTES);
+            }
+        }
+    }
+
+    /// Greets hosts that are missed, the longest ungreeted first.
+    fn greet_missed(&mut self, now: Moment, fanout: &Fanout) {
+        let silence = fanout.silence(&self.settings);
+        let is_due = |peer: &&Peer| {
+            let pause = greeting_pause(now, silence, peer);
+            pause.is_some_and(|pause| peer.greeted.is_none_or(|at| at + pause <= now))
+        };
+        let due = self.hosts.iter().filter(is_due);
+        let mut due: Vec<_> = due.map(|peer| (peer.greeted, peer.member.id.clone())).collect();
+        due.sort();
+        for (_, id) in due {
+            if fanout.is_grouped() && !self.greeting_bucket.has_tokens() {
+                return;
+            }
+            let Some(peer) = self.hosts.get_mut(&id) else { continue };
+            peer.greeted = Some(now);
+            let address = peer.member.address;
+            self.greet(address, Reply::Identity);
+            self.greeting_bucket.spend(HELLO_BYTES);
+        }
+    }
+
+    /// Hosts that this one does not tell get a sign of life now and then.
+    fn send_keepalives(&mut self, now: Moment, fanout: &Fanout) {
+        let round = self.keepalive_round(fanout);
+        let pace = fanout.tick(&self.settings).as_secs_f64() / round.as_secs_f64();
+        let far = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
+        let mut far: Vec<_> = far.collect();
+        let most = (far.len() as f64 * pace).ceil() as usize;
+        far.sort_by_key(|peer| peer.greeted);
+        let due = far.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
+        let addresses: Vec<_> = due
+            .take(most)
+            .map(|peer| {
+                peer.greeted = Some(now);
+                peer.member.address
+            })
+            .collect();
+        addresses.into_iter().for_each(|address| self.put(address, Body::Keepalive));
+    }
+
+    /// One host in turn hears of some of the others, in case that it never met them.
+    fn introduce_in_turn(&mut self, now: Moment) {
+        if now < self.next_introduction {
+            return;
+        }
+        self.next_introduction = now + INTRODUCTION_INTERVAL;
+        self.introductions += 1;
+        let live = self.live_members();
+        let batches = notice::pack(live.iter().cloned());
+        let Some(target) = live.get(self.introductions % live.len().max(1)) else { return };
+        let known = batches
+            .get(self.introductions / live.len() % batches.len())
+            .cloned()
+            .unwrap_or_default();
+        let hello = Hello { member: self.member.clone(), reply: Reply::None, known };
+        self.put(target.address, Body::Hello(hello));
+    }
+
+    /// Whether there is budget to answer a host that is known.
+    pub(super) fn may_answer(&mut self, now: Moment) -> bool {
+        self.answer_bucket.fill(now, self.fanout.budget(&self.settings) * GREETING_SHARE);
+        !self.fanout.is_grouped() || self.answer_bucket.has_tokens()
+    }
+
+    /// Says who this host is.
+    pub(super) fn greet(&mut self, address: SocketAddr, reply: Reply) {
+        let hello = Hello { member: self.member.clone(), reply, known: Vec::new() };
+        self.put(address, Body::Hello(hello));
+    }
+
+    /// Says who this host is and whom it knows.
+    pub(super) fn introduce_others(&mut self, address: SocketAddr) {
+        let others = self.live_members().into_iter().filter(|other| other.address != address);
+        let mut batches = notice::pack(others);
+        if batches.is_empty() {
+            batches.push(Vec::new());
+        }
+        for known in batches {
+            let hello = Hello { member: self.member.clone(), reply: Reply::None, known };
+            self.put(address, Body::Hello(hello));
+        }
+    }
+
+    /// Other hosts that are not silent.
+    fn live_members(&self) -> Vec<Member> {
+        let live = self.hosts.iter().filter(|peer| !peer.is_silent());
+        live.map(|peer| peer.member.clone()).collect()
+    }
+
+    /// Passes a notice on, if this host is a relay.
+    pub(super) fn forward(&mut self, now: Moment, from: Run, item: &Item) {
+        if self.fanout.is_relay() {
+            self.multicast(now, item, Some(from));
+        }
+    }
+
+    /// Sends a notice to all whom this host tells, but not back.
+    pub(super) fn multicast(&mut self, now: Moment, item: &Item, but: Option<Run>) {
+        let targets =
+            self.fanout.targets().filter_map(|(id, _)| self.hosts.get(id)).filter(|peer| {
+                let run = peer.member.run();
+                Some(run) != but && run != item.origin
+            });
+        let targets: Vec<_> = targets
+            .map(|peer| Target { run: peer.member.run(), address: peer.member.address })
+            .collect();
+        for target in targets {
+            self.outbox.push(now, target, item.clone());
+        }
+    }
+
+    pub(super) fn flush_notices(&mut self, now: Moment) {
+        for (address, items) in self.outbox.due(now) {
+            self.put(address, Body::Notices(items));
+        }
+    }
+}
+
+/// How often a host that is missed is greeted; none if it is not missed.
+fn greeting_pause(now: Moment, silence: Duration, peer: &Peer) -> Option<Duration> {
+    if peer.is_silent() {
+        return Some(SILENT_GREETING_PAUSE);
+    }
+    let is_missed =
+        peer.target_since.is_some_and(|at| at.max(peer.last_received) + silence / 2 <= now);
+    is_missed.then_some(MISSED_GREETING_PAUSE)
+}
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -8,10 +8,10 @@
 
 use super::{
     Fleet, Liveness,
+    aggregate::{LoadSums, Tally, loads},
     fact::{Departure, Fact, Key, Lease, Load, Member, Revision, State, StoreStatus},
-    fanout::Distance,
+    fanout::Provenance,
     hosts::Peer,
-    sums::{Tally, Working, loads},
     wire::Scope,
 };
 
@@ -21,7 +21,7 @@
     /// Who it is.
     pub member: Member,
     /// How long ago it was heard.
-    pub heard: Duration,
+    pub silent_for: Duration,
     /// What it is taken for.
     pub liveness: Liveness,
     /// What it says of its own work; none if it tells this host nothing, as most hosts of a large
@@ -111,7 +111,7 @@
         let hosts: Vec<_> = self.hosts.iter().map(|peer| self.status_of(now, peer)).collect();
         let live = hosts.iter().filter(|status| status.liveness == Liveness::Live).count();
         let mut tally = Tally::default();
-        self.told_by_all(now).for_each(|(fact, age)| tally.add(fact, age));
+        self.all_received_facts(now).for_each(|(fact, age)| tally.add(fact, age));
         let mut snapshot = FleetSnapshot {
             hosts,
             live: live + usize::from(self.state(now) != State::Leaving),
@@ -124,7 +124,7 @@
             store: tally.store.unwrap_or_default(),
             ..FleetSnapshot::default()
         };
-        for (key, total) in self.sums.totals() {
+        for (key, total) in self.counters.totals() {
             match key {
                 Key::Arrivals(id) => *snapshot.arrivals.entry(id.clone()).or_default() += total,
                 Key::Retries(id) => *snapshot.retries.entry(id.clone()).or_default() += total,
@@ -137,7 +137,7 @@
     /// Work in flight from all others alone: what of a snapshot is wanted far more often than the rest.
     pub fn in_flight(&self, now: Moment) -> Vec<Load> {
         let mut tally = Tally::default();
-        self.told_by_all(now)
+        self.all_received_facts(now)
             .filter(|(fact, _)| matches!(fact, Fact::InFlight(_)))
             .for_each(|(fact, age)| tally.add(fact, age));
         busy(tally.in_flight)
@@ -145,15 +145,15 @@
 
     /// Whether there are so many hosts that digests wait for a budget.
     pub fn is_grouped(&self) -> bool {
-        self.plan.is_grouped()
+        self.fanout.is_grouped()
     }
 
     /// This host's place among those that tell each other.
     pub fn tier(&self) -> Tier {
-        let relay = self.plan.relay().and_then(|id| self.hosts.get(id));
+        let relay = self.fanout.relay().and_then(|id| self.hosts.get(id));
         match relay {
-            _ if !self.plan.is_grouped() => Tier::Equal,
-            _ if self.plan.is_relay() => Tier::Relay,
+            _ if !self.fanout.is_grouped() => Tier::Equal,
+            _ if self.fanout.is_relay() => Tier::Relay,
             Some(peer) if !peer.is_silent() => Tier::Member(peer.member.clone()),
             Some(_) | None => Tier::Equal,
         }
@@ -161,20 +161,21 @@
 
     /// Time between two digests that a host sends or gets.
     pub fn interval(&self) -> Duration {
-        match self.plan.is_grouped() {
-            true => self.plan.grouped_interval(&self.settings),
+        match self.fanout.is_grouped() {
+            true => self.fanout.grouped_interval(&self.settings),
             false => self.settings.interval,
         }
     }
 
-    fn told_by_all(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
-        self.told(now, Distance::Near).chain(self.told(now, Distance::Far))
+    fn all_received_facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
+        self.received_facts(now, Provenance::Direct)
+            .chain(self.received_facts(now, Provenance::Aggregated))
     }
 
     fn status_of(&self, now: Moment, peer: &Peer) -> PeerStatus {
         let mut status = PeerStatus {
             member: peer.member.clone(),
-            heard: now.saturating_sub(peer.heard),
+            silent_for: now.saturating_sub(peer.last_received),
             liveness: peer.liveness(now),
             state: None,
             declared: 0,
@@ -193,6 +194,6 @@
 }
 
 /// Loads that are not at rest.
-fn busy(working: Working) -> Vec<Load> {
-    loads(working).filter(|load| load.requests > 0 || load.tokens > 0).collect()
+fn busy(sums: LoadSums) -> Vec<Load> {
+    loads(sums).filter(|load| load.requests > 0 || load.tokens > 0).collect()
 }
--- a/crates/policy/src/fleet/wire.rs
+++ b/crates/policy/src/fleet/wire.rs
@@ -48,30 +48,30 @@
     /// A digest of a host that answers one and wants no answer itself.
     Answer(Digest),
     /// Nothing but that the sender is there.
-    Here,
+    Keepalive,
     Hello(Hello),
     Notices(Vec<Item>),
     Acks(Vec<(Run, Number)>),
     Bye,
     /// A notice that is neither acknowledged nor sent again, to one run of a host.
-    Once(Notice),
+    OneShot(Notice),
 }
 
 /// Who the sender is, and whom it knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) member: Member,
-    pub(super) wish: Wish,
+    pub(super) reply: Reply,
     pub(super) known: Vec<Member>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(super) enum Wish {
-    Nothing,
+pub(super) enum Reply {
+    None,
     /// The receiver is to say who it is.
     Identity,
     /// The receiver is to say whom it knows, too.
-    Everyone,
+    Members,
 }
 
 /// What changed since the receiver last said what it has.
@@ -82,7 +82,7 @@
     pub(super) to: u32,
     /// What the sender has of the receiver's tables.
     pub(super) marks: Vec<(Scope, Mark)>,
-    pub(super) tables: Vec<Table>,
+    pub(super) deltas: Vec<Delta>,
 }
 
 /// The end of a run's number, enough to tell one run from the next.
@@ -116,7 +116,7 @@
 
 /// The changes of a table after one edition, up to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct Table {
+pub(super) struct Delta {
     pub(super) scope: Scope,
     /// Drops up to here are no longer told.
     pub(super) floor: Edition,
@@ -130,9 +130,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Extent {
     /// All changes so far.
-    Whole,
+    Complete,
     /// More follow.
-    Part,
+    Partial,
 }
 
 /// A changed fact.
@@ -153,7 +153,7 @@
     /// The whole fact.
     Fact(Fact),
     /// No longer told.
-    Dropped,
+    Removed,
 }
 
 /// A notice on its way.
