--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -152,7 +152,7 @@
         let queue = self.queues.entry(work.pool).or_default();
         let ahead = queue.ahead(&work);
         if 0 < outlook.room && ahead == 0 {
-            return match expected(now, Duration::ZERO, outlook, &work) {
+            return match late_refusal(now, Duration::ZERO, outlook, &work) {
                 Some(refusal) => Verdict::Refuse(refusal),
                 None => {
                     queue.started(work.priority);
@@ -161,7 +161,7 @@
             };
         }
         let wait = queue.wait(ahead + 1, work.priority, outlook);
-        if let Some(refusal) = expected(now, wait, outlook, &work) {
+        if let Some(refusal) = late_refusal(now, wait, outlook, &work) {
             return Verdict::Refuse(refusal);
         }
         if self.bounds.waiting <= queue.len() {
@@ -194,19 +194,19 @@
         let Some(queue) = self.queues.get_mut(&pool) else {
             return Vec::new();
         };
-        let lost: Vec<(Work, Refusal)> = queue
+        let hopeless: Vec<(Work, Refusal)> = queue
             .positions()
             .filter_map(|(position, work)| {
                 let outlook = outlook(work.wanted);
                 let wait = queue.wait(position, work.priority, &outlook);
-                expected(now, wait, &outlook, work).map(|refusal| (work.clone(), refusal))
+                late_refusal(now, wait, &outlook, work).map(|refusal| (work.clone(), refusal))
             })
             .collect();
-        for (work, _) in &lost {
+        for (work, _) in &hopeless {
             queue.remove(work.ticket);
             self.waiting.remove(&work.ticket);
         }
-        lost.into_iter().map(|(work, refusal)| (work.ticket, refusal)).collect()
+        hopeless.into_iter().map(|(work, refusal)| (work.ticket, refusal)).collect()
     }
 
     /// Takes out work whose caller has gone; false if it does not wait.
@@ -219,7 +219,7 @@
 }
 
 /// The refusal that follows if the first token can't be expected in time.
-fn expected(now: Moment, wait: Duration, outlook: &Outlook, work: &Work) -> Option<Refusal> {
+fn late_refusal(now: Moment, wait: Duration, outlook: &Outlook, work: &Work) -> Option<Refusal> {
     let at = now + wait + outlook.first_token;
     let late = at.checked_sub(work.due).filter(|late| !late.is_zero())?;
     Some(refusal(Cause::Late, late, work))
--- a/crates/policy/src/admit/queue.rs
+++ b/crates/policy/src/admit/queue.rs
@@ -12,16 +12,16 @@
 use crate::route::Place;
 
 /// Virtual time of one start at share one.
-const UNIT: u64 = 1 << 20;
+const START_COST: u64 = 1 << 20;
 
 /// Weight of the newest start in the mean that tells how starts are spread over the classes: one
 /// in this many.
-const STARTS_WEIGHT: f64 = 64.0;
+const STARTS_WINDOW: f64 = 64.0;
 
 /// Work of one service that wants the same.
 #[derive(Clone, Debug, Default)]
 struct Flow {
-    passed: u64,
+    virtual_time: u64,
     share: u32,
     waiting: BTreeMap<(Moment, Ticket), Work>,
 }
@@ -29,7 +29,7 @@
 /// Flows of one customer.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    passed: u64,
+    virtual_time: u64,
     share: u32,
     flows: BTreeMap<(service::Id, Place), Flow>,
 }
@@ -46,19 +46,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: [Class; Priority::ALL.len()],
-    places: BTreeMap<Ticket, (Priority, customer::Id, service::Id, Place, Moment)>,
+    index: BTreeMap<Ticket, (Priority, customer::Id, service::Id, Place, Moment)>,
     starts: u32,
 }
 
 impl Queue {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.index.is_empty()
     }
 
     /// Pieces of work that wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.index.len()
     }
 
     /// Waiting work that would start before this.
@@ -70,7 +70,7 @@
             .get(&work.customer)
             .and_then(|account| account.flows.get(&(work.service.clone(), work.wanted)))
             .map_or(0, |flow| flow.waiting.range(..(work.due, work.ticket)).count());
-        higher + class.interleaved(&work.customer, work, before)
+        higher + class.ahead_in_class(&work.customer, work, before)
     }
 
     /// How long the work at a position (from one) waits, its class' part of the starts given.
@@ -87,7 +87,7 @@
 
     /// Adds work.
     pub fn push(&mut self, work: Work) {
-        self.places.insert(
+        self.index.insert(
             work.ticket,
             (work.priority, work.customer.clone(), work.service.clone(), work.wanted, work.due),
         );
@@ -103,7 +103,7 @@
             order.swap(0, 1);
         }
         let work = order.into_iter().find_map(|at| self.classes[at].pop(&room))?;
-        self.places.remove(&work.ticket);
+        self.index.remove(&work.ticket);
         self.started(work.priority);
         Some(work)
     }
@@ -113,7 +113,7 @@
         self.starts = self.starts.wrapping_add(1);
         for (at, class) in self.classes.iter_mut().enumerate() {
             let sample = if at == priority as usize { 1.0 } else { 0.0 };
-            class.starts += (sample - class.starts) / STARTS_WEIGHT;
+            class.starts += (sample - class.starts) / STARTS_WINDOW;
         }
     }
 
@@ -130,7 +130,7 @@
 
     /// Takes out this piece of work.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Work> {
-        let (priority, customer, service, wanted, due) = self.places.remove(&ticket)?;
+        let (priority, customer, service, wanted, due) = self.index.remove(&ticket)?;
         let class = &mut self.classes[priority as usize];
         let flow = class.accounts.get_mut(&customer)?.flows.get_mut(&(service, wanted))?;
         let work = flow.waiting.remove(&(due, ticket))?;
@@ -145,7 +145,7 @@
             let higher = self.higher(priority);
             class.flows().flat_map(move |flow| {
                 flow.waiting.values().enumerate().map(move |(before, work)| {
-                    (higher + class.interleaved(&work.customer, work, before) + 1, work)
+                    (higher + class.ahead_in_class(&work.customer, work, before) + 1, work)
                 })
             })
         })
@@ -162,10 +162,11 @@
     }
 
     fn push(&mut self, work: Work) {
-        let front = self.accounts.values().filter(|a| a.is_waiting()).map(|a| a.passed).min();
+        let min_virtual_time =
+            self.accounts.values().filter(|a| a.is_waiting()).map(|a| a.virtual_time).min();
         let account = self.accounts.entry(work.customer.clone()).or_default();
         if !account.is_waiting() {
-            account.passed = account.passed.max(front.unwrap_or(0));
+            account.virtual_time = account.virtual_time.max(min_virtual_time.unwrap_or(0));
         }
         account.share = work.customer_share.max(1);
         account.push(work);
@@ -177,16 +178,16 @@
             .accounts
             .values_mut()
             .filter(|account| {
-                account.flows.iter().any(|((_, wanted), flow)| flow.is_open(*wanted, &room))
+                account.flows.iter().any(|((_, wanted), flow)| flow.has_room(*wanted, &room))
             })
-            .min_by_key(|account| account.passed)?;
-        account.passed += UNIT / u64::from(account.share);
+            .min_by_key(|account| account.virtual_time)?;
+        account.virtual_time += START_COST / u64::from(account.share);
         let ((_, _), flow) = account
             .flows
             .iter_mut()
-            .filter(|((_, wanted), flow)| flow.is_open(*wanted, &room))
-            .min_by_key(|(_, flow)| flow.passed)?;
-        flow.passed += UNIT / u64::from(flow.share);
+            .filter(|((_, wanted), flow)| flow.has_room(*wanted, &room))
+            .min_by_key(|(_, flow)| flow.virtual_time)?;
+        flow.virtual_time += START_COST / u64::from(flow.share);
         let (_, work) = flow.waiting.pop_first()?;
         self.waiting -= 1;
         Some(work)
@@ -194,7 +195,7 @@
 
     /// Work of this class that starts before the one with `before` of its own flow ahead of it,
     /// when the flows take turns by their shares.
-    fn interleaved(&self, customer: &customer::Id, work: &Work, before: usize) -> usize {
+    fn ahead_in_class(&self, customer: &customer::Id, work: &Work, before: usize) -> usize {
         let own_weight = f64::from(work.customer_share.max(1));
         let own_services: f64 =
             self.accounts.get(customer).map_or(0.0, |account| {
@@ -241,10 +242,10 @@
 
     fn push(&mut self, work: Work) {
         let waiting = self.flows.values().filter(|flow| !flow.waiting.is_empty());
-        let front = waiting.map(|flow| flow.passed).min();
+        let min_virtual_time = waiting.map(|flow| flow.virtual_time).min();
         let flow = self.flows.entry((work.service.clone(), work.wanted)).or_default();
         if flow.waiting.is_empty() {
-            flow.passed = flow.passed.max(front.unwrap_or(0));
+            flow.virtual_time = flow.virtual_time.max(min_virtual_time.unwrap_or(0));
         }
         flow.share = work.service_share.max(1);
         flow.waiting.insert((work.due, work.ticket), work);
@@ -252,7 +253,7 @@
 }
 
 impl Flow {
-    fn is_open(&self, wanted: Place, room: impl Fn(Place) -> u32) -> bool {
+    fn has_room(&self, wanted: Place, room: impl Fn(Place) -> u32) -> bool {
         !self.waiting.is_empty() && 0 < room(wanted)
     }
 }
--- a/crates/policy/src/demand/collector.rs
+++ b/crates/policy/src/demand/collector.rs
@@ -8,16 +8,16 @@
 use crate::place::Work;
 
 /// How long a host counts as reporting after its last report.
-const LATELY: Duration = Duration::from_secs(5);
+const REPORTING_PERIOD: Duration = Duration::from_secs(5);
 
 /// Number of a subject; keeps names out of each host's totals.
-type Number = u32;
+type SubjectNumber = u32;
 
 /// Takes in all hosts' reports for the time of one fence.
 #[derive(Debug, Default)]
 pub struct Collector {
     fence: Option<Fence>,
-    subjects: BTreeMap<Subject, Number>,
+    subjects: BTreeMap<Subject, SubjectNumber>,
     sources: BTreeMap<host::Id, Source>,
 }
 
@@ -25,8 +25,8 @@
 #[derive(Debug)]
 struct Source {
     run: host::Incarnation,
-    heard: Moment,
-    totals: HashMap<(Number, Span), Work>,
+    last_report: Moment,
+    totals: HashMap<(SubjectNumber, Span), Work>,
 }
 
 impl Collector {
@@ -45,15 +45,15 @@
             return Vec::new();
         }
         let run = report.run;
-        let new = || Source { run, heard: now, totals: HashMap::new() };
+        let new = || Source { run, last_report: now, totals: HashMap::new() };
         let source = self.sources.entry(host.clone()).or_insert_with(new);
         if source.run != run {
             *source = new();
         }
-        source.heard = now;
+        source.last_report = now;
         let mut arrivals = Vec::new();
         for line in report.lines {
-            let next = self.subjects.len() as Number;
+            let next = self.subjects.len() as SubjectNumber;
             let number = *self.subjects.entry(line.subject.clone()).or_insert(next);
             let known = source.totals.entry((number, line.span)).or_default();
             if line.total.requests <= known.requests {
@@ -69,6 +69,6 @@
 
     /// Hosts that have reported lately.
     pub fn reporting(&self, now: Moment) -> usize {
-        self.sources.values().filter(|source| now < source.heard + LATELY).count()
+        self.sources.values().filter(|source| now < source.last_report + REPORTING_PERIOD).count()
     }
 }
--- a/crates/policy/src/demand/reporter.rs
+++ b/crates/policy/src/demand/reporter.rs
@@ -8,26 +8,26 @@
 use crate::place::Work;
 
 /// Ends of the spans before a session, by age.
-const SPANS: [Duration; 3] =
+const SPAN_ENDS: [Duration; 3] =
     [Duration::from_secs(1), Duration::from_secs(4), Duration::from_secs(15)];
 
 /// Most arrivals that are kept for the next session.
-const MOST_RECENT: usize = 4_096;
+const MAX_RECENT: usize = 4_096;
 
 /// Times that a total is sent after it has changed.
-const SENDS: u8 = 3;
+const SENDS_PER_CHANGE: u8 = 3;
 
 /// Unchanged totals in a report, at the most.
-const REPEATS: usize = 1;
+const MAX_REPEATS: usize = 1;
 
 /// Least time before an unchanged total is sent again.
-const REPEAT: Duration = Duration::from_millis(100);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Bytes of the lines of a report, about.
-const ROOM: usize = 1_000;
+const REPORT_LINES_BYTES: usize = 1_000;
 
 /// Bytes of a line without its names, at the most.
-const LINE_BYTES: usize = 24;
+const LINE_OVERHEAD_BYTES: usize = 24;
 
 /// Counts what arrives at a host and reports it to the holder of the lease.
 #[derive(Debug)]
@@ -67,8 +67,8 @@
             total.sends = 0;
         }
         self.recent.push_back(Arrival { subject, work, at: now });
-        let is_old = |first: &Arrival| first.at + SPANS[SPANS.len() - 1] < now;
-        while self.recent.len() > MOST_RECENT || self.recent.front().is_some_and(is_old) {
+        let is_old = |first: &Arrival| first.at + SPAN_ENDS[SPAN_ENDS.len() - 1] < now;
+        while self.recent.len() > MAX_RECENT || self.recent.front().is_some_and(is_old) {
             self.recent.pop_front();
         }
     }
@@ -83,7 +83,7 @@
         let mut ages: BTreeMap<(Subject, Span), f64> = BTreeMap::new();
         for arrival in &self.recent {
             let age = now.saturating_sub(arrival.at);
-            let Some(span) = SPANS.iter().position(|end| age <= *end) else { continue };
+            let Some(span) = SPAN_ENDS.iter().position(|end| age <= *end) else { continue };
             let key = (arrival.subject.clone(), Span::Before(span as u8));
             let total = self.totals.entry(key.clone()).or_insert_with(|| Total::new(now));
             total.work = total.work.plus(arrival.work);
@@ -99,11 +99,12 @@
     pub fn report(&mut self, now: Moment) -> Option<Report> {
         let fence = self.fence?;
         let is_due = |total: &Total| {
-            total.sends == 0 || total.sends < SENDS && total.touched + REPEAT <= now
+            total.sends == 0
+                || total.sends < SENDS_PER_CHANGE && total.touched + REPEAT_INTERVAL <= now
         };
         let mut due: Vec<_> = self.totals.iter_mut().filter(|(_, one)| is_due(one)).collect();
         due.sort_by_key(|((_, span), total)| (total.sends, *span, total.touched));
-        let (mut room, mut repeats) = (ROOM, REPEATS);
+        let (mut room, mut repeats) = (REPORT_LINES_BYTES, MAX_REPEATS);
         let mut lines = Vec::new();
         for ((subject, span), total) in due {
             if 0 < total.sends {
@@ -112,8 +113,9 @@
                 }
                 repeats -= 1;
             }
-            let size =
-                LINE_BYTES + subject.model.len() + subject.adapter.as_ref().map_or(0, |a| a.len());
+            let size = LINE_OVERHEAD_BYTES
+                + subject.model.len()
+                + subject.adapter.as_ref().map_or(0, |a| a.len());
             if room < size && !lines.is_empty() {
                 break;
             }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -14,7 +14,7 @@
 pub type Id = u64;
 
 /// Largest event, in bytes.
-const LARGEST: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Why a server's stream can't be used further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,19 +50,19 @@
 /// A stream's events on their way.
 #[derive(Clone, Debug)]
 pub struct Splitter {
-    held: Bytes,
+    partial: Bytes,
     last: Option<Id>,
     point: ResumePoint,
-    place: Place,
+    alignment: Alignment,
 }
 
 /// Whether the server's next numbered event is known to follow what was given out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Alignment {
     /// The server begins; events without numbers belong before it.
-    Ahead,
+    Replaying,
     /// The server goes on where it should.
-    Joined,
+    Aligned,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,8 +82,8 @@
 impl Splitter {
     /// A stream that begins after an event which the caller has, or at its first.
     pub fn new(after: Option<Id>) -> Splitter {
-        let place = if after.is_some() { Place::Ahead } else { Place::Joined };
-        Splitter { held: Bytes::new(), last: after, point: ResumePoint::Start, place }
+        let alignment = if after.is_some() { Alignment::Replaying } else { Alignment::Aligned };
+        Splitter { partial: Bytes::new(), last: after, point: ResumePoint::Start, alignment }
     }
 
     /// Takes a piece as it comes.
@@ -92,7 +92,7 @@
         let mut passed = Passed::default();
         let mut start = 0;
         while let Some(end) = end_of_event(&buffer, start) {
-            match self.judge(&buffer[start..end]) {
+            match self.classify(&buffer[start..end]) {
                 Verdict::Pass => passed.push(&buffer, start, end),
                 Verdict::Drop => {}
                 Verdict::Break(fault) => {
@@ -101,19 +101,19 @@
             }
             start = end;
         }
-        let fault = (LARGEST < buffer.len() - start).then_some(Fault::TooLarge);
-        self.held = if fault.is_none() { buffer.slice(start..) } else { Bytes::new() };
+        let fault = (MAX_EVENT_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
+        self.partial = if fault.is_none() { buffer.slice(start..) } else { Bytes::new() };
         Taken { events: passed.finish(&buffer), fault }
     }
 
     /// Gives out what is held back; for a stream whose end is known to be its true one.
     pub fn take_remainder(&mut self) -> Bytes {
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.partial)
     }
 
     /// Whether a half event is held back.
     pub fn has_partial_event(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
     /// Where the stream could go on.
@@ -123,35 +123,36 @@
 
     /// Another server goes on: the half event of the one before is dropped.
     pub fn switch(&mut self) {
-        self.held = Bytes::new();
-        self.place = if self.last.is_some() { Place::Ahead } else { Place::Joined };
+        self.partial = Bytes::new();
+        self.alignment =
+            if self.last.is_some() { Alignment::Replaying } else { Alignment::Aligned };
     }
 
     fn join(&mut self, piece: Bytes) -> Bytes {
-        if self.held.is_empty() {
+        if self.partial.is_empty() {
             return piece;
         }
-        let held = std::mem::take(&mut self.held);
-        let mut joined = BytesMut::with_capacity(held.len() + piece.len());
-        joined.extend_from_slice(&held);
+        let partial = std::mem::take(&mut self.partial);
+        let mut joined = BytesMut::with_capacity(partial.len() + piece.len());
+        joined.extend_from_slice(&partial);
         joined.extend_from_slice(&piece);
         joined.freeze()
     }
 
-    fn judge(&mut self, event: &[u8]) -> Verdict {
+    fn classify(&mut self, event: &[u8]) -> Verdict {
         match read(event) {
             None => Verdict::Break(Fault::Garbage),
             Some(Event::Comment) => Verdict::Pass,
-            Some(Event::Unnumbered) if self.place == Place::Ahead => Verdict::Drop,
+            Some(Event::Unnumbered) if self.alignment == Alignment::Replaying => Verdict::Drop,
             Some(Event::Unnumbered) => {
                 self.point = ResumePoint::Unknown;
                 Verdict::Pass
             }
-            Some(Event::Numbered(id)) => self.judge_number(id),
+            Some(Event::Numbered(id)) => self.check_id(id),
         }
     }
 
-    fn judge_number(&mut self, id: Id) -> Verdict {
+    fn check_id(&mut self, id: Id) -> Verdict {
         match self.last {
             Some(last) if id <= last => return Verdict::Drop,
             Some(last) if last + 1 < id => return Verdict::Break(Fault::Gap),
@@ -159,7 +160,7 @@
         }
         self.last = Some(id);
         self.point = ResumePoint::After(id);
-        self.place = Place::Joined;
+        self.alignment = Alignment::Aligned;
         Verdict::Pass
     }
 }
@@ -212,7 +213,7 @@
         rest = &rest[end + 1..];
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         match (field(line)?, kind) {
-            ((b"id", value), _) => kind = Event::Numbered(number(value)?),
+            ((b"id", value), _) => kind = Event::Numbered(parse_id(value)?),
             ((b"", _), _) | (_, Event::Numbered(_)) => {}
             (_, Event::Comment | Event::Unnumbered) => kind = Event::Unnumbered,
         }
@@ -230,6 +231,6 @@
     is_name.then(|| (name, value.strip_prefix(b" ").unwrap_or(value)))
 }
 
-fn number(text: &[u8]) -> Option<Id> {
+fn parse_id(text: &[u8]) -> Option<Id> {
     std::str::from_utf8(text).ok()?.trim().parse().ok()
 }
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PendingAck {
     #[default]
-    None,
+    Nothing,
     /// Word that its changes were read.
     Read,
     /// Word that a datagram was lost.
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -83,7 +83,7 @@
             peer.greeted = if is_recent { peer.greeted } else { Some(now) };
             let address = peer.member.address;
             if !is_recent {
-                self.greet(address, Reply::None);
+                self.greet(address, Reply::Nothing);
             }
             return false;
         }
@@ -127,7 +127,7 @@
                 self.candidates.add_temporary(now, other.address);
             }
         }
-        if hello.reply == Reply::None || !(is_first || self.may_answer(now)) {
+        if hello.reply == Reply::Nothing || !(is_first || self.may_answer(now)) {
             return;
         }
         let Some(peer) = self.hosts.get_mut(&id) else { return };
@@ -138,7 +138,7 @@
         let address = peer.member.address;
         match hello.reply {
             Reply::Members => self.introduce_others(address),
-            Reply::Identity | Reply::None => self.greet(address, Reply::None),
+            Reply::Identity | Reply::Nothing => self.greet(address, Reply::Nothing),
         }
         if !is_first {
             self.answer_bucket.spend(HELLO_BYTES);
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -153,7 +153,7 @@
             deltas.push(delta);
         }
         peer.link.last_digest = Some(now);
-        peer.link.pending_ack = PendingAck::None;
+        peer.link.pending_ack = PendingAck::Nothing;
         let to = wire::tail(peer.member.run());
         let address = peer.member.address;
         let digest = Digest { to, marks, deltas };
@@ -253,7 +253,7 @@
             .get(self.introductions / live.len() % batches.len())
             .cloned()
             .unwrap_or_default();
-        let hello = Hello { member: self.member.clone(), reply: Reply::None, known };
+        let hello = Hello { member: self.member.clone(), reply: Reply::Nothing, known };
         self.put(target.address, Body::Hello(hello));
     }
 
@@ -277,7 +277,7 @@
             batches.push(Vec::new());
         }
         for known in batches {
-            let hello = Hello { member: self.member.clone(), reply: Reply::None, known };
+            let hello = Hello { member: self.member.clone(), reply: Reply::Nothing, known };
             self.put(address, Body::Hello(hello));
         }
     }
--- a/crates/policy/src/fleet/wire.rs
+++ b/crates/policy/src/fleet/wire.rs
@@ -67,7 +67,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum Reply {
-    None,
+    Nothing,
     /// The receiver is to say who it is.
     Identity,
     /// The receiver is to say whom it knows, too.
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -137,7 +137,7 @@
     /// Retries left.
     pub budget: Budget,
     reserved: BTreeMap<Place, u32>,
-    unreached: BTreeSet<Index>,
+    unreachable_servers: BTreeSet<Index>,
 }
 
 impl Traffic {
@@ -151,7 +151,7 @@
             suspicion: Suspicion::new(rules.suspicion),
             budget: Budget::new(rules.budget),
             reserved: BTreeMap::new(),
-            unreached: BTreeSet::new(),
+            unreachable_servers: BTreeSet::new(),
             rules,
         }
     }
@@ -197,7 +197,7 @@
     pub fn dispatch_again(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Again {
         match self.send(demand, avoid, now).or_else(|| self.send(demand, &[], now)) {
             Some(flight) => Again::Sent(flight),
-            None => self.out_of_doubt(demand.work.wanted).map_or(Again::Unready, Again::At),
+            None => self.earliest_trial(demand.work.wanted).map_or(Again::Unready, Again::At),
         }
     }
 
@@ -207,16 +207,16 @@
         if restarted == Restarted::Yes {
             self.hints.clear(server);
         }
-        if self.unreached.remove(&server) || restarted == Restarted::Yes {
-            self.trust(server);
+        if self.unreachable_servers.remove(&server) || restarted == Restarted::Yes {
+            self.clear_suspicion(server);
         }
     }
 
     /// A server gave no report, since it can't be reached.
     pub fn unreachable(&mut self, server: Index, now: Moment) {
-        self.unreached.insert(server);
+        self.unreachable_servers.insert(server);
         let standing = self.suspicion.failed(server, Point::Connect, now);
-        self.doubt(server, standing);
+        self.set_suspicion(server, standing);
     }
 
     /// The first token of an attempt has come.
@@ -224,7 +224,7 @@
         let time = now.saturating_sub(flight.sent.at);
         let signal = Signal::FirstToken { time, target: flight.target };
         self.pools.pool(flight.choice.server, flight.pool).signal(signal, now);
-        self.trust(flight.choice.server);
+        self.clear_suspicion(flight.choice.server);
     }
 
     /// An attempt has ended.
@@ -236,7 +236,7 @@
         match end {
             End::Whole => {
                 self.budget.deposit();
-                self.trust(server);
+                self.clear_suspicion(server);
             }
             End::Cancelled => {}
             End::Failed(point) => {
@@ -247,7 +247,7 @@
                 };
                 pool.signal(signal, now);
                 let standing = self.suspicion.failed(server, point, now);
-                self.doubt(server, standing);
+                self.set_suspicion(server, standing);
             }
         }
     }
@@ -262,16 +262,16 @@
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for pool in self.gate.pools() {
-            self.refuse_lost(pool, now, &mut changes);
+            self.refuse_hopeless(pool, now, &mut changes);
             self.start_waiting(pool, now, &mut changes);
         }
         changes
     }
 
-    fn refuse_lost(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
+    fn refuse_hopeless(&mut self, pool: Place, now: Moment, changes: &mut Vec<Change>) {
         let mut gate = std::mem::take(&mut self.gate);
-        let lost = gate.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
-        changes.extend(lost.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
+        let hopeless = gate.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
+        changes.extend(hopeless.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
         self.gate = gate;
     }
 
@@ -294,7 +294,7 @@
         };
         if matches!(self.table.standing(choice.server), Standing::Suspected(_)) {
             let standing = self.suspicion.try_out(choice.server, now);
-            self.doubt(choice.server, standing);
+            self.set_suspicion(choice.server, standing);
         }
         self.pools.pool(choice.server, pool).start();
         for prefix in &demand.prefix {
@@ -305,14 +305,14 @@
         Some(Flight { choice, sent, pool, target: demand.target })
     }
 
-    fn trust(&mut self, server: Index) {
+    fn clear_suspicion(&mut self, server: Index) {
         if self.suspicion.succeeded(server) {
-            self.doubt(server, Standing::Live);
+            self.set_suspicion(server, Standing::Live);
         }
     }
 
     /// Doubt never makes a server that is leaving or gone live again.
-    fn doubt(&mut self, server: Index, standing: Standing) {
+    fn set_suspicion(&mut self, server: Index, standing: Standing) {
         if matches!(self.table.standing(server), Standing::Live | Standing::Suspected(_)) {
             self.table.set_standing(server, standing);
         }
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -30,9 +30,9 @@
         let has_room = |server| 0 < self.room_on(server, pool);
         match route::choose(&self.table, &self.hints, &ask(demand), now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => {
-                Some(self.outlook_by(wanted, &choice, demand.prompt_tokens, now))
+                Some(self.outlook_at(wanted, &choice, demand.prompt_tokens, now))
             }
-            Decision::Unready => self.outlook_in_doubt(wanted, now),
+            Decision::Unready => self.outlook_of_suspects(wanted, now),
         }
     }
 
@@ -41,18 +41,18 @@
         let best = self
             .usable(wanted, now)
             .map(|server| {
-                let way = self.table.distance(server) * 2;
-                let first_token = self.table.estimate(server, 0, now).total() + way;
+                let round_trip = self.table.distance(server) * 2;
+                let first_token = self.table.estimate(server, 0, now).total() + round_trip;
                 Choice { server, first_token, cached_tokens: 0 }
             })
             .min_by_key(|choice| (choice.first_token, choice.server));
         match best {
-            Some(choice) => self.outlook_by(wanted, &choice, 0, now),
-            None => self.outlook_in_doubt(wanted, now).unwrap_or_default(),
+            Some(choice) => self.outlook_at(wanted, &choice, 0, now),
+            None => self.outlook_of_suspects(wanted, now).unwrap_or_default(),
         }
     }
 
-    fn outlook_by(&self, wanted: Place, choice: &Choice, tokens: u32, now: Moment) -> Outlook {
+    fn outlook_at(&self, wanted: Place, choice: &Choice, tokens: u32, now: Moment) -> Outlook {
         let pool = self.table.pool(wanted);
         let (servers, hold) = self
             .usable(wanted, now)
@@ -62,23 +62,23 @@
             .map(|server| self.pools.in_flight(server, pool))
             .sum::<u32>()
             .saturating_add(self.reserved.get(&pool).copied().unwrap_or(0));
-        let way = self.table.distance(choice.server) * 2;
+        let round_trip = self.table.distance(choice.server) * 2;
         Outlook {
             room: self.room(wanted, now),
             in_flight,
             hold: hold / servers.max(1),
             first_token: choice.first_token,
-            unloaded: self.table.view(choice.server).unloaded(tokens) + way,
+            unloaded: self.table.view(choice.server).unloaded(tokens) + round_trip,
         }
     }
 
-    fn outlook_in_doubt(&self, wanted: Place, now: Moment) -> Option<Outlook> {
-        let until = self.out_of_doubt(wanted)?;
+    fn outlook_of_suspects(&self, wanted: Place, now: Moment) -> Option<Outlook> {
+        let until = self.earliest_trial(wanted)?;
         Some(Outlook { first_token: until.saturating_sub(now), ..Outlook::default() })
     }
 
     /// When only servers in doubt have it: the first of them may be tried when its time is out.
-    pub(super) fn out_of_doubt(&self, wanted: Place) -> Option<Moment> {
+    pub(super) fn earliest_trial(&self, wanted: Place) -> Option<Moment> {
         self.table.replicas(wanted).iter().filter_map(|r| self.table.doubted_until(r.server)).min()
     }
 
