--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -78,15 +78,15 @@
 
 fn notice_everywhere(net: &mut Net, round: usize) -> Duration {
     let sender = round * 7 % net.hosts.len();
-    let before: Vec<_> = net.hosts.values().map(|host| host.heard.len()).collect();
+    let before: Vec<_> = net.hosts.values().map(|host| host.received.len()).collect();
     let (now, start) = (net.now, net.now);
     let notice = Notice::DeclarationInForce { version: round as u64 };
     net.fleet(sender).send(now, Recipients::All, notice).unwrap_or_default();
-    let has_heard = |net: &Net| {
-        let heard = net.hosts.values().zip(&before).filter(|(host, n)| host.heard.len() > **n);
-        heard.count() == net.hosts.len() - 1
+    let has_received = |net: &Net| {
+        let reached = net.hosts.values().zip(&before).filter(|(host, n)| host.received.len() > **n);
+        reached.count() == net.hosts.len() - 1
     };
-    wait(net, has_heard);
+    wait(net, has_received);
     let took = net.now - start;
     net.run_for(Duration::from_secs(2));
     took
--- a/crates/policy/tests/fleet_demand.rs
+++ b/crates/policy/tests/fleet_demand.rs
@@ -31,7 +31,7 @@
 const IN_FLIGHT: usize = 6;
 
 /// Part of the requests that the planner must have heard of a second after they arrived.
-const HEARD: f64 = 0.9;
+const MIN_RECEIVED_SHARE: f64 = 0.9;
 
 /// The host that plans, and its fence.
 const PLANNER: usize = 0;
@@ -39,20 +39,20 @@
 
 const ONE: Work = Work { requests: 1, prompt: 700, output: 200 };
 
-struct Play {
+struct Simulation {
     net: Net,
     random: ChaCha8Rng,
     in_flight: Vec<Vec<(usize, usize)>>,
     reporters: Vec<Reporter>,
     collector: Collector,
-    heard: u64,
+    received: u64,
     hosts: usize,
     /// Requests that had arrived at all hosts but the planner by the end of each round.
     arrived: Vec<u64>,
 }
 
-impl Play {
-    fn new(hosts: usize) -> Play {
+impl Simulation {
+    fn new(hosts: usize) -> Simulation {
         let mut net = Net::settled(hosts, 1);
         net.faults.loss = 0.01;
         let mut random = ChaCha8Rng::seed_from_u64(7);
@@ -62,7 +62,7 @@
         let mut collector = Collector::default();
         collector.begin(FENCE);
         let arrived = Vec::new();
-        Play { net, random, in_flight, reporters, collector, heard: 0, hosts, arrived }
+        Simulation { net, random, in_flight, reporters, collector, received: 0, hosts, arrived }
     }
 
     fn round(&mut self) {
@@ -108,17 +108,18 @@
     }
 
     /// Requests at other hosts that the planner has heard of.
-    fn heard(&mut self) -> u64 {
+    fn received(&mut self) -> u64 {
         let now = self.net.now;
-        let heard = std::mem::take(&mut self.net.hosts.get_mut(&PLANNER).expect("it runs").heard);
-        for heard in heard {
-            let (Notice::Demand(report), Some(origin)) = (heard.notice, heard.origin) else {
+        let received =
+            std::mem::take(&mut self.net.hosts.get_mut(&PLANNER).expect("it runs").received);
+        for notice in received {
+            let (Notice::Demand(report), Some(origin)) = (notice.notice, notice.origin) else {
                 continue;
             };
             let arrivals = self.collector.take(&origin, report, now);
-            self.heard += arrivals.iter().map(|one| u64::from(one.work.requests)).sum::<u64>();
+            self.received += arrivals.iter().map(|one| u64::from(one.work.requests)).sum::<u64>();
         }
-        self.heard
+        self.received
     }
 }
 
@@ -149,19 +150,23 @@
 #[case::large(195)]
 #[case::target(346)]
 fn the_planner_hears_of_demand_within_a_second_however_many_hosts_there_are(#[case] hosts: usize) {
-    let mut play = Play::new(hosts);
+    let mut simulation = Simulation::new(hosts);
     let mut worst = (1.0, 0);
     for round in 0..10 * SECOND {
-        play.round();
+        simulation.round();
         let Some(before) = round.checked_sub(SECOND) else { continue };
-        let (heard, due) = (play.heard(), play.arrived[before]);
-        assert!(heard <= play.arrived[round], "{heard} requests of {}", play.arrived[round]);
-        let share = heard as f64 / due as f64;
+        let (received, due) = (simulation.received(), simulation.arrived[before]);
+        assert!(
+            received <= simulation.arrived[round],
+            "{received} requests of {}",
+            simulation.arrived[round]
+        );
+        let share = received as f64 / due as f64;
         worst = if share < worst.0 { (share, round) } else { worst };
     }
     let (share, round) = worst;
     assert!(
-        HEARD <= share,
+        MIN_RECEIVED_SHARE <= share,
         "{share:.3} of all requests a second after they arrived, in round {round}"
     );
 }
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -127,9 +127,9 @@
         }
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
-            let heard = net.snapshot(host).arrivals.values().sum::<u64>();
-            assert!(*before <= heard, "a count fell");
-            *before = heard;
+            let counted = net.snapshot(host).arrivals.values().sum::<u64>();
+            assert!(*before <= counted, "a count fell");
+            *before = counted;
         }
     }
     (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(host, 2)])));
@@ -242,9 +242,9 @@
     net.publish(1, Publication::Declared(5));
     net.run_for(STEP * 3 / 2);
     net.cut.clear();
-    let has_heard = |net: &Net| net.snapshot(0).ahead(&"zone-0".into(), 4).len() == 1;
-    assert!(!has_heard(&net));
-    assert!(net.run_while_not(STEP * 5, has_heard));
+    let has_received = |net: &Net| net.snapshot(0).ahead(&"zone-0".into(), 4).len() == 1;
+    assert!(!has_received(&net));
+    assert!(net.run_until_true(STEP * 5, has_received));
 }
 
 #[test]
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -29,7 +29,7 @@
 
 pub struct Host {
     pub fleet: Fleet,
-    pub heard: Vec<ReceivedNotice>,
+    pub received: Vec<ReceivedNotice>,
 }
 
 type Arrival = Reverse<(Moment, u64, SocketAddr, SocketAddr, Vec<u8>)>;
@@ -45,7 +45,7 @@
     pub largest: usize,
     /// Datagrams from each host to each address; cleared at will.
     pub flows: BTreeMap<(usize, SocketAddr), u64>,
-    flying: BinaryHeap<Arrival>,
+    in_transit: BinaryHeap<Arrival>,
     /// When hosts are to be woken; a host may stand here more than once.
     ticks: BTreeSet<(Moment, usize)>,
     places: BTreeMap<SocketAddr, usize>,
@@ -94,7 +94,7 @@
             cut: Vec::new(),
             largest: 0,
             flows: BTreeMap::new(),
-            flying: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             ticks: BTreeSet::new(),
             places: BTreeMap::new(),
             sequence: 0,
@@ -116,7 +116,7 @@
     pub fn settled(hosts: usize, seed: u64) -> Net {
         let mut net = Net::started(hosts, seed);
         net.run_for(Duration::from_secs(5));
-        assert!(net.is_whole(), "not all hosts know each other");
+        assert!(net.is_converged(), "not all hosts know each other");
         net
     }
 
@@ -128,7 +128,7 @@
         let seeds = (0..3).map(address);
         let mut fleet = Fleet::new(self.now, self.settings.clone(), member, seeds);
         fleet.publish(self.now, Publication::State(State::Ready));
-        self.hosts.insert(host, Host { fleet, heard: Vec::new() });
+        self.hosts.insert(host, Host { fleet, received: Vec::new() });
     }
 
     pub fn publish(&mut self, host: usize, publication: Publication) {
@@ -145,7 +145,7 @@
     }
 
     /// Whether each host that runs takes just the others that run for live.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         let all = self.hosts.len();
         self.hosts.keys().all(|&host| self.snapshot(host).live == all)
     }
@@ -160,7 +160,7 @@
         hosts.into_iter().for_each(|host| self.settle(host));
         self.places = self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
         loop {
-            let arrival = self.flying.peek().map(|Reverse((at, ..))| *at);
+            let arrival = self.in_transit.peek().map(|Reverse((at, ..))| *at);
             let tick = self.ticks.first().map(|(at, _)| *at);
             let next = arrival.into_iter().chain(tick).min().unwrap_or(end).max(self.now);
             if next >= end {
@@ -181,7 +181,7 @@
     }
 
     /// Runs until this holds; whether it came to hold within the span.
-    pub fn run_while_not(&mut self, span: Duration, holds: impl Fn(&Net) -> bool) -> bool {
+    pub fn run_until_true(&mut self, span: Duration, holds: impl Fn(&Net) -> bool) -> bool {
         let end = self.now + span;
         while self.now < end && !holds(self) {
             self.run_for(Duration::from_millis(if self.hosts.len() > 16 { 200 } else { 20 }));
@@ -190,11 +190,11 @@
     }
 
     /// Gives a host a datagram.
-    pub fn hand(&mut self, host: usize, from: SocketAddr, bytes: &[u8]) {
+    pub fn inject(&mut self, host: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
         if let Some(host) = self.hosts.get_mut(&host) {
-            let heard = host.fleet.receive(now, from, bytes);
-            host.heard.extend(heard);
+            let received = host.fleet.receive(now, from, bytes);
+            host.received.extend(received);
         }
     }
 
@@ -215,16 +215,16 @@
                 let at = self.now + Duration::from_millis(1) + extra;
                 self.sequence += 1;
                 let (to, bytes) = (datagram.to, datagram.bytes.clone());
-                self.flying.push(Reverse((at, self.sequence, to, from, bytes)));
+                self.in_transit.push(Reverse((at, self.sequence, to, from, bytes)));
             }
         }
     }
 
     fn deliver(&mut self) {
-        let Some(Reverse((_, _, to, from, bytes))) = self.flying.pop() else { return };
+        let Some(Reverse((_, _, to, from, bytes))) = self.in_transit.pop() else { return };
         let Some(&number) = self.places.get(&to) else { return };
         if !self.cut.contains(&number) {
-            self.hand(number, from, &bytes);
+            self.inject(number, from, &bytes);
             self.settle(number);
         }
     }
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -13,8 +13,8 @@
     Notice::ServerLeaving { server, departure: Departure::Leaving, revision: 1 }
 }
 
-fn heard(net: &Net, host: usize) -> Vec<&Notice> {
-    net.hosts[&host].heard.iter().map(|heard| &heard.notice).collect()
+fn received(net: &Net, host: usize) -> Vec<&Notice> {
+    net.hosts[&host].received.iter().map(|received| &received.notice).collect()
 }
 
 #[test]
@@ -24,14 +24,14 @@
     net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
     net.run_for(Duration::from_millis(5));
     for host in [0, 1, 3, 4, 5] {
-        let [heard] = &net.hosts[&host].heard[..] else {
+        let [received] = &net.hosts[&host].received[..] else {
             panic!("host {host} heard something else")
         };
-        assert_eq!(heard.notice, leaving(1));
-        assert_eq!(heard.origin, Some(member(2, 0).id));
-        assert_eq!(heard.via, address(2));
+        assert_eq!(received.notice, leaving(1));
+        assert_eq!(received.origin, Some(member(2, 0).id));
+        assert_eq!(received.via, address(2));
     }
-    assert!(heard(&net, 2).is_empty());
+    assert!(received(&net, 2).is_empty());
 }
 
 #[test]
@@ -45,8 +45,8 @@
     };
     net.fleet(2).send(now, Recipients::Host(member(4, 0).id), wanted.clone()).expect("known");
     net.run_for(Duration::from_secs(1));
-    assert_eq!(heard(&net, 4), [&wanted]);
-    assert!([0, 1, 3, 5].iter().all(|&host| heard(&net, host).is_empty()));
+    assert_eq!(received(&net, 4), [&wanted]);
+    assert!([0, 1, 3, 5].iter().all(|&host| received(&net, host).is_empty()));
     let result = net.fleet(2).send(now, Recipients::Host("nobody".into()), wanted);
     assert_eq!(result, Err(UnknownHost("nobody".into())));
 }
@@ -62,7 +62,7 @@
     }
     net.run_for(Duration::from_secs(3));
     for host in [0, 2, 3] {
-        let mut got: Vec<_> = heard(&net, host).into_iter().cloned().collect();
+        let mut got: Vec<_> = received(&net, host).into_iter().cloned().collect();
         let count = got.len();
         got.sort_by_key(|notice| format!("{notice:?}"));
         got.dedup();
@@ -99,5 +99,5 @@
         net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
         net.run_for(Duration::from_millis(50));
     }
-    assert_eq!(heard(&net, 0).len(), 3);
+    assert_eq!(received(&net, 0).len(), 3);
 }
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -51,7 +51,7 @@
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
     hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
-    assert!(net.run_while_not(REACH, is_summed), "some host has not heard of all work");
+    assert!(net.run_until_true(REACH, is_summed), "some host has not heard of all work");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
     hosts
         .iter()
@@ -60,7 +60,7 @@
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
     };
-    assert!(net.run_while_not(REACH, is_counted), "some host has not heard of all arrivals");
+    assert!(net.run_until_true(REACH, is_counted), "some host has not heard of all arrivals");
 }
 
 fn assert_notice_reaches_all_once(net: &mut Net) {
@@ -71,7 +71,7 @@
         .expect("known");
     net.run_for(Duration::from_secs(2));
     for (number, host) in &net.hosts {
-        assert_eq!(host.heard.len(), usize::from(*number != SENDER), "at host {number}");
+        assert_eq!(host.received.len(), usize::from(*number != SENDER), "at host {number}");
     }
 }
 
@@ -83,7 +83,7 @@
         hosts.iter().for_each(|&host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
-    assert!(net.is_whole());
+    assert!(net.is_converged());
     let peers = net.snapshot(0).hosts;
     assert!(peers.iter().all(|peer| peer.liveness == Liveness::Live));
     let after = sent_bytes(net);
@@ -117,7 +117,7 @@
             .expect("known");
     }
     net.run_for(Duration::from_millis(10));
-    assert_eq!(net.hosts[&71].heard.len(), 3);
+    assert_eq!(net.hosts[&71].received.len(), 3);
 }
 
 #[test]
@@ -183,12 +183,12 @@
     net.run_for(Duration::from_secs(15));
     net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
-    assert!(net.run_while_not(SOON, is_everywhere), "some host has not heard of it");
+    assert!(net.run_until_true(SOON, is_everywhere), "some host has not heard of it");
     for step in 0..15 {
         (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
     }
-    assert!(net.is_whole(), "a host that works was taken for silent");
+    assert!(net.is_converged(), "a host that works was taken for silent");
 }
 
 #[rstest]
@@ -200,14 +200,14 @@
     net.faults.loss = 0.02;
     // One in five is enough to hit relays of some groups.
     (0..HOSTS).step_by(5).for_each(|host| drop(net.hosts.remove(&host)));
-    assert!(net.run_while_not(MEND, |net| is_summed(net) && net.is_whole()), "after deaths");
+    assert!(net.run_until_true(MEND, |net| is_summed(net) && net.is_converged()), "after deaths");
     for host in [100, 101, 102] {
         net.start(host, 1);
         let now = net.now;
         net.fleet(host).introduce(now, [address(1)]);
         net.publish(host, Publication::InFlight(vec![load(1)]));
     }
-    assert!(net.run_while_not(MEND, |net| is_summed(net) && net.is_whole()), "after arrivals");
+    assert!(net.run_until_true(MEND, |net| is_summed(net) && net.is_converged()), "after arrivals");
 }
 
 #[test]
@@ -227,10 +227,10 @@
         }
         net.run_for(Duration::from_millis(300));
         for &host in net.hosts.keys() {
-            let heard = arrivals(&net, host);
-            assert!(before[host] <= heard, "a count fell");
-            assert!(heard <= sent, "{heard} of {sent} were counted");
-            before[host] = heard;
+            let counted = arrivals(&net, host);
+            assert!(before[host] <= counted, "a count fell");
+            assert!(counted <= sent, "{counted} of {sent} were counted");
+            before[host] = counted;
         }
     }
 }
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -75,8 +75,8 @@
                 let at = index.index(spoiled.len());
                 spoiled[at] = *byte;
             }
-            net.hand(0, address(1), &spoiled);
-            net.hand(0, address(1), &bytes[..cut.index(bytes.len())]);
+            net.inject(0, address(1), &spoiled);
+            net.inject(0, address(1), &bytes[..cut.index(bytes.len())]);
         }
         net.run_for(Duration::from_secs(1));
         net.snapshot(0);
