--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -196,9 +196,9 @@
         let often = tally.units.values().filter(|(asked, _)| 4 <= *asked);
         often.filter(|(_, answered)| *answered == 0).count()
     };
-    let longest = runs.iter().flat_map(|(_, world)| &world.times).max();
-    let plans: usize = runs.iter().map(|(_, world)| world.times.len()).sum();
-    let time: Duration = runs.iter().flat_map(|(_, world)| &world.times).sum();
+    let longest = runs.iter().flat_map(|(_, world)| &world.plan_times).max();
+    let plans: usize = runs.iter().map(|(_, world)| world.plan_times.len()).sum();
+    let time: Duration = runs.iter().flat_map(|(_, world)| &world.plan_times).sum();
     println!(
         "| {} | {course:?} | {strategy:?} | {:.1}% | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} | \
          {:.2} ms, {:.0} ms |",
@@ -218,7 +218,9 @@
     let mut world = World::new((site.engine)(), site.servers, 4, seed);
     let minute = Duration::from_secs(60);
     world.planner = Planner::new(match strategy {
-        Strategy::LastMinute => Rules { memory: minute, rise: minute, ..Rules::default() },
+        Strategy::LastMinute => {
+            Rules { demand_time_constant: minute, rise_time_constant: minute, ..Rules::default() }
+        }
         _ => Rules::default(),
     });
     if !matches!(strategy, Strategy::Static) {
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -15,17 +15,17 @@
 //! left as it is. Adapters follow the requests that ask for them.
 
 mod adapters;
-mod book;
 mod demand;
-mod fade;
+mod draft;
+mod eviction;
 mod gain;
-mod heat;
-mod picture;
+mod persistence;
 mod planner;
 mod rate;
-mod spare;
+mod server_view;
 mod store;
 mod unplaced;
+mod utilization;
 
 use types::{prelude::*, routed::Sequence};
 
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// How long an order without an answer may still be carried out.
-    pub late: Duration,
+    pub order_lifetime: Duration,
     /// Part of the weight store's rate that is used.
     pub store_share: f64,
     /// Most loads from the weight store that may start at once after a pause; fewer where the store
@@ -107,11 +107,11 @@
     /// Adapters on their way to all servers at once.
     pub adapter_loads_total: usize,
     /// Time over which arrivals are averaged.
-    pub memory: Duration,
+    pub demand_time_constant: Duration,
     /// Time over which a rise shows.
-    pub rise: Duration,
+    pub rise_time_constant: Duration,
     /// How fast servers work.
-    pub pace: Pace,
+    pub throughput: Throughput,
     /// What things are worth.
     pub prices: Prices,
 }
@@ -119,43 +119,43 @@
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
-            late: Duration::from_secs(15),
+            order_lifetime: Duration::from_secs(15),
             store_share: 0.9,
             store_burst: 12.0,
             adapter_loads_per_server: 4,
             adapter_loads_total: 16,
-            memory: Duration::from_secs(1),
-            rise: Duration::from_millis(300),
-            pace: Pace::default(),
+            demand_time_constant: Duration::from_secs(1),
+            rise_time_constant: Duration::from_millis(300),
+            throughput: Throughput::default(),
             prices: Prices::default(),
         }
     }
 }
 
 /// Loads that may start at once beyond the rate of the slowest store.
-const BURST: f64 = 1.5;
+const BURST_BEYOND_RATE: f64 = 1.5;
 
 impl Rules {
     /// Loads that may start at once after a pause from a store of this rate, so that those of any
     /// five seconds keep to a tenth over its rate and three more, with one load in doubt to spare.
     #[must_use]
     pub fn burst(&self, loads_per_s: f64) -> f64 {
-        self.store_burst.min(loads_per_s + BURST)
+        self.store_burst.min(loads_per_s + BURST_BEYOND_RATE)
     }
 }
 
 /// How fast a server works.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Throughput {
     /// Prompt tokens read in a second.
-    pub prompt: f64,
+    pub prompt_tokens_per_s: f64,
     /// Time for an output token of one request.
-    pub token: Duration,
+    pub output_token_time: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { prompt: 38_000.0, token: Duration::from_micros(5600) }
+impl Default for Throughput {
+    fn default() -> Throughput {
+        Throughput { prompt_tokens_per_s: 38_000.0, output_token_time: Duration::from_micros(5600) }
     }
 }
 
@@ -167,11 +167,11 @@
     /// A load from the weight store.
     pub load: f64,
     /// What a server earns in a second when it is fully used.
-    pub second: f64,
+    pub server_second: f64,
 }
 
 impl Default for Prices {
     fn default() -> Prices {
-        Prices { order: 0.036, load: 1.1, second: 40.0 }
+        Prices { order: 0.036, load: 1.1, server_second: 40.0 }
     }
 }
--- a/crates/policy/src/place/adapters.rs
+++ b/crates/policy/src/place/adapters.rs
@@ -9,38 +9,38 @@
 
 use super::{
     Cause, Operation,
-    demand::Unit,
-    picture::{Picture, Site},
+    demand::AdapterKey,
+    draft::{Draft, Target},
 };
 
 /// An adapter that wasn't asked for so long needs no place.
-const KEPT: Duration = Duration::from_secs(10);
+const WANTED_FOR: Duration = Duration::from_secs(10);
 
 /// An adapter that was asked for within this time is likely to be in use.
-const IN_USE: Duration = Duration::from_millis(300);
+const IN_USE_WITHIN: Duration = Duration::from_millis(300);
 
 /// Time that an adapter is waited for before one in use makes way.
-const PATIENCE: Duration = Duration::from_millis(300);
+const MAX_WAIT: Duration = Duration::from_millis(300);
 
 /// Least time that an adapter in use stays.
-const TURN: Duration = Duration::from_millis(1500);
+const MIN_TURN: Duration = Duration::from_millis(1500);
 
 /// Nothing makes way for another copy unless it wasn't asked for so long.
-const STALE: Duration = Duration::from_secs(5);
+const SPARE_AFTER: Duration = Duration::from_secs(5);
 
 /// What requests wait for though it stands somewhere stands where they can't go: they have failed
 /// there. After so long a second replica gets it; a load that is on its way takes less.
-const UNMET: Duration = Duration::from_millis(200);
+const UNMET_WAIT: Duration = Duration::from_millis(200);
 
 /// Requests a second from which an adapter stands twice.
-const TWICE: f64 = 1.0;
+const SECOND_COPY_RATE: f64 = 1.0;
 
 /// Requests a second for each further replica.
-const FURTHER: f64 = 5.0;
+const RATE_PER_COPY: f64 = 5.0;
 
 /// An adapter that is asked for.
-struct Want {
-    unit: Unit,
+struct Wanted {
+    adapter_key: AdapterKey,
     weights: Mebibytes,
     /// Sites whose replica of its model answers.
     ready: Vec<usize>,
@@ -48,59 +48,62 @@
     holders: usize,
     copies: usize,
     /// Since when requests have waited for it.
-    waits: Option<Moment>,
+    waiting_since: Option<Moment>,
     rate: f64,
-    last: Moment,
+    last_arrival: Moment,
 }
 
 /// Decides all adapter orders of a plan.
-pub(super) fn plan(picture: &mut Picture) {
+pub(super) fn plan(draft: &mut Draft) {
     let mut under_way: usize =
-        picture.sites.iter().map(|site| site.book.under_way(picture.now)).sum();
-    let mut wants: Vec<Want> =
-        picture.engine.models.iter().flat_map(|m| wants(picture, m)).collect();
-    wants.retain(|want| want.holders < want.copies);
-    wants.sort_by(|a, b| {
-        let key = |want: &Want| {
-            let since = want.waits.filter(|_| want.holders == 0);
-            (0 < want.holders, want.waits.is_none(), since)
+        draft.targets.iter().map(|target| target.view.adapters_in_flight(draft.now)).sum();
+    let mut wanted: Vec<Wanted> =
+        draft.engine.models.iter().flat_map(|m| wanted(draft, m)).collect();
+    wanted.retain(|wanted| wanted.holders < wanted.copies);
+    wanted.sort_by(|a, b| {
+        let key = |wanted: &Wanted| {
+            let since = wanted.waiting_since.filter(|_| wanted.holders == 0);
+            (0 < wanted.holders, wanted.waiting_since.is_none(), since)
         };
         key(a).cmp(&key(b)).then(b.rate.total_cmp(&a.rate))
     });
-    for want in wants {
-        if picture.rules.adapter_loads_total <= under_way {
+    for wanted in wanted {
+        if draft.rules.adapter_loads_total <= under_way {
             return;
         }
-        under_way += usize::from(place(picture, &want));
+        under_way += usize::from(load_or_evict(draft, &wanted));
     }
 }
 
 /// What of a model's adapters is asked for.
-fn wants(picture: &Picture, model: &Model) -> Vec<Want> {
-    let is_ready = |site: &usize| {
-        let book = picture.sites[*site].book;
-        !book.is_unresponsive && book.is_ready(&model.name)
+fn wanted(draft: &Draft, model: &Model) -> Vec<Wanted> {
+    let is_ready = |target: &usize| {
+        let view = draft.targets[*target].view;
+        !view.is_unresponsive && view.is_ready(&model.name)
     };
-    let ready: Vec<usize> = (0..picture.sites.len()).filter(is_ready).collect();
+    let ready: Vec<usize> = (0..draft.targets.len()).filter(is_ready).collect();
     let first = (model.name.clone(), adapter::Id::from(""));
-    let asked = picture.demand.adapters.range(first..);
-    let asked = asked.take_while(|((name, _), _)| *name == model.name);
-    asked
-        .filter(|(_, asked)| picture.now < asked.last + KEPT)
-        .map(|(unit, asked)| {
-            let holders = ready.iter().filter(|&&site| picture.sites[site].book.has(unit)).count();
-            let rate = asked.rate(picture.now);
-            let waits = asked.waits_since(picture.now);
-            let is_unmet = UNMET <= asked.waited(picture.now);
-            Want {
-                unit: unit.clone(),
+    let demand = draft.demand.adapters.range(first..);
+    let demand = demand.take_while(|((name, _), _)| *name == model.name);
+    demand
+        .filter(|(_, demand)| draft.now < demand.last_arrival + WANTED_FOR)
+        .map(|(adapter_key, demand)| {
+            let holders = ready
+                .iter()
+                .filter(|&&target| draft.targets[target].view.has_adapter(adapter_key))
+                .count();
+            let rate = demand.rate(draft.now);
+            let waiting_since = demand.waiting_since(draft.now);
+            let is_unmet = UNMET_WAIT <= demand.waited(draft.now);
+            Wanted {
+                adapter_key: adapter_key.clone(),
                 weights: model.adapter_weights,
                 holders,
                 copies: copies(rate).max(1 + usize::from(is_unmet)).min(ready.len()),
                 ready: ready.clone(),
-                waits,
+                waiting_since,
                 rate,
-                last: asked.last,
+                last_arrival: demand.last_arrival,
             }
         })
         .collect()
@@ -108,93 +111,106 @@
 
 /// Replicas that an adapter of so many requests a second stands at.
 fn copies(rate: f64) -> usize {
-    1 + usize::from(TWICE <= rate) + (rate / FURTHER) as usize
+    1 + usize::from(SECOND_COPY_RATE <= rate) + (rate / RATE_PER_COPY) as usize
 }
 
 /// Loads an adapter somewhere, or makes a place for it; whether a load goes out.
-fn place(picture: &mut Picture, want: &Want) -> bool {
-    let fits = |&&site: &&usize| {
-        let at = &picture.sites[site];
-        let few = at.book.under_way(picture.now) < picture.rules.adapter_loads_per_server;
-        at.open && few && !at.book.has(&want.unit) && !at.book.parting.contains(&want.unit)
+fn load_or_evict(draft: &mut Draft, wanted: &Wanted) -> bool {
+    let fits = |&&target: &&usize| {
+        let at = &draft.targets[target];
+        let few = at.view.adapters_in_flight(draft.now) < draft.rules.adapter_loads_per_server;
+        at.accepts_orders
+            && few
+            && !at.view.has_adapter(&wanted.adapter_key)
+            && !at.view.adapters_unloading.contains(&wanted.adapter_key)
     };
-    let mut sites: Vec<usize> = want.ready.iter().filter(fits).copied().collect();
-    sites.sort_by(|&a, &b| {
-        let key = |site: usize| picture.sites[site].book.current.is_some();
-        key(a).cmp(&key(b)).then(picture.heat(a).total_cmp(&picture.heat(b)))
+    let mut targets: Vec<usize> = wanted.ready.iter().filter(fits).copied().collect();
+    targets.sort_by(|&a, &b| {
+        let key = |target: usize| draft.targets[target].view.current.is_some();
+        key(a).cmp(&key(b)).then(draft.utilization(a).total_cmp(&draft.utilization(b)))
     });
-    let (model, adapter) = &want.unit;
-    let cause = if want.holders == 0 { Cause::Missing } else { Cause::Demand };
-    if let Some(&site) = sites.iter().find(|&&site| is_free(picture, want, &picture.sites[site])) {
-        picture.decide(site, Operation::Load, model, Some(adapter), cause);
+    let (model, adapter) = &wanted.adapter_key;
+    let cause = if wanted.holders == 0 { Cause::Missing } else { Cause::Demand };
+    if let Some(&target) =
+        targets.iter().find(|&&target| is_free(draft, wanted, &draft.targets[target]))
+    {
+        draft.decide(target, Operation::Load, model, Some(adapter), cause);
         return true;
     }
-    let Some((site, victim)) =
-        idle_victim(picture, want, &sites).or_else(|| busy_victim(picture, want, &sites))
+    let Some((target, victim)) =
+        idle_victim(draft, wanted, &targets).or_else(|| busy_victim(draft, wanted, &targets))
     else {
         return false;
     };
-    picture.decide(site, Operation::Unload, &victim.0, Some(&victim.1), Cause::Room);
+    draft.decide(target, Operation::Unload, &victim.0, Some(&victim.1), Cause::Room);
     false
 }
 
-fn is_free(picture: &Picture, want: &Want, site: &Site) -> bool {
-    let places = site.book.reserved_adapters().len() < picture.engine.adapter_slots as usize;
-    places && site.room.is_some_and(|room| want.weights <= room)
+fn is_free(draft: &Draft, wanted: &Wanted, target: &Target) -> bool {
+    let has_slot = target.view.reserved_adapters().len() < draft.engine.adapter_slots as usize;
+    has_slot && target.room.is_some_and(|room| wanted.weights <= room)
 }
 
 /// An adapter that nothing uses, and its site: the one that can best be spared.
-fn idle_victim(picture: &Picture, want: &Want, sites: &[usize]) -> Option<(usize, Unit)> {
-    let leaves = if want.holders == 0 { IN_USE } else { STALE };
-    let spare = |(_, unit): &(usize, Unit)| {
-        let last = last(picture, unit);
-        (last.is_zero() || last + leaves <= picture.now) && last < want.last
+fn idle_victim(draft: &Draft, wanted: &Wanted, targets: &[usize]) -> Option<(usize, AdapterKey)> {
+    let idle_after = if wanted.holders == 0 { IN_USE_WITHIN } else { SPARE_AFTER };
+    let spare = |(_, adapter_key): &(usize, AdapterKey)| {
+        let last = last_arrival(draft, adapter_key);
+        (last.is_zero() || last + idle_after <= draft.now) && last < wanted.last_arrival
     };
-    let key = |(site, unit): &(usize, Unit)| {
-        (!is_surplus(picture, unit), last(picture, unit), unit.clone(), *site)
+    let key = |(target, adapter_key): &(usize, AdapterKey)| {
+        (
+            !is_surplus(draft, adapter_key),
+            last_arrival(draft, adapter_key),
+            adapter_key.clone(),
+            *target,
+        )
     };
-    seated(picture, sites).filter(spare).min_by_key(key)
+    loaded_adapters(draft, targets).filter(spare).min_by_key(key)
 }
 
 /// An adapter in use that makes way for one that has been waited for long, and its site.
-fn busy_victim(picture: &Picture, want: &Want, sites: &[usize]) -> Option<(usize, Unit)> {
-    let is_long = want.waits.is_some_and(|since| since + PATIENCE <= picture.now);
-    if 0 < want.holders || !is_long {
+fn busy_victim(draft: &Draft, wanted: &Wanted, targets: &[usize]) -> Option<(usize, AdapterKey)> {
+    let is_long = wanted.waiting_since.is_some_and(|since| since + MAX_WAIT <= draft.now);
+    if 0 < wanted.holders || !is_long {
         return None;
     }
-    let has_had_turn = |(site, unit): &(usize, Unit)| {
-        let since = picture.sites[*site].book.taken_in.get(unit);
-        since.is_none_or(|&since| since + TURN <= picture.now)
+    let has_had_turn = |(target, adapter_key): &(usize, AdapterKey)| {
+        let since = draft.targets[*target].view.adapter_ordered_at.get(adapter_key);
+        since.is_none_or(|&since| since + MIN_TURN <= draft.now)
     };
-    let rate = |(_, unit): &(usize, Unit)| rate(picture, unit);
-    let by_need = |a: &(usize, Unit), b: &(usize, Unit)| {
-        let is_needed = |(_, unit): &(usize, Unit)| !is_surplus(picture, unit);
+    let rate = |(_, adapter_key): &(usize, AdapterKey)| rate(draft, adapter_key);
+    let by_need = |a: &(usize, AdapterKey), b: &(usize, AdapterKey)| {
+        let is_needed = |(_, adapter_key): &(usize, AdapterKey)| !is_surplus(draft, adapter_key);
         is_needed(a).cmp(&is_needed(b)).then(rate(a).total_cmp(&rate(b)))
     };
-    seated(picture, sites).filter(has_had_turn).min_by(by_need)
+    loaded_adapters(draft, targets).filter(has_had_turn).min_by(by_need)
 }
 
 /// The adapters that stand at some sites. A site where a place is being freed has none to give.
-fn seated(picture: &Picture, sites: &[usize]) -> impl Iterator<Item = (usize, Unit)> {
-    let books = sites.iter().map(|&site| (site, picture.sites[site].book));
-    let settled = books.filter(|(_, book)| book.parting.is_empty());
-    settled.flat_map(|(site, book)| {
-        let units = book.adapters().into_iter().filter(|unit| !book.coming.contains_key(unit));
-        units.map(move |unit| (site, unit))
+fn loaded_adapters(draft: &Draft, targets: &[usize]) -> impl Iterator<Item = (usize, AdapterKey)> {
+    let views = targets.iter().map(|&target| (target, draft.targets[target].view));
+    let settled = views.filter(|(_, view)| view.adapters_unloading.is_empty());
+    settled.flat_map(|(target, view)| {
+        let adapter_keys = view
+            .adapters()
+            .into_iter()
+            .filter(|adapter_key| !view.adapters_loading.contains_key(adapter_key));
+        adapter_keys.map(move |adapter_key| (target, adapter_key))
     })
 }
 
-fn last(picture: &Picture, unit: &Unit) -> Moment {
-    picture.demand.last(unit).unwrap_or_default()
+fn last_arrival(draft: &Draft, adapter_key: &AdapterKey) -> Moment {
+    draft.demand.last_arrival(adapter_key).unwrap_or_default()
 }
 
-fn rate(picture: &Picture, unit: &Unit) -> f64 {
-    picture.demand.adapters.get(unit).map_or(0.0, |asked| asked.rate(picture.now))
+fn rate(draft: &Draft, adapter_key: &AdapterKey) -> f64 {
+    draft.demand.adapters.get(adapter_key).map_or(0.0, |demand| demand.rate(draft.now))
 }
 
 /// Whether an adapter stands more often than it needs to.
-fn is_surplus(picture: &Picture, unit: &Unit) -> bool {
-    let ready = picture.sites.iter().filter(|site| site.book.is_ready(&unit.0));
-    let holders = ready.filter(|site| site.book.has(unit)).count();
-    copies(rate(picture, unit)) < holders
+fn is_surplus(draft: &Draft, adapter_key: &AdapterKey) -> bool {
+    let ready = draft.targets.iter().filter(|target| target.view.is_ready(&adapter_key.0));
+    let holders = ready.filter(|target| target.view.has_adapter(adapter_key)).count();
+    copies(rate(draft, adapter_key)) < holders
 }
--- a/crates/policy/src/place/demand.rs
+++ b/crates/policy/src/place/demand.rs
@@ -5,16 +5,16 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-use super::{Pace, Rules, fade::Fade, rate::Rate};
+use super::{Rules, Throughput, persistence::Persistence, rate::Rate};
 
 /// An adapter of a model.
-pub(super) type Unit = (model::Id, adapter::Id);
+pub(super) type AdapterKey = (model::Id, adapter::Id);
 
 /// Time over which an adapter's arrivals are averaged: adapters are asked for less often.
-const ADAPTER_MEMORY: Duration = Duration::from_secs(4);
+const ADAPTER_TIME_CONSTANT: Duration = Duration::from_secs(4);
 
 /// How long a request that waits for something counts as waiting.
-const WAIT: Duration = Duration::from_millis(500);
+const WAIT_VALIDITY: Duration = Duration::from_millis(500);
 
 /// Requests that arrived, and what they ask of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -49,40 +49,41 @@
     }
 
     /// Seconds that it keeps one server fully used.
-    fn seconds(self, pace: &Pace, slots: u32) -> f64 {
-        let read = self.prompt as f64 / pace.prompt;
-        let generate = self.output as f64 * pace.token.as_secs_f64();
+    fn seconds(self, throughput: &Throughput, slots: u32) -> f64 {
+        let read = self.prompt as f64 / throughput.prompt_tokens_per_s;
+        let generate = self.output as f64 * throughput.output_token_time.as_secs_f64();
         read + generate / f64::from(slots.max(1))
     }
 }
 
 /// Time after the first arrival from which what was not asked for counts as idle.
-const KNOWN: Duration = Duration::from_secs(3);
+const IDLE_KNOWN_AFTER: Duration = Duration::from_secs(3);
 
 /// Time over which earlier demand is remembered.
-const EARLIER: Duration = Duration::from_secs(15);
+const RECENT_TIME_CONSTANT: Duration = Duration::from_secs(15);
 
 /// Arrivals of a model.
 #[derive(Clone, Copy, Debug, Default)]
-struct Flow {
+struct ModelDemand {
     steady: Rate,
     fast: Rate,
     requests: Rate,
-    earlier: Rate,
+    recent: Rate,
 }
 
-impl Flow {
+impl ModelDemand {
     fn add(&mut self, rules: &Rules, seconds: f64, requests: u32, now: Moment) {
-        self.steady.add(rules.memory, seconds, now);
-        self.fast.add(rules.rise, seconds, now);
-        self.requests.add(rules.rise, f64::from(requests), now);
-        self.earlier.add(EARLIER, seconds, now);
+        self.steady.add(rules.demand_time_constant, seconds, now);
+        self.fast.add(rules.rise_time_constant, seconds, now);
+        self.requests.add(rules.rise_time_constant, f64::from(requests), now);
+        self.recent.add(RECENT_TIME_CONSTANT, seconds, now);
     }
 
     /// Rate of what came last, with what chance may add and take.
-    fn lately(&self, rules: &Rules, now: Moment) -> (f64, f64) {
-        let fast = self.fast.value(rules.rise, now);
-        let count = self.requests.value(rules.rise, now) * rules.rise.as_secs_f64();
+    fn recent_bounds(&self, rules: &Rules, now: Moment) -> (f64, f64) {
+        let fast = self.fast.value(rules.rise_time_constant, now);
+        let count = self.requests.value(rules.rise_time_constant, now)
+            * rules.rise_time_constant.as_secs_f64();
         let spread = 1.0 / (1.0 + count).sqrt();
         (fast * (1.0 - spread), fast * (1.0 + 2.0 * spread))
     }
@@ -90,11 +91,11 @@
 
 /// What an adapter is asked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Asked {
+pub(super) struct AdapterDemand {
     rate: Rate,
     /// Last arrival.
-    pub(super) last: Moment,
-    waits: Option<Wait>,
+    pub(super) last_arrival: Moment,
+    wait: Option<Wait>,
 }
 
 /// Requests that wait, one after the other.
@@ -104,21 +105,21 @@
     last: Moment,
 }
 
-impl Asked {
+impl AdapterDemand {
     /// Requests a second.
     pub(super) fn rate(&self, now: Moment) -> f64 {
-        self.rate.value(ADAPTER_MEMORY, now)
+        self.rate.value(ADAPTER_TIME_CONSTANT, now)
     }
 
     /// For how long requests were seen to wait for it, the last time just now.
     pub(super) fn waited(&self, now: Moment) -> Duration {
-        let wait = self.waits.filter(|wait| now < wait.last + WAIT);
+        let wait = self.wait.filter(|wait| now < wait.last + WAIT_VALIDITY);
         wait.map_or(Duration::ZERO, |wait| wait.last.saturating_sub(wait.since))
     }
 
     /// Since when requests have waited for it; none if none does.
-    pub(super) fn waits_since(&self, now: Moment) -> Option<Moment> {
-        self.waits.filter(|wait| now < wait.last + WAIT).map(|wait| wait.since)
+    pub(super) fn waiting_since(&self, now: Moment) -> Option<Moment> {
+        self.wait.filter(|wait| now < wait.last + WAIT_VALIDITY).map(|wait| wait.since)
     }
 }
 
@@ -128,14 +129,14 @@
     /// When this host began to receive demand.
     since: Moment,
     /// When the first arrival was received.
-    began: Option<Moment>,
-    fade: Fade,
+    first_arrival: Option<Moment>,
+    persistence: Persistence,
     /// Work and requests of all models.
     seconds: Rate,
     requests: Rate,
-    work: BTreeMap<model::Id, Flow>,
+    work: BTreeMap<model::Id, ModelDemand>,
     waits: BTreeMap<model::Id, Moment>,
-    pub(super) adapters: BTreeMap<Unit, Asked>,
+    pub(super) adapters: BTreeMap<AdapterKey, AdapterDemand>,
 }
 
 impl Demand {
@@ -145,7 +146,7 @@
     }
 
     /// Counts arrivals for a model served with so many slots a server; `at` may be some seconds ago.
-    pub(super) fn arrive(
+    pub(super) fn record_arrivals(
         &mut self,
         rules: &Rules,
         slots: u32,
@@ -155,75 +156,88 @@
         at: Moment,
     ) {
         // Arrivals before the term are known in part only.
-        self.began.get_or_insert(at.max(self.since));
-        let seconds = work.seconds(&rules.pace, slots);
-        let flow = self.work.entry(model.clone()).or_default();
-        flow.add(rules, seconds, work.requests, at);
-        self.fade.add(model, seconds, at);
-        self.seconds.add(EARLIER, seconds, at);
-        self.requests.add(EARLIER, f64::from(work.requests), at);
+        self.first_arrival.get_or_insert(at.max(self.since));
+        let seconds = work.seconds(&rules.throughput, slots);
+        let demand = self.work.entry(model.clone()).or_default();
+        demand.add(rules, seconds, work.requests, at);
+        self.persistence.add(model, seconds, at);
+        self.seconds.add(RECENT_TIME_CONSTANT, seconds, at);
+        self.requests.add(RECENT_TIME_CONSTANT, f64::from(work.requests), at);
         let Some(adapter) = adapter else { return };
-        let asked = self.adapters.entry((model.clone(), adapter.clone())).or_default();
-        asked.rate.add(ADAPTER_MEMORY, f64::from(work.requests), at);
-        asked.last = asked.last.max(at);
+        let entry = self.adapters.entry((model.clone(), adapter.clone())).or_default();
+        entry.rate.add(ADAPTER_TIME_CONSTANT, f64::from(work.requests), at);
+        entry.last_arrival = entry.last_arrival.max(at);
     }
 
     /// Seconds for which a request keeps one server fully used, in the mean of the last ones; 0 without any.
-    pub(super) fn cost(&self, now: Moment) -> f64 {
-        let requests = self.requests.value(EARLIER, now);
-        if requests == 0.0 { 0.0 } else { self.seconds.value(EARLIER, now) / requests }
+    pub(super) fn mean_request_s(&self, now: Moment) -> f64 {
+        let requests = self.requests.value(RECENT_TIME_CONSTANT, now);
+        if requests == 0.0 { 0.0 } else { self.seconds.value(RECENT_TIME_CONSTANT, now) / requests }
     }
 
     /// Notes that a request waits.
-    pub(super) fn wait(&mut self, model: &model::Id, adapter: Option<&adapter::Id>, now: Moment) {
+    pub(super) fn record_waiting(
+        &mut self,
+        model: &model::Id,
+        adapter: Option<&adapter::Id>,
+        now: Moment,
+    ) {
         let Some(adapter) = adapter else {
             self.waits.insert(model.clone(), now);
             return;
         };
-        let asked = self.adapters.entry((model.clone(), adapter.clone())).or_default();
-        let since = asked.waits_since(now).unwrap_or(now);
-        asked.waits = Some(Wait { since, last: now });
-        asked.last = asked.last.max(now);
+        let entry = self.adapters.entry((model.clone(), adapter.clone())).or_default();
+        let since = entry.waiting_since(now).unwrap_or(now);
+        entry.wait = Some(Wait { since, last: now });
+        entry.last_arrival = entry.last_arrival.max(now);
     }
 
     /// How long demand stays with its models, in seconds.
-    pub(super) fn stay(&self) -> f64 {
-        self.fade.stay()
+    pub(super) fn persistence_s(&self) -> f64 {
+        self.persistence.mean_s()
     }
 
     /// Whether it has been watched for long enough to know what is idle.
-    pub(super) fn is_known(&self, now: Moment) -> bool {
-        self.began.is_some_and(|began| began + KNOWN <= now)
+    pub(super) fn is_established(&self, now: Moment) -> bool {
+        self.first_arrival.is_some_and(|first_arrival| first_arrival + IDLE_KNOWN_AFTER <= now)
     }
 
     /// Work that a model gets, in servers kept fully used: the steady rate, or what came last if
     /// that is more by more than chance.
     pub(super) fn work(&self, rules: &Rules, model: &model::Id, now: Moment) -> f64 {
-        let work =
-            |flow: &Flow| flow.steady.value(rules.memory, now).max(flow.lately(rules, now).0);
+        let work = |demand: &ModelDemand| {
+            demand
+                .steady
+                .value(rules.demand_time_constant, now)
+                .max(demand.recent_bounds(rules, now).0)
+        };
         self.work.get(model).map_or(0.0, work)
     }
 
     /// Work that a model still gets: the steady rate, or what came last if that is less by more
     /// than chance.
-    pub(super) fn rest(&self, rules: &Rules, model: &model::Id, now: Moment) -> f64 {
-        let rest =
-            |flow: &Flow| flow.steady.value(rules.memory, now).min(flow.lately(rules, now).1);
-        self.work.get(model).map_or(0.0, rest)
+    pub(super) fn remaining_work(&self, rules: &Rules, model: &model::Id, now: Moment) -> f64 {
+        let remaining = |demand: &ModelDemand| {
+            demand
+                .steady
+                .value(rules.demand_time_constant, now)
+                .min(demand.recent_bounds(rules, now).1)
+        };
+        self.work.get(model).map_or(0.0, remaining)
     }
 
     /// Work that a model got lately in the mean.
-    pub(super) fn earlier(&self, model: &model::Id, now: Moment) -> f64 {
-        self.work.get(model).map_or(0.0, |flow| flow.earlier.value(EARLIER, now))
+    pub(super) fn recent(&self, model: &model::Id, now: Moment) -> f64 {
+        self.work.get(model).map_or(0.0, |demand| demand.recent.value(RECENT_TIME_CONSTANT, now))
     }
 
     /// Whether a request waits for a model.
     pub(super) fn is_waited_for(&self, model: &model::Id, now: Moment) -> bool {
-        self.waits.get(model).is_some_and(|at| now < *at + WAIT)
+        self.waits.get(model).is_some_and(|at| now < *at + WAIT_VALIDITY)
     }
 
     /// When an adapter was last asked for.
-    pub(super) fn last(&self, unit: &Unit) -> Option<Moment> {
-        self.adapters.get(unit).map(|asked| asked.last)
+    pub(super) fn last_arrival(&self, adapter_key: &AdapterKey) -> Option<Moment> {
+        self.adapters.get(adapter_key).map(|entry| entry.last_arrival)
     }
 }
--- a/crates/policy/src/place/picture.rs
+++ b/crates/policy/src/place/draft.rs
@@ -9,37 +9,37 @@
 
 use super::{
     Cause, Operation, Order, Rules,
-    book::{Book, Current, Source, Standing},
     demand::Demand,
-    heat::Level,
+    server_view::{CurrentOrder, Presence, ServerView, Source},
+    utilization::LoadBalance,
 };
 
 /// Work that a model has at the least while a request waits for it.
-const WAITED: f64 = 0.05;
+const MIN_WAITED_WORK: f64 = 0.05;
 
 /// Chance that the busiest next is any of the models, whichever.
-const CHANCE: f64 = 0.84;
+const UNIFORM_PEAK_CHANCE: f64 = 0.84;
 
 /// Chance that the busiest next is one that was busy lately.
-const RETURN: f64 = 0.3;
+const RECENT_PEAK_CHANCE: f64 = 0.3;
 
 /// Work that the busiest model is taken to have at the least.
-const TOP: f64 = 1.0;
+const MIN_PEAK_WORK: f64 = 1.0;
 
 /// A server that counts.
-pub(super) struct Site<'a> {
+pub(super) struct Target<'a> {
     pub(super) id: &'a backend::Id,
-    pub(super) book: &'a Book,
+    pub(super) view: &'a ServerView,
     /// Free memory; none if it isn't known.
     pub(super) room: Option<Mebibytes>,
     /// Whether an order may go there.
-    pub(super) open: bool,
+    pub(super) accepts_orders: bool,
 }
 
-impl Site<'_> {
+impl Target<'_> {
     /// Whether a model order may go there.
-    pub(super) fn is_open(&self) -> bool {
-        self.open && self.book.current.is_none()
+    pub(super) fn accepts_model_order(&self) -> bool {
+        self.accepts_orders && self.view.current.is_none()
     }
 }
 
@@ -48,99 +48,104 @@
     pub(super) order: Order,
     pub(super) source: Source,
     /// Whether the weight store's bucket was charged for it.
-    pub(super) paid: bool,
+    pub(super) charged: bool,
     /// What the room is made for.
-    pub(super) claim: Option<model::Id>,
+    pub(super) reservation: Option<model::Id>,
 }
 
 /// A service.
-pub(super) struct Picture<'a> {
+pub(super) struct Draft<'a> {
     pub(super) rules: &'a Rules,
     pub(super) engine: &'a Engine,
     pub(super) sizes: &'a BTreeMap<model::Id, Model>,
     pub(super) demand: &'a Demand,
     pub(super) now: Moment,
-    pub(super) sites: Vec<Site<'a>>,
+    pub(super) targets: Vec<Target<'a>>,
     /// For each declared model: the sites where it is ready or coming.
-    pub(super) places: Vec<Vec<usize>>,
+    pub(super) replicas: Vec<Vec<usize>>,
     /// For each declared model: the sites where it is ready and stays.
-    pub(super) sure: Vec<Vec<usize>>,
+    pub(super) confirmed: Vec<Vec<usize>>,
     /// For each declared model: servers that it keeps fully used.
     pub(super) work: Vec<f64>,
     /// For each declared model: how likely it is to be the busiest next.
-    pub(super) chances: Vec<f64>,
+    pub(super) peak_chances: Vec<f64>,
     /// Work of the busiest model.
-    pub(super) top: f64,
+    pub(super) peak_work: f64,
     /// For each declared model: work that it still gets.
-    pub(super) rest: Vec<f64>,
+    pub(super) remaining_work: Vec<f64>,
     /// How work lies on the sites as things are planned.
-    pub(super) level: Level,
+    pub(super) balance: LoadBalance,
     pub(super) decisions: Vec<Decision>,
     indexes: BTreeMap<&'a model::Id, usize>,
 }
 
-impl<'a> Picture<'a> {
+impl<'a> Draft<'a> {
     pub(super) fn new(
         rules: &'a Rules,
         engine: &'a Engine,
         sizes: &'a BTreeMap<model::Id, Model>,
         demand: &'a Demand,
-        servers: impl Iterator<Item = (&'a backend::Id, &'a Book)>,
+        servers: impl Iterator<Item = (&'a backend::Id, &'a ServerView)>,
         now: Moment,
-    ) -> Picture<'a> {
-        let here = servers.filter(|(_, book)| book.standing == Standing::Here);
-        let sites: Vec<Site> = here
-            .map(|(id, book)| Site {
+    ) -> Draft<'a> {
+        let here = servers.filter(|(_, view)| view.presence == Presence::Present);
+        let targets: Vec<Target> = here
+            .map(|(id, view)| Target {
                 id,
-                book,
-                room: book.taken(sizes).map(|taken| engine.weights.saturating_sub(taken)),
-                open: book.is_open(now),
+                view,
+                room: view.memory_taken(sizes).map(|taken| engine.weights.saturating_sub(taken)),
+                accepts_orders: view.accepts_orders(now),
             })
             .collect();
-        let at = |fits: &dyn Fn(&Book, &model::Id) -> bool| -> Vec<Vec<usize>> {
+        let at = |fits: &dyn Fn(&ServerView, &model::Id) -> bool| -> Vec<Vec<usize>> {
             let of = |model: &Model| {
-                let lit = (0..sites.len()).filter(|&s| !sites[s].book.is_unresponsive);
-                lit.filter(|&s| fits(sites[s].book, &model.name)).collect()
+                let responsive = (0..targets.len()).filter(|&s| !targets[s].view.is_unresponsive);
+                responsive.filter(|&s| fits(targets[s].view, &model.name)).collect()
             };
             engine.models.iter().map(of).collect()
         };
-        let places = at(&|book, model| book.is_ready(model) || book.is_coming(model));
-        let sure = at(&|book, model| book.is_sure(model, now));
+        let replicas = at(&|view, model| view.is_ready(model) || view.is_expected(model));
+        let confirmed = at(&|view, model| view.is_confirmed_ready(model, now));
         let work: Vec<f64> =
             engine.models.iter().map(|m| work(rules, demand, &m.name, now)).collect();
-        let top = work.iter().copied().fold(TOP, f64::max);
-        let mut picture = Picture {
+        let peak_work = work.iter().copied().fold(MIN_PEAK_WORK, f64::max);
+        let mut draft = Draft {
             rules,
             engine,
             sizes,
             demand,
             now,
-            sites,
-            places,
-            sure,
+            targets,
+            replicas,
+            confirmed,
             work,
-            chances: chances(demand, engine, now),
-            top,
-            rest: engine.models.iter().map(|m| demand.rest(rules, &m.name, now)).collect(),
-            level: Level::default(),
+            peak_chances: peak_chances(demand, engine, now),
+            peak_work,
+            remaining_work: engine
+                .models
+                .iter()
+                .map(|m| demand.remaining_work(rules, &m.name, now))
+                .collect(),
+            balance: LoadBalance::default(),
             indexes: engine.models.iter().enumerate().map(|(n, m)| (&m.name, n)).collect(),
             decisions: Vec::new(),
         };
-        picture.relevel();
-        picture
+        draft.rebalance();
+        draft
     }
 
     /// Brings the heat up to date.
-    pub(super) fn relevel(&mut self) {
-        let cost = self.demand.cost(self.now);
-        let missing = |site: &Site| site.book.limit.map_or(0.0, |limit| missing(limit, cost));
-        let grounds = self.sites.iter().map(missing).collect();
-        self.level = Level::new(&self.work, &self.places, grounds);
+    pub(super) fn rebalance(&mut self) {
+        let cost = self.demand.mean_request_s(self.now);
+        let lost =
+            |target: &Target| target.view.limit.map_or(0.0, |limit| lost_capacity(limit, cost));
+        let base = self.targets.iter().map(lost).collect();
+        self.balance = LoadBalance::new(&self.work, &self.replicas, base);
     }
 
     /// Heat of a site.
-    pub(super) fn heat(&self, site: usize) -> f64 {
-        self.level.heat[site]
+    pub(super) fn utilization(&self, target: usize) -> f64 {
+        self.balance.utilization[target]
     }
 
     /// Index of a declared model.
@@ -151,16 +156,16 @@
     /// Gives an order; nothing else goes to that site in this plan.
     pub(super) fn decide(
         &mut self,
-        site: usize,
+        target: usize,
         operation: Operation,
         model: &model::Id,
         adapter: Option<&adapter::Id>,
         cause: Cause,
     ) -> &mut Decision {
-        let at = &mut self.sites[site];
-        at.open = false;
+        let at = &mut self.targets[target];
+        at.accepts_orders = false;
         let source = match (operation, adapter) {
-            (Operation::Load, None) => at.book.source(model),
+            (Operation::Load, None) => at.view.source(model),
             _ => Source::Memory,
         };
         let order = Order {
@@ -168,41 +173,42 @@
             operation,
             model: model.clone(),
             adapter: adapter.cloned(),
-            expected: at.book.sequence,
+            expected: at.view.sequence,
             cause,
         };
-        self.decisions.push(Decision { order, source, paid: false, claim: None });
+        self.decisions.push(Decision { order, source, charged: false, reservation: None });
         self.decisions.last_mut().expect("just pushed")
     }
 }
 
 /// Part of a server that its limit takes away, where each request keeps it fully used for so long.
-fn missing(limit: f64, cost: f64) -> f64 {
+fn lost_capacity(limit: f64, cost: f64) -> f64 {
     if cost == 0.0 { 0.0 } else { (1.0 - limit * cost).max(0.0) }
 }
 
 /// Servers that a model keeps fully used.
 fn work(rules: &Rules, demand: &Demand, model: &model::Id, now: Moment) -> f64 {
-    let waited = if demand.is_waited_for(model, now) { WAITED } else { 0.0 };
+    let waited = if demand.is_waited_for(model, now) { MIN_WAITED_WORK } else { 0.0 };
     demand.work(rules, model, now).max(waited)
 }
 
 /// How likely each model is to be the busiest next: those that were busy lately more than others.
-fn chances(demand: &Demand, engine: &Engine, now: Moment) -> Vec<f64> {
-    let earlier: Vec<f64> = engine.models.iter().map(|m| demand.earlier(&m.name, now)).collect();
-    let sum: f64 = earlier.iter().sum();
+fn peak_chances(demand: &Demand, engine: &Engine, now: Moment) -> Vec<f64> {
+    let recent: Vec<f64> = engine.models.iter().map(|m| demand.recent(&m.name, now)).collect();
+    let sum: f64 = recent.iter().sum();
     let share = |&amount: &f64| if 0.0 < sum { amount / sum } else { 0.0 };
-    let any = CHANCE / engine.models.len().max(1) as f64;
-    earlier.iter().map(|amount| any + RETURN * share(amount)).collect()
+    let any = UNIFORM_PEAK_CHANCE / engine.models.len().max(1) as f64;
+    recent.iter().map(|amount| any + RECENT_PEAK_CHANCE * share(amount)).collect()
 }
 
 /// Loads from the weight store under way or asked for.
-pub(super) fn store_loads<'a>(books: impl Iterator<Item = &'a Book>) -> usize {
-    books
-        .filter(|book| {
+pub(super) fn store_loads<'a>(views: impl Iterator<Item = &'a ServerView>) -> usize {
+    views
+        .filter(|view| {
             let current =
-                matches!(&book.current, Some(Current::Load { source: Source::Store, .. }));
-            current || book.asked.as_ref().is_some_and(|sent| sent.source == Source::Store)
+                matches!(&view.current, Some(CurrentOrder::Load { source: Source::Store, .. }));
+            current
+                || view.in_flight_order.as_ref().is_some_and(|sent| sent.source == Source::Store)
         })
         .count()
 }
--- a/crates/policy/src/place/gain.rs
+++ b/crates/policy/src/place/gain.rs
@@ -9,214 +9,222 @@
 
 use super::{
     Cause, Operation,
-    book::Source,
-    heat::late,
-    picture::Picture,
-    spare::{self, BLOCKED, Spare, loss_of},
+    draft::Draft,
+    eviction::{self, BLOCKED_COST_PER_S, Evictable, replica_loss},
+    server_view::Source,
     store::{Allowance, Urgency},
+    utilization::late_work,
 };
 
 /// What a model that stands nowhere is missed.
-const HOMELESS: f64 = 300.0;
+const UNREACHABLE_COST: f64 = 300.0;
 
 /// What each second costs until a model that stands nowhere is there.
-const WAITING: f64 = 20.0;
+const LOAD_WAIT_COST_PER_S: f64 = 20.0;
 
 /// What a second replica is worth because a server may crash.
-const SECOND: f64 = 3.0;
+const SECOND_REPLICA_WORTH: f64 = 3.0;
 
 /// What the second replica is worth in another availability zone.
-const ZONE: f64 = 2.0;
+const SECOND_ZONE_WORTH: f64 = 2.0;
 
 /// Seconds for which a model that turns busy lives with the replicas that it has.
-const SURPRISE: f64 = 3.0;
+const OVERRUN_S: f64 = 3.0;
 
 /// Gain from which a load is pressing.
-const PRESSING: f64 = 20.0;
+const URGENT_GAIN: f64 = 20.0;
 
 /// What it costs to break the room of a largest model.
-const BROKEN: f64 = 1.0;
+const FRAGMENTATION_COST: f64 = 1.0;
 
 /// Taken off for each order in a row that the server left without an answer.
-const SILENT: f64 = 0.5;
+const UNANSWERED_COST: f64 = 0.5;
 
 /// Least gain of a step.
-const LEAST: f64 = 0.3;
+const MIN_GAIN: f64 = 0.3;
 
 /// Work below which a model isn't seen as asked for.
-const IDLE: f64 = 0.02;
+const IDLE_WORK: f64 = 0.02;
 
 /// Heat above which more replicas are looked at.
-const WARM: f64 = 0.1;
+const BUSY_UTILIZATION: f64 = 0.1;
 
 /// Sites that are looked at for each model.
-const SITES: usize = 8;
+const MAX_TARGETS: usize = 8;
 
 /// Steps in one plan.
-const STEPS: usize = 16;
+const MAX_STEPS: usize = 16;
 
 /// Seconds that an unload of an idle model takes.
-const UNLOAD: f64 = 0.2;
+const UNLOAD_S: f64 = 0.2;
 
 /// A model to a site.
 struct Step {
     model: usize,
-    site: usize,
+    target: usize,
     victims: Vec<model::Id>,
     source: Source,
     gain: f64,
 }
 
 /// Decides all model orders of a plan.
-pub(super) fn plan(picture: &mut Picture, store: &mut Allowance) {
-    clear_unknown(picture);
-    keep_claims(picture, store);
-    for _ in 0..STEPS {
-        let Some(step) = best(picture, store) else { return };
-        take(picture, store, step);
+pub(super) fn plan(draft: &mut Draft, store: &mut Allowance) {
+    unload_unknown_models(draft);
+    continue_reservations(draft, store);
+    for _ in 0..MAX_STEPS {
+        let Some(step) = best_step(draft, store) else { return };
+        commit(draft, store, step);
     }
 }
 
 /// Unloads models of unknown size: nothing can be loaded beside them.
-fn clear_unknown(picture: &mut Picture) {
-    for site in 0..picture.sites.len() {
-        let at = &picture.sites[site];
-        let unknown = at.book.held.keys().find(|model| !picture.sizes.contains_key(*model));
-        let Some(model) = unknown.filter(|_| at.is_open()).cloned() else { continue };
-        picture.decide(site, Operation::Unload, &model, None, Cause::Room);
+fn unload_unknown_models(draft: &mut Draft) {
+    for target in 0..draft.targets.len() {
+        let at = &draft.targets[target];
+        let unknown = at.view.held.keys().find(|model| !draft.sizes.contains_key(*model));
+        let Some(model) = unknown.filter(|_| at.accepts_model_order()).cloned() else { continue };
+        draft.decide(target, Operation::Unload, &model, None, Cause::Room);
     }
 }
 
 /// Goes on with what room was made for, and keeps the room until the weight store can serve it.
-fn keep_claims(picture: &mut Picture, store: &mut Allowance) {
-    for site in 0..picture.sites.len() {
-        let at = &picture.sites[site];
-        let claim = at.book.claim.as_ref().filter(|_| at.is_open());
-        let Some(model) = claim.and_then(|(model, _)| picture.index(model)) else { continue };
-        let name = &picture.engine.models[model].name;
-        if at.book.held.contains_key(name) {
+fn continue_reservations(draft: &mut Draft, store: &mut Allowance) {
+    for target in 0..draft.targets.len() {
+        let at = &draft.targets[target];
+        let reservation = at.view.reservation.as_ref().filter(|_| at.accepts_model_order());
+        let Some(model) = reservation.and_then(|(model, _)| draft.index(model)) else { continue };
+        let name = &draft.engine.models[model].name;
+        if at.view.held.contains_key(name) {
             continue;
         }
-        let source = at.book.source(name);
-        let spares = spare::spares(picture, site);
-        let victims = spare::victims(picture, model, site, &spares);
+        let source = at.view.source(name);
+        let evictable = eviction::evictable(draft, target);
+        let victims = eviction::victims(draft, model, target, &evictable);
         let victims: Option<Vec<model::Id>> =
             victims.map(|all| all.into_iter().map(|victim| victim.model.clone()).collect());
-        let allowed = store.allows(at.id, source, Urgency::Pressing);
-        picture.places[model].retain(|&place| place != site);
+        let allowed = store.allows(at.id, source, Urgency::Urgent);
+        draft.replicas[model].retain(|&other| other != target);
         match victims {
             Some(victims) if allowed => {
-                take(picture, store, Step { model, site, victims, source, gain: 0.0 });
+                commit(draft, store, Step { model, target, victims, source, gain: 0.0 });
             }
             Some(_) => {
-                picture.places[model].push(site);
-                picture.sites[site].open = false;
+                draft.replicas[model].push(target);
+                draft.targets[target].accepts_orders = false;
             }
             None => {}
         }
     }
-    picture.relevel();
+    draft.rebalance();
 }
 
-fn best(picture: &Picture, store: &mut Allowance) -> Option<Step> {
-    let open = |site: usize| picture.sites[site].is_open();
-    let spares: Vec<Vec<Spare>> = (0..picture.sites.len())
-        .map(|site| if open(site) { spare::spares(picture, site) } else { Vec::new() })
+fn best_step(draft: &Draft, store: &mut Allowance) -> Option<Step> {
+    let open = |target: usize| draft.targets[target].accepts_model_order();
+    let evictable: Vec<Vec<Evictable>> = (0..draft.targets.len())
+        .map(|target| if open(target) { eviction::evictable(draft, target) } else { Vec::new() })
         .collect();
     let mut best: Option<Step> = None;
-    for model in (0..picture.places.len()).filter(|&model| is_lacking(picture, model)) {
-        for (site, victims) in shortlist(picture, store, model, &spares) {
-            let least = best.as_ref().map_or(LEAST, |step| step.gain);
-            let step = Some(step(picture, model, site, victims));
-            best = step.filter(|s| least < s.gain && allows(picture, store, s)).or(best);
+    for model in (0..draft.replicas.len()).filter(|&model| may_need_replica(draft, model)) {
+        for (target, victims) in shortlist(draft, store, model, &evictable) {
+            let least = best.as_ref().map_or(MIN_GAIN, |step| step.gain);
+            let step = Some(evaluate(draft, model, target, victims));
+            best = step.filter(|s| least < s.gain && allows(draft, store, s)).or(best);
         }
     }
     best
 }
 
 /// Whether the weight store has the load left.
-fn allows(picture: &Picture, store: &mut Allowance, step: &Step) -> bool {
-    let urgency = if step.gain < PRESSING { Urgency::Calm } else { Urgency::Pressing };
-    store.allows(picture.sites[step.site].id, step.source, urgency)
+fn allows(draft: &Draft, store: &mut Allowance, step: &Step) -> bool {
+    let urgency = if step.gain < URGENT_GAIN { Urgency::Background } else { Urgency::Urgent };
+    store.allows(draft.targets[step.target].id, step.source, urgency)
 }
 
 /// Whether another replica may be worth something.
-fn is_lacking(picture: &Picture, model: usize) -> bool {
-    let places = &picture.places[model];
-    let hottest = places.iter().map(|&site| picture.heat(site)).fold(0.0, f64::max);
-    LEAST < lack(picture, model, places) || IDLE < picture.work[model] && WARM < hottest
+fn may_need_replica(draft: &Draft, model: usize) -> bool {
+    let replicas = &draft.replicas[model];
+    let highest = replicas.iter().map(|&target| draft.utilization(target)).fold(0.0, f64::max);
+    MIN_GAIN < replica_deficit(draft, model, replicas)
+        || IDLE_WORK < draft.work[model] && BUSY_UTILIZATION < highest
 }
 
 /// What replicas in these places leave to be wished for: that the model answers at all, also after
 /// a crash, and that it isn't overrun if it becomes the busiest.
-pub(super) fn lack(picture: &Picture, model: usize, places: &[usize]) -> f64 {
-    let zone = |site: usize| &picture.sites[site].book.zone;
-    let safety = match places {
-        [] => return HOMELESS,
-        [_] => SECOND + ZONE,
-        [first, rest @ ..] if rest.iter().all(|&site| zone(site) == zone(*first)) => ZONE,
+pub(super) fn replica_deficit(draft: &Draft, model: usize, replicas: &[usize]) -> f64 {
+    let zone = |target: usize| &draft.targets[target].view.zone;
+    let safety = match replicas {
+        [] => return UNREACHABLE_COST,
+        [_] => SECOND_REPLICA_WORTH + SECOND_ZONE_WORTH,
+        [first, rest @ ..] if rest.iter().all(|&target| zone(target) == zone(*first)) => {
+            SECOND_ZONE_WORTH
+        }
         _ => 0.0,
     };
-    let overrun = late(picture.top / places.len() as f64);
-    safety + picture.chances[model] * picture.rules.prices.second * SURPRISE * overrun
+    let overrun = late_work(draft.peak_work / replicas.len() as f64);
+    safety + draft.peak_chances[model] * draft.rules.prices.server_second * OVERRUN_S * overrun
 }
 
 /// The sites that are looked at, with what would have to go: free and quick first, then cool.
 fn shortlist<'a>(
-    picture: &Picture,
+    draft: &Draft,
     store: &mut Allowance,
     model: usize,
-    spares: &'a [Vec<Spare>],
-) -> Vec<(usize, Vec<&'a Spare>)> {
-    let declared = &picture.engine.models[model];
-    let mut sites: Vec<(bool, bool, usize)> = Vec::new();
-    for (site, at) in picture.sites.iter().enumerate().filter(|(_, at)| at.is_open()) {
-        let source = at.book.source(&declared.name);
-        let new = !at.book.held.contains_key(&declared.name);
-        let fits = new && !picture.places[model].contains(&site);
-        if fits && store.allows(at.id, source, Urgency::Pressing) {
+    evictable: &'a [Vec<Evictable>],
+) -> Vec<(usize, Vec<&'a Evictable>)> {
+    let declared = &draft.engine.models[model];
+    let mut targets: Vec<(bool, bool, usize)> = Vec::new();
+    for (target, at) in draft.targets.iter().enumerate().filter(|(_, at)| at.accepts_model_order())
+    {
+        let source = at.view.source(&declared.name);
+        let new = !at.view.held.contains_key(&declared.name);
+        let fits = new && !draft.replicas[model].contains(&target);
+        if fits && store.allows(at.id, source, Urgency::Urgent) {
             let free = at.room.is_some_and(|room| declared.weights <= room);
-            sites.push((source == Source::Store, !free, site));
+            targets.push((source == Source::Store, !free, target));
         }
     }
-    sites.sort_by(|a, b| {
-        (a.0, a.1).cmp(&(b.0, b.1)).then(picture.heat(a.2).total_cmp(&picture.heat(b.2)))
+    targets.sort_by(|a, b| {
+        (a.0, a.1).cmp(&(b.0, b.1)).then(draft.utilization(a.2).total_cmp(&draft.utilization(b.2)))
     });
-    let fits = |site: usize| Some((site, spare::victims(picture, model, site, &spares[site])?));
-    sites.into_iter().filter_map(|(.., site)| fits(site)).take(SITES).collect()
+    let fits = |target: usize| {
+        Some((target, eviction::victims(draft, model, target, &evictable[target])?))
+    };
+    targets.into_iter().filter_map(|(.., target)| fits(target)).take(MAX_TARGETS).collect()
 }
 
 /// Weighs a model at a site.
-fn step(picture: &Picture, model: usize, site: usize, victims: Vec<&Spare>) -> Step {
-    let at = &picture.sites[site];
-    let declared = &picture.engine.models[model];
-    let source = at.book.source(&declared.name);
-    let prices = &picture.rules.prices;
+fn evaluate(draft: &Draft, model: usize, target: usize, victims: Vec<&Evictable>) -> Step {
+    let at = &draft.targets[target];
+    let declared = &draft.engine.models[model];
+    let source = at.view.source(&declared.name);
+    let prices = &draft.rules.prices;
     let blocked: f64 = victims.iter().map(|victim| victim.until_idle).sum();
-    let unloads = UNLOAD * victims.len() as f64 + blocked;
+    let unloads = UNLOAD_S * victims.len() as f64 + blocked;
     let delay = load_time(declared, source).as_secs_f64() + unloads;
 
     let indexes: Vec<usize> = victims.iter().filter_map(|victim| victim.index).collect();
-    let lost: f64 = indexes.iter().map(|&index| loss_of(picture, index, site)).sum();
-    let mut price = lost + BLOCKED * blocked + prices.order * (1 + victims.len()) as f64;
-    price += if source == Source::Store { prices.load } else { 0.0 };
+    let lost: f64 = indexes.iter().map(|&index| replica_loss(draft, index, target)).sum();
+    let mut cost = lost + BLOCKED_COST_PER_S * blocked + prices.order * (1 + victims.len()) as f64;
+    cost += if source == Source::Store { prices.load } else { 0.0 };
     let freed = victims.iter().map(|victim| victim.size).sum();
-    price += SILENT * f64::from(at.book.silent) + broken(picture, declared, site, freed);
-    let places = &picture.places[model];
-    if places.is_empty() {
-        price += delay * (WAITING + prices.second * picture.work[model]);
+    cost += UNANSWERED_COST * f64::from(at.view.unanswered)
+        + fragmentation_cost(draft, declared, target, freed);
+    let replicas = &draft.replicas[model];
+    if replicas.is_empty() {
+        cost += delay * (LOAD_WAIT_COST_PER_S + prices.server_second * draft.work[model]);
     }
-    let mut with = places.clone();
-    with.push(site);
-    let safer = if picture.demand.is_known(picture.now) || victims.is_empty() || places.is_empty() {
-        lack(picture, model, places) - lack(picture, model, &with)
-    } else {
-        0.0
-    };
-    let cooler = relief(picture, model, with, &indexes, site);
-    let gain = safer + cooler * prices.second * lasting(picture, delay) - price;
+    let mut with = replicas.clone();
+    with.push(target);
+    let safety_gain =
+        if draft.demand.is_established(draft.now) || victims.is_empty() || replicas.is_empty() {
+            replica_deficit(draft, model, replicas) - replica_deficit(draft, model, &with)
+        } else {
+            0.0
+        };
+    let reduction = loss_reduction(draft, model, with, &indexes, target);
+    let gain = safety_gain + reduction * prices.server_second * expected_use_s(draft, delay) - cost;
     let victims = victims.into_iter().map(|victim| victim.model.clone()).collect();
-    Step { model, site, victims, source, gain }
+    Step { model, target, victims, source, gain }
 }
 
 /// Seconds of demand that a replica is likely to see that is there after so many: work leaves its
@@ -227,39 +235,39 @@
 /// nine hosts before 18 model servers, over five days with faults and three seeds each, the share of
 /// worth served rose from 0.823 to 0.840, of the worst kind of request from 0.755 to 0.793, measured
 /// together with refusals at once of what a load comes too late for.
-fn lasting(picture: &Picture, delay: f64) -> f64 {
-    let stay = picture.demand.stay();
-    stay * (-delay / stay).exp()
+fn expected_use_s(draft: &Draft, delay: f64) -> f64 {
+    let persistence = draft.demand.persistence_s();
+    persistence * (-delay / persistence).exp()
 }
 
 /// What a step takes off the loss; nothing if it moves no work to speak of.
-fn relief(
-    picture: &Picture,
+fn loss_reduction(
+    draft: &Draft,
     model: usize,
     with: Vec<usize>,
     victims: &[usize],
-    site: usize,
+    target: usize,
 ) -> f64 {
-    if victims.iter().chain([&model]).all(|&index| picture.work[index] <= IDLE) {
+    if victims.iter().chain([&model]).all(|&index| draft.work[index] <= IDLE_WORK) {
         return 0.0;
     }
     let without = |&victim: &usize| {
-        let rest = picture.places[victim].iter().copied().filter(|&place| place != site);
+        let rest = draft.replicas[victim].iter().copied().filter(|&other| other != target);
         (victim, rest.collect())
     };
     let moves: Vec<(usize, Vec<usize>)> =
         victims.iter().map(without).chain([(model, with)]).collect();
-    picture.level.relief(&picture.work, &picture.places, &moves)
+    draft.balance.loss_reduction(&draft.work, &draft.replicas, &moves)
 }
 
 /// What it costs that a small model breaks the room of a largest one.
-fn broken(picture: &Picture, declared: &Model, site: usize, freed: Mebibytes) -> f64 {
-    let largest = picture.engine.models.iter().map(|model| model.weights).max().unwrap_or(0);
+fn fragmentation_cost(draft: &Draft, declared: &Model, target: usize, freed: Mebibytes) -> f64 {
+    let largest = draft.engine.models.iter().map(|model| model.weights).max().unwrap_or(0);
     if largest < 2 * declared.weights || largest == 0 {
         return 0.0;
     }
-    let room = picture.sites[site].room.unwrap_or(0) + freed;
-    BROKEN * (room / largest - room.saturating_sub(declared.weights) / largest) as f64
+    let room = draft.targets[target].room.unwrap_or(0) + freed;
+    FRAGMENTATION_COST * (room / largest - room.saturating_sub(declared.weights) / largest) as f64
 }
 
 /// Time that a load takes.
@@ -272,29 +280,29 @@
 }
 
 /// Decides a step's first order.
-fn take(picture: &mut Picture, store: &mut Allowance, step: Step) {
-    let Step { model, site, victims, source, .. } = step;
-    let name = picture.engine.models[model].name.clone();
-    let cause = match picture.places[model].len() {
+fn commit(draft: &mut Draft, store: &mut Allowance, step: Step) {
+    let Step { model, target, victims, source, .. } = step;
+    let name = draft.engine.models[model].name.clone();
+    let cause = match draft.replicas[model].len() {
         0 => Cause::Missing,
-        _ if IDLE < picture.work[model] => Cause::Demand,
+        _ if IDLE_WORK < draft.work[model] => Cause::Demand,
         _ => Cause::Spread,
     };
     match victims.first() {
         None => {
-            let paid = store.take(picture.sites[site].id, source);
-            picture.decide(site, Operation::Load, &name, None, cause).paid = paid;
+            let charged = store.start(draft.targets[target].id, source);
+            draft.decide(target, Operation::Load, &name, None, cause).charged = charged;
         }
         Some(victim) => {
-            store.keep(picture.sites[site].id, source);
-            let decision = picture.decide(site, Operation::Unload, victim, None, Cause::Room);
-            decision.claim = Some(name);
+            store.reserve(draft.targets[target].id, source);
+            let decision = draft.decide(target, Operation::Unload, victim, None, Cause::Room);
+            decision.reservation = Some(name);
         }
     }
-    for victim in victims.iter().filter_map(|victim| picture.index(victim)).collect::<Vec<_>>() {
-        picture.places[victim].retain(|&place| place != site);
-        picture.sure[victim].retain(|&place| place != site);
+    for victim in victims.iter().filter_map(|victim| draft.index(victim)).collect::<Vec<_>>() {
+        draft.replicas[victim].retain(|&other| other != target);
+        draft.confirmed[victim].retain(|&other| other != target);
     }
-    picture.places[model].push(site);
-    picture.relevel();
+    draft.replicas[model].push(target);
+    draft.rebalance();
 }
--- a/crates/policy/src/place/fade.rs
+++ b/crates/policy/src/place/persistence.rs
@@ -11,72 +11,76 @@
 use super::rate::Rate;
 
 /// Time over which a model's work is averaged: less, and chance alone looks like work that leaves.
-const MEMORY: Duration = Duration::from_secs(2);
+const WORK_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Time between two samples.
-const SAMPLE: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time over which what was seen is forgotten.
-const LEARN: Duration = Duration::from_secs(10);
+const ESTIMATE_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
 /// Part of all work that leaves its model in a second, before any was seen: demand is counted on for
 /// four seconds.
-const FIRST: f64 = 0.25;
+const INITIAL_LEAVING_PER_S: f64 = 0.25;
 
 /// Least and most time that demand is counted on, in seconds. Chance alone looks like a sixteenth of
 /// all work leaving in a second, at twenty requests a second for each model (reckoned).
-const LEAST: f64 = 2.0;
-const MOST: f64 = 16.0;
+const MIN_S: f64 = 2.0;
+const MAX_S: f64 = 16.0;
 
 /// Work of one model.
 #[derive(Clone, Copy, Debug, Default)]
-struct Flow {
+struct SampledWork {
     rate: Rate,
     sampled: f64,
 }
 
 /// What part of all work leaves its model.
 #[derive(Clone, Debug)]
-pub(super) struct Fade {
-    flows: BTreeMap<model::Id, Flow>,
+pub(super) struct Persistence {
+    models: BTreeMap<model::Id, SampledWork>,
     sampled: Moment,
     /// Part of all work in a second.
-    part: f64,
+    leaving_per_s: f64,
 }
 
-impl Default for Fade {
-    fn default() -> Fade {
-        Fade { flows: BTreeMap::new(), sampled: Duration::ZERO, part: FIRST }
+impl Default for Persistence {
+    fn default() -> Persistence {
+        Persistence {
+            models: BTreeMap::new(),
+            sampled: Duration::ZERO,
+            leaving_per_s: INITIAL_LEAVING_PER_S,
+        }
     }
 }
 
-impl Fade {
+impl Persistence {
     /// Counts work of a model.
     pub(super) fn add(&mut self, model: &model::Id, work: f64, now: Moment) {
-        self.flows.entry(model.clone()).or_default().rate.add(MEMORY, work, now);
-        if self.sampled + SAMPLE <= now {
+        self.models.entry(model.clone()).or_default().rate.add(WORK_TIME_CONSTANT, work, now);
+        if self.sampled + SAMPLE_INTERVAL <= now {
             self.sample(now);
         }
     }
 
     /// How long demand stays, in seconds, in the mean.
-    pub(super) fn stay(&self) -> f64 {
-        (1.0 / self.part).clamp(LEAST, MOST)
+    pub(super) fn mean_s(&self) -> f64 {
+        (1.0 / self.leaving_per_s).clamp(MIN_S, MAX_S)
     }
 
     fn sample(&mut self, now: Moment) {
         let time = now.saturating_sub(self.sampled).as_secs_f64();
         self.sampled = now;
         let (mut all, mut left) = (0.0, 0.0);
-        for flow in self.flows.values_mut() {
-            let work = flow.rate.value(MEMORY, now);
-            all += flow.sampled;
-            left += (flow.sampled - work).max(0.0);
-            flow.sampled = work;
+        for model_work in self.models.values_mut() {
+            let work = model_work.rate.value(WORK_TIME_CONSTANT, now);
+            all += model_work.sampled;
+            left += (model_work.sampled - work).max(0.0);
+            model_work.sampled = work;
         }
         if 0.0 < all {
-            let weight = (time / LEARN.as_secs_f64()).min(1.0);
-            self.part += (left / all / time - self.part) * weight;
+            let weight = (time / ESTIMATE_TIME_CONSTANT.as_secs_f64()).min(1.0);
+            self.leaving_per_s += (left / all / time - self.leaving_per_s) * weight;
         }
     }
 }
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -9,10 +9,10 @@
 
 use super::{
     Order, Outcome, Rules, adapters,
-    book::{Book, Sent, Source},
     demand::{Demand, Work},
+    draft::{Decision, Draft, store_loads},
     gain,
-    picture::{Decision, Picture, store_loads},
+    server_view::{SentOrder, ServerView, Source},
     store::{self, Allowance, Bucket},
     unplaced::{self, Unplaced},
 };
@@ -31,9 +31,9 @@
 pub struct Planner {
     rules: Rules,
     services: BTreeMap<service::Id, Service>,
-    servers: BTreeMap<backend::Id, Book>,
+    servers: BTreeMap<backend::Id, ServerView>,
     /// Orders to runs that are over, by the server's name: a later run may yet carry them out.
-    late: BTreeMap<Arc<str>, Vec<Sent>>,
+    unresolved: BTreeMap<Arc<str>, Vec<SentOrder>>,
     demand: Demand,
     unplaced: Vec<Unplaced>,
 }
@@ -41,8 +41,8 @@
 impl Planner {
     /// Knows nothing yet.
     pub fn new(rules: Rules) -> Planner {
-        let (services, servers, late, unplaced) = Default::default();
-        Planner { rules, services, servers, late, demand: Demand::default(), unplaced }
+        let (services, servers, unresolved, unplaced) = Default::default();
+        Planner { rules, services, servers, unresolved, demand: Demand::default(), unplaced }
     }
 
     /// Takes what a service's servers are like, new or changed.
@@ -65,31 +65,31 @@
 
     /// Takes a new or changed registration.
     pub fn register_server(&mut self, server: &routed::Server, now: Moment) {
-        if let Some(book) = self.servers.get_mut(&server.id) {
-            return book.register(server, now);
+        if let Some(view) = self.servers.get_mut(&server.id) {
+            return view.apply_registration(server, now);
         }
-        self.servers.retain(|_, book| book.address != server.address);
-        let mut book = Book::new(&self.rules, server, now);
-        if let Some(late) = self.late.remove(&server.name) {
-            book.inherit(late);
+        self.servers.retain(|_, view| view.address != server.address);
+        let mut view = ServerView::new(&self.rules, server, now);
+        if let Some(unresolved) = self.unresolved.remove(&server.name) {
+            view.inherit(unresolved);
         }
-        self.servers.insert(server.id.clone(), book);
+        self.servers.insert(server.id.clone(), view);
     }
 
     /// Forgets a run of a server that has ended, but for its orders without an answer.
     pub fn remove_server(&mut self, server: &backend::Id, now: Moment) {
-        let Some(book) = self.servers.remove(server) else { return };
-        let (name, late) = book.end(&self.rules, now);
-        if !late.is_empty() {
-            self.late.insert(name, late);
+        let Some(view) = self.servers.remove(server) else { return };
+        let (name, unresolved) = view.into_unresolved(&self.rules, now);
+        if !unresolved.is_empty() {
+            self.unresolved.insert(name, unresolved);
         }
     }
 
     /// Takes a report.
     pub fn report(&mut self, server: &backend::Id, report: &Report, now: Moment) {
-        let Some(book) = self.servers.get_mut(server) else { return };
-        let begun = book.report(report, now);
-        if let Some(service) = self.services.get_mut(&book.service) {
+        let Some(view) = self.servers.get_mut(server) else { return };
+        let begun = view.apply_report(report, now);
+        if let Some(service) = self.services.get_mut(&view.service) {
             (0..begun).for_each(|_| service.bucket.charge());
         }
     }
@@ -108,7 +108,7 @@
         at: Moment,
     ) {
         let Some(slots) = self.slots(model, adapter) else { return };
-        self.demand.arrive(&self.rules, slots, model, adapter, work, at);
+        self.demand.record_arrivals(&self.rules, slots, model, adapter, work, at);
     }
 
     /// Notes that a request waits right now for a model or adapter.
@@ -119,36 +119,37 @@
         now: Moment,
     ) {
         if self.slots(model, adapter).is_some() {
-            self.demand.wait(model, adapter, now);
+            self.demand.record_waiting(model, adapter, now);
         }
     }
 
     /// Takes how many requests of a model are in flight to a server, from all hosts.
     pub fn in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
-        if let Some(book) = self.servers.get_mut(server) {
-            book.running.insert(model.clone(), requests);
+        if let Some(view) = self.servers.get_mut(server) {
+            view.requests_in_flight.insert(model.clone(), requests);
         }
     }
 
     /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
     pub fn set_unresponsive(&mut self, servers: &[backend::Id]) {
-        for (id, book) in &mut self.servers {
-            book.is_unresponsive = servers.contains(id);
+        for (id, view) in &mut self.servers {
+            view.is_unresponsive = servers.contains(id);
         }
     }
 
     /// Sets the limits of servers, in requests a second. A limited server counts as the part of a server that
     /// its limit leaves.
     pub fn set_rate_limits(&mut self, limits: &BTreeMap<backend::Id, f64>) {
-        for (id, book) in &mut self.servers {
-            book.limit = limits.get(id).copied();
+        for (id, view) in &mut self.servers {
+            view.limit = limits.get(id).copied();
         }
     }
 
     /// The orders to give now. Each has to be answered with [`Planner::record_outcome`].
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
-        self.servers.values_mut().for_each(|book| book.expire(&self.rules, now));
-        self.late.retain(|_, late| late.iter().any(|sent| sent.is_open(now)));
+        self.servers.values_mut().for_each(|view| view.expire(&self.rules, now));
+        self.unresolved
+            .retain(|_, unresolved| unresolved.iter().any(|sent| sent.may_take_effect(now)));
         self.unplaced.clear();
         let names: Vec<service::Id> = self.services.keys().cloned().collect();
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
@@ -161,56 +162,59 @@
 
     fn plan_service(&mut self, name: &service::Id, now: Moment) -> Vec<Order> {
         let Some(service) = self.services.get_mut(name) else { return Vec::new() };
-        let own = || self.servers.iter().filter(|(_, book)| book.service == *name);
-        let doubted = |book: &Book| book.doubts.iter().any(|sent| sent.source == Source::Store);
-        let claimed = |book: &Book| {
-            let claim = book.claim.as_ref();
-            claim.is_some_and(|(model, _)| book.source(model) == Source::Store)
+        let own = || self.servers.iter().filter(|(_, view)| view.service == *name);
+        let unresolved =
+            |view: &ServerView| view.unresolved.iter().any(|sent| sent.source == Source::Store);
+        let reserved = |view: &ServerView| {
+            let reservation = view.reservation.as_ref();
+            reservation.is_some_and(|(model, _)| view.source(model) == Source::Store)
         };
-        let servers = |fits: &dyn Fn(&Book) -> bool| {
-            own().filter(|(_, book)| fits(book)).map(|(id, _)| id.clone()).collect()
+        let servers = |fits: &dyn Fn(&ServerView) -> bool| {
+            own().filter(|(_, view)| fits(view)).map(|(id, _)| id.clone()).collect()
         };
         let mut store = Allowance {
-            doubted: servers(&doubted),
-            claimed: servers(&claimed),
-            running: store_loads(own().map(|(_, book)| book)),
-            at_once: store::at_once(&service.engine),
+            unresolved: servers(&unresolved),
+            reserved: servers(&reserved),
+            loads_running: store_loads(own().map(|(_, view)| view)),
+            max_concurrent_loads: store::max_concurrent_loads(&service.engine),
             bucket: &mut service.bucket,
             now,
         };
         let (engine, sizes) = (&service.engine, &service.sizes);
-        let mut picture = Picture::new(&self.rules, engine, sizes, &self.demand, own(), now);
-        gain::plan(&mut picture, &mut store);
-        adapters::plan(&mut picture);
-        self.unplaced.extend(unplaced::unplaced(&picture, &mut store));
-        let decisions = picture.decisions;
+        let mut draft = Draft::new(&self.rules, engine, sizes, &self.demand, own(), now);
+        gain::plan(&mut draft, &mut store);
+        adapters::plan(&mut draft);
+        self.unplaced.extend(unplaced::unplaced(&draft, &mut store));
+        let decisions = draft.decisions;
         decisions.into_iter().map(|decision| self.send(decision, now)).collect()
     }
 
     fn send(&mut self, decision: Decision, now: Moment) -> Order {
-        if let Some(book) = self.servers.get_mut(&decision.order.server) {
-            book.ask(&decision, now);
+        if let Some(view) = self.servers.get_mut(&decision.order.server) {
+            view.record_sent(&decision, now);
         }
         decision.order
     }
 
     /// Takes what came of an order.
     pub fn record_outcome(&mut self, order: &Order, outcome: Outcome, now: Moment) {
-        let Some(book) = self.servers.get_mut(&order.server) else { return };
-        let service = self.services.get_mut(&book.service);
+        let Some(view) = self.servers.get_mut(&order.server) else { return };
+        let service = self.services.get_mut(&view.service);
         let declared = service.as_ref().and_then(|service| service.sizes.get(&order.model));
-        let source = book.source(&order.model);
+        let source = view.source(&order.model);
         let load = declared.map_or(Duration::ZERO, |model| gain::load_time(model, source));
-        let Some(sent) = book.answer(&self.rules, order, outcome, load, now) else { return };
+        let Some(sent) = view.record_outcome(&self.rules, order, outcome, load, now) else {
+            return;
+        };
         let may_run = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
-        if let (Some(service), true) = (service, sent.paid && !may_run) {
+        if let (Some(service), true) = (service, sent.charged && !may_run) {
             service.bucket.refund();
         }
     }
 
     /// Servers whose report is wanted now, to know what became of an order.
     pub fn unsettled(&self, now: Moment) -> impl Iterator<Item = &backend::Id> {
-        self.servers.iter().filter(move |(_, book)| book.is_unsettled(now)).map(|(id, _)| id)
+        self.servers.iter().filter(move |(_, view)| view.is_unsettled(now)).map(|(id, _)| id)
     }
 
     /// Slots of the servers of a declared model, if the adapter is one of its.
--- a/crates/policy/src/place/rate.rs
+++ b/crates/policy/src/place/rate.rs
@@ -11,16 +11,16 @@
 
 impl Rate {
     /// Counts an amount at `at`, which may be earlier than amounts counted before.
-    pub(super) fn add(&mut self, memory: Duration, amount: f64, at: Moment) {
-        let late = self.at.saturating_sub(at).as_secs_f64();
-        let left = (-late / memory.as_secs_f64()).exp();
-        self.value = self.value(memory, at) + amount * left / memory.as_secs_f64();
+    pub(super) fn add(&mut self, time_constant: Duration, amount: f64, at: Moment) {
+        let lag = self.at.saturating_sub(at).as_secs_f64();
+        let left = (-lag / time_constant.as_secs_f64()).exp();
+        self.value = self.value(time_constant, at) + amount * left / time_constant.as_secs_f64();
         self.at = self.at.max(at);
     }
 
     /// The rate now.
-    pub(super) fn value(&self, memory: Duration, now: Moment) -> f64 {
+    pub(super) fn value(&self, time_constant: Duration, now: Moment) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.value * (-age / memory.as_secs_f64()).exp()
+        self.value * (-age / time_constant.as_secs_f64()).exp()
     }
 }
--- a/crates/policy/src/place/book/hear.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -7,117 +7,124 @@
     routed::{self, Held, Report, Sequence},
 };
 
-use super::{Book, Current, Operation, Sent, Source, Standing, Unit};
+use super::{AdapterKey, CurrentOrder, Operation, Presence, SentOrder, ServerView, Source};
 
 /// Older news than this can't be behind by the usual lag: what was taken for known is wrong.
-const PATIENCE: Duration = Duration::from_secs(2);
+const STALE_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Book {
+impl ServerView {
     /// Takes a changed registration. It doesn't say what is under way, so it can end an order but
     /// never show that nothing is under way.
-    pub(in crate::place) fn register(&mut self, server: &routed::Server, now: Moment) {
-        self.stand(server);
+    pub(in crate::place) fn apply_registration(&mut self, server: &routed::Server, now: Moment) {
+        self.update_presence(server);
         if server.sequence < self.sequence {
             return;
         }
-        self.copies(&server.resident, &server.on_disk);
+        self.set_copies(&server.resident, &server.on_disk);
         if self.sequence < server.sequence {
-            self.certain = false;
+            self.is_certain = false;
             return;
         }
-        self.arrive(&server.models);
+        self.note_loaded_adapters(&server.models);
         let lists = |model: &model::Id| server.models.iter().any(|held| held.model == *model);
         let ended = match &self.current {
-            Some(Current::Load { model, .. }) => lists(model),
-            Some(Current::Unload { model }) => !lists(model),
+            Some(CurrentOrder::Load { model, .. }) => lists(model),
+            Some(CurrentOrder::Unload { model }) => !lists(model),
             _ => false,
         };
         if ended {
-            self.finish(now);
-            self.hold(&server.models, now);
+            self.finish_current(now);
+            self.set_held(&server.models, now);
         }
     }
 
     /// Adapters that it lists are on their way no more.
-    fn arrive(&mut self, models: &[Held]) {
-        let lists = |(model, adapter): &Unit| {
+    fn note_loaded_adapters(&mut self, models: &[Held]) {
+        let lists = |(model, adapter): &AdapterKey| {
             models.iter().any(|held| held.model == *model && held.adapters.contains(adapter))
         };
-        let arrived: Vec<Unit> = self.coming.keys().filter(|unit| lists(unit)).cloned().collect();
-        for unit in arrived {
-            let Some(adapters) = self.held.get_mut(&unit.0) else { continue };
-            self.coming.remove(&unit);
-            adapters.insert(unit.1);
+        let arrived: Vec<AdapterKey> = self
+            .adapters_loading
+            .keys()
+            .filter(|adapter_key| lists(adapter_key))
+            .cloned()
+            .collect();
+        for adapter_key in arrived {
+            let Some(adapters) = self.held.get_mut(&adapter_key.0) else { continue };
+            self.adapters_loading.remove(&adapter_key);
+            adapters.insert(adapter_key.1);
         }
     }
 
     /// Takes a report; gives how many doubted loads from the weight store turn out to have begun.
-    pub(in crate::place) fn report(&mut self, report: &Report, now: Moment) -> usize {
+    pub(in crate::place) fn apply_report(&mut self, report: &Report, now: Moment) -> usize {
         if self.is_stale(report, now) {
             return 0;
         }
         let passed = self.sequence..report.sequence;
         if report.busy {
-            self.current = self.carried_out(report, &passed, now);
+            self.current = self.identify_current(report, &passed, now);
         } else {
-            self.finish(now);
+            self.finish_current(now);
         }
-        self.is_refusal_open = false;
+        self.is_refusal_unexplained = false;
         if !passed.is_empty() || report.sequence < self.sequence {
             self.advance(report.sequence, now);
         }
-        self.hold(&report.models, now);
-        let since = |unit: &Unit| (unit.clone(), self.coming.get(unit).copied().unwrap_or(now));
-        self.coming = report.coming.iter().map(since).collect();
-        self.copies(&report.resident, &report.on_disk);
-        self.certain = true;
-        self.silent = 0;
-        if self.standing == Standing::Absent {
-            self.standing = Standing::Here;
+        self.set_held(&report.models, now);
+        let since = |adapter_key: &AdapterKey| {
+            (adapter_key.clone(), self.adapters_loading.get(adapter_key).copied().unwrap_or(now))
+        };
+        self.adapters_loading = report.coming.iter().map(since).collect();
+        self.set_copies(&report.resident, &report.on_disk);
+        self.is_certain = true;
+        self.unanswered = 0;
+        if self.presence == Presence::Absent {
+            self.presence = Presence::Present;
         }
-        self.settle()
+        self.drop_resolved()
     }
 
     /// Whether a report says less than is known.
     fn is_stale(&self, report: &Report, now: Moment) -> bool {
-        let ended = report.busy && self.certain && self.current.is_none();
+        let ended = report.busy && self.is_certain && self.current.is_none();
         let older = report.sequence < self.sequence || (report.sequence == self.sequence && ended);
-        older && now < self.moved + PATIENCE
+        older && now < self.advanced_at + STALE_REPORT_TIMEOUT
     }
 
     /// The model order that a busy server carries out.
-    fn carried_out(
+    fn identify_current(
         &self,
         report: &Report,
         passed: &Range<Sequence>,
         now: Moment,
-    ) -> Option<Current> {
+    ) -> Option<CurrentOrder> {
         let lists = |model: &model::Id| report.models.iter().any(|held| held.model == *model);
         let known = self.current.clone().filter(|current| match current {
-            Current::Load { model, .. } => !lists(model),
-            Current::Unload { model } => lists(model),
-            Current::Foreign => false,
+            CurrentOrder::Load { model, .. } => !lists(model),
+            CurrentOrder::Unload { model } => lists(model),
+            CurrentOrder::Foreign => false,
         });
         let sent = || {
-            let all = self.doubts.iter().chain(&self.asked);
+            let all = self.unresolved.iter().chain(&self.in_flight_order);
             let mut fits =
                 all.filter(|sent| passed.contains(&sent.order.expected)).filter_map(as_current);
             let first = fits.next()?;
             fits.all(|other| other == first).then_some(first)
         };
         // One that came between, or another planner's, may as well be the one.
-        let alone = passed.end.saturating_sub(passed.start) == 1 && self.foreign <= now;
+        let alone = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
         let own = known.or_else(|| alone.then(sent).flatten());
-        Some(own.unwrap_or(Current::Foreign))
+        Some(own.unwrap_or(CurrentOrder::Foreign))
     }
 
     /// Drops doubts that the number has passed; gives how many loads from the store began.
-    fn settle(&mut self) -> usize {
-        let (open, past): (Vec<_>, Vec<_>) = std::mem::take(&mut self.doubts)
+    fn drop_resolved(&mut self) -> usize {
+        let (open, past): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
             .partition(|sent| self.sequence <= sent.order.expected);
-        self.doubts = open;
-        let began = |sent: &&Sent| {
+        self.unresolved = open;
+        let began = |sent: &&SentOrder| {
             let model = &sent.order.model;
             let load = sent.is(Operation::Load, model) && sent.source == Source::Store;
             load && (self.held.contains_key(model) || self.is_loading(model))
@@ -126,52 +133,53 @@
         models.len()
     }
 
-    pub(super) fn stand(&mut self, server: &routed::Server) {
+    pub(super) fn update_presence(&mut self, server: &routed::Server) {
         self.zone = server.zone.clone();
         self.address = server.address;
-        self.standing = match (server.state, self.standing) {
-            (routed::State::Draining, _) => Standing::Leaving,
-            (routed::State::Ready, Standing::Absent) => Standing::Absent,
-            (routed::State::Ready, _) if server.remaining.is_some() => Standing::Leaving,
-            (routed::State::Ready, _) => Standing::Here,
+        self.presence = match (server.state, self.presence) {
+            (routed::State::Draining, _) => Presence::Draining,
+            (routed::State::Ready, Presence::Absent) => Presence::Absent,
+            (routed::State::Ready, _) if server.remaining.is_some() => Presence::Draining,
+            (routed::State::Ready, _) => Presence::Present,
         };
     }
 
-    pub(super) fn hold(&mut self, models: &[Held], now: Moment) {
+    pub(super) fn set_held(&mut self, models: &[Held], now: Moment) {
         let pairs = |held: &Held| (held.model.clone(), held.adapters.iter().cloned().collect());
         self.held = models.iter().map(pairs).collect();
         let held = &self.held;
-        self.parting.retain(|(model, adapter)| {
+        self.adapters_unloading.retain(|(model, adapter)| {
             held.get(model).is_some_and(|adapters| adapters.contains(adapter))
         });
         // What is on its way keeps its place, also if its model has gone, until a report lists it no more:
         // a server may still take it in. Forgotten here, it let a third adapter into two places.
-        let coming = &self.coming;
-        self.taken_in.retain(|unit, _| {
-            let is_held = held.get(&unit.0).is_some_and(|adapters| adapters.contains(&unit.1));
-            is_held || coming.contains_key(unit)
+        let loading = &self.adapters_loading;
+        self.adapter_ordered_at.retain(|adapter_key, _| {
+            let is_held =
+                held.get(&adapter_key.0).is_some_and(|adapters| adapters.contains(&adapter_key.1));
+            is_held || loading.contains_key(adapter_key)
         });
-        self.since.retain(|model, _| held.contains_key(model));
+        self.held_since.retain(|model, _| held.contains_key(model));
         held.keys().for_each(|model| {
-            self.since.entry(model.clone()).or_insert(now);
+            self.held_since.entry(model.clone()).or_insert(now);
         });
     }
 
-    pub(super) fn copies(&mut self, resident: &[model::Id], on_disk: &[model::Id]) {
+    pub(super) fn set_copies(&mut self, resident: &[model::Id], on_disk: &[model::Id]) {
         self.resident = resident.iter().cloned().collect();
         self.on_disk = on_disk.iter().cloned().collect();
     }
 }
 
 /// A model order as it is carried out.
-fn as_current(sent: &Sent) -> Option<Current> {
+fn as_current(sent: &SentOrder) -> Option<CurrentOrder> {
     let order = &sent.order;
     if order.adapter.is_some() {
         return None;
     }
     let model = order.model.clone();
     Some(match order.operation {
-        Operation::Load => Current::Load { model, source: sent.source, due: Moment::ZERO },
-        Operation::Unload => Current::Unload { model },
+        Operation::Load => CurrentOrder::Load { model, source: sent.source, due: Moment::ZERO },
+        Operation::Unload => CurrentOrder::Unload { model },
     })
 }
--- a/crates/policy/src/place/store.rs
+++ b/crates/policy/src/place/store.rs
@@ -10,25 +10,25 @@
 
 use types::{prelude::*, routed::Engine};
 
-use super::{Rules, book::Source};
+use super::{Rules, server_view::Source};
 
 /// Loads without an answer that hold no token back.
-const SLACK: usize = 1;
+const UNCOVERED_UNRESOLVED_LOADS: usize = 1;
 
 /// Part of the tokens after the first that only what is pressing may take.
-const RESERVED: f64 = 0.9;
+const BACKGROUND_RESERVE: f64 = 0.9;
 
 /// Time that room for a load takes to make at the least, in seconds: tokens that come meanwhile need
 /// not be kept for it.
-const ROOM: f64 = 1.0;
+const MIN_ROOM_TIME_S: f64 = 1.0;
 
 /// How soon a load is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Urgency {
     /// Requests suffer until it is there.
-    Pressing,
+    Urgent,
     /// It may wait until the store has nothing else to do.
-    Calm,
+    Background,
 }
 
 /// Loads that may start.
@@ -54,20 +54,20 @@
     }
 
     /// Whether a load may start when so many tokens are kept for others.
-    fn may_start(&mut self, kept: usize, urgency: Urgency, now: Moment) -> bool {
+    fn may_start(&mut self, withheld: usize, urgency: Urgency, now: Moment) -> bool {
         let elapsed = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
         self.tokens = (self.tokens + elapsed * self.per_second).min(self.burst);
         let reserved = match urgency {
-            Urgency::Pressing => 0.0,
-            Urgency::Calm => RESERVED * (self.burst - 1.0),
+            Urgency::Urgent => 0.0,
+            Urgency::Background => BACKGROUND_RESERVE * (self.burst - 1.0),
         };
-        1.0 + reserved + kept as f64 <= self.tokens
+        1.0 + reserved + withheld as f64 <= self.tokens
     }
 
     /// Tokens that come while room is made, all but one.
-    fn meanwhile(&self) -> usize {
-        (self.per_second * ROOM - 1.0).max(0.0) as usize
+    fn refill_while_making_room(&self) -> usize {
+        (self.per_second * MIN_ROOM_TIME_S - 1.0).max(0.0) as usize
     }
 
     /// Charges a load.
@@ -83,12 +83,12 @@
 
 /// Loads from the weight store under way at once: as many as run on average at its full rate. More
 /// would only slow each other down.
-pub(super) fn at_once(engine: &Engine) -> usize {
-    (engine.loads_per_s * mean_load(engine)).round().max(1.0) as usize
+pub(super) fn max_concurrent_loads(engine: &Engine) -> usize {
+    (engine.loads_per_s * mean_load_s(engine)).round().max(1.0) as usize
 }
 
 /// Seconds that a load from the weight store takes on average.
-fn mean_load(engine: &Engine) -> f64 {
+fn mean_load_s(engine: &Engine) -> f64 {
     let times = engine.models.iter().map(|model| model.load.as_secs_f64());
     times.sum::<f64>() / engine.models.len().max(1) as f64
 }
@@ -97,11 +97,11 @@
 pub(super) struct Allowance<'a> {
     pub(super) bucket: &'a mut Bucket,
     /// Servers at which one without an answer may still begin.
-    pub(super) doubted: BTreeSet<backend::Id>,
+    pub(super) unresolved: BTreeSet<backend::Id>,
     /// Servers at which room is made for one.
-    pub(super) claimed: BTreeSet<backend::Id>,
-    pub(super) running: usize,
-    pub(super) at_once: usize,
+    pub(super) reserved: BTreeSet<backend::Id>,
+    pub(super) loads_running: usize,
+    pub(super) max_concurrent_loads: usize,
     pub(super) now: Moment,
 }
 
@@ -113,34 +113,34 @@
         source: Source,
         urgency: Urgency,
     ) -> bool {
-        if source != Source::Store || self.doubted.contains(server) {
+        if source != Source::Store || self.unresolved.contains(server) {
             return true;
         }
-        let claimed = self.claimed.iter().filter(|claimed| *claimed != server).count();
-        let kept = claimed.saturating_sub(self.bucket.meanwhile())
-            + self.doubted.len().saturating_sub(SLACK);
+        let reserved = self.reserved.iter().filter(|reserved| *reserved != server).count();
+        let withheld = reserved.saturating_sub(self.bucket.refill_while_making_room())
+            + self.unresolved.len().saturating_sub(UNCOVERED_UNRESOLVED_LOADS);
         let most = match urgency {
-            Urgency::Pressing => self.at_once,
-            Urgency::Calm => self.at_once.saturating_sub(1).max(1),
+            Urgency::Urgent => self.max_concurrent_loads,
+            Urgency::Background => self.max_concurrent_loads.saturating_sub(1).max(1),
         };
-        self.running < most && self.bucket.may_start(kept, urgency, self.now)
+        self.loads_running < most && self.bucket.may_start(withheld, urgency, self.now)
     }
 
     /// Keeps a load for a server.
-    pub(super) fn keep(&mut self, server: &backend::Id, source: Source) {
+    pub(super) fn reserve(&mut self, server: &backend::Id, source: Source) {
         if source == Source::Store {
-            self.claimed.insert(server.clone());
+            self.reserved.insert(server.clone());
         }
     }
 
     /// Takes a load; whether it was charged.
-    pub(super) fn take(&mut self, server: &backend::Id, source: Source) -> bool {
+    pub(super) fn start(&mut self, server: &backend::Id, source: Source) -> bool {
         let store = source == Source::Store;
-        let paid = store && !self.doubted.contains(server);
-        self.running += usize::from(store);
-        if paid {
+        let charged = store && !self.unresolved.contains(server);
+        self.loads_running += usize::from(store);
+        if charged {
             self.bucket.charge();
         }
-        paid
+        charged
     }
 }
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -6,13 +6,13 @@
 
 use super::{
     Operation,
-    picture::{Picture, Site},
-    spare,
+    draft::{Draft, Target},
+    eviction,
     store::{Allowance, Urgency},
 };
 
 /// Heat from which a model's replicas are overrun.
-const OVERRUN: f64 = 1.0;
+const OVERRUN_UTILIZATION: f64 = 1.0;
 
 /// A model or adapter that is wanted and not on its way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,90 +69,97 @@
 }
 
 /// What a plan that is done leaves to be wished for.
-pub(super) fn unplaced(picture: &Picture, store: &mut Allowance) -> Vec<Unplaced> {
-    let models = 0..picture.engine.models.len();
-    let wanted = models.filter(|&model| is_wanted(picture, model)).collect::<Vec<_>>();
+pub(super) fn unplaced(draft: &Draft, store: &mut Allowance) -> Vec<Unplaced> {
+    let models = 0..draft.engine.models.len();
+    let wanted = models.filter(|&model| is_wanted(draft, model)).collect::<Vec<_>>();
     let mut unplaced: Vec<Unplaced> = wanted
         .into_iter()
         .map(|model| Unplaced {
-            model: picture.engine.models[model].name.clone(),
+            model: draft.engine.models[model].name.clone(),
             adapter: None,
-            replicas: picture.places[model].len(),
-            obstacle: obstacle(picture, store, model),
+            replicas: draft.replicas[model].len(),
+            obstacle: find_obstacle(draft, store, model),
         })
         .collect();
-    unplaced.extend(adapters(picture));
+    unplaced.extend(adapters(draft));
     unplaced
 }
 
 /// Whether requests wait for a model that is not on its way, or overrun those who have it.
-fn is_wanted(picture: &Picture, model: usize) -> bool {
-    let places = &picture.places[model];
-    let coolest = places.iter().map(|&site| picture.heat(site)).fold(f64::INFINITY, f64::min);
-    let is_missed = picture.demand.is_waited_for(&picture.engine.models[model].name, picture.now);
-    if places.is_empty() { is_missed } else { 0.0 < picture.work[model] && OVERRUN <= coolest }
+fn is_wanted(draft: &Draft, model: usize) -> bool {
+    let replicas = &draft.replicas[model];
+    let lowest =
+        replicas.iter().map(|&target| draft.utilization(target)).fold(f64::INFINITY, f64::min);
+    let is_missed = draft.demand.is_waited_for(&draft.engine.models[model].name, draft.now);
+    if replicas.is_empty() {
+        is_missed
+    } else {
+        0.0 < draft.work[model] && OVERRUN_UTILIZATION <= lowest
+    }
 }
 
-fn obstacle(picture: &Picture, store: &mut Allowance, model: usize) -> Obstacle {
-    let name = &picture.engine.models[model].name;
-    let mut sites: Vec<usize> = (0..picture.sites.len())
-        .filter(|&site| !picture.sites[site].book.held.contains_key(name))
-        .filter(|site| !picture.places[model].contains(site))
+fn find_obstacle(draft: &Draft, store: &mut Allowance, model: usize) -> Obstacle {
+    let name = &draft.engine.models[model].name;
+    let mut targets: Vec<usize> = (0..draft.targets.len())
+        .filter(|&target| !draft.targets[target].view.held.contains_key(name))
+        .filter(|target| !draft.replicas[model].contains(target))
         .collect();
-    if sites.is_empty() {
+    if targets.is_empty() {
         return Obstacle::NoServer;
     }
-    sites.retain(|&site| picture.sites[site].is_open());
-    if sites.is_empty() {
+    targets.retain(|&target| draft.targets[target].accepts_model_order());
+    if targets.is_empty() {
         return Obstacle::Busy;
     }
-    let can_make_room = |site| {
-        let spares = spare::spares(picture, site);
-        spare::victims(picture, model, site, &spares).is_some()
+    let can_make_room = |target| {
+        let evictable = eviction::evictable(draft, target);
+        eviction::victims(draft, model, target, &evictable).is_some()
     };
-    sites.retain(|&site| can_make_room(site));
-    if sites.is_empty() {
+    targets.retain(|&target| can_make_room(target));
+    if targets.is_empty() {
         return Obstacle::NoRoom;
     }
-    let allows = |site: &usize| {
-        let at = &picture.sites[*site];
-        store.allows(at.id, at.book.source(name), Urgency::Pressing)
+    let allows = |target: &usize| {
+        let at = &draft.targets[*target];
+        store.allows(at.id, at.view.source(name), Urgency::Urgent)
     };
-    if !sites.iter().any(allows) { Obstacle::StoreRate } else { Obstacle::NoGain }
+    if !targets.iter().any(allows) { Obstacle::StoreRate } else { Obstacle::NoGain }
 }
 
 /// Adapters that requests wait for, that stand nowhere and for which nothing was ordered.
-fn adapters(picture: &Picture) -> Vec<Unplaced> {
+fn adapters(draft: &Draft) -> Vec<Unplaced> {
     let mut unplaced = Vec::new();
-    let asked = picture.demand.adapters.iter();
-    for (unit, _) in asked.filter(|(_, asked)| asked.waits_since(picture.now).is_some()) {
-        let (model, adapter) = unit;
-        let Some(declared) = picture.engine.models.iter().find(|m| m.name == *model) else {
+    let asked = draft.demand.adapters.iter();
+    for (adapter_key, _) in asked.filter(|(_, asked)| asked.waiting_since(draft.now).is_some()) {
+        let (model, adapter) = adapter_key;
+        let Some(declared) = draft.engine.models.iter().find(|m| m.name == *model) else {
             continue;
         };
-        let is_base = |site: &&Site| !site.book.is_unresponsive && site.book.is_ready(model);
-        let mut sites: Vec<&Site> = picture.sites.iter().filter(is_base).collect();
-        let ordered = picture.decisions.iter().any(|decision| {
+        let is_base =
+            |target: &&Target| !target.view.is_unresponsive && target.view.is_ready(model);
+        let mut targets: Vec<&Target> = draft.targets.iter().filter(is_base).collect();
+        let ordered = draft.decisions.iter().any(|decision| {
             let order = &decision.order;
             order.operation == Operation::Load
                 && (&order.model, order.adapter.as_ref()) == (model, Some(adapter))
         });
-        if ordered || sites.iter().any(|site| site.book.has(unit)) {
+        if ordered || targets.iter().any(|target| target.view.has_adapter(adapter_key)) {
             continue;
         }
-        let has_base = !sites.is_empty();
-        let under_way: usize = sites.iter().map(|site| site.book.under_way(picture.now)).sum();
-        sites.retain(|site| site.open);
-        let is_free = |site: &&Site| {
-            let places =
-                site.book.reserved_adapters().len() < picture.engine.adapter_slots as usize;
-            places && site.room.is_some_and(|room| declared.adapter_weights <= room)
+        let has_base = !targets.is_empty();
+        let under_way: usize =
+            targets.iter().map(|target| target.view.adapters_in_flight(draft.now)).sum();
+        targets.retain(|target| target.accepts_orders);
+        let is_free = |target: &&Target| {
+            let has_slot =
+                target.view.reserved_adapters().len() < draft.engine.adapter_slots as usize;
+            has_slot && target.room.is_some_and(|room| declared.adapter_weights <= room)
         };
         let obstacle = match () {
             () if !has_base => Obstacle::NoModel,
-            () if picture.rules.adapter_loads_total <= under_way => Obstacle::StoreRate,
-            () if sites.is_empty() => Obstacle::Busy,
-            () if !sites.iter().any(is_free) => Obstacle::NoRoom,
+            () if draft.rules.adapter_loads_total <= under_way => Obstacle::StoreRate,
+            () if targets.is_empty() => Obstacle::Busy,
+            () if !targets.iter().any(is_free) => Obstacle::NoRoom,
             () => Obstacle::StoreRate,
         };
         let (model, adapter) = (model.clone(), Some(adapter.clone()));
@@ -162,27 +169,27 @@
 }
 
 /// An entry that doesn't last so long is not told.
-const LASTS: Duration = Duration::from_millis(300);
+const MIN_DURATION: Duration = Duration::from_millis(300);
 
 /// Time after which an entry that lasts is told again.
-const AGAIN: Duration = Duration::from_secs(2);
+const REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Wishes that are told in a second at most.
-const MOST: usize = 16;
+const MAX_PER_SECOND: usize = 16;
 
 /// Which unplaced entries are to be told, so that a shortage of hundreds floods nobody.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLimiter {
     open: BTreeMap<(model::Id, Option<adapter::Id>), Open>,
     second: u64,
-    told: usize,
+    reported: usize,
 }
 
 /// An entry that was there in the last plan.
 #[derive(Clone, Copy, Debug)]
 struct Open {
     since: Moment,
-    told: Option<(Moment, Obstacle)>,
+    reported: Option<(Moment, Obstacle)>,
 }
 
 impl ReportLimiter {
@@ -191,23 +198,23 @@
         let key = |item: &Unplaced| (item.model.clone(), item.adapter.clone());
         let mut open = std::mem::take(&mut self.open);
         if now.as_secs() != self.second {
-            (self.second, self.told) = (now.as_secs(), 0);
+            (self.second, self.reported) = (now.as_secs(), 0);
         }
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         for item in unplaced {
             let key = key(item);
-            let mut entry = open.remove(&key).unwrap_or(Open { since: now, told: None });
+            let mut entry = open.remove(&key).unwrap_or(Open { since: now, reported: None });
             let lasted = now.saturating_sub(entry.since);
-            let is_new = entry.told.is_none_or(|(at, obstacle)| {
-                obstacle != item.obstacle && at + LASTS <= now || at + AGAIN <= now
+            let is_new = entry.reported.is_none_or(|(at, obstacle)| {
+                obstacle != item.obstacle && at + MIN_DURATION <= now || at + REPEAT_INTERVAL <= now
             });
-            if LASTS <= lasted && is_new && self.told < MOST {
-                self.told += 1;
-                entry.told = Some((now, item.obstacle));
-                told.push((item.clone(), lasted));
+            if MIN_DURATION <= lasted && is_new && self.reported < MAX_PER_SECOND {
+                self.reported += 1;
+                entry.reported = Some((now, item.obstacle));
+                reported.push((item.clone(), lasted));
             }
             self.open.insert(key, entry);
         }
-        told
+        reported
     }
 }
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -8,11 +8,11 @@
     routed::{self, Born, Engine, Held, Model, Report, Server, State},
 };
 
-pub type Unit = (model::Id, adapter::Id);
+pub type AdapterKey = (model::Id, adapter::Id);
 
-const ADAPTER: Duration = Duration::from_millis(7);
-const IDLE_UNLOAD: Duration = Duration::from_millis(20);
-const LAG: Duration = Duration::from_millis(100);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(7);
+const IDLE_UNLOAD_TIME: Duration = Duration::from_millis(20);
+const REPORT_LAG: Duration = Duration::from_millis(100);
 
 /// What became of an order besides its outcome.
 #[derive(Default)]
@@ -29,15 +29,15 @@
     pub sequence: u64,
     pub current: Option<(Operation, model::Id, Moment)>,
     /// Time that an adapter takes to come.
-    pub adapter: Duration,
-    pub coming: Vec<(Unit, Moment)>,
+    pub adapter_load_time: Duration,
+    pub coming: Vec<(AdapterKey, Moment)>,
     /// Ends of running requests.
     pub running: Vec<(model::Id, Option<adapter::Id>, Moment)>,
-    late: Vec<(Order, Moment)>,
+    delayed: Vec<(Order, Moment)>,
     /// Copies, the newest last.
     resident: Vec<model::Id>,
     on_disk: Vec<model::Id>,
-    told: VecDeque<(Moment, Report)>,
+    reports: VecDeque<(Moment, Report)>,
 }
 
 impl Machine {
@@ -46,10 +46,10 @@
     }
 
     /// The next run under the same name, which may still get what was sent to this one.
-    pub fn again(&mut self, run: usize, number: usize, zone: usize) -> Machine {
-        let late = std::mem::take(&mut self.late);
+    pub fn restarted(&mut self, run: usize, number: usize, zone: usize) -> Machine {
+        let delayed = std::mem::take(&mut self.delayed);
         Machine {
-            late,
+            delayed,
             ..Machine::named(&self.server.name, run as Born, number, zone, self.disk())
         }
     }
@@ -82,13 +82,13 @@
             held: BTreeMap::new(),
             sequence: 0,
             current: None,
-            adapter: ADAPTER,
+            adapter_load_time: ADAPTER_LOAD_TIME,
             coming: Vec::new(),
             running: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             resident: Vec::new(),
             on_disk,
-            told: VecDeque::new(),
+            reports: VecDeque::new(),
         }
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// Takes an order that arrives later.
-    pub fn order_late(&mut self, order: &Order, at: Moment) {
-        self.late.push((order.clone(), at));
+    pub fn deliver_later(&mut self, order: &Order, at: Moment) {
+        self.delayed.push((order.clone(), at));
     }
 
     fn model_order(
@@ -176,7 +176,7 @@
             Operation::Load if here => return Outcome::AlreadyHolds,
             Operation::Unload if !here => return Outcome::AlreadyHolds,
             Operation::Load => now + self.load_time(engine, model, record, now),
-            Operation::Unload => now + IDLE_UNLOAD,
+            Operation::Unload => now + IDLE_UNLOAD_TIME,
         };
         self.sequence += 1;
         self.current = Some((order.operation, model.clone(), due));
@@ -202,19 +202,19 @@
     }
 
     fn adapter_order(&mut self, order: &Order, adapter: &adapter::Id, now: Moment) -> Outcome {
-        let unit = (order.model.clone(), adapter.clone());
+        let adapter_key = (order.model.clone(), adapter.clone());
         let uses = |run: &(model::Id, Option<adapter::Id>, Moment)| {
-            run.0 == unit.0 && run.1.as_ref() == Some(adapter)
+            run.0 == adapter_key.0 && run.1.as_ref() == Some(adapter)
         };
         let used = self.running.iter().any(uses);
         let Some(held) = self.held.get_mut(&order.model) else { return Outcome::NotThere };
         match order.operation {
             Operation::Load if held.contains(adapter) => return Outcome::AlreadyHolds,
-            Operation::Load if self.coming.iter().any(|(coming, _)| *coming == unit) => {
+            Operation::Load if self.coming.iter().any(|(coming, _)| *coming == adapter_key) => {
                 return Outcome::AlreadyHolds;
             }
             Operation::Load if 4 <= self.coming.len() => return Outcome::Busy,
-            Operation::Load => self.coming.push((unit, now + self.adapter)),
+            Operation::Load => self.coming.push((adapter_key, now + self.adapter_load_time)),
             Operation::Unload if !held.contains(adapter) => return Outcome::AlreadyHolds,
             // Taken as refused while in use: the adapter stays.
             Operation::Unload if used => return Outcome::Busy,
@@ -244,7 +244,7 @@
     /// Moves on to a time.
     pub fn tick(&mut self, engine: &Engine, record: &mut Record, now: Moment) {
         let due: Vec<Order> =
-            self.late.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
+            self.delayed.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
         for order in due {
             self.order(engine, &order, record, now);
         }
@@ -261,9 +261,9 @@
             }
             None => {}
         }
-        for (unit, _) in self.coming.extract_if(.., |(_, due)| *due <= now) {
-            if let Some(adapters) = self.held.get_mut(&unit.0) {
-                adapters.insert(unit.1);
+        for (adapter_key, _) in self.coming.extract_if(.., |(_, due)| *due <= now) {
+            if let Some(adapters) = self.held.get_mut(&adapter_key.0) {
+                adapters.insert(adapter_key.1);
             }
         }
         let report = Report {
@@ -271,20 +271,20 @@
             born: self.server.born,
             busy: self.current.is_some(),
             sequence: self.sequence,
-            coming: self.coming.iter().map(|(unit, _)| unit.clone()).collect(),
+            coming: self.coming.iter().map(|(adapter_key, _)| adapter_key.clone()).collect(),
             resident: self.resident.clone(),
             on_disk: self.on_disk.clone(),
             ..Report::default()
         };
-        self.told.push_back((now, report));
-        while self.told.get(1).is_some_and(|(at, _)| *at + LAG <= now) {
-            self.told.pop_front();
+        self.reports.push_back((now, report));
+        while self.reports.get(1).is_some_and(|(at, _)| *at + REPORT_LAG <= now) {
+            self.reports.pop_front();
         }
     }
 
     /// What it says now, as of a while ago.
     pub fn report(&self) -> Option<&Report> {
-        self.told.front().map(|(_, report)| report)
+        self.reports.front().map(|(_, report)| report)
     }
 
     fn copy(&mut self, engine: &Engine, model: &model::Id) {
--- a/crates/policy/tests/place/main.rs
+++ b/crates/policy/tests/place/main.rs
@@ -1,9 +1,9 @@
 //! Placement by conditional orders.
 
 mod adapters;
-mod book;
 mod machine;
 mod models;
 mod random;
-mod wishes;
+mod server_view;
+mod unplaced;
 mod world;
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -84,7 +84,7 @@
     fn slow_adapters_overcommit_no_server(slow in 100u64..600, seed: u64) {
         let mut world = World::new(engine(83_000, 2, &[(34_300, 9); 6]), 4, 2, seed);
         for machine in &mut world.machines {
-            machine.adapter = Duration::from_millis(slow);
+            machine.adapter_load_time = Duration::from_millis(slow);
         }
         for step in 0..1500 {
             stir(&mut world, step / 100);
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -14,7 +14,7 @@
 
 const TICK: Duration = Duration::from_millis(10);
 const TIMEOUT: Duration = Duration::from_millis(300);
-const LATE_MS: u64 = 14_500;
+const MAX_DELAY_MS: u64 = 14_500;
 
 /// How often orders go wrong.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,8 +41,8 @@
     pub orders: Vec<(Moment, Order)>,
     pub rng: ChaCha8Rng,
     /// Processor time of each plan; no test judges it.
-    pub times: Vec<Duration>,
-    waiting: Vec<(Moment, Order)>,
+    pub plan_times: Vec<Duration>,
+    unanswered: Vec<(Moment, Order)>,
     runs: usize,
     /// Models that no server answered for, at the end of each step.
     pub unreachable: BTreeSet<(Moment, model::Id)>,
@@ -121,8 +121,8 @@
             faults: Faults::default(),
             orders: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            times: Vec::new(),
-            waiting: Vec::new(),
+            plan_times: Vec::new(),
+            unanswered: Vec::new(),
             runs: 0,
             unreachable: BTreeSet::new(),
         }
@@ -133,7 +133,7 @@
         self.now += TICK;
         self.machines.iter_mut().for_each(|m| m.tick(&self.engine, &mut self.record, self.now));
         let (now, planner) = (self.now, &mut self.planner);
-        for (_, order) in self.waiting.extract_if(.., |(at, _)| *at <= now) {
+        for (_, order) in self.unanswered.extract_if(.., |(at, _)| *at <= now) {
             planner.record_outcome(&order, Outcome::Unknown, now);
         }
         if self.now.as_millis().is_multiple_of(50) {
@@ -141,7 +141,7 @@
         }
         let began = Instant::now();
         let orders = self.planner.plan(self.now);
-        self.times.push(began.elapsed());
+        self.plan_times.push(began.elapsed());
         orders.iter().for_each(|order| self.send(order));
         self.orders.extend(orders.into_iter().map(|order| (self.now, order)));
         let answers = |model: &&Model| self.machines.iter().any(|m| m.answers(&model.name, None));
@@ -171,7 +171,7 @@
     pub fn send(&mut self, order: &Order) {
         let Faults { lost, silent, late, twice, late_at } = self.faults;
         let roll: f64 = self.rng.random();
-        let later = self.now + Duration::from_millis(self.rng.random_range(10..LATE_MS));
+        let later = self.now + Duration::from_millis(self.rng.random_range(10..MAX_DELAY_MS));
         let later = late_at.unwrap_or(later);
         let again = self.rng.random_bool(twice);
         let number = self.machines.iter().position(|m| m.server.id == order.server);
@@ -180,17 +180,17 @@
         };
         let machine = &mut self.machines[number];
         if again {
-            machine.order_late(order, later);
+            machine.deliver_later(order, later);
         }
         if roll < lost + late {
             if lost <= roll {
-                machine.order_late(order, later);
+                machine.deliver_later(order, later);
             }
-            return self.waiting.push((self.now + TIMEOUT, order.clone()));
+            return self.unanswered.push((self.now + TIMEOUT, order.clone()));
         }
         let outcome = machine.order(&self.engine, order, &mut self.record, self.now);
         if roll < lost + late + silent {
-            return self.waiting.push((self.now + TIMEOUT, order.clone()));
+            return self.unanswered.push((self.now + TIMEOUT, order.clone()));
         }
         self.planner.record_outcome(order, outcome, self.now);
     }
@@ -206,7 +206,7 @@
     /// The same, but it keeps its name.
     pub fn restart(&mut self, number: usize) {
         self.runs += 1;
-        let fresh = self.machines[number].again(self.runs, number, number % 4);
+        let fresh = self.machines[number].restarted(self.runs, number, number % 4);
         self.replace(number, fresh);
     }
 
