--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -16,13 +16,13 @@
 mod adapters;
 mod bucket;
 pub mod fit;
-mod fleet;
 pub mod forecast;
 mod gain;
-mod heat;
 mod planner;
 mod residency;
 mod room;
+mod utilization;
+mod working_state;
 
 use std::time::Duration;
 
--- a/crates/policy/src/plan/bucket.rs
+++ b/crates/policy/src/plan/bucket.rs
@@ -14,7 +14,7 @@
 
 impl Bucket {
     pub(super) fn new(limits: Limits) -> Bucket {
-        Bucket { limits, tokens: full(limits), filled: Moment::ZERO }
+        Bucket { limits, tokens: capacity(limits), filled: Moment::ZERO }
     }
 
     /// Loads that may start now, while `loading` others run.
@@ -23,7 +23,7 @@
         self.filled = self.filled.max(now);
         if self.limits.loads_per_second.is_finite() {
             let gained = elapsed * self.limits.loads_per_second;
-            self.tokens = (self.tokens + gained).min(full(self.limits));
+            self.tokens = (self.tokens + gained).min(capacity(self.limits));
         }
         let at_once = self.limits.at_once.saturating_sub(loading);
         at_once.min(self.tokens as usize)
@@ -36,6 +36,6 @@
 }
 
 /// The most that the bucket holds: one second's worth, and one load at the least.
-fn full(limits: Limits) -> f64 {
+fn capacity(limits: Limits) -> f64 {
     limits.loads_per_second.max(1.0)
 }
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -10,12 +10,12 @@
 use super::{
     Engine, Limits, Planner,
     planner::{Declared, Draft},
-    residency::owed,
-    room::Level,
+    residency::missing_adapter_memory,
+    room::EvictionLimit,
 };
 
 /// Rounds of moves that the check plays; more are not needed for any change that ends.
-const ROUNDS: usize = 64;
+const MAX_ROUNDS: usize = 64;
 
 /// A model that can't be made resident.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
@@ -51,31 +51,32 @@
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
     engines.iter().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
-    planner.simulate(Moment::ZERO, ROUNDS);
+    planner.simulate(Moment::ZERO, MAX_ROUNDS);
     planner.shortages(Moment::ZERO)
 }
 
 impl Planner {
     /// Declared models that no live engine holds whole in the version in force.
     pub fn shortages(&mut self, now: Moment) -> Vec<Shortage> {
-        let draft = self.blank(now, 0);
-        let models = draft.models.iter().filter(|(id, declared)| !draft.is_whole(id, declared));
+        let draft = self.new_draft(now, 0);
+        let models = draft.models.iter().filter(|(id, declared)| !draft.is_complete(id, declared));
         models.map(|(id, declared)| draft.shortage(id, declared)).collect()
     }
 }
 
 impl Draft<'_> {
-    fn is_whole(&self, id: &model::Id, declared: &Declared) -> bool {
-        self.current(id, declared).any(|(_, held)| owed(declared, held) == 0)
+    fn is_complete(&self, id: &model::Id, declared: &Declared) -> bool {
+        self.current(id, declared).any(|(_, held)| missing_adapter_memory(declared, held) == 0)
     }
 
     fn shortage(&self, id: &model::Id, declared: &Declared) -> Shortage {
         let group = &declared.model.group;
-        let slots = self.fleet.slots.values();
-        let rooms = slots.filter(|slot| slot.is_live() && slot.told.group == *group);
-        let rooms = rooms.map(|slot| Room {
-            server: slot.told.server.clone(),
-            free: slot.later() + self.spares(slot, Level::Residency).map(|s| s.memory).sum::<u64>(),
+        let engines = self.working.engines.values();
+        let rooms = engines.filter(|engine| engine.is_live() && engine.reported.group == *group);
+        let rooms = rooms.map(|engine| Room {
+            server: engine.reported.server.clone(),
+            free: engine.room_after_unloads()
+                + self.evictable(engine, EvictionLimit::KeepOne).map(|s| s.memory).sum::<u64>(),
         });
         let roomiest = rooms.max_by(|a, b| a.free.cmp(&b.free).then(b.server.cmp(&a.server)));
         Shortage { model: id.clone(), group: group.clone(), needs: declared.bundle, roomiest }
--- a/crates/policy/src/plan/forecast.rs
+++ b/crates/policy/src/plan/forecast.rs
@@ -11,19 +11,19 @@
 use super::Demand;
 
 /// Weight of the newest interval in the level.
-const LEVEL: f64 = 0.5;
+const LEVEL_WEIGHT: f64 = 0.5;
 
 /// Weight of the newest change in the trend.
-const TREND: f64 = 0.3;
+const TREND_WEIGHT: f64 = 0.3;
 
 /// Intervals that the estimate looks ahead.
-const AHEAD: f64 = 3.0;
+const LOOK_AHEAD_INTERVALS: f64 = 3.0;
 
 /// Share of the held peak that is left after each interval.
-const DECAY: f64 = 0.97;
+const PEAK_DECAY: f64 = 0.97;
 
 /// Most that the trend may add, as a multiple of the level.
-const STEEPEST: f64 = 1.0;
+const MAX_RISE: f64 = 1.0;
 
 /// One model's smoothed work.
 #[derive(Clone, Copy, Debug)]
@@ -63,12 +63,12 @@
 impl Series {
     fn observe(&mut self, work: f64) -> Demand {
         let before = self.level;
-        self.level = LEVEL * work + (1.0 - LEVEL) * (self.level + self.trend);
+        self.level = LEVEL_WEIGHT * work + (1.0 - LEVEL_WEIGHT) * (self.level + self.trend);
         self.level = self.level.max(0.0);
-        self.trend = TREND * (self.level - before) + (1.0 - TREND) * self.trend;
-        let rise = (AHEAD * self.trend).clamp(0.0, STEEPEST * self.level);
+        self.trend = TREND_WEIGHT * (self.level - before) + (1.0 - TREND_WEIGHT) * self.trend;
+        let rise = (LOOK_AHEAD_INTERVALS * self.trend).clamp(0.0, MAX_RISE * self.level);
         let estimate = self.level + rise;
-        self.peak = estimate.max(self.peak * DECAY);
+        self.peak = estimate.max(self.peak * PEAK_DECAY);
         Demand { now: self.level, ahead: self.peak }
     }
 }
--- a/crates/policy/src/plan/gain.rs
+++ b/crates/policy/src/plan/gain.rs
@@ -11,32 +11,32 @@
 
 use super::{
     Cause, MIN_DEMAND_REPLICA_AGE,
-    fleet::Slot,
-    heat::{KNEE, misses, pour},
     planner::Draft,
-    room::{Level, Site, Spare},
+    room::{Constraints, Evictable, EvictionLimit},
+    utilization::{MISS_THRESHOLD, missed_work, water_fill},
+    working_state::EngineState,
 };
 
 /// Hottest engines that are looked at for each replica.
-const HOTTEST: usize = 12;
+const MAX_BUSY_ENGINES: usize = 12;
 
 /// Coolest engines that are tried for a replica that needs room made.
-const COOLEST: usize = 6;
+const MAX_EVICTION_TARGETS: usize = 6;
 
 /// Price of a move, in engines' worth of work that misses its target. A load takes about two
 /// seconds of an engine's and the weight store's time, and a replica pays off over a minute.
-const PRICE: f64 = 0.03;
+const MOVE_COST: f64 = 0.03;
 
 /// Least gain worth a move however moves are weighed, in engines' worth.
-const LEAST_GAIN: f64 = 0.005;
+const MIN_GAIN: f64 = 0.005;
 
 /// A replica that might be made.
 struct Candidate {
     net: f64,
     model: model::Id,
     server: backend::Id,
-    spares: Vec<Spare>,
-    waits: bool,
+    victims: Vec<Evictable>,
+    waits_for_unloads: bool,
 }
 
 impl Draft<'_> {
@@ -44,19 +44,19 @@
     pub(super) fn meet_demand(&mut self) {
         let mut tried = BTreeSet::new();
         while 0 < self.budget {
-            let Some(best) = self.best(&tried) else { return };
+            let Some(best) = self.best_candidate(&tried) else { return };
             tried.insert((best.model.clone(), best.server.clone()));
-            self.make(best);
+            self.commit(best);
         }
     }
 
-    fn best(&self, tried: &BTreeSet<(model::Id, backend::Id)>) -> Option<Candidate> {
-        let mut hot: Vec<&Slot> = self.fleet.slots.values().collect();
-        hot.retain(|slot| KNEE < slot.heat && slot.is_live());
-        hot.sort_by(|a, b| b.heat.total_cmp(&a.heat));
-        hot.truncate(HOTTEST);
+    fn best_candidate(&self, tried: &BTreeSet<(model::Id, backend::Id)>) -> Option<Candidate> {
+        let mut busy: Vec<&EngineState> = self.working.engines.values().collect();
+        busy.retain(|engine| MISS_THRESHOLD < engine.utilization && engine.is_live());
+        busy.sort_by(|a, b| b.utilization.total_cmp(&a.utilization));
+        busy.truncate(MAX_BUSY_ENGINES);
         let models: BTreeSet<&model::Id> =
-            hot.iter().flat_map(|slot| slot.bundles.keys()).collect();
+            busy.iter().flat_map(|engine| engine.bundles.keys()).collect();
         models
             .into_iter()
             .filter_map(|id| self.candidate(id))
@@ -70,53 +70,55 @@
         if declared.load <= 0.0 || self.shares.get(id).is_none_or(Vec::is_empty) {
             return None;
         }
-        let site = Site { id, declared, avoided: &BTreeSet::new() };
-        if let Some(server) = self.roomy(&site) {
-            return Some(self.weigh(id, server, Vec::new(), false));
+        let constraints = Constraints { id, declared, avoided: &BTreeSet::new() };
+        if let Some(server) = self.engine_with_room(&constraints) {
+            return Some(self.evaluate(id, server, Vec::new(), false));
         }
-        if let Some(server) = self.roomy_later(&site) {
-            return Some(self.weigh(id, server, Vec::new(), true));
+        if let Some(server) = self.engine_with_room_later(&constraints) {
+            return Some(self.evaluate(id, server, Vec::new(), true));
         }
-        let mut cool: Vec<&Slot> =
-            self.fleet.slots.values().filter(|slot| site.suits(slot)).collect();
-        cool.sort_by(|a, b| a.heat.total_cmp(&b.heat));
-        cool.truncate(COOLEST);
-        cool.into_iter()
-            .filter_map(|slot| {
-                let spares = self.enough(slot, declared.bundle, Level::Spread)?;
-                let held = |spare: &Spare| self.is_held(slot, &spare.model);
-                (!spares.iter().any(held))
-                    .then(|| self.weigh(id, slot.told.server.clone(), spares, false))
+        let mut least_utilized: Vec<&EngineState> =
+            self.working.engines.values().filter(|engine| constraints.allows(engine)).collect();
+        least_utilized.sort_by(|a, b| a.utilization.total_cmp(&b.utilization));
+        least_utilized.truncate(MAX_EVICTION_TARGETS);
+        least_utilized
+            .into_iter()
+            .filter_map(|engine| {
+                let victims =
+                    self.choose_victims(engine, declared.bundle, EvictionLimit::SurplusOnly)?;
+                let too_young = |victim: &Evictable| self.is_too_young(engine, &victim.model);
+                (!victims.iter().any(too_young))
+                    .then(|| self.evaluate(id, engine.reported.server.clone(), victims, false))
             })
             .max_by(|a, b| a.net.total_cmp(&b.net).then_with(|| b.server.cmp(&a.server)))
     }
 
     /// Whether a replica is too young to be given up for demand.
-    fn is_held(&self, slot: &Slot, id: &model::Id) -> bool {
-        let since = slot.bundles.get(id).map(|bundle| bundle.since);
+    fn is_too_young(&self, engine: &EngineState, id: &model::Id) -> bool {
+        let since = engine.bundles.get(id).map(|bundle| bundle.since);
         since.is_some_and(|since| self.now.saturating_sub(since) < MIN_DEMAND_REPLICA_AGE)
     }
 
-    fn weigh(
+    fn evaluate(
         &self,
         id: &model::Id,
         server: backend::Id,
-        spares: Vec<Spare>,
-        waits: bool,
+        victims: Vec<Evictable>,
+        waits_for_unloads: bool,
     ) -> Candidate {
         let gain = self.gain(id, &server);
-        let loss: f64 = spares.iter().map(|spare| self.loss(&spare.model, &server)).sum();
-        let moves = 1.0 + spares.len() as f64;
-        let net = self.weights.attainment * (gain - loss - LEAST_GAIN)
-            - self.weights.moves * PRICE * moves;
-        Candidate { net, model: id.clone(), server, spares, waits }
+        let loss: f64 = victims.iter().map(|victim| self.loss(&victim.model, &server)).sum();
+        let moves = 1.0 + victims.len() as f64;
+        let net = self.weights.attainment * (gain - loss - MIN_GAIN)
+            - self.weights.moves * MOVE_COST * moves;
+        Candidate { net, model: id.clone(), server, victims, waits_for_unloads }
     }
 
     /// Work that would no longer miss with a replica on this engine.
     fn gain(&self, id: &model::Id, server: &backend::Id) -> f64 {
         let shares = self.shares.get(id).map_or(&[][..], Vec::as_slice);
         let more = shares.iter().cloned().chain([(server.clone(), 0.0)]);
-        self.misses_over(shares) - self.misses_after(id, &more.collect::<Vec<_>>())
+        self.missed_work_on(shares) - self.missed_work_after(id, &more.collect::<Vec<_>>())
     }
 
     /// Work that would miss without the replica on this engine.
@@ -125,47 +127,47 @@
         let (gone, left): (Vec<_>, Vec<_>) =
             shares.iter().cloned().partition(|(held, _)| held == server);
         let own: f64 = gone.iter().map(|(_, share)| share).sum();
-        let cooled = misses(self.heat(server) - own);
-        self.misses_after(id, &left) + cooled - self.misses_over(shares)
+        let relieved = missed_work(self.utilization(server) - own);
+        self.missed_work_after(id, &left) + relieved - self.missed_work_on(shares)
     }
 
-    fn heat(&self, server: &backend::Id) -> f64 {
-        self.fleet.slots.get(server).map_or(0.0, |slot| slot.heat)
+    fn utilization(&self, server: &backend::Id) -> f64 {
+        self.working.engines.get(server).map_or(0.0, |engine| engine.utilization)
     }
 
-    fn misses_over(&self, shares: &[(backend::Id, f64)]) -> f64 {
-        shares.iter().map(|(server, _)| misses(self.heat(server))).sum()
+    fn missed_work_on(&self, shares: &[(backend::Id, f64)]) -> f64 {
+        shares.iter().map(|(server, _)| missed_work(self.utilization(server))).sum()
     }
 
     /// Work that misses on these engines when the model's load is poured over them anew.
-    fn misses_after(&self, id: &model::Id, shares: &[(backend::Id, f64)]) -> f64 {
+    fn missed_work_after(&self, id: &model::Id, shares: &[(backend::Id, f64)]) -> f64 {
         let load = self.models.get(id).map_or(0.0, |declared| declared.load);
         let others: Vec<f64> =
-            shares.iter().map(|(server, share)| self.heat(server) - share).collect();
-        let poured = pour(&others, load);
-        others.iter().zip(poured).map(|(other, share)| misses(other + share)).sum()
+            shares.iter().map(|(server, share)| self.utilization(server) - share).collect();
+        let filled = water_fill(&others, load);
+        others.iter().zip(filled).map(|(other, share)| missed_work(other + share)).sum()
     }
 
-    fn make(&mut self, candidate: Candidate) {
-        let Candidate { model, server, spares, waits, .. } = candidate;
+    fn commit(&mut self, candidate: Candidate) {
+        let Candidate { model, server, victims, waits_for_unloads, .. } = candidate;
         let Some(declared) = self.models.get(&model) else { return };
-        if waits {
-            self.claim(&server, declared.bundle);
-        } else if spares.is_empty() {
+        if waits_for_unloads {
+            self.reserve(&server, declared.bundle);
+        } else if victims.is_empty() {
             self.load_base(&server, &model, declared, Cause::Demand);
         } else {
-            for spare in &spares {
-                self.give_up(&server, spare, Cause::Demand);
-                self.pour_anew(&spare.model, |shares| shares.retain(|(held, _)| *held != server));
+            for victim in &victims {
+                self.evict(&server, victim, Cause::Demand);
+                self.rebalance(&victim.model, |shares| shares.retain(|(held, _)| *held != server));
             }
-            self.claim(&server, declared.bundle);
+            self.reserve(&server, declared.bundle);
             self.budget = self.budget.saturating_sub(1);
         }
-        self.pour_anew(&model, |shares| shares.push((server, 0.0)));
+        self.rebalance(&model, |shares| shares.push((server, 0.0)));
     }
 
     /// Changes a model's replicas and pours its load over them anew.
-    pub(super) fn pour_anew(
+    pub(super) fn rebalance(
         &mut self,
         id: &model::Id,
         change: impl FnOnce(&mut Vec<(backend::Id, f64)>),
@@ -173,16 +175,16 @@
         let load = self.models.get(id).map_or(0.0, |declared| declared.load);
         let mut shares = self.shares.remove(id).unwrap_or_default();
         for (server, share) in &shares {
-            if let Some(slot) = self.fleet.touch(server) {
-                slot.heat -= share;
+            if let Some(engine) = self.working.modify(server) {
+                engine.utilization -= share;
             }
         }
         change(&mut shares);
-        let others: Vec<f64> = shares.iter().map(|(server, _)| self.heat(server)).collect();
-        for ((server, share), poured) in shares.iter_mut().zip(pour(&others, load)) {
-            *share = poured;
-            if let Some(slot) = self.fleet.touch(server) {
-                slot.heat += poured;
+        let others: Vec<f64> = shares.iter().map(|(server, _)| self.utilization(server)).collect();
+        for ((server, share), filled) in shares.iter_mut().zip(water_fill(&others, load)) {
+            *share = filled;
+            if let Some(engine) = self.working.modify(server) {
+                engine.utilization += filled;
             }
         }
         self.shares.insert(id.clone(), shares);
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -4,7 +4,10 @@
 
 use types::{model::Model, prelude::*};
 
-use super::{Demand, Engine, Limits, MIN_REPLICAS, Move, bucket::Bucket, fleet::Fleet, heat};
+use super::{
+    Demand, Engine, Limits, MIN_REPLICAS, Move, bucket::Bucket, utilization,
+    working_state::WorkingState,
+};
 
 /// A declared model with what placement needs of it.
 #[derive(Clone, Debug)]
@@ -23,7 +26,7 @@
     }
 
     /// Replicas that come before any that demand asks for.
-    pub(super) fn floor(&self) -> usize {
+    pub(super) fn min_replicas(&self) -> usize {
         MIN_REPLICAS.max(self.model.replicas as usize)
     }
 }
@@ -34,7 +37,7 @@
     weights: config::Weights,
     models: BTreeMap<model::Id, Declared>,
     demands: BTreeMap<model::Id, Demand>,
-    fleet: Fleet,
+    working: WorkingState,
     bucket: Bucket,
     /// Models to look at: those that changed, and those that lacked something last time.
     pending: BTreeSet<model::Id>,
@@ -47,7 +50,7 @@
             weights: config::Weights::default(),
             models: BTreeMap::new(),
             demands: BTreeMap::new(),
-            fleet: Fleet::default(),
+            working: WorkingState::default(),
             bucket: Bucket::new(limits),
             pending: BTreeSet::new(),
         }
@@ -73,12 +76,12 @@
     /// Takes in what an engine holds or has reserved; to be called for each engine that changed
     /// or that a move was tried on.
     pub fn engine(&mut self, now: Moment, engine: Engine) {
-        self.fleet.put(now, engine);
+        self.working.set_engine(now, engine);
     }
 
     /// Forgets an engine that is gone.
     pub fn forget(&mut self, server: &backend::Id) {
-        self.fleet.remove(server);
+        self.working.remove_engine(server);
     }
 
     /// Takes in the work that a model gets.
@@ -91,10 +94,10 @@
 
     /// The moves that may start now, to be tried in this order.
     pub fn plan(&mut self, now: Moment) -> Vec<Move> {
-        self.fleet.revert(now);
-        let loading = self.fleet.loading();
+        self.working.revert(now);
+        let loading = self.working.loading();
         let budget = self.bucket.available(now, loading);
-        let moves = self.draft(now, budget);
+        let moves = self.draft_moves(now, budget);
         self.bucket.take(moves.iter().filter(|m| m.is_load()).count());
         moves
     }
@@ -104,46 +107,46 @@
     pub fn simulate(&mut self, now: Moment, rounds: usize) -> Vec<Move> {
         let mut all = Vec::new();
         for _ in 0..rounds {
-            self.fleet.revert(now);
-            let moves = self.draft(now, usize::MAX);
+            self.working.revert(now);
+            let moves = self.draft_moves(now, usize::MAX);
             if moves.is_empty() {
                 break;
             }
             all.extend(moves);
-            self.fleet.settle(now);
+            self.working.complete_moves(now);
         }
         all
     }
 
-    fn draft(&mut self, now: Moment, budget: usize) -> Vec<Move> {
-        self.pending.extend(self.fleet.take_stirred());
-        let mut draft = self.blank(now, budget);
+    fn draft_moves(&mut self, now: Moment, budget: usize) -> Vec<Move> {
+        self.pending.extend(self.working.take_changed());
+        let mut draft = self.new_draft(now, budget);
         draft.remove_undeclared();
         draft.place_missing();
         draft.load_adapters();
         draft.spread_replicas();
         draft.retire_versions();
         draft.meet_demand();
-        let Draft { moves, wanting, .. } = draft;
-        self.pending = wanting;
+        let Draft { moves, unsatisfied, .. } = draft;
+        self.pending = unsatisfied;
         moves
     }
 
     /// A plan without a move yet.
-    pub(super) fn blank(&mut self, now: Moment, budget: usize) -> Draft<'_> {
-        let shares = heat::balance(&self.models, &mut self.fleet);
+    pub(super) fn new_draft(&mut self, now: Moment, budget: usize) -> Draft<'_> {
+        let shares = utilization::balance(&self.models, &mut self.working);
         let mut draft = Draft {
             now,
             shares,
             weights: self.weights,
             models: &self.models,
-            fleet: &mut self.fleet,
+            working: &mut self.working,
             budget,
             moves: Vec::new(),
             pending: self.pending.clone(),
-            wanting: BTreeSet::new(),
+            unsatisfied: BTreeSet::new(),
         };
-        draft.owe();
+        draft.reserve_for_adapters();
         draft
     }
 }
@@ -153,27 +156,27 @@
     pub(super) now: Moment,
     pub(super) weights: config::Weights,
     pub(super) models: &'a BTreeMap<model::Id, Declared>,
-    pub(super) fleet: &'a mut Fleet,
+    pub(super) working: &'a mut WorkingState,
     /// Each model's load on each of its engines.
-    pub(super) shares: heat::Shares,
+    pub(super) shares: utilization::Shares,
     /// Loads that may still start.
     pub(super) budget: usize,
     pub(super) moves: Vec<Move>,
     /// Models to look at.
     pub(super) pending: BTreeSet<model::Id>,
     /// Models that lack something or hold too much, to be looked at again next time.
-    pub(super) wanting: BTreeSet<model::Id>,
+    pub(super) unsatisfied: BTreeSet<model::Id>,
 }
 
 impl<'a> Draft<'a> {
     /// Declared models to look at.
-    pub(super) fn looked_at(&self) -> Vec<(&'a model::Id, &'a Declared)> {
+    pub(super) fn pending_models(&self) -> Vec<(&'a model::Id, &'a Declared)> {
         let models = self.models;
         self.pending.iter().filter_map(|id| models.get_key_value(id)).collect()
     }
 
     /// Notes a load.
-    pub(super) fn start(&mut self, load: Option<Move>) {
+    pub(super) fn record_load(&mut self, load: Option<Move>) {
         if let Some(load) = load {
             self.budget = self.budget.saturating_sub(1);
             self.moves.push(load);
--- a/crates/policy/src/plan/residency.rs
+++ b/crates/policy/src/plan/residency.rs
@@ -6,21 +6,21 @@
 
 use super::{
     Cause,
-    fleet::{Bundle, Slot},
     planner::{Declared, Draft},
-    room::{Level, Site},
+    room::{Constraints, EvictionLimit},
+    working_state::{Bundle, EngineState},
 };
 
 impl Draft<'_> {
     /// Works out the memory that adapters still to come will take on each engine.
-    pub(super) fn owe(&mut self) {
-        for slot in self.fleet.slots.values_mut() {
-            slot.claimed = 0;
-            let bundles = slot.bundles.iter();
-            slot.owed = bundles
+    pub(super) fn reserve_for_adapters(&mut self) {
+        for engine in self.working.engines.values_mut() {
+            engine.reserved = 0;
+            let bundles = engine.bundles.iter();
+            engine.adapter_reserve = bundles
                 .filter_map(|(id, bundle)| self.models.get(id).map(|declared| (declared, bundle)))
                 .filter(|(_, bundle)| bundle.bases().next().is_some())
-                .map(|(declared, bundle)| owed(declared, bundle))
+                .map(|(declared, bundle)| missing_adapter_memory(declared, bundle))
                 .sum();
         }
     }
@@ -30,17 +30,19 @@
         let mut removals = Vec::new();
         for model in &self.pending {
             let declared = self.models.get(model);
-            for (slot, bundle) in self.fleet.holders(model).filter(|(slot, _)| slot.is_live()) {
+            for (engine, bundle) in
+                self.working.holders(model).filter(|(engine, _)| engine.is_live())
+            {
                 let units = bundle.units().into_iter();
                 let units = units.filter(|unit| !is_declared(declared, bundle, unit));
                 if declared.is_none() {
-                    self.wanting.insert(model.clone());
+                    self.unsatisfied.insert(model.clone());
                 }
-                removals.extend(units.map(|unit| (slot.told.server.clone(), unit)));
+                removals.extend(units.map(|unit| (engine.reported.server.clone(), unit)));
             }
         }
         for (server, unit) in removals {
-            let unload = self.fleet.unload(&server, &unit, Cause::Removed, None);
+            let unload = self.working.unload(&server, &unit, Cause::Removed, None);
             self.moves.extend(unload);
         }
     }
@@ -48,7 +50,7 @@
     /// Places models that no live engine holds in the version in force; the unreachable first.
     pub(super) fn place_missing(&mut self) {
         let mut missing: Vec<(bool, Reverse<Mebibytes>, &model::Id, Cause)> = self
-            .looked_at()
+            .pending_models()
             .into_iter()
             .filter(|(id, declared)| !self.is_resident(id, declared))
             .map(|(id, declared)| {
@@ -58,29 +60,30 @@
             })
             .collect();
         missing.sort();
-        self.wanting.extend(missing.iter().map(|(_, _, id, _)| (*id).clone()));
+        self.unsatisfied.extend(missing.iter().map(|(_, _, id, _)| (*id).clone()));
         for (_, _, id, cause) in missing {
             if self.budget == 0 {
                 return;
             }
-            self.place(id, cause, Level::Residency, &BTreeSet::new());
+            self.place(id, cause, EvictionLimit::KeepOne, &BTreeSet::new());
         }
     }
 
     /// Brings models to their least number of replicas and into two availability zones.
     pub(super) fn spread_replicas(&mut self) {
-        let mut thin: Vec<(usize, Reverse<Mebibytes>, &model::Id)> = self
-            .looked_at()
+        let mut under_replicated: Vec<(usize, Reverse<Mebibytes>, &model::Id)> = self
+            .pending_models()
             .into_iter()
             .filter_map(|(id, declared)| {
                 let replicas = self.replicas(id, declared);
-                let wanted = replicas < declared.floor() || self.zones(id, declared).len() < 2;
+                let wanted =
+                    replicas < declared.min_replicas() || self.zones(id, declared).len() < 2;
                 (0 < replicas && wanted).then_some((replicas, Reverse(declared.bundle), id))
             })
             .collect();
-        thin.sort();
-        self.wanting.extend(thin.iter().map(|(_, _, id)| (*id).clone()));
-        for (_, _, id) in thin {
+        under_replicated.sort();
+        self.unsatisfied.extend(under_replicated.iter().map(|(_, _, id)| (*id).clone()));
+        for (_, _, id) in under_replicated {
             if self.budget == 0 {
                 return;
             }
@@ -91,21 +94,21 @@
     fn spread(&mut self, id: &model::Id) {
         let Some(declared) = self.models.get(id) else { return };
         let zones = self.zones(id, declared);
-        if self.place(id, Cause::Spread, Level::Spread, &zones) {
+        if self.place(id, Cause::Spread, EvictionLimit::SurplusOnly, &zones) {
             return;
         }
-        if declared.floor() <= self.replicas(id, declared) {
+        if declared.min_replicas() <= self.replicas(id, declared) {
             return;
         }
-        if !self.place(id, Cause::Spread, Level::Spread, &BTreeSet::new()) {
+        if !self.place(id, Cause::Spread, EvictionLimit::SurplusOnly, &BTreeSet::new()) {
             self.retire(id, 1);
         }
     }
 
     /// Unloads versions that are no longer in force where enough replicas of the new one answer.
     pub(super) fn retire_versions(&mut self) {
-        for (id, declared) in self.looked_at() {
-            self.retire(id, declared.floor());
+        for (id, declared) in self.pending_models() {
+            self.retire(id, declared.min_replicas());
             self.retire_adapters(id, declared);
         }
     }
@@ -115,49 +118,50 @@
     fn retire(&mut self, id: &model::Id, enough: usize) {
         let Some(declared) = self.models.get(id) else { return };
         let version = &declared.model.version;
-        if !self.fleet.holders(id).any(|(_, bundle)| bundle.bases().any(|(v, _)| v != version)) {
+        if !self.working.holders(id).any(|(_, bundle)| bundle.bases().any(|(v, _)| v != version)) {
             return;
         }
-        self.wanting.insert(id.clone());
-        let holders = self.fleet.holders(id).filter(|(slot, _)| slot.is_live());
+        self.unsatisfied.insert(id.clone());
+        let holders = self.working.holders(id).filter(|(engine, _)| engine.is_live());
         let (ready, old): (Vec<_>, Vec<_>) =
             holders.partition(|(_, bundle)| bundle.is_ready_in(version));
-        let is_stale =
-            |(_, bundle): &&(&Slot, &Bundle)| bundle.bases().any(|(held, _)| held != version);
+        let is_stale = |(_, bundle): &&(&EngineState, &Bundle)| {
+            bundle.bases().any(|(held, _)| held != version)
+        };
         let both: Vec<backend::Id> = ready.iter().filter(is_stale).map(server).collect();
         let old: Vec<backend::Id> = match enough.max(1) <= ready.len() {
             true => old.iter().filter(is_stale).map(server).collect(),
             false => Vec::new(),
         };
         both.into_iter().for_each(|server| self.retire_beside(id, version, &server));
-        old.into_iter().for_each(|server| self.retire_whole(id, declared, &server));
+        old.into_iter().for_each(|server| self.retire_replica(id, declared, &server));
     }
 
     /// Unloads old versions from an engine that has the one in force ready.
     fn retire_beside(&mut self, id: &model::Id, version: &model::Version, server: &backend::Id) {
-        let Some(slot) = self.fleet.slots.get(server) else { return };
-        let Some(bundle) = slot.bundles.get(id) else { return };
+        let Some(engine) = self.working.engines.get(server) else { return };
+        let Some(bundle) = engine.bundles.get(id) else { return };
         let versions = bundle.bases().map(|(held, _)| held).filter(|held| *held != version);
         let versions: Vec<model::Version> = versions.cloned().collect();
         for version in versions {
             let unit = Unit::Model { model: id.clone(), version };
             let keeper = Some(server.clone());
-            let unload = self.fleet.unload(server, &unit, Cause::Version, keeper);
+            let unload = self.working.unload(server, &unit, Cause::Version, keeper);
             self.moves.extend(unload);
         }
     }
 
     /// Unloads a replica that has old versions only, if others answer for all of it.
-    fn retire_whole(&mut self, id: &model::Id, declared: &Declared, server: &backend::Id) {
-        let Some(slot) = self.fleet.slots.get(server) else { return };
-        let Some(bundle) = slot.bundles.get(id) else { return };
+    fn retire_replica(&mut self, id: &model::Id, declared: &Declared, server: &backend::Id) {
+        let Some(engine) = self.working.engines.get(server) else { return };
+        let Some(bundle) = engine.bundles.get(id) else { return };
         if bundle.has(&declared.model.version) {
             return;
         }
-        let Some(keeper) = self.keeper(slot, id, declared, bundle) else { return };
+        let Some(keeper) = self.keeper(engine, id, declared, bundle) else { return };
         for unit in bundle.units() {
             let keeper = Some(keeper.clone());
-            let unload = self.fleet.unload(server, &unit, Cause::Version, keeper);
+            let unload = self.working.unload(server, &unit, Cause::Version, keeper);
             self.moves.extend(unload);
         }
     }
@@ -169,7 +173,7 @@
 
     /// Availability zones of those replicas.
     pub(super) fn zones(&self, id: &model::Id, declared: &Declared) -> BTreeSet<availability::Id> {
-        self.current(id, declared).map(|(slot, _)| slot.told.zone.clone()).collect()
+        self.current(id, declared).map(|(engine, _)| engine.reported.zone.clone()).collect()
     }
 
     /// Live engines that hold the version in force, or will.
@@ -177,25 +181,27 @@
         &self,
         id: &model::Id,
         declared: &Declared,
-    ) -> impl Iterator<Item = (&Slot, &Bundle)> {
+    ) -> impl Iterator<Item = (&EngineState, &Bundle)> {
         let version = declared.model.version.clone();
-        let holders = self.fleet.holders(id);
-        holders.filter(move |(slot, bundle)| slot.is_live() && bundle.has(&version))
+        let holders = self.working.holders(id);
+        holders.filter(move |(engine, bundle)| engine.is_live() && bundle.has(&version))
     }
 
     fn is_resident(&self, id: &model::Id, declared: &Declared) -> bool {
         let mut current = self.current(id, declared);
-        current.any(|(slot, bundle)| !slot.is_cramped() || owed(declared, bundle) == 0)
+        current.any(|(engine, bundle)| {
+            !engine.lacks_adapter_memory() || missing_adapter_memory(declared, bundle) == 0
+        })
     }
 
     fn cause_of_absence(&self, id: &model::Id, declared: &Declared) -> Cause {
         if self.current(id, declared).next().is_some() {
             return Cause::Adapter;
         }
-        if self.fleet.holders(id).any(|(slot, bundle)| slot.is_live() && bundle.is_ready()) {
+        if self.working.holders(id).any(|(engine, bundle)| engine.is_live() && bundle.is_ready()) {
             return Cause::Version;
         }
-        match self.fleet.holders(id).any(|(slot, _)| !slot.is_live()) {
+        match self.working.holders(id).any(|(engine, _)| !engine.is_live()) {
             true => Cause::Leaving,
             false => Cause::Missing,
         }
@@ -207,21 +213,21 @@
         &mut self,
         id: &model::Id,
         cause: Cause,
-        level: Level,
+        limit: EvictionLimit,
         avoided: &BTreeSet<availability::Id>,
     ) -> bool {
         let Some(declared) = self.models.get(id) else { return false };
-        let site = Site { id, declared, avoided };
-        if let Some(server) = self.roomy(&site) {
+        let constraints = Constraints { id, declared, avoided };
+        if let Some(server) = self.engine_with_room(&constraints) {
             self.load_base(&server, id, declared, cause);
-            self.pour_anew(id, |shares| shares.push((server, 0.0)));
+            self.rebalance(id, |shares| shares.push((server, 0.0)));
             return true;
         }
-        if let Some(server) = self.roomy_later(&site) {
-            self.claim(&server, declared.bundle);
+        if let Some(server) = self.engine_with_room_later(&constraints) {
+            self.reserve(&server, declared.bundle);
             return true;
         }
-        self.make_room(&site, level)
+        self.make_room(&constraints, limit)
     }
 
     /// Loads the base and sets memory aside for its adapters.
@@ -234,24 +240,24 @@
     ) {
         let model = &declared.model;
         let unit = Unit::Model { model: id.clone(), version: model.version.clone() };
-        let load = self.fleet.load(self.now, server, unit, model.footprint(), cause);
-        self.start(load);
-        if let Some(slot) = self.fleet.touch(server) {
-            let Some(bundle) = slot.bundles.get(id) else { return };
-            slot.owed += owed(declared, bundle);
+        let load = self.working.load(self.now, server, unit, model.footprint(), cause);
+        self.record_load(load);
+        if let Some(engine) = self.working.modify(server) {
+            let Some(bundle) = engine.bundles.get(id) else { return };
+            engine.adapter_reserve += missing_adapter_memory(declared, bundle);
         }
     }
 
     /// Keeps memory that comes free for a load to come.
-    pub(super) fn claim(&mut self, server: &backend::Id, memory: Mebibytes) {
-        if let Some(slot) = self.fleet.touch(server) {
-            slot.claimed += memory;
+    pub(super) fn reserve(&mut self, server: &backend::Id, memory: Mebibytes) {
+        if let Some(engine) = self.working.modify(server) {
+            engine.reserved += memory;
         }
     }
 }
 
 /// Memory of the adapters that a replica still lacks.
-pub(super) fn owed(declared: &Declared, bundle: &Bundle) -> Mebibytes {
+pub(super) fn missing_adapter_memory(declared: &Declared, bundle: &Bundle) -> Mebibytes {
     let adapters = declared.model.adapters.iter();
     adapters
         .filter(|(id, adapter)| !bundle.adapter(id).any(|(held, _)| *held == adapter.version))
@@ -259,8 +265,8 @@
         .sum()
 }
 
-fn server((slot, _): &(&Slot, &Bundle)) -> backend::Id {
-    slot.told.server.clone()
+fn server((engine, _): &(&EngineState, &Bundle)) -> backend::Id {
+    engine.reported.server.clone()
 }
 
 /// Whether a unit is part of what is declared, in whatever version.
--- a/crates/policy/src/plan/room.rs
+++ b/crates/policy/src/plan/room.rs
@@ -6,49 +6,52 @@
 
 use super::{
     Cause,
-    fleet::{Bundle, Slot},
     planner::{Declared, Draft},
+    working_state::{Bundle, EngineState},
 };
 
 /// How much may be given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Level {
+pub(super) enum EvictionLimit {
     /// Only what is above each model's least number of replicas.
-    Spread,
+    SurplusOnly,
     /// Any replica but a model's last ready one.
-    Residency,
+    KeepOne,
 }
 
 /// How much a replica is missed; the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Tier {
     /// A version no longer in force.
-    Stale,
+    Superseded,
     /// Above the least number.
-    Extra,
+    Surplus,
     /// Within the least number.
     Needed,
 }
 
 /// What a load needs of an engine.
-pub(super) struct Site<'a> {
+pub(super) struct Constraints<'a> {
     pub(super) id: &'a model::Id,
     pub(super) declared: &'a Declared,
     pub(super) avoided: &'a BTreeSet<availability::Id>,
 }
 
-impl Site<'_> {
+impl Constraints<'_> {
     /// Whether the engine may hold the model at all, whatever room it has.
-    pub(super) fn suits(&self, slot: &Slot) -> bool {
-        slot.is_live()
-            && slot.told.group == self.declared.model.group
-            && !self.avoided.contains(&slot.told.zone)
-            && !slot.bundles.get(self.id).is_some_and(|held| held.has(&self.declared.model.version))
+    pub(super) fn allows(&self, engine: &EngineState) -> bool {
+        engine.is_live()
+            && engine.reported.group == self.declared.model.group
+            && !self.avoided.contains(&engine.reported.zone)
+            && !engine
+                .bundles
+                .get(self.id)
+                .is_some_and(|held| held.has(&self.declared.model.version))
     }
 }
 
 /// A replica that can be spared.
-pub(super) struct Spare {
+pub(super) struct Evictable {
     tier: Tier,
     loss: f64,
     pub(super) memory: Mebibytes,
@@ -58,128 +61,168 @@
 
 impl Draft<'_> {
     /// The coolest engine with room now.
-    pub(super) fn roomy(&self, site: &Site<'_>) -> Option<backend::Id> {
-        self.coolest(site, Slot::room)
+    pub(super) fn engine_with_room(&self, constraints: &Constraints<'_>) -> Option<backend::Id> {
+        self.least_utilized(constraints, EngineState::room_now)
     }
 
     /// The coolest engine whose room comes when unloads under way are done.
-    pub(super) fn roomy_later(&self, site: &Site<'_>) -> Option<backend::Id> {
-        self.coolest(site, Slot::later)
+    pub(super) fn engine_with_room_later(
+        &self,
+        constraints: &Constraints<'_>,
+    ) -> Option<backend::Id> {
+        self.least_utilized(constraints, EngineState::room_after_unloads)
     }
 
-    fn coolest(&self, site: &Site<'_>, room: fn(&Slot) -> Mebibytes) -> Option<backend::Id> {
-        let slots = self.fleet.slots.values();
-        slots
-            .filter(|slot| site.declared.bundle <= room(slot) && site.suits(slot))
-            .min_by(|a, b| a.heat.total_cmp(&b.heat).then(room(b).cmp(&room(a))))
-            .map(|slot| slot.told.server.clone())
+    fn least_utilized(
+        &self,
+        constraints: &Constraints<'_>,
+        room: fn(&EngineState) -> Mebibytes,
+    ) -> Option<backend::Id> {
+        let engines = self.working.engines.values();
+        engines
+            .filter(|engine| {
+                constraints.declared.bundle <= room(engine) && constraints.allows(engine)
+            })
+            .min_by(|a, b| a.utilization.total_cmp(&b.utilization).then(room(b).cmp(&room(a))))
+            .map(|engine| engine.reported.server.clone())
     }
 
     /// Gives up replicas on the engine where that costs least, and claims the memory. Tells
     /// whether there was such an engine.
-    pub(super) fn make_room(&mut self, site: &Site<'_>, level: Level) -> bool {
-        let need = site.declared.bundle;
-        let slots = self.fleet.slots.values().filter(|slot| site.suits(slot));
-        let best = slots
-            .filter(|slot| need <= slot.told.free + taken(slot))
-            .filter_map(|slot| {
-                let spares = self.enough(slot, need, level)?;
-                let tier = spares.iter().map(|spare| spare.tier).max()?;
-                Some((tier, spares.len(), slot, spares))
+    pub(super) fn make_room(
+        &mut self,
+        constraints: &Constraints<'_>,
+        limit: EvictionLimit,
+    ) -> bool {
+        let need = constraints.declared.bundle;
+        let engines = self.working.engines.values().filter(|engine| constraints.allows(engine));
+        let best = engines
+            .filter(|engine| need <= engine.reported.free + taken(engine))
+            .filter_map(|engine| {
+                let evictable = self.choose_victims(engine, need, limit)?;
+                let tier = evictable.iter().map(|candidate| candidate.tier).max()?;
+                Some((tier, evictable.len(), engine, evictable))
             })
             .min_by(|a, b| {
-                let (heat, other) = (a.2.heat, b.2.heat);
-                (a.0, a.1).cmp(&(b.0, b.1)).then(heat.total_cmp(&other))
+                let (utilization, other) = (a.2.utilization, b.2.utilization);
+                (a.0, a.1).cmp(&(b.0, b.1)).then(utilization.total_cmp(&other))
             });
-        let Some((_, _, slot, spares)) = best else { return false };
-        let server = slot.told.server.clone();
-        for spare in spares {
-            self.give_up(&server, &spare, Cause::Room);
+        let Some((_, _, engine, evictable)) = best else { return false };
+        let server = engine.reported.server.clone();
+        for candidate in evictable {
+            self.evict(&server, &candidate, Cause::Room);
         }
-        self.claim(&server, need);
+        self.reserve(&server, need);
         self.budget = self.budget.saturating_sub(1);
         true
     }
 
     /// The spares whose memory is enough for `need`, the least missed first.
-    pub(super) fn enough(&self, slot: &Slot, need: Mebibytes, level: Level) -> Option<Vec<Spare>> {
-        let mut spares: Vec<Spare> = self.spares(slot, level).collect();
-        spares.sort_by(|a, b| {
+    pub(super) fn choose_victims(
+        &self,
+        engine: &EngineState,
+        need: Mebibytes,
+        limit: EvictionLimit,
+    ) -> Option<Vec<Evictable>> {
+        let mut evictable: Vec<Evictable> = self.evictable(engine, limit).collect();
+        evictable.sort_by(|a, b| {
             let loss = a.loss.total_cmp(&b.loss);
             a.tier.cmp(&b.tier).then(loss).then(Reverse(a.memory).cmp(&Reverse(b.memory)))
         });
-        let mut wanted = (need + slot.short()).saturating_sub(slot.later());
+        let mut wanted = (need + engine.shortfall()).saturating_sub(engine.room_after_unloads());
         let mut chosen = Vec::new();
-        for spare in spares {
+        for candidate in evictable {
             if wanted == 0 {
                 break;
             }
-            wanted = wanted.saturating_sub(spare.memory);
-            chosen.push(spare);
+            wanted = wanted.saturating_sub(candidate.memory);
+            chosen.push(candidate);
         }
         (wanted == 0).then_some(chosen)
     }
 
     /// Replicas on an engine that may be given up at this level.
-    pub(super) fn spares(&self, slot: &Slot, level: Level) -> impl Iterator<Item = Spare> {
-        slot.bundles.iter().filter_map(move |(id, held)| self.spare(slot, id, held, level))
+    pub(super) fn evictable(
+        &self,
+        engine: &EngineState,
+        limit: EvictionLimit,
+    ) -> impl Iterator<Item = Evictable> {
+        engine
+            .bundles
+            .iter()
+            .filter_map(move |(id, held)| self.evictable_replica(engine, id, held, limit))
     }
 
     /// Unloads all of a replica, adapters before their base.
-    pub(super) fn give_up(&mut self, server: &backend::Id, spare: &Spare, cause: Cause) {
-        let Some(slot) = self.fleet.slots.get(server) else { return };
-        let Some(bundle) = slot.bundles.get(&spare.model) else { return };
+    pub(super) fn evict(&mut self, server: &backend::Id, candidate: &Evictable, cause: Cause) {
+        let Some(engine) = self.working.engines.get(server) else { return };
+        let Some(bundle) = engine.bundles.get(&candidate.model) else { return };
         for unit in bundle.units() {
-            let keeper = Some(spare.keeper.clone());
-            let unload = self.fleet.unload(server, &unit, cause, keeper);
+            let keeper = Some(candidate.keeper.clone());
+            let unload = self.working.unload(server, &unit, cause, keeper);
             self.moves.extend(unload);
         }
     }
 
     /// A replica as a spare, if it may be given up at this level.
-    fn spare(&self, slot: &Slot, id: &model::Id, held: &Bundle, level: Level) -> Option<Spare> {
+    fn evictable_replica(
+        &self,
+        engine: &EngineState,
+        id: &model::Id,
+        held: &Bundle,
+        limit: EvictionLimit,
+    ) -> Option<Evictable> {
         let declared = self.models.get(id)?;
         if held.residents.iter().any(|resident| resident.state != Progress::Ready) {
             return None;
         }
-        let keeper = self.keeper(slot, id, declared, held)?;
-        let tier = self.tier(slot, id, declared, held);
-        if level == Level::Spread && tier == Tier::Needed {
+        let keeper = self.keeper(engine, id, declared, held)?;
+        let tier = self.tier(engine, id, declared, held);
+        if limit == EvictionLimit::SurplusOnly && tier == Tier::Needed {
             return None;
         }
         let replicas = self.replicas(id, declared).max(1);
         let loss = declared.load / replicas as f64;
-        Some(Spare { tier, loss, memory: held.memory(), model: id.clone(), keeper })
+        Some(Evictable { tier, loss, memory: held.memory(), model: id.clone(), keeper })
     }
 
-    fn tier(&self, slot: &Slot, id: &model::Id, declared: &Declared, held: &Bundle) -> Tier {
+    fn tier(
+        &self,
+        engine: &EngineState,
+        id: &model::Id,
+        declared: &Declared,
+        held: &Bundle,
+    ) -> Tier {
         if !held.has(&declared.model.version) {
-            return Tier::Stale;
+            return Tier::Superseded;
         }
-        if self.replicas(id, declared) <= declared.floor() {
+        if self.replicas(id, declared) <= declared.min_replicas() {
             return Tier::Needed;
         }
-        let zone = &slot.told.zone;
-        let alone = self.current(id, declared).filter(|(s, _)| s.told.zone == *zone).count() < 2;
+        let zone = &engine.reported.zone;
+        let alone =
+            self.current(id, declared).filter(|(s, _)| s.reported.zone == *zone).count() < 2;
         let zones = self.zones(id, declared).len();
-        if alone && zones <= 2 { Tier::Needed } else { Tier::Extra }
+        if alone && zones <= 2 { Tier::Needed } else { Tier::Surplus }
     }
 
     /// Another live engine on which the model answers, in the version in force if it does so
     /// here; none as well if an adapter would answer nowhere else.
     pub(super) fn keeper(
         &self,
-        slot: &Slot,
+        engine: &EngineState,
         id: &model::Id,
         declared: &Declared,
         held: &Bundle,
     ) -> Option<backend::Id> {
         let version = &declared.model.version;
-        let others: Vec<(&Slot, &Bundle)> = self
-            .fleet
+        let others: Vec<(&EngineState, &Bundle)> = self
+            .working
             .holders(id)
             .filter(|(other, bundle)| {
-                other.told.server != slot.told.server && other.is_live() && bundle.is_ready()
+                other.reported.server != engine.reported.server
+                    && other.is_live()
+                    && bundle.is_ready()
             })
             .filter(|(_, bundle)| !held.is_ready_in(version) || bundle.is_ready_in(version))
             .collect();
@@ -190,11 +233,11 @@
         if !kept {
             return None;
         }
-        others.first().map(|(other, _)| other.told.server.clone())
+        others.first().map(|(other, _)| other.reported.server.clone())
     }
 }
 
 /// Memory that anything on the engine takes.
-fn taken(slot: &Slot) -> Mebibytes {
-    slot.told.residents.iter().map(|resident| resident.memory).sum()
+fn taken(engine: &EngineState) -> Mebibytes {
+    engine.reported.residents.iter().map(|resident| resident.memory).sum()
 }
--- a/crates/policy/src/plan/heat.rs
+++ b/crates/policy/src/plan/utilization.rs
@@ -9,10 +9,10 @@
 
 use types::prelude::*;
 
-use super::{fleet::Fleet, planner::Declared};
+use super::{planner::Declared, working_state::WorkingState};
 
 /// Heat from which on some work misses its target.
-pub(super) const KNEE: f64 = 0.6;
+pub(super) const MISS_THRESHOLD: f64 = 0.6;
 
 /// Sweeps over all models.
 const SWEEPS: usize = 3;
@@ -21,40 +21,43 @@
 pub(super) type Shares = BTreeMap<model::Id, Vec<(backend::Id, f64)>>;
 
 /// Work that misses its target on an engine of this heat, in engines' worth.
-pub(super) fn misses(heat: f64) -> f64 {
-    let over = (heat - KNEE).max(0.0);
-    let full = 1.0 - KNEE;
+pub(super) fn missed_work(utilization: f64) -> f64 {
+    let over = (utilization - MISS_THRESHOLD).max(0.0);
+    let full = 1.0 - MISS_THRESHOLD;
     if over < full { over * over / (2.0 * full) } else { over - full / 2.0 }
 }
 
 /// Pours a load over engines of these heats; the share of each.
-pub(super) fn pour(heats: &[f64], load: f64) -> Vec<f64> {
-    let mut order: Vec<f64> = heats.to_vec();
+pub(super) fn water_fill(utilizations: &[f64], load: f64) -> Vec<f64> {
+    let mut order: Vec<f64> = utilizations.to_vec();
     order.sort_by(f64::total_cmp);
     let mut sum = 0.0;
     let mut level = 0.0;
-    for (count, heat) in order.iter().enumerate() {
-        sum += heat;
+    for (count, utilization) in order.iter().enumerate() {
+        sum += utilization;
         level = (sum + load) / (count + 1) as f64;
         if order.get(count + 1).is_none_or(|next| level <= *next) {
             break;
         }
     }
-    heats.iter().map(|heat| (level - heat).max(0.0)).collect()
+    utilizations.iter().map(|utilization| (level - utilization).max(0.0)).collect()
 }
 
 /// Sets each slot's heat, and returns the shares it comes from.
-pub(super) fn balance(models: &BTreeMap<model::Id, Declared>, fleet: &mut Fleet) -> Shares {
-    let servers: Vec<backend::Id> = fleet.slots.keys().cloned().collect();
+pub(super) fn balance(
+    models: &BTreeMap<model::Id, Declared>,
+    working: &mut WorkingState,
+) -> Shares {
+    let servers: Vec<backend::Id> = working.engines.keys().cloned().collect();
     let index: BTreeMap<&backend::Id, usize> =
         servers.iter().enumerate().map(|(index, server)| (server, index)).collect();
-    let mut heats = vec![0.0; servers.len()];
+    let mut utilizations = vec![0.0; servers.len()];
     let mut loads: Vec<(&model::Id, f64, Vec<usize>, Vec<f64>)> = models
         .iter()
         .filter(|(_, declared)| 0.0 < declared.load)
         .map(|(id, declared)| {
             let at: Vec<usize> =
-                replicas(fleet, id).filter_map(|s| index.get(s).copied()).collect();
+                replicas(working, id).filter_map(|s| index.get(s).copied()).collect();
             let shares = vec![0.0; at.len()];
             (id, declared.load, at, shares)
         })
@@ -62,15 +65,15 @@
     for _ in 0..SWEEPS {
         for (_, load, at, shares) in &mut loads {
             let others: Vec<f64> =
-                at.iter().zip(shares.iter()).map(|(i, share)| heats[*i] - share).collect();
-            *shares = pour(&others, *load);
+                at.iter().zip(shares.iter()).map(|(i, share)| utilizations[*i] - share).collect();
+            *shares = water_fill(&others, *load);
             for ((i, other), share) in at.iter().zip(&others).zip(shares.iter()) {
-                heats[*i] = other + share;
+                utilizations[*i] = other + share;
             }
         }
     }
-    for (slot, heat) in fleet.slots.values_mut().zip(&heats) {
-        slot.heat = *heat;
+    for (engine, utilization) in working.engines.values_mut().zip(&utilizations) {
+        engine.utilization = *utilization;
     }
     loads
         .into_iter()
@@ -82,9 +85,12 @@
 }
 
 /// Live engines on which a model answers or will.
-fn replicas<'a>(fleet: &'a Fleet, id: &'a model::Id) -> impl Iterator<Item = &'a backend::Id> {
-    let holders = fleet.holders(id);
+fn replicas<'a>(
+    working: &'a WorkingState,
+    id: &'a model::Id,
+) -> impl Iterator<Item = &'a backend::Id> {
+    let holders = working.holders(id);
     holders
-        .filter(|(slot, bundle)| slot.is_live() && bundle.bases().next().is_some())
-        .map(|(slot, _)| &slot.told.server)
+        .filter(|(engine, bundle)| engine.is_live() && bundle.bases().next().is_some())
+        .map(|(engine, _)| &engine.reported.server)
 }
--- a/crates/policy/src/plan/fleet.rs
+++ b/crates/policy/src/plan/working_state.rs
@@ -86,147 +86,150 @@
 
 /// One engine.
 #[derive(Clone, Debug)]
-pub(super) struct Slot {
-    pub(super) told: Engine,
+pub(super) struct EngineState {
+    pub(super) reported: Engine,
     pub(super) bundles: BTreeMap<model::Id, Bundle>,
     /// Memory free now.
     pub(super) free: Mebibytes,
     /// Memory that unloads will free.
-    pub(super) soon: Mebibytes,
+    pub(super) freeing: Mebibytes,
     /// Memory that adapters still to come will take.
-    pub(super) owed: Mebibytes,
+    pub(super) adapter_reserve: Mebibytes,
     /// Memory that loads wait for.
-    pub(super) claimed: Mebibytes,
+    pub(super) reserved: Mebibytes,
     /// Work expected, in engines' worth.
-    pub(super) heat: f64,
+    pub(super) utilization: f64,
 }
 
-impl Slot {
+impl EngineState {
     pub(super) fn is_live(&self) -> bool {
-        self.told.state == State::Live
+        self.reported.state == State::Live
     }
 
     /// Memory that a new load may take now, in MiB.
-    pub(super) fn room(&self) -> Mebibytes {
-        self.free.saturating_sub(self.owed).min(self.later())
+    pub(super) fn room_now(&self) -> Mebibytes {
+        self.free.saturating_sub(self.adapter_reserve).min(self.room_after_unloads())
     }
 
     /// Memory that a new load may take when the unloads under way are done, in MiB.
-    pub(super) fn later(&self) -> Mebibytes {
-        (self.free + self.soon).saturating_sub(self.owed + self.claimed)
+    pub(super) fn room_after_unloads(&self) -> Mebibytes {
+        (self.free + self.freeing).saturating_sub(self.adapter_reserve + self.reserved)
     }
 
     /// Memory that is short for the adapters of what it holds and for claims, in MiB.
-    pub(super) fn short(&self) -> Mebibytes {
-        (self.owed + self.claimed).saturating_sub(self.free + self.soon)
+    pub(super) fn shortfall(&self) -> Mebibytes {
+        (self.adapter_reserve + self.reserved).saturating_sub(self.free + self.freeing)
     }
 
     /// Whether even the adapters of what it holds don't fit.
-    pub(super) fn is_cramped(&self) -> bool {
-        self.free + self.soon < self.owed
+    pub(super) fn lacks_adapter_memory(&self) -> bool {
+        self.free + self.freeing < self.adapter_reserve
     }
 }
 
 /// All engines, with an index from models to the engines that hold them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Fleet {
-    pub(super) slots: BTreeMap<backend::Id, Slot>,
+pub(super) struct WorkingState {
+    pub(super) engines: BTreeMap<backend::Id, EngineState>,
     holders: BTreeMap<model::Id, BTreeSet<backend::Id>>,
-    touched: BTreeSet<backend::Id>,
+    dirty: BTreeSet<backend::Id>,
     /// Models that an engine has been told anew to hold or no longer to hold.
-    stirred: BTreeSet<model::Id>,
+    changed: BTreeSet<model::Id>,
 }
 
-impl Fleet {
+impl WorkingState {
     /// Takes in what an engine holds.
-    pub(super) fn put(&mut self, now: Moment, engine: Engine) {
-        let before = self.remove(&engine.server);
-        let mut slot = Slot {
-            free: engine.free,
-            soon: 0,
-            owed: 0,
-            claimed: 0,
-            heat: 0.0,
+    pub(super) fn set_engine(&mut self, now: Moment, reported: Engine) {
+        let before = self.remove_engine(&reported.server);
+        let mut engine = EngineState {
+            free: reported.free,
+            freeing: 0,
+            adapter_reserve: 0,
+            reserved: 0,
+            utilization: 0.0,
             bundles: BTreeMap::new(),
-            told: engine,
+            reported,
         };
-        for resident in &slot.told.residents {
+        for resident in &engine.reported.residents {
             let model = resident.unit.model();
-            let bundle = slot.bundles.entry(model.clone()).or_insert_with(|| Bundle {
+            let bundle = engine.bundles.entry(model.clone()).or_insert_with(|| Bundle {
                 residents: Vec::new(),
                 since: since(before.as_ref(), model).unwrap_or(now),
             });
             bundle.residents.push(resident.clone());
             if resident.state == Progress::Unloading {
-                slot.soon += resident.memory;
+                engine.freeing += resident.memory;
             }
         }
-        for model in slot.bundles.keys() {
+        for model in engine.bundles.keys() {
             let holders = self.holders.entry(model.clone()).or_default();
-            holders.insert(slot.told.server.clone());
-            self.stirred.insert(model.clone());
+            holders.insert(engine.reported.server.clone());
+            self.changed.insert(model.clone());
         }
-        self.slots.insert(slot.told.server.clone(), slot);
+        self.engines.insert(engine.reported.server.clone(), engine);
     }
 
     /// Forgets an engine.
-    pub(super) fn remove(&mut self, server: &backend::Id) -> Option<Slot> {
-        let slot = self.slots.remove(server)?;
-        for model in slot.bundles.keys() {
-            self.stirred.insert(model.clone());
+    pub(super) fn remove_engine(&mut self, server: &backend::Id) -> Option<EngineState> {
+        let engine = self.engines.remove(server)?;
+        for model in engine.bundles.keys() {
+            self.changed.insert(model.clone());
             let Some(holders) = self.holders.get_mut(model) else { continue };
             holders.remove(server);
             if holders.is_empty() {
                 self.holders.remove(model);
             }
         }
-        self.touched.remove(server);
-        Some(slot)
+        self.dirty.remove(server);
+        Some(engine)
     }
 
     /// Puts touched slots back to what they were told.
     pub(super) fn revert(&mut self, now: Moment) {
-        for server in std::mem::take(&mut self.touched) {
-            if let Some(slot) = self.slots.get(&server) {
-                let told = slot.told.clone();
-                self.put(now, told);
+        for server in std::mem::take(&mut self.dirty) {
+            if let Some(engine) = self.engines.get(&server) {
+                let reported = engine.reported.clone();
+                self.set_engine(now, reported);
             }
         }
     }
 
     /// Takes what the plan has made of each engine as told, with every move done.
-    pub(super) fn settle(&mut self, now: Moment) {
-        for server in std::mem::take(&mut self.touched) {
-            let Some(slot) = self.slots.get(&server) else { continue };
-            let residents = slot.bundles.values().flat_map(|bundle| bundle.residents.iter());
+    pub(super) fn complete_moves(&mut self, now: Moment) {
+        for server in std::mem::take(&mut self.dirty) {
+            let Some(engine) = self.engines.get(&server) else { continue };
+            let residents = engine.bundles.values().flat_map(|bundle| bundle.residents.iter());
             let residents = residents.filter(|r| r.state != Progress::Unloading);
             let residents = residents.map(|r| Resident { state: Progress::Ready, ..r.clone() });
             let settled = Engine {
-                free: slot.free + slot.soon,
+                free: engine.free + engine.freeing,
                 residents: residents.collect(),
-                ..slot.told.clone()
+                ..engine.reported.clone()
             };
-            self.put(now, settled);
+            self.set_engine(now, settled);
         }
     }
 
     /// Engines that hold anything of a model.
-    pub(super) fn holders(&self, model: &model::Id) -> impl Iterator<Item = (&Slot, &Bundle)> {
+    pub(super) fn holders(
+        &self,
+        model: &model::Id,
+    ) -> impl Iterator<Item = (&EngineState, &Bundle)> {
         let servers = self.holders.get(model).into_iter().flatten();
         servers.filter_map(|server| {
-            let slot = self.slots.get(server)?;
-            slot.bundles.get(model).map(|bundle| (slot, bundle))
+            let engine = self.engines.get(server)?;
+            engine.bundles.get(model).map(|bundle| (engine, bundle))
         })
     }
 
     /// Models whose engines were told anew since this was last asked.
-    pub(super) fn take_stirred(&mut self) -> BTreeSet<model::Id> {
-        std::mem::take(&mut self.stirred)
+    pub(super) fn take_changed(&mut self) -> BTreeSet<model::Id> {
+        std::mem::take(&mut self.changed)
     }
 
     /// Loads that run.
     pub(super) fn loading(&self) -> usize {
-        let bundles = self.slots.values().flat_map(|slot| slot.bundles.values());
+        let bundles = self.engines.values().flat_map(|engine| engine.bundles.values());
         let residents = bundles.flat_map(|bundle| bundle.residents.iter());
         residents.filter(|resident| resident.state == Progress::Loading).count()
     }
@@ -240,15 +243,15 @@
         memory: Mebibytes,
         cause: Cause,
     ) -> Option<Move> {
-        let slot = self.slots.get_mut(server)?;
-        slot.free = slot.free.checked_sub(memory)?;
+        let engine = self.engines.get_mut(server)?;
+        engine.free = engine.free.checked_sub(memory)?;
         let model = unit.model().clone();
-        let bundle = slot.bundles.entry(model.clone());
+        let bundle = engine.bundles.entry(model.clone());
         let bundle = bundle.or_insert(Bundle { residents: Vec::new(), since: now });
         let state = Progress::Loading;
         bundle.residents.push(Resident { unit: unit.clone(), memory, state });
         self.holders.entry(model).or_default().insert(server.clone());
-        self.touched.insert(server.clone());
+        self.dirty.insert(server.clone());
         let action = Action::Load { unit, memory };
         Some(Move { server: server.clone(), action, cause, keeper: None })
     }
@@ -261,24 +264,24 @@
         cause: Cause,
         keeper: Option<backend::Id>,
     ) -> Option<Move> {
-        let slot = self.slots.get_mut(server)?;
-        let bundle = slot.bundles.get_mut(unit.model())?;
+        let engine = self.engines.get_mut(server)?;
+        let bundle = engine.bundles.get_mut(unit.model())?;
         let resident =
             bundle.residents.iter_mut().find(|r| r.unit == *unit && r.state == Progress::Ready)?;
         resident.state = Progress::Unloading;
-        slot.soon += resident.memory;
-        self.touched.insert(server.clone());
+        engine.freeing += resident.memory;
+        self.dirty.insert(server.clone());
         let action = Action::Unload { unit: unit.clone() };
         Some(Move { server: server.clone(), action, cause, keeper })
     }
 
     /// Changes a slot's figures for the plan in the making.
-    pub(super) fn touch(&mut self, server: &backend::Id) -> Option<&mut Slot> {
-        self.touched.insert(server.clone());
-        self.slots.get_mut(server)
+    pub(super) fn modify(&mut self, server: &backend::Id) -> Option<&mut EngineState> {
+        self.dirty.insert(server.clone());
+        self.engines.get_mut(server)
     }
 }
 
-fn since(slot: Option<&Slot>, model: &model::Id) -> Option<Duration> {
-    slot?.bundles.get(model).map(|bundle| bundle.since)
+fn since(engine: Option<&EngineState>, model: &model::Id) -> Option<Duration> {
+    engine?.bundles.get(model).map(|bundle| bundle.since)
 }
