--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -80,9 +80,9 @@
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(&config);
     for (n, id) in config.models.keys().enumerate() {
-        planner.demand(id, demand(n, 0));
+        planner.set_demand(id, demand(n, 0));
     }
-    engines.values().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
+    engines.values().for_each(|engine| planner.set_engine(Moment::ZERO, engine.clone()));
     for planned in planner.simulate(Moment::ZERO, 64) {
         if let Some(engine) = engines.get_mut(&planned.server) {
             apply(engine, &planned.action);
--- a/crates/policy/benches/plan.rs
+++ b/crates/policy/benches/plan.rs
@@ -26,7 +26,7 @@
                 |engines| {
                     let mut planner = Planner::new(Limits::NONE);
                     planner.configure(&config);
-                    engines.into_values().for_each(|engine| planner.engine(NOW, engine));
+                    engines.into_values().for_each(|engine| planner.set_engine(NOW, engine));
                     black_box(planner.plan(NOW))
                 },
                 BatchSize::LargeInput,
@@ -47,7 +47,7 @@
                 |engines| {
                     let mut planner = Planner::new(Limits::NONE);
                     planner.configure(&config);
-                    engines.into_values().for_each(|engine| planner.engine(NOW, engine));
+                    engines.into_values().for_each(|engine| planner.set_engine(NOW, engine));
                     black_box(planner.plan(NOW))
                 },
                 BatchSize::LargeInput,
@@ -64,7 +64,7 @@
         let engine = engines.values().nth(engines.len() / 2).expect("one").clone();
         group.bench_function(BenchmarkId::from_parameter(size), |bencher| {
             bencher.iter(|| {
-                planner.engine(NOW, engine.clone());
+                planner.set_engine(NOW, engine.clone());
                 black_box(planner.plan(NOW))
             });
         });
@@ -100,7 +100,7 @@
                 || {
                     let mut planner = planner.clone();
                     for (n, id) in config.models.keys().enumerate() {
-                        planner.demand(id, fleet::demand(n, 5));
+                        planner.set_demand(id, fleet::demand(n, 5));
                     }
                     planner
                 },
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -50,7 +50,7 @@
 pub fn check(config: &config::Config, engines: &[Engine]) -> Vec<Shortage> {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
-    engines.iter().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
+    engines.iter().for_each(|engine| planner.set_engine(Moment::ZERO, engine.clone()));
     planner.simulate(Moment::ZERO, MAX_ROUNDS);
     planner.shortages(Moment::ZERO)
 }
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -75,17 +75,17 @@
 
     /// Takes in what an engine holds or has reserved; to be called for each engine that changed
     /// or that a move was tried on.
-    pub fn engine(&mut self, now: Moment, engine: Engine) {
+    pub fn set_engine(&mut self, now: Moment, engine: Engine) {
         self.working.set_engine(now, engine);
     }
 
     /// Forgets an engine that is gone.
-    pub fn forget(&mut self, server: &backend::Id) {
+    pub fn remove_engine(&mut self, server: &backend::Id) {
         self.working.remove_engine(server);
     }
 
     /// Takes in the work that a model gets.
-    pub fn demand(&mut self, model: &model::Id, demand: Demand) {
+    pub fn set_demand(&mut self, model: &model::Id, demand: Demand) {
         self.demands.insert(model.clone(), demand);
         if let Some(declared) = self.models.get_mut(model) {
             declared.load = demand.provided();
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -18,7 +18,7 @@
 }
 
 fn load(world: &mut World, model: &str, load: f64) {
-    world.planner.demand(&model.into(), Demand { now: load, ahead: load });
+    world.planner.set_demand(&model.into(), Demand { now: load, ahead: load });
 }
 
 #[test]
@@ -72,7 +72,7 @@
         let (busy, idle) = if round % 20 < 10 { ("m00", "m01") } else { ("m01", "m00") };
         let work = [(busy.into(), 3.0), (idle.into(), 0.1)].into();
         for (model, demand) in forecast.observe(&work) {
-            world.planner.demand(&model, demand);
+            world.planner.set_demand(&model, demand);
         }
         world.step();
     }
--- a/crates/policy/tests/plan/executor.rs
+++ b/crates/policy/tests/plan/executor.rs
@@ -108,7 +108,7 @@
         self.finish();
         for (server, machine) in &self.machines {
             let engine = engine(server, machine);
-            self.planner.engine(self.now, engine);
+            self.planner.set_engine(self.now, engine);
         }
         let moves = self.planner.plan(self.now);
         for planned in &moves {
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -170,10 +170,10 @@
         free: 60,
         residents: Vec::new(),
     };
-    (0..3).for_each(|n| planner.engine(Moment::ZERO, engine(n)));
+    (0..3).for_each(|n| planner.set_engine(Moment::ZERO, engine(n)));
     let first = planner.simulate(Moment::ZERO, 4);
     assert_eq!(first.len(), 2);
-    planner.forget(&first[0].server);
+    planner.remove_engine(&first[0].server);
     let next = planner.plan(Moment::ZERO);
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].cause, Cause::Spread);
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -107,7 +107,7 @@
             residents: Vec::new(),
         };
         placed.insert(engine.server.clone(), Vec::new());
-        planner.engine(Duration::ZERO, engine);
+        planner.set_engine(Duration::ZERO, engine);
     }
     for planned in planner.simulate(Duration::ZERO, ROUNDS) {
         let Some(held) = placed.get_mut(&planned.server) else { continue };
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -77,9 +77,9 @@
         planner.configure(&config);
         for (n, id) in config.models.keys().enumerate() {
             let now = if n % 10 == 0 { 1.6 } else { 0.3 };
-            planner.demand(id, Demand { now, ahead: now });
+            planner.set_demand(id, Demand { now, ahead: now });
         }
-        engines.values().for_each(|engine| planner.engine(NOW, engine.clone()));
+        engines.values().for_each(|engine| planner.set_engine(NOW, engine.clone()));
         for planned in planner.simulate(NOW, ROUNDS) {
             let Some(engine) = engines.get_mut(&planned.server) else { continue };
             apply(engine, &planned.action);
@@ -119,7 +119,7 @@
 fn whole(config: &config::Config, engines: &BTreeMap<backend::Id, Engine>) -> usize {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
-    engines.values().for_each(|engine| planner.engine(NOW, engine.clone()));
+    engines.values().for_each(|engine| planner.set_engine(NOW, engine.clone()));
     planner.plan(NOW).len()
 }
 
@@ -136,7 +136,7 @@
     let mut planner = placed.planner.clone();
     let Some(engine) = placed.engines.values().nth(placed.engines.len() / 2) else { return 0.0 };
     micros(5, 40, || {
-        planner.engine(NOW, engine.clone());
+        planner.set_engine(NOW, engine.clone());
         planner.plan(NOW)
     })
 }
@@ -159,7 +159,7 @@
 fn zone_lost(placed: &Placed) -> f64 {
     let mut planner = placed.planner.clone();
     for engine in lost(placed) {
-        planner.forget(&engine.server);
+        planner.remove_engine(&engine.server);
     }
     let moves = planner.simulate(NOW, ROUNDS);
     moves.iter().filter(|planned| planned.is_load()).count() as f64
--- a/crates/stage/src/duties/plan/demand.rs
+++ b/crates/stage/src/duties/plan/demand.rs
@@ -43,7 +43,7 @@
         let work = work.collect();
         self.work.forecast.retain(&config.config);
         for (id, demand) in self.work.forecast.observe(&work) {
-            self.planner.demand(&id, demand);
+            self.planner.set_demand(&id, demand);
         }
     }
 
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -29,13 +29,13 @@
         let gone: Vec<backend::Id> =
             self.told.keys().filter(|server| !known.contains(server)).cloned().collect();
         for server in gone {
-            self.planner.forget(&server);
+            self.planner.remove_engine(&server);
             self.told.remove(&server);
         }
         for engine in engines {
             let is_known = self.told.get(&engine.server) == Some(&engine);
             if !is_known || self.tried.contains(&engine.server) {
-                self.planner.engine(now, engine.clone());
+                self.planner.set_engine(now, engine.clone());
                 self.told.insert(engine.server.clone(), engine);
             }
         }
