--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,18 +1,20 @@
-//! Placement by conditional orders: which model server holds what, and the orders towards it.
+//! Placement by conditional orders: decides which model server holds which models and adapters, and
+//! which orders lead there.
 //!
-//! For deployments whose servers check what an order was worked out from. An [`Order`] names the
-//! server's run and the number of orders that it had accepted ([`Order::expected`]); a server whose
-//! number has moved on refuses it. So an order that is judged against the whole state at its own
-//! number is safe however late it is carried out, whoever else gives orders: if it takes effect,
-//! nothing else did in between. No ledger is needed for memory, only care about what a state is
-//! (`book`): a state is known from a report or from an accepted order, never guessed from time.
+//! For deployments whose servers check the state that an order is based on. An [`Order`] names the
+//! server's run and the number of orders that the run has accepted so far ([`Order::expected`]); a
+//! server with another number refuses the order. An order that is checked against the complete
+//! state at its own sequence number is therefore safe however late it is carried out and whoever
+//! else gives orders: if it takes effect, nothing else did in between. Memory needs no ledger, only
+//! a strict definition of a known state (`server_view`): a state comes from a report or from an
+//! accepted order and is never inferred from elapsed time.
 //!
-//! Memory is safe by that alone. Reachability is not, since it spans servers: a replica that an
-//! unanswered unload may still take is not counted when another one is given up.
+//! Conditional orders keep memory safe but not reachability, which spans servers: a replica that an
+//! unanswered unload may still remove doesn't count when another replica is evicted.
 //!
-//! Order of concern: every model reachable, then twice and in different availability zones, then
-//! replicas where they take most heat off the servers for what they cost. Room that nobody needs is
-//! left as it is. Adapters follow the requests that ask for them.
+//! Priorities, in order: every model reachable; every model on two servers in different
+//! availability zones; further replicas where they reduce the servers' utilization most for their
+//! cost. Memory that nothing needs is left as it is. Adapters follow the requests for them.
 
 mod adapters;
 mod demand;
@@ -35,84 +37,86 @@
     unplaced::{Obstacle, ReportLimiter, Unplaced},
 };
 
-/// What an order asks of a server.
+/// The operation that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// Take it into memory.
+    /// Loads a model or adapter into memory.
     Load,
-    /// Drop it from memory once nothing uses it.
+    /// Removes a model or adapter from memory once no request uses it.
     Unload,
 }
 
-/// Why an order is given.
+/// The reason for an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
     /// No server holds the model or adapter.
     Missing,
-    /// Too few replicas, or all in one availability zone.
+    /// The model has too few replicas, or all of them are in one availability zone.
     Spread,
-    /// The work asks for another replica.
+    /// The offered work needs another replica.
     Demand,
-    /// Makes room for another one.
+    /// Frees memory or an adapter slot for another model or adapter.
     Room,
 }
 
-/// A conditional order.
+/// An order that a server carries out only at the expected sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// The run of the server that it is for.
+    /// The run of the server that the order is for.
     pub server: backend::Id,
-    /// What to do.
+    /// The requested operation.
     pub operation: Operation,
-    /// The model.
+    /// The model to load or unload, or the base model of `adapter`.
     pub model: model::Id,
-    /// The adapter of that model; none for the model itself.
+    /// The adapter to load or unload; `None` for the model itself.
     pub adapter: Option<adapter::Id>,
-    /// Orders that the server has accepted before; it refuses this one at any other number.
+    /// Number of orders that the server has accepted before this one. A server with another number
+    /// refuses the order.
     pub expected: Sequence,
-    /// Why.
+    /// The reason, for logs.
     pub cause: Cause,
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It is being carried out.
+    /// The server accepted the order and is carrying it out.
     Accepted,
-    /// It holds already; an adapter that nothing used is unloaded at once.
+    /// The requested state holds already. A server also answers so after it has unloaded, at once,
+    /// an adapter that no request used.
     AlreadyHolds,
-    /// Refused: another one is being carried out.
+    /// Refused: the server is carrying out another order.
     Busy,
-    /// Refused: the server's number has moved on, or, where servers don't say which, another one is
-    /// being carried out.
+    /// Refused: the server's sequence number isn't the expected one. Servers that don't report the
+    /// reason also answer so while another order is being carried out.
     Conflict,
-    /// No answer: it may have been carried out, or may yet be.
+    /// No answer: the order may have been carried out, or may be carried out later.
     Unknown,
-    /// Refused: another run of the server, or the base model is absent.
+    /// Refused: the server is another run, or the base model is absent.
     NotThere,
 }
 
-/// What an installation allows and charges.
+/// Limits, performance figures and prices of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How long an order without an answer may still be carried out.
+    /// Time after which an order without an answer can no longer be carried out.
     pub order_lifetime: Duration,
-    /// Part of the weight store's rate that is used.
+    /// Fraction of the weight store's rate that the planner uses.
     pub store_share: f64,
-    /// Most loads from the weight store that may start at once after a pause; fewer where the store
-    /// is slow, see [`Rules::burst`].
+    /// Most loads from the weight store that may start at once after an idle period. A slow store
+    /// allows fewer, see [`Rules::burst`].
     pub store_burst: f64,
-    /// Adapters on their way to one server at once.
+    /// Most adapter loads in flight to one server.
     pub adapter_loads_per_server: usize,
-    /// Adapters on their way to all servers at once.
+    /// Most adapter loads in flight to all servers.
     pub adapter_loads_total: usize,
-    /// Time over which arrivals are averaged.
+    /// Time constant of the moving average of arrivals.
     pub demand_time_constant: Duration,
-    /// Time over which a rise shows.
+    /// Time constant of the faster average in which a rise of demand shows.
     pub rise_time_constant: Duration,
-    /// How fast servers work.
+    /// How fast servers process requests.
     pub throughput: Throughput,
-    /// What things are worth.
+    /// Costs and earnings that steps are weighed by.
     pub prices: Prices,
 }
 
@@ -132,24 +136,26 @@
     }
 }
 
-/// Loads that may start at once beyond the rate of the slowest store.
+/// Loads in a burst beyond one second's worth of the store's rate.
 const BURST_BEYOND_RATE: f64 = 1.5;
 
 impl Rules {
-    /// Loads that may start at once after a pause from a store of this rate, so that those of any
-    /// five seconds keep to a tenth over its rate and three more, with one load in doubt to spare.
+    /// Returns how many loads may start at once after an idle period, for a store of `loads_per_s`.
+    ///
+    /// The bound keeps the loads of any five seconds within 1.1 times the store's rate plus three,
+    /// with one load of unknown outcome to spare.
     #[must_use]
     pub fn burst(&self, loads_per_s: f64) -> f64 {
         self.store_burst.min(loads_per_s + BURST_BEYOND_RATE)
     }
 }
 
-/// How fast a server works.
+/// Performance of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Throughput {
-    /// Prompt tokens read in a second.
+    /// Prompt tokens that a server reads in a second.
     pub prompt_tokens_per_s: f64,
-    /// Time for an output token of one request.
+    /// Time per output token of one request.
     pub output_token_time: Duration,
 }
 
@@ -159,14 +165,14 @@
     }
 }
 
-/// What things are worth, in one unit.
+/// Costs and earnings, all in one common unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prices {
-    /// An order.
+    /// Cost of an order.
     pub order: f64,
-    /// A load from the weight store.
+    /// Cost of a load from the weight store.
     pub load: f64,
-    /// What a server earns in a second when it is fully used.
+    /// Earnings of a fully utilized server in a second.
     pub server_second: f64,
 }
 
--- a/crates/policy/src/place/adapters.rs
+++ b/crates/policy/src/place/adapters.rs
@@ -1,9 +1,9 @@
-//! Adapter orders: the places for adapters hold what is asked for lately.
+//! Adapter orders: keeps recently requested adapters in the adapter slots.
 //!
-//! An adapter that is asked for stands at one replica of its model at least, and at more where many
-//! ask. Room comes from adapters that stand more often than they need to, then from those whose last
-//! request is oldest. Where more adapters are in use than there are places, they take turns: one
-//! that has been waited for long takes the place of the one that is asked for least.
+//! Each requested adapter is loaded on at least one replica of its model, and on more if its
+//! request rate is high. Slots are taken from adapters with more copies than they need first, then
+//! from the least recently requested. If more adapters are in use than there are slots, they take
+//! turns: an adapter that has been waited for long replaces the one with the lowest request rate.
 
 use types::{prelude::*, routed::Model};
 
@@ -13,41 +13,43 @@
     draft::{Draft, Target},
 };
 
-/// An adapter that wasn't asked for so long needs no place.
+/// Time since the last request after which an adapter needs no slot.
 const WANTED_FOR: Duration = Duration::from_secs(10);
 
-/// An adapter that was asked for within this time is likely to be in use.
+/// Time since the last request within which an adapter is likely to be in use.
 const IN_USE_WITHIN: Duration = Duration::from_millis(300);
 
-/// Time that an adapter is waited for before one in use makes way.
+/// Time that requests wait for an adapter before it replaces one in use.
 const MAX_WAIT: Duration = Duration::from_millis(300);
 
-/// Least time that an adapter in use stays.
+/// Minimum time that an adapter in use keeps its slot.
 const MIN_TURN: Duration = Duration::from_millis(1500);
 
-/// Nothing makes way for another copy unless it wasn't asked for so long.
+/// Time without a request after which an adapter may be evicted for another adapter's second or
+/// further copy.
 const SPARE_AFTER: Duration = Duration::from_secs(5);
 
-/// What requests wait for though it stands somewhere stands where they can't go: they have failed
-/// there. After so long a second replica gets it; a load that is on its way takes less.
+/// Wait from which a loaded adapter gets a second copy. Requests that wait for an adapter that is
+/// loaded can't use the copy because they have failed there. A load in progress takes less than
+/// this time.
 const UNMET_WAIT: Duration = Duration::from_millis(200);
 
-/// Requests a second from which an adapter stands twice.
+/// Requests per second from which an adapter gets a second copy.
 const SECOND_COPY_RATE: f64 = 1.0;
 
-/// Requests a second for each further replica.
+/// Requests per second for each further copy.
 const RATE_PER_COPY: f64 = 5.0;
 
-/// An adapter that is asked for.
+/// An adapter with recent requests.
 struct Wanted {
     adapter_key: AdapterKey,
     weights: Mebibytes,
-    /// Sites whose replica of its model answers.
+    /// Targets on which the adapter's model is ready.
     ready: Vec<usize>,
-    /// Those of them that have it.
+    /// Number of `ready` targets that have the adapter.
     holders: usize,
     copies: usize,
-    /// Since when requests have waited for it.
+    /// Since when requests have been waiting for the adapter.
     waiting_since: Option<Moment>,
     rate: f64,
     last_arrival: Moment,
@@ -75,7 +77,7 @@
     }
 }
 
-/// What of a model's adapters is asked for.
+/// Returns a model's recently requested adapters.
 fn wanted(draft: &Draft, model: &Model) -> Vec<Wanted> {
     let is_ready = |target: &usize| {
         let view = draft.targets[*target].view;
@@ -109,12 +111,13 @@
         .collect()
 }
 
-/// Replicas that an adapter of so many requests a second stands at.
+/// Returns the number of copies for a request rate.
 fn copies(rate: f64) -> usize {
     1 + usize::from(SECOND_COPY_RATE <= rate) + (rate / RATE_PER_COPY) as usize
 }
 
-/// Loads an adapter somewhere, or makes a place for it; whether a load goes out.
+/// Loads an adapter on some target, or evicts another adapter to make room. Returns whether it
+/// ordered the load.
 fn load_or_evict(draft: &mut Draft, wanted: &Wanted) -> bool {
     let fits = |&&target: &&usize| {
         let at = &draft.targets[target];
@@ -151,7 +154,7 @@
     has_slot && target.room.is_some_and(|room| wanted.weights <= room)
 }
 
-/// An adapter that nothing uses, and its site: the one that can best be spared.
+/// Returns the adapter not in use that can best be spared, and its target.
 fn idle_victim(draft: &Draft, wanted: &Wanted, targets: &[usize]) -> Option<(usize, AdapterKey)> {
     let idle_after = if wanted.holders == 0 { IN_USE_WITHIN } else { SPARE_AFTER };
     let spare = |(_, adapter_key): &(usize, AdapterKey)| {
@@ -169,7 +172,7 @@
     loaded_adapters(draft, targets).filter(spare).min_by_key(key)
 }
 
-/// An adapter in use that makes way for one that has been waited for long, and its site.
+/// Returns the adapter in use that makes way for one that has been waited for long, and its target.
 fn busy_victim(draft: &Draft, wanted: &Wanted, targets: &[usize]) -> Option<(usize, AdapterKey)> {
     let is_long = wanted.waiting_since.is_some_and(|since| since + MAX_WAIT <= draft.now);
     if 0 < wanted.holders || !is_long {
@@ -187,7 +190,8 @@
     loaded_adapters(draft, targets).filter(has_had_turn).min_by(by_need)
 }
 
-/// The adapters that stand at some sites. A site where a place is being freed has none to give.
+/// Returns the adapters loaded on some targets. Targets that are unloading an adapter already are
+/// left out.
 fn loaded_adapters(draft: &Draft, targets: &[usize]) -> impl Iterator<Item = (usize, AdapterKey)> {
     let views = targets.iter().map(|&target| (target, draft.targets[target].view));
     let settled = views.filter(|(_, view)| view.adapters_unloading.is_empty());
@@ -208,7 +212,7 @@
     draft.demand.adapters.get(adapter_key).map_or(0.0, |demand| demand.rate(draft.now))
 }
 
-/// Whether an adapter stands more often than it needs to.
+/// Whether an adapter has more copies than its request rate needs.
 fn is_surplus(draft: &Draft, adapter_key: &AdapterKey) -> bool {
     let ready = draft.targets.iter().filter(|target| target.view.is_ready(&adapter_key.0));
     let holders = ready.filter(|target| target.view.has_adapter(adapter_key)).count();
--- a/crates/policy/src/place/demand.rs
+++ b/crates/policy/src/place/demand.rs
@@ -1,4 +1,4 @@
-//! What requests ask for, lately.
+//! Recent demand for models and adapters.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,29 @@
 
 use super::{Rules, Throughput, persistence::Persistence, rate::Rate};
 
-/// An adapter of a model.
+/// An adapter and its model.
 pub(super) type AdapterKey = (model::Id, adapter::Id);
 
-/// Time over which an adapter's arrivals are averaged: adapters are asked for less often.
+/// Time constant of adapters' arrival rates. Adapters are requested less often than models, so it
+/// is longer than that for models.
 const ADAPTER_TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// How long a request that waits for something counts as waiting.
+/// How long after the last sign of a waiting request the wait counts as ongoing.
 const WAIT_VALIDITY: Duration = Duration::from_millis(500);
 
-/// Requests that arrived, and what they ask of servers.
+/// Work of arrived requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Work {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Prompt tokens to read, all together.
+    /// Sum of the prompts' tokens.
     pub prompt: u64,
-    /// Output tokens to generate at most, all together.
+    /// Sum of the output token limits.
     pub output: u64,
 }
 
 impl Work {
-    /// Adds other work.
+    /// Adds other work; sums saturate.
     #[must_use]
     pub fn plus(self, other: Work) -> Work {
         Work {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Subtracts other work; nothing goes below zero.
+    /// Subtracts other work; differences saturate at zero.
     #[must_use]
     pub fn minus(self, other: Work) -> Work {
         Work {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Seconds that it keeps one server fully used.
+    /// Returns for how many seconds the work keeps one server fully utilized.
     fn seconds(self, throughput: &Throughput, slots: u32) -> f64 {
         let read = self.prompt as f64 / throughput.prompt_tokens_per_s;
         let generate = self.output as f64 * throughput.output_token_time.as_secs_f64();
@@ -56,13 +57,13 @@
     }
 }
 
-/// Time after the first arrival from which what was not asked for counts as idle.
+/// Time after the first arrival from which models without requests count as idle.
 const IDLE_KNOWN_AFTER: Duration = Duration::from_secs(3);
 
-/// Time over which earlier demand is remembered.
+/// Time constant of the average that shows which models were busy recently.
 const RECENT_TIME_CONSTANT: Duration = Duration::from_secs(15);
 
-/// Arrivals of a model.
+/// Arrival rates of a model.
 #[derive(Clone, Copy, Debug, Default)]
 struct ModelDemand {
     steady: Rate,
@@ -79,7 +80,8 @@
         self.recent.add(RECENT_TIME_CONSTANT, seconds, now);
     }
 
-    /// Rate of what came last, with what chance may add and take.
+    /// Returns the lower and upper bound of the latest rate, allowing for random variation of the
+    /// arrivals.
     fn recent_bounds(&self, rules: &Rules, now: Moment) -> (f64, f64) {
         let fast = self.fast.value(rules.rise_time_constant, now);
         let count = self.requests.value(rules.rise_time_constant, now)
@@ -89,16 +91,16 @@
     }
 }
 
-/// What an adapter is asked for.
+/// Arrivals and waiting requests of an adapter.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AdapterDemand {
     rate: Rate,
-    /// Last arrival.
+    /// Time of the last request or wait.
     pub(super) last_arrival: Moment,
     wait: Option<Wait>,
 }
 
-/// Requests that wait, one after the other.
+/// A period in which requests were waiting without a gap.
 #[derive(Clone, Copy, Debug)]
 struct Wait {
     since: Moment,
@@ -106,32 +108,32 @@
 }
 
 impl AdapterDemand {
-    /// Requests a second.
+    /// Returns the arrival rate, in requests per second.
     pub(super) fn rate(&self, now: Moment) -> f64 {
         self.rate.value(ADAPTER_TIME_CONSTANT, now)
     }
 
-    /// For how long requests were seen to wait for it, the last time just now.
+    /// Returns for how long requests have been seen waiting; zero if none is waiting now.
     pub(super) fn waited(&self, now: Moment) -> Duration {
         let wait = self.wait.filter(|wait| now < wait.last + WAIT_VALIDITY);
         wait.map_or(Duration::ZERO, |wait| wait.last.saturating_sub(wait.since))
     }
 
-    /// Since when requests have waited for it; none if none does.
+    /// Returns since when requests have been waiting; `None` if none is waiting now.
     pub(super) fn waiting_since(&self, now: Moment) -> Option<Moment> {
         self.wait.filter(|wait| now < wait.last + WAIT_VALIDITY).map(|wait| wait.since)
     }
 }
 
-/// Work by model and requests by adapter.
+/// Demand for all models and adapters.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Demand {
     /// When this host began to receive demand.
     since: Moment,
-    /// When the first arrival was received.
+    /// Time of the first arrival, but not before `since`.
     first_arrival: Option<Moment>,
     persistence: Persistence,
-    /// Work and requests of all models.
+    /// Rates of work and requests, summed over all models.
     seconds: Rate,
     requests: Rate,
     work: BTreeMap<model::Id, ModelDemand>,
@@ -140,12 +142,13 @@
 }
 
 impl Demand {
-    /// Creates an empty demand that is received from now on.
+    /// Creates an empty demand that is recorded from `now` on.
     pub(super) fn new(now: Moment) -> Demand {
         Demand { since: now, ..Demand::default() }
     }
 
-    /// Counts arrivals for a model served with so many slots a server; `at` may be some seconds ago.
+    /// Records arrivals for a model whose servers run `slots` requests at once. `at` may be some
+    /// seconds ago.
     pub(super) fn record_arrivals(
         &mut self,
         rules: &Rules,
@@ -155,7 +158,7 @@
         work: Work,
         at: Moment,
     ) {
-        // Arrivals before the term are known in part only.
+        // Arrivals before the lease term are only partly known.
         self.first_arrival.get_or_insert(at.max(self.since));
         let seconds = work.seconds(&rules.throughput, slots);
         let demand = self.work.entry(model.clone()).or_default();
@@ -169,13 +172,14 @@
         entry.last_arrival = entry.last_arrival.max(at);
     }
 
-    /// Seconds for which a request keeps one server fully used, in the mean of the last ones; 0 without any.
+    /// Returns for how many seconds the mean recent request keeps one server fully utilized; 0
+    /// without requests.
     pub(super) fn mean_request_s(&self, now: Moment) -> f64 {
         let requests = self.requests.value(RECENT_TIME_CONSTANT, now);
         if requests == 0.0 { 0.0 } else { self.seconds.value(RECENT_TIME_CONSTANT, now) / requests }
     }
 
-    /// Notes that a request waits.
+    /// Records that a request is waiting now.
     pub(super) fn record_waiting(
         &mut self,
         model: &model::Id,
@@ -192,18 +196,18 @@
         entry.last_arrival = entry.last_arrival.max(now);
     }
 
-    /// How long demand stays with its models, in seconds.
+    /// Returns how long demand stays with a model, in seconds.
     pub(super) fn persistence_s(&self) -> f64 {
         self.persistence.mean_s()
     }
 
-    /// Whether it has been watched for long enough to know what is idle.
+    /// Whether demand has been observed for long enough to know which models are idle.
     pub(super) fn is_established(&self, now: Moment) -> bool {
         self.first_arrival.is_some_and(|first_arrival| first_arrival + IDLE_KNOWN_AFTER <= now)
     }
 
-    /// Work that a model gets, in servers kept fully used: the steady rate, or what came last if
-    /// that is more by more than chance.
+    /// Returns a model's work, in fully utilized servers: the steady rate, or the latest rate if
+    /// that is higher by more than random variation.
     pub(super) fn work(&self, rules: &Rules, model: &model::Id, now: Moment) -> f64 {
         let work = |demand: &ModelDemand| {
             demand
@@ -214,8 +218,8 @@
         self.work.get(model).map_or(0.0, work)
     }
 
-    /// Work that a model still gets: the steady rate, or what came last if that is less by more
-    /// than chance.
+    /// Returns the work that a model still gets: the steady rate, or the latest rate if that is
+    /// lower by more than random variation.
     pub(super) fn remaining_work(&self, rules: &Rules, model: &model::Id, now: Moment) -> f64 {
         let remaining = |demand: &ModelDemand| {
             demand
@@ -226,17 +230,17 @@
         self.work.get(model).map_or(0.0, remaining)
     }
 
-    /// Work that a model got lately in the mean.
+    /// Returns a model's recent mean work, in fully utilized servers.
     pub(super) fn recent(&self, model: &model::Id, now: Moment) -> f64 {
         self.work.get(model).map_or(0.0, |demand| demand.recent.value(RECENT_TIME_CONSTANT, now))
     }
 
-    /// Whether a request waits for a model.
+    /// Whether a request is waiting for a model.
     pub(super) fn is_waited_for(&self, model: &model::Id, now: Moment) -> bool {
         self.waits.get(model).is_some_and(|at| now < *at + WAIT_VALIDITY)
     }
 
-    /// When an adapter was last asked for.
+    /// Returns when an adapter was last requested.
     pub(super) fn last_arrival(&self, adapter_key: &AdapterKey) -> Option<Moment> {
         self.adapters.get(adapter_key).map(|entry| entry.last_arrival)
     }
--- a/crates/policy/src/place/draft.rs
+++ b/crates/policy/src/place/draft.rs
@@ -1,4 +1,4 @@
-//! One service as a plan sees it, with what the plan has decided so far.
+//! The plan in progress for one service: servers, demand, and the orders decided so far.
 
 use std::collections::BTreeMap;
 
@@ -14,30 +14,30 @@
     utilization::LoadBalance,
 };
 
-/// Work that a model has at the least while a request waits for it.
+/// Lower bound of a model's work while a request is waiting for the model.
 const MIN_WAITED_WORK: f64 = 0.05;
 
-/// Chance that the busiest next is any of the models, whichever.
+/// Probability of becoming the busiest model next that is spread evenly over all models.
 const UNIFORM_PEAK_CHANCE: f64 = 0.84;
 
-/// Chance that the busiest next is one that was busy lately.
+/// Probability of becoming the busiest model next that is shared in proportion to recent work.
 const RECENT_PEAK_CHANCE: f64 = 0.3;
 
-/// Work that the busiest model is taken to have at the least.
+/// Lower bound assumed for the work of the busiest model.
 const MIN_PEAK_WORK: f64 = 1.0;
 
-/// A server that counts.
+/// A server that models and adapters can be placed on.
 pub(super) struct Target<'a> {
     pub(super) id: &'a backend::Id,
     pub(super) view: &'a ServerView,
-    /// Free memory; none if it isn't known.
+    /// Free memory; `None` if unknown.
     pub(super) room: Option<Mebibytes>,
-    /// Whether an order may go there.
+    /// Whether an order of this plan may go to the server.
     pub(super) accepts_orders: bool,
 }
 
 impl Target<'_> {
-    /// Whether a model order may go there.
+    /// Whether a model order may go to the server; a server carries out one at a time.
     pub(super) fn accepts_model_order(&self) -> bool {
         self.accepts_orders && self.view.current.is_none()
     }
@@ -47,13 +47,14 @@
 pub(super) struct Decision {
     pub(super) order: Order,
     pub(super) source: Source,
-    /// Whether the weight store's bucket was charged for it.
+    /// Whether the order took a token of the weight store's bucket.
     pub(super) charged: bool,
-    /// What the room is made for.
+    /// For an unload: the model that the memory is freed for.
     pub(super) reservation: Option<model::Id>,
 }
 
-/// A service.
+/// A plan in progress. Servers are indexes of `targets`; vectors per model are in the order of
+/// declaration.
 pub(super) struct Draft<'a> {
     pub(super) rules: &'a Rules,
     pub(super) engine: &'a Engine,
@@ -61,19 +62,19 @@
     pub(super) demand: &'a Demand,
     pub(super) now: Moment,
     pub(super) targets: Vec<Target<'a>>,
-    /// For each declared model: the sites where it is ready or coming.
+    /// Per model: the targets on which it is ready or expected.
     pub(super) replicas: Vec<Vec<usize>>,
-    /// For each declared model: the sites where it is ready and stays.
+    /// Per model: the targets on which it is ready and no unresolved order may unload it.
     pub(super) confirmed: Vec<Vec<usize>>,
-    /// For each declared model: servers that it keeps fully used.
+    /// Per model: work in fully utilized servers.
     pub(super) work: Vec<f64>,
-    /// For each declared model: how likely it is to be the busiest next.
+    /// Per model: how likely it is to become the busiest next.
     pub(super) peak_chances: Vec<f64>,
     /// Work of the busiest model.
     pub(super) peak_work: f64,
-    /// For each declared model: work that it still gets.
+    /// Per model: the work that it still gets, see [`Demand::remaining_work`].
     pub(super) remaining_work: Vec<f64>,
-    /// How work lies on the sites as things are planned.
+    /// Distribution of the work over the targets, with all decisions of the plan applied.
     pub(super) balance: LoadBalance,
     pub(super) decisions: Vec<Decision>,
     indexes: BTreeMap<&'a model::Id, usize>,
@@ -134,7 +135,7 @@
         draft
     }
 
-    /// Brings the heat up to date.
+    /// Recomputes the utilization of all targets.
     pub(super) fn rebalance(&mut self) {
         let cost = self.demand.mean_request_s(self.now);
         let lost =
@@ -143,17 +144,17 @@
         self.balance = LoadBalance::new(&self.work, &self.replicas, base);
     }
 
-    /// Heat of a site.
+    /// Returns a target's expected utilization; 1.0 is fully utilized.
     pub(super) fn utilization(&self, target: usize) -> f64 {
         self.balance.utilization[target]
     }
 
-    /// Index of a declared model.
+    /// Returns the index of a declared model.
     pub(super) fn index(&self, model: &model::Id) -> Option<usize> {
         self.indexes.get(model).copied()
     }
 
-    /// Gives an order; nothing else goes to that site in this plan.
+    /// Adds an order to the plan, which then gives no other order to the same target.
     pub(super) fn decide(
         &mut self,
         target: usize,
@@ -181,18 +182,20 @@
     }
 }
 
-/// Part of a server that its limit takes away, where each request keeps it fully used for so long.
+/// Returns the fraction of a server that its rate limit takes away, where each request keeps the
+/// server fully utilized for `cost` seconds.
 fn lost_capacity(limit: f64, cost: f64) -> f64 {
     if cost == 0.0 { 0.0 } else { (1.0 - limit * cost).max(0.0) }
 }
 
-/// Servers that a model keeps fully used.
+/// Returns a model's work in fully utilized servers.
 fn work(rules: &Rules, demand: &Demand, model: &model::Id, now: Moment) -> f64 {
     let waited = if demand.is_waited_for(model, now) { MIN_WAITED_WORK } else { 0.0 };
     demand.work(rules, model, now).max(waited)
 }
 
-/// How likely each model is to be the busiest next: those that were busy lately more than others.
+/// Returns how likely each model is to become the busiest next; recently busy models are more
+/// likely than others.
 fn peak_chances(demand: &Demand, engine: &Engine, now: Moment) -> Vec<f64> {
     let recent: Vec<f64> = engine.models.iter().map(|m| demand.recent(&m.name, now)).collect();
     let sum: f64 = recent.iter().sum();
@@ -201,7 +204,7 @@
     recent.iter().map(|amount| any + RECENT_PEAK_CHANCE * share(amount)).collect()
 }
 
-/// Loads from the weight store under way or asked for.
+/// Returns the number of loads from the weight store that are in progress or sent.
 pub(super) fn store_loads<'a>(views: impl Iterator<Item = &'a ServerView>) -> usize {
     views
         .filter(|view| {
--- a/crates/policy/src/place/eviction.rs
+++ b/crates/policy/src/place/eviction.rs
@@ -1,38 +1,40 @@
-//! Replicas that may be given up, and what that costs.
+//! Replicas that may be evicted, and the cost of doing so.
 
 use types::{prelude::*, routed::Model};
 
 use super::{draft::Draft, gain::replica_deficit};
 
-/// Heat up to which a model's other replicas may be left when one is given up.
+/// Highest mean utilization, by the model's own work, that evicting a replica may leave on the
+/// model's other replicas.
 const MAX_UTILIZATION_LEFT: f64 = 0.3;
 
-/// What a server's worth of work loses with the prompts cached for it.
+/// Cost of moving one fully utilized server's work to replicas without cached prompts.
 const CACHE_LOSS: f64 = 5.0;
 
-/// Seconds that the last of very many runs takes to end.
+/// Seconds until the last of very many running requests is likely to end.
 const LAST_RUN_END_S: f64 = 1.8;
 
-/// What each second costs in which a server waits for runs to end, and can take no other order.
+/// Cost per second in which a server waits for requests to end before an unload and can take no
+/// other order.
 pub(super) const BLOCKED_COST_PER_S: f64 = 3.0;
 
-/// Least time that a replica stays.
+/// Minimum age of a replica that may be evicted.
 const MIN_REPLICA_AGE: Duration = Duration::from_millis(1500);
 
-/// A replica that may be given up.
+/// A replica that may be evicted.
 pub(super) struct Evictable {
     pub(super) model: model::Id,
-    /// Which of the declared ones it is.
+    /// Index of the model; `None` if it is no longer declared.
     pub(super) index: Option<usize>,
-    /// What it costs to give it up, but for the heat of others.
+    /// Cost of the eviction, without the additional utilization of other servers.
     pub(super) cost: f64,
-    /// Memory that it takes with its adapters.
+    /// Memory that the eviction frees, adapters included.
     pub(super) size: Mebibytes,
-    /// Seconds until its requests have ended.
+    /// Seconds until the model's requests on the server are likely to have ended.
     pub(super) until_idle: f64,
 }
 
-/// What may be given up at a site, the cheapest first.
+/// Returns the replicas that may be evicted from a target, the cheapest first.
 pub(super) fn evictable(draft: &Draft, target: usize) -> Vec<Evictable> {
     let held = draft.targets[target].view.held.keys();
     let mut evictable: Vec<Evictable> = held
@@ -50,7 +52,8 @@
     evictable
 }
 
-/// The models to give up at a site so that one fits; none if that can't be.
+/// Returns the replicas to evict from a target so that `model` fits, the cheapest first; `None` if
+/// it can't fit.
 pub(super) fn victims<'a>(
     draft: &Draft,
     model: usize,
@@ -71,7 +74,7 @@
     if room < wanted {
         return None;
     }
-    // A cheap one may have become needless beside a larger one.
+    // A cheap victim may be needless once a larger one is chosen too.
     chosen.retain(|victim| {
         let needless = wanted <= room - victim.size;
         room -= if needless { victim.size } else { 0 };
@@ -80,7 +83,7 @@
     Some(chosen)
 }
 
-/// What it costs to give up a replica; none if it must stay.
+/// Returns the cost of evicting a replica; `None` if it must stay.
 fn eviction_cost(draft: &Draft, held: &model::Id, target: usize) -> Option<f64> {
     let Some(index) = draft.index(held) else { return Some(0.0) };
     let view = draft.targets[target].view;
@@ -97,13 +100,14 @@
     Some(replica_loss(draft, index, target) + BLOCKED_COST_PER_S * until_idle(draft, held, target))
 }
 
-/// Seconds until the requests that a model runs at a site are likely to have ended.
+/// Returns after how many seconds the model's requests on the target are likely to have ended.
 fn until_idle(draft: &Draft, held: &model::Id, target: usize) -> f64 {
     let runs = draft.targets[target].view.requests_in_flight.get(held).copied().unwrap_or(0);
     LAST_RUN_END_S * f64::from(runs) / f64::from(runs + 1)
 }
 
-/// What a model loses with its replica at a site, but for the heat of the others.
+/// Returns what a model loses with its replica on the target, without the additional utilization of
+/// its other servers.
 pub(super) fn replica_loss(draft: &Draft, model: usize, target: usize) -> f64 {
     let replicas = &draft.replicas[model];
     let rest: Vec<usize> = replicas.iter().copied().filter(|&other| other != target).collect();
@@ -112,7 +116,7 @@
         + CACHE_LOSS * share
 }
 
-/// Memory that a model takes at a site with its adapters.
+/// Returns the memory that a model takes on the target, adapters included.
 pub(super) fn replica_memory(draft: &Draft, held: &model::Id, target: usize) -> Mebibytes {
     let adapters = draft.targets[target].view.held.get(held).map_or(0, |adapters| adapters.len());
     let size = |model: &Model| model.weights + model.adapter_weights * adapters as Mebibytes;
--- a/crates/policy/src/place/gain.rs
+++ b/crates/policy/src/place/gain.rs
@@ -1,9 +1,9 @@
-//! Model orders: each time the step that gains most for what it costs.
+//! Model orders: repeatedly chooses the step with the highest net gain.
 //!
-//! A step brings one model to one site and gives up what has to go for it. Its worth is what it
-//! takes off the servers' heat while demand is likely to last, and the safety of more replicas; its
-//! price is that of its orders and what is lost with the victims. Everything is counted in the unit
-//! of [`Prices`](super::Prices).
+//! A step loads one model on one target and evicts what has to make room for it. It gains by
+//! reducing late work for as long as demand is expected to last, and by the safety of more
+//! replicas. It costs its orders and whatever the victims lose. All values are in the unit of
+//! [`Prices`](super::Prices).
 
 use types::{prelude::*, routed::Model};
 
@@ -16,49 +16,49 @@
     utilization::late_work,
 };
 
-/// What a model that stands nowhere is missed.
+/// Loss while a model has no replica.
 const UNREACHABLE_COST: f64 = 300.0;
 
-/// What each second costs until a model that stands nowhere is there.
+/// Cost per second until a model without replicas is loaded.
 const LOAD_WAIT_COST_PER_S: f64 = 20.0;
 
-/// What a second replica is worth because a server may crash.
+/// Value of a second replica, which survives the crash of a server.
 const SECOND_REPLICA_WORTH: f64 = 3.0;
 
-/// What the second replica is worth in another availability zone.
+/// Value of having the replicas in more than one availability zone.
 const SECOND_ZONE_WORTH: f64 = 2.0;
 
-/// Seconds for which a model that turns busy lives with the replicas that it has.
+/// Seconds for which a model that becomes busy has to do with its present replicas.
 const OVERRUN_S: f64 = 3.0;
 
-/// Gain from which a load is pressing.
+/// Gain from which a load is urgent.
 const URGENT_GAIN: f64 = 20.0;
 
-/// What it costs to break the room of a largest model.
+/// Cost of leaving room for one largest model fewer on a server.
 const FRAGMENTATION_COST: f64 = 1.0;
 
-/// Taken off for each order in a row that the server left without an answer.
+/// Cost per consecutive unanswered order of the target.
 const UNANSWERED_COST: f64 = 0.5;
 
-/// Least gain of a step.
+/// Minimum gain of a step.
 const MIN_GAIN: f64 = 0.3;
 
-/// Work below which a model isn't seen as asked for.
+/// Work up to which a model counts as idle, in fully utilized servers.
 const IDLE_WORK: f64 = 0.02;
 
-/// Heat above which more replicas are looked at.
+/// Utilization of a model's busiest server above which further replicas are considered.
 const BUSY_UTILIZATION: f64 = 0.1;
 
-/// Sites that are looked at for each model.
+/// Number of targets evaluated for each model.
 const MAX_TARGETS: usize = 8;
 
-/// Steps in one plan.
+/// Maximum steps in one plan.
 const MAX_STEPS: usize = 16;
 
-/// Seconds that an unload of an idle model takes.
+/// Seconds that the unload of an idle model takes.
 const UNLOAD_S: f64 = 0.2;
 
-/// A model to a site.
+/// A load of one model on one target, with the evictions that it needs.
 struct Step {
     model: usize,
     target: usize,
@@ -77,7 +77,8 @@
     }
 }
 
-/// Unloads models of unknown size: nothing can be loaded beside them.
+/// Unloads models of unknown size: while the free memory is unknown, nothing can be loaded beside
+/// them.
 fn unload_unknown_models(draft: &mut Draft) {
     for target in 0..draft.targets.len() {
         let at = &draft.targets[target];
@@ -87,7 +88,8 @@
     }
 }
 
-/// Goes on with what room was made for, and keeps the room until the weight store can serve it.
+/// Continues with the loads for which memory was reserved, and keeps it reserved until the weight
+/// store can serve the load.
 fn continue_reservations(draft: &mut Draft, store: &mut Allowance) {
     for target in 0..draft.targets.len() {
         let at = &draft.targets[target];
@@ -134,13 +136,13 @@
     best
 }
 
-/// Whether the weight store has the load left.
+/// Whether the weight store can serve the step's load now.
 fn allows(draft: &Draft, store: &mut Allowance, step: &Step) -> bool {
     let urgency = if step.gain < URGENT_GAIN { Urgency::Background } else { Urgency::Urgent };
     store.allows(draft.targets[step.target].id, step.source, urgency)
 }
 
-/// Whether another replica may be worth something.
+/// Whether another replica of the model may be of value.
 fn may_need_replica(draft: &Draft, model: usize) -> bool {
     let replicas = &draft.replicas[model];
     let highest = replicas.iter().map(|&target| draft.utilization(target)).fold(0.0, f64::max);
@@ -148,8 +150,8 @@
         || IDLE_WORK < draft.work[model] && BUSY_UTILIZATION < highest
 }
 
-/// What replicas in these places leave to be wished for: that the model answers at all, also after
-/// a crash, and that it isn't overrun if it becomes the busiest.
+/// Returns what a model with these replicas lacks: to be reachable at all, also after a crash, and
+/// not to be overrun if it becomes the busiest.
 pub(super) fn replica_deficit(draft: &Draft, model: usize, replicas: &[usize]) -> f64 {
     let zone = |target: usize| &draft.targets[target].view.zone;
     let safety = match replicas {
@@ -164,7 +166,8 @@
     safety + draft.peak_chances[model] * draft.rules.prices.server_second * OVERRUN_S * overrun
 }
 
-/// The sites that are looked at, with what would have to go: free and quick first, then cool.
+/// Returns the targets to evaluate for a model, with the replicas to evict there: fast sources and
+/// free memory first, then the least utilized.
 fn shortlist<'a>(
     draft: &Draft,
     store: &mut Allowance,
@@ -192,7 +195,7 @@
     targets.into_iter().filter_map(|(.., target)| fits(target)).take(MAX_TARGETS).collect()
 }
 
-/// Weighs a model at a site.
+/// Evaluates loading a model on a target.
 fn evaluate(draft: &Draft, model: usize, target: usize, victims: Vec<&Evictable>) -> Step {
     let at = &draft.targets[target];
     let declared = &draft.engine.models[model];
@@ -227,20 +230,21 @@
     Step { model, target, victims, source, gain }
 }
 
-/// Seconds of demand that a replica is likely to see that is there after so many: work leaves its
-/// model at a constant rate, which is learnt.
+/// Returns for how many seconds a replica that is ready after `delay` seconds is expected to be of
+/// use. Work leaves its model at a constant, estimated rate.
 ///
-/// Answers demand that stays longer than loads take. A fixed time of 2.2 s beyond the mean load left a
-/// hot model at one replica for 6 s and at two for 8 more, where loads take 3 to 6 s. With
-/// nine hosts before 18 model servers, over five days with faults and three seeds each, the share of
-/// worth served rose from 0.823 to 0.840, of the worst kind of request from 0.755 to 0.793, measured
-/// together with refusals at once of what a load comes too late for.
+/// The estimate serves demand that lasts longer than loads take. A fixed time of 2.2 s beyond the
+/// mean load left a busy model at one replica for 6 s and at two for 8 s more, where loads take 3
+/// to 6 s. With nine hosts before 18 model servers, over five days with faults and three seeds
+/// each, the estimate raised the share of value served from 0.823 to 0.840, and that of the worst
+/// kind of request from 0.755 to 0.793, measured together with refusing at once the requests for
+/// which a load would be too late.
 fn expected_use_s(draft: &Draft, delay: f64) -> f64 {
     let persistence = draft.demand.persistence_s();
     persistence * (-delay / persistence).exp()
 }
 
-/// What a step takes off the loss; nothing if it moves no work to speak of.
+/// Returns by how much a step reduces late and lost work; 0 if the models involved are idle.
 fn loss_reduction(
     draft: &Draft,
     model: usize,
@@ -260,7 +264,7 @@
     draft.balance.loss_reduction(&draft.work, &draft.replicas, &moves)
 }
 
-/// What it costs that a small model breaks the room of a largest one.
+/// Returns the cost of a small model taking room that a largest model would fit in.
 fn fragmentation_cost(draft: &Draft, declared: &Model, target: usize, freed: Mebibytes) -> f64 {
     let largest = draft.engine.models.iter().map(|model| model.weights).max().unwrap_or(0);
     if largest < 2 * declared.weights || largest == 0 {
@@ -270,7 +274,7 @@
     FRAGMENTATION_COST * (room / largest - room.saturating_sub(declared.weights) / largest) as f64
 }
 
-/// Time that a load takes.
+/// Returns how long a model takes to load from a source.
 pub(super) fn load_time(model: &Model, source: Source) -> Duration {
     match source {
         Source::Memory => model.warm,
@@ -279,7 +283,7 @@
     }
 }
 
-/// Decides a step's first order.
+/// Adds a step's first order to the plan: the load, or the eviction of the first victim.
 fn commit(draft: &mut Draft, store: &mut Allowance, step: Step) {
     let Step { model, target, victims, source, .. } = step;
     let name = draft.engine.models[model].name.clone();
--- a/crates/policy/src/place/persistence.rs
+++ b/crates/policy/src/place/persistence.rs
@@ -1,8 +1,9 @@
-//! How long demand stays with the models that it is for.
+//! Estimate of how long demand stays with a model.
 //!
-//! A replica that is late for the demand that it was meant for is worth nothing, and one of a model
-//! whose demand lasts is worth its load however long that takes. How fast demand moves differs by
-//! deployment and hour, so it is learnt: what part of all work a second leaves its model.
+//! A replica that is ready after the demand for it has moved on is worth nothing; a replica of a
+//! model whose demand lasts is worth its load however long that takes. How fast demand moves
+//! differs by deployment and time of day, so it is estimated from the fraction of all work that
+//! leaves its model in a second.
 
 use std::collections::BTreeMap;
 
@@ -10,37 +11,37 @@
 
 use super::rate::Rate;
 
-/// Time over which a model's work is averaged: less, and chance alone looks like work that leaves.
+/// Time constant of a model's work; with a shorter one, random variation looks like work that
+/// leaves.
 const WORK_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time over which what was seen is forgotten.
+/// Time constant of the estimate.
 const ESTIMATE_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
-/// Part of all work that leaves its model in a second, before any was seen: demand is counted on for
-/// four seconds.
+/// Initial estimate, which gives a persistence of four seconds.
 const INITIAL_LEAVING_PER_S: f64 = 0.25;
 
-/// Least and most time that demand is counted on, in seconds. Chance alone looks like a sixteenth of
-/// all work leaving in a second, at twenty requests a second for each model (reckoned).
+/// Bounds of the estimated persistence, in seconds. At twenty requests per second and model, random
+/// variation alone looks like a sixteenth of all work leaving in a second (calculated).
 const MIN_S: f64 = 2.0;
 const MAX_S: f64 = 16.0;
 
-/// Work of one model.
+/// Work of one model, and its value at the last sample.
 #[derive(Clone, Copy, Debug, Default)]
 struct SampledWork {
     rate: Rate,
     sampled: f64,
 }
 
-/// What part of all work leaves its model.
+/// Estimates which fraction of all work leaves its model in a second.
 #[derive(Clone, Debug)]
 pub(super) struct Persistence {
     models: BTreeMap<model::Id, SampledWork>,
     sampled: Moment,
-    /// Part of all work in a second.
+    /// Estimated fraction of all work that leaves its model in a second.
     leaving_per_s: f64,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Persistence {
-    /// Counts work of a model.
+    /// Records work of a model.
     pub(super) fn add(&mut self, model: &model::Id, work: f64, now: Moment) {
         self.models.entry(model.clone()).or_default().rate.add(WORK_TIME_CONSTANT, work, now);
         if self.sampled + SAMPLE_INTERVAL <= now {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// How long demand stays, in seconds, in the mean.
+    /// Returns the mean time that demand stays with a model, in seconds.
     pub(super) fn mean_s(&self) -> f64 {
         (1.0 / self.leaving_per_s).clamp(MIN_S, MAX_S)
     }
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: takes events, answers with orders.
+//! The planner: takes events and returns orders.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -21,31 +21,31 @@
 #[derive(Clone, Debug)]
 struct Service {
     engine: Engine,
-    /// All models that were ever declared: servers may still hold one that no longer is.
+    /// All models declared so far: servers may still hold one that is no longer declared.
     sizes: BTreeMap<model::Id, routed::Model>,
     bucket: Bucket,
 }
 
-/// Plans placement for the host that holds the lease.
+/// Plans placement on the host that holds the order lease.
 #[derive(Clone, Debug)]
 pub struct Planner {
     rules: Rules,
     services: BTreeMap<service::Id, Service>,
     servers: BTreeMap<backend::Id, ServerView>,
-    /// Orders to runs that are over, by the server's name: a later run may yet carry them out.
+    /// Unresolved orders to ended runs, by the server's name: a later run may still carry them out.
     unresolved: BTreeMap<Arc<str>, Vec<SentOrder>>,
     demand: Demand,
     unplaced: Vec<Unplaced>,
 }
 
 impl Planner {
-    /// Knows nothing yet.
+    /// Creates a planner without services, servers or demand.
     pub fn new(rules: Rules) -> Planner {
         let (services, servers, unresolved, unplaced) = Default::default();
         Planner { rules, services, servers, unresolved, demand: Demand::default(), unplaced }
     }
 
-    /// Takes what a service's servers are like, new or changed.
+    /// Adds a service, or replaces its declaration.
     pub fn declare(&mut self, service: &service::Id, engine: &Engine, now: Moment) {
         let rules = &self.rules;
         let entry = self.services.entry(service.clone()).or_insert_with(|| Service {
@@ -58,12 +58,13 @@
         entry.sizes.extend(engine.models.iter().map(|m| (m.name.clone(), m.clone())));
     }
 
-    /// Forgets a service that is no longer declared.
+    /// Removes a service that is no longer declared.
     pub fn remove_service(&mut self, service: &service::Id) {
         self.services.remove(service);
     }
 
-    /// Takes a new or changed registration.
+    /// Applies a new or changed registration. A new run replaces an earlier one at the same
+    /// address.
     pub fn register_server(&mut self, server: &routed::Server, now: Moment) {
         if let Some(view) = self.servers.get_mut(&server.id) {
             return view.apply_registration(server, now);
@@ -76,7 +77,7 @@
         self.servers.insert(server.id.clone(), view);
     }
 
-    /// Forgets a run of a server that has ended, but for its orders without an answer.
+    /// Removes a run that has ended; its unresolved orders are kept for the server's next run.
     pub fn remove_server(&mut self, server: &backend::Id, now: Moment) {
         let Some(view) = self.servers.remove(server) else { return };
         let (name, unresolved) = view.into_unresolved(&self.rules, now);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes a report.
+    /// Applies a server's report, unless it is older than the planner's view.
     pub fn report(&mut self, server: &backend::Id, report: &Report, now: Moment) {
         let Some(view) = self.servers.get_mut(server) else { return };
         let begun = view.apply_report(report, now);
@@ -94,12 +95,14 @@
         }
     }
 
-    /// Begins a term: forgets all demand, since another host received the last reports.
+    /// Begins a lease term with empty demand, since another host received the demand reports until
+    /// now.
     pub fn begin_term(&mut self, now: Moment) {
         self.demand = Demand::new(now);
     }
 
-    /// Counts requests that arrived at any host at `at`, which may be some seconds ago.
+    /// Records requests that arrived at any host at `at`, which may be some seconds ago. Undeclared
+    /// models and adapters are ignored.
     pub fn record_arrivals(
         &mut self,
         model: &model::Id,
@@ -111,7 +114,7 @@
         self.demand.record_arrivals(&self.rules, slots, model, adapter, work, at);
     }
 
-    /// Notes that a request waits right now for a model or adapter.
+    /// Records that a request is waiting now for a model or adapter. Undeclared ones are ignored.
     pub fn record_waiting(
         &mut self,
         model: &model::Id,
@@ -123,29 +126,31 @@
         }
     }
 
-    /// Takes how many requests of a model are in flight to a server, from all hosts.
+    /// Sets the number of requests for a model in flight to a server, summed over all hosts.
     pub fn in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
         if let Some(view) = self.servers.get_mut(server) {
             view.requests_in_flight.insert(model.clone(), requests);
         }
     }
 
-    /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
+    /// Replaces the set of servers that answer no host. Replicas there count as lost until the
+    /// servers answer again.
     pub fn set_unresponsive(&mut self, servers: &[backend::Id]) {
         for (id, view) in &mut self.servers {
             view.is_unresponsive = servers.contains(id);
         }
     }
 
-    /// Sets the limits of servers, in requests a second. A limited server counts as the part of a server that
-    /// its limit leaves.
+    /// Replaces the servers' rate limits, in requests per second. A limited server counts as the
+    /// fraction of a server that its limit leaves.
     pub fn set_rate_limits(&mut self, limits: &BTreeMap<backend::Id, f64>) {
         for (id, view) in &mut self.servers {
             view.limit = limits.get(id).copied();
         }
     }
 
-    /// The orders to give now. Each has to be answered with [`Planner::record_outcome`].
+    /// Returns the orders to send now. The outcome of each must be passed to
+    /// [`Planner::record_outcome`].
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
         self.servers.values_mut().for_each(|view| view.expire(&self.rules, now));
         self.unresolved
@@ -155,7 +160,7 @@
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
-    /// What the last plan wanted and could not order.
+    /// Returns what the last plan wanted and could not order.
     pub fn unplaced(&self) -> &[Unplaced] {
         &self.unplaced
     }
@@ -196,7 +201,7 @@
         decision.order
     }
 
-    /// Takes what came of an order.
+    /// Records the outcome of an order from [`Planner::plan`].
     pub fn record_outcome(&mut self, order: &Order, outcome: Outcome, now: Moment) {
         let Some(view) = self.servers.get_mut(&order.server) else { return };
         let service = self.services.get_mut(&view.service);
@@ -212,12 +217,13 @@
         }
     }
 
-    /// Servers whose report is wanted now, to know what became of an order.
+    /// Returns the servers whose report is needed now to resolve the outcome of an order.
     pub fn unsettled(&self, now: Moment) -> impl Iterator<Item = &backend::Id> {
         self.servers.iter().filter(move |(_, view)| view.is_unsettled(now)).map(|(id, _)| id)
     }
 
-    /// Slots of the servers of a declared model, if the adapter is one of its.
+    /// Returns the concurrent requests per server of a declared model's service; `None` if the
+    /// model or the adapter isn't declared.
     fn slots(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> Option<u32> {
         let engines = self.services.values().map(|service| &service.engine);
         let find = |engine: &Engine| {
@@ -228,7 +234,7 @@
     }
 }
 
-/// Whether a model has an adapter of this name.
+/// Whether an adapter is declared: `a1` to `aN` for a model with N adapters.
 fn is_declared(model: &routed::Model, adapter: &adapter::Id) -> bool {
     let number = adapter.strip_prefix('a').and_then(|number| number.parse::<u32>().ok());
     number.is_some_and(|number| (1..=model.adapters).contains(&number))
--- a/crates/policy/src/place/server_view.rs
+++ b/crates/policy/src/place/server_view.rs
@@ -1,10 +1,11 @@
-//! What is known of one server, and what may still happen there.
+//! The planner's view of one server, and of the orders that may still take effect there.
 //!
-//! A state belongs to a sequence number. It is known when a report says it, or when it was known and
-//! the server accepted the next order. Orders without an answer don't blur it: they name the number
-//! that they were worked out from, so they are dead once it has passed, and while it hasn't, they
-//! have changed nothing. What can't be known is waited for: an order by someone else that is being
-//! carried out, or a refusal that says that the number has moved, is settled by the next report.
+//! A state belongs to a sequence number. It is known if a report contains it, or if the state
+//! before was known and the server accepted the next order. Unanswered orders don't make a known
+//! state uncertain: each names the sequence number that it is based on, so it is void once the
+//! server has passed that number, and until then it has changed nothing. A state that can't be
+//! derived is awaited: the next report resolves an order of another planner in progress, or a
+//! refusal because of another sequence number.
 
 mod observe;
 
@@ -21,45 +22,45 @@
 
 use super::{Operation, Order, Outcome, Rules, demand::AdapterKey, draft::Decision};
 
-/// After a refusal: until reports are likely to show why.
+/// Pause after a refusal, until reports are likely to show the reason.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// How often the pause after refusals by an occupied server doubles.
+/// Number of times that the pause after refusals by an occupied server may double.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// Pause after each order in a row without an answer.
+/// Pause per consecutive unanswered order after the first.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(150);
 
-/// After this an order whose outcome wasn't told counts as one without an answer.
+/// Time after which an order without a recorded outcome counts as unanswered.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that an adapter takes to load, generously.
+/// Time that an adapter takes to load; a generous upper bound.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(60);
 
-/// How long an unload keeps the room for what it was made for.
+/// How long the memory that an unload frees stays reserved for the model that it was freed for.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Where a model's weights come from.
+/// Where a server loads a model's weights from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Source {
-    /// A copy in the server's memory.
+    /// A copy in the server's main memory.
     Memory,
     /// A copy on the server's disk.
     Disk,
-    /// The weight store.
+    /// The shared weight store.
     Store,
 }
 
-/// Whether a server counts.
+/// Whether a server takes part in placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Presence {
     Present,
     Draining,
-    /// It said that it is another one; a report ends this.
+    /// The server answered as another run; a report ends this state.
     Absent,
 }
 
-/// A model order that is being carried out.
+/// The model order that a server is carrying out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CurrentOrder {
     Load { model: model::Id, source: Source, due: Moment },
@@ -67,19 +68,20 @@
     Foreign,
 }
 
-/// An order that was sent.
+/// An order that was sent, and its bookkeeping.
 #[derive(Clone, Debug)]
 pub(super) struct SentOrder {
     pub(super) order: Order,
     pub(super) source: Source,
-    /// Whether the weight store's bucket was charged for it.
+    /// Whether the order took a token of the weight store's bucket.
     pub(super) charged: bool,
-    /// When it is given up: the answer, or the chance that it is carried out.
+    /// Deadline for the answer; once the order is unresolved, the time when it can no longer take
+    /// effect.
     until: Moment,
 }
 
 impl SentOrder {
-    /// Whether it may still be carried out.
+    /// Whether the server may still carry the order out.
     pub(super) fn may_take_effect(&self, now: Moment) -> bool {
         now < self.until
     }
@@ -90,7 +92,7 @@
     }
 }
 
-/// One server.
+/// The planner's view of one run of a server.
 #[derive(Clone, Debug)]
 pub(super) struct ServerView {
     name: Arc<str>,
@@ -100,48 +102,49 @@
     pub(super) presence: Presence,
     pub(super) sequence: Sequence,
     pub(super) held: BTreeMap<model::Id, BTreeSet<adapter::Id>>,
-    /// Adapters on their way, with the time they were ordered.
+    /// Adapters being loaded, with the times of their orders.
     pub(super) adapters_loading: BTreeMap<AdapterKey, Moment>,
-    /// When adapters that are here or on their way were ordered.
+    /// Times of the orders for adapters that are loaded or being loaded.
     pub(super) adapter_ordered_at: BTreeMap<AdapterKey, Moment>,
-    /// Adapters that leave once nothing uses them.
+    /// Adapters that the server unloads once no request uses them.
     pub(super) adapters_unloading: BTreeSet<AdapterKey>,
     pub(super) current: Option<CurrentOrder>,
     pub(super) in_flight_order: Option<SentOrder>,
     pub(super) unresolved: Vec<SentOrder>,
-    /// Orders to an earlier run of the server, which may carry them out at the number that they name.
-    /// Such orders were worked out from what that run held, so what they load keeps its room free.
+    /// Unresolved orders to an earlier run, which this run may carry out at the sequence number
+    /// that they name. They are based on the memory of that run, so the memory for what they load
+    /// stays reserved.
     inherited: Vec<SentOrder>,
-    /// What room is being made for.
+    /// The model that memory is being freed for, and when the reservation expires.
     pub(super) reservation: Option<(model::Id, Moment)>,
-    /// Requests in flight by model.
+    /// Requests in flight by model, from all hosts.
     pub(super) requests_in_flight: BTreeMap<model::Id, u32>,
-    /// When models were last seen to arrive here.
+    /// When each held model was first seen here.
     pub(super) held_since: BTreeMap<model::Id, Moment>,
-    /// Orders in a row without an answer.
+    /// Number of consecutive unanswered orders.
     pub(super) unanswered: u32,
-    /// Whether it answers nobody.
+    /// Whether the server answers no host.
     pub(super) is_unresponsive: bool,
-    /// Requests a second that it takes, if it names a limit.
+    /// Rate limit that the server has set, in requests per second.
     pub(super) limit: Option<f64>,
-    /// Orders in a row that were refused while one of this planner's was carried out.
+    /// Consecutive refusals while an order of this planner was in progress.
     refusals: u32,
-    /// Whether a report has to show that such a refusal meant no more than that.
+    /// Whether a report is still needed to show that such refusals had no other reason.
     is_refusal_unexplained: bool,
     resident: BTreeSet<model::Id>,
     on_disk: BTreeSet<model::Id>,
-    /// Whether `held`, `coming` and `current` are the state at `sequence`.
+    /// Whether `held`, `adapters_loading` and `current` are the state at `sequence`.
     is_certain: bool,
-    /// When `sequence` was last set.
+    /// When `sequence` last changed.
     advanced_at: Moment,
     paused_until: Moment,
-    /// Until when another planner's orders may still be carried out.
+    /// Until when orders of another planner may still be carried out.
     foreign_until: Moment,
 }
 
 impl ServerView {
     pub(super) fn new(rules: &Rules, server: &routed::Server, now: Moment) -> ServerView {
-        // A server that never accepted an order has none under way.
+        // A server that has never accepted an order is carrying none out.
         let fresh = server.sequence == 0;
         let mut view = ServerView {
             name: server.name.clone(),
@@ -179,14 +182,15 @@
         view
     }
 
-    /// Takes over orders to an earlier run. Whether one has been carried out already is for a report to
-    /// tell.
+    /// Takes over the unresolved orders to an earlier run. Only a report shows whether one of them
+    /// has been carried out already, so the state is uncertain until then.
     pub(super) fn inherit(&mut self, inherited: Vec<SentOrder>) {
         self.is_certain = false;
         self.inherited = inherited;
     }
 
-    /// Ends a run; gives the server's name and the orders that a later run may yet carry out.
+    /// Ends the view of a run. Returns the server's name and the orders that a later run may still
+    /// carry out.
     pub(super) fn into_unresolved(
         mut self,
         rules: &Rules,
@@ -199,13 +203,13 @@
         (self.name, all.filter(|sent| sent.may_take_effect(now)).collect())
     }
 
-    /// Orders to an earlier run that load what isn't here.
+    /// Returns the loads among the orders to an earlier run.
     fn inherited_loads(&self) -> impl Iterator<Item = &Order> {
         let loads = self.inherited.iter().map(|sent| &sent.order);
         loads.filter(|order| order.operation == Operation::Load)
     }
 
-    /// Whether an order may be worked out now.
+    /// Whether an order can be based on the state known now.
     pub(super) fn accepts_orders(&self, now: Moment) -> bool {
         let here =
             self.presence == Presence::Present && self.is_certain && self.in_flight_order.is_none();
@@ -214,7 +218,7 @@
             && self.paused_until <= now
     }
 
-    /// Whether a report is wanted now to know what is here.
+    /// Whether a report is needed now to know what the server holds.
     pub(super) fn is_unsettled(&self, now: Moment) -> bool {
         let waits = match &self.current {
             Some(CurrentOrder::Load { due, .. }) => *due <= now || self.is_refusal_unexplained,
@@ -224,21 +228,21 @@
         self.presence != Presence::Draining && waits
     }
 
-    /// Whether a model answers here.
+    /// Whether the server can serve requests for a model.
     pub(super) fn is_ready(&self, model: &model::Id) -> bool {
         let leaves = matches!(&self.current, Some(CurrentOrder::Unload { model: m }) if m == model)
             || self.in_flight_order.as_ref().is_some_and(|sent| sent.is(Operation::Unload, model));
         self.presence == Presence::Present && self.held.contains_key(model) && !leaves
     }
 
-    /// Whether a model answers here and no order without an answer may end that.
+    /// Whether the server can serve requests for a model and no unresolved order may end that.
     pub(super) fn is_confirmed_ready(&self, model: &model::Id, now: Moment) -> bool {
         let mut open = self.unresolved.iter().chain(&self.inherited);
         let may_unload = open.any(|sent| sent.is(Operation::Unload, model));
         self.is_ready(model) && !may_unload && self.foreign_until <= now
     }
 
-    /// Whether a model is on its way here, or room is made for it.
+    /// Whether a model is being loaded or ordered here, or memory is being freed for it.
     pub(super) fn is_expected(&self, model: &model::Id) -> bool {
         if self.presence != Presence::Present {
             return false;
@@ -250,12 +254,12 @@
             || self.reservation.as_ref().is_some_and(|(reserved, _)| reserved == model)
     }
 
-    /// Whether a load of a model is being carried out.
+    /// Whether a load of the model is in progress.
     pub(super) fn is_loading(&self, model: &model::Id) -> bool {
         matches!(&self.current, Some(CurrentOrder::Load { model: m, .. }) if m == model)
     }
 
-    /// Whether an adapter is here or on its way, and stays.
+    /// Whether an adapter is loaded or being loaded, and isn't being unloaded.
     pub(super) fn has_adapter(&self, adapter_key: &AdapterKey) -> bool {
         let held =
             self.held.get(&adapter_key.0).is_some_and(|adapters| adapters.contains(&adapter_key.1));
@@ -263,7 +267,7 @@
             && !self.adapters_unloading.contains(adapter_key)
     }
 
-    /// Adapters that take a place: held, coming or parting.
+    /// Returns the adapters that occupy a slot: loaded, being loaded or being unloaded.
     pub(super) fn adapters(&self) -> BTreeSet<AdapterKey> {
         let pairs = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| {
             adapters.iter().map(|adapter| (model.clone(), adapter.clone())).collect::<Vec<_>>()
@@ -271,18 +275,19 @@
         self.held.iter().flat_map(pairs).chain(self.adapters_loading.keys().cloned()).collect()
     }
 
-    /// Adapters that take a place or may yet take one.
+    /// Returns the adapters that occupy a slot or may still come to occupy one.
     pub(super) fn reserved_adapters(&self) -> BTreeSet<AdapterKey> {
         let adapter_key = |order: &Order| Some((order.model.clone(), order.adapter.clone()?));
         self.adapters().into_iter().chain(self.inherited_loads().filter_map(adapter_key)).collect()
     }
 
-    /// Adapters still on their way.
+    /// Returns how many adapter loads are still in progress.
     pub(super) fn adapters_in_flight(&self, now: Moment) -> usize {
         self.adapters_loading.values().filter(|&&at| now < at + ADAPTER_LOAD_TIME).count()
     }
 
-    /// Memory that is taken, when each model is so large; none if one is of unknown size.
+    /// Returns the memory in use or reserved, given the models' sizes; `None` if a size is unknown
+    /// or an order of another planner is in progress.
     pub(super) fn memory_taken(
         &self,
         sizes: &BTreeMap<model::Id, routed::Model>,
@@ -304,7 +309,7 @@
         weights.chain(adapters).sum()
     }
 
-    /// Where a load would come from.
+    /// Returns where the server would load the model from.
     pub(super) fn source(&self, model: &model::Id) -> Source {
         match model {
             _ if self.resident.contains(model) => Source::Memory,
@@ -313,7 +318,7 @@
         }
     }
 
-    /// Takes note of an order that goes out now.
+    /// Records an order that is sent now.
     pub(super) fn record_sent(&mut self, decision: &Decision, now: Moment) {
         let Decision { order, source, charged, reservation } = decision;
         let until = now + ANSWER_TIMEOUT;
@@ -324,7 +329,7 @@
         }
     }
 
-    /// Lets go of what time has ended.
+    /// Drops orders and reservations whose time has passed.
     pub(super) fn expire(&mut self, rules: &Rules, now: Moment) {
         self.unresolved.retain(|sent| sent.may_take_effect(now));
         self.inherited.retain(|sent| sent.may_take_effect(now));
@@ -334,7 +339,8 @@
         }
     }
 
-    /// Takes an outcome; the order as it was sent, if it was still waited for.
+    /// Records the outcome of an order. Returns the order as it was sent, or `None` if it was no
+    /// longer awaited.
     pub(super) fn record_outcome(
         &mut self,
         rules: &Rules,
@@ -366,8 +372,9 @@
         Some(sent)
     }
 
-    /// Whether an order unloads an adapter that stood here at the number that the order names. If
-    /// it holds already, that is its effect: an order that came between has done the same.
+    /// Whether an order unloads an adapter that was loaded at the sequence number that the order
+    /// names. If the server answers that the requested state holds already, the unload took effect
+    /// at once, or an order in between had the same effect.
     fn unloads_held_adapter(&self, order: &Order) -> bool {
         let adapter_key = order.adapter.clone().map(|adapter| (order.model.clone(), adapter));
         let known = self.is_certain && order.expected == self.sequence;
@@ -382,7 +389,7 @@
             self.reservation.take_if(|(reserved, _)| *reserved == order.model);
         }
         if order.expected < self.sequence {
-            return; // a report came before the answer
+            return; // a report arrived before the answer
         }
         if self.sequence < order.expected {
             return self.await_report(now);
@@ -422,28 +429,31 @@
         self.paused_until = now + UNANSWERED_PAUSE * (self.unanswered - 1).min(8);
     }
 
-    /// Whether an order of this planner's is being carried out at the number that another names:
-    /// reason enough for a server to refuse that one. Servers don't say which reason they had.
+    /// Whether an order of this planner is in progress at the sequence number that another order
+    /// names. A server may refuse the latter for that alone, and doesn't report which reason it
+    /// had.
     fn is_occupied(&self, order: &Order) -> bool {
         let own =
             matches!(&self.current, Some(CurrentOrder::Load { .. } | CurrentOrder::Unload { .. }));
         own && self.is_certain && order.expected == self.sequence
     }
 
-    /// Leaves a server alone that is occupied, longer each time, or until it has done.
+    /// Pauses orders to an occupied server, longer with each refusal, until the order in progress
+    /// ends.
     fn back_off(&mut self, now: Moment) {
         self.paused_until = now + REFUSAL_PAUSE * 2u32.pow(self.refusals.min(MAX_PAUSE_DOUBLINGS));
         self.refusals += 1;
         self.is_refusal_unexplained = true;
     }
 
-    /// What was being carried out has ended.
+    /// Ends the order in progress.
     fn finish_current(&mut self, now: Moment) {
         self.current = None;
         self.end_pause(now);
     }
 
-    /// Its state belongs to another number now.
+    /// Moves the view to another sequence number, at which inherited orders for earlier numbers are
+    /// void.
     fn advance(&mut self, sequence: Sequence, now: Moment) {
         self.sequence = sequence;
         self.inherited.retain(|sent| sequence <= sent.order.expected);
--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself: registrations and reports.
+//! Updates from a server's own registrations and reports.
 
 use std::{collections::BTreeSet, ops::Range};
 
@@ -9,12 +9,13 @@
 
 use super::{AdapterKey, CurrentOrder, Operation, Presence, SentOrder, ServerView, Source};
 
-/// Older news than this can't be behind by the usual lag: what was taken for known is wrong.
+/// Time since the view last advanced from which a contradicting report can't be explained by the
+/// usual report delay any more: the view is wrong.
 const STALE_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ServerView {
-    /// Takes a changed registration. It doesn't say what is under way, so it can end an order but
-    /// never show that nothing is under way.
+    /// Applies a changed registration. Registrations don't contain the order in progress, so one
+    /// can show that an order has ended but never that none is in progress.
     pub(in crate::place) fn apply_registration(&mut self, server: &routed::Server, now: Moment) {
         self.update_presence(server);
         if server.sequence < self.sequence {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Adapters that it lists are on their way no more.
+    /// Marks the adapters that a registration lists as loaded.
     fn note_loaded_adapters(&mut self, models: &[Held]) {
         let lists = |(model, adapter): &AdapterKey| {
             models.iter().any(|held| held.model == *model && held.adapters.contains(adapter))
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Takes a report; gives how many doubted loads from the weight store turn out to have begun.
+    /// Applies a report. Returns how many unresolved loads from the weight store turn out to have
+    /// begun.
     pub(in crate::place) fn apply_report(&mut self, report: &Report, now: Moment) -> usize {
         if self.is_stale(report, now) {
             return 0;
@@ -85,14 +87,14 @@
         self.drop_resolved()
     }
 
-    /// Whether a report says less than is known.
+    /// Whether a report is older than the view.
     fn is_stale(&self, report: &Report, now: Moment) -> bool {
         let ended = report.busy && self.is_certain && self.current.is_none();
         let older = report.sequence < self.sequence || (report.sequence == self.sequence && ended);
         older && now < self.advanced_at + STALE_REPORT_TIMEOUT
     }
 
-    /// The model order that a busy server carries out.
+    /// Returns the model order that a busy server is carrying out.
     fn identify_current(
         &self,
         report: &Report,
@@ -112,13 +114,15 @@
             let first = fits.next()?;
             fits.all(|other| other == first).then_some(first)
         };
-        // One that came between, or another planner's, may as well be the one.
+        // If several orders came in between, or another planner may have sent one, the order in
+        // progress can't be identified.
         let alone = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
         let own = known.or_else(|| alone.then(sent).flatten());
         Some(own.unwrap_or(CurrentOrder::Foreign))
     }
 
-    /// Drops doubts that the number has passed; gives how many loads from the store began.
+    /// Drops unresolved orders whose sequence number has passed. Returns how many loads from the
+    /// store began.
     fn drop_resolved(&mut self) -> usize {
         let (open, past): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
@@ -151,8 +155,9 @@
         self.adapters_unloading.retain(|(model, adapter)| {
             held.get(model).is_some_and(|adapters| adapters.contains(adapter))
         });
-        // What is on its way keeps its place, also if its model has gone, until a report lists it no more:
-        // a server may still take it in. Forgotten here, it let a third adapter into two places.
+        // An adapter being loaded keeps its slot, even if its model is gone, until a report no
+        // longer lists it, since the server may still load it. Forgetting it here led to a third
+        // adapter in two slots.
         let loading = &self.adapters_loading;
         self.adapter_ordered_at.retain(|adapter_key, _| {
             let is_held =
@@ -171,7 +176,7 @@
     }
 }
 
-/// A model order as it is carried out.
+/// Returns the order as an order in progress; `None` for an adapter order.
 fn as_current(sent: &SentOrder) -> Option<CurrentOrder> {
     let order = &sent.order;
     if order.adapter.is_some() {
--- a/crates/policy/src/place/store.rs
+++ b/crates/policy/src/place/store.rs
@@ -1,10 +1,10 @@
-//! Token bucket that keeps to the weight store's rate.
+//! Token bucket that limits loads to the weight store's rate.
 //!
-//! A load is charged when it is ordered. One without an answer may begin up to [`Rules::late`]
-//! afterwards, so it holds a token back until it is settled, but for the few that the part of the
-//! rate that isn't used leaves room for; it is charged once more if it turns out to have begun. A
-//! load at a server where one without an answer may still begin needs no token: at most one of the
-//! two takes effect.
+//! A load takes a token when it is ordered. An unanswered load may begin up to
+//! [`Rules::order_lifetime`] later, so it withholds another token until it is resolved, and takes
+//! that token if it turns out to have begun. A few unanswered loads need not withhold one, since
+//! the bucket refills at less than the store's full rate. A load on a server where an unanswered
+//! load may still begin needs no token: at most one of the two takes effect.
 
 use std::collections::BTreeSet;
 
@@ -12,26 +12,26 @@
 
 use super::{Rules, server_view::Source};
 
-/// Loads without an answer that hold no token back.
+/// Unanswered loads that withhold no token.
 const UNCOVERED_UNRESOLVED_LOADS: usize = 1;
 
-/// Part of the tokens after the first that only what is pressing may take.
+/// Fraction of the tokens after the first that only urgent loads may take.
 const BACKGROUND_RESERVE: f64 = 0.9;
 
-/// Time that room for a load takes to make at the least, in seconds: tokens that come meanwhile need
-/// not be kept for it.
+/// Minimum time to make room for a load, in seconds. Tokens that arrive in that time need not be
+/// withheld for the load.
 const MIN_ROOM_TIME_S: f64 = 1.0;
 
 /// How soon a load is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Urgency {
-    /// Requests suffer until it is there.
+    /// Requests suffer until the model is loaded.
     Urgent,
-    /// It may wait until the store has nothing else to do.
+    /// The load may wait until the store has nothing else to do.
     Background,
 }
 
-/// Loads that may start.
+/// Token bucket of one service's weight store.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bucket {
     per_second: f64,
@@ -41,19 +41,19 @@
 }
 
 impl Bucket {
-    /// Empty, since a planner before this one may have emptied it.
+    /// Creates an empty bucket, since an earlier planner may have used the tokens.
     pub(super) fn new(rules: &Rules, loads_per_s: f64, now: Moment) -> Bucket {
         let per_second = loads_per_s * rules.store_share;
         Bucket { per_second, burst: rules.burst(loads_per_s), tokens: 0.0, filled: now }
     }
 
-    /// Takes over another rate.
+    /// Sets the store's rate.
     pub(super) fn set_rate(&mut self, rules: &Rules, loads_per_s: f64) {
         self.per_second = loads_per_s * rules.store_share;
         self.burst = rules.burst(loads_per_s);
     }
 
-    /// Whether a load may start when so many tokens are kept for others.
+    /// Whether a load may start while `withheld` tokens are kept for others.
     fn may_start(&mut self, withheld: usize, urgency: Urgency, now: Moment) -> bool {
         let elapsed = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
@@ -65,40 +65,40 @@
         1.0 + reserved + withheld as f64 <= self.tokens
     }
 
-    /// Tokens that come while room is made, all but one.
+    /// Returns the tokens, less one, that arrive while room is made for a load.
     fn refill_while_making_room(&self) -> usize {
         (self.per_second * MIN_ROOM_TIME_S - 1.0).max(0.0) as usize
     }
 
-    /// Charges a load.
+    /// Takes a token for a load.
     pub(super) fn charge(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Gives back the charge of a load that was refused.
+    /// Returns the token of a load that was refused.
     pub(super) fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.burst);
     }
 }
 
-/// Loads from the weight store under way at once: as many as run on average at its full rate. More
-/// would only slow each other down.
+/// Returns how many loads from the weight store may run at once: the mean number at its full rate.
+/// More would only slow each other down.
 pub(super) fn max_concurrent_loads(engine: &Engine) -> usize {
     (engine.loads_per_s * mean_load_s(engine)).round().max(1.0) as usize
 }
 
-/// Seconds that a load from the weight store takes on average.
+/// Returns the mean time of a load from the weight store, in seconds.
 fn mean_load_s(engine: &Engine) -> f64 {
     let times = engine.models.iter().map(|model| model.load.as_secs_f64());
     times.sum::<f64>() / engine.models.len().max(1) as f64
 }
 
-/// Loads that the weight store still has for a plan.
+/// The loads that the weight store can still serve in a plan.
 pub(super) struct Allowance<'a> {
     pub(super) bucket: &'a mut Bucket,
-    /// Servers at which one without an answer may still begin.
+    /// Servers on which an unanswered load may still begin.
     pub(super) unresolved: BTreeSet<backend::Id>,
-    /// Servers at which room is made for one.
+    /// Servers on which room is being made for a load.
     pub(super) reserved: BTreeSet<backend::Id>,
     pub(super) loads_running: usize,
     pub(super) max_concurrent_loads: usize,
@@ -106,7 +106,7 @@
 }
 
 impl Allowance<'_> {
-    /// Whether a load may start at a server.
+    /// Whether a load may start on a server.
     pub(super) fn allows(
         &mut self,
         server: &backend::Id,
@@ -126,14 +126,14 @@
         self.loads_running < most && self.bucket.may_start(withheld, urgency, self.now)
     }
 
-    /// Keeps a load for a server.
+    /// Withholds a token for a later load on a server.
     pub(super) fn reserve(&mut self, server: &backend::Id, source: Source) {
         if source == Source::Store {
             self.reserved.insert(server.clone());
         }
     }
 
-    /// Takes a load; whether it was charged.
+    /// Starts a load. Returns whether it took a token.
     pub(super) fn start(&mut self, server: &backend::Id, source: Source) -> bool {
         let store = source == Source::Store;
         let charged = store && !self.unresolved.contains(server);
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -1,4 +1,5 @@
-//! What a plan wants and can't order yet, and why: for those who ask why nothing comes.
+//! Models and adapters that a plan wants but can't order yet, with the obstacle, so that operators
+//! can see why a load doesn't happen.
 
 use std::collections::BTreeMap;
 
@@ -11,41 +12,41 @@
     store::{Allowance, Urgency},
 };
 
-/// Heat from which a model's replicas are overrun.
+/// Utilization of all of a model's servers from which another replica is wanted.
 const OVERRUN_UTILIZATION: f64 = 1.0;
 
-/// A model or adapter that is wanted and not on its way.
+/// A model or adapter that is wanted but has no order under way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Unplaced {
-    /// The model.
+    /// The wanted model, or the base model of `adapter`.
     pub model: model::Id,
-    /// The adapter of that model; none for the model itself.
+    /// The wanted adapter; `None` for the model itself.
     pub adapter: Option<adapter::Id>,
-    /// Servers that hold it.
+    /// Number of servers that hold the model, or will; 0 for an adapter.
     pub replicas: usize,
-    /// What it waits for.
+    /// The obstacle to an order.
     pub obstacle: Obstacle,
 }
 
-/// Why an entry has no order.
+/// Why an order isn't possible now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Obstacle {
-    /// No server that could hold it is left.
+    /// Every server that could hold the model holds it already.
     NoServer,
-    /// The servers carry out other orders, or what became of those isn't known.
+    /// All remaining servers are carrying out other orders, or the outcome of one is unknown.
     Busy,
-    /// Nothing that can be spared makes room.
+    /// On no remaining server can enough memory or an adapter slot be freed.
     NoRoom,
-    /// The weight store has no load left.
+    /// The rate limit of the weight store, or of adapter loads, is used up.
     StoreRate,
-    /// It costs more than it gains.
+    /// A load would cost more than it gains.
     NoGain,
-    /// Its model stands nowhere.
+    /// No server has the adapter's base model ready.
     NoModel,
 }
 
 impl Obstacle {
-    /// All of them.
+    /// All obstacles, for metrics that list each of them.
     pub const ALL: [Obstacle; 6] = [
         Obstacle::NoServer,
         Obstacle::Busy,
@@ -55,7 +56,7 @@
         Obstacle::NoModel,
     ];
 
-    /// A stable word.
+    /// Returns the obstacle's name in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Obstacle::NoServer => "no-server",
@@ -68,7 +69,7 @@
     }
 }
 
-/// What a plan that is done leaves to be wished for.
+/// Returns what a finished plan leaves unplaced.
 pub(super) fn unplaced(draft: &Draft, store: &mut Allowance) -> Vec<Unplaced> {
     let models = 0..draft.engine.models.len();
     let wanted = models.filter(|&model| is_wanted(draft, model)).collect::<Vec<_>>();
@@ -85,7 +86,7 @@
     unplaced
 }
 
-/// Whether requests wait for a model that is not on its way, or overrun those who have it.
+/// Whether requests wait for a model without replicas, or overrun all of its servers.
 fn is_wanted(draft: &Draft, model: usize) -> bool {
     let replicas = &draft.replicas[model];
     let lowest =
@@ -126,7 +127,7 @@
     if !targets.iter().any(allows) { Obstacle::StoreRate } else { Obstacle::NoGain }
 }
 
-/// Adapters that requests wait for, that stand nowhere and for which nothing was ordered.
+/// Returns the adapters that requests wait for, that no server has and that the plan doesn't load.
 fn adapters(draft: &Draft) -> Vec<Unplaced> {
     let mut unplaced = Vec::new();
     let asked = draft.demand.adapters.iter();
@@ -168,16 +169,18 @@
     unplaced
 }
 
-/// An entry that doesn't last so long is not told.
+/// Minimum time that an entry has lasted when it is reported, and between two reports of it with
+/// different obstacles.
 const MIN_DURATION: Duration = Duration::from_millis(300);
 
-/// Time after which an entry that lasts is told again.
+/// Time after which a lasting entry is reported again.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Wishes that are told in a second at most.
+/// Maximum reports in one second.
 const MAX_PER_SECOND: usize = 16;
 
-/// Which unplaced entries are to be told, so that a shortage of hundreds floods nobody.
+/// Decides which unplaced entries are due to be reported, and limits their rate: there may be
+/// hundreds in a shortage.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLimiter {
     open: BTreeMap<(model::Id, Option<adapter::Id>), Open>,
@@ -185,7 +188,7 @@
     reported: usize,
 }
 
-/// An entry that was there in the last plan.
+/// Report state of an entry of the last plan.
 #[derive(Clone, Copy, Debug)]
 struct Open {
     since: Moment,
@@ -193,7 +196,8 @@
 }
 
 impl ReportLimiter {
-    /// Takes a plan's unplaced entries; those to be told now, with the time that they have lasted.
+    /// Takes a plan's unplaced entries and returns those to report now, with the time that each has
+    /// lasted.
     pub fn due(&mut self, unplaced: &[Unplaced], now: Moment) -> Vec<(Unplaced, Duration)> {
         let key = |item: &Unplaced| (item.model.clone(), item.adapter.clone());
         let mut open = std::mem::take(&mut self.open);
--- a/crates/policy/src/place/utilization.rs
+++ b/crates/policy/src/place/utilization.rs
@@ -1,34 +1,35 @@
-//! How hot servers get when routing levels the work over each model's replicas.
+//! Expected utilization of servers when routing evens out the work over each model's replicas.
 //!
-//! Routing sends a request where it waits least, so each model's work is poured over its replicas
-//! like water, the coolest first, in a few sweeps over all models.
+//! Routing sends a request to the replica with the shortest wait. Each model's work is therefore
+//! distributed by water-filling, the least utilized server first, in a few sweeps over all models.
 
-/// Sweeps after which the levels hardly change.
+/// Number of sweeps after which the result hardly changes.
 const SWEEPS: usize = 4;
 
-/// Rounds in which work is poured anew where models move.
+/// Number of sweeps over the affected models when replicas change.
 const REBALANCE_SWEEPS: usize = 2;
 
-/// Heat below which nothing is late.
+/// Utilization up to which no work is late.
 const LATE_ABOVE: f64 = 0.05;
 
-/// Part of the work that is late at a heat of one.
+/// Work per second that is late on a fully utilized server, in servers' worth.
 const LATE_WORK_AT_FULL: f64 = 0.45;
 
-/// Work of a model that stands nowhere is lost, and its callers come back.
+/// Weight of the work of a model without replicas: it is lost, and its callers try again.
 const LOST_WORK_WEIGHT: f64 = 2.0;
 
-/// How work lies on servers.
+/// Distribution of work over servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadBalance {
-    /// Heat of each server.
+    /// Utilization of each server; 1.0 is fully utilized.
     pub(super) utilization: Vec<f64>,
-    /// For each model: what each of its servers carries of it.
+    /// Per model: the work that each of its servers carries.
     shares: Vec<Vec<f64>>,
 }
 
 impl LoadBalance {
-    /// From each model's work, the servers that hold it, and the heat of each server without any work.
+    /// Distributes each model's work over its replicas, given each server's utilization without any
+    /// work.
     pub(super) fn new(work: &[f64], replicas: &[Vec<usize>], base: Vec<f64>) -> LoadBalance {
         let mut utilization = base;
         let mut shares: Vec<Vec<f64>> =
@@ -43,8 +44,9 @@
         LoadBalance { utilization, shares }
     }
 
-    /// What comes off the loss when these models stand in these places instead. Of the other models
-    /// those follow that share a server with one of them.
+    /// Returns by how much the late and lost work falls if the models in `moves` had the replicas
+    /// given there instead. Work of other models is redistributed only if they share a server with
+    /// one of these.
     pub(super) fn loss_reduction(
         &self,
         work: &[f64],
@@ -80,14 +82,14 @@
     }
 }
 
-/// A model's work on its servers.
+/// A model's work and its distribution over the model's servers.
 struct Filled<'a> {
     amount: f64,
     holders: &'a [usize],
     share: Vec<f64>,
 }
 
-/// Pours one model's work anew.
+/// Redistributes one model's work by water-filling.
 fn water_fill(amount: f64, holders: &[usize], share: &mut [f64], utilization: &mut [f64]) {
     holders.iter().zip(&*share).for_each(|(&server, share)| utilization[server] -= share);
     let level = fill_level(amount, holders.iter().map(|&server| utilization[server]).collect());
@@ -97,7 +99,7 @@
     }
 }
 
-/// Level to which an amount fills grounds of these heights.
+/// Returns the level to which `amount` fills columns of these heights.
 fn fill_level(amount: f64, mut base: Vec<f64>) -> f64 {
     base.sort_unstable_by(f64::total_cmp);
     let mut sum = 0.0;
@@ -112,7 +114,7 @@
     level
 }
 
-/// Work a second that is late at a server; convex.
+/// Returns the work per second that is late at a utilization; a convex function.
 pub(super) fn late_work(utilization: f64) -> f64 {
     let over = (utilization.min(1.0) - LATE_ABOVE).max(0.0) / (1.0 - LATE_ABOVE);
     LATE_WORK_AT_FULL * over * over + (utilization - 1.0).max(0.0)
