--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -130,8 +130,8 @@
 /// Returns the adapters that requests wait for, that no server has and that the plan doesn't load.
 fn adapters(draft: &Draft) -> Vec<Unplaced> {
     let mut unplaced = Vec::new();
-    let asked = draft.demand.adapters.iter();
-    for (adapter_key, _) in asked.filter(|(_, asked)| asked.waiting_since(draft.now).is_some()) {
+    let demand = draft.demand.adapters.iter();
+    for (adapter_key, _) in demand.filter(|(_, demand)| demand.waiting_since(draft.now).is_some()) {
         let (model, adapter) = adapter_key;
         let Some(declared) = draft.engine.models.iter().find(|m| m.name == *model) else {
             continue;
