--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,17 +1,16 @@
-//! Placement: which engine holds what, and the moves towards it.
+//! Placement through a ledger: which engine holds which models, and the moves that lead there.
 //!
-//! A [`Planner`] is told what is declared, what each engine holds or has reserved, and how much
-//! work each model gets. It answers with the moves that may start now, the most pressing first.
-//! It keeps no promise of its own: memory is promised by the ledger, and each move is a proposal
-//! that the ledger may refuse. After the moves are tried, the planner must be told the engines
-//! anew; what it is not told is taken as unchanged, so that a move that was never made is
-//! proposed again.
+//! A [`Planner`] is given the declared configuration, what each engine holds or has reserved, and
+//! the work of each model. It returns the moves that may start now, the most urgent first. It makes
+//! no reservation of its own: the ledger reserves memory, and each move is a proposal that the
+//! ledger may refuse. After the moves have been tried, the caller must set the engines again; an
+//! engine that isn't set counts as unchanged, so a move that was never made is proposed again.
 //!
-//! Order of concern: every model resident, then twice and in different availability zones, then
-//! more replicas where each raises attainment most for the moves it costs. A replica that answers
-//! is given up only while another one does (make before break); [`Move::keeper`] names that one,
-//! so that whoever carries out the move can hold it there meanwhile. Memory that nobody needs is
-//! left as it is, since freeing it is a move too.
+//! Priorities, in order: every model resident; every model on two engines in different availability
+//! zones; further replicas where each raises attainment most for the moves that it costs. A ready
+//! replica is evicted only while another one is ready (make before break); [`Move::keeper`] names
+//! the engine of that one, so that whoever carries out the move can keep the replica there
+//! meanwhile. Memory that nothing needs is left as it is, since freeing it costs a move too.
 
 mod adapters;
 mod bucket;
@@ -31,47 +30,47 @@
 
 pub use self::planner::Planner;
 
-/// What is known of an engine's place in the fleet.
+/// Membership state of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Takes work and orders.
+    /// Accepts requests and orders.
     Live,
-    /// Silent; may be dead. Gets nothing new, and nothing relies on it.
+    /// Unreachable, possibly crashed. Gets no new load, and no eviction relies on its replicas.
     Suspected,
-    /// About to go. Gets nothing new, and its replicas are made elsewhere.
+    /// About to leave. Gets no new load, and its replicas are replaced elsewhere.
     Leaving,
 }
 
-/// An engine as the ledger and the membership see it.
+/// An engine as the ledger and the membership describe it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The server.
+    /// The server that runs the engine.
     pub server: backend::Id,
-    /// Its group.
+    /// The group of engines that it belongs to; a model declares the group that serves it.
     pub group: backend::Group,
-    /// The availability zone it stands in.
+    /// The engine's availability zone.
     pub zone: availability::Id,
-    /// Whether it takes work.
+    /// Membership state, which decides whether the engine may be used.
     pub state: State,
-    /// Memory neither taken nor reserved, in MiB.
+    /// Memory neither in use nor reserved, in MiB.
     pub free: Mebibytes,
-    /// What takes memory there. A load that is ordered but not settled counts as loading, an
-    /// unload that is ordered but not settled as unloading; both still take their memory.
+    /// What occupies memory. An unsettled order counts as in progress: a load as loading, an unload
+    /// as unloading. Both still occupy their memory.
     pub residents: Vec<Resident>,
 }
 
-/// Work that a model gets, in engines' worth: 1.0 keeps one engine busy.
+/// Work of a model, in engines' worth: 1.0 keeps one engine fully utilized.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Work offered now.
     pub now: f64,
-    /// Work expected within the look-ahead.
+    /// Work expected within the forecast's look-ahead.
     pub ahead: f64,
 }
 
 impl Demand {
-    /// The work that placement provides for.
+    /// Returns the work that placement provides for: the larger of the two, not below zero.
     pub fn provided(self) -> f64 {
         self.now.max(self.ahead).max(0.0)
     }
@@ -80,14 +79,14 @@
 /// Limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Loads that may start in each second, in the mean.
+    /// Mean rate of loads that may start.
     pub loads_per_second: f64,
-    /// Loads that run at once.
+    /// Maximum number of loads in progress.
     pub at_once: usize,
 }
 
 impl Limits {
-    /// No limit, for checks of what could be placed.
+    /// No limits, for checks of what could be placed.
     pub const NONE: Limits = Limits { loads_per_second: f64::INFINITY, at_once: usize::MAX };
 }
 
@@ -97,43 +96,44 @@
     }
 }
 
-/// Why a move is made.
+/// The reason for a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
     /// No engine holds the model.
     Missing,
-    /// The model's replicas stand on engines that leave.
+    /// All of the model's replicas are on engines that are suspected or leaving.
     Leaving,
-    /// The version in force has changed.
+    /// The declared version has changed.
     Version,
-    /// An adapter follows its base model.
+    /// A replica lacks a declared adapter.
     Adapter,
-    /// The model has too few replicas, or all in one availability zone.
+    /// The model has too few replicas, or all of them are in one availability zone.
     Spread,
-    /// The work that the model gets asks for another replica.
+    /// The model's work needs another replica.
     Demand,
-    /// Makes room for another model.
+    /// Frees memory for another model or adapter.
     Room,
-    /// No longer declared.
+    /// The model or adapter is no longer declared.
     Removed,
 }
 
-/// One proposed order to an engine.
+/// A proposed order to one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The engine.
+    /// The server that the order is for.
     pub server: backend::Id,
-    /// A load or an unload.
+    /// The load or unload.
     pub action: Action,
-    /// Why.
+    /// The reason, for logs.
     pub cause: Cause,
-    /// For an unload of a model that stays declared: the engine whose ready replica it relies on.
+    /// For an unload of a model that stays declared: the engine whose ready replica replaces the
+    /// unloaded one.
     pub keeper: Option<backend::Id>,
 }
 
 impl Move {
-    /// What is moved; none for a change of role.
+    /// Returns the model version or adapter version to load or unload; `None` for a change of role.
     pub fn unit(&self) -> Option<&Unit> {
         match &self.action {
             Action::Load { unit, .. } | Action::Unload { unit } => Some(unit),
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Whether the weight store has to serve it.
+    /// Whether the move loads from the weight store.
     pub fn is_load(&self) -> bool {
         matches!(self.action, Action::Load { .. })
     }
 }
 
-/// Least time that a replica made for demand is kept against other demand.
+/// Minimum age of a replica before it may be evicted for another model's demand.
 pub const MIN_DEMAND_REPLICA_AGE: Duration = Duration::from_secs(60);
 
-/// Replicas that a model gets where memory allows, whatever is declared.
+/// Replicas that each model gets where memory allows, even if fewer are declared.
 pub const MIN_REPLICAS: usize = 2;
--- a/crates/policy/src/plan/adapters.rs
+++ b/crates/policy/src/plan/adapters.rs
@@ -8,7 +8,7 @@
     room::EvictionLimit,
 };
 
-/// An adapter that a replica lacks.
+/// An adapter that a replica lacks. Sorts adapters that no engine answers for first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingAdapter<'a> {
     answers: bool,
@@ -18,7 +18,7 @@
 }
 
 impl Draft<'_> {
-    /// Loads adapters where their base is ready; those that answer nowhere first.
+    /// Loads missing adapters where their base is ready, those that no engine answers for first.
     pub(super) fn load_adapters(&mut self) {
         let models = self.models;
         let pending_models = self.pending_models().into_iter();
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Frees memory on the replica's own engine: the adapter's old version where it answers
-    /// elsewhere too, else whole replicas of other models.
+    /// Frees memory on the replica's own engine: unloads the adapter's superseded version if
+    /// another engine answers for the adapter, otherwise evicts replicas of other models.
     fn make_room_for_adapter(&mut self, missing_adapter: &MissingAdapter<'_>, adapter: &Adapter) {
         let Some(engine) = self.working.engines.get(&missing_adapter.server) else { return };
         if adapter.memory <= engine.free + engine.freeing {
@@ -103,7 +103,8 @@
         self.budget = self.budget.saturating_sub(1);
     }
 
-    /// The adapter's old version on this engine and another engine that answers for it.
+    /// Returns the adapter's superseded version on this engine, and another engine that answers for
+    /// the adapter.
     fn superseded_version(
         &self,
         missing_adapter: &MissingAdapter<'_>,
@@ -130,7 +131,8 @@
         Some((unit, keeper.reported.server.clone()))
     }
 
-    /// Unloads an adapter's old versions where the one in force is ready on the same engine.
+    /// Unloads superseded versions of adapters where the declared version is ready on the same
+    /// engine.
     pub(super) fn retire_adapters(&mut self, id: &model::Id, declared: &Declared) {
         let mut stale = Vec::new();
         for (engine, bundle) in self.working.holders(id).filter(|(engine, _)| engine.is_live()) {
--- a/crates/policy/src/plan/bucket.rs
+++ b/crates/policy/src/plan/bucket.rs
@@ -1,10 +1,10 @@
-//! Token bucket that keeps to the weight store's rate.
+//! Token bucket that limits loads to the weight store's rate.
 
 use types::time::Moment;
 
 use super::Limits;
 
-/// Loads that may start.
+/// Token bucket with a limit on loads in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     limits: Limits,
@@ -17,7 +17,7 @@
         Bucket { limits, tokens: capacity(limits), filled: Moment::ZERO }
     }
 
-    /// Loads that may start now, while `loading` others run.
+    /// Returns how many loads may start now, while `loading` others are in progress.
     pub(super) fn available(&mut self, now: Moment, loading: usize) -> usize {
         let elapsed = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
@@ -29,13 +29,13 @@
         at_once.min(self.tokens as usize)
     }
 
-    /// Takes what was started.
+    /// Takes tokens for started loads.
     pub(super) fn take(&mut self, loads: usize) {
         self.tokens = (self.tokens - loads as f64).max(0.0);
     }
 }
 
-/// The most that the bucket holds: one second's worth, and one load at the least.
+/// Returns the bucket's capacity: one second's worth of loads, but at least one.
 fn capacity(limits: Limits) -> f64 {
     limits.loads_per_second.max(1.0)
 }
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -1,8 +1,8 @@
-//! Whether a configuration can be placed, and what is short, where, if not.
+//! Checks whether a configuration can be placed, and names the shortages otherwise.
 //!
-//! The check plays the planner's own moves to their end without the weight store's limit. What
-//! is not resident then can't be made so without a gap or within memory; the same code that will
-//! carry the change out judges it.
+//! The check simulates the planner's own moves without the weight store's limits. A model that
+//! isn't resident at the end can't be placed within memory, or not without a gap in service. The
+//! same planner code judges the change and carries it out.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
@@ -14,7 +14,7 @@
     room::EvictionLimit,
 };
 
-/// Rounds of moves that the check plays; more are not needed for any change that ends.
+/// Rounds of moves to simulate; a change that ends at all takes no more.
 const MAX_ROUNDS: usize = 64;
 
 /// A model that can't be made resident.
@@ -27,26 +27,27 @@
     }
 )]
 pub struct Shortage {
-    /// The model.
+    /// The model that doesn't fit.
     pub model: model::Id,
-    /// The group of engines that is to hold it.
+    /// The group of engines that the model is declared for.
     pub group: backend::Group,
-    /// Memory that one replica takes with all adapters, in MiB.
+    /// Memory of one replica with all adapters, in MiB.
     pub needs: Mebibytes,
-    /// The engine that comes nearest.
+    /// The live engine of the group with the most memory; `None` if there is none.
     pub roomiest: Option<Room>,
 }
 
-/// Room on an engine.
+/// Memory that could be made available on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// The engine.
+    /// The server that runs the engine.
     pub server: backend::Id,
-    /// Memory that could be had there, in MiB.
+    /// Memory available after the unloads in progress and all possible evictions, in MiB.
     pub free: Mebibytes,
 }
 
-/// What is short when `config` is to be placed on `engines` as they are now; empty if it fits.
+/// Returns the shortages when `config` is to be placed on `engines` in their present state; empty
+/// if it fits.
 pub fn check(config: &config::Config, engines: &[Engine]) -> Vec<Shortage> {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
@@ -56,7 +57,8 @@
 }
 
 impl Planner {
-    /// Declared models that no live engine holds whole in the version in force.
+    /// Returns a shortage for each declared model without a complete replica in the declared
+    /// version on a live engine.
     pub fn shortages(&mut self, now: Moment) -> Vec<Shortage> {
         let draft = self.new_draft(now, 0);
         let models = draft.models.iter().filter(|(id, declared)| !draft.is_complete(id, declared));
--- a/crates/policy/src/plan/forecast.rs
+++ b/crates/policy/src/plan/forecast.rs
@@ -1,8 +1,8 @@
-//! Demand look-ahead from shared counts.
+//! Demand forecast.
 //!
-//! Each interval's work is smoothed with its trend (Holt's method), and the estimate for a few
-//! intervals ahead is what placement provides for. It rises at once and falls slowly, so that a
-//! demand that flaps does not move models to and fro.
+//! Each interval's work is smoothed with its trend (Holt's method), and placement provides for the
+//! estimate a few intervals ahead. The forecast rises at once and falls slowly, so that fluctuating
+//! demand doesn't move models back and forth.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +16,13 @@
 /// Weight of the newest change in the trend.
 const TREND_WEIGHT: f64 = 0.3;
 
-/// Intervals that the estimate looks ahead.
+/// Number of intervals that the estimate looks ahead.
 const LOOK_AHEAD_INTERVALS: f64 = 3.0;
 
-/// Share of the held peak that is left after each interval.
+/// Fraction of the peak that remains after each interval.
 const PEAK_DECAY: f64 = 0.97;
 
-/// Most that the trend may add, as a multiple of the level.
+/// Maximum rise by the trend, as a multiple of the level.
 const MAX_RISE: f64 = 1.0;
 
 /// One model's smoothed work.
@@ -33,15 +33,15 @@
     peak: f64,
 }
 
-/// Smoothed work of all models.
+/// Smoothed work of all models, in engines' worth.
 #[derive(Clone, Debug, Default)]
 pub struct Forecast {
     series: BTreeMap<model::Id, Series>,
 }
 
 impl Forecast {
-    /// Takes in the work of one interval for every model, in engines' worth, and returns the
-    /// demand to plan for. A model that is left out had no work.
+    /// Adds one interval's work of all models, in engines' worth, and returns the demand to plan
+    /// for. A model missing from `work` had no work in the interval.
     pub fn observe(&mut self, work: &BTreeMap<model::Id, f64>) -> BTreeMap<model::Id, Demand> {
         for (id, work) in work {
             let first = Series { level: *work, trend: 0.0, peak: *work };
@@ -54,7 +54,7 @@
         demands.collect()
     }
 
-    /// Forgets models that are no longer declared.
+    /// Drops models that are no longer declared.
     pub fn retain(&mut self, config: &config::Config) {
         self.series.retain(|id, _| config.models.contains_key(id));
     }
--- a/crates/policy/src/plan/gain.rs
+++ b/crates/policy/src/plan/gain.rs
@@ -1,9 +1,9 @@
-//! More replicas where they raise attainment most for the moves they cost.
+//! Further replicas where they raise attainment most for the moves that they cost.
 //!
-//! Only the hottest engines are looked at. For each model on them, the work that would no longer
-//! miss its target with one replica more is weighed against the moves that the replica costs,
-//! with what is given up for it. Hysteresis comes from three sides: a move has a price, a replica
-//! made for demand is held for [`MIN_DEMAND_REPLICA_AGE`] against other demand, and forecasts fall slowly.
+//! Only the most utilized engines are considered. For each model there, the work that would meet
+//! its target with one more replica is weighed against the moves that the replica costs, evictions
+//! included. Three things give hysteresis: a move has a cost, a replica made for demand can't be
+//! evicted for other demand before [`MIN_DEMAND_REPLICA_AGE`], and forecasts fall slowly.
 
 use std::collections::BTreeSet;
 
@@ -17,20 +17,20 @@
     working_state::EngineState,
 };
 
-/// Hottest engines that are looked at for each replica.
+/// Number of most utilized engines considered for each replica.
 const MAX_BUSY_ENGINES: usize = 12;
 
-/// Coolest engines that are tried for a replica that needs room made.
+/// Number of least utilized engines tried for a replica that needs evictions.
 const MAX_EVICTION_TARGETS: usize = 6;
 
-/// Price of a move, in engines' worth of work that misses its target. A load takes about two
-/// seconds of an engine's and the weight store's time, and a replica pays off over a minute.
+/// Cost of a move, in engines' worth of work that misses its target. A load takes about two seconds
+/// of an engine's and the weight store's time, and a replica pays off over a minute.
 const MOVE_COST: f64 = 0.03;
 
-/// Least gain worth a move however moves are weighed, in engines' worth.
+/// Minimum gain of a replica, whatever the weight of moves, in engines' worth.
 const MIN_GAIN: f64 = 0.005;
 
-/// A replica that might be made.
+/// A replica that could be made.
 struct Candidate {
     net: f64,
     model: model::Id,
@@ -40,7 +40,7 @@
 }
 
 impl Draft<'_> {
-    /// Adds replicas while one is worth its moves.
+    /// Adds replicas as long as one is worth its moves.
     pub(super) fn meet_demand(&mut self) {
         let mut tried = BTreeSet::new();
         while 0 < self.budget {
@@ -93,7 +93,7 @@
             .max_by(|a, b| a.net.total_cmp(&b.net).then_with(|| b.server.cmp(&a.server)))
     }
 
-    /// Whether a replica is too young to be given up for demand.
+    /// Whether a replica is too young to be evicted for demand.
     fn is_too_young(&self, engine: &EngineState, id: &model::Id) -> bool {
         let since = engine.bundles.get(id).map(|bundle| bundle.since);
         since.is_some_and(|since| self.now.saturating_sub(since) < MIN_DEMAND_REPLICA_AGE)
@@ -114,14 +114,14 @@
         Candidate { net, model: id.clone(), server, victims, waits_for_unloads }
     }
 
-    /// Work that would no longer miss with a replica on this engine.
+    /// Returns the work that would no longer miss its target with a replica on the engine.
     fn gain(&self, id: &model::Id, server: &backend::Id) -> f64 {
         let shares = self.shares.get(id).map_or(&[][..], Vec::as_slice);
         let more = shares.iter().cloned().chain([(server.clone(), 0.0)]);
         self.missed_work_on(shares) - self.missed_work_after(id, &more.collect::<Vec<_>>())
     }
 
-    /// Work that would miss without the replica on this engine.
+    /// Returns the work that would miss its target without the replica on the engine.
     fn loss(&self, id: &model::Id, server: &backend::Id) -> f64 {
         let Some(shares) = self.shares.get(id) else { return 0.0 };
         let (gone, left): (Vec<_>, Vec<_>) =
@@ -139,7 +139,8 @@
         shares.iter().map(|(server, _)| missed_work(self.utilization(server))).sum()
     }
 
-    /// Work that misses on these engines when the model's load is poured over them anew.
+    /// Returns the work that misses its target on these engines once the model's load is
+    /// redistributed over them.
     fn missed_work_after(&self, id: &model::Id, shares: &[(backend::Id, f64)]) -> f64 {
         let load = self.models.get(id).map_or(0.0, |declared| declared.load);
         let others: Vec<f64> =
@@ -166,7 +167,7 @@
         self.rebalance(&model, |shares| shares.push((server, 0.0)));
     }
 
-    /// Changes a model's replicas and pours its load over them anew.
+    /// Changes a model's replicas and redistributes its load over them.
     pub(super) fn rebalance(
         &mut self,
         id: &model::Id,
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! The planner and the order of its concerns.
+//! The planner and the order of its priorities.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
     working_state::WorkingState,
 };
 
-/// A declared model with what placement needs of it.
+/// A declared model with derived figures for placement.
 #[derive(Clone, Debug)]
 pub(super) struct Declared {
     pub(super) model: Model,
@@ -25,13 +25,13 @@
         Declared { bundle: model.footprint() + adapters, load: demand.provided(), model }
     }
 
-    /// Replicas that come before any that demand asks for.
+    /// Returns the number of replicas that come before any replica for demand.
     pub(super) fn min_replicas(&self) -> usize {
         MIN_REPLICAS.max(self.model.replicas as usize)
     }
 }
 
-/// Decides moves.
+/// Plans moves from the declared configuration, the engines' state and the demand.
 #[derive(Clone, Debug)]
 pub struct Planner {
     weights: config::Weights,
@@ -39,12 +39,13 @@
     demands: BTreeMap<model::Id, Demand>,
     working: WorkingState,
     bucket: Bucket,
-    /// Models to look at: those that changed, and those that lacked something last time.
+    /// Models to check in the next plan: those that changed, and those that the last plan left
+    /// unsatisfied.
     pending: BTreeSet<model::Id>,
 }
 
 impl Planner {
-    /// A planner that knows nothing yet and keeps to these limits of the weight store.
+    /// Creates a planner without models or engines, with these limits of the weight store.
     pub fn new(limits: Limits) -> Planner {
         Planner {
             weights: config::Weights::default(),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes in the declared configuration.
+    /// Sets the declared configuration.
     pub fn configure(&mut self, config: &config::Config) {
         self.weights = config.weights;
         let removed = self.models.keys().filter(|id| !config.models.contains_key(*id));
@@ -73,18 +74,18 @@
         self.demands.retain(|id, _| config.models.contains_key(id));
     }
 
-    /// Takes in what an engine holds or has reserved; to be called for each engine that changed
-    /// or that a move was tried on.
+    /// Sets what an engine holds or has reserved. To be called for each engine that changed or that
+    /// a move was tried on.
     pub fn set_engine(&mut self, now: Moment, engine: Engine) {
         self.working.set_engine(now, engine);
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that is gone.
     pub fn remove_engine(&mut self, server: &backend::Id) {
         self.working.remove_engine(server);
     }
 
-    /// Takes in the work that a model gets.
+    /// Sets the work of a model.
     pub fn set_demand(&mut self, model: &model::Id, demand: Demand) {
         self.demands.insert(model.clone(), demand);
         if let Some(declared) = self.models.get_mut(model) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The moves that may start now, to be tried in this order.
+    /// Returns the moves that may start now, to be tried in this order.
     pub fn plan(&mut self, now: Moment) -> Vec<Move> {
         self.working.revert(now);
         let loading = self.working.loading();
@@ -102,8 +103,8 @@
         moves
     }
 
-    /// Plans as if each move were done at once, until none is left or the rounds are used up.
-    /// Returns the moves; for checks of what could be placed.
+    /// Plans as if each move were done at once, until no move is left or after `rounds`. Returns
+    /// the moves; for checks of what could be placed.
     pub fn simulate(&mut self, now: Moment, rounds: usize) -> Vec<Move> {
         let mut all = Vec::new();
         for _ in 0..rounds {
@@ -132,7 +133,7 @@
         moves
     }
 
-    /// A plan without a move yet.
+    /// Creates a plan without moves.
     pub(super) fn new_draft(&mut self, now: Moment, budget: usize) -> Draft<'_> {
         let shares = utilization::balance(&self.models, &mut self.working);
         let mut draft = Draft {
@@ -151,7 +152,7 @@
     }
 }
 
-/// A plan in the making.
+/// A plan in progress.
 pub(super) struct Draft<'a> {
     pub(super) now: Moment,
     pub(super) weights: config::Weights,
@@ -159,23 +160,23 @@
     pub(super) working: &'a mut WorkingState,
     /// Each model's load on each of its engines.
     pub(super) shares: utilization::Shares,
-    /// Loads that may still start.
+    /// Number of loads that may still start.
     pub(super) budget: usize,
     pub(super) moves: Vec<Move>,
-    /// Models to look at.
+    /// Models to check.
     pub(super) pending: BTreeSet<model::Id>,
-    /// Models that lack something or hold too much, to be looked at again next time.
+    /// Models that lack something or hold too much, to be checked again in the next plan.
     pub(super) unsatisfied: BTreeSet<model::Id>,
 }
 
 impl<'a> Draft<'a> {
-    /// Declared models to look at.
+    /// Returns the declared models to check.
     pub(super) fn pending_models(&self) -> Vec<(&'a model::Id, &'a Declared)> {
         let models = self.models;
         self.pending.iter().filter_map(|id| models.get_key_value(id)).collect()
     }
 
-    /// Notes a load.
+    /// Adds a load to the moves.
     pub(super) fn record_load(&mut self, load: Option<Move>) {
         if let Some(load) = load {
             self.budget = self.budget.saturating_sub(1);
--- a/crates/policy/src/plan/residency.rs
+++ b/crates/policy/src/plan/residency.rs
@@ -1,4 +1,4 @@
-//! Every model resident, then twice and in different availability zones.
+//! Residency of every model, then a second replica in another availability zone.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -12,7 +12,7 @@
 };
 
 impl Draft<'_> {
-    /// Works out the memory that adapters still to come will take on each engine.
+    /// Computes the memory that missing adapters will need on each engine.
     pub(super) fn reserve_for_adapters(&mut self) {
         for engine in self.working.engines.values_mut() {
             engine.reserved = 0;
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Places models that no live engine holds in the version in force; the unreachable first.
+    /// Places models that no live engine holds in the declared version, those without any ready
+    /// version first.
     pub(super) fn place_missing(&mut self) {
         let mut missing: Vec<(bool, Reverse<Mebibytes>, &model::Id, Cause)> = self
             .pending_models()
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Brings models to their least number of replicas and into two availability zones.
+    /// Brings models to their minimum number of replicas and into two availability zones.
     pub(super) fn spread_replicas(&mut self) {
         let mut under_replicated: Vec<(usize, Reverse<Mebibytes>, &model::Id)> = self
             .pending_models()
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Unloads versions that are no longer in force where enough replicas of the new one answer.
+    /// Unloads superseded versions where enough replicas of the declared version are ready.
     pub(super) fn retire_versions(&mut self) {
         for (id, declared) in self.pending_models() {
             self.retire(id, declared.min_replicas());
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Unloads old versions of the base, once `enough` replicas of the one in force answer, or
-    /// from engines that hold both.
+    /// Unloads superseded versions of the base model: from engines that have the declared version
+    /// ready too, and from all others once `enough` replicas of the declared version are ready.
     fn retire(&mut self, id: &model::Id, enough: usize) {
         let Some(declared) = self.models.get(id) else { return };
         let version = &declared.model.version;
@@ -137,7 +138,7 @@
         old.into_iter().for_each(|server| self.retire_replica(id, declared, &server));
     }
 
-    /// Unloads old versions from an engine that has the one in force ready.
+    /// Unloads superseded versions from an engine that has the declared version ready.
     fn retire_beside(&mut self, id: &model::Id, version: &model::Version, server: &backend::Id) {
         let Some(engine) = self.working.engines.get(server) else { return };
         let Some(bundle) = engine.bundles.get(id) else { return };
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Unloads a replica that has old versions only, if others answer for all of it.
+    /// Unloads a replica that has superseded versions only, if other engines answer for the model
+    /// and all of its adapters.
     fn retire_replica(&mut self, id: &model::Id, declared: &Declared, server: &backend::Id) {
         let Some(engine) = self.working.engines.get(server) else { return };
         let Some(bundle) = engine.bundles.get(id) else { return };
@@ -166,17 +168,18 @@
         }
     }
 
-    /// Engines' live replicas in the version in force, on their way in or ready.
+    /// Returns the number of live engines that hold the declared version, ready or loading.
     pub(super) fn replicas(&self, id: &model::Id, declared: &Declared) -> usize {
         self.current(id, declared).count()
     }
 
-    /// Availability zones of those replicas.
+    /// Returns the availability zones of the live engines that hold the declared version, ready or
+    /// loading.
     pub(super) fn zones(&self, id: &model::Id, declared: &Declared) -> BTreeSet<availability::Id> {
         self.current(id, declared).map(|(engine, _)| engine.reported.zone.clone()).collect()
     }
 
-    /// Live engines that hold the version in force, or will.
+    /// Returns the live engines that hold the declared version, ready or loading.
     pub(super) fn current(
         &self,
         id: &model::Id,
@@ -207,8 +210,8 @@
         }
     }
 
-    /// Loads a replica, or makes room for one, or waits for room under way. The engines of
-    /// `avoided` zones are left out. Tells whether anything could be done.
+    /// Loads a replica, makes room for one, or reserves memory that unloads in progress will free.
+    /// Leaves out engines in the `avoided` zones. Returns whether anything could be done.
     pub(super) fn place(
         &mut self,
         id: &model::Id,
@@ -230,7 +233,7 @@
         self.make_room(&constraints, limit)
     }
 
-    /// Loads the base and sets memory aside for its adapters.
+    /// Loads the base model and reserves memory for its adapters.
     pub(super) fn load_base(
         &mut self,
         server: &backend::Id,
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Keeps memory that comes free for a load to come.
+    /// Reserves memory on an engine for a later load.
     pub(super) fn reserve(&mut self, server: &backend::Id, memory: Mebibytes) {
         if let Some(engine) = self.working.modify(server) {
             engine.reserved += memory;
@@ -256,7 +259,7 @@
     }
 }
 
-/// Memory of the adapters that a replica still lacks.
+/// Returns the memory of the adapters that a replica lacks.
 pub(super) fn missing_adapter_memory(declared: &Declared, bundle: &Bundle) -> Mebibytes {
     let adapters = declared.model.adapters.iter();
     adapters
@@ -269,7 +272,7 @@
     engine.reported.server.clone()
 }
 
-/// Whether a unit is part of what is declared, in whatever version.
+/// Whether a model or adapter is declared, in any version.
 fn is_declared(declared: Option<&Declared>, bundle: &Bundle, unit: &Unit) -> bool {
     let Some(declared) = declared else { return false };
     match unit {
--- a/crates/policy/src/plan/room.rs
+++ b/crates/policy/src/plan/room.rs
@@ -1,4 +1,4 @@
-//! Sites for a load, and room made for it by giving up what can be spared.
+//! Engines for a load, and evictions that make room for it.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -10,27 +10,27 @@
     working_state::{Bundle, EngineState},
 };
 
-/// How much may be given up.
+/// Which replicas may be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionLimit {
-    /// Only what is above each model's least number of replicas.
+    /// Only replicas above their model's minimum number, and superseded ones.
     SurplusOnly,
-    /// Any replica but a model's last ready one.
+    /// Any replica except a model's last ready one.
     KeepOne,
 }
 
-/// How much a replica is missed; the least first.
+/// How much a replica is needed, the least needed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Tier {
-    /// A version no longer in force.
+    /// Holds only a superseded version.
     Superseded,
-    /// Above the least number.
+    /// Above the minimum number of replicas.
     Surplus,
-    /// Within the least number.
+    /// Within the minimum number of replicas, or the only one in one of two availability zones.
     Needed,
 }
 
-/// What a load needs of an engine.
+/// Requirements of a load on its engine.
 pub(super) struct Constraints<'a> {
     pub(super) id: &'a model::Id,
     pub(super) declared: &'a Declared,
@@ -38,7 +38,7 @@
 }
 
 impl Constraints<'_> {
-    /// Whether the engine may hold the model at all, whatever room it has.
+    /// Whether the engine may hold the model, regardless of its memory.
     pub(super) fn allows(&self, engine: &EngineState) -> bool {
         engine.is_live()
             && engine.reported.group == self.declared.model.group
@@ -50,7 +50,7 @@
     }
 }
 
-/// A replica that can be spared.
+/// A replica that may be evicted.
 pub(super) struct Evictable {
     tier: Tier,
     loss: f64,
@@ -60,12 +60,12 @@
 }
 
 impl Draft<'_> {
-    /// The coolest engine with room now.
+    /// Returns the least utilized engine with room now.
     pub(super) fn engine_with_room(&self, constraints: &Constraints<'_>) -> Option<backend::Id> {
         self.least_utilized(constraints, EngineState::room_now)
     }
 
-    /// The coolest engine whose room comes when unloads under way are done.
+    /// Returns the least utilized engine with room after the unloads in progress.
     pub(super) fn engine_with_room_later(
         &self,
         constraints: &Constraints<'_>,
@@ -87,7 +87,7 @@
             .map(|engine| engine.reported.server.clone())
     }
 
-    /// Gives up replicas on the engine where that costs least, and claims the memory. Tells
+    /// Evicts replicas on the engine where that costs least, and reserves the memory. Returns
     /// whether there was such an engine.
     pub(super) fn make_room(
         &mut self,
@@ -117,7 +117,8 @@
         true
     }
 
-    /// The spares whose memory is enough for `need`, the least missed first.
+    /// Returns enough replicas to evict for `need`, the least needed first; `None` if there aren't
+    /// enough.
     pub(super) fn choose_victims(
         &self,
         engine: &EngineState,
@@ -141,7 +142,7 @@
         (wanted == 0).then_some(chosen)
     }
 
-    /// Replicas on an engine that may be given up at this level.
+    /// Returns the replicas on an engine that may be evicted within the limit.
     pub(super) fn evictable(
         &self,
         engine: &EngineState,
@@ -153,7 +154,7 @@
             .filter_map(move |(id, held)| self.evictable_replica(engine, id, held, limit))
     }
 
-    /// Unloads all of a replica, adapters before their base.
+    /// Unloads a replica, adapters before their base.
     pub(super) fn evict(&mut self, server: &backend::Id, candidate: &Evictable, cause: Cause) {
         let Some(engine) = self.working.engines.get(server) else { return };
         let Some(bundle) = engine.bundles.get(&candidate.model) else { return };
@@ -164,7 +165,7 @@
         }
     }
 
-    /// A replica as a spare, if it may be given up at this level.
+    /// Returns a replica as evictable, if the limit allows its eviction.
     fn evictable_replica(
         &self,
         engine: &EngineState,
@@ -206,8 +207,8 @@
         if alone && zones <= 2 { Tier::Needed } else { Tier::Surplus }
     }
 
-    /// Another live engine on which the model answers, in the version in force if it does so
-    /// here; none as well if an adapter would answer nowhere else.
+    /// Returns another live engine on which the model is ready, in the declared version if this
+    /// engine has it ready. `None` also if no other engine answers for one of the adapters.
     pub(super) fn keeper(
         &self,
         engine: &EngineState,
@@ -237,7 +238,7 @@
     }
 }
 
-/// Memory that anything on the engine takes.
+/// Returns the memory in use on an engine.
 fn taken(engine: &EngineState) -> Mebibytes {
     engine.reported.residents.iter().map(|resident| resident.memory).sum()
 }
--- a/crates/policy/src/plan/utilization.rs
+++ b/crates/policy/src/plan/utilization.rs
@@ -1,9 +1,10 @@
-//! Where the work goes: each model's load spread over its replicas.
+//! Distribution of each model's load over its replicas.
 //!
-//! Routing sends a request where it waits least, so a model's load fills its engines like water:
-//! the coolest first, until all it uses are level. A few sweeps over all models come close to the
-//! joint balance. `misses` turns an engine's heat into work that misses its target; it is convex,
-//! so that evening out never looks worse.
+//! Routing sends a request to the replica with the shortest wait, so a model's load is distributed
+//! by water-filling: the least utilized engines first, until all engines in use are level. A few
+//! sweeps over all models come close to the joint balance. [`missed_work`] turns an engine's
+//! utilization into work that misses its target; it is convex, so evening out the load never looks
+//! worse.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +12,23 @@
 
 use super::{planner::Declared, working_state::WorkingState};
 
-/// Heat from which on some work misses its target.
+/// Utilization above which some work misses its target.
 pub(super) const MISS_THRESHOLD: f64 = 0.6;
 
-/// Sweeps over all models.
+/// Number of sweeps over all models.
 const SWEEPS: usize = 3;
 
-/// Each model's load on each of its engines.
+/// Each model's load on each of its engines, in engines' worth.
 pub(super) type Shares = BTreeMap<model::Id, Vec<(backend::Id, f64)>>;
 
-/// Work that misses its target on an engine of this heat, in engines' worth.
+/// Returns the work that misses its target on an engine, in engines' worth.
 pub(super) fn missed_work(utilization: f64) -> f64 {
     let over = (utilization - MISS_THRESHOLD).max(0.0);
     let full = 1.0 - MISS_THRESHOLD;
     if over < full { over * over / (2.0 * full) } else { over - full / 2.0 }
 }
 
-/// Pours a load over engines of these heats; the share of each.
+/// Returns each engine's share when a load is distributed over engines of these utilizations.
 pub(super) fn water_fill(utilizations: &[f64], load: f64) -> Vec<f64> {
     let mut order: Vec<f64> = utilizations.to_vec();
     order.sort_by(f64::total_cmp);
@@ -43,7 +44,7 @@
     utilizations.iter().map(|utilization| (level - utilization).max(0.0)).collect()
 }
 
-/// Sets each slot's heat, and returns the shares it comes from.
+/// Sets each engine's utilization, and returns the shares that it results from.
 pub(super) fn balance(
     models: &BTreeMap<model::Id, Declared>,
     working: &mut WorkingState,
@@ -84,7 +85,7 @@
         .collect()
 }
 
-/// Live engines on which a model answers or will.
+/// Returns the live engines that hold a model, ready or loading.
 fn replicas<'a>(
     working: &'a WorkingState,
     id: &'a model::Id,
--- a/crates/policy/src/plan/working_state.rs
+++ b/crates/policy/src/plan/working_state.rs
@@ -1,7 +1,7 @@
-//! The planner's working picture of the engines.
+//! The planner's working state of the engines.
 //!
-//! Each slot keeps what it was told beside what the moves of the plan in the making would leave.
-//! Before the next plan, the slots that a plan has touched go back to what they were told.
+//! Each engine has its reported state and the state after the moves of the plan in progress. Before
+//! the next plan, the engines that a plan has changed are reset to their reported state.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,16 +16,16 @@
 
 use super::{Cause, Engine, Move, State};
 
-/// All that one engine holds of one model: versions of the base and adapters.
+/// What one engine holds of one model: versions of the base model and of adapters.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bundle {
     pub(super) residents: Vec<Resident>,
-    /// When the planner first saw it here.
+    /// When the planner first saw the model on the engine.
     pub(super) since: Moment,
 }
 
 impl Bundle {
-    /// Versions of the base model that are on their way in or ready.
+    /// Returns the versions of the base model that are loading or ready.
     pub(super) fn bases(&self) -> impl Iterator<Item = (&model::Version, Progress)> {
         self.residents.iter().filter_map(|resident| match &resident.unit {
             Unit::Model { version, .. } if resident.state != Progress::Unloading => {
@@ -35,22 +35,22 @@
         })
     }
 
-    /// Whether it holds this version, ready or on its way in.
+    /// Whether a version of the base model is loading or ready.
     pub(super) fn has(&self, version: &model::Version) -> bool {
         self.bases().any(|(held, _)| held == version)
     }
 
-    /// Whether any version of the base answers.
+    /// Whether any version of the base model is ready.
     pub(super) fn is_ready(&self) -> bool {
         self.bases().any(|(_, state)| state == Progress::Ready)
     }
 
-    /// Whether this version of the base answers.
+    /// Whether a version of the base model is ready.
     pub(super) fn is_ready_in(&self, version: &model::Version) -> bool {
         self.bases().any(|(held, state)| held == version && state == Progress::Ready)
     }
 
-    /// The adapter's versions that are on their way in or ready.
+    /// Returns the versions of an adapter that are loading or ready.
     pub(super) fn adapter(
         &self,
         adapter: &adapter::Id,
@@ -65,12 +65,13 @@
         })
     }
 
-    /// Whether any version of the adapter answers, on a base that answers.
+    /// Whether any version of the adapter is ready, and any version of its base model.
     pub(super) fn answers_for(&self, adapter: &adapter::Id) -> bool {
         self.is_ready() && self.adapter(adapter).any(|(_, state)| state == Progress::Ready)
     }
 
-    /// What is ready, adapters before their base: the order in which it may be unloaded.
+    /// Returns everything that is ready, adapters before their base model: the order in which they
+    /// may be unloaded.
     pub(super) fn units(&self) -> Vec<Unit> {
         let ready = self.residents.iter().filter(|resident| resident.state == Progress::Ready);
         let mut units: Vec<Unit> = ready.map(|resident| resident.unit.clone()).collect();
@@ -78,7 +79,7 @@
         units
     }
 
-    /// Memory of what is not yet being unloaded.
+    /// Returns the memory of everything that isn't being unloaded.
     pub(super) fn memory(&self) -> Mebibytes {
         self.residents.iter().filter(|r| r.state != Progress::Unloading).map(|r| r.memory).sum()
     }
@@ -91,13 +92,13 @@
     pub(super) bundles: BTreeMap<model::Id, Bundle>,
     /// Memory free now.
     pub(super) free: Mebibytes,
-    /// Memory that unloads will free.
+    /// Memory that unloads in progress will free.
     pub(super) freeing: Mebibytes,
-    /// Memory that adapters still to come will take.
+    /// Memory for adapters that still have to be loaded.
     pub(super) adapter_reserve: Mebibytes,
-    /// Memory that loads wait for.
+    /// Memory reserved for later loads.
     pub(super) reserved: Mebibytes,
-    /// Work expected, in engines' worth.
+    /// Expected work, in engines' worth.
     pub(super) utilization: f64,
 }
 
@@ -106,22 +107,22 @@
         self.reported.state == State::Live
     }
 
-    /// Memory that a new load may take now, in MiB.
+    /// Returns the memory available to a new load now, in MiB.
     pub(super) fn room_now(&self) -> Mebibytes {
         self.free.saturating_sub(self.adapter_reserve).min(self.room_after_unloads())
     }
 
-    /// Memory that a new load may take when the unloads under way are done, in MiB.
+    /// Returns the memory available to a new load after the unloads in progress, in MiB.
     pub(super) fn room_after_unloads(&self) -> Mebibytes {
         (self.free + self.freeing).saturating_sub(self.adapter_reserve + self.reserved)
     }
 
-    /// Memory that is short for the adapters of what it holds and for claims, in MiB.
+    /// Returns the memory missing for the adapters of the models held and for reservations, in MiB.
     pub(super) fn shortfall(&self) -> Mebibytes {
         (self.adapter_reserve + self.reserved).saturating_sub(self.free + self.freeing)
     }
 
-    /// Whether even the adapters of what it holds don't fit.
+    /// Whether not even the adapters of the models held fit.
     pub(super) fn lacks_adapter_memory(&self) -> bool {
         self.free + self.freeing < self.adapter_reserve
     }
@@ -133,12 +134,12 @@
     pub(super) engines: BTreeMap<backend::Id, EngineState>,
     holders: BTreeMap<model::Id, BTreeSet<backend::Id>>,
     dirty: BTreeSet<backend::Id>,
-    /// Models that an engine has been told anew to hold or no longer to hold.
+    /// Models that an engine was reported to hold, or no longer to hold.
     changed: BTreeSet<model::Id>,
 }
 
 impl WorkingState {
-    /// Takes in what an engine holds.
+    /// Sets an engine's reported state.
     pub(super) fn set_engine(&mut self, now: Moment, reported: Engine) {
         let before = self.remove_engine(&reported.server);
         let mut engine = EngineState {
@@ -169,7 +170,7 @@
         self.engines.insert(engine.reported.server.clone(), engine);
     }
 
-    /// Forgets an engine.
+    /// Removes an engine.
     pub(super) fn remove_engine(&mut self, server: &backend::Id) -> Option<EngineState> {
         let engine = self.engines.remove(server)?;
         for model in engine.bundles.keys() {
@@ -184,7 +185,7 @@
         Some(engine)
     }
 
-    /// Puts touched slots back to what they were told.
+    /// Resets the engines that the plan changed to their reported state.
     pub(super) fn revert(&mut self, now: Moment) {
         for server in std::mem::take(&mut self.dirty) {
             if let Some(engine) = self.engines.get(&server) {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Takes what the plan has made of each engine as told, with every move done.
+    /// Makes the planned state of each engine its reported state, as if every move were done.
     pub(super) fn complete_moves(&mut self, now: Moment) {
         for server in std::mem::take(&mut self.dirty) {
             let Some(engine) = self.engines.get(&server) else { continue };
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Engines that hold anything of a model.
+    /// Returns the engines that hold anything of a model.
     pub(super) fn holders(
         &self,
         model: &model::Id,
@@ -222,19 +223,19 @@
         })
     }
 
-    /// Models whose engines were told anew since this was last asked.
+    /// Returns the models whose engines were reported since the last call.
     pub(super) fn take_changed(&mut self) -> BTreeSet<model::Id> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Loads that run.
+    /// Returns the number of loads in progress.
     pub(super) fn loading(&self) -> usize {
         let bundles = self.engines.values().flat_map(|engine| engine.bundles.values());
         let residents = bundles.flat_map(|bundle| bundle.residents.iter());
         residents.filter(|resident| resident.state == Progress::Loading).count()
     }
 
-    /// Loads a unit in the working picture.
+    /// Plans a load; `None` if the engine is unknown or lacks the memory.
     pub(super) fn load(
         &mut self,
         now: Moment,
@@ -256,7 +257,7 @@
         Some(Move { server: server.clone(), action, cause, keeper: None })
     }
 
-    /// Unloads a unit that is ready, in the working picture.
+    /// Plans an unload; `None` unless the unit is ready on the engine.
     pub(super) fn unload(
         &mut self,
         server: &backend::Id,
@@ -275,7 +276,7 @@
         Some(Move { server: server.clone(), action, cause, keeper })
     }
 
-    /// Changes a slot's figures for the plan in the making.
+    /// Returns an engine's state for a change by the plan in progress.
     pub(super) fn modify(&mut self, server: &backend::Id) -> Option<&mut EngineState> {
         self.dirty.insert(server.clone());
         self.engines.get_mut(server)
