--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -26,11 +26,11 @@
 };
 use world::World;
 
-const GOAL: Duration = Duration::from_millis(400);
-const LENGTH: Duration = Duration::from_secs(34);
-const LEAD: Duration = Duration::from_secs(8);
-const SHIFT: Duration = Duration::from_secs(5);
-const TOLD: Duration = Duration::from_millis(200);
+const FIRST_TOKEN_GOAL: Duration = Duration::from_millis(400);
+const RUN_TIME: Duration = Duration::from_secs(34);
+const WARM_UP: Duration = Duration::from_secs(8);
+const SHIFT_INTERVAL: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Shares of the models of a small site, the busiest first; the rest falls on all.
 const FEW: Shares = Shares { of: &[0.607, 0.225, 0.168], rest: 0.07 };
@@ -69,7 +69,7 @@
 
 #[derive(Default)]
 struct Tally {
-    asked: usize,
+    requests: usize,
     ready: usize,
     on_time: usize,
     seconds: BTreeMap<u64, (usize, usize)>,
@@ -83,12 +83,12 @@
     servers: usize,
     rate: f64,
     /// Models that the busiest moves by.
-    by: usize,
+    shift_step: usize,
     shares: Shares,
     /// Whether free room holds more replicas of the busy models from the start.
     start: Start,
     /// Time that a small model takes of that of a large one.
-    small: f64,
+    small_model_time: f64,
 }
 
 /// What servers hold at the start.
@@ -102,7 +102,7 @@
 
 /// Where demand moves at each shift.
 #[derive(Clone, Copy, Debug)]
-enum Course {
+enum ShiftPattern {
     /// On along the list.
     Onward,
     /// On, and back at the next shift.
@@ -116,22 +116,28 @@
     engine: world::small_site,
     servers: 9,
     rate: 140.0,
-    by: 1,
+    shift_step: 1,
     shares: FEW,
     start: Start::Once,
-    small: 1.0,
+    small_model_time: 1.0,
+};
+const LARGE: Site = Site {
+    name: "12 x 200 GB",
+    engine: large_site,
+    servers: 12,
+    rate: 150.0,
+    shift_step: 2,
+    ..SMALL
 };
-const LARGE: Site =
-    Site { name: "12 x 200 GB", engine: large_site, servers: 12, rate: 150.0, by: 2, ..SMALL };
 const SIXTY: Site = Site {
     name: "60 x 83 GB",
     engine: sites::sixty,
     servers: 60,
     rate: 560.0,
-    by: 2,
+    shift_step: 2,
     shares: MANY,
     start: Start::Full,
-    small: 0.28,
+    small_model_time: 0.28,
 };
 const NINETY: Site =
     Site { name: "90 x 200 GB", engine: sites::ninety, servers: 90, rate: 540.0, ..SIXTY };
@@ -166,41 +172,41 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for site in SITES.iter().filter(|site| site.name.starts_with(&name)) {
-        let courses = match site.start {
-            Start::Once => [Course::Onward, Course::Return],
-            Start::Full => [Course::Onward, Course::Drift],
+        let patterns = match site.start {
+            Start::Once => [ShiftPattern::Onward, ShiftPattern::Return],
+            Start::Full => [ShiftPattern::Onward, ShiftPattern::Drift],
         };
-        for course in courses {
+        for pattern in patterns {
             for strategy in [Strategy::Static, Strategy::LastMinute, Strategy::Planned] {
-                row(site, course, strategy, seeds);
+                row(site, pattern, strategy, seeds);
             }
         }
     }
 }
 
-fn row(site: &Site, course: Course, strategy: Strategy, seeds: u64) {
+fn row(site: &Site, pattern: ShiftPattern, strategy: Strategy, seeds: u64) {
     let runs: Vec<(Tally, World)> =
-        (0..seeds).map(|seed| run(site, course, strategy, seed)).collect();
+        (0..seeds).map(|seed| run(site, pattern, strategy, seed)).collect();
     let share = |part: &dyn Fn(&Tally) -> usize| {
-        let asked: usize = runs.iter().map(|(tally, _)| tally.asked).sum();
-        100.0 * runs.iter().map(|(tally, _)| part(tally)).sum::<usize>() as f64 / asked as f64
+        let requests: usize = runs.iter().map(|(tally, _)| tally.requests).sum();
+        100.0 * runs.iter().map(|(tally, _)| part(tally)).sum::<usize>() as f64 / requests as f64
     };
     let worst = |tally: &Tally| {
-        let shares = tally.seconds.values().map(|&(asked, good)| good as f64 / asked as f64);
+        let shares = tally.seconds.values().map(|&(requests, good)| good as f64 / requests as f64);
         shares.fold(1.0, f64::min)
     };
     let mean = |part: &dyn Fn(&World) -> usize| {
         runs.iter().map(|(_, world)| part(world)).sum::<usize>() as f64 / seeds as f64
     };
     let starved = |tally: &Tally| {
-        let often = tally.units.values().filter(|(asked, _)| 4 <= *asked);
+        let often = tally.units.values().filter(|(requests, _)| 4 <= *requests);
         often.filter(|(_, answered)| *answered == 0).count()
     };
     let longest = runs.iter().flat_map(|(_, world)| &world.plan_times).max();
     let plans: usize = runs.iter().map(|(_, world)| world.plan_times.len()).sum();
     let time: Duration = runs.iter().flat_map(|(_, world)| &world.plan_times).sum();
     println!(
-        "| {} | {course:?} | {strategy:?} | {:.1}% | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} | \
+        "| {} | {pattern:?} | {strategy:?} | {:.1}% | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} | \
          {:.2} ms, {:.0} ms |",
         site.name,
         share(&|tally| tally.ready),
@@ -214,7 +220,7 @@
     );
 }
 
-fn run(site: &Site, course: Course, strategy: Strategy, seed: u64) -> (Tally, World) {
+fn run(site: &Site, pattern: ShiftPattern, strategy: Strategy, seed: u64) -> (Tally, World) {
     let mut world = World::new((site.engine)(), site.servers, 4, seed);
     let minute = Duration::from_secs(60);
     world.planner = Planner::new(match strategy {
@@ -233,12 +239,12 @@
         let registration = world.machines[n].registration();
         world.planner.register_server(&registration, world.now);
     }
-    let mut traffic = Traffic::new(site, course, strategy);
+    let mut traffic = Traffic::new(site, pattern, strategy);
     if matches!(strategy, Strategy::Static) {
         traffic.fill(&mut world);
     }
-    world.run(LEAD);
-    while world.now < LENGTH {
+    world.run(WARM_UP);
+    while world.now < RUN_TIME {
         world.step();
         traffic.step(&mut world);
     }
@@ -274,7 +280,7 @@
 #[derive(Clone, Default)]
 struct Reader {
     until: Moment,
-    part: f64,
+    read_share: f64,
     at: Moment,
 }
 
@@ -283,15 +289,15 @@
     fn read(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
         self.until = self.until.max(now) + Duration::from_micros(prompt * 1000 / 38);
         let kept = (-(now - self.at).as_secs_f64()).exp();
-        self.part = self.part * kept + prompt as f64 / 38_000.0;
+        self.read_share = self.read_share * kept + prompt as f64 / 38_000.0;
         self.at = now;
-        (self.until, 1.0 / (1.0 - self.part.min(0.8)))
+        (self.until, 1.0 / (1.0 - self.read_share.min(0.8)))
     }
 }
 
 struct Traffic<'a> {
     site: &'a Site,
-    course: Course,
+    pattern: ShiftPattern,
     strategy: Strategy,
     readers: Vec<Reader>,
     waiting: Vec<Request>,
@@ -300,10 +306,10 @@
 }
 
 impl<'a> Traffic<'a> {
-    fn new(site: &'a Site, course: Course, strategy: Strategy) -> Traffic<'a> {
+    fn new(site: &'a Site, pattern: ShiftPattern, strategy: Strategy) -> Traffic<'a> {
         let (waiting, arrived) = Default::default();
         let readers = vec![Reader::default(); site.servers];
-        Traffic { site, course, strategy, readers, waiting, arrived, tally: Tally::default() }
+        Traffic { site, pattern, strategy, readers, waiting, arrived, tally: Tally::default() }
     }
 
     /// Fills the places for adapters, each adapter once.
@@ -329,7 +335,7 @@
         let count = (0..32).filter(|_| world.rng.random_bool((per_tick / 32.0).min(1.0))).count();
         for _ in 0..count {
             let request = self.draw(world);
-            self.tally.asked += 1;
+            self.tally.requests += 1;
             let ready =
                 world.machines.iter().any(|m| m.answers(&request.model, request.adapter.as_ref()));
             self.tally.ready += usize::from(ready);
@@ -343,25 +349,25 @@
         let waiting = std::mem::take(&mut self.waiting);
         self.waiting =
             waiting.into_iter().filter_map(|request| self.send(world, request)).collect();
-        if world.now.as_millis().is_multiple_of(TOLD.as_millis()) {
-            self.tell(world);
+        if world.now.as_millis().is_multiple_of(REPORT_INTERVAL.as_millis()) {
+            self.report_demand(world);
         }
     }
 
     /// Shifts before a request that arrives now.
     fn shift(&self, world: &mut World) -> usize {
-        let time = (world.now - LEAD).as_secs_f64() / SHIFT.as_secs_f64();
+        let time = (world.now - WARM_UP).as_secs_f64() / SHIFT_INTERVAL.as_secs_f64();
         let shifts = time as usize;
-        match self.course {
-            Course::Onward => shifts,
-            Course::Return => shifts % 2,
-            Course::Drift => shifts + usize::from(world.rng.random_bool(time.fract())),
+        match self.pattern {
+            ShiftPattern::Onward => shifts,
+            ShiftPattern::Return => shifts % 2,
+            ShiftPattern::Drift => shifts + usize::from(world.rng.random_bool(time.fract())),
         }
     }
 
     fn draw(&self, world: &mut World) -> Request {
         let models = world.engine.models.clone();
-        let shift = self.shift(world) * self.site.by;
+        let shift = self.shift(world) * self.site.shift_step;
         let Shares { of, rest } = &self.site.shares;
         let rank = match world.rng.random_bool(1.0 - rest) {
             true => {
@@ -394,7 +400,7 @@
         let order = |&n: &usize| (self.readers[n].until.max(now), world.machines[n].running.len());
         let numbers = (0..world.machines.len()).filter(|&n| fits(&world.machines[n]));
         let Some(number) = numbers.min_by_key(order) else {
-            if now < request.at + GOAL {
+            if now < request.at + FIRST_TOKEN_GOAL {
                 if !matches!(self.strategy, Strategy::Static) {
                     world.planner.record_waiting(&request.model, request.adapter.as_ref(), now);
                 }
@@ -405,7 +411,7 @@
         };
         let is_small = |model: &Model| model.name == request.model && model.weights < 20_000;
         let pace = match world.engine.models.iter().any(is_small) {
-            true => self.site.small,
+            true => self.site.small_model_time,
             false => 1.0,
         };
         let prompt = (request.prompt as f64 * pace) as u64;
@@ -413,7 +419,7 @@
         let end = first + Duration::from_micros(5600 * request.output).mul_f64(slower * pace);
         let run = (request.model.clone(), request.adapter.clone(), end);
         world.machines[number].running.push(run);
-        self.count(&request, now, first <= request.at + GOAL);
+        self.count(&request, now, first <= request.at + FIRST_TOKEN_GOAL);
         None
     }
 
@@ -429,7 +435,7 @@
         unit.1 += usize::from(good);
     }
 
-    fn tell(&mut self, world: &mut World) {
+    fn report_demand(&mut self, world: &mut World) {
         for ((model, adapter), work) in std::mem::take(&mut self.arrived) {
             world.planner.record_arrivals(&model, adapter.as_ref(), work, world.now);
         }
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -16,7 +16,7 @@
     world
 }
 
-fn ask(world: &mut World, adapter: &str) {
+fn request(world: &mut World, adapter: &str) {
     let adapter = adapter.into();
     world.planner.record_arrivals(&"m00".into(), Some(&adapter), ONE, world.now);
     world.planner.record_waiting(&"m00".into(), Some(&adapter), world.now);
@@ -25,7 +25,7 @@
 #[test]
 fn an_adapter_that_is_asked_for_is_there_at_once() {
     let mut world = world();
-    ask(&mut world, "a7");
+    request(&mut world, "a7");
     world.run(Duration::from_millis(50));
     assert_eq!(world.adapter_holders("m00", "a7").len(), 1);
 }
@@ -34,7 +34,7 @@
 fn a_busy_adapter_stands_twice() {
     let mut world = world();
     for _ in 0..40 {
-        ask(&mut world, "a1");
+        request(&mut world, "a1");
         world.run(SECOND / 10);
     }
     assert!(2 <= world.adapter_holders("m00", "a1").len());
@@ -46,7 +46,7 @@
     let mut world = world();
     // The first two tell that it is wanted, and find it.
     for _ in 0..2 {
-        ask(&mut world, "a1");
+        request(&mut world, "a1");
         world.run(SECOND);
     }
     assert_eq!(world.adapter_holders("m00", "a1").len(), 1);
@@ -58,14 +58,15 @@
 }
 
 #[test]
-fn an_adapter_of_a_dark_server_is_loaded_elsewhere() {
+fn an_adapter_of_an_unresponsive_server_is_loaded_elsewhere() {
     let mut world = world();
-    ask(&mut world, "a1");
+    request(&mut world, "a1");
     world.run(SECOND);
     let holders = world.adapter_holders("m00", "a1");
-    let dark: Vec<_> = holders.iter().map(|&at| world.machines[at].server.id.clone()).collect();
-    world.planner.set_unresponsive(&dark);
-    ask(&mut world, "a1");
+    let unresponsive: Vec<_> =
+        holders.iter().map(|&at| world.machines[at].server.id.clone()).collect();
+    world.planner.set_unresponsive(&unresponsive);
+    request(&mut world, "a1");
     world.run(SECOND / 10);
     assert!(world.adapter_holders("m00", "a1").len() > holders.len());
 }
@@ -79,7 +80,7 @@
     let holders = world.holders("m00");
     let places = 3 * holders.len();
     for number in 1..=places + 1 {
-        ask(&mut world, &format!("a{number}"));
+        request(&mut world, &format!("a{number}"));
         world.run(SECOND);
     }
     assert_eq!(world.holders("m00"), holders);
@@ -98,7 +99,7 @@
     for round in 0..3 {
         for number in 1..=26 {
             let adapter = format!("a{number}");
-            ask(&mut world, &adapter);
+            request(&mut world, &adapter);
             world.run(SECOND / 2);
             assert!(!world.adapter_holders("m00", &adapter).is_empty(), "{round}: {adapter}");
         }
@@ -134,7 +135,7 @@
 fn adapters_that_are_not_declared_are_not_loaded() {
     let mut world = world();
     let orders = world.orders.len();
-    ["a27", "a0", "b1", "a", ""].iter().for_each(|name| ask(&mut world, name));
+    ["a27", "a0", "b1", "a", ""].iter().for_each(|name| request(&mut world, name));
     world.run(SECOND);
     assert_eq!(world.orders.len(), orders);
 }
@@ -143,7 +144,7 @@
 fn four_adapters_at_once_go_to_a_server_and_the_rest_follows() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 26)]), 1, 1, 1);
     world.run(SECOND);
-    (1..=8).for_each(|number| ask(&mut world, &format!("a{number}")));
+    (1..=8).for_each(|number| request(&mut world, &format!("a{number}")));
     world.run(SECOND);
     assert_eq!(world.machines[0].held["m00"].len(), 8);
 }
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -12,15 +12,15 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Output tokens of a request.
-const TOKENS: u64 = 280;
+const OUTPUT_TOKENS: u64 = 280;
 
 /// Work for a model that keeps so many servers fully used, told every tenth of a second.
-fn ask(world: &mut World, shares: &[(&str, f64)], time: Duration) {
+fn offer_work(world: &mut World, shares: &[(&str, f64)], time: Duration) {
     let end = world.now + time;
     while world.now < end {
         for (model, servers) in shares {
             let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
-            let requests = u32::try_from(output / TOKENS).expect("few").max(1);
+            let requests = u32::try_from(output / OUTPUT_TOKENS).expect("few").max(1);
             let work = Work { requests, prompt: 0, output };
             world.planner.record_arrivals(&(*model).into(), None, work, world.now);
         }
@@ -57,7 +57,7 @@
             world.faults = Faults::default();
         }
         let hot = format!("m{:02}", round * 3 % 14);
-        ask(&mut world, &[(&hot, 4.0)], 4 * SECOND);
+        offer_work(&mut world, &[(&hot, 4.0)], 4 * SECOND);
     }
     let (peak, loads) = (world.store_peak() as f64, world.record.store_loads.len());
     assert!(peak <= 1.7 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
@@ -96,10 +96,10 @@
     #[case] replicas: usize,
 ) {
     let mut world = World::with_disks(small_site(), 9, 4, 1, copies);
-    ask(&mut world, &[("m00", 2.5), ("m01", 0.9), ("m02", 0.6)], 8 * SECOND);
+    offer_work(&mut world, &[("m00", 2.5), ("m01", 0.9), ("m02", 0.6)], 8 * SECOND);
     assert!(3 <= world.holders("m00").len(), "{:?}", world.holders("m00"));
     let time = Duration::from_millis(millis);
-    ask(&mut world, &[("m05", 2.5), ("m01", 0.9), ("m02", 0.6)], time);
+    offer_work(&mut world, &[("m05", 2.5), ("m01", 0.9), ("m02", 0.6)], time);
     assert!(replicas <= world.holders("m05").len(), "{:?}", world.holders("m05"));
     assert!(world.unreachable.is_empty(), "{:?}", world.unreachable.first());
 }
@@ -109,7 +109,7 @@
     let mut world = World::new(small_site(), 7, 3, 1);
     for round in 0..10 {
         let hot = format!("m{:02}", round * 3 % 14);
-        ask(&mut world, &[(&hot, 5.0)], 4 * SECOND);
+        offer_work(&mut world, &[(&hot, 5.0)], 4 * SECOND);
     }
     assert!(world.orders.iter().any(|(_, order)| order.operation == Operation::Unload));
     assert!(world.unreachable.is_empty(), "{:?}", world.unreachable.first());
@@ -220,19 +220,19 @@
 
 /// Its registration stays for seconds after a server has gone dark.
 #[test]
-fn what_a_dark_server_held_is_loaded_elsewhere_before_its_registration_ends() {
+fn what_an_unresponsive_server_held_is_loaded_elsewhere_before_its_registration_ends() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 14]), 9, 4, 1);
     world.run(12 * SECOND);
     let held: Vec<model::Id> = world.machines[2].held.keys().cloned().collect();
     let elsewhere =
         |world: &World, model: &model::Id| world.holders(model).iter().any(|&holder| holder != 2);
     assert!(!held.iter().all(|model| elsewhere(&world, model)), "none is only there: {held:?}");
-    let dark = world.machines[2].server.id.clone();
+    let unresponsive = world.machines[2].server.id.clone();
     let orders = world.orders.len();
-    world.planner.set_unresponsive(std::slice::from_ref(&dark));
+    world.planner.set_unresponsive(std::slice::from_ref(&unresponsive));
     world.run(4 * SECOND);
     assert!(held.iter().all(|model| elsewhere(&world, model)), "{held:?}");
-    assert!(world.orders[orders..].iter().all(|(_, order)| order.server != dark));
+    assert!(world.orders[orders..].iter().all(|(_, order)| order.server != unresponsive));
 }
 
 /// What is asked for shows in the first requests, but not what is not.
@@ -250,9 +250,9 @@
         world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload).count()
     };
     world.run(8 * SECOND);
-    ask(&mut world, &[("m02", 0.1)], 2 * SECOND);
+    offer_work(&mut world, &[("m02", 0.1)], 2 * SECOND);
     assert_eq!(unloads(&world), 0, "servers hold what they were set up for");
-    ask(&mut world, &[("m02", 0.1)], 6 * SECOND);
+    offer_work(&mut world, &[("m02", 0.1)], 6 * SECOND);
     assert_eq!(world.holders("m01").len(), 2);
 }
 
@@ -267,7 +267,7 @@
         world.planner.register_server(&machine.registration(), world.now);
     }
     assert_eq!(world.holders("m00").len(), 13);
-    ask(&mut world, &[("m00", 4.0)], 4 * SECOND);
+    offer_work(&mut world, &[("m00", 4.0)], 4 * SECOND);
     world
 }
 
@@ -278,7 +278,7 @@
     let others: Vec<String> = (12..24).map(|number| format!("m{number:02}")).collect();
     let others = others.iter().map(|name| (name.as_str(), 0.15));
     let shares: Vec<(&str, f64)> = others.chain([("m01", 4.0)]).collect();
-    ask(&mut world, &shares, 6 * SECOND);
+    offer_work(&mut world, &shares, 6 * SECOND);
     let replicas = world.holders("m01").len();
     assert!(5 <= replicas, "{replicas} replicas");
 }
@@ -292,10 +292,10 @@
         machine.running.push(("m00".into(), None, end));
         world.planner.in_flight(&machine.server.id, &"m00".into(), 1);
     }
-    ask(&mut world, &[("m01", 6.0)], 2 * SECOND);
-    let making = |machine: &&Machine| matches!(machine.current, Some((Operation::Unload, ..)));
-    let making = world.machines.iter().filter(making).count();
-    assert!(5 <= making, "room is made at {making} servers");
+    offer_work(&mut world, &[("m01", 6.0)], 2 * SECOND);
+    let unloading = |machine: &&Machine| matches!(machine.current, Some((Operation::Unload, ..)));
+    let unloading = world.machines.iter().filter(unloading).count();
+    assert!(5 <= unloading, "room is made at {unloading} servers");
     let peak = world.store_peak() as f64;
     assert!(peak <= 10.0 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
 }
@@ -307,9 +307,9 @@
     engine.models.iter_mut().for_each(|model| model.load = 6 * SECOND);
     let mut world = World::new(engine, 16, 3, 1);
     for turn in 0..moves {
-        ask(&mut world, &[(["m00", "m01", "m02"][turn as usize % 3], 2.0)], SECOND);
+        offer_work(&mut world, &[(["m00", "m01", "m02"][turn as usize % 3], 2.0)], SECOND);
     }
-    ask(&mut world, &[("m07", 2.0)], 10 * SECOND);
+    offer_work(&mut world, &[("m07", 2.0)], 10 * SECOND);
     world.holders("m07").len()
 }
 
@@ -323,23 +323,23 @@
 
 /// Replicas of a model with demand for a quarter of a server, after some seconds in which its only server
 /// takes this part of what it asks for.
-fn replicas_beside_a_limit(part: Option<f64>) -> usize {
-    const SHARE: f64 = 0.25;
+fn replicas_with_a_limit(fraction: Option<f64>) -> usize {
+    const DEMAND: f64 = 0.25;
     let mut world = World::new(engine(83_000, 8, &[(60_000, 0); 2]), 6, 2, 1);
-    ask(&mut world, &[("m00", SHARE)], 6 * SECOND);
+    offer_work(&mut world, &[("m00", DEMAND)], 6 * SECOND);
     let holders = world.holders("m00");
-    let requests = SHARE * 64.0 / 0.0056 / TOKENS as f64;
+    let requests = DEMAND * 64.0 / 0.0056 / OUTPUT_TOKENS as f64;
     let names = holders.iter().map(|holder| world.machines[*holder].server.id.clone());
-    let limit = part.map(|part| part * requests / holders.len() as f64);
+    let limit = fraction.map(|fraction| fraction * requests / holders.len() as f64);
     let limits = names.filter_map(|id| Some((id, limit?))).collect();
     world.planner.set_rate_limits(&limits);
-    ask(&mut world, &[("m00", SHARE)], 6 * SECOND);
+    offer_work(&mut world, &[("m00", DEMAND)], 6 * SECOND);
     world.holders("m00").len()
 }
 
 #[test]
 fn a_limited_server_counts_as_the_part_of_a_server_that_it_is() {
-    let unlimited = replicas_beside_a_limit(None);
-    assert_eq!(replicas_beside_a_limit(Some(100.0)), unlimited);
-    assert!(unlimited < replicas_beside_a_limit(Some(0.1)), "{unlimited} without a limit");
+    let unlimited = replicas_with_a_limit(None);
+    assert_eq!(replicas_with_a_limit(Some(100.0)), unlimited);
+    assert!(unlimited < replicas_with_a_limit(Some(0.1)), "{unlimited} without a limit");
 }
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -19,7 +19,7 @@
 }
 
 /// Random demand for models and adapters, for one step.
-fn stir(world: &mut World, hot: usize) {
+fn record_random_demand(world: &mut World, hot: usize) {
     let pick = if world.rng.random_bool(0.8) { hot } else { world.rng.random_range(0..14) };
     let model = world.engine.models[pick % world.engine.models.len()].clone();
     let number = world.rng.random_range(0..=model.adapters);
@@ -44,7 +44,7 @@
         world.planner.declare(&"lm".into(), &world.engine, world.now);
         world.faults = faults;
         for step in 0..1500 {
-            stir(&mut world, step / 300 * 3);
+            record_random_demand(&mut world, step / 300 * 3);
             for &(at, number) in &crashes {
                 if at == step {
                     world.crash(number);
@@ -71,7 +71,7 @@
         world.planner.declare(&"lm".into(), &world.engine, world.now);
         world.faults = Faults { late, ..Faults::default() };
         for step in 0..1500 {
-            stir(&mut world, step / 300 * 3);
+            record_random_demand(&mut world, step / 300 * 3);
             restarts.iter().filter(|(at, _)| *at == step).for_each(|(_, n)| world.restart(*n));
             world.step();
             prop_assert!(world.record.crashed.is_empty(), "{:?}", world.record.crashed);
@@ -87,7 +87,7 @@
             machine.adapter_load_time = Duration::from_millis(slow);
         }
         for step in 0..1500 {
-            stir(&mut world, step / 100);
+            record_random_demand(&mut world, step / 100);
             world.step();
             for machine in &world.machines {
                 world.planner.register_server(&machine.registration(), world.now);
@@ -101,7 +101,7 @@
         let mut world = World::new(small_site(), 7, 4, seed);
         world.faults = faults;
         for step in 0..2000 {
-            stir(&mut world, step / 300 * 3);
+            record_random_demand(&mut world, step / 300 * 3);
             world.step();
         }
         prop_assert!(world.unreachable.is_empty(), "{:?}", world.unreachable.first());
@@ -113,7 +113,7 @@
         let mut other = World::new(world.engine.clone(), 4, 2, seed).planner;
         world.faults = faults;
         for step in 0..1200 {
-            stir(&mut world, step / 200);
+            record_random_demand(&mut world, step / 200);
             world.step();
             std::mem::swap(&mut world.planner, &mut other);
             prop_assert!(world.record.crashed.is_empty(), "{:?}", world.record.crashed);
--- a/crates/policy/tests/place/server_view.rs
+++ b/crates/policy/tests/place/server_view.rs
@@ -134,11 +134,11 @@
     assert_eq!((load.operation, &*load.model), (Operation::Load, "m01"));
     planner.record_outcome(&load, Outcome::Accepted, 2000 * MS);
     let busy = Report { busy: true, ..report(1, &["m00"]) };
-    let mut asked = 0;
+    let mut sent = 0;
     for at in (2010..3500).step_by(10) {
         planner.record_waiting(&"m00".into(), Some(&"a1".into()), at * MS);
         for order in planner.plan(at * MS) {
-            asked += 1;
+            sent += 1;
             planner.record_outcome(&order, Outcome::Conflict, at * MS);
             assert_eq!(planner.unsettled(at * MS).count(), 1, "a report tells which");
         }
@@ -146,7 +146,7 @@
             planner.report(&load.server, &busy, at * MS);
         }
     }
-    assert!((2..=5).contains(&asked), "{asked} orders");
+    assert!((2..=5).contains(&sent), "{sent} orders");
     planner.report(&load.server, &report(1, &["m00", "m01"]), 3510 * MS);
     assert_eq!(planner.plan(3520 * MS).len(), 1, "at once when it has done");
 }
--- a/crates/policy/tests/place/unplaced.rs
+++ b/crates/policy/tests/place/unplaced.rs
@@ -1,4 +1,4 @@
-//! What a plan wants and can't order, and how much of it is told.
+//! What a plan wants and can't order, and how much of it is reported.
 
 use policy::place::{Obstacle, ReportLimiter, Unplaced, Work};
 use rstest::rstest;
@@ -9,7 +9,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// One server kept fully used for a tenth of a second.
-fn busy(model: &str, world: &mut World, servers: f64) {
+fn offer_work(model: &str, world: &mut World, servers: f64) {
     let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
     let work = Work { requests: 10, prompt: 0, output };
     world.planner.record_arrivals(&model.into(), None, work, world.now);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn calm_leaves_no_wish() {
+fn nothing_is_unplaced_without_demand() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 6]), 6, 3, 1);
     world.run(10 * SECOND);
     assert_eq!(world.planner.unplaced(), []);
@@ -29,10 +29,10 @@
 
 /// Two servers of two models: each is full of a model's last replicas.
 #[test]
-fn a_model_that_nothing_makes_room_for_is_wished_for() {
+fn a_model_that_nothing_makes_room_for_is_unplaced() {
     let mut world = World::new(engine(40_000, 8, &[(34_300, 0); 2]), 2, 2, 1);
     for _ in 0..50 {
-        busy("m00", &mut world, 3.0);
+        offer_work("m00", &mut world, 3.0);
         world.run(SECOND / 10);
     }
     assert_eq!(obstacles(&world, "m00"), [Obstacle::NoRoom]);
@@ -43,7 +43,7 @@
 fn a_model_that_stands_everywhere_waits_for_servers() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 2]), 2, 2, 1);
     for _ in 0..100 {
-        busy("m00", &mut world, 4.0);
+        offer_work("m00", &mut world, 4.0);
         world.run(SECOND / 10);
     }
     assert_eq!(obstacles(&world, "m00"), [Obstacle::NoServer]);
@@ -56,7 +56,7 @@
     world.faults = Faults { silent: 1.0, late: 1.0, ..Faults::default() };
     let mut seen = Vec::new();
     for _ in 0..50 {
-        busy("m00", &mut world, 3.0);
+        offer_work("m00", &mut world, 3.0);
         world.run(SECOND / 10);
         seen.extend(obstacles(&world, "m00"));
     }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_adapter_that_finds_no_place_is_wished_for() {
+fn an_adapter_that_finds_no_place_is_unplaced() {
     let mut world = World::new(engine(83_000, 1, &[(34_300, 26)]), 1, 1, 1);
     let mut seen = Vec::new();
     for _ in 0..10 {
@@ -89,38 +89,39 @@
 #[case::once(&[0, 300, 400, 2200], 1)]
 #[case::again(&[0, 300, 2300], 2)]
 #[case::with_a_gap(&[0, 200, 10_000, 10_200], 0)]
-fn a_wish_is_told_if_it_lasts(#[case] times: &[u64], #[case] told: usize) {
+fn an_entry_is_reported_if_it_lasts(#[case] times: &[u64], #[case] reported: usize) {
     let mut limiter = ReportLimiter::default();
     let mut number = 0;
-    for (place, &time) in times.iter().enumerate() {
+    for (step, &time) in times.iter().enumerate() {
         let now = Duration::from_millis(time);
-        if place == 2 && time == 10_000 {
+        if step == 2 && time == 10_000 {
             limiter.due(&[], now);
         }
         number += limiter.due(&[unplaced(0, Obstacle::Busy)], now).len();
     }
-    assert_eq!(number, told);
+    assert_eq!(number, reported);
 }
 
 #[test]
-fn another_obstacle_is_told_sooner() {
+fn another_obstacle_is_reported_sooner() {
     let mut limiter = ReportLimiter::default();
-    let mut told = |obstacle, ms| limiter.due(&[unplaced(0, obstacle)], Duration::from_millis(ms));
-    assert_eq!(told(Obstacle::Busy, 0), []);
-    assert_eq!(told(Obstacle::Busy, 300).len(), 1);
-    assert_eq!(told(Obstacle::NoRoom, 400), []);
-    let again = told(Obstacle::NoRoom, 600);
+    let mut reported =
+        |obstacle, ms| limiter.due(&[unplaced(0, obstacle)], Duration::from_millis(ms));
+    assert_eq!(reported(Obstacle::Busy, 0), []);
+    assert_eq!(reported(Obstacle::Busy, 300).len(), 1);
+    assert_eq!(reported(Obstacle::NoRoom, 400), []);
+    let again = reported(Obstacle::NoRoom, 600);
     assert_eq!(again, [(unplaced(0, Obstacle::NoRoom), Duration::from_millis(600))]);
 }
 
 #[test]
-fn a_shortage_of_hundreds_is_told_of_some_in_a_second() {
+fn reports_of_a_shortage_of_hundreds_are_rate_limited() {
     let mut limiter = ReportLimiter::default();
     let unplaced: Vec<Unplaced> = (0..300).map(|model| unplaced(model, Obstacle::NoRoom)).collect();
-    let mut told = 0;
+    let mut reported = 0;
     for ms in (0..1000).step_by(50) {
-        told += limiter.due(&unplaced, Duration::from_millis(ms)).len();
+        reported += limiter.due(&unplaced, Duration::from_millis(ms)).len();
     }
-    assert_eq!(told, 16);
+    assert_eq!(reported, 16);
     assert_eq!(limiter.due(&unplaced, SECOND).len(), 16, "others of them");
 }
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -145,8 +145,8 @@
         orders.iter().for_each(|order| self.send(order));
         self.orders.extend(orders.into_iter().map(|order| (self.now, order)));
         let answers = |model: &&Model| self.machines.iter().any(|m| m.answers(&model.name, None));
-        let lost = self.engine.models.iter().filter(|model| !answers(model));
-        self.unreachable.extend(lost.map(|model| (self.now, model.name.clone())));
+        let unreachable = self.engine.models.iter().filter(|model| !answers(model));
+        self.unreachable.extend(unreachable.map(|model| (self.now, model.name.clone())));
     }
 
     pub fn run(&mut self, time: Duration) {
