--- a/crates/policy/benches/plan.rs
+++ b/crates/policy/benches/plan.rs
@@ -1,4 +1,4 @@
-//! Cost of planning and its growth: sizes are numbers of models, with servers in proportion.
+//! Cost of planning and its growth. Sizes are numbers of models, with servers in proportion.
 
 #![allow(missing_docs, unreachable_pub, reason = "a bench has no public items")]
 
@@ -13,7 +13,7 @@
 const SIZES: [usize; 4] = [119, 238, 475, 950];
 const NOW: Moment = Duration::from_secs(3600);
 
-/// From nothing: every model is to be placed, in one plan.
+/// Every model is placed from nothing, in one plan.
 fn from_empty(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/from-empty");
     group.sample_size(10);
@@ -35,7 +35,7 @@
     }
 }
 
-/// A planner that has just taken the duty over reads everything and plans.
+/// A planner that has just taken over reads everything and plans.
 fn takeover(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/takeover");
     group.sample_size(10);
--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -1,10 +1,11 @@
-//! Share of requests that find their model and adapter ready, against two baselines.
+//! Measures the share of requests that find their model and adapter ready, against two baselines.
 //!
 //! `cargo run --release -p cyclamenstage-policy --example place_baselines -- [SEEDS [SITE]]`
 //!
-//! Virtual time. Demand moves along the list of models every five seconds, at once or over all of
-//! them. Requests wait up to their goal for a replica, then they are missed; routing takes the replica
-//! that reads the prompt first. *Plan* is the mean processor time of a plan, and that of the longest.
+//! Runs in virtual time. Demand moves along the list of models every five seconds, at once or
+//! gradually. Requests wait for a replica up to their goal for the first token, then count as
+//! missed. Routing chooses the replica that reads the prompt first. *Plan* is the mean processor
+//! time of a plan, and that of the longest.
 
 #![allow(clippy::print_stdout, reason = "the example's output")]
 #![allow(dead_code, reason = "shared with the tests")]
@@ -32,10 +33,10 @@
 const SHIFT_INTERVAL: Duration = Duration::from_secs(5);
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shares of the models of a small site, the busiest first; the rest falls on all.
+/// Shares of the models of a small deployment, the busiest first; `rest` is spread over all models.
 const FEW: Shares = Shares { of: &[0.607, 0.225, 0.168], rest: 0.07 };
 
-/// Shares at many servers.
+/// Shares of the models of a deployment with many servers.
 const MANY: Shares = Shares {
     of: &[
         0.256, 0.095, 0.071, 0.059, 0.051, 0.046, 0.042, 0.039, 0.036, 0.034, 0.032, 0.031, 0.029,
@@ -51,11 +52,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Strategy {
-    /// What servers hold at the start; adapters fill the places once.
+    /// Servers keep what they hold at the start; the adapter slots are filled once.
     Static,
-    /// The planner, fed with the mean of the last minute.
+    /// The planner with the mean demand of the last minute.
     LastMinute,
-    /// The planner as it is.
+    /// The planner with its own averages.
     Planned,
 }
 
@@ -73,7 +74,7 @@
     ready: usize,
     on_time: usize,
     seconds: BTreeMap<u64, (usize, usize)>,
-    /// Asked and answered by model and adapter.
+    /// Requests, and those answered on time, by model and adapter.
     units: BTreeMap<(model::Id, Option<adapter::Id>), (usize, usize)>,
 }
 
@@ -82,12 +83,12 @@
     engine: fn() -> Engine,
     servers: usize,
     rate: f64,
-    /// Models that the busiest moves by.
+    /// Number of models that the busiest model moves along the list at each shift.
     shift_step: usize,
     shares: Shares,
-    /// Whether free room holds more replicas of the busy models from the start.
+    /// What the servers hold at the start.
     start: Start,
-    /// Time that a small model takes of that of a large one.
+    /// Time per token of a small model, relative to a large one.
     small_model_time: f64,
 }
 
@@ -96,18 +97,18 @@
 enum Start {
     /// Each model once.
     Once,
-    /// As many replicas of the busy ones besides as there is room for.
+    /// Each model once, and as many more replicas of the busy models as fit.
     Full,
 }
 
-/// Where demand moves at each shift.
+/// How demand moves between models.
 #[derive(Clone, Copy, Debug)]
 enum ShiftPattern {
-    /// On along the list.
+    /// Along the list at each shift.
     Onward,
-    /// On, and back at the next shift.
+    /// Along the list at one shift, and back at the next.
     Return,
-    /// On along the list, over the whole time between two shifts.
+    /// Along the list, gradually between two shifts.
     Drift,
 }
 
@@ -251,7 +252,7 @@
     (traffic.tally, world)
 }
 
-/// Fills free room with the models that are busy at the start, by share and replicas.
+/// Fills free room with replicas of the models that are busy at the start, by share per replica.
 fn fill_up(world: &mut World, shares: &Shares) {
     let engine = world.engine.clone();
     let mut replicas = vec![1.0; engine.models.len()];
@@ -285,7 +286,8 @@
 }
 
 impl Reader {
-    /// When a prompt is read, and how much longer output tokens take for what is read between.
+    /// Returns when the prompt is read, and by which factor prompts read in between slow output
+    /// tokens down.
     fn read(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
         self.until = self.until.max(now) + Duration::from_micros(prompt * 1000 / 38);
         let kept = (-(now - self.at).as_secs_f64()).exp();
@@ -312,7 +314,7 @@
         Traffic { site, pattern, strategy, readers, waiting, arrived, tally: Tally::default() }
     }
 
-    /// Fills the places for adapters, each adapter once.
+    /// Fills the adapter slots, with each adapter once.
     fn fill(&self, world: &mut World) {
         let engine = world.engine.clone();
         for model in &engine.models {
@@ -331,7 +333,7 @@
 
     fn step(&mut self, world: &mut World) {
         let per_tick = self.site.rate * 0.01;
-        // Two draws give a spread close to that of a Poisson process.
+        // 32 draws per step give a variance close to that of a Poisson process.
         let count = (0..32).filter(|_| world.rng.random_bool((per_tick / 32.0).min(1.0))).count();
         for _ in 0..count {
             let request = self.draw(world);
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Shifts before a request that arrives now.
+    /// Returns the number of shifts before a request that arrives now.
     fn shift(&self, world: &mut World) -> usize {
         let time = (world.now - WARM_UP).as_secs_f64() / SHIFT_INTERVAL.as_secs_f64();
         let shifts = time as usize;
@@ -390,7 +392,7 @@
         Request { model: model.name.clone(), adapter, at: world.now, prompt, output }
     }
 
-    /// Sends a request to the replica that reads it first; gives it back if it has to wait.
+    /// Sends a request to the replica that reads it first. Returns the request if it has to wait.
     fn send(&mut self, world: &mut World, request: Request) -> Option<Request> {
         let now = world.now;
         let fits = |m: &machine::Machine| {
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -1,4 +1,4 @@
-//! Places for adapters.
+//! Assignment of adapters to adapter slots.
 
 use std::collections::BTreeSet;
 
@@ -40,11 +40,11 @@
     assert!(2 <= world.adapter_holders("m00", "a1").len());
 }
 
-/// Where it stands the requests have failed.
+/// Requests that wait for a loaded adapter can't use the copy: they have failed there.
 #[test]
 fn an_adapter_that_is_waited_for_though_it_stands_somewhere_stands_twice() {
     let mut world = world();
-    // The first two tell that it is wanted, and find it.
+    // The first two requests cause the load, and find the adapter.
     for _ in 0..2 {
         request(&mut world, "a1");
         world.run(SECOND);
@@ -74,7 +74,8 @@
 #[test]
 fn the_one_asked_for_longest_ago_makes_way() {
     let mut world = world();
-    // Free room is filled once demand is known; from then on the number of places stands.
+    // Free memory is filled with replicas once demand is known; from then on the number of adapter
+    // slots is constant.
     world.planner.record_arrivals(&"m00".into(), None, ONE, world.now);
     world.run(5 * SECOND);
     let holders = world.holders("m00");
@@ -84,7 +85,10 @@
         world.run(SECOND);
     }
     assert_eq!(world.holders("m00"), holders);
-    assert!(world.adapter_holders("m00", "a1").is_empty(), "the oldest is gone");
+    assert!(
+        world.adapter_holders("m00", "a1").is_empty(),
+        "the least recently requested is evicted"
+    );
     for number in 2..=places + 1 {
         assert!(!world.adapter_holders("m00", &format!("a{number}")).is_empty(), "a{number}");
     }
@@ -107,7 +111,7 @@
     assert!(world.record.crashed.is_empty());
 }
 
-/// Each is asked for ten times a second, so none is ever idle.
+/// Each adapter is requested ten times per second, so none is ever idle.
 #[test]
 fn more_adapters_in_use_than_places_take_turns() {
     let mut world = world();
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -1,4 +1,5 @@
-//! A model server that carries conditional orders out, and crashes when it holds too much.
+//! A simulated model server that carries out conditional orders, and crashes when it is
+//! overcommitted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,11 +15,11 @@
 const IDLE_UNLOAD_TIME: Duration = Duration::from_millis(20);
 const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// What became of an order besides its outcome.
+/// Events on all servers, besides the outcomes of orders.
 #[derive(Default)]
 pub struct Record {
     pub crashed: Vec<backend::Id>,
-    /// When loads from the weight store began.
+    /// Start times of loads from the weight store.
     pub store_loads: Vec<Moment>,
     pub accepted: usize,
 }
@@ -28,13 +29,13 @@
     pub held: BTreeMap<model::Id, BTreeSet<adapter::Id>>,
     pub sequence: u64,
     pub current: Option<(Operation, model::Id, Moment)>,
-    /// Time that an adapter takes to come.
+    /// Time that an adapter takes to load.
     pub adapter_load_time: Duration,
     pub coming: Vec<(AdapterKey, Moment)>,
-    /// Ends of running requests.
+    /// Running requests, with the times when they end.
     pub running: Vec<(model::Id, Option<adapter::Id>, Moment)>,
     delayed: Vec<(Order, Moment)>,
-    /// Copies, the newest last.
+    /// Copies in main memory, the newest last.
     resident: Vec<model::Id>,
     on_disk: Vec<model::Id>,
     reports: VecDeque<(Moment, Report)>,
@@ -45,7 +46,7 @@
         Machine::named(&format!("s{number}-{run}"), 0, number, zone, on_disk)
     }
 
-    /// The next run under the same name, which may still get what was sent to this one.
+    /// Returns the next run under the same name. It may still receive orders sent to this run.
     pub fn restarted(&mut self, run: usize, number: usize, zone: usize) -> Machine {
         let delayed = std::mem::take(&mut self.delayed);
         Machine {
@@ -96,7 +97,7 @@
         self.on_disk.clone()
     }
 
-    /// Holds a model from the start.
+    /// Holds a model immediately, without an order.
     pub fn hold(&mut self, engine: &Engine, model: &model::Id) {
         self.held.entry(model.clone()).or_default();
         self.copy(engine, model);
@@ -121,7 +122,7 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Whether requests of a model find it here.
+    /// Whether requests for a model or adapter can be served here.
     pub fn answers(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> bool {
         let leaves =
             self.current.as_ref().is_some_and(|(op, m, _)| *op == Operation::Unload && m == model);
@@ -130,7 +131,7 @@
         adapters.is_some_and(|held| adapter.is_none_or(|adapter| held.contains(adapter)))
     }
 
-    /// Takes an order that arrives now.
+    /// Handles an order that arrives now.
     pub fn order(
         &mut self,
         engine: &Engine,
@@ -138,7 +139,7 @@
         record: &mut Record,
         now: Moment,
     ) -> Outcome {
-        // A server knows its name alone.
+        // A server knows its name but not the run in the id.
         if order.server.split('@').next() != Some(&*self.server.name) {
             return Outcome::NotThere;
         }
@@ -157,7 +158,7 @@
         outcome
     }
 
-    /// Takes an order that arrives later.
+    /// Handles an order at a later time.
     pub fn deliver_later(&mut self, order: &Order, at: Moment) {
         self.delayed.push((order.clone(), at));
     }
@@ -216,7 +217,7 @@
             Operation::Load if 4 <= self.coming.len() => return Outcome::Busy,
             Operation::Load => self.coming.push((adapter_key, now + self.adapter_load_time)),
             Operation::Unload if !held.contains(adapter) => return Outcome::AlreadyHolds,
-            // Taken as refused while in use: the adapter stays.
+            // Treated as refused while in use: the adapter stays.
             Operation::Unload if used => return Outcome::Busy,
             Operation::Unload => {
                 held.remove(adapter);
@@ -241,7 +242,7 @@
         weights.chain(adapters).sum()
     }
 
-    /// Moves on to a time.
+    /// Advances to `now`: late orders arrive, and loads and unloads end.
     pub fn tick(&mut self, engine: &Engine, record: &mut Record, now: Moment) {
         let due: Vec<Order> =
             self.delayed.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
@@ -255,7 +256,7 @@
             .take_if(|(op, model, due)| *due <= now && (*op == Operation::Load || !used(model)));
         match done {
             Some((Operation::Load, model, _)) => self.hold(engine, &model),
-            // Its adapters that are on their way still come, and keep their places until then.
+            // Adapters being loaded still arrive, and keep their slots until then.
             Some((Operation::Unload, model, _)) => {
                 self.held.remove(&model);
             }
@@ -282,7 +283,7 @@
         }
     }
 
-    /// What it says now, as of a while ago.
+    /// Returns the current report, whose content is `REPORT_LAG` old.
     pub fn report(&self) -> Option<&Report> {
         self.reports.front().map(|(_, report)| report)
     }
--- a/crates/policy/tests/place/main.rs
+++ b/crates/policy/tests/place/main.rs
@@ -1,4 +1,4 @@
-//! Placement by conditional orders.
+//! Tests of placement by conditional orders.
 
 mod adapters;
 mod machine;
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -1,4 +1,4 @@
-//! Replicas of models: reachable, spread, after demand.
+//! Replicas of models: reachability, availability zones, and demand.
 
 use policy::place::{Operation, Planner, Rules, Work};
 use rstest::rstest;
@@ -11,10 +11,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Output tokens of a request.
+/// Output tokens of one request.
 const OUTPUT_TOKENS: u64 = 280;
 
-/// Work for a model that keeps so many servers fully used, told every tenth of a second.
+/// Offers work that keeps the given number of servers per model fully utilized, in steps of a tenth
+/// of a second.
 fn offer_work(world: &mut World, shares: &[(&str, f64)], time: Duration) {
     let end = world.now + time;
     while world.now < end {
@@ -39,7 +40,7 @@
     }
     let orders = world.orders.len();
     world.run(20 * SECOND);
-    assert_eq!(world.orders.len(), orders, "no moves without a cause");
+    assert_eq!(world.orders.len(), orders, "no orders without a cause");
 }
 
 #[rstest]
@@ -61,10 +62,10 @@
     }
     let (peak, loads) = (world.store_peak() as f64, world.record.store_loads.len());
     assert!(peak <= 1.7 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
-    assert!(10 < loads, "{loads} loads: the test asks for many");
+    assert!(10 < loads, "{loads} loads: the test needs many");
 }
 
-/// As many run on average at the store's full rate, when each takes 1.5 s.
+/// The limit is the mean number of loads at the store's full rate, where each load takes 1.5 s.
 #[rstest]
 #[case::slow_store(1.2, 2)]
 #[case::fast_store(6.0, 9)]
@@ -81,10 +82,10 @@
     assert!((most - 1..=most).contains(&peak), "{peak} loads at once");
 }
 
-/// The busiest keeps 2.5 servers fully used and stands once before. Its first loads wait for room and
-/// take half a second from disk; from the store they take one and a half, and it allows three at
-/// once, then some three in two seconds. A fourth replica takes the place of another model's second
-/// one, which has to be had elsewhere before.
+/// The busiest model keeps 2.5 servers fully utilized and has one replica before. Its first loads
+/// wait for room and take half a second from disk. From the store they take one and a half, and the
+/// store allows three at once, then some three in two seconds. A fourth replica evicts another
+/// model's second replica, which has to be loaded elsewhere before.
 #[rstest]
 #[case::three_from_disk(&["m05"], 1300, 3)]
 #[case::four_from_disk(&["m05"], 3400, 4)]
@@ -141,7 +142,7 @@
     models.iter().for_each(|model| assert!(!world.holders(model).is_empty(), "{model}"));
     let gone = world.machines[2].server.id.clone();
     assert!(world.orders[orders..].iter().all(|(_, order)| order.server != gone));
-    assert!(orders < world.orders.len(), "replacements were made");
+    assert!(orders < world.orders.len(), "replacements were ordered");
 }
 
 #[test]
@@ -189,10 +190,11 @@
     }
     world.run(8 * SECOND);
     let unloads = world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload);
-    assert_eq!(unloads.count(), 0, "servers hold what they were set up for");
+    assert_eq!(unloads.count(), 0, "servers keep what they held at the start");
 }
 
-/// An unload waits for the runs of its model, and its server does nothing else meanwhile.
+/// An unload waits for the running requests of its model, and its server carries out no other order
+/// meanwhile.
 #[rstest]
 fn a_replica_that_nothing_runs_on_makes_way(
     #[values(0, 1)] server: usize,
@@ -218,7 +220,7 @@
     assert_eq!((&*orders[0].server, &*orders[0].model), (&*format!("s{server}-0"), idle));
 }
 
-/// Its registration stays for seconds after a server has gone dark.
+/// A server's registration remains for seconds after the server has stopped responding.
 #[test]
 fn what_an_unresponsive_server_held_is_loaded_elsewhere_before_its_registration_ends() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 14]), 9, 4, 1);
@@ -226,7 +228,10 @@
     let held: Vec<model::Id> = world.machines[2].held.keys().cloned().collect();
     let elsewhere =
         |world: &World, model: &model::Id| world.holders(model).iter().any(|&holder| holder != 2);
-    assert!(!held.iter().all(|model| elsewhere(&world, model)), "none is only there: {held:?}");
+    assert!(
+        !held.iter().all(|model| elsewhere(&world, model)),
+        "some model must be only there: {held:?}"
+    );
     let unresponsive = world.machines[2].server.id.clone();
     let orders = world.orders.len();
     world.planner.set_unresponsive(std::slice::from_ref(&unresponsive));
@@ -235,7 +240,7 @@
     assert!(world.orders[orders..].iter().all(|(_, order)| order.server != unresponsive));
 }
 
-/// What is asked for shows in the first requests, but not what is not.
+/// The first requests show which models are in demand, but not which ones are idle.
 #[test]
 fn no_replica_makes_way_for_safety_in_the_first_seconds_of_demand() {
     let engine = engine(83_000, 8, &[(34_300, 0); 3]);
@@ -251,13 +256,13 @@
     };
     world.run(8 * SECOND);
     offer_work(&mut world, &[("m02", 0.1)], 2 * SECOND);
-    assert_eq!(unloads(&world), 0, "servers hold what they were set up for");
+    assert_eq!(unloads(&world), 0, "servers keep what they held at the start");
     offer_work(&mut world, &[("m02", 0.1)], 6 * SECOND);
     assert_eq!(world.holders("m01").len(), 2);
 }
 
-/// 24 servers of two large models each, 36 models; what room is left holds replicas of the first, on
-/// servers 0 to 11 beside models 12 to 23.
+/// 24 servers with room for two large models each, and 36 models. The remaining room holds replicas
+/// of the first model, on servers 0 to 11 beside models 12 to 23.
 fn many_models() -> World {
     let mut engine = engine(83_000, 8, &[(34_300, 0); 36]);
     engine.loads_per_s = 10.0;
@@ -271,7 +276,8 @@
     world
 }
 
-/// The coolest servers hold only models that stand nowhere else; warmer ones hold replicas that can go.
+/// The least utilized servers hold only last replicas; busier ones hold replicas that can be
+/// evicted.
 #[test]
 fn a_busy_model_of_many_gets_replicas_where_room_can_be_made() {
     let mut world = many_models();
@@ -283,7 +289,7 @@
     assert!(5 <= replicas, "{replicas} replicas");
 }
 
-/// Where the store serves many loads a second, room is made for more of them than may start at once.
+/// If the store serves many loads per second, room is made for more loads than may start at once.
 #[test]
 fn room_is_made_for_as_many_loads_as_the_store_serves_meanwhile() {
     let mut world = many_models();
@@ -300,8 +306,8 @@
     assert!(peak <= 10.0 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
 }
 
-/// Replicas of a model ten seconds after it got all demand, where loads take 6 s and demand had moved to
-/// another model each second, so many times.
+/// Returns the replicas of a model ten seconds after it got all demand. Loads take 6 s, and demand
+/// had moved to another model each second before, `moves` times.
 fn replicas_after(moves: u32) -> usize {
     let mut engine = engine(83_000, 8, &[(72_700, 0); 8]);
     engine.models.iter_mut().for_each(|model| model.load = 6 * SECOND);
@@ -313,16 +319,17 @@
     world.holders("m07").len()
 }
 
-/// What demand has done tells how long a replica is likely to be of use: 3 where it stayed, 2 where it moved;
-/// 4 and 4 where a fixed time beyond the mean load was counted on.
+/// How long demand stayed with its models before determines how long a replica is expected to be of
+/// use: 3 replicas where it stayed, 2 where it moved. With a fixed time beyond the mean load it was
+/// 4 and 4.
 #[test]
 fn slow_loads_follow_demand_that_stays_rather_than_demand_that_moves() {
     let (stays, moves) = (replicas_after(0), replicas_after(20));
     assert!(moves < stays, "{moves} where demand moved each second, {stays} where it stayed");
 }
 
-/// Replicas of a model with demand for a quarter of a server, after some seconds in which its only server
-/// takes this part of what it asks for.
+/// Returns the replicas of a model with demand for a quarter of a server, some seconds after its
+/// servers were limited to this fraction of the demand.
 fn replicas_with_a_limit(fraction: Option<f64>) -> usize {
     const DEMAND: f64 = 0.25;
     let mut world = World::new(engine(83_000, 8, &[(60_000, 0); 2]), 6, 2, 1);
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -1,4 +1,4 @@
-//! Orders that are lost, late, unanswered or repeated, crashes, and two planners at once.
+//! Lost, late, unanswered and repeated orders, crashes, and two planners at once.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     })
 }
 
-/// Random demand for models and adapters, for one step.
+/// Records random demand for a model or adapter, for one step.
 fn record_random_demand(world: &mut World, hot: usize) {
     let pick = if world.rng.random_bool(0.8) { hot } else { world.rng.random_range(0..14) };
     let model = world.engine.models[pick % world.engine.models.len()].clone();
@@ -59,7 +59,7 @@
         prop_assert!(world.store_peak() as f64 <= 1.7 * 5.0 * 1.1 + 3.0);
     }
 
-    /// A server that starts again under its name carries out what was sent to the run before.
+    /// A server that restarts under its name carries out orders that were sent to its earlier run.
     #[test]
     fn no_server_is_overcommitted_by_orders_to_its_earlier_run(
         late in 0.2..0.6,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// An adapter may still be on its way when its model is given up, and keeps its place until it
-    /// has come.
+    /// An adapter may still be loading when its model is evicted, and keeps its slot until it is
+    /// loaded.
     #[test]
     fn slow_adapters_overcommit_no_server(slow in 100u64..600, seed: u64) {
         let mut world = World::new(engine(83_000, 2, &[(34_300, 9); 6]), 4, 2, seed);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Another planner takes over; orders of the one before may still be on their way.
+/// Another planner takes over while orders of the previous one may still be on their way.
 fn successor(world: &mut World) {
     world.planner = Planner::new(Rules::default());
     world.planner.declare(&"lm".into(), &world.engine, world.now);
--- a/crates/policy/tests/place/server_view.rs
+++ b/crates/policy/tests/place/server_view.rs
@@ -1,4 +1,4 @@
-//! What the planner takes for known.
+//! What the planner takes for the known state of a server.
 
 use policy::place::{Operation, Order, Outcome, Planner, Rules};
 use rstest::rstest;
@@ -11,7 +11,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A planner with one model on the first of two empty servers, and its first order.
+/// Returns a planner with one model on the first of two otherwise empty servers, and its first
+/// order.
 fn start() -> (Planner, Order) {
     let engine = engine(83_000, 8, &[(34_300, 4)]);
     let mut planner = Planner::new(Rules::default());
@@ -42,7 +43,7 @@
     planner.record_outcome(&order, outcome, 2020 * MS);
     let again = planner.plan(at * MS);
     assert_eq!(again.len(), orders);
-    assert!(again.iter().all(|again| again.expected == 0), "at the same number");
+    assert!(again.iter().all(|again| again.expected == 0), "at the same sequence number");
 }
 
 #[test]
@@ -61,13 +62,13 @@
     let (mut planner, order) = start();
     planner.record_outcome(&order, Outcome::Accepted, 2020 * MS);
     planner.report(&order.server, &report(0, &[]), 2100 * MS);
-    assert!(planner.plan(2110 * MS).is_empty(), "it is on its way");
+    assert!(planner.plan(2110 * MS).is_empty(), "the load is in progress");
     planner.report(&order.server, &Report { busy: true, ..report(1, &[]) }, 2200 * MS);
-    assert!(planner.plan(2210 * MS).is_empty(), "it is on its way");
+    assert!(planner.plan(2210 * MS).is_empty(), "the load is in progress");
     planner.report(&order.server, &report(1, &["m00"]), 3900 * MS);
-    assert!(planner.plan(4000 * MS).is_empty(), "it is there");
+    assert!(planner.plan(4000 * MS).is_empty(), "the model is loaded");
     planner.report(&order.server, &report(1, &[]), 4100 * MS);
-    assert_eq!(planner.plan(4200 * MS).len(), 1, "it is gone");
+    assert_eq!(planner.plan(4200 * MS).len(), 1, "the model is gone");
 }
 
 #[test]
@@ -79,7 +80,7 @@
     assert_eq!(planner.unsettled(2300 * MS).count(), 1);
     planner.report(&order.server, &report(3, &["m00"]), 2900 * MS);
     assert_eq!(planner.unsettled(3000 * MS).count(), 0);
-    assert!(planner.plan(3000 * MS).is_empty(), "both replicas stand");
+    assert!(planner.plan(3000 * MS).is_empty(), "both replicas are loaded");
 }
 
 #[test]
@@ -120,8 +121,8 @@
     assert_eq!((unload.operation, unload.adapter.as_deref()), (Operation::Unload, Some("a1")));
 }
 
-/// Refused at the number that the order named while an order of our own is carried out: servers
-/// don't say which of the two reasons they had.
+/// A server refuses an order at the expected sequence number while it carries out another order of
+/// the same planner. Servers don't report which of the two reasons they had.
 #[test]
 fn an_occupied_server_is_asked_less_and_less_until_it_has_done() {
     let engine = engine(83_000, 8, &[(34_300, 4), (34_300, 0)]);
@@ -140,7 +141,7 @@
         for order in planner.plan(at * MS) {
             sent += 1;
             planner.record_outcome(&order, Outcome::Conflict, at * MS);
-            assert_eq!(planner.unsettled(at * MS).count(), 1, "a report tells which");
+            assert_eq!(planner.unsettled(at * MS).count(), 1, "a report shows which reason it was");
         }
         if at % 50 == 0 {
             planner.report(&load.server, &busy, at * MS);
@@ -148,5 +149,5 @@
     }
     assert!((2..=5).contains(&sent), "{sent} orders");
     planner.report(&load.server, &report(1, &["m00", "m01"]), 3510 * MS);
-    assert_eq!(planner.plan(3520 * MS).len(), 1, "at once when it has done");
+    assert_eq!(planner.plan(3520 * MS).len(), 1, "as soon as the load has ended");
 }
--- a/crates/policy/tests/place/sites.rs
+++ b/crates/policy/tests/place/sites.rs
@@ -1,4 +1,4 @@
-//! Sites of many servers and models.
+//! Deployments with many servers and models.
 
 use types::{
     prelude::*,
@@ -7,13 +7,15 @@
 
 use super::world::engine;
 
-/// Adapters of the models of a large site, the busiest first; the other models have none.
+/// Number of adapters of a large deployment's models, the busiest model first; the other models
+/// have none.
 const ADAPTERS: [u32; 45] = [
     74, 0, 20, 0, 15, 0, 12, 0, 10, 0, 9, 0, 8, 0, 8, 0, 7, 0, 7, 0, 9, 0, 8, 0, 8, 0, 7, 0, 7, 0,
     7, 0, 7, 0, 7, 0, 7, 0, 7, 0, 7, 0, 7, 0, 7,
 ];
 
-/// The kind of model of each letter: large, middling, small.
+/// Returns one model per letter: B for large, M for medium, S for small. `sizes` holds the memory
+/// in MiB and the load times from the store and from disk in milliseconds, for B, M and S.
 fn many(kinds: &str, sizes: [(u64, u64, u64); 3]) -> Vec<Model> {
     let model = |(index, kind): (usize, char)| {
         let (weights, load, disk) = sizes["BMS".find(kind).expect("a kind")];
@@ -30,7 +32,7 @@
     kinds.chars().enumerate().map(model).collect()
 }
 
-/// 104 models, two large ones to a server.
+/// 104 models; a server holds two large ones.
 pub fn sixty() -> Engine {
     let kinds = "BBBBBBSBBSBBSBBBBBBBBBBBSBBBBBBBBSBBBBBBBBSBBBBBSBBSBBSBBSBSBSBSBBSSBSBBBSBBBSSBS\
                  SSSSBSBSSSSSBSSSBSSSSBB";
@@ -43,7 +45,7 @@
     site
 }
 
-/// 126 models, two large ones to a server and a small one.
+/// 126 models; a server holds two large ones and a small one.
 pub fn ninety() -> Engine {
     let kinds = "SBBMBBMBBMBBSBBBBBSBBMBBMBBBBBBBBMBBMBBMBBBBBMMMBBBMMMBMMSBMSSSMBMBSSMSSSBMMSBMM\
                  MMMMSMBBBMMMSBMSMMSMBSBMMSSBSSBSMMSMMBMMBBMBSS";
--- a/crates/policy/tests/place/unplaced.rs
+++ b/crates/policy/tests/place/unplaced.rs
@@ -1,4 +1,4 @@
-//! What a plan wants and can't order, and how much of it is reported.
+//! What a plan wants but can't order, and how often that is reported.
 
 use policy::place::{Obstacle, ReportLimiter, Unplaced, Work};
 use rstest::rstest;
@@ -8,7 +8,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// One server kept fully used for a tenth of a second.
+/// Offers a tenth of a second's work that keeps `servers` servers fully utilized.
 fn offer_work(model: &str, world: &mut World, servers: f64) {
     let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
     let work = Work { requests: 10, prompt: 0, output };
@@ -27,7 +27,7 @@
     assert_eq!(world.planner.unplaced(), []);
 }
 
-/// Two servers of two models: each is full of a model's last replicas.
+/// Two servers and two models: each server is full with a model's last replica.
 #[test]
 fn a_model_that_nothing_makes_room_for_is_unplaced() {
     let mut world = World::new(engine(40_000, 8, &[(34_300, 0); 2]), 2, 2, 1);
@@ -49,7 +49,7 @@
     assert_eq!(obstacles(&world, "m00"), [Obstacle::NoServer]);
 }
 
-/// No order is answered, so that nothing is known of any server.
+/// No order is answered, so the state of no server is known.
 #[test]
 fn servers_whose_orders_have_no_answer_are_busy() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 3]), 3, 3, 1);
@@ -123,5 +123,5 @@
         reported += limiter.due(&unplaced, Duration::from_millis(ms)).len();
     }
     assert_eq!(reported, 16);
-    assert_eq!(limiter.due(&unplaced, SECOND).len(), 16, "others of them");
+    assert_eq!(limiter.due(&unplaced, SECOND).len(), 16, "the next second reports 16 more");
 }
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -1,4 +1,4 @@
-//! Model servers, a planner and the wire between them, in virtual time.
+//! Model servers, a planner and the connection between them, in virtual time.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -16,18 +16,18 @@
 const TIMEOUT: Duration = Duration::from_millis(300);
 const MAX_DELAY_MS: u64 = 14_500;
 
-/// How often orders go wrong.
+/// Probabilities of faults in the delivery of orders.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Never arrive.
+    /// The order never arrives.
     pub lost: f64,
-    /// Arrive, but the answer doesn't.
+    /// The order arrives, but the answer is lost.
     pub silent: f64,
-    /// Arrive later.
+    /// The order arrives later.
     pub late: f64,
-    /// Arrive once more later.
+    /// The order arrives a second time later.
     pub twice: f64,
-    /// When late ones arrive; at random if none.
+    /// When late orders arrive; at random if `None`.
     pub late_at: Option<Moment>,
 }
 
@@ -40,15 +40,16 @@
     pub faults: Faults,
     pub orders: Vec<(Moment, Order)>,
     pub rng: ChaCha8Rng,
-    /// Processor time of each plan; no test judges it.
+    /// Processor time of each plan; no test checks it.
     pub plan_times: Vec<Duration>,
     unanswered: Vec<(Moment, Order)>,
     runs: usize,
-    /// Models that no server answered for, at the end of each step.
+    /// Models that no server answered for, with the ends of the steps.
     pub unreachable: BTreeSet<(Moment, model::Id)>,
 }
 
-/// Sizes in GB of models with so many adapters each.
+/// Returns an engine of servers with `weights` MiB, from the models' sizes in MiB and numbers of
+/// adapters.
 pub fn engine(weights: u64, slots: u32, models: &[(u64, u32)]) -> Engine {
     let model = |(index, &(size, adapters)): (usize, &(u64, u32))| Model {
         name: format!("m{index:02}").into(),
@@ -83,12 +84,13 @@
 }
 
 impl World {
-    /// Each model on one server, by room, on servers in so many zones whose disks are empty.
+    /// Puts each model on the server with the most free memory. A disk holds only its server's
+    /// models; servers are spread over `zones` zones in turn.
     pub fn new(engine: Engine, servers: usize, zones: usize, seed: u64) -> World {
         World::with_disks(engine, servers, zones, seed, &[])
     }
 
-    /// The same with copies of these models on all disks.
+    /// Like [`World::new`], with copies of these models on all disks.
     pub fn with_disks(
         engine: Engine,
         servers: usize,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// A step of ten milliseconds.
+    /// Advances by ten milliseconds.
     pub fn step(&mut self) {
         self.now += TICK;
         self.machines.iter_mut().for_each(|m| m.tick(&self.engine, &mut self.record, self.now));
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Sends an order over the wire.
+    /// Sends an order, subject to the faults.
     pub fn send(&mut self, order: &Order) {
         let Faults { lost, silent, late, twice, late_at } = self.faults;
         let roll: f64 = self.rng.random();
@@ -195,7 +197,7 @@
         self.planner.record_outcome(order, outcome, self.now);
     }
 
-    /// Ends a server and starts it anew, empty but for its disk.
+    /// Ends a server and starts a new one under another name, empty except for its disk.
     pub fn crash(&mut self, number: usize) {
         self.runs += 1;
         let zone = number % 4;
@@ -203,7 +205,7 @@
         self.replace(number, fresh);
     }
 
-    /// The same, but it keeps its name.
+    /// Ends a server and starts it again under its name, empty except for its disk.
     pub fn restart(&mut self, number: usize) {
         self.runs += 1;
         let fresh = self.machines[number].restarted(self.runs, number, number % 4);
@@ -223,7 +225,7 @@
         self.planner.register_server(&self.machines[number].registration(), self.now);
     }
 
-    /// Most loads from the weight store that began within five seconds.
+    /// Returns the largest number of loads from the weight store that began within five seconds.
     pub fn store_peak(&self) -> usize {
         let loads = &self.record.store_loads;
         let window = |at: &Moment| {
@@ -233,13 +235,13 @@
         loads.iter().map(window).max().unwrap_or(0)
     }
 
-    /// Servers on which a model answers.
+    /// Returns the servers on which a model answers.
     pub fn holders(&self, model: &str) -> Vec<usize> {
         let name = model.into();
         (0..self.machines.len()).filter(|&n| self.machines[n].answers(&name, None)).collect()
     }
 
-    /// Servers on which an adapter answers.
+    /// Returns the servers on which an adapter answers.
     pub fn adapter_holders(&self, model: &str, adapter: &str) -> Vec<usize> {
         let (model, adapter) = (model.into(), adapter.into());
         (0..self.machines.len())
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -1,4 +1,4 @@
-//! Replicas follow demand, at a price, without flapping.
+//! Replicas follow demand, at a cost per move and without oscillation.
 
 use policy::plan::{Cause, Demand, Limits, forecast::Forecast};
 use rand::SeedableRng;
@@ -30,7 +30,7 @@
     let moves = world.moves.len();
     load(&mut world, "m00", 0.1);
     world.settle();
-    assert_eq!(world.moves.len(), moves, "idle memory is left as it is");
+    assert_eq!(world.moves.len(), moves, "replicas without demand stay");
 }
 
 #[test]
@@ -77,7 +77,7 @@
         world.step();
     }
     let moves = world.moves.len() - before;
-    assert!(moves <= 12, "{moves} moves in 20 turns of demand");
+    assert!(moves <= 12, "{moves} moves in 400 rounds of changing demand");
 }
 
 #[test]
--- a/crates/policy/tests/plan/executor.rs
+++ b/crates/policy/tests/plan/executor.rs
@@ -1,4 +1,4 @@
-//! A tiny executor of moves under virtual time, that checks memory and reachability as it goes.
+//! A simple executor of moves in virtual time, which checks memory and reachability at each step.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,10 +15,10 @@
 
 pub(crate) const STEP: Duration = Duration::from_millis(500);
 
-/// A model's name, its memory, and its adapters with theirs.
+/// A model's name, its memory, and its adapters' names and memory.
 pub(crate) type Sketch<'a> = (&'a str, Mebibytes, &'a [(&'a str, Mebibytes)]);
 
-/// A configuration of these models, in one group.
+/// Returns a configuration of these models, in one group.
 pub(crate) fn config(models: &[Sketch<'_>]) -> config::Config {
     let models = models.iter().map(|(id, memory, adapters)| {
         let adapters = adapters
@@ -40,31 +40,31 @@
     }
 }
 
-/// One engine's true state.
+/// The actual state of one engine.
 pub(crate) struct Machine {
     pub(crate) zone: availability::Id,
     pub(crate) state: State,
     pub(crate) capacity: Mebibytes,
-    /// Residents, and when their change is done.
+    /// Residents, with the times when their loads or unloads end.
     pub(crate) residents: Vec<(Resident, Moment)>,
 }
 
-/// Engines, a planner, and the moves that were made.
+/// Engines, a planner, and the moves made.
 pub(crate) struct World {
     pub(crate) now: Moment,
     pub(crate) planner: Planner,
     pub(crate) config: config::Config,
     pub(crate) machines: BTreeMap<backend::Id, Machine>,
     pub(crate) moves: Vec<Move>,
-    /// Orders take a random time, up to this many steps.
+    /// Maximum random duration of an order, in steps.
     pub(crate) slowest: u32,
-    /// One in so many moves is not carried out, without the planner's knowing; zero for none.
+    /// One in this many moves, at random, isn't carried out, unknown to the planner; none if zero.
     pub(crate) skipped: u32,
     pub(crate) rng: ChaCha8Rng,
 }
 
 impl World {
-    /// `servers` engines of one capacity, over `zones` zones in turn.
+    /// Creates `servers` engines of equal capacity, over `zones` zones in turn.
     pub(crate) fn new(
         rng: ChaCha8Rng,
         config: config::Config,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Takes a new configuration in force.
+    /// Applies a new configuration.
     pub(crate) fn configure(&mut self, config: config::Config) {
         self.planner.configure(&config);
         self.config = config;
     }
 
-    /// One round of planning and a step of time; returns the round's moves.
+    /// Advances by a step and plans once. Returns the moves.
     pub(crate) fn step(&mut self) -> Vec<Move> {
         self.now += STEP;
         self.finish();
@@ -121,7 +121,7 @@
         moves
     }
 
-    /// Steps until nothing has moved or changed for a while.
+    /// Steps until nothing has moved or changed for 20 steps.
     pub(crate) fn settle(&mut self) {
         let mut quiet = 0;
         for _ in 0..4_000 {
@@ -137,12 +137,12 @@
         panic!("moves never end; the last are {:#?}", &self.moves[self.moves.len() - 6..]);
     }
 
-    /// Live servers on which a model answers, in any version.
+    /// Returns the live servers on which any version of a model is ready.
     pub(crate) fn ready(&self, model: &str) -> Vec<&backend::Id> {
         self.ready_in(model, |_| true)
     }
 
-    /// Live servers on which a version of a model answers.
+    /// Returns the live servers on which a version of a model is ready.
     pub(crate) fn ready_version(&self, model: &str, version: &str) -> Vec<&backend::Id> {
         self.ready_in(model, |held| held == version)
     }
@@ -159,7 +159,7 @@
         ready.map(|(server, _)| server).collect()
     }
 
-    /// Live servers on which an adapter answers, with its base.
+    /// Returns the live servers on which an adapter and its base model are ready.
     pub(crate) fn ready_adapter(&self, model: &str, adapter: &str) -> Vec<&backend::Id> {
         let bases = self.ready(model);
         let with = bases.into_iter().filter(|server| {
@@ -172,7 +172,7 @@
         with.collect()
     }
 
-    /// Availability zones in which a model answers.
+    /// Returns the availability zones in which a model is ready.
     pub(crate) fn zones(&self, model: &str) -> Vec<availability::Id> {
         let mut zones: Vec<_> =
             self.ready(model).iter().map(|server| self.machines[*server].zone.clone()).collect();
@@ -181,7 +181,7 @@
         zones
     }
 
-    /// Number of moves with this cause.
+    /// Returns the number of moves with this cause.
     pub(crate) fn count(&self, cause: Cause) -> usize {
         self.moves.iter().filter(|planned| planned.cause == cause).count()
     }
@@ -230,7 +230,7 @@
     }
 }
 
-/// What the planner is told of an engine.
+/// Returns the engine as the planner is given it.
 pub(crate) fn engine(server: &backend::Id, machine: &Machine) -> Engine {
     Engine {
         server: server.clone(),
--- a/crates/policy/tests/plan/gap.rs
+++ b/crates/policy/tests/plan/gap.rs
@@ -1,4 +1,4 @@
-//! Never a gap: long random sequences of patches and failures.
+//! No gap in service, in long random sequences of patches and failures.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 
 const PATCHES: usize = 60;
 
-/// Models and adapters that answered once must answer until they are removed.
+/// Models and adapters that have answered once must answer until they are removed.
 #[derive(Default)]
 struct Watch {
     answered: BTreeSet<(model::Id, Option<adapter::Id>)>,
@@ -114,7 +114,10 @@
     world.settle();
     watch.check(&world);
     for (id, declared) in &world.config.models {
-        assert!(!world.ready_version(id, &declared.version).is_empty(), "{id} in force");
+        assert!(
+            !world.ready_version(id, &declared.version).is_empty(),
+            "{id} in the declared version"
+        );
         for adapter in declared.adapters.keys() {
             assert!(!world.ready_adapter(id, adapter).is_empty(), "{id}:{adapter}");
         }
@@ -141,7 +144,7 @@
     }
 }
 
-/// With no memory to hold both versions anywhere, a change goes through the other replica's room.
+/// If no server has memory for both versions, the change needs the other replica's room.
 #[test]
 fn a_version_change_with_no_room_beside_goes_through_another_replica() {
     let rng = ChaCha8Rng::seed_from_u64(11);
--- a/crates/policy/tests/plan/main.rs
+++ b/crates/policy/tests/plan/main.rs
@@ -1,4 +1,4 @@
-//! Placement, played out by a tiny executor of moves.
+//! Tests of placement through the ledger, with a simple executor of moves.
 
 mod demand;
 mod executor;
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -50,7 +50,8 @@
     assert_eq!(world.count(Cause::Room), 1);
 }
 
-/// Room can be scattered: a model that stands once is moved aside for one that fits nowhere.
+/// Free memory can be fragmented: a model's only replica is moved for a model that fits nowhere
+/// else.
 #[test]
 fn a_single_replica_moves_aside_for_a_model_that_fits_nowhere_else() {
     let declared = config(&[("a", 30, &[]), ("b", 30, &[])]);
