--- a/crates/policy/benches/plan.rs
+++ b/crates/policy/benches/plan.rs
@@ -1,4 +1,4 @@
-//! Cost of planning and its growth: sizes are numbers of models, with servers in proportion.
+//! Cost of planning and its growth. Sizes are numbers of models, with servers in proportion.
 
 #![allow(missing_docs, unreachable_pub, reason = "a bench has no public items")]
 
@@ -13,7 +13,7 @@
 const SIZES: [usize; 4] = [119, 238, 475, 950];
 const NOW: Moment = Duration::from_secs(3600);
 
-/// From nothing: every model is to be placed, in one plan.
+/// Every model is placed from nothing, in one plan.
 fn from_empty(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/from-empty");
     group.sample_size(10);
@@ -26,7 +26,7 @@
                 |engines| {
                     let mut planner = Planner::new(Limits::NONE);
                     planner.configure(&config);
-                    engines.into_values().for_each(|engine| planner.engine(NOW, engine));
+                    engines.into_values().for_each(|engine| planner.set_engine(NOW, engine));
                     black_box(planner.plan(NOW))
                 },
                 BatchSize::LargeInput,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A planner that has just taken the duty over reads everything and plans.
+/// A planner that has just taken over reads everything and plans.
 fn takeover(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/takeover");
     group.sample_size(10);
@@ -47,7 +47,7 @@
                 |engines| {
                     let mut planner = Planner::new(Limits::NONE);
                     planner.configure(&config);
-                    engines.into_values().for_each(|engine| planner.engine(NOW, engine));
+                    engines.into_values().for_each(|engine| planner.set_engine(NOW, engine));
                     black_box(planner.plan(NOW))
                 },
                 BatchSize::LargeInput,
@@ -64,7 +64,7 @@
         let engine = engines.values().nth(engines.len() / 2).expect("one").clone();
         group.bench_function(BenchmarkId::from_parameter(size), |bencher| {
             bencher.iter(|| {
-                planner.engine(NOW, engine.clone());
+                planner.set_engine(NOW, engine.clone());
                 black_box(planner.plan(NOW))
             });
         });
@@ -100,7 +100,7 @@
                 || {
                     let mut planner = planner.clone();
                     for (n, id) in config.models.keys().enumerate() {
-                        planner.demand(id, fleet::demand(n, 5));
+                        planner.set_demand(id, fleet::demand(n, 5));
                     }
                     planner
                 },
--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -1,10 +1,11 @@
-//! Share of requests that find their model and adapter ready, against two baselines.
+//! Measures the share of requests that find their model and adapter ready, against two baselines.
 //!
 //! `cargo run --release -p cyclamenstage-policy --example place_baselines -- [SEEDS [SITE]]`
 //!
-//! Virtual time. Demand moves along the list of models every five seconds, at once or over all of
-//! them. Requests wait up to their goal for a replica, then they are missed; routing takes the replica
-//! that reads the prompt first. *Plan* is the mean processor time of a plan, and that of the longest.
+//! Runs in virtual time. Demand moves along the list of models every five seconds, at once or
+//! gradually. Requests wait for a replica up to their goal for the first token, then count as
+//! missed. Routing chooses the replica that reads the prompt first. *Plan* is the mean processor
+//! time of a plan, and that of the longest.
 
 #![allow(clippy::print_stdout, reason = "the example's output")]
 #![allow(dead_code, reason = "shared with the tests")]
@@ -26,16 +27,16 @@
 };
 use world::World;
 
-const GOAL: Duration = Duration::from_millis(400);
-const LENGTH: Duration = Duration::from_secs(34);
-const LEAD: Duration = Duration::from_secs(8);
-const SHIFT: Duration = Duration::from_secs(5);
-const TOLD: Duration = Duration::from_millis(200);
+const FIRST_TOKEN_GOAL: Duration = Duration::from_millis(400);
+const RUN_TIME: Duration = Duration::from_secs(34);
+const WARM_UP: Duration = Duration::from_secs(8);
+const SHIFT_INTERVAL: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shares of the models of a small site, the busiest first; the rest falls on all.
+/// Shares of the models of a small deployment, the busiest first; `rest` is spread over all models.
 const FEW: Shares = Shares { of: &[0.607, 0.225, 0.168], rest: 0.07 };
 
-/// Shares at many servers.
+/// Shares of the models of a deployment with many servers.
 const MANY: Shares = Shares {
     of: &[
         0.256, 0.095, 0.071, 0.059, 0.051, 0.046, 0.042, 0.039, 0.036, 0.034, 0.032, 0.031, 0.029,
@@ -51,11 +52,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Strategy {
-    /// What servers hold at the start; adapters fill the places once.
+    /// Servers keep what they hold at the start; the adapter slots are filled once.
     Static,
-    /// The planner, fed with the mean of the last minute.
+    /// The planner with the mean demand of the last minute.
     LastMinute,
-    /// The planner as it is.
+    /// The planner with its own averages.
     Planned,
 }
 
@@ -69,11 +70,11 @@
 
 #[derive(Default)]
 struct Tally {
-    asked: usize,
+    requests: usize,
     ready: usize,
     on_time: usize,
     seconds: BTreeMap<u64, (usize, usize)>,
-    /// Asked and answered by model and adapter.
+    /// Requests, and those answered on time, by model and adapter.
     units: BTreeMap<(model::Id, Option<adapter::Id>), (usize, usize)>,
 }
 
@@ -82,13 +83,13 @@
     engine: fn() -> Engine,
     servers: usize,
     rate: f64,
-    /// Models that the busiest moves by.
-    by: usize,
+    /// Number of models that the busiest model moves along the list at each shift.
+    shift_step: usize,
     shares: Shares,
-    /// Whether free room holds more replicas of the busy models from the start.
+    /// What the servers hold at the start.
     start: Start,
-    /// Time that a small model takes of that of a large one.
-    small: f64,
+    /// Time per token of a small model, relative to a large one.
+    small_model_time: f64,
 }
 
 /// What servers hold at the start.
@@ -96,18 +97,18 @@
 enum Start {
     /// Each model once.
     Once,
-    /// As many replicas of the busy ones besides as there is room for.
+    /// Each model once, and as many more replicas of the busy models as fit.
     Full,
 }
 
-/// Where demand moves at each shift.
+/// How demand moves between models.
 #[derive(Clone, Copy, Debug)]
-enum Course {
-    /// On along the list.
+enum ShiftPattern {
+    /// Along the list at each shift.
     Onward,
-    /// On, and back at the next shift.
+    /// Along the list at one shift, and back at the next.
     Return,
-    /// On along the list, over the whole time between two shifts.
+    /// Along the list, gradually between two shifts.
     Drift,
 }
 
@@ -116,22 +117,28 @@
     engine: world::small_site,
     servers: 9,
     rate: 140.0,
-    by: 1,
+    shift_step: 1,
     shares: FEW,
     start: Start::Once,
-    small: 1.0,
+    small_model_time: 1.0,
+};
+const LARGE: Site = Site {
+    name: "12 x 200 GB",
+    engine: large_site,
+    servers: 12,
+    rate: 150.0,
+    shift_step: 2,
+    ..SMALL
 };
-const LARGE: Site =
-    Site { name: "12 x 200 GB", engine: large_site, servers: 12, rate: 150.0, by: 2, ..SMALL };
 const SIXTY: Site = Site {
     name: "60 x 83 GB",
     engine: sites::sixty,
     servers: 60,
     rate: 560.0,
-    by: 2,
+    shift_step: 2,
     shares: MANY,
     start: Start::Full,
-    small: 0.28,
+    small_model_time: 0.28,
 };
 const NINETY: Site =
     Site { name: "90 x 200 GB", engine: sites::ninety, servers: 90, rate: 540.0, ..SIXTY };
@@ -166,41 +173,41 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for site in SITES.iter().filter(|site| site.name.starts_with(&name)) {
-        let courses = match site.start {
-            Start::Once => [Course::Onward, Course::Return],
-            Start::Full => [Course::Onward, Course::Drift],
+        let patterns = match site.start {
+            Start::Once => [ShiftPattern::Onward, ShiftPattern::Return],
+            Start::Full => [ShiftPattern::Onward, ShiftPattern::Drift],
         };
-        for course in courses {
+        for pattern in patterns {
             for strategy in [Strategy::Static, Strategy::LastMinute, Strategy::Planned] {
-                row(site, course, strategy, seeds);
+                row(site, pattern, strategy, seeds);
             }
         }
     }
 }
 
-fn row(site: &Site, course: Course, strategy: Strategy, seeds: u64) {
+fn row(site: &Site, pattern: ShiftPattern, strategy: Strategy, seeds: u64) {
     let runs: Vec<(Tally, World)> =
-        (0..seeds).map(|seed| run(site, course, strategy, seed)).collect();
+        (0..seeds).map(|seed| run(site, pattern, strategy, seed)).collect();
     let share = |part: &dyn Fn(&Tally) -> usize| {
-        let asked: usize = runs.iter().map(|(tally, _)| tally.asked).sum();
-        100.0 * runs.iter().map(|(tally, _)| part(tally)).sum::<usize>() as f64 / asked as f64
+        let requests: usize = runs.iter().map(|(tally, _)| tally.requests).sum();
+        100.0 * runs.iter().map(|(tally, _)| part(tally)).sum::<usize>() as f64 / requests as f64
     };
     let worst = |tally: &Tally| {
-        let shares = tally.seconds.values().map(|&(asked, good)| good as f64 / asked as f64);
+        let shares = tally.seconds.values().map(|&(requests, good)| good as f64 / requests as f64);
         shares.fold(1.0, f64::min)
     };
     let mean = |part: &dyn Fn(&World) -> usize| {
         runs.iter().map(|(_, world)| part(world)).sum::<usize>() as f64 / seeds as f64
     };
     let starved = |tally: &Tally| {
-        let often = tally.units.values().filter(|(asked, _)| 4 <= *asked);
+        let often = tally.units.values().filter(|(requests, _)| 4 <= *requests);
         often.filter(|(_, answered)| *answered == 0).count()
     };
-    let longest = runs.iter().flat_map(|(_, world)| &world.times).max();
-    let plans: usize = runs.iter().map(|(_, world)| world.times.len()).sum();
-    let time: Duration = runs.iter().flat_map(|(_, world)| &world.times).sum();
+    let longest = runs.iter().flat_map(|(_, world)| &world.plan_times).max();
+    let plans: usize = runs.iter().map(|(_, world)| world.plan_times.len()).sum();
+    let time: Duration = runs.iter().flat_map(|(_, world)| &world.plan_times).sum();
     println!(
-        "| {} | {course:?} | {strategy:?} | {:.1}% | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} | \
+        "| {} | {pattern:?} | {strategy:?} | {:.1}% | {:.1}% | {:.0}% | {:.1} | {:.1} | {:.0} | \
          {:.2} ms, {:.0} ms |",
         site.name,
         share(&|tally| tally.ready),
@@ -214,11 +221,13 @@
     );
 }
 
-fn run(site: &Site, course: Course, strategy: Strategy, seed: u64) -> (Tally, World) {
+fn run(site: &Site, pattern: ShiftPattern, strategy: Strategy, seed: u64) -> (Tally, World) {
     let mut world = World::new((site.engine)(), site.servers, 4, seed);
     let minute = Duration::from_secs(60);
     world.planner = Planner::new(match strategy {
-        Strategy::LastMinute => Rules { memory: minute, rise: minute, ..Rules::default() },
+        Strategy::LastMinute => {
+            Rules { demand_time_constant: minute, rise_time_constant: minute, ..Rules::default() }
+        }
         _ => Rules::default(),
     });
     if !matches!(strategy, Strategy::Static) {
@@ -231,19 +240,19 @@
         let registration = world.machines[n].registration();
         world.planner.register_server(&registration, world.now);
     }
-    let mut traffic = Traffic::new(site, course, strategy);
+    let mut traffic = Traffic::new(site, pattern, strategy);
     if matches!(strategy, Strategy::Static) {
         traffic.fill(&mut world);
     }
-    world.run(LEAD);
-    while world.now < LENGTH {
+    world.run(WARM_UP);
+    while world.now < RUN_TIME {
         world.step();
         traffic.step(&mut world);
     }
     (traffic.tally, world)
 }
 
-/// Fills free room with the models that are busy at the start, by share and replicas.
+/// Fills free room with replicas of the models that are busy at the start, by share per replica.
 fn fill_up(world: &mut World, shares: &Shares) {
     let engine = world.engine.clone();
     let mut replicas = vec![1.0; engine.models.len()];
@@ -272,24 +281,25 @@
 #[derive(Clone, Default)]
 struct Reader {
     until: Moment,
-    part: f64,
+    read_share: f64,
     at: Moment,
 }
 
 impl Reader {
-    /// When a prompt is read, and how much longer output tokens take for what is read between.
+    /// Returns when the prompt is read, and by which factor prompts read in between slow output
+    /// tokens down.
     fn read(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
         self.until = self.until.max(now) + Duration::from_micros(prompt * 1000 / 38);
         let kept = (-(now - self.at).as_secs_f64()).exp();
-        self.part = self.part * kept + prompt as f64 / 38_000.0;
+        self.read_share = self.read_share * kept + prompt as f64 / 38_000.0;
         self.at = now;
-        (self.until, 1.0 / (1.0 - self.part.min(0.8)))
+        (self.until, 1.0 / (1.0 - self.read_share.min(0.8)))
     }
 }
 
 struct Traffic<'a> {
     site: &'a Site,
-    course: Course,
+    pattern: ShiftPattern,
     strategy: Strategy,
     readers: Vec<Reader>,
     waiting: Vec<Request>,
@@ -298,13 +308,13 @@
 }
 
 impl<'a> Traffic<'a> {
-    fn new(site: &'a Site, course: Course, strategy: Strategy) -> Traffic<'a> {
+    fn new(site: &'a Site, pattern: ShiftPattern, strategy: Strategy) -> Traffic<'a> {
         let (waiting, arrived) = Default::default();
         let readers = vec![Reader::default(); site.servers];
-        Traffic { site, course, strategy, readers, waiting, arrived, tally: Tally::default() }
+        Traffic { site, pattern, strategy, readers, waiting, arrived, tally: Tally::default() }
     }
 
-    /// Fills the places for adapters, each adapter once.
+    /// Fills the adapter slots, with each adapter once.
     fn fill(&self, world: &mut World) {
         let engine = world.engine.clone();
         for model in &engine.models {
@@ -323,11 +333,11 @@
 
     fn step(&mut self, world: &mut World) {
         let per_tick = self.site.rate * 0.01;
-        // Two draws give a spread close to that of a Poisson process.
+        // 32 draws per step give a variance close to that of a Poisson process.
         let count = (0..32).filter(|_| world.rng.random_bool((per_tick / 32.0).min(1.0))).count();
         for _ in 0..count {
             let request = self.draw(world);
-            self.tally.asked += 1;
+            self.tally.requests += 1;
             let ready =
                 world.machines.iter().any(|m| m.answers(&request.model, request.adapter.as_ref()));
             self.tally.ready += usize::from(ready);
@@ -341,25 +351,25 @@
         let waiting = std::mem::take(&mut self.waiting);
         self.waiting =
             waiting.into_iter().filter_map(|request| self.send(world, request)).collect();
-        if world.now.as_millis().is_multiple_of(TOLD.as_millis()) {
-            self.tell(world);
+        if world.now.as_millis().is_multiple_of(REPORT_INTERVAL.as_millis()) {
+            self.report_demand(world);
         }
     }
 
-    /// Shifts before a request that arrives now.
+    /// Returns the number of shifts before a request that arrives now.
     fn shift(&self, world: &mut World) -> usize {
-        let time = (world.now - LEAD).as_secs_f64() / SHIFT.as_secs_f64();
+        let time = (world.now - WARM_UP).as_secs_f64() / SHIFT_INTERVAL.as_secs_f64();
         let shifts = time as usize;
-        match self.course {
-            Course::Onward => shifts,
-            Course::Return => shifts % 2,
-            Course::Drift => shifts + usize::from(world.rng.random_bool(time.fract())),
+        match self.pattern {
+            ShiftPattern::Onward => shifts,
+            ShiftPattern::Return => shifts % 2,
+            ShiftPattern::Drift => shifts + usize::from(world.rng.random_bool(time.fract())),
         }
     }
 
     fn draw(&self, world: &mut World) -> Request {
         let models = world.engine.models.clone();
-        let shift = self.shift(world) * self.site.by;
+        let shift = self.shift(world) * self.site.shift_step;
         let Shares { of, rest } = &self.site.shares;
         let rank = match world.rng.random_bool(1.0 - rest) {
             true => {
@@ -382,7 +392,7 @@
         Request { model: model.name.clone(), adapter, at: world.now, prompt, output }
     }
 
-    /// Sends a request to the replica that reads it first; gives it back if it has to wait.
+    /// Sends a request to the replica that reads it first. Returns the request if it has to wait.
     fn send(&mut self, world: &mut World, request: Request) -> Option<Request> {
         let now = world.now;
         let fits = |m: &machine::Machine| {
@@ -392,7 +402,7 @@
         let order = |&n: &usize| (self.readers[n].until.max(now), world.machines[n].running.len());
         let numbers = (0..world.machines.len()).filter(|&n| fits(&world.machines[n]));
         let Some(number) = numbers.min_by_key(order) else {
-            if now < request.at + GOAL {
+            if now < request.at + FIRST_TOKEN_GOAL {
                 if !matches!(self.strategy, Strategy::Static) {
                     world.planner.record_waiting(&request.model, request.adapter.as_ref(), now);
                 }
@@ -403,7 +413,7 @@
         };
         let is_small = |model: &Model| model.name == request.model && model.weights < 20_000;
         let pace = match world.engine.models.iter().any(is_small) {
-            true => self.site.small,
+            true => self.site.small_model_time,
             false => 1.0,
         };
         let prompt = (request.prompt as f64 * pace) as u64;
@@ -411,7 +421,7 @@
         let end = first + Duration::from_micros(5600 * request.output).mul_f64(slower * pace);
         let run = (request.model.clone(), request.adapter.clone(), end);
         world.machines[number].running.push(run);
-        self.count(&request, now, first <= request.at + GOAL);
+        self.count(&request, now, first <= request.at + FIRST_TOKEN_GOAL);
         None
     }
 
@@ -427,7 +437,7 @@
         unit.1 += usize::from(good);
     }
 
-    fn tell(&mut self, world: &mut World) {
+    fn report_demand(&mut self, world: &mut World) {
         for ((model, adapter), work) in std::mem::take(&mut self.arrived) {
             world.planner.record_arrivals(&model, adapter.as_ref(), work, world.now);
         }
--- /dev/null
+++ b/crates/policy/src/place/draft.rs
@@ -0,0 +1,217 @@
+//! The plan in progress for one service: servers, demand, and the orders decided so far.
+
+use std::collections::BTreeMap;
+
+use types::{
+    prelude::*,
+    routed::{Engine, Model},
+};
+
+use super::{
+    Cause, Operation, Order, Rules,
+    demand::Demand,
+    server_view::{CurrentOrder, Presence, ServerView, Source},
+    utilization::LoadBalance,
+};
+
+/// Lower bound of a model's work while a request is waiting for the model.
+const MIN_WAITED_WORK: f64 = 0.05;
+
+/// Probability of becoming the busiest model next that is spread evenly over all models.
+const UNIFORM_PEAK_CHANCE: f64 = 0.84;
+
+/// Probability of becoming the busiest model next that is shared in proportion to recent work.
+const RECENT_PEAK_CHANCE: f64 = 0.3;
+
+/// Lower bound assumed for the work of the busiest model.
+const MIN_PEAK_WORK: f64 = 1.0;
+
+/// A server that models and adapters can be placed on.
+pub(super) struct Target<'a> {
+    pub(super) id: &'a backend::Id,
+    pub(super) view: &'a ServerView,
+    /// Free memory; `None` if unknown.
+    pub(super) room: Option<Mebibytes>,
+    /// Whether an order of this plan may go to the server.
+    pub(super) accepts_orders: bool,
+}
+
+impl Target<'_> {
+    /// Whether a model order may go to the server; a server carries out one at a time.
+    pub(super) fn accepts_model_order(&self) -> bool {
+        self.accepts_orders && self.view.current.is_none()
+    }
+}
+
+/// An order that the plan gives.
+pub(super) struct Decision {
+    pub(super) order: Order,
+    pub(super) source: Source,
+    /// Whether the order took a token of the weight store's bucket.
+    pub(super) charged: bool,
+    /// For an unload: the model that the memory is freed for.
+    pub(super) reservation: Option<model::Id>,
+}
+
+/// A plan in progress. Servers are indexes of `targets`; vectors per model are in the order of
+/// declaration.
+pub(super) struct Draft<'a> {
+    pub(super) rules: &'a Rules,
+    pub(super) engine: &'a Engine,
+    pub(super) sizes: &'a BTreeMap<model::Id, Model>,
+    pub(super) demand: &'a Demand,
+    pub(super) now: Moment,
+    pub(super) targets: Vec<Target<'a>>,
+    /// Per model: the targets on which it is ready or expected.
+    pub(super) replicas: Vec<Vec<usize>>,
+    /// Per model: the targets on which it is ready and no unresolved order may unload it.
+    pub(super) confirmed: Vec<Vec<usize>>,
+    /// Per model: work in fully utilized servers.
+    pub(super) work: Vec<f64>,
+    /// Per model: how likely it is to become the busiest next.
+    pub(super) peak_chances: Vec<f64>,
+    /// Work of the busiest model.
+    pub(super) peak_work: f64,
+    /// Per model: the work that it still gets, see [`Demand::remaining_work`].
+    pub(super) remaining_work: Vec<f64>,
+    /// Distribution of the work over the targets, with all decisions of the plan applied.
+    pub(super) balance: LoadBalance,
+    pub(super) decisions: Vec<Decision>,
+    indexes: BTreeMap<&'a model::Id, usize>,
+}
+
+impl<'a> Draft<'a> {
+    pub(super) fn new(
+        rules: &'a Rules,
+        engine: &'a Engine,
+        sizes: &'a BTreeMap<model::Id, Model>,
+        demand: &'a Demand,
+        servers: impl Iterator<Item = (&'a backend::Id, &'a ServerView)>,
+        now: Moment,
+    ) -> Draft<'a> {
+        let here = servers.filter(|(_, view)| view.presence == Presence::Present);
+        let targets: Vec<Target> = here
+            .map(|(id, view)| Target {
+                id,
+                view,
+                room: view.memory_taken(sizes).map(|taken| engine.weights.saturating_sub(taken)),
+                accepts_orders: view.accepts_orders(now),
+            })
+            .collect();
+        let at = |fits: &dyn Fn(&ServerView, &model::Id) -> bool| -> Vec<Vec<usize>> {
+            let of = |model: &Model| {
+                let responsive = (0..targets.len()).filter(|&s| !targets[s].view.is_unresponsive);
+                responsive.filter(|&s| fits(targets[s].view, &model.name)).collect()
+            };
+            engine.models.iter().map(of).collect()
+        };
+        let replicas = at(&|view, model| view.is_ready(model) || view.is_expected(model));
+        let confirmed = at(&|view, model| view.is_confirmed_ready(model, now));
+        let work: Vec<f64> =
+            engine.models.iter().map(|m| work(rules, demand, &m.name, now)).collect();
+        let peak_work = work.iter().copied().fold(MIN_PEAK_WORK, f64::max);
+        let mut draft = Draft {
+            rules,
+            engine,
+            sizes,
+            demand,
+            now,
+            targets,
+            replicas,
+            confirmed,
+            work,
+            peak_chances: peak_chances(demand, engine, now),
+            peak_work,
+            remaining_work: engine
+                .models
+                .iter()
+                .map(|m| demand.remaining_work(rules, &m.name, now))
+                .collect(),
+            balance: LoadBalance::default(),
+            indexes: engine.models.iter().enumerate().map(|(n, m)| (&m.name, n)).collect(),
+            decisions: Vec::new(),
+        };
+        draft.rebalance();
+        draft
+    }
+
+    /// Recomputes the utilization of all targets.
+    pub(super) fn rebalance(&mut self) {
+        let cost = self.demand.mean_request_s(self.now);
+        let lost =
+            |target: &Target| target.view.limit.map_or(0.0, |limit| lost_capacity(limit, cost));
+        let base = self.targets.iter().map(lost).collect();
+        self.balance = LoadBalance::new(&self.work, &self.replicas, base);
+    }
+
+    /// Returns a target's expected utilization; 1.0 is fully utilized.
+    pub(super) fn utilization(&self, target: usize) -> f64 {
+        self.balance.utilization[target]
+    }
+
+    /// Returns the index of a declared model.
+    pub(super) fn index(&self, model: &model::Id) -> Option<usize> {
+        self.indexes.get(model).copied()
+    }
+
+    /// Adds an order to the plan, which then gives no other order to the same target.
+    pub(super) fn decide(
+        &mut self,
+        target: usize,
+        operation: Operation,
+        model: &model::Id,
+        adapter: Option<&adapter::Id>,
+        cause: Cause,
+    ) -> &mut Decision {
+        let at = &mut self.targets[target];
+        at.accepts_orders = false;
+        let source = match (operation, adapter) {
+            (Operation::Load, None) => at.view.source(model),
+            _ => Source::Memory,
+        };
+        let order = Order {
+            server: at.id.clone(),
+            operation,
+            model: model.clone(),
+            adapter: adapter.cloned(),
+            expected: at.view.sequence,
+            cause,
+        };
+        self.decisions.push(Decision { order, source, charged: false, reservation: None });
+        self.decisions.last_mut().expect("just pushed")
+    }
+}
+
+/// Returns the fraction of a server that its rate limit takes away, where each request keeps the
+/// server fully utilized for `cost` seconds.
+fn lost_capacity(limit: f64, cost: f64) -> f64 {
+    if cost == 0.0 { 0.0 } else { (1.0 - limit * cost).max(0.0) }
+}
+
+/// Returns a model's work in fully utilized servers.
+fn work(rules: &Rules, demand: &Demand, model: &model::Id, now: Moment) -> f64 {
+    let waited = if demand.is_waited_for(model, now) { MIN_WAITED_WORK } else { 0.0 };
+    demand.work(rules, model, now).max(waited)
+}
+
+/// Returns how likely each model is to become the busiest next; recently busy models are more
+/// likely than others.
+fn peak_chances(demand: &Demand, engine: &Engine, now: Moment) -> Vec<f64> {
+    let recent: Vec<f64> = engine.models.iter().map(|m| demand.recent(&m.name, now)).collect();
+    let sum: f64 = recent.iter().sum();
+    let share = |&amount: &f64| if 0.0 < sum { amount / sum } else { 0.0 };
+    let any = UNIFORM_PEAK_CHANCE / engine.models.len().max(1) as f64;
+    recent.iter().map(|amount| any + RECENT_PEAK_CHANCE * share(amount)).collect()
+}
+
+/// Returns the number of loads from the weight store that are in progress or sent.
+pub(super) fn store_loads<'a>(views: impl Iterator<Item = &'a ServerView>) -> usize {
+    views
+        .filter(|view| {
+            let current =
+                matches!(&view.current, Some(CurrentOrder::Load { source: Source::Store, .. }));
+            current
+                || view.in_flight_order.as_ref().is_some_and(|sent| sent.source == Source::Store)
+        })
+        .count()
+}
--- /dev/null
+++ b/crates/policy/src/place/eviction.rs
@@ -0,0 +1,124 @@
+//! Replicas that may be evicted, and the cost of doing so.
+
+use types::{prelude::*, routed::Model};
+
+use super::{draft::Draft, gain::replica_deficit};
+
+/// Highest mean utilization, by the model's own work, that evicting a replica may leave on the
+/// model's other replicas.
+const MAX_UTILIZATION_LEFT: f64 = 0.3;
+
+/// Cost of moving one fully utilized server's work to replicas without cached prompts.
+const CACHE_LOSS: f64 = 5.0;
+
+/// Seconds until the last of very many running requests is likely to end.
+const LAST_RUN_END_S: f64 = 1.8;
+
+/// Cost per second in which a server waits for requests to end before an unload and can take no
+/// other order.
+pub(super) const BLOCKED_COST_PER_S: f64 = 3.0;
+
+/// Minimum age of a replica that may be evicted.
+const MIN_REPLICA_AGE: Duration = Duration::from_millis(1500);
+
+/// A replica that may be evicted.
+pub(super) struct Evictable {
+    pub(super) model: model::Id,
+    /// Index of the model; `None` if it is no longer declared.
+    pub(super) index: Option<usize>,
+    /// Cost of the eviction, without the additional utilization of other servers.
+    pub(super) cost: f64,
+    /// Memory that the eviction frees, adapters included.
+    pub(super) size: Mebibytes,
+    /// Seconds until the model's requests on the server are likely to have ended.
+    pub(super) until_idle: f64,
+}
+
+/// Returns the replicas that may be evicted from a target, the cheapest first.
+pub(super) fn evictable(draft: &Draft, target: usize) -> Vec<Evictable> {
+    let held = draft.targets[target].view.held.keys();
+    let mut evictable: Vec<Evictable> = held
+        .filter_map(|held| {
+            Some(Evictable {
+                model: held.clone(),
+                index: draft.index(held),
+                cost: eviction_cost(draft, held, target)?,
+                size: replica_memory(draft, held, target),
+                until_idle: until_idle(draft, held, target),
+            })
+        })
+        .collect();
+    evictable.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+    evictable
+}
+
+/// Returns the replicas to evict from a target so that `model` fits, the cheapest first; `None` if
+/// it can't fit.
+pub(super) fn victims<'a>(
+    draft: &Draft,
+    model: usize,
+    target: usize,
+    evictable: &'a [Evictable],
+) -> Option<Vec<&'a Evictable>> {
+    let declared = &draft.engine.models[model];
+    let wanted = declared.weights;
+    let mut room = draft.targets[target].room?;
+    let mut chosen = Vec::new();
+    for victim in evictable.iter().filter(|candidate| candidate.model != declared.name) {
+        if wanted <= room {
+            break;
+        }
+        room += victim.size;
+        chosen.push(victim);
+    }
+    if room < wanted {
+        return None;
+    }
+    // A cheap victim may be needless once a larger one is chosen too.
+    chosen.retain(|victim| {
+        let needless = wanted <= room - victim.size;
+        room -= if needless { victim.size } else { 0 };
+        !needless
+    });
+    Some(chosen)
+}
+
+/// Returns the cost of evicting a replica; `None` if it must stay.
+fn eviction_cost(draft: &Draft, held: &model::Id, target: usize) -> Option<f64> {
+    let Some(index) = draft.index(held) else { return Some(0.0) };
+    let view = draft.targets[target].view;
+    let others = draft.confirmed[index].iter().filter(|&&other| other != target).count();
+    let rest = draft.remaining_work[index];
+    let elsewhere = 0 < others && rest <= MAX_UTILIZATION_LEFT * others as f64;
+    let settled = view
+        .held_since
+        .get(held)
+        .is_none_or(|&since| since.is_zero() || since + MIN_REPLICA_AGE <= draft.now);
+    if !elsewhere || !settled {
+        return None;
+    }
+    Some(replica_loss(draft, index, target) + BLOCKED_COST_PER_S * until_idle(draft, held, target))
+}
+
+/// Returns after how many seconds the model's requests on the target are likely to have ended.
+fn until_idle(draft: &Draft, held: &model::Id, target: usize) -> f64 {
+    let runs = draft.targets[target].view.requests_in_flight.get(held).copied().unwrap_or(0);
+    LAST_RUN_END_S * f64::from(runs) / f64::from(runs + 1)
+}
+
+/// Returns what a model loses with its replica on the target, without the additional utilization of
+/// its other servers.
+pub(super) fn replica_loss(draft: &Draft, model: usize, target: usize) -> f64 {
+    let replicas = &draft.replicas[model];
+    let rest: Vec<usize> = replicas.iter().copied().filter(|&other| other != target).collect();
+    let share = draft.work[model] / replicas.len().max(1) as f64;
+    replica_deficit(draft, model, &rest) - replica_deficit(draft, model, replicas)
+        + CACHE_LOSS * share
+}
+
+/// Returns the memory that a model takes on the target, adapters included.
+pub(super) fn replica_memory(draft: &Draft, held: &model::Id, target: usize) -> Mebibytes {
+    let adapters = draft.targets[target].view.held.get(held).map_or(0, |adapters| adapters.len());
+    let size = |model: &Model| model.weights + model.adapter_weights * adapters as Mebibytes;
+    draft.sizes.get(held).map_or(0, size)
+}
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: takes events, answers with orders.
+//! The planner: takes events and returns orders.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,10 +9,10 @@
 
 use super::{
     Order, Outcome, Rules, adapters,
-    book::{Book, Sent, Source},
     demand::{Demand, Work},
+    draft::{Decision, Draft, store_loads},
     gain,
-    picture::{Decision, Picture, store_loads},
+    server_view::{SentOrder, ServerView, Source},
     store::{self, Allowance, Bucket},
     unplaced::{self, Unplaced},
 };
@@ -21,31 +21,31 @@
 #[derive(Clone, Debug)]
 struct Service {
     engine: Engine,
-    /// All models that were ever declared: servers may still hold one that no longer is.
+    /// All models declared so far: servers may still hold one that is no longer declared.
     sizes: BTreeMap<model::Id, routed::Model>,
     bucket: Bucket,
 }
 
-/// Plans placement for the host that holds the lease.
+/// Plans placement on the host that holds the order lease.
 #[derive(Clone, Debug)]
 pub struct Planner {
     rules: Rules,
     services: BTreeMap<service::Id, Service>,
-    servers: BTreeMap<backend::Id, Book>,
-    /// Orders to runs that are over, by the server's name: a later run may yet carry them out.
-    late: BTreeMap<Arc<str>, Vec<Sent>>,
+    servers: BTreeMap<backend::Id, ServerView>,
+    /// Unresolved orders to ended runs, by the server's name: a later run may still carry them out.
+    unresolved: BTreeMap<Arc<str>, Vec<SentOrder>>,
     demand: Demand,
     unplaced: Vec<Unplaced>,
 }
 
 impl Planner {
-    /// Knows nothing yet.
+    /// Creates a planner without services, servers or demand.
     pub fn new(rules: Rules) -> Planner {
-        let (services, servers, late, unplaced) = Default::default();
-        Planner { rules, services, servers, late, demand: Demand::default(), unplaced }
+        let (services, servers, unresolved, unplaced) = Default::default();
+        Planner { rules, services, servers, unresolved, demand: Demand::default(), unplaced }
     }
 
-    /// Takes what a service's servers are like, new or changed.
+    /// Adds a service, or replaces its declaration.
     pub fn declare(&mut self, service: &service::Id, engine: &Engine, now: Moment) {
         let rules = &self.rules;
         let entry = self.services.entry(service.clone()).or_insert_with(|| Service {
@@ -58,48 +58,51 @@
         entry.sizes.extend(engine.models.iter().map(|m| (m.name.clone(), m.clone())));
     }
 
-    /// Forgets a service that is no longer declared.
+    /// Removes a service that is no longer declared.
     pub fn remove_service(&mut self, service: &service::Id) {
         self.services.remove(service);
     }
 
-    /// Takes a new or changed registration.
+    /// Applies a new or changed registration. A new run replaces an earlier one at the same
+    /// address.
     pub fn register_server(&mut self, server: &routed::Server, now: Moment) {
-        if let Some(book) = self.servers.get_mut(&server.id) {
-            return book.register(server, now);
+        if let Some(view) = self.servers.get_mut(&server.id) {
+            return view.apply_registration(server, now);
         }
-        self.servers.retain(|_, book| book.address != server.address);
-        let mut book = Book::new(&self.rules, server, now);
-        if let Some(late) = self.late.remove(&server.name) {
-            book.inherit(late);
+        self.servers.retain(|_, view| view.address != server.address);
+        let mut view = ServerView::new(&self.rules, server, now);
+        if let Some(unresolved) = self.unresolved.remove(&server.name) {
+            view.inherit(unresolved);
         }
-        self.servers.insert(server.id.clone(), book);
+        self.servers.insert(server.id.clone(), view);
     }
 
-    /// Forgets a run of a server that has ended, but for its orders without an answer.
+    /// Removes a run that has ended; its unresolved orders are kept for the server's next run.
     pub fn remove_server(&mut self, server: &backend::Id, now: Moment) {
-        let Some(book) = self.servers.remove(server) else { return };
-        let (name, late) = book.end(&self.rules, now);
-        if !late.is_empty() {
-            self.late.insert(name, late);
+        let Some(view) = self.servers.remove(server) else { return };
+        let (name, unresolved) = view.into_unresolved(&self.rules, now);
+        if !unresolved.is_empty() {
+            self.unresolved.insert(name, unresolved);
         }
     }
 
-    /// Takes a report.
+    /// Applies a server's report, unless it is older than the planner's view.
     pub fn report(&mut self, server: &backend::Id, report: &Report, now: Moment) {
-        let Some(book) = self.servers.get_mut(server) else { return };
-        let begun = book.report(report, now);
-        if let Some(service) = self.services.get_mut(&book.service) {
+        let Some(view) = self.servers.get_mut(server) else { return };
+        let begun = view.apply_report(report, now);
+        if let Some(service) = self.services.get_mut(&view.service) {
             (0..begun).for_each(|_| service.bucket.charge());
         }
     }
 
-    /// Begins a term: forgets all demand, since another host received the last reports.
+    /// Begins a lease term with empty demand, since another host received the demand reports until
+    /// now.
     pub fn begin_term(&mut self, now: Moment) {
         self.demand = Demand::new(now);
     }
 
-    /// Counts requests that arrived at any host at `at`, which may be some seconds ago.
+    /// Records requests that arrived at any host at `at`, which may be some seconds ago. Undeclared
+    /// models and adapters are ignored.
     pub fn record_arrivals(
         &mut self,
         model: &model::Id,
@@ -108,10 +111,10 @@
         at: Moment,
     ) {
         let Some(slots) = self.slots(model, adapter) else { return };
-        self.demand.arrive(&self.rules, slots, model, adapter, work, at);
+        self.demand.record_arrivals(&self.rules, slots, model, adapter, work, at);
     }
 
-    /// Notes that a request waits right now for a model or adapter.
+    /// Records that a request is waiting now for a model or adapter. Undeclared ones are ignored.
     pub fn record_waiting(
         &mut self,
         model: &model::Id,
@@ -119,101 +122,108 @@
         now: Moment,
     ) {
         if self.slots(model, adapter).is_some() {
-            self.demand.wait(model, adapter, now);
+            self.demand.record_waiting(model, adapter, now);
         }
     }
 
-    /// Takes how many requests of a model are in flight to a server, from all hosts.
+    /// Sets the number of requests for a model in flight to a server, summed over all hosts.
     pub fn in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
-        if let Some(book) = self.servers.get_mut(server) {
-            book.running.insert(model.clone(), requests);
+        if let Some(view) = self.servers.get_mut(server) {
+            view.requests_in_flight.insert(model.clone(), requests);
         }
     }
 
-    /// Takes which servers answer nobody. What they hold counts as lost until they answer again.
+    /// Replaces the set of servers that answer no host. Replicas there count as lost until the
+    /// servers answer again.
     pub fn set_unresponsive(&mut self, servers: &[backend::Id]) {
-        for (id, book) in &mut self.servers {
-            book.is_unresponsive = servers.contains(id);
+        for (id, view) in &mut self.servers {
+            view.is_unresponsive = servers.contains(id);
         }
     }
 
-    /// Sets the limits of servers, in requests a second. A limited server counts as the part of a server that
-    /// its limit leaves.
+    /// Replaces the servers' rate limits, in requests per second. A limited server counts as the
+    /// fraction of a server that its limit leaves.
     pub fn set_rate_limits(&mut self, limits: &BTreeMap<backend::Id, f64>) {
-        for (id, book) in &mut self.servers {
-            book.limit = limits.get(id).copied();
+        for (id, view) in &mut self.servers {
+            view.limit = limits.get(id).copied();
         }
     }
 
-    /// The orders to give now. Each has to be answered with [`Planner::record_outcome`].
+    /// Returns the orders to send now. The outcome of each must be passed to
+    /// [`Planner::record_outcome`].
     pub fn plan(&mut self, now: Moment) -> Vec<Order> {
-        self.servers.values_mut().for_each(|book| book.expire(&self.rules, now));
-        self.late.retain(|_, late| late.iter().any(|sent| sent.is_open(now)));
+        self.servers.values_mut().for_each(|view| view.expire(&self.rules, now));
+        self.unresolved
+            .retain(|_, unresolved| unresolved.iter().any(|sent| sent.may_take_effect(now)));
         self.unplaced.clear();
         let names: Vec<service::Id> = self.services.keys().cloned().collect();
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
-    /// What the last plan wanted and could not order.
+    /// Returns what the last plan wanted and could not order.
     pub fn unplaced(&self) -> &[Unplaced] {
         &self.unplaced
     }
 
     fn plan_service(&mut self, name: &service::Id, now: Moment) -> Vec<Order> {
         let Some(service) = self.services.get_mut(name) else { return Vec::new() };
-        let own = || self.servers.iter().filter(|(_, book)| book.service == *name);
-        let doubted = |book: &Book| book.doubts.iter().any(|sent| sent.source == Source::Store);
-        let claimed = |book: &Book| {
-            let claim = book.claim.as_ref();
-            claim.is_some_and(|(model, _)| book.source(model) == Source::Store)
+        let own = || self.servers.iter().filter(|(_, view)| view.service == *name);
+        let unresolved =
+            |view: &ServerView| view.unresolved.iter().any(|sent| sent.source == Source::Store);
+        let reserved = |view: &ServerView| {
+            let reservation = view.reservation.as_ref();
+            reservation.is_some_and(|(model, _)| view.source(model) == Source::Store)
         };
-        let servers = |fits: &dyn Fn(&Book) -> bool| {
-            own().filter(|(_, book)| fits(book)).map(|(id, _)| id.clone()).collect()
+        let servers = |fits: &dyn Fn(&ServerView) -> bool| {
+            own().filter(|(_, view)| fits(view)).map(|(id, _)| id.clone()).collect()
         };
         let mut store = Allowance {
-            doubted: servers(&doubted),
-            claimed: servers(&claimed),
-            running: store_loads(own().map(|(_, book)| book)),
-            at_once: store::at_once(&service.engine),
+            unresolved: servers(&unresolved),
+            reserved: servers(&reserved),
+            loads_running: store_loads(own().map(|(_, view)| view)),
+            max_concurrent_loads: store::max_concurrent_loads(&service.engine),
             bucket: &mut service.bucket,
             now,
         };
         let (engine, sizes) = (&service.engine, &service.sizes);
-        let mut picture = Picture::new(&self.rules, engine, sizes, &self.demand, own(), now);
-        gain::plan(&mut picture, &mut store);
-        adapters::plan(&mut picture);
-        self.unplaced.extend(unplaced::unplaced(&picture, &mut store));
-        let decisions = picture.decisions;
+        let mut draft = Draft::new(&self.rules, engine, sizes, &self.demand, own(), now);
+        gain::plan(&mut draft, &mut store);
+        adapters::plan(&mut draft);
+        self.unplaced.extend(unplaced::unplaced(&draft, &mut store));
+        let decisions = draft.decisions;
         decisions.into_iter().map(|decision| self.send(decision, now)).collect()
     }
 
     fn send(&mut self, decision: Decision, now: Moment) -> Order {
-        if let Some(book) = self.servers.get_mut(&decision.order.server) {
-            book.ask(&decision, now);
+        if let Some(view) = self.servers.get_mut(&decision.order.server) {
+            view.record_sent(&decision, now);
         }
         decision.order
     }
 
-    /// Takes what came of an order.
+    /// Records the outcome of an order from [`Planner::plan`].
     pub fn record_outcome(&mut self, order: &Order, outcome: Outcome, now: Moment) {
-        let Some(book) = self.servers.get_mut(&order.server) else { return };
-        let service = self.services.get_mut(&book.service);
+        let Some(view) = self.servers.get_mut(&order.server) else { return };
+        let service = self.services.get_mut(&view.service);
         let declared = service.as_ref().and_then(|service| service.sizes.get(&order.model));
-        let source = book.source(&order.model);
+        let source = view.source(&order.model);
         let load = declared.map_or(Duration::ZERO, |model| gain::load_time(model, source));
-        let Some(sent) = book.answer(&self.rules, order, outcome, load, now) else { return };
+        let Some(sent) = view.record_outcome(&self.rules, order, outcome, load, now) else {
+            return;
+        };
         let may_run = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
-        if let (Some(service), true) = (service, sent.paid && !may_run) {
+        if let (Some(service), true) = (service, sent.charged && !may_run) {
             service.bucket.refund();
         }
     }
 
-    /// Servers whose report is wanted now, to know what became of an order.
+    /// Returns the servers whose report is needed now to resolve the outcome of an order.
     pub fn unsettled(&self, now: Moment) -> impl Iterator<Item = &backend::Id> {
-        self.servers.iter().filter(move |(_, book)| book.is_unsettled(now)).map(|(id, _)| id)
+        self.servers.iter().filter(move |(_, view)| view.is_unsettled(now)).map(|(id, _)| id)
     }
 
-    /// Slots of the servers of a declared model, if the adapter is one of its.
+    /// Returns the concurrent requests per server of a declared model's service; `None` if the
+    /// model or the adapter isn't declared.
     fn slots(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> Option<u32> {
         let engines = self.services.values().map(|service| &service.engine);
         let find = |engine: &Engine| {
@@ -224,7 +234,7 @@
     }
 }
 
-/// Whether a model has an adapter of this name.
+/// Whether an adapter is declared: `a1` to `aN` for a model with N adapters.
 fn is_declared(model: &routed::Model, adapter: &adapter::Id) -> bool {
     let number = adapter.strip_prefix('a').and_then(|number| number.parse::<u32>().ok());
     number.is_some_and(|number| (1..=model.adapters).contains(&number))
--- /dev/null
+++ b/crates/policy/src/place/utilization.rs
@@ -0,0 +1,121 @@
+//! Expected utilization of servers when routing evens out the work over each model's replicas.
+//!
+//! Routing sends a request to the replica with the shortest wait. Each model's work is therefore
+//! distributed by water-filling, the least utilized server first, in a few sweeps over all models.
+
+/// Number of sweeps after which the result hardly changes.
+const SWEEPS: usize = 4;
+
+/// Number of sweeps over the affected models when replicas change.
+const REBALANCE_SWEEPS: usize = 2;
+
+/// Utilization up to which no work is late.
+const LATE_ABOVE: f64 = 0.05;
+
+/// Work per second that is late on a fully utilized server, in servers' worth.
+const LATE_WORK_AT_FULL: f64 = 0.45;
+
+/// Weight of the work of a model without replicas: it is lost, and its callers try again.
+const LOST_WORK_WEIGHT: f64 = 2.0;
+
+/// Distribution of work over servers.
+#[derive(Clone, Debug, Default)]
+pub(super) struct LoadBalance {
+    /// Utilization of each server; 1.0 is fully utilized.
+    pub(super) utilization: Vec<f64>,
+    /// Per model: the work that each of its servers carries.
+    shares: Vec<Vec<f64>>,
+}
+
+impl LoadBalance {
+    /// Distributes each model's work over its replicas, given each server's utilization without any
+    /// work.
+    pub(super) fn new(work: &[f64], replicas: &[Vec<usize>], base: Vec<f64>) -> LoadBalance {
+        let mut utilization = base;
+        let mut shares: Vec<Vec<f64>> =
+            replicas.iter().map(|holders| vec![0.0; holders.len()]).collect();
+        for _ in 0..SWEEPS {
+            for ((&amount, holders), share) in work.iter().zip(replicas).zip(&mut shares) {
+                if 0.0 < amount {
+                    water_fill(amount, holders, share, &mut utilization);
+                }
+            }
+        }
+        LoadBalance { utilization, shares }
+    }
+
+    /// Returns by how much the late and lost work falls if the models in `moves` had the replicas
+    /// given there instead. Work of other models is redistributed only if they share a server with
+    /// one of these.
+    pub(super) fn loss_reduction(
+        &self,
+        work: &[f64],
+        replicas: &[Vec<usize>],
+        moves: &[(usize, Vec<usize>)],
+    ) -> f64 {
+        let mut utilization = self.utilization.clone();
+        let mut reduction: f64 = self.utilization.iter().copied().map(late_work).sum();
+        let mut affected = vec![false; utilization.len()];
+        let mut filled: Vec<Filled> = Vec::new();
+        for (model, holders) in moves {
+            let lifted = replicas[*model].iter().zip(&self.shares[*model]);
+            lifted.for_each(|(&server, share)| utilization[server] -= share);
+            reduction +=
+                if replicas[*model].is_empty() { work[*model] * LOST_WORK_WEIGHT } else { 0.0 };
+            holders.iter().chain(&replicas[*model]).for_each(|&server| affected[server] = true);
+            filled.push(Filled { amount: work[*model], holders, share: vec![0.0; holders.len()] });
+        }
+        for (model, holders) in replicas.iter().enumerate().filter(|(_, holders)| 1 < holders.len())
+        {
+            let moved = moves.iter().any(|(moved, _)| *moved == model);
+            if !moved && holders.iter().any(|&server| affected[server]) && 0.0 < work[model] {
+                let share = self.shares[model].clone();
+                filled.push(Filled { amount: work[model], holders, share });
+            }
+        }
+        for _ in 0..REBALANCE_SWEEPS {
+            for Filled { amount, holders, share } in &mut filled {
+                water_fill(*amount, holders, share, &mut utilization);
+            }
+        }
+        reduction - utilization.into_iter().map(late_work).sum::<f64>()
+    }
+}
+
+/// A model's work and its distribution over the model's servers.
+struct Filled<'a> {
+    amount: f64,
+    holders: &'a [usize],
+    share: Vec<f64>,
+}
+
+/// Redistributes one model's work by water-filling.
+fn water_fill(amount: f64, holders: &[usize], share: &mut [f64], utilization: &mut [f64]) {
+    holders.iter().zip(&*share).for_each(|(&server, share)| utilization[server] -= share);
+    let level = fill_level(amount, holders.iter().map(|&server| utilization[server]).collect());
+    for (&server, share) in holders.iter().zip(share) {
+        *share = (level - utilization[server]).max(0.0);
+        utilization[server] += *share;
+    }
+}
+
+/// Returns the level to which `amount` fills columns of these heights.
+fn fill_level(amount: f64, mut base: Vec<f64>) -> f64 {
+    base.sort_unstable_by(f64::total_cmp);
+    let mut sum = 0.0;
+    let mut level = 0.0;
+    for (index, height) in base.iter().enumerate() {
+        if 0 < index && level <= *height {
+            break;
+        }
+        sum += height;
+        level = (amount + sum) / (index + 1) as f64;
+    }
+    level
+}
+
+/// Returns the work per second that is late at a utilization; a convex function.
+pub(super) fn late_work(utilization: f64) -> f64 {
+    let over = (utilization.min(1.0) - LATE_ABOVE).max(0.0) / (1.0 - LATE_ABOVE);
+    LATE_WORK_AT_FULL * over * over + (utilization - 1.0).max(0.0)
+}
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -1,8 +1,8 @@
-//! Whether a configuration can be placed, and what is short, where, if not.
+//! Checks whether a configuration can be placed, and names the shortages otherwise.
 //!
-//! The check plays the planner's own moves to their end without the weight store's limit. What
-//! is not resident then can't be made so without a gap or within memory; the same code that will
-//! carry the change out judges it.
+//! The check simulates the planner's own moves without the weight store's limits. A model that
+//! isn't resident at the end can't be placed within memory, or not without a gap in service. The
+//! same planner code judges the change and carries it out.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
@@ -10,12 +10,12 @@
 use super::{
     Engine, Limits, Planner,
     planner::{Declared, Draft},
-    residency::owed,
-    room::Level,
+    residency::missing_adapter_memory,
+    room::EvictionLimit,
 };
 
-/// Rounds of moves that the check plays; more are not needed for any change that ends.
-const ROUNDS: usize = 64;
+/// Rounds of moves to simulate; a change that ends at all takes no more.
+const MAX_ROUNDS: usize = 64;
 
 /// A model that can't be made resident.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
@@ -27,55 +27,58 @@
     }
 )]
 pub struct Shortage {
-    /// The model.
+    /// The model that doesn't fit.
     pub model: model::Id,
-    /// The group of engines that is to hold it.
+    /// The group of engines that the model is declared for.
     pub group: backend::Group,
-    /// Memory that one replica takes with all adapters, in MiB.
+    /// Memory of one replica with all adapters, in MiB.
     pub needs: Mebibytes,
-    /// The engine that comes nearest.
+    /// The live engine of the group with the most memory; `None` if there is none.
     pub roomiest: Option<Room>,
 }
 
-/// Room on an engine.
+/// Memory that could be made available on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// The engine.
+    /// The server that runs the engine.
     pub server: backend::Id,
-    /// Memory that could be had there, in MiB.
+    /// Memory available after the unloads in progress and all possible evictions, in MiB.
     pub free: Mebibytes,
 }
 
-/// What is short when `config` is to be placed on `engines` as they are now; empty if it fits.
+/// Returns the shortages when `config` is to be placed on `engines` in their present state; empty
+/// if it fits.
 pub fn check(config: &config::Config, engines: &[Engine]) -> Vec<Shortage> {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
-    engines.iter().for_each(|engine| planner.engine(Moment::ZERO, engine.clone()));
-    planner.simulate(Moment::ZERO, ROUNDS);
+    engines.iter().for_each(|engine| planner.set_engine(Moment::ZERO, engine.clone()));
+    planner.simulate(Moment::ZERO, MAX_ROUNDS);
     planner.shortages(Moment::ZERO)
 }
 
 impl Planner {
-    /// Declared models that no live engine holds whole in the version in force.
+    /// Returns a shortage for each declared model without a complete replica in the declared
+    /// version on a live engine.
     pub fn shortages(&mut self, now: Moment) -> Vec<Shortage> {
-        let draft = self.blank(now, 0);
-        let models = draft.models.iter().filter(|(id, declared)| !draft.is_whole(id, declared));
+        let draft = self.new_draft(now, 0);
+        let models = draft.models.iter().filter(|(id, declared)| !draft.is_complete(id, declared));
         models.map(|(id, declared)| draft.shortage(id, declared)).collect()
     }
 }
 
 impl Draft<'_> {
-    fn is_whole(&self, id: &model::Id, declared: &Declared) -> bool {
-        self.current(id, declared).any(|(_, held)| owed(declared, held) == 0)
+    fn is_complete(&self, id: &model::Id, declared: &Declared) -> bool {
+        self.current(id, declared).any(|(_, held)| missing_adapter_memory(declared, held) == 0)
     }
 
     fn shortage(&self, id: &model::Id, declared: &Declared) -> Shortage {
         let group = &declared.model.group;
-        let slots = self.fleet.slots.values();
-        let rooms = slots.filter(|slot| slot.is_live() && slot.told.group == *group);
-        let rooms = rooms.map(|slot| Room {
-            server: slot.told.server.clone(),
-            free: slot.later() + self.spares(slot, Level::Residency).map(|s| s.memory).sum::<u64>(),
+        let engines = self.working.engines.values();
+        let rooms = engines.filter(|engine| engine.is_live() && engine.reported.group == *group);
+        let rooms = rooms.map(|engine| Room {
+            server: engine.reported.server.clone(),
+            free: engine.room_after_unloads()
+                + self.evictable(engine, EvictionLimit::KeepOne).map(|s| s.memory).sum::<u64>(),
         });
         let roomiest = rooms.max_by(|a, b| a.free.cmp(&b.free).then(b.server.cmp(&a.server)));
         Shortage { model: id.clone(), group: group.clone(), needs: declared.bundle, roomiest }
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -1,12 +1,15 @@
-//! The planner and the order of its concerns.
+//! The planner and the order of its priorities.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use types::{model::Model, prelude::*};
 
-use super::{Demand, Engine, Limits, MIN_REPLICAS, Move, bucket::Bucket, fleet::Fleet, heat};
+use super::{
+    Demand, Engine, Limits, MIN_REPLICAS, Move, bucket::Bucket, utilization,
+    working_state::WorkingState,
+};
 
-/// A declared model with what placement needs of it.
+/// A declared model with derived figures for placement.
 #[derive(Clone, Debug)]
 pub(super) struct Declared {
     pub(super) model: Model,
@@ -22,38 +25,39 @@
         Declared { bundle: model.footprint() + adapters, load: demand.provided(), model }
     }
 
-    /// Replicas that come before any that demand asks for.
-    pub(super) fn floor(&self) -> usize {
+    /// Returns the number of replicas that come before any replica for demand.
+    pub(super) fn min_replicas(&self) -> usize {
         MIN_REPLICAS.max(self.model.replicas as usize)
     }
 }
 
-/// Decides moves.
+/// Plans moves from the declared configuration, the engines' state and the demand.
 #[derive(Clone, Debug)]
 pub struct Planner {
     weights: config::Weights,
     models: BTreeMap<model::Id, Declared>,
     demands: BTreeMap<model::Id, Demand>,
-    fleet: Fleet,
+    working: WorkingState,
     bucket: Bucket,
-    /// Models to look at: those that changed, and those that lacked something last time.
+    /// Models to check in the next plan: those that changed, and those that the last plan left
+    /// unsatisfied.
     pending: BTreeSet<model::Id>,
 }
 
 impl Planner {
-    /// A planner that knows nothing yet and keeps to these limits of the weight store.
+    /// Creates a planner without models or engines, with these limits of the weight store.
     pub fn new(limits: Limits) -> Planner {
         Planner {
             weights: config::Weights::default(),
             models: BTreeMap::new(),
             demands: BTreeMap::new(),
-            fleet: Fleet::default(),
+            working: WorkingState::default(),
             bucket: Bucket::new(limits),
             pending: BTreeSet::new(),
         }
     }
 
-    /// Takes in the declared configuration.
+    /// Sets the declared configuration.
     pub fn configure(&mut self, config: &config::Config) {
         self.weights = config.weights;
         let removed = self.models.keys().filter(|id| !config.models.contains_key(*id));
@@ -70,110 +74,110 @@
         self.demands.retain(|id, _| config.models.contains_key(id));
     }
 
-    /// Takes in what an engine holds or has reserved; to be called for each engine that changed
-    /// or that a move was tried on.
-    pub fn engine(&mut self, now: Moment, engine: Engine) {
-        self.fleet.put(now, engine);
+    /// Sets what an engine holds or has reserved. To be called for each engine that changed or that
+    /// a move was tried on.
+    pub fn set_engine(&mut self, now: Moment, engine: Engine) {
+        self.working.set_engine(now, engine);
     }
 
-    /// Forgets an engine that is gone.
-    pub fn forget(&mut self, server: &backend::Id) {
-        self.fleet.remove(server);
+    /// Removes an engine that is gone.
+    pub fn remove_engine(&mut self, server: &backend::Id) {
+        self.working.remove_engine(server);
     }
 
-    /// Takes in the work that a model gets.
-    pub fn demand(&mut self, model: &model::Id, demand: Demand) {
+    /// Sets the work of a model.
+    pub fn set_demand(&mut self, model: &model::Id, demand: Demand) {
         self.demands.insert(model.clone(), demand);
         if let Some(declared) = self.models.get_mut(model) {
             declared.load = demand.provided();
         }
     }
 
-    /// The moves that may start now, to be tried in this order.
+    /// Returns the moves that may start now, to be tried in this order.
     pub fn plan(&mut self, now: Moment) -> Vec<Move> {
-        self.fleet.revert(now);
-        let loading = self.fleet.loading();
+        self.working.revert(now);
+        let loading = self.working.loading();
         let budget = self.bucket.available(now, loading);
-        let moves = self.draft(now, budget);
+        let moves = self.draft_moves(now, budget);
         self.bucket.take(moves.iter().filter(|m| m.is_load()).count());
         moves
     }
 
-    /// Plans as if each move were done at once, until none is left or the rounds are used up.
-    /// Returns the moves; for checks of what could be placed.
+    /// Plans as if each move were done at once, until no move is left or after `rounds`. Returns
+    /// the moves; for checks of what could be placed.
     pub fn simulate(&mut self, now: Moment, rounds: usize) -> Vec<Move> {
         let mut all = Vec::new();
         for _ in 0..rounds {
-            self.fleet.revert(now);
-            let moves = self.draft(now, usize::MAX);
+            self.working.revert(now);
+            let moves = self.draft_moves(now, usize::MAX);
             if moves.is_empty() {
                 break;
             }
             all.extend(moves);
-            self.fleet.settle(now);
+            self.working.complete_moves(now);
         }
         all
     }
 
-    fn draft(&mut self, now: Moment, budget: usize) -> Vec<Move> {
-        self.pending.extend(self.fleet.take_stirred());
-        let mut draft = self.blank(now, budget);
+    fn draft_moves(&mut self, now: Moment, budget: usize) -> Vec<Move> {
+        self.pending.extend(self.working.take_changed());
+        let mut draft = self.new_draft(now, budget);
         draft.remove_undeclared();
         draft.place_missing();
         draft.load_adapters();
         draft.spread_replicas();
         draft.retire_versions();
         draft.meet_demand();
-        let Draft { moves, wanting, .. } = draft;
-        self.pending = wanting;
+        let Draft { moves, unsatisfied, .. } = draft;
+        self.pending = unsatisfied;
         moves
     }
 
-    /// A plan without a move yet.
-    pub(super) fn blank(&mut self, now: Moment, budget: usize) -> Draft<'_> {
-        let shares = heat::balance(&self.models, &mut self.fleet);
+    /// Creates a plan without moves.
+    pub(super) fn new_draft(&mut self, now: Moment, budget: usize) -> Draft<'_> {
+        let shares = utilization::balance(&self.models, &mut self.working);
         let mut draft = Draft {
             now,
             shares,
             weights: self.weights,
             models: &self.models,
-            fleet: &mut self.fleet,
+            working: &mut self.working,
             budget,
             moves: Vec::new(),
             pending: self.pending.clone(),
-            wanting: BTreeSet::new(),
+            unsatisfied: BTreeSet::new(),
         };
-        draft.owe();
+        draft.reserve_for_adapters();
         draft
     }
 }
 
-/// A plan in the making.
+/// A plan in progress.
 pub(super) struct Draft<'a> {
     pub(super) now: Moment,
     pub(super) weights: config::Weights,
     pub(super) models: &'a BTreeMap<model::Id, Declared>,
-    pub(super) fleet: &'a mut Fleet,
+    pub(super) working: &'a mut WorkingState,
     /// Each model's load on each of its engines.
-    pub(super) shares: heat::Shares,
-    /// Loads that may still start.
+    pub(super) shares: utilization::Shares,
+    /// Number of loads that may still start.
     pub(super) budget: usize,
     pub(super) moves: Vec<Move>,
-    /// Models to look at.
+    /// Models to check.
     pub(super) pending: BTreeSet<model::Id>,
-    /// Models that lack something or hold too much, to be looked at again next time.
-    pub(super) wanting: BTreeSet<model::Id>,
+    /// Models that lack something or hold too much, to be checked again in the next plan.
+    pub(super) unsatisfied: BTreeSet<model::Id>,
 }
 
 impl<'a> Draft<'a> {
-    /// Declared models to look at.
-    pub(super) fn looked_at(&self) -> Vec<(&'a model::Id, &'a Declared)> {
+    /// Returns the declared models to check.
+    pub(super) fn pending_models(&self) -> Vec<(&'a model::Id, &'a Declared)> {
         let models = self.models;
         self.pending.iter().filter_map(|id| models.get_key_value(id)).collect()
     }
 
-    /// Notes a load.
-    pub(super) fn start(&mut self, load: Option<Move>) {
+    /// Adds a load to the moves.
+    pub(super) fn record_load(&mut self, load: Option<Move>) {
         if let Some(load) = load {
             self.budget = self.budget.saturating_sub(1);
             self.moves.push(load);
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -1,4 +1,5 @@
-//! A model server that carries conditional orders out, and crashes when it holds too much.
+//! A simulated model server that carries out conditional orders, and crashes when it is
+//! overcommitted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,17 +9,17 @@
     routed::{self, Born, Engine, Held, Model, Report, Server, State},
 };
 
-pub type Unit = (model::Id, adapter::Id);
+pub type AdapterKey = (model::Id, adapter::Id);
 
-const ADAPTER: Duration = Duration::from_millis(7);
-const IDLE_UNLOAD: Duration = Duration::from_millis(20);
-const LAG: Duration = Duration::from_millis(100);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(7);
+const IDLE_UNLOAD_TIME: Duration = Duration::from_millis(20);
+const REPORT_LAG: Duration = Duration::from_millis(100);
 
-/// What became of an order besides its outcome.
+/// Events on all servers, besides the outcomes of orders.
 #[derive(Default)]
 pub struct Record {
     pub crashed: Vec<backend::Id>,
-    /// When loads from the weight store began.
+    /// Start times of loads from the weight store.
     pub store_loads: Vec<Moment>,
     pub accepted: usize,
 }
@@ -28,16 +29,16 @@
     pub held: BTreeMap<model::Id, BTreeSet<adapter::Id>>,
     pub sequence: u64,
     pub current: Option<(Operation, model::Id, Moment)>,
-    /// Time that an adapter takes to come.
-    pub adapter: Duration,
-    pub coming: Vec<(Unit, Moment)>,
-    /// Ends of running requests.
+    /// Time that an adapter takes to load.
+    pub adapter_load_time: Duration,
+    pub coming: Vec<(AdapterKey, Moment)>,
+    /// Running requests, with the times when they end.
     pub running: Vec<(model::Id, Option<adapter::Id>, Moment)>,
-    late: Vec<(Order, Moment)>,
-    /// Copies, the newest last.
+    delayed: Vec<(Order, Moment)>,
+    /// Copies in main memory, the newest last.
     resident: Vec<model::Id>,
     on_disk: Vec<model::Id>,
-    told: VecDeque<(Moment, Report)>,
+    reports: VecDeque<(Moment, Report)>,
 }
 
 impl Machine {
@@ -45,11 +46,11 @@
         Machine::named(&format!("s{number}-{run}"), 0, number, zone, on_disk)
     }
 
-    /// The next run under the same name, which may still get what was sent to this one.
-    pub fn again(&mut self, run: usize, number: usize, zone: usize) -> Machine {
-        let late = std::mem::take(&mut self.late);
+    /// Returns the next run under the same name. It may still receive orders sent to this run.
+    pub fn restarted(&mut self, run: usize, number: usize, zone: usize) -> Machine {
+        let delayed = std::mem::take(&mut self.delayed);
         Machine {
-            late,
+            delayed,
             ..Machine::named(&self.server.name, run as Born, number, zone, self.disk())
         }
     }
@@ -82,13 +83,13 @@
             held: BTreeMap::new(),
             sequence: 0,
             current: None,
-            adapter: ADAPTER,
+            adapter_load_time: ADAPTER_LOAD_TIME,
             coming: Vec::new(),
             running: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             resident: Vec::new(),
             on_disk,
-            told: VecDeque::new(),
+            reports: VecDeque::new(),
         }
     }
 
@@ -96,7 +97,7 @@
         self.on_disk.clone()
     }
 
-    /// Holds a model from the start.
+    /// Holds a model immediately, without an order.
     pub fn hold(&mut self, engine: &Engine, model: &model::Id) {
         self.held.entry(model.clone()).or_default();
         self.copy(engine, model);
@@ -121,7 +122,7 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Whether requests of a model find it here.
+    /// Whether requests for a model or adapter can be served here.
     pub fn answers(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> bool {
         let leaves =
             self.current.as_ref().is_some_and(|(op, m, _)| *op == Operation::Unload && m == model);
@@ -130,7 +131,7 @@
         adapters.is_some_and(|held| adapter.is_none_or(|adapter| held.contains(adapter)))
     }
 
-    /// Takes an order that arrives now.
+    /// Handles an order that arrives now.
     pub fn order(
         &mut self,
         engine: &Engine,
@@ -138,7 +139,7 @@
         record: &mut Record,
         now: Moment,
     ) -> Outcome {
-        // A server knows its name alone.
+        // A server knows its name but not the run in the id.
         if order.server.split('@').next() != Some(&*self.server.name) {
             return Outcome::NotThere;
         }
@@ -157,9 +158,9 @@
         outcome
     }
 
-    /// Takes an order that arrives later.
-    pub fn order_late(&mut self, order: &Order, at: Moment) {
-        self.late.push((order.clone(), at));
+    /// Handles an order at a later time.
+    pub fn deliver_later(&mut self, order: &Order, at: Moment) {
+        self.delayed.push((order.clone(), at));
     }
 
     fn model_order(
@@ -176,7 +177,7 @@
             Operation::Load if here => return Outcome::AlreadyHolds,
             Operation::Unload if !here => return Outcome::AlreadyHolds,
             Operation::Load => now + self.load_time(engine, model, record, now),
-            Operation::Unload => now + IDLE_UNLOAD,
+            Operation::Unload => now + IDLE_UNLOAD_TIME,
         };
         self.sequence += 1;
         self.current = Some((order.operation, model.clone(), due));
@@ -202,21 +203,21 @@
     }
 
     fn adapter_order(&mut self, order: &Order, adapter: &adapter::Id, now: Moment) -> Outcome {
-        let unit = (order.model.clone(), adapter.clone());
+        let adapter_key = (order.model.clone(), adapter.clone());
         let uses = |run: &(model::Id, Option<adapter::Id>, Moment)| {
-            run.0 == unit.0 && run.1.as_ref() == Some(adapter)
+            run.0 == adapter_key.0 && run.1.as_ref() == Some(adapter)
         };
         let used = self.running.iter().any(uses);
         let Some(held) = self.held.get_mut(&order.model) else { return Outcome::NotThere };
         match order.operation {
             Operation::Load if held.contains(adapter) => return Outcome::AlreadyHolds,
-            Operation::Load if self.coming.iter().any(|(coming, _)| *coming == unit) => {
+            Operation::Load if self.coming.iter().any(|(coming, _)| *coming == adapter_key) => {
                 return Outcome::AlreadyHolds;
             }
             Operation::Load if 4 <= self.coming.len() => return Outcome::Busy,
-            Operation::Load => self.coming.push((unit, now + self.adapter)),
+            Operation::Load => self.coming.push((adapter_key, now + self.adapter_load_time)),
             Operation::Unload if !held.contains(adapter) => return Outcome::AlreadyHolds,
-            // Taken as refused while in use: the adapter stays.
+            // Treated as refused while in use: the adapter stays.
             Operation::Unload if used => return Outcome::Busy,
             Operation::Unload => {
                 held.remove(adapter);
@@ -241,10 +242,10 @@
         weights.chain(adapters).sum()
     }
 
-    /// Moves on to a time.
+    /// Advances to `now`: late orders arrive, and loads and unloads end.
     pub fn tick(&mut self, engine: &Engine, record: &mut Record, now: Moment) {
         let due: Vec<Order> =
-            self.late.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
+            self.delayed.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
         for order in due {
             self.order(engine, &order, record, now);
         }
@@ -255,15 +256,15 @@
             .take_if(|(op, model, due)| *due <= now && (*op == Operation::Load || !used(model)));
         match done {
             Some((Operation::Load, model, _)) => self.hold(engine, &model),
-            // Its adapters that are on their way still come, and keep their places until then.
+            // Adapters being loaded still arrive, and keep their slots until then.
             Some((Operation::Unload, model, _)) => {
                 self.held.remove(&model);
             }
             None => {}
         }
-        for (unit, _) in self.coming.extract_if(.., |(_, due)| *due <= now) {
-            if let Some(adapters) = self.held.get_mut(&unit.0) {
-                adapters.insert(unit.1);
+        for (adapter_key, _) in self.coming.extract_if(.., |(_, due)| *due <= now) {
+            if let Some(adapters) = self.held.get_mut(&adapter_key.0) {
+                adapters.insert(adapter_key.1);
             }
         }
         let report = Report {
@@ -271,20 +272,20 @@
             born: self.server.born,
             busy: self.current.is_some(),
             sequence: self.sequence,
-            coming: self.coming.iter().map(|(unit, _)| unit.clone()).collect(),
+            coming: self.coming.iter().map(|(adapter_key, _)| adapter_key.clone()).collect(),
             resident: self.resident.clone(),
             on_disk: self.on_disk.clone(),
             ..Report::default()
         };
-        self.told.push_back((now, report));
-        while self.told.get(1).is_some_and(|(at, _)| *at + LAG <= now) {
-            self.told.pop_front();
+        self.reports.push_back((now, report));
+        while self.reports.get(1).is_some_and(|(at, _)| *at + REPORT_LAG <= now) {
+            self.reports.pop_front();
         }
     }
 
-    /// What it says now, as of a while ago.
+    /// Returns the current report, whose content is `REPORT_LAG` old.
     pub fn report(&self) -> Option<&Report> {
-        self.told.front().map(|(_, report)| report)
+        self.reports.front().map(|(_, report)| report)
     }
 
     fn copy(&mut self, engine: &Engine, model: &model::Id) {
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -1,4 +1,4 @@
-//! Replicas follow demand, at a price, without flapping.
+//! Replicas follow demand, at a cost per move and without oscillation.
 
 use policy::plan::{Cause, Demand, Limits, forecast::Forecast};
 use rand::SeedableRng;
@@ -18,7 +18,7 @@
 }
 
 fn load(world: &mut World, model: &str, load: f64) {
-    world.planner.demand(&model.into(), Demand { now: load, ahead: load });
+    world.planner.set_demand(&model.into(), Demand { now: load, ahead: load });
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let moves = world.moves.len();
     load(&mut world, "m00", 0.1);
     world.settle();
-    assert_eq!(world.moves.len(), moves, "idle memory is left as it is");
+    assert_eq!(world.moves.len(), moves, "replicas without demand stay");
 }
 
 #[test]
@@ -72,12 +72,12 @@
         let (busy, idle) = if round % 20 < 10 { ("m00", "m01") } else { ("m01", "m00") };
         let work = [(busy.into(), 3.0), (idle.into(), 0.1)].into();
         for (model, demand) in forecast.observe(&work) {
-            world.planner.demand(&model, demand);
+            world.planner.set_demand(&model, demand);
         }
         world.step();
     }
     let moves = world.moves.len() - before;
-    assert!(moves <= 12, "{moves} moves in 20 turns of demand");
+    assert!(moves <= 12, "{moves} moves in 400 rounds of changing demand");
 }
 
 #[test]
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -50,7 +50,8 @@
     assert_eq!(world.count(Cause::Room), 1);
 }
 
-/// Room can be scattered: a model that stands once is moved aside for one that fits nowhere.
+/// Free memory can be fragmented: a model's only replica is moved for a model that fits nowhere
+/// else.
 #[test]
 fn a_single_replica_moves_aside_for_a_model_that_fits_nowhere_else() {
     let declared = config(&[("a", 30, &[]), ("b", 30, &[])]);
@@ -170,10 +171,10 @@
         free: 60,
         residents: Vec::new(),
     };
-    (0..3).for_each(|n| planner.engine(Moment::ZERO, engine(n)));
+    (0..3).for_each(|n| planner.set_engine(Moment::ZERO, engine(n)));
     let first = planner.simulate(Moment::ZERO, 4);
     assert_eq!(first.len(), 2);
-    planner.forget(&first[0].server);
+    planner.remove_engine(&first[0].server);
     let next = planner.plan(Moment::ZERO);
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].cause, Cause::Spread);
