--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -1,18 +1,18 @@
-//! Membership of hosts and backend servers, and what spreads among hosts.
+//! Membership of hosts and backend servers, and gossip among hosts.
 //!
-//! Hosts are symmetric and keep nothing, the platform's list lags, and a fleet must not lose a
-//! member that still answers. So membership rests on three kinds of evidence, the stronger first:
-//! what a member says of itself, what this host saw of it, and what others tell. The platform's
-//! list introduces members and marks leaving ones; absence from it, or an empty list, removes
-//! nobody who answers.
+//! Hosts are symmetric and store nothing, the platform's list lags, and a fleet must not lose a
+//! member that still answers. Membership therefore rests on three kinds of evidence, in descending
+//! order of weight: what a member states about itself, what this host observed of it, and what
+//! other hosts report. The platform's list introduces members and marks leaving ones; absence from
+//! the list, or an empty list, removes no member that answers.
 //!
-//! The protocol follows SWIM: each beat goes to one peer, a peer that does not answer is tried
-//! through others before it is suspected, and a suspected host refutes by raising its epoch.
-//! Differences: every exchange goes both ways, news that matters at once is pushed on at first
-//! hearing, and `Gone` is never final: gone hosts are tried again, so that a healed cut or a
-//! process that was paused comes back by itself.
+//! The protocol follows SWIM: each heartbeat goes to one peer, a peer that does not answer is
+//! probed through other hosts before it is suspected, and a suspected host refutes the suspicion by
+//! raising its epoch. It differs in three points: every exchange is bidirectional, urgent updates
+//! are pushed to several peers on first receipt, and `Gone` is never final: gone hosts are tried
+//! again, so that a healed partition or a resumed process rejoins without intervention.
 //!
-//! All of it is plain state: events and the time go in, [`gossip::Action`]s come out.
+//! The state machines are pure: events and the time go in, [`gossip::Action`]s come out.
 
 pub mod backoff;
 pub mod gossip;
@@ -28,21 +28,21 @@
 use serde::{Deserialize, Serialize};
 use types::host;
 
-/// What a host is taken for.
+/// Standing of a host or a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// Answers, or nothing speaks against it.
+    /// Answers, or no evidence contradicts that.
     Live,
-    /// Does not answer; not yet given up.
+    /// Does not answer, but is not yet gone.
     Suspected,
-    /// About to stop; gets nothing new.
+    /// Is about to stop; gets no new work.
     Leaving,
-    /// Given up until it answers again.
+    /// Has not answered for too long; live again once it answers.
     Gone,
 }
 
-/// Health of a host, worse last.
+/// Health of a host, ordered from best to worst.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -51,54 +51,55 @@
     /// Answers.
     #[default]
     Live,
-    /// Does not answer.
+    /// Does not answer; the suspicion timeout has not yet passed.
     Suspected,
-    /// Given up.
+    /// Did not answer within the suspicion timeout.
     Gone,
 }
 
-/// How new a word about a host is.
+/// Version of a host's status; a higher one supersedes a lower one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// The run of its process.
+    /// Incarnation of the host's process.
     pub run: host::Incarnation,
-    /// Suspicions that it has refuted in this run.
+    /// Suspicions refuted within this incarnation.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub refuted: u32,
 }
 
-/// Times and sizes of the protocol.
+/// Intervals, timeouts and limits of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Between beats in a small fleet.
+    /// Time between heartbeats in a fleet of up to `small` hosts.
     pub interval: Duration,
-    /// Between beats in a fleet larger than `small`.
+    /// Time between heartbeats in a fleet of more than `small` hosts.
     pub wide_interval: Duration,
-    /// Most hosts of a small fleet.
+    /// Largest number of hosts in a small fleet.
     pub small: usize,
-    /// Peers that a host beats in turn before it picks others.
+    /// Number of peers that get heartbeats in turn before others are drawn.
     pub view: usize,
-    /// How long those peers stay.
+    /// Time after which a new set of those peers is drawn.
     pub rotation: Duration,
-    /// Peers that urgent news is pushed to at first hearing.
+    /// Number of peers to which urgent updates are pushed on first receipt.
     pub fanout: usize,
-    /// Peers that are asked to try a silent host.
+    /// Number of peers asked to probe a host that does not answer.
     pub indirect: usize,
-    /// How long an answer outweighs what others tell.
+    /// Time for which a host's own answer outweighs other hosts' reports about it.
     pub fresh: Duration,
-    /// From suspected to gone.
+    /// Time after which a suspected host is gone.
     pub suspicion: Duration,
-    /// From gone and unlisted to forgotten.
+    /// Time after which a host that is gone and not listed is forgotten.
     pub forget: Duration,
-    /// How long a mark that others read off the platform's list holds without our own reading.
+    /// Time for which another host's reading of a leaving mark in the platform's list counts
+    /// without a reading of this host's own.
     pub mark: Duration,
-    /// Longest fetch of a configuration before another peer is asked.
+    /// Timeout of a configuration fetch, after which another peer is asked.
     pub fetch: Duration,
-    /// Largest heartbeat, in bytes of JSON.
+    /// Maximum size of a heartbeat, in bytes of JSON.
     pub message_bytes: usize,
-    /// Most servers named in the in-flight digest of one heartbeat.
+    /// Maximum number of servers in the in-flight digest of one heartbeat.
     pub digest: usize,
 }
 
@@ -124,7 +125,7 @@
 }
 
 impl Settings {
-    /// Time between beats among this many hosts.
+    /// Time between heartbeats in a fleet of `hosts`.
     pub fn pace(&self, hosts: usize) -> Duration {
         if hosts <= self.small { self.interval } else { self.wide_interval }
     }
--- a/crates/policy/src/member/backoff.rs
+++ b/crates/policy/src/member/backoff.rs
@@ -1,13 +1,13 @@
-//! Waiting longer after each failure, and never in step with the other hosts.
+//! Exponential backoff with jitter.
 //!
-//! After an outage every host would come back at once. Each wait is drawn from the upper half of
-//! a range that doubles, from a seed of the host's own, so that calls spread out.
+//! After an outage every host would retry at the same time. Each wait is drawn from the upper half
+//! of a range that doubles, from a seed that differs from host to host, so that calls spread out.
 
 use std::time::Duration;
 
 use super::rendezvous;
 
-/// Waits between tries that fail.
+/// Exponential backoff with jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -18,17 +18,17 @@
 }
 
 impl Backoff {
-    /// Waits that start at `first`, double, and end at `longest`.
+    /// Backoff that starts at `first`, doubles on each failure and is capped at `longest`.
     pub fn new(first: Duration, longest: Duration, seed: u64) -> Backoff {
         Backoff { first, longest, seed, failures: 0, drawn: 0 }
     }
 
-    /// Notes a success; the next wait is short again.
+    /// Resets the backoff after a success.
     pub fn succeed(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a failure and gives the wait before the next try.
+    /// Counts a failure and returns the wait before the next attempt.
     pub fn fail(&mut self) -> Duration {
         let doubled =
             self.first.saturating_mul(1_u32.checked_shl(self.failures).unwrap_or(u32::MAX));
@@ -38,7 +38,7 @@
         doubled.min(self.longest).mul_f64(share)
     }
 
-    /// Failures since the last success.
+    /// Number of failures since the last success, at most 31.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -1,7 +1,7 @@
-//! The protocol of one host: what it sends, to whom, and what it makes of what it hears.
+//! The gossip protocol of one host.
 //!
-//! The caller owns sockets and timers: it calls [`Gossip::tick`] once each [`Gossip::pace`], passes
-//! in every heartbeat, answer and silence, and carries out the [`Action`]s that come back.
+//! The caller owns sockets and timers. It calls [`Gossip::tick`] once per [`Gossip::pace`], passes
+//! in every heartbeat, answer and missing answer, and carries out the returned [`Action`]s.
 
 mod exchange;
 mod pick;
@@ -26,64 +26,65 @@
     watch,
 };
 
-/// Pushes of urgent news that may be made in a row.
+/// Pushes of urgent updates that may be made in a row.
 const PUSH_BURST: u32 = 10;
 
 /// Time in which one more push is allowed.
 const PUSH_REFILL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after its start a host tells everyone where it is.
+/// Time after its start in which a host sends its name and addresses in every heartbeat.
 const INTRODUCTION_TIME: Duration = Duration::from_secs(60);
 
-/// How long a peer's in-flight digest counts.
+/// Time for which a peer's in-flight digest counts.
 const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
 
-/// Paces without a tick after which the process takes itself to have been paused.
+/// Paces without a tick after which the process is taken to have been paused.
 const PAUSE_TICKS: u32 = 4;
 
-/// Beats in a row without any answer after which a host takes the fault to be its own.
+/// Peers in a row that did not answer after which a host takes the fault to be its own.
 const ISOLATION_BEATS: u32 = 6;
 
-/// What the caller is to do.
+/// Action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a heartbeat; report the answer or the silence.
+    /// Sends a heartbeat; its result goes to [`Gossip::answer`] or [`Gossip::silence`].
     Send {
-        /// To whom.
+        /// Receiver.
         to: Host,
-        /// What.
+        /// Message to send.
         heartbeat: Heartbeat,
     },
-    /// Ask a host to try another; report what it found.
+    /// Asks a host to probe another; its result goes to [`Gossip::probed`].
     Probe {
-        /// Whom to ask.
+        /// Host that sends the probe.
         via: Host,
-        /// Whom it is to try.
+        /// Host that is probed.
         target: Host,
     },
-    /// Fetch what a host holds; report it as held, or that the fetch failed.
+    /// Fetches data from a host; its result goes to [`Gossip::set_version`] or
+    /// [`Gossip::fetch_failed`].
     Fetch {
-        /// From whom.
+        /// Host to fetch from.
         from: Host,
-        /// What.
+        /// Data to fetch.
         topic: Topic,
-        /// The least number of use.
+        /// Lowest version worth fetching.
         number: u64,
     },
-    /// Stop: a later run of this host's process is about.
+    /// Stops this process: a later incarnation of this host is running.
     Superseded,
 }
 
-/// What a host that was asked to try another found.
+/// Result of an indirect probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
-    /// It answered.
+    /// The target answered.
     Reached,
-    /// It did not answer, or the host that was asked did not.
+    /// The target did not answer, or the probing host did not.
     Silent,
 }
 
-/// The protocol of one host.
+/// State of the gossip protocol on one host.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     settings: Settings,
@@ -127,7 +128,7 @@
 }
 
 impl Gossip {
-    /// A host that has just started; `seed` differs from host to host.
+    /// State of a host that has just started; `seed` differs from host to host.
     pub fn new(
         now: Moment,
         settings: Settings,
@@ -166,37 +167,37 @@
         }
     }
 
-    /// The other hosts.
+    /// Table of the other hosts.
     pub fn hosts(&self) -> &Hosts {
         &self.hosts
     }
 
-    /// The backend servers.
+    /// Table of the backend servers.
     pub fn servers(&self) -> &Servers {
         &self.servers
     }
 
-    /// Number of what is held in full; it never falls.
+    /// Highest version that this host has complete; never falls.
     pub fn version(&self, topic: Topic) -> u64 {
         self.versions.get(&topic).copied().unwrap_or_default()
     }
 
-    /// How new this host's word on itself is.
+    /// Version of this host's own status.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Pieces of news that wait for a place in a heartbeat.
+    /// Number of updates waiting for a place in a heartbeat.
     pub fn pending_updates(&self) -> usize {
         self.queue.len()
     }
 
-    /// Time until the next tick.
+    /// Time between ticks.
     pub fn pace(&self) -> Duration {
         self.settings.pace(self.hosts.present().count() + 1)
     }
 
-    /// Takes in the platform's list.
+    /// Takes in the platform's list and pushes new leaving marks of servers.
     pub fn apply_list(&mut self, now: Moment, list: &host::List) -> Vec<Action> {
         let joined = self.hosts.apply_list(now, &list.hosts, &self.me.id);
         let observations = self.servers.apply_list(now, &list.servers, &self.me.id);
@@ -206,7 +207,7 @@
         if urgent { self.push(now) } else { Vec::new() }
     }
 
-    /// Adds hosts and backend servers that a peer named.
+    /// Adds the hosts and backend servers that a peer listed.
     pub fn introduce_all(&mut self, now: Moment, list: &host::List) {
         let others = list.hosts.iter().filter(|entry| entry.host.id != self.me.id);
         for entry in others {
@@ -217,8 +218,8 @@
         }
     }
 
-    /// The picture in the form of the platform's list: hosts and backend servers that are not gone,
-    /// this host among them.
+    /// Hosts and backend servers that are not gone, this host included, in the form of the
+    /// platform's list.
     pub fn to_list(&self, now: Moment) -> host::List {
         let state = |standing| match standing {
             Standing::Live | Standing::Suspected => Some(Listed::Live),
@@ -238,7 +239,7 @@
         host::List { hosts: others.chain([me]).collect(), servers: servers.collect() }
     }
 
-    /// Notes that this host now holds this in full; lower numbers are ignored.
+    /// Records that this host has a version complete, and pushes it; lower versions are ignored.
     pub fn set_version(&mut self, now: Moment, topic: Topic, number: u64) -> Vec<Action> {
         if number <= self.version(topic) {
             return Vec::new();
@@ -250,7 +251,7 @@
         self.push(now)
     }
 
-    /// Notes that a fetch failed; asks another host if one holds more.
+    /// Records that a fetch failed; fetches from another host if one has a higher version.
     pub fn fetch_failed(&mut self, now: Moment, topic: Topic) -> Vec<Action> {
         self.fetching.remove(&topic);
         let ahead: Vec<(&Host, u64)> = self
@@ -268,17 +269,17 @@
         self.fetch(now, topic, from, number).into_iter().collect()
     }
 
-    /// Notes that the platform's object API answered this host.
+    /// Records that the platform's object API answered this host.
     pub fn platform_answered(&mut self, now: Moment) {
         self.platform_proof = Some(now);
     }
 
-    /// Age of the newest proof, seen by any host, that the platform answers.
+    /// Age of the newest proof, obtained by any host, that the platform answers.
     pub fn platform_age(&self, now: Moment) -> Duration {
         now.saturating_sub(self.platform_proof.unwrap_or(self.started))
     }
 
-    /// Part of this host in watching the platform, as of the last tick.
+    /// Role of this host in watching the platform, as of the last tick.
     pub fn watch(&self) -> watch::Role {
         if self.leaving || self.superseded {
             return watch::Role::Standby { after: Duration::MAX };
@@ -286,12 +287,12 @@
         self.rank.role(&self.me.id)
     }
 
-    /// Whether this host is to watch the platform now.
+    /// Returns whether this host is to watch the platform now.
     pub fn is_watching(&self, now: Moment) -> bool {
         self.watch().is_active(self.platform_age(now))
     }
 
-    /// Notes that this host is leaving, and tells the others.
+    /// Marks this host as leaving and pushes that.
     pub fn leave(&mut self, now: Moment) -> Vec<Action> {
         self.leaving = true;
         let status = self.status();
@@ -299,12 +300,12 @@
         self.push(now)
     }
 
-    /// Sets this host's own requests in flight.
+    /// Sets the requests that this host has in flight.
     pub fn set_in_flight(&mut self, own: Vec<InFlight>) {
         self.own_in_flight = own;
     }
 
-    /// Requests that the other hosts have in flight on a server, as far as they told.
+    /// Requests that other hosts have in flight on a server, as far as their digests say.
     pub fn in_flight_elsewhere(&self, now: Moment, server: &str) -> u32 {
         self.peers_in_flight
             .values()
@@ -314,7 +315,7 @@
             .sum()
     }
 
-    /// Takes in a load report of a backend server's own.
+    /// Records a backend server's load report.
     pub fn server_reported(
         &mut self,
         now: Moment,
@@ -326,12 +327,12 @@
         self.gossip(now, observation.map(Update::Server))
     }
 
-    /// Notes that a backend server answered.
+    /// Records that a backend server answered.
     pub fn server_answered(&mut self, now: Moment, id: &str) {
         self.servers.record_answer(now, id);
     }
 
-    /// Notes that a backend server could not be reached, or cut a connection.
+    /// Records that a backend server could not be reached or broke a connection.
     pub fn server_failed(&mut self, now: Moment, id: &str) -> Vec<Action> {
         let observation = self.servers.record_failure(now, id, &self.me.id);
         self.gossip(now, observation.map(Update::Server))
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, answers and silences.
+//! Exchange of heartbeats: sending, receiving and missing answers.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,17 @@
 };
 use crate::member::{Epoch, Health, Standing, heartbeat::InFlight, hosts::Member, watch};
 
-/// Of this many beats, one tries a host that is suspected or was given up.
+/// Of this many heartbeats, one goes to a host that is suspected or gone.
 const BEATS_PER_RETRY: u64 = 4;
 
-/// Room kept for the clock's stamp, which is set when a heartbeat is sent.
+/// Bytes reserved for the clock's stamp, which is set when the heartbeat is sent.
 const STAMP_BYTES: usize = "\"stamp\":,".len() + 20;
 
-/// Beats without an answer after which others are asked to try.
+/// Unanswered heartbeats after which other hosts are asked to probe the peer.
 const BEATS_BEFORE_PROBE: u32 = 3;
 
 impl Gossip {
-    /// Does what is due once in each pace.
+    /// Expires members and returns the heartbeats that are due; called once per pace.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         if self.superseded {
             return vec![Action::Superseded];
@@ -45,7 +45,7 @@
         targets.filter_map(|id| self.send(now, &id)).collect()
     }
 
-    /// A heartbeat for a host of which only the address is known.
+    /// Heartbeat for a host of which only the address is known.
     pub fn hello(&mut self, now: Moment) -> Heartbeat {
         let mut heartbeat = self.heartbeat(now, "");
         heartbeat.from.host = Some(Box::new(self.me.clone()));
@@ -53,7 +53,7 @@
         heartbeat
     }
 
-    /// Takes in a heartbeat; gives the answer to it.
+    /// Processes a heartbeat and returns the answer to it.
     pub fn receive(&mut self, now: Moment, heartbeat: &Heartbeat) -> (Heartbeat, Vec<Action>) {
         let actions = self.absorb(now, heartbeat);
         let mut answer = self.heartbeat(now, &heartbeat.from.id);
@@ -64,7 +64,7 @@
         (answer, actions)
     }
 
-    /// Takes in the answer to a heartbeat.
+    /// Processes the answer to a heartbeat.
     pub fn answer(&mut self, now: Moment, answer: &Heartbeat) -> Vec<Action> {
         if answer.introduce {
             self.introduce_to.insert(answer.from.id.clone());
@@ -72,7 +72,7 @@
         self.absorb(now, answer)
     }
 
-    /// Notes that a heartbeat got no answer.
+    /// Records that a heartbeat got no answer.
     pub fn silence(&mut self, now: Moment, id: &str) -> Vec<Action> {
         let Some(member) = self.hosts.get(id) else { return Vec::new() };
         if member.health != Health::Live {
@@ -89,7 +89,7 @@
         self.probe(now, &target)
     }
 
-    /// Takes in what a host that was asked to try another found.
+    /// Records the result of an indirect probe; the target is suspected when all probes failed.
     pub fn probed(&mut self, now: Moment, target: &str, probe: Probe) -> Vec<Action> {
         let Some(outstanding) = self.probing.get_mut(target) else { return Vec::new() };
         *outstanding = outstanding.saturating_sub(1);
@@ -103,7 +103,7 @@
         Vec::new()
     }
 
-    /// Sends urgent news on to a few peers, unless that was done too often of late.
+    /// Sends urgent updates to a few peers, unless the push rate is exhausted.
     pub(super) fn push(&mut self, now: Moment) -> Vec<Action> {
         self.refill(now);
         if self.push_tokens == 0 {
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Answers a word on this host itself: raises the epoch above a suspicion.
+    /// Checks a status about this host itself: raises the epoch above a suspicion.
     fn refute(&mut self, status: &Status) -> Vec<Action> {
         if self.epoch.run < status.epoch.run {
             self.superseded = true;
--- a/crates/policy/src/member/gossip/pick.rs
+++ b/crates/policy/src/member/gossip/pick.rs
@@ -1,7 +1,7 @@
-//! Whom a host speaks to.
+//! Choice of the peers that get heartbeats.
 //!
-//! In a large fleet a host beats a few peers in turn, so that connections are kept and used, and
-//! picks others from time to time. Each host draws its own from its seed.
+//! In a large fleet a host sends heartbeats to a few peers in turn, so that connections stay open
+//! and in use, and draws others from time to time. Each host draws its own set from its seed.
 
 use types::{
     availability,
@@ -11,10 +11,10 @@
 
 use crate::member::{Health, Settings, hosts::Hosts, rendezvous};
 
-/// Peers that a host beats in turn.
+/// Peers that get heartbeats in turn.
 ///
-/// Half of them stand in its own availability zone, as far as there are as many: within a zone
-/// that is cut off, news must spread as fast as elsewhere.
+/// Half of them are in the host's own availability zone, if it has enough hosts: within a zone that
+/// is cut off, updates must spread as fast as elsewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct View {
     same_zone: Vec<host::Id>,
@@ -25,7 +25,7 @@
 }
 
 impl View {
-    /// Draws the peers again when the table changed or their time is over.
+    /// Draws the peers again when the table of hosts has changed or the rotation time has passed.
     pub(super) fn renew(
         &mut self,
         now: Moment,
@@ -59,14 +59,14 @@
         self.turn = turn;
     }
 
-    /// The next peer in turn.
+    /// Next peer in turn.
     pub(super) fn next(&mut self) -> Option<host::Id> {
         let place = self.next.checked_rem(self.same_zone.len() + self.other_zones.len())?;
         self.next = place + 1;
         self.same_zone.iter().chain(&self.other_zones).nth(place).cloned()
     }
 
-    /// Up to `count` different peers, drawn anew, half of them near.
+    /// Draws up to `count` different peers, half of them in the host's own zone.
     pub(super) fn draw(&self, seed: u64, counter: u64, count: usize) -> Vec<host::Id> {
         let same_zone_count = count.div_ceil(2).max(count.saturating_sub(self.other_zones.len()));
         let first = counter.wrapping_mul(2 * count as u64);
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// A uniform index below `len`, which is not zero.
+/// Uniform index below `len`, which must not be zero.
 pub(super) fn index(seed: u64, counter: u64, len: usize) -> usize {
     (rendezvous::draw(seed, counter) % len as u64) as usize
 }
--- a/crates/policy/src/member/heartbeat.rs
+++ b/crates/policy/src/member/heartbeat.rs
@@ -1,84 +1,84 @@
-//! What hosts tell each other in a heartbeat.
+//! Heartbeat messages.
 //!
-//! The same shape goes out and comes back. It is bounded in size, whatever the size of the fleet:
-//! news that does not fit waits for a later beat.
+//! A heartbeat and its answer have the same form. Their size is bounded whatever the size of the
+//! fleet: updates that do not fit wait for a later heartbeat.
 
 use serde::{Deserialize, Serialize};
 use types::{backend, config, host};
 
 use super::{Epoch, Health, is_zero, servers::Observation};
 
-/// One heartbeat, or the answer to one.
+/// Heartbeat, or the answer to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's word on itself.
+    /// Status of the sender.
     pub from: Status,
-    /// The sender's hybrid logical clock, for the order of events; set by who sends it on, and no
-    /// decision goes by it.
+    /// Hybrid logical clock of the sender, for ordering events; set by the caller that sends the
+    /// heartbeat. No decision uses it.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub stamp: u64,
-    /// Number of the configuration that the sender holds in full.
+    /// Number of the newest configuration that the sender has complete.
     pub number: config::Number,
-    /// Version of the quarantine that the sender holds in full.
+    /// Version of the newest quarantine that the sender has complete.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub quarantine: u64,
-    /// Age of the newest proof, seen by anyone, that the platform answers; milliseconds.
+    /// Age of the newest proof, obtained by any host, that the platform answers; in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform_ms: Option<u64>,
-    /// What the sender holds of the receiver, when it is not live.
+    /// Status that the sender has for the receiver, if it is not live.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accused: Option<Status>,
-    /// Whether the receiver should say who and where it is.
+    /// Whether the receiver is asked for its name and addresses.
     #[serde(default, skip_serializing_if = "is_false")]
     pub introduce: bool,
-    /// News that spreads.
+    /// Gossiped updates.
     #[serde(rename = "news", default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<Update>,
-    /// The sender's own requests in flight; servers that are left out have none, or did not fit.
+    /// Requests that the sender has in flight; servers left out have none, or did not fit.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub in_flight: Vec<InFlight>,
 }
 
-/// A word on a host.
+/// Gossiped status of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host.
+    /// Host that the status is about.
     pub id: host::Id,
-    /// How new it is.
+    /// Version of the status.
     #[serde(flatten)]
     pub epoch: Epoch,
-    /// Its health.
+    /// Health of the host.
     #[serde(default, skip_serializing_if = "is_live")]
     pub health: Health,
-    /// Whether it is leaving.
+    /// Whether the host is about to stop.
     #[serde(default, skip_serializing_if = "is_false")]
     pub leaving: bool,
-    /// Who and where it is, for those who may not know it.
+    /// Name and addresses of the host, for receivers that may not know it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<Box<host::Host>>,
 }
 
-/// One piece of news.
+/// Gossiped update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Update {
-    /// On a host.
+    /// Status of a host.
     Host(Status),
-    /// On a backend server.
+    /// Observation of a backend server.
     Server(Observation),
 }
 
-/// What is told by number, and fetched by those who lack it.
+/// Data whose version is gossiped and which a host with a lower version fetches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topic {
-    /// The declared configuration.
+    /// Declared configuration.
     Config,
-    /// The requests that are known to crash servers.
+    /// Requests known to crash servers.
     Quarantine,
 }
 
-/// Requests that one host has in flight on a server.
+/// Number of requests that one host has in flight on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlight(pub backend::Id, pub u32);
 
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -1,8 +1,9 @@
-//! The table of hosts: who is live, suspected, leaving or gone.
+//! Table of hosts: which are live, suspected, leaving or gone.
 //!
-//! A word on a host counts by its epoch, then by the worse health, so that every host ends with
-//! the same view. A host that hears itself suspected raises its epoch. Leaving belongs to a run of
-//! the process and is never taken back within it.
+//! Of two statuses of a host, the one with the higher epoch wins, then the one with the worse
+//! health, so that all hosts converge on the same table. A host that receives a suspicion of itself
+//! raises its epoch. Leaving belongs to an incarnation of the process and is never revoked within
+//! it.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,14 +17,14 @@
     heartbeat::{Status, Topic},
 };
 
-/// A host as this one knows it.
+/// Host as this one knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who and where it is.
+    /// Name and addresses.
     pub host: Host,
-    /// How new what is known of it is.
+    /// Version of the known status.
     pub epoch: Epoch,
-    /// Its health.
+    /// Known health.
     pub health: Health,
     versions: BTreeMap<Topic, u64>,
     leaving: bool,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// What the host is taken for.
+    /// Standing by health and by leaving marks, those of the platform's list included.
     pub fn standing(&self) -> Standing {
         let leaving = self.leaving || self.listed == Some(Listed::Leaving);
         match self.health {
@@ -59,17 +60,17 @@
         }
     }
 
-    /// Number of what it said it holds in full.
+    /// Highest version that the host has reported to have complete.
     pub fn version(&self, topic: Topic) -> u64 {
         self.versions.get(&topic).copied().unwrap_or_default()
     }
 
-    /// When it last answered this host, if it ever did.
+    /// Time of the last direct contact with this host, if any.
     pub fn answered(&self) -> Option<Moment> {
         self.answered
     }
 
-    /// What is held of it, for telling others.
+    /// Known status, for gossip.
     pub fn status(&self) -> Status {
         Status {
             id: self.host.id.clone(),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The word that it has yet to refute, if there is one.
+    /// Status of worse health that the host has yet to refute, if any.
     pub fn accusation(&self) -> Option<Status> {
         let refuted = |status: &Status| status.epoch < self.epoch;
         let unrefuted = self.unrefuted.clone().filter(|status| !refuted(status));
@@ -92,18 +93,18 @@
     }
 }
 
-/// What a word changed.
+/// Effect of a status on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// Something that may spread at leisure.
+    /// A change that is gossiped with the next heartbeats.
     Minor,
-    /// Something that others should know at once.
+    /// A change that is pushed to peers at once.
     Urgent,
 }
 
-/// The table of the other hosts.
+/// Table of the other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Hosts {
     members: BTreeMap<host::Id, Member>,
@@ -112,17 +113,17 @@
 }
 
 impl Hosts {
-    /// An empty table.
+    /// Empty table.
     pub fn new() -> Hosts {
         Hosts::default()
     }
 
-    /// Every host known, gone ones too.
+    /// Every known host, gone ones included.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// One host.
+    /// Host with this name.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
@@ -132,19 +133,20 @@
         self.iter().filter(|member| member.health != Health::Gone)
     }
 
-    /// Whether the platform's list was read.
+    /// Returns whether the platform's list has been read.
     pub fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// Rises whenever a host comes, goes or changes its standing.
+    /// Counter that rises whenever a host is added, removed or changes its standing.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Takes in what the platform lists; says which hosts are new since the first list.
+    /// Takes in the platform's list; returns the hosts that are new since the first list.
     ///
-    /// Absence removes nobody who answers, and an empty list is taken for a fault of the platform's.
+    /// Absence removes no host that answers, and an empty list is taken for a fault of the
+    /// platform.
     pub fn apply_list(&mut self, now: Moment, entries: &[host::Entry], me: &str) -> Vec<Status> {
         if entries.is_empty() {
             return Vec::new();
@@ -173,7 +175,7 @@
         (!known && !first).then_some(status)
     }
 
-    /// Adds a host that is not known yet; a known one takes a changed address.
+    /// Adds a host if it is not known, or updates its addresses.
     pub fn introduce(&mut self, now: Moment, host: &Host) -> &mut Member {
         if !self.members.contains_key(&host.id) {
             self.generation += 1;
@@ -186,7 +188,8 @@
         member
     }
 
-    /// Takes the address that a word gives; where the platform lists the host, the list's counts.
+    /// Takes the addresses from a status, unless the platform lists the host: the list has
+    /// precedence.
     fn introduce_by(&mut self, now: Moment, status: &Status) {
         let listed = self.members.get(&status.id).is_some_and(|member| member.listed.is_some());
         if let Some(host) = status.host.as_deref().filter(|_| !listed) {
@@ -194,8 +197,9 @@
         }
     }
 
-    /// The member that a word is on, which is leaving if the word says so, and what it was before;
-    /// none if the word gives no address of an unknown host, or is on an earlier run.
+    /// Returns the member that a status is about, marked as leaving if the status says so, and its
+    /// state before; `None` if the host is unknown and the status has no address, or if the status
+    /// is from an earlier incarnation.
     fn resolve(&mut self, now: Moment, status: &Status) -> Option<(Before, &mut Member)> {
         let unknown = !self.members.contains_key(&status.id);
         self.introduce_by(now, status);
@@ -207,7 +211,7 @@
         Some((before, member))
     }
 
-    /// Takes in a host's word on itself, which it sent to this one.
+    /// Takes in a host's own status, received from that host.
     pub fn record_answer(
         &mut self,
         now: Moment,
@@ -222,7 +226,7 @@
         self.note(&status.id, &before)
     }
 
-    /// Takes in what another host says of a host.
+    /// Takes in a host's status as reported by another host.
     pub fn apply_update(&mut self, now: Moment, status: &Status, fresh: Duration) -> Change {
         let Some((before, member)) = self.resolve(now, status) else { return Change::None };
         if (member.epoch, member.health) < (status.epoch, status.health) {
@@ -238,7 +242,8 @@
         self.note(&status.id, &before)
     }
 
-    /// Notes that neither this host nor any that it asked could reach a host.
+    /// Marks a live host as suspected, after neither this host nor those that it asked could reach
+    /// it.
     pub fn suspect(&mut self, now: Moment, id: &str) -> Option<Status> {
         let member = self.members.get_mut(id)?;
         if member.health != Health::Live {
@@ -249,7 +254,8 @@
         self.members.get(id).map(Member::status)
     }
 
-    /// Gives up hosts suspected for too long, forgets those long gone; says whom it gave up.
+    /// Marks hosts suspected for too long as gone and forgets those long gone; returns the newly
+    /// gone.
     pub fn expire(&mut self, now: Moment, settings: &Settings) -> Vec<Status> {
         let mut given_up = Vec::new();
         for member in self.members.values_mut() {
@@ -282,7 +288,7 @@
     }
 }
 
-/// What was known of a host before a word on it.
+/// State of a host before a status is applied.
 struct Before {
     unknown: bool,
     run: host::Incarnation,
--- a/crates/policy/src/member/queue.rs
+++ b/crates/policy/src/member/queue.rs
@@ -1,8 +1,8 @@
-//! News that waits for a place in a heartbeat.
+//! Updates waiting to be piggybacked on heartbeats.
 //!
-//! Each piece is sent a number of times that grows with the logarithm of the fleet, the least sent
-//! first. Newer news on the same thing takes the place of older. The queue is bounded: what falls
-//! off is mended by the platform's list and by direct contact.
+//! Each update is sent a number of times that grows with the logarithm of the fleet, the least
+//! often sent first. A newer update about the same subject replaces the older one. The queue is
+//! bounded: the platform's list and direct contact make up for dropped updates.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -10,13 +10,13 @@
 
 use super::heartbeat::Update;
 
-/// Sends of each piece for each doubling of the fleet.
+/// Sends of an update for each doubling of the fleet.
 const SENDS_PER_DOUBLING: u32 = 2;
 
-/// Most pieces that wait.
+/// Maximum number of queued updates.
 const CAPACITY: usize = 512;
 
-/// News that waits for a place in a heartbeat.
+/// Updates waiting to be piggybacked on heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     entries: BTreeMap<Key, Entry>,
@@ -38,7 +38,8 @@
 }
 
 impl Queue {
-    /// Puts a piece in, in place of older news on the same thing.
+    /// Adds an update, in place of an older one about the same subject; drops the most often sent
+    /// one if the queue is full.
     pub fn push(&mut self, update: Update) {
         let bytes = serde_json::to_string(&update).map_or(0, |text| text.len()) + 1;
         let entry = Entry { update, bytes, sent: 0, order: self.next };
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Takes pieces of at most `bytes` together, for a fleet of `hosts`.
+    /// Returns the updates for one heartbeat, at most `bytes` together, and drops those sent often
+    /// enough for a fleet of `hosts`.
     pub fn take(&mut self, bytes: usize, hosts: usize) -> Vec<Update> {
         if self.entries.is_empty() {
             return Vec::new();
@@ -71,12 +73,12 @@
         taken
     }
 
-    /// Pieces that wait.
+    /// Number of queued updates.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no update is queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/policy/src/member/rendezvous.rs
+++ b/crates/policy/src/member/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Choices that every host makes alike, or each its own way from a seed.
+//! Rendezvous hashing and seeded draws.
 //!
-//! Rendezvous hashing: each candidate gets a score from the hash of a key and its name, and the
-//! best scores win. When a candidate goes, only its own share moves.
+//! Each candidate gets a score from the hash of a key and its name, and the highest scores win.
+//! Every host computes the same winners; when a candidate leaves, only its own share moves. Draws
+//! from a seed differ from host to host.
 
-/// Score of a candidate under a key; uniform, the same on every host.
+/// Score of a candidate under a key: uniform, and the same on every host.
 pub fn score(key: &[u8], candidate: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u64).to_le_bytes());
@@ -12,7 +13,7 @@
     first_word(&hasher.finalize())
 }
 
-/// Whether a candidate is among the first so many under a key.
+/// Returns whether `own` is among the `most` highest-scoring candidates under a key.
 pub fn is_among<'a, S: AsRef<str> + 'a>(
     key: &[u8],
     own: &str,
@@ -24,7 +25,7 @@
     before.take(most).count() < most
 }
 
-/// A uniform number from a seed and a counter.
+/// Uniform number from a seed and a counter.
 pub fn draw(seed: u64, counter: u64) -> u64 {
     let mut input = [0; 16];
     input[..8].copy_from_slice(&seed.to_le_bytes());
@@ -32,7 +33,7 @@
     first_word(&blake3::hash(&input))
 }
 
-/// A uniform fraction in `[0, 1)` from a seed and a counter.
+/// Uniform fraction in `[0, 1)` from a seed and a counter.
 pub fn fraction(seed: u64, counter: u64) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     (draw(seed, counter) >> (u64::BITS - MANTISSA_BITS)) as f64 / (1_u64 << MANTISSA_BITS) as f64
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -1,10 +1,10 @@
-//! The table of backend servers: which may get new work.
+//! Table of backend servers: which may get new work.
 //!
-//! A server's own word (its load reports) and what this host's requests met come first; what other
-//! hosts saw counts only while this host has no fresh answer of its own, so that a cut between two
-//! zones takes a server away from those behind the cut and from nobody else. The platform's list
-//! introduces servers and marks leaving ones; absence from it takes away only a server that is
-//! silent as well.
+//! A server's own load reports and the results of this host's requests have precedence.
+//! Observations of other hosts count only while this host has no fresh answer of its own, so that a
+//! partition between two zones removes a server for the hosts behind the partition and for no
+//! others. The platform's list introduces servers and marks leaving ones; absence from the list
+//! removes only a server that does not answer either.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,52 +17,53 @@
 
 use super::Standing;
 
-/// How long a fresh answer outweighs what others tell.
+/// Time for which an answer outweighs other hosts' observations.
 const ANSWER_VALIDITY: Duration = Duration::from_secs(2);
 
-/// How long a failure holds when nothing confirms or refutes it.
+/// Time for which a failure counts when nothing confirms or refutes it.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence after which an unlisted server is gone.
+/// Time without an answer after which an unlisted server is gone.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long the list must call a server live before a leaving mark of the list is lifted.
+/// Time for which the list must show a server as live before its leaving mark is lifted.
 const LISTED_MARK_VALIDITY: Duration = Duration::from_secs(10);
 
-/// How long a leaving mark that others read off the list holds without a reading of our own.
+/// Time for which another host's reading of a leaving mark counts without a reading of this host's
+/// own.
 const REPORTED_MARK_VALIDITY: Duration = Duration::from_secs(30);
 
-/// What a host tells others of a backend server.
+/// Gossiped observation of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// The server.
+    /// Server that was observed.
     pub server: backend::Id,
-    /// The run of its process, zero if not known.
+    /// Incarnation of the server's process; zero if unknown.
     pub run: backend::Incarnation,
-    /// The host that saw it.
+    /// Host that made the observation.
     pub by: host::Id,
-    /// What it saw.
+    /// What was observed.
     pub seen: Seen,
 }
 
-/// What a host saw of a backend server.
+/// Evidence against a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Seen {
-    /// The server says that it is leaving.
+    /// The server reports that it is leaving.
     Leaving,
-    /// The platform lists it as leaving.
+    /// The platform lists the server as leaving.
     ListedLeaving,
-    /// It does not answer.
+    /// The server does not answer.
     Silent,
 }
 
-/// A backend server as this host knows it.
+/// Backend server as this host knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who and where it is.
+    /// Name, group, zone and address.
     pub server: Server,
-    /// The run of its process, zero if not known.
+    /// Incarnation of the server's process; zero if unknown.
     pub run: backend::Incarnation,
     leaving: bool,
     listed: Option<Listed>,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// What the server is taken for.
+    /// Standing by all evidence that counts at `now`.
     pub fn standing(&self, now: Moment) -> Standing {
         let last_answer = self.answered.unwrap_or(self.known);
         if self.listed.is_none() && last_answer + SILENCE_TIMEOUT <= now {
@@ -117,36 +118,36 @@
     }
 }
 
-/// The table of backend servers.
+/// Table of backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Servers {
     members: BTreeMap<backend::Id, Member>,
 }
 
 impl Servers {
-    /// An empty table.
+    /// Empty table.
     pub fn new() -> Servers {
         Servers::default()
     }
 
-    /// Every server known.
+    /// Every known server.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// One server.
+    /// Server with this name.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// What a server is taken for; unknown ones are gone.
+    /// Standing of a server; an unknown one is gone.
     pub fn standing(&self, now: Moment, id: &str) -> Standing {
         self.members.get(id).map_or(Standing::Gone, |member| member.standing(now))
     }
 
-    /// Takes in what the platform lists; gives the marks that others should hear.
+    /// Takes in the platform's list; returns the observations to gossip.
     ///
-    /// An empty list is taken for a fault of the platform's and changes nothing.
+    /// An empty list is taken for a fault of the platform and changes nothing.
     pub fn apply_list(
         &mut self,
         now: Moment,
@@ -185,12 +186,13 @@
         fresh_mark.then(|| observation(member, me, Seen::ListedLeaving))
     }
 
-    /// Adds a server that another host named, until the list or its own answers speak for it.
+    /// Adds a server that another host listed, if it is not known.
     pub fn introduce(&mut self, now: Moment, server: &Server) {
         self.members.entry(server.id.clone()).or_insert_with(|| Member::new(server.clone(), now));
     }
 
-    /// Takes in a load report of the server's own; gives a mark that others should hear.
+    /// Records a server's load report; returns an observation to gossip if the server newly reports
+    /// that it is leaving. Reports of earlier incarnations are ignored.
     pub fn record_report(
         &mut self,
         now: Moment,
@@ -213,14 +215,15 @@
         newly.then(|| observation(member, me, Seen::Leaving))
     }
 
-    /// Notes that the server answered a request.
+    /// Records that the server answered a request.
     pub fn record_answer(&mut self, now: Moment, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.answer(now);
         }
     }
 
-    /// Notes that the server could not be reached, or cut a connection; gives a mark for others.
+    /// Records that the server could not be reached or broke a connection; returns an observation
+    /// to gossip if no recent failure is recorded.
     pub fn record_failure(&mut self, now: Moment, id: &str, me: &host::Id) -> Option<Observation> {
         let member = self.members.get_mut(id)?;
         let newly = member.failed.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
@@ -228,7 +231,7 @@
         newly.then(|| observation(member, me, Seen::Silent))
     }
 
-    /// Takes in what another host saw; says whether it was news.
+    /// Takes in another host's observation; returns whether it changed anything.
     pub fn apply_update(&mut self, now: Moment, observation: &Observation) -> bool {
         let Some(member) = self.members.get_mut(&observation.server) else { return false };
         match observation.seen {
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Forgets servers that are gone, and words of others that no longer count.
+    /// Forgets servers that are gone, and expired observations of other hosts.
     pub fn expire(&mut self, now: Moment) {
         self.members.retain(|_, member| member.standing(now) != Standing::Gone);
         for member in self.members.values_mut() {
--- a/crates/policy/src/member/watch.rs
+++ b/crates/policy/src/member/watch.rs
@@ -1,13 +1,15 @@
-//! Which hosts watch the platform.
+//! Choice of the hosts that watch the platform.
 //!
-//! Each call to the platform counts, a waiting watch as one, and its rates grow more slowly than
-//! the fleet. So a few hosts watch and the rest hear from peers. The choice needs no agreement:
-//! every host ranks the live hosts alike, and the first few have the duty: one in each availability zone, so that a zone that is cut off from the others still
-//! hears the platform by itself, and three at the least. Two views that differ for a moment cost a spare watch or a short delay, no more.
+//! Each call to the platform counts against its rate limit, a pending watch as one, and these
+//! limits grow more slowly than the fleet. So only a few hosts watch, and the others get changes
+//! from peers. The choice needs no agreement: every host ranks the live hosts in the same way, and
+//! the first few watch: one in each availability zone, so that a zone cut off from the others still
+//! gets changes from the platform, and at least three. Two hosts whose tables differ for a moment
+//! cost a redundant watch or a short delay, no more.
 //!
-//! A watcher may be live and yet unable to reach the platform. So heartbeats carry the age of the
-//! newest proof that the platform answers. As that age doubles, one more host tries; in a long
-//! outage of the platform only a handful do, each with its own back-off.
+//! A watcher may be live and yet unable to reach the platform. Heartbeats therefore carry the age
+//! of the newest proof that the platform answers. Each time that age doubles, one more host tries;
+//! in a long outage of the platform only a handful do, each with its own backoff.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,31 +17,31 @@
 
 use super::rendezvous;
 
-/// Least number of hosts that watch at all times.
+/// Minimum number of hosts that watch at all times.
 pub const WATCHERS: usize = 3;
 
-/// Age of the newest proof at which the first further host tries.
+/// Age of the newest proof that the platform answers at which the first standby starts to watch.
 ///
-/// More than [`TIMEOUT`] and the time that a proof takes to reach the last host.
+/// Longer than [`TIMEOUT`] plus the time in which a proof reaches the last host.
 pub const TAKEOVER_AGE: Duration = Duration::from_secs(6);
 
-/// Longest wait of one watch; its end proves that the platform answers.
+/// Timeout of one watch call; even a call that ends by timeout proves that the platform answers.
 pub const TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Part of a host in watching.
+/// Role of a host in watching the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Watches.
+    /// Watches at all times.
     Watcher,
-    /// Watches once the newest proof is as old as this.
+    /// Watches once the newest proof that the platform answers is as old as `after`.
     Standby {
-        /// That age.
+        /// Age of the proof at which the host starts to watch.
         after: Duration,
     },
 }
 
 impl Role {
-    /// Whether to watch now, given the age of the newest proof.
+    /// Returns whether a host in this role watches when the newest proof has this age.
     pub fn is_active(self, age: Duration) -> bool {
         match self {
             Role::Watcher => true,
@@ -48,10 +50,10 @@
     }
 }
 
-/// Reads of the platform's list that a whole fleet makes in a second.
+/// Reads of the platform's list per second by all hosts together.
 const LIST_READS_PER_SECOND: u32 = 20;
 
-/// Who watches, and who is ready to take over.
+/// Watchers and standbys in the order in which they watch.
 #[derive(Clone, Debug, Default)]
 pub struct Rank {
     order: Vec<host::Id>,
@@ -59,7 +61,7 @@
 }
 
 impl Rank {
-    /// Ranks the hosts that are live: the first of each zone, the second of each, and so on.
+    /// Ranks the live hosts: first one of each zone, then a second one of each, and so on.
     pub fn new<'a>(hosts: impl Iterator<Item = (&'a host::Id, &'a availability::Id)>) -> Rank {
         let mut scored: Vec<_> =
             hosts.map(|(id, zone)| (rendezvous::score(b"watch", id), id, zone)).collect();
@@ -78,7 +80,7 @@
         Rank { order, watchers: zones.len().max(WATCHERS) }
     }
 
-    /// Part of a host.
+    /// Role of a host; one that is not ranked is the last standby.
     pub fn role(&self, id: &host::Id) -> Role {
         let place = self.order.iter().position(|other| other == id);
         match place.unwrap_or(usize::MAX).checked_sub(self.watchers) {
@@ -90,8 +92,8 @@
         }
     }
 
-    /// The watcher that a host keeps an eye on, if it is a deputy: each watcher has one, who notices
-    /// its loss within a few beats and is the next in rank.
+    /// Watcher that `deputy` monitors, if any: each watcher has one deputy, the next in rank, which
+    /// notices its loss within a few heartbeats.
     pub fn watched_by(&self, deputy: &host::Id) -> Option<&host::Id> {
         let place = self.order.iter().position(|other| other == deputy)?;
         let watcher = place.checked_sub(self.watchers)?;
@@ -99,8 +101,10 @@
     }
 }
 
-/// Time between a host's reads of the platform's list: `least` in a small fleet, longer in a large
-/// one, so that the reads of all hosts together stay within a rate. Peers tell of changes sooner.
+/// Time between a host's reads of the platform's list.
+///
+/// It is `least` in a small fleet and longer in a large one, so that the reads of all hosts
+/// together stay within a rate. Peers report changes sooner.
 pub fn list_interval(least: Duration, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     least.max(Duration::from_secs(1) * hosts / LIST_READS_PER_SECOND)
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -1,4 +1,4 @@
-//! Hosts that act together under loss, cuts, pauses and a platform that lies.
+//! Simulated fleets under message loss, partitions, paused processes and a faulty platform list.
 
 mod fleet;
 
@@ -28,7 +28,11 @@
 fn assert_change_in_force(fleet: &mut Fleet) {
     let end = fleet.now + IN_FORCE;
     fleet.write();
-    assert!(fleet.run_until(end, Fleet::is_in_force), "number {} is not everywhere", fleet.number);
+    assert!(
+        fleet.run_until(end, Fleet::is_in_force),
+        "number {} is not in force on every host",
+        fleet.number
+    );
 }
 
 fn assert_whole_within(fleet: &mut Fleet, span: Duration) {
@@ -37,7 +41,7 @@
     while fleet.now < end && !fleet.is_whole() {
         fleet.run_for(step);
     }
-    assert!(fleet.is_whole(), "a host that answers is not taken for live");
+    assert!(fleet.is_whole(), "a host that answers is not live on every host");
 }
 
 #[rstest]
@@ -73,7 +77,7 @@
     for _ in 0..60 {
         fleet.run_for(Duration::from_secs(1));
         let gone = (0..8).any(|n| fleet.standings(n).contains(&Standing::Gone));
-        assert!(!gone, "a host that answers was given up");
+        assert!(!gone, "a host that answers is gone");
     }
     assert_change_in_force(&mut fleet);
 }
@@ -100,7 +104,7 @@
     let end = fleet.now + IN_FORCE;
     assert!(fleet.run_until(end, Fleet::is_in_force));
     assert_whole_within(&mut fleet, Duration::from_secs(10));
-    assert!(0 < fleet.nodes[3].gossip.epoch().refuted, "it came back without a refutation");
+    assert!(0 < fleet.nodes[3].gossip.epoch().refuted, "the resumed host refuted no suspicion");
 }
 
 #[test]
@@ -147,7 +151,7 @@
     assert!(fleet.standings(5).iter().all(|standing| *standing == Standing::Leaving));
     fleet.run_for(Duration::from_secs(30));
     assert!(fleet.standings(5).iter().all(|standing| *standing == Standing::Leaving));
-    assert!(!fleet.watchers().contains(&5), "a leaving host has a duty");
+    assert!(!fleet.watchers().contains(&5), "a leaving host watches the platform");
 }
 
 #[test]
@@ -262,8 +266,8 @@
     let mut gossip = Gossip::new(Duration::ZERO, Settings::default(), 1, host(0), 1);
     let mut peer = Gossip::new(Duration::ZERO, Settings::default(), 2, host(1), 5);
     gossip.receive(now, &peer.hello(now));
-    let mut teller = Gossip::new(Duration::ZERO, Settings::default(), 3, host(2), 1);
-    let mut lie = teller.hello(now);
+    let mut liar = Gossip::new(Duration::ZERO, Settings::default(), 3, host(2), 1);
+    let mut lie = liar.hello(now);
     let mut status = peer.hello(now).from;
     status.health = Health::Gone;
     status.epoch.run = 4;
@@ -271,5 +275,5 @@
     let later = now + Duration::from_secs(30);
     gossip.receive(later, &lie);
     let standing = gossip.hosts().get(&host(1).id).map(|member| member.standing());
-    assert_eq!(standing, Some(Standing::Live), "a word on an older run counted");
+    assert_eq!(standing, Some(Standing::Live), "a status of an older incarnation counted");
 }
--- a/crates/policy/tests/member_servers.rs
+++ b/crates/policy/tests/member_servers.rs
@@ -1,4 +1,4 @@
-//! Which backend servers may get new work, from evidence that lags and contradicts itself.
+//! Standing of backend servers under evidence that lags or is contradictory.
 
 use std::time::Duration;
 
@@ -61,7 +61,11 @@
     servers.record_report(at(2), SERVER, 4, false, &me());
     assert_eq!(servers.standing(at(2), SERVER), Standing::Live);
     servers.apply_update(at(3), &observation(3, "stage-1", Seen::Leaving));
-    assert_eq!(servers.standing(at(3), SERVER), Standing::Live, "an old run's word counted");
+    assert_eq!(
+        servers.standing(at(3), SERVER),
+        Standing::Live,
+        "an old incarnation's report counted"
+    );
 }
 
 #[test]
@@ -106,14 +110,14 @@
     servers.expire(at(60));
     assert_eq!(servers.standing(at(60), SERVER), Standing::Gone);
     servers.apply_list(at(61), &[entry(SERVER, Listed::Live)], &me());
-    assert_eq!(servers.standing(at(61), SERVER), Standing::Live, "it was dropped for good");
+    assert_eq!(servers.standing(at(61), SERVER), Standing::Live, "the server does not return");
 }
 
 #[test]
 fn a_failure_suspects_a_server_until_it_answers() {
     let mut servers = known();
     assert!(servers.record_failure(at(1), SERVER, &me()).is_some());
-    assert!(servers.record_failure(at(2), SERVER, &me()).is_none(), "told twice in a row");
+    assert!(servers.record_failure(at(2), SERVER, &me()).is_none(), "gossiped twice in a row");
     assert_eq!(servers.standing(at(2), SERVER), Standing::Suspected);
     servers.record_answer(at(3), SERVER);
     assert_eq!(servers.standing(at(3), SERVER), Standing::Live);
@@ -126,7 +130,7 @@
     servers.apply_update(at(10), &observation(0, "stage-1", Seen::Silent));
     assert_eq!(servers.standing(at(11), SERVER), Standing::Live);
     assert_eq!(servers.standing(at(13), SERVER), Standing::Suspected, "no answer since");
-    assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "the word has expired");
+    assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "the observation has expired");
 }
 
 #[test]
@@ -135,7 +139,7 @@
     assert!(servers.apply_update(at(1), &observation(0, "stage-1", Seen::ListedLeaving)));
     assert!(
         !servers.apply_update(at(2), &observation(0, "stage-1", Seen::ListedLeaving)),
-        "told on twice"
+        "gossiped twice"
     );
     assert_eq!(servers.standing(at(20), SERVER), Standing::Leaving);
     assert_eq!(servers.standing(at(40), SERVER), Standing::Live);
