--- a/crates/policy/examples/config_size.rs
+++ b/crates/policy/examples/config_size.rs
@@ -1,7 +1,8 @@
-//! A day of patches at the size of the target: 950 models, 2,400 changes.
+//! Cost of a day of patches at target size: 950 models, 2,400 changes.
 //!
-//! Prints one JSON object: bytes of root and parts, writes for each change, time of a decision.
-//! Run with `cargo run --release -p cyclamenstage-policy --example config_size [models] [changes]`.
+//! Prints one JSON object: bytes of the root and the parts, writes for each change, time of a
+//! decision. Run with `cargo run --release -p cyclamenstage-policy --example config_size [models]
+//! [changes]`.
 
 #![allow(clippy::print_stdout)]
 
@@ -20,11 +21,11 @@
 const SEED: u64 = 1;
 const GROUPS: usize = 20;
 const SERVERS: usize = 770;
-/// Eight accelerators of 80 GiB.
+/// Memory of an engine with eight accelerators of 80 GiB, in MiB.
 const CAPACITY: u64 = 8 * 80 * 1024;
 const ADAPTERS: usize = 3;
 
-/// What the day cost.
+/// Measurements of the day.
 #[derive(Default)]
 struct Day {
     root_bytes: Vec<u64>,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Takes a draft as a host does, and counts what it cost.
+/// Applies a draft as a host does, and records its cost.
 fn hold(holder: &mut Holder, draft: Draft, day: &mut Day) -> Current {
     let root_bytes = json!(draft.root).to_string().len() as u64;
     day.root_bytes.push(root_bytes);
@@ -166,7 +167,7 @@
     time.as_micros() as u64
 }
 
-/// Median, 99th percentile and largest.
+/// Median, 99th percentile and maximum.
 fn spread(mut values: Vec<u64>) -> Value {
     values.sort_unstable();
     let at = |share: f64| values[((values.len() - 1) as f64 * share) as usize];
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,15 +1,16 @@
 //! Numbered configurations: patches, conflicts, and the number in force.
 //!
-//! The configuration lives in the object API as a small root and the parts that it names. A patch
-//! names the number it is against and becomes the next number by one conditional write of the
-//! root, so of two patches that race one wins and the other is told. Nothing here waits or writes:
-//! [`decide`] turns a patch into a draft of the next root with the parts to create before it, and
-//! [`holder::Holder`] turns roots and parts that a host hears of into the number in force there.
+//! The configuration is stored in the object API as a small root object and the parts that the root
+//! names. A patch names the number on which it is based and becomes the next number by one
+//! conditional write of the root: of two concurrent patches one succeeds, and the other is refused
+//! as stale. Nothing in this module waits or writes: [`decide`] turns a patch into a draft of the
+//! next root and the parts to create before it, and [`holder::Holder`] turns the roots and parts
+//! that a host receives into the number in force there.
 //!
-//! A patch is a JSON merge patch (RFC 7396). Operations on paths (RFC 6902) were the other choice;
-//! they name positions in arrays and can test values, but everything declared here is an object
+//! A patch is a JSON merge patch (RFC 7396). The alternative was operations on paths (RFC 6902),
+//! which name positions in arrays and can test values. But everything declared here is an object
 //! keyed by name without nulls, the number already tests the base, and a merge patch has the form
-//! of the files themselves, so that operators read a patch as they read the configuration.
+//! of the declaration files, so that operators read a patch as they read the configuration.
 
 pub mod check;
 pub mod decide;
@@ -32,25 +33,25 @@
 /// Key of the root object.
 pub const ROOT_KEY: &str = "config/root";
 
-/// Start of the keys of parts.
+/// Prefix of the keys of parts.
 pub const PART_PREFIX: &str = "config/part/";
 
-/// Name of a patch, unique for all time; a retry keeps it.
+/// Name of a patch, unique for all time; a retry uses the same one.
 pub type Id = Arc<str>;
 
-/// A change that an operator asks for.
+/// Change of the configuration, as requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Its name.
+    /// Name of the patch.
     pub id: Id,
-    /// The number that it is against.
+    /// Number of the configuration on which the patch is based.
     pub against: Number,
-    /// What changes, as a JSON merge patch.
+    /// The change, as a JSON merge patch.
     pub changes: serde_json::Value,
 }
 
-/// JSON pointer (RFC 6901) of names, one below the other.
+/// JSON pointer (RFC 6901) of nested names, the outermost first.
 pub fn pointer(names: &[&str]) -> String {
     names.iter().map(|name| format!("/{}", name.replace('~', "~0").replace('/', "~1"))).collect()
 }
--- a/crates/policy/src/config/check.rs
+++ b/crates/policy/src/config/check.rs
@@ -1,7 +1,7 @@
-//! What the shape of a declared configuration can't say.
+//! Validation of a declared configuration beyond its types.
 //!
-//! The same check serves the file on an operator's desk and the patched whole on a host, so that
-//! neither lets through what the other refuses.
+//! The same check runs on the file at an operator's machine and on the patched configuration on a
+//! host, so that neither accepts what the other refuses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,22 +15,21 @@
 
 use super::pointer;
 
-/// Methods that HTTP defines for requests with an effect or without.
+/// Methods that HTTP defines for requests, with side effects or without.
 const METHODS: [&str; 8] = ["GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "TRACE"];
 
-/// Longest name, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Something wrong at one place.
+/// Finding in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Problem {
-    /// JSON pointer (RFC 6901) of the value at fault.
+    /// JSON pointer (RFC 6901) of the invalid value.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub message: String,
 }
 
-/// Everything wrong with a configuration, in the order of its sections and names.
+/// Returns every finding in a configuration, in the order of its sections and names.
 pub fn problems(config: &Config) -> Vec<Problem> {
     let mut problems = Problems::default();
     weights(config, &mut problems);
@@ -152,7 +151,7 @@
     }
 }
 
-/// A group holds engines or plain servers, not both.
+/// Checks that no group contains both engines and plain servers.
 fn groups(config: &Config, problems: &mut Problems) {
     let mut engines: BTreeMap<&backend::Group, &str> = BTreeMap::new();
     for (id, model) in &config.models {
--- a/crates/policy/src/config/decide.rs
+++ b/crates/policy/src/config/decide.rs
@@ -1,4 +1,4 @@
-//! What becomes of a patch.
+//! Decision on a patch.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -14,34 +14,34 @@
     root::{Content, MAX_INLINE_BYTES, digest},
 };
 
-/// The configuration as it was last read: the root and what its parts make.
+/// Configuration as last read: the root, and what the root and its parts make.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Current {
-    /// The root.
+    /// Root object.
     pub root: Root,
-    /// What is declared.
+    /// Declared configuration.
     pub config: Arc<Config>,
 }
 
-/// The next configuration, to be written: first the parts, each if it is absent, then the root if
-/// it is still at the version that was read.
+/// Next configuration to write: first the parts, each if it does not exist, then the root if its
+/// version is still the one that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
     /// Parts to create.
     pub parts: Vec<Part>,
-    /// The root.
+    /// Root to write.
     pub root: Root,
-    /// What is declared.
+    /// Declared configuration.
     pub config: Arc<Config>,
 }
 
 impl Draft {
-    /// A configuration under a number, without a history of patches. Parts that the earlier ones
-    /// equal are named again.
+    /// Draft of a configuration under a number, without a history of patches. Parts equal to
+    /// `earlier` ones are reused.
     ///
     /// # Errors
     ///
-    /// A value that JSON can't hold.
+    /// A value that JSON can't represent.
     pub fn new(
         number: Number,
         config: Config,
@@ -60,38 +60,37 @@
     }
 }
 
-/// A patch that is refused because its number is past.
+/// Refusal of a patch that is not based on the current number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stale {
-    /// The number now.
+    /// Current number.
     pub current: Number,
-    /// Paths of the patch that others have changed since.
+    /// Paths of the patch that other patches have changed since.
     pub clashes: Vec<Path>,
 }
 
-/// What becomes of a patch.
+/// Decision on a patch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It may become this draft, if the root is still the one that was read.
+    /// The patch may become this draft, if the root is still the one that was read.
     Accept(Box<Draft>),
-    /// It was accepted before, as this number.
+    /// The patch was accepted before, as this number.
     Repeated(Number),
-    /// It changes nothing at this number.
+    /// The patch changes nothing at this number.
     Unchanged(Number),
-    /// Its number is past, or not reached yet.
+    /// The patch is based on an earlier number, or on one not reached yet.
     Stale(Stale),
-    /// Another patch has its name.
+    /// Another patch has the same name.
     Reused,
-    /// The result would not be a configuration.
+    /// The result would not be a valid configuration.
     Invalid(Vec<Problem>),
-    /// The result, or the way to it, doesn't fit in memory.
+    /// The result, or a step on the way to it, doesn't fit in memory.
     Short(Vec<Shortage>),
 }
 
-/// Decides on a patch against what was last read, given the servers that hold models.
+/// Decides on a patch against the configuration last read, given the servers that can run models.
 ///
-/// A retry is looked for before anything else, so that the first outcome stands however much has
-/// changed since.
+/// A retry is recognized first, so that it gets the first outcome however much has changed since.
 pub fn decide(current: &Current, patch: &Patch, servers: &[Server]) -> Decision {
     if let Some(accepted) = current.root.accepted(&patch.id) {
         let is_same = accepted.digest == digest(patch);
--- a/crates/policy/src/config/fit.rs
+++ b/crates/policy/src/config/fit.rs
@@ -1,12 +1,13 @@
-//! Whether a change fits in accelerator memory, and whether there is a way to it without a gap.
+//! Check that a change fits in accelerator memory and can be made without a gap in service.
 //!
-//! The check plays the change through on the servers of today: models that stay are packed first,
-//! largest first; then removed ones go, and changed ones follow one at a time, the shrinking ones
-//! first, each with a replica of the new version beside all of the old. If such a walk exists the
-//! planner can take it, whatever its own placement is, at the price of moves. The walk packs
-//! greedily, so it may refuse a change that a cleverer packing could make; it never lets one
-//! through for which no walk is known. Only models that a patch adds or changes are judged: a
-//! patch that gives memory back is welcome also when servers are lost and nothing fits.
+//! The check simulates the change on the servers present. Models that stay are packed first, the
+//! largest first; then removed models go, and changed ones follow one at a time, the shrinking ones
+//! first, each with a replica of the new version beside all replicas of the old one. If such a
+//! sequence exists, the planner can follow it whatever its own placement is, at the price of moves.
+//! The packing is greedy, so the check may refuse a change that a better packing could make; it
+//! never accepts one for which no sequence is known. Only models that are new, or that need more
+//! memory or a reload under the patch, are checked: a patch that frees memory is accepted even when
+//! servers are lost and nothing fits.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -18,18 +19,18 @@
     model::{self, Model},
 };
 
-/// An engine that can hold models.
+/// Engine that can run models.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// Name of the engine.
     pub id: backend::Id,
-    /// The group it belongs to.
+    /// Group of the engine.
     pub group: backend::Group,
     /// Accelerator memory, in MiB.
     pub capacity: Mebibytes,
 }
 
-/// What is short, and where.
+/// Shortage of memory for a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error(
     "model {model} needs {needed} MiB on one more server of {group}{}: its {servers} servers have \
@@ -37,29 +38,29 @@
     .step.reason()
 )]
 pub struct Shortage {
-    /// The group whose memory is short.
+    /// Group whose memory is short.
     pub group: backend::Group,
-    /// The model that can't be placed.
+    /// Model that can't be placed.
     pub model: model::Id,
-    /// What a replica of it takes with its adapters, in MiB.
+    /// Memory of one replica with its adapters, in MiB.
     pub needed: Mebibytes,
-    /// Where the walk to the new configuration stops.
+    /// Step at which the sequence fails.
     pub step: Step,
-    /// Servers in the group.
+    /// Number of servers in the group.
     pub servers: usize,
-    /// Memory free in the group at that point, in MiB.
+    /// Memory free in the group at that step, in MiB.
     pub free: Mebibytes,
-    /// Most memory free on one server that doesn't hold the model yet, in MiB.
+    /// Largest free memory of one server that doesn't run the model yet, in MiB.
     pub largest: Mebibytes,
 }
 
-/// A step of the walk to a new configuration.
+/// Step of the sequence that leads to a new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// Placing the replicas that are wanted.
+    /// Placing the declared replicas.
     Place,
-    /// Holding the new beside the old, so that there is no gap.
+    /// Loading a replica of the new version beside the old ones, so that there is no gap.
     Replace,
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// What keeps a change from being made; nothing when it can be.
+/// Returns the shortages that prevent a change; empty if the change can be made.
 pub fn shortages(from: &Config, to: &Config, servers: &[Server]) -> Vec<Shortage> {
     let change = |(id, new)| Change { id, old: from.models.get(id), new };
     let changes = to.models.iter().map(change).filter(Change::affects_memory);
@@ -97,7 +98,7 @@
     adapters.fold(model.memory.saturating_add(model.kv), Mebibytes::saturating_add)
 }
 
-/// Memory of adapters whose version is new on a model that stays, in MiB.
+/// Memory of the adapters of a retained model whose version changes, in MiB.
 fn reloaded_adapters(old: &Model, new: &Model) -> Mebibytes {
     let adapters = new.adapters.iter().filter(|(id, adapter)| {
         old.adapters.get(*id).is_some_and(|old| old.version != adapter.version)
@@ -105,7 +106,7 @@
     adapters.map(|(_, adapter)| adapter.memory).fold(0, Mebibytes::saturating_add)
 }
 
-/// A model before and after a patch.
+/// Model before and after a patch.
 struct Change<'a> {
     id: &'a model::Id,
     old: Option<&'a Model>,
@@ -113,7 +114,7 @@
 }
 
 impl Change<'_> {
-    /// Whether memory is used in another way.
+    /// Returns whether the patch changes how much memory the model takes.
     fn affects_memory(&self) -> bool {
         self.needs_memory()
             || self.old.is_some_and(|old| {
@@ -121,7 +122,7 @@
             })
     }
 
-    /// Whether the new needs memory that the old doesn't have.
+    /// Returns whether the new model needs memory that the old one doesn't have.
     fn needs_memory(&self) -> bool {
         self.old.is_none_or(|old| {
             is_reloaded(old, self.new)
@@ -131,7 +132,8 @@
         })
     }
 
-    /// Place in the walk: what gives memory back first, then the largest replica.
+    /// Position in the sequence: models that free memory first, then by size of a replica, the
+    /// largest first.
     fn rank(&self) -> (bool, Reverse<Mebibytes>, model::Id) {
         let total = |model: &Model| u128::from(replica(model)) * u128::from(model.replicas);
         let grows = self.old.map_or(0, total) < total(self.new);
@@ -139,12 +141,12 @@
     }
 }
 
-/// Whether a model's weights have to be loaded again.
+/// Returns whether the model's weights have to be loaded again.
 fn is_reloaded(old: &Model, new: &Model) -> bool {
     old.version != new.version || old.group != new.group
 }
 
-/// Free memory, and who holds what.
+/// Free memory of the servers, and the models placed on them.
 struct Packing {
     slots: BTreeMap<backend::Group, Vec<Slot>>,
 }
@@ -164,13 +166,13 @@
         Packing { slots }
     }
 
-    /// Packs as many of the wanted replicas as fit, the largest first.
+    /// Places as many of the declared replicas as fit, the largest first.
     fn pack<'a>(&mut self, models: impl Iterator<Item = (&'a model::Id, &'a Model)>) {
         let mut models: Vec<_> = models.collect();
         models.sort_by_key(|(id, model)| (Reverse(replica(model)), (*id).clone()));
         let most = models.iter().map(|(_, model)| model.replicas).max().unwrap_or_default();
-        // First one of each, then the second ones: a model without a replica is worse than one
-        // with too few.
+        // One replica of each model first, then a second one: a model without a replica is worse
+        // than one with too few.
         for round in 0..most {
             for (id, model) in models.iter().filter(|(_, model)| round < model.replicas) {
                 self.place(id, model);
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Puts one replica on the fullest server that can take it.
+    /// Places one replica on the server with the least free memory that can take it (best fit).
     fn place(&mut self, id: &model::Id, model: &Model) -> bool {
         let memory = replica(model);
         let Some(slots) = self.slots.get_mut(&model.group) else { return false };
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Makes a change without a gap; leaves everything as it was when that can't be done.
+    /// Makes a change without a gap in service; restores the packing if that is impossible.
     fn apply(&mut self, change: &Change<'_>) -> Result<(), Shortage> {
         let Change { id, old, new } = *change;
         if let Some(old) = old {
@@ -218,13 +220,13 @@
         Err(shortage)
     }
 
-    /// Checks that the new has room beside all of the old.
+    /// Checks that a replica of the new version fits beside all replicas of the old one.
     fn check_beside(&mut self, id: &model::Id, old: &Model, new: &Model) -> Result<(), Shortage> {
         let added = reloaded_adapters(old, new);
         if !is_reloaded(old, new) && (added == 0 || self.has_room_beside(id, &new.group, added)) {
             return Ok(());
         }
-        // The new version is another unit: it may stand on a server that holds the old one.
+        // The new version is a separate unit: it may be loaded on a server that runs the old one.
         let beside: model::Id = format!("{id} {}", new.version).into();
         if !self.place(&beside, new) {
             return Err(self.shortage(&beside, id, new, Step::Replace));
@@ -233,7 +235,7 @@
         Ok(())
     }
 
-    /// Whether a server that holds a model has so much memory free.
+    /// Returns whether a server that runs the model has at least `memory` MiB free.
     fn has_room_beside(&self, id: &model::Id, group: &backend::Group, memory: Mebibytes) -> bool {
         let mut slots = self.slots.get(group).into_iter().flatten();
         slots.any(|slot| slot.holds.contains_key(id) && memory <= slot.free)
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -1,8 +1,8 @@
-//! The number in force on one host.
+//! The configuration in force on one host.
 //!
-//! A host hears of numbers from watches and peers in any order, late and more than once. What is
-//! in force only ever goes up: an older root is passed over, and a newer one comes into force when
-//! all its parts are there. Parts that two roots share are fetched once.
+//! A host receives roots from watches and peers in any order, late and more than once. The number
+//! in force never falls: an older root is ignored, and a newer one comes into force when all its
+//! parts are present. Parts shared by two roots are fetched once.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 
 use super::{Root, part, root::Content};
 
-/// Bytes of a part.
+/// Content of a part, in JSON.
 pub type Bytes = Arc<[u8]>;
 
-/// What a host holds of the configuration.
+/// Root in force, newest root, and the parts of both, on one host.
 #[derive(Debug, Default)]
 pub struct Holder {
     in_force: Option<InForce>,
@@ -30,48 +30,48 @@
     numbered: Arc<Numbered>,
 }
 
-/// What came of a root or a part.
+/// Result of a root or a part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// Nothing new.
+    /// Nothing changed.
     Known,
-    /// These parts are needed.
+    /// The newest root still needs these parts.
     Needs(Vec<part::Name>),
-    /// This is in force from now on.
+    /// This configuration is in force from now on.
     InForce(Arc<Numbered>),
 }
 
 impl Holder {
-    /// The configuration in force, once there is one.
+    /// Configuration in force; `None` before the first.
     pub fn in_force(&self) -> Option<&Arc<Numbered>> {
         self.in_force.as_ref().map(|in_force| &in_force.numbered)
     }
 
-    /// The root in force, once there is one.
+    /// Root in force; `None` before the first.
     pub fn root(&self) -> Option<&Arc<Root>> {
         self.in_force.as_ref().map(|in_force| &in_force.root)
     }
 
-    /// The number in force; zero before the first.
+    /// Number in force; zero before the first.
     pub fn number(&self) -> Number {
         self.in_force.as_ref().map_or(0, |in_force| in_force.numbered.number)
     }
 
-    /// The highest number heard of.
+    /// Highest number received, in force or not.
     pub fn newest_number(&self) -> Number {
         self.pending.as_ref().map_or(self.number(), |root| root.number)
     }
 
-    /// A part that is held, for a peer that asks for it.
+    /// Content of a part, for a peer that asks for it.
     pub fn part(&self, name: &part::Name) -> Option<&Bytes> {
         self.parts.get(name)
     }
 
-    /// Takes a root that was read or heard of.
+    /// Takes in a root that was read or received from a peer.
     ///
     /// # Errors
     ///
-    /// All its parts were there and don't make a configuration.
+    /// All parts of the root were present, but don't make a configuration.
     pub fn observe_root(&mut self, root: Root) -> Result<Progress, part::Fault> {
         let is_known = match (&self.pending, &self.in_force) {
             (None, None) => false,
@@ -85,11 +85,11 @@
         self.advance()
     }
 
-    /// Takes a part that was fetched.
+    /// Takes in a part that was fetched.
     ///
     /// # Errors
     ///
-    /// Its content isn't what its name says; the holder is as before and still needs it.
+    /// The content doesn't match the part's name; the holder is unchanged and still needs the part.
     pub fn add_part(&mut self, name: part::Name, bytes: Bytes) -> Result<Progress, part::Fault> {
         let is_needed = self.needs().contains(&name);
         if !is_needed {
@@ -100,7 +100,7 @@
         self.advance()
     }
 
-    /// Parts that the newest root names and that aren't held.
+    /// Parts that the newest root names and that are missing.
     pub fn needs(&self) -> Vec<part::Name> {
         let named = self.pending.iter().flat_map(|root| root.parts());
         named.filter(|name| !self.parts.contains_key(*name)).cloned().collect()
@@ -125,7 +125,7 @@
         Ok(Progress::InForce(numbered))
     }
 
-    /// Drops parts that neither the root in force nor the newest one names.
+    /// Drops parts that are named neither by the root in force nor by the newest one.
     fn drop_unnamed(&mut self) {
         let in_force = self.in_force.iter().flat_map(|in_force| in_force.root.parts());
         let pending = self.pending.iter().flat_map(|root| root.parts());
--- a/crates/policy/src/config/merge.rs
+++ b/crates/policy/src/config/merge.rs
@@ -1,4 +1,4 @@
-//! Merge patches between configurations, and the paths that they touch.
+//! Merge patches between configurations, and the paths that they change.
 
 use std::collections::BTreeSet;
 
@@ -7,24 +7,24 @@
 
 use super::{check::Problem, pointer};
 
-/// JSON pointer of a value that a patch sets or removes.
+/// JSON pointer (RFC 6901) of a value that a patch sets or removes.
 pub type Path = String;
 
-/// The merge patch that turns one configuration into another; an empty object when they are equal.
+/// Merge patch that turns one configuration into another; an empty object when the two are equal.
 ///
 /// # Errors
 ///
-/// A weight that JSON can't hold.
+/// A weight that JSON can't represent.
 pub fn changes(from: &Config, to: &Config) -> Result<Value, serde_json::Error> {
     let (from, to) = (serde_json::to_value(from)?, serde_json::to_value(to)?);
     Ok(difference(&from, &to).unwrap_or_else(|| Value::Object(Map::new())))
 }
 
-/// A configuration with a merge patch applied.
+/// Applies a merge patch to a configuration.
 ///
 /// # Errors
 ///
-/// The place where the result hasn't the shape of a configuration.
+/// The place where the result is not a configuration.
 pub fn apply(config: &Config, changes: &Value) -> Result<Config, Problem> {
     if !changes.is_object() {
         return Err(Problem { path: String::new(), message: "changes must be an object".into() });
@@ -48,7 +48,7 @@
     paths
 }
 
-/// Whether two paths touch the same value: they are equal, or one lies below the other.
+/// Returns whether two paths concern the same value: they are equal, or one is below the other.
 pub fn clash(one: &str, other: &str) -> bool {
     is_within(one, other) || is_within(other, one)
 }
--- a/crates/policy/src/config/outcome.rs
+++ b/crates/policy/src/config/outcome.rs
@@ -1,53 +1,54 @@
-//! What an operator is told of a patch, as hosts and the command line exchange it.
+//! Outcome of a patch, as hosts and the command line exchange it.
 
 use serde::{Deserialize, Serialize};
 use types::config::Number;
 
 use super::{check::Problem, decide::Stale, fit::Shortage};
 
-/// What an operator is told of a patch.
+/// Outcome of a patch, as shown to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It made this number.
+    /// The patch became this number.
     Accepted {
-        /// The number.
+        /// Number of the new configuration.
         number: Number,
     },
-    /// It had made this number before; nothing was done now.
+    /// The patch had become this number before; nothing was done.
     Repeated {
-        /// The number.
+        /// Number that the patch became.
         number: Number,
     },
-    /// It would change nothing at this number.
+    /// The patch would change nothing at this number.
     Unchanged {
-        /// The number.
+        /// Current number.
         number: Number,
     },
-    /// The number that it is against is past, or not reached yet.
+    /// The patch is based on an earlier number, or on one not reached yet.
     Stale(Stale),
-    /// Another patch has its name.
+    /// Another patch has the same name.
     Reused,
-    /// The result would not be a configuration.
+    /// The result would not be a valid configuration.
     Invalid {
-        /// What is wrong with it, and where.
+        /// Findings in the result.
         problems: Vec<Problem>,
     },
-    /// The result, or the way to it, doesn't fit in memory.
+    /// The result, or a step on the way to it, doesn't fit in memory.
     Short {
-        /// What is short, and where.
+        /// Shortages by group and model.
         shortages: Vec<Shortage>,
     },
-    /// The object API doesn't answer. The patch may have been accepted all the same: the same
-    /// patch under the same name, sent again, gets the first outcome.
+    /// The object API doesn't answer. The patch may have been accepted all the same: the same patch
+    /// sent again under the same name gets the first outcome.
     Unavailable {
-        /// What the object API's client says.
+        /// Error of the object API's client.
         cause: String,
     },
 }
 
 impl Outcome {
-    /// The number that the patch stands at, when it is settled for good.
+    /// Number at which the patch is in the configuration; `None` if the patch was refused or its
+    /// outcome is unknown.
     pub fn number(&self) -> Option<Number> {
         match self {
             Outcome::Accepted { number }
--- a/crates/policy/src/config/part.rs
+++ b/crates/policy/src/config/part.rs
@@ -1,10 +1,10 @@
-//! A configuration cut into parts, each far below the value limit of the object API.
+//! Split of a configuration into parts, each far below the value limit of the object API.
 //!
-//! Entries of a section stand in the order of their names, and a part ends after an entry whose
-//! name has a marked hash. So where the cuts fall depends on the names alone: a change of one
-//! entry rewrites one part, and adding or removing one moves no other cut. A part is named by the
-//! number that it was first written for and by the hash of its content; the number in the name is
-//! what makes sweeping safe (see [`garbage`]).
+//! Entries of a section are ordered by name, and a part ends after an entry whose name has a marked
+//! hash. The boundaries therefore depend on the names alone: a change of one entry rewrites one
+//! part, and adding or removing an entry moves no other boundary. A part is named by the number for
+//! which it was first written and by the hash of its content; the number in the name makes garbage
+//! collection safe (see [`garbage`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,16 +14,16 @@
 
 use super::{PART_PREFIX, Root};
 
-/// A part ends after one entry in so many, on average; a power of two.
+/// Average number of entries in a part; a power of two.
 const ENTRIES_PER_PART: u8 = 16;
 
-/// A part ends early once it holds so many bytes.
+/// Size at which a part ends early, in bytes.
 const SPLIT_BYTES: usize = 128 * 1024;
 
-/// Digits of the number in a name, so that names sort by number.
+/// Digits of the number in a name, zero-padded so that names sort by number.
 const NUMBER_DIGITS: usize = 12;
 
-/// Name of a part: the number that it was first written for and the hash of its content.
+/// Name of a part: the number for which it was first written, and the hash of its content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Name(String);
@@ -33,68 +33,67 @@
         Name(format!("{number:0NUMBER_DIGITS$}-{}", hash(bytes)))
     }
 
-    /// Its key in the object API.
+    /// Key of the part in the object API.
     pub fn key(&self) -> String {
         format!("{PART_PREFIX}{}", self.0)
     }
 
-    /// Reads a key of the object API.
+    /// Parses a key of the object API; `None` if it is not the key of a part.
     pub fn of_key(key: &str) -> Option<Name> {
         let name = Name(key.strip_prefix(PART_PREFIX)?.to_owned());
         name.number().map(|_| name)
     }
 
-    /// The number that the part was first written for.
+    /// Number for which the part was first written.
     pub fn number(&self) -> Option<Number> {
         self.0.split_once('-')?.0.parse().ok()
     }
 
-    /// Whether these bytes are the part's.
+    /// Returns whether the hash in the name is that of `bytes`.
     pub fn matches(&self, bytes: &[u8]) -> bool {
         self.0.split_once('-').is_some_and(|(_, known)| known == hash(bytes))
     }
 }
 
-/// A part to create.
+/// Part to create.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its name.
+    /// Name of the part.
     pub name: Name,
-    /// Its content, in JSON.
+    /// Content, in JSON.
     pub bytes: Vec<u8>,
 }
 
-/// What a root names, and which of it is new.
+/// Parts of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
     /// Every part, in order.
     pub names: Vec<Name>,
-    /// Those that the earlier root doesn't name.
+    /// Parts that the earlier root doesn't name.
     pub new: Vec<Part>,
 }
 
-/// Why parts don't make a configuration.
+/// Failure to read parts of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The content isn't what the name says.
+    /// The content doesn't have the hash in the name.
     #[error("the content of {0} isn't what its name says")]
     Content(String),
-    /// The content hasn't the shape of a part.
+    /// The content can't be parsed.
     #[error("{name} isn't a part of a configuration: {cause}")]
     Shape {
         /// Key of the part.
         name: String,
-        /// What the parser says.
+        /// Message of the parser.
         cause: String,
     },
 }
 
-/// Cuts a configuration into parts for a number; parts that the earlier ones equal keep their
-/// names.
+/// Splits a configuration into parts for a number; parts equal to `earlier` ones keep their names.
 ///
 /// # Errors
 ///
-/// A value that JSON can't hold.
+/// A value that JSON can't represent.
 pub fn cut(config: &Config, number: Number, earlier: &[Name]) -> Result<Cut, serde_json::Error> {
     let known: BTreeMap<&str, &Name> =
         earlier.iter().filter_map(|name| Some((name.0.split_once('-')?.1, name))).collect();
@@ -116,7 +115,7 @@
 ///
 /// # Errors
 ///
-/// A part whose content isn't what its name says, or that can't be read.
+/// A part whose content doesn't match its name, or that can't be parsed.
 pub fn join<'a>(
     weights: Weights,
     parts: impl IntoIterator<Item = (&'a Name, &'a [u8])>,
@@ -135,7 +134,7 @@
 ///
 /// # Errors
 ///
-/// As [`join`].
+/// The content doesn't match the name, or can't be parsed.
 pub fn read(name: &Name, bytes: &[u8]) -> Result<Config, Fault> {
     if !name.matches(bytes) {
         return Err(Fault::Content(name.key()));
@@ -144,12 +143,12 @@
         .map_err(|error| Fault::Shape { name: name.key(), cause: error.to_string() })
 }
 
-/// Of these parts, those that no root can name any more.
+/// Returns those of the stored parts that no root can name any more.
 ///
-/// A root names parts of the root before it and parts written for its own number. So a part
-/// written for this root's number or an earlier one, which this root doesn't name, is named by no
-/// later root either, however long the one who asks has been paused: it may be deleted. A host
-/// that is still reading an older root finds a part gone and reads the root again.
+/// A root names parts of the root before it and parts written for its own number. A part written
+/// for this root's number or an earlier one that this root doesn't name is therefore named by no
+/// later root either, however long the caller has been paused: it may be deleted. A host that is
+/// still reading an older root finds the part missing and reads the root again.
 pub fn garbage(root: &Root, stored: impl IntoIterator<Item = Name>) -> Vec<Name> {
     let named: BTreeSet<&Name> = root.parts().iter().collect();
     stored
--- a/crates/policy/src/config/root.rs
+++ b/crates/policy/src/config/root.rs
@@ -1,11 +1,13 @@
-//! The root object, which holds a small configuration or names the parts of a large one.
+//! The root object, which contains a small configuration or names the parts of a large one.
 //!
-//! A small one comes into force with the one value that a watch brings. Above [`MAX_INLINE_BYTES`]
-//! a change would rewrite more than it needs to, and the value limit would come in sight.
+//! A small configuration comes into force with the single value that a watch returns. Above
+//! [`MAX_INLINE_BYTES`] a change would rewrite more than necessary, and the size would approach the
+//! value limit of the object API.
 //!
-//! It also keeps the latest patches, so that a retry gets the first outcome and a stale patch is
-//! told what clashes. The list is bounded, and nothing rests on its length: a retry that comes
-//! after its entry has gone is against a number long past and refused as stale, never run twice.
+//! The root also records the latest patches, so that a retry gets the first outcome and a stale
+//! patch is answered with the paths that conflict. The list is bounded, and correctness doesn't
+//! depend on its length: a retry that arrives after its entry was dropped is based on a long
+//! superseded number and is refused as stale, never applied twice.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -21,43 +23,43 @@
     part,
 };
 
-/// Most patches that a root keeps.
+/// Maximum number of recorded patches.
 const MAX_PATCHES: usize = 128;
 
-/// Most paths that are kept of all patches together.
+/// Maximum number of recorded paths of all patches together.
 const MAX_PATHS: usize = 2048;
 
-/// Most paths that are kept of one patch before they are shortened.
+/// Number of paths of one patch above which they are shortened.
 const MAX_PATHS_PER_PATCH: usize = 64;
 
-/// Names in a path to one entry of a section.
+/// Number of names in the path of an entry of a section.
 const ENTRY_DEPTH: usize = 2;
 
-/// Largest configuration that stands in the root itself, in bytes of JSON.
+/// Largest configuration that is stored in the root itself, in bytes of JSON.
 pub const MAX_INLINE_BYTES: usize = 32 * 1024;
 
-/// Root of a numbered configuration, as the object API holds it.
+/// Root of a numbered configuration, as stored in the object API.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "Wire", into = "Wire")]
 pub struct Root {
-    /// The number.
+    /// Number of the configuration.
     pub number: Number,
-    /// What it holds or names.
+    /// The configuration, or the names of its parts.
     pub content: Content,
-    /// The latest patches, the oldest first.
+    /// Latest accepted patches, the oldest first.
     pub patches: VecDeque<Accepted>,
 }
 
-/// What a root holds or names.
+/// The configuration, or the names of its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// All that is declared.
+    /// Complete configuration.
     Whole(Arc<Config>),
-    /// The names of parts.
+    /// Configuration in parts.
     Parts {
-        /// Weights of the two measures, which stand in no part.
+        /// Weights of the two measures, which are in no part.
         weights: Weights,
-        /// The parts, in order.
+        /// Names of the parts, in order.
         names: Vec<part::Name>,
     },
 }
@@ -68,7 +70,7 @@
     }
 }
 
-/// A root in JSON: `config`, or `weights` and `parts`.
+/// Root in JSON: `config`, or `weights` and `parts`.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Wire {
@@ -106,28 +108,28 @@
     }
 }
 
-/// A patch that was accepted.
+/// Accepted patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accepted {
-    /// Its name.
+    /// Name of the patch.
     pub id: Id,
-    /// Digest of what it asked.
+    /// Digest of the patch's base and change.
     pub digest: String,
-    /// The number that it made.
+    /// Number that the patch became.
     pub number: Number,
-    /// What it touched, shortened to entries or sections where that is much.
+    /// Paths that the patch changed, shortened to entries or sections if there are many.
     pub paths: Vec<Path>,
 }
 
 impl Root {
-    /// The root without its patches: all that a host needs which doesn't decide on patches. It is
-    /// a sixth of the whole at the size of 950 models.
+    /// Root without its patches, sufficient for a host that doesn't decide on patches. At the size
+    /// of 950 models it has a sixth of the full root's size.
     pub fn bare(&self) -> Root {
         Root { number: self.number, content: self.content.clone(), patches: VecDeque::new() }
     }
 
-    /// The parts that it names, in order; none when it holds the whole.
+    /// Names of the parts, in order; empty if the root contains the configuration.
     pub fn parts(&self) -> &[part::Name] {
         match &self.content {
             Content::Whole(_) => &[],
@@ -135,13 +137,13 @@
         }
     }
 
-    /// What is known of a patch with this name.
+    /// Record of the accepted patch with this name.
     pub fn accepted(&self, id: &str) -> Option<&Accepted> {
         self.patches.iter().rev().find(|patch| &*patch.id == id)
     }
 
-    /// Paths of a patch that others have changed since the number it is against. Every path of
-    /// it, when that number lies further back than the patches that are kept.
+    /// Paths of a patch that other patches have changed since the number on which it is based.
+    /// Every path of the patch, if that number is older than the recorded patches.
     pub fn clashes(&self, patch: &Patch) -> Vec<Path> {
         let paths = merge::paths(&patch.changes);
         let oldest = self.patches.front().map_or(self.number, |accepted| accepted.number - 1);
@@ -154,7 +156,7 @@
         paths.into_iter().filter(is_touched).collect()
     }
 
-    /// Keeps a patch as accepted and drops the oldest beyond the bounds.
+    /// Records a patch as accepted, and drops the oldest ones beyond the limits.
     pub(super) fn record(&mut self, patch: &Patch, touched: BTreeSet<Path>) {
         self.patches.push_back(Accepted {
             id: patch.id.clone(),
@@ -170,7 +172,7 @@
     }
 }
 
-/// Digest of what a patch asks.
+/// Digest of a patch's base and change, for recognizing a retry.
 pub(super) fn digest(patch: &Patch) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&patch.against.to_be_bytes());
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -1,4 +1,4 @@
-//! Patches against numbers: who wins, who is refused, what a retry gets.
+//! Decisions on patches: concurrent, stale, repeated and invalid ones.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -39,7 +39,7 @@
     Current { root: draft.root, config: draft.config }
 }
 
-/// Number 1 with two models and a customer.
+/// Configuration 1, with two models and a customer.
 fn first() -> Current {
     let changes = json!({
         "customers": {"guests": {"share": 2}},
@@ -48,14 +48,14 @@
     after(&Current::default(), &patch("first", 0, changes))
 }
 
-/// Number 1, too large for the root.
+/// Configuration 1, too large for the root.
 fn large() -> Current {
     let models: BTreeMap<String, Value> =
         (0..700).map(|i| (format!("filler-{i:03}"), model(1))).collect();
     after(&Current::default(), &patch("first", 0, json!({"models": models})))
 }
 
-/// The configuration that a root and parts make.
+/// Configuration that a root and parts make.
 fn made(root: &Root, parts: &BTreeMap<part::Name, Vec<u8>>) -> Config {
     let mut holder = Holder::default();
     holder.observe_root(root.clone()).unwrap();
@@ -189,7 +189,7 @@
     assert_eq!(paths, ["/services/lobby/customer", "/services/lobby/offer/models/0"]);
 }
 
-/// An object API with one root, as far as a race of writers goes.
+/// Object API with one root, for concurrent writers.
 #[derive(Default)]
 struct Platform {
     version: u64,
@@ -217,7 +217,7 @@
     assert!(platform.parts.len() > 20);
     for round in 0..40 {
         let (version, base) = (platform.version, platform.current.clone());
-        // Three writers read the same root; each tries to write what it decided.
+        // Three writers read the same root; each tries to write its own draft.
         let drafts: Vec<Draft> = (0..3)
             .map(|writer| {
                 let name = format!("m{}", (round * 7 + writer) % 11);
@@ -229,7 +229,7 @@
         assert_eq!(winners.count(), 1);
         assert_eq!(platform.current.root.number, base.root.number + 1);
 
-        // One sweeper knows the newest root, another was paused since the one before.
+        // One garbage collector has the newest root, another was paused since the root before it.
         for root in [&base.root, &platform.current.root.clone()] {
             for name in part::garbage(root, platform.parts.keys().cloned().collect::<Vec<_>>()) {
                 platform.parts.remove(&name);
@@ -250,7 +250,7 @@
     number
 }
 
-/// Roots of numbers 1 to 5 and every part that they name.
+/// Roots of numbers 1 to 5, and every part that they name.
 fn history() -> (Vec<Current>, BTreeMap<part::Name, Vec<u8>>) {
     let first = Draft::new(1, Config::clone(&large().config), &[]).unwrap();
     let mut parts: BTreeMap<_, _> =
@@ -271,10 +271,10 @@
     let (history, parts) = history();
     let mut holder = Holder::default();
     let mut highest = 0;
-    for heard in [2, 0, 1, 2, 4, 3, 0, 4] {
-        holder.observe_root(history[heard].root.clone()).unwrap();
+    for received in [2, 0, 1, 2, 4, 3, 0, 4] {
+        holder.observe_root(history[received].root.clone()).unwrap();
         supply_all(&mut holder, &parts);
-        highest = highest.max(heard as Number + 1);
+        highest = highest.max(received as Number + 1);
         assert_eq!(holder.number(), highest);
         assert_eq!(holder.in_force().unwrap().config, *history[highest as usize - 1].config);
     }
@@ -287,7 +287,7 @@
     holder.observe_root(history[0].root.clone()).unwrap();
     assert_eq!((holder.number(), holder.newest_number()), (0, 1));
     holder.observe_root(history[3].root.clone()).unwrap();
-    // The part of number 1 comes late.
+    // A part of number 1 arrives late.
     let named = |root: &Root| root.parts().to_vec();
     let newest = named(&history[3].root);
     let late = named(&history[0].root).into_iter().find(|name| !newest.contains(name)).unwrap();
--- a/crates/policy/tests/config_fit.rs
+++ b/crates/policy/tests/config_fit.rs
@@ -1,4 +1,4 @@
-//! Changes that memory can't hold, or that can't be made without a gap.
+//! Changes that don't fit in memory, or can't be made without a gap in service.
 
 use policy::config::fit::{Server, Step, shortages};
 use rstest::rstest;
@@ -22,7 +22,7 @@
     json!({"group": "lm", "version": version, "memory": memory, "replicas": replicas})
 }
 
-/// Models that are short and the step that can't be taken.
+/// Models that are short of memory, each with the step that fails.
 fn short(from: Value, to: Value, capacities: &[u64]) -> Vec<(String, Step)> {
     shortages(&config(from), &config(to), &servers(capacities))
         .into_iter()
--- a/crates/policy/tests/config_properties.rs
+++ b/crates/policy/tests/config_properties.rs
@@ -1,4 +1,4 @@
-//! Patches and parts over many configurations.
+//! Properties of merge patches and parts over random configurations.
 
 use std::collections::{BTreeMap, VecDeque};
 
