--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,9 +1,9 @@
-//! Leases on duties: they save work, and no safety rests on them.
+//! Leases on duties: they avoid duplicate work, and no safety property depends on them.
 //!
-//! A lease is an object that its holder changes at every renewal. Others watch for the change by
-//! their own clocks: a lease that has not changed for its whole term may be taken. No clock is
+//! A lease is an object that its holder changes at every renewal. Other hosts observe the changes
+//! by their own clocks: a lease that has not changed for its whole term may be taken. No clock is
 //! compared with another host's. A holder that was paused may believe that it still holds the
-//! lease; what it then does must be safe anyway.
+//! lease; what it does then must be safe anyway.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
@@ -11,38 +11,38 @@
 /// Renewals within one term, so that one lost write does not lose the lease.
 const RENEWALS_PER_TERM: u32 = 3;
 
-/// A lease, as kept in the object API.
+/// Lease, as stored in the object API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The host that holds it.
+    /// Host that holds the lease.
     pub holder: host::Id,
-    /// The run of that host's process.
+    /// Incarnation of the holder's process.
     pub incarnation: host::Incarnation,
-    /// Rises at each renewal, so that every renewal is a change.
+    /// Counter that rises at each renewal, so that every renewal is a change.
     pub renewal: u64,
 }
 
-/// What a host does about a lease now.
+/// Action of a host on a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It holds it, and need not renew yet.
+    /// The host holds the lease, and a renewal is not yet due.
     Hold,
-    /// It holds it; write this by conditional update.
+    /// The host holds the lease and writes this renewal by conditional update.
     Renew(Lease),
-    /// It is free or has run out; write this by conditional update.
+    /// The lease is free or has expired; the host writes this one by conditional update.
     Take(Lease),
-    /// Another holds it.
+    /// Another host holds the lease.
     Wait,
 }
 
 impl Step {
-    /// Whether the host may do the duty's work meanwhile.
+    /// Returns whether the host holds the lease and may do the duty's work.
     pub fn is_held(&self) -> bool {
         matches!(self, Step::Hold | Step::Renew(_))
     }
 }
 
-/// What one host knows about a lease.
+/// View of one host on a lease.
 #[derive(Clone, Debug)]
 pub struct Observer {
     host: host::Id,
@@ -58,7 +58,7 @@
 }
 
 impl Observer {
-    /// Observer for this run of a host; a lease runs out `term` after its last change.
+    /// View of an incarnation of a host; a lease expires `term` after its last change.
     pub fn new(host: host::Id, incarnation: host::Incarnation, term: Duration) -> Observer {
         Observer { host, incarnation, term, seen: None }
     }
@@ -68,7 +68,8 @@
         format!("lease/{duty}")
     }
 
-    /// Takes in the lease as read at `now`, and says what to do.
+    /// Takes in the lease as read at `now` and returns what to do; `None` means that the lease does
+    /// not exist.
     pub fn observe(&mut self, now: Moment, lease: Option<&Lease>) -> Step {
         let Some(lease) = lease else {
             self.seen = None;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whether, by what was last read, this host's lease has not run out at `now`.
+    /// Returns whether this host's lease, by the last read, has not expired at `now`.
     pub fn is_held(&self, now: Moment) -> bool {
         self.seen.as_ref().is_some_and(|seen| {
             self.is_own(&seen.lease) && now.saturating_sub(seen.since) < self.term
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -1,59 +1,66 @@
-//! Terms: which host may send orders to servers that check no fences.
+//! The lease that permits sending orders to servers that check no fencing tokens.
 //!
-//! One lease object in a store decides. Its holder may send orders for a term after it *sent* its
-//! last write that the store is known to have carried out. Another host may take the lease once it
-//! has *known* the same revision for a term and a turn; its write names that revision, so it fails
-//! if the holder renewed meanwhile. Sending comes before carrying out, and that before knowing, so
-//! the last order of one host and the first of the next lie a turn apart, whatever was slow, lost
-//! or late, and no clock is compared with another host's.
+//! One lease object in a store decides. Its holder may send orders for one term after it *sent* its
+//! last write that the store is known to have applied. Another host may take the lease once it has
+//! *known* the same revision for a term and a turn; its write names that revision, so it fails if
+//! the holder has renewed meanwhile. A write is sent before it is applied, and applied before it is
+//! known, so the last order of one host and the first order of the next are at least a turn apart,
+//! whatever was slow, lost or late, and no clock is compared with another host's.
 //!
-//! Reads may be old: a write on an old revision fails. So only the outcome of writes counts, and a
-//! watch or a cheap read serves as well as an exact one.
+//! Reads may be stale: a write on a stale revision fails. Only the outcome of writes counts, so a
+//! watch or a cheap read serves as well as a linearizable one.
 //!
-//! The fence is the revision of the write that began an unbroken time of holding. Revisions rise,
-//! and no two writes share one. A holder whose term ran out in between, be it for a moment, gets a
-//! new fence, so orders in hand from before are told apart and are to be dropped.
+//! The fencing token is the revision of the write that began an unbroken tenure. Revisions rise,
+//! and no two writes share one. A holder whose term expired, if only for a moment, gets a new
+//! token, so that orders prepared before are recognizable and dropped.
 //!
-//! What callers owe: the time is read from a clock that counts suspension and never jumps, right
-//! before each call; [`OrderLease::may_order`] is asked right before an order's bytes go out, with
-//! nothing awaited in between; an order is given up, with its connection reset, once it has been
-//! under way for [`Settings::flight`]; the incarnation is unique for all time; nobody deletes the
-//! lease; a host's process has ended before its next one starts.
+//! Obligations of the caller:
+//!
+//! - the time is read from a clock that counts suspension and never jumps, right before each call;
+//! - [`OrderLease::may_order`] is called right before an order's bytes are sent, with no await in
+//!   between;
+//! - an order is abandoned, with its connection reset, once it has been in flight for
+//!   [`Settings::flight`];
+//! - the incarnation is unique for all time;
+//! - nobody deletes the lease;
+//! - a host's process has ended before its next one starts.
 
 use types::{order::Fence, prelude::*};
 
 mod lease;
 mod settings;
 
-/// Most writes without an answer that are kept in mind; the oldest go first.
+/// Maximum number of own writes without a known outcome that are tracked; the oldest is dropped
+/// first.
 const MAX_OPEN_WRITES: usize = 16;
 
-/// So that an arrival and an order under a later fence don't fall into one moment.
+/// Delay that keeps the arrival of an order and an order under a later fencing token from falling
+/// into the same moment.
 const RUN_GAP: Duration = Duration::from_nanos(1);
 
 pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, Stored};
 pub use settings::{Contender, Settings, contender};
 
-/// What one run of a host knows about the lease.
+/// View of one incarnation of a host on the lease that permits sending orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     host: host::Id,
     incarnation: host::Incarnation,
     settings: Settings,
     known: Known,
-    /// The time that this host holds, or has held last.
+    /// Current or last tenure of this host.
     tenure: Option<Tenure>,
-    /// Own writes that may still be carried out, or have been.
+    /// Own writes that may have been applied, or may still be.
     open_writes: Vec<OpenWrite>,
-    /// The write whose outcome is awaited.
+    /// Write whose outcome is awaited.
     pending_write: Option<Lease>,
     nonce: Nonce,
-    /// When the store last answered, or was last asked to read.
+    /// Time of the store's last answer and of the last read that is not yet answered.
     last_answer: Option<Moment>,
     last_read: Option<Moment>,
-    /// Nothing is asked of the store before this.
+    /// Time before which nothing is requested from the store.
     idle_until: Moment,
-    /// When an order may have been sent last.
+    /// Latest time at which an order may have been sent.
     last_order: Option<Moment>,
     stopping: bool,
 }
@@ -61,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Known {
     Nothing,
-    /// There is none; one may be written from then on.
+    /// The lease does not exist; it may be created from this time on.
     Absent(Moment),
     Present {
         revision: Revision,
@@ -73,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Tenure {
     fence: Fence,
-    /// When the write that it rests on was sent.
+    /// Time at which the write that this tenure rests on was sent.
     sent: Moment,
     until: Moment,
 }
@@ -85,7 +92,7 @@
 }
 
 impl OrderLease {
-    /// What a run of a host knows at its start.
+    /// View at the start of an incarnation of a host.
     pub fn new(host: host::Id, incarnation: host::Incarnation, settings: Settings) -> OrderLease {
         OrderLease {
             host,
@@ -104,23 +111,24 @@
         }
     }
 
-    /// The fence that an order bears which is sent now; none if no order may be sent.
+    /// Returns the fencing token for an order sent at `now`; `None` if no order may be sent.
     ///
-    /// Each fence that is given counts as an order sent at `now`. An order prepared under another
-    /// fence is to be dropped.
+    /// Each returned token counts as an order sent at `now`. An order prepared under another token
+    /// must be dropped.
     pub fn may_order(&mut self, now: Moment) -> Option<Fence> {
         let fence = self.fence(now)?;
         self.last_order = Some(now);
         Some(fence)
     }
 
-    /// The fence of this host's tenure, if an order sent now would arrive within it.
+    /// Returns the fencing token of this host's tenure, if an order sent at `now` would arrive
+    /// within it.
     pub fn fence(&self, now: Moment) -> Option<Fence> {
         let tenure = self.tenure.filter(|tenure| now + self.settings.flight <= tenure.until)?;
         (!self.stopping).then_some(tenure.fence)
     }
 
-    /// The host that the lease names, as far as this one knows.
+    /// Holder of the lease, as far as this host knows; `None` once it is released.
     pub fn holder(&self) -> Option<&host::Id> {
         match &self.known {
             Known::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
@@ -130,36 +138,36 @@
         }
     }
 
-    /// Whether a stopping host has nothing more to write.
+    /// Returns whether a stopping host has nothing more to write.
     pub fn is_released(&self) -> bool {
         let named = matches!(&self.known, Known::Present { lease, .. }
             if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)));
         self.stopping && !named && self.open_writes.is_empty()
     }
 
-    /// Sends no more orders from now on, and releases the lease at the next steps.
+    /// Stops sending orders; the next steps release the lease.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Takes in the lease as read, or told by a watch; it may be old.
+    /// Takes in the lease as read or as reported by a watch; it may be stale.
     pub fn observe(&mut self, now: Moment, read: Option<Stored>) {
         self.note_answer(now);
         match (read, &self.known) {
             (Some((revision, lease)), _) => self.apply(now, revision, lease),
-            // Nobody deletes the lease, so that nobody ever held it.
+            // Nobody deletes the lease, so nobody has ever held it.
             (None, Known::Nothing) => self.known = Known::Absent(now),
             (None, Known::Absent(_) | Known::Present { .. }) => (),
         }
     }
 
-    /// Takes in the lease as another host knows it; that says nothing of this host's own path to
+    /// Takes in the lease as another host knows it, which is no evidence that this host can reach
     /// the store.
     pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): Stored) {
         self.apply(now, revision, lease);
     }
 
-    /// The lease as this host knows it, for others to be told.
+    /// The lease as this host knows it, for other hosts.
     pub fn stored(&self) -> Option<Stored> {
         match &self.known {
             Known::Present { revision, lease, .. } => Some((*revision, lease.clone())),
@@ -167,7 +175,7 @@
         }
     }
 
-    /// Takes in what came of the write that was asked for last.
+    /// Takes in the outcome of the last write.
     pub fn write_finished(&mut self, now: Moment, outcome: Outcome) {
         let Some(lease) = self.pending_write.take() else { return };
         match outcome {
@@ -179,7 +187,7 @@
                 self.note_answer(now);
                 self.apply(now, revision, lease);
             }
-            // What is known is old; the lease is read before anything else is done.
+            // The known revision is stale; the lease is read before anything else is done.
             Outcome::Conflict(None) => {
                 self.last_answer = None;
                 self.last_read = None;
@@ -197,12 +205,14 @@
         }
     }
 
-    /// Takes how many hosts tell each other of the lease.
+    /// Sets the number of hosts that report the lease to each other, and whether this one contends
+    /// first.
     pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
         self.settings.set_hosts(hosts, contender);
     }
 
-    /// What to ask of the store now. After a write, nothing more until its outcome is passed in.
+    /// Returns the next request to the store; after a write, [`Step::Idle`] until its outcome is
+    /// passed in.
     pub fn step(&mut self, now: Moment) -> Step {
         if self.pending_write.is_some() || now < self.idle_until {
             return Step::Idle;
@@ -242,7 +252,7 @@
                 matches!(self.known, Known::Present { since, .. } if now < since + poll);
             return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
-        // A host that the store turns away must not leave writes behind that come true later.
+        // A host that the store turns away must not leave writes behind that are applied later.
         if self.last_answer.is_none_or(|at| at + self.settings.fresh < now) {
             return self.read(now, self.settings.fresh);
         }
@@ -273,7 +283,8 @@
         (last + flight + turn).saturating_sub(now)
     }
 
-    /// When this host may take the lease, by what it knows of it.
+    /// Time at which this host may take the lease, as far as it knows; `None` before the first
+    /// read.
     fn free_at(&self) -> Option<Moment> {
         let Settings { turn, flight, .. } = self.settings;
         let delay = self.settings.standby_delay();
@@ -281,8 +292,8 @@
             Known::Nothing => None,
             Known::Absent(free) => Some(*free + delay),
             Known::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
-            // An earlier run of this host is gone, and its orders are this host's: only the
-            // fences must not fall.
+            // An earlier incarnation of this host is gone, and its orders are this host's: only the
+            // fencing tokens must not fall.
             Known::Present { lease, since, .. } if lease.holder == self.host => {
                 Some(*since + flight + RUN_GAP)
             }
@@ -322,12 +333,13 @@
         }
     }
 
-    /// Takes in a revision; older ones than the known one say nothing.
+    /// Takes in a revision; one that is not newer than the known one is ignored.
     fn apply(&mut self, now: Moment, revision: Revision, lease: Lease) {
         if matches!(self.known, Known::Present { revision: known, .. } if revision <= known) {
             return;
         }
-        // Every open write names an older revision, so that none but this one took or takes effect.
+        // Every open write names an older revision, so only the one that made this revision was or
+        // will be applied.
         let open = std::mem::take(&mut self.open_writes);
         let sent = open.iter().find(|sent| sent.nonce == lease.nonce);
         if !self.is_own(&lease) {
@@ -342,7 +354,7 @@
         let fence = match self.tenure {
             Some(tenure) if sent <= tenure.until => tenure.fence,
             Some(_) | None => {
-                // An earlier run of this host may have sent orders until now.
+                // An earlier incarnation of this host may have sent orders until now.
                 self.last_order = Some(sent);
                 revision
             }
--- a/crates/policy/src/term/lease.rs
+++ b/crates/policy/src/term/lease.rs
@@ -1,65 +1,68 @@
-//! The lease object, and what is asked of the store about it.
+//! The lease object, and the requests to the store about it.
 
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// Number that the store gives to a change; later changes of any object have higher ones.
+/// Revision that the store assigns to a change; later changes of any object have higher ones.
 pub type Revision = u64;
 
-/// Number of one write among those of an incarnation.
+/// Number of a write among those of one incarnation.
 pub type Nonce = u64;
 
-/// The lease, as kept in the store.
+/// Lease, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// The host that wrote it.
+    /// Host that wrote the lease.
     pub holder: host::Id,
-    /// The run of that host's process; unique, so that no run takes another's write for its own.
+    /// Incarnation of that host's process; unique, so that no incarnation takes another's write for
+    /// its own.
     pub incarnation: host::Incarnation,
-    /// Tells the writes of one run apart.
+    /// Distinguishes the writes of one incarnation.
     pub nonce: Nonce,
-    /// What the holder claims.
+    /// Claim of the holder.
     pub claim: Claim,
 }
 
-/// What a holder claims by a write.
+/// Claim that a holder makes by a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Claim {
-    /// It may send orders for this long after it sent this write. The term stands here, so that
-    /// hosts whose settings differ still agree on it.
+    /// The holder may send orders for this long after it sent this write. The term is part of the
+    /// lease, so that hosts with different settings agree on it.
     Held(#[serde(with = "types::time::millis")] Duration),
-    /// It sends none any more; another host may, this long after it learned of this write.
+    /// The holder sends no more orders; another host may, this long after it received this lease.
     Released(#[serde(with = "types::time::millis")] Duration),
 }
 
-/// The lease as the store holds it.
+/// Lease with its revision in the store.
 pub type Stored = (Revision, Lease);
 
-/// What a host is to ask of the store now.
+/// Next request to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Nothing.
+    /// No request.
     Idle,
-    /// Read the lease, and pass it to `observe`.
+    /// Read the lease and pass it to [`OrderLease::observe`](super::OrderLease::observe).
     Read,
-    /// Write it if there is none, and pass the outcome to `write_finished`.
+    /// Write the lease if none exists, and pass the outcome to
+    /// [`OrderLease::write_finished`](super::OrderLease::write_finished).
     Create(Lease),
-    /// Write it if it still has this revision, and pass the outcome to `write_finished`.
+    /// Write the lease if it still has this revision, and pass the outcome to
+    /// [`OrderLease::write_finished`](super::OrderLease::write_finished).
     Replace(Revision, Lease),
 }
 
-/// What came of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It was carried out, under this revision.
+    /// The write was applied, under this revision.
     Done(Revision),
-    /// Its condition did not hold; the lease as it is, if the store said.
+    /// The condition did not hold; contains the stored lease if the store returned it.
     Conflict(Option<Stored>),
     /// There is no lease to replace.
     Absent,
-    /// The store refused it, and will not carry it out.
+    /// The store rejected the write and will not apply it.
     Refused,
-    /// No answer; it may have been carried out, or may be yet.
+    /// No answer; the write may have been applied, or may still be.
     Unclear,
 }
--- a/crates/policy/src/term/settings.rs
+++ b/crates/policy/src/term/settings.rs
@@ -1,29 +1,31 @@
-//! Times that a term goes by.
+//! Timing of the lease that permits sending orders.
 
 use types::prelude::*;
 
 use crate::member::rendezvous;
 
-/// Hosts up to which each is told of every renewal within a fraction of a second.
+/// Number of hosts up to which each receives every renewal from its peers within a fraction of a
+/// second.
 const SMALL_FLEET: usize = 16;
 
-/// [`Settings::poll`] of few hosts, who are told.
+/// [`Settings::poll`] in a small fleet, where peers report renewals.
 const SMALL_FLEET_POLL: Duration = Duration::from_secs(1);
 
-/// [`Settings::poll`] of many hosts, whose reads together have to stay few.
+/// [`Settings::poll`] in a large fleet, where the reads of all hosts together have to stay few.
 const LARGE_FLEET_POLL: Duration = Duration::from_secs(5);
 
-/// Time that a standby leaves to the others, and after which it reads the lease. News of renewals come
-/// late where hosts are many; hosts that all contend would read it again and again.
+/// Time for which a standby leaves the lease to the contenders, and after which it reads the lease.
+/// In a large fleet renewals arrive late; if all hosts contended, they would read the lease again
+/// and again.
 const STANDBY_DELAY: Duration = Duration::from_secs(12);
 
-/// Hosts of many that contend at once.
+/// Number of hosts of a large fleet that contend as soon as the lease is free.
 const CONTENDERS: usize = 5;
 
-/// Key of the order in which hosts contend.
+/// Rendezvous key that ranks hosts as contenders.
 const KEY: &[u8] = b"lease";
 
-/// Whether a host contends at once, among others that are in touch.
+/// Role of a host in contending, among the other reachable hosts.
 pub fn contender<'a>(own: &host::Id, others: impl Iterator<Item = &'a host::Id>) -> Contender {
     match rendezvous::is_among(KEY, own, others, CONTENDERS) {
         true => Contender::First,
@@ -31,34 +33,34 @@
     }
 }
 
-/// Times that a term goes by.
+/// Timing of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long a write of the lease is good for, from the moment it was sent.
+    /// Time for which a write of the lease is valid, from the moment it was sent.
     pub term: Duration,
-    /// Time between renewals, counted between their sendings.
+    /// Time between renewals, from send to send.
     pub renew: Duration,
-    /// Least time between the last order of one host and the first of another.
+    /// Minimum time between the last order of one host and the first order of another.
     pub turn: Duration,
-    /// Longest flight of an order; its sender gives it up then.
+    /// Maximum time of an order in flight, after which its sender abandons it.
     pub flight: Duration,
     /// Age up to which a read is recent enough to contend on.
     pub fresh: Duration,
-    /// Time without news of the lease after which a waiting host reads it. Long where it watches
-    /// the lease; somewhat over `renew` where it is told by peers.
+    /// Time without a report of the lease after which a waiting host reads it. Long if the host
+    /// watches the lease; somewhat over `renew` if peers report renewals.
     pub poll: Duration,
-    /// Extra time that this host leaves to those that are to contend before it.
+    /// Extra time for which this host leaves a free lease to the hosts that contend before it.
     pub delay: Duration,
-    /// Whether it is one of those.
+    /// Role of this host in contending.
     pub contender: Contender,
 }
 
-/// When a host of many contends for a lease that is free.
+/// Role of a host of a large fleet in contending for a free lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Contender {
     /// The host contends as soon as the lease is free.
     First,
-    /// The host contends when nobody has taken the lease for long.
+    /// The host contends once the lease has stayed free for a long time.
     Standby,
 }
 
@@ -78,7 +80,7 @@
 }
 
 impl Settings {
-    /// Sets [`Settings::poll`] for so many hosts that tell each other.
+    /// Sets the role, and [`Settings::poll`] for `hosts` hosts that report the lease to each other.
     pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
         (self.poll, self.contender) = match contender {
             _ if hosts <= SMALL_FLEET => (SMALL_FLEET_POLL, Contender::First),
@@ -87,7 +89,7 @@
         };
     }
 
-    /// Time that a host leaves to others once a lease is free.
+    /// Time for which a host leaves a free lease to others.
     pub fn standby_delay(&self) -> Duration {
         match self.contender {
             Contender::First => self.delay,
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases by change and own clock.
+//! Leases that expire by their last change and the observer's own clock.
 
 use policy::lease::{Lease, Observer, Step};
 use types::prelude::*;
--- a/crates/policy/tests/term.rs
+++ b/crates/policy/tests/term.rs
@@ -1,4 +1,4 @@
-//! Terms: who may send orders, and when.
+//! The lease on orders: which host may send them, and when.
 
 use policy::term::{self, Claim, Contender, Lease, OrderLease, Outcome, Settings, Step};
 use rstest::rstest;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A holder since 1 s, by the write of revision 7.
+/// Holder since 1 s, by the write of revision 7.
 fn holder() -> OrderLease {
     let mut term = term("host", 1);
     assert_eq!(term.step(at(990)), Step::Read);
@@ -84,7 +84,7 @@
     assert_eq!(term.may_order(at(9030)), Some(20));
 }
 
-/// The write by which `holder` took the lease.
+/// Write by which `holder` took the lease.
 fn holder_write() -> Step {
     let mut term = term("host", 1);
     term.observe(at(1000), None);
@@ -100,7 +100,11 @@
     assert!(matches!(term.step(at(2300)), Step::Replace(7, _)));
     term.write_finished(at(2400), Outcome::Conflict(Some((8, lost))));
     assert_eq!(term.may_order(at(2700)), Some(7));
-    assert_eq!(term.may_order(at(2701)), None, "counts from 1.5 s, when the lost one was sent");
+    assert_eq!(
+        term.may_order(at(2701)),
+        None,
+        "the term counts from 1.5 s, when the lost write was sent"
+    );
 }
 
 #[test]
@@ -122,7 +126,7 @@
     assert_eq!(term.step(at(5600)), Step::Idle);
     term.observe(at(5700), Some((7, other())));
     term.observe(at(9800), None);
-    assert!(matches!(term.step(at(9900)), Step::Replace(8, _)), "old reads change nothing");
+    assert!(matches!(term.step(at(9900)), Step::Replace(8, _)), "stale reads change nothing");
 }
 
 #[test]
@@ -151,7 +155,7 @@
     let mut term = holder();
     for now in (1500..9000).step_by(10) {
         if let Step::Replace(..) = term.step(at(now)) {
-            assert!(now <= 2500, "no write after its term");
+            assert!(now <= 2500, "a write after the end of the term");
             term.write_finished(at(now), outcome.clone());
         }
         assert_eq!(term.may_order(at(now)).is_some(), now <= 2200);
@@ -230,7 +234,7 @@
     let mut term = holder();
     term.step(at(1500));
     term.write_finished(at(1600), Outcome::Absent);
-    assert_eq!(term.may_order(at(2200)), Some(7), "its term goes on");
+    assert_eq!(term.may_order(at(2200)), Some(7), "the holder's term goes on");
     term.observe(at(6099), None);
     assert_eq!(term.step(at(6099)), Step::Idle);
     assert!(matches!(term.step(at(6100)), Step::Create(_)));
@@ -259,7 +263,8 @@
     assert!(matches!(term.step(at(5510)), Step::Replace(7, _)));
 }
 
-/// When a host takes the lease of one that froze at 0.3 s, with a renewal that it had told nobody.
+/// Time at which a host takes the lease of one that froze at 0.3 s, after a renewal that it
+/// reported to no peer.
 fn takes_over(mut term: OrderLease) -> Moment {
     let renewed = Lease { nonce: 2, ..other() };
     term.observe_from_peer(at(0), (7, other()));
@@ -289,7 +294,7 @@
     assert!((300..4500).step_by(50).all(|now| term.step(at(now)) == Step::Idle));
 }
 
-/// Where hosts are many, most leave a lease that nobody renews to a few, and take it in the end.
+/// In a large fleet most hosts leave an expired lease to a few contenders, and take it in the end.
 #[test]
 fn a_standby_takes_over_when_no_other_has() {
     let mut term = OrderLease::new("host".into(), 1, Settings::default());
@@ -306,7 +311,7 @@
     assert!(taken.is_some(), "the lease is never taken");
 }
 
-/// A contender that has gone is followed by another one.
+/// Another host takes the place of a contender that is gone.
 #[test]
 fn a_few_of_many_hosts_contend() {
     let mut hosts: Vec<host::Id> = (0..350).map(|n| format!("host-{n}").into()).collect();
