--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -1,21 +1,22 @@
-//! The only promise of accelerator memory: residents and reservations of each backend server.
+//! The single record of committed accelerator memory: residents and reservations of each backend
+//! server.
 //!
-//! One object for each server. An order is written here by conditional update before it is sent,
-//! and it stays until evidence settles it ([`settle`]), so whoever reads the object knows every
-//! order that may still reach the engine. Two planners may both write; the conditional update
-//! lets one through, and the other reads again.
+//! There is one object for each server. An order is recorded here by conditional update before it
+//! is sent, and stays until evidence settles it ([`settle`]), so whoever reads the object knows
+//! every order that may still reach the engine. Two planners may write at once; the conditional
+//! update lets one succeed, and the other reads again.
 //!
-//! Memory is counted for each unit, not for each order: however many orders to load a unit are
-//! open, it takes its memory once. So a lost order to load may be followed by a fresh one at no
-//! cost. Two sums must fit in the server's capacity:
+//! Memory is counted per unit, not per order: however many orders to load a unit are open, the unit
+//! takes its memory once. A lost order to load may therefore be followed by a new one at no cost.
+//! Two sums must fit in the server's capacity:
 //!
-//! - what the last report shows, with every open order to load: the engine as it runs;
-//! - every unsettled order to load, even one that fencing has put out of date: the engine after a
-//!   restart that nobody has seen yet, which has forgotten its residents and the highest fencing
-//!   number, and takes whatever still arrives.
+//! - the residents of the last report with every open order to load: the engine as it runs;
+//! - every unsettled order to load, even one superseded by its fencing token: the engine after a
+//!   restart that no host has observed yet, which has forgotten its residents and the highest
+//!   fencing token, and accepts whatever still arrives.
 //!
-//! An engine that ignores fencing numbers has no order that is out of date, and the first sum
-//! holds the second. Nothing here looks at a clock.
+//! On an engine that ignores fencing tokens no order is superseded, and the first sum includes the
+//! second. Nothing in this module depends on a clock.
 
 use std::collections::BTreeMap;
 
@@ -30,116 +31,117 @@
 pub mod sender;
 pub mod settle;
 
-/// Most unsettled orders of one server.
+/// Maximum number of unsettled orders of one server.
 ///
-/// An engine lists the orders it took, and the list is bounded; an order can't drop off it
-/// unseen while fewer than that are open.
+/// An engine lists the orders that it took, and its list is bounded; no order can drop off that
+/// list unobserved while at most this many are open.
 pub const MAX_ORDERS: usize = 16;
 
-/// Place of a report among all reports of a server.
+/// Position of a report among all reports of a server.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ReportPosition {
-    /// Run of the server's process.
+    /// Incarnation of the server's process.
     pub incarnation: backend::Incarnation,
-    /// Number of the report within the run.
+    /// Number of the report within the incarnation.
     pub sequence: u64,
 }
 
 impl ReportPosition {
-    /// Place of this report.
+    /// Position of a load report.
     pub fn of(load: &report::Load) -> ReportPosition {
         ReportPosition { incarnation: load.incarnation, sequence: load.sequence }
     }
 }
 
-/// An order that is not settled.
+/// Unsettled order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The order.
+    /// Order as sent to the engine.
     pub order: Order,
-    /// Why it was planned, for operators.
+    /// Reason of the order, for operators.
     pub cause: Arc<str>,
-    /// Set once nothing of it is in flight any more: reports from here on show its effect.
+    /// Set once nothing of the order is in flight: reports from this one on show the order's
+    /// effect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quiet: Option<ReportPosition>,
 }
 
-/// Promise of one server's accelerator memory, as kept in the object API.
+/// Committed accelerator memory of one server, as stored in the object API.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The server.
+    /// Server that the ledger is about.
     pub server: backend::Id,
-    /// Its accelerator memory, in MiB.
+    /// Accelerator memory of the server, in MiB.
     pub capacity: Mebibytes,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the server rejects orders with an old fencing token.
     pub fenced: bool,
-    /// Highest fencing number given out.
+    /// Highest fencing token issued.
     pub fence: order::Fence,
-    /// The report that `seen` and `residents` come from.
+    /// Position of the report from which `seen` and `residents` are taken.
     pub mark: ReportPosition,
-    /// Highest fencing number that the engine had seen.
+    /// Highest fencing token that the engine had seen.
     pub seen: order::Fence,
-    /// What was in memory.
+    /// Units in the engine's memory.
     pub residents: Vec<Resident>,
-    /// Orders that are not settled, oldest first.
+    /// Unsettled orders, the oldest first.
     pub orders: Vec<Entry>,
 }
 
-/// Who asks for a reservation, and why.
+/// Request for a reservation.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Name for the order; never used before.
+    /// Name of the order; never used before.
     pub id: order::Id,
-    /// The host that will send it.
+    /// Host that will send the order.
     pub sender: host::Id,
-    /// The run of that host's process.
+    /// Incarnation of the sender's process.
     pub incarnation: host::Incarnation,
-    /// Why it is planned.
+    /// Reason of the order, for operators.
     pub cause: Arc<str>,
 }
 
-/// What stands in the way of a reservation.
+/// Rejection of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// Too little memory is free.
     #[error("{server}: {needed} MiB are needed and {free} are free, {in_doubt} are held in doubt")]
     Memory {
-        /// The server.
+        /// Server of the ledger.
         server: backend::Id,
-        /// What the order would add, in MiB.
+        /// Additional memory that the order needs, in MiB.
         needed: Mebibytes,
-        /// What is free, in MiB.
+        /// Free memory, in MiB.
         free: Mebibytes,
-        /// What unsettled orders hold beyond the residents, in MiB.
+        /// Memory reserved by unsettled orders beyond the residents, in MiB.
         in_doubt: Mebibytes,
     },
     /// Too many orders are unsettled.
     #[error("{server}: {open} orders are not settled, and no more may be open")]
     Orders {
-        /// The server.
+        /// Server of the ledger.
         server: backend::Id,
-        /// Orders that are open.
+        /// Number of unsettled orders.
         open: usize,
     },
 }
 
-/// Memory of one server by what is known of it; all in MiB.
+/// Memory of one server, in MiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// All of it.
+    /// Total accelerator memory.
     pub capacity: Mebibytes,
-    /// Taken by residents or reserved.
+    /// Memory taken by residents or reserved.
     pub promised: Mebibytes,
-    /// The part of `promised` that orders hold and no report shows.
+    /// Part of `promised` that is reserved by orders and not shown by any report.
     pub in_doubt: Mebibytes,
-    /// What a reservation may still take.
+    /// Memory that a reservation may still take.
     pub free: Mebibytes,
 }
 
 impl Ledger {
-    /// Ledger of a server that has none yet, from its first report.
+    /// First ledger of a server, from its first report.
     pub fn new(load: &report::Load) -> Ledger {
         Ledger {
             server: load.server.clone(),
@@ -158,13 +160,14 @@
         format!("ledger/{server}")
     }
 
-    /// Reserves what `action` takes.
+    /// Reserves the memory that `action` takes.
     ///
-    /// Gives the ledger to write by conditional update, and the order to send once that write is
+    /// Returns the ledger to write by conditional update, and the order to send once that write is
     /// known to have taken effect.
     ///
     /// # Errors
-    /// What is short; the ledger stays as it is.
+    ///
+    /// The missing resource; the ledger is unchanged.
     pub fn reserve(
         &self,
         claim: Claim,
@@ -195,7 +198,7 @@
         Ok((next, order))
     }
 
-    /// Memory by what is known of it.
+    /// Memory committed by residents and unsettled orders.
     pub fn usage(&self) -> Usage {
         let running = self.worst_case_running();
         let promised = running.max(self.worst_case_restarted());
@@ -207,23 +210,24 @@
         }
     }
 
-    /// Whether the engine can't take this order in its present run, as a report showed.
+    /// Returns whether the engine, by its last report, rejects this order for its fencing token as
+    /// long as it runs.
     pub fn is_superseded(&self, entry: &Entry) -> bool {
         self.fenced && entry.order.fence <= self.seen
     }
 
-    /// Whether both sums fit in the capacity.
+    /// Returns whether both sums fit in the capacity.
     fn fits(&self) -> bool {
         self.worst_case_running() <= self.capacity && self.worst_case_restarted() <= self.capacity
     }
 
-    /// What the engine may come to hold as it runs.
+    /// Memory that the engine may come to use as it runs.
     fn worst_case_running(&self) -> Mebibytes {
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         total(&with_loads(self.resident_memory(), open))
     }
 
-    /// What the engine may come to hold after a restart that nobody has seen.
+    /// Memory that the engine may come to use after a restart that no host has observed.
     fn worst_case_restarted(&self) -> Mebibytes {
         total(&with_loads(BTreeMap::new(), self.orders.iter()))
     }
@@ -233,7 +237,7 @@
     }
 }
 
-/// Adds what the orders to load would take, each unit once.
+/// Adds the memory of the orders to load, each unit once.
 fn with_loads<'a>(
     mut units: BTreeMap<&'a Unit, Mebibytes>,
     entries: impl Iterator<Item = &'a Entry>,
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -1,9 +1,9 @@
-//! Senders that are gone for good.
+//! Detection of senders that are gone for good.
 //!
-//! Silence is not enough: a paused process is silent, and acts again. A run is gone when a later
-//! run of the same host is known, or when the platform's list has left the host out for longer
-//! than the list lags, confirmed by a list read at the end of that time. What it sent is waited
-//! for as long as its connections may linger.
+//! A missing answer is not enough: a paused process doesn't answer, and acts again later. An
+//! incarnation is gone when a later one of the same host is known, or when the platform's list has
+//! omitted the host for longer than the list lags, confirmed by a list read at the end of that
+//! time. Its messages are waited for as long as its connections may linger.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,29 @@
 
 use super::{Ledger, ReportPosition, sender::TimedReport, settle::Evidence};
 
-/// Times that absence is judged by.
+/// Times that apply to absent hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Longer than the platform's list lags.
+    /// Upper bound of the lag of the platform's list.
     pub list_lag: Duration,
-    /// How long a message may still arrive after its sender's end.
+    /// Time for which a message may still arrive after its sender's end.
     pub linger: Duration,
 }
 
-/// What is known of hosts that may be gone.
+/// Hosts that may be gone, and incarnations that are.
 #[derive(Clone, Debug)]
 pub struct GoneSenders {
     times: Times,
-    /// Latest known run of each host, and when this was first known.
+    /// Latest known incarnation of each host, and the time at which it was first known.
     latest: BTreeMap<host::Id, (host::Incarnation, Moment)>,
-    /// Hosts that the list leaves out, and since when.
+    /// Hosts missing from the list, and the time of the first list without them.
     unlisted: BTreeMap<host::Id, Moment>,
-    /// When the last list was asked for.
+    /// Time of the request for the last list.
     listed: Moment,
 }
 
 impl GoneSenders {
-    /// Knows of no host yet.
+    /// Starts with no known host.
     pub fn new(times: Times) -> GoneSenders {
         GoneSenders {
             times,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A run of a host is known.
+    /// Takes in an incarnation of a host.
     pub fn observe_run(&mut self, now: Moment, host: &host::Id, incarnation: host::Incarnation) {
         let latest = self.latest.entry(host.clone()).or_insert((incarnation, now));
         if latest.0 < incarnation {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in a list, with the time that it was asked for and the hosts that matter.
+    /// Takes in a list, with the time of the request for it and the hosts to track.
     pub fn observe_list<'a>(
         &mut self,
         asked: Moment,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Whether some host was missing from the last list.
+    /// Returns whether a tracked host was missing from the last list.
     pub fn is_watching(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
-    /// Since when nothing of this run can arrive any more, if it is gone.
+    /// Time from which nothing of this incarnation can arrive any more; `None` if it is not gone.
     pub fn gone_since(&self, host: &host::Id, incarnation: host::Incarnation) -> Option<Moment> {
         let replaced = self.latest.get(host).filter(|(latest, _)| incarnation < *latest);
         let replaced = replaced.map(|(_, since)| *since);
@@ -83,7 +83,7 @@
         Some(gone + self.times.linger)
     }
 
-    /// Whether a report is wanted from this server, so that orders of the gone can be settled.
+    /// Returns whether a report of this server is needed to settle orders of senders that are gone.
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         ledger.orders.iter().any(|entry| {
             let gone = self.gone_since(&entry.order.sender, entry.order.incarnation);
@@ -91,7 +91,7 @@
         })
     }
 
-    /// What this report says of orders whose senders are gone.
+    /// Evidence about orders of senders that were gone before the report was taken.
     pub fn evidence(&self, ledger: &Ledger, report: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -1,4 +1,4 @@
-//! Why a reservation is still held, and what would settle it; for operators.
+//! Explanation for operators why a reservation is held and what would settle it.
 
 use std::fmt;
 
@@ -7,41 +7,41 @@
 
 use super::{Entry, Ledger, ReportPosition};
 
-/// One unsettled order, as operators see it.
+/// Unsettled order, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Held {
-    /// The order.
+    /// Name of the order.
     pub order: order::Id,
-    /// The server it is for.
+    /// Server that the order is for.
     pub server: backend::Id,
-    /// What it does.
+    /// Effect of the order.
     pub action: order::Action,
-    /// Why it was planned.
+    /// Reason of the order.
     pub cause: Arc<str>,
-    /// The host that sends it.
+    /// Host that sends the order.
     pub sender: host::Id,
-    /// The run of that host's process.
+    /// Incarnation of the sender's process.
     pub incarnation: host::Incarnation,
-    /// What it holds beyond the residents, in MiB.
+    /// Memory that the order reserves beyond the residents, in MiB.
     pub memory: Mebibytes,
-    /// What is waited for.
+    /// Evidence that is awaited.
     pub waits: Wait,
-    /// Each thing that would settle it, in words.
+    /// Each event that would settle the order, as text.
     pub settled_by: Vec<String>,
 }
 
-/// What an unsettled order waits for.
+/// Evidence that an unsettled order waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Wait {
-    /// A report that shows it, or its sender's word.
+    /// A report that shows the order, or a statement of its sender.
     Arrival,
-    /// Its sender's word only: the engine would refuse it in its present run.
+    /// Only a statement of the sender: the engine would reject the order as long as it runs.
     #[serde(rename = "word")]
     Sender,
-    /// A report at least as new as the one that its sender named.
+    /// A report at least as new as the one that the sender named.
     Report {
-        /// That report.
+        /// Position of that report.
         after: ReportPosition,
     },
 }
@@ -59,7 +59,7 @@
 }
 
 impl Ledger {
-    /// For each unsettled order, oldest first: why it is held and what would settle it.
+    /// Explains each unsettled order, the oldest first.
     pub fn why_held(&self) -> Vec<Held> {
         self.orders.iter().map(|entry| self.explain(entry)).collect()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// What the order holds that no resident holds already.
+    /// Memory that the order reserves and no resident takes yet, in MiB.
     fn held_memory(&self, entry: &Entry) -> Mebibytes {
         let order::Action::Load { unit, memory } = &entry.order.action else { return 0 };
         let resident = self.residents.iter().find(|resident| resident.unit == *unit);
--- a/crates/policy/src/ledger/picture.rs
+++ b/crates/policy/src/ledger/picture.rs
@@ -1,4 +1,4 @@
-//! The ledger as placement sees it.
+//! View of the ledger for placement.
 
 use types::{
     order::Action,
@@ -7,12 +7,12 @@
 
 use super::{Entry, Ledger};
 
-/// Most orders for one unit that are open at once, so that repeating leaves room for others.
+/// Maximum number of open orders for one unit, so that repeats leave room for other orders.
 const MAX_ORDERS_PER_UNIT: usize = 4;
 
 impl Ledger {
-    /// What takes memory: a load that is ordered counts as loading, an unload that is ordered as
-    /// unloading.
+    /// Residents with the open orders applied: a unit with an order to load counts as loading, one
+    /// with an order to unload as unloading.
     pub fn expected_residents(&self) -> Vec<Resident> {
         let mut residents = self.residents.clone();
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
@@ -34,8 +34,8 @@
         residents
     }
 
-    /// The last open order for each unit whose effect no report shows, which may be given again:
-    /// a lost order and a late one look the same, and the unit's memory is held anyway.
+    /// Last open order for each unit whose effect no report shows, which may be repeated: a lost
+    /// order and a late one are indistinguishable, and the unit's memory is reserved anyway.
     pub fn repeatable(&self) -> Vec<&Entry> {
         let last = |(index, entry): &(usize, &Entry)| {
             let later = &self.orders[index + 1..];
@@ -52,7 +52,7 @@
         self.orders.iter().filter(|other| other.order.action.unit() == unit).count()
     }
 
-    /// Whether the last report shows what the order asks for.
+    /// Returns whether the last report shows the effect of the order.
     fn shows(&self, entry: &Entry) -> bool {
         let resident = |unit: &Unit| self.residents.iter().find(|resident| resident.unit == *unit);
         match &entry.order.action {
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -1,13 +1,13 @@
-//! What one run of a host knows of the orders that it reserved, and the words it may give.
+//! Orders reserved by one incarnation of a host, and the evidence that it can give about them.
 //!
-//! An order is sent once at most. Its sender may say that it never left, or, once the exchange is
-//! over, that nothing of it is in flight; an exchange that broke counts as over only when its
-//! connection has been closed for the linger time. The word goes with a report that was taken
-//! afterwards, by the sender's own clock: it was asked for later than that, by more than the age
-//! that the report gives itself.
+//! An order is sent at most once. Its sender may state that the order was never sent or, once the
+//! exchange is over, that nothing of it is in flight; a broken exchange counts as over only when
+//! its connection has been closed for the linger time. Such a statement needs a report that was
+//! taken afterwards, by the sender's own clock: the report was requested later than that, by more
+//! than the age that it states.
 //!
-//! An order under this run's name that it knows nothing of was reserved by a write whose answer
-//! never came; it was never sent.
+//! An order in this incarnation's name that it has no record of was reserved by a write whose
+//! answer never came; that order was never sent.
 
 use std::collections::BTreeMap;
 
@@ -15,36 +15,36 @@
 
 use super::{Claim, Entry, Ledger, ReportPosition, settle::Evidence};
 
-/// A load report with the time that it was asked for.
+/// Load report with the time of the request for it.
 #[derive(Clone, Debug)]
 pub struct TimedReport {
-    /// When this host asked, by its own clock.
+    /// Time of the request, by this host's clock.
     pub asked: Moment,
-    /// What the server said.
+    /// Report of the server.
     pub load: report::Load,
 }
 
 impl TimedReport {
-    /// Whether it shows the server later than `since`.
+    /// Returns whether the report shows the server later than `since`.
     pub fn is_after(&self, since: Moment) -> bool {
         self.asked.checked_sub(self.load.age).is_some_and(|taken| since < taken)
     }
 }
 
-/// Where an order is, as its sender knows.
+/// State of an order, as its sender knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Being reserved, or reserved and about to be sent.
+    /// The reservation is being written, or the order is about to be sent.
     Reserved,
-    /// Sent, and without an answer yet.
+    /// Sent and not answered yet.
     Sent,
-    /// Never sent, or refused.
+    /// Never sent, or rejected.
     NeverTaken,
-    /// Nothing of it is in flight from then on.
+    /// Nothing of the order is in flight from this time on.
     NotInFlight { since: Moment },
 }
 
-/// What one run of a host knows of the orders that it reserved.
+/// Orders reserved by one incarnation of a host.
 #[derive(Clone, Debug)]
 pub struct Sender {
     host: host::Id,
@@ -55,12 +55,13 @@
 }
 
 impl Sender {
-    /// Knows of no order yet; nothing is in flight on a connection closed for `linger`.
+    /// Starts without orders; nothing is in flight on a connection that has been closed for
+    /// `linger`.
     pub fn new(host: host::Id, incarnation: host::Incarnation, linger: Duration) -> Sender {
         Sender { host, incarnation, linger, next: 0, orders: BTreeMap::new() }
     }
 
-    /// Names a new order and takes it in hand.
+    /// Names a new order, which is about to be reserved.
     pub fn claim(&mut self, cause: Arc<str>) -> Claim {
         let id: order::Id = format!("{}/{}/{}", self.host, self.incarnation, self.next).into();
         self.next += 1;
@@ -68,17 +69,17 @@
         Claim { id, sender: self.host.clone(), incarnation: self.incarnation, cause }
     }
 
-    /// The order is about to be sent.
+    /// Records that the order is about to be sent.
     pub fn mark_sent(&mut self, id: &order::Id) {
         self.set(id, State::Sent);
     }
 
-    /// The order was not sent and never will be.
+    /// Records that the order was not sent and never will be.
     pub fn mark_not_sent(&mut self, id: &order::Id) {
         self.set(id, State::NeverTaken);
     }
 
-    /// The engine answered.
+    /// Records the engine's answer.
     pub fn mark_answered(&mut self, now: Moment, id: &order::Id, ack: &Ack) {
         let state = match ack {
             Ack::Accepted => State::NotInFlight { since: now },
@@ -87,17 +88,18 @@
         self.set(id, state);
     }
 
-    /// The exchange ended without an answer, and its connection is closed.
+    /// Records that the exchange ended without an answer and its connection is closed.
     pub fn mark_unanswered(&mut self, now: Moment, id: &order::Id) {
         self.set(id, State::NotInFlight { since: now + self.linger });
     }
 
-    /// Whether the order was reserved by this run.
+    /// Returns whether this incarnation reserved the order.
     pub fn owns(&self, entry: &Entry) -> bool {
         entry.order.sender == self.host && entry.order.incarnation == self.incarnation
     }
 
-    /// Whether a report is wanted from this server, so that a word can be given.
+    /// Returns whether a report of this server is needed to state that nothing of an order is in
+    /// flight.
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         let is_due = |entry: &Entry| match self.orders.get(&entry.order.id) {
             Some(State::NotInFlight { since }) => entry.quiet.is_none() && *since < now,
@@ -106,8 +108,8 @@
         ledger.orders.iter().any(|entry| self.owns(entry) && is_due(entry))
     }
 
-    /// What this run can say of its orders in a ledger that was read after this was last told of
-    /// a new order.
+    /// Evidence about this incarnation's orders in a ledger, which must have been read after the
+    /// last order was claimed.
     pub fn evidence(
         &self,
         ledger: &Ledger,
@@ -117,12 +119,12 @@
         own.filter_map(|entry| self.evidence_for(&entry.order.id, report)).collect()
     }
 
-    /// Whether it may have orders that are not settled.
+    /// Returns whether some orders may be unsettled.
     pub fn has_orders(&self) -> bool {
         !self.orders.is_empty()
     }
 
-    /// Forgets orders that are over and stand in none of these ledgers, which are all there are.
+    /// Forgets finished orders that are in none of these ledgers, which must be all ledgers.
     pub fn retain_in<'a>(&mut self, ledgers: impl IntoIterator<Item = &'a Ledger>) {
         let ledgers: Vec<&Ledger> = ledgers.into_iter().collect();
         let stands = |id: &order::Id| {
@@ -135,7 +137,7 @@
         });
     }
 
-    /// Forgets an order that is settled, or that was never reserved.
+    /// Forgets an order that is settled or was never reserved.
     pub fn forget(&mut self, id: &order::Id) {
         self.orders.remove(id);
     }
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -1,14 +1,15 @@
-//! Settling orders by evidence, never by time.
+//! Settlement of orders by evidence, never by time.
 //!
-//! A lost order and a late one look the same from outside, so silence settles nothing. Each order
-//! is sent once at most, which leaves these ways to know that it can't arrive any more:
+//! A lost order and a late one are indistinguishable from outside, so a missing answer settles
+//! nothing. Each order is sent at most once, which leaves three ways to know that it can't arrive
+//! any more:
 //!
-//! - the engine lists it among the orders it took: it has arrived, and the same report shows its
-//!   effect;
-//! - its sender knows that the engine never took it and never will: it was refused, or no byte of
+//! - the engine lists it among the orders that it took: it has arrived, and the same report shows
+//!   its effect;
+//! - its sender knows that the engine never took it and never will: it was rejected, or no byte of
 //!   it was sent;
-//! - its sender knows that nothing of it is in flight, or the sender is gone for good. Whether it
-//!   took effect is then shown by any report taken afterwards, and the word names the first such
+//! - its sender knows that nothing of it is in flight, or the sender is gone for good. Any report
+//!   taken afterwards then shows whether it took effect, and the evidence names the first such
 //!   report.
 //!
 //! Reports lag and arrive out of order; one that is older than the last one applied is dropped.
@@ -17,65 +18,65 @@
 
 use super::{Entry, Ledger, ReportPosition};
 
-/// Something known about a server's orders.
+/// Evidence about a server's orders.
 #[derive(Clone, Debug)]
 pub enum Evidence<'a> {
-    /// A load report.
+    /// Load report of the server.
     Report(&'a report::Load),
     /// The engine did not take the order and never will.
     NeverTaken {
-        /// The order.
+        /// Name of the order.
         order: order::Id,
     },
-    /// Nothing of the order is in flight, by its sender's word.
+    /// Nothing of the order is in flight, as its sender states.
     NotInFlight {
-        /// The order.
+        /// Name of the order.
         order: order::Id,
-        /// The first report that is known to have been taken afterwards.
+        /// First report known to have been taken afterwards.
         after: ReportPosition,
     },
     /// A host's process is gone for good, and nothing that it sent is in flight.
     SenderGone {
-        /// The host.
+        /// Host that is gone.
         sender: host::Id,
-        /// Its last run that is gone.
+        /// Last incarnation of the host that is gone.
         incarnation: host::Incarnation,
-        /// The first report that is known to have been taken afterwards.
+        /// First report known to have been taken afterwards.
         after: ReportPosition,
     },
 }
 
-/// How an order was settled.
+/// Way in which an order was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
-    /// The engine reported that it took it.
+    /// The engine reported that it took the order.
     Taken,
-    /// The engine never took it.
+    /// The engine never took the order.
     NeverTaken,
-    /// Nothing of it is in flight; the reports show what came of it.
+    /// Nothing of the order is in flight, and a later report shows its effect or that it had none.
     NotInFlight,
 }
 
-/// An order that was settled.
+/// Settled order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settled {
-    /// The order as it stood in the ledger.
+    /// Order as it was in the ledger.
     pub entry: Entry,
-    /// How it was settled.
+    /// Way in which the order was settled.
     pub how: How,
 }
 
-/// Outcome of looking at evidence.
+/// Result of applying evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The ledger to write by conditional update, if it differs.
+    /// Ledger to write by conditional update, if it differs.
     pub ledger: Ledger,
-    /// What was settled.
+    /// Orders that were settled.
     pub settled: Vec<Settled>,
 }
 
 impl Ledger {
-    /// Takes in evidence.
+    /// Applies evidence to the ledger.
     pub fn settle(&self, evidence: &[Evidence<'_>]) -> Outcome {
         let mut outcome = Outcome { ledger: self.clone(), settled: Vec::new() };
         for piece in evidence {
@@ -99,8 +100,9 @@
 }
 
 impl Outcome {
-    /// Whether a planner would decide otherwise by the ledger than by the one `before`, so that
-    /// writing it is worth a call. Reports come many times a second and mostly say the same.
+    /// Returns whether a planner would decide differently by this ledger than by `before`, so that
+    /// writing it is worth a call. Reports arrive many times a second and mostly repeat the same
+    /// state.
     pub fn affects_planning(&self, before: &Ledger) -> bool {
         let superseded = |ledger: &Ledger| -> Vec<bool> {
             ledger.orders.iter().map(|entry| ledger.is_superseded(entry)).collect()
@@ -136,7 +138,7 @@
         self.settle_shown();
     }
 
-    /// Drops the orders whose effect the last report shows.
+    /// Settles the orders whose effect the last report shows.
     fn settle_shown(&mut self) {
         let mark = self.ledger.mark;
         self.settle_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's decisions, case by case: what frees memory and what does not.
+//! Evidence that frees reserved memory, and evidence that doesn't.
 
 use policy::ledger::{
     Claim, Ledger, MAX_ORDERS, Rejection, ReportPosition,
@@ -32,7 +32,7 @@
     Claim { id: id.into(), sender: "host-1".into(), incarnation: 7, cause: "test".into() }
 }
 
-/// A report with these residents, of the first run.
+/// Report with these residents, of the first incarnation.
 fn report(sequence: u64, residents: &[(&str, Mebibytes)]) -> Load {
     let resident =
         |&(model, memory): &(&str, _)| Resident { unit: unit(model), memory, state: State::Ready };
@@ -107,7 +107,11 @@
     let after = ReportPosition { incarnation: 1, sequence: 3 };
     let evidence = Evidence::NotInFlight { order: "late".into(), after };
     let ledger = ledger.settle(&[evidence]).ledger;
-    assert_eq!(ledger.usage().in_doubt, 80, "no report since the word has been seen");
+    assert_eq!(
+        ledger.usage().in_doubt,
+        80,
+        "no report has been taken since the sender's statement"
+    );
     let ledger = ledger.settle(&[Evidence::Report(&report(3, &[]))]).ledger;
     assert_eq!(ledger.usage().free, 100);
 }
@@ -127,7 +131,7 @@
 
     let restarted = Load { incarnation: 2, ..report(1, &[]) };
     let ledger = ledger.settle(&[Evidence::Report(&fenced(restarted))]).ledger;
-    assert!(!ledger.is_superseded(&ledger.orders[0]), "the new run has no fencing number");
+    assert!(!ledger.is_superseded(&ledger.orders[0]), "the new incarnation has no fencing token");
     assert_eq!(ledger.usage().in_doubt, 40);
 }
 
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -1,4 +1,4 @@
-//! What a sender may say of its orders, and who counts as gone.
+//! Evidence of senders about their orders, and senders that count as gone.
 
 use policy::ledger::{
     Ledger, ReportPosition,
@@ -51,7 +51,7 @@
     Sender::new("host-1".into(), incarnation, LINGER)
 }
 
-/// A ledger with one order of this sender.
+/// Ledger with one order of this sender.
 fn reserved(sender: &mut Sender) -> (Ledger, order::Id) {
     let unit = Unit::Model { model: "a".into(), version: "1".into() };
     let claim = sender.claim("test".into());
@@ -111,7 +111,10 @@
     let (ledger, id) = reserved(&mut sender(1));
     let evidence = sender(1).evidence(&ledger, None);
     assert!(matches!(&evidence[..], [Evidence::NeverTaken { order }] if *order == id));
-    assert!(sender(2).evidence(&ledger, None).is_empty(), "an earlier run's order is not its own");
+    assert!(
+        sender(2).evidence(&ledger, None).is_empty(),
+        "an order of another incarnation is not its own"
+    );
 }
 
 fn list(hosts: &[&str]) -> List {
