--- a/crates/policy/src/follow.rs
+++ b/crates/policy/src/follow.rs
@@ -1,96 +1,102 @@
-//! How often a host asks the store after changes of what changes all the time.
+//! Pacing of a host's calls to the store for data that changes all the time.
 //!
-//! A watch that is asked again after each change costs a call for each change and host. So only a
-//! few hosts, the scouts, ask again soon and tell the others what can't wait. Every other host
-//! lets changes gather between two calls, longer the more hosts there are, so that the calls of all
-//! of them together stay as many; and never so long that it would miss the time in which it has to
-//! know by itself, whatever the scouts tell.
+//! A watch that is repeated after each change costs one call per change and host. So only a few
+//! hosts, the scouts, repeat it soon and report urgent changes to the others. Every other host lets
+//! changes gather between two calls, for longer the more hosts there are, so that the call rate of
+//! all hosts together stays constant. The pause never exceeds the deadline by which the host must
+//! know a change on its own, whatever the scouts report.
+//!
+//! The deadline is counted from the acknowledgement of the change, and passed in as `within`.
 
 use types::prelude::*;
 
 use crate::member::rendezvous;
 
-/// Hosts that ask again soon, beside the holder of the lease on orders.
+/// Number of hosts that repeat watches soon, besides the holder of the lease on orders.
 pub const SCOUTS: usize = 2;
 
-/// Hosts whose calls are few however often they ask: no more than there are scouts. With nine hosts in
-/// which each asked at once but for 40 ms, a minute took 3,094 calls of the store, and 2,406 with this.
+/// Number of hosts that add nothing to the pause: no more hosts than there are scouts make few
+/// calls however often they repeat them. With nine hosts that each repeated the call after 40 ms, a
+/// minute took 3,094 calls to the store; with this number it took 2,406.
 pub const UNPACED_HOSTS: usize = 2;
 
-/// Pause for each host beyond these.
+/// Pause for each host beyond [`UNPACED_HOSTS`].
 pub const PAUSE_PER_HOST: Duration = Duration::from_millis(40);
 
-/// Time from a host's start in which it does not know yet how many others there are, and the pause
-/// meanwhile.
+/// Time after a host's start in which it does not yet know the number of hosts.
 pub const STARTING: Duration = Duration::from_secs(3);
+
+/// Pause while the number of hosts is not known yet.
 const STARTING_PAUSE: Duration = Duration::from_millis(500);
 
-/// Pause of a scout where hosts are many: an order's effect is known by reports sooner than by the
-/// store, and what must be known in time may take seconds.
+/// Pause of a scout in a large fleet: load reports show an order's effect sooner than the store
+/// does, and changes that must be known in time may take seconds.
 const SCOUT_PAUSE: Duration = Duration::from_millis(150);
 
-/// Part of the time in which a change must be known that may pass between two calls.
+/// Longest pause between two calls, as a share of the deadline for changes.
 pub const MAX_PAUSE_SHARE: f64 = 0.6;
 
-/// Bounds of a watch's wait for a change.
+/// Bounds of the time for which a follower's watch waits for a change.
 const MIN_WAIT: Duration = Duration::from_secs(4);
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Wait for each host, so that the calls of all hosts together stay as many.
+/// Wait for each host, so that the call rate of all hosts together stays constant.
 const WAIT_PER_HOST: Duration = Duration::from_millis(800);
 
-/// Time beyond its wait after which a watch is no longer trusted.
+/// Time beyond its wait for which a follower's watch is trusted.
 const TRUST_MARGIN: Duration = Duration::from_secs(1);
 
-/// Part of the time in which a change must be known for which a scout's watch waits for one, and
-/// that of a host that has just started and knows no scout yet.
+/// Wait of a watch, as a share of the deadline for changes: of a scout, and of a host that has just
+/// started and knows no scout yet.
 const SCOUT_WAIT_SHARE: f64 = 0.4;
 const STARTING_WAIT_SHARE: f64 = 1.0;
 
-/// Part of it for which such a watch is trusted beyond its wait.
+/// Time beyond its wait for which a watch of a scout or a starting host is trusted, as a share of
+/// the deadline for changes.
 const SCOUT_TRUST_SHARE: f64 = 0.2;
 
-/// Part of it for which a relay lets changes gather.
+/// Longest pause of a relay, as a share of the deadline for changes.
 const RELAY_PAUSE_SHARE: f64 = 0.2;
 
-/// Part of it between two questions to a relay, and the age of its answer up to which it counts. Together
-/// they are under 1, so that a relay that loses the store is left in time.
+/// Interval between two requests to a relay, and the age up to which its answer counts, as shares
+/// of the deadline for changes. Their sum is below 1, so that a host leaves a relay that has lost
+/// the store in time.
 const RELAY_POLL_SHARE: f64 = 0.3;
 const RELAY_AGE_SHARE: f64 = 0.6;
 
-/// Part of it within which a server whose entry has gone is left alone at the latest.
+/// Latest end of the use of a server whose entry was removed, as a share of the deadline for
+/// changes.
 const REMOVAL_SHARE: f64 = 0.9;
 
-/// Key of the order in which hosts are scouts.
+/// Rendezvous key that ranks hosts as scouts.
 const KEY: &[u8] = b"scout";
 
-/// What a host is to the others in following the store.
+/// Role of a host in following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It asks again soon.
+    /// Repeats watches soon, and reports urgent changes to the others.
     Scout,
-    /// The host also asks for its group, which follows the store through it.
+    /// Also makes the calls for its group, whose hosts follow the store through this one.
     Relay,
-    /// It lets changes gather.
+    /// Lets changes gather between two calls.
     Follower,
 }
 
-/// How long a watch waits for a change, and for how long without any answer it is trusted: then it
-/// may be stalled.
+/// Times of a watch. One without an answer for longer than `trust` may be stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// Wait for a change, after which the store answers that there was none.
+    /// Time after which the store answers that nothing has changed.
     pub wait: Duration,
-    /// Time after which another is asked beside it.
+    /// Time without an answer after which a second watch is started beside it.
     pub trust: Duration,
 }
 
-/// The times of a watch that is asked `up` after the host's start, in a deployment of so many hosts,
-/// for changes that must be known within `within` of their acknowledgement.
+/// Times of a watch that starts `up` after the host's start, in a fleet of `hosts`, for changes
+/// that must be known `within` a time after their acknowledgement.
 ///
-/// A watch may be stalled and nothing else show it. So scouts trust theirs only for a part of that time,
-/// and tell the others what they learn. With six hosts that takes 166 to 203 calls of the store more in half a
-/// minute, of 742 and 1,105.
+/// A watch may stall without any other sign. So scouts trust theirs only for a part of that time,
+/// and report changes to the others. With six hosts that costs 166 to 203 additional calls to the
+/// store in half a minute, out of 742 and 1,105.
 pub fn watch_times(up: Moment, role: Role, hosts: usize, within: Duration) -> WatchTimes {
     let soon = |wait| WatchTimes {
         wait: within.mul_f64(wait),
@@ -108,13 +114,13 @@
     }
 }
 
-/// The role of a host that holds no lease, among others that are in touch.
+/// Role of a host that holds no lease, among the other reachable hosts.
 pub fn role<'a>(own: &host::Id, others: impl Iterator<Item = &'a host::Id>) -> Role {
     if rendezvous::is_among(KEY, own, others, SCOUTS) { Role::Scout } else { Role::Follower }
 }
 
-/// Pause after an answer that comes `up` after the host's start, in a deployment of so many hosts,
-/// for changes that each host must know within `within` of their acknowledgement.
+/// Pause after an answer that comes `up` after the host's start, in a fleet of `hosts`, for changes
+/// that each host must know `within` a time after their acknowledgement.
 pub fn pause(up: Moment, role: Role, hosts: usize, within: Duration) -> Duration {
     if up < STARTING {
         return STARTING_PAUSE.min(within.mul_f64(MAX_PAUSE_SHARE));
@@ -128,23 +134,28 @@
     }
 }
 
-/// Time between two questions of a host that follows the store through a relay, for changes that it must
-/// know within `within`.
+/// Interval between two requests of a host that follows the store through a relay, for changes that
+/// the host must know `within` a time.
 ///
-/// In a deployment of many hosts most ask their relay in place of the store, where each call counts
-/// against the rate of all. What counts is how old a relay's answer is, not that datagrams arrive.
+/// In a large fleet most hosts call their relay instead of the store, where each call counts
+/// against the rate limit of all hosts. The age of a relay's answer is what counts, not that
+/// datagrams arrive.
 pub fn relay_poll_interval(within: Duration) -> Duration {
     within.mul_f64(RELAY_POLL_SHARE)
 }
 
-/// Whether a relay's knowledge of this age is recent enough; else the store itself is asked.
+/// Returns whether a relay's answer of this age is recent enough; otherwise the host calls the
+/// store itself.
 pub fn is_recent(age: Duration, within: Duration) -> bool {
     age <= within.mul_f64(RELAY_AGE_SHARE)
 }
 
-/// Time for which a server may be used on whose entry went while the store was degraded, by a host that
-/// lets changes gather for so long: it may have gone as long ago, and both together have to end within
-/// `within`. Where they did not, a host of 82 could use it for 1.2 of that time.
+/// Time for which a host that lets changes gather for `gather` may still use a server whose entry
+/// was removed while the store was degraded.
+///
+/// The entry may have been removed as long ago as `gather`, and both times together have to end
+/// `within` a time. Without this bound a host in a fleet of 82 could use such a server for 1.2 of
+/// that time.
 pub fn removal_grace(gather: Duration, within: Duration) -> Duration {
     within.mul_f64(MAX_PAUSE_SHARE).min(within.mul_f64(REMOVAL_SHARE).saturating_sub(gather))
 }
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -1,4 +1,4 @@
-//! How often hosts ask the store after changes.
+//! Pacing of calls to the store: few in total, and changes known in time.
 
 use std::time::Duration;
 
@@ -78,8 +78,8 @@
 #[case(350)]
 fn a_scout_finds_a_stalled_watch_in_time(#[case] count: usize) {
     let watch = follow::watch_times(follow::STARTING, Role::Scout, count, DRAIN);
-    assert!(watch.wait < watch.trust, "the store has time to say that nothing changed");
-    // Another is asked at the end of the trust, and its answer is told to the others.
+    assert!(watch.wait < watch.trust, "the store has time to answer that nothing changed");
+    // A second watch starts when the trust ends, and its answer is reported to the others.
     assert!(watch.trust < DRAIN.mul_f64(0.75), "{watch:?}");
 }
 
@@ -104,7 +104,8 @@
 fn a_host_that_knows_no_other_yet_finds_a_stalled_watch_itself() {
     for role in [Role::Scout, Role::Follower] {
         let watch = follow::watch_times(Duration::ZERO, role, 1, DRAIN);
-        // It is held to no bound in its first seconds, and finds it as soon as it is.
+        // No bound applies to a host in its first seconds; it finds a stalled watch as soon as one
+        // does.
         assert!(watch.wait < watch.trust && watch.trust < follow::STARTING + DRAIN, "{watch:?}");
     }
 }
