--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,6 +5,7 @@
 //! needs a socket to be tested is in the wrong place.
 
 pub mod admit;
+pub mod attempt_timeout;
 pub mod config;
 pub mod demand;
 pub mod dispatch;
@@ -16,7 +17,6 @@
 pub mod limit;
 pub mod member;
 pub mod once;
-pub mod patience;
 pub mod place;
 pub mod plan;
 pub mod quarantine;
--- a/crates/policy/tests/patience.rs
+++ b/crates/policy/tests/attempt_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::patience;
+use policy::attempt_timeout;
 use rstest::rstest;
 
 fn ms(ms: u64) -> Duration {
@@ -14,14 +14,14 @@
 #[case::at_least(20, 10_000, 300)]
 #[case::half_of_what_is_left(400, 1000, 500)]
 fn an_answer(#[case] goal: u64, #[case] left: u64, #[case] wait: u64) {
-    assert_eq!(patience::answer(ms(goal), ms(left)), ms(wait));
+    assert_eq!(attempt_timeout::response(ms(goal), ms(left)), ms(wait));
 }
 
 #[rstest]
 #[case::by_the_goal(1500, 3750)]
 #[case::at_least(400, 1200)]
 fn a_first_event(#[case] goal: u64, #[case] wait: u64) {
-    assert_eq!(patience::first(ms(goal)), ms(wait));
+    assert_eq!(attempt_timeout::first_event(ms(goal)), ms(wait));
 }
 
 #[rstest]
@@ -29,5 +29,5 @@
 #[case::at_least(Some(150), 1000)]
 #[case::without_one(None, 1000)]
 fn a_next_event(#[case] gap: Option<u64>, #[case] wait: u64) {
-    assert_eq!(patience::pause(gap.map(ms)), ms(wait));
+    assert_eq!(attempt_timeout::next_event(gap.map(ms)), ms(wait));
 }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -12,8 +12,8 @@
 use futures_util::{FutureExt, future::BoxFuture};
 use observe::{metrics::routed::Refusal, story::Arrival};
 use policy::{
+    attempt_timeout,
     dispatch::{self, Answer, Ticket, Unclear, Verdict},
-    patience,
 };
 use tokio::{select, sync::oneshot, time::sleep};
 use types::{
@@ -404,7 +404,7 @@
 
     /// How long a server may take for its first event.
     pub(crate) fn first(&self) -> Duration {
-        patience::first(self.call.route.goal)
+        attempt_timeout::first_event(self.call.route.goal)
     }
 
     /// Goes on after an event, once the connection to the server before is closed.
@@ -427,7 +427,7 @@
     end: Ended,
 ) -> Result<Begun, Problem> {
     let mut end = end;
-    let patience = patience::first(call.route.goal);
+    let patience = attempt_timeout::first_event(call.route.goal);
     loop {
         let server = call.after(shared, end).await?;
         end = match call.attempt(patience, call.send(shared, &server, after)).await {
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -12,8 +12,8 @@
 use hyper::body::Incoming;
 use observe::metrics::routed::Refusal;
 use policy::{
+    attempt_timeout,
     dispatch::{self, Unclear},
-    patience,
 };
 use tokio::{select, time::timeout};
 use types::{
@@ -196,9 +196,9 @@
     }
     let patience = match call.route.kind {
         Kind::Idempotent | Kind::NonIdempotent => {
-            patience::answer(call.route.goal, call.left(shared))
+            attempt_timeout::response(call.route.goal, call.left(shared))
         }
-        Kind::Stream => patience::first(call.route.goal),
+        Kind::Stream => attempt_timeout::first_event(call.route.goal),
     };
     call.attempt(patience, answer).await
 }
@@ -236,7 +236,7 @@
     }
     let again = Again { shared: shared.clone(), call: call.clone() };
     let first = link.flight.began + again.first();
-    let watch = Watch::pauses(end, first, patience::pause(call.route.gap));
+    let watch = Watch::pauses(end, first, attempt_timeout::next_event(call.route.gap));
     let resume = Resume::At(again, call.account.leave());
     Events::new(link, after, resume, watch, call.clone())
 }
