--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -14,7 +14,7 @@
     task::Task,
 };
 use crate::{
-    quota::{self, Message, News, Quotas, Want},
+    quota::{self, Message, Quotas, VersionedLimit, Want},
     route::Index,
 };
 
@@ -36,7 +36,7 @@
         now: Moment,
     ) -> Option<quota::Change> {
         self.fleet.index(id)?;
-        let change = self.quotas.named(id, limit, sent, now)?;
+        let change = self.quotas.observe_limit(id, limit, sent, now)?;
         self.limit_changed(id, change, now);
         Some(change)
     }
@@ -45,10 +45,10 @@
     pub fn limit_heard(
         &mut self,
         id: &backend::Id,
-        news: News,
+        limit: VersionedLimit,
         now: Moment,
     ) -> Option<quota::Change> {
-        let change = self.quotas.heard(id, news, now)?;
+        let change = self.quotas.merge_limit(id, limit, now)?;
         self.limit_changed(id, change, now);
         Some(change)
     }
@@ -93,10 +93,10 @@
     fn limit_changed(&mut self, id: &backend::Id, change: quota::Change, now: Moment) {
         let server = self.fleet.index(id).and_then(|index| self.fleet.get_mut(index));
         let before = server.map_or(0, |server| {
-            server.is_limited = change.news.limit.is_some();
+            server.is_limited = change.current.rate.is_some();
             server.load.sent_since(now.saturating_sub(LATELY))
         });
-        self.quotas.changed(id, change, before, now);
+        self.quotas.limit_changed(id, change, before, now);
     }
 
     /// Takes a permit for an order to a server, if one is needed and there.
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -9,7 +9,7 @@
 use crate::{
     dispatch::poison::{Crash, Fingerprint},
     member::rendezvous,
-    quota::News,
+    quota::VersionedLimit,
     term,
 };
 
@@ -131,7 +131,7 @@
     /// Crashes of servers, with the requests that were there.
     Crashes(Vec<Crash>),
     /// The last news of the limits of servers.
-    Limits(Vec<(backend::Id, News)>),
+    Limits(Vec<(backend::Id, VersionedLimit)>),
 }
 
 /// One thing that a host tells.
@@ -149,7 +149,7 @@
     /// A relay does not hear this run of a host.
     Absent(host::Id, Run),
     Term(term::Stored),
-    Limit(backend::Id, News),
+    Limit(backend::Id, VersionedLimit),
 }
 
 /// What a fact is about; a later fact of the same key replaces it.
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -18,7 +18,7 @@
 use crate::{
     demand::Report,
     dispatch::loan,
-    quota::{Message, News},
+    quota::{Message, VersionedLimit},
 };
 
 use super::{
@@ -94,7 +94,7 @@
         /// The server.
         server: backend::Id,
         /// Its limit as of this change.
-        news: News,
+        news: VersionedLimit,
     },
     /// Asks and grants of quotas; they are sent once.
     Quota(Message),
--- a/crates/policy/src/fleet/picture.rs
+++ b/crates/policy/src/fleet/picture.rs
@@ -4,7 +4,7 @@
 
 use types::{availability, backend, routed::Version, service, time::Moment};
 
-use crate::{dispatch::poison::Crash, quota::News, term};
+use crate::{dispatch::poison::Crash, quota::VersionedLimit, term};
 
 use super::{
     Fleet, Standing,
@@ -63,7 +63,7 @@
     /// Crashes of servers that others know, with the requests that were there.
     pub crashes: Vec<Crash>,
     /// The last news of the limits of servers, over all others.
-    pub limits: BTreeMap<backend::Id, News>,
+    pub limits: BTreeMap<backend::Id, VersionedLimit>,
     /// The newest belief of others about the lease.
     pub lease: Option<Lease>,
     /// The newest lease object that any other knows.
--- a/crates/policy/src/fleet/sums.rs
+++ b/crates/policy/src/fleet/sums.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     dispatch::poison::{Crash, Fingerprint},
-    quota::News,
+    quota::VersionedLimit,
     term,
 };
 
@@ -61,7 +61,7 @@
     pub(super) term: Option<term::Stored>,
     pub(super) store: Option<Store>,
     pub(super) absent: BTreeMap<host::Id, Run>,
-    pub(super) limits: BTreeMap<backend::Id, News>,
+    pub(super) limits: BTreeMap<backend::Id, VersionedLimit>,
 }
 
 impl Tally {
@@ -103,7 +103,7 @@
             }
             Fact::Limit(server, news) => {
                 let held = self.limits.entry(server.clone()).or_insert(*news);
-                *held = held.joined(*news);
+                *held = held.merge(*news);
             }
             Fact::State(_) | Fact::Declared(_) | Fact::Arrivals(..) | Fact::Retries(..) => {}
         }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas: the rates at which servers take requests from all hosts together.
 //!
-//! A server that is in need names a limit in its answers ([`news`]). Requests go there only with a permit.
+//! A server that is in need names a limit in its answers ([`limits`]). Requests go there only with a permit.
 //! For each such server one host grants them, its owner: the first of the live hosts by rendezvous hashing
 //! under the server's id, so that owners of many servers are spread and none is elected. What makes a grant
 //! safe is not that there is one owner, but the [`lease`] of each host's share of the quota to one host at a
@@ -13,9 +13,9 @@
 pub mod bucket;
 pub mod client;
 pub mod lease;
+pub mod limits;
 pub mod members;
 pub mod message;
-pub mod news;
 pub mod owner;
 
 mod peer;
@@ -37,8 +37,8 @@
 };
 pub use self::{
     client::Want,
+    limits::{Change, Limits, VersionedLimit},
     message::Message,
-    news::{Book, Change, News},
 };
 use crate::member::rendezvous;
 
@@ -83,7 +83,7 @@
 pub struct Quotas {
     own: host::Id,
     run: host::Incarnation,
-    book: Book,
+    limits: Limits,
     members: Members,
     /// Live hosts, this one among them unless it is leaving.
     live: Vec<host::Id>,
@@ -114,7 +114,7 @@
             live: vec![own.clone()],
             own,
             run,
-            book: Book::default(),
+            limits: Limits::default(),
             members: Members::default(),
             servers: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -126,8 +126,8 @@
     }
 
     /// What is believed of the limits of servers.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn limits(&self) -> &Limits {
+        &self.limits
     }
 
     /// Counts since the start.
@@ -159,12 +159,12 @@
 
     /// A server's limit.
     pub fn limit(&self, server: &str) -> Option<Rate> {
-        self.book.limit(server)
+        self.limits.limit(server)
     }
 
     /// Limited servers.
     pub fn limited(&self) -> impl Iterator<Item = &backend::Id> {
-        self.book.limited().map(|(server, _)| server)
+        self.limits.limited().map(|(server, _)| server)
     }
 
     /// Sets how many hosts the store lists, whether or not they run.
@@ -189,36 +189,47 @@
     }
 
     /// Takes in what an answer names whose request left at `sent`.
-    pub fn named(
+    pub fn observe_limit(
         &mut self,
         server: &backend::Id,
         limit: Option<Rate>,
         sent: Moment,
         now: Moment,
     ) -> Option<Change> {
-        self.book.named(server, limit, sent, now)
+        self.limits.observe(server, limit, sent, now)
     }
 
     /// Takes in what another host believes.
-    pub fn heard(&mut self, server: &backend::Id, news: News, now: Moment) -> Option<Change> {
-        self.book.heard(server, news, now)
+    pub fn merge_limit(
+        &mut self,
+        server: &backend::Id,
+        limit: VersionedLimit,
+        now: Moment,
+    ) -> Option<Change> {
+        self.limits.merge(server, limit, now)
     }
 
     /// Notes that a server's limit has changed, and how many requests were sent to it just before.
-    pub fn changed(&mut self, server: &backend::Id, change: Change, before: u32, now: Moment) {
+    pub fn limit_changed(
+        &mut self,
+        server: &backend::Id,
+        change: Change,
+        before: u32,
+        now: Moment,
+    ) {
         let known = self.servers.entry(server.clone()).or_default();
         known.owner.changed();
         let is_lower = change
-            .news
-            .limit
-            .is_some_and(|limit| change.before.is_none_or(|before| limit < before));
+            .current
+            .rate
+            .is_some_and(|limit| change.previous.is_none_or(|previous| limit < previous));
         known.client.changed(if is_lower { before } else { 0 }, now);
     }
 
     /// Forgets the limit of a server that is gone. Its entry may come back while a share of its quota is still
     /// lent, so that is kept as it is where a limit ends.
     pub fn forget(&mut self, server: &str) {
-        self.book.forget(server);
+        self.limits.forget(server);
     }
 
     /// Whether a request may be sent to a limited server now.
@@ -270,7 +281,7 @@
         };
         let read = if message.to.is_some() { moment(message.read) } else { Duration::ZERO };
         let heard = message.lines.iter().filter_map(|line| {
-            Some((line.server.clone(), self.book.heard(&line.server, line.news, now)?))
+            Some((line.server.clone(), self.limits.merge(&line.server, line.limit, now)?))
         });
         let changes = heard.collect();
         for line in &message.lines {
@@ -296,7 +307,7 @@
         now: Moment,
     ) {
         self.unanswered.insert(from.clone());
-        let Some(limit) = self.book.limit(server) else { return };
+        let Some(limit) = self.limits.limit(server) else { return };
         let known = self.servers.entry(server.clone()).or_default();
         known.owner.ask(from, ask, read, limit, now);
     }
@@ -343,9 +354,9 @@
         lines: &mut BTreeMap<host::Id, Vec<Line>>,
         now: Moment,
     ) {
-        let news = self.book.news_of(id);
+        let versioned = self.limits.get(id);
         let Some(mut server) = self.servers.remove(id) else { return };
-        let Some(limit) = news.limit else {
+        let Some(limit) = versioned.rate else {
             if now < *server.ended.get_or_insert(now) + KEPT {
                 self.servers.insert(id.clone(), server);
             }
@@ -361,7 +372,7 @@
         let owner = self.owner(&server, &first, now);
         let lends = owner == first;
         let mut put = |host: &host::Id, content| {
-            let line = Line { server: id.clone(), news, content };
+            let line = Line { server: id.clone(), limit: versioned, content };
             lines.entry(host.clone()).or_default().push(line);
         };
         if owner == self.own {
--- a/crates/policy/src/quota/news.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -12,25 +12,25 @@
 use types::{backend, routed::Rate, time::Moment};
 
 /// Number of a change of one server's limit.
-pub type Number = u64;
+pub type Version = u64;
 
 /// A server's limit as of a change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct News {
+pub struct VersionedLimit {
     /// Number of the change.
-    pub number: Number,
+    pub version: Version,
     /// The limit; none if the server names none any more.
-    pub limit: Option<Rate>,
+    pub rate: Option<Rate>,
 }
 
-impl News {
+impl VersionedLimit {
     /// The later of two changes, with the lower limit if they bear the same number.
-    pub fn joined(self, other: News) -> News {
-        match self.number.cmp(&other.number) {
+    pub fn merge(self, other: VersionedLimit) -> VersionedLimit {
+        match self.version.cmp(&other.version) {
             Ordering::Less => other,
-            Ordering::Equal => News { limit: lower(self.limit, other.limit), ..self },
+            Ordering::Equal => VersionedLimit { rate: lower(self.rate, other.rate), ..self },
             Ordering::Greater => self,
         }
     }
@@ -39,7 +39,7 @@
 /// What a host believes of one server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Belief {
-    news: News,
+    limit: VersionedLimit,
     /// Since when it is held.
     since: Moment,
 }
@@ -48,38 +48,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The limit until now.
-    pub before: Option<Rate>,
+    pub previous: Option<Rate>,
     /// What holds from now on.
-    pub news: News,
+    pub current: VersionedLimit,
 }
 
 /// What a host believes of the limits of all servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Book(BTreeMap<backend::Id, Belief>);
+pub struct Limits(BTreeMap<backend::Id, Belief>);
 
-impl Book {
+impl Limits {
     /// A server's limit.
     pub fn limit(&self, server: &str) -> Option<Rate> {
-        self.0.get(server)?.news.limit
+        self.0.get(server)?.limit.rate
     }
 
     /// The last news of a server's limit.
-    pub fn news_of(&self, server: &str) -> News {
-        self.0.get(server).map(|belief| belief.news).unwrap_or_default()
+    pub fn get(&self, server: &str) -> VersionedLimit {
+        self.0.get(server).map(|belief| belief.limit).unwrap_or_default()
     }
 
     /// Servers that name a limit, with the last news of it.
-    pub fn limited(&self) -> impl Iterator<Item = (&backend::Id, News)> {
-        self.news().filter(|(_, news)| news.limit.is_some())
+    pub fn limited(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
+        self.iter().filter(|(_, limit)| limit.rate.is_some())
     }
 
     /// The last news of each server that has named a limit.
-    pub fn news(&self) -> impl Iterator<Item = (&backend::Id, News)> {
-        self.0.iter().map(|(server, belief)| (server, belief.news))
+    pub fn iter(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
+        self.0.iter().map(|(server, belief)| (server, belief.limit))
     }
 
     /// Takes in what an answer names whose request left at `sent`.
-    pub fn named(
+    pub fn observe(
         &mut self,
         server: &backend::Id,
         limit: Option<Rate>,
@@ -88,24 +88,29 @@
     ) -> Option<Change> {
         let held = self.0.get(server).copied().unwrap_or_default();
         let is_later = held.since < sent;
-        let limit = if is_later { limit } else { lower(limit, held.news.limit) };
-        if limit == held.news.limit {
+        let limit = if is_later { limit } else { lower(limit, held.limit.rate) };
+        if limit == held.limit.rate {
             return None;
         }
-        let news = News { number: held.news.number + 1, limit };
-        self.0.insert(server.clone(), Belief { news, since: now });
-        Some(Change { before: held.news.limit, news })
+        let current = VersionedLimit { version: held.limit.version + 1, rate: limit };
+        self.0.insert(server.clone(), Belief { limit: current, since: now });
+        Some(Change { previous: held.limit.rate, current })
     }
 
     /// Takes in what another host believes.
-    pub fn heard(&mut self, server: &backend::Id, news: News, now: Moment) -> Option<Change> {
+    pub fn merge(
+        &mut self,
+        server: &backend::Id,
+        received: VersionedLimit,
+        now: Moment,
+    ) -> Option<Change> {
         let held = self.0.get(server).copied().unwrap_or_default();
-        let news = held.news.joined(news);
-        if news == held.news {
+        let current = held.limit.merge(received);
+        if current == held.limit {
             return None;
         }
-        self.0.insert(server.clone(), Belief { news, since: now });
-        (news.limit != held.news.limit).then_some(Change { before: held.news.limit, news })
+        self.0.insert(server.clone(), Belief { limit: current, since: now });
+        (current.rate != held.limit.rate).then_some(Change { previous: held.limit.rate, current })
     }
 
     /// Forgets a server that is gone.
--- a/crates/policy/src/quota/message.rs
+++ b/crates/policy/src/quota/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use types::{backend, host, time::Moment};
 
-use super::news::News;
+use super::limits::VersionedLimit;
 
 /// Microseconds on the clock of one run of a host.
 pub type Clock = u64;
@@ -32,7 +32,7 @@
     /// The server.
     pub server: backend::Id,
     /// The last news of its limit that the sender has.
-    pub news: News,
+    pub limit: VersionedLimit,
     /// What is asked, or granted.
     pub content: Content,
 }
--- a/crates/policy/tests/quota/news.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use policy::quota::{
-    Book, News,
-    news::{Change, Number},
+    Limits, VersionedLimit,
+    limits::{Change, Version},
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -22,12 +22,15 @@
     "lm-1".into()
 }
 
-/// A book that has believed in a limit of 5 a second since 100 ms, under the first number.
-fn book() -> Book {
-    let mut book = Book::default();
-    let change = book.named(&server(), rate(5.0), ms(50), ms(100)).expect("a change");
-    assert_eq!(change, Change { before: None, news: News { number: 1, limit: rate(5.0) } });
-    book
+/// A limits that has believed in a limit of 5 a second since 100 ms, under the first version.
+fn limits() -> Limits {
+    let mut limits = Limits::default();
+    let change = limits.observe(&server(), rate(5.0), ms(50), ms(100)).expect("a change");
+    assert_eq!(
+        change,
+        Change { previous: None, current: VersionedLimit { version: 1, rate: rate(5.0) } }
+    );
+    limits
 }
 
 #[rstest]
@@ -42,12 +45,12 @@
     #[case] sent: u64,
     #[case] limit: Option<Rate>,
     #[case] believed: Option<Rate>,
-    #[case] number: Number,
+    #[case] version: Version,
 ) {
-    let mut book = book();
-    book.named(&server(), limit, ms(sent), ms(200));
-    assert_eq!(book.limit("lm-1"), believed);
-    assert_eq!(book.news().next(), Some((&server(), News { number, limit: believed })));
+    let mut limits = limits();
+    limits.observe(&server(), limit, ms(sent), ms(200));
+    assert_eq!(limits.limit("lm-1"), believed);
+    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: believed })));
 }
 
 #[rstest]
@@ -57,40 +60,40 @@
 #[case::of_the_same_change_and_higher(1, rate(9.0), rate(5.0))]
 #[case::of_an_earlier_change(0, rate(2.0), rate(5.0))]
 fn a_peers_news_counts_by_its_number(
-    #[case] number: Number,
+    #[case] version: Version,
     #[case] limit: Option<Rate>,
     #[case] believed: Option<Rate>,
 ) {
-    let mut book = book();
-    let change = book.heard(&server(), News { number, limit }, ms(200));
-    assert_eq!(book.limit("lm-1"), believed);
+    let mut limits = limits();
+    let change = limits.merge(&server(), VersionedLimit { version, rate: limit }, ms(200));
+    assert_eq!(limits.limit("lm-1"), believed);
     assert_eq!(change.is_some(), believed != rate(5.0));
 }
 
 #[test]
 fn an_answer_to_a_request_that_left_before_a_peers_news_does_not_undo_it() {
-    let mut book = book();
-    book.heard(&server(), News { number: 2, limit: rate(2.0) }, ms(300));
-    assert_eq!(book.named(&server(), rate(5.0), ms(250), ms(310)), None);
-    assert!(book.named(&server(), rate(5.0), ms(320), ms(340)).is_some());
-    assert_eq!(book.limit("lm-1"), rate(5.0));
+    let mut limits = limits();
+    limits.merge(&server(), VersionedLimit { version: 2, rate: rate(2.0) }, ms(300));
+    assert_eq!(limits.observe(&server(), rate(5.0), ms(250), ms(310)), None);
+    assert!(limits.observe(&server(), rate(5.0), ms(320), ms(340)).is_some());
+    assert_eq!(limits.limit("lm-1"), rate(5.0));
 }
 
 #[test]
 fn a_limit_of_zero_ends_with_an_answer_without_one() {
-    let mut book = Book::default();
-    book.named(&server(), rate(0.0), ms(1), ms(2));
-    assert_eq!(book.limit("lm-1"), rate(0.0));
-    book.named(&server(), None, ms(3), ms(4));
-    assert_eq!(book.limit("lm-1"), None);
+    let mut limits = Limits::default();
+    limits.observe(&server(), rate(0.0), ms(1), ms(2));
+    assert_eq!(limits.limit("lm-1"), rate(0.0));
+    limits.observe(&server(), None, ms(3), ms(4));
+    assert_eq!(limits.limit("lm-1"), None);
 }
 
 #[test]
 fn a_later_run_of_a_server_begins_without_a_limit() {
-    let mut book = book();
-    assert_eq!(book.limit("lm-1@7"), None);
-    book.forget("lm-1");
-    assert_eq!(book.limited().count(), 0);
+    let mut limits = limits();
+    assert_eq!(limits.limit("lm-1@7"), None);
+    limits.forget("lm-1");
+    assert_eq!(limits.limited().count(), 0);
 }
 
 proptest! {
@@ -100,21 +103,21 @@
         words in proptest::collection::vec((0_usize..4, 0_u32..4, 0_u64..400), 1..40),
         order in Just((0..16_usize).collect::<Vec<_>>()).prop_shuffle(),
     ) {
-        let mut books = vec![Book::default(); 4];
+        let mut hosts = vec![Limits::default(); 4];
         for (at, (host, limit, ago)) in words.into_iter().enumerate() {
             let now = ms(1_000 + 100 * at as u64);
             let limit = (limit != 0).then(|| Rate::per_second(limit.into())).flatten();
-            books[host].named(&server(), limit, now - ms(ago), now);
+            hosts[host].observe(&server(), limit, now - ms(ago), now);
         }
         // Each hears each, twice, since what is heard may be passed on.
         for pair in order.iter().chain(&order) {
             let (from, to) = (pair / 4, pair % 4);
-            let news: Vec<News> = books[from].news().map(|(_, news)| news).collect();
-            for news in news {
-                books[to].heard(&server(), news, ms(9_000));
+            let sent: Vec<VersionedLimit> = hosts[from].iter().map(|(_, limit)| limit).collect();
+            for limit in sent {
+                hosts[to].merge(&server(), limit, ms(9_000));
             }
         }
-        let limits: Vec<_> = books.iter().map(|book| book.limit("lm-1")).collect();
+        let limits: Vec<_> = hosts.iter().map(|limits| limits.limit("lm-1")).collect();
         prop_assert!(limits.windows(2).all(|pair| pair[0] == pair[1]), "{limits:?}");
     }
 }
--- a/crates/policy/tests/quota/main.rs
+++ b/crates/policy/tests/quota/main.rs
@@ -1,6 +1,6 @@
 //! Limits that servers name, shared by all hosts.
 
-mod news;
+mod limits;
 mod permits;
 mod play;
 mod shared;
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -105,11 +105,11 @@
 fn a_message_that_comes_twice_grants_once() {
     let server: backend::Id = "lm-1".into();
     let mut quotas = Quotas::new(id("a"), 1);
-    let change = quotas.named(&server, Some(limit()), ms(10), ms(20)).expect("a change");
-    quotas.changed(&server, change, 0, ms(20));
+    let change = quotas.observe_limit(&server, Some(limit()), ms(10), ms(20)).expect("a change");
+    quotas.limit_changed(&server, change, 0, ms(20));
     let grant = |clock| {
         let content = Content::Grant { permits: 1, waiting: 0 };
-        let line = Line { server: server.clone(), news: change.news, content };
+        let line = Line { server: server.clone(), limit: change.current, content };
         Message { from: 2, to: Some(1), clock, read: 900_000, lines: vec![line] }
     };
     for clock in [7_000_000, 6_000_000, 7_000_000, 6_000_000] {
@@ -129,8 +129,9 @@
     let owner = first_owner(&server);
     let mut quotas = Quotas::new(id("a"), 1);
     quotas.hosts([(&id(&owner), true)].into_iter(), vec![id("a"), id(&owner)], ms(9_000));
-    let change = quotas.named(&server, Some(limit()), ms(9_990), ms(10_000)).expect("a change");
-    quotas.changed(&server, change, 0, ms(10_000));
+    let change =
+        quotas.observe_limit(&server, Some(limit()), ms(9_990), ms(10_000)).expect("a change");
+    quotas.limit_changed(&server, change, 0, ms(10_000));
     let mut shares = |now| {
         quotas.tick(ms(now));
         quotas.shares(ms(now))
@@ -147,8 +148,9 @@
     let mut quotas = Quotas::new(id("a"), 1);
     quotas.hosts([(&id(&first), true)].into_iter(), vec![id("a"), id(&first)], ms(9_000));
     let name = |quotas: &mut Quotas, now| {
-        let change = quotas.named(&server, Some(limit()), ms(now - 1), ms(now)).expect("a change");
-        quotas.changed(&server, change, 0, ms(now));
+        let change =
+            quotas.observe_limit(&server, Some(limit()), ms(now - 1), ms(now)).expect("a change");
+        quotas.limit_changed(&server, change, 0, ms(now));
         quotas.tick(ms(now));
     };
     name(&mut quotas, 10_000);
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -11,7 +11,7 @@
 
 use policy::{
     member::rendezvous,
-    quota::{Message, News, Quotas, Want},
+    quota::{Message, Quotas, VersionedLimit, Want},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -127,7 +127,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Message { from: usize, to: usize, message: Message },
-    News { from: usize, to: usize, news: News },
+    Limit { from: usize, to: usize, limit: VersionedLimit },
     Answer { to: usize, sent: Moment, millionths: Option<u64> },
 }
 
@@ -300,8 +300,8 @@
             host.quotas.hosts(known, live, now - host.born);
             let teller = self.random.random_range(0..self.hosts.len());
             if teller != place && self.runs(teller) {
-                let news = self.hosts[teller].quotas.book().news_of(SERVER);
-                self.send(teller, place, Event::News { from: teller, to: place, news });
+                let limit = self.hosts[teller].quotas.limits().get(SERVER);
+                self.send(teller, place, Event::Limit { from: teller, to: place, limit });
             }
         }
     }
@@ -324,7 +324,7 @@
         while self.events.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
             let Some(Reverse((_, _, event))) = self.events.pop() else { return };
             let to = match &event {
-                Event::Message { to, .. } | Event::News { to, .. } | Event::Answer { to, .. } => {
+                Event::Message { to, .. } | Event::Limit { to, .. } | Event::Answer { to, .. } => {
                     *to
                 }
             };
@@ -349,31 +349,37 @@
                 let changes = host.quotas.receive(&name(from), &message, now);
                 for (id, change) in changes {
                     let before = self.before(to);
-                    self.hosts[to].quotas.changed(&id, change, before, now);
+                    self.hosts[to].quotas.limit_changed(&id, change, before, now);
                 }
             }
-            Event::News { to, news, .. } => self.hear(to, news),
+            Event::Limit { to, limit, .. } => self.hear(to, limit),
             Event::Answer { to, sent, millionths } => {
                 let host = &mut self.hosts[to];
                 // An answer to an earlier run of the host is nobody's.
                 let Some(sent) = sent.checked_sub(host.born) else { return };
                 let now = self.now - host.born;
                 let limit = millionths.and_then(|m| Rate::per_second(m as f64 / 1e6));
-                let Some(change) = host.quotas.named(&server(), limit, sent, now) else { return };
+                let Some(change) = host.quotas.observe_limit(&server(), limit, sent, now) else {
+                    return;
+                };
                 let before = self.before(to);
-                self.hosts[to].quotas.changed(&server(), change, before, now);
+                self.hosts[to].quotas.limit_changed(&server(), change, before, now);
                 for other in (0..self.hosts.len()).filter(|other| *other != to) {
-                    self.send(to, other, Event::News { from: to, to: other, news: change.news });
+                    self.send(
+                        to,
+                        other,
+                        Event::Limit { from: to, to: other, limit: change.current },
+                    );
                 }
             }
         }
     }
 
-    fn hear(&mut self, to: usize, news: News) {
+    fn hear(&mut self, to: usize, limit: VersionedLimit) {
         let now = self.now - self.hosts[to].born;
-        let Some(change) = self.hosts[to].quotas.heard(&server(), news, now) else { return };
+        let Some(change) = self.hosts[to].quotas.merge_limit(&server(), limit, now) else { return };
         let before = self.before(to);
-        self.hosts[to].quotas.changed(&server(), change, before, now);
+        self.hosts[to].quotas.limit_changed(&server(), change, before, now);
     }
 
     /// Requests that a host sent lately: its even part of all.
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -12,7 +12,7 @@
     fleet::{Departure, Heard, Lease, Notice, Part, Picture, Reach, Revision, State, Store, To},
 };
 use observe::story::{self, Belief, PeerStanding};
-use policy::{dispatch, fleet::Standing, quota::News, term};
+use policy::{dispatch, fleet::Standing, quota::VersionedLimit, term};
 use tokio::{
     sync::mpsc::{Receiver, UnboundedReceiver, unbounded_channel},
     time::sleep,
@@ -182,9 +182,9 @@
     }
 }
 
-fn limits(shared: &Shared) -> Vec<(backend::Id, News)> {
+fn limits(shared: &Shared) -> Vec<(backend::Id, VersionedLimit)> {
     let dispatcher = shared.dispatcher();
-    dispatcher.quotas().book().news().map(|(id, news)| (id.clone(), news)).collect()
+    dispatcher.quotas().limits().iter().map(|(id, limit)| (id.clone(), limit)).collect()
 }
 
 fn lease(shared: &Shared, now: Moment) -> Option<Lease> {
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -8,7 +8,7 @@
 };
 use policy::{
     fleet::Standing,
-    quota::{Change, Message, News},
+    quota::{Change, Message, VersionedLimit},
 };
 use types::{prelude::*, routed::Rate};
 
@@ -25,13 +25,13 @@
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
             self.limit_changed(server, change, Heard::Itself);
-            self.notify(Notice::Limited { server: server.clone(), news: change.news });
+            self.notify(Notice::Limited { server: server.clone(), news: change.current });
         }
     }
 
     /// Takes in what another host believes of a server's limit.
-    pub(crate) fn limit_heard(&self, server: &backend::Id, news: News, from: &host::Id) {
-        let change = self.dispatcher().limit_heard(server, news, self.now());
+    pub(crate) fn limit_heard(&self, server: &backend::Id, limit: VersionedLimit, from: &host::Id) {
+        let change = self.dispatcher().limit_heard(server, limit, self.now());
         if let Some(change) = change {
             self.limit_changed(server, change, Heard::Peer(from.clone()));
         }
@@ -54,8 +54,8 @@
         let own = (!self.is_leaving()).then(|| self.host.id.clone());
         let live = others.map(|seen| seen.member.id.clone()).chain(own).collect();
         self.dispatcher().share_among(known, live, self.now());
-        for (server, news) in &picture.limits {
-            self.limit_heard(server, *news, &crate::workload::PEERS.into());
+        for (server, limit) in &picture.limits {
+            self.limit_heard(server, *limit, &crate::workload::PEERS.into());
         }
     }
 
@@ -88,8 +88,8 @@
     fn limit_changed(&self, server: &backend::Id, change: Change, from: Heard) {
         self.teller.belief(Belief::Limit {
             server: server.clone(),
-            before: change.before.map(Rate::as_f64),
-            now: change.news.limit.map(Rate::as_f64),
+            before: change.previous.map(Rate::as_f64),
+            now: change.current.rate.map(Rate::as_f64),
             from,
         });
         self.dispatch_wakeup.notify_one();
