--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -204,7 +204,7 @@
         let memory = task.memory();
         let server = self.fleet.get_mut(choice.server).expect("a chosen server is there");
         if server.is_limited {
-            self.quotas.sent(&server.id, now);
+            self.quotas.use_permit(&server.id, now);
         }
         server.load.sent(ticket, choice.unread, memory, now);
         server.doubt.sent(ticket, now);
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -14,7 +14,7 @@
     task::Task,
 };
 use crate::{
-    quota::{self, Message, Quotas, VersionedLimit, Want},
+    quota::{self, Message, Quotas, VersionedLimit},
     route::Index,
 };
 
@@ -86,7 +86,7 @@
 
     /// Sets how many hosts the store lists, whether or not they run.
     pub fn share_listed(&mut self, hosts: u32) {
-        self.quotas.listed(hosts);
+        self.quotas.set_listed(hosts);
         self.sharers.list(hosts);
     }
 
@@ -106,8 +106,8 @@
         }
         let has_permit = self.quotas.has_permit(id, now);
         match has_permit {
-            true => self.quotas.sent(id, now),
-            false => self.quotas.missed(id, now),
+            true => self.quotas.use_permit(id, now),
+            false => self.quotas.permit_missing(id, now),
         }
         has_permit
     }
@@ -127,7 +127,7 @@
             .filter(|(_, server)| self.is_able(task, server) && !self.has_permit(server, now))
             .map(|(id, _)| id.clone())
             .collect();
-        missed.iter().for_each(|id| self.quotas.missed(id, now));
+        missed.iter().for_each(|id| self.quotas.permit_missing(id, now));
     }
 
     /// Refuses what can't be served in time by limited servers alone, and asks for permits.
@@ -136,7 +136,7 @@
             self.limits_looked = now;
             self.refuse_limited(now, changes);
             let wants = self.wants();
-            wants.iter().for_each(|(id, want)| self.quotas.wait(id, *want));
+            wants.iter().for_each(|(id, want)| self.quotas.set_demand(id, *want));
         }
         self.quotas.tick(now);
     }
@@ -150,8 +150,8 @@
     }
 
     /// Permits that waiting requests want, by limited server.
-    fn wants(&self) -> BTreeMap<backend::Id, Want> {
-        let none = Want { permits: 0, urgency: LEAST_URGENT };
+    fn wants(&self) -> BTreeMap<backend::Id, quota::Demand> {
+        let none = quota::Demand { permits: 0, urgency: LEAST_URGENT };
         let mut wants: BTreeMap<_, _> =
             self.quotas.limited().map(|id| (id.clone(), none)).collect();
         for (id, server) in self.limited() {
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -36,7 +36,7 @@
     peer::{Order, Peer},
 };
 pub use self::{
-    client::Want,
+    client::Demand,
     limits::{Change, Limits, VersionedLimit},
     message::Message,
 };
@@ -168,8 +168,8 @@
     }
 
     /// Sets how many hosts the store lists, whether or not they run.
-    pub fn listed(&mut self, hosts: u32) {
-        self.members.listed(hosts);
+    pub fn set_listed(&mut self, hosts: u32) {
+        self.members.set_listed(hosts);
     }
 
     /// Takes in the other hosts that are known, whether each is heard, and which of them take part.
@@ -238,23 +238,23 @@
     }
 
     /// Uses a permit for a request to a limited server.
-    pub fn sent(&mut self, server: &str, now: Moment) {
+    pub fn use_permit(&mut self, server: &str, now: Moment) {
         if let Some(known) = self.servers.get_mut(server) {
             self.counts.used += u64::from(known.client.use_permit(now));
         }
     }
 
     /// Notes a request that could have gone to a limited server but for a permit.
-    pub fn missed(&mut self, server: &str, now: Moment) {
+    pub fn permit_missing(&mut self, server: &str, now: Moment) {
         if let Some(known) = self.servers.get_mut(server) {
-            known.client.missed(now);
+            known.client.permit_missing(now);
         }
     }
 
     /// Sets what the requests want that wait and could go to a limited server.
-    pub fn wait(&mut self, server: &str, want: Want) {
+    pub fn set_demand(&mut self, server: &str, demand: Demand) {
         if let Some(known) = self.servers.get_mut(server) {
-            known.client.wait(want);
+            known.client.set_demand(demand);
         }
     }
 
@@ -418,14 +418,14 @@
 
     /// An ask of this host to an owner, with its share if that is to be lent and free.
     fn ask(&self, client: &mut Client, owner: &host::Id, lends: bool, now: Moment) -> Ask {
-        let want = client.want(now);
+        let demand = client.unmet_demand(now);
         let is_own = *owner == self.own;
         let length = if is_own { OWN_LEASE } else { self.lease() };
         let read = if is_own { Some(now) } else { self.peers.get(owner).and_then(Peer::read) };
         let is_lent = lends && read.is_some_and(|read| client.share.lend(owner, read, length, now));
         Ask {
-            wanted: want.permits,
-            urgency: want.urgency,
+            wanted: demand.permits,
+            urgency: demand.urgency,
             lease: if is_lent { length.as_millis() as u32 } else { 0 },
             hosts: self.members.count(),
             before: client.before(now),
--- a/crates/policy/src/quota/client.rs
+++ b/crates/policy/src/quota/client.rs
@@ -23,7 +23,7 @@
 
 /// Permits that a host wants of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Want {
+pub struct Demand {
     /// How many.
     pub permits: u32,
     /// Rank of the most urgent request that wants one; 0 goes first.
@@ -36,8 +36,8 @@
     /// This host's share.
     pub share: Share,
     permits: VecDeque<Moment>,
-    want: Want,
-    missed: Option<Moment>,
+    demand: Demand,
+    last_miss: Option<Moment>,
     queue: Option<(Moment, u32)>,
     before: Option<(Moment, u32)>,
     asked: Option<Asked>,
@@ -49,7 +49,7 @@
     of: host::Id,
     at: Moment,
     /// What was asked for and has not been granted.
-    want: Want,
+    demand: Demand,
 }
 
 impl Client {
@@ -75,8 +75,8 @@
         if until <= now {
             return permits;
         }
-        if let Some(Asked { want, .. }) = &mut self.asked {
-            want.permits = want.permits.saturating_sub(permits);
+        if let Some(Asked { demand, .. }) = &mut self.asked {
+            demand.permits = demand.permits.saturating_sub(permits);
         }
         let at = self.permits.partition_point(|other| *other <= until);
         (0..permits).for_each(|_| self.permits.insert(at, until));
@@ -91,13 +91,13 @@
     }
 
     /// Sets what the requests that wait now want.
-    pub fn wait(&mut self, want: Want) {
-        self.want = want;
+    pub fn set_demand(&mut self, demand: Demand) {
+        self.demand = demand;
     }
 
     /// Notes that a request found no permit.
-    pub fn missed(&mut self, now: Moment) {
-        self.missed = Some(now);
+    pub fn permit_missing(&mut self, now: Moment) {
+        self.last_miss = Some(now);
     }
 
     /// Notes how many requests were sent just before the limit changed.
@@ -111,26 +111,27 @@
     }
 
     /// What is to be asked for now.
-    pub fn want(&self, now: Moment) -> Want {
-        let Want { permits, urgency } = self.want;
+    pub fn unmet_demand(&self, now: Moment) -> Demand {
+        let Demand { permits, urgency } = self.demand;
         let held = self.permits(now);
         if 0 < permits {
-            return Want { permits: permits.saturating_sub(held), urgency };
+            return Demand { permits: permits.saturating_sub(held), urgency };
         }
-        let is_missed = self.missed.is_some_and(|at| now < at + DEMAND_LIFE);
-        Want { permits: u32::from(is_missed && held == 0), urgency: IDLE }
+        let is_missed = self.last_miss.is_some_and(|at| now < at + DEMAND_LIFE);
+        Demand { permits: u32::from(is_missed && held == 0), urgency: IDLE }
     }
 
     /// Whether it is time to ask a host for what is wanted. More or fewer permits are asked for once in
     /// `repeat`, the first and none any more at once. What no request waits for yet is asked for again with
     /// the renewals of leases alone.
     pub fn should_ask(&self, of: &host::Id, repeat: Duration, now: Moment) -> bool {
-        let want = self.want(now);
-        let is_wanted = 0 < want.permits;
+        let demand = self.unmet_demand(now);
+        let is_wanted = 0 < demand.permits;
         let Some(asked) = self.asked_of(of) else { return is_wanted };
-        let is_turn = is_wanted != (0 < asked.want.permits) || want.urgency < asked.want.urgency;
+        let is_turn =
+            is_wanted != (0 < asked.demand.permits) || demand.urgency < asked.demand.urgency;
         let pause = if is_turn { BREATH } else { repeat };
-        (is_turn || (is_wanted && want.urgency != IDLE)) && asked.at + pause <= now
+        (is_turn || (is_wanted && demand.urgency != IDLE)) && asked.at + pause <= now
     }
 
     /// When a host was last asked, if it was the last one.
@@ -140,7 +141,7 @@
 
     /// Notes that a host is asked for what is wanted.
     pub fn asks(&mut self, of: &host::Id, now: Moment) {
-        self.asked = Some(Asked { of: of.clone(), at: now, want: self.want(now) });
+        self.asked = Some(Asked { of: of.clone(), at: now, demand: self.unmet_demand(now) });
     }
 
     fn asked_of(&self, of: &host::Id) -> Option<&Asked> {
@@ -154,7 +155,7 @@
 
     /// This host's part of those that wait at the owner, with one more request; all if nothing is known.
     pub fn part(&self, now: Moment) -> f64 {
-        let own = f64::from(self.want.permits) + 1.0;
+        let own = f64::from(self.demand.permits) + 1.0;
         let fresh = self.queue.filter(|(at, _)| now < *at + QUEUE_LIFE);
         fresh.map_or(1.0, |(_, all)| (own / (f64::from(all) + 1.0)).min(1.0))
     }
--- a/crates/policy/src/quota/members.rs
+++ b/crates/policy/src/quota/members.rs
@@ -30,7 +30,7 @@
     }
 
     /// Sets how many hosts are listed, this one among them, whether or not they run.
-    pub fn listed(&mut self, hosts: u32) {
+    pub fn set_listed(&mut self, hosts: u32) {
         self.listed = hosts;
     }
 
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -6,7 +6,7 @@
     member::rendezvous,
     quota::{
         Quotas,
-        client::{Client, Want},
+        client::{Client, Demand},
         message::{Ask, Content, IDLE, Line, Message},
         owner::Owner,
     },
@@ -51,10 +51,10 @@
 #[test]
 fn permits_that_are_held_are_not_asked_for_again() {
     let mut client = Client::default();
-    client.wait(Want { permits: 3, urgency: 2 });
+    client.set_demand(Demand { permits: 3, urgency: 2 });
     client.granted(2, ms(0), ms(0));
-    assert_eq!(client.want(ms(10)), Want { permits: 1, urgency: 2 });
-    assert_eq!(client.want(ms(1_600)), Want { permits: 3, urgency: 2 });
+    assert_eq!(client.unmet_demand(ms(10)), Demand { permits: 1, urgency: 2 });
+    assert_eq!(client.unmet_demand(ms(1_600)), Demand { permits: 3, urgency: 2 });
 }
 
 #[test]
@@ -117,7 +117,7 @@
     }
     for _ in 0..2 {
         assert!(quotas.has_permit("lm-1", ms(1_000)));
-        quotas.sent("lm-1", ms(1_000));
+        quotas.use_permit("lm-1", ms(1_000));
     }
     assert!(!quotas.has_permit("lm-1", ms(1_000)));
 }
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -11,7 +11,7 @@
 
 use policy::{
     member::rendezvous,
-    quota::{Message, Quotas, VersionedLimit, Want},
+    quota::{Demand, Message, Quotas, VersionedLimit},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -410,10 +410,10 @@
         let is_limited = host.quotas.limit(SERVER).is_some();
         while !host.queue.is_empty() && (!is_limited || host.quotas.has_permit(SERVER, own)) {
             host.queue.pop_front();
-            host.quotas.sent(SERVER, own);
+            host.quotas.use_permit(SERVER, own);
             sent += 1;
         }
-        host.quotas.wait(SERVER, Want { permits: host.queue.len() as u32, urgency: 1 });
+        host.quotas.set_demand(SERVER, Demand { permits: host.queue.len() as u32, urgency: 1 });
         host.quotas.tick(own);
         let messages = host.quotas.outgoing();
         for _ in 0..sent {
