--- a/crates/policy/src/once.rs
+++ b/crates/policy/src/once.rs
@@ -31,7 +31,7 @@
 
 pub use self::{
     claim::{Answer, Change, Claim, End, Refusal, Verdict},
-    document::{Body, Document, Entry, Gap, Hold, Outcome, Run, State},
+    document::{Body, Document, Entry, Gap, Hold, HostRun, Outcome, State},
     key::{Key, Stamped},
     range::{Call, Range, Read, Step, Written},
 };
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -2,7 +2,7 @@
 
 use types::{request, request::Ran, time::Moment};
 
-use super::{Key, Outcome, Run, Stamped};
+use super::{HostRun, Key, Outcome, Stamped};
 
 /// A request that wants to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -14,7 +14,7 @@
     /// Digest of what it asks, shortened.
     pub digest: u64,
     /// The run of the host that will dispatch it.
-    pub claimant: Run,
+    pub claimant: HostRun,
     /// When it was asked for.
     pub asked: Moment,
 }
@@ -39,7 +39,7 @@
     /// "Still running" while its claimant is there, otherwise "may have run".
     Claimed {
         /// The run of the host that claimed it.
-        claimant: Run,
+        claimant: HostRun,
     },
     /// Ran before, with this outcome.
     Done(Outcome),
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -59,7 +59,7 @@
 
 /// One run of a host's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Run {
+pub struct HostRun {
     /// The host.
     pub host: host::Id,
     /// The run.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hold {
     /// Whose it is.
-    pub holder: Run,
+    pub holder: HostRun,
     /// When it last wrote.
     pub at: Wall,
 }
@@ -92,7 +92,7 @@
     /// Digest of what that request asks, shortened.
     pub digest: u64,
     /// The run of the host that claimed it.
-    pub claimant: Run,
+    pub claimant: HostRun,
     /// When it was claimed.
     pub at: Wall,
     /// How far it is.
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -19,7 +19,8 @@
 use types::{request, time::Moment};
 
 use super::{
-    Answer, Change, Claim, Document, End, Entry, Key, Now, Refusal, Run, Settings, State, Verdict,
+    Answer, Change, Claim, Document, End, Entry, HostRun, Key, Now, Refusal, Settings, State,
+    Verdict,
 };
 
 /// Version of an object in the object API.
@@ -73,7 +74,7 @@
 /// One host's view of one range of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Range {
-    me: Run,
+    me: HostRun,
     settings: Arc<Settings>,
     known: Option<Known>,
     flight: Option<Flight>,
@@ -90,7 +91,7 @@
     memory: BTreeMap<Key, Entry>,
     /// When the right to grant from memory ends.
     held: Option<Moment>,
-    gone: BTreeSet<Run>,
+    gone: BTreeSet<HostRun>,
     leaving: bool,
     failures: u32,
     next: Moment,
@@ -129,7 +130,7 @@
 
 impl Range {
     /// A range that nothing is known of.
-    pub fn new(me: Run, settings: Arc<Settings>) -> Range {
+    pub fn new(me: HostRun, settings: Arc<Settings>) -> Range {
         Range {
             me,
             settings,
@@ -170,7 +171,7 @@
     }
 
     /// Notes that a run of a host's process ended for good.
-    pub fn gone(&mut self, run: Run) {
+    pub fn gone(&mut self, run: HostRun) {
         self.gone.insert(run);
     }
 
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -34,7 +34,7 @@
     guard::{Guard, Verdict},
     home::homes,
 };
-use crate::once::{Key, Run, Wall};
+use crate::once::{HostRun, Key, Wall};
 
 /// Servers that one request may lose, over the whole deployment.
 pub const DEATHS: usize = 2;
@@ -150,7 +150,7 @@
     /// The server.
     pub life: Life,
     /// The run of the host that makes it.
-    pub host: Run,
+    pub host: HostRun,
     /// When it was written.
     pub since: Wall,
 }
@@ -224,7 +224,7 @@
         wall: Wall,
         fingerprint: Fingerprint,
         life: &Life,
-        host: &Run,
+        host: &HostRun,
     ) -> Result<(), Busy> {
         if self.refused.contains_key(&fingerprint) {
             return Err(Busy::Refused);
@@ -249,7 +249,7 @@
     }
 
     /// Notes that a trial ended with its server alive: completed means cleared.
-    pub fn complete(&mut self, fingerprint: Fingerprint, host: &Run) {
+    pub fn complete(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host) {
             self.suspects.remove(&fingerprint);
         }
@@ -265,7 +265,7 @@
     }
 
     /// Notes that a trial ended before it showed anything, with its server alive.
-    pub fn abort(&mut self, fingerprint: Fingerprint, host: &Run) {
+    pub fn abort(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host)
             && let Some(suspect) = self.suspects.get_mut(&fingerprint)
         {
@@ -278,7 +278,7 @@
         &mut self,
         settings: &Settings,
         wall: Wall,
-        host: &Run,
+        host: &HostRun,
         is_alive: impl Fn(&Life) -> bool,
     ) {
         let open: Vec<(Fingerprint, Life)> = self
@@ -313,7 +313,7 @@
         });
     }
 
-    fn has_trial(&self, fingerprint: Fingerprint, host: &Run) -> bool {
+    fn has_trial(&self, fingerprint: Fingerprint, host: &HostRun) -> bool {
         let trial = self.suspects.get(&fingerprint).and_then(|suspect| suspect.trial.as_ref());
         trial.is_some_and(|trial| trial.host == *host)
     }
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use policy::once::{
-    Body, Change, Document, End, Entry, Outage, Outcome, Presence, Read, Refusal, Run, Settings,
-    State, Verdict, Written,
+    Body, Change, Document, End, Entry, HostRun, Outage, Outcome, Presence, Read, Refusal,
+    Settings, State, Verdict, Written,
 };
 use rstest::rstest;
 use support::{Fault, Host, Store, at, key, settings, stamped};
@@ -138,7 +138,7 @@
     let (mut a, _, mut store) = pair(Outage::Refuse);
     a.claim(at(0), "a1", &key("k"), 1);
     a.settle(at(0), &mut store, Fault::None);
-    let mut later = Host::new(Run { host: "a".into(), incarnation: 2 }, Outage::Refuse);
+    let mut later = Host::new(HostRun { host: "a".into(), incarnation: 2 }, Outage::Refuse);
     later.claim(at(1_000), "a2", &key("k"), 1);
     later.settle(at(1_000), &mut store, Fault::None);
     assert_eq!(later.verdict("a2"), Some(Verdict::Claimed { claimant: run("a") }));
@@ -259,7 +259,7 @@
     let entry = Entry {
         id: "018f3c1e-7b1a-7c3e-9d2f-0123456789ab".into(),
         digest: u64::MAX,
-        claimant: Run { host: "gulfport-hall-entry-17".into(), incarnation: u64::MAX },
+        claimant: HostRun { host: "gulfport-hall-entry-17".into(), incarnation: u64::MAX },
         at: u64::MAX,
         state: State::Done(outcome(body)),
     };
@@ -336,8 +336,8 @@
     (Host::new(run("a"), outage), Host::new(run("b"), outage), Store::default())
 }
 
-fn run(host: &str) -> Run {
-    Run { host: host.into(), incarnation: 1 }
+fn run(host: &str) -> HostRun {
+    HostRun { host: host.into(), incarnation: 1 }
 }
 
 fn outcome(body: &str) -> Outcome {
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::once::{Outage, Run, Verdict};
+use policy::once::{HostRun, Outage, Verdict};
 use rstest::rstest;
 use support::{Fault, Host, Store, at, key, stamped};
 
@@ -92,8 +92,8 @@
     answered
 }
 
-fn run(number: usize) -> Run {
-    Run { host: format!("host-{}", number % HOSTS).into(), incarnation: 1 }
+fn run(number: usize) -> HostRun {
+    HostRun { host: format!("host-{}", number % HOSTS).into(), incarnation: 1 }
 }
 
 #[rstest]
--- a/crates/policy/tests/once_random.rs
+++ b/crates/policy/tests/once_random.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use policy::once::{Call, Change, End, Key, Now, Outage, Refusal, Run, Settings, Stamped, Verdict};
+use policy::once::{
+    Call, Change, End, HostRun, Key, Now, Outage, Refusal, Settings, Stamped, Verdict,
+};
 use proptest::prelude::*;
 use support::{Fault, Host, ORIGIN, Store, at, key, stamped};
 use types::request::Ran;
@@ -177,8 +179,8 @@
     }
 }
 
-fn run(host: usize, incarnation: u64) -> Run {
-    Run { host: format!("host-{host}").into(), incarnation }
+fn run(host: usize, incarnation: u64) -> HostRun {
+    HostRun { host: format!("host-{host}").into(), incarnation }
 }
 
 proptest! {
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use policy::{
-    once::Run,
+    once::HostRun,
     quarantine::{Busy, Document, Fingerprint, Guard, Life, Settings, Verdict, homes},
 };
 use rstest::rstest;
@@ -237,6 +237,6 @@
     Life { server: server.into(), incarnation: 1 }
 }
 
-fn run(host: &str) -> Run {
-    Run { host: host.into(), incarnation: 1 }
+fn run(host: &str) -> HostRun {
+    HostRun { host: host.into(), incarnation: 1 }
 }
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use policy::{
-    once::Run,
+    once::HostRun,
     quarantine::{Document, Fingerprint, Guard, Life, Settings, Verdict, homes},
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
@@ -253,8 +253,8 @@
         Life { server: id.clone(), incarnation: *incarnation }
     }
 
-    fn host(&self, host: usize) -> Run {
-        Run { host: host::Id::from(format!("host-{host}")), incarnation: 1 }
+    fn host(&self, host: usize) -> HostRun {
+        HostRun { host: host::Id::from(format!("host-{host}")), incarnation: 1 }
     }
 
     fn count(&self, poison: bool, state: &State) -> usize {
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -5,8 +5,8 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use policy::once::{
-    Answer, Call, Claim, Document, Key, Now, Outage, Range, Read, Run, Settings, Stamped, Verdict,
-    Wall, Written,
+    Answer, Call, Claim, Document, HostRun, Key, Now, Outage, Range, Read, Settings, Stamped,
+    Verdict, Wall, Written,
 };
 
 /// Wall clock at the origin of the tests' time.
@@ -78,17 +78,17 @@
 
 /// One run of a host's process.
 pub(crate) struct Host {
-    pub(crate) run: Run,
+    pub(crate) run: HostRun,
     pub(crate) range: Range,
     pub(crate) answers: BTreeMap<String, Verdict>,
 }
 
 impl Host {
-    pub(crate) fn new(run: Run, outage: Outage) -> Host {
+    pub(crate) fn new(run: HostRun, outage: Outage) -> Host {
         Host::with(run, settings(outage))
     }
 
-    pub(crate) fn with(run: Run, settings: Settings) -> Host {
+    pub(crate) fn with(run: HostRun, settings: Settings) -> Host {
         let range = Range::new(run.clone(), Arc::new(settings));
         Host { run, range, answers: BTreeMap::new() }
     }
--- a/crates/spec/src/once/calls.rs
+++ b/crates/spec/src/once/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the object API, and their answers, on time, late or lost.
 
-use policy::once::{Call, Document, Read, Run, State as Progress, Written};
+use policy::once::{Call, Document, HostRun, Read, State as Progress, Written};
 
 use super::{
     Claims, Lacks,
@@ -50,7 +50,7 @@
                 document.hold = None;
             }
             Lacks::ClaimsOutliveClaimants => {
-                let runs: Vec<&Run> = state.hosts.iter().map(|host| &host.run).collect();
+                let runs: Vec<&HostRun> = state.hosts.iter().map(|host| &host.run).collect();
                 document.entries.retain(|_, entry| {
                     entry.state != Progress::Claimed || runs.contains(&&entry.claimant)
                 });
--- a/crates/spec/src/once/hosts.rs
+++ b/crates/spec/src/once/hosts.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use policy::once::{Answer, Change, Claim, End, Now, Outage, Range, Refusal, Run, Verdict};
+use policy::once::{Answer, Change, Claim, End, HostRun, Now, Outage, Range, Refusal, Verdict};
 use types::request::{self, Ran};
 
 use super::{
@@ -15,7 +15,7 @@
 
 impl Claims {
     pub(super) fn host(&self, number: usize, incarnation: u64) -> Host {
-        let run = Run { host: format!("host-{number}").into(), incarnation };
+        let run = HostRun { host: format!("host-{number}").into(), incarnation };
         let mut range = Range::new(run.clone(), self.settings());
         if self.outage == Outage::Hold {
             range.renew(Now { wall: ORIGIN, moment: Duration::ZERO });
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use policy::once::{Call, Document, Range, Read, Run, Written};
+use policy::once::{Call, Document, HostRun, Range, Read, Written};
 use types::request;
 
 /// Everything that decides what may happen next.
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Host {
-    pub(super) run: Run,
+    pub(super) run: HostRun,
     pub(super) range: Range,
     pub(super) granted: BTreeMap<request::Id, Duration>,
     pub(super) dispatched: BTreeSet<request::Id>,
@@ -35,7 +35,7 @@
 /// A call under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Transit {
-    pub(super) run: Run,
+    pub(super) run: HostRun,
     pub(super) leg: Leg,
     /// Whether the host still waits for the answer.
     pub(super) awaited: bool,
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -4,8 +4,8 @@
 
 use policy::{
     once::{
-        Body, Call, Claim, Document, Entry, Key, Now, Outcome, Range, Read, Run, Settings, Stamped,
-        State, Written,
+        Body, Call, Claim, Document, Entry, HostRun, Key, Now, Outcome, Range, Read, Settings,
+        Stamped, State, Written,
     },
     quarantine::{self, Fingerprint, Life},
 };
@@ -44,8 +44,8 @@
     ])
 }
 
-fn me() -> Run {
-    Run { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
+fn me() -> HostRun {
+    HostRun { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
 }
 
 fn key(n: u64) -> Stamped {
--- a/crates/stage/src/claims.rs
+++ b/crates/stage/src/claims.rs
@@ -8,13 +8,15 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-use policy::once::{self, Answer, Call, Change, Claim, Now, Range, Read, Run, Verdict, Written};
+use policy::once::{
+    self, Answer, Call, Change, Claim, HostRun, Now, Range, Read, Verdict, Written,
+};
 use tokio::sync::{Notify, oneshot};
 use types::prelude::*;
 
 /// Claims of keys on this host.
 pub struct Claims {
-    me: Run,
+    me: HostRun,
     settings: Arc<once::Settings>,
     inner: Mutex<Inner>,
     wake: Notify,
@@ -37,12 +39,12 @@
 
 impl Claims {
     /// Starts with nothing claimed.
-    pub fn new(me: Run, settings: once::Settings) -> Claims {
+    pub fn new(me: HostRun, settings: once::Settings) -> Claims {
         Claims { me, settings: Arc::new(settings), inner: Mutex::default(), wake: Notify::new() }
     }
 
     /// The run of the host that claims here.
-    pub fn me(&self) -> &Run {
+    pub fn me(&self) -> &HostRun {
         &self.me
     }
 
--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -14,7 +14,7 @@
     Clock, Event, Metrics, Ring, event,
     metrics::{self, Direction, Link},
 };
-use policy::once::{self, Run};
+use policy::once::{self, HostRun};
 use settings::process::Process;
 use tokio::sync::watch;
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
@@ -83,7 +83,7 @@
         let control_bytes = Meter::default();
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = u64::try_from(started.as_micros()).unwrap_or(u64::MAX);
-        let me = Run { host: settings.host.id.clone(), incarnation };
+        let me = HostRun { host: settings.host.id.clone(), incarnation };
         let origin = Instant::now();
         let metrics = Metrics::new()?;
         let events = Arc::new(Ring::new(settings.host.id.clone(), incarnation, Clock::system()));
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -240,7 +240,7 @@
 }
 
 /// The claimant may be at work, or have died at any point: both are "may have run".
-fn in_use(context: &Context, claimant: &once::Run) -> Problem {
+fn in_use(context: &Context, claimant: &once::HostRun) -> Problem {
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
     let detail = match is_listed {
