--- a/crates/policy/src/once.rs
+++ b/crates/policy/src/once.rs
@@ -32,7 +32,7 @@
 pub use self::{
     claim::{Answer, Change, Claim, End, Refusal, Verdict},
     document::{Body, Document, Entry, Gap, Hold, HostRun, Outcome, State},
-    key::{Key, Stamped},
+    key::{Key, TimedKey},
     range::{Call, Range, Read, Step, Written},
 };
 
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -2,7 +2,7 @@
 
 use types::{request, request::Ran, time::Moment};
 
-use super::{HostRun, Key, Outcome, Stamped};
+use super::{HostRun, Key, Outcome, TimedKey};
 
 /// A request that wants to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -10,7 +10,7 @@
     /// Its name, which no other request has.
     pub id: request::Id,
     /// Its key.
-    pub key: Stamped,
+    pub key: TimedKey,
     /// Digest of what it asks, shortened.
     pub digest: u64,
     /// The run of the host that will dispatch it.
--- a/crates/policy/src/once/key.rs
+++ b/crates/policy/src/once/key.rs
@@ -11,17 +11,17 @@
 
 /// A key with the time that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Stamped {
+pub struct TimedKey {
     /// Its digest.
     pub key: Key,
     /// Its own time, for a version 7 UUID.
     pub stamp: Option<Wall>,
 }
 
-impl Stamped {
+impl TimedKey {
     /// Reads a caller's key in the scope of a customer's service.
-    pub fn new(customer: &customer::Id, service: &service::Id, text: &request::Key) -> Stamped {
-        Stamped { key: Key::new(customer, service, text), stamp: stamp(text) }
+    pub fn new(customer: &customer::Id, service: &service::Id, text: &request::Key) -> TimedKey {
+        TimedKey { key: Key::new(customer, service, text), stamp: stamp(text) }
     }
 }
 
--- a/crates/policy/tests/once_random.rs
+++ b/crates/policy/tests/once_random.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use policy::once::{
-    Call, Change, End, HostRun, Key, Now, Outage, Refusal, Settings, Stamped, Verdict,
+    Call, Change, End, HostRun, Key, Now, Outage, Refusal, Settings, TimedKey, Verdict,
 };
 use proptest::prelude::*;
 use support::{Fault, Host, ORIGIN, Store, at, key, stamped};
@@ -56,9 +56,9 @@
     store: Store,
     hosts: Vec<Host>,
     delayed: Vec<Call>,
-    keys: BTreeMap<u8, Stamped>,
+    keys: BTreeMap<u8, TimedKey>,
     /// Sends, each with the run of its key at that time.
-    sent: BTreeMap<String, (Stamped, Option<(String, u64)>)>,
+    sent: BTreeMap<String, (TimedKey, Option<(String, u64)>)>,
     /// Grants that were not released, and when they were given; a key may have one.
     runs: BTreeMap<Key, (String, u64)>,
     /// What was answered, to see each answer once.
@@ -121,7 +121,7 @@
         let now = self.now();
         let time = self.time as i64;
         let new = if number == 3 { key("opaque") } else { stamped(time * 10 + i64::from(number)) };
-        let new = Stamped { stamp: new.stamp.map(|_| ORIGIN + self.time), ..new };
+        let new = TimedKey { stamp: new.stamp.map(|_| ORIGIN + self.time), ..new };
         let key = *self.keys.entry(number).or_insert(new);
         let id = format!("{}-{}", host, self.sent.len());
         self.sent.insert(id.clone(), (key, self.runs.get(&key.key).cloned()));
@@ -173,7 +173,7 @@
     }
 
     /// A key without a time is recognised for a stated time, any other for ever.
-    fn is_recognised(&self, key: Stamped, granted: u64) -> bool {
+    fn is_recognised(&self, key: TimedKey, granted: u64) -> bool {
         let kept = self.settings.kept().as_millis() as u64;
         key.stamp.is_some() || self.time - granted < kept
     }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use policy::once::{
-    Answer, Call, Claim, Document, HostRun, Key, Now, Outage, Range, Read, Settings, Stamped,
+    Answer, Call, Claim, Document, HostRun, Key, Now, Outage, Range, Read, Settings, TimedKey,
     Verdict, Wall, Written,
 };
 
@@ -93,7 +93,7 @@
         Host { run, range, answers: BTreeMap::new() }
     }
 
-    pub(crate) fn claim(&mut self, now: Now, id: &str, key: &Stamped, digest: u64) {
+    pub(crate) fn claim(&mut self, now: Now, id: &str, key: &TimedKey, digest: u64) {
         self.range.claim(Claim {
             id: id.into(),
             key: *key,
@@ -160,15 +160,15 @@
 }
 
 /// A key without a time.
-pub(crate) fn key(text: &str) -> Stamped {
+pub(crate) fn key(text: &str) -> TimedKey {
     let key = Key::new(&"authority".into(), &"tickets".into(), &text.into());
-    Stamped { key, stamp: None }
+    TimedKey { key, stamp: None }
 }
 
 /// A key that carries a time, in milliseconds after the origin.
-pub(crate) fn stamped(millis: i64) -> Stamped {
+pub(crate) fn stamped(millis: i64) -> TimedKey {
     let stamp = ORIGIN.checked_add_signed(millis).expect("a time after 1970");
-    Stamped { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
+    TimedKey { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
 }
 
 /// Settings of a property test: the same cases in every run.
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -16,7 +16,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use policy::once::{Body, End, Key, Now, Outage, Outcome, Settings, Stamped};
+use policy::once::{Body, End, Key, Now, Outage, Outcome, Settings, TimedKey};
 
 use self::state::Leg;
 pub use self::{state::State, step::Step};
@@ -90,10 +90,10 @@
         Now { wall: ORIGIN + moment.as_millis() as u64, moment }
     }
 
-    fn key(&self) -> Stamped {
+    fn key(&self) -> TimedKey {
         let key = Key::new(&"customer".into(), &"service".into(), &"key".into());
         let stamp = (self.lacks != Lacks::KeyTime).then_some(ORIGIN);
-        Stamped { key, stamp }
+        TimedKey { key, stamp }
     }
 }
 
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -5,7 +5,7 @@
 use policy::{
     once::{
         Body, Call, Claim, Document, Entry, HostRun, Key, Now, Outcome, Range, Read, Settings,
-        Stamped, State, Written,
+        State, TimedKey, Written,
     },
     quarantine::{self, Fingerprint, Life},
 };
@@ -48,9 +48,9 @@
     HostRun { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
 }
 
-fn key(n: u64) -> Stamped {
+fn key(n: u64) -> TimedKey {
     let text = format!("01890a5d-ac96-774b-bcce-{n:012x}").into();
-    Stamped { key: Key::new(&"magnolia".into(), &"tickets".into(), &text), stamp: None }
+    TimedKey { key: Key::new(&"magnolia".into(), &"tickets".into(), &text), stamp: None }
 }
 
 fn document(entries: u64) -> Document {
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -17,7 +17,7 @@
 };
 use http_body_util::BodyExt;
 use observe::{Event, event};
-use policy::once::{self, Change, Claim, End, Outcome, Refusal, Stamped, Verdict};
+use policy::once::{self, Change, Claim, End, Outcome, Refusal, TimedKey, Verdict};
 use types::{
     prelude::*,
     request::{Ran, Repeat},
@@ -111,7 +111,7 @@
     let (mut request, digest) = with_digest(&context, request).await?;
     let service = call.numbered.config.services.get(&call.request.service);
     let customer = service.map(|service| service.customer.clone()).unwrap_or_default();
-    let key = Stamped::new(&customer, &call.request.service, key);
+    let key = TimedKey::new(&customer, &call.request.service, key);
     let claim = Claim {
         id: call.request.id.clone(),
         key,
