--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -52,9 +52,9 @@
 fn round(shared: &Arc<Shared>, now: Moment) {
     let dispatcher = shared.dispatcher();
     let dark = dispatcher.dark(now);
-    let limited = dispatcher.quotas().book().limited();
+    let limited = dispatcher.quotas().limits().limited();
     let limits =
-        limited.filter_map(|(id, news)| Some((id.clone(), news.limit?.as_f64()))).collect();
+        limited.filter_map(|(id, limit)| Some((id.clone(), limit.rate?.as_f64()))).collect();
     drop(dispatcher);
     let mut planner = shared.planner();
     planner.dark(&dark);
