--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -84,7 +84,7 @@
 
 /// One run of a backend server's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct ServerRun {
     /// The server.
     pub server: backend::Id,
     /// The run.
@@ -136,7 +136,7 @@
     /// The service it calls.
     pub service: service::Id,
     /// Servers that died with it.
-    pub deaths: BTreeSet<Life>,
+    pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
     pub since: Wall,
     /// Its trial, if one is open.
@@ -148,7 +148,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// The server.
-    pub life: Life,
+    pub life: ServerRun,
     /// The run of the host that makes it.
     pub host: HostRun,
     /// When it was written.
@@ -161,7 +161,7 @@
     /// The service it called.
     pub service: service::Id,
     /// Servers that died with it.
-    pub deaths: BTreeSet<Life>,
+    pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
     pub since: Wall,
     /// When it expires.
@@ -192,7 +192,7 @@
         &mut self,
         settings: &Settings,
         wall: Wall,
-        life: &Life,
+        life: &ServerRun,
         in_flight: impl IntoIterator<Item = (Fingerprint, &'a service::Id)>,
     ) {
         let explained = self.refused.values().any(|refused| refused.deaths.contains(life));
@@ -223,7 +223,7 @@
         settings: &Settings,
         wall: Wall,
         fingerprint: Fingerprint,
-        life: &Life,
+        life: &ServerRun,
         host: &HostRun,
     ) -> Result<(), Busy> {
         if self.refused.contains_key(&fingerprint) {
@@ -256,7 +256,7 @@
     }
 
     /// Notes that a request was answered whole by a server that died afterwards.
-    pub fn acquit(&mut self, fingerprint: Fingerprint, life: &Life) {
+    pub fn acquit(&mut self, fingerprint: Fingerprint, life: &ServerRun) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
         suspect.deaths.remove(life);
         if suspect.deaths.is_empty() && suspect.trial.is_none() {
@@ -279,9 +279,9 @@
         settings: &Settings,
         wall: Wall,
         host: &HostRun,
-        is_alive: impl Fn(&Life) -> bool,
+        is_alive: impl Fn(&ServerRun) -> bool,
     ) {
-        let open: Vec<(Fingerprint, Life)> = self
+        let open: Vec<(Fingerprint, ServerRun)> = self
             .suspects
             .iter()
             .filter_map(|(f, s)| s.trial.as_ref().map(|trial| (*f, trial)))
@@ -319,7 +319,7 @@
     }
 
     /// A death during a trial has the suspect on trial to blame.
-    fn blame_trial(&mut self, settings: &Settings, wall: Wall, life: &Life) {
+    fn blame_trial(&mut self, settings: &Settings, wall: Wall, life: &ServerRun) {
         let on_trial = self
             .suspects
             .iter()
@@ -331,7 +331,7 @@
     }
 
     /// Two deaths that share a single suspect have that one to blame.
-    fn blame_only_one(&mut self, settings: &Settings, wall: Wall, life: &Life) {
+    fn blame_only_one(&mut self, settings: &Settings, wall: Wall, life: &ServerRun) {
         let mut shared = self
             .suspects
             .iter()
@@ -343,7 +343,13 @@
     }
 
     /// Refuses a suspect and clears the others of the deaths that it explains.
-    fn refuse(&mut self, settings: &Settings, wall: Wall, fingerprint: Fingerprint, life: &Life) {
+    fn refuse(
+        &mut self,
+        settings: &Settings,
+        wall: Wall,
+        fingerprint: Fingerprint,
+        life: &ServerRun,
+    ) {
         let Some(mut suspect) = self.suspects.remove(&fingerprint) else { return };
         suspect.deaths.insert(life.clone());
         for other in self.suspects.values_mut() {
--- a/crates/policy/src/quarantine/guard.rs
+++ b/crates/policy/src/quarantine/guard.rs
@@ -4,7 +4,7 @@
 
 use types::{request, service};
 
-use super::{Document, Fingerprint, Life, Settings};
+use super::{Document, Fingerprint, ServerRun, Settings};
 use crate::once::range::Version;
 
 /// What to do with a request before it is routed.
@@ -27,14 +27,14 @@
     version: Option<Version>,
     in_flight: BTreeMap<request::Id, Flight>,
     /// Deaths seen here that the object does not show yet, with the requests in flight.
-    unwritten: BTreeMap<Life, BTreeMap<Fingerprint, service::Id>>,
+    unwritten: BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>,
 }
 
 #[derive(Clone, Debug)]
 struct Flight {
     fingerprint: Fingerprint,
     service: service::Id,
-    life: Life,
+    life: ServerRun,
 }
 
 impl Guard {
@@ -75,7 +75,7 @@
         id: request::Id,
         fingerprint: Fingerprint,
         service: service::Id,
-        life: Life,
+        life: ServerRun,
     ) {
         self.in_flight.insert(id, Flight { fingerprint, service, life });
     }
@@ -86,7 +86,7 @@
     }
 
     /// Notes that a request was answered whole by a server, which may have died since.
-    pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, life: &Life) {
+    pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, life: &ServerRun) {
         self.in_flight.remove(id);
         if let Some(suspects) = self.unwritten.get_mut(life) {
             suspects.remove(&fingerprint);
@@ -95,7 +95,7 @@
 
     /// Notes that a server died; what was in flight on it is to be written, see
     /// [`Guard::unwritten`]. Says whether that is new.
-    pub fn died(&mut self, life: &Life) -> bool {
+    pub fn died(&mut self, life: &ServerRun) -> bool {
         let (lost, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
             mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.life == *life);
         self.in_flight = left;
@@ -109,7 +109,7 @@
     }
 
     /// Deaths that the object does not show yet.
-    pub fn unwritten(&self) -> &BTreeMap<Life, BTreeMap<Fingerprint, service::Id>> {
+    pub fn unwritten(&self) -> &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>> {
         &self.unwritten
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Forgets deaths that a write has shown to all.
-    pub fn written(&mut self, deaths: &BTreeMap<Life, BTreeMap<Fingerprint, service::Id>>) {
+    pub fn written(&mut self, deaths: &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>) {
         for (life, written) in deaths {
             let Some(suspects) = self.unwritten.get_mut(life) else { continue };
             suspects.retain(|fingerprint, _| !written.contains_key(fingerprint));
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use policy::{
     once::HostRun,
-    quarantine::{Busy, Document, Fingerprint, Guard, Life, Settings, Verdict, homes},
+    quarantine::{Busy, Document, Fingerprint, Guard, ServerRun, Settings, Verdict, homes},
 };
 use rstest::rstest;
 use types::{backend, service};
@@ -233,8 +233,8 @@
     Fingerprint::of_digest(&[number; 32])
 }
 
-fn life(server: &str) -> Life {
-    Life { server: server.into(), incarnation: 1 }
+fn life(server: &str) -> ServerRun {
+    ServerRun { server: server.into(), incarnation: 1 }
 }
 
 fn run(host: &str) -> HostRun {
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -9,7 +9,7 @@
 
 use policy::{
     once::HostRun,
-    quarantine::{Document, Fingerprint, Guard, Life, Settings, Verdict, homes},
+    quarantine::{Document, Fingerprint, Guard, ServerRun, Settings, Verdict, homes},
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -155,7 +155,7 @@
             })
             .collect();
         for (host, server, incarnation) in due {
-            let life = Life { server: self.servers[server].id.clone(), incarnation };
+            let life = ServerRun { server: self.servers[server].id.clone(), incarnation };
             let guard = &mut self.guards[host];
             if guard.died(&life) {
                 guard.accuse(self.time, &mut self.document);
@@ -248,9 +248,9 @@
         }
     }
 
-    fn life(&self, server: usize) -> Life {
+    fn life(&self, server: usize) -> ServerRun {
         let Server { id, incarnation, .. } = &self.servers[server];
-        Life { server: id.clone(), incarnation: *incarnation }
+        ServerRun { server: id.clone(), incarnation: *incarnation }
     }
 
     fn host(&self, host: usize) -> HostRun {
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -7,7 +7,7 @@
         Body, Call, Claim, Document, Entry, HostRun, Key, Now, Outcome, Range, Read, Settings,
         State, TimedKey, Written,
     },
-    quarantine::{self, Fingerprint, Life},
+    quarantine::{self, Fingerprint, ServerRun},
 };
 use types::prelude::*;
 
@@ -100,7 +100,7 @@
     let suspect = |n: u32| {
         let mut digest = [0; 32];
         digest[..4].copy_from_slice(&n.to_le_bytes());
-        let life = Life { server: format!("server-{n:05}").into(), incarnation: 1 };
+        let life = ServerRun { server: format!("server-{n:05}").into(), incarnation: 1 };
         let suspect = quarantine::Suspect {
             service: "guests".into(),
             deaths: BTreeSet::from([life]),
