--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -5,41 +5,41 @@
 
 /// Parameters of a budget.
 #[derive(Clone, Copy, Debug)]
-pub struct Share {
+pub struct Ratio {
     /// Retries earned by a thousand successes.
     pub per_thousand: u64,
     /// Most retries saved up, also what a host starts with.
     pub most: u64,
 }
 
-impl Default for Share {
-    fn default() -> Share {
-        Share { per_thousand: 100, most: 50 }
+impl Default for Ratio {
+    fn default() -> Ratio {
+        Ratio { per_thousand: 100, most: 50 }
     }
 }
 
 /// Retries that may still be made.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    share: Share,
+    ratio: Ratio,
     units: u64,
 }
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget::new(Share::default())
+        Budget::new(Ratio::default())
     }
 }
 
 impl Budget {
     /// A full bucket.
-    pub fn new(share: Share) -> Budget {
-        Budget { share, units: share.most * RETRY }
+    pub fn new(ratio: Ratio) -> Budget {
+        Budget { ratio, units: ratio.most * RETRY }
     }
 
     /// A request has succeeded.
     pub fn deposit(&mut self) {
-        self.units = (self.units + self.share.per_thousand).min(self.share.most * RETRY);
+        self.units = (self.units + self.ratio.per_thousand).min(self.ratio.most * RETRY);
     }
 
     /// Takes one retry; false when there is none.
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -16,16 +16,16 @@
 
 /// Parameters of suspicion.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Backoff {
     /// How long a server is left out after its first failure.
     pub first: Duration,
     /// The longest it is left out.
     pub most: Duration,
 }
 
-impl Default for Times {
-    fn default() -> Times {
-        Times { first: Duration::from_millis(500), most: Duration::from_secs(10) }
+impl Default for Backoff {
+    fn default() -> Backoff {
+        Backoff { first: Duration::from_millis(500), most: Duration::from_secs(10) }
     }
 }
 
@@ -45,14 +45,14 @@
 /// Servers in doubt.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
-    times: Times,
+    backoff: Backoff,
     doubts: BTreeMap<Index, Doubt>,
 }
 
 impl Suspicion {
     /// With nobody in doubt.
-    pub fn new(times: Times) -> Suspicion {
-        Suspicion { times, doubts: BTreeMap::new() }
+    pub fn new(backoff: Backoff) -> Suspicion {
+        Suspicion { backoff, doubts: BTreeMap::new() }
     }
 
     /// An attempt on a server failed; gives the server's eligibility from now on.
@@ -62,14 +62,14 @@
         if matches!(point, Point::Refused) {
             return self.eligibility(server);
         }
-        let times = self.times;
+        let backoff = self.backoff;
         let new = Doubt { failures: 0, until: now, phase: Phase::Out };
         let doubt = self.doubts.entry(server).or_insert(new);
         if doubt.until <= now || doubt.phase == Phase::Trial {
             doubt.phase = Phase::Out;
             let doublings = doubt.failures.min(MOST_DOUBLINGS);
             doubt.failures += 1;
-            doubt.until = now + (times.first * (1 << doublings)).min(times.most);
+            doubt.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
         }
         Eligibility::Suspected(doubt.until)
     }
@@ -83,7 +83,7 @@
     /// so that no other follows until this one has ended.
     pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
         if let Some(doubt) = self.doubts.get_mut(&server) {
-            doubt.until = now + self.times.first;
+            doubt.until = now + self.backoff.first;
             doubt.phase = Phase::Trial;
         }
         self.eligibility(server)
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -46,9 +46,9 @@
     /// Bounds on attempts.
     pub attempts: retry::Bounds,
     /// The retry budget.
-    pub budget: retry::budget::Share,
+    pub budget: retry::budget::Ratio,
     /// How long servers are left out.
-    pub suspicion: suspicion::Times,
+    pub suspicion: suspicion::Backoff,
 }
 
 /// A request, as far as these decisions see it.
