--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
     /// The host holds all of it.
-    Held,
+    Buffered,
     /// A part has been read from the caller and passed on.
     Consumed,
 }
@@ -145,11 +145,11 @@
     match (failure.point, failure.repeat, failure.body) {
         (Point::Connect, _, _) => Some(Verdict::Retry),
         (_, Repeat::Once, _) | (_, _, Body::Consumed) | (Point::Body, _, _) => None,
-        (Point::Stream, Repeat::Idempotent, Body::Held) => Some(Verdict::Resume),
+        (Point::Stream, Repeat::Idempotent, Body::Buffered) => Some(Verdict::Resume),
         (
             Point::Sending | Point::Waiting | Point::Refused | Point::Fault | Point::Head,
             Repeat::Idempotent,
-            Body::Held,
+            Body::Buffered,
         ) => Some(Verdict::Retry),
     }
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -29,25 +29,25 @@
 }
 
 #[rstest]
-#[case(Point::Connect, Repeat::Idempotent, Body::Held, Verdict::Retry)]
-#[case(Point::Connect, Repeat::Once, Body::Held, Verdict::Retry)]
+#[case(Point::Connect, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
+#[case(Point::Connect, Repeat::Once, Body::Buffered, Verdict::Retry)]
 #[case(Point::Connect, Repeat::Once, Body::Consumed, Verdict::Retry)]
-#[case(Point::Sending, Repeat::Idempotent, Body::Held, Verdict::Retry)]
+#[case(Point::Sending, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
 #[case(Point::Sending, Repeat::Idempotent, Body::Consumed, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Sending, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Waiting, Repeat::Idempotent, Body::Held, Verdict::Retry)]
+#[case(Point::Sending, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::MayHaveRun))]
+#[case(Point::Waiting, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
 #[case(Point::Waiting, Repeat::Idempotent, Body::Consumed, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Waiting, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Refused, Repeat::Idempotent, Body::Held, Verdict::Retry)]
-#[case(Point::Refused, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Fault, Repeat::Idempotent, Body::Held, Verdict::Retry)]
-#[case(Point::Fault, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::MayHaveRun))]
-#[case(Point::Head, Repeat::Idempotent, Body::Held, Verdict::Retry)]
-#[case(Point::Head, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::Ran))]
-#[case(Point::Stream, Repeat::Idempotent, Body::Held, Verdict::Resume)]
-#[case(Point::Stream, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::Ran))]
-#[case(Point::Body, Repeat::Idempotent, Body::Held, Verdict::GiveUp(Ran::Ran))]
-#[case(Point::Body, Repeat::Once, Body::Held, Verdict::GiveUp(Ran::Ran))]
+#[case(Point::Waiting, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::MayHaveRun))]
+#[case(Point::Refused, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
+#[case(Point::Refused, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::MayHaveRun))]
+#[case(Point::Fault, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
+#[case(Point::Fault, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::MayHaveRun))]
+#[case(Point::Head, Repeat::Idempotent, Body::Buffered, Verdict::Retry)]
+#[case(Point::Head, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::Ran))]
+#[case(Point::Stream, Repeat::Idempotent, Body::Buffered, Verdict::Resume)]
+#[case(Point::Stream, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::Ran))]
+#[case(Point::Body, Repeat::Idempotent, Body::Buffered, Verdict::GiveUp(Ran::Ran))]
+#[case(Point::Body, Repeat::Once, Body::Buffered, Verdict::GiveUp(Ran::Ran))]
 fn each_failure_point_has_its_verdict(
     #[case] point: Point,
     #[case] repeat: Repeat,
@@ -59,7 +59,7 @@
 
 #[rstest]
 fn nothing_that_may_have_run_is_sent_again_when_it_may_run_once(
-    #[values(Body::Held, Body::Consumed)] body: Body,
+    #[values(Body::Buffered, Body::Consumed)] body: Body,
 ) {
     for point in Point::ALL.into_iter().filter(|point| point.ran() != Ran::DidNotRun) {
         let verdict = verdict(&failure(point, Repeat::Once, body));
@@ -72,7 +72,7 @@
     let failure = Failure {
         before: Ran::MayHaveRun,
         attempts: 4,
-        ..failure(Point::Connect, Repeat::Idempotent, Body::Held)
+        ..failure(Point::Connect, Repeat::Idempotent, Body::Buffered)
     };
     assert_eq!(verdict(&failure), Verdict::GiveUp(Ran::MayHaveRun));
 }
@@ -81,15 +81,18 @@
 #[case::too_many(4, Duration::from_secs(1))]
 #[case::too_late(1, Duration::from_millis(1))]
 fn attempts_are_bounded(#[case] attempts: u32, #[case] time_left: Duration) {
-    let failure =
-        Failure { attempts, time_left, ..failure(Point::Connect, Repeat::Idempotent, Body::Held) };
+    let failure = Failure {
+        attempts,
+        time_left,
+        ..failure(Point::Connect, Repeat::Idempotent, Body::Buffered)
+    };
     assert_eq!(verdict(&failure), Verdict::GiveUp(Ran::DidNotRun));
 }
 
 #[test]
 fn retries_stay_a_share_of_successes() {
     let mut budget = Budget::new(Ratio { per_thousand: 100, most: 5 });
-    let broken = failure(Point::Connect, Repeat::Idempotent, Body::Held);
+    let broken = failure(Point::Connect, Repeat::Idempotent, Body::Buffered);
     let mut retries = 0;
     for request in 0..10_000 {
         if decide(&broken, &Bounds::default(), &mut budget) == Verdict::Retry {
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -242,7 +242,7 @@
         let failure = Failure {
             point,
             repeat: self.call.request.repeat,
-            body: Body::Held,
+            body: Body::Buffered,
             before: self.ran,
             attempts: attempt + 1,
             time_left: self.call.time_left(&self.context),
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -58,8 +58,8 @@
     /// Whether it can be sent again.
     pub(super) fn state(&self) -> retry::Body {
         match self {
-            Upload::Held(_) => retry::Body::Held,
-            Upload::Streamed(lent) if lent.phase() == Phase::Whole => retry::Body::Held,
+            Upload::Held(_) => retry::Body::Buffered,
+            Upload::Streamed(lent) if lent.phase() == Phase::Whole => retry::Body::Buffered,
             Upload::Streamed(_) => retry::Body::Consumed,
         }
     }
