--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -29,11 +29,11 @@
 
 use self::{
     client::Client,
-    lease::LONGEST,
+    lease::MAX_LEASE,
     members::Members,
-    message::{Ask, Clock, Content, Line, clock, moment},
+    message::{Clock, Content, Entry, Request, clock, moment},
     owner::Owner,
-    peer::{Order, Peer},
+    peer::{Arrival, Peer},
 };
 pub use self::{
     client::Demand,
@@ -43,9 +43,9 @@
 use crate::member::rendezvous;
 
 /// Time between two renewals of a lease: for each host that shares the quota, and its bounds.
-const RENEWAL_EACH: Duration = Duration::from_millis(8);
-const RENEWAL_LEAST: Duration = Duration::from_millis(500);
-const RENEWAL_MOST: Duration = Duration::from_secs(2);
+const RENEWAL_PER_HOST: Duration = Duration::from_millis(8);
+const MIN_RENEWAL: Duration = Duration::from_millis(500);
+const MAX_RENEWAL: Duration = Duration::from_secs(2);
 
 /// Time that a lease lasts beyond two renewals, for messages that are late.
 const LEASE_SLACK: Duration = Duration::from_millis(1_500);
@@ -54,18 +54,18 @@
 const OWN_LEASE: Duration = Duration::from_millis(200);
 
 /// Time between two asks while requests wait: for each host that shares the quota, and its bounds.
-const REPEAT_EACH: Duration = Duration::from_millis(4);
-const REPEAT_LEAST: Duration = Duration::from_millis(100);
-const REPEAT_MOST: Duration = Duration::from_millis(800);
+const REPEAT_PER_HOST: Duration = Duration::from_millis(4);
+const MIN_REPEAT: Duration = Duration::from_millis(100);
+const MAX_REPEAT: Duration = Duration::from_millis(800);
 
 /// Time for which a server without a limit is kept: shares of its quota may still be lent.
-const KEPT: Duration = Duration::from_secs(10);
+const UNLIMITED_RETENTION: Duration = Duration::from_secs(10);
 
 /// Time between two messages to an owner whose clock is not known, or to whom no share is lent yet.
-const GREETING: Duration = Duration::from_millis(100);
+const HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most lines of a message, so that it fits a datagram.
-const LINES: usize = 16;
+const MAX_ENTRIES: usize = 16;
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     /// Live hosts, the first owner first.
     ranking: Vec<host::Id>,
     /// Since when it names no limit.
-    ended: Option<Moment>,
+    unlimited_since: Option<Moment>,
 }
 
 impl Quotas {
@@ -214,16 +214,16 @@
         &mut self,
         server: &backend::Id,
         change: Change,
-        before: u32,
+        sent_before: u32,
         now: Moment,
     ) {
         let known = self.servers.entry(server.clone()).or_default();
-        known.owner.changed();
+        known.owner.limit_changed();
         let is_lower = change
             .current
             .rate
             .is_some_and(|limit| change.previous.is_none_or(|previous| limit < previous));
-        known.client.changed(if is_lower { before } else { 0 }, now);
+        known.client.limit_changed(if is_lower { sent_before } else { 0 }, now);
     }
 
     /// Forgets the limit of a server that is gone. Its entry may come back while a share of its quota is still
@@ -261,8 +261,8 @@
     /// The rate at which a limited server takes requests of this host, with one more that waits.
     pub fn own_rate(&self, server: &str, now: Moment) -> Option<f64> {
         let limit = self.limit(server)?.as_f64();
-        let part = self.servers.get(server).map_or(1.0, |known| known.client.part(now));
-        Some(limit * part)
+        let fraction = self.servers.get(server).map_or(1.0, |known| known.client.fraction(now));
+        Some(limit * fraction)
     }
 
     /// Takes in a message, and returns the changes of limits that it told of.
@@ -276,53 +276,53 @@
             return Vec::new();
         }
         let peer = self.peers.entry(from.clone()).or_default();
-        let Some(order) = peer.receive(message.from, message.clock, now) else {
+        let Some(arrival) = peer.receive(message.from, message.clock, now) else {
             return Vec::new();
         };
-        let read = if message.to.is_some() { moment(message.read) } else { Duration::ZERO };
-        let heard = message.lines.iter().filter_map(|line| {
-            Some((line.server.clone(), self.limits.merge(&line.server, line.limit, now)?))
+        let echo = if message.to.is_some() { moment(message.echo) } else { Duration::ZERO };
+        let heard = message.entries.iter().filter_map(|entry| {
+            Some((entry.server.clone(), self.limits.merge(&entry.server, entry.limit, now)?))
         });
         let changes = heard.collect();
-        for line in &message.lines {
-            match line.content {
-                Content::Ask(ask) if order == Order::Newest => {
-                    self.asked(from, &line.server, &ask, read, now)
+        for entry in &message.entries {
+            match entry.content {
+                Content::Request(request) if arrival == Arrival::Newest => {
+                    self.on_request(from, &entry.server, &request, echo, now)
                 }
-                Content::Ask(_) => {}
+                Content::Request(_) => {}
                 Content::Grant { permits, waiting } => {
-                    self.granted(&line.server, permits, waiting, read, now);
+                    self.on_grant(&entry.server, permits, waiting, echo, now);
                 }
             }
         }
         changes
     }
 
-    fn asked(
+    fn on_request(
         &mut self,
         from: &host::Id,
         server: &backend::Id,
-        ask: &Ask,
-        read: Moment,
+        request: &Request,
+        echo: Moment,
         now: Moment,
     ) {
         self.unanswered.insert(from.clone());
         let Some(limit) = self.limits.limit(server) else { return };
         let known = self.servers.entry(server.clone()).or_default();
-        known.owner.ask(from, ask, read, limit, now);
+        known.owner.on_request(from, request, echo, limit, now);
     }
 
-    fn granted(
+    fn on_grant(
         &mut self,
         server: &backend::Id,
         permits: u32,
         waiting: u32,
-        asked: Moment,
+        requested_at: Moment,
         now: Moment,
     ) {
         let Some(known) = self.servers.get_mut(server) else { return };
-        self.counts.lapsed += u64::from(known.client.granted(permits, asked, now));
-        known.client.queue(waiting, now);
+        self.counts.lapsed += u64::from(known.client.on_grant(permits, requested_at, now));
+        known.client.set_queue(waiting, now);
     }
 
     /// Grants, asks and renews what is due.
@@ -330,16 +330,16 @@
         if self.servers.is_empty() && self.unanswered.is_empty() {
             return;
         }
-        let mut lines: BTreeMap<host::Id, Vec<Line>> = BTreeMap::new();
+        let mut entries: BTreeMap<host::Id, Vec<Entry>> = BTreeMap::new();
         std::mem::take(&mut self.unanswered).into_iter().for_each(|host| {
-            lines.entry(host).or_default();
+            entries.entry(host).or_default();
         });
         let ids: Vec<backend::Id> = self.servers.keys().cloned().collect();
         for id in ids {
-            self.tick_server(&id, &mut lines, now);
+            self.tick_server(&id, &mut entries, now);
         }
-        for (host, lines) in lines {
-            self.put(&host, &lines, now);
+        for (host, entries) in entries {
+            self.queue_messages(&host, &entries, now);
         }
     }
 
@@ -351,18 +351,18 @@
     fn tick_server(
         &mut self,
         id: &backend::Id,
-        lines: &mut BTreeMap<host::Id, Vec<Line>>,
+        entries: &mut BTreeMap<host::Id, Vec<Entry>>,
         now: Moment,
     ) {
         let versioned = self.limits.get(id);
         let Some(mut server) = self.servers.remove(id) else { return };
         let Some(limit) = versioned.rate else {
-            if now < *server.ended.get_or_insert(now) + KEPT {
+            if now < *server.unlimited_since.get_or_insert(now) + UNLIMITED_RETENTION {
                 self.servers.insert(id.clone(), server);
             }
             return;
         };
-        server.ended = None;
+        server.unlimited_since = None;
         if server.ranking.is_empty() {
             server.ranking = ranking(&self.live, id);
         }
@@ -371,30 +371,33 @@
         let first = self.first(&server, now);
         let owner = self.owner(&server, &first, now);
         let lends = owner == first;
-        let mut put = |host: &host::Id, content| {
-            let line = Line { server: id.clone(), limit: versioned, content };
-            lines.entry(host.clone()).or_default().push(line);
+        let mut add_entry = |host: &host::Id, content| {
+            let entry = Entry { server: id.clone(), limit: versioned, content };
+            entries.entry(host.clone()).or_default().push(entry);
         };
         if owner == self.own {
-            let ask = self.ask(&mut server.client, &owner, lends, now);
-            server.owner.ask(&owner, &ask, now, limit, now);
-            server.client.asks(&owner, now);
-        } else if self.should_tell(&server.client, &owner, lends, now) {
-            put(&owner, Content::Ask(self.ask(&mut server.client, &owner, lends, now)));
-            server.client.asks(&owner, now);
+            let request = self.request(&mut server.client, &owner, lends, now);
+            server.owner.on_request(&owner, &request, now, limit, now);
+            server.client.record_request(&owner, now);
+        } else if self.should_send_request(&server.client, &owner, lends, now) {
+            add_entry(
+                &owner,
+                Content::Request(self.request(&mut server.client, &owner, lends, now)),
+            );
+            server.client.record_request(&owner, now);
         }
         let granted = server.owner.grant(limit, self.members.count(), now);
         let waiting = server.owner.waiting(now);
         for (host, permits) in granted {
             self.counts.granted += u64::from(permits);
             if host == self.own {
-                server.client.granted(permits, now, now);
+                server.client.on_grant(permits, now, now);
             } else {
-                put(&host, Content::Grant { permits, waiting });
+                add_entry(&host, Content::Grant { permits, waiting });
             }
         }
         if owner == self.own {
-            server.client.queue(waiting, now);
+            server.client.set_queue(waiting, now);
         }
         self.servers.insert(id.clone(), server);
     }
@@ -417,58 +420,64 @@
     }
 
     /// An ask of this host to an owner, with its share if that is to be lent and free.
-    fn ask(&self, client: &mut Client, owner: &host::Id, lends: bool, now: Moment) -> Ask {
+    fn request(&self, client: &mut Client, owner: &host::Id, lends: bool, now: Moment) -> Request {
         let demand = client.unmet_demand(now);
         let is_own = *owner == self.own;
         let length = if is_own { OWN_LEASE } else { self.lease() };
-        let read = if is_own { Some(now) } else { self.peers.get(owner).and_then(Peer::read) };
+        let read = if is_own { Some(now) } else { self.peers.get(owner).and_then(Peer::read_at) };
         let is_lent = lends && read.is_some_and(|read| client.share.lend(owner, read, length, now));
-        Ask {
+        Request {
             wanted: demand.permits,
             urgency: demand.urgency,
-            lease: if is_lent { length.as_millis() as u32 } else { 0 },
+            lease_ms: if is_lent { length.as_millis() as u32 } else { 0 },
             hosts: self.members.count(),
-            before: client.before(now),
+            sent_before: client.sent_before(now),
         }
     }
 
     /// Whether an owner is to be asked, or to be lent to, now.
-    fn should_tell(&self, client: &Client, owner: &host::Id, lends: bool, now: Moment) -> bool {
-        let is_known = self.peers.get(owner).is_some_and(|peer| peer.read().is_some());
+    fn should_send_request(
+        &self,
+        client: &Client,
+        owner: &host::Id,
+        lends: bool,
+        now: Moment,
+    ) -> bool {
+        let is_known = self.peers.get(owner).is_some_and(|peer| peer.read_at().is_some());
         let is_lent = client.share.borrower(now) == Some(owner);
-        let pause = if is_known && is_lent { self.renewal() } else { GREETING };
-        let is_due = client.asked_at(owner).is_none_or(|at| at + pause <= now);
-        let may_tell = lends || !is_known;
-        (may_tell && is_due) || (is_known && client.should_ask(owner, self.repeat(), now))
+        let pause = if is_known && is_lent { self.renewal() } else { HELLO_INTERVAL };
+        let is_due = client.requested_at(owner).is_none_or(|at| at + pause <= now);
+        let may_send = lends || !is_known;
+        (may_send && is_due) || (is_known && client.should_request(owner, self.repeat(), now))
     }
 
     fn repeat(&self) -> Duration {
-        (REPEAT_EACH * self.members.count()).clamp(REPEAT_LEAST, REPEAT_MOST)
+        (REPEAT_PER_HOST * self.members.count()).clamp(MIN_REPEAT, MAX_REPEAT)
     }
 
     fn renewal(&self) -> Duration {
-        (RENEWAL_EACH * self.members.count()).clamp(RENEWAL_LEAST, RENEWAL_MOST)
+        (RENEWAL_PER_HOST * self.members.count()).clamp(MIN_RENEWAL, MAX_RENEWAL)
     }
 
     fn lease(&self) -> Duration {
-        (self.renewal() * 2 + LEASE_SLACK).min(LONGEST)
+        (self.renewal() * 2 + LEASE_SLACK).min(MAX_LEASE)
     }
 
-    fn put(&mut self, host: &host::Id, lines: &[Line], now: Moment) {
+    fn queue_messages(&mut self, host: &host::Id, entries: &[Entry], now: Moment) {
         let peer = self.peers.entry(host.clone()).or_default();
-        let is_ask = lines.iter().any(|line| matches!(line.content, Content::Ask(_)));
-        if is_ask {
-            peer.asked(now);
+        let is_request = entries.iter().any(|entry| matches!(entry.content, Content::Request(_)));
+        if is_request {
+            peer.record_request(now);
         }
-        let (to, read) = (peer.run(), peer.clock());
-        let lots: Vec<&[Line]> = match lines {
+        let (to, echo) = (peer.run(), peer.clock());
+        let chunks: Vec<&[Entry]> = match entries {
             [] => vec![&[]],
-            lines => lines.chunks(LINES).collect(),
+            entries => entries.chunks(MAX_ENTRIES).collect(),
         };
-        for lot in lots {
+        for chunk in chunks {
             self.clock = clock(now).max(self.clock + 1);
             let message =
-                Message { from: self.run, to, clock: self.clock, read, lines: lot.to_vec() };
+                Message { from: self.run, to, clock: self.clock, echo, entries: chunk.to_vec() };
             self.outgoing.push((host.clone(), message));
         }
     }
--- a/crates/policy/src/quota/bucket.rs
+++ b/crates/policy/src/quota/bucket.rs
@@ -3,7 +3,7 @@
 use types::time::Moment;
 
 /// What counts as a whole token, less the error of sums of parts.
-const WHOLE: f64 = 1.0 - 1e-9;
+const ONE_TOKEN: f64 = 1.0 - 1e-9;
 
 /// A token bucket, empty at first.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -25,17 +25,17 @@
     /// Takes a token out, if there is a whole one.
     pub fn take(&mut self, now: Moment) -> bool {
         self.fill(now);
-        let is_whole = WHOLE <= self.tokens;
-        if is_whole {
+        let is_available = ONE_TOKEN <= self.tokens;
+        if is_available {
             self.tokens -= 1.0;
         }
-        is_whole
+        is_available
     }
 
     /// Takes tokens out that may not be there yet, down to a debt of `most`.
-    pub fn owe(&mut self, tokens: f64, most: f64, now: Moment) {
+    pub fn charge(&mut self, tokens: f64, max_debt: f64, now: Moment) {
         self.fill(now);
-        self.tokens = (self.tokens - tokens).max(-most).min(self.tokens);
+        self.tokens = (self.tokens - tokens).max(-max_debt).min(self.tokens);
     }
 
     fn fill(&mut self, now: Moment) {
--- a/crates/policy/src/quota/client.rs
+++ b/crates/policy/src/quota/client.rs
@@ -7,19 +7,19 @@
 use super::{lease::Share, message::IDLE};
 
 /// Time for which a permit may be used, from when it was asked for.
-const PERMIT_LIFE: Duration = Duration::from_millis(1_500);
+const PERMIT_LIFETIME: Duration = Duration::from_millis(1_500);
 
 /// Time for which a request that found no permit counts as demand.
-const DEMAND_LIFE: Duration = Duration::from_millis(300);
+const MISS_LIFETIME: Duration = Duration::from_millis(300);
 
 /// Age at which the length of the owner's queue says nothing any more.
-const QUEUE_LIFE: Duration = Duration::from_secs(1);
+const QUEUE_LIFETIME: Duration = Duration::from_secs(1);
 
 /// Time after a change in which owners are told of requests sent before it.
-const TELL_BEFORE: Duration = Duration::from_secs(3);
+const REPORT_SENT_BEFORE: Duration = Duration::from_secs(3);
 
 /// Least time between two asks.
-const BREATH: Duration = Duration::from_millis(10);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Permits that a host wants of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,14 +39,14 @@
     demand: Demand,
     last_miss: Option<Moment>,
     queue: Option<(Moment, u32)>,
-    before: Option<(Moment, u32)>,
-    asked: Option<Asked>,
+    sent_before: Option<(Moment, u32)>,
+    last_request: Option<LastRequest>,
 }
 
 /// The last ask.
 #[derive(Clone, Debug)]
-struct Asked {
-    of: host::Id,
+struct LastRequest {
+    owner: host::Id,
     at: Moment,
     /// What was asked for and has not been granted.
     demand: Demand,
@@ -70,12 +70,12 @@
     }
 
     /// Adds permits that were asked for at `asked`. Returns how many of them are too late to be used.
-    pub fn granted(&mut self, permits: u32, asked: Moment, now: Moment) -> u32 {
-        let until = asked + PERMIT_LIFE;
+    pub fn on_grant(&mut self, permits: u32, requested_at: Moment, now: Moment) -> u32 {
+        let until = requested_at + PERMIT_LIFETIME;
         if until <= now {
             return permits;
         }
-        if let Some(Asked { demand, .. }) = &mut self.asked {
+        if let Some(LastRequest { demand, .. }) = &mut self.last_request {
             demand.permits = demand.permits.saturating_sub(permits);
         }
         let at = self.permits.partition_point(|other| *other <= until);
@@ -101,13 +101,15 @@
     }
 
     /// Notes how many requests were sent just before the limit changed.
-    pub fn changed(&mut self, before: u32, now: Moment) {
-        self.before = Some((now, before));
+    pub fn limit_changed(&mut self, sent_before: u32, now: Moment) {
+        self.sent_before = Some((now, sent_before));
     }
 
     /// Requests sent before the last change, while owners are to be told.
-    pub fn before(&self, now: Moment) -> u32 {
-        self.before.filter(|(at, _)| now < *at + TELL_BEFORE).map_or(0, |(_, before)| before)
+    pub fn sent_before(&self, now: Moment) -> u32 {
+        self.sent_before
+            .filter(|(at, _)| now < *at + REPORT_SENT_BEFORE)
+            .map_or(0, |(_, sent_before)| sent_before)
     }
 
     /// What is to be asked for now.
@@ -117,46 +119,47 @@
         if 0 < permits {
             return Demand { permits: permits.saturating_sub(held), urgency };
         }
-        let is_missed = self.last_miss.is_some_and(|at| now < at + DEMAND_LIFE);
-        Demand { permits: u32::from(is_missed && held == 0), urgency: IDLE }
+        let has_missed = self.last_miss.is_some_and(|at| now < at + MISS_LIFETIME);
+        Demand { permits: u32::from(has_missed && held == 0), urgency: IDLE }
     }
 
     /// Whether it is time to ask a host for what is wanted. More or fewer permits are asked for once in
     /// `repeat`, the first and none any more at once. What no request waits for yet is asked for again with
     /// the renewals of leases alone.
-    pub fn should_ask(&self, of: &host::Id, repeat: Duration, now: Moment) -> bool {
+    pub fn should_request(&self, owner: &host::Id, repeat: Duration, now: Moment) -> bool {
         let demand = self.unmet_demand(now);
         let is_wanted = 0 < demand.permits;
-        let Some(asked) = self.asked_of(of) else { return is_wanted };
-        let is_turn =
-            is_wanted != (0 < asked.demand.permits) || demand.urgency < asked.demand.urgency;
-        let pause = if is_turn { BREATH } else { repeat };
-        (is_turn || (is_wanted && demand.urgency != IDLE)) && asked.at + pause <= now
+        let Some(last) = self.last_request_to(owner) else { return is_wanted };
+        let is_change =
+            is_wanted != (0 < last.demand.permits) || demand.urgency < last.demand.urgency;
+        let pause = if is_change { MIN_REQUEST_INTERVAL } else { repeat };
+        (is_change || (is_wanted && demand.urgency != IDLE)) && last.at + pause <= now
     }
 
     /// When a host was last asked, if it was the last one.
-    pub fn asked_at(&self, of: &host::Id) -> Option<Moment> {
-        self.asked_of(of).map(|asked| asked.at)
+    pub fn requested_at(&self, owner: &host::Id) -> Option<Moment> {
+        self.last_request_to(owner).map(|last| last.at)
     }
 
     /// Notes that a host is asked for what is wanted.
-    pub fn asks(&mut self, of: &host::Id, now: Moment) {
-        self.asked = Some(Asked { of: of.clone(), at: now, demand: self.unmet_demand(now) });
+    pub fn record_request(&mut self, owner: &host::Id, now: Moment) {
+        self.last_request =
+            Some(LastRequest { owner: owner.clone(), at: now, demand: self.unmet_demand(now) });
     }
 
-    fn asked_of(&self, of: &host::Id) -> Option<&Asked> {
-        self.asked.as_ref().filter(|asked| asked.of == *of)
+    fn last_request_to(&self, owner: &host::Id) -> Option<&LastRequest> {
+        self.last_request.as_ref().filter(|last| last.owner == *owner)
     }
 
     /// Sets how many requests wait for permits at the owner, over all hosts.
-    pub fn queue(&mut self, waiting: u32, now: Moment) {
+    pub fn set_queue(&mut self, waiting: u32, now: Moment) {
         self.queue = Some((now, waiting));
     }
 
     /// This host's part of those that wait at the owner, with one more request; all if nothing is known.
-    pub fn part(&self, now: Moment) -> f64 {
+    pub fn fraction(&self, now: Moment) -> f64 {
         let own = f64::from(self.demand.permits) + 1.0;
-        let fresh = self.queue.filter(|(at, _)| now < *at + QUEUE_LIFE);
+        let fresh = self.queue.filter(|(at, _)| now < *at + QUEUE_LIFETIME);
         fresh.map_or(1.0, |(_, all)| (own / (f64::from(all) + 1.0)).min(1.0))
     }
 }
--- a/crates/policy/src/quota/lease.rs
+++ b/crates/policy/src/quota/lease.rs
@@ -13,7 +13,7 @@
 use types::{host, time::Moment};
 
 /// Longest lease.
-pub const LONGEST: Duration = Duration::from_millis(5_500);
+pub const MAX_LEASE: Duration = Duration::from_millis(5_500);
 
 /// A host's own share of one server's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -25,14 +25,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Lease {
-    to: host::Id,
+    borrower: host::Id,
     until: Moment,
 }
 
 impl Default for Share {
     /// A share that an earlier run of this host may have lent just before.
     fn default() -> Share {
-        Share::free_from(LONGEST)
+        Share::free_from(MAX_LEASE)
     }
 }
 
@@ -44,20 +44,21 @@
 
     /// The host that may count the share now; none if it is this host.
     pub fn borrower(&self, now: Moment) -> Option<&host::Id> {
-        self.lease.as_ref().filter(|lease| now < lease.until).map(|lease| &lease.to)
+        self.lease.as_ref().filter(|lease| now < lease.until).map(|lease| &lease.borrower)
     }
 
     /// Lends the share, or renews its lease, from when the borrower's clock was read. False if another host
     /// may still count it, or if the lease would be over or too long.
     pub fn lend(&mut self, to: &host::Id, read: Moment, length: Duration, now: Moment) -> bool {
         let until = read + length;
-        let is_over = until <= now || LONGEST < length;
+        let is_over = until <= now || MAX_LEASE < length;
         let is_lent = self.borrower(now).is_some_and(|borrower| borrower != to);
         if is_over || is_lent || now < self.free_from {
             return false;
         }
-        let held = self.lease.take().filter(|lease| lease.to == *to).map(|lease| lease.until);
-        self.lease = Some(Lease { to: to.clone(), until: held.unwrap_or_default().max(until) });
+        let held = self.lease.take().filter(|lease| lease.borrower == *to).map(|lease| lease.until);
+        self.lease =
+            Some(Lease { borrower: to.clone(), until: held.unwrap_or_default().max(until) });
         true
     }
 }
--- a/crates/policy/src/quota/members.rs
+++ b/crates/policy/src/quota/members.rs
@@ -9,10 +9,10 @@
 use types::{host, time::Moment};
 
 /// Silence after which a host may count as gone.
-const GONE: Duration = Duration::from_secs(20);
+const GONE_AFTER: Duration = Duration::from_secs(20);
 
 /// Part of the hosts that must be heard for silent ones to count as gone.
-const NEARLY_ALL: f64 = 0.8;
+const MIN_HEARD_FRACTION: f64 = 0.8;
 
 /// The other hosts, as far as they count.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -39,14 +39,15 @@
     pub fn update(&mut self, known: &BTreeMap<&host::Id, bool>, now: Moment) {
         let heard = known.iter().filter(|(_, is_heard)| **is_heard).map(|(host, _)| *host);
         self.others.extend(heard.clone().map(|host| (host.clone(), now)));
-        let is_parted =
-            |host: &host::Id, last: Moment| !known.contains_key(host) && now < last + GONE / 2;
-        self.others.retain(|host, last| !is_parted(host, *last));
+        let has_left = |host: &host::Id, last: Moment| {
+            !known.contains_key(host) && now < last + GONE_AFTER / 2
+        };
+        self.others.retain(|host, last| !has_left(host, *last));
         let heard = heard.count() + 1;
-        if (heard as f64) < NEARLY_ALL * f64::from(self.count()) {
+        if (heard as f64) < MIN_HEARD_FRACTION * f64::from(self.count()) {
             return;
         }
         let is_heard = |host: &host::Id| known.get(host) == Some(&true);
-        self.others.retain(|host, last| is_heard(host) || now < *last + GONE);
+        self.others.retain(|host, last| is_heard(host) || now < *last + GONE_AFTER);
     }
 }
--- a/crates/policy/src/quota/message.rs
+++ b/crates/policy/src/quota/message.rs
@@ -21,14 +21,14 @@
     /// The sender's clock, later than in each message before.
     pub clock: Clock,
     /// The last of the receiver's clocks that the sender has read.
-    pub read: Clock,
+    pub echo: Clock,
     /// What it says, by server.
-    pub lines: Vec<Line>,
+    pub entries: Vec<Entry>,
 }
 
 /// What a message says of one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     /// The server.
     pub server: backend::Id,
     /// The last news of its limit that the sender has.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Content {
     /// The sender asks for permits, and may lend its share.
-    Ask(Ask),
+    Request(Request),
     /// The receiver may send so many requests.
     Grant {
         /// Requests.
@@ -55,17 +55,17 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Ask {
+pub struct Request {
     /// Permits that are wanted.
     pub wanted: u32,
     /// Rank of the most urgent request that wants one; 0 goes first.
     pub urgency: u8,
     /// Length of the lease on the sender's share, in ms; 0 if it is not lent.
-    pub lease: u32,
+    pub lease_ms: u32,
     /// Hosts that the sender counts.
     pub hosts: u32,
     /// Requests that the sender sent to the server just before it learnt of the limit.
-    pub before: u32,
+    pub sent_before: u32,
 }
 
 /// A moment as a clock in a message.
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -7,7 +7,7 @@
     quota::{
         Quotas,
         client::{Client, Demand},
-        message::{Ask, Content, IDLE, Line, Message},
+        message::{Content, Entry, IDLE, Message, Request},
         owner::Owner,
     },
 };
@@ -22,8 +22,8 @@
 }
 
 /// An ask of the only host that there is, with its share.
-fn ask(wanted: u32, urgency: u8) -> Ask {
-    Ask { wanted, urgency, lease: 5_000, hosts: 1, before: 0 }
+fn request(wanted: u32, urgency: u8) -> Request {
+    Request { wanted, urgency, lease_ms: 5_000, hosts: 1, sent_before: 0 }
 }
 
 fn limit() -> Rate {
@@ -40,19 +40,19 @@
 #[test]
 fn a_permit_lapses() {
     let mut client = Client::default();
-    assert_eq!(client.granted(2, ms(1_000), ms(1_100)), 0);
+    assert_eq!(client.on_grant(2, ms(1_000), ms(1_100)), 0);
     assert!(client.has_permit(ms(2_000)));
     assert!(!client.has_permit(ms(2_600)), "so long after it was asked for");
     assert_eq!(client.expire(ms(2_600)), 2);
     assert!(!client.use_permit(ms(2_600)));
-    assert_eq!(client.granted(3, ms(1_000), ms(2_600)), 3, "too late to be used");
+    assert_eq!(client.on_grant(3, ms(1_000), ms(2_600)), 3, "too late to be used");
 }
 
 #[test]
 fn permits_that_are_held_are_not_asked_for_again() {
     let mut client = Client::default();
     client.set_demand(Demand { permits: 3, urgency: 2 });
-    client.granted(2, ms(0), ms(0));
+    client.on_grant(2, ms(0), ms(0));
     assert_eq!(client.unmet_demand(ms(10)), Demand { permits: 1, urgency: 2 });
     assert_eq!(client.unmet_demand(ms(1_600)), Demand { permits: 3, urgency: 2 });
 }
@@ -60,22 +60,22 @@
 #[test]
 fn permits_on_their_way_are_not_granted_again() {
     let (mut owner, host) = (Owner::default(), id("a"));
-    owner.ask(&host, &ask(2, 1), ms(0), limit(), ms(0));
+    owner.on_request(&host, &request(2, 1), ms(0), limit(), ms(0));
     owner.grant(limit(), 1, ms(0));
     let granted = owner.grant(limit(), 1, ms(200));
     assert_eq!(granted, [(host.clone(), 2)]);
     // Asked before the permits were read of.
-    owner.ask(&host, &ask(2, 1), ms(100), limit(), ms(210));
+    owner.on_request(&host, &request(2, 1), ms(100), limit(), ms(210));
     assert_eq!(owner.grant(limit(), 1, ms(500)), []);
     // Asked afterwards.
-    owner.ask(&host, &ask(2, 1), ms(200), limit(), ms(510));
+    owner.on_request(&host, &request(2, 1), ms(200), limit(), ms(510));
     assert_eq!(owner.grant(limit(), 1, ms(520)), [(host, 2)]);
 }
 
 #[test]
 fn an_ask_that_is_not_repeated_is_over() {
     let (mut owner, host) = (Owner::default(), id("a"));
-    owner.ask(&host, &ask(5, 1), ms(0), limit(), ms(0));
+    owner.on_request(&host, &request(5, 1), ms(0), limit(), ms(0));
     assert_eq!(owner.grant(limit(), 1, ms(0)), []);
     assert_eq!(owner.grant(limit(), 1, ms(1_100)), []);
 }
@@ -83,8 +83,8 @@
 #[test]
 fn what_nobody_waits_for_comes_last() {
     let mut owner = Owner::default();
-    owner.ask(&id("a"), &ask(9, IDLE), ms(0), limit(), ms(0));
-    owner.ask(&id("b"), &ask(1, 7), ms(0), limit(), ms(0));
+    owner.on_request(&id("a"), &request(9, IDLE), ms(0), limit(), ms(0));
+    owner.on_request(&id("b"), &request(1, 7), ms(0), limit(), ms(0));
     owner.grant(limit(), 2, ms(0));
     assert_eq!(owner.grant(limit(), 2, ms(60)), [(id("b"), 1)]);
     assert_eq!(owner.waiting(ms(60)), 0);
@@ -93,9 +93,9 @@
 #[test]
 fn an_owner_without_shares_grants_nothing() {
     let (mut owner, host) = (Owner::default(), id("a"));
-    let ask = Ask { lease: 0, ..ask(5, 1) };
+    let request = Request { lease_ms: 0, ..request(5, 1) };
     for now in (0..5_000).step_by(100) {
-        owner.ask(&host, &ask, ms(now), limit(), ms(now));
+        owner.on_request(&host, &request, ms(now), limit(), ms(now));
         assert_eq!(owner.grant(limit(), 9, ms(now)), []);
     }
 }
@@ -109,8 +109,8 @@
     quotas.limit_changed(&server, change, 0, ms(20));
     let grant = |clock| {
         let content = Content::Grant { permits: 1, waiting: 0 };
-        let line = Line { server: server.clone(), limit: change.current, content };
-        Message { from: 2, to: Some(1), clock, read: 900_000, lines: vec![line] }
+        let entry = Entry { server: server.clone(), limit: change.current, content };
+        Message { from: 2, to: Some(1), clock, echo: 900_000, entries: vec![entry] }
     };
     for clock in [7_000_000, 6_000_000, 7_000_000, 6_000_000] {
         quotas.receive(&id("b"), &grant(clock), ms(1_000));
@@ -154,12 +154,14 @@
         quotas.tick(ms(now));
     };
     name(&mut quotas, 10_000);
-    let clock = Message { from: 2, to: Some(1), clock: 7, read: 0, lines: Vec::new() };
+    let clock = Message { from: 2, to: Some(1), clock: 7, echo: 0, entries: Vec::new() };
     quotas.receive(&id(&first), &clock, ms(10_010));
     quotas.tick(ms(10_200));
-    let lent = quotas.outgoing().into_iter().flat_map(|(_, message)| message.lines);
+    let lent = quotas.outgoing().into_iter().flat_map(|(_, message)| message.entries);
     assert!(
-        lent.into_iter().any(|line| matches!(line.content, Content::Ask(ask) if 0 < ask.lease))
+        lent.into_iter().any(
+            |entry| matches!(entry.content, Content::Request(request) if 0 < request.lease_ms)
+        )
     );
 
     quotas.forget("lm-1");
