--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -118,7 +118,7 @@
     limit: f64,
     in_flight: u32,
     baseline: f64,
-    decreased: Moment,
+    decreased_at: Moment,
 }
 
 impl Limiter {
@@ -129,7 +129,7 @@
             Algorithm::Aimd(aimd) => aimd.initial,
             Algorithm::Gradient(gradient) => gradient.initial,
         };
-        Limiter { algorithm, limit, in_flight: 0, baseline: 0.0, decreased: Duration::ZERO }
+        Limiter { algorithm, limit, in_flight: 0, baseline: 0.0, decreased_at: Duration::ZERO }
     }
 
     /// Most requests in flight now.
@@ -167,16 +167,17 @@
     }
 
     fn adapt_aimd(&mut self, aimd: Aimd, signal: Signal, now: Moment) {
-        let overload = match signal {
+        let is_overload = match signal {
             Signal::Neutral => return,
             Signal::Overload => true,
             Signal::FirstToken { time, target } => target.mul_f64(aimd.slow) < time,
         };
-        if overload {
-            if self.decreased == Duration::ZERO || aimd.pause <= now.saturating_sub(self.decreased)
+        if is_overload {
+            if self.decreased_at == Duration::ZERO
+                || aimd.pause <= now.saturating_sub(self.decreased_at)
             {
                 self.limit = (self.limit * aimd.decrease).max(aimd.min);
-                self.decreased = now.max(Duration::from_nanos(1));
+                self.decreased_at = now.max(Duration::from_nanos(1));
             }
         } else if self.is_used() {
             self.limit = (self.limit + aimd.increase / self.limit).min(aimd.max);
--- a/crates/policy/src/once.rs
+++ b/crates/policy/src/once.rs
@@ -37,7 +37,7 @@
 };
 
 /// Wall clock, in milliseconds since 1970; hosts agree on it within [`Settings::clock_error`].
-pub type Wall = u64;
+pub type UnixMillis = u64;
 
 /// Number of a range of keys.
 pub type Number = u16;
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Now {
     /// Wall clock.
-    pub wall: Wall,
+    pub wall: UnixMillis,
     /// Time since the process's origin.
     pub moment: Moment,
 }
@@ -84,7 +84,7 @@
     pub clock_error: Duration,
     /// How long a claim waits for the object API; milliseconds in JSON.
     #[serde(rename = "patience_ms", with = "types::time::millis")]
-    pub patience: Duration,
+    pub claim_timeout: Duration,
     /// How long after it was asked for a grant may be used; milliseconds in JSON.
     #[serde(rename = "grant_ms", with = "types::time::millis")]
     pub grant: Duration,
@@ -113,7 +113,7 @@
             accept: Duration::from_secs(3600),
             ahead: Duration::from_secs(5),
             clock_error: Duration::from_secs(10),
-            patience: Duration::from_secs(2),
+            claim_timeout: Duration::from_secs(2),
             grant: Duration::from_secs(30),
             window: Duration::from_millis(50),
             settle: Duration::from_millis(500),
@@ -136,7 +136,7 @@
     }
 
     /// Refuses a key by its time, if it carries one.
-    pub fn check(&self, wall: Wall, stamp: Option<Wall>) -> Result<(), Refusal> {
+    pub fn check(&self, wall: UnixMillis, stamp: Option<UnixMillis>) -> Result<(), Refusal> {
         match stamp {
             Some(stamp) if wall + millis(self.ahead) < stamp => Err(Refusal::Ahead),
             Some(stamp) if stamp + millis(self.accept) < wall => Err(Refusal::Old),
@@ -145,13 +145,13 @@
     }
 
     /// Whether a key's time allows a grant from memory.
-    fn is_recent(&self, wall: Wall, stamp: Wall) -> bool {
+    fn is_recent(&self, wall: UnixMillis, stamp: UnixMillis) -> bool {
         stamp <= wall + millis(self.ahead) && wall <= stamp + millis(self.recent)
     }
 
     /// Times of keys that a former holder may have granted from memory: its last write was at
     /// `wrote`, it is followed at `wall`, and it is known to be gone or not.
-    fn gap(&self, wrote: Wall, wall: Wall, holder: Presence) -> Gap {
+    fn gap(&self, wrote: UnixMillis, wall: UnixMillis, holder: Presence) -> Gap {
         let last_grant = match holder {
             Presence::Gone => wall,
             Presence::Unknown => wall + millis(self.hold),
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether it holds only if the key was free when the request came.
-    pub(super) fn needs_look(self) -> bool {
+    pub(super) fn needs_fresh_read(self) -> bool {
         self != Refusal::Different && self.ran() == Ran::DidNotRun
     }
 }
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use types::{host, request};
 
-use super::{Claim, Key, Wall};
+use super::{Claim, Key, UnixMillis};
 
 /// Bytes of an entry without its outcome, as JSON; a little more than the longest seen.
 const ENTRY_BYTES: usize = 200;
@@ -30,7 +30,7 @@
     }
 
     /// Whether a key of this time may have been granted by a former holder.
-    pub fn is_in_gap(&self, stamp: Wall) -> bool {
+    pub fn is_in_gap(&self, stamp: UnixMillis) -> bool {
         self.gaps.iter().any(|gap| gap.from <= stamp && stamp <= gap.until)
     }
 
@@ -41,9 +41,9 @@
     }
 
     /// Forgets recorded bodies, the oldest first, until it is small enough or none is left.
-    pub(super) fn shed(&mut self, bytes: usize) {
+    pub(super) fn drop_bodies(&mut self, bytes: usize) {
         let mut excess = self.bytes().saturating_sub(bytes);
-        let mut oldest: Vec<(Wall, Key)> =
+        let mut oldest: Vec<(UnixMillis, Key)> =
             self.entries.iter().map(|(key, entry)| (entry.at, *key)).collect();
         oldest.sort_unstable();
         for (_, key) in oldest {
@@ -51,7 +51,7 @@
                 return;
             }
             if let Some(entry) = self.entries.get_mut(&key) {
-                excess = excess.saturating_sub(entry.shed());
+                excess = excess.saturating_sub(entry.drop_body());
             }
         }
     }
@@ -72,16 +72,16 @@
     /// Whose it is.
     pub holder: HostRun,
     /// When it last wrote.
-    pub at: Wall,
+    pub at: UnixMillis,
 }
 
 /// Times of keys that may have been granted from memory, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gap {
     /// The earliest.
-    pub from: Wall,
+    pub from: UnixMillis,
     /// The latest.
-    pub until: Wall,
+    pub until: UnixMillis,
 }
 
 /// A key that was claimed.
@@ -94,7 +94,7 @@
     /// The run of the host that claimed it.
     pub claimant: HostRun,
     /// When it was claimed.
-    pub at: Wall,
+    pub at: UnixMillis,
     /// How far it is.
     pub state: State,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Forgets the body; returns how many bytes that frees.
-    fn shed(&mut self) -> usize {
+    fn drop_body(&mut self) -> usize {
         match &mut self.state {
             State::Claimed | State::Lost => 0,
             State::Done(outcome) => {
--- a/crates/policy/src/once/key.rs
+++ b/crates/policy/src/once/key.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use types::{customer, request, service};
 
-use super::{Number, Wall};
+use super::{Number, UnixMillis};
 
 /// Digest of a key and its scope; what is kept of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -15,7 +15,7 @@
     /// Its digest.
     pub key: Key,
     /// Its own time, for a version 7 UUID.
-    pub stamp: Option<Wall>,
+    pub stamp: Option<UnixMillis>,
 }
 
 impl TimedKey {
@@ -62,7 +62,7 @@
     }
 }
 
-fn stamp(text: &str) -> Option<Wall> {
+fn stamp(text: &str) -> Option<UnixMillis> {
     let id = uuid::Uuid::parse_str(text).ok()?;
     if id.get_version_num() != 7 {
         return None;
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -7,7 +7,7 @@
 
 mod build;
 mod memory;
-mod patience;
+mod timeout;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,7 +27,7 @@
 pub type Version = u64;
 
 /// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A call of the object API on the object of the range.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -77,24 +77,24 @@
     me: HostRun,
     settings: Arc<Settings>,
     known: Option<Known>,
-    flight: Option<Flight>,
+    in_flight: Option<InFlight>,
     waiting: Vec<Waiting>,
     /// How many claims came so far.
-    claims: u64,
+    claim_count: u64,
     changes: Vec<Change>,
     /// When the first of the changes was told.
-    changed: Option<Moment>,
+    changed_at: Option<Moment>,
     granted: BTreeSet<request::Id>,
     /// Claims that wait and whose write may have taken effect, or may yet.
-    doubtful: BTreeSet<request::Id>,
+    unconfirmed: BTreeSet<request::Id>,
     /// Entries that were granted while the object API was down.
-    memory: BTreeMap<Key, Entry>,
+    memory_grants: BTreeMap<Key, Entry>,
     /// When the right to grant from memory ends.
-    held: Option<Moment>,
+    hold_until: Option<Moment>,
     gone: BTreeSet<HostRun>,
     leaving: bool,
     failures: u32,
-    next: Moment,
+    next_call_at: Moment,
 }
 
 /// What was last read or written.
@@ -103,15 +103,15 @@
     version: Option<Version>,
     document: Document,
     /// How many claims had come when the call that showed it was made.
-    claims: u64,
+    claim_count: u64,
     /// Whether a later write may have changed it.
     stale: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Flight {
-    Read { claims: u64 },
-    Write { sent: Moment, claims: u64, document: Document, changes: usize },
+enum InFlight {
+    Read { claim_count: u64 },
+    Write { sent: Moment, claim_count: u64, document: Document, changes: usize },
 }
 
 /// A claim that waits, with its number in order of coming.
@@ -123,8 +123,8 @@
 
 impl Known {
     /// Whether it shows the object as it was when the claim came, or later.
-    fn is_look_for(&self, waiting: &Waiting) -> bool {
-        waiting.number <= self.claims
+    fn covers(&self, waiting: &Waiting) -> bool {
+        waiting.number <= self.claim_count
     }
 }
 
@@ -135,38 +135,38 @@
             me,
             settings,
             known: None,
-            flight: None,
+            in_flight: None,
             waiting: Vec::new(),
-            claims: 0,
+            claim_count: 0,
             changes: Vec::new(),
-            changed: None,
+            changed_at: None,
             granted: BTreeSet::new(),
-            doubtful: BTreeSet::new(),
-            memory: BTreeMap::new(),
-            held: None,
+            unconfirmed: BTreeSet::new(),
+            memory_grants: BTreeMap::new(),
+            hold_until: None,
             gone: BTreeSet::new(),
             leaving: false,
             failures: 0,
-            next: Moment::ZERO,
+            next_call_at: Moment::ZERO,
         }
     }
 
     /// Asks for a key; the answer comes out of a later [`Range::step`].
     pub fn claim(&mut self, claim: Claim) {
-        self.claims += 1;
-        self.waiting.push(Waiting { number: self.claims, claim });
+        self.claim_count += 1;
+        self.waiting.push(Waiting { number: self.claim_count, claim });
     }
 
     /// Tells how a granted claim ended; must come from the host that claimed it.
     pub fn end(&mut self, now: Now, change: Change) {
         self.granted.remove(&change.id);
-        change.apply(&mut self.memory);
-        let told = match change.end {
+        change.apply(&mut self.memory_grants);
+        let since = match change.end {
             // The caller may send it again at once.
             End::Released => now.moment.saturating_sub(self.settings.settle),
             End::Ran(_) | End::Lost => now.moment,
         };
-        self.changed = Some(self.changed.map_or(told, |changed| changed.min(told)));
+        self.changed_at = Some(self.changed_at.map_or(since, |changed_at| changed_at.min(since)));
         self.changes.push(change);
     }
 
@@ -177,30 +177,31 @@
 
     /// Renews the right to grant from memory, which a write does as well.
     pub fn renew(&mut self, now: Now) {
-        self.changed.get_or_insert(now.moment);
+        self.changed_at.get_or_insert(now.moment);
     }
 
     /// Gives up the right to grant from memory, for a planned stop.
     pub fn leave(&mut self, now: Now) {
         self.leaving = true;
-        self.held = None;
-        self.changed.get_or_insert(now.moment);
+        self.hold_until = None;
+        self.changed_at.get_or_insert(now.moment);
     }
 
     /// Whether something waits to be written or answered.
     pub fn is_busy(&self) -> bool {
-        self.flight.is_some() || !self.waiting.is_empty() || self.changed.is_some()
+        self.in_flight.is_some() || !self.waiting.is_empty() || self.changed_at.is_some()
     }
 
     /// When the next [`Range::step`] may have something to do, if nothing is told before.
     pub fn due(&self) -> Option<Moment> {
-        let patience = self.waiting.iter().map(|w| w.claim.asked + self.settings.patience).min();
-        let call = match (&self.flight, self.waiting.is_empty(), self.changed) {
+        let timeout =
+            self.waiting.iter().map(|w| w.claim.asked + self.settings.claim_timeout).min();
+        let call = match (&self.in_flight, self.waiting.is_empty(), self.changed_at) {
             (Some(_), _, _) | (None, true, None) => None,
-            (None, false, _) => Some(self.next),
-            (None, true, Some(at)) => Some(self.next.max(at + self.settings.settle)),
+            (None, false, _) => Some(self.next_call_at),
+            (None, true, Some(at)) => Some(self.next_call_at.max(at + self.settings.settle)),
         };
-        patience.into_iter().chain(call).min()
+        timeout.into_iter().chain(call).min()
     }
 
     /// Decides what can be decided and makes the next call.
@@ -209,41 +210,43 @@
             0 => Vec::new(),
             _ => self.grant_from_memory(now),
         };
-        answers.extend(self.give_up(now));
-        let may_call = self.flight.is_none() && self.next <= now.moment;
+        answers.extend(self.expire_claims(now));
+        let may_call = self.in_flight.is_none() && self.next_call_at <= now.moment;
         let call = if may_call { self.next_call(now, &mut answers) } else { None };
         Step { answers, call }
     }
 
     /// Takes the outcome of a read.
     pub fn read(&mut self, now: Now, read: Read) -> Vec<Answer> {
-        let Some(Flight::Read { claims }) = self.flight.take() else { return Vec::new() };
+        let Some(InFlight::Read { claim_count }) = self.in_flight.take() else { return Vec::new() };
         let (version, document) = match read {
             Read::Found(version, document) => (Some(version), document),
             Read::Absent => (None, Document::default()),
             Read::Failed => return self.failed(now),
         };
         if document.hold.as_ref().is_none_or(|hold| hold.holder != self.me) {
-            self.held = None;
+            self.hold_until = None;
         }
         self.failures = 0;
-        self.known = Some(Known { version, document, claims, stale: false });
+        self.known = Some(Known { version, document, claim_count, stale: false });
         self.grant_written(now)
     }
 
     /// Takes the outcome of a write.
     pub fn wrote(&mut self, now: Now, written: Written) -> Vec<Answer> {
-        let Some(Flight::Write { sent, claims, document, changes }) = self.flight.take() else {
+        let Some(InFlight::Write { sent, claim_count, document, changes }) = self.in_flight.take()
+        else {
             return Vec::new();
         };
         match written {
             Written::Done(version) => {
                 self.failures = 0;
-                self.next = sent + self.settings.window;
+                self.next_call_at = sent + self.settings.window;
                 self.forget_changes(now, changes);
-                self.memory.retain(|key, _| !document.entries.contains_key(key));
-                self.held = document.hold.is_some().then_some(sent + self.settings.hold);
-                self.known = Some(Known { version: Some(version), document, claims, stale: false });
+                self.memory_grants.retain(|key, _| !document.entries.contains_key(key));
+                self.hold_until = document.hold.is_some().then_some(sent + self.settings.hold);
+                self.known =
+                    Some(Known { version: Some(version), document, claim_count, stale: false });
                 self.grant_written(now)
             }
             Written::Conflict => {
@@ -252,25 +255,25 @@
             }
             Written::Failed => {
                 self.mark_stale();
-                self.doubt(&document);
+                self.mark_unconfirmed(&document);
                 self.failed(now)
             }
         }
     }
 
     fn next_call(&mut self, now: Now, answers: &mut Vec<Answer>) -> Option<Call> {
-        let settling = self.changed.is_some_and(|at| at + self.settings.settle <= now.moment);
+        let settling = self.changed_at.is_some_and(|at| at + self.settings.settle <= now.moment);
         if self.waiting.is_empty() && !settling {
             return None;
         }
         let known = self.known.as_ref().filter(|known| !known.stale && !self.needs_read(known));
         let Some(known) = known else {
-            return Some(self.look());
+            return Some(self.start_read());
         };
         let mut decided = Vec::new();
         let document = self.build(now, &known.document, &mut decided);
-        if self.is_hasty(known, &decided) {
-            return Some(self.look());
+        if self.needs_newer_read(known, &decided) {
+            return Some(self.start_read());
         }
         let version = known.version;
         let changes = self.changes.len();
@@ -281,9 +284,9 @@
         if idle {
             return None;
         }
-        self.flight = Some(Flight::Write {
+        self.in_flight = Some(InFlight::Write {
             sent: now.moment,
-            claims: self.claims,
+            claim_count: self.claim_count,
             document: document.clone(),
             changes,
         });
@@ -293,26 +296,26 @@
         })
     }
 
-    fn look(&mut self) -> Call {
-        self.flight = Some(Flight::Read { claims: self.claims });
+    fn start_read(&mut self) -> Call {
+        self.in_flight = Some(InFlight::Read { claim_count: self.claim_count });
         Call::Read
     }
 
     /// Another host's claim may have ended since it was read.
     fn needs_read(&self, known: &Known) -> bool {
-        self.waiting.iter().filter(|waiting| !known.is_look_for(waiting)).any(|waiting| {
+        self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             let entry = known.document.entries.get(&waiting.claim.key.key);
             entry.is_some_and(|e| e.state == State::Claimed && e.claimant != self.me)
         })
     }
 
     /// "Did not run" needs a look that is no older than the request.
-    fn is_hasty(&self, known: &Known, decided: &[Answer]) -> bool {
-        self.waiting.iter().filter(|waiting| !known.is_look_for(waiting)).any(|waiting| {
+    fn needs_newer_read(&self, known: &Known, decided: &[Answer]) -> bool {
+        self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             decided
                 .iter()
                 .filter(|answer| answer.id == waiting.claim.id)
-                .any(|answer| matches!(answer.verdict, Verdict::Refused(r) if r.needs_look()))
+                .any(|answer| matches!(answer.verdict, Verdict::Refused(r) if r.needs_fresh_read()))
         })
     }
 
@@ -326,7 +329,7 @@
             match known.document.is_claimed_by(&waiting.claim) {
                 true if now.moment < waiting.claim.asked + grant => granted.push(waiting.claim),
                 true => {
-                    self.doubtful.insert(waiting.claim.id.clone());
+                    self.unconfirmed.insert(waiting.claim.id.clone());
                     self.waiting.push(waiting);
                 }
                 false => self.waiting.push(waiting),
@@ -337,15 +340,15 @@
 
     fn grant(&mut self, claim: Claim) -> Answer {
         let until = claim.asked + self.settings.grant;
-        self.doubtful.remove(&claim.id);
+        self.unconfirmed.remove(&claim.id);
         self.granted.insert(claim.id.clone());
         Answer { id: claim.id, key: claim.key.key, verdict: Verdict::Granted { until } }
     }
 
     fn failed(&mut self, now: Now) -> Vec<Answer> {
-        let pause = self.settings.window.saturating_mul(1 << self.failures.min(10));
+        let backoff = self.settings.window.saturating_mul(1 << self.failures.min(10));
         self.failures = self.failures.saturating_add(1);
-        self.next = now.moment + pause.min(LONGEST_PAUSE);
+        self.next_call_at = now.moment + backoff.min(MAX_BACKOFF);
         self.grant_from_memory(now)
     }
 
@@ -357,7 +360,7 @@
 
     fn forget_changes(&mut self, now: Now, written: usize) {
         self.changes.drain(..written);
-        self.changed = (!self.changes.is_empty()).then_some(now.moment);
+        self.changed_at = (!self.changes.is_empty()).then_some(now.moment);
     }
 
     fn forget_answered(&mut self, answers: &[Answer]) {
--- a/crates/policy/src/once/range/build.rs
+++ b/crates/policy/src/once/range/build.rs
@@ -9,12 +9,12 @@
     /// Builds the next object; claims that it does not grant are answered at once.
     pub(super) fn build(&self, now: Now, known: &Document, answers: &mut Vec<Answer>) -> Document {
         let mut document = known.clone();
-        forget_old(&self.settings, now, &mut document);
-        self.add_memory(&mut document);
+        drop_expired(&self.settings, now, &mut document);
+        self.add_memory_grants(&mut document);
         self.changes.iter().for_each(|change| change.apply(&mut document.entries));
         self.take_hold(now, &mut document);
         let wanted: usize = self.waiting.iter().map(|w| entry(&w.claim, now).bytes()).sum();
-        document.shed(self.settings.bytes.saturating_sub(wanted));
+        document.drop_bodies(self.settings.bytes.saturating_sub(wanted));
         let mut bytes = document.bytes();
         for claim in self.waiting.iter().map(|waiting| &waiting.claim) {
             match self.decide(now, &document, claim) {
@@ -64,11 +64,11 @@
     /// The entry that binds a key. One of this host that it never granted, and that no claim waits
     /// for, comes from a write whose answer was lost: it was not dispatched and never will be.
     fn entry<'a>(&'a self, document: &'a Document, key: Key) -> Option<&'a Entry> {
-        let entry = self.memory.get(&key).or_else(|| document.entries.get(&key))?;
-        (!self.is_free(entry)).then_some(entry)
+        let entry = self.memory_grants.get(&key).or_else(|| document.entries.get(&key))?;
+        (!self.is_never_granted(entry)).then_some(entry)
     }
 
-    fn is_free(&self, entry: &Entry) -> bool {
+    fn is_never_granted(&self, entry: &Entry) -> bool {
         entry.claimant == self.me
             && entry.state == State::Claimed
             && !self.granted.contains(&entry.id)
@@ -76,10 +76,10 @@
             && self.waiting.iter().all(|waiting| waiting.claim.id != entry.id)
     }
 
-    fn add_memory(&self, document: &mut Document) {
-        for (key, entry) in &self.memory {
+    fn add_memory_grants(&self, document: &mut Document) {
+        for (key, entry) in &self.memory_grants {
             let stored = document.entries.get(key);
-            if stored.is_none_or(|stored| self.is_free(stored)) {
+            if stored.is_none_or(|stored| self.is_never_granted(stored)) {
                 document.entries.insert(*key, entry.clone());
             }
         }
@@ -101,7 +101,7 @@
     }
 }
 
-fn forget_old(settings: &Settings, now: Now, document: &mut Document) {
+fn drop_expired(settings: &Settings, now: Now, document: &mut Document) {
     let kept = millis(settings.kept());
     document.entries.retain(|_, entry| now.wall <= entry.at + kept);
     document.gaps.retain(|gap| now.wall <= gap.until + kept);
--- a/crates/policy/src/once/range/memory.rs
+++ b/crates/policy/src/once/range/memory.rs
@@ -8,7 +8,7 @@
 impl Range {
     /// Grants keys whose own time is recent, while the right to do so lasts.
     pub(super) fn grant_from_memory(&mut self, now: Now) -> Vec<Answer> {
-        if self.held.is_none_or(|until| until <= now.moment) {
+        if self.hold_until.is_none_or(|until| until <= now.moment) {
             return Vec::new();
         }
         let Some(known) = self.known.take() else { return Vec::new() };
@@ -17,8 +17,8 @@
             let claim = &waiting.claim;
             match self.decide_from_memory(now, &known.document, claim) {
                 Some(Ok(())) => {
-                    self.memory.insert(claim.key.key, entry(claim, now));
-                    self.changed.get_or_insert(now.moment);
+                    self.memory_grants.insert(claim.key.key, entry(claim, now));
+                    self.changed_at.get_or_insert(now.moment);
                     answers.push(self.grant(waiting.claim));
                 }
                 Some(Err(verdict)) => answers.push(answer(claim, verdict)),
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -34,7 +34,7 @@
     guard::{Guard, Verdict},
     home::homes,
 };
-use crate::once::{HostRun, Key, Wall};
+use crate::once::{HostRun, Key, UnixMillis};
 
 /// Servers that one request may lose, over the whole deployment.
 pub const DEATHS: usize = 2;
@@ -138,7 +138,7 @@
     /// Servers that died with it.
     pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
     /// Its trial, if one is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trial: Option<Trial>,
@@ -152,7 +152,7 @@
     /// The run of the host that makes it.
     pub host: HostRun,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
 }
 
 /// A request that is refused everywhere.
@@ -163,9 +163,9 @@
     /// Servers that died with it.
     pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
     /// When it expires.
-    pub until: Wall,
+    pub until: UnixMillis,
 }
 
 /// Why a trial cannot begin now.
@@ -178,7 +178,7 @@
     /// Other hosts may not have heard of it.
     Spreading {
         /// When they have.
-        until: Wall,
+        until: UnixMillis,
     },
     /// Its own trial is open.
     OnTrial,
@@ -191,7 +191,7 @@
     pub fn accuse<'a>(
         &mut self,
         settings: &Settings,
-        wall: Wall,
+        wall: UnixMillis,
         life: &ServerRun,
         in_flight: impl IntoIterator<Item = (Fingerprint, &'a service::Id)>,
     ) {
@@ -221,7 +221,7 @@
     pub fn begin(
         &mut self,
         settings: &Settings,
-        wall: Wall,
+        wall: UnixMillis,
         fingerprint: Fingerprint,
         life: &ServerRun,
         host: &HostRun,
@@ -277,7 +277,7 @@
     pub fn host_gone(
         &mut self,
         settings: &Settings,
-        wall: Wall,
+        wall: UnixMillis,
         host: &HostRun,
         is_alive: impl Fn(&ServerRun) -> bool,
     ) {
@@ -304,7 +304,7 @@
     }
 
     /// Forgets what is too old.
-    pub fn expire(&mut self, settings: &Settings, wall: Wall) {
+    pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
         let kept = millis(settings.suspect);
         self.refused.retain(|_, refused| wall < refused.until);
         self.suspects.retain(|_, suspect| {
@@ -319,7 +319,7 @@
     }
 
     /// A death during a trial has the suspect on trial to blame.
-    fn blame_trial(&mut self, settings: &Settings, wall: Wall, life: &ServerRun) {
+    fn blame_trial(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
         let on_trial = self
             .suspects
             .iter()
@@ -331,7 +331,7 @@
     }
 
     /// Two deaths that share a single suspect have that one to blame.
-    fn blame_only_one(&mut self, settings: &Settings, wall: Wall, life: &ServerRun) {
+    fn blame_only_one(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
         let mut shared = self
             .suspects
             .iter()
@@ -346,7 +346,7 @@
     fn refuse(
         &mut self,
         settings: &Settings,
-        wall: Wall,
+        wall: UnixMillis,
         fingerprint: Fingerprint,
         life: &ServerRun,
     ) {
@@ -371,12 +371,16 @@
     }
 }
 
-fn drop_oldest<T>(map: &mut BTreeMap<Fingerprint, T>, entries: usize, since: impl Fn(&T) -> Wall) {
+fn drop_oldest<T>(
+    map: &mut BTreeMap<Fingerprint, T>,
+    entries: usize,
+    since: impl Fn(&T) -> UnixMillis,
+) {
     let excess = map.len().saturating_sub(entries);
     if excess == 0 {
         return;
     }
-    let mut oldest: Vec<(Wall, Fingerprint)> =
+    let mut oldest: Vec<(UnixMillis, Fingerprint)> =
         map.iter().map(|(fingerprint, entry)| (since(entry), *fingerprint)).collect();
     oldest.sort_unstable();
     for (_, fingerprint) in oldest.into_iter().take(excess) {
--- a/crates/policy/src/quarantine/guard.rs
+++ b/crates/policy/src/quarantine/guard.rs
@@ -114,7 +114,7 @@
     }
 
     /// Writes them into the object; they are forgotten by [`Guard::written`].
-    pub fn accuse(&self, wall: crate::once::Wall, document: &mut Document) {
+    pub fn accuse(&self, wall: crate::once::UnixMillis, document: &mut Document) {
         for (life, suspects) in &self.unwritten {
             let in_flight = suspects.iter().map(|(fingerprint, service)| (*fingerprint, service));
             document.accuse(&self.settings, wall, life, in_flight);
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -1,7 +1,7 @@
 //! The budget for retries: a token bucket that successes fill.
 
 /// One retry, in the bucket's units.
-const RETRY: u64 = 1000;
+const UNITS_PER_RETRY: u64 = 1000;
 
 /// Parameters of a budget.
 #[derive(Clone, Copy, Debug)]
@@ -34,17 +34,17 @@
 impl Budget {
     /// A full bucket.
     pub fn new(ratio: Ratio) -> Budget {
-        Budget { ratio, units: ratio.most * RETRY }
+        Budget { ratio, units: ratio.most * UNITS_PER_RETRY }
     }
 
     /// A request has succeeded.
     pub fn deposit(&mut self) {
-        self.units = (self.units + self.ratio.per_thousand).min(self.ratio.most * RETRY);
+        self.units = (self.units + self.ratio.per_thousand).min(self.ratio.most * UNITS_PER_RETRY);
     }
 
     /// Takes one retry; false when there is none.
     pub fn withdraw(&mut self) -> bool {
-        match self.units.checked_sub(RETRY) {
+        match self.units.checked_sub(UNITS_PER_RETRY) {
             Some(left) => {
                 self.units = left;
                 true
@@ -55,6 +55,6 @@
 
     /// Whole retries left.
     pub fn left(&self) -> u64 {
-        self.units / RETRY
+        self.units / UNITS_PER_RETRY
     }
 }
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -12,7 +12,7 @@
 use crate::route::{Eligibility, Index};
 
 /// Longest doubling, so that the shift can't overflow.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 /// Parameters of suspicion.
 #[derive(Clone, Copy, Debug)]
@@ -31,12 +31,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Out,
+    Excluded,
     Trial,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct Suspect {
     failures: u32,
     until: Moment,
     phase: Phase,
@@ -46,13 +46,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
     backoff: Backoff,
-    doubts: BTreeMap<Index, Doubt>,
+    suspects: BTreeMap<Index, Suspect>,
 }
 
 impl Suspicion {
     /// With nobody in doubt.
     pub fn new(backoff: Backoff) -> Suspicion {
-        Suspicion { backoff, doubts: BTreeMap::new() }
+        Suspicion { backoff, suspects: BTreeMap::new() }
     }
 
     /// An attempt on a server failed; gives the server's eligibility from now on.
@@ -63,36 +63,36 @@
             return self.eligibility(server);
         }
         let backoff = self.backoff;
-        let new = Doubt { failures: 0, until: now, phase: Phase::Out };
-        let doubt = self.doubts.entry(server).or_insert(new);
-        if doubt.until <= now || doubt.phase == Phase::Trial {
-            doubt.phase = Phase::Out;
-            let doublings = doubt.failures.min(MOST_DOUBLINGS);
-            doubt.failures += 1;
-            doubt.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
+        let new = Suspect { failures: 0, until: now, phase: Phase::Excluded };
+        let suspect = self.suspects.entry(server).or_insert(new);
+        if suspect.until <= now || suspect.phase == Phase::Trial {
+            suspect.phase = Phase::Excluded;
+            let doublings = suspect.failures.min(MAX_DOUBLINGS);
+            suspect.failures += 1;
+            suspect.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
         }
-        Eligibility::Suspected(doubt.until)
+        Eligibility::Suspected(suspect.until)
     }
 
     /// An attempt on a server went well; true if that cleared it of a doubt.
     pub fn succeeded(&mut self, server: Index) -> bool {
-        self.doubts.remove(&server).is_some()
+        self.suspects.remove(&server).is_some()
     }
 
     /// A request is sent to a server whose time out has passed. The end of that time is put off,
     /// so that no other follows until this one has ended.
     pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
-        if let Some(doubt) = self.doubts.get_mut(&server) {
-            doubt.until = now + self.backoff.first;
-            doubt.phase = Phase::Trial;
+        if let Some(suspect) = self.suspects.get_mut(&server) {
+            suspect.until = now + self.backoff.first;
+            suspect.phase = Phase::Trial;
         }
         self.eligibility(server)
     }
 
     /// A server's eligibility as far as doubt goes.
     pub fn eligibility(&self, server: Index) -> Eligibility {
-        self.doubts
+        self.suspects
             .get(&server)
-            .map_or(Eligibility::Live, |doubt| Eligibility::Suspected(doubt.until))
+            .map_or(Eligibility::Live, |suspect| Eligibility::Suspected(suspect.until))
     }
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -23,7 +23,7 @@
 };
 
 /// Most servers whose first-token time is estimated by chance, for one request.
-pub const SAMPLE: usize = 4;
+pub const SAMPLE_SIZE: usize = 4;
 
 /// How often the way to another zone and back counts against a server there. One counts the time
 /// alone; the rest stands for the tokens that all travel the same way.
@@ -112,13 +112,13 @@
 ) -> Option<Choice> {
     sample(table, servers, cached, criteria.seed)
         .into_iter()
-        .map(|server| estimated(table, criteria, cached, server, now))
+        .map(|server| evaluate(table, criteria, cached, server, now))
         .min_by_key(|(cost, choice)| (*cost, table.view(choice.server).in_flight(), choice.server))
         .map(|(_, choice)| choice)
 }
 
 /// The cost that servers are compared by, and the choice that it stands for.
-fn estimated(
+fn evaluate(
     table: &Table,
     criteria: &Criteria<'_>,
     cached: &[hints::Holder],
@@ -130,28 +130,28 @@
         .find(|holder| holder.server == server)
         .map_or(0, |holder| holder.tokens.min(criteria.prompt_tokens));
     let estimate = table.estimate(server, criteria.prompt_tokens - cached_tokens, now);
-    let way = table.distance(server) * 2;
-    let cost = estimate.total() + way * SPILL_WEIGHT;
-    (cost, Choice { server, first_token: estimate.total() + way, cached_tokens })
+    let round_trip = table.distance(server) * 2;
+    let cost = estimate.total() + round_trip * SPILL_WEIGHT;
+    (cost, Choice { server, first_token: estimate.total() + round_trip, cached_tokens })
 }
 
 /// A few of the servers: half of the sample from the host's own zone where it has them, and every
 /// server with a cached prefix.
 fn sample(table: &Table, servers: Vec<Index>, cached: &[hints::Holder], seed: u64) -> Vec<Index> {
-    if servers.len() <= SAMPLE {
+    if servers.len() <= SAMPLE_SIZE {
         return servers;
     }
-    let (near, far): (Vec<Index>, Vec<Index>) =
+    let (local, remote): (Vec<Index>, Vec<Index>) =
         servers.into_iter().partition(|server| table.is_near(*server));
-    let from_far = far.len().min(SAMPLE / 2);
-    let from_near = near.len().min(SAMPLE - from_far);
+    let from_remote = remote.len().min(SAMPLE_SIZE / 2);
+    let from_local = local.len().min(SAMPLE_SIZE - from_remote);
     let holders: Vec<Index> = cached
         .iter()
         .map(|holder| holder.server)
-        .filter(|server| near.contains(server) || far.contains(server))
+        .filter(|server| local.contains(server) || remote.contains(server))
         .collect();
-    let mut picked = draw(near, from_near, seed);
-    picked.extend(draw(far, SAMPLE - from_near, seed.rotate_left(32)));
+    let mut picked = draw(local, from_local, seed);
+    picked.extend(draw(remote, SAMPLE_SIZE - from_local, seed.rotate_left(32)));
     picked.extend(holders);
     picked.sort_unstable();
     picked.dedup();
@@ -162,7 +162,7 @@
 fn draw(mut servers: Vec<Index>, count: usize, seed: u64) -> Vec<Index> {
     let mut state = seed;
     for at in 0..count.min(servers.len()) {
-        state = mixed(state);
+        state = splitmix64(state);
         let left = servers.len() - at;
         let other = at + (state % left as u64) as usize;
         servers.swap(at, other);
@@ -172,7 +172,7 @@
 }
 
 /// One step of the SplitMix64 generator.
-fn mixed(state: u64) -> u64 {
+fn splitmix64(state: u64) -> u64 {
     let state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let state = (state ^ (state >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -10,14 +10,14 @@
 use types::{prelude::*, report::Load};
 
 /// Weight of the newest sample in the mean time that a request holds a slot: one in this many.
-const HOLD_WEIGHT: u32 = 8;
+const HOLD_TIME_WEIGHT: u32 = 8;
 
 /// One request in this many slots may wait on the server, so that places that become free between
 /// two reports do not stay empty.
-const OVERFILL: u32 = 8;
+const SLOTS_PER_QUEUED_REQUEST: u32 = 8;
 
 /// Time a request is thought to hold a slot before any has ended.
-const FIRST_HOLD: Duration = Duration::from_millis(500);
+const INITIAL_HOLD_TIME: Duration = Duration::from_millis(500);
 
 /// Estimated parts of the time to the first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 
 /// The figures of a report that estimates use.
 #[derive(Clone, Copy, Debug)]
-struct Figures {
+struct Report {
     taken: Moment,
     in_flight: u32,
     slots: u32,
@@ -64,9 +64,9 @@
     prompt_backlog: u64,
 }
 
-impl Figures {
+impl Report {
     /// What is assumed of a server before its first report.
-    const UNKNOWN: Figures = Figures {
+    const UNKNOWN: Report = Report {
         taken: Duration::ZERO,
         in_flight: 0,
         slots: 8,
@@ -79,7 +79,7 @@
 /// What a host believes of one server.
 #[derive(Clone, Debug)]
 pub struct View {
-    figures: Figures,
+    report: Report,
     sent: VecDeque<Sent>,
     ended: VecDeque<Moment>,
     own: u32,
@@ -94,7 +94,7 @@
 impl Default for View {
     fn default() -> View {
         View {
-            figures: Figures::UNKNOWN,
+            report: Report::UNKNOWN,
             sent: VecDeque::new(),
             ended: VecDeque::new(),
             own: 0,
@@ -102,7 +102,7 @@
             peers: PeerLoad::default(),
             backlog: 0,
             backlog_at: Duration::ZERO,
-            hold: FIRST_HOLD,
+            hold: INITIAL_HOLD_TIME,
         }
     }
 }
@@ -111,10 +111,10 @@
     /// Takes in a report that was read at `now`.
     pub fn report(&mut self, load: &Load, now: Moment) {
         let taken = now.saturating_sub(load.age);
-        if taken < self.figures.taken {
+        if taken < self.report.taken {
             return;
         }
-        self.figures = Figures {
+        self.report = Report {
             taken,
             in_flight: load.running.saturating_add(load.waiting),
             slots: load.slots.max(1),
@@ -146,13 +146,13 @@
     pub fn ended(&mut self, sent: Sent, now: Moment) {
         self.own = self.own.saturating_sub(1);
         self.own_sent = self.own_sent.saturating_sub(sent.at);
-        self.hold = mean(self.hold, now.saturating_sub(sent.at));
+        self.hold = moving_average(self.hold, now.saturating_sub(sent.at));
         match self.sent.iter().position(|other| *other == sent) {
             Some(at) => {
                 self.sent.remove(at);
                 self.cap_backlog(now);
             }
-            None if self.ended.len() < self.figures.in_flight as usize => {
+            None if self.ended.len() < self.report.in_flight as usize => {
                 self.ended.push_back(now);
             }
             None => {}
@@ -186,7 +186,7 @@
     /// Requests thought to be there, of all hosts.
     pub fn in_flight(&self) -> u32 {
         let reported = self
-            .figures
+            .report
             .in_flight
             .saturating_add(self.sent.len() as u32)
             .saturating_sub(self.ended.len() as u32);
@@ -197,20 +197,20 @@
     /// waits there is out of reach: it can't be refused any more, nor overtaken by priority on
     /// another host.
     pub fn spare(&self) -> u32 {
-        let slots = self.figures.slots;
-        (slots + slots.div_ceil(OVERFILL)).saturating_sub(self.in_flight())
+        let slots = self.report.slots;
+        (slots + slots.div_ceil(SLOTS_PER_QUEUED_REQUEST)).saturating_sub(self.in_flight())
     }
 
     /// First-token time there at `now`, for a request with this many prompt tokens to read.
     pub fn estimate(&self, tokens: u32, now: Moment) -> Estimate {
-        let over = (self.in_flight() + 1).saturating_sub(self.figures.slots);
-        let step = self.figures.step;
-        let steps = match self.figures.prefill_rate {
+        let over = (self.in_flight() + 1).saturating_sub(self.report.slots);
+        let step = self.report.step;
+        let steps = match self.report.prefill_rate {
             0 => 0,
             rate => (self.backlog_at(now) + u64::from(tokens)).div_ceil(u64::from(rate)),
         };
         Estimate {
-            queue: self.hold(now) * over / self.figures.slots,
+            queue: self.hold(now) * over / self.report.slots,
             prefill: step.saturating_mul(u32::try_from(steps).unwrap_or(u32::MAX)),
             step,
         }
@@ -218,8 +218,8 @@
 
     /// First-token time there if nothing else ran, for a request with this many prompt tokens.
     pub fn unloaded(&self, tokens: u32) -> Duration {
-        let steps = tokens.checked_div(self.figures.prefill_rate).map_or(0, |steps| steps + 1);
-        self.figures.step.saturating_mul(steps + 1)
+        let steps = tokens.checked_div(self.report.prefill_rate).map_or(0, |steps| steps + 1);
+        self.report.step.saturating_mul(steps + 1)
     }
 
     fn add_backlog(&mut self, sent: Sent) {
@@ -230,7 +230,7 @@
     /// No more can wait to be read than was reported or has been sent since and not ended.
     fn cap_backlog(&mut self, now: Moment) {
         let sent: u64 = self.sent.iter().map(|sent| u64::from(sent.tokens)).sum();
-        self.backlog = self.backlog_at(now).min(self.figures.prompt_backlog + sent);
+        self.backlog = self.backlog_at(now).min(self.report.prompt_backlog + sent);
         self.backlog_at = now;
     }
 
@@ -239,13 +239,13 @@
         if self.backlog == 0 {
             return 0;
         }
-        let micros = self.figures.step.as_micros().max(1) as u64;
+        let micros = self.report.step.as_micros().max(1) as u64;
         let passed = now.saturating_sub(self.backlog_at).as_micros() as u64;
-        let read = (passed / micros).saturating_mul(u64::from(self.figures.prefill_rate));
+        let read = (passed / micros).saturating_mul(u64::from(self.report.prefill_rate));
         self.backlog.saturating_sub(read)
     }
 }
 
-fn mean(before: Duration, sample: Duration) -> Duration {
-    (before * (HOLD_WEIGHT - 1) + sample) / HOLD_WEIGHT
+fn moving_average(before: Duration, sample: Duration) -> Duration {
+    (before * (HOLD_TIME_WEIGHT - 1) + sample) / HOLD_TIME_WEIGHT
 }
--- a/crates/policy/src/route/hints.rs
+++ b/crates/policy/src/route/hints.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     server: Index,
-    heard: Moment,
+    added_at: Moment,
 }
 
 /// The servers of one prefix, the last heard of first.
@@ -86,8 +86,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Hints {
     bounds: Bounds,
-    young: Generation,
-    old: Generation,
+    current: Generation,
+    previous: Generation,
 }
 
 impl Hints {
@@ -98,29 +98,31 @@
 
     /// Prefixes remembered, at most twice [`Bounds::generation`].
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 
     /// Whether nothing is remembered.
     pub fn is_empty(&self) -> bool {
-        self.young.is_empty() && self.old.is_empty()
+        self.current.is_empty() && self.previous.is_empty()
     }
 
     /// The server holds this prefix, or will once it has read the prompt.
     pub fn add(&mut self, prefix: u64, server: Index, now: Moment) {
-        if self.bounds.generation <= self.young.len() && !self.young.contains_key(&prefix) {
-            std::mem::swap(&mut self.old, &mut self.young);
-            self.young.clear();
+        if self.bounds.generation <= self.current.len() && !self.current.contains_key(&prefix) {
+            std::mem::swap(&mut self.previous, &mut self.current);
+            self.current.clear();
         }
-        let old = &mut self.old;
-        let holders =
-            self.young.entry(prefix).or_insert_with(|| old.remove(&prefix).unwrap_or_default());
-        holders.put(Hint { server, heard: now });
+        let previous = &mut self.previous;
+        let holders = self
+            .current
+            .entry(prefix)
+            .or_insert_with(|| previous.remove(&prefix).unwrap_or_default());
+        holders.put(Hint { server, added_at: now });
     }
 
     /// The server has dropped this prefix.
     pub fn remove(&mut self, prefix: u64, server: Index) {
-        for generation in [&mut self.young, &mut self.old] {
+        for generation in [&mut self.current, &mut self.previous] {
             if let Some(holders) = generation.get_mut(&prefix) {
                 holders.remove(server);
             }
@@ -129,7 +131,7 @@
 
     /// The server has lost its whole cache, as after a restart.
     pub fn clear(&mut self, server: Index) {
-        for generation in [&mut self.young, &mut self.old] {
+        for generation in [&mut self.current, &mut self.previous] {
             generation.retain(|_, holders| {
                 holders.remove(server);
                 !holders.is_empty()
@@ -146,7 +148,7 @@
         for (at, prefix) in prefixes.iter().enumerate().rev() {
             let tokens = self.bounds.block_tokens.saturating_mul(at as u32 + 1);
             for hint in self.hints(*prefix).iter().flat_map(|holders| holders.iter()) {
-                let fresh = now.saturating_sub(hint.heard) < self.bounds.life;
+                let fresh = now.saturating_sub(hint.added_at) < self.bounds.life;
                 if fresh && holders.iter().all(|holder| holder.server != hint.server) {
                     holders.push(Holder { server: hint.server, tokens });
                 }
@@ -159,6 +161,6 @@
     }
 
     fn hints(&self, prefix: u64) -> Option<&Holders> {
-        self.young.get(&prefix).or_else(|| self.old.get(&prefix))
+        self.current.get(&prefix).or_else(|| self.previous.get(&prefix))
     }
 }
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -73,7 +73,7 @@
     server: backend::Server,
     distance: Duration,
     eligibility: Eligibility,
-    says_leaving: bool,
+    reports_leaving: bool,
     incarnation: backend::Incarnation,
     view: View,
     ready: Vec<DestinationIndex>,
@@ -117,7 +117,7 @@
                     server: server.clone(),
                     distance,
                     eligibility: Eligibility::Live,
-                    says_leaving: false,
+                    reports_leaving: false,
                     incarnation: 0,
                     view: View::default(),
                     ready: Vec::new(),
@@ -202,7 +202,7 @@
         let restarted = row.incarnation != 0 && row.incarnation < load.incarnation;
         row.incarnation = load.incarnation;
         row.view.report(load, now);
-        row.says_leaving = load.leaving;
+        row.reports_leaving = load.leaving;
         if row.server.kind == backend::Kind::Engine {
             self.set_ready(index, ready_units(load));
         }
@@ -223,7 +223,7 @@
     pub fn takes_work(&self, index: Index, now: Moment) -> bool {
         let row = &self.rows[index as usize];
         match row.eligibility {
-            _ if row.says_leaving => false,
+            _ if row.reports_leaving => false,
             Eligibility::Live => true,
             Eligibility::Suspected(until) => until <= now,
             Eligibility::Leaving | Eligibility::Gone => false,
@@ -234,7 +234,7 @@
     pub fn doubted_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
         match row.eligibility {
-            Eligibility::Suspected(until) if !row.says_leaving => Some(until),
+            Eligibility::Suspected(until) if !row.reports_leaving => Some(until),
             _ => None,
         }
     }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -6,11 +6,11 @@
 
 use policy::once::{
     Answer, Call, Claim, Document, HostRun, Key, Now, Outage, Range, Read, Settings, TimedKey,
-    Verdict, Wall, Written,
+    UnixMillis, Verdict, Written,
 };
 
 /// Wall clock at the origin of the tests' time.
-pub(crate) const ORIGIN: Wall = 1_800_000_000_000;
+pub(crate) const ORIGIN: UnixMillis = 1_800_000_000_000;
 
 /// What goes wrong with one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -74,7 +74,7 @@
             accept: self.jump,
             ahead: Duration::ZERO,
             clock_error: Duration::ZERO,
-            patience: self.jump,
+            claim_timeout: self.jump,
             grant: self.jump,
             window: Duration::ZERO,
             settle: Duration::ZERO,
