--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -14,7 +14,7 @@
     task::Task,
 };
 use crate::{
-    quota::{self, Message, News, Quotas, Want},
+    quota::{self, Message, Quotas, VersionedLimit},
     route::Index,
 };
 
@@ -36,7 +36,7 @@
         now: Moment,
     ) -> Option<quota::Change> {
         self.registry.index(id)?;
-        let change = self.quotas.named(id, limit, sent, now)?;
+        let change = self.quotas.observe_limit(id, limit, sent, now)?;
         self.limit_changed(id, change, now);
         Some(change)
     }
@@ -45,10 +45,10 @@
     pub fn limit_received(
         &mut self,
         id: &backend::Id,
-        news: News,
+        limit: VersionedLimit,
         now: Moment,
     ) -> Option<quota::Change> {
-        let change = self.quotas.heard(id, news, now)?;
+        let change = self.quotas.merge_limit(id, limit, now)?;
         self.limit_changed(id, change, now);
         Some(change)
     }
@@ -86,17 +86,17 @@
 
     /// Sets how many hosts the store lists, whether or not they run.
     pub fn share_listed(&mut self, hosts: u32) {
-        self.quotas.listed(hosts);
+        self.quotas.set_listed(hosts);
         self.sharers.set_listed(hosts);
     }
 
     fn limit_changed(&mut self, id: &backend::Id, change: quota::Change, now: Moment) {
         let server = self.registry.index(id).and_then(|index| self.registry.get_mut(index));
         let before = server.map_or(0, |server| {
-            server.is_limited = change.news.limit.is_some();
+            server.is_limited = change.current.rate.is_some();
             server.load.sent_since(now.saturating_sub(RECENT_WINDOW))
         });
-        self.quotas.changed(id, change, before, now);
+        self.quotas.limit_changed(id, change, before, now);
     }
 
     /// Takes a permit for an order to a server. Returns false if one is needed and none is left.
@@ -106,8 +106,8 @@
         }
         let has_permit = self.quotas.has_permit(id, now);
         match has_permit {
-            true => self.quotas.sent(id, now),
-            false => self.quotas.missed(id, now),
+            true => self.quotas.use_permit(id, now),
+            false => self.quotas.permit_missing(id, now),
         }
         has_permit
     }
@@ -127,7 +127,7 @@
             .filter(|(_, server)| self.is_able(task, server) && !self.has_permit(server, now))
             .map(|(id, _)| id.clone())
             .collect();
-        missed.iter().for_each(|id| self.quotas.missed(id, now));
+        missed.iter().for_each(|id| self.quotas.permit_missing(id, now));
     }
 
     /// Refuses what can't be served in time by limited servers alone, and requests permits.
@@ -136,7 +136,7 @@
             self.limits_checked = now;
             self.refuse_limited(now, changes);
             let wants = self.wants();
-            wants.iter().for_each(|(id, want)| self.quotas.wait(id, *want));
+            wants.iter().for_each(|(id, want)| self.quotas.set_demand(id, *want));
         }
         self.quotas.tick(now);
     }
@@ -150,8 +150,8 @@
     }
 
     /// Permits that waiting requests need, by limited server.
-    fn wants(&self) -> BTreeMap<backend::Id, Want> {
-        let none = Want { permits: 0, urgency: LEAST_URGENT };
+    fn wants(&self) -> BTreeMap<backend::Id, quota::Demand> {
+        let none = quota::Demand { permits: 0, urgency: LEAST_URGENT };
         let mut wants: BTreeMap<_, _> =
             self.quotas.limited().map(|id| (id.clone(), none)).collect();
         for (id, server) in self.limited() {
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     dispatch::poison::{Crash, Fingerprint},
-    quota::News,
+    quota::VersionedLimit,
     term,
 };
 
@@ -66,7 +66,7 @@
     pub(super) term: Option<term::Stored>,
     pub(super) store: Option<StoreStatus>,
     pub(super) absent: BTreeMap<host::Id, Run>,
-    pub(super) limits: BTreeMap<backend::Id, News>,
+    pub(super) limits: BTreeMap<backend::Id, VersionedLimit>,
 }
 
 impl Tally {
@@ -108,7 +108,7 @@
             }
             Fact::Limit(server, news) => {
                 let held = self.limits.entry(server.clone()).or_insert(*news);
-                *held = held.joined(*news);
+                *held = held.merge(*news);
             }
             Fact::State(_) | Fact::Declared(_) | Fact::Arrivals(..) | Fact::Retries(..) => {}
         }
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -2,7 +2,7 @@
 
 use types::{request, request::Ran, time::Moment};
 
-use super::{Key, Outcome, Run, Stamped};
+use super::{HostRun, Key, Outcome, TimedKey};
 
 /// A request that wants to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -10,11 +10,11 @@
     /// Its name, which no other request has.
     pub id: request::Id,
     /// Its key.
-    pub key: Stamped,
+    pub key: TimedKey,
     /// Digest of what it asks, shortened.
     pub digest: u64,
     /// The run of the host that will dispatch it.
-    pub claimant: Run,
+    pub claimant: HostRun,
     /// When it was asked for.
     pub asked: Moment,
 }
@@ -39,7 +39,7 @@
     /// "Still running" while its claimant is there, otherwise "may have run".
     Claimed {
         /// The run of the host that claimed it.
-        claimant: Run,
+        claimant: HostRun,
     },
     /// Ran before, with this outcome.
     Done(Outcome),
@@ -82,7 +82,7 @@
     }
 
     /// Whether it holds only if the key was free when the request came.
-    pub(super) fn needs_look(self) -> bool {
+    pub(super) fn needs_fresh_read(self) -> bool {
         self != Refusal::Different && self.ran() == Ran::DidNotRun
     }
 }
--- a/crates/policy/src/once/key.rs
+++ b/crates/policy/src/once/key.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use types::{customer, request, service};
 
-use super::{Number, Wall};
+use super::{Number, UnixMillis};
 
 /// Digest of a key and its scope; what is kept of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -11,17 +11,17 @@
 
 /// A key with the time that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Stamped {
+pub struct TimedKey {
     /// Its digest.
     pub key: Key,
     /// Its own time, for a version 7 UUID.
-    pub stamp: Option<Wall>,
+    pub stamp: Option<UnixMillis>,
 }
 
-impl Stamped {
+impl TimedKey {
     /// Reads a caller's key in the scope of a customer's service.
-    pub fn new(customer: &customer::Id, service: &service::Id, text: &request::Key) -> Stamped {
-        Stamped { key: Key::new(customer, service, text), stamp: stamp(text) }
+    pub fn new(customer: &customer::Id, service: &service::Id, text: &request::Key) -> TimedKey {
+        TimedKey { key: Key::new(customer, service, text), stamp: stamp(text) }
     }
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-fn stamp(text: &str) -> Option<Wall> {
+fn stamp(text: &str) -> Option<UnixMillis> {
     let id = uuid::Uuid::parse_str(text).ok()?;
     if id.get_version_num() != 7 {
         return None;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -34,7 +34,7 @@
     guard::{Guard, Verdict},
     home::homes,
 };
-use crate::once::{Key, Run, Wall};
+use crate::once::{HostRun, Key, UnixMillis};
 
 /// Servers that one request may lose, over the whole deployment.
 pub const DEATHS: usize = 2;
@@ -84,7 +84,7 @@
 
 /// One run of a backend server's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct ServerRun {
     /// The server.
     pub server: backend::Id,
     /// The run.
@@ -136,9 +136,9 @@
     /// The service it calls.
     pub service: service::Id,
     /// Servers that died with it.
-    pub deaths: BTreeSet<Life>,
+    pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
     /// Its trial, if one is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trial: Option<Trial>,
@@ -148,11 +148,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// The server.
-    pub life: Life,
+    pub life: ServerRun,
     /// The run of the host that makes it.
-    pub host: Run,
+    pub host: HostRun,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
 }
 
 /// A request that is refused everywhere.
@@ -161,11 +161,11 @@
     /// The service it called.
     pub service: service::Id,
     /// Servers that died with it.
-    pub deaths: BTreeSet<Life>,
+    pub deaths: BTreeSet<ServerRun>,
     /// When it was written.
-    pub since: Wall,
+    pub since: UnixMillis,
     /// When it expires.
-    pub until: Wall,
+    pub until: UnixMillis,
 }
 
 /// Why a trial cannot begin now.
@@ -178,7 +178,7 @@
     /// Other hosts may not have heard of it.
     Spreading {
         /// When they have.
-        until: Wall,
+        until: UnixMillis,
     },
     /// Its own trial is open.
     OnTrial,
@@ -191,8 +191,8 @@
     pub fn accuse<'a>(
         &mut self,
         settings: &Settings,
-        wall: Wall,
-        life: &Life,
+        wall: UnixMillis,
+        life: &ServerRun,
         in_flight: impl IntoIterator<Item = (Fingerprint, &'a service::Id)>,
     ) {
         let explained = self.refused.values().any(|refused| refused.deaths.contains(life));
@@ -221,10 +221,10 @@
     pub fn begin(
         &mut self,
         settings: &Settings,
-        wall: Wall,
+        wall: UnixMillis,
         fingerprint: Fingerprint,
-        life: &Life,
-        host: &Run,
+        life: &ServerRun,
+        host: &HostRun,
     ) -> Result<(), Busy> {
         if self.refused.contains_key(&fingerprint) {
             return Err(Busy::Refused);
@@ -249,14 +249,14 @@
     }
 
     /// Notes that a trial ended with its server alive: completed means cleared.
-    pub fn complete(&mut self, fingerprint: Fingerprint, host: &Run) {
+    pub fn complete(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host) {
             self.suspects.remove(&fingerprint);
         }
     }
 
     /// Notes that a request was answered whole by a server that died afterwards.
-    pub fn acquit(&mut self, fingerprint: Fingerprint, life: &Life) {
+    pub fn acquit(&mut self, fingerprint: Fingerprint, life: &ServerRun) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
         suspect.deaths.remove(life);
         if suspect.deaths.is_empty() && suspect.trial.is_none() {
@@ -265,7 +265,7 @@
     }
 
     /// Notes that a trial ended before it showed anything, with its server alive.
-    pub fn abort(&mut self, fingerprint: Fingerprint, host: &Run) {
+    pub fn abort(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host)
             && let Some(suspect) = self.suspects.get_mut(&fingerprint)
         {
@@ -277,11 +277,11 @@
     pub fn host_gone(
         &mut self,
         settings: &Settings,
-        wall: Wall,
-        host: &Run,
-        is_alive: impl Fn(&Life) -> bool,
+        wall: UnixMillis,
+        host: &HostRun,
+        is_alive: impl Fn(&ServerRun) -> bool,
     ) {
-        let open: Vec<(Fingerprint, Life)> = self
+        let open: Vec<(Fingerprint, ServerRun)> = self
             .suspects
             .iter()
             .filter_map(|(f, s)| s.trial.as_ref().map(|trial| (*f, trial)))
@@ -304,7 +304,7 @@
     }
 
     /// Forgets what is too old.
-    pub fn expire(&mut self, settings: &Settings, wall: Wall) {
+    pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
         let kept = millis(settings.suspect);
         self.refused.retain(|_, refused| wall < refused.until);
         self.suspects.retain(|_, suspect| {
@@ -313,13 +313,13 @@
         });
     }
 
-    fn has_trial(&self, fingerprint: Fingerprint, host: &Run) -> bool {
+    fn has_trial(&self, fingerprint: Fingerprint, host: &HostRun) -> bool {
         let trial = self.suspects.get(&fingerprint).and_then(|suspect| suspect.trial.as_ref());
         trial.is_some_and(|trial| trial.host == *host)
     }
 
     /// A death during a trial has the suspect on trial to blame.
-    fn blame_trial(&mut self, settings: &Settings, wall: Wall, life: &Life) {
+    fn blame_trial(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
         let on_trial = self
             .suspects
             .iter()
@@ -331,7 +331,7 @@
     }
 
     /// Two deaths that share a single suspect have that one to blame.
-    fn blame_only_one(&mut self, settings: &Settings, wall: Wall, life: &Life) {
+    fn blame_only_one(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
         let mut shared = self
             .suspects
             .iter()
@@ -343,7 +343,13 @@
     }
 
     /// Refuses a suspect and clears the others of the deaths that it explains.
-    fn refuse(&mut self, settings: &Settings, wall: Wall, fingerprint: Fingerprint, life: &Life) {
+    fn refuse(
+        &mut self,
+        settings: &Settings,
+        wall: UnixMillis,
+        fingerprint: Fingerprint,
+        life: &ServerRun,
+    ) {
         let Some(mut suspect) = self.suspects.remove(&fingerprint) else { return };
         suspect.deaths.insert(life.clone());
         for other in self.suspects.values_mut() {
@@ -365,12 +371,16 @@
     }
 }
 
-fn drop_oldest<T>(map: &mut BTreeMap<Fingerprint, T>, entries: usize, since: impl Fn(&T) -> Wall) {
+fn drop_oldest<T>(
+    map: &mut BTreeMap<Fingerprint, T>,
+    entries: usize,
+    since: impl Fn(&T) -> UnixMillis,
+) {
     let excess = map.len().saturating_sub(entries);
     if excess == 0 {
         return;
     }
-    let mut oldest: Vec<(Wall, Fingerprint)> =
+    let mut oldest: Vec<(UnixMillis, Fingerprint)> =
         map.iter().map(|(fingerprint, entry)| (since(entry), *fingerprint)).collect();
     oldest.sort_unstable();
     for (_, fingerprint) in oldest.into_iter().take(excess) {
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 use policy::{
-    once::Run,
-    quarantine::{Document, Fingerprint, Guard, Life, Settings, Verdict, homes},
+    once::HostRun,
+    quarantine::{Document, Fingerprint, Guard, ServerRun, Settings, Verdict, homes},
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -155,7 +155,7 @@
             })
             .collect();
         for (host, server, incarnation) in due {
-            let life = Life { server: self.servers[server].id.clone(), incarnation };
+            let life = ServerRun { server: self.servers[server].id.clone(), incarnation };
             let guard = &mut self.guards[host];
             if guard.died(&life) {
                 guard.accuse(self.time, &mut self.document);
@@ -248,13 +248,13 @@
         }
     }
 
-    fn life(&self, server: usize) -> Life {
+    fn life(&self, server: usize) -> ServerRun {
         let Server { id, incarnation, .. } = &self.servers[server];
-        Life { server: id.clone(), incarnation: *incarnation }
+        ServerRun { server: id.clone(), incarnation: *incarnation }
     }
 
-    fn host(&self, host: usize) -> Run {
-        Run { host: host::Id::from(format!("host-{host}")), incarnation: 1 }
+    fn host(&self, host: usize) -> HostRun {
+        HostRun { host: host::Id::from(format!("host-{host}")), incarnation: 1 }
     }
 
     fn count(&self, poison: bool, state: &State) -> usize {
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -5,12 +5,12 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use policy::once::{
-    Answer, Call, Claim, Document, Key, Now, Outage, Range, Read, Run, Settings, Stamped, Verdict,
-    Wall, Written,
+    Answer, Call, Claim, Document, HostRun, Key, Now, Outage, Range, Read, Settings, TimedKey,
+    UnixMillis, Verdict, Written,
 };
 
 /// Wall clock at the origin of the tests' time.
-pub(crate) const ORIGIN: Wall = 1_800_000_000_000;
+pub(crate) const ORIGIN: UnixMillis = 1_800_000_000_000;
 
 /// What goes wrong with one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,22 +78,22 @@
 
 /// One run of a host's process.
 pub(crate) struct Host {
-    pub(crate) run: Run,
+    pub(crate) run: HostRun,
     pub(crate) range: Range,
     pub(crate) answers: BTreeMap<String, Verdict>,
 }
 
 impl Host {
-    pub(crate) fn new(run: Run, outage: Outage) -> Host {
+    pub(crate) fn new(run: HostRun, outage: Outage) -> Host {
         Host::with(run, settings(outage))
     }
 
-    pub(crate) fn with(run: Run, settings: Settings) -> Host {
+    pub(crate) fn with(run: HostRun, settings: Settings) -> Host {
         let range = Range::new(run.clone(), Arc::new(settings));
         Host { run, range, answers: BTreeMap::new() }
     }
 
-    pub(crate) fn claim(&mut self, now: Now, id: &str, key: &Stamped, digest: u64) {
+    pub(crate) fn claim(&mut self, now: Now, id: &str, key: &TimedKey, digest: u64) {
         self.range.claim(Claim {
             id: id.into(),
             key: *key,
@@ -160,15 +160,15 @@
 }
 
 /// A key without a time.
-pub(crate) fn key(text: &str) -> Stamped {
+pub(crate) fn key(text: &str) -> TimedKey {
     let key = Key::new(&"authority".into(), &"tickets".into(), &text.into());
-    Stamped { key, stamp: None }
+    TimedKey { key, stamp: None }
 }
 
 /// A key that carries a time, in milliseconds after the origin.
-pub(crate) fn stamped(millis: i64) -> Stamped {
+pub(crate) fn stamped(millis: i64) -> TimedKey {
     let stamp = ORIGIN.checked_add_signed(millis).expect("a time after 1970");
-    Stamped { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
+    TimedKey { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
 }
 
 /// Settings of a property test: the same cases in every run.
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -4,10 +4,10 @@
 
 use policy::{
     once::{
-        Body, Call, Claim, Document, Entry, Key, Now, Outcome, Range, Read, Run, Settings, Stamped,
-        State, Written,
+        Body, Call, Claim, Document, Entry, HostRun, Key, Now, Outcome, Range, Read, Settings,
+        State, TimedKey, Written,
     },
-    quarantine::{self, Fingerprint, Life},
+    quarantine::{self, Fingerprint, ServerRun},
 };
 use types::prelude::*;
 
@@ -44,13 +44,13 @@
     ])
 }
 
-fn me() -> Run {
-    Run { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
+fn me() -> HostRun {
+    HostRun { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
 }
 
-fn key(n: u64) -> Stamped {
+fn key(n: u64) -> TimedKey {
     let text = format!("01890a5d-ac96-774b-bcce-{n:012x}").into();
-    Stamped { key: Key::new(&"magnolia".into(), &"tickets".into(), &text), stamp: None }
+    TimedKey { key: Key::new(&"magnolia".into(), &"tickets".into(), &text), stamp: None }
 }
 
 fn document(entries: u64) -> Document {
@@ -100,7 +100,7 @@
     let suspect = |n: u32| {
         let mut digest = [0; 32];
         digest[..4].copy_from_slice(&n.to_le_bytes());
-        let life = Life { server: format!("server-{n:05}").into(), incarnation: 1 };
+        let life = ServerRun { server: format!("server-{n:05}").into(), incarnation: 1 };
         let suspect = quarantine::Suspect {
             service: "guests".into(),
             deaths: BTreeSet::from([life]),
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -17,7 +17,7 @@
 };
 use http_body_util::BodyExt;
 use observe::{Event, event};
-use policy::once::{self, Change, Claim, End, Outcome, Refusal, Stamped, Verdict};
+use policy::once::{self, Change, Claim, End, Outcome, Refusal, TimedKey, Verdict};
 use types::{
     prelude::*,
     request::{Ran, Repeat},
@@ -111,7 +111,7 @@
     let (mut request, digest) = with_digest(&context, request).await?;
     let service = call.numbered.config.services.get(&call.request.service);
     let customer = service.map(|service| service.customer.clone()).unwrap_or_default();
-    let key = Stamped::new(&customer, &call.request.service, key);
+    let key = TimedKey::new(&customer, &call.request.service, key);
     let claim = Claim {
         id: call.request.id.clone(),
         key,
@@ -240,7 +240,7 @@
 }
 
 /// The claimant may be at work, or have died at any point: both are "may have run".
-fn in_use(context: &Context, claimant: &once::Run) -> Problem {
+fn in_use(context: &Context, claimant: &once::HostRun) -> Problem {
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
     let detail = match is_listed {
