--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -31,8 +31,8 @@
 /// The same once the model is being loaded.
 const LOADING_WAIT: f64 = 0.7;
 
-/// The delay after which a refused request may be retried is at least and at most one part in this
-/// many of its patience. Callers wait a third of the time they have left at the most.
+/// Divisors of a request's patience that bound the delay after which a refused request may be
+/// retried. Callers wait at most a third of the time they have left.
 const RETRY_AFTER_MIN_DIVISOR: u32 = 12;
 const RETRY_AFTER_MAX_DIVISOR: u32 = 5;
 
