--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -3,7 +3,7 @@
 //! The configuration is stored in the object API as a small root object and the parts that the root
 //! names. A patch names the number on which it is based and becomes the next number by one
 //! conditional write of the root: of two concurrent patches one succeeds, and the other is refused
-//! as stale. Nothing in this module waits or writes: [`decide`] turns a patch into a draft of the
+//! as stale. Nothing in this module waits or writes: [`decide()`] turns a patch into a draft of the
 //! next root and the parts to create before it, and [`holder::Holder`] turns the roots and parts
 //! that a host receives into the number in force there.
 //!
