--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -19,8 +19,8 @@
 //!
 //! Every change of the object is idempotent, so one whose answer was lost is simply made again.
 
-mod guard;
-mod home;
+mod assignment;
+mod view;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,13 +31,13 @@
 use types::{backend, request, service};
 
 pub use self::{
-    guard::{Guard, Verdict},
-    home::homes,
+    assignment::assigned_servers,
+    view::{HostView, Verdict},
 };
 use crate::once::{HostRun, Key, UnixMillis};
 
 /// Servers that one request may lose, over the whole deployment.
-pub const DEATHS: usize = 2;
+pub const MAX_DEATHS: usize = 2;
 
 /// What a request is known by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -97,7 +97,7 @@
 pub struct Settings {
     /// Time in which every host hears of a new suspect; milliseconds in JSON.
     #[serde(rename = "spread_ms", with = "types::time::millis")]
-    pub spread: Duration,
+    pub propagation: Duration,
     /// How long a suspect that nobody tries is kept; milliseconds in JSON.
     #[serde(rename = "suspect_ms", with = "types::time::millis")]
     pub suspect: Duration,
@@ -111,7 +111,7 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            spread: Duration::from_millis(500),
+            propagation: Duration::from_millis(500),
             suspect: Duration::from_secs(600),
             refuse: Duration::from_secs(3600),
             entries: 2000,
@@ -148,7 +148,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// The server.
-    pub life: ServerRun,
+    #[serde(rename = "life")]
+    pub run: ServerRun,
     /// The run of the host that makes it.
     pub host: HostRun,
     /// When it was written.
@@ -170,13 +171,13 @@
 
 /// Why a trial cannot begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Busy {
+pub enum TrialError {
     /// Not a suspect any more.
     Unknown,
     /// It is refused.
     Refused,
     /// Other hosts may not have heard of it.
-    Spreading {
+    Propagating {
         /// When they have.
         until: UnixMillis,
     },
@@ -188,16 +189,16 @@
 
 impl Document {
     /// Notes that a server died with these requests in flight.
-    pub fn accuse<'a>(
+    pub fn record_death<'a>(
         &mut self,
         settings: &Settings,
         wall: UnixMillis,
-        life: &ServerRun,
+        run: &ServerRun,
         in_flight: impl IntoIterator<Item = (Fingerprint, &'a service::Id)>,
     ) {
-        let explained = self.refused.values().any(|refused| refused.deaths.contains(life));
+        let is_explained = self.refused.values().any(|refused| refused.deaths.contains(run));
         for (fingerprint, service) in in_flight {
-            if explained || self.refused.contains_key(&fingerprint) {
+            if is_explained || self.refused.contains_key(&fingerprint) {
                 continue;
             }
             let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect {
@@ -206,11 +207,11 @@
                 since: wall,
                 trial: None,
             });
-            suspect.deaths.insert(life.clone());
+            suspect.deaths.insert(run.clone());
         }
-        self.blame_trial(settings, wall, life);
-        self.blame_only_one(settings, wall, life);
-        self.keep_within(settings.entries);
+        self.refuse_on_trial(settings, wall, run);
+        self.refuse_sole_suspect(settings, wall, run);
+        self.enforce_limit(settings.entries);
     }
 
     /// Begins a trial on a server.
@@ -223,28 +224,28 @@
         settings: &Settings,
         wall: UnixMillis,
         fingerprint: Fingerprint,
-        life: &ServerRun,
+        run: &ServerRun,
         host: &HostRun,
-    ) -> Result<(), Busy> {
+    ) -> Result<(), TrialError> {
         if self.refused.contains_key(&fingerprint) {
-            return Err(Busy::Refused);
+            return Err(TrialError::Refused);
         }
-        let elsewhere = self
+        let is_occupied = self
             .suspects
             .iter()
             .filter(|(other, _)| **other != fingerprint)
             .filter_map(|(_, suspect)| suspect.trial.as_ref())
-            .any(|trial| trial.life == *life);
-        let suspect = self.suspects.get_mut(&fingerprint).ok_or(Busy::Unknown)?;
-        let until = suspect.since + millis(settings.spread);
+            .any(|trial| trial.run == *run);
+        let suspect = self.suspects.get_mut(&fingerprint).ok_or(TrialError::Unknown)?;
+        let until = suspect.since + millis(settings.propagation);
         match &suspect.trial {
-            Some(trial) if trial.life == *life && trial.host == *host => return Ok(()),
-            Some(_) => return Err(Busy::OnTrial),
-            None if wall < until => return Err(Busy::Spreading { until }),
-            None if elsewhere => return Err(Busy::Server),
+            Some(trial) if trial.run == *run && trial.host == *host => return Ok(()),
+            Some(_) => return Err(TrialError::OnTrial),
+            None if wall < until => return Err(TrialError::Propagating { until }),
+            None if is_occupied => return Err(TrialError::Server),
             None => {}
         }
-        suspect.trial = Some(Trial { life: life.clone(), host: host.clone(), since: wall });
+        suspect.trial = Some(Trial { run: run.clone(), host: host.clone(), since: wall });
         Ok(())
     }
 
@@ -256,9 +257,9 @@
     }
 
     /// Notes that a request was answered whole by a server that died afterwards.
-    pub fn acquit(&mut self, fingerprint: Fingerprint, life: &ServerRun) {
+    pub fn clear_death(&mut self, fingerprint: Fingerprint, run: &ServerRun) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
-        suspect.deaths.remove(life);
+        suspect.deaths.remove(run);
         if suspect.deaths.is_empty() && suspect.trial.is_none() {
             self.suspects.remove(&fingerprint);
         }
@@ -286,12 +287,12 @@
             .iter()
             .filter_map(|(f, s)| s.trial.as_ref().map(|trial| (*f, trial)))
             .filter(|(_, trial)| trial.host == *host)
-            .map(|(fingerprint, trial)| (fingerprint, trial.life.clone()))
+            .map(|(fingerprint, trial)| (fingerprint, trial.run.clone()))
             .collect();
-        for (fingerprint, life) in open {
-            match is_alive(&life) {
+        for (fingerprint, run) in open {
+            match is_alive(&run) {
                 true => self.abort(fingerprint, host),
-                false => self.accuse(settings, wall, &life, []),
+                false => self.record_death(settings, wall, &run, []),
             }
         }
     }
@@ -319,26 +320,26 @@
     }
 
     /// A death during a trial has the suspect on trial to blame.
-    fn blame_trial(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
+    fn refuse_on_trial(&mut self, settings: &Settings, wall: UnixMillis, run: &ServerRun) {
         let on_trial = self
             .suspects
             .iter()
-            .find(|(_, suspect)| suspect.trial.as_ref().is_some_and(|trial| trial.life == *life))
+            .find(|(_, suspect)| suspect.trial.as_ref().is_some_and(|trial| trial.run == *run))
             .map(|(fingerprint, _)| *fingerprint);
         if let Some(fingerprint) = on_trial {
-            self.refuse(settings, wall, fingerprint, life);
+            self.refuse(settings, wall, fingerprint, run);
         }
     }
 
     /// Two deaths that share a single suspect have that one to blame.
-    fn blame_only_one(&mut self, settings: &Settings, wall: UnixMillis, life: &ServerRun) {
+    fn refuse_sole_suspect(&mut self, settings: &Settings, wall: UnixMillis, run: &ServerRun) {
         let mut shared = self
             .suspects
             .iter()
-            .filter(|(_, s)| DEATHS <= s.deaths.len() && s.deaths.contains(life))
+            .filter(|(_, s)| MAX_DEATHS <= s.deaths.len() && s.deaths.contains(run))
             .map(|(fingerprint, _)| *fingerprint);
         if let (Some(fingerprint), None) = (shared.next(), shared.next()) {
-            self.refuse(settings, wall, fingerprint, life);
+            self.refuse(settings, wall, fingerprint, run);
         }
     }
 
@@ -348,10 +349,10 @@
         settings: &Settings,
         wall: UnixMillis,
         fingerprint: Fingerprint,
-        life: &ServerRun,
+        run: &ServerRun,
     ) {
         let Some(mut suspect) = self.suspects.remove(&fingerprint) else { return };
-        suspect.deaths.insert(life.clone());
+        suspect.deaths.insert(run.clone());
         for other in self.suspects.values_mut() {
             other.deaths.retain(|death| !suspect.deaths.contains(death));
         }
@@ -365,7 +366,7 @@
         self.refused.insert(fingerprint, refused);
     }
 
-    fn keep_within(&mut self, entries: usize) {
+    fn enforce_limit(&mut self, entries: usize) {
         drop_oldest(&mut self.suspects, entries, |suspect| suspect.since);
         drop_oldest(&mut self.refused, entries, |refused| refused.since);
     }
--- a/crates/policy/src/quarantine/home.rs
+++ b/crates/policy/src/quarantine/assignment.rs
@@ -2,20 +2,20 @@
 
 use types::backend;
 
-use super::{DEATHS, Fingerprint};
+use super::{Fingerprint, MAX_DEATHS};
 
 /// The servers that a request may run on: two of those given, the same on every host that knows
 /// the same servers, and nearly the same where lists differ (highest random weight).
 ///
 /// Servers that died must stay in the list for as long as a host may be unaware of the death.
-pub fn homes<'a>(
+pub fn assigned_servers<'a>(
     fingerprint: Fingerprint,
     servers: impl IntoIterator<Item = &'a backend::Id>,
 ) -> Vec<&'a backend::Id> {
     let mut ranked: Vec<(u64, &backend::Id)> =
         servers.into_iter().map(|server| (weight(fingerprint, server), server)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.into_iter().take(DEATHS).map(|(_, server)| server).collect()
+    ranked.into_iter().take(MAX_DEATHS).map(|(_, server)| server).collect()
 }
 
 fn weight(fingerprint: Fingerprint, server: &backend::Id) -> u64 {
--- a/crates/policy/src/quarantine/guard.rs
+++ b/crates/policy/src/quarantine/view.rs
@@ -20,7 +20,7 @@
 
 /// One host's view of the quarantine.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
+pub struct HostView {
     settings: Settings,
     document: Document,
     /// Version of the document that was read.
@@ -34,13 +34,13 @@
 struct Flight {
     fingerprint: Fingerprint,
     service: service::Id,
-    life: ServerRun,
+    run: ServerRun,
 }
 
-impl Guard {
+impl HostView {
     /// A view that has read nothing.
-    pub fn new(settings: Settings) -> Guard {
-        Guard { settings, ..Guard::default() }
+    pub fn new(settings: Settings) -> HostView {
+        HostView { settings, ..HostView::default() }
     }
 
     /// The object as last read.
@@ -62,8 +62,9 @@
         if self.document.refused.contains_key(&fingerprint) {
             return Verdict::Refused;
         }
-        let accused = self.unwritten.values().any(|suspects| suspects.contains_key(&fingerprint));
-        match accused || self.document.suspects.contains_key(&fingerprint) {
+        let is_unwritten =
+            self.unwritten.values().any(|suspects| suspects.contains_key(&fingerprint));
+        match is_unwritten || self.document.suspects.contains_key(&fingerprint) {
             true => Verdict::Suspect,
             false => Verdict::Free,
         }
@@ -75,9 +76,9 @@
         id: request::Id,
         fingerprint: Fingerprint,
         service: service::Id,
-        life: ServerRun,
+        run: ServerRun,
     ) {
-        self.in_flight.insert(id, Flight { fingerprint, service, life });
+        self.in_flight.insert(id, Flight { fingerprint, service, run });
     }
 
     /// Notes that a request is in flight no more, with its server alive.
@@ -86,25 +87,25 @@
     }
 
     /// Notes that a request was answered whole by a server, which may have died since.
-    pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, life: &ServerRun) {
+    pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, run: &ServerRun) {
         self.in_flight.remove(id);
-        if let Some(suspects) = self.unwritten.get_mut(life) {
+        if let Some(suspects) = self.unwritten.get_mut(run) {
             suspects.remove(&fingerprint);
         }
     }
 
     /// Notes that a server died; what was in flight on it is to be written, see
     /// [`Guard::unwritten`]. Says whether that is new.
-    pub fn died(&mut self, life: &ServerRun) -> bool {
-        let (lost, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.life == *life);
-        self.in_flight = left;
+    pub fn died(&mut self, run: &ServerRun) -> bool {
+        let (lost, remaining): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.run == *run);
+        self.in_flight = remaining;
         let suspects: BTreeMap<Fingerprint, service::Id> =
             lost.into_values().map(|flight| (flight.fingerprint, flight.service)).collect();
         if suspects.is_empty() {
             return false;
         }
-        self.unwritten.entry(life.clone()).or_default().extend(suspects);
+        self.unwritten.entry(run.clone()).or_default().extend(suspects);
         true
     }
 
@@ -114,20 +115,20 @@
     }
 
     /// Writes them into the object; they are forgotten by [`Guard::written`].
-    pub fn accuse(&self, wall: crate::once::UnixMillis, document: &mut Document) {
-        for (life, suspects) in &self.unwritten {
+    pub fn record_death(&self, wall: crate::once::UnixMillis, document: &mut Document) {
+        for (run, suspects) in &self.unwritten {
             let in_flight = suspects.iter().map(|(fingerprint, service)| (*fingerprint, service));
-            document.accuse(&self.settings, wall, life, in_flight);
+            document.record_death(&self.settings, wall, run, in_flight);
         }
     }
 
     /// Forgets deaths that a write has shown to all.
     pub fn written(&mut self, deaths: &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>) {
-        for (life, written) in deaths {
-            let Some(suspects) = self.unwritten.get_mut(life) else { continue };
+        for (run, written) in deaths {
+            let Some(suspects) = self.unwritten.get_mut(run) else { continue };
             suspects.retain(|fingerprint, _| !written.contains_key(fingerprint));
             if suspects.is_empty() {
-                self.unwritten.remove(life);
+                self.unwritten.remove(run);
             }
         }
     }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -4,39 +4,41 @@
 
 use policy::{
     once::HostRun,
-    quarantine::{Busy, Document, Fingerprint, Guard, ServerRun, Settings, Verdict, homes},
+    quarantine::{
+        Document, Fingerprint, HostView, ServerRun, Settings, TrialError, Verdict, assigned_servers,
+    },
 };
 use rstest::rstest;
 use types::{backend, service};
 
 #[test]
 fn suspects_are_tried_one_at_a_time_on_a_server() {
-    let mut document = accused(&[1, 2], "s1");
+    let mut document = after_death(&[1, 2], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    assert_eq!(begin(&mut document, 2, "s2", "b"), Err(Busy::Server));
+    assert_eq!(begin(&mut document, 2, "s2", "b"), Err(TrialError::Server));
     assert_eq!(begin(&mut document, 2, "s3", "b"), Ok(()));
 }
 
 #[test]
 fn suspect_is_not_tried_on_two_servers_at_once() {
-    let mut document = accused(&[1], "s1");
+    let mut document = after_death(&[1], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    assert_eq!(begin(&mut document, 1, "s3", "b"), Err(Busy::OnTrial));
+    assert_eq!(begin(&mut document, 1, "s3", "b"), Err(TrialError::OnTrial));
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()), "the answer was lost");
 }
 
 #[test]
 fn trial_waits_until_every_host_can_have_heard() {
-    let mut document = accused(&[1], "s1");
-    let early = document.begin(&settings(), 499, fingerprint(1), &life("s2"), &run("a"));
-    assert_eq!(early, Err(Busy::Spreading { until: 500 }));
+    let mut document = after_death(&[1], "s1");
+    let early = document.begin(&settings(), 499, fingerprint(1), &server_run("s2"), &run("a"));
+    assert_eq!(early, Err(TrialError::Propagating { until: 500 }));
 }
 
 #[test]
 fn death_during_a_trial_refuses_the_suspect_and_frees_the_others() {
-    let mut document = accused(&[1, 2, 3], "s1");
+    let mut document = after_death(&[1, 2, 3], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    accuse(&mut document, &[1, 4], "s2");
+    record_death(&mut document, &[1, 4], "s2");
     assert_eq!(refused(&document), [fingerprint(1)]);
     assert!(document.suspects.is_empty(), "both deaths are explained");
 }
@@ -44,17 +46,17 @@
 /// Another host writes its own requests down after the culprit is known.
 #[test]
 fn late_accusation_of_an_explained_death_makes_no_suspect() {
-    let mut document = accused(&[1], "s1");
+    let mut document = after_death(&[1], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    accuse(&mut document, &[1], "s2");
-    accuse(&mut document, &[5, 6], "s1");
-    accuse(&mut document, &[7], "s2");
+    record_death(&mut document, &[1], "s2");
+    record_death(&mut document, &[5, 6], "s1");
+    record_death(&mut document, &[7], "s2");
     assert!(document.suspects.is_empty());
 }
 
 #[test]
 fn completed_suspect_is_cleared() {
-    let mut document = accused(&[1, 2], "s1");
+    let mut document = after_death(&[1, 2], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
     document.complete(fingerprint(1), &run("b"));
     assert!(document.suspects.contains_key(&fingerprint(1)), "not the trial of that host");
@@ -64,32 +66,32 @@
 
 #[test]
 fn copies_that_kill_both_homes_at_once_are_refused_without_a_trial() {
-    let mut document = accused(&[1, 2, 3], "s1");
-    accuse(&mut document, &[1, 4, 5], "s2");
+    let mut document = after_death(&[1, 2, 3], "s1");
+    record_death(&mut document, &[1, 4, 5], "s2");
     assert_eq!(refused(&document), [fingerprint(1)]);
     assert!(document.suspects.is_empty());
 }
 
 #[test]
 fn two_deaths_that_share_several_requests_refuse_none_of_them() {
-    let mut document = accused(&[1, 2, 3], "s1");
-    accuse(&mut document, &[1, 2, 4], "s2");
+    let mut document = after_death(&[1, 2, 3], "s1");
+    record_death(&mut document, &[1, 2, 4], "s2");
     assert!(document.refused.is_empty());
     assert_eq!(begin(&mut document, 1, "s3", "a"), Ok(()));
-    accuse(&mut document, &[1], "s3");
+    record_death(&mut document, &[1], "s3");
     assert_eq!(refused(&document), [fingerprint(1)]);
 }
 
 #[test]
 fn accusation_may_be_written_again() {
-    let mut once = accused(&[1, 2], "s1");
+    let mut once = after_death(&[1, 2], "s1");
     let twice = {
         let mut document = once.clone();
-        accuse(&mut document, &[1, 2], "s1");
+        record_death(&mut document, &[1, 2], "s1");
         document
     };
     assert_eq!(once, twice);
-    accuse(&mut once, &[1], "s1");
+    record_death(&mut once, &[1], "s1");
     assert!(once.refused.is_empty(), "one death is one death");
 }
 
@@ -98,7 +100,7 @@
 #[case::server_alive(true, 0)]
 #[case::server_dead(false, 1)]
 fn trial_of_a_host_that_is_gone_is_closed(#[case] alive: bool, #[case] refusals: usize) {
-    let mut document = accused(&[1], "s1");
+    let mut document = after_death(&[1], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
     document.host_gone(&settings(), 2_000, &run("a"), |_| alive);
     assert_eq!(document.refused.len(), refusals);
@@ -107,9 +109,9 @@
 
 #[test]
 fn entries_expire_and_an_operator_lifts_them() {
-    let mut document = accused(&[1, 2], "s1");
+    let mut document = after_death(&[1, 2], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    accuse(&mut document, &[1], "s2");
+    record_death(&mut document, &[1], "s2");
     let refused_until = document.refused[&fingerprint(1)].until;
     let mut expired = document.clone();
     expired.expire(&settings(), refused_until - 1);
@@ -128,7 +130,7 @@
     let service = service::Id::from("chat");
     for number in 0..5 {
         let suspect = [(fingerprint(number), &service)];
-        document.accuse(&few, u64::from(number), &life("s1"), suspect);
+        document.record_death(&few, u64::from(number), &server_run("s1"), suspect);
     }
     let kept: Vec<Fingerprint> = document.suspects.keys().copied().collect();
     assert_eq!(kept, [fingerprint(2), fingerprint(3), fingerprint(4)]);
@@ -136,10 +138,10 @@
 
 #[test]
 fn document_and_fingerprints_survive_json() {
-    let mut document = accused(&[1, 2], "s1");
+    let mut document = after_death(&[1, 2], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
-    accuse(&mut document, &[1], "s2");
-    accuse(&mut document, &[9], "s4");
+    record_death(&mut document, &[1], "s2");
+    record_death(&mut document, &[9], "s4");
     let json = serde_json::to_string(&document).unwrap();
     assert_eq!(serde_json::from_str::<Document>(&json).unwrap(), document);
     let text = fingerprint(7).to_string();
@@ -149,45 +151,45 @@
 
 #[test]
 fn request_in_flight_at_a_death_is_a_suspect_before_it_is_written() {
-    let mut guard = Guard::new(settings());
-    guard.read(0, Document::default());
-    guard.sent("r1".into(), fingerprint(1), "chat".into(), life("s1"));
-    guard.sent("r2".into(), fingerprint(2), "chat".into(), life("s2"));
-    guard.sent("r3".into(), fingerprint(3), "chat".into(), life("s1"));
-    guard.ended(&"r3".into());
-    assert!(guard.died(&life("s1")));
-    assert_eq!(guard.admit(fingerprint(1)), Verdict::Suspect);
-    assert_eq!(guard.admit(fingerprint(2)), Verdict::Free);
-    assert_eq!(guard.admit(fingerprint(3)), Verdict::Free);
+    let mut view = HostView::new(settings());
+    view.read(0, Document::default());
+    view.sent("r1".into(), fingerprint(1), "chat".into(), server_run("s1"));
+    view.sent("r2".into(), fingerprint(2), "chat".into(), server_run("s2"));
+    view.sent("r3".into(), fingerprint(3), "chat".into(), server_run("s1"));
+    view.ended(&"r3".into());
+    assert!(view.died(&server_run("s1")));
+    assert_eq!(view.admit(fingerprint(1)), Verdict::Suspect);
+    assert_eq!(view.admit(fingerprint(2)), Verdict::Free);
+    assert_eq!(view.admit(fingerprint(3)), Verdict::Free);
     let mut document = Document::default();
-    guard.accuse(0, &mut document);
+    view.record_death(0, &mut document);
     assert_eq!(document.suspects.keys().copied().collect::<Vec<_>>(), [fingerprint(1)]);
-    let written = guard.unwritten().clone();
-    guard.written(&written);
-    guard.read(200, document);
-    assert!(guard.unwritten().is_empty());
-    assert_eq!(guard.admit(fingerprint(1)), Verdict::Suspect);
+    let written = view.unwritten().clone();
+    view.written(&written);
+    view.read(200, document);
+    assert!(view.unwritten().is_empty());
+    assert_eq!(view.admit(fingerprint(1)), Verdict::Suspect);
 }
 
 /// Its answer and the news of the death cross: nobody would try it again.
 #[test]
 fn request_answered_by_a_server_that_died_is_no_suspect() {
-    let mut document = accused(&[1, 2], "s1");
-    document.acquit(fingerprint(1), &life("s1"));
+    let mut document = after_death(&[1, 2], "s1");
+    document.clear_death(fingerprint(1), &server_run("s1"));
     assert_eq!(document.suspects.keys().copied().collect::<Vec<_>>(), [fingerprint(2)]);
-    let mut guard = Guard::new(settings());
-    guard.sent("r1".into(), fingerprint(1), "chat".into(), life("s1"));
-    assert!(guard.died(&life("s1")));
-    guard.completed(&"r1".into(), fingerprint(1), &life("s1"));
-    assert_eq!(guard.admit(fingerprint(1)), Verdict::Free);
+    let mut view = HostView::new(settings());
+    view.sent("r1".into(), fingerprint(1), "chat".into(), server_run("s1"));
+    assert!(view.died(&server_run("s1")));
+    view.completed(&"r1".into(), fingerprint(1), &server_run("s1"));
+    assert_eq!(view.admit(fingerprint(1)), Verdict::Free);
 }
 
 #[test]
 fn older_read_does_not_replace_a_newer_one() {
-    let mut guard = Guard::new(settings());
-    guard.read(200, accused(&[1], "s1"));
-    guard.read(100, Document::default());
-    assert_eq!(guard.admit(fingerprint(1)), Verdict::Suspect);
+    let mut view = HostView::new(settings());
+    view.read(200, after_death(&[1], "s1"));
+    view.read(100, Document::default());
+    assert_eq!(view.admit(fingerprint(1)), Verdict::Suspect);
 }
 
 #[test]
@@ -196,8 +198,8 @@
     let reversed: Vec<backend::Id> = servers.iter().rev().cloned().collect();
     let mut used = BTreeMap::new();
     for number in 0..200 {
-        let chosen = homes(fingerprint(number), &servers);
-        assert_eq!(chosen, homes(fingerprint(number), &reversed));
+        let chosen = assigned_servers(fingerprint(number), &servers);
+        assert_eq!(chosen, assigned_servers(fingerprint(number), &reversed));
         assert_eq!(chosen.len(), 2);
         chosen.into_iter().for_each(|server| *used.entry(server).or_insert(0) += 1);
     }
@@ -209,20 +211,20 @@
     Settings::default()
 }
 
-fn accused(numbers: &[u8], server: &str) -> Document {
+fn after_death(numbers: &[u8], server: &str) -> Document {
     let mut document = Document::default();
-    accuse(&mut document, numbers, server);
+    record_death(&mut document, numbers, server);
     document
 }
 
-fn accuse(document: &mut Document, numbers: &[u8], server: &str) {
+fn record_death(document: &mut Document, numbers: &[u8], server: &str) {
     let service = service::Id::from("chat");
     let in_flight = numbers.iter().map(|number| (fingerprint(*number), &service));
-    document.accuse(&settings(), 0, &life(server), in_flight);
+    document.record_death(&settings(), 0, &server_run(server), in_flight);
 }
 
-fn begin(document: &mut Document, number: u8, server: &str, host: &str) -> Result<(), Busy> {
-    document.begin(&settings(), 1_000, fingerprint(number), &life(server), &run(host))
+fn begin(document: &mut Document, number: u8, server: &str, host: &str) -> Result<(), TrialError> {
+    document.begin(&settings(), 1_000, fingerprint(number), &server_run(server), &run(host))
 }
 
 fn refused(document: &Document) -> Vec<Fingerprint> {
@@ -233,7 +235,7 @@
     Fingerprint::of_digest(&[number; 32])
 }
 
-fn life(server: &str) -> ServerRun {
+fn server_run(server: &str) -> ServerRun {
     ServerRun { server: server.into(), incarnation: 1 }
 }
 
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -9,7 +9,7 @@
 
 use policy::{
     once::HostRun,
-    quarantine::{Document, Fingerprint, Guard, ServerRun, Settings, Verdict, homes},
+    quarantine::{Document, Fingerprint, HostView, ServerRun, Settings, Verdict, assigned_servers},
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -85,7 +85,7 @@
     rng: ChaCha8Rng,
     time: u64,
     document: Document,
-    guards: Vec<Guard>,
+    views: Vec<HostView>,
     servers: Vec<Server>,
     requests: Vec<Request>,
     lost: usize,
@@ -102,7 +102,7 @@
             rng,
             time: 0,
             document: Document::default(),
-            guards: (0..hosts).map(|_| Guard::new(settings.clone())).collect(),
+            views: (0..hosts).map(|_| HostView::new(settings.clone())).collect(),
             servers: (0..servers)
                 .map(|n| Server { id: format!("engine-{n}").into(), incarnation: 1, up_at: 0 })
                 .collect(),
@@ -136,9 +136,9 @@
 
     /// Each host reads at its own beat, so that some know less than others.
     fn read(&mut self) {
-        for (index, guard) in self.guards.iter_mut().enumerate() {
+        for (index, view) in self.views.iter_mut().enumerate() {
             if (self.time + 37 * index as u64) % READ < ROUND {
-                guard.read(self.time, self.document.clone());
+                view.read(self.time, self.document.clone());
             }
         }
     }
@@ -155,13 +155,13 @@
             })
             .collect();
         for (host, server, incarnation) in due {
-            let life = ServerRun { server: self.servers[server].id.clone(), incarnation };
-            let guard = &mut self.guards[host];
-            if guard.died(&life) {
-                guard.accuse(self.time, &mut self.document);
-                let written = guard.unwritten().clone();
-                guard.written(&written);
-                guard.read(self.time, self.document.clone());
+            let server_run = ServerRun { server: self.servers[server].id.clone(), incarnation };
+            let view = &mut self.views[host];
+            if view.died(&server_run) {
+                view.record_death(self.time, &mut self.document);
+                let written = view.unwritten().clone();
+                view.written(&written);
+                view.read(self.time, self.document.clone());
             }
         }
         for request in &mut self.requests {
@@ -174,46 +174,54 @@
     fn dispatch(&mut self, index: usize) {
         let Request { fingerprint, host, .. } = self.requests[index];
         let ids: Vec<backend::Id> = self.servers.iter().map(|server| server.id.clone()).collect();
-        let homes: Vec<backend::Id> = homes(fingerprint, &ids).into_iter().cloned().collect();
-        match self.guards[host].admit(fingerprint) {
+        let assigned_servers: Vec<backend::Id> =
+            assigned_servers(fingerprint, &ids).into_iter().cloned().collect();
+        match self.views[host].admit(fingerprint) {
             Verdict::Refused => self.requests[index].state = State::Refused,
             Verdict::Free => {
-                if let Some(server) = self.up(&homes).first().copied() {
+                if let Some(server) = self.up(&assigned_servers).first().copied() {
                     self.start(index, server, false);
                 }
             }
             Verdict::Suspect => {
                 let run = self.host(host);
-                for server in self.up(&homes) {
-                    let life = self.life(server);
-                    let begun =
-                        self.document.begin(&self.settings, self.time, fingerprint, &life, &run);
+                for server in self.up(&assigned_servers) {
+                    let server_run = self.server_run(server);
+                    let begun = self.document.begin(
+                        &self.settings,
+                        self.time,
+                        fingerprint,
+                        &server_run,
+                        &run,
+                    );
                     if begun.is_ok() {
                         self.start(index, server, true);
                         return;
                     }
                 }
-                self.guards[host].read(self.time, self.document.clone());
+                self.views[host].read(self.time, self.document.clone());
             }
         }
     }
 
     /// Homes that answer, in a random order, as load would have it.
-    fn up(&mut self, homes: &[backend::Id]) -> Vec<usize> {
+    fn up(&mut self, assigned_servers: &[backend::Id]) -> Vec<usize> {
         let mut up: Vec<usize> = (0..self.servers.len())
-            .filter(|&n| homes.contains(&self.servers[n].id) && self.servers[n].up_at <= self.time)
+            .filter(|&n| {
+                assigned_servers.contains(&self.servers[n].id) && self.servers[n].up_at <= self.time
+            })
             .collect();
         up.shuffle(&mut self.rng);
         up
     }
 
     fn start(&mut self, index: usize, server: usize, trial: bool) {
-        let life = self.life(server);
+        let server_run = self.server_run(server);
         let request = &mut self.requests[index];
         let left = if request.poison { self.fuse } else { RUN };
         request.state = State::Running { server, left, trial };
         let (id, service) = (request.id.to_string().into(), service::Id::from("chat"));
-        self.guards[request.host].sent(id, request.fingerprint, service, life);
+        self.views[request.host].sent(id, request.fingerprint, service, server_run);
     }
 
     fn run(&mut self, index: usize) {
@@ -229,7 +237,7 @@
             return;
         }
         request.state = State::Served;
-        self.guards[request.host].ended(&request.id.to_string().into());
+        self.views[request.host].ended(&request.id.to_string().into());
         if trial {
             self.document.complete(request.fingerprint, &run);
         }
@@ -248,7 +256,7 @@
         }
     }
 
-    fn life(&self, server: usize) -> ServerRun {
+    fn server_run(&self, server: usize) -> ServerRun {
         let Server { id, incarnation, .. } = &self.servers[server];
         ServerRun { server: id.clone(), incarnation: *incarnation }
     }
