--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,14 +1,15 @@
-//! Quotas: the rates at which servers take requests from all hosts together.
+//! Quotas: rate limits of servers, shared by all hosts.
 //!
-//! A server that is in need names a limit in its answers ([`limits`]). Requests go there only with a permit.
-//! For each such server one host grants them, its owner: the first of the live hosts by rendezvous hashing
-//! under the server's id, so that owners of many servers are spread and none is elected. What makes a grant
-//! safe is not that there is one owner, but the [`lease`] of each host's share of the quota to one host at a
-//! time. Hosts that don't agree on the owner split the quota between the hosts that they take for it; a host
-//! that is cut off keeps its own share, which is mostly too small for a request.
+//! A server in need names a rate limit in its answers ([`limits`]). From then on requests are sent
+//! to it only with a permit. For each limited server one host grants permits, the owner: the first
+//! of the live hosts by rendezvous hashing of the server's id, so that the owners of many servers
+//! are spread over the hosts and none is elected. Safety does not depend on there being one owner,
+//! but on the [`lease`] of each host's share of the quota to one host at a time. Hosts that
+//! disagree on the owner split the quota between the hosts that they regard as owners; a host that
+//! is cut off keeps its own share, which is mostly too small for a request.
 //!
-//! All of it is plain state: messages and the time go in, messages come out. A message may be lost, late or
-//! come twice.
+//! The state does no I/O: messages and the time go in, messages come out. Messages may be lost,
+//! late or duplicated.
 
 pub mod bucket;
 pub mod client;
@@ -42,73 +43,78 @@
 };
 use crate::member::rendezvous;
 
-/// Time between two renewals of a lease: for each host that shares the quota, and its bounds.
+/// Interval between two renewals of a lease, for each host that shares the quota; clamped to
+/// [`MIN_RENEWAL`] and [`MAX_RENEWAL`].
 const RENEWAL_PER_HOST: Duration = Duration::from_millis(8);
 const MIN_RENEWAL: Duration = Duration::from_millis(500);
 const MAX_RENEWAL: Duration = Duration::from_secs(2);
 
-/// Time that a lease lasts beyond two renewals, for messages that are late.
+/// Time by which a lease outlasts two renewal intervals, for late messages.
 const LEASE_SLACK: Duration = Duration::from_millis(1_500);
 
-/// Length of the lease of a host that owns a quota on its own share.
+/// Length of the lease of an owner's own share to itself.
 const OWN_LEASE: Duration = Duration::from_millis(200);
 
-/// Time between two asks while requests wait: for each host that shares the quota, and its bounds.
+/// Interval between two permit requests while requests wait, for each host that shares the quota;
+/// clamped to [`MIN_REPEAT`] and [`MAX_REPEAT`].
 const REPEAT_PER_HOST: Duration = Duration::from_millis(4);
 const MIN_REPEAT: Duration = Duration::from_millis(100);
 const MAX_REPEAT: Duration = Duration::from_millis(800);
 
-/// Time for which a server without a limit is kept: shares of its quota may still be lent.
+/// Time for which the state of a server that names no limit any more is kept, since shares of its
+/// quota may still be lent.
 const UNLIMITED_RETENTION: Duration = Duration::from_secs(10);
 
-/// Time between two messages to an owner whose clock is not known, or to whom no share is lent yet.
+/// Interval between two messages to an owner whose clock is not known, or that holds no lease of
+/// this host's share yet.
 const HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most lines of a message, so that it fits a datagram.
+/// Largest number of entries in a message, so that it fits into a datagram.
 const MAX_ENTRIES: usize = 16;
 
-/// Counts since the start.
+/// Totals since this process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Permits that this host granted, to itself too.
+    /// Permits that this host granted, including those to itself.
     pub granted: u64,
-    /// Permits that it used.
+    /// Permits that this host used for requests.
     pub used: u64,
-    /// Permits that it got and that lapsed.
+    /// Permits granted to this host that expired unused.
     pub lapsed: u64,
 }
 
-/// All quotas, as one host has them.
+/// All quotas as one host sees them.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     own: host::Id,
     run: host::Incarnation,
     limits: Limits,
     members: Members,
-    /// Live hosts, this one among them unless it is leaving.
+    /// Live hosts, including this one unless it is leaving.
     live: Vec<host::Id>,
     servers: BTreeMap<backend::Id, Server>,
     peers: BTreeMap<host::Id, Peer>,
-    /// Hosts whose asks are to be answered.
+    /// Hosts whose permit requests have not been answered yet.
     unanswered: BTreeSet<host::Id>,
     outgoing: Vec<(host::Id, Message)>,
     clock: Clock,
     counts: Counts,
 }
 
-/// One limited server.
+/// A server that names a limit, or did until a short time ago.
 #[derive(Clone, Debug, Default)]
 struct Server {
     client: Client,
     owner: Owner,
-    /// Live hosts, the first owner first.
+    /// Live hosts in the order in which they become owner.
     ranking: Vec<host::Id>,
-    /// Since when it names no limit.
+    /// When the server stopped naming a limit.
     unlimited_since: Option<Moment>,
 }
 
 impl Quotas {
-    /// Without any limit yet.
+    /// Returns the state of a host that knows of no limit. `run` identifies this process in
+    /// messages.
     pub fn new(own: host::Id, run: host::Incarnation) -> Quotas {
         Quotas {
             live: vec![own.clone()],
@@ -125,54 +131,55 @@
         }
     }
 
-    /// What is believed of the limits of servers.
+    /// Limits of all servers as this host knows them.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Counts since the start.
+    /// Totals since this process started.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Shares of limited servers' quotas that this host holds, over all servers.
+    /// Number of shares of quotas that this host holds by lease, over all limited servers.
     pub fn shares(&self, now: Moment) -> u32 {
         let limited = self.limited().filter_map(|id| self.servers.get(id));
         limited.map(|server| server.owner.shares(now)).sum()
     }
 
-    /// Whether any server's quota has to be looked after.
+    /// Whether no server is limited and no state of a former limit is left.
     pub fn is_idle(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Hosts that share each quota, this one among them. Silence makes them no fewer, but for hosts that hear nearly
-    /// all others.
+    /// Number of hosts that share each quota, including this one. A silent host goes on counting,
+    /// except with hosts that hear from nearly all others.
     pub fn sharers(&self) -> u32 {
         self.members.count()
     }
 
-    /// Other live hosts.
+    /// Live hosts without this one.
     pub fn others(&self) -> impl Iterator<Item = &host::Id> {
         self.live.iter().filter(|host| **host != self.own)
     }
 
-    /// A server's limit.
+    /// Rate limit of a server; `None` if it names none.
     pub fn limit(&self, server: &str) -> Option<Rate> {
         self.limits.limit(server)
     }
 
-    /// Limited servers.
+    /// Servers that name a limit.
     pub fn limited(&self) -> impl Iterator<Item = &backend::Id> {
         self.limits.limited().map(|(server, _)| server)
     }
 
-    /// Sets how many hosts the store lists, whether or not they run.
+    /// Sets how many hosts are registered in the store, whether or not they run.
     pub fn set_listed(&mut self, hosts: u32) {
         self.members.set_listed(hosts);
     }
 
-    /// Takes in the other hosts that are known, whether each is heard, and which of them take part.
+    /// Updates the other hosts that are known, whether each is heard from, and the live hosts that
+    /// may own quotas.
     pub fn hosts<'a>(
         &mut self,
         known: impl Iterator<Item = (&'a host::Id, bool)>,
@@ -188,7 +195,8 @@
         }
     }
 
-    /// Takes in what an answer names whose request left at `sent`.
+    /// Applies the limit that an answer names, or `None` for an answer without one; `sent` is when
+    /// its request left. Returns the change, if there is one.
     pub fn observe_limit(
         &mut self,
         server: &backend::Id,
@@ -199,7 +207,7 @@
         self.limits.observe(server, limit, sent, now)
     }
 
-    /// Takes in what another host believes.
+    /// Merges the limit that another host knows. Returns the change of the rate, if there is one.
     pub fn merge_limit(
         &mut self,
         server: &backend::Id,
@@ -209,7 +217,8 @@
         self.limits.merge(server, limit, now)
     }
 
-    /// Notes that a server's limit has changed, and how many requests were sent to it just before.
+    /// Applies a change of a server's limit; `sent_before` is the number of requests that this host
+    /// sent there just before.
     pub fn limit_changed(
         &mut self,
         server: &backend::Id,
@@ -226,46 +235,48 @@
         known.client.limit_changed(if is_lower { sent_before } else { 0 }, now);
     }
 
-    /// Forgets the limit of a server that is gone. Its entry may come back while a share of its quota is still
-    /// lent, so that is kept as it is where a limit ends.
+    /// Forgets the limit of a server that is gone. The leases of its quota are kept as after the
+    /// end of a limit, since the server may come back while a share is still lent.
     pub fn forget(&mut self, server: &str) {
         self.limits.forget(server);
     }
 
-    /// Whether a request may be sent to a limited server now.
+    /// Whether this host has a permit for a limited server now.
     pub fn has_permit(&self, server: &str, now: Moment) -> bool {
         self.servers.get(server).is_some_and(|known| known.client.has_permit(now))
     }
 
-    /// Uses a permit for a request to a limited server.
+    /// Uses up a permit for a request to a limited server.
     pub fn use_permit(&mut self, server: &str, now: Moment) {
         if let Some(known) = self.servers.get_mut(server) {
             self.counts.used += u64::from(known.client.use_permit(now));
         }
     }
 
-    /// Notes a request that could have gone to a limited server but for a permit.
+    /// Records that a request could have been sent to a limited server if there had been a permit.
     pub fn permit_missing(&mut self, server: &str, now: Moment) {
         if let Some(known) = self.servers.get_mut(server) {
             known.client.permit_missing(now);
         }
     }
 
-    /// Sets what the requests want that wait and could go to a limited server.
+    /// Sets the permits that waiting requests could use on a limited server.
     pub fn set_demand(&mut self, server: &str, demand: Demand) {
         if let Some(known) = self.servers.get_mut(server) {
             known.client.set_demand(demand);
         }
     }
 
-    /// The rate at which a limited server takes requests of this host, with one more that waits.
+    /// Rate at which a limited server takes requests of this host, in requests per second, with one
+    /// more request waiting here; `None` if the server names no limit.
     pub fn own_rate(&self, server: &str, now: Moment) -> Option<f64> {
         let limit = self.limit(server)?.as_f64();
         let fraction = self.servers.get(server).map_or(1.0, |known| known.client.fraction(now));
         Some(limit * fraction)
     }
 
-    /// Takes in a message, and returns the changes of limits that it told of.
+    /// Processes a message and returns the changes of limits that came with it. A message to an
+    /// earlier run of this host, or one that was received before, is ignored.
     pub fn receive(
         &mut self,
         from: &host::Id,
@@ -325,7 +336,7 @@
         known.client.set_queue(waiting, now);
     }
 
-    /// Grants, asks and renews what is due.
+    /// Grants permits, requests permits and renews leases that are due.
     pub fn tick(&mut self, now: Moment) {
         if self.servers.is_empty() && self.unanswered.is_empty() {
             return;
@@ -343,7 +354,7 @@
         }
     }
 
-    /// Takes the messages that are to be sent.
+    /// Drains the messages to send, with their recipients.
     pub fn outgoing(&mut self) -> Vec<(host::Id, Message)> {
         std::mem::take(&mut self.outgoing)
     }
@@ -402,13 +413,14 @@
         self.servers.insert(id.clone(), server);
     }
 
-    /// The first of the live hosts that answers.
+    /// Returns the first live host in the server's ranking that answers.
     fn first(&self, server: &Server, now: Moment) -> host::Id {
         let first = server.ranking.iter().find(|host| !self.is_avoided(host, now));
         first.unwrap_or(&self.own).clone()
     }
 
-    /// The host that is asked: the one that holds this host's share while it does, else the first.
+    /// Returns the host to request permits from: the borrower of this host's share while it
+    /// answers, else `first`.
     fn owner(&self, server: &Server, first: &host::Id, now: Moment) -> host::Id {
         let borrower = server.client.share.borrower(now);
         let answers = borrower.filter(|borrower| !self.is_avoided(borrower, now));
@@ -419,7 +431,8 @@
         *host != self.own && self.peers.get(host).is_some_and(|peer| peer.is_avoided(now))
     }
 
-    /// An ask of this host to an owner, with its share if that is to be lent and free.
+    /// Builds a permit request to an owner. Lends this host's share with it if `lends` and no other
+    /// host holds the share.
     fn request(&self, client: &mut Client, owner: &host::Id, lends: bool, now: Moment) -> Request {
         let demand = client.unmet_demand(now);
         let is_own = *owner == self.own;
@@ -435,7 +448,7 @@
         }
     }
 
-    /// Whether an owner is to be asked, or to be lent to, now.
+    /// Whether a message to an owner is due now, to request permits or to lend the share.
     fn should_send_request(
         &self,
         client: &Client,
@@ -483,7 +496,7 @@
     }
 }
 
-/// Hosts by their rank as owners of a server's quota, the same on every host.
+/// Ranks hosts as owners of a server's quota, with the same result on every host.
 fn ranking(live: &[host::Id], server: &str) -> Vec<host::Id> {
     let mut hosts = live.to_vec();
     hosts.sort_by_cached_key(|host| {
--- a/crates/policy/src/quota/bucket.rs
+++ b/crates/policy/src/quota/bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket whose rate and size may change.
+//! Token bucket with an adjustable rate and capacity.
 
 use types::time::Moment;
 
-/// What counts as a whole token, less the error of sums of parts.
+/// Level that counts as a whole token, less the rounding error of sums of fractions.
 const ONE_TOKEN: f64 = 1.0 - 1e-9;
 
-/// A token bucket, empty at first.
+/// Token bucket that starts empty, with rate and capacity zero.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bucket {
     tokens: f64,
@@ -15,14 +15,14 @@
 }
 
 impl Bucket {
-    /// Sets the rate, in tokens a second, and the size.
+    /// Sets the rate, in tokens per second, and the capacity, in tokens.
     pub fn adjust(&mut self, rate: f64, size: f64, now: Moment) {
         self.fill(now);
         (self.rate, self.size) = (rate, size);
         self.tokens = self.tokens.min(size);
     }
 
-    /// Takes a token out, if there is a whole one.
+    /// Takes one token; returns whether there was one.
     pub fn take(&mut self, now: Moment) -> bool {
         self.fill(now);
         let is_available = ONE_TOKEN <= self.tokens;
@@ -32,7 +32,7 @@
         is_available
     }
 
-    /// Takes tokens out that may not be there yet, down to a debt of `most`.
+    /// Takes tokens even if there are none, down to a debt of `max_debt` tokens.
     pub fn charge(&mut self, tokens: f64, max_debt: f64, now: Moment) {
         self.fill(now);
         self.tokens = (self.tokens - tokens).max(-max_debt).min(self.tokens);
--- a/crates/policy/src/quota/client.rs
+++ b/crates/policy/src/quota/client.rs
@@ -1,4 +1,4 @@
-//! What a host needs of one server's quota, and the permits that it has.
+//! Demand for permits of one server's quota, and the permits that this host holds.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,34 +6,34 @@
 
 use super::{lease::Share, message::IDLE};
 
-/// Time for which a permit may be used, from when it was asked for.
+/// Time for which a permit may be used, counted from the request for it.
 const PERMIT_LIFETIME: Duration = Duration::from_millis(1_500);
 
 /// Time for which a request that found no permit counts as demand.
 const MISS_LIFETIME: Duration = Duration::from_millis(300);
 
-/// Age at which the length of the owner's queue says nothing any more.
+/// Age at which the length of the owner's queue is no longer used.
 const QUEUE_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Time after a change in which owners are told of requests sent before it.
+/// Time after a change of the limit in which owners are told how many requests were sent before it.
 const REPORT_SENT_BEFORE: Duration = Duration::from_secs(3);
 
-/// Least time between two asks.
+/// Shortest interval between two permit requests.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Permits that a host wants of a server.
+/// Permits that a host could use on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// How many.
+    /// Number of permits.
     pub permits: u32,
-    /// Rank of the most urgent request that wants one; 0 goes first.
+    /// Priority of the most urgent request that needs one; 0 is the most urgent.
     pub urgency: u8,
 }
 
-/// One server's quota, as a host that sends there sees it.
+/// Quota of one server on the side of a host that sends requests there.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
-    /// This host's share.
+    /// Share of the quota that this host lends to owners.
     pub share: Share,
     permits: VecDeque<Moment>,
     demand: Demand,
@@ -43,33 +43,34 @@
     last_request: Option<LastRequest>,
 }
 
-/// The last ask.
+/// Last permit request that was sent.
 #[derive(Clone, Debug)]
 struct LastRequest {
     owner: host::Id,
     at: Moment,
-    /// What was asked for and has not been granted.
+    /// Permits that were requested and have not been granted yet.
     demand: Demand,
 }
 
 impl Client {
-    /// Whether a request may be sent now.
+    /// Whether there is a permit that has not expired.
     pub fn has_permit(&self, now: Moment) -> bool {
         self.permits.back().is_some_and(|until| now < *until)
     }
 
-    /// Permits that may be used now.
+    /// Number of permits that have not expired.
     pub fn permits(&self, now: Moment) -> u32 {
         self.permits.iter().filter(|until| now < **until).count() as u32
     }
 
-    /// Uses a permit, the one that ends first.
+    /// Uses up the permit that expires first; returns whether there was one.
     pub fn use_permit(&mut self, now: Moment) -> bool {
         self.expire(now);
         self.permits.pop_front().is_some()
     }
 
-    /// Adds permits that were asked for at `asked`. Returns how many of them are too late to be used.
+    /// Adds permits that were requested at `requested_at`. Returns how many of them have expired
+    /// already.
     pub fn on_grant(&mut self, permits: u32, requested_at: Moment, now: Moment) -> u32 {
         let until = requested_at + PERMIT_LIFETIME;
         if until <= now {
@@ -83,36 +84,38 @@
         0
     }
 
-    /// Drops permits that are over, and returns how many there were.
+    /// Drops expired permits and returns their number.
     pub fn expire(&mut self, now: Moment) -> u32 {
         let lapsed = self.permits.partition_point(|until| *until <= now);
         self.permits.drain(..lapsed);
         lapsed as u32
     }
 
-    /// Sets what the requests that wait now want.
+    /// Sets the permits that waiting requests could use.
     pub fn set_demand(&mut self, demand: Demand) {
         self.demand = demand;
     }
 
-    /// Notes that a request found no permit.
+    /// Records that a request found no permit.
     pub fn permit_missing(&mut self, now: Moment) {
         self.last_miss = Some(now);
     }
 
-    /// Notes how many requests were sent just before the limit changed.
+    /// Sets how many requests were sent just before the limit changed.
     pub fn limit_changed(&mut self, sent_before: u32, now: Moment) {
         self.sent_before = Some((now, sent_before));
     }
 
-    /// Requests sent before the last change, while owners are to be told.
+    /// Requests sent before the last change of the limit; 0 once owners need no more be told of
+    /// them.
     pub fn sent_before(&self, now: Moment) -> u32 {
         self.sent_before
             .filter(|(at, _)| now < *at + REPORT_SENT_BEFORE)
             .map_or(0, |(_, sent_before)| sent_before)
     }
 
-    /// What is to be asked for now.
+    /// Returns the permits to request now: the demand less the permits at hand, or one permit if no
+    /// request waits and one found none a short time ago.
     pub fn unmet_demand(&self, now: Moment) -> Demand {
         let Demand { permits, urgency } = self.demand;
         let held = self.permits(now);
@@ -123,9 +126,10 @@
         Demand { permits: u32::from(has_missed && held == 0), urgency: IDLE }
     }
 
-    /// Whether it is time to ask a host for what is wanted. More or fewer permits are asked for once in
-    /// `repeat`, the first and none any more at once. What no request waits for yet is asked for again with
-    /// the renewals of leases alone.
+    /// Whether a permit request to an owner is due now. A changed number of permits is requested
+    /// once in `repeat`; the first permit, none any more and a higher urgency are requested at
+    /// once, within [`MIN_REQUEST_INTERVAL`]. Permits that no request waits for yet are requested
+    /// again only with the renewals of leases.
     pub fn should_request(&self, owner: &host::Id, repeat: Duration, now: Moment) -> bool {
         let demand = self.unmet_demand(now);
         let is_wanted = 0 < demand.permits;
@@ -136,12 +140,12 @@
         (is_change || (is_wanted && demand.urgency != IDLE)) && last.at + pause <= now
     }
 
-    /// When a host was last asked, if it was the last one.
+    /// When permits were last requested, if that was from this owner.
     pub fn requested_at(&self, owner: &host::Id) -> Option<Moment> {
         self.last_request_to(owner).map(|last| last.at)
     }
 
-    /// Notes that a host is asked for what is wanted.
+    /// Records a permit request to an owner for the unmet demand.
     pub fn record_request(&mut self, owner: &host::Id, now: Moment) {
         self.last_request =
             Some(LastRequest { owner: owner.clone(), at: now, demand: self.unmet_demand(now) });
@@ -151,12 +155,13 @@
         self.last_request.as_ref().filter(|last| last.owner == *owner)
     }
 
-    /// Sets how many requests wait for permits at the owner, over all hosts.
+    /// Sets how many requests of all hosts wait for permits at the owner.
     pub fn set_queue(&mut self, waiting: u32, now: Moment) {
         self.queue = Some((now, waiting));
     }
 
-    /// This host's part of those that wait at the owner, with one more request; all if nothing is known.
+    /// Part of the requests waiting at the owner that this host's requests make up, with one more
+    /// of this host; 1 if the length of the queue is not known.
     pub fn fraction(&self, now: Moment) -> f64 {
         let own = f64::from(self.demand.permits) + 1.0;
         let fresh = self.queue.filter(|(at, _)| now < *at + QUEUE_LIFETIME);
--- a/crates/policy/src/quota/lease.rs
+++ b/crates/policy/src/quota/lease.rs
@@ -1,24 +1,24 @@
-//! Shares of a quota that hosts lease to each other.
+//! Leases of quota shares between hosts.
 //!
-//! Each host has one share of each server's quota, an equal part of it. It lends its share to the host that
-//! grants requests for that server, so that a part which is smaller than one request is of use. A share
-//! counts at one host at a time: its lender holds it back until the lease is over for certain, whatever
-//! became of the message, and however late it came.
+//! Each host has one share of each server's quota, all of equal size. It lends the share to the
+//! host that grants permits for that server, so that a share which is smaller than one request is
+//! of use. A share counts at one host at a time: its lender holds it back until the lease has
+//! certainly expired, whether or not the message arrived and however late.
 //!
-//! The clocks of two hosts are never compared. A borrower counts a lease from a time on its own clock that
-//! its lender has read, and the lender from the time of that reading, which was later.
+//! The clocks of two hosts are never compared. A borrower counts a lease from a time on its own
+//! clock that the lender echoes, the lender from when it read that clock, which was later.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use types::{host, time::Moment};
 
-/// Longest lease.
+/// Longest lease that is given.
 pub const MAX_LEASE: Duration = Duration::from_millis(5_500);
 
-/// A host's own share of one server's quota.
+/// Share of one server's quota that belongs to this host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Share {
-    /// When leases of an earlier run of this host are over.
+    /// When leases given by an earlier run of this host have expired.
     free_from: Moment,
     lease: Option<Lease>,
 }
@@ -30,25 +30,26 @@
 }
 
 impl Default for Share {
-    /// A share that an earlier run of this host may have lent just before.
+    /// Returns a share that an earlier run of this host may have lent just before it ended.
     fn default() -> Share {
         Share::free_from(MAX_LEASE)
     }
 }
 
 impl Share {
-    /// A share that is free from a time after the start of this run of the host.
+    /// Returns a share that can be lent from a time after the start of this run of the host.
     pub fn free_from(free_from: Moment) -> Share {
         Share { free_from, lease: None }
     }
 
-    /// The host that may count the share now; none if it is this host.
+    /// Host that holds the lease of the share now; `None` if this host may lend it.
     pub fn borrower(&self, now: Moment) -> Option<&host::Id> {
         self.lease.as_ref().filter(|lease| now < lease.until).map(|lease| &lease.borrower)
     }
 
-    /// Lends the share, or renews its lease, from when the borrower's clock was read. False if another host
-    /// may still count it, or if the lease would be over or too long.
+    /// Lends the share or renews its lease, for `length` from when the borrower's clock was read.
+    /// Returns false if another host may still hold the lease, if a lease of an earlier run may, or
+    /// if the new lease would have expired already or exceed [`MAX_LEASE`].
     pub fn lend(&mut self, to: &host::Id, read: Moment, length: Duration, now: Moment) -> bool {
         let until = read + length;
         let is_over = until <= now || MAX_LEASE < length;
@@ -63,19 +64,20 @@
     }
 }
 
-/// Shares of one server's quota that a host has borrowed.
+/// Shares of one server's quota that this host has borrowed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Pool(BTreeMap<host::Id, Borrowed>);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Borrowed {
     until: Moment,
-    /// Hosts that the lender counts.
+    /// Number of hosts that share the quota, as the lender counts them.
     hosts: u32,
 }
 
 impl Pool {
-    /// Borrows a share from the time on this host's clock that its lender has read.
+    /// Borrows a share for `length` from `read`, a time on this host's clock that the lender
+    /// echoed. Ignored if that time lies ahead or the lease has expired.
     pub fn borrow(
         &mut self,
         from: &host::Id,
@@ -92,22 +94,22 @@
         self.0.insert(from.clone(), Borrowed { until: held.max(until), hosts });
     }
 
-    /// Drops leases that are over.
+    /// Drops expired leases.
     pub fn expire(&mut self, now: Moment) {
         self.0.retain(|_, held| now < held.until);
     }
 
-    /// Shares that count now.
+    /// Number of shares held now.
     pub fn len(&self, now: Moment) -> u32 {
         self.live(now).count() as u32
     }
 
-    /// Whether a host's share counts here now.
+    /// Whether the lease of this lender's share is held here now.
     pub fn has(&self, lender: &str, now: Moment) -> bool {
         self.0.get(lender).is_some_and(|held| now < held.until)
     }
 
-    /// The most hosts that any lender counts.
+    /// Largest number of hosts that any lender counts; 0 without leases.
     pub fn hosts(&self, now: Moment) -> u32 {
         self.live(now).map(|held| held.hosts).max().unwrap_or(0)
     }
--- a/crates/policy/src/quota/limits.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -1,32 +1,32 @@
-//! Limits that servers name, and the order in which they named them.
+//! Limits that servers name, in the order in which they named them.
 //!
-//! Each answer of a server names the rate at which it takes requests from then on, and answers don't
-//! arrive in the order in which they were written. An answer is known to be later than a belief if its
-//! request left after the belief was held here. Such a change takes the next number, which travels with
-//! the news, so that hosts compare numbers and no clocks. Where the order can't be known, the lower limit
-//! holds until a later answer settles it.
+//! Each answer of a server names the rate at which it takes requests from then on, and answers
+//! don't arrive in the order in which they were written. An answer is known to be later than a
+//! known limit if its request left after this host took over that limit. Such a change gets the
+//! next version, which is sent along with the limit, so that hosts compare versions and no clocks.
+//! Where the order can't be known, the lower limit holds until a later answer settles it.
 
 use std::{cmp::Ordering, collections::BTreeMap};
 
 use serde::{Deserialize, Serialize};
 use types::{backend, routed::Rate, time::Moment};
 
-/// Number of a change of one server's limit.
+/// Number of a change of one server's limit; rises with each change.
 pub type Version = u64;
 
-/// A server's limit as of a change.
+/// Limit of a server as of a change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct VersionedLimit {
-    /// Number of the change.
+    /// Number of the change; 0 before the first.
     pub version: Version,
-    /// The limit; none if the server names none any more.
+    /// Rate limit; `None` if the server names none any more.
     pub rate: Option<Rate>,
 }
 
 impl VersionedLimit {
-    /// The later of two changes, with the lower limit if they bear the same number.
+    /// Returns the later of two changes; of two changes with the same version, the lower limit.
     pub fn merge(self, other: VersionedLimit) -> VersionedLimit {
         match self.version.cmp(&other.version) {
             Ordering::Less => other,
@@ -36,49 +36,50 @@
     }
 }
 
-/// What a host believes of one server's limit.
+/// Limit of one server as this host knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Belief {
     limit: VersionedLimit,
-    /// Since when it is held.
+    /// When this host took over the limit.
     since: Moment,
 }
 
-/// A change of what is believed.
+/// Change of a server's limit as this host knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The limit until now.
+    /// Rate limit before the change.
     pub previous: Option<Rate>,
-    /// What holds from now on.
+    /// Limit in force from now on.
     pub current: VersionedLimit,
 }
 
-/// What a host believes of the limits of all servers.
+/// Limits of all servers as one host knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Limits(BTreeMap<backend::Id, Belief>);
 
 impl Limits {
-    /// A server's limit.
+    /// Rate limit of a server; `None` if it names none.
     pub fn limit(&self, server: &str) -> Option<Rate> {
         self.0.get(server)?.limit.rate
     }
 
-    /// The last news of a server's limit.
+    /// Latest limit of a server; version 0 if it has never named one.
     pub fn get(&self, server: &str) -> VersionedLimit {
         self.0.get(server).map(|belief| belief.limit).unwrap_or_default()
     }
 
-    /// Servers that name a limit, with the last news of it.
+    /// Servers that name a limit, each with its latest limit.
     pub fn limited(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
         self.iter().filter(|(_, limit)| limit.rate.is_some())
     }
 
-    /// The last news of each server that has named a limit.
+    /// Latest limit of each server that has named one, including servers that name none any more.
     pub fn iter(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
         self.0.iter().map(|(server, belief)| (server, belief.limit))
     }
 
-    /// Takes in what an answer names whose request left at `sent`.
+    /// Applies the limit that an answer names, or `None` for an answer without one; `sent` is when
+    /// its request left. Returns the change, if there is one.
     pub fn observe(
         &mut self,
         server: &backend::Id,
@@ -97,7 +98,7 @@
         Some(Change { previous: held.limit.rate, current })
     }
 
-    /// Takes in what another host believes.
+    /// Merges the limit that another host knows. Returns the change of the rate, if there is one.
     pub fn merge(
         &mut self,
         server: &backend::Id,
@@ -113,13 +114,13 @@
         (current.rate != held.limit.rate).then_some(Change { previous: held.limit.rate, current })
     }
 
-    /// Forgets a server that is gone.
+    /// Forgets a server that is gone, with its version.
     pub fn forget(&mut self, server: &str) {
         self.0.remove(server);
     }
 }
 
-/// The lower of two limits, where none is the highest.
+/// Returns the lower of two limits, where `None` is the highest.
 fn lower(one: Option<Rate>, other: Option<Rate>) -> Option<Rate> {
     one.into_iter().chain(other).min()
 }
--- a/crates/policy/src/quota/members.rs
+++ b/crates/policy/src/quota/members.rs
@@ -1,8 +1,8 @@
-//! How many hosts share a quota.
+//! Number of hosts that share a quota.
 //!
-//! A host that is not heard may go on sending, so silence alone makes the others' shares no larger: it counts
-//! as gone once it was silent for long, and only for hosts that still hear nearly all others. Two sides of a
-//! split network can't both be that.
+//! A host that falls silent may go on sending requests, so silence alone does not enlarge the other
+//! shares. A host counts as gone only after a long silence, and only with hosts that still hear
+//! from nearly all others. The two sides of a network partition can't both do so.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,31 +11,31 @@
 /// Silence after which a host may count as gone.
 const GONE_AFTER: Duration = Duration::from_secs(20);
 
-/// Part of the hosts that must be heard for silent ones to count as gone.
+/// Fraction of the hosts that must be heard from before silent ones count as gone.
 const MIN_HEARD_FRACTION: f64 = 0.8;
 
-/// The other hosts, as far as they count.
+/// Other hosts that share quotas, each with when it was last heard from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
     others: BTreeMap<host::Id, Moment>,
-    /// Hosts that are listed somewhere, while none was heard.
+    /// Number of registered hosts; used until another host is heard from.
     listed: u32,
 }
 
 impl Members {
-    /// Hosts that share each quota, this one among them.
+    /// Number of hosts that share each quota, including this one.
     pub fn count(&self) -> u32 {
         let known = self.others.len() as u32 + 1;
         if self.others.is_empty() { known.max(self.listed) } else { known }
     }
 
-    /// Sets how many hosts are listed, this one among them, whether or not they run.
+    /// Sets how many hosts are registered, including this one, whether or not they run.
     pub fn set_listed(&mut self, hosts: u32) {
         self.listed = hosts;
     }
 
-    /// Takes in which hosts are known now, and whether each is heard. A host that is no longer known has
-    /// said goodbye, or was silent for long.
+    /// Updates which hosts are known, and whether each is heard from. A host that is no longer
+    /// known has announced its end or was silent for long.
     pub fn update(&mut self, known: &BTreeMap<&host::Id, bool>, now: Moment) {
         let heard = known.iter().filter(|(_, is_heard)| **is_heard).map(|(host, _)| *host);
         self.others.extend(heard.clone().map(|host| (host.clone(), now)));
--- a/crates/policy/src/quota/message.rs
+++ b/crates/policy/src/quota/message.rs
@@ -1,79 +1,79 @@
-//! What hosts tell each other of quotas.
+//! Messages on quotas between hosts.
 
 use serde::{Deserialize, Serialize};
 use types::{backend, host, time::Moment};
 
 use super::limits::VersionedLimit;
 
-/// Microseconds on the clock of one run of a host.
+/// Clock of one run of a host, in microseconds.
 pub type Clock = u64;
 
-/// Urgency of an ask for a permit that no request waits for yet.
+/// Urgency of a request for a permit that no request waits for yet.
 pub const IDLE: u8 = u8::MAX;
 
-/// A message from one host to another. It may be lost, late, or come twice.
+/// Message from one host to another. May be lost, late or duplicated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's run.
+    /// Incarnation of the sender's process.
     pub from: host::Incarnation,
-    /// The receiver's run; none while it is not known.
+    /// Incarnation of the receiver's process; `None` while the sender does not know it.
     pub to: Option<host::Incarnation>,
-    /// The sender's clock, later than in each message before.
+    /// Clock of the sender; rises with each message.
     pub clock: Clock,
-    /// The last of the receiver's clocks that the sender has read.
+    /// Latest clock of the receiver that the sender has read; 0 before the first.
     pub echo: Clock,
-    /// What it says, by server.
+    /// Entries, one for each server concerned; empty if only the clocks are exchanged.
     pub entries: Vec<Entry>,
 }
 
-/// What a message says of one server.
+/// Entry of a message for one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Entry {
-    /// The server.
+    /// Server whose quota is concerned.
     pub server: backend::Id,
-    /// The last news of its limit that the sender has.
+    /// Latest limit of the server that the sender knows.
     pub limit: VersionedLimit,
-    /// What is asked, or granted.
+    /// Permit request or grant.
     pub content: Content,
 }
 
-/// What is asked, or granted.
+/// Permit request or grant for one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Content {
-    /// The sender asks for permits, and may lend its share.
+    /// Permit request of the sender, which may lend its share with it.
     Request(Request),
-    /// The receiver may send so many requests.
+    /// Grant to the receiver.
     Grant {
-        /// Requests.
+        /// Number of requests that the receiver may send.
         permits: u32,
-        /// Requests that wait for permits, over all hosts.
+        /// Number of requests of all hosts that wait for permits at the sender.
         waiting: u32,
     },
 }
 
-/// An ask for permits.
+/// Request for permits.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Request {
-    /// Permits that are wanted.
+    /// Number of permits requested; may be 0, as when only a lease is renewed.
     pub wanted: u32,
-    /// Rank of the most urgent request that wants one; 0 goes first.
+    /// Priority of the most urgent waiting request, 0 being the most urgent, or [`IDLE`].
     pub urgency: u8,
-    /// Length of the lease on the sender's share, in ms; 0 if it is not lent.
+    /// Length of the lease of the sender's share, in milliseconds; 0 if the share is not lent.
     pub lease_ms: u32,
-    /// Hosts that the sender counts.
+    /// Number of hosts that share the quota, as the sender counts them.
     pub hosts: u32,
-    /// Requests that the sender sent to the server just before it learnt of the limit.
+    /// Number of requests that the sender sent to the server just before it knew of the limit.
     pub sent_before: u32,
 }
 
-/// A moment as a clock in a message.
+/// Converts a moment of this host to a clock in a message.
 pub fn clock(now: Moment) -> Clock {
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A clock in a message as a moment.
+/// Converts a clock in a message, of this host, back to a moment.
 pub fn moment(clock: Clock) -> Moment {
     Moment::from_micros(clock)
 }
--- a/crates/policy/src/quota/owner.rs
+++ b/crates/policy/src/quota/owner.rs
@@ -1,8 +1,9 @@
-//! The host that grants requests for one server.
+//! Grants of permits for one server by its owner.
 //!
-//! Its token bucket fills by the shares that it holds. Permits go to the most urgent request first, then to
-//! the host that has waited longest for its turn. Two hosts that both believe to be the owner hold different
-//! shares, so together they grant no more than one would.
+//! The token bucket of an owner fills at the rate of the shares that the owner holds. Permits go to
+//! the most urgent request first, then to the host that was granted one longest ago. Two hosts that
+//! both regard themselves as owner hold different shares, so together they grant no more than one
+//! would.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,35 +18,37 @@
     message::{IDLE, Request},
 };
 
-/// Part of a limit that is granted. The rest is for requests that were granted in one window and
-/// arrive in the next.
+/// Fraction of a limit that is granted. The rest is for requests that were granted in one window
+/// and arrive in the next.
 const GRANTED_FRACTION: f64 = 0.96;
 
-/// Rate at which a server is tried that takes none, so that an answer can tell when that is over.
+/// Rate, in requests per second, at which a server that takes none is probed, so that an answer can
+/// show when the limit has ended.
 const MIN_RATE: f64 = 0.2;
 
-/// Size of the bucket: requests, and seconds of the limit besides.
+/// Capacity of the token bucket: this many requests, and [`BURST_SECONDS`] of the limit besides.
 const BURST_REQUESTS: f64 = 2.0;
 const BURST_SECONDS: f64 = 0.25;
 
-/// Requests before the news of a limit that leave room for the limit afterwards: requests, and seconds of
-/// the limit besides. What goes beyond is paid back first.
+/// Requests sent before the limit was known that need no compensation: this many, and
+/// [`GRACE_SECONDS`] of the limit besides. What exceeds them is charged to the token bucket first.
 const GRACE_REQUESTS: f64 = 2.0;
 const GRACE_SECONDS: f64 = 3.0;
 
-/// Longest time for which nothing is granted while that is paid back.
+/// Longest time, in seconds, for which nothing is granted while that excess is paid off.
 const MAX_DEBT_SECONDS: f64 = 3.0;
 
-/// Time after which an ask that was not repeated is over: a permit must still be of use.
+/// Time after which a permit request that was not repeated expires: a permit must still be of use
+/// when it arrives.
 const REQUEST_LIFETIME: Duration = Duration::from_secs(1);
 
-/// The grants of one server's quota by this host.
+/// State of the grants of one server's quota by this host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Owner {
     pool: Pool,
     bucket: Bucket,
     pending: BTreeMap<host::Id, Pending>,
-    /// Requests that each host sent just before the news.
+    /// Requests that each host sent just before it knew of the limit.
     sent_before: BTreeMap<host::Id, u32>,
     turn: u64,
 }
@@ -55,22 +58,24 @@
     wanted: u32,
     urgency: u8,
     at: Moment,
-    /// Turn of its last permit.
+    /// Turn in which the host was last granted a permit; lower goes first.
     turn: u64,
-    /// Permits that the host had not read of when it last asked.
+    /// Permits that the host had not read of when it sent its last request, with when they were
+    /// granted.
     unacknowledged: VecDeque<(Moment, u32)>,
 }
 
-/// Permits for a host.
+/// Host and the number of permits granted to it.
 pub type Permits = (host::Id, u32);
 
 impl Owner {
-    /// Shares that this host holds now.
+    /// Number of shares that this host holds now.
     pub fn shares(&self, now: Moment) -> u32 {
         self.pool.len(now)
     }
 
-    /// Takes in an ask by a host that has read this host's clock up to then.
+    /// Processes a permit request. `echo` is the latest clock of this host that the sender has
+    /// read.
     pub fn on_request(
         &mut self,
         from: &host::Id,
@@ -91,7 +96,7 @@
         (asked.urgency, asked.at) = (request.urgency, now);
     }
 
-    /// Counts requests that a host sent before it learnt of the limit.
+    /// Charges the requests that a host sent before it knew of the limit, less the grace.
     fn charge_sent_before(&mut self, from: &host::Id, requests: u32, limit: Rate, now: Moment) {
         let known = self.sent_before.get(from).copied().unwrap_or(0);
         if requests <= known {
@@ -106,13 +111,14 @@
         self.bucket.charge(debt(&self.sent_before) - charged, MAX_DEBT_SECONDS * rate(limit), now);
     }
 
-    /// Requests that wait for permits, over all hosts.
+    /// Number of requests of all hosts that wait for permits.
     pub fn waiting(&self, now: Moment) -> u32 {
         let waiting = self.live(now).filter(|(_, asked)| asked.urgency != IDLE);
         waiting.map(|(_, asked)| asked.wanted).sum()
     }
 
-    /// Grants what the bucket holds. `hosts` is how many this host counts.
+    /// Grants the permits that the token bucket holds. `hosts` is the number of hosts that this
+    /// host counts.
     pub fn grant(&mut self, limit: Rate, hosts: u32, now: Moment) -> Vec<Permits> {
         self.pool.expire(now);
         let shares = self.pool.len(now);
@@ -136,18 +142,18 @@
         granted.into_iter().collect()
     }
 
-    /// Whose turn it is.
+    /// Returns the host that is granted the next permit.
     fn next(&self, now: Moment) -> Option<host::Id> {
         let waiting = self.live(now).filter(|(_, asked)| 0 < asked.wanted);
         waiting.min_by_key(|(_, asked)| (asked.urgency, asked.turn)).map(|(host, _)| host.clone())
     }
 
-    /// Forgets what hosts sent before the last change of the limit.
+    /// Forgets the requests that hosts sent before the previous change of the limit.
     pub fn limit_changed(&mut self) {
         self.sent_before.clear();
     }
 
-    /// Drops asks that are over.
+    /// Drops expired permit requests.
     pub fn expire(&mut self, now: Moment) {
         self.pending.retain(|_, asked| now < asked.at + REQUEST_LIFETIME);
     }
--- a/crates/policy/src/quota/peer.rs
+++ b/crates/policy/src/quota/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of another host's clock, and whether it answers.
+//! Clock of another host, and whether that host answers.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -6,39 +6,41 @@
 
 use super::message::{self, Clock};
 
-/// Silence of a host that was asked after which others are asked in its place, and for how long.
+/// Time without an answer after which other hosts are asked in a host's place.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time for which other hosts are then asked.
 const AVOID_FOR: Duration = Duration::from_secs(10);
 
-/// Longest time by which a message may come after a later one.
+/// Longest time by which a message may arrive after a later one.
 const MAX_REORDERING: Duration = Duration::from_secs(2);
 
-/// Another host.
+/// State that is kept of another host.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     run: host::Incarnation,
-    /// The last of its clocks that was read, and when.
+    /// Latest clock of the host that was read; 0 before the first. `read_at` is when it was read.
     clock: Clock,
     read_at: Moment,
-    /// Clocks of the messages that came lately.
+    /// Clocks of the messages received within [`MAX_REORDERING`], to drop duplicates.
     seen: BTreeSet<Clock>,
-    /// Since when it owes an answer.
+    /// When the first request was sent that has not been answered.
     unanswered_since: Option<Moment>,
-    /// Until when others are asked in its place.
+    /// Until when other hosts are asked in its place.
     avoided_until: Moment,
 }
 
-/// How a message stands among those that came before.
+/// Order of a message among those received before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Arrival {
-    /// The latest message so far.
+    /// Latest message so far.
     Newest,
-    /// A later message came first.
+    /// A later message was received first.
     Overtaken,
 }
 
 impl Peer {
-    /// Takes in a message's clock; none if the message came before.
+    /// Records the clock of a message; `None` if the message was received before, or is older than
+    /// [`MAX_REORDERING`].
     pub(super) fn receive(
         &mut self,
         run: host::Incarnation,
@@ -60,7 +62,7 @@
         Some(Arrival::Newest)
     }
 
-    /// Notes that the host is asked something.
+    /// Records a permit request to the host.
     pub(super) fn record_request(&mut self, now: Moment) {
         let since = *self.unanswered_since.get_or_insert(now);
         if since + ANSWER_TIMEOUT <= now {
@@ -69,22 +71,22 @@
         }
     }
 
-    /// Whether others are asked in the host's place.
+    /// Whether other hosts are asked in this host's place.
     pub(super) fn is_avoided(&self, now: Moment) -> bool {
         now < self.avoided_until
     }
 
-    /// The host's run, if it is known.
+    /// Incarnation of the host's process, if a message of it was read.
     pub(super) fn run(&self) -> Option<host::Incarnation> {
         (0 < self.clock).then_some(self.run)
     }
 
-    /// The last of the host's clocks that was read; 0 before the first.
+    /// Latest clock of the host that was read; 0 before the first.
     pub(super) fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// When the last of the host's clocks was read.
+    /// When the latest clock of the host was read; `None` before the first.
     pub(super) fn read_at(&self) -> Option<Moment> {
         (0 < self.clock).then_some(self.read_at)
     }
--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -1,4 +1,4 @@
-//! The order of what servers name.
+//! Order of the limits that servers name.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     "lm-1".into()
 }
 
-/// A limits that has believed in a limit of 5 a second since 100 ms, under the first version.
+/// Limits with 5 a second for the server, version 1, known since 100 ms.
 fn limits() -> Limits {
     let mut limits = Limits::default();
     let change = limits.observe(&server(), rate(5.0), ms(50), ms(100)).expect("a change");
@@ -97,7 +97,7 @@
 }
 
 proptest! {
-    /// Hosts that have heard each other's last word agree, in whatever order it came.
+    /// Hosts that have received each other's latest limits agree, in whatever order these came.
     #[test]
     fn hosts_agree_once_all_have_heard_all(
         words in proptest::collection::vec((0_usize..4, 0_u32..4, 0_u64..400), 1..40),
@@ -109,7 +109,7 @@
             let limit = (limit != 0).then(|| Rate::per_second(limit.into())).flatten();
             hosts[host].observe(&server(), limit, now - ms(ago), now);
         }
-        // Each hears each, twice, since what is heard may be passed on.
+        // Each host receives from each, twice, since what is received may be passed on.
         for pair in order.iter().chain(&order) {
             let (from, to) = (pair / 4, pair % 4);
             let sent: Vec<VersionedLimit> = hosts[from].iter().map(|(_, limit)| limit).collect();
--- a/crates/policy/tests/quota/main.rs
+++ b/crates/policy/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! Limits that servers name, shared by all hosts.
+//! Quotas: limits that servers name, shared by all hosts.
 
 mod limits;
 mod permits;
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: for how long one may be used, and how many an owner grants.
+//! Permits: how long one may be used, and how many an owner grants.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     name.into()
 }
 
-/// An ask of the only host that there is, with its share.
+/// Permit request of the only host, with its share.
 fn request(wanted: u32, urgency: u8) -> Request {
     Request { wanted, urgency, lease_ms: 5_000, hosts: 1, sent_before: 0 }
 }
@@ -30,7 +30,7 @@
     Rate::per_second(20.0).expect("a rate")
 }
 
-/// A host that comes before host `a` among the owners of a server's quota.
+/// Returns a host that ranks before host `a` as owner of a server's quota.
 fn first_owner(server: &backend::Id) -> String {
     let rank = |name: &str| rendezvous::score(server.as_bytes(), name);
     let mut names = (0..).map(|number| format!("host-{number}"));
@@ -42,7 +42,7 @@
     let mut client = Client::default();
     assert_eq!(client.on_grant(2, ms(1_000), ms(1_100)), 0);
     assert!(client.has_permit(ms(2_000)));
-    assert!(!client.has_permit(ms(2_600)), "so long after it was asked for");
+    assert!(!client.has_permit(ms(2_600)), "too long after the request for it");
     assert_eq!(client.expire(ms(2_600)), 2);
     assert!(!client.use_permit(ms(2_600)));
     assert_eq!(client.on_grant(3, ms(1_000), ms(2_600)), 3, "too late to be used");
@@ -64,10 +64,10 @@
     owner.grant(limit(), 1, ms(0));
     let granted = owner.grant(limit(), 1, ms(200));
     assert_eq!(granted, [(host.clone(), 2)]);
-    // Asked before the permits were read of.
+    // Sent before the host had read of the permits.
     owner.on_request(&host, &request(2, 1), ms(100), limit(), ms(210));
     assert_eq!(owner.grant(limit(), 1, ms(500)), []);
-    // Asked afterwards.
+    // Sent afterwards.
     owner.on_request(&host, &request(2, 1), ms(200), limit(), ms(510));
     assert_eq!(owner.grant(limit(), 1, ms(520)), [(host, 2)]);
 }
@@ -100,7 +100,7 @@
     }
 }
 
-/// A message that comes again, or after a later one, grants what it grants once.
+/// A message that is received twice, or after a later one, counts once.
 #[test]
 fn a_message_that_comes_twice_grants_once() {
     let server: backend::Id = "lm-1".into();
@@ -122,7 +122,7 @@
     assert!(!quotas.has_permit("lm-1", ms(1_000)));
 }
 
-/// An owner that is taken for live and answers nobody costs no more than its patience.
+/// An owner that is regarded as live and answers nobody is given up after its time-out.
 #[test]
 fn an_owner_that_answers_nobody_is_passed_over() {
     let server: backend::Id = "lm-1".into();
@@ -140,7 +140,7 @@
     assert_eq!((11_400..12_000).step_by(20).map(&mut shares).max(), Some(1));
 }
 
-/// A server whose entry goes and comes back is the same one to whoever holds a share of its quota.
+/// A server that goes and comes back is the same one to the host that holds a share of its quota.
 #[test]
 fn a_share_that_is_lent_stays_so_while_its_server_is_gone() {
     let server: backend::Id = "lm-1".into();
@@ -166,10 +166,10 @@
 
     quotas.forget("lm-1");
     quotas.tick(ms(10_300));
-    // The other host is no longer taken for live, and this one turns to itself.
+    // The other host is no longer live, and this one becomes the owner.
     quotas.hosts([(&id(&first), false)].into_iter(), vec![id("a")], ms(10_400));
     name(&mut quotas, 10_500);
-    assert_eq!(quotas.shares(ms(10_500)), 0, "the other host may still count it");
+    assert_eq!(quotas.shares(ms(10_500)), 0, "the other host may still hold the lease");
     quotas.tick(ms(13_000));
     assert_eq!(quotas.shares(ms(13_000)), 1);
 }
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -1,7 +1,8 @@
-//! Hosts before one limited server, under virtual time.
+//! Simulation of hosts before one limited server, under virtual time.
 //!
-//! Requests come to hosts and wait for a while. Messages are late, and hosts are cut off, frozen and started
-//! again. What reaches the server is judged over all hosts, whatever became of them.
+//! Requests arrive at hosts and wait for a while. Messages are late, and hosts are cut off, frozen
+//! and restarted. The requests that reach the server are judged over all hosts, whatever faults
+//! these had.
 
 use std::{
     cmp::Reverse,
@@ -19,55 +20,56 @@
 
 pub const SERVER: &str = "lm-1";
 
-/// Time between two looks of a host at its queue.
+/// Interval at which a host looks at its queue.
 const STEP: Duration = Duration::from_millis(20);
 
-/// Time between two looks at who else is there.
+/// Interval at which hosts look who is there.
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Silence after which a host takes another for silent.
+/// Time after which a host regards another one as silent.
 const SILENCE: Duration = Duration::from_secs(3);
 
-/// Time from a request's sending until its answer.
+/// Time from sending a request to its answer.
 const ANSWER: Duration = Duration::from_millis(30);
 
-/// Time from the first naming of a limit until it binds, the window, and what is allowed in it.
+/// Time from the first naming of a limit until it binds; the window; and the factor by which it may
+/// be exceeded.
 const CONTACT: Duration = Duration::from_secs(3);
 pub const WINDOW: Duration = Duration::from_secs(4);
 const EXCESS: f64 = 1.5;
 
-/// Time in which news of a limit reaches all hosts.
+/// Time in which a limit reaches all hosts, and requests allowed in a window besides.
 const NEWS: Duration = Duration::from_millis(500);
 const EXTRA: f64 = 5.0;
 
-/// When a server first names a limit, and the time until its use is measured.
+/// When a server first names a limit, and the time after which its use is measured.
 pub const LIMITED: Duration = Duration::from_secs(8);
 pub const SETTLED: Duration = Duration::from_secs(6);
 
-/// Requests by which the use of a limit is measured.
+/// Number of requests over which the use of a limit is measured.
 pub const REQUESTS: f64 = 40.0;
 
-/// Where requests come in.
+/// Distribution of requests over hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spread {
-    /// At all hosts alike.
+    /// Evenly over all hosts.
     Even,
-    /// At one host.
+    /// All at one host.
     One,
 }
 
-/// What befalls hosts, by their places.
+/// Fault of hosts, given by their indices.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// No message passes between these and the others.
+    /// No message passes between these hosts and the others.
     Cut(Vec<usize>),
-    /// These stand still.
+    /// These hosts make no progress and read their messages afterwards.
     Freeze(Vec<usize>),
-    /// These end, and start again at the end with nothing known.
+    /// These hosts end, and start again at the end of the fault with no state.
     Restart(Vec<usize>),
 }
 
-/// A fault, and from when to when.
+/// Fault with its start and end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     pub from: Duration,
@@ -75,40 +77,40 @@
     pub fault: Fault,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub hosts: usize,
-    /// Requests a second, over all hosts.
+    /// Requests per second, over all hosts.
     pub demand: f64,
     pub spread: Spread,
-    /// Longest time that a message takes.
-    pub late: Duration,
-    /// Time that a request waits for a permit.
+    /// Longest delay of a message.
+    pub delay: Duration,
+    /// Time that a request waits for a permit before it leaves.
     pub wait: Duration,
-    /// The limits that the server names, and from when.
+    /// Limits that the server names, each with when it begins.
     pub limits: Vec<(Duration, Option<f64>)>,
     pub faults: Vec<Planned>,
     pub length: Duration,
 }
 
 impl Plan {
-    /// Time in which a limit allows enough requests to tell which part of it is used.
+    /// Time in which a limit allows enough requests to measure how much of it is used.
     pub fn measured(limit: f64) -> Duration {
         Duration::from_secs_f64(REQUESTS / limit).max(Duration::from_secs(10))
     }
 
-    /// A server that names one limit from 8 s on, before twice as many requests.
-    pub fn steady(hosts: usize, limit: f64, late: Duration) -> Plan {
+    /// Plan with a server that names one limit from 8 s on, and twice as many requests.
+    pub fn steady(hosts: usize, limit: f64, delay: Duration) -> Plan {
         Plan {
             seed: 7,
             hosts,
             demand: (2.0 * limit).max(limit + 2.0),
             spread: Spread::Even,
-            late,
-            // Longer than an ask and its grant may take.
-            wait: Duration::from_millis(800) + late * 3,
+            delay,
+            // Longer than a permit request and its grant may take.
+            wait: Duration::from_millis(800) + delay * 3,
             limits: vec![(LIMITED, Some(limit))],
             faults: Vec::new(),
             length: LIMITED + SETTLED + Plan::measured(limit),
@@ -131,17 +133,17 @@
     Answer { to: usize, sent: Moment, millionths: Option<u64> },
 }
 
-/// A play.
-pub struct Play {
+/// Simulation.
+pub struct Simulation {
     plan: Plan,
     random: ChaCha8Rng,
     hosts: Vec<Host>,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     count: u64,
     now: Moment,
-    /// When requests came to the server.
+    /// When requests reached the server.
     pub arrivals: Vec<Moment>,
-    /// Messages on quotas to each host.
+    /// Number of messages on quotas received by each host.
     pub received: Vec<u64>,
 }
 
@@ -149,7 +151,7 @@
     format!("host-{place}").into()
 }
 
-/// The host that grants what the server takes while all are there.
+/// Host that owns the server's quota while all hosts are there.
 pub fn owner(hosts: usize) -> usize {
     let rank = |place: &usize| rendezvous::score(SERVER.as_bytes(), &name(*place));
     (0..hosts).max_by_key(rank).expect("a host")
@@ -159,10 +161,10 @@
     SERVER.into()
 }
 
-impl Play {
-    pub fn new(plan: Plan) -> Play {
+impl Simulation {
+    pub fn new(plan: Plan) -> Simulation {
         let hosts = (0..plan.hosts).map(|place| Host::new(place, 1, Duration::ZERO));
-        Play {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             hosts: hosts.collect(),
             events: BinaryHeap::new(),
@@ -174,15 +176,15 @@
         }
     }
 
-    /// Plays to the end.
-    pub fn run(mut self) -> Play {
+    /// Runs to the end.
+    pub fn run(mut self) -> Simulation {
         let (mut round, mut due) = (Duration::ZERO, 0.0);
         while self.now < self.plan.length {
             self.now += STEP;
             self.restart();
             if round <= self.now {
                 round = self.now + ROUND;
-                self.meet();
+                self.update_hosts();
             }
             self.deliver();
             due += self.plan.demand * STEP.as_secs_f64();
@@ -201,8 +203,8 @@
         self
     }
 
-    /// Requests in the fullest window in which a limit binds, with what was allowed in it: the window that
-    /// is fullest by its allowance.
+    /// Returns the number of requests in the fullest window in which a limit binds, and the number
+    /// allowed in it. The fullest window is the one with the highest ratio of the two.
     pub fn fullest(&self) -> (usize, f64) {
         let mut worst = (0, f64::MAX);
         for (end, at) in self.arrivals.iter().enumerate() {
@@ -217,8 +219,8 @@
         worst
     }
 
-    /// The highest limit named in the window before a moment, or just before it, if one was named all
-    /// through the contact time.
+    /// Returns the highest limit named in the window before a moment, or just before that window,
+    /// if a limit was named all through the contact time.
     fn binding(&self, at: Moment) -> Option<f64> {
         let ends = self.plan.limits.iter().skip(1).map(|(from, _)| *from).chain([Duration::MAX]);
         let spans = self.plan.limits.iter().zip(ends).filter(|((from, _), _)| *from <= at);
@@ -232,7 +234,7 @@
         is_named.then_some(highest)
     }
 
-    /// Part of a limit that is used, from when it is settled to the end.
+    /// Fraction of a limit that is used, from when it has settled to the end.
     pub fn used(&self, limit: f64) -> f64 {
         let from = LIMITED + SETTLED;
         let sent = self.arrivals.iter().filter(|at| from < **at).count();
@@ -283,8 +285,8 @@
         }
     }
 
-    /// Each host looks at who is there, and hears what another believes.
-    fn meet(&mut self) {
+    /// Each host updates who is there, and receives the limit that a random host knows.
+    fn update_hosts(&mut self) {
         for place in (0..self.hosts.len()).filter(|place| self.runs(*place)).collect::<Vec<_>>() {
             for other in (0..self.hosts.len()).filter(|other| *other != place) {
                 if self.runs(other) && !self.is_cut(place, other) {
@@ -298,10 +300,10 @@
             let live = heard.chain([name(place)]).collect();
             let known = known.iter().map(|(id, is_heard)| (id, *is_heard));
             host.quotas.hosts(known, live, now - host.born);
-            let teller = self.random.random_range(0..self.hosts.len());
-            if teller != place && self.runs(teller) {
-                let limit = self.hosts[teller].quotas.limits().get(SERVER);
-                self.send(teller, place, Event::Limit { from: teller, to: place, limit });
+            let sender = self.random.random_range(0..self.hosts.len());
+            if sender != place && self.runs(sender) {
+                let limit = self.hosts[sender].quotas.limits().get(SERVER);
+                self.send(sender, place, Event::Limit { from: sender, to: place, limit });
             }
         }
     }
@@ -310,9 +312,9 @@
         if self.is_cut(from, to) {
             return;
         }
-        let most = self.plan.late.as_millis() as u64;
-        let late = Duration::from_millis(self.random.random_range(most / 2..=most));
-        self.put(self.now + late, event);
+        let most = self.plan.delay.as_millis() as u64;
+        let delay = Duration::from_millis(self.random.random_range(most / 2..=most));
+        self.put(self.now + delay, event);
     }
 
     fn put(&mut self, at: Moment, event: Event) {
@@ -332,7 +334,7 @@
                 continue;
             }
             if self.is_frozen(to) {
-                // It is read once the host goes on.
+                // Read once the host goes on.
                 self.put(self.now + STEP, event);
                 continue;
             }
@@ -352,10 +354,10 @@
                     self.hosts[to].quotas.limit_changed(&id, change, before, now);
                 }
             }
-            Event::Limit { to, limit, .. } => self.hear(to, limit),
+            Event::Limit { to, limit, .. } => self.receive_limit(to, limit),
             Event::Answer { to, sent, millionths } => {
                 let host = &mut self.hosts[to];
-                // An answer to an earlier run of the host is nobody's.
+                // An answer to an earlier run of the host is ignored.
                 let Some(sent) = sent.checked_sub(host.born) else { return };
                 let now = self.now - host.born;
                 let limit = millionths.and_then(|m| Rate::per_second(m as f64 / 1e6));
@@ -375,14 +377,14 @@
         }
     }
 
-    fn hear(&mut self, to: usize, limit: VersionedLimit) {
+    fn receive_limit(&mut self, to: usize, limit: VersionedLimit) {
         let now = self.now - self.hosts[to].born;
         let Some(change) = self.hosts[to].quotas.merge_limit(&server(), limit, now) else { return };
         let before = self.before(to);
         self.hosts[to].quotas.limit_changed(&server(), change, before, now);
     }
 
-    /// Requests that a host sent lately: its even part of all.
+    /// Requests that a host sent a short time ago: its even part of all.
     fn before(&self, place: usize) -> u32 {
         let lately = self
             .arrivals
--- a/crates/policy/tests/quota/shared.rs
+++ b/crates/policy/tests/quota/shared.rs
@@ -1,21 +1,22 @@
-//! What a limited server gets from all hosts together, and how much of its limit is used.
+//! Requests that a limited server gets from all hosts together, and the use of its limit.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::play::{Fault, Plan, Planned, Play, REQUESTS, Spread, owner};
+use crate::play::{Fault, Plan, Planned, REQUESTS, Simulation, Spread, owner};
 
-/// Part of a limit that is to be used while more is asked for, but for the one request that is under way.
+/// Fraction of a limit that must be used while demand exceeds it, less one request that is in
+/// flight.
 const USED: f64 = 0.9 - 1.0 / REQUESTS;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-fn check(play: &Play) {
-    let (requests, allowed) = play.fullest();
+fn check(simulation: &Simulation) {
+    let (requests, allowed) = simulation.fullest();
     assert!(requests as f64 <= allowed, "{requests} requests, allowed {allowed}");
 }
 
@@ -24,17 +25,20 @@
     #[values(2, 9, 62)] hosts: usize,
     #[values(0.5, 2.1, 20.0, 200.0)] limit: f64,
     #[values(Spread::Even, Spread::One)] spread: Spread,
-    #[values(20, 500)] late: u64,
+    #[values(20, 500)] delay: u64,
 ) {
-    let plan = Plan { spread, ..Plan::steady(hosts, limit, Duration::from_millis(late)) };
-    let play = Play::new(plan).run();
-    check(&play);
-    if late == 500 {
+    let plan = Plan { spread, ..Plan::steady(hosts, limit, Duration::from_millis(delay)) };
+    let simulation = Simulation::new(plan).run();
+    check(&simulation);
+    if delay == 500 {
         // A permit that takes as long as callers wait is of no use to them.
         return;
     }
-    let used = play.used(limit);
-    assert!(USED <= used, "{hosts} hosts, {limit} a second, {spread:?}, {late} ms: {used:.3} used");
+    let used = simulation.used(limit);
+    assert!(
+        USED <= used,
+        "{hosts} hosts, {limit} a second, {spread:?}, {delay} ms: {used:.3} used"
+    );
 }
 
 #[rstest]
@@ -45,9 +49,9 @@
     #[values(Spread::Even, Spread::One)] spread: Spread,
 ) {
     let plan = Plan { spread, ..Plan::steady(195, limit, Duration::from_millis(50)) };
-    let play = Play::new(plan).run();
-    check(&play);
-    let used = play.used(limit);
+    let simulation = Simulation::new(plan).run();
+    check(&simulation);
+    let used = simulation.used(limit);
     assert!(USED <= used, "{limit} a second, {spread:?}: {used:.3} used");
 }
 
@@ -55,8 +59,7 @@
     Planned { from: s(from), to: s(to), fault }
 }
 
-/// What befalls nine hosts once the server has named its limit, and after which time the limit is in use
-/// again.
+/// Faults of nine hosts once the server has named its limit must not let a share count twice.
 #[rstest]
 #[case::half_are_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![0, 1, 2, 3]))])]
 #[case::one_is_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![4]))])]
@@ -67,14 +70,14 @@
 fn no_part_of_a_limit_is_used_twice(
     #[case] faults: Vec<Planned>,
     #[values(2.1, 40.0)] limit: f64,
-    #[values(20, 300)] late: u64,
+    #[values(20, 300)] delay: u64,
 ) {
-    let plan = Plan::steady(9, limit, Duration::from_millis(late));
-    let play = Play::new(Plan { faults, length: s(70.0), ..plan }).run();
-    check(&play);
+    let plan = Plan::steady(9, limit, Duration::from_millis(delay));
+    let simulation = Simulation::new(Plan { faults, length: s(70.0), ..plan }).run();
+    check(&simulation);
 }
 
-/// The part of a limit that is used in the last ten seconds, some time after a fault.
+/// After a fault, the use of a limit over ten seconds recovers within a known time.
 #[rstest]
 #[case::the_owner_is_lost(vec![planned(20.0, 99.0, Fault::Restart(vec![owner(9)]))], 26.0)]
 #[case::the_owner_stands_still(vec![planned(20.0, 99.0, Fault::Freeze(vec![owner(9)]))], 26.0)]
@@ -83,10 +86,10 @@
 fn a_limit_is_used_again_after_a_known_time(#[case] faults: Vec<Planned>, #[case] from: f64) {
     let limit = 8.0;
     let plan = Plan::steady(9, limit, Duration::from_millis(20));
-    let play = Play::new(Plan { faults, length: s(from + 10.0), ..plan }).run();
-    check(&play);
-    let sent = play.arrivals.iter().filter(|at| s(from) < **at).count() as f64;
-    // A host that is lost keeps its share for as long as silence alone says so.
+    let simulation = Simulation::new(Plan { faults, length: s(from + 10.0), ..plan }).run();
+    check(&simulation);
+    let sent = simulation.arrivals.iter().filter(|at| s(from) < **at).count() as f64;
+    // A host that is lost keeps its share while silence is all that is known of it.
     let least = (0.9 * 8.0 / 9.0 - 1.0 / REQUESTS) * limit * 10.0;
     assert!(least <= sent, "{sent} requests in 10 s, least {least}");
 }
@@ -106,9 +109,9 @@
         let changes =
             proptest::collection::vec((0.2_f64..8.0, proptest::option::weighted(0.8, limit)), 1..6);
         let faults = proptest::collection::vec((9.0_f64..30.0, 0.3_f64..25.0, fault(hosts)), 0..4);
-        let late = proptest::sample::select(vec![5, 20, 100, 500]);
-        (any::<u64>(), changes, faults, late, any::<bool>()).prop_map(
-            move |(seed, changes, faults, late, is_even)| {
+        let delay = proptest::sample::select(vec![5, 20, 100, 500]);
+        (any::<u64>(), changes, faults, delay, any::<bool>()).prop_map(
+            move |(seed, changes, faults, delay, is_even)| {
                 let mut at = 8.0;
                 let limits: Vec<_> = changes
                     .into_iter()
@@ -127,7 +130,7 @@
                     hosts,
                     demand: (2.0 * lowest.min(200.0)).max(3.0),
                     spread: if is_even { Spread::Even } else { Spread::One },
-                    late: Duration::from_millis(late),
+                    delay: Duration::from_millis(delay),
                     wait: Duration::from_millis(800),
                     limits,
                     faults,
@@ -143,13 +146,14 @@
 
     #[test]
     fn a_limit_is_kept_whatever_befalls_the_hosts(plan in plan()) {
-        let play = Play::new(plan).run();
-        let (requests, allowed) = play.fullest();
+        let simulation = Simulation::new(plan).run();
+        let (requests, allowed) = simulation.fullest();
         prop_assert!(requests as f64 <= allowed, "{} requests, allowed {}", requests, allowed);
     }
 }
 
-/// The windows that end right after the contact time hold what came before the server named its limit.
+/// The windows that end right after the contact time contain requests sent before the server named
+/// its limit.
 #[rstest]
 #[case::few(2.1, 12.0)]
 #[case::many(20.0, 75.0)]
@@ -159,6 +163,6 @@
     #[values(2, 9)] hosts: usize,
 ) {
     let plan = Plan::steady(hosts, limit, Duration::from_millis(20));
-    let play = Play::new(Plan { demand, length: s(20.0), ..plan }).run();
-    check(&play);
+    let simulation = Simulation::new(Plan { demand, length: s(20.0), ..plan }).run();
+    check(&simulation);
 }
