--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,10 +1,10 @@
-//! Adaptive limits on work in flight for each server and model.
+//! Adaptive limits on requests in flight for each server and model.
 //!
-//! A host sees neither how many other hosts send to the same server nor how far the engine's batch
-//! can still grow; a limit that adapts finds out from what its own requests meet. Three ways stand
-//! side by side so that they can be measured against each other: a fixed limit, additive increase
-//! with multiplicative decrease (AIMD), and one that follows the gradient of the first-token time.
-//! `docs/design/caller-path.md` holds the measurement and the choice.
+//! A host sees neither how many requests other hosts send to the same server nor how far the
+//! engine's batch can still grow, so an adaptive limit infers both from the outcomes of this host's
+//! requests. There are three algorithms, so that they can be compared by measurement: a fixed
+//! limit, additive increase with multiplicative decrease (AIMD), and one that follows the gradient
+//! of the first-token time. `docs/design/caller-path.md` holds the measurement and the choice.
 
 use std::{
     collections::HashMap,
@@ -15,30 +15,30 @@
 
 use crate::route::{DestinationIndex, Index};
 
-/// How a request ended, as far as a limit cares.
+/// Outcome of a request, as a limiter sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// The first token came after this time, of so much that its target allows.
+    /// The first token arrived.
     FirstToken {
-        /// Time that it took.
+        /// Time from sending the request to its first token.
         time: Duration,
-        /// Time that it may take.
+        /// Objective for that time.
         target: Duration,
     },
-    /// The server refused it for load, or gave no answer in time.
+    /// The server refused the request for load, or did not answer in time.
     Overload,
-    /// It ended for a reason that says nothing about load.
+    /// The request ended for a reason that is unrelated to load.
     Neutral,
 }
 
-/// How a limit is set.
+/// Algorithm that sets a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Algorithm {
-    /// Always the same.
+    /// Constant limit.
     Fixed(u32),
-    /// Additive increase, multiplicative decrease.
+    /// Additive increase, multiplicative decrease (AIMD).
     Aimd(Aimd),
-    /// After the gradient of the first-token time.
+    /// Limit that follows the gradient of the first-token time.
     Gradient(Gradient),
 }
 
@@ -51,19 +51,19 @@
 /// Parameters of additive increase with multiplicative decrease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Aimd {
-    /// Limit to begin with.
+    /// Initial limit, in requests.
     pub initial: f64,
-    /// Least limit; at least one.
+    /// Lower bound of the limit; at least one.
     pub min: f64,
-    /// Greatest limit.
+    /// Upper bound of the limit.
     pub max: f64,
-    /// Added for each limit's worth of good answers.
+    /// Increase of the limit for as many good answers as the limit is large.
     pub increase: f64,
-    /// Factor on overload, below one.
+    /// Factor applied to the limit on overload; below one.
     pub decrease: f64,
-    /// Part of its target that a first token may take before it counts as overload.
+    /// Fraction of its objective that a first-token time may reach before it counts as overload.
     pub slow: f64,
-    /// Least time between two decreases: one overload is answered once.
+    /// Shortest interval between two decreases, so that one overload decreases the limit once.
     pub pause: Duration,
 }
 
@@ -84,17 +84,17 @@
 /// Parameters of the gradient algorithm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gradient {
-    /// Limit to begin with.
+    /// Initial limit, in requests.
     pub initial: f64,
-    /// Least limit; at least one.
+    /// Lower bound of the limit; at least one.
     pub min: f64,
-    /// Greatest limit.
+    /// Upper bound of the limit.
     pub max: f64,
-    /// How many times the baseline first-token time is tolerated before the limit falls.
+    /// Multiple of the baseline first-token time that is tolerated before the limit falls.
     pub tolerance: f64,
-    /// Weight of a new limit against the last, between zero and one.
+    /// Weight of a new limit against the previous one, between zero and one.
     pub smoothing: f64,
-    /// Samples in the mean that stands for the baseline time.
+    /// Length of the moving average that gives the baseline time, in samples.
     pub window: f64,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Work in flight on one server for one model, and its limit.
+/// Limiter of the requests in flight on one server for one model.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     algorithm: Algorithm,
@@ -122,7 +122,7 @@
 }
 
 impl Limiter {
-    /// Empty, at the algorithm's first limit.
+    /// Returns a limiter without requests in flight, at the algorithm's initial limit.
     pub fn new(algorithm: Algorithm) -> Limiter {
         let limit = match algorithm {
             Algorithm::Fixed(limit) => f64::from(limit),
@@ -132,32 +132,32 @@
         Limiter { algorithm, limit, in_flight: 0, baseline: 0.0, decreased_at: Duration::ZERO }
     }
 
-    /// Most requests in flight now.
+    /// Largest number of requests in flight now.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// How many more may start.
+    /// Number of requests that may still start.
     pub fn room(&self) -> u32 {
         self.limit().saturating_sub(self.in_flight)
     }
 
-    /// A request starts.
+    /// Counts a request that starts.
     pub fn start(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request has ended.
+    /// Counts a request that has ended, whatever its outcome.
     pub fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes in what a request met.
+    /// Adapts the limit to the outcome of a request.
     pub fn signal(&mut self, signal: Signal, now: Moment) {
         match self.algorithm {
             Algorithm::Fixed(_) => {}
@@ -203,27 +203,28 @@
         }
     }
 
-    /// A limit that is not used says nothing about whether more would fit.
+    /// Whether at least half of the limit is in flight. The outcome of requests below that does not
+    /// show whether more would fit.
     fn is_used(&self) -> bool {
         self.limit() <= self.in_flight.saturating_mul(2)
     }
 }
 
-/// The limiters of one host, by server and by the destination of the model or group.
+/// Limiters of one host, by server and by the destination of the model or group.
 #[derive(Clone, Debug, Default)]
 pub struct Limiters {
     algorithm: Algorithm,
-    /// The hasher has no random state, and the order never shows.
+    /// The hasher has no random state, and the iteration order is never exposed.
     limiters: HashMap<(Index, DestinationIndex), Limiter, BuildHasherDefault<DefaultHasher>>,
 }
 
 impl Limiters {
-    /// Without limiters yet; each starts by this algorithm.
+    /// Returns an empty set; each limiter is created with this algorithm.
     pub fn new(algorithm: Algorithm) -> Limiters {
         Limiters { algorithm, limiters: HashMap::default() }
     }
 
-    /// How many more may start on a server for a model.
+    /// Number of requests that may still start on a server for a model.
     pub fn room(&self, server: Index, destination: DestinationIndex) -> u32 {
         match self.limiters.get(&(server, destination)) {
             Some(limiter) => limiter.room(),
@@ -231,25 +232,25 @@
         }
     }
 
-    /// Requests in flight on a server for a model.
+    /// Number of requests in flight on a server for a model.
     pub fn in_flight(&self, server: Index, destination: DestinationIndex) -> u32 {
         self.limiters.get(&(server, destination)).map_or(0, Limiter::in_flight)
     }
 
-    /// The limiter of a server and a model; it is made when there is none.
+    /// Limiter of a server and a model, created on first use.
     pub fn limiter(&mut self, server: Index, destination: DestinationIndex) -> &mut Limiter {
         let algorithm = self.algorithm;
         self.limiters.entry((server, destination)).or_insert_with(|| Limiter::new(algorithm))
     }
 
-    /// Every limiter, in the order of server and destination.
+    /// All limiters, ordered by server and destination.
     pub fn iter(&self) -> impl Iterator<Item = (Index, DestinationIndex, &Limiter)> {
         let mut keys: Vec<(Index, DestinationIndex)> = self.limiters.keys().copied().collect();
         keys.sort_unstable();
         keys.into_iter().map(|key| (key.0, key.1, &self.limiters[&key]))
     }
 
-    /// Drops the limiters of a server that is gone.
+    /// Drops the limiters of a server that is gone, except those with requests in flight.
     pub fn forget(&mut self, server: Index) {
         self.limiters.retain(|(other, _), limiter| *other != server || 0 < limiter.in_flight);
     }
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Limits on work in flight under overload, recovery and idleness.
+//! Limits on requests in flight under overload, recovery and idleness.
 
 use policy::limit::{Aimd, Algorithm, Gradient, Limiter, Limiters, Signal};
 use rstest::rstest;
@@ -8,7 +8,7 @@
 const FAST: Signal = Signal::FirstToken { time: Duration::from_millis(50), target: TARGET };
 const SLOW: Signal = Signal::FirstToken { time: Duration::from_secs(2), target: TARGET };
 
-fn pool_in_use(algorithm: Algorithm) -> Limiter {
+fn limiter_in_use(algorithm: Algorithm) -> Limiter {
     let mut limiter = Limiter::new(algorithm);
     (0..limiter.limit()).for_each(|_| limiter.start());
     limiter
@@ -22,7 +22,7 @@
 #[case::refused(Signal::Overload)]
 #[case::slow(SLOW)]
 fn aimd_falls_once_for_one_overload_and_never_below_its_least(#[case] signal: Signal) {
-    let mut limiter = pool_in_use(Algorithm::Aimd(Aimd::default()));
+    let mut limiter = limiter_in_use(Algorithm::Aimd(Aimd::default()));
     let first = limiter.limit();
     (0..20).for_each(|_| limiter.signal(signal, millis(1000)));
     assert_eq!(limiter.limit(), (f64::from(first) * 0.7) as u32);
@@ -32,7 +32,7 @@
 
 #[test]
 fn aimd_comes_back_after_an_overload() {
-    let mut limiter = pool_in_use(Algorithm::Aimd(Aimd::default()));
+    let mut limiter = limiter_in_use(Algorithm::Aimd(Aimd::default()));
     let first = limiter.limit();
     limiter.signal(Signal::Overload, millis(1000));
     assert!(limiter.limit() < first);
@@ -53,7 +53,7 @@
 
 #[test]
 fn gradient_falls_while_first_tokens_get_slower_and_comes_back() {
-    let mut limiter = pool_in_use(Algorithm::Gradient(Gradient::default()));
+    let mut limiter = limiter_in_use(Algorithm::Gradient(Gradient::default()));
     (0..200).for_each(|n| limiter.signal(FAST, millis(n)));
     let before = limiter.limit();
     (0..20).for_each(|n| limiter.signal(SLOW, millis(1000 + n)));
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_fixed_limit_stays() {
-    let mut limiter = pool_in_use(Algorithm::Fixed(5));
+    let mut limiter = limiter_in_use(Algorithm::Fixed(5));
     limiter.signal(Signal::Overload, millis(1));
     assert_eq!((limiter.limit(), limiter.room()), (5, 0));
 }
@@ -79,7 +79,7 @@
     )]
     algorithm: Algorithm,
 ) {
-    let mut limiter = pool_in_use(algorithm);
+    let mut limiter = limiter_in_use(algorithm);
     let first = limiter.limit();
     (0..100).for_each(|n| limiter.signal(Signal::Neutral, millis(n * 1000)));
     assert_eq!(limiter.limit(), first);
