--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,11 +1,12 @@
-//! Which failures are tried again, and the budget for it.
+//! Retries: which failed attempts are repeated, and their budget.
 //!
-//! A request may be tried again when no byte of it can have reached a server, or when running it
-//! twice does no harm. Everything else ends with an answer that says what is known of its run. The
-//! full table of failure points is in `docs/design/caller-path.md`; [`decide`] is that table.
+//! A request may be retried if no byte of it can have reached a server, or if running it twice does
+//! no harm. Any other failure ends with an answer that says whether the request may have run. The
+//! full table of failure points is in `docs/design/caller-path.md`; [`decide`] implements that
+//! table.
 //!
-//! Retries are paid from a budget that successes fill, so that an overload or an outage is never
-//! multiplied by more than a fixed share.
+//! Retries are paid from a token bucket that successes fill, so that an overload or an outage is
+//! multiplied by no more than a fixed ratio.
 
 pub mod budget;
 pub mod suspicion;
@@ -17,29 +18,30 @@
 
 pub use self::{budget::Budget, suspicion::Suspicion};
 
-/// Where an attempt failed.
+/// Point at which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Point {
-    /// No connection; nothing was sent.
+    /// No connection was made; nothing was sent.
     Connect,
     /// The connection broke while the request was being sent.
     Sending,
-    /// All was sent, and the connection broke or fell silent before the answer's head.
+    /// The whole request was sent, and the connection broke or was silent before the head of the
+    /// response.
     Waiting,
-    /// The server answered that it is overloaded or leaving (429 or 503).
+    /// The server answered that it is overloaded or draining (429 or 503).
     Refused,
-    /// The server answered with a fault of its own (other 5xx).
+    /// The server answered with an error of its own (other 5xx).
     Fault,
-    /// The answer broke after its head, nothing of its body delivered to the caller.
+    /// The response broke off after its head, before any of its body was passed on to the caller.
     Head,
-    /// A stream of tokens broke after some were delivered.
+    /// A stream of tokens broke off after some were passed on.
     Stream,
-    /// An answer that is not a stream of tokens broke after a part was delivered.
+    /// A response that is not a stream of tokens broke off after a part was passed on.
     Body,
 }
 
 impl Point {
-    /// Every point, in the order that a request passes them.
+    /// All points, in the order in which a request passes them.
     pub const ALL: [Point; 8] = [
         Point::Connect,
         Point::Sending,
@@ -51,7 +53,7 @@
         Point::Body,
     ];
 
-    /// Its stable word.
+    /// Stable name for logs, metrics and traces.
     pub fn as_str(self) -> &'static str {
         match self {
             Point::Connect => "connect",
@@ -65,10 +67,10 @@
         }
     }
 
-    /// What is known of the request's run after one attempt that failed here.
+    /// Whether the request ran, as far as one attempt that failed at this point shows.
     ///
-    /// A server that answers "overloaded" has had the request; its word that it did not run it
-    /// is not proof, so that counts as "may have run" too.
+    /// A server that answers "overloaded" has received the request; its claim that it did not run
+    /// the request is no proof, so that counts as "may have run" too.
     pub fn ran(self) -> Ran {
         match self {
             Point::Connect => Ran::DidNotRun,
@@ -78,49 +80,49 @@
     }
 }
 
-/// Whether the request's body can be sent again.
+/// Whether the body of the request can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// The host holds all of it.
+    /// The host has buffered all of the body.
     Buffered,
-    /// A part has been read from the caller and passed on.
+    /// A part was read from the caller and passed on, and is not available any more.
     Consumed,
 }
 
-/// What is known when an attempt has failed.
+/// Failed attempt, with what decides about a retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
-    /// Where it failed.
+    /// Point at which the attempt failed.
     pub point: Point,
-    /// How often the request may run.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// Whether its body can be sent again.
+    /// Whether the body of the request can be sent again.
     pub body: Body,
-    /// The most that earlier attempts can have run.
+    /// Whether the request ran in earlier attempts, at the worst.
     pub before: Ran,
-    /// Attempts made, this one counted.
+    /// Number of attempts made, including this one.
     pub attempts: request::Attempt,
-    /// Time left of the request's deadline.
+    /// Time left until the deadline of the request.
     pub time_left: Duration,
 }
 
-/// What to do after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it again, to another server.
+    /// Send the request again, to another server.
     Retry,
-    /// Have the stream go on after what was delivered, on another server.
+    /// Resume the stream after the tokens that were passed on, on another server.
     Resume,
-    /// Give up, and say this of its run.
+    /// Give up, and answer whether the request ran.
     GiveUp(Ran),
 }
 
-/// Bounds on attempts.
+/// Bounds on the attempts at one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most attempts at one request.
+    /// Largest number of attempts at one request.
     pub attempts: request::Attempt,
-    /// Least time left for another attempt to be worth it.
+    /// Shortest time until the deadline in which another attempt is worthwhile.
     pub time_left: Duration,
 }
 
@@ -130,7 +132,7 @@
     }
 }
 
-/// Decides what follows a failed attempt; a retry or resume is paid from the budget.
+/// Decides what follows a failed attempt; a retry or resumption takes from the budget.
 pub fn decide(failure: &Failure, bounds: &Bounds, budget: &mut Budget) -> Verdict {
     let ran = failure.before.max(failure.point.ran());
     let Some(again) = allowed(failure) else {
@@ -140,7 +142,7 @@
     if in_bounds && budget.withdraw() { again } else { Verdict::GiveUp(ran) }
 }
 
-/// The table: what the failure point, the request and its body allow.
+/// Looks up what the failure point, the request and its body allow.
 fn allowed(failure: &Failure) -> Option<Verdict> {
     match (failure.point, failure.repeat, failure.body) {
         (Point::Connect, _, _) => Some(Verdict::Retry),
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -1,14 +1,14 @@
-//! The budget for retries: a token bucket that successes fill.
+//! Retry budget: a token bucket that successes fill.
 
-/// One retry, in the bucket's units.
+/// Units of the bucket that one retry costs.
 const UNITS_PER_RETRY: u64 = 1000;
 
-/// Parameters of a budget.
+/// Ratio of retries to successes.
 #[derive(Clone, Copy, Debug)]
 pub struct Ratio {
     /// Retries earned by a thousand successes.
     pub per_thousand: u64,
-    /// Most retries saved up, also what a host starts with.
+    /// Largest number of retries saved up; also the number that a host starts with.
     pub most: u64,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Retries that may still be made.
+/// Budget of the retries that may still be made.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     ratio: Ratio,
@@ -32,17 +32,17 @@
 }
 
 impl Budget {
-    /// A full bucket.
+    /// Returns a full bucket.
     pub fn new(ratio: Ratio) -> Budget {
         Budget { ratio, units: ratio.most * UNITS_PER_RETRY }
     }
 
-    /// A request has succeeded.
+    /// Credits a request that succeeded.
     pub fn deposit(&mut self) {
         self.units = (self.units + self.ratio.per_thousand).min(self.ratio.most * UNITS_PER_RETRY);
     }
 
-    /// Takes one retry; false when there is none.
+    /// Takes one retry; returns false if none is left.
     pub fn withdraw(&mut self) -> bool {
         match self.units.checked_sub(UNITS_PER_RETRY) {
             Some(left) => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whole retries left.
+    /// Number of whole retries left.
     pub fn left(&self) -> u64 {
         self.units / UNITS_PER_RETRY
     }
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -1,8 +1,8 @@
-//! Which servers get nothing for a while, since they failed.
+//! Suspicion: servers that get no requests for a while since they failed.
 //!
-//! A broken connection says more than any list: the process is gone or the way to it is. The
-//! server is left out at once, for a time that doubles with each further failure; then one request
-//! may try it, and only its success clears the server.
+//! A broken connection is surer than any list of servers: the process or the path to it is gone.
+//! The server is excluded at once, for a time that doubles with each further failure; then one
+//! request may try it, and only the success of a request clears the server.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 use super::Point;
 use crate::route::{Eligibility, Index};
 
-/// Longest doubling, so that the shift can't overflow.
+/// Largest number of doublings, so that the shift can't overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Parameters of suspicion.
+/// Exponential backoff of servers that fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// How long a server is left out after its first failure.
+    /// Time for which a server is excluded after its first failure.
     pub first: Duration,
-    /// The longest it is left out.
+    /// Longest time for which a server is excluded.
     pub most: Duration,
 }
 
@@ -42,7 +42,7 @@
     phase: Phase,
 }
 
-/// Servers in doubt.
+/// Servers that are suspected.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
     backoff: Backoff,
@@ -50,14 +50,14 @@
 }
 
 impl Suspicion {
-    /// With nobody in doubt.
+    /// Returns a state in which no server is suspected.
     pub fn new(backoff: Backoff) -> Suspicion {
         Suspicion { backoff, suspects: BTreeMap::new() }
     }
 
-    /// An attempt on a server failed; gives the server's eligibility from now on.
+    /// Records a failed attempt on a server and returns the eligibility of that server from now on.
     ///
-    /// A refusal for load is no reason to doubt a server; the limit deals with that.
+    /// A refusal for load does not make a server suspected; the limiter handles it.
     pub fn failed(&mut self, server: Index, point: Point, now: Moment) -> Eligibility {
         if matches!(point, Point::Refused) {
             return self.eligibility(server);
@@ -74,13 +74,13 @@
         Eligibility::Suspected(suspect.until)
     }
 
-    /// An attempt on a server went well; true if that cleared it of a doubt.
+    /// Records a successful attempt on a server; returns whether that cleared a suspicion.
     pub fn succeeded(&mut self, server: Index) -> bool {
         self.suspects.remove(&server).is_some()
     }
 
-    /// A request is sent to a server whose time out has passed. The end of that time is put off,
-    /// so that no other follows until this one has ended.
+    /// Records that a request is sent to a server whose exclusion has passed. The exclusion is
+    /// extended, so that no other request follows until this one has ended.
     pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
         if let Some(suspect) = self.suspects.get_mut(&server) {
             suspect.until = now + self.backoff.first;
@@ -89,7 +89,7 @@
         self.eligibility(server)
     }
 
-    /// A server's eligibility as far as doubt goes.
+    /// Eligibility of a server, as far as suspicion goes.
     pub fn eligibility(&self, server: Index) -> Eligibility {
         self.suspects
             .get(&server)
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The table of failure points, the retry budget, and suspicion of servers.
+//! Retries: the table of failure points, the budget, and suspicion of servers.
 
 use policy::{
     retry::{
