--- a/crates/policy/tests/attempt_timeout.rs
+++ b/crates/policy/tests/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! How long a server is waited for.
+//! Time-outs of attempts.
 
 use std::time::Duration;
 
