--- a/crates/policy/src/stream.rs
+++ b/crates/policy/src/stream.rs
@@ -1,63 +1,62 @@
 //! Token streams: each token once, in order, resumed by offset.
 //!
-//! A stream may be carried by several attempts, one after the other, on different servers. Each
-//! frame names its request, its attempt and its offset. What does not belong to the request, comes
-//! from an attempt that was given up, or was delivered before is dropped; a gap means that the
-//! attempt has lost something and must be resumed. So the caller sees each token once, in order,
-//! or one error.
+//! A stream may be carried by several attempts in sequence, on different servers. Each frame names
+//! its request, its attempt and its offset. Frames of another request or of an abandoned attempt,
+//! and tokens that were delivered before, are dropped; a gap means that the attempt has lost
+//! something and must be resumed. So the caller sees each token once, in order, or one error.
 
 use types::prelude::*;
 
-/// Place of a token in its answer, from zero.
+/// Index of a token in its answer, from zero.
 pub type Offset = u64;
 
-/// What a frame of a stream carries.
+/// Payload of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// The token at this offset.
+    /// Token at this offset.
     Token(Offset),
-    /// The end of the answer, after this many tokens.
+    /// End of the answer, after this many tokens.
     End(Offset),
 }
 
-/// A frame of a stream, without its text.
+/// Frame of a stream, without its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The request that it is for.
+    /// Request that the frame belongs to.
     pub request: &'a str,
-    /// The attempt that it comes from.
+    /// Attempt that the frame comes from.
     pub attempt: request::Attempt,
-    /// What it carries.
+    /// Token or end of the answer.
     pub part: Part,
 }
 
-/// Why a frame is dropped.
+/// Reason for which a frame is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// It is for another request.
+    /// The frame belongs to another request.
     Stranger,
-    /// It comes from an attempt that was given up.
+    /// The frame comes from an attempt that was abandoned.
     Late,
-    /// Its token was delivered before.
+    /// The token was delivered before.
     Duplicate,
-    /// The answer is already whole.
+    /// The answer is complete already.
     AfterEnd,
 }
 
-/// What to do with a frame.
+/// Handling of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Pass it on to the caller.
+    /// Pass the frame on to the caller.
     Deliver,
-    /// The answer is whole; pass the end on.
+    /// The answer is complete; pass its end on.
     Finish,
-    /// Do nothing.
+    /// Drop the frame.
     Drop(Reason),
-    /// Something is missing before it: give the attempt up, and resume.
+    /// A token is missing before the frame: abandon the attempt, and resume.
     Gap,
 }
 
-/// One answer on its way to the caller.
+/// Answer that is being streamed to the caller.
 #[derive(Clone, Debug)]
 pub struct Stream {
     request: request::Id,
@@ -67,33 +66,33 @@
 }
 
 impl Stream {
-    /// Before the first token, carried by attempt zero.
+    /// Returns a stream before its first token, carried by attempt zero.
     pub fn new(request: request::Id) -> Stream {
         Stream { request, attempt: 0, next: 0, ended: false }
     }
 
-    /// Offset of the next token to deliver, which is the number of those delivered.
+    /// Offset of the next token to deliver, which equals the number of tokens delivered.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// The attempt that carries the stream.
+    /// Attempt that carries the stream now.
     pub fn attempt(&self) -> request::Attempt {
         self.attempt
     }
 
-    /// Whether the answer is whole.
+    /// Whether the end of the answer was delivered.
     pub fn is_whole(&self) -> bool {
         self.ended
     }
 
-    /// Goes over to a new attempt, which starts at [`Stream::next`]; gives its number.
+    /// Starts a new attempt, which begins at [`Stream::next`], and returns its number.
     pub fn begin_attempt(&mut self) -> request::Attempt {
         self.attempt += 1;
         self.attempt
     }
 
-    /// Judges a frame, and counts it if it is to be passed on.
+    /// Decides about a frame, and advances the stream if the frame is to be passed on.
     pub fn take(&mut self, frame: &Frame<'_>) -> Verdict {
         if *frame.request != *self.request {
             return Verdict::Drop(Reason::Stranger);
--- a/crates/policy/tests/stream.rs
+++ b/crates/policy/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Streams that are cut, doubled, late, mixed up and resumed.
+//! Streams that are cut off, duplicated, late, interleaved and resumed.
 
 use policy::stream::{Frame, Part, Reason, Stream, Verdict};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -8,7 +8,7 @@
     Frame { request: "r1", attempt, part }
 }
 
-/// A stream that has delivered two tokens of its second attempt.
+/// A stream that has delivered two tokens and is in its second attempt.
 fn stream() -> Stream {
     let mut stream = Stream::new("r1".into());
     stream.take(&frame(0, Part::Token(0)));
@@ -45,8 +45,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Frames of any attempt, request and order, with a resume at each gap: what is delivered is
-    /// each token once, in order.
+    /// Frames of any attempt, request and order, with a resumption at each gap: each token is
+    /// delivered once, in order.
     #[test]
     fn each_token_is_delivered_once_in_order(
         frames in prop::collection::vec((0u64..12, 0u32..4, any::<bool>(), 0u8..10), 0..300)
