--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,14 +1,14 @@
 //! Choice of a backend server for a request.
 //!
-//! The first-token time is estimated for a few of the servers that hold what the request wants,
-//! and the smallest estimate wins. Looking at a few instead of at all keeps hosts that see the
-//! same old report from all rushing to the same idle server, and bounds the cost of a decision;
-//! the servers that are thought to have the prompt's prefix in their cache are always among the
-//! few. Distance between zones is part of each estimate, weighed by [`SPILL_WEIGHT`], so that work
-//! leaves its zone only when it gains more than the way there costs.
+//! The first-token time is estimated for a sample of the servers that have the request's
+//! destination ready, and the smallest estimate wins. Sampling keeps hosts that see the same old
+//! report from all sending to the same idle server, and bounds the cost of a decision; servers that
+//! are thought to have the prompt's prefix in their cache are always in the sample. The distance
+//! between zones is part of each estimate, weighted by [`SPILL_WEIGHT`], so that requests leave
+//! their zone only when they gain more than the round trip costs.
 //!
-//! Ids are turned into dense indices when a server or a unit is first heard of. The path of a
-//! request then looks up one name and walks vectors.
+//! Ids are interned as dense indices when a server or a destination first occurs. A request then
+//! looks up one name and walks vectors.
 
 pub mod estimate;
 pub mod hints;
@@ -22,54 +22,55 @@
     table::{Destination, DestinationIndex, Distances, Eligibility, Index, Table},
 };
 
-/// Most servers whose first-token time is estimated by chance, for one request.
+/// Largest number of randomly drawn servers whose first-token time is estimated for one request.
 pub const SAMPLE_SIZE: usize = 4;
 
-/// How often the way to another zone and back counts against a server there. One counts the time
-/// alone; the rest stands for the tokens that all travel the same way.
+/// Weight of the round trip to another zone in the cost of a server there. A weight of one counts
+/// the time alone; the rest stands for the tokens that all take the same path.
 pub const SPILL_WEIGHT: u32 = 2;
 
-/// What a request asks of the choice.
+/// Criteria for the choice of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// Where the request's replicas are listed.
+    /// Destination of the request; its replicas are the candidates.
     pub destination: DestinationIndex,
-    /// Version in force; others are used only while no server has it ready. Empty for plain
-    /// services.
+    /// Version in force; other versions are used only while no server has this one ready. Empty for
+    /// plain services.
     pub version: &'a str,
     /// Digests of the prompt's prefixes, shortest first.
     pub prefix: &'a [u64],
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Servers not to be used, such as those that failed this request.
+    /// Servers that must not be used, such as those on which this request failed.
     pub avoid: &'a [Index],
-    /// Any number; the same number gives the same choice.
+    /// Seed of the sample; equal seeds give equal choices.
     pub seed: u64,
 }
 
-/// The server chosen.
+/// Chosen server, with its estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
+    /// Index of the server.
     pub server: Index,
-    /// Expected time until the caller has the first token.
+    /// Expected time until the caller has the first token, including the round trip to the server's
+    /// zone.
     pub first_token: Duration,
-    /// Prompt tokens that its cache is thought to hold.
+    /// Prompt tokens that the server's cache is thought to hold.
     pub cached_tokens: u32,
 }
 
 /// Outcome of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it there.
+    /// A server with room.
     Send(Choice),
-    /// Servers are ready, but all are at their limit; the best of them.
+    /// All ready servers are at their limit; the best of them.
     Full(Choice),
-    /// No usable server has it ready.
+    /// No usable server has the destination ready.
     Unready,
 }
 
-/// Chooses a server at `now`. `has_room` says whether one is below its limit.
+/// Chooses a server at `now`. `has_room` returns whether a server is below its limit.
 pub fn choose(
     table: &Table,
     hints: &Hints,
@@ -90,7 +91,8 @@
     }
 }
 
-/// Servers that may be used, those with the version in force if there are any.
+/// Returns the servers that may be used: those with the version in force if there are any, else
+/// those with another version.
 fn usable(table: &Table, criteria: &Criteria<'_>, now: Moment) -> Vec<Index> {
     let ready = || {
         table
@@ -117,7 +119,7 @@
         .map(|(_, choice)| choice)
 }
 
-/// The cost that servers are compared by, and the choice that it stands for.
+/// Returns the cost by which servers are compared, and the choice of this server.
 fn evaluate(
     table: &Table,
     criteria: &Criteria<'_>,
@@ -135,8 +137,8 @@
     (cost, Choice { server, first_token: estimate.total() + round_trip, cached_tokens })
 }
 
-/// A few of the servers: half of the sample from the host's own zone where it has them, and every
-/// server with a cached prefix.
+/// Returns a sample of the servers: half of it from the host's own zone if that has as many, and
+/// all servers with a cached prefix besides.
 fn sample(table: &Table, servers: Vec<Index>, cached: &[hints::Holder], seed: u64) -> Vec<Index> {
     if servers.len() <= SAMPLE_SIZE {
         return servers;
@@ -158,7 +160,7 @@
     picked
 }
 
-/// Draws `count` of the servers, without putting back.
+/// Draws `count` of the servers without replacement.
 fn draw(mut servers: Vec<Index>, count: usize, seed: u64) -> Vec<Index> {
     let mut state = seed;
     for at in 0..count.min(servers.len()) {
@@ -171,7 +173,7 @@
     servers
 }
 
-/// One step of the SplitMix64 generator.
+/// Returns the next state of the SplitMix64 generator.
 fn splitmix64(state: u64) -> u64 {
     let state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -1,59 +1,61 @@
-//! What a host believes of one server, and the first-token time that follows from it.
+//! Load of one server as this host sees it, and the first-token time that follows from it.
 //!
-//! A report is old by its lag. What this host sent since the report was taken is added to it, what
-//! ended since is taken off, and the prompt backlog is drained at the reported rate, so that a
-//! burst within one lag is not sent to one server. What peers have in flight is known only as a
-//! count; where own and peers' work together pass the reported figure, the larger one holds.
+//! A report is as old as its lag. Requests that this host sent since the report was taken are
+//! added, requests that ended since are subtracted, and the prompt backlog is drained at the
+//! reported rate, so that a burst within one lag is not sent to one server. The requests of peers
+//! in flight are known only as a count; where those of this host and its peers together exceed the
+//! reported figure, the larger one counts.
 
 use std::collections::VecDeque;
 
 use types::{prelude::*, report::Load};
 
-/// Weight of the newest sample in the mean time that a request holds a slot: one in this many.
+/// Weight of the newest sample in the moving average of the time that a request holds a slot: one
+/// in this many.
 const HOLD_TIME_WEIGHT: u32 = 8;
 
-/// One request in this many slots may wait on the server, so that places that become free between
+/// One request for this many slots may wait on the server, so that slots that become free between
 /// two reports do not stay empty.
 const SLOTS_PER_QUEUED_REQUEST: u32 = 8;
 
-/// Time a request is thought to hold a slot before any has ended.
+/// Time for which a request is assumed to hold a slot before any request has ended.
 const INITIAL_HOLD_TIME: Duration = Duration::from_millis(500);
 
-/// Estimated parts of the time to the first token.
+/// Estimated time to the first token, by parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Estimate {
-    /// Wait for a place in the batch.
+    /// Wait for a slot in the batch.
     pub queue: Duration,
-    /// Reading of prompts, those ahead and its own.
+    /// Prefill of the prompts that are ahead and of the request's own.
     pub prefill: Duration,
-    /// The step that gives the token.
+    /// Decode step that gives the first token.
     pub step: Duration,
 }
 
 impl Estimate {
-    /// The whole time on the server.
+    /// Sum of the parts: the time on the server, without the network.
     pub fn total(&self) -> Duration {
         self.queue + self.prefill + self.step
     }
 }
 
-/// Receipt of a request sent to a server; needed when it ends.
+/// Receipt of a request sent to a server; returned when the request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// When it was sent.
+    /// When the request was sent.
     pub at: Moment,
-    /// Prompt tokens that the server has to read.
+    /// Prompt tokens that the server has to prefill.
     pub tokens: u32,
 }
 
-/// Work that peers have in flight on one server.
+/// Load of one server by other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerLoad {
-    /// Requests.
+    /// Number of requests in flight.
     pub requests: u32,
 }
 
-/// The figures of a report that estimates use.
+/// Figures of a load report that estimates use.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     taken: Moment,
@@ -65,7 +67,7 @@
 }
 
 impl Report {
-    /// What is assumed of a server before its first report.
+    /// Figures assumed of a server before its first report.
     const UNKNOWN: Report = Report {
         taken: Duration::ZERO,
         in_flight: 0,
@@ -76,7 +78,7 @@
     };
 }
 
-/// What a host believes of one server.
+/// Load of one server as this host sees it.
 #[derive(Clone, Debug)]
 pub struct View {
     report: Report,
@@ -108,7 +110,7 @@
 }
 
 impl View {
-    /// Takes in a report that was read at `now`.
+    /// Applies a report that was read at `now`. One that is older than the last is ignored.
     pub fn report(&mut self, load: &Load, now: Moment) {
         let taken = now.saturating_sub(load.age);
         if taken < self.report.taken {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A request with this many prompt tokens to read was sent.
+    /// Records a request that was sent, with the number of prompt tokens to prefill.
     pub fn sent(&mut self, tokens: u32, now: Moment) -> Sent {
         let sent = Sent { at: now, tokens };
         self.add_backlog(sent);
@@ -142,7 +144,7 @@
         sent
     }
 
-    /// A request has ended, however it did.
+    /// Records the end of a request, whatever its outcome.
     pub fn ended(&mut self, sent: Sent, now: Moment) {
         self.own = self.own.saturating_sub(1);
         self.own_sent = self.own_sent.saturating_sub(sent.at);
@@ -159,23 +161,23 @@
         }
     }
 
-    /// Work that peers have told of, all together.
+    /// Sets the load by all other hosts together.
     pub fn set_peer_load(&mut self, load: PeerLoad) {
         self.peers = load;
     }
 
-    /// Work that peers have told of, as last set.
+    /// Load by all other hosts together, as last set.
     pub fn peer_load(&self) -> PeerLoad {
         self.peers
     }
 
-    /// Requests that this host has in flight there.
+    /// Number of requests of this host in flight on the server.
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// Mean time that a request holds a place there: of those that ended, or the mean age of
-    /// those in flight once that is greater, as when a server is stuck or answers are long.
+    /// Mean time for which a request holds a slot: of the requests that ended, or the mean age of
+    /// those in flight once that is greater, as when a server hangs or answers are long.
     pub fn hold(&self, now: Moment) -> Duration {
         if self.own == 0 {
             return self.hold;
@@ -183,7 +185,7 @@
         self.hold.max(now.saturating_sub(self.own_sent / self.own))
     }
 
-    /// Requests thought to be there, of all hosts.
+    /// Estimated number of requests of all hosts on the server.
     pub fn in_flight(&self) -> u32 {
         let reported = self
             .report
@@ -193,15 +195,17 @@
         reported.max(self.own.saturating_add(self.peers.requests))
     }
 
-    /// How many more may be sent before the server's own queue grows beyond [`OVERFILL`]. What
-    /// waits there is out of reach: it can't be refused any more, nor overtaken by priority on
-    /// another host.
+    /// Number of requests that may still be sent before the server's own queue exceeds one request
+    /// for [`SLOTS_PER_QUEUED_REQUEST`] slots. A request that waits on the server is out of reach:
+    /// it can't be refused any more, nor overtaken by a request with higher priority on another
+    /// host.
     pub fn spare(&self) -> u32 {
         let slots = self.report.slots;
         (slots + slots.div_ceil(SLOTS_PER_QUEUED_REQUEST)).saturating_sub(self.in_flight())
     }
 
-    /// First-token time there at `now`, for a request with this many prompt tokens to read.
+    /// Estimates the first-token time at `now` for a request with this many prompt tokens to
+    /// prefill.
     pub fn estimate(&self, tokens: u32, now: Moment) -> Estimate {
         let over = (self.in_flight() + 1).saturating_sub(self.report.slots);
         let step = self.report.step;
@@ -216,7 +220,8 @@
         }
     }
 
-    /// First-token time there if nothing else ran, for a request with this many prompt tokens.
+    /// Estimates the first-token time on an otherwise idle server for a request with this many
+    /// prompt tokens.
     pub fn unloaded(&self, tokens: u32) -> Duration {
         let steps = tokens.checked_div(self.report.prefill_rate).map_or(0, |steps| steps + 1);
         self.report.step.saturating_mul(steps + 1)
@@ -227,14 +232,14 @@
         self.backlog_at = sent.at;
     }
 
-    /// No more can wait to be read than was reported or has been sent since and not ended.
+    /// Caps the prompt backlog at the tokens that were reported, or sent since and not ended.
     fn cap_backlog(&mut self, now: Moment) {
         let sent: u64 = self.sent.iter().map(|sent| u64::from(sent.tokens)).sum();
         self.backlog = self.backlog_at(now).min(self.report.prompt_backlog + sent);
         self.backlog_at = now;
     }
 
-    /// The backlog at a later moment, drained at the reported rate.
+    /// Returns the prompt backlog at a later moment, drained at the reported rate.
     fn backlog_at(&self, now: Moment) -> u64 {
         if self.backlog == 0 {
             return 0;
--- a/crates/policy/src/route/hints.rs
+++ b/crates/policy/src/route/hints.rs
@@ -1,9 +1,9 @@
-//! Which server is thought to have a prompt's prefix in its cache.
+//! Prefix hints: which servers are thought to have a prompt's prefix in their cache.
 //!
 //! Hints come from the engines' cache events, which are late and have gaps, and from where earlier
-//! requests were sent. They are only ever a reason to prefer a server: a wrong one costs a
-//! prefill, never an answer. Memory is bounded by two generations: when the young one is full it
-//! becomes the old one, and what was old and unused since is forgotten.
+//! requests were sent. A hint is only a reason to prefer a server: a wrong one costs a prefill,
+//! never an answer. Memory is bounded by two generations: when the current one is full, it becomes
+//! the previous one, and what the former previous one still holds, unused since, is forgotten.
 
 use std::{
     collections::HashMap,
@@ -14,20 +14,20 @@
 
 use super::table::Index;
 
-/// Most servers remembered for one prefix.
+/// Largest number of servers remembered for one prefix.
 const MAX_HOLDERS: usize = 4;
 
-/// Hints by prefix; the hasher has no random state, and the order never shows.
+/// Hints by prefix; the hasher has no random state, and the iteration order is never exposed.
 type Generation = HashMap<u64, Holders, BuildHasherDefault<DefaultHasher>>;
 
 /// Bounds of the hints.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most prefixes in one generation.
+    /// Largest number of prefixes in one generation.
     pub generation: usize,
-    /// Age at which a hint counts for nothing.
+    /// Age at which a hint expires.
     pub life: Duration,
-    /// Tokens in one block of a prompt.
+    /// Length of one block of a prompt, in tokens.
     pub block_tokens: u32,
 }
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// A server that is thought to hold a prefix.
+/// Server that is thought to hold a prefix in its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The server.
+    /// Index of the server.
     pub server: Index,
-    /// Tokens of the prompt that it holds.
+    /// Length of the longest prefix that the server holds, in tokens.
     pub tokens: u32,
 }
 
@@ -52,7 +52,7 @@
     added_at: Moment,
 }
 
-/// The servers of one prefix, the last heard of first.
+/// Holders of one prefix, the most recently confirmed first.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holders([Option<Hint>; MAX_HOLDERS]);
 
@@ -91,22 +91,22 @@
 }
 
 impl Hints {
-    /// Without hints yet.
+    /// Returns an empty set of hints.
     pub fn new(bounds: Bounds) -> Hints {
         Hints { bounds, ..Hints::default() }
     }
 
-    /// Prefixes remembered, at most twice [`Bounds::generation`].
+    /// Number of prefixes remembered, at most twice [`Bounds::generation`].
     pub fn len(&self) -> usize {
         self.current.len() + self.previous.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no prefix is remembered.
     pub fn is_empty(&self) -> bool {
         self.current.is_empty() && self.previous.is_empty()
     }
 
-    /// The server holds this prefix, or will once it has read the prompt.
+    /// Records that a server holds a prefix, or will once it has read the prompt.
     pub fn add(&mut self, prefix: u64, server: Index, now: Moment) {
         if self.bounds.generation <= self.current.len() && !self.current.contains_key(&prefix) {
             std::mem::swap(&mut self.previous, &mut self.current);
@@ -120,7 +120,7 @@
         holders.put(Hint { server, added_at: now });
     }
 
-    /// The server has dropped this prefix.
+    /// Records that a server has evicted a prefix.
     pub fn remove(&mut self, prefix: u64, server: Index) {
         for generation in [&mut self.current, &mut self.previous] {
             if let Some(holders) = generation.get_mut(&prefix) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The server has lost its whole cache, as after a restart.
+    /// Forgets a server that has lost its whole cache, as after a restart.
     pub fn clear(&mut self, server: Index) {
         for generation in [&mut self.current, &mut self.previous] {
             generation.retain(|_, holders| {
@@ -139,10 +139,11 @@
         }
     }
 
-    /// Servers that hold some of these prefixes (shortest first), with the longest that each holds.
+    /// Returns the servers that hold some of these prefixes (shortest first), with the longest that
+    /// each holds.
     ///
-    /// A cache holds whole beginnings, so the search ends at the first prefix, from the longest,
-    /// that anyone holds, and looks no further than the few before it for shorter holds.
+    /// A cache that holds a prefix holds all shorter ones, so the search goes from the longest
+    /// prefix to shorter ones and ends once it has found [`MAX_HOLDERS`] servers.
     pub fn holders(&self, prefixes: &[u64], now: Moment) -> Vec<Holder> {
         let mut holders: Vec<Holder> = Vec::new();
         for (at, prefix) in prefixes.iter().enumerate().rev() {
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -1,8 +1,8 @@
-//! The servers that a host knows, and what each has ready.
+//! Servers that a host knows, and the destinations that each has ready.
 //!
-//! Servers and wanted units are interned once: an index stays valid for the life of the table, and
-//! a server that comes back gets its old one. What a server has ready comes from its own reports,
-//! so a unit that it lost in a restart is no longer offered after the next report.
+//! Servers and destinations are interned: an index stays valid for the life of the table, and a
+//! server that comes back gets its former one. The units that a server has ready come from its own
+//! reports, so a unit that it lost in a restart is no longer offered after the next report.
 
 use std::collections::BTreeMap;
 
@@ -13,49 +13,49 @@
 /// Dense index of a server.
 pub type Index = u32;
 
-/// Dense index of something that requests want.
+/// Dense index of a destination.
 pub type DestinationIndex = u32;
 
-/// What a request wants a server to have.
+/// What a request can be sent to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
-    /// A model or an adapter on it, whatever its version.
+    /// Any server that has a model ready, or an adapter on it, in any version.
     Model(model::Name),
     /// Any server of a group of plain servers.
     Group(backend::Group),
 }
 
-/// A server that has a wanted unit ready.
+/// Server that has a destination ready.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// The server.
+    /// Index of the server.
     pub server: Index,
-    /// The version it has; empty for plain servers.
+    /// Version that the server has ready; empty for plain servers.
     pub version: model::Version,
 }
 
-/// Whether a server gets new work.
+/// Whether a server is given new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It does.
+    /// The server is given new requests.
     #[default]
     Live,
-    /// Not until this moment, after failures.
+    /// The server is given none until this moment, since it failed.
     Suspected(Moment),
-    /// No more; what it has, it finishes.
+    /// The server is draining: it finishes its requests and is given no new ones.
     Leaving,
-    /// It is not there.
+    /// The server is gone.
     Gone,
 }
 
-/// One-way times from the host's own zone.
+/// One-way network times from the host's own zone.
 #[derive(Clone, Debug)]
 pub struct Distances {
-    /// The host's own zone.
+    /// Zone of the host.
     pub own: availability::Id,
-    /// To a zone that is not named below.
+    /// Time to any zone that is not in `named`.
     pub other: Duration,
-    /// To these zones.
+    /// Times to particular zones.
     pub named: BTreeMap<availability::Id, Duration>,
 }
 
@@ -79,7 +79,7 @@
     ready: Vec<DestinationIndex>,
 }
 
-/// The servers that a host knows.
+/// Servers that a host knows.
 #[derive(Clone, Debug)]
 pub struct Table {
     distances: Distances,
@@ -92,7 +92,7 @@
 }
 
 impl Table {
-    /// Without servers yet.
+    /// Returns an empty table.
     pub fn new(distances: Distances) -> Table {
         Table {
             distances,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes in a server, or its new address; plain ones are ready for their group at once.
+    /// Adds a server or updates its address. Plain servers are ready for their group at once.
     pub fn add(&mut self, server: &backend::Server) -> Index {
         let distance = self.distances.to(&server.zone);
         let index = match self.by_id.get(&server.id) {
@@ -134,22 +134,22 @@
         index
     }
 
-    /// The index of a server, if it is known.
+    /// Index of a server, if the server is known.
     pub fn index(&self, id: &str) -> Option<Index> {
         self.by_id.get(id).copied()
     }
 
-    /// The server at an index.
+    /// Server at an index.
     pub fn server(&self, index: Index) -> &backend::Server {
         &self.rows[index as usize].server
     }
 
-    /// Every server with its index, in the order they were first heard of.
+    /// All servers with their indices, in the order in which they were added.
     pub fn servers(&self) -> impl Iterator<Item = (Index, &backend::Server)> {
         self.rows.iter().enumerate().map(|(at, row)| (at as Index, &row.server))
     }
 
-    /// The destination of something wanted; it is made when there is none.
+    /// Index of a destination, interned on first use.
     pub fn destination(&mut self, wanted: &Destination) -> DestinationIndex {
         if let Some(destination) = self.destinations.get(wanted) {
             return *destination;
@@ -168,12 +168,13 @@
         destination
     }
 
-    /// The destination that limits and queues go by: an adapter's model, else the destination itself.
+    /// Destination whose limits and queue apply: the model of an adapter, else the destination
+    /// itself.
     pub fn pool(&self, destination: DestinationIndex) -> DestinationIndex {
         self.pools.get(destination as usize).copied().unwrap_or(destination)
     }
 
-    /// What a destination stands for, in words.
+    /// Name of a destination, as in metrics; empty if unknown.
     pub fn name(&self, destination: DestinationIndex) -> Arc<str> {
         match self.destinations.iter().find(|(_, other)| **other == destination) {
             Some((Destination::Model(name), _)) => name.to_string().into(),
@@ -182,18 +183,18 @@
         }
     }
 
-    /// The destination of something wanted, if it was heard of.
+    /// Index of a destination, if it is interned.
     pub fn find(&self, wanted: &Destination) -> Option<DestinationIndex> {
         self.destinations.get(wanted).copied()
     }
 
-    /// Servers that have it ready, whatever their eligibility.
+    /// Servers that have a destination ready, whatever their eligibility.
     pub fn replicas(&self, destination: DestinationIndex) -> &[Replica] {
         self.replicas.get(destination as usize).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in a load report that was read at `now`, and says whether the server's process is a
-    /// new one, whose cache is empty.
+    /// Applies a load report that was read at `now`. Returns whether the server's process is a new
+    /// one, whose cache is empty.
     pub fn report(&mut self, index: Index, load: &Load, now: Moment) -> Restarted {
         let row = &mut self.rows[index as usize];
         if load.incarnation < row.incarnation {
@@ -209,17 +210,17 @@
         if restarted { Restarted::Yes } else { Restarted::No }
     }
 
-    /// Sets whether a server gets new work.
+    /// Sets whether a server is given new requests.
     pub fn set_eligibility(&mut self, index: Index, eligibility: Eligibility) {
         self.rows[index as usize].eligibility = eligibility;
     }
 
-    /// Whether a server gets new work, as last set.
+    /// Whether a server is given new requests, as last set.
     pub fn eligibility(&self, index: Index) -> Eligibility {
         self.rows[index as usize].eligibility
     }
 
-    /// Whether a server may be given something new at `now`.
+    /// Whether a server may be given a new request at `now`.
     pub fn takes_work(&self, index: Index, now: Moment) -> bool {
         let row = &self.rows[index as usize];
         match row.eligibility {
@@ -230,7 +231,7 @@
         }
     }
 
-    /// When a server that is only in doubt may be tried.
+    /// When a server may be tried that is excluded only by suspicion.
     pub fn doubted_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
         match row.eligibility {
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Takes in what a peer has in flight, in place of the earlier report.
+    /// Sets the requests that another host has in flight, in place of its earlier report.
     pub fn set_peer_load(&mut self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
         let known: Vec<(Index, PeerLoad)> = in_flight
             .iter()
@@ -255,7 +256,7 @@
         self.peer_loads.insert(peer.clone(), known);
     }
 
-    /// Forgets what a peer told, as when it is gone.
+    /// Forgets the requests of another host, as when the host is gone.
     pub fn forget_peer(&mut self, peer: &host::Id) {
         for (server, load) in self.peer_loads.remove(peer).unwrap_or_default() {
             let view = &mut self.rows[server as usize].view;
@@ -265,32 +266,33 @@
         }
     }
 
-    /// A request with this many prompt tokens to read was sent to a server.
+    /// Records a request that was sent to a server, with the number of prompt tokens to prefill.
     pub fn sent(&mut self, index: Index, tokens: u32, now: Moment) -> Sent {
         self.rows[index as usize].view.sent(tokens, now)
     }
 
-    /// A request sent to a server has ended.
+    /// Records the end of a request that was sent to a server.
     pub fn ended(&mut self, index: Index, sent: Sent, now: Moment) {
         self.rows[index as usize].view.ended(sent, now);
     }
 
-    /// What this host believes of a server's load.
+    /// Load of a server as this host sees it.
     pub fn view(&self, index: Index) -> &View {
         &self.rows[index as usize].view
     }
 
-    /// First-token time on a server, for a request with this many prompt tokens to read.
+    /// Estimates the first-token time on a server for a request with this many prompt tokens to
+    /// prefill.
     pub fn estimate(&self, index: Index, tokens: u32, now: Moment) -> Estimate {
         self.view(index).estimate(tokens, now)
     }
 
-    /// One-way time to a server's zone.
+    /// One-way network time to a server's zone.
     pub fn distance(&self, index: Index) -> Duration {
         self.rows[index as usize].distance
     }
 
-    /// Whether a server stands in the host's own zone.
+    /// Whether a server is in the host's own zone.
     pub fn is_near(&self, index: Index) -> bool {
         self.rows[index as usize].server.zone == self.distances.own
     }
@@ -312,13 +314,13 @@
 /// Whether a report came from a new process of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restarted {
-    /// The same process as before, or the first one seen.
+    /// Same process as before, or the first one seen.
     No,
-    /// A new process.
+    /// New process.
     Yes,
 }
 
-/// Models and adapters that a report shows ready; an adapter only with its model.
+/// Returns the models and adapters that a report shows as ready; an adapter only with its model.
 fn ready_units(load: &Load) -> Vec<(Destination, model::Version)> {
     let ready = || load.residents.iter().filter(|r| r.state == State::Ready).map(|r| &r.unit);
     let has_model = |id: &model::Id| {
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server: load, cached prefixes, distance, eligibility.
+//! Choice of a backend server by load, cached prefixes, distance and eligibility.
 
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
     Destination::Model(model::Name::parse("welcome"))
 }
 
-/// A table of servers, each with its zone and the requests it reports running.
+/// Table of servers, each with its zone and the number of requests that it reports as running.
 fn table(servers: &[(&str, &str, u32)]) -> Table {
     let mut table =
         Table::new(Distances { own: "biloxi".into(), other: FAR, named: BTreeMap::new() });
@@ -282,8 +282,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever the load, the choice is a usable server, the same one for the same seed, and the
-    /// prefix owner is passed over only for a smaller estimate.
+    /// Whatever the load, the choice is a usable server and the same for equal seeds, and the
+    /// holder of the prefix is passed over only for a smaller estimate.
     #[test]
     fn a_choice_is_usable_and_repeatable(
         loads in prop::collection::vec((0u32..60, 0u8..4, any::<bool>()), 1..40),
