--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -1,77 +1,78 @@
-//! Claims and what is answered to them.
+//! Claims and the answers to them.
 
 use types::{request, request::Ran, time::Moment};
 
 use super::{HostRun, Key, Outcome, TimedKey};
 
-/// A request that wants to run.
+/// Claim of a key for a request that is to run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// Its name, which no other request has.
+    /// Id of the request, unique among all requests.
     pub id: request::Id,
-    /// Its key.
+    /// Key of the request.
     pub key: TimedKey,
-    /// Digest of what it asks, shortened.
+    /// Digest of the request's content, shortened to 64 bits.
     pub digest: u64,
-    /// The run of the host that will dispatch it.
+    /// Run of the host that will dispatch the request.
     pub claimant: HostRun,
-    /// When it was asked for.
+    /// When the claim was made.
     pub asked: Moment,
 }
 
 impl Claim {
-    /// Shortens the digest of what a request asks.
+    /// Shortens the digest of a request's content to its first 64 bits.
     pub fn shorten(digest: &request::Digest) -> u64 {
         digest.iter().take(8).fold(0, |number, byte| number << 8 | u64::from(*byte))
     }
 }
 
-/// What is decided on a claim.
+/// Decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// May be dispatched, once, before this moment of the host that decided.
+    /// The request may be dispatched once, before the given moment of the host that decided.
     Granted {
         /// When the grant ends.
         until: Moment,
     },
-    /// Another request claimed this key and has not told its outcome.
+    /// Another request claimed this key and has not reported its outcome.
     ///
-    /// "Still running" while its claimant is there, otherwise "may have run".
+    /// Answered as "still running" while the claimant is alive, otherwise as "may have run".
     Claimed {
-        /// The run of the host that claimed it.
+        /// Run of the host that claimed the key.
         claimant: HostRun,
     },
-    /// Ran before, with this outcome.
+    /// The request ran before, with this outcome.
     Done(Outcome),
-    /// Not granted.
+    /// The claim is not granted.
     Refused(Refusal),
 }
 
-/// Why a claim is not granted.
+/// Reason for which a claim is not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The key was used for a request that asks something else.
+    /// The key was used for a request with other content.
     Different,
-    /// The key's time is further ahead than a host's clock may be.
+    /// The key's time lies further ahead than the clocks allow.
     Ahead,
     /// The key's time is so old that its entry may have been forgotten.
     Old,
-    /// The key may have run: its outcome was lost, or a former holder may have granted it.
+    /// The request may have run: its outcome was lost, or a former holder may have granted the key.
     Unsure,
     /// The object API did not show in time whether the key was claimed.
     Unread,
-    /// The object API showed that the key was free, and did not take the claim in time.
+    /// The object API showed that the key was free, and did not accept the claim in time.
     Unwritten,
-    /// The range holds as many keys as it may.
+    /// The object of the range has reached its size limit.
     Full,
 }
 
 impl Refusal {
-    /// What it says of the request's run, by this send or an earlier one.
+    /// What the refusal says of the request's run, by this send or an earlier one.
     ///
     /// A caller that sends a key again asks for the fate of the first send too, so "did not run"
-    /// needs a look at the range's object that is no older than the send. A request with another's
-    /// key did not run itself, whatever the key's first one did.
+    /// requires a read of the range's object that is no older than this send. A request with
+    /// another request's key did not run itself, whatever became of the first request with that
+    /// key.
     pub fn ran(self) -> Ran {
         match self {
             Refusal::Different | Refusal::Ahead | Refusal::Unwritten | Refusal::Full => {
@@ -81,41 +82,41 @@
         }
     }
 
-    /// Whether it holds only if the key was free when the request came.
+    /// Whether the refusal is true only if the key was free when the request arrived.
     pub(super) fn needs_fresh_read(self) -> bool {
         self != Refusal::Different && self.ran() == Ran::DidNotRun
     }
 }
 
-/// The verdict on one of the claims that waited.
+/// Answer to one of the claims that waited.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Answer {
-    /// The claim's name.
+    /// Id of the claim's request.
     pub id: request::Id,
-    /// Its key.
+    /// Key of the claim.
     pub key: Key,
-    /// What was decided.
+    /// Decision on the claim.
     pub verdict: Verdict,
 }
 
-/// What a host tells of a claim of its own.
+/// Report of a host on the end of its own claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The claim's name.
+    /// Id of the claim's request.
     pub id: request::Id,
-    /// Its key.
+    /// Key of the claim.
     pub key: Key,
-    /// How it ended.
+    /// How the claim ended.
     pub end: End,
 }
 
-/// How a claim ended.
+/// End of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum End {
-    /// It ran.
+    /// The request ran.
     Ran(Outcome),
-    /// It was dispatched, and how it went will never be known.
+    /// The request was dispatched, and its outcome will never be known.
     Lost,
-    /// It was not dispatched and never will be.
+    /// The request was not dispatched and never will be.
     Released,
 }
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -1,4 +1,4 @@
-//! What the object of a range holds.
+//! Stored object of a range of keys.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 
 use super::{Claim, Key, UnixMillis};
 
-/// Bytes of an entry without its outcome, as JSON; a little more than the longest seen.
+/// Size of an entry without its outcome, as JSON, in bytes; a little more than the longest seen.
 const ENTRY_BYTES: usize = 200;
 
-/// The object of a range of keys.
+/// Object of a range of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
     /// Keys that were claimed.
     pub entries: BTreeMap<Key, Entry>,
-    /// Who may grant from memory.
+    /// Right to grant from memory, with its holder.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold: Option<Hold>,
     /// Times of keys that former holders may have granted.
@@ -24,23 +24,24 @@
 }
 
 impl Document {
-    /// Size as JSON, estimated from above.
+    /// Upper estimate of the size as JSON, in bytes.
     pub fn bytes(&self) -> usize {
         self.entries.values().map(Entry::bytes).sum()
     }
 
-    /// Whether a key of this time may have been granted by a former holder.
+    /// Whether a key with this time may have been granted by a former holder.
     pub fn is_in_gap(&self, stamp: UnixMillis) -> bool {
         self.gaps.iter().any(|gap| gap.from <= stamp && stamp <= gap.until)
     }
 
-    /// Whether this very claim has its key.
+    /// Whether the claim's key is claimed by that very claim.
     pub(super) fn is_claimed_by(&self, claim: &Claim) -> bool {
         let entry = self.entries.get(&claim.key.key);
         entry.is_some_and(|entry| entry.id == claim.id && entry.state == State::Claimed)
     }
 
-    /// Forgets recorded bodies, the oldest first, until it is small enough or none is left.
+    /// Drops recorded bodies, the oldest first, until the size is at most `bytes` or no body is
+    /// left.
     pub(super) fn drop_bodies(&mut self, bytes: usize) {
         let mut excess = self.bytes().saturating_sub(bytes);
         let mut oldest: Vec<(UnixMillis, Key)> =
@@ -60,42 +61,42 @@
 /// One run of a host's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HostRun {
-    /// The host.
+    /// Id of the host.
     pub host: host::Id,
-    /// The run.
+    /// Incarnation of the process.
     pub incarnation: host::Incarnation,
 }
 
-/// The right to grant from memory while the object API is down.
+/// Right to grant from memory while the object API is down.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hold {
-    /// Whose it is.
+    /// Run that holds the right.
     pub holder: HostRun,
-    /// When it last wrote.
+    /// When the holder last wrote the object.
     pub at: UnixMillis,
 }
 
 /// Times of keys that may have been granted from memory, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gap {
-    /// The earliest.
+    /// Earliest time.
     pub from: UnixMillis,
-    /// The latest.
+    /// Latest time.
     pub until: UnixMillis,
 }
 
-/// A key that was claimed.
+/// Entry of a key that was claimed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The request that claimed it.
+    /// Id of the request that claimed the key.
     pub id: request::Id,
-    /// Digest of what that request asks, shortened.
+    /// Digest of that request's content, shortened.
     pub digest: u64,
-    /// The run of the host that claimed it.
+    /// Run of the host that claimed the key.
     pub claimant: HostRun,
-    /// When it was claimed.
+    /// When the key was claimed.
     pub at: UnixMillis,
-    /// How far it is.
+    /// State of the request.
     pub state: State,
 }
 
@@ -108,7 +109,7 @@
         ENTRY_BYTES + self.id.len() + self.claimant.host.len() + outcome
     }
 
-    /// Forgets the body; returns how many bytes that frees.
+    /// Drops the recorded body and returns the bytes that this frees.
     fn drop_body(&mut self) -> usize {
         match &mut self.state {
             State::Claimed | State::Lost => 0,
@@ -121,36 +122,36 @@
     }
 }
 
-/// How far a claimed request is.
+/// State of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// May be dispatched, run, or have run.
+    /// The request may be dispatched, run, or have run.
     Claimed,
-    /// Ran.
+    /// The request ran.
     Done(Outcome),
-    /// Was dispatched, and how it went will never be known.
+    /// The request was dispatched, and its outcome will never be known.
     Lost,
 }
 
-/// What came of a request that ran.
+/// Outcome of a request that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Its content type, empty if it had none.
+    /// Content type of the response; empty if it had none.
     pub content_type: String,
-    /// Its body.
+    /// Body of the response.
     pub body: Body,
 }
 
-/// Body of a recorded answer.
+/// Body of a recorded response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// The whole body.
+    /// Complete body.
     Whole(String),
-    /// Too long, not text, cut short, or forgotten to make room.
+    /// Body that is not recorded: too long, not text, cut short, or dropped to make room.
     Unrecorded,
 }
 
@@ -158,7 +159,7 @@
     /// Longest body that is recorded, in bytes.
     pub const LIMIT: usize = 2048;
 
-    /// Records a body if it is text and short enough.
+    /// Records a body if it is text and no longer than [`Body::LIMIT`].
     pub fn new(bytes: &[u8]) -> Body {
         match std::str::from_utf8(bytes) {
             Ok(text) if text.len() <= Body::LIMIT => Body::Whole(text.to_owned()),
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Length as JSON.
+    /// Length as JSON, in bytes.
     fn bytes(&self) -> usize {
         match self {
             Body::Whole(text) => text.bytes().map(escaped).sum(),
@@ -175,7 +176,7 @@
     }
 }
 
-/// Bytes that JSON needs for a byte of text, at the most.
+/// Returns the bytes that JSON needs for a byte of text, at the most.
 fn escaped(byte: u8) -> usize {
     match byte {
         b'"' | b'\\' => 2,
--- a/crates/policy/src/once/key.rs
+++ b/crates/policy/src/once/key.rs
@@ -5,16 +5,16 @@
 
 use super::{Number, UnixMillis};
 
-/// Digest of a key and its scope; what is kept of it.
+/// Digest of a key and its scope; the key itself is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(u128);
 
-/// A key with the time that it carries.
+/// Key with the time that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimedKey {
-    /// Its digest.
+    /// Digest of the key and its scope.
     pub key: Key,
-    /// Its own time, for a version 7 UUID.
+    /// Time that a version 7 UUID carries; `None` for any other key.
     pub stamp: Option<UnixMillis>,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Key {
-    /// Digest of a caller's key in the scope of a customer's service.
+    /// Computes the digest of a caller's key in the scope of a customer's service.
     pub fn new(customer: &customer::Id, service: &service::Id, text: &request::Key) -> Key {
         let mut hasher = blake3::Hasher::new();
         for part in [customer, service, text] {
@@ -38,12 +38,12 @@
         Key(u128::from_be_bytes(bytes))
     }
 
-    /// Its bytes.
+    /// Bytes of the digest.
     pub fn bytes(self) -> [u8; 16] {
         self.0.to_be_bytes()
     }
 
-    /// The range that it falls in.
+    /// Number of the range that the key falls in, of `ranges`.
     pub fn range(self, ranges: Number) -> Number {
         (self.0 % u128::from(ranges.max(1))) as Number
     }
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -1,9 +1,9 @@
 //! One host's view of one range of keys: claims go in, calls of the object API come out.
 //!
-//! At most one call is under way. What waits meanwhile goes into the next write. A write whose
-//! answer is lost is followed by a read: an entry with the claim's own name shows that it took
-//! effect. A call that times out may still take effect later; the conditional write keeps it from
-//! undoing anything, and an entry of this host that was never granted counts as free.
+//! At most one call is in flight. Claims that arrive meanwhile go into the next write. A write
+//! whose answer is lost is followed by a read: an entry with the claim's own id shows that the
+//! write took effect. A call that times out may still take effect later; the conditional write
+//! keeps it from undoing anything, and an entry of this host that was never granted counts as free.
 
 mod build;
 mod memory;
@@ -29,45 +29,45 @@
 /// Longest pause after failed calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A call of the object API on the object of the range.
+/// Call of the object API on the object of the range.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Call {
-    /// Read it.
+    /// Reads the object.
     Read,
-    /// Create it; it must not exist.
+    /// Creates the object, which must not exist.
     Create(Document),
-    /// Write it, if it still has this version.
+    /// Writes the object if it still has this version.
     Update(Version, Document),
 }
 
-/// What came of a read.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Read {
-    /// The object.
+    /// Object with its version.
     Found(Version, Document),
-    /// There is none.
+    /// The object does not exist.
     Absent,
-    /// No answer, or a refusal for now.
+    /// No answer, or a temporary refusal.
     Failed,
 }
 
-/// What came of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Written {
-    /// It took effect.
+    /// The write took effect; the object has this version now.
     Done(Version),
-    /// It did not: the object has another version.
+    /// The write took no effect: the object has another version.
     Conflict,
-    /// It may have taken effect, or may yet.
+    /// The write may have taken effect, or may still do so.
     Failed,
 }
 
-/// What to do next.
+/// Result of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Step {
-    /// Claims that are decided.
+    /// Answers to the claims that were decided.
     pub answers: Vec<Answer>,
-    /// A call to make; its outcome is told by [`Range::read`] or [`Range::wrote`].
+    /// Call to make; its outcome is passed to [`Range::read`] or [`Range::wrote`].
     pub call: Option<Call>,
 }
 
@@ -79,13 +79,13 @@
     known: Option<Known>,
     in_flight: Option<InFlight>,
     waiting: Vec<Waiting>,
-    /// How many claims came so far.
+    /// Number of claims that have arrived so far.
     claim_count: u64,
     changes: Vec<Change>,
-    /// When the first of the changes was told.
+    /// When the first of the unwritten changes was reported.
     changed_at: Option<Moment>,
     granted: BTreeSet<request::Id>,
-    /// Claims that wait and whose write may have taken effect, or may yet.
+    /// Waiting claims whose write may have taken effect, or may still do so.
     unconfirmed: BTreeSet<request::Id>,
     /// Entries that were granted while the object API was down.
     memory_grants: BTreeMap<Key, Entry>,
@@ -97,14 +97,14 @@
     next_call_at: Moment,
 }
 
-/// What was last read or written.
+/// Object as last read or written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Known {
     version: Option<Version>,
     document: Document,
-    /// How many claims had come when the call that showed it was made.
+    /// Number of claims that had arrived when the call was made that showed this state.
     claim_count: u64,
-    /// Whether a later write may have changed it.
+    /// Whether a later write may have changed the object.
     stale: bool,
 }
 
@@ -114,7 +114,7 @@
     Write { sent: Moment, claim_count: u64, document: Document, changes: usize },
 }
 
-/// A claim that waits, with its number in order of coming.
+/// Claim that waits, with its number in order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
     number: u64,
@@ -122,14 +122,14 @@
 }
 
 impl Known {
-    /// Whether it shows the object as it was when the claim came, or later.
+    /// Whether this is the object as of the claim's arrival or later.
     fn covers(&self, waiting: &Waiting) -> bool {
         waiting.number <= self.claim_count
     }
 }
 
 impl Range {
-    /// A range that nothing is known of.
+    /// Returns a range whose object has not been read.
     pub fn new(me: HostRun, settings: Arc<Settings>) -> Range {
         Range {
             me,
@@ -151,18 +151,19 @@
         }
     }
 
-    /// Asks for a key; the answer comes out of a later [`Range::step`].
+    /// Adds a claim; its answer is returned by a later [`Range::step`], [`Range::read`] or
+    /// [`Range::wrote`].
     pub fn claim(&mut self, claim: Claim) {
         self.claim_count += 1;
         self.waiting.push(Waiting { number: self.claim_count, claim });
     }
 
-    /// Tells how a granted claim ended; must come from the host that claimed it.
+    /// Reports the end of a granted claim; must be called on the host that claimed the key.
     pub fn end(&mut self, now: Now, change: Change) {
         self.granted.remove(&change.id);
         change.apply(&mut self.memory_grants);
         let since = match change.end {
-            // The caller may send it again at once.
+            // The caller may send the request again at once.
             End::Released => now.moment.saturating_sub(self.settings.settle),
             End::Ran(_) | End::Lost => now.moment,
         };
@@ -170,12 +171,12 @@
         self.changes.push(change);
     }
 
-    /// Notes that a run of a host's process ended for good.
+    /// Records that a run of a host's process ended for good.
     pub fn gone(&mut self, run: HostRun) {
         self.gone.insert(run);
     }
 
-    /// Renews the right to grant from memory, which a write does as well.
+    /// Renews the right to grant from memory, as any write does.
     pub fn renew(&mut self, now: Now) {
         self.changed_at.get_or_insert(now.moment);
     }
@@ -187,12 +188,13 @@
         self.changed_at.get_or_insert(now.moment);
     }
 
-    /// Whether something waits to be written or answered.
+    /// Whether a change or claim waits to be written or answered, or a call is in flight.
     pub fn is_busy(&self) -> bool {
         self.in_flight.is_some() || !self.waiting.is_empty() || self.changed_at.is_some()
     }
 
-    /// When the next [`Range::step`] may have something to do, if nothing is told before.
+    /// Returns when the next [`Range::step`] may have something to do, unless something is reported
+    /// before.
     pub fn due(&self) -> Option<Moment> {
         let timeout =
             self.waiting.iter().map(|w| w.claim.asked + self.settings.claim_timeout).min();
@@ -204,7 +206,7 @@
         timeout.into_iter().chain(call).min()
     }
 
-    /// Decides what can be decided and makes the next call.
+    /// Decides the claims that can be decided and returns the next call.
     pub fn step(&mut self, now: Now) -> Step {
         let mut answers = match self.failures {
             0 => Vec::new(),
@@ -216,7 +218,7 @@
         Step { answers, call }
     }
 
-    /// Takes the outcome of a read.
+    /// Processes the outcome of a read. Ignored if no read is in flight.
     pub fn read(&mut self, now: Now, read: Read) -> Vec<Answer> {
         let Some(InFlight::Read { claim_count }) = self.in_flight.take() else { return Vec::new() };
         let (version, document) = match read {
@@ -232,7 +234,7 @@
         self.grant_written(now)
     }
 
-    /// Takes the outcome of a write.
+    /// Processes the outcome of a write. Ignored if no write is in flight.
     pub fn wrote(&mut self, now: Now, written: Written) -> Vec<Answer> {
         let Some(InFlight::Write { sent, claim_count, document, changes }) = self.in_flight.take()
         else {
@@ -301,7 +303,7 @@
         Call::Read
     }
 
-    /// Another host's claim may have ended since it was read.
+    /// Whether a waiting claim meets another host's claim, which may have ended since the read.
     fn needs_read(&self, known: &Known) -> bool {
         self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             let entry = known.document.entries.get(&waiting.claim.key.key);
@@ -309,7 +311,7 @@
         })
     }
 
-    /// "Did not run" needs a look that is no older than the request.
+    /// Whether a decision of "did not run" rests on a read that is older than the request.
     fn needs_newer_read(&self, known: &Known, decided: &[Answer]) -> bool {
         self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             decided
@@ -319,8 +321,8 @@
         })
     }
 
-    /// Grants what the object shows to be claimed by the very claim that waits. One that could not
-    /// be used any more is left to be given up.
+    /// Grants the waiting claims that the object shows as made. A claim whose grant could not be
+    /// used any more is left to time out.
     fn grant_written(&mut self, now: Now) -> Vec<Answer> {
         let Some(known) = &self.known else { return Vec::new() };
         let grant = self.settings.grant;
@@ -387,7 +389,7 @@
 }
 
 impl Change {
-    /// Notes the end of a claim, if the key is still that claim's.
+    /// Applies the end of a claim, if the key still belongs to that claim.
     fn apply(&self, entries: &mut BTreeMap<Key, Entry>) {
         let Some(entry) = entries.get_mut(&self.key) else { return };
         if entry.id != self.id {
--- a/crates/policy/src/once/range/build.rs
+++ b/crates/policy/src/once/range/build.rs
@@ -1,4 +1,4 @@
-//! The next state of a range's object, and the verdict on each claim.
+//! Next state of a range's object, and the decision on each claim.
 
 use super::{
     Answer, Claim, Document, Entry, Key, Now, Range, Refusal, State, Verdict, answer, entry, refuse,
@@ -6,7 +6,7 @@
 use crate::once::{Hold, Outage, Presence, Settings, millis};
 
 impl Range {
-    /// Builds the next object; claims that it does not grant are answered at once.
+    /// Builds the next object. Claims that are not granted are answered at once.
     pub(super) fn build(&self, now: Now, known: &Document, answers: &mut Vec<Answer>) -> Document {
         let mut document = known.clone();
         drop_expired(&self.settings, now, &mut document);
@@ -34,7 +34,7 @@
         document
     }
 
-    /// Whether a claim may have its key, or what to answer.
+    /// Decides whether a claim may have its key, or what to answer.
     pub(super) fn decide(
         &self,
         now: Now,
@@ -61,8 +61,9 @@
         }
     }
 
-    /// The entry that binds a key. One of this host that it never granted, and that no claim waits
-    /// for, comes from a write whose answer was lost: it was not dispatched and never will be.
+    /// Returns the entry that binds a key. An entry of this host that was never granted, and that
+    /// no claim waits for, comes from a write whose answer was lost: its request was not dispatched
+    /// and never will be, so it binds nothing.
     fn entry<'a>(&'a self, document: &'a Document, key: Key) -> Option<&'a Entry> {
         let entry = self.memory_grants.get(&key).or_else(|| document.entries.get(&key))?;
         (!self.is_never_granted(entry)).then_some(entry)
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Takes the right to grant from memory, with a gap if another host may use it still.
+    /// Takes the right to grant from memory. Records a gap if another host held that right, since
+    /// it may still use it.
     fn take_hold(&self, now: Now, document: &mut Document) {
         if let Some(hold) = document.hold.take_if(|hold| hold.holder != self.me) {
             let presence = match self.gone.contains(&hold.holder) {
--- a/crates/policy/src/once/range/memory.rs
+++ b/crates/policy/src/once/range/memory.rs
@@ -29,7 +29,7 @@
         answers
     }
 
-    /// Nothing is decided on a key whose own time is not recent.
+    /// Decides on a claim; `None` if its key's own time is not recent.
     fn decide_from_memory(
         &self,
         now: Now,
--- a/crates/policy/src/once/range/timeout.rs
+++ b/crates/policy/src/once/range/timeout.rs
@@ -1,11 +1,12 @@
-//! What is answered to claims that the object API left waiting.
+//! Answers to claims that the object API left waiting.
 
 use super::{
     Answer, Change, Document, End, InFlight, Now, Range, Refusal, Verdict, Waiting, answer, refuse,
 };
 
 impl Range {
-    /// Answers what has waited too long, and undoes its write if that took effect.
+    /// Answers the claims that have timed out. Releases those whose write may have taken effect or
+    /// is in flight.
     pub(super) fn expire_claims(&mut self, now: Now) -> Vec<Answer> {
         let timeout = self.settings.claim_timeout;
         let expired: Vec<Waiting> =
@@ -23,7 +24,7 @@
         answers
     }
 
-    /// What is known of a claim's key without another call.
+    /// Decides on a claim by the object as last known, without another call.
     fn timeout_verdict(&self, now: Now, waiting: &Waiting) -> Answer {
         let claim = &waiting.claim;
         let Some(known) = &self.known else { return refuse(claim, Refusal::Unread) };
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -16,11 +16,11 @@
     a.claim(at(0), "a1", &key("k"), 1);
     b.claim(at(0), "b1", &key("k"), 1);
     let read = (a.take_call(at(0)), b.take_call(at(0)));
-    a.tell(at(1), store.run(read.0, Fault::None));
-    b.tell(at(1), store.run(read.1, Fault::None));
+    a.deliver(at(1), store.run(read.0, Fault::None));
+    b.deliver(at(1), store.run(read.1, Fault::None));
     let write = (a.take_call(at(1)), b.take_call(at(1)));
-    a.tell(at(2), store.run(write.0, Fault::None));
-    b.tell(at(2), store.run(write.1, Fault::None));
+    a.deliver(at(2), store.run(write.0, Fault::None));
+    b.deliver(at(2), store.run(write.1, Fault::None));
     b.settle(at(3), &mut store, Fault::None);
     assert!(matches!(a.verdict("a1"), Some(Verdict::Granted { .. })));
     assert_eq!(b.verdict("b1"), Some(Verdict::Claimed { claimant: run("a") }));
@@ -46,7 +46,7 @@
     assert!(matches!(a.verdict("a1"), Some(Verdict::Granted { .. })));
 }
 
-/// The caller was told "did not run", so its next send must run.
+/// The caller was answered "did not run", so its next send must run.
 #[rstest]
 #[case::same_host("a")]
 #[case::another_host("b")]
@@ -64,7 +64,7 @@
     assert!(matches!(host.verdict("again"), Some(Verdict::Granted { .. })));
 }
 
-/// The write leaves, its host is paused past any time, another host claims the key.
+/// A host is paused past all time-outs with a write to send, and another host claims the key.
 #[test]
 fn paused_host_with_a_write_in_hand_loses_to_its_successor() {
     let (mut a, mut b, mut store) = pair(Outage::Refuse);
@@ -74,12 +74,13 @@
     b.claim(at(1_000), "b1", &key("k"), 1);
     b.settle(at(1_000), &mut store, Fault::None);
     assert!(matches!(b.verdict("b1"), Some(Verdict::Granted { .. })));
-    a.tell(at(60_000), store.run(held, Fault::None));
+    a.deliver(at(60_000), store.run(held, Fault::None));
     a.settle(at(60_000), &mut store, Fault::None);
     assert!(!matches!(a.verdict("a1"), Some(Verdict::Granted { .. })));
 }
 
-/// "Did not run" speaks of every send of the key, also those that other hosts took.
+/// A refusal as "did not run" is about every send of the key, including those that other hosts
+/// received.
 #[rstest]
 #[case::outage(Fault::Down, None, Refusal::Unread)]
 #[case::clock_behind(Fault::None, Some(-20_000), Refusal::Ahead)]
@@ -109,7 +110,7 @@
     }
 }
 
-/// A grant that its host took up too late could outlive the entry.
+/// A grant that its host used too late could outlive the entry.
 #[test]
 fn grant_ends_before_its_entry_can_be_forgotten() {
     let settings = settings(Outage::Refuse);
@@ -132,7 +133,7 @@
     assert_eq!(b.verdict("b1"), Some(Verdict::Claimed { claimant: run("a") }));
 }
 
-/// A later run of a host's process has another incarnation: the entry is not its own.
+/// A later run of a host's process has another incarnation, so the entry is not its own.
 #[test]
 fn key_of_an_earlier_run_of_the_same_host_is_not_run_again() {
     let (mut a, _, mut store) = pair(Outage::Refuse);
@@ -214,7 +215,10 @@
     a.claim(later, "a4", &key("opaque"), 1);
     a.settle(at(4_000_100), &mut store, Fault::None);
     assert_eq!(a.verdict("a3"), Some(Verdict::Refused(Refusal::Old)));
-    assert!(matches!(a.verdict("a4"), Some(Verdict::Granted { .. })), "the stated window");
+    assert!(
+        matches!(a.verdict("a4"), Some(Verdict::Granted { .. })),
+        "keys without a time are kept no longer"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -1,7 +1,8 @@
-//! Share of non-idempotent requests served in an outage of the object API, for each way weighed.
+//! Share of non-idempotent requests served in an outage of the object API, with each handling of
+//! outages.
 //!
-//! Sixteen ranges, each held by one of eight hosts; ten minutes of outage in the middle of twenty;
-//! in some runs a holder dies in the outage. Requests carry the time of their send, or none.
+//! Sixteen ranges are held by eight hosts; an outage of ten minutes is in the middle of twenty; in
+//! some runs one holder dies in the outage. Requests carry the time of their send, or none.
 
 #![allow(clippy::print_stdout, reason = "the figures of a run")]
 
@@ -15,14 +16,14 @@
 
 const RANGES: usize = 16;
 const HOSTS: usize = 8;
-/// Milliseconds between two steps of the loop.
+/// Interval between two steps of the loop, in milliseconds.
 const STEP: u64 = 250;
 const OUTAGE: std::ops::Range<u64> = 300_000..900_000;
 const END: u64 = 1_200_000;
-/// When one host dies, in runs where one does.
+/// When one host dies, in runs where one does, in milliseconds.
 const DEATH: u64 = 600_000;
 
-/// What callers put into their keys.
+/// Whether callers' keys carry a time.
 #[derive(Clone, Copy, Debug)]
 enum Keys {
     WithTime,
--- a/crates/policy/tests/once_random.rs
+++ b/crates/policy/tests/once_random.rs
@@ -15,18 +15,18 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A caller sends a key to a host; it carries the time of the send, or none.
+    /// A caller sends a key to a host; the key carries the time of the send, or none.
     Send { host: usize, key: u8 },
     /// A host makes its next call.
     Call { host: usize, fault: Fault },
-    /// A host makes its next call, which arrives only later, its answer lost.
+    /// A host makes its next call, which arrives later; its answer is lost.
     Delay { host: usize },
     /// A delayed call arrives.
     Arrive,
     /// A granted request ends.
     End { host: usize, end: End },
-    /// A host's process dies and a new one starts, of which the others hear or not.
-    Restart { host: usize, heard: bool },
+    /// A host's process dies and a new one starts; the other hosts may be informed.
+    Restart { host: usize, informed: bool },
     /// Time passes.
     Pass { millis: u64 },
 }
@@ -46,7 +46,7 @@
         2 => host.clone().prop_map(|host| Event::Delay { host }),
         2 => Just(Event::Arrive),
         2 => (host.clone(), end).prop_map(|(host, end)| Event::End { host, end }),
-        1 => (host, any::<bool>()).prop_map(|(host, heard)| Event::Restart { host, heard }),
+        1 => (host, any::<bool>()).prop_map(|(host, informed)| Event::Restart { host, informed }),
         4 => pass.prop_map(|millis| Event::Pass { millis }),
     ]
 }
@@ -61,8 +61,8 @@
     sent: BTreeMap<String, (TimedKey, Option<(String, u64)>)>,
     /// Grants that were not released, and when they were given; a key may have one.
     runs: BTreeMap<Key, (String, u64)>,
-    /// What was answered, to see each answer once.
-    seen: BTreeSet<String>,
+    /// Ids of the requests that were answered, to check each answer once.
+    answered: BTreeSet<String>,
     time: u64,
 }
 
@@ -78,7 +78,7 @@
             keys: BTreeMap::new(),
             sent: BTreeMap::new(),
             runs: BTreeMap::new(),
-            seen: BTreeSet::new(),
+            answered: BTreeSet::new(),
             time: 0,
         }
     }
@@ -94,14 +94,14 @@
             Event::Call { host, fault } => {
                 if let Some(call) = self.hosts[host].call(now) {
                     let outcome = self.store.run(call, fault);
-                    self.hosts[host].tell(now, outcome);
+                    self.hosts[host].deliver(now, outcome);
                 }
             }
             Event::Delay { host } => {
                 if let Some(call) = self.hosts[host].call(now) {
                     self.delayed.push(call.clone());
                     let outcome = Store::default().run(call, Fault::Down);
-                    self.hosts[host].tell(now, outcome);
+                    self.hosts[host].deliver(now, outcome);
                 }
             }
             Event::Arrive => {
@@ -110,7 +110,7 @@
                 }
             }
             Event::End { host, end } => self.end(host, end),
-            Event::Restart { host, heard } => self.restart(host, heard),
+            Event::Restart { host, informed } => self.restart(host, informed),
             Event::Pass { millis } => self.time += millis,
         }
         self.check()
@@ -139,18 +139,18 @@
         self.hosts[host].range.end(now, Change { id: id.as_str().into(), key, end });
     }
 
-    fn restart(&mut self, host: usize, heard: bool) {
+    fn restart(&mut self, host: usize, informed: bool) {
         let old = self.hosts[host].run.clone();
         let new = run(host, old.incarnation + 1);
         self.hosts[host] = Host::with(new, self.settings.clone());
-        if heard {
+        if informed {
             self.hosts.iter_mut().for_each(|other| other.range.gone(old.clone()));
         }
     }
 
     fn check(&mut self) -> Result<(), TestCaseError> {
         for (id, verdict) in self.hosts.iter().flat_map(|host| &host.answers) {
-            let new = self.seen.insert(id.clone());
+            let new = self.answered.insert(id.clone());
             if !new {
                 continue;
             }
@@ -163,8 +163,8 @@
                     self.runs.insert(key.key, (id.clone(), self.time));
                 }
                 Verdict::Refused(refusal) if refusal.ran() == Ran::DidNotRun => {
-                    let false_word = run.filter(|run| earlier.as_ref() == Some(run));
-                    prop_assert_eq!(false_word, None, "{:?} told to {}", refusal, id);
+                    let contradicted = run.filter(|run| earlier.as_ref() == Some(run));
+                    prop_assert_eq!(contradicted, None, "{:?} answered to {}", refusal, id);
                 }
                 Verdict::Refused(_) | Verdict::Claimed { .. } | Verdict::Done(_) => {}
             }
@@ -172,7 +172,7 @@
         Ok(())
     }
 
-    /// A key without a time is recognised for a stated time, any other for ever.
+    /// A key without a time is recognised for the stated time, any other for ever.
     fn is_recognised(&self, key: TimedKey, granted: u64) -> bool {
         let kept = self.settings.kept().as_millis() as u64;
         key.stamp.is_some() || self.time - granted < kept
@@ -197,7 +197,8 @@
         }
     }
 
-    /// A key's time is not trusted: whatever it says, an entry outlives every accepted re-send.
+    /// A key's time is not trusted: whatever it says, an entry outlives every re-send that is
+    /// accepted.
     #[test]
     fn entry_of_a_key_with_a_time_outlives_its_acceptance(
         claimed in 0..10_000_000_u64,
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store of one object with faults, and hosts that claim keys in it.
+//! Store of one object with faults, and hosts that claim keys in it.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -12,7 +12,7 @@
 /// Wall clock at the origin of the tests' time.
 pub(crate) const ORIGIN: UnixMillis = 1_800_000_000_000;
 
-/// What goes wrong with one call.
+/// Fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
@@ -22,7 +22,7 @@
     LostAnswer,
 }
 
-/// The object of one range.
+/// Store with the object of one range.
 #[derive(Default)]
 pub(crate) struct Store {
     version: u64,
@@ -30,7 +30,7 @@
     pub(crate) writes: u64,
 }
 
-/// What came of a call.
+/// Outcome of a call.
 pub(crate) enum Outcome {
     Read(Read),
     Written(Written),
@@ -107,42 +107,42 @@
         self.answers.get(id).cloned()
     }
 
-    /// The next call, which must be due.
+    /// Returns the next call, which must be due.
     pub(crate) fn take_call(&mut self, now: Now) -> Call {
         self.call(now).expect("a call is due")
     }
 
     pub(crate) fn call(&mut self, now: Now) -> Option<Call> {
         let step = self.range.step(now);
-        self.note(step.answers);
+        self.record(step.answers);
         step.call
     }
 
-    pub(crate) fn tell(&mut self, now: Now, outcome: Outcome) {
+    pub(crate) fn deliver(&mut self, now: Now, outcome: Outcome) {
         let answers = match outcome {
             Outcome::Read(read) => self.range.read(now, read),
             Outcome::Written(written) => self.range.wrote(now, written),
         };
-        self.note(answers);
+        self.record(answers);
     }
 
     /// Makes calls until none is due now.
     pub(crate) fn settle(&mut self, now: Now, store: &mut Store, fault: Fault) {
         while let Some(call) = self.call(now) {
             let outcome = store.run(call, fault);
-            self.tell(now, outcome);
+            self.deliver(now, outcome);
         }
     }
 
-    /// Makes the one read that comes before the first write.
+    /// Makes the one read that precedes the first write.
     pub(crate) fn settle_reads(&mut self, now: Now, store: &mut Store) {
         let call = self.take_call(now);
         assert_eq!(call, Call::Read);
         let outcome = store.run(call, Fault::None);
-        self.tell(now, outcome);
+        self.deliver(now, outcome);
     }
 
-    fn note(&mut self, answers: Vec<Answer>) {
+    fn record(&mut self, answers: Vec<Answer>) {
         for answer in answers {
             let before = self.answers.insert(answer.id.to_string(), answer.verdict);
             assert_eq!(before, None, "one answer for each claim");
@@ -154,24 +154,24 @@
     Settings { outage, ..Settings::default() }
 }
 
-/// Both clocks, in milliseconds after the origin.
+/// Returns both clocks, in milliseconds after the origin.
 pub(crate) fn at(millis: u64) -> Now {
     Now { wall: ORIGIN + millis, moment: Duration::from_millis(millis) }
 }
 
-/// A key without a time.
+/// Returns a key without a time.
 pub(crate) fn key(text: &str) -> TimedKey {
     let key = Key::new(&"authority".into(), &"tickets".into(), &text.into());
     TimedKey { key, stamp: None }
 }
 
-/// A key that carries a time, in milliseconds after the origin.
+/// Returns a key that carries a time, in milliseconds after the origin.
 pub(crate) fn stamped(millis: i64) -> TimedKey {
     let stamp = ORIGIN.checked_add_signed(millis).expect("a time after 1970");
     TimedKey { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
 }
 
-/// Settings of a property test: the same cases in every run.
+/// Configuration of a property test: the same cases in every run.
 pub(crate) fn cases(cases: u32) -> proptest::test_runner::Config {
     proptest::test_runner::Config {
         cases,
