--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,23 +1,24 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
-//! A request that was in flight on a server when that server died is a suspect. What is known of
-//! suspects is one object for the whole deployment, [`Document`], changed by conditional writes, so
-//! that two hosts cannot try the same suspect, or two suspects on the same server, at once.
+//! A request that was in flight on a server when that server died is a suspect. All suspects of a
+//! deployment are recorded in one object, [`Document`], which is changed by conditional writes, so
+//! that two hosts can't try the same suspect, or two suspects on the same server, at once.
 //!
-//! - A suspect runs again only in a trial, which is written before the dispatch. A server carries
-//!   one trial at a time, so that a death during a trial has one suspect to blame.
-//! - A suspect whose trial ends with the server alive is cleared. One whose server died is refused
-//!   everywhere, and what else had been in flight with it at the first death is cleared, since that
-//!   death is explained.
-//! - Copies of one request that run at the same time are kept to the same two servers, its
-//!   [`homes`]. When both die, the one fingerprint that they share is refused; where they share
-//!   several, each is tried alone.
-//! - A trial begins only when every host had time to hear of the suspect.
+//! - A suspect runs again only in a trial, which is written before the dispatch. A server runs one
+//!   trial at a time, so that a death during a trial has one suspect as its cause.
+//! - A suspect whose trial ends with the server alive is cleared. A suspect whose server dies is
+//!   refused everywhere, and all other requests that were in flight with it at the first death are
+//!   cleared, since that death is explained.
+//! - Copies of one request that run at the same time are restricted to the same two servers, see
+//!   [`assigned_servers`]. When both die, the one fingerprint that the deaths share is refused;
+//!   where they share several, each is tried alone.
+//! - A trial begins only once every host has had time to read of the suspect.
 //!
-//! So a poison request costs two servers: both homes at once, or one and then one trial.
-//! An entry expires, and an operator can lift it; after either, the request counts as unknown.
+//! So a poison request costs two servers: both assigned servers at once, or one and then the one of
+//! its trial. An entry expires, and an operator can lift it; after either, the request counts as
+//! unknown.
 //!
-//! Every change of the object is idempotent, so one whose answer was lost is simply made again.
+//! Every change of the object is idempotent, so a change whose answer was lost is made again.
 
 mod assignment;
 mod view;
@@ -36,27 +37,28 @@
 };
 use crate::once::{HostRun, Key, UnixMillis};
 
-/// Servers that one request may lose, over the whole deployment.
+/// Number of servers that one request may crash, over the whole deployment.
 pub const MAX_DEATHS: usize = 2;
 
-/// What a request is known by.
+/// Fingerprint by which a request is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// By the digest of what it asks.
+    /// Returns the fingerprint of a request without a key, from the digest of its content.
     pub fn of_digest(digest: &request::Digest) -> Fingerprint {
         let mut bytes = [0; 16];
         bytes.copy_from_slice(&digest[..16]);
         Fingerprint(bytes)
     }
 
-    /// By its key.
+    /// Returns the fingerprint of a request with an idempotency key.
     pub fn of_key(key: Key) -> Fingerprint {
         Fingerprint(key.bytes())
     }
 
-    /// Reads the form that [`Display`](std::fmt::Display) writes.
+    /// Parses the form that [`Display`](std::fmt::Display) writes; `None` if the text is anything
+    /// but 32 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Fingerprint> {
         let number = u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 32)?;
         Some(Fingerprint(number.to_be_bytes()))
@@ -78,33 +80,34 @@
 impl<'de> Deserialize<'de> for Fingerprint {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Fingerprint, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Fingerprint::parse(&text).ok_or_else(|| D::Error::custom("not a fingerprint"))
+        Fingerprint::parse(&text)
+            .ok_or_else(|| D::Error::custom("fingerprint must be 32 hexadecimal digits"))
     }
 }
 
 /// One run of a backend server's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerRun {
-    /// The server.
+    /// Id of the server.
     pub server: backend::Id,
-    /// The run.
+    /// Incarnation of the process.
     pub incarnation: backend::Incarnation,
 }
 
-/// Times and bounds; the same on every host.
+/// Times and bounds; must be the same on every host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Time in which every host hears of a new suspect; milliseconds in JSON.
+    /// Time in which every host reads of a new suspect; milliseconds in JSON.
     #[serde(rename = "spread_ms", with = "types::time::millis")]
     pub propagation: Duration,
-    /// How long a suspect that nobody tries is kept; milliseconds in JSON.
+    /// Time for which a suspect without a trial is kept; milliseconds in JSON.
     #[serde(rename = "suspect_ms", with = "types::time::millis")]
     pub suspect: Duration,
-    /// How long a refusal lasts; milliseconds in JSON.
+    /// Time for which a refusal lasts; milliseconds in JSON.
     #[serde(rename = "refuse_ms", with = "types::time::millis")]
     pub refuse: Duration,
-    /// Most suspects kept, and most refusals; the oldest go first.
+    /// Largest number of suspects, and of refusals; the oldest are dropped first.
     pub entries: usize,
 }
 
@@ -119,76 +122,76 @@
     }
 }
 
-/// What is known of suspects over the whole deployment.
+/// Suspects and refused requests of the whole deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Requests that may crash servers.
+    /// Requests that may have crashed servers.
     #[serde(default)]
     pub suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Requests that do.
+    /// Requests that crash servers and are refused.
     #[serde(default)]
     pub refused: BTreeMap<Fingerprint, Refused>,
 }
 
-/// A request that was in flight when a server died.
+/// Request that was in flight when a server died.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The service it calls.
+    /// Service that the request calls.
     pub service: service::Id,
-    /// Servers that died with it.
+    /// Runs of servers that died with the request in flight.
     pub deaths: BTreeSet<ServerRun>,
-    /// When it was written.
+    /// When the suspect was recorded.
     pub since: UnixMillis,
-    /// Its trial, if one is open.
+    /// Trial of the suspect, if one is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trial: Option<Trial>,
 }
 
-/// A run of a suspect as the only one on its server.
+/// Trial: a run of a suspect as the only suspect on its server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
-    /// The server.
+    /// Run of the server that the trial is on.
     #[serde(rename = "life")]
     pub run: ServerRun,
-    /// The run of the host that makes it.
+    /// Run of the host that makes the trial.
     pub host: HostRun,
-    /// When it was written.
+    /// When the trial was recorded.
     pub since: UnixMillis,
 }
 
-/// A request that is refused everywhere.
+/// Request that is refused everywhere.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// The service it called.
+    /// Service that the request called.
     pub service: service::Id,
-    /// Servers that died with it.
+    /// Runs of servers that died with the request in flight.
     pub deaths: BTreeSet<ServerRun>,
-    /// When it was written.
+    /// When the refusal was recorded.
     pub since: UnixMillis,
-    /// When it expires.
+    /// When the refusal expires.
     pub until: UnixMillis,
 }
 
-/// Why a trial cannot begin now.
+/// Reason for which a trial can't begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialError {
-    /// Not a suspect any more.
+    /// The request is not a suspect any more.
     Unknown,
-    /// It is refused.
+    /// The request is refused.
     Refused,
-    /// Other hosts may not have heard of it.
+    /// Some hosts may not have read of the suspect yet.
     Propagating {
-        /// When they have.
+        /// When every host has had time to.
         until: UnixMillis,
     },
-    /// Its own trial is open.
+    /// A trial of the suspect is open already.
     OnTrial,
-    /// Another suspect is on trial there.
+    /// Another suspect is on trial on the server.
     Server,
 }
 
 impl Document {
-    /// Notes that a server died with these requests in flight.
+    /// Records that a server died with these requests in flight.
     pub fn record_death<'a>(
         &mut self,
         settings: &Settings,
@@ -218,7 +221,8 @@
     ///
     /// # Errors
     ///
-    /// Says why it can't begin now. A trial that this very host wrote before is no error.
+    /// Returns why the trial can't begin now. A trial that this very host recorded before is no
+    /// error.
     pub fn begin(
         &mut self,
         settings: &Settings,
@@ -249,14 +253,14 @@
         Ok(())
     }
 
-    /// Notes that a trial ended with its server alive: completed means cleared.
+    /// Records that a trial ended with its server alive, which clears the suspect.
     pub fn complete(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host) {
             self.suspects.remove(&fingerprint);
         }
     }
 
-    /// Notes that a request was answered whole by a server that died afterwards.
+    /// Records that a server that died had answered the request completely before.
     pub fn clear_death(&mut self, fingerprint: Fingerprint, run: &ServerRun) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
         suspect.deaths.remove(run);
@@ -265,7 +269,7 @@
         }
     }
 
-    /// Notes that a trial ended before it showed anything, with its server alive.
+    /// Records that a trial ended without a result, with its server alive.
     pub fn abort(&mut self, fingerprint: Fingerprint, host: &HostRun) {
         if self.has_trial(fingerprint, host)
             && let Some(suspect) = self.suspects.get_mut(&fingerprint)
@@ -274,7 +278,8 @@
         }
     }
 
-    /// Closes the trials of a host's run that ended, by what became of their servers.
+    /// Closes the trials of a host's run that ended: each is aborted if its server is alive, else
+    /// that death is recorded.
     pub fn host_gone(
         &mut self,
         settings: &Settings,
@@ -297,14 +302,14 @@
         }
     }
 
-    /// Lifts an entry, as an operator asks; returns whether there was one.
+    /// Removes an entry on an operator's request; returns whether there was one.
     pub fn lift(&mut self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.remove(&fingerprint).is_some();
         let refused = self.refused.remove(&fingerprint).is_some();
         suspect || refused
     }
 
-    /// Forgets what is too old.
+    /// Drops expired refusals and suspects that have been there for too long.
     pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
         let kept = millis(settings.suspect);
         self.refused.retain(|_, refused| wall < refused.until);
@@ -319,7 +324,7 @@
         trial.is_some_and(|trial| trial.host == *host)
     }
 
-    /// A death during a trial has the suspect on trial to blame.
+    /// Refuses the suspect that was on trial on a server that died.
     fn refuse_on_trial(&mut self, settings: &Settings, wall: UnixMillis, run: &ServerRun) {
         let on_trial = self
             .suspects
@@ -331,7 +336,8 @@
         }
     }
 
-    /// Two deaths that share a single suspect have that one to blame.
+    /// Refuses the suspect that is the only one shared by [`MAX_DEATHS`] deaths, of which this is
+    /// one.
     fn refuse_sole_suspect(&mut self, settings: &Settings, wall: UnixMillis, run: &ServerRun) {
         let mut shared = self
             .suspects
@@ -343,7 +349,7 @@
         }
     }
 
-    /// Refuses a suspect and clears the others of the deaths that it explains.
+    /// Refuses a suspect, and clears other suspects of the deaths that it explains.
     fn refuse(
         &mut self,
         settings: &Settings,
--- a/crates/policy/src/quarantine/assignment.rs
+++ b/crates/policy/src/quarantine/assignment.rs
@@ -1,13 +1,14 @@
-//! Where copies of one request may run at the same time.
+//! Assignment of requests to servers, for copies of one request that run at the same time.
 
 use types::backend;
 
 use super::{Fingerprint, MAX_DEATHS};
 
-/// The servers that a request may run on: two of those given, the same on every host that knows
-/// the same servers, and nearly the same where lists differ (highest random weight).
+/// Returns the servers that a request may run on: [`MAX_DEATHS`] of those given, by rendezvous
+/// hashing (highest random weight). The result is the same on every host that knows the same
+/// servers, and nearly the same where the lists differ.
 ///
-/// Servers that died must stay in the list for as long as a host may be unaware of the death.
+/// Servers that died must stay in the list for as long as a host may not know of the death.
 pub fn assigned_servers<'a>(
     fingerprint: Fingerprint,
     servers: impl IntoIterator<Item = &'a backend::Id>,
--- a/crates/policy/src/quarantine/view.rs
+++ b/crates/policy/src/quarantine/view.rs
@@ -1,4 +1,5 @@
-//! One host's view of the quarantine: what it has read, and what it has seen itself.
+//! One host's view of the quarantine: the object as last read, and deaths that the host has seen
+//! itself.
 
 use std::{collections::BTreeMap, mem};
 
@@ -7,14 +8,14 @@
 use super::{Document, Fingerprint, ServerRun, Settings};
 use crate::once::range::Version;
 
-/// What to do with a request before it is routed.
+/// Handling of a request before it is routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is held against it.
+    /// The request is no suspect.
     Free,
-    /// Runs only in a trial.
+    /// The request is a suspect and runs only in a trial.
     Suspect,
-    /// Crashed servers before.
+    /// The request crashed servers and is refused.
     Refused,
 }
 
@@ -23,10 +24,11 @@
 pub struct HostView {
     settings: Settings,
     document: Document,
-    /// Version of the document that was read.
+    /// Version of the document as last read.
     version: Option<Version>,
     in_flight: BTreeMap<request::Id, Flight>,
-    /// Deaths seen here that the object does not show yet, with the requests in flight.
+    /// Deaths that this host has seen and the object does not show yet, with the requests that were
+    /// in flight.
     unwritten: BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>,
 }
 
@@ -38,17 +40,18 @@
 }
 
 impl HostView {
-    /// A view that has read nothing.
+    /// Returns a view in which nothing was read.
     pub fn new(settings: Settings) -> HostView {
         HostView { settings, ..HostView::default() }
     }
 
-    /// The object as last read.
+    /// Object as last read.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Takes the object from a read, or from a write of its own, which may come in any order.
+    /// Applies the object as read, or as written by this host; older versions are ignored, since
+    /// reads and writes may end in any order.
     pub fn read(&mut self, version: Version, document: Document) {
         if self.version.is_some_and(|known| version < known) {
             return;
@@ -57,7 +60,7 @@
         self.document = document;
     }
 
-    /// What to do with a request before it is routed.
+    /// Returns how to handle a request before it is routed.
     pub fn admit(&self, fingerprint: Fingerprint) -> Verdict {
         if self.document.refused.contains_key(&fingerprint) {
             return Verdict::Refused;
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Notes that a request is about to be sent to a server.
+    /// Records that a request is about to be sent to a server.
     pub fn sent(
         &mut self,
         id: request::Id,
@@ -81,12 +84,12 @@
         self.in_flight.insert(id, Flight { fingerprint, service, run });
     }
 
-    /// Notes that a request is in flight no more, with its server alive.
+    /// Records that a request is no longer in flight, with its server alive.
     pub fn ended(&mut self, id: &request::Id) {
         self.in_flight.remove(id);
     }
 
-    /// Notes that a request was answered whole by a server, which may have died since.
+    /// Records that a server answered a request completely; the server may have died since.
     pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, run: &ServerRun) {
         self.in_flight.remove(id);
         if let Some(suspects) = self.unwritten.get_mut(run) {
@@ -94,8 +97,8 @@
         }
     }
 
-    /// Notes that a server died; what was in flight on it is to be written, see
-    /// [`Guard::unwritten`]. Says whether that is new.
+    /// Records that a server died. Requests in flight on it must be written, see
+    /// [`HostView::unwritten`]. Returns whether there were any.
     pub fn died(&mut self, run: &ServerRun) -> bool {
         let (lost, remaining): (BTreeMap<_, _>, BTreeMap<_, _>) =
             mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.run == *run);
@@ -109,12 +112,12 @@
         true
     }
 
-    /// Deaths that the object does not show yet.
+    /// Deaths that the object does not show yet, with the requests that were in flight.
     pub fn unwritten(&self) -> &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>> {
         &self.unwritten
     }
 
-    /// Writes them into the object; they are forgotten by [`Guard::written`].
+    /// Adds the unwritten deaths to the object; they are dropped by [`HostView::written`].
     pub fn record_death(&self, wall: crate::once::UnixMillis, document: &mut Document) {
         for (run, suspects) in &self.unwritten {
             let in_flight = suspects.iter().map(|(fingerprint, service)| (*fingerprint, service));
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Forgets deaths that a write has shown to all.
+    /// Drops deaths that were written to the object.
     pub fn written(&mut self, deaths: &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>) {
         for (run, written) in deaths {
             let Some(suspects) = self.unwritten.get_mut(run) else { continue };
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -17,11 +17,11 @@
 const RANGES: usize = 16;
 const HOSTS: usize = 8;
 /// Interval between two steps of the loop, in milliseconds.
-const STEP: u64 = 250;
-const OUTAGE: std::ops::Range<u64> = 300_000..900_000;
-const END: u64 = 1_200_000;
+const STEP_MS: u64 = 250;
+const OUTAGE_MS: std::ops::Range<u64> = 300_000..900_000;
+const END_MS: u64 = 1_200_000;
 /// When one host dies, in runs where one does, in milliseconds.
-const DEATH: u64 = 600_000;
+const DEATH_MS: u64 = 600_000;
 
 /// Whether callers' keys carry a time.
 #[derive(Clone, Copy, Debug)]
@@ -60,18 +60,18 @@
         .collect();
     let mut sent: BTreeMap<String, u64> = BTreeMap::new();
     let mut answered = (Count::default(), Count::default());
-    for time in (0..END).step_by(STEP as usize) {
+    for time in (0..END_MS).step_by(STEP_MS as usize) {
         let now = at(time);
-        let fault = if OUTAGE.contains(&time) { Fault::Down } else { Fault::None };
+        let fault = if OUTAGE_MS.contains(&time) { Fault::Down } else { Fault::None };
         for (number, held) in ranges.iter_mut().enumerate() {
             if time % 300_000 == 0 {
                 held.host.range.renew(now);
             }
-            if matches!(death, Death::OneHost) && time == DEATH && number % HOSTS == 0 {
+            if matches!(death, Death::OneHost) && time == DEATH_MS && number % HOSTS == 0 {
                 held.host = Host::new(run(number + 1), outage);
                 held.host.range.gone(run(number));
             }
-            if time % 4_000 == STEP * number as u64 {
+            if time % 4_000 == STEP_MS * number as u64 {
                 let id = format!("{number}-{time}");
                 let key = match keys {
                     Keys::WithTime => stamped(time as i64),
@@ -83,7 +83,7 @@
             held.host.settle(now, &mut held.store, fault);
             for (id, verdict) in std::mem::take(&mut held.host.answers) {
                 let sent = sent.remove(&id).expect("asked for");
-                let in_outage = OUTAGE.contains(&sent);
+                let in_outage = OUTAGE_MS.contains(&sent);
                 let count = if in_outage { &mut answered.0 } else { &mut answered.1 };
                 count.sent += 1;
                 count.granted += u64::from(matches!(verdict, Verdict::Granted { .. }));
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine: who is blamed, who comes free, and how many servers a poison request costs.
+//! Quarantine: which requests are refused or cleared, and how many servers a poison request costs.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
     assert!(document.suspects.is_empty(), "both deaths are explained");
 }
 
-/// Another host writes its own requests down after the culprit is known.
+/// Another host writes its own requests in flight after the cause of the death is known.
 #[test]
 fn late_accusation_of_an_explained_death_makes_no_suspect() {
     let mut document = after_death(&[1], "s1");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn copies_that_kill_both_homes_at_once_are_refused_without_a_trial() {
+fn copies_that_kill_both_assigned_servers_at_once_are_refused_without_a_trial() {
     let mut document = after_death(&[1, 2, 3], "s1");
     record_death(&mut document, &[1, 4, 5], "s2");
     assert_eq!(refused(&document), [fingerprint(1)]);
@@ -95,7 +95,7 @@
     assert!(once.refused.is_empty(), "one death is one death");
 }
 
-/// The host that made the trial dies with it; what became of the server decides.
+/// The host that made a trial dies with it; whether the server survived decides.
 #[rstest]
 #[case::server_alive(true, 0)]
 #[case::server_dead(false, 1)]
@@ -171,7 +171,7 @@
     assert_eq!(view.admit(fingerprint(1)), Verdict::Suspect);
 }
 
-/// Its answer and the news of the death cross: nobody would try it again.
+/// The request's answer and the report of the death cross: nobody would try the request again.
 #[test]
 fn request_answered_by_a_server_that_died_is_no_suspect() {
     let mut document = after_death(&[1, 2], "s1");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn homes_are_two_and_the_same_in_any_order() {
+fn assigned_servers_are_two_and_the_same_in_any_order() {
     let servers: Vec<backend::Id> = (0..9).map(|n| format!("s{n}").into()).collect();
     let reversed: Vec<backend::Id> = servers.iter().rev().cloned().collect();
     let mut used = BTreeMap::new();
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -1,7 +1,8 @@
-//! A poison request sent through every host among innocents: servers lost, innocents refused.
+//! A poison request sent through every host among innocent requests: servers lost, innocent
+//! requests refused.
 //!
-//! A focused loop under virtual time: hosts with a [`Guard`] each, one document, servers that run
-//! requests for a while. It models no network beyond the age of what a host has read.
+//! Simulation under virtual time: hosts with a [`HostView`] each, one document, and servers that
+//! run requests for a while. It models no network beyond the age of what a host has read.
 
 #![allow(clippy::print_stdout, reason = "the figures of a run")]
 
@@ -18,32 +19,32 @@
 
 /// Runs of each case.
 const SEEDS: u64 = 4;
-/// Milliseconds of one round.
-const ROUND: u64 = 10;
-/// Milliseconds between two reads of the document by one host.
-const READ: u64 = 100;
-/// Milliseconds that a server needs to start again.
-const RESTART: u64 = 3_000;
-/// Milliseconds that an innocent request runs.
-const RUN: u64 = 400;
+/// Length of one round, in milliseconds.
+const ROUND_MS: u64 = 10;
+/// Interval between two reads of the document by one host, in milliseconds.
+const READ_INTERVAL_MS: u64 = 100;
+/// Time that a server needs to restart, in milliseconds.
+const RESTART_MS: u64 = 3_000;
+/// Time that an innocent request runs, in milliseconds.
+const RUN_MS: u64 = 400;
 
-/// Rounds of a run.
+/// Number of rounds of a run.
 const ROUNDS: u64 = 2_500;
-/// Round of the first poison.
-const FIRST: u64 = 100;
-/// Innocent requests that come in a round.
-const INNOCENTS: u64 = 4;
+/// Round in which the first poison request is sent.
+const FIRST_POISON_ROUND: u64 = 100;
+/// Number of innocent requests that arrive in a round.
+const INNOCENTS_PER_ROUND: u64 = 4;
 
-/// How the poison arrives.
+/// Arrival pattern of the poison request.
 #[derive(Clone, Copy, Debug)]
 enum Poison {
     /// Through every host within a moment, and again after each refusal.
     EveryHostAtOnce,
     /// Through a random host, again and again, whatever became of the earlier sends.
     Steady,
-    /// Through the next host as soon as the last send ended.
+    /// Through the next host as soon as the last send has ended.
     HostAfterHost,
-    /// None: a server dies by itself.
+    /// No poison request: a server dies by itself.
     PlainCrash,
 }
 
@@ -64,7 +65,7 @@
         left: u64,
         trial: bool,
     },
-    /// Its server died; its host notices at this time.
+    /// The server died; the request's host notices at this time.
     Lost {
         server: usize,
         incarnation: u64,
@@ -89,15 +90,15 @@
     servers: Vec<Server>,
     requests: Vec<Request>,
     lost: usize,
-    /// Milliseconds that the poison runs before it crashes its server.
-    fuse: u64,
+    /// Time that the poison request runs before it crashes its server, in milliseconds.
+    crash_after: u64,
 }
 
 impl Deployment {
     fn new(hosts: usize, servers: usize, seed: u64) -> Deployment {
         let settings = Settings::default();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let fuse = rng.random_range(10..300);
+        let crash_after = rng.random_range(10..300);
         Deployment {
             rng,
             time: 0,
@@ -108,7 +109,7 @@
                 .collect(),
             requests: Vec::new(),
             lost: 0,
-            fuse,
+            crash_after,
             settings,
         }
     }
@@ -122,7 +123,7 @@
     }
 
     fn round(&mut self) {
-        self.time += ROUND;
+        self.time += ROUND_MS;
         self.read();
         self.notice();
         for index in 0..self.requests.len() {
@@ -134,10 +135,10 @@
         }
     }
 
-    /// Each host reads at its own beat, so that some know less than others.
+    /// Each host reads at a phase of its own, so that some know less than others.
     fn read(&mut self) {
         for (index, view) in self.views.iter_mut().enumerate() {
-            if (self.time + 37 * index as u64) % READ < ROUND {
+            if (self.time + 37 * index as u64) % READ_INTERVAL_MS < ROUND_MS {
                 view.read(self.time, self.document.clone());
             }
         }
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Homes that answer, in a random order, as load would have it.
+    /// Returns the assigned servers that are up, in random order, as load would have it.
     fn up(&mut self, assigned_servers: &[backend::Id]) -> Vec<usize> {
         let mut up: Vec<usize> = (0..self.servers.len())
             .filter(|&n| {
@@ -218,7 +219,7 @@
     fn start(&mut self, index: usize, server: usize, trial: bool) {
         let server_run = self.server_run(server);
         let request = &mut self.requests[index];
-        let left = if request.poison { self.fuse } else { RUN };
+        let left = if request.poison { self.crash_after } else { RUN_MS };
         request.state = State::Running { server, left, trial };
         let (id, service) = (request.id.to_string().into(), service::Id::from("chat"));
         self.views[request.host].sent(id, request.fingerprint, service, server_run);
@@ -228,8 +229,8 @@
         let run = self.host(self.requests[index].host);
         let request = &mut self.requests[index];
         let State::Running { server, left, trial } = request.state.clone() else { return };
-        if ROUND < left {
-            request.state = State::Running { server, left: left - ROUND, trial };
+        if ROUND_MS < left {
+            request.state = State::Running { server, left: left - ROUND_MS, trial };
             return;
         }
         if request.poison {
@@ -247,10 +248,10 @@
         self.lost += 1;
         let incarnation = self.servers[server].incarnation;
         self.servers[server].incarnation += 1;
-        self.servers[server].up_at = self.time + RESTART;
+        self.servers[server].up_at = self.time + RESTART_MS;
         for request in &mut self.requests {
             if matches!(request.state, State::Running { server: s, .. } if s == server) {
-                let noticed = self.time + self.rng.random_range(0..5) * ROUND;
+                let noticed = self.time + self.rng.random_range(0..5) * ROUND_MS;
                 request.state = State::Lost { server, incarnation, noticed };
             }
         }
@@ -271,39 +272,42 @@
     }
 }
 
-/// What a run of the loop showed.
+/// Result of a run.
 #[derive(Debug)]
-struct Seen {
+struct Report {
     lost: usize,
     innocents: usize,
     served: usize,
     refused: usize,
     poison_refused: usize,
-    /// Milliseconds until the poison was refused everywhere, counted from its first send.
+    /// Time until the poison request was refused everywhere, counted from its first send, in
+    /// milliseconds.
     refused_after: Option<u64>,
 }
 
-fn simulate(poison: Poison, hosts: usize, servers: usize, seed: u64) -> Seen {
+fn simulate(poison: Poison, hosts: usize, servers: usize, seed: u64) -> Report {
     let mut deployment = Deployment::new(hosts, servers, seed);
     let mut refused_after = None;
     let mut innocents = 0;
     for round in 0..ROUNDS {
         if round < 700 {
-            for _ in 0..INNOCENTS {
+            for _ in 0..INNOCENTS_PER_ROUND {
                 let host = deployment.rng.random_range(0..hosts);
                 innocents += 1;
                 deployment.send(host, 1_000 + innocents, false);
             }
         }
         match poison {
-            Poison::EveryHostAtOnce if (FIRST..600).contains(&round) && round % 100 < 2 => {
+            Poison::EveryHostAtOnce
+                if (FIRST_POISON_ROUND..600).contains(&round) && round % 100 < 2 =>
+            {
                 (0..hosts).for_each(|host| deployment.send(host, 1, true));
             }
-            Poison::Steady if (FIRST..500).contains(&round) && round % 3 == 0 => {
+            Poison::Steady if (FIRST_POISON_ROUND..500).contains(&round) && round % 3 == 0 => {
                 let host = deployment.rng.random_range(0..hosts);
                 deployment.send(host, 1, true);
             }
-            Poison::HostAfterHost if (FIRST..1_000).contains(&round) => {
+            Poison::HostAfterHost if (FIRST_POISON_ROUND..1_000).contains(&round) => {
                 let busy = |request: &Request| {
                     request.poison && !matches!(request.state, State::Served | State::Refused)
                 };
@@ -311,19 +315,19 @@
                     deployment.send(round as usize % hosts, 1, true);
                 }
             }
-            Poison::PlainCrash if round == FIRST => deployment.crash(0),
+            Poison::PlainCrash if round == FIRST_POISON_ROUND => deployment.crash(0),
             Poison::EveryHostAtOnce
             | Poison::Steady
             | Poison::HostAfterHost
             | Poison::PlainCrash => {}
         }
         deployment.round();
-        let first_send = FIRST * ROUND;
+        let first_send = FIRST_POISON_ROUND * ROUND_MS;
         if refused_after.is_none() && !deployment.document.refused.is_empty() {
-            refused_after = Some(deployment.time - first_send + READ);
+            refused_after = Some(deployment.time - first_send + READ_INTERVAL_MS);
         }
     }
-    Seen {
+    Report {
         lost: deployment.lost,
         innocents: innocents as usize,
         served: deployment.count(false, &State::Served),
@@ -344,19 +348,23 @@
     let mut lost = BTreeMap::new();
     let mut slowest = 0;
     for seed in 0..SEEDS {
-        let seen = simulate(poison, size.0, size.1, seed);
-        *lost.entry(seen.lost).or_insert(0) += 1;
-        slowest = slowest.max(seen.refused_after.unwrap_or(u64::MAX));
-        assert!(seen.lost <= 2, "seed {seed}: {seen:?}");
-        assert!(0 < seen.poison_refused, "seed {seed}: {seen:?}");
-        assert_eq!((seen.served, seen.refused), (seen.innocents, 0), "seed {seed}: {seen:?}");
+        let report = simulate(poison, size.0, size.1, seed);
+        *lost.entry(report.lost).or_insert(0) += 1;
+        slowest = slowest.max(report.refused_after.unwrap_or(u64::MAX));
+        assert!(report.lost <= 2, "seed {seed}: {report:?}");
+        assert!(0 < report.poison_refused, "seed {seed}: {report:?}");
+        assert_eq!(
+            (report.served, report.refused),
+            (report.innocents, 0),
+            "seed {seed}: {report:?}"
+        );
     }
     println!("{poison:?} {size:?}: runs by servers lost {lost:?}, refused after {slowest} ms");
 }
 
 #[rstest]
-fn plain_crash_puts_nobody_away(#[values(0, 1, 2, 3, 4)] seed: u64) {
-    let seen = simulate(Poison::PlainCrash, 8, 9, seed);
-    assert_eq!((seen.lost, seen.refused_after), (1, None), "{seen:?}");
-    assert_eq!((seen.served, seen.refused), (seen.innocents, 0), "{seen:?}");
+fn plain_crash_refuses_no_request(#[values(0, 1, 2, 3, 4)] seed: u64) {
+    let report = simulate(Poison::PlainCrash, 8, 9, seed);
+    assert_eq!((report.lost, report.refused_after), (1, None), "{report:?}");
+    assert_eq!((report.served, report.refused), (report.innocents, 0), "{report:?}");
 }
