--- /dev/null
+++ b/crates/policy/src/quarantine/view.rs
@@ -0,0 +1,138 @@
+//! One host's view of the quarantine: the object as last read, and deaths that the host has seen
+//! itself.
+
+use std::{collections::BTreeMap, mem};
+
+use types::{request, service};
+
+use super::{Document, Fingerprint, ServerRun, Settings};
+use crate::once::range::Version;
+
+/// Handling of a request before it is routed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Verdict {
+    /// The request is no suspect.
+    Free,
+    /// The request is a suspect and runs only in a trial.
+    Suspect,
+    /// The request crashed servers and is refused.
+    Refused,
+}
+
+/// One host's view of the quarantine.
+#[derive(Clone, Debug, Default)]
+pub struct HostView {
+    settings: Settings,
+    document: Document,
+    /// Version of the document as last read.
+    version: Option<Version>,
+    in_flight: BTreeMap<request::Id, Flight>,
+    /// Deaths that this host has seen and the object does not show yet, with the requests that were
+    /// in flight.
+    unwritten: BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>,
+}
+
+#[derive(Clone, Debug)]
+struct Flight {
+    fingerprint: Fingerprint,
+    service: service::Id,
+    run: ServerRun,
+}
+
+impl HostView {
+    /// Returns a view in which nothing was read.
+    pub fn new(settings: Settings) -> HostView {
+        HostView { settings, ..HostView::default() }
+    }
+
+    /// Object as last read.
+    pub fn document(&self) -> &Document {
+        &self.document
+    }
+
+    /// Applies the object as read, or as written by this host; older versions are ignored, since
+    /// reads and writes may end in any order.
+    pub fn read(&mut self, version: Version, document: Document) {
+        if self.version.is_some_and(|known| version < known) {
+            return;
+        }
+        self.version = Some(version);
+        self.document = document;
+    }
+
+    /// Returns how to handle a request before it is routed.
+    pub fn admit(&self, fingerprint: Fingerprint) -> Verdict {
+        if self.document.refused.contains_key(&fingerprint) {
+            return Verdict::Refused;
+        }
+        let is_unwritten =
+            self.unwritten.values().any(|suspects| suspects.contains_key(&fingerprint));
+        match is_unwritten || self.document.suspects.contains_key(&fingerprint) {
+            true => Verdict::Suspect,
+            false => Verdict::Free,
+        }
+    }
+
+    /// Records that a request is about to be sent to a server.
+    pub fn sent(
+        &mut self,
+        id: request::Id,
+        fingerprint: Fingerprint,
+        service: service::Id,
+        run: ServerRun,
+    ) {
+        self.in_flight.insert(id, Flight { fingerprint, service, run });
+    }
+
+    /// Records that a request is no longer in flight, with its server alive.
+    pub fn ended(&mut self, id: &request::Id) {
+        self.in_flight.remove(id);
+    }
+
+    /// Records that a server answered a request completely; the server may have died since.
+    pub fn completed(&mut self, id: &request::Id, fingerprint: Fingerprint, run: &ServerRun) {
+        self.in_flight.remove(id);
+        if let Some(suspects) = self.unwritten.get_mut(run) {
+            suspects.remove(&fingerprint);
+        }
+    }
+
+    /// Records that a server died. Requests in flight on it must be written, see
+    /// [`HostView::unwritten`]. Returns whether there were any.
+    pub fn died(&mut self, run: &ServerRun) -> bool {
+        let (lost, remaining): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.run == *run);
+        self.in_flight = remaining;
+        let suspects: BTreeMap<Fingerprint, service::Id> =
+            lost.into_values().map(|flight| (flight.fingerprint, flight.service)).collect();
+        if suspects.is_empty() {
+            return false;
+        }
+        self.unwritten.entry(run.clone()).or_default().extend(suspects);
+        true
+    }
+
+    /// Deaths that the object does not show yet, with the requests that were in flight.
+    pub fn unwritten(&self) -> &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>> {
+        &self.unwritten
+    }
+
+    /// Adds the unwritten deaths to the object; they are dropped by [`HostView::written`].
+    pub fn record_death(&self, wall: crate::once::UnixMillis, document: &mut Document) {
+        for (run, suspects) in &self.unwritten {
+            let in_flight = suspects.iter().map(|(fingerprint, service)| (*fingerprint, service));
+            document.record_death(&self.settings, wall, run, in_flight);
+        }
+    }
+
+    /// Drops deaths that were written to the object.
+    pub fn written(&mut self, deaths: &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>) {
+        for (run, written) in deaths {
+            let Some(suspects) = self.unwritten.get_mut(run) else { continue };
+            suspects.retain(|fingerprint, _| !written.contains_key(fingerprint));
+            if suspects.is_empty() {
+                self.unwritten.remove(run);
+            }
+        }
+    }
+}
