--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -306,8 +306,8 @@
     /// came after the goodbye would make it known again.
     pub fn bye(&mut self) {
         self.has_left = true;
-        let in_touch = self.hosts.iter().filter(|peer| !peer.is_silent());
-        let addresses: Vec<_> = in_touch.map(|peer| peer.member.address).collect();
+        let peers = self.hosts.iter().filter(|peer| !peer.is_silent());
+        let addresses: Vec<_> = peers.map(|peer| peer.member.address).collect();
         addresses.into_iter().for_each(|address| self.put(address, Body::Bye));
     }
 
@@ -328,22 +328,22 @@
 
     /// What this host says of its own work.
     fn state(&self, now: Moment) -> State {
-        let said =
+        let advertised =
             self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
                 Fact::State(state) => Some(*state),
                 _ => None,
             });
-        said.unwrap_or_default()
+        advertised.unwrap_or_default()
     }
 
     fn note_store(&mut self, now: Moment, store: StoreStatus) {
-        let told =
+        let advertised =
             self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
                 Fact::Store(store) => Some(store.reachability),
                 _ => None,
             });
         self.store = Some(store);
-        if told != Some(store.reachability) {
+        if advertised != Some(store.reachability) {
             self.next_store = now;
             self.publish_store(now);
         }
@@ -375,10 +375,10 @@
 }
 
 fn set_in_flight(local: &mut LocalTable, now: Moment, loads: Vec<Load>) {
-    let at_rest = local.keys(|key| matches!(key, Key::InFlight(..)));
+    let known = local.keys(|key| matches!(key, Key::InFlight(..)));
     let busy: Vec<_> = loads.into_iter().map(Fact::InFlight).collect();
     let named: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
-    for key in at_rest.into_iter().filter(|key| !named.contains(key)) {
+    for key in known.into_iter().filter(|key| !named.contains(key)) {
         // It keeps its name for a while: work often comes back to where it was.
         let Key::InFlight(server, model) = key else { continue };
         local.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -91,8 +91,8 @@
                 self.crashes.insert(key, joined);
             }
             Fact::Term(stored) => {
-                let held = self.term.as_ref().map_or(0, |(revision, _)| *revision);
-                if held < stored.0 {
+                let known = self.term.as_ref().map_or(0, |(revision, _)| *revision);
+                if known < stored.0 {
                     self.term = Some(stored.clone());
                 }
             }
@@ -107,8 +107,8 @@
                 self.absent.insert(id.clone(), *run);
             }
             Fact::Limit(server, news) => {
-                let held = self.limits.entry(server.clone()).or_insert(*news);
-                *held = held.joined(*news);
+                let known = self.limits.entry(server.clone()).or_insert(*news);
+                *known = known.joined(*news);
             }
             Fact::State(_) | Fact::Declared(_) | Fact::Arrivals(..) | Fact::Retries(..) => {}
         }
@@ -116,8 +116,9 @@
 
     /// A higher fence is the newer belief; of the same one, the later renewal.
     fn merge_lease(&mut self, lease: Lease) {
-        let is_newer = self.lease.as_ref().is_none_or(|held| {
-            (held.fence, std::cmp::Reverse(held.age)) < (lease.fence, std::cmp::Reverse(lease.age))
+        let is_newer = self.lease.as_ref().is_none_or(|known| {
+            (known.fence, std::cmp::Reverse(known.age))
+                < (lease.fence, std::cmp::Reverse(lease.age))
         });
         if is_newer {
             self.lease = Some(lease);
@@ -133,8 +134,8 @@
         let store = self.store.into_iter().map(Fact::Store);
         let absent = self.absent.into_iter().map(|(id, run)| Fact::Absent(id, run));
         let limits = self.limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
-        let believed = lease.chain(term).chain(store).chain(absent).chain(limits);
-        loads.chain(servers).chain(crashes).chain(believed)
+        let others = lease.chain(term).chain(store).chain(absent).chain(limits);
+        loads.chain(servers).chain(crashes).chain(others)
     }
 }
 
@@ -145,7 +146,7 @@
 }
 
 fn merge_max<K: Ord, V: Ord + Copy>(entry: Entry<'_, K, V>, value: V) {
-    entry.and_modify(|held| *held = value.max(*held)).or_insert(value);
+    entry.and_modify(|known| *known = value.max(*known)).or_insert(value);
 }
 
 impl Fleet {
@@ -183,8 +184,8 @@
         own.facts(now)
             .chain(self.received_facts(now, Provenance::Direct))
             .for_each(|(f, age)| group.add(f, age));
-        let lapsed = self.hosts.iter().filter(|peer| peer.contact == Contact::TimedOut);
-        group.absent = lapsed.map(|peer| (peer.member.id.clone(), peer.member.run())).collect();
+        let timed_out = self.hosts.iter().filter(|peer| peer.contact == Contact::TimedOut);
+        group.absent = timed_out.map(|peer| (peer.member.id.clone(), peer.member.run())).collect();
         let mut totals = self.counters.direct.clone();
         for (key, count) in own.facts(now).filter_map(|(f, _)| Some((f.key(), f.total()?))) {
             *totals.entry(key).or_default() += count;
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -220,7 +220,7 @@
     }
 
     /// Whether it says that nothing is in flight.
-    pub(super) fn is_at_rest(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         matches!(self, Fact::InFlight(load) if load.requests == 0 && load.tokens == 0)
     }
 
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -159,13 +159,13 @@
     /// Bytes of tables in a digest. In a large deployment all are told within a few seconds, however
     /// much there is to tell; otherwise they would take this host for silent.
     pub(super) fn delta_bytes(&self, settings: &Settings) -> usize {
-        const MOST: usize = DATAGRAM_BYTES - HEAD_BYTES;
+        const MAX: usize = DATAGRAM_BYTES - HEAD_BYTES;
         if !self.is_grouped() {
-            return MOST;
+            return MAX;
         }
         let in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
         let each = in_round as usize / self.targets.len().max(1);
-        each.clamp(MIN_DELTA_BYTES, MOST)
+        each.clamp(MIN_DELTA_BYTES, MAX)
     }
 
     /// Time after which what was not acknowledged is sent again.
@@ -199,13 +199,13 @@
 impl Fleet {
     /// Whom this host tells from now on.
     pub(super) fn compute_fanout(&self, now: Moment) -> Fanout {
-        let in_touch: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
-        let hosts = in_touch.len() + 1;
-        if in_touch.len() < self.settings.full_mesh_limit {
-            let targets = in_touch.iter().map(|peer| (peer.member.id.clone(), EQUAL));
+        let peers: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
+        let hosts = peers.len() + 1;
+        if peers.len() < self.settings.full_mesh_limit {
+            let targets = peers.iter().map(|peer| (peer.member.id.clone(), EQUAL));
             return Fanout { role: Role::Equal, hosts, targets: targets.collect(), relay: None };
         }
-        let mut members: Vec<_> = in_touch.iter().map(|peer| (peer.ranks, &peer.member)).collect();
+        let mut members: Vec<_> = peers.iter().map(|peer| (peer.ranks, &peer.member)).collect();
         members.push((self.ranks, &self.member));
         let groups = groups(&members, self.settings.full_mesh_limit);
         let is_own = |group: &&Vec<Ranked>| group.iter().any(|(_, one)| one.id == self.member.id);
@@ -218,10 +218,9 @@
         let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
         // Whoever tells this host is answered, so that differing remote_tables of the groups do no harm.
         let lately = self.settings.grouped_heartbeat * 2;
-        let tell_this =
-            in_touch.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
+        let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
         let mut targets: BTreeMap<_, _> =
-            tell_this.map(|peer| (peer.member.id.clone(), NO_TABLES)).collect();
+            senders.map(|peer| (peer.member.id.clone(), NO_TABLES)).collect();
         targets.extend(own.into_iter().flatten().map(|(_, one)| (one.id.clone(), scopes)));
         if role == Role::Relay {
             let relays = others.iter().filter_map(|group| self.relay(now, group));
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -88,11 +88,11 @@
 
     /// What it says of its own work.
     pub(super) fn state(&self, now: Moment) -> State {
-        let said = self.facts(now, Scope::Own).find_map(|fact| match fact {
+        let advertised = self.facts(now, Scope::Own).find_map(|fact| match fact {
             Fact::State(state) => Some(*state),
             _ => None,
         });
-        said.unwrap_or_default()
+        advertised.unwrap_or_default()
     }
 
     pub(super) fn liveness(&self, now: Moment) -> Liveness {
@@ -190,13 +190,13 @@
             peer.contact = Contact::Alive;
             return Freshness::New;
         }
-        let Some(former) = self.replaced.get_mut(&run) else { return Freshness::UnknownRun };
-        if count <= former.count {
+        let Some(replaced) = self.replaced.get_mut(&run) else { return Freshness::UnknownRun };
+        if count <= replaced.count {
             return Freshness::Stale;
         }
-        former.count = count;
-        former.packets += 1;
-        if former.packets < PACKETS_TO_REINSTATE {
+        replaced.count = count;
+        replaced.packets += 1;
+        if replaced.packets < PACKETS_TO_REINSTATE {
             return Freshness::Stale;
         }
         self.replaced.remove(&run);
@@ -250,7 +250,7 @@
 
     /// Takes out hosts that were silent for too long.
     pub(super) fn forget(&mut self, now: Moment, settings: &Settings) -> Vec<Member> {
-        self.replaced.retain(|_, former| now < former.since + settings.forget_after);
+        self.replaced.retain(|_, replaced| now < replaced.since + settings.forget_after);
         let is_gone =
             |peer: &&Peer| peer.is_silent() && peer.last_received + settings.forget_after <= now;
         let gone: Vec<_> =
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -92,7 +92,7 @@
         now: Moment,
         scope: Scope,
         local: &mut LocalTable,
-        room: SizeLimit,
+        limit: SizeLimit,
     ) -> Option<Delta> {
         let progress = &mut self.tables[scope as usize];
         if local.last() <= progress.sent {
@@ -102,7 +102,7 @@
             // The reader starts over, unless word of what it read is still on its way.
             progress.names.clear();
         }
-        let delta = local.delta(now, scope, progress.sent, &progress.names, room);
+        let delta = local.delta(now, scope, progress.sent, &progress.names, limit);
         if delta.span == 0 {
             return None;
         }
--- a/crates/policy/src/fleet/local_table.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -102,23 +102,23 @@
 
     /// Keys that stand and for which this holds.
     pub(super) fn keys(&self, which: impl Fn(&Key) -> bool) -> Vec<Key> {
-        let standing = self.entries.values().filter(|entry| entry.fact.is_some());
-        standing.map(|entry| &entry.key).filter(|key| which(key)).cloned().collect()
+        let present = self.entries.values().filter(|entry| entry.fact.is_some());
+        present.map(|entry| &entry.key).filter(|key| which(key)).cloned().collect()
     }
 
     /// Drops work that has been at rest for so long, and forgets drops that are as old.
     pub(super) fn expire(&mut self, now: Moment, age: Duration) {
         let is_old = |entry: &&Entry| entry.updated + age <= now;
-        let at_rest = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_at_rest);
+        let is_idle = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_idle);
         let old = self.entries.values().filter(is_old);
-        let (rested, others): (Vec<_>, Vec<_>) = old.partition(at_rest);
-        let dropped = others.iter().filter(|entry| entry.fact.is_none());
-        let dropped: Vec<_> = dropped.map(|entry| entry.edition).collect();
-        let rested: Vec<_> = rested.iter().map(|entry| entry.key.clone()).collect();
-        for edition in dropped {
+        let (idle, others): (Vec<_>, Vec<_>) = old.partition(is_idle);
+        let removed = others.iter().filter(|entry| entry.fact.is_none());
+        let removed: Vec<_> = removed.map(|entry| entry.edition).collect();
+        let idle: Vec<_> = idle.iter().map(|entry| entry.key.clone()).collect();
+        for edition in removed {
             self.forget(edition);
         }
-        for key in rested {
+        for key in idle {
             self.remove(now, &key);
         }
     }
@@ -131,9 +131,9 @@
         scope: Scope,
         from: Edition,
         names: &Names,
-        room: SizeLimit,
+        limit: SizeLimit,
     ) -> Delta {
-        let mut room = room.without(DELTA_HEAD_BYTES);
+        let mut limit = limit.without(DELTA_HEAD_BYTES);
         let mut to = from;
         let mut lines = Vec::new();
         let mut extent = Extent::Complete;
@@ -143,12 +143,12 @@
             let line = Line { step: edition - to, slot, change };
             let size = wire::size(&line);
             // One line goes also where there is little room.
-            let left = if lines.is_empty() { room.max } else { room.normal };
+            let left = if lines.is_empty() { limit.max } else { limit.normal };
             if left < size {
                 extent = Extent::Partial;
                 break;
             }
-            room = room.without(size);
+            limit = limit.without(size);
             to = edition;
             lines.push(line);
         }
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -110,23 +110,23 @@
     fn send_digests(&mut self, now: Moment, fanout: &Fanout) {
         let settings = &self.settings;
         let heartbeat = fanout.heartbeat(settings);
-        let told = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
+        let sent = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
         // Others answer in rounds of their own, which are about as late.
-        let oldest = told.min().map_or(Duration::ZERO, |told| now.saturating_sub(told));
+        let oldest = sent.min().map_or(Duration::ZERO, |sent| now.saturating_sub(sent));
         let resend = fanout.resend(settings) + oldest.saturating_sub(heartbeat) * 2;
-        let room = fanout.delta_bytes(settings);
+        let limit = fanout.delta_bytes(settings);
         let slack = fanout.tick(settings) / 4;
         let mut due = Vec::new();
         for (id, scopes) in fanout.targets() {
             let Some(peer) = self.hosts.get_mut(id) else { continue };
             peer.link.resend(now, resend);
-            let has_news = peer.link.pending_ack >= fanout.urgent_ack()
+            let has_changes = peer.link.pending_ack >= fanout.urgent_ack()
                 || scopes.iter().any(|&s| peer.link.lacks(s, &self.local_tables[s as usize]));
-            let wait = match has_news {
+            let wait = match has_changes {
                 true => fanout.interval(settings, &self.member.zone, &peer.member.zone),
                 false => heartbeat,
             };
-            if peer.link.last_digest.is_none_or(|told| told + wait <= now + slack) {
+            if peer.link.last_digest.is_none_or(|sent| sent + wait <= now + slack) {
                 due.push((peer.link.last_digest, id.clone(), scopes));
             }
         }
@@ -136,20 +136,20 @@
             if fanout.is_grouped() && !self.digest_bucket.has_tokens() {
                 break;
             }
-            self.send_digest(now, &id, scopes, room);
+            self.send_digest(now, &id, scopes, limit);
         }
     }
 
-    fn send_digest(&mut self, now: Moment, id: &host::Id, scopes: &[Scope], room: usize) {
+    fn send_digest(&mut self, now: Moment, id: &host::Id, scopes: &[Scope], limit: usize) {
         let Some(peer) = self.hosts.get_mut(id) else { return };
         let marks: Vec<_> =
             peer.remote_tables.iter().map(|(scope, remote)| (*scope, remote.mark())).collect();
-        let mut room = SizeLimit { normal: room, max: DATAGRAM_BYTES - HEAD_BYTES };
+        let mut limit = SizeLimit { normal: limit, max: DATAGRAM_BYTES - HEAD_BYTES };
         let mut deltas = Vec::new();
         for &scope in scopes {
             let local = &mut self.local_tables[scope as usize];
-            let Some(delta) = peer.link.delta(now, scope, local, room) else { continue };
-            room = room.without(wire::size(&delta));
+            let Some(delta) = peer.link.delta(now, scope, local, limit) else { continue };
+            limit = limit.without(wire::size(&delta));
             deltas.push(delta);
         }
         peer.link.last_digest = Some(now);
@@ -176,9 +176,9 @@
 
     /// Time in which each host that is not told gets a sign of life, within a share of the budget.
     fn keepalive_round(&self, fanout: &Fanout) -> Duration {
-        let far = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
+        let peers = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
         let share = fanout.budget(&self.settings) * KEEPALIVE_SHARE;
-        let span = Duration::from_secs_f64((far * KEEPALIVE_BYTES) as f64 / share.max(1.0));
+        let span = Duration::from_secs_f64((peers * KEEPALIVE_BYTES) as f64 / share.max(1.0));
         span.max(self.settings.keepalive_interval)
     }
 
@@ -224,11 +224,11 @@
     fn send_keepalives(&mut self, now: Moment, fanout: &Fanout) {
         let round = self.keepalive_round(fanout);
         let pace = fanout.tick(&self.settings).as_secs_f64() / round.as_secs_f64();
-        let far = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
-        let mut far: Vec<_> = far.collect();
-        let most = (far.len() as f64 * pace).ceil() as usize;
-        far.sort_by_key(|peer| peer.greeted);
-        let due = far.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
+        let peers = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
+        let mut peers: Vec<_> = peers.collect();
+        let most = (peers.len() as f64 * pace).ceil() as usize;
+        peers.sort_by_key(|peer| peer.greeted);
+        let due = peers.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
         let addresses: Vec<_> = due
             .take(most)
             .map(|peer| {
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -82,7 +82,8 @@
 
     /// Hosts in touch whose declaration is above this version, the best to ask first.
     pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&PeerStatus> {
-        let mut hosts: Vec<_> = self.in_touch().filter(|status| status.declared > above).collect();
+        let mut hosts: Vec<_> =
+            self.not_silent().filter(|status| status.declared > above).collect();
         hosts.sort_by_key(|status| {
             (std::cmp::Reverse(status.declared), status.member.zone != *zone)
         });
@@ -92,7 +93,7 @@
     /// Hosts in touch that saw a later revision of the store, the best to ask first.
     pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&PeerStatus> {
         let mut hosts: Vec<_> =
-            self.in_touch().filter(|status| status.store.revision > above).collect();
+            self.not_silent().filter(|status| status.store.revision > above).collect();
         hosts.sort_by_key(|status| {
             let store = std::cmp::Reverse((status.store.reachability, status.store.revision));
             (store, status.member.zone != *zone)
@@ -100,7 +101,7 @@
         hosts
     }
 
-    fn in_touch(&self) -> impl Iterator<Item = &PeerStatus> {
+    fn not_silent(&self) -> impl Iterator<Item = &PeerStatus> {
         self.hosts.iter().filter(|status| status.liveness != Liveness::Silent)
     }
 }
