--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,17 +1,18 @@
-//! What the hosts of a routed deployment tell each other.
+//! Gossip between the hosts of a routed deployment.
 //!
-//! Each host keeps a table of facts about itself: its state, the declaration in force, its beliefs
-//! of the lease and the store, its work in flight, and counts that only rise. Every other host
-//! reads it by editions: a digest carries what changed since the edition that its reader has, so
-//! nothing is lost with a datagram, nothing old overwrites what is newer, and a host that is at
-//! rest says little. News that can't wait goes out at once as a [`Notice`] and is sent again until
-//! it is acknowledged.
+//! Each host keeps a table of facts about itself: its state, the declaration in force, what it
+//! believes about the lease and the store, its work in flight, and counters that only rise. Every
+//! change in the table gets the next edition number. A digest carries what changed since the
+//! edition that its reader has acknowledged, so a lost datagram loses nothing, nothing old
+//! overwrites what is newer, and an idle host sends little. What can't wait for the next digest
+//! goes out at once as a [`Notice`] and is sent again until it is acknowledged.
 //!
-//! Up to [`Settings::full_mesh_limit`] hosts tell all others. Above it they stand in groups within their
-//! zone; one relay of each group trades sums with the other relays (see `fanout`).
+//! Up to [`Settings::full_mesh_limit`] hosts all send each other digests. More hosts form groups
+//! within their availability zones, and one relay of each group exchanges aggregated tables with
+//! the other relays (see `fanout`).
 //!
-//! All of it is plain state: datagrams and the time go in, datagrams come out. Silence of a host is
-//! a hint for shares and routes and never a ground for anything that must be safe.
+//! All of it is plain state: datagrams and the time go in, datagrams come out. That a host is
+//! silent is only a hint for shares and routes; nothing that must be safe may rest on it.
 
 mod aggregate;
 mod candidates;
@@ -51,37 +52,42 @@
     wire::DATAGRAM_BYTES,
 };
 
-/// Times and sizes.
+/// Intervals, timeouts and sizes of the gossip.
+///
+/// A deployment is "grouped" if it has more than `full_mesh_limit` hosts.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Between digests to a host of the same zone that has something to hear.
+    /// Least time between digests to a host of the same zone that lacks changes.
     pub interval: Duration,
-    /// The same, to a host of another zone.
+    /// Least time between digests to a host of another zone that lacks changes.
     pub cross_zone_interval: Duration,
-    /// Between digests to a host that has nothing to hear.
+    /// Time between digests to a host that lacks no changes.
     pub heartbeat: Duration,
-    /// After which a host that was told, and not heard, is silent.
+    /// Time without a packet after which a host that gets digests from this one is silent.
     pub silence_timeout: Duration,
-    /// Between signs of life to a host of a larger deployment that is not told; longer if there
-    /// are many.
+    /// Least time between keepalives to a host of a grouped deployment that gets no digests; it is
+    /// longer if there are so many that keepalives would exceed their share of the bytes.
     pub keepalive_interval: Duration,
-    /// After which a silent host is forgotten.
+    /// Time without a packet after which a silent host is forgotten.
     pub forget_after: Duration,
-    /// Most hosts that all tell each other.
+    /// Most hosts that all send each other digests.
     pub full_mesh_limit: usize,
-    /// Hosts for which `grouped_tick`, `grouped_interval` and `bytes_per_second` are meant; fewer tell sooner and more.
+    /// Hosts of the deployment for which `grouped_tick`, `grouped_interval` and `bytes_per_second`
+    /// are set. Fewer hosts send digests more often and more bytes.
     pub reference_hosts: usize,
-    /// Between looks, in a deployment of the target's size, at who is due.
+    /// Time between checks for due digests in a grouped deployment of the reference size.
     pub grouped_tick: Duration,
-    /// Between digests there.
+    /// Least time between digests to a host that lacks changes, in a grouped deployment of the
+    /// reference size.
     pub grouped_interval: Duration,
-    /// Between digests, in a deployment that is larger than small, to a host that has nothing to hear.
+    /// Time between digests to a host that lacks no changes, in any grouped deployment.
     pub grouped_heartbeat: Duration,
-    /// After which a host there that was told, and not heard, is silent.
+    /// Time without a packet after which a host that gets digests from this one is silent, in any
+    /// grouped deployment.
     pub grouped_silence_timeout: Duration,
-    /// Bytes a second that a host of a deployment of the target's size sends in digests.
+    /// Bytes a second that a host sends in digests in a grouped deployment of the reference size.
     pub bytes_per_second: u32,
-    /// The same, of any larger than small.
+    /// Most bytes a second that a host sends in digests in a grouped deployment of any size.
     pub max_bytes_per_second: u32,
 }
 
@@ -106,60 +112,60 @@
     }
 }
 
-/// What a host is taken for.
+/// Liveness of another host, as this host sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It is heard.
+    /// Packets arrive from the host, and it takes new work or is about to.
     Live,
-    /// It is heard, and says that it takes nothing new.
+    /// Packets arrive from the host, and it advertises that it takes nothing new.
     Leaving,
-    /// It is not heard.
+    /// No packet arrived within the silence timeout, or a relay reported that none does.
     Silent,
 }
 
-/// Bytes for another host.
+/// A datagram to be sent to another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where to.
+    /// The receiver's address.
     pub to: SocketAddr,
-    /// What.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
 /// A notice that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNotice {
-    /// The host that it comes from, if it is known here.
+    /// Name of the host that first sent the notice; none if that run of a host is not known here.
     pub origin: Option<host::Id>,
-    /// Where the host that passed it on listens.
+    /// Address of the host that sent or forwarded the datagram.
     pub via: SocketAddr,
     /// The notice.
     pub notice: Notice,
 }
 
-/// The host that a notice is for is not known.
+/// Error of sending a notice to a host that is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host {0} is not known here")]
 pub struct UnknownHost(pub host::Id);
 
-/// Counts since the start.
+/// Traffic counts since this host's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes, without those of the network's own headers.
+    /// Payload bytes of the datagrams sent, without the network's headers.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Payload bytes of the datagrams received.
     pub received_bytes: u64,
-    /// Datagrams received that could not be read.
+    /// Datagrams received that could not be decoded.
     pub unreadable: u64,
-    /// Notices that nobody acknowledged.
+    /// Notices that were given up without an acknowledgement, or never queued for want of room.
     pub lost_notices: u64,
 }
 
-/// This host among the others.
+/// This host's end of the gossip.
 #[derive(Debug)]
 pub struct Fleet {
     settings: Settings,
@@ -167,7 +173,8 @@
     ranks: Ranks,
     count: u32,
     local_tables: [LocalTable; Scope::ALL.len()],
-    /// The newest word on the store; told at most once a heartbeat.
+    /// The newest status of the store that is not advertised yet; advertised at most once a
+    /// heartbeat.
     store: Option<StoreStatus>,
     hosts: Hosts,
     candidates: Candidates,
@@ -190,7 +197,7 @@
 }
 
 impl Fleet {
-    /// Starts with the addresses of some hosts, which may be down or its own.
+    /// Starts with seed addresses, at which hosts may be down; this host's own may be among them.
     pub fn new(
         now: Moment,
         settings: Settings,
@@ -229,17 +236,17 @@
         }
     }
 
-    /// This host.
+    /// This host's identity.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// Names further addresses at which hosts may be.
+    /// Adds addresses at which other hosts may be; they are tried until a host is found there.
     pub fn introduce(&mut self, now: Moment, addresses: impl IntoIterator<Item = SocketAddr>) {
         addresses.into_iter().for_each(|address| self.candidates.add(now, address));
     }
 
-    /// Replaces a part of what this host targets.
+    /// Replaces one part of the facts that this host advertises.
     pub fn publish(&mut self, now: Moment, publication: Publication) {
         let local = &mut self.local_tables[Scope::Own as usize];
         match publication {
@@ -272,11 +279,11 @@
         }
     }
 
-    /// Sends a notice until it is acknowledged, or a few times.
+    /// Sends a notice until it is acknowledged, a few times at the most.
     ///
     /// # Errors
     ///
-    /// If it is for one host and that host is not known.
+    /// If the notice is for one host and that host is not known.
     pub fn send(&mut self, now: Moment, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         self.number += 1;
         let item = Item { origin: self.member.run(), number: self.number, notice };
@@ -291,7 +298,7 @@
         Ok(())
     }
 
-    /// Sends a notice to one host, once.
+    /// Sends a notice to one host once, without an acknowledgement.
     ///
     /// # Errors
     ///
@@ -302,8 +309,8 @@
         Ok(())
     }
 
-    /// Tells all hosts in touch that this one ends. From then on it tells nothing else: a digest that
-    /// came after the goodbye would make it known again.
+    /// Announces the end of this host to all hosts that are not silent. Nothing else is sent from
+    /// then on: a digest that arrived after the goodbye would register this host again.
     pub fn bye(&mut self) {
         self.has_left = true;
         let peers = self.hosts.iter().filter(|peer| !peer.is_silent());
@@ -316,17 +323,17 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// When [`Fleet::tick`] is due.
+    /// Returns the time at which [`Fleet::tick`] is due.
     pub fn next(&self) -> Moment {
         self.outbox.next().map_or(self.next_tick, |next| next.min(self.next_tick))
     }
 
-    /// Counts since the start.
+    /// Returns the traffic counts since this host's start.
     pub fn counts(&self) -> Counts {
         Counts { lost_notices: self.outbox.lost, ..self.counts }
     }
 
-    /// What this host says of its own work.
+    /// The state that this host advertises.
     fn state(&self, now: Moment) -> State {
         let advertised =
             self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
@@ -349,7 +356,8 @@
         }
     }
 
-    /// Revisions rise all the time; told each time they would keep every host from resting.
+    /// Advertises the newest status of the store, at most once a heartbeat. Revisions rise all the
+    /// time; advertising each of them would never let a host be idle.
     fn publish_store(&mut self, now: Moment) {
         if now < self.next_store {
             return;
@@ -359,7 +367,7 @@
         self.next_store = now + self.settings.heartbeat;
     }
 
-    /// Puts a packet among those to be sent.
+    /// Encodes a packet and adds it to those to be sent.
     fn put(&mut self, to: SocketAddr, body: Body) {
         if self.has_left && body != Body::Bye {
             return;
@@ -379,7 +387,7 @@
     let busy: Vec<_> = loads.into_iter().map(Fact::InFlight).collect();
     let named: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
     for key in known.into_iter().filter(|key| !named.contains(key)) {
-        // It keeps its name for a while: work often comes back to where it was.
+        // A removed fact would lose its slot and its name; work often comes back to where it was.
         let Key::InFlight(server, model) = key else { continue };
         local.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
     }
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -1,4 +1,4 @@
-//! Counters over what several hosts tell.
+//! Aggregation of the facts of several hosts.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 use std::time::Duration;
@@ -20,7 +20,7 @@
     wire::{Run, Scope},
 };
 
-/// Counts that only rise, as far as this host heard them rise.
+/// Totals of the counters that only rise, added up from the increments that this host received.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     sources: BTreeMap<(host::Id, Scope), Provenance>,
@@ -29,7 +29,7 @@
 }
 
 impl Counters {
-    /// Takes by how much counts rose, if their teller counts here.
+    /// Adds increments to the totals, if the table that they come from is counted here.
     pub(super) fn take(
         &mut self,
         id: &host::Id,
@@ -47,16 +47,16 @@
         }
     }
 
-    /// All counts.
+    /// Returns all totals; a key that is counted both directly and from aggregates appears twice.
     pub(super) fn totals(&self) -> impl Iterator<Item = (&Key, u64)> {
         self.direct.iter().chain(&self.aggregated).map(|(key, total)| (key, *total))
     }
 }
 
-/// Requests and prompt tokens at servers, by server and model.
+/// Requests and prompt tokens in flight, by server and model.
 pub(super) type LoadSums = BTreeMap<(backend::Id, Option<model::Id>), (u32, u64)>;
 
-/// Facts of several hosts, as one.
+/// Facts of several hosts, merged into one of each key.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) in_flight: LoadSums,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A higher fence is the newer belief; of the same one, the later renewal.
+    /// Merges a belief about the lease: a higher fencing token prevails, and of the same one the
+    /// later renewal.
     fn merge_lease(&mut self, lease: Lease) {
         let is_newer = self.lease.as_ref().is_none_or(|known| {
             (known.fence, std::cmp::Reverse(known.age))
@@ -139,7 +140,7 @@
     }
 }
 
-/// Work as loads, those at rest among them.
+/// Converts sums to loads, those without work among them.
 pub(super) fn loads(sums: LoadSums) -> impl Iterator<Item = Load> {
     let load = |((server, model), (requests, tokens))| Load { server, model, requests, tokens };
     sums.into_iter().map(load)
@@ -150,7 +151,7 @@
 }
 
 impl Fleet {
-    /// Facts of other hosts at this provenance.
+    /// Facts that other hosts advertise, of tables that are counted in this way.
     pub(super) fn received_facts(
         &self,
         now: Moment,
@@ -164,7 +165,7 @@
         remote_tables.flat_map(move |remote| remote.facts(now))
     }
 
-    /// Brings up to date who counts, and what this host relays.
+    /// Updates which tables are counted and, on a relay, the aggregated tables that it advertises.
     pub(super) fn aggregate(&mut self, now: Moment, fanout: &Fanout) {
         self.counters.sources =
             fanout.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
--- a/crates/policy/src/fleet/candidates.rs
+++ b/crates/policy/src/fleet/candidates.rs
@@ -1,4 +1,4 @@
-//! Addresses at which hosts may be.
+//! Addresses at which hosts may be, tried with exponential backoff.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -6,16 +6,16 @@
 
 use super::wire::Reply;
 
-/// Pause before an address is tried again; doubled each time.
+/// Pause before an address is tried the second time; doubled with each further attempt.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest such pause.
+/// Longest pause between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Most addresses that are tried at once.
+/// Most addresses that are tried in one tick.
 const MAX_AT_ONCE: usize = 32;
 
-/// How long the address of a forgotten host is tried.
+/// How long the address of a forgotten host, or one that a datagram named or came from, is tried.
 const FORGOTTEN_RETRY_PERIOD: Duration = Duration::from_secs(600);
 
 /// Whether an address was tried before.
@@ -36,21 +36,21 @@
 }
 
 impl Candidates {
-    /// Takes an address to be tried for good.
+    /// Adds an address that is tried without end, such as a seed.
     pub(super) fn add(&mut self, now: Moment, address: SocketAddr) {
         let candidate = Candidate { next: now, pause: MIN_BACKOFF, until: None };
         self.0.entry(address).or_insert(candidate).until = None;
     }
 
-    /// Takes an address to be tried for a while.
+    /// Adds an address that is tried for a limited time.
     pub(super) fn add_temporary(&mut self, now: Moment, address: SocketAddr) {
         let candidate =
             Candidate { next: now, pause: MIN_BACKOFF, until: Some(now + FORGOTTEN_RETRY_PERIOD) };
         self.0.entry(address).or_insert(candidate);
     }
 
-    /// Addresses to be tried now, but for those at which a host is known; so many of them again, the
-    /// longest due first.
+    /// Returns the addresses to be tried now, without those at which a host is known. Of addresses
+    /// that were tried before only `again` are returned, those that have been due the longest.
     pub(super) fn due(
         &mut self,
         now: Moment,
@@ -76,7 +76,8 @@
 }
 
 impl Candidate {
-    /// Notes that it is tried; what it is asked.
+    /// Notes an attempt, and returns the reply to ask for: seeds are asked for the members that
+    /// they know.
     fn start(&mut self, now: Moment) -> Reply {
         self.next = now + self.pause;
         self.pause = (self.pause * 2).min(MAX_BACKOFF);
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -1,4 +1,4 @@
-//! What hosts tell of themselves, as facts that are replaced one by one.
+//! Facts that hosts advertise about themselves, each of which is replaced on its own.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,48 +16,48 @@
 /// Revision of the store.
 pub type Revision = u64;
 
-/// A host, in one run of its process.
+/// Identity of a host in one run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The host's name.
     pub id: host::Id,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: availability::Id,
-    /// Where it listens for other hosts.
+    /// Address at which the host listens for the datagrams of other hosts.
     pub address: SocketAddr,
-    /// The run of its process.
+    /// Number of the run of the host's process.
     pub incarnation: host::Incarnation,
 }
 
 impl Member {
-    /// The run that it stands for.
+    /// Returns a number for this run of the host that differs between hosts, too.
     pub(super) fn run(&self) -> Run {
         rendezvous::score(&self.incarnation.to_le_bytes(), &self.id)
     }
 }
 
-/// What a host says of its own work.
+/// Whether a host takes work, as it advertises itself.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum State {
-    /// Takes no work yet.
+    /// The host has no declaration yet and takes no work.
     #[default]
     Starting,
-    /// Takes work.
+    /// The host takes work.
     Ready,
-    /// Takes nothing new.
+    /// The host takes no new work.
     Leaving,
 }
 
-/// Who is believed to hold the planner's lease. Never a ground for acting as its holder.
+/// A host's belief about who holds the planner's lease. Never a ground for acting as its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder.
+    /// The host that holds the lease.
     pub holder: host::Id,
-    /// Its fencing number.
+    /// The holder's fencing token.
     pub fence: u64,
-    /// How long ago it was renewed.
+    /// Time since the lease was renewed.
     #[serde(with = "types::time::millis")]
     pub age: Duration,
 }
@@ -67,74 +67,77 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Reachability {
-    /// It does not.
+    /// The host does not reach the store.
     #[default]
     Unreachable,
-    /// It does.
+    /// The host reaches the store.
     Reachable,
 }
 
-/// What a host has of the store.
+/// A host's connection to the store, and how current its copy is.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct StoreStatus {
-    /// Whether it reaches it.
+    /// Whether the host reaches the store.
     pub reachability: Reachability,
-    /// The last revision that it saw.
+    /// The last revision of the store that the host saw.
     pub revision: Revision,
 }
 
-/// Work in flight at a server.
+/// Work that one host has in flight at a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The server.
     pub server: backend::Id,
-    /// The model, if the server runs models.
+    /// The model that the work is for; none if the server does not run models.
     pub model: Option<model::Id>,
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens in flight that the server has not processed yet.
     pub tokens: u64,
 }
 
-/// How a server goes; the later word is the stronger.
+/// Stage of a server's departure. If hosts disagree, the later variant prevails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Departure {
-    /// Gets nothing new.
+    /// The server gets no new requests.
     Leaving,
-    /// Is no longer registered.
+    /// The server is no longer registered.
     Gone,
 }
 
-/// A part of what a host tells; each replaces what the host told of that part before.
+/// One part of the facts that a host advertises. Each publication replaces the one before it of the
+/// same part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Publication {
-    /// Its own work.
+    /// Whether the host takes work.
     State(State),
-    /// Version of the declaration in force there.
+    /// Version of the declaration in force at the host.
     Declared(Version),
-    /// Who is believed to hold the lease.
+    /// The host's belief about the holder of the planner's lease; none withdraws it.
     Lease(Option<Lease>),
-    /// The lease object as it knows it.
+    /// The stored lease object, as the host last saw it.
     Term(term::Stored),
-    /// What it has of the store.
+    /// The host's connection to the store.
     Store(StoreStatus),
-    /// Work in flight; what is left out is at rest.
+    /// Work in flight; what is left out has none.
     InFlight(Vec<Load>),
-    /// Arrivals since its start, by service; never falling, and what is left out stands.
+    /// Arrivals since the host's start, by service. Counts never fall, and those left out stay as
+    /// they are.
     Arrivals(Vec<(service::Id, u64)>),
-    /// Retries spent since its start, by service; never falling, and what is left out stands.
+    /// Retries spent since the host's start, by service. Counts never fall, and those left out stay
+    /// as they are.
     Retries(Vec<(service::Id, u64)>),
-    /// Servers known to be going.
+    /// Servers that the host knows to be departing.
     Servers(Vec<(backend::Id, Departure)>),
-    /// Crashes of servers, with the requests that were there.
+    /// Crashes of servers, with the requests that were in flight there.
     Crashes(Vec<Crash>),
-    /// The last news of the limits of servers.
+    /// The latest limit that the host knows for each server.
     Limits(Vec<(backend::Id, News)>),
 }
 
-/// One thing that a host targets.
+/// One row of the table that a host advertises.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Fact {
     State(State),
@@ -146,13 +149,13 @@
     Retries(service::Id, u64),
     Server(backend::Id, Departure),
     Crash(Crash),
-    /// A relay does not hear this run of a host.
+    /// A relay receives no packets of this run of a host.
     Absent(host::Id, Run),
     Term(term::Stored),
     Limit(backend::Id, News),
 }
 
-/// What a fact is about; a later fact of the same key replaces it.
+/// Key of a fact; a later fact of the same key replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Key {
     State,
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Its numbers, if it consists of a key and numbers.
+    /// Returns the fact's numbers, if it consists of a key and numbers.
     pub(super) fn numbers(&self) -> Option<(u64, u64)> {
         match self {
             Fact::InFlight(load) => Some((load.requests.into(), load.tokens)),
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Takes other numbers; whether it has any.
+    /// Replaces the fact's numbers; false if it has none.
     pub(super) fn set_numbers(&mut self, first: u64, second: u64) -> bool {
         match self {
             Fact::InFlight(load) => {
@@ -211,7 +214,7 @@
         true
     }
 
-    /// Its count, if it only ever rises.
+    /// Returns the fact's count, if it is a counter that only rises.
     pub(super) fn total(&self) -> Option<u64> {
         match self {
             Fact::Arrivals(_, count) | Fact::Retries(_, count) => Some(*count),
@@ -219,12 +222,12 @@
         }
     }
 
-    /// Whether it says that nothing is in flight.
+    /// Whether the fact says that nothing is in flight.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self, Fact::InFlight(load) if load.requests == 0 && load.tokens == 0)
     }
 
-    /// The same fact, told this much later.
+    /// Returns the fact as it is to be sent this much later, with its age raised.
     pub(super) fn aged(&self, by: Duration) -> Fact {
         match self {
             Fact::Lease(lease) => Fact::Lease(Lease { age: lease.age + by, ..lease.clone() }),
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -1,11 +1,12 @@
-//! Whom a host targets.
+//! Choice of the hosts that get digests from this host.
 //!
-//! In a small deployment: all others. In a larger one every host knows all others by rare greetings,
-//! and works out from them, alike on every host, how its zone divides into groups of at most
-//! [`Settings::full_mesh_limit`]. A host tells its own group. The first of the group that is in touch, by
-//! rendezvous hashing, is its relay: it tells the other relays the sums of its group, and its group
-//! the sums of all others. So what a host sends is bounded by the size of a group and the number of
-//! groups, and a fact reaches everybody in three steps.
+//! Up to [`Settings::full_mesh_limit`] hosts all send each other digests. In a larger deployment
+//! every host knows all others by rare greetings, and divides each zone into groups of up to about
+//! that many hosts, by a rule that gives the same result on every host. A host sends digests
+//! to its own group. The highest-ranked host of a group that is not silent, by rendezvous hashing,
+//! is the group's relay: it sends the aggregated table of its group to the other relays, and the
+//! aggregated table of all other groups to its group. So what a host sends is bounded by the size
+//! of a group and the number of groups, and a fact reaches every host in three steps.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,20 +20,20 @@
 };
 use crate::member::rendezvous;
 
-/// Keys of the two ways in which hosts are ranked.
+/// Hash keys of the two rankings of hosts.
 const GROUP_KEY: &[u8] = b"group";
 const RELAY_KEY: &[u8] = b"relay";
 
-/// Time in which a host of a large deployment tells all whom it targets.
+/// Time within which a host of a grouped deployment sends a digest to each of its targets.
 const DIGEST_ROUND: Duration = Duration::from_secs(3);
 
-/// Share of the budget that is for tables.
+/// Share of the byte budget that deltas may take.
 const DELTAS_SHARE: f64 = 0.5;
 
-/// SizeLimit that a digest has for tables, at the least.
+/// Least bytes of a digest that are left for deltas.
 const MIN_DELTA_BYTES: usize = 100;
 
-/// Where a host stands among others, alike on every host.
+/// A host's ranks among all hosts; every host computes the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ranks {
     group: u64,
@@ -45,38 +46,39 @@
     }
 }
 
-/// Whom a host tells what.
+/// Targets of this host's digests, and the tables that each target gets.
 #[derive(Debug, Default)]
 pub(super) struct Fanout {
     role: Role,
-    /// Hosts in touch, this one among them.
+    /// Hosts that are not silent, this one among them.
     hosts: usize,
     targets: BTreeMap<host::Id, &'static [Scope]>,
-    /// The relay of its group.
+    /// The relay of this host's group.
     relay: Option<host::Id>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Role {
-    /// One of a small deployment.
+    /// One of the hosts of a deployment that is not grouped.
     #[default]
     Equal,
-    /// One of a group, whose relay is another.
+    /// One of a group whose relay is another host.
     Member,
     Relay,
 }
 
-/// How a host counts what another targets.
+/// How the facts of a table enter this host's snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Provenance {
-    /// As one of its own group.
+    /// As the facts of one host of the own group.
     Direct,
-    /// As the sum of others.
+    /// As facts that a relay has aggregated over several hosts.
     Aggregated,
 }
 
 impl Fanout {
-    /// Whose tables make up this host's snapshot, without any host's facts twice.
+    /// Returns the tables that make up this host's snapshot, chosen such that no host's facts count
+    /// twice.
     pub(super) fn sources(&self) -> impl Iterator<Item = (&host::Id, Scope, Provenance)> {
         self.targets.iter().flat_map(|(id, scopes)| match (self.role, *scopes) {
             (Role::Equal, _) => vec![(id, Scope::Own, Provenance::Direct)],
@@ -105,7 +107,7 @@
         self.role != Role::Equal
     }
 
-    /// The relay of this host's group, which may be this host.
+    /// Returns the relay of this host's group, which may be this host.
     pub(super) fn relay(&self) -> Option<&host::Id> {
         self.relay.as_ref()
     }
@@ -114,7 +116,7 @@
         self.role == Role::Relay
     }
 
-    /// Between looks at who is due.
+    /// Time between checks for due digests.
     pub(super) fn tick(&self, settings: &Settings) -> Duration {
         if self.is_grouped() {
             self.scaled(settings, settings.grouped_tick)
@@ -127,37 +129,39 @@
         if self.is_grouped() { settings.grouped_heartbeat } else { settings.heartbeat }
     }
 
-    /// After which a host that is told, and not heard, is silent.
+    /// Time without a packet after which a target is silent.
     pub(super) fn silence(&self, settings: &Settings) -> Duration {
         if self.is_grouped() { settings.grouped_silence_timeout } else { settings.silence_timeout }
     }
 
-    /// Bytes a second that may be sent in digests. Fewer hosts than the target's have fewer relays
-    /// to tell and more of each other's work to know of, and the bound on bytes is the target's.
+    /// Bytes a second that may be sent in digests. A deployment smaller than the reference size has
+    /// fewer relays to update, and each of its hosts needs to know more of the others' work; the
+    /// lower bound on bytes is that of the reference size.
     pub(super) fn budget(&self, settings: &Settings) -> f64 {
         let (least, most) =
             (f64::from(settings.bytes_per_second), f64::from(settings.max_bytes_per_second));
         (least * self.scale(settings).powi(3)).clamp(least, most.max(least))
     }
 
-    /// Between digests, and between sums, in a large deployment.
+    /// Least time between digests, and time between aggregations, in a grouped deployment.
     pub(super) fn grouped_interval(&self, settings: &Settings) -> Duration {
         self.scaled(settings, settings.grouped_interval)
     }
 
-    /// How many times the target's hosts are as many as there are here.
+    /// How many times as large as this deployment the reference size is.
     fn scale(&self, settings: &Settings) -> f64 {
         settings.reference_hosts as f64 / self.hosts.max(1) as f64
     }
 
-    /// What is a time of the target's for these hosts.
+    /// Scales a time that is set for the reference size to this deployment.
     fn scaled(&self, settings: &Settings, time: Duration) -> Duration {
         let part = self.scale(settings).max(1.0);
         time.div_f64(part).max(settings.interval)
     }
 
-    /// Bytes of tables in a digest. In a large deployment all are told within a few seconds, however
-    /// much there is to tell; otherwise they would take this host for silent.
+    /// Bytes of a digest that are left for deltas. In a grouped deployment each target gets a
+    /// digest within [`DIGEST_ROUND`], however much has changed; otherwise the targets would take
+    /// this host for silent.
     pub(super) fn delta_bytes(&self, settings: &Settings) -> usize {
         const MAX: usize = DATAGRAM_BYTES - HEAD_BYTES;
         if !self.is_grouped() {
@@ -168,7 +172,7 @@
         each.clamp(MIN_DELTA_BYTES, MAX)
     }
 
-    /// Time after which what was not acknowledged is sent again.
+    /// Time after which changes that were not acknowledged are sent again.
     pub(super) fn resend(&self, settings: &Settings) -> Duration {
         match self.is_grouped() {
             true => settings.grouped_heartbeat + self.grouped_interval(settings),
@@ -176,8 +180,8 @@
         }
     }
 
-    /// What is owed that does not wait for the next heartbeat. Receipts of their own would be most
-    /// of what hosts of a large deployment send.
+    /// The least acknowledgement that does not wait for the next heartbeat. In a grouped deployment
+    /// plain acknowledgements do wait: sent on their own, they would be most of the traffic.
     pub(super) fn urgent_ack(&self) -> PendingAck {
         if self.is_grouped() { PendingAck::Gap } else { PendingAck::Read }
     }
@@ -197,7 +201,7 @@
 }
 
 impl Fleet {
-    /// Whom this host tells from now on.
+    /// Computes the targets of this host's digests from the hosts that are not silent.
     pub(super) fn compute_fanout(&self, now: Moment) -> Fanout {
         let peers: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
         let hosts = peers.len() + 1;
@@ -216,7 +220,8 @@
             _ => Role::Member,
         };
         let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
-        // Whoever tells this host is answered, so that differing remote_tables of the groups do no harm.
+        // A host that sends this one digests is answered, so that it is no fault if two hosts
+        // divide the groups differently for a while.
         let lately = self.settings.grouped_heartbeat * 2;
         let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
         let mut targets: BTreeMap<_, _> =
@@ -230,7 +235,8 @@
         Fanout { role, hosts, targets, relay }
     }
 
-    /// The relay of a group: one that stays, if there is one.
+    /// Returns the relay of a group: the highest-ranked host, one that is not leaving if there is
+    /// one.
     fn relay(&self, now: Moment, group: &[Ranked]) -> Option<host::Id> {
         let leaves = |one: &Member| match self.hosts.get(&one.id) {
             Some(peer) => peer.liveness(now) == Liveness::Leaving,
@@ -248,8 +254,8 @@
 
 type Ranked<'a> = (Ranks, &'a Member);
 
-/// Divides hosts into groups of one zone each. The first bits of a host's rank say which is its
-/// group, so that hosts with differing remote_tables of who is there place all others alike.
+/// Divides hosts into groups of one zone each. The first bits of a host's rank give its group, so
+/// hosts that know of different members still place all others alike.
 fn groups<'a>(members: &[Ranked<'a>], most: usize) -> Vec<Vec<Ranked<'a>>> {
     let mut zones = BTreeMap::<_, Vec<_>>::new();
     for (ranks, member) in members {
@@ -258,7 +264,8 @@
     let mut groups = Vec::new();
     for ranked in zones.values_mut() {
         ranked.sort();
-        // Groups are not even; on average they have three quarters of the most.
+        // Hashing does not fill groups evenly, so groups have three quarters of the limit on
+        // average.
         let parts = (ranked.len() * 4).div_ceil(most * 3).next_power_of_two();
         let place = |ranks: Ranks| ranks.group.checked_shr(u64::BITS - parts.ilog2()).unwrap_or(0);
         groups.extend(ranked.chunk_by(|(a, _), (b, _)| place(*a) == place(*b)).map(<[_]>::to_vec));
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -1,8 +1,8 @@
-//! The hosts that this one hears directly.
+//! The hosts that this host has received a greeting from.
 //!
 //! A host is known by its name and stands for one run of its process at a time. Wall clocks jump,
-//! so runs are not ordered by their numbers: a run that was not seen before replaces the one that
-//! was, and a replaced run comes back only if it goes on talking.
+//! so runs are not ordered by their numbers: a run that was not known before replaces the known
+//! one, and a replaced run is reinstated only if its packets keep arriving.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -17,26 +17,26 @@
     wire::{Run, Scope},
 };
 
-/// Packets of a replaced run after which it is believed to be the present one.
+/// Packets of a replaced run after which it is taken for the current one again.
 const PACKETS_TO_REINSTATE: u32 = 3;
 
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
     pub(super) ranks: Ranks,
-    /// Packets that its run has sent, as far as is known.
+    /// Highest packet count received from the peer's run.
     pub(super) count: u32,
     pub(super) last_received: Moment,
-    /// When a digest came that wants an answer.
+    /// When the last digest that wants an answer arrived.
     pub(super) last_digest: Option<Moment>,
-    /// Since when this host tells it.
+    /// Since when the peer has been a target of this host's digests.
     pub(super) target_since: Option<Moment>,
     pub(super) contact: Contact,
     pub(super) remote_tables: BTreeMap<Scope, RemoteTable>,
     pub(super) link: Link,
-    /// When it was last greeted.
+    /// When this host last sent the peer a greeting or a keepalive.
     pub(super) greeted: Option<Moment>,
-    /// When a greeting of its own was last answered.
+    /// When this host last answered a greeting of the peer.
     pub(super) answered: Option<Moment>,
 }
 
@@ -61,7 +61,8 @@
         self.contact != Contact::Alive
     }
 
-    /// Notes that it is among those that this host tells, or no longer; and whether it is silent.
+    /// Notes whether the peer is a target of digests, and marks it silent if no packet came within
+    /// the timeout.
     pub(super) fn update_contact(&mut self, now: Moment, silence: Duration, exchange: Exchange) {
         match exchange {
             Exchange::Keepalives => {
@@ -86,7 +87,7 @@
             .flat_map(move |remote| remote.facts(now).map(|(f, _)| f))
     }
 
-    /// What it says of its own work.
+    /// The state that the peer advertises; the default before its table has been read.
     pub(super) fn state(&self, now: Moment) -> State {
         let advertised = self.facts(now, Scope::Own).find_map(|fact| match fact {
             Fact::State(state) => Some(*state),
@@ -106,25 +107,26 @@
     }
 }
 
-/// Whether this host tells a host.
+/// What this host and a peer send each other regularly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Exchange {
     Digests,
     Keepalives,
 }
 
-/// Whether a host is there.
+/// Whether a peer is in contact with this host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Contact {
     #[default]
     Alive,
-    /// This host told it and no longer hears it.
+    /// The peer is a target of digests and sent nothing within the silence timeout.
     TimedOut,
-    /// This host does not tell it, and it was not heard for long, or a relay does not hear it.
+    /// The peer is no target, and sent nothing for several rounds of keepalives or is absent at a
+    /// relay.
     Absent,
 }
 
-/// A run that is over, as far as is known.
+/// A run that a later one replaced, as far as this host can tell.
 #[derive(Debug)]
 struct ReplacedRun {
     count: u32,
@@ -132,12 +134,12 @@
     since: Moment,
 }
 
-/// What became of word from a run.
+/// What a packet is to this host, by its run and count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// From the present run of a known host, and new.
+    /// From the current run of a known host, and newer than all before it.
     New,
-    /// Older than what was heard from it, or from a run that is over.
+    /// Not newer than a packet received before, or from a replaced run.
     Stale,
     /// From a run that is not known.
     UnknownRun,
@@ -179,7 +181,7 @@
         self.peers.values().any(|peer| peer.member.address == address)
     }
 
-    /// Takes word from a run by its count.
+    /// Takes note of a packet by its run and count.
     pub(super) fn observe(&mut self, now: Moment, run: Run, count: u32) -> Freshness {
         if let Some(peer) = self.by_run_mut(run) {
             if count <= peer.count {
@@ -203,7 +205,7 @@
         Freshness::UnknownRun
     }
 
-    /// Takes who a host is from itself; the run that it replaces, if any.
+    /// Registers a host as it describes itself. Returns the run that was replaced, if any.
     pub(super) fn register(&mut self, now: Moment, member: Member, count: u32) -> Option<Run> {
         if let Some(peer) = self.by_run_mut(member.run()) {
             peer.member = member;
@@ -219,7 +221,7 @@
         replaced
     }
 
-    /// Takes a host out; its run counts as over.
+    /// Removes a host; its run counts as replaced.
     pub(super) fn remove(&mut self, now: Moment, id: &str) -> Option<Run> {
         let peer = self.peers.remove(id)?;
         let run = peer.member.run();
@@ -228,7 +230,8 @@
         Some(run)
     }
 
-    /// Takes from relays which hosts they do not hear, of those that this host does not tell.
+    /// Marks hosts that relays report as absent, unless they are targets of this host or sent it
+    /// packets lately.
     pub(super) fn mark_absent(&mut self, now: Moment, silence: Duration) {
         let remote_tables = self.peers.values().filter(|peer| !peer.is_silent());
         let remote_tables = remote_tables.flat_map(|peer| peer.remote_tables.iter());
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Takes out hosts that were silent for too long.
+    /// Removes hosts that have been silent for too long, and returns them.
     pub(super) fn forget(&mut self, now: Moment, settings: &Settings) -> Vec<Member> {
         self.replaced.retain(|_, replaced| now < replaced.since + settings.forget_after);
         let is_gone =
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! How far one host has read this host's tables.
+//! How far one peer has read this host's tables.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
     wire::{Delta, Edition, Mark, Scope},
 };
 
-/// Sent, acknowledged, and what this host still has to say.
+/// Progress of a peer in this host's tables, and the acknowledgement that it is owed.
 #[derive(Debug, Default)]
 pub(super) struct Link {
     tables: [Progress; Scope::ALL.len()],
-    /// When it was last told.
+    /// When the last digest was sent to the peer.
     pub(super) last_digest: Option<Moment>,
     pub(super) pending_ack: PendingAck,
 }
@@ -23,19 +23,19 @@
 struct Progress {
     acked: Edition,
     sent: Edition,
-    /// Since when something sent is not acknowledged.
+    /// Since when something that was sent waits for its acknowledgement.
     open: Option<Moment>,
     names: Names,
 }
 
 impl Progress {
-    /// Takes how far the reader has read.
+    /// Notes the edition up to which the reader has read.
     fn acknowledge(&mut self, edition: Edition) {
         self.acked = edition;
         self.names.acknowledge(edition);
     }
 
-    /// Sends again, from now on, what is not acknowledged.
+    /// Makes everything that was sent but not acknowledged unsent again.
     fn go_back(&mut self) {
         self.sent = self.acked;
         self.open = None;
@@ -43,19 +43,19 @@
     }
 }
 
-/// What this host owes the other.
+/// Acknowledgement that this host owes a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PendingAck {
     #[default]
     Nothing,
-    /// Word that its changes were read.
+    /// The peer's changes were read.
     Read,
-    /// Word that a datagram was lost.
+    /// A datagram of the peer was lost.
     Gap,
 }
 
 impl Link {
-    /// Takes what the other says that it has read.
+    /// Takes a peer's acknowledgement.
     pub(super) fn acknowledge(&mut self, now: Moment, scope: Scope, mark: Mark) {
         let progress = &mut self.tables[scope as usize];
         match mark {
@@ -74,19 +74,20 @@
         }
     }
 
-    /// Goes back to what is acknowledged, if that is overdue.
+    /// Makes changes unsent again whose acknowledgement is overdue.
     pub(super) fn resend(&mut self, now: Moment, after: Duration) {
         let is_overdue =
             |progress: &&mut Progress| progress.open.is_some_and(|at| at + after <= now);
         self.tables.iter_mut().filter(is_overdue).for_each(Progress::go_back);
     }
 
-    /// Whether there is something that it was not sent.
+    /// Whether the table has changes that were not sent to the peer.
     pub(super) fn lacks(&self, scope: Scope, local: &LocalTable) -> bool {
         self.tables[scope as usize].sent < local.last()
     }
 
-    /// What it was not sent yet, in this many bytes; taken for sent from now on.
+    /// Returns the changes that were not sent to the peer yet, within the size limit, and counts
+    /// them as sent.
     pub(super) fn delta(
         &mut self,
         now: Moment,
@@ -99,7 +100,8 @@
             return None;
         }
         if progress.acked < local.floor() {
-            // The reader starts over, unless word of what it read is still on its way.
+            // The reader discards its copy, which may hold removed facts, unless its
+            // acknowledgement is still on its way. So facts are sent in full again.
             progress.names.clear();
         }
         let delta = local.delta(now, scope, progress.sent, &progress.names, limit);
--- a/crates/policy/src/fleet/local_table.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -1,8 +1,9 @@
 //! The writer's side of a table: facts, and what changed after any edition.
 //!
-//! Each change of a fact gets the next edition, and a fact stands at its last one only. So what a
-//! reader lacks is what stands above the edition that it has, however many datagrams were lost. A
-//! fact that nobody was told since it changed keeps its edition, so that changes don't put it off.
+//! Each change of a fact gets the next edition, and a fact is listed at its last edition only. So a
+//! reader lacks just the facts whose editions are above the one that it has acknowledged, however
+//! many datagrams were lost. A fact that no reader was sent since its last change keeps its
+//! edition: constant changes would otherwise move it to the end of the queue again and again.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,29 +17,31 @@
     wire::{self, Change, Delta, Edition, Extent, Line, Scope, Slot},
 };
 
-/// Largest fact; larger ones are not told.
+/// Largest fact that is advertised.
 const MAX_FACT_BYTES: usize = 600;
 
-/// Most by which the time of a crash may seem to shift between two readings of it.
+/// Most by which the computed time of a crash may differ between two readings that mean the same
+/// crash.
 const CRASH_TIME_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// Most by which the time of a lease's renewal may seem to shift between two readings of one.
+/// Most by which the computed time of a lease's renewal may differ between two readings that mean
+/// the same renewal.
 const RENEWAL_TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Bytes of a table without its lines, at the max.
+/// Most bytes of a delta without its lines.
 const DELTA_HEAD_BYTES: usize = 40;
 
-/// Bytes that a table may take.
+/// Most bytes of a delta.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SizeLimit {
-    /// If it has more than one line.
+    /// For all lines after the first.
     pub(super) normal: usize,
-    /// In any case.
+    /// For the first line, which is sent even where little room is left.
     pub(super) max: usize,
 }
 
 impl SizeLimit {
-    /// What is left after so many bytes.
+    /// Returns the limit that is left after these bytes.
     pub(super) fn without(self, bytes: usize) -> SizeLimit {
         let SizeLimit { normal, max } = self;
         SizeLimit { normal: normal.saturating_sub(bytes), max: max.saturating_sub(bytes) }
@@ -51,7 +54,7 @@
     slots: BTreeMap<Key, Slot>,
     editions: BTreeMap<Edition, Slot>,
     last: Edition,
-    /// The newest edition that any reader was sent.
+    /// The newest edition that was sent to any reader.
     sent: Edition,
     next: Slot,
     floor: Edition,
@@ -60,30 +63,31 @@
 #[derive(Debug)]
 struct Entry {
     key: Key,
-    /// None once it is dropped.
+    /// None once the fact was removed.
     fact: Option<Fact>,
     edition: Edition,
     updated: Moment,
 }
 
 impl LocalTable {
-    /// The newest edition.
+    /// Returns the newest edition.
     pub(super) fn last(&self) -> Edition {
         self.last
     }
 
-    /// Drops up to here are no longer told.
+    /// Returns the edition up to which removals were forgotten; readers behind it have to start
+    /// over.
     pub(super) fn floor(&self) -> Edition {
         self.floor
     }
 
-    /// Facts that stand, and how old they are.
+    /// Returns the facts that were not removed, with the time since each was set.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
         let age = move |entry: &Entry| now.saturating_sub(entry.updated);
         self.entries.values().filter_map(move |entry| Some((entry.fact.as_ref()?, age(entry))))
     }
 
-    /// Puts a fact in the place of the former one of its key.
+    /// Adds a fact, or replaces the earlier one of its key.
     pub(super) fn set(&mut self, now: Moment, fact: Fact) {
         let key = fact.key();
         match self.slots.get(&key).copied() {
@@ -93,20 +97,20 @@
         }
     }
 
-    /// Tells no more of a key.
+    /// Removes the fact of a key, and advertises the removal.
     pub(super) fn remove(&mut self, now: Moment, key: &Key) {
         if let Some(slot) = self.slots.get(key).copied() {
             self.replace(now, slot, None);
         }
     }
 
-    /// Keys that stand and for which this holds.
+    /// Returns the keys that match, of facts that were not removed.
     pub(super) fn keys(&self, which: impl Fn(&Key) -> bool) -> Vec<Key> {
         let present = self.entries.values().filter(|entry| entry.fact.is_some());
         present.map(|entry| &entry.key).filter(|key| which(key)).cloned().collect()
     }
 
-    /// Drops work that has been at rest for so long, and forgets drops that are as old.
+    /// Removes loads that have been zero for this long, and forgets removals of that age.
     pub(super) fn expire(&mut self, now: Moment, age: Duration) {
         let is_old = |entry: &&Entry| entry.updated + age <= now;
         let is_idle = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_idle);
@@ -123,8 +127,8 @@
         }
     }
 
-    /// What stands above `from`, in this room, for a reader that knows these names; taken
-    /// for told from now on.
+    /// Returns the changes after `from` that fit the size limit, and counts them as sent. Facts
+    /// whose names the reader knows go as numbers only.
     pub(super) fn delta(
         &mut self,
         now: Moment,
@@ -142,7 +146,7 @@
             let change = entry.change(now, names.get(slot));
             let line = Line { step: edition - to, slot, change };
             let size = wire::size(&line);
-            // One line goes also where there is little room.
+            // One line is sent even where little room is left.
             let left = if lines.is_empty() { limit.max } else { limit.normal };
             if left < size {
                 extent = Extent::Partial;
@@ -195,7 +199,7 @@
 }
 
 impl Entry {
-    /// Whether it says so already.
+    /// Whether the entry equals this fact, apart from the age that the fact gains by waiting.
     fn matches(&self, now: Moment, fact: Option<&Fact>) -> bool {
         match (&self.fact, fact) {
             (Some(Fact::Lease(old)), Some(Fact::Lease(new))) => {
--- a/crates/policy/src/fleet/names.rs
+++ b/crates/policy/src/fleet/names.rs
@@ -1,14 +1,14 @@
-//! Which facts one reader knows by name.
+//! Which facts one reader can identify by their slots alone.
 //!
-//! A reader that was told a fact whole takes its later figures by the slot alone. It knows the name
-//! once it has read the edition at which the name was first sent; the edition of a later sending
-//! would never be acknowledged in time while the fact goes on changing.
+//! A fact is sent in full first, with its key; its later numbers need only the slot. The reader
+//! knows the key once it has read the edition at which the fact was first sent in full. A later
+//! edition would not do: while the fact keeps changing, it would never be acknowledged in time.
 
 use std::collections::BTreeMap;
 
 use super::wire::{Change, Delta, Edition, Slot};
 
-/// Whether a reader can tell what a slot stands for.
+/// Whether a reader knows the key of the fact in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Name {
     Unknown,
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Names {
-    /// The edition at which each name was first sent.
+    /// The edition at which the fact of each slot was first sent in full.
     sent: BTreeMap<Slot, Edition>,
     acked: Edition,
 }
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes how far the reader has read.
+    /// Notes the edition up to which the reader has read.
     pub(super) fn acknowledge(&mut self, edition: Edition) {
         self.acked = edition;
     }
@@ -41,12 +41,11 @@
         self.sent.retain(|_, edition| *edition <= acked);
     }
 
-    /// Forgets all.
     pub(super) fn clear(&mut self) {
         self.sent.clear();
     }
 
-    /// Notes what a table names, and what it drops.
+    /// Notes which facts a delta sends in full, and which it removes.
     pub(super) fn note(&mut self, delta: &Delta) {
         let mut edition = delta.from;
         for line in &delta.lines {
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: news that can't wait for the next digest, sent until acknowledged.
+//! Notices: events that can't wait for the next digest, sent again until they are acknowledged.
 
 use std::{
     collections::BTreeMap,
@@ -26,95 +26,95 @@
     wire::{self, Item, Number, Run},
 };
 
-/// Times that a notice is sent, at the most.
+/// Most times that a notice is sent to one host.
 const MAX_SENDS: u32 = 5;
 
-/// Pause before a notice is sent again; doubled each time.
+/// Delay before a notice is sent the second time; doubled with each further sending.
 const FIRST_RESEND_DELAY: Duration = Duration::from_millis(50);
 
-/// Most notices that wait to be acknowledged.
+/// Most notices that wait for an acknowledgement, over all hosts.
 const MAX_WAITING: usize = 4_096;
 
-/// The least address.
+/// The least address; lower bound of a range over one run's targets.
 const MIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Numbers below the highest one that are remembered one by one.
+/// Width of a window: numbers further below the highest one count as seen.
 const WINDOW_BITS: u64 = u128::BITS as u64;
 
-/// News that can't wait.
+/// An event that can't wait for the next digest.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Notice {
-    /// A request waits for this to be loaded; to the holder of the lease.
+    /// A request waits for a model or adapter to be loaded; sent to the holder of the lease.
     LoadRequested {
-        /// The service.
+        /// The service that the request calls.
         service: service::Id,
-        /// The model.
+        /// The model that it needs.
         model: model::Id,
-        /// The adapter, if one is named.
+        /// The adapter that it needs, if it names one.
         adapter: Option<adapter::Id>,
     },
-    /// A server holds this from now on.
+    /// A server has a model or adapter loaded from now on.
     Loaded {
         /// The server.
         server: backend::Id,
         /// The model.
         model: model::Id,
-        /// The adapter, if it is about one.
+        /// The adapter, if the event is about one.
         adapter: Option<adapter::Id>,
-        /// Orders that the server had accepted by then.
+        /// Number of orders that the server had accepted by then.
         sequence: Sequence,
     },
-    /// A server holds this no more.
+    /// A server has a model or adapter loaded no longer.
     Unloaded {
         /// The server.
         server: backend::Id,
         /// The model.
         model: model::Id,
-        /// The adapter, if it is about one.
+        /// The adapter, if the event is about one.
         adapter: Option<adapter::Id>,
-        /// Orders that the server had accepted by then.
+        /// Number of orders that the server had accepted by then.
         sequence: Sequence,
     },
-    /// A server is leaving.
+    /// A server is departing.
     ServerLeaving {
         /// The server.
         server: backend::Id,
-        /// Whether its entry says so, or was removed.
+        /// Whether the server's entry says that it is leaving, or was removed.
         departure: Departure,
-        /// The store's revision of that change; an entry that was written later stands.
+        /// The store's revision of that change; an entry written at a later revision prevails.
         revision: Revision,
     },
-    /// A declaration is in force.
+    /// A declaration is in force at the sender.
     DeclarationInForce {
-        /// Its version.
+        /// The declaration's version.
         version: Version,
     },
     /// A server's limit changed.
     LimitChanged {
         /// The server.
         server: backend::Id,
-        /// Its limit as of this change.
+        /// The server's limit since this change.
         news: News,
     },
-    /// Asks and grants of quotas; they are sent once.
+    /// Requests and grants of quota permits; sent once.
     Quota(Message),
-    /// Asks and grants of retries; they are sent once.
+    /// Requests and grants of retries from the retry budget; sent once.
     Loan(loan::Message),
-    /// What arrives at the sender, for the host that plans; sent once.
+    /// Demand that arrived at the sender, for the host that plans; sent once.
     Demand(Report),
     /// The sender holds the lease on orders and plans.
     LeaseAcquired {
-        /// Its fence.
+        /// The holder's fencing token.
         fence: Fence,
     },
 }
 
-/// Who gets a notice.
+/// Recipients of a notice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recipients {
-    /// All hosts.
+    /// All hosts that get digests from the sender; relays forward the notice to the others.
     All,
-    /// One host.
+    /// One host, which need not get digests from the sender.
     Host(host::Id),
 }
 
@@ -126,31 +126,32 @@
     next: Moment,
 }
 
-/// A host as the receiver of notices.
+/// One run of a host at an address, as the receiver of notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Target {
     pub(super) run: Run,
     pub(super) address: SocketAddr,
 }
 
-/// What waits for one receiver.
+/// Notices that wait for one receiver's acknowledgement.
 #[derive(Debug)]
 struct Queue {
     waiting: Vec<Waiting>,
-    /// No notice is due before; what was acknowledged since may have been the first.
+    /// Lower bound of the time at which a notice is due; the earliest one may have been
+    /// acknowledged since.
     earliest: Moment,
 }
 
-/// Notices that wait to be acknowledged.
+/// Notices that wait for acknowledgements.
 ///
-/// The outbox is looked at on each waking of a host, far more often than a notice is due, so each receiver's queue
-/// knows when its first one is.
+/// The outbox is checked at every wake-up of a host, far more often than a notice is due. So each
+/// receiver's queue keeps the time at which its first notice is due.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     queues: BTreeMap<Target, Queue>,
-    /// Notices in all queues.
+    /// Number of notices in all queues.
     length: usize,
-    /// Notices that were given up or never queued.
+    /// Notices that were given up after [`MAX_SENDS`], or never queued because the outbox was full.
     pub(super) lost: u64,
 }
 
@@ -169,12 +170,12 @@
         queue.waiting.push(Waiting { item, sends: 0, next: now });
     }
 
-    /// When the next one is due.
+    /// Returns the time at which the next notice is due.
     pub(super) fn next(&self) -> Option<Moment> {
         self.queues.values().map(|queue| queue.earliest).min()
     }
 
-    /// What a host has taken.
+    /// Removes the notices that a receiver acknowledged.
     pub(super) fn acknowledge(&mut self, run: Run, taken: &[(Run, Number)]) {
         let is_taken = |one: &Waiting| taken.contains(&(one.item.origin, one.item.number));
         for (_, queue) in self.of(run) {
@@ -183,13 +184,13 @@
         self.remove_empty();
     }
 
-    /// Gives up on what is meant for a run that is over.
+    /// Discards the notices for a run that has ended.
     pub(super) fn abandon(&mut self, run: Run) {
         self.queues.retain(|target, _| target.run != run);
         self.remove_empty();
     }
 
-    /// What is due, in batches that fit a datagram.
+    /// Returns the notices that are due, by address, in batches that fit a datagram.
     pub(super) fn due(&mut self, now: Moment) -> Vec<(SocketAddr, Vec<Item>)> {
         let mut batches = Vec::new();
         for (target, queue) in self.queues.iter_mut().filter(|(_, queue)| queue.earliest <= now) {
@@ -202,7 +203,7 @@
         batches
     }
 
-    /// Queues for a run: one for each address that it was known at.
+    /// Returns the queues of a run: one for each address at which it was known.
     fn of(&mut self, run: Run) -> impl Iterator<Item = (&Target, &mut Queue)> {
         let first = Target { run, address: MIN_ADDRESS };
         self.queues.range_mut(first..).take_while(move |(target, _)| target.run == run)
@@ -215,7 +216,7 @@
 }
 
 impl Queue {
-    /// Takes what is due, which is due again later.
+    /// Returns the notices that are due, and schedules each one's next sending.
     fn due(&mut self, now: Moment) -> Vec<Item> {
         let due = self.waiting.iter_mut().filter(|one| one.next <= now);
         let items = due.map(|one| {
@@ -229,7 +230,7 @@
     }
 }
 
-/// Puts things into batches that each fit a datagram.
+/// Packs values into batches that each fit a datagram.
 pub(super) fn pack<T: Serialize>(items: impl IntoIterator<Item = T>) -> Vec<Vec<T>> {
     const ROOM: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
     let (mut batches, mut left) = (Vec::<Vec<T>>::new(), 0);
@@ -249,17 +250,17 @@
     batches
 }
 
-/// Which notices of a run were seen.
+/// Which notices of a run were received before.
 #[derive(Debug, Default)]
 pub(super) struct Window {
     highest: Number,
-    /// Bit n stands for the number n below the top.
+    /// Bit n stands for the number n below the highest one.
     seen: u128,
     pub(super) last_used: Moment,
 }
 
 impl Window {
-    /// Whether this is the first sight of a number; too old ones count as seen.
+    /// Whether a number is received for the first time; numbers below the window count as seen.
     pub(super) fn is_first(&mut self, number: Number) -> bool {
         if number > self.highest || self.seen == 0 {
             let shift = number.saturating_sub(self.highest);
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -1,4 +1,4 @@
-//! What arrives.
+//! Handling of received datagrams.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,14 +14,14 @@
     wire::{self, Body, Digest, Hello, Item, Mark, Reply, Run},
 };
 
-/// Pause between two greetings to one host, and between two answers.
+/// Least time between two greetings to one host, and between two answers.
 const GREETING_PAUSE: Duration = Duration::from_millis(200);
 
-/// Most runs whose notices are told apart.
+/// Most runs whose notices are deduplicated at a time; above it, idle ones are forgotten.
 const MAX_WINDOWS: usize = 4_096;
 
 impl Fleet {
-    /// Takes a datagram; the notices in it that are new here.
+    /// Takes a datagram, and returns the notices in it that are received for the first time.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<ReceivedNotice> {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
@@ -58,7 +58,8 @@
         Vec::new()
     }
 
-    /// Takes a digest, if it is new and meant for this run.
+    /// Takes a digest; false if it is stale, from an unknown run, or meant for another run of this
+    /// host.
     fn take_digest(
         &mut self,
         now: Moment,
@@ -78,7 +79,7 @@
         let is_meant = digest.to == wire::tail(self.member.run());
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
         if !is_meant {
-            // It takes this host for a run of it that is over.
+            // The sender takes this host for an earlier run of it.
             let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
             peer.greeted = if is_recent { peer.greeted } else { Some(now) };
             let address = peer.member.address;
@@ -106,7 +107,7 @@
 
     fn on_unknown_run(&mut self, now: Moment, from: SocketAddr) {
         if self.hosts.has_address(from) {
-            // The host that is known there runs anew.
+            // The host that is known at this address has restarted.
             self.greet(from, Reply::Identity);
         } else {
             self.candidates.add_temporary(now, from);
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Takes a notice that is sent once. It may be older than what was heard since: whoever reads it targets.
+    /// Takes a one-shot notice. Its packet count is not checked: it may have been overtaken by
+    /// later packets, and whoever reads the notice decides what its age means.
     fn on_one_shot(
         &mut self,
         now: Moment,
@@ -203,7 +205,7 @@
         window.is_first(item.number)
     }
 
-    /// Where a host listens, and its run.
+    /// Returns a host's address and run.
     pub(super) fn locate(&self, id: &str) -> Option<Target> {
         let member = &self.hosts.get(id)?.member;
         Some(Target { run: member.run(), address: member.address })
--- a/crates/policy/src/fleet/remote_table.rs
+++ b/crates/policy/src/fleet/remote_table.rs
@@ -1,7 +1,7 @@
-//! The reader's side of a table: what one host told.
+//! The reader's side of a table: what one host advertised.
 //!
-//! Changes are taken in the order of their editions only. A datagram that was lost leaves a gap;
-//! what comes after it is passed over, and the writer is told where to go on from.
+//! Changes are applied in the order of their editions only. A lost datagram leaves a gap; deltas
+//! after the gap are ignored, and the writer is sent the edition to continue from.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -27,7 +27,7 @@
     Gap,
 }
 
-/// Whether all that was told before this host listened has been read.
+/// Whether everything that was advertised before this host started to read has been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum History {
     #[default]
@@ -35,20 +35,20 @@
     Read,
 }
 
-/// What a table brought.
+/// What changed by merging a delta.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct Increments {
-    /// By how much each rising count rose.
+    /// Counters that rose, and by how much.
     pub(super) counters: Vec<(Key, u64)>,
 }
 
 impl RemoteTable {
-    /// Facts, and how old they are.
+    /// Returns the facts, with the time since each was received.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
         self.facts.values().map(move |(fact, updated)| (fact, now.saturating_sub(*updated)))
     }
 
-    /// How far it was read.
+    /// Returns the edition up to which the table was read, for the acknowledgement.
     pub(super) fn mark(&self) -> Mark {
         match self.continuity {
             Continuity::Contiguous => Mark::Read(self.read),
@@ -56,11 +56,13 @@
         }
     }
 
-    /// Takes changes that join up with what was read.
+    /// Applies a delta that continues where the last one ended, and returns what it added to
+    /// counters.
     pub(super) fn merge(&mut self, now: Moment, delta: Delta) -> Increments {
         let Some(end) = delta.from.checked_add(delta.span) else { return Increments::default() };
         if 0 < self.read && self.read < delta.floor {
-            // What was dropped meanwhile is no longer told.
+            // Removals that were missed are no longer advertised, so the copy may hold removed
+            // facts.
             *self = RemoteTable::default();
         }
         if delta.from > self.read {
@@ -89,7 +91,7 @@
         increments
     }
 
-    /// Takes a change; false if it is about a fact that was never told.
+    /// Applies a change; false if it is about a fact that was never received in full.
     fn apply_change(
         &mut self,
         now: Moment,
@@ -123,7 +125,8 @@
         let former = self.facts.get(&slot).filter(|(former, _)| former.key() == fact.key());
         let before = match (former, self.history) {
             (Some((former, _)), _) => former.total(),
-            // It counts from here on: what came before this host listened is not its to tell.
+            // Only what rises from here on counts: arrivals before this host started to read are
+            // not counted.
             (None, History::Unread) => None,
             (None, History::Read) => Some(0),
         };
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -1,4 +1,4 @@
-//! What goes out, and when.
+//! What is sent, and when.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,38 +16,38 @@
     wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
 };
 
-/// Between two rounds in which one host hears of some others.
+/// Time between two unprompted introductions of hosts to each other.
 pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause between two greetings to a silent host.
+/// Least time between two greetings to a silent host.
 const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pause between two greetings to a host that is about to be taken for silent.
+/// Least time between two greetings to a host that is about to be taken for silent.
 const MISSED_GREETING_PAUSE: Duration = Duration::from_millis(200);
 
-/// Seconds for which what was not spent may still be.
+/// Seconds of the rate that a token bucket can hold.
 const BURST_SECONDS: f64 = 0.25;
 
-/// Bytes of a sign of life on the network.
+/// Bytes of a keepalive on the network, with all headers.
 const KEEPALIVE_BYTES: usize = 41;
 
-/// Bytes of a greeting without the network's headers, about.
+/// Approximate bytes of a greeting, without the network's headers.
 pub(super) const HELLO_BYTES: usize = 60;
 
-/// Share of the budget that signs of life may take.
+/// Share of the byte budget that keepalives may take.
 const KEEPALIVE_SHARE: f64 = 0.25;
 
-/// Share of the budget that greetings may take in a large deployment, but for first ones; and
-/// answers to them as much again.
+/// Share of the byte budget that greetings may take in a grouped deployment, first greetings
+/// excepted. Answers to greetings may take as much again.
 const GREETING_SHARE: f64 = 0.1;
 
-/// Rounds after which a host that is not told is silent.
+/// Keepalive rounds without a packet after which a host that gets no digests is silent.
 const MISSED_KEEPALIVES: u32 = 4;
 
-/// Bytes that the network's own headers add to a datagram.
+/// Bytes of the network's headers around a datagram.
 const NETWORK_BYTES: usize = 28;
 
-/// What may still be spent in a large deployment.
+/// Token bucket for bytes; consulted in grouped deployments only.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     left: f64,
@@ -64,12 +64,12 @@
         self.left > 0.0
     }
 
-    /// Takes what a datagram costs; a pending_ack never grows beyond a second's worth.
+    /// Takes the bytes of a datagram. The balance never falls below one second of the rate.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
     }
 
-    /// Takes so many bytes a second from now on.
+    /// Adds what accrued since the last call, and sets the rate in bytes a second.
     fn fill(&mut self, now: Moment, rate: f64) {
         self.rate = rate;
         let span = now.saturating_sub(self.filled).as_secs_f64();
@@ -79,7 +79,7 @@
 }
 
 impl Fleet {
-    /// Does what is due.
+    /// Sends everything that is due.
     pub fn tick(&mut self, now: Moment) {
         if self.next_tick <= now {
             self.next_tick = (self.next_tick + self.fanout.tick(&self.settings)).max(now);
@@ -111,7 +111,8 @@
         let settings = &self.settings;
         let heartbeat = fanout.heartbeat(settings);
         let sent = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
-        // Others answer in rounds of their own, which are about as late.
+        // The others check for due digests about as rarely as this host does, so their
+        // acknowledgements are about as late.
         let oldest = sent.min().map_or(Duration::ZERO, |sent| now.saturating_sub(sent));
         let resend = fanout.resend(settings) + oldest.saturating_sub(heartbeat) * 2;
         let limit = fanout.delta_bytes(settings);
@@ -157,12 +158,13 @@
         let to = wire::tail(peer.member.run());
         let address = peer.member.address;
         let digest = Digest { to, marks, deltas };
-        // Two hosts that only answer each other would never stop.
+        // Answers are not answered: two hosts would never stop answering each other.
         let body = if scopes.is_empty() { Body::Answer(digest) } else { Body::Digest(digest) };
         self.put(address, body);
     }
 
-    /// Notes who is told from now on, and who is no longer heard.
+    /// Notes which hosts are targets of digests from now on, and marks hosts silent whose timeout
+    /// has passed.
     fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence(&self.settings);
         let keepalive_silence = self.keepalive_round(fanout) * MISSED_KEEPALIVES;
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Time in which each host that is not told gets a sign of life, within a share of the budget.
+    /// Time between keepalives to each host that gets no digests, such that all of them stay within
+    /// their share of the budget.
     fn keepalive_round(&self, fanout: &Fanout) -> Duration {
         let peers = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
         let share = fanout.budget(&self.settings) * KEEPALIVE_SHARE;
@@ -198,7 +201,8 @@
         }
     }
 
-    /// Greets hosts that are missed, the longest ungreeted first.
+    /// Greets hosts that are silent or about to be, those first that were not greeted for the
+    /// longest time.
     fn greet_missed(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence(&self.settings);
         let is_due = |peer: &&Peer| {
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Hosts that this one does not tell get a sign of life now and then.
+    /// Sends keepalives to hosts that get no digests, spread evenly over the round.
     fn send_keepalives(&mut self, now: Moment, fanout: &Fanout) {
         let round = self.keepalive_round(fanout);
         let pace = fanout.tick(&self.settings).as_secs_f64() / round.as_secs_f64();
@@ -239,7 +243,7 @@
         addresses.into_iter().for_each(|address| self.put(address, Body::Keepalive));
     }
 
-    /// One host in turn hears of some of the others, in case that it never met them.
+    /// Introduces some of the known hosts to one host in turn, in case it never met them.
     fn introduce_in_turn(&mut self, now: Moment) {
         if now < self.next_introduction {
             return;
@@ -257,19 +261,19 @@
         self.put(target.address, Body::Hello(hello));
     }
 
-    /// Whether there is budget to answer a host that is known.
+    /// Whether the budget allows an answer to the greeting of a host that is already known.
     pub(super) fn may_answer(&mut self, now: Moment) -> bool {
         self.answer_bucket.fill(now, self.fanout.budget(&self.settings) * GREETING_SHARE);
         !self.fanout.is_grouped() || self.answer_bucket.has_tokens()
     }
 
-    /// Says who this host is.
+    /// Sends a greeting with this host's identity.
     pub(super) fn greet(&mut self, address: SocketAddr, reply: Reply) {
         let hello = Hello { member: self.member.clone(), reply, known: Vec::new() };
         self.put(address, Body::Hello(hello));
     }
 
-    /// Says who this host is and whom it knows.
+    /// Sends greetings that name all other hosts that are not silent.
     pub(super) fn introduce_others(&mut self, address: SocketAddr) {
         let others = self.live_members().into_iter().filter(|other| other.address != address);
         let mut batches = notice::pack(others);
@@ -282,20 +286,20 @@
         }
     }
 
-    /// Other hosts that are not silent.
     fn live_members(&self) -> Vec<Member> {
         let live = self.hosts.iter().filter(|peer| !peer.is_silent());
         live.map(|peer| peer.member.clone()).collect()
     }
 
-    /// Passes a notice on, if this host is a relay.
+    /// Forwards a notice, if this host is a relay.
     pub(super) fn forward(&mut self, now: Moment, from: Run, item: &Item) {
         if self.fanout.is_relay() {
             self.multicast(now, item, Some(from));
         }
     }
 
-    /// Sends a notice to all whom this host tells, but not back.
+    /// Sends a notice to all targets of digests, except to its origin and to the host that
+    /// forwarded it.
     pub(super) fn multicast(&mut self, now: Moment, item: &Item, but: Option<Run>) {
         let targets =
             self.fanout.targets().filter_map(|(id, _)| self.hosts.get(id)).filter(|peer| {
@@ -317,7 +321,7 @@
     }
 }
 
-/// How often a host that is missed is greeted; none if it is not missed.
+/// Returns the pause between greetings to a host that is missed; none if it is not missed.
 fn greeting_pause(now: Moment, silence: Duration, peer: &Peer) -> Option<Duration> {
     if peer.is_silent() {
         return Some(SILENT_GREETING_PAUSE);
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -1,4 +1,4 @@
-//! What this host knows of the others, at one moment.
+//! What this host knows of the others at one moment.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,72 +15,74 @@
     wire::Scope,
 };
 
-/// Another host.
+/// What this host knows of another host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
-    /// Who it is.
+    /// The host's identity.
     pub member: Member,
-    /// How long ago it was heard.
+    /// Time since the last packet from the host arrived.
     pub silent_for: Duration,
-    /// What it is taken for.
+    /// The host's liveness, as this host sees it.
     pub liveness: Liveness,
-    /// What it says of its own work; none if it tells this host nothing, as most hosts of a large
-    /// deployment.
+    /// The state that the host advertises; none if this host reads no table of it, which is so for
+    /// most hosts of a grouped deployment.
     pub state: Option<State>,
-    /// Version of the declaration in force there; 0 if it told none.
+    /// Version of the declaration in force at the host; 0 if it advertises none.
     pub declared: Version,
-    /// What it has of the store.
+    /// The host's connection to the store.
     pub store: StoreStatus,
 }
 
-/// A host's place among those that tell each other.
+/// A host's position in the exchange of digests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Tier {
-    /// All tell all, or nobody tells this host of the others.
+    /// The deployment is not grouped, or this host's group has no relay that it is in contact with.
     Equal,
-    /// This host tells its group of all others.
+    /// This host is the relay of its group.
     Relay,
-    /// This host follows the given relay.
+    /// This host's group has another host as its relay.
     Member(Member),
 }
 
-/// What this host knows of the others; its own part is in none of the sums.
+/// What this host knows of the others. Its own facts are in none of the sums.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetSnapshot {
-    /// Known hosts, those that are silent among them.
+    /// Known hosts, silent ones among them.
     pub hosts: Vec<PeerStatus>,
-    /// Hosts that take work or are about to, this one among them unless it is leaving.
+    /// Number of hosts that take work or are about to, this one among them unless it is leaving.
     pub live: usize,
-    /// Work in flight from all others, by server and model.
+    /// Sum of all others' work in flight, by server and model.
     pub in_flight: Vec<Load>,
-    /// Arrivals at all others since this host started, by service, as far as it heard; never
-    /// falling.
+    /// Arrivals at all others since this host started, by service, as far as their counts were
+    /// received. Never falling.
     pub arrivals: BTreeMap<service::Id, u64>,
-    /// Retries spent by all others since this host started, as far as it heard; never falling.
+    /// Retries spent by all others since this host started, by service, as far as their counts were
+    /// received. Never falling.
     pub retries: BTreeMap<service::Id, u64>,
-    /// Servers that others know to be going.
+    /// Servers that others know to be departing.
     pub servers: BTreeMap<backend::Id, Departure>,
-    /// Crashes of servers that others know, with the requests that were there.
+    /// Crashes of servers that others know, with the requests that were in flight there.
     pub crashes: Vec<Crash>,
-    /// The last news of the limits of servers, over all others.
+    /// The latest limit of each server that any other knows.
     pub limits: BTreeMap<backend::Id, News>,
-    /// The newest belief of others about the lease.
+    /// The newest belief of others about the planner's lease.
     pub lease: Option<Lease>,
-    /// The newest lease object that any other knows.
+    /// The newest stored lease object that any other has seen.
     pub term: Option<term::Stored>,
     /// Whether any other reaches the store, and the last revision that any saw.
     pub store: StoreStatus,
 }
 
 impl FleetSnapshot {
-    /// Work in flight from all others at a server.
+    /// Returns all others' work in flight at a server.
     pub fn at(&self, server: &str) -> &[Load] {
         let start = self.in_flight.partition_point(|load| &*load.server < server);
         let length = self.in_flight[start..].partition_point(|load| &*load.server == server);
         &self.in_flight[start..start + length]
     }
 
-    /// Hosts in touch whose declaration is above this version, the best to ask first.
+    /// Hosts that are not silent and have a declaration above this version, in the order in which
+    /// to ask them: the newest version first, and the own zone before others.
     pub fn ahead(&self, zone: &availability::Id, above: Version) -> Vec<&PeerStatus> {
         let mut hosts: Vec<_> =
             self.not_silent().filter(|status| status.declared > above).collect();
@@ -90,7 +92,9 @@
         hosts
     }
 
-    /// Hosts in touch that saw a later revision of the store, the best to ask first.
+    /// Hosts that are not silent and saw a later revision of the store, in the order in which to
+    /// ask them: those that reach the store first, then by revision, and the own zone before
+    /// others.
     pub fn ahead_in_store(&self, zone: &availability::Id, above: Revision) -> Vec<&PeerStatus> {
         let mut hosts: Vec<_> =
             self.not_silent().filter(|status| status.store.revision > above).collect();
@@ -107,7 +111,7 @@
 }
 
 impl Fleet {
-    /// What this host knows of the others.
+    /// Returns what this host knows of the others.
     pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
         let hosts: Vec<_> = self.hosts.iter().map(|peer| self.status_of(now, peer)).collect();
         let live = hosts.iter().filter(|status| status.liveness == Liveness::Live).count();
@@ -135,7 +139,8 @@
         snapshot
     }
 
-    /// Work in flight from all others alone: what of a snapshot is wanted far more often than the rest.
+    /// Returns all others' work in flight alone, which is read far more often than the rest of a
+    /// snapshot.
     pub fn in_flight(&self, now: Moment) -> Vec<Load> {
         let mut tally = Tally::default();
         self.all_received_facts(now)
@@ -144,12 +149,13 @@
         busy(tally.in_flight)
     }
 
-    /// Whether there are so many hosts that digests wait for a budget.
+    /// Whether there are so many hosts that they form groups, and digests are limited by a budget
+    /// of bytes.
     pub fn is_grouped(&self) -> bool {
         self.fanout.is_grouped()
     }
 
-    /// This host's place among those that tell each other.
+    /// Returns this host's position in the exchange of digests.
     pub fn tier(&self) -> Tier {
         let relay = self.fanout.relay().and_then(|id| self.hosts.get(id));
         match relay {
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Time between two digests that a host sends or gets.
+    /// Least time between two digests that a host sends or receives.
     pub fn interval(&self) -> Duration {
         match self.fanout.is_grouped() {
             true => self.fanout.grouped_interval(&self.settings),
@@ -194,7 +200,7 @@
     }
 }
 
-/// Loads that are not at rest.
+/// Converts sums to loads, without those that are zero.
 fn busy(sums: LoadSums) -> Vec<Load> {
     loads(sums).filter(|load| load.requests > 0 || load.tokens > 0).collect()
 }
--- a/crates/policy/src/fleet/wire.rs
+++ b/crates/policy/src/fleet/wire.rs
@@ -1,7 +1,7 @@
-//! Datagrams.
+//! The datagrams' format.
 //!
-//! Everything is written by `postcard`. A digest never names a thing twice to a host that has
-//! acknowledged its name: later lines carry a small slot number and the new figures only.
+//! Everything is written by `postcard`, by position. A digest does not repeat a fact's key to a
+//! reader that has acknowledged it: later lines carry a small slot number and the new numbers only.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,34 +10,35 @@
     notice::Notice,
 };
 
-/// Most bytes of a datagram.
+/// Most payload bytes of a datagram.
 pub const DATAGRAM_BYTES: usize = 1_200;
 
-/// Bytes of a datagram that are kept for its head.
+/// Payload bytes that are reserved for the packet's head.
 pub(super) const HEAD_BYTES: usize = 100;
 
 /// First byte of each datagram.
 const FORMAT: u8 = 0xC1;
 
-/// A run of a host's process; differs between hosts, too, should two have the same incarnation.
+/// Number of one run of a host's process. It differs between hosts even if two use the same
+/// incarnation.
 pub(super) type Run = u64;
 
-/// Number of a change within a table; rises.
+/// Number of a change within a table; later changes have higher ones.
 pub(super) type Edition = u64;
 
-/// Place of a fact within a table.
+/// Number of a fact within a table.
 pub(super) type Slot = u32;
 
 /// Number of a notice, unique within its sender's run.
 pub(super) type Number = u64;
 
-/// What a host sends.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Packet {
     /// The sender's run.
     #[serde(with = "postcard::fixint::le")]
     pub(super) run: Run,
-    /// Packets that this run has sent, this one among them.
+    /// Number of packets that this run has sent, this one included.
     pub(super) count: u32,
     pub(super) body: Body,
 }
@@ -45,19 +46,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Body {
     Digest(Digest),
-    /// A digest of a host that answers one and wants no answer itself.
+    /// A digest that answers another one and is not answered itself.
     Answer(Digest),
-    /// Nothing but that the sender is there.
+    /// Only shows that the sender is running.
     Keepalive,
     Hello(Hello),
     Notices(Vec<Item>),
     Acks(Vec<(Run, Number)>),
     Bye,
-    /// A notice that is neither acknowledged nor sent again, to one run of a host.
+    /// A notice that is neither acknowledged nor sent again, addressed to one run of a host.
     OneShot(Notice),
 }
 
-/// Who the sender is, and whom it knows.
+/// Greeting: the sender's identity, and hosts that it knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) member: Member,
@@ -68,36 +69,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum Reply {
     Nothing,
-    /// The receiver is to say who it is.
+    /// The receiver is asked for its identity.
     Identity,
-    /// The receiver is to say whom it knows, too.
+    /// The receiver is asked for its identity and for all hosts that it knows.
     Members,
 }
 
-/// What changed since the receiver last said what it has.
+/// Changes that the receiver has not acknowledged, and acknowledgements of its own tables.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Digest {
-    /// The end of the run that it is meant for; others ignore it.
+    /// Low bits of the receiving run; other runs ignore the digest.
     #[serde(with = "postcard::fixint::le")]
     pub(super) to: u32,
-    /// What the sender has of the receiver's tables.
+    /// How far the sender has read the receiver's tables.
     pub(super) marks: Vec<(Scope, Mark)>,
     pub(super) deltas: Vec<Delta>,
 }
 
-/// The end of a run's number, enough to tell one run from the next.
+/// Low bits of a run's number, enough to distinguish it from the run before it.
 pub(super) fn tail(run: Run) -> u32 {
     run as u32
 }
 
-/// Whose facts a table holds.
+/// Whose facts a table contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum Scope {
-    /// The sender's own.
+    /// The sender's own facts.
     Own,
-    /// The sums of the sender's group.
+    /// The aggregated facts of the sender's group.
     Group,
-    /// The sums of all other groups.
+    /// The aggregated facts of all other groups.
     Rest,
 }
 
@@ -108,9 +109,9 @@
 /// How far the sender has read a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Mark {
-    /// Up to here.
+    /// Everything up to this edition.
     Read(Edition),
-    /// Up to here, and what came later does not join up.
+    /// Everything up to this edition; a later delta arrived that does not continue there.
     Gap(Edition),
 }
 
@@ -118,10 +119,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Delta {
     pub(super) scope: Scope,
-    /// Drops up to here are no longer told.
+    /// Removals up to this edition are no longer advertised; a reader behind it has to start over.
     pub(super) floor: Edition,
     pub(super) from: Edition,
-    /// Editions that this goes on for.
+    /// Number of editions that the delta covers.
     pub(super) span: Edition,
     pub(super) extent: Extent,
     pub(super) lines: Vec<Line>,
@@ -129,16 +130,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Extent {
-    /// All changes so far.
+    /// The delta contains all changes up to the newest edition.
     Complete,
-    /// More follow.
+    /// More changes follow in later digests.
     Partial,
 }
 
 /// A changed fact.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Line {
-    /// Editions since the line before it, or since the table's start.
+    /// Editions since the line before it, or since the delta's start.
     pub(super) step: Edition,
     pub(super) slot: Slot,
     pub(super) change: Change,
@@ -146,20 +147,20 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Change {
-    /// Another first number.
+    /// A new first number; the second one is 0.
     One(u64),
-    /// Other numbers.
+    /// New numbers.
     Two(u64, u64),
-    /// The whole fact.
+    /// The fact in full, with its key.
     Fact(Fact),
-    /// No longer told.
+    /// The fact was removed.
     Removed,
 }
 
-/// A notice on its way.
+/// A notice in transit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Item {
-    /// The run that first sent it.
+    /// The run that first sent the notice.
     #[serde(with = "postcard::fixint::le")]
     pub(super) origin: Run,
     pub(super) number: Number,
@@ -173,11 +174,11 @@
 }
 
 pub(super) fn encode(packet: &Packet) -> Vec<u8> {
-    // Writing into memory can't fail for these types; an empty datagram is ignored by readers.
+    // Writing into memory can't fail for these types; readers ignore an empty datagram.
     postcard::to_extend(packet, vec![FORMAT]).unwrap_or_default()
 }
 
-/// A packet, if the bytes are one.
+/// Decodes a packet; none if the bytes are not exactly one.
 pub(super) fn decode(bytes: &[u8]) -> Option<Packet> {
     let (&FORMAT, rest) = bytes.split_first()? else { return None };
     match postcard::take_from_bytes(rest) {
