--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -1,14 +1,14 @@
 //! Demand for models and adapters, reported by every host to the host that plans.
 //!
-//! Only the host that plans needs to know what requests ask for, and it has to know within the
+//! Only the host that plans needs to know what requests ask for, and it needs to know within the
 //! time over which the planner averages. So each host sends its own counts straight to the holder
-//! of the lease, in datagrams that nobody acknowledges.
+//! of the planner's lease, in datagrams without acknowledgements.
 //!
-//! A count is a total since the session began, and a session lasts as long as the holder's fence.
-//! A total that was lost is made good by the next one of its subject, one that comes twice or late
-//! changes nothing, and a restart on either side begins another session. What arrived shortly
-//! before the session is reported too, with its age, so that a new holder knows the demand of the
-//! last seconds as the one before it did.
+//! A count is a total since the start of a session, and a session lasts as long as the holder's
+//! fencing token. The next total of the same subject makes up for one that was lost, a total that
+//! arrives twice or late changes nothing, and a restart on either side starts another session.
+//! Arrivals of the last seconds before the session are reported too, with their ages, so a new
+//! holder knows the recent demand as the former holder did.
 
 mod collector;
 mod reporter;
@@ -20,7 +20,7 @@
 
 pub use self::{collector::Collector, reporter::Reporter};
 
-/// Reports that the holder takes in a second, from all hosts together.
+/// Reports a second that the holder can take, from all hosts together.
 const REPORTS_PER_SECOND: f64 = 700.0;
 
 /// Least and most time between two reports of a host.
@@ -29,57 +29,58 @@
 /// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Subject {
-    /// The model.
+    /// The model that the request names.
     pub model: model::Id,
-    /// The adapter, if one is named.
+    /// The adapter that the request names, if any.
     pub adapter: Option<adapter::Id>,
 }
 
 /// Which arrivals a total counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Span {
-    /// Arrivals since the session began.
+    /// Arrivals since the start of the session.
     Session,
-    /// Arrivals in one of the spans before the session.
+    /// Arrivals in the period before the session with this index; 0 is the most recent one.
     Before(u8),
 }
 
-/// The total of a subject.
+/// Total of a subject over one span.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Line {
-    /// What the requests ask for.
+    /// What the counted requests ask for.
     pub subject: Subject,
     /// Which arrivals are counted.
     pub span: Span,
-    /// Mean age in milliseconds of arrivals before the session; 0 for later ones.
+    /// Mean age in milliseconds of arrivals before the session; 0 for arrivals since.
     pub age_ms: u16,
     /// Work of all counted arrivals together.
     pub total: Work,
 }
 
-/// A host's report to the holder of the lease.
+/// A host's report to the holder of the planner's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
     /// Run of the reporting host's process.
     pub run: host::Incarnation,
-    /// Fence of the receiving holder; names the session.
+    /// Fencing token of the receiving holder; identifies the session.
     pub fence: Fence,
-    /// Totals that changed.
+    /// Totals that changed, and at most one unchanged total that is repeated.
     pub lines: Vec<Line>,
 }
 
-/// Requests that arrived at a host.
+/// Requests that arrived at a host, as reconstructed from its reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// What the requests ask for.
     pub subject: Subject,
-    /// Work of the requests.
+    /// Work of all the requests together.
     pub work: Work,
     /// Mean time of arrival.
     pub at: Moment,
 }
 
-/// Time between two reports of a host, one of so many.
+/// Returns the time between two reports of a host, such that all hosts together stay within what
+/// the holder can take.
 #[must_use]
 pub fn interval(hosts: usize) -> Duration {
     let [least, most] = INTERVAL;
--- a/crates/policy/src/demand/collector.rs
+++ b/crates/policy/src/demand/collector.rs
@@ -1,4 +1,4 @@
-//! The side of the host that plans.
+//! The holder's side: reconstructs arrivals from all hosts' reports.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,10 +10,10 @@
 /// How long a host counts as reporting after its last report.
 const REPORTING_PERIOD: Duration = Duration::from_secs(5);
 
-/// Number of a subject; keeps names out of each host's totals.
+/// Short number for a subject, so that each host's totals need not repeat the names.
 type SubjectNumber = u32;
 
-/// Takes in all hosts' reports for the time of one fence.
+/// Collects all hosts' reports for the duration of one fencing token.
 #[derive(Debug, Default)]
 pub struct Collector {
     fence: Option<Fence>,
@@ -21,7 +21,7 @@
     sources: BTreeMap<host::Id, Source>,
 }
 
-/// What a run of a host has reported.
+/// What one run of a host has reported.
 #[derive(Debug)]
 struct Source {
     run: host::Incarnation,
@@ -30,7 +30,8 @@
 }
 
 impl Collector {
-    /// Begins to collect under this fence; false if it had begun before.
+    /// Starts a session under this fencing token and discards the one before it; false if the token
+    /// is unchanged.
     pub fn begin(&mut self, fence: Fence) -> bool {
         let is_new = self.fence != Some(fence);
         if is_new {
@@ -39,7 +40,8 @@
         is_new
     }
 
-    /// Takes a host's report and returns the arrivals that no earlier report has counted.
+    /// Takes a host's report and returns the arrivals that no earlier report has counted. A report
+    /// for another fencing token is ignored.
     pub fn take(&mut self, host: &host::Id, report: Report, now: Moment) -> Vec<Arrival> {
         if self.fence != Some(report.fence) {
             return Vec::new();
@@ -67,7 +69,7 @@
         arrivals
     }
 
-    /// Hosts that have reported lately.
+    /// Returns the number of hosts whose last report is recent.
     pub fn reporting(&self, now: Moment) -> usize {
         self.sources.values().filter(|source| now < source.last_report + REPORTING_PERIOD).count()
     }
--- a/crates/policy/src/demand/reporter.rs
+++ b/crates/policy/src/demand/reporter.rs
@@ -1,4 +1,4 @@
-//! The side of the host at which requests arrive.
+//! The reporting host's side: counts arrivals and sends totals.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,42 +7,43 @@
 use super::{Arrival, Line, Report, Span, Subject};
 use crate::place::Work;
 
-/// Ends of the spans before a session, by age.
+/// Upper ages of the periods before a session.
 const SPAN_ENDS: [Duration; 3] =
     [Duration::from_secs(1), Duration::from_secs(4), Duration::from_secs(15)];
 
-/// Most arrivals that are kept for the next session.
+/// Most arrivals that are remembered for the next session.
 const MAX_RECENT: usize = 4_096;
 
-/// Times that a total is sent after it has changed.
+/// Times that a total is sent after a change, as any datagram may be lost.
 const SENDS_PER_CHANGE: u8 = 3;
 
-/// Unchanged totals in a report, at the most.
+/// Most unchanged totals that a report repeats.
 const MAX_REPEATS: usize = 1;
 
 /// Least time before an unchanged total is sent again.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bytes of the lines of a report, about.
+/// Approximate bytes of all lines of a report.
 const REPORT_LINES_BYTES: usize = 1_000;
 
-/// Bytes of a line without its names, at the most.
+/// Most bytes of a line without the names.
 const LINE_OVERHEAD_BYTES: usize = 24;
 
-/// Counts what arrives at a host and reports it to the holder of the lease.
+/// Counts the requests that arrive at a host, and reports them to the holder of the planner's
+/// lease.
 #[derive(Debug)]
 pub struct Reporter {
     run: host::Incarnation,
     fence: Option<Fence>,
     totals: BTreeMap<(Subject, Span), Total>,
-    /// Arrivals of the last spans, the oldest first.
+    /// Arrivals within the last period, the oldest first.
     recent: VecDeque<Arrival>,
 }
 
 #[derive(Debug)]
 struct Total {
     work: Work,
-    /// Mean time of arrivals before the session.
+    /// Mean arrival time; only for arrivals before the session.
     at: Option<Moment>,
     /// When the total last changed or was last sent.
     touched: Moment,
@@ -51,18 +52,18 @@
 }
 
 impl Reporter {
-    /// Starts with no arrivals, in a run of the host's process.
+    /// Starts without arrivals, in this run of the host's process.
     pub fn new(run: host::Incarnation) -> Reporter {
         Reporter { run, fence: None, totals: BTreeMap::new(), recent: VecDeque::new() }
     }
 
-    /// Counts a request.
+    /// Counts a request that arrived.
     pub fn arrive(&mut self, subject: Subject, work: Work, now: Moment) {
         if self.fence.is_some() {
             let total = self.totals.entry((subject.clone(), Span::Session));
             let total = total.or_insert_with(|| Total::new(now));
             total.work = total.work.plus(work);
-            // Unsent totals keep their place in the queue while they rise.
+            // An unsent total keeps its position in the queue, however often it rises.
             total.touched = if total.sends == 0 { total.touched } else { now };
             total.sends = 0;
         }
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Reports to the holder of this fence from now on, unless a later one is known.
+    /// Starts a session with the holder of this fencing token. Does nothing if this token or a
+    /// higher one is known.
     pub fn begin(&mut self, fence: Fence, now: Moment) {
         if self.fence.is_some_and(|known| fence <= known) {
             return;
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Returns the next report, or none if nothing is due. Call again while [`Reporter::has_unsent`] holds.
+    /// Returns the next report; none if nothing is due or no holder is known. To be called again
+    /// while [`Reporter::has_unsent`] holds.
     pub fn report(&mut self, now: Moment) -> Option<Report> {
         let fence = self.fence?;
         let is_due = |total: &Total| {
@@ -127,7 +130,7 @@
         (!lines.is_empty()).then_some(Report { run: self.run, fence, lines })
     }
 
-    /// Whether a total has changed that was not sent since.
+    /// Whether a total has changed since it was last sent.
     pub fn has_unsent(&self) -> bool {
         self.totals.values().any(|total| total.sends == 0)
     }
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Reports of demand: what is lost, late, repeated, or from another session.
+//! Demand reports that are lost, late, repeated, or from another session.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     arrivals.iter().fold(Work::default(), |sum, arrival| sum.plus(arrival.work))
 }
 
-/// All that a reporter has to say now.
+/// Returns all reports that are due now.
 fn reports(reporter: &mut Reporter, now: Moment) -> Vec<Report> {
     let mut reports = Vec::new();
     while reporter.has_unsent() {
@@ -55,11 +55,11 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mut reporter, mut collector) = (Reporter::new(1), collector());
     reporter.begin(FENCE, s(0.0));
-    let (mut sent, mut heard) = (Work::default(), Work::default());
+    let (mut sent, mut received) = (Work::default(), Work::default());
     let mut late: Vec<Report> = Vec::new();
     for step in 0..400 {
         let now = s(f64::from(step) * 0.1);
-        // Nothing arrives at the end, so that what was lost can still be made good.
+        // Nothing arrives at the end, so that later reports can make up for lost ones.
         for _ in 0..if step < 300 { 5 } else { 0 } {
             reporter.arrive(subject(random.random_range(0..60)), ONE, now);
             sent = sent.plus(ONE);
@@ -76,11 +76,11 @@
             if random.random_bool(0.8) {
                 late.remove(at);
             }
-            heard = heard.plus(work(&collector.take(&host(0), report, now)));
+            received = received.plus(work(&collector.take(&host(0), report, now)));
         }
-        assert!(heard.requests <= sent.requests);
+        assert!(received.requests <= sent.requests);
     }
-    let lost = f64::from(sent.requests - heard.requests) / f64::from(sent.requests);
+    let lost = f64::from(sent.requests - received.requests) / f64::from(sent.requests);
     assert!(lost <= 0.02, "{lost:.3} of {} requests were lost for good", sent.requests);
 }
 
@@ -93,15 +93,15 @@
     let now = s(20.0);
     reporter.begin(FENCE, now);
     let mut collector = collector();
-    let heard: Vec<_> = reports(&mut reporter, now)
+    let received: Vec<_> = reports(&mut reporter, now)
         .into_iter()
         .flat_map(|report| collector.take(&host(0), report, now))
         .collect();
     let count = |from: f64, to: f64| -> u32 {
-        let within = heard.iter().filter(|one| s(from) <= one.at && one.at < s(to));
+        let within = received.iter().filter(|one| s(from) <= one.at && one.at < s(to));
         within.map(|one| one.work.requests).sum()
     };
-    assert_eq!(work(&heard).requests, 150, "of 15 s");
+    assert_eq!(work(&received).requests, 150, "of 15 s");
     assert_eq!([count(19.0, 20.0), count(16.0, 19.0), count(5.0, 16.0)], [10, 30, 110]);
 }
 
@@ -110,18 +110,18 @@
     let mut reporter = Reporter::new(1);
     reporter.begin(FENCE, s(0.0));
     reporter.arrive(subject(0), ONE, s(1.0));
-    let old = reporter.report(s(1.0)).expect("it has news");
+    let old = reporter.report(s(1.0)).expect("a total changed");
     reporter.begin(FENCE + 1, s(2.0));
     reporter.arrive(subject(0), ONE, s(2.5));
-    let new = reporter.report(s(2.5)).expect("it has news");
+    let new = reporter.report(s(2.5)).expect("a total changed");
     let mut collector = Collector::default();
     collector.begin(FENCE + 1);
     assert!(collector.take(&host(0), old, s(3.0)).is_empty(), "it was for the holder before");
     assert_eq!(work(&collector.take(&host(0), new, s(3.0))).requests, 2);
     reporter.begin(FENCE, s(4.0));
     reporter.arrive(subject(0), ONE, s(4.0));
-    let report = reporter.report(s(4.0)).expect("it has news");
-    assert_eq!(report.fence, FENCE + 1, "an earlier holder is not gone back to");
+    let report = reporter.report(s(4.0)).expect("a total changed");
+    assert_eq!(report.fence, FENCE + 1, "an earlier holder does not replace a later one");
 }
 
 #[test]
@@ -131,7 +131,7 @@
         let mut reporter = Reporter::new(run);
         reporter.begin(FENCE, s(0.0));
         reporter.arrive(subject(0), ONE, s(1.0));
-        reporter.report(s(1.0)).expect("it has news")
+        reporter.report(s(1.0)).expect("a total changed")
     };
     assert_eq!(work(&collector.take(&host(0), first(1), s(1.0))), ONE);
     assert_eq!(work(&collector.take(&host(0), first(1), s(1.0))), Work::default());
@@ -148,9 +148,9 @@
     let mut collector = collector();
     let reports = reports(&mut reporter, s(1.0));
     assert!(reports.iter().all(|report| report.lines.len() <= 30));
-    let heard: Vec<_> =
+    let received: Vec<_> =
         reports.into_iter().flat_map(|one| collector.take(&host(0), one, s(1.0))).collect();
-    assert_eq!(work(&heard).requests, 500);
+    assert_eq!(work(&received).requests, 500);
 }
 
 #[test]
