--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,11 +1,11 @@
-//! Numbered events of a stream: each whole, once and in order.
+//! Numbered events of a stream, passed on complete, once and in order.
 //!
-//! A server's stream of events (`text/event-stream`) comes in pieces of any size. A [`Splitter`]
-//! gives out whole events only and holds back a half one, so that a stream which breaks can go on
-//! at another server after the last whole event. What was given out before is dropped; a gap or
-//! bytes that are no event end what this server may give.
+//! A server's stream of events (`text/event-stream`) arrives in chunks of any size. A [`Splitter`]
+//! passes on complete events only and holds back a partial one, so that a broken stream can resume
+//! at another server after the last complete event. Events that were passed on before are dropped.
+//! A gap, or bytes that are no event, end the use of this server's stream.
 //!
-//! Pieces in which all events may pass go through without a copy.
+//! A chunk of which all events pass is not copied.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memchr;
@@ -13,41 +13,41 @@
 /// Number of an event within its stream.
 pub type Id = u64;
 
-/// Largest event, in bytes.
+/// Largest event that is accepted.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a server's stream can't be used further.
+/// Why a server's stream can't be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Something is missing before an event.
+    /// At least one event is missing before a numbered one.
     Gap,
-    /// The bytes are no event.
+    /// The bytes are not an event.
     Garbage,
-    /// An event is too large.
+    /// An event is larger than 256 KiB.
     TooLarge,
 }
 
-/// Where a stream that breaks off could go on.
+/// Where a broken stream can resume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumePoint {
-    /// Nothing has been given out.
+    /// At the start: no event has been passed on.
     Start,
-    /// After this event.
+    /// After the event with this number.
     After(Id),
-    /// An event without a number has been given out.
+    /// Nowhere: the last event that was passed on has no number.
     Unknown,
 }
 
-/// What a piece comes to.
+/// Result of taking a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Taken {
-    /// Whole events to pass on; may be empty.
+    /// Complete events to pass on; may be empty.
     pub events: Bytes,
-    /// What is wrong after them.
+    /// Fault found after those events, if any.
     pub fault: Option<Fault>,
 }
 
-/// A stream's events on their way.
+/// Splits a server's stream into events, and checks their order.
 #[derive(Clone, Debug)]
 pub struct Splitter {
     partial: Bytes,
@@ -56,12 +56,13 @@
     alignment: Alignment,
 }
 
-/// Whether the server's next numbered event is known to follow what was given out.
+/// Whether the server's next numbered event is known to follow the last one that was passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Alignment {
-    /// The server begins; events without numbers belong before it.
+    /// The server may repeat events from the start; events without numbers are taken for
+    /// repetitions.
     Replaying,
-    /// The server goes on where it should.
+    /// The server continues after the last event that was passed on.
     Aligned,
 }
 
@@ -80,15 +81,16 @@
 }
 
 impl Splitter {
-    /// A stream that begins after an event which the caller has, or at its first.
+    /// Creates a splitter for a stream that resumes after an event which the caller has, or that
+    /// starts at its first event.
     pub fn new(after: Option<Id>) -> Splitter {
         let alignment = if after.is_some() { Alignment::Replaying } else { Alignment::Aligned };
         Splitter { partial: Bytes::new(), last: after, point: ResumePoint::Start, alignment }
     }
 
-    /// Takes a piece as it comes.
-    pub fn take(&mut self, piece: Bytes) -> Taken {
-        let buffer = self.join(piece);
+    /// Takes the next chunk of the stream.
+    pub fn take(&mut self, chunk: Bytes) -> Taken {
+        let buffer = self.join(chunk);
         let mut passed = Passed::default();
         let mut start = 0;
         while let Some(end) = end_of_event(&buffer, start) {
@@ -106,36 +108,37 @@
         Taken { events: passed.finish(&buffer), fault }
     }
 
-    /// Gives out what is held back; for a stream whose end is known to be its true one.
+    /// Takes the partial event that is held back, for a stream that is known to have ended
+    /// properly.
     pub fn take_remainder(&mut self) -> Bytes {
         std::mem::take(&mut self.partial)
     }
 
-    /// Whether a half event is held back.
+    /// Whether a partial event is held back.
     pub fn has_partial_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Where the stream could go on.
+    /// Returns where the stream can resume.
     pub fn point(&self) -> ResumePoint {
         self.point
     }
 
-    /// Another server goes on: the half event of the one before is dropped.
+    /// Continues with another server's stream. The former server's partial event is dropped.
     pub fn switch(&mut self) {
         self.partial = Bytes::new();
         self.alignment =
             if self.last.is_some() { Alignment::Replaying } else { Alignment::Aligned };
     }
 
-    fn join(&mut self, piece: Bytes) -> Bytes {
+    fn join(&mut self, chunk: Bytes) -> Bytes {
         if self.partial.is_empty() {
-            return piece;
+            return chunk;
         }
         let partial = std::mem::take(&mut self.partial);
-        let mut joined = BytesMut::with_capacity(partial.len() + piece.len());
+        let mut joined = BytesMut::with_capacity(partial.len() + chunk.len());
         joined.extend_from_slice(&partial);
-        joined.extend_from_slice(&piece);
+        joined.extend_from_slice(&chunk);
         joined.freeze()
     }
 
@@ -165,7 +168,8 @@
     }
 }
 
-/// Events of a buffer that pass: one range, and copies of earlier ones if some between are dropped.
+/// Events of a buffer that pass: one range, preceded by copies of earlier ranges if dropped events
+/// lie between.
 #[derive(Default)]
 struct Passed {
     copied: BytesMut,
@@ -191,7 +195,7 @@
     }
 }
 
-/// The end of the event that begins at `start`: after its blank line.
+/// Returns the end of the event that starts at `start`, which is after its blank line.
 fn end_of_event(buffer: &[u8], start: usize) -> Option<usize> {
     let mut line = start;
     loop {
@@ -204,7 +208,7 @@
     }
 }
 
-/// Reads an event; `None` if it is none.
+/// Parses an event; none if the bytes are not an event.
 fn read(event: &[u8]) -> Option<Event> {
     let mut kind = Event::Comment;
     let mut rest = event;
@@ -221,7 +225,7 @@
     Some(kind)
 }
 
-/// A line's field and value; a comment's field is empty.
+/// Splits a line into field and value; the field of a comment is empty.
 fn field(line: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = memchr(b':', line).unwrap_or(line.len());
     let (name, value) = line.split_at(end);
--- a/crates/policy/tests/event.rs
+++ b/crates/policy/tests/event.rs
@@ -1,4 +1,4 @@
-//! Events whole, once and in order.
+//! Splitting of event streams: events pass complete, once and in order.
 
 use bytes::Bytes;
 use policy::event::{Fault, ResumePoint, Splitter, Taken};
@@ -23,9 +23,9 @@
 
 #[test]
 fn whole_events_pass_without_a_copy() {
-    let piece = Bytes::from(events(&[1, 2, 3]));
-    let taken = Splitter::new(None).take(piece.clone());
-    assert_eq!((taken.events.as_ptr(), taken.events.len()), (piece.as_ptr(), piece.len()));
+    let chunk = Bytes::from(events(&[1, 2, 3]));
+    let taken = Splitter::new(None).take(chunk.clone());
+    assert_eq!((taken.events.as_ptr(), taken.events.len()), (chunk.as_ptr(), chunk.len()));
 }
 
 #[rstest]
@@ -104,10 +104,10 @@
 #[test]
 fn an_event_is_bounded() {
     let mut splitter = Splitter::new(None);
-    let piece = "data: ".to_owned() + &"x".repeat(100 * 1024);
-    assert_eq!(take(&mut splitter, &piece).fault, None);
-    assert_eq!(take(&mut splitter, &piece).fault, None);
-    assert_eq!(take(&mut splitter, &piece).fault, Some(Fault::TooLarge));
+    let chunk = "data: ".to_owned() + &"x".repeat(100 * 1024);
+    assert_eq!(take(&mut splitter, &chunk).fault, None);
+    assert_eq!(take(&mut splitter, &chunk).fault, None);
+    assert_eq!(take(&mut splitter, &chunk).fault, Some(Fault::TooLarge));
     assert!(!splitter.has_partial_event());
 }
 
