--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -1,10 +1,10 @@
-//! The decisions on the path of a request, joined: admission, choice of a server, its limit, and
-//! the account of what each attempt met.
+//! Decisions on the path of a request: admission, choice of a server, the server's limit, and what
+//! the result of each attempt changes.
 //!
-//! Admission comes before the filters that may take a while (at most once, quarantine), and the
-//! choice of a server after them. In between the request holds a reservation: it counts against
-//! the room of its model, but on no server yet. One [`Traffic`] belongs to one host; all of it is
-//! plain data, so the caller may put it behind one lock.
+//! Admission comes before the filters that may take long (at most once, quarantine), and the choice
+//! of a server after them. In between, the request holds a reservation: it counts against the room
+//! of its model, but on no server yet. One [`Traffic`] belongs to one host; all of it is plain
+//! data, so the caller may put it behind one lock.
 
 mod room;
 
@@ -22,22 +22,22 @@
     },
 };
 
-/// What is admitted.
+/// Admission mode.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Entry {
-    /// What can meet its target, within the limits.
+    /// Only requests that can meet their target are admitted, within the limits.
     #[default]
     Judged,
-    /// Everything at once, for comparison.
+    /// Every request is admitted at once, for comparison.
     Open,
 }
 
 /// Parameters of one host's traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// What is admitted.
+    /// Admission mode.
     pub entry: Entry,
-    /// How limits adapt.
+    /// Algorithm that adapts the servers' limits.
     pub law: Law,
     /// Bounds of the prefix hints.
     pub hints: hints::Bounds,
@@ -45,20 +45,20 @@
     pub queues: admit::Bounds,
     /// Bounds on attempts.
     pub attempts: retry::Bounds,
-    /// The retry budget.
+    /// Parameters of the retry budget.
     pub budget: retry::budget::Share,
-    /// How long servers are left out.
+    /// How long suspected servers are left out.
     pub suspicion: suspicion::Times,
 }
 
-/// A request, as far as these decisions see it.
+/// A request, as far as admission and the choice of a server need it.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// What admission sees.
+    /// What admission needs.
     pub work: Work,
-    /// Time that its first token may take.
+    /// Time from arrival within which the first token is due.
     pub target: Duration,
-    /// Version in force; empty for plain services.
+    /// Version in force of the model or adapter; empty for plain services.
     pub version: model::Version,
     /// Digests of the prompt's prefixes, shortest first.
     pub prefix: Vec<u64>,
@@ -66,82 +66,83 @@
     pub prompt_tokens: u32,
 }
 
-/// Answer to a request for admission.
+/// Result of a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It holds a reservation.
+    /// The request holds a reservation and may be sent.
     Take,
-    /// It waits; a [`Change`] follows.
+    /// The request waits in a queue; a [`Change`] follows.
     Wait,
-    /// It is refused; it did not run.
+    /// The request is refused and did not run.
     Refuse(Refusal),
-    /// No server has what it wants.
+    /// No server has what the request needs.
     Unready,
 }
 
-/// What has become of waiting work.
+/// Change for a request that waited in a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It holds a reservation now.
+    /// The request holds a reservation and may be sent.
     Start(Ticket),
-    /// It is refused; it did not run.
+    /// The request is refused and did not run.
     Refuse(Ticket, Refusal),
 }
 
-/// One attempt on its way.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Flight {
-    /// Where it was sent, and what was expected.
+    /// The server that was chosen, with the first-token time and the cached tokens expected there.
     pub choice: Choice,
     sent: Sent,
     pool: Place,
     target: Duration,
 }
 
-/// A further attempt.
+/// Result of asking for a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Again {
-    /// It is on its way.
+    /// The attempt is in flight.
     Sent(Flight),
-    /// Only servers in doubt have what it wants; the first may be tried at this moment.
+    /// Only suspected servers have what the request needs; the first of them may be tried at this
+    /// time.
     At(Moment),
-    /// No server has what it wants.
+    /// No server has what the request needs.
     Unready,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Whole,
-    /// The caller went away.
+    /// The caller cancelled the request.
     Cancelled,
-    /// It failed at this point.
+    /// The attempt failed at this point.
     Failed(Point),
 }
 
-/// All that one host decides about requests on their way.
+/// State of one host's decisions about requests.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     rules: Rules,
-    /// The servers.
+    /// Known servers, their load and what they have ready.
     pub table: Table,
-    /// Prefix hints.
+    /// Hints at which servers have a prompt prefix cached.
     pub hints: Hints,
-    /// Limits.
+    /// Limits of requests in flight, by server and model or group.
     pub pools: Pools,
-    /// Waiting work.
+    /// Queues of requests that wait for admission.
     pub gate: Gate,
-    /// Servers in doubt.
+    /// Servers that are left out after failures.
     pub suspicion: Suspicion,
-    /// Retries left.
+    /// Budget for retries.
     pub budget: Budget,
     reserved: BTreeMap<Place, u32>,
     unreachable_servers: BTreeSet<Index>,
 }
 
 impl Traffic {
-    /// Without servers and work yet.
+    /// Creates the state without servers and requests.
     pub fn new(distances: Distances, rules: Rules) -> Traffic {
         Traffic {
             table: Table::new(distances),
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Judges a request that has arrived. Work that it displaced is among the changes.
+    /// Decides on the admission of a request that has arrived. Requests that it displaced from a
+    /// full queue are added to `changes`.
     pub fn admit(&mut self, demand: &Demand, now: Moment, changes: &mut Vec<Change>) -> Admission {
         let Some(outlook) = self.outlook(demand, now) else {
             return Admission::Unready;
@@ -178,22 +180,24 @@
         }
     }
 
-    /// Gives back a reservation that is not used.
+    /// Returns a reservation that is not used.
     pub fn release(&mut self, pool: Place) {
         if let Some(reserved) = self.reserved.get_mut(&pool) {
             *reserved = reserved.saturating_sub(1);
         }
     }
 
-    /// Chooses the server for a request that holds a reservation, and uses that up. `None` if no
-    /// server can be used any more; the reservation is used up then too.
+    /// Chooses the server for a request that holds a reservation, and uses the reservation up.
+    /// Returns `None` if no server can be used any more; the reservation is used up in that case,
+    /// too.
     pub fn dispatch(&mut self, demand: &Demand, now: Moment) -> Option<Flight> {
         self.release(demand.work.pool);
         self.send(demand, &[], now)
     }
 
-    /// Chooses a server for a request whose attempt failed, another one if there is one. Work that
-    /// is on its way goes before work that waits, so the limit does not hold it back.
+    /// Chooses a server for a request whose attempt failed, preferably one not in `avoid`. A
+    /// request that was already sent takes precedence over waiting ones, so limits do not hold it
+    /// back.
     pub fn dispatch_again(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Again {
         match self.send(demand, avoid, now).or_else(|| self.send(demand, &[], now)) {
             Some(flight) => Again::Sent(flight),
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Takes in a server's load report that was read at `now`.
+    /// Takes a server's load report that was read at `now`. A server that restarted, or was
+    /// unreachable before, is no longer suspected.
     pub fn report(&mut self, server: Index, load: &report::Load, now: Moment) {
         let restarted = self.table.report(server, load, now);
         if restarted == Restarted::Yes {
@@ -212,14 +217,14 @@
         }
     }
 
-    /// A server gave no report, since it can't be reached.
+    /// Notes that a server could not be reached for a load report, and suspects it.
     pub fn unreachable(&mut self, server: Index, now: Moment) {
         self.unreachable_servers.insert(server);
         let standing = self.suspicion.failed(server, Point::Connect, now);
         self.set_suspicion(server, standing);
     }
 
-    /// The first token of an attempt has come.
+    /// Notes that the first token of an attempt arrived.
     pub fn answered(&mut self, flight: &Flight, now: Moment) {
         let time = now.saturating_sub(flight.sent.at);
         let signal = Signal::FirstToken { time, target: flight.target };
@@ -227,7 +232,8 @@
         self.clear_suspicion(flight.choice.server);
     }
 
-    /// An attempt has ended.
+    /// Notes that an attempt ended: updates the load and the limit of its server, the retry budget,
+    /// and the suspicion of the server.
     pub fn ended(&mut self, flight: &Flight, end: End, now: Moment) {
         let server = flight.choice.server;
         self.table.ended(server, flight.sent, now);
@@ -252,13 +258,14 @@
         }
     }
 
-    /// What follows a failed attempt; to be asked after [`Traffic::ended`].
+    /// Decides what follows a failed attempt. To be called after [`Traffic::ended`].
     pub fn after_failure(&mut self, failure: &retry::Failure) -> retry::Verdict {
         retry::decide(failure, &self.rules.attempts, &mut self.budget)
     }
 
-    /// Starts what has room, and refuses what can't meet its target any more. To be called when
-    /// an attempt has ended, a report has come, and at short intervals while work waits.
+    /// Starts waiting requests that have room, and refuses those that can't meet their target any
+    /// more. To be called when an attempt ended or a load report arrived, and at short intervals
+    /// while requests wait.
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         for pool in self.gate.pools() {
@@ -311,7 +318,7 @@
         }
     }
 
-    /// Doubt never makes a server that is leaving or gone live again.
+    /// Sets a server's standing after a success or failure; one that is leaving or gone stays so.
     fn set_suspicion(&mut self, server: Index, standing: Standing) {
         if matches!(self.table.standing(server), Standing::Live | Standing::Suspected(_)) {
             self.table.set_standing(server, standing);
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -1,4 +1,4 @@
-//! Room and outlook of what requests want, over all servers that have it.
+//! Room and outlook for requests, over all servers that have what a request needs.
 
 use types::prelude::*;
 
@@ -9,21 +9,21 @@
 };
 
 impl Traffic {
-    /// How many more may start for something wanted.
+    /// Returns how many more requests for this model or group may be sent now.
     pub fn room(&self, wanted: Place, now: Moment) -> u32 {
         let pool = self.table.pool(wanted);
         let open: u32 = self.usable(wanted, now).map(|server| self.room_on(server, pool)).sum();
         open.saturating_sub(self.reserved.get(&pool).copied().unwrap_or(0))
     }
 
-    /// How many more may start on a server: within this host's limit, and within the places that
-    /// all hosts together leave there.
+    /// Returns how many more requests may be sent to a server: within this host's limit, and within
+    /// the places that all hosts together leave there.
     pub(super) fn room_on(&self, server: Index, pool: Place) -> u32 {
         self.pools.room(server, pool).min(self.table.view(server).spare())
     }
 
-    /// What a request can expect; `None` if no server has what it wants, nor will once a suspicion
-    /// ends.
+    /// Returns what a request can expect; `None` if no server has what it needs and no suspected
+    /// one will come back with it.
     pub(super) fn outlook(&self, demand: &Demand, now: Moment) -> Option<Outlook> {
         let wanted = demand.work.wanted;
         let pool = demand.work.pool;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What a short request can expect.
+    /// Returns what a request with a short prompt can expect.
     pub(super) fn plain_outlook(&self, wanted: Place, now: Moment) -> Outlook {
         let best = self
             .usable(wanted, now)
@@ -77,7 +77,8 @@
         Some(Outlook { first_token: until.saturating_sub(now), ..Outlook::default() })
     }
 
-    /// When only servers in doubt have it: the first of them may be tried when its time is out.
+    /// Returns when the first suspected server that has what is wanted may be tried; `None` if
+    /// there is no such server.
     pub(super) fn earliest_trial(&self, wanted: Place) -> Option<Moment> {
         self.table.replicas(wanted).iter().filter_map(|r| self.table.doubted_until(r.server)).min()
     }
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Admission, choice, limits and accounting joined.
+//! Admission, choice of a server, limits and accounting together.
 
 use std::collections::BTreeMap;
 
@@ -132,7 +132,7 @@
 
 #[test]
 fn work_that_would_queue_on_the_server_waits_here_where_it_can_be_refused() {
-    // Eight slots and one to spare, whatever the limit says.
+    // The server has eight slots and one to spare, whatever the limit allows.
     let mut traffic = traffic(1, 64);
     let told = policy::route::estimate::Told { requests: 4 };
     traffic.table.told(&"host-2".into(), &[("lector-0".into(), told)]);
@@ -254,8 +254,8 @@
     }
 }
 
-/// Ten times more arrives than can be served, for as long as it lasts: what is admitted meets its
-/// target, and the places stay in use.
+/// Ten times as many requests arrive as the server can serve: those that are admitted meet their
+/// target, and the slots stay in use.
 #[test]
 fn a_rush_of_ten_times_the_capacity_keeps_admitted_work_in_time() {
     const SERVICE: u64 = 100;
@@ -296,6 +296,6 @@
         busy += running.len() as u64;
     }
     assert_eq!(late, 0, "{started} started, {refused} refused");
-    assert!(7 * 4000 < busy, "places stay in use: {busy} of {}", 8 * 4000);
+    assert!(7 * 4000 < busy, "slots stay in use: {busy} of {}", 8 * 4000);
     assert!(2000 < refused);
 }
