--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -1,14 +1,14 @@
-//! Admission: what to take, what to make wait, what to refuse early as not run.
+//! Admission control: which requests start, which wait, and which are refused early.
 //!
-//! Work that finds room starts at once. Work that does not waits in a bounded queue for its model,
-//! the urgent first; among equals the customers and services take turns by their shares, and
-//! within a service the earliest due goes first. Each arrival is judged by the time at which its
-//! first token can be expected. What can't meet its target is refused at once, and told when to
-//! come back; the same holds for waiting work as soon as its outlook turns bad. Nothing is kept
-//! waiting that has been given up on.
+//! A request that finds room starts at once. Others wait in a bounded queue for their model, the
+//! urgent class first. Within a class customers and services take turns by their shares, and within
+//! a service the earliest due time comes first. Each arrival is judged by the time at which its
+//! first token can be expected. A request that can't meet its target is refused at once, with a
+//! time after which to retry; a waiting request is refused the same way as soon as its outlook
+//! turns bad. So no request waits in vain.
 //!
-//! A class below the urgent one keeps a small part of the starts, one in [`LOWER_EVERY`], so that
-//! a long rush slows it and does not stop it.
+//! Classes below the urgent one keep a small share of the starts, one in [`LOWER_EVERY`], so that a
+//! long rush of urgent requests slows them down and does not stop them.
 
 pub mod queue;
 
@@ -19,93 +19,93 @@
 use self::queue::Queue;
 use crate::route::Place;
 
-/// Of this many starts from a queue, one goes to the best class below the one that is due.
+/// One in this many starts from a queue goes to the best class below the one whose turn it is.
 pub const LOWER_EVERY: u32 = 32;
 
-/// Least time that a refused caller is told to stay away.
+/// Least time after which a refused caller is asked to retry.
 pub const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest time that a refused caller is told to stay away.
+/// Longest time after which a refused caller is asked to retry.
 pub const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Number of a piece of work on one host.
+/// Number of a request, unique within one host.
 pub type Ticket = u64;
 
-/// Work that asks for admission.
+/// A request, as admission needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// Its number.
+    /// The request's number on this host.
     pub ticket: Ticket,
-    /// Its priority.
+    /// The request's priority class.
     pub priority: Priority,
-    /// On whose behalf it runs.
+    /// The customer on whose behalf the request runs.
     pub customer: customer::Id,
-    /// That customer's share; positive.
+    /// The customer's share of the starts; positive.
     pub customer_share: u32,
-    /// The service it calls.
+    /// The service that the request calls.
     pub service: service::Id,
-    /// That service's share; positive.
+    /// The service's share within its customer; positive.
     pub service_share: u32,
-    /// What a server must have ready to run it.
+    /// What a server must have ready to run the request.
     pub wanted: Place,
-    /// The model or group that its limits belong to.
+    /// The model or group whose limits and queue the request counts against.
     pub pool: Place,
-    /// When its first token is due.
+    /// When the first token is due.
     pub due: Moment,
-    /// Any number; spreads the times at which refused callers come back.
+    /// Any number that differs between requests; spreads the times at which refused callers retry.
     pub spread: u64,
 }
 
-/// What can be expected of the servers that could run a piece of work.
+/// What a request can expect of the servers that could run it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outlook {
-    /// How many more may start now.
+    /// How many more requests may start now.
     pub room: u32,
-    /// How many of this host's run there.
+    /// How many of this host's requests are in flight there.
     pub in_flight: u32,
-    /// Mean time that one of them holds its place.
+    /// Mean time that a request stays in flight there.
     pub hold: Duration,
-    /// First-token time once it has started.
+    /// Expected time from start to first token.
     pub first_token: Duration,
-    /// First-token time if the servers had nothing else to do.
+    /// Expected time from start to first token if the servers were idle.
     pub unloaded: Duration,
 }
 
-/// Why work is refused.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Its target can't be met under the present load.
+    /// The request can't meet its target under the present load.
     Late,
     /// The queue is full.
     Full,
-    /// It made place for more urgent work.
+    /// A more urgent request took its place in a full queue.
     Displaced,
 }
 
-/// A refusal; the work did not run.
+/// Refusal of a request that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub cause: Cause,
-    /// When to come back, from now.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Answer to an arrival.
+/// Decision on an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Start it.
+    /// The request starts now.
     Take,
-    /// It is in the queue.
+    /// The request waits in the queue.
     Wait,
-    /// It is refused.
+    /// The request is refused.
     Refuse(Refusal),
 }
 
 /// Bounds of the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most pieces of work that wait for one model.
+    /// Most requests that wait for one model or group.
     pub waiting: usize,
 }
 
@@ -124,23 +124,23 @@
 }
 
 impl Gate {
-    /// Without work yet.
+    /// Creates the gate without waiting requests.
     pub fn new(bounds: Bounds) -> Gate {
         Gate { bounds, ..Gate::default() }
     }
 
-    /// Pieces of work that wait, for all models.
+    /// Returns the number of waiting requests, over all models and groups.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Models and groups that work waits for.
+    /// Returns the models and groups that requests wait for.
     pub fn pools(&self) -> Vec<Place> {
         self.queues.iter().filter(|(_, queue)| !queue.is_empty()).map(|(pool, _)| *pool).collect()
     }
 
-    /// Judges an arrival. Work that it displaced from a full queue is refused at once and added to
-    /// `refused`.
+    /// Decides on an arrival. A request that it displaces from a full queue is refused at once and
+    /// added to `refused`.
     pub fn arrive(
         &mut self,
         mut work: Work,
@@ -177,14 +177,15 @@
         Verdict::Wait
     }
 
-    /// Takes out the next piece of work that has room, to be started now.
+    /// Removes and returns the next request that has room, to be started now.
     pub fn next(&mut self, pool: Place, room: impl Fn(Place) -> u32) -> Option<Work> {
         let work = self.queues.get_mut(&pool)?.pop(room)?;
         self.waiting.remove(&work.ticket);
         Some(work)
     }
 
-    /// Refuses the waiting work whose target can no longer be met, all of it at once.
+    /// Removes all waiting requests that can no longer meet their target, and returns their
+    /// refusals.
     pub fn sweep(
         &mut self,
         pool: Place,
@@ -209,7 +210,7 @@
         hopeless.into_iter().map(|(work, refusal)| (work.ticket, refusal)).collect()
     }
 
-    /// Takes out work whose caller has gone; false if it does not wait.
+    /// Removes a request whose caller has gone; false if it was not waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(pool) = self.waiting.remove(&ticket) else {
             return false;
@@ -218,15 +219,15 @@
     }
 }
 
-/// The refusal that follows if the first token can't be expected in time.
+/// Returns a refusal if the first token can't be expected before it is due.
 fn late_refusal(now: Moment, wait: Duration, outlook: &Outlook, work: &Work) -> Option<Refusal> {
     let at = now + wait + outlook.first_token;
     let late = at.checked_sub(work.due).filter(|late| !late.is_zero())?;
     Some(refusal(Cause::Late, late, work))
 }
 
-/// A refusal with a time to come back: when the load ahead should be gone, and up to half as long
-/// again, so that those refused together do not return together.
+/// Creates a refusal. The caller is asked to retry when the load ahead should be gone, and up to
+/// half as much later, so that callers that were refused together do not return together.
 fn refusal(cause: Cause, wait: Duration, work: &Work) -> Refusal {
     let base = wait.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER);
     let spread = base / 2 * (work.spread % 256) as u32 / 256;
--- a/crates/policy/src/admit/queue.rs
+++ b/crates/policy/src/admit/queue.rs
@@ -1,8 +1,9 @@
-//! The queue of one model: by priority, then by share, then by due time.
+//! The queue of one model or group: ordered by priority, then by share, then by due time.
 //!
-//! Shares are kept by virtual time: each start moves its customer, and its service within the
-//! customer, on by the inverse of the share, and the one that is furthest behind is next. One that
-//! was idle starts where the others are, so that idling saves nothing up.
+//! Shares are kept by virtual time: each start advances the virtual time of its customer, and of
+//! its service within the customer, by the inverse of the share, and the one with the least virtual
+//! time is next. A customer or service that was idle starts at the least virtual time of the
+//! others, so being idle earns it nothing.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +12,13 @@
 use super::{LOWER_EVERY, Outlook, Ticket, Work};
 use crate::route::Place;
 
-/// Virtual time of one start at share one.
+/// Advance in virtual time of one start at a share of one.
 const START_COST: u64 = 1 << 20;
 
-/// Weight of the newest start in the mean that tells how starts are spread over the classes: one
-/// in this many.
+/// Number of starts over which the moving average of each class's share of the starts extends.
 const STARTS_WINDOW: f64 = 64.0;
 
-/// Work of one service that wants the same.
+/// Waiting requests of one service that need the same from a server.
 #[derive(Clone, Debug, Default)]
 struct Flow {
     virtual_time: u64,
@@ -34,7 +34,7 @@
     flows: BTreeMap<(service::Id, Place), Flow>,
 }
 
-/// Work of one priority.
+/// Waiting requests of one priority.
 #[derive(Clone, Debug, Default)]
 struct Class {
     accounts: BTreeMap<customer::Id, Account>,
@@ -42,7 +42,7 @@
     starts: f64,
 }
 
-/// Waiting work for one model.
+/// Waiting requests of one model or group.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     classes: [Class; Priority::ALL.len()],
@@ -51,17 +51,17 @@
 }
 
 impl Queue {
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Pieces of work that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Waiting work that would start before this.
+    /// Returns how many waiting requests would start before this one.
     pub fn ahead(&self, work: &Work) -> usize {
         let higher = self.higher(work.priority);
         let class = &self.classes[work.priority as usize];
@@ -73,7 +73,8 @@
         higher + class.ahead_in_class(&work.customer, work, before)
     }
 
-    /// How long the work at a position (from one) waits, its class' part of the starts given.
+    /// Returns how long a request at this position, counted from one, is expected to wait, given
+    /// its class's share of the starts.
     pub fn wait(&self, position: usize, priority: Priority, outlook: &Outlook) -> Duration {
         if outlook.in_flight == 0 {
             return Duration::ZERO;
@@ -85,7 +86,7 @@
         Duration::try_from_secs_f64(position as f64 * each / part).unwrap_or(Duration::MAX / 4)
     }
 
-    /// Adds work.
+    /// Adds a request.
     pub fn push(&mut self, work: Work) {
         self.index.insert(
             work.ticket,
@@ -94,7 +95,7 @@
         self.classes[work.priority as usize].push(work);
     }
 
-    /// Takes out the next piece of work that has room.
+    /// Removes and returns the next request that has room.
     pub fn pop(&mut self, room: impl Fn(Place) -> u32) -> Option<Work> {
         let lower_first = self.starts % LOWER_EVERY == LOWER_EVERY - 1;
         let mut order: Vec<usize> =
@@ -108,7 +109,7 @@
         Some(work)
     }
 
-    /// A piece of work of this priority has started, from the queue or past it.
+    /// Notes that a request of this priority started, from the queue or without waiting.
     pub fn started(&mut self, priority: Priority) {
         self.starts = self.starts.wrapping_add(1);
         for (at, class) in self.classes.iter_mut().enumerate() {
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Takes out the last of the least urgent work below this priority.
+    /// Removes and returns the request with the latest due time in the least urgent class below
+    /// this priority.
     pub fn displace(&mut self, priority: Priority) -> Option<Work> {
         let class = self.classes[..priority as usize].iter().find(|class| 0 < class.waiting)?;
         let ticket = class
@@ -128,7 +130,7 @@
         self.remove(ticket)
     }
 
-    /// Takes out this piece of work.
+    /// Removes and returns the request with this number.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Work> {
         let (priority, customer, service, wanted, due) = self.index.remove(&ticket)?;
         let class = &mut self.classes[priority as usize];
@@ -138,7 +140,7 @@
         Some(work)
     }
 
-    /// Waiting work with its position, from one.
+    /// Returns the waiting requests, each with its position counted from one.
     pub fn positions(&self) -> impl Iterator<Item = (usize, &Work)> {
         Priority::ALL.into_iter().flat_map(move |priority| {
             let class = &self.classes[priority as usize];
@@ -193,8 +195,8 @@
         Some(work)
     }
 
-    /// Work of this class that starts before the one with `before` of its own flow ahead of it,
-    /// when the flows take turns by their shares.
+    /// Returns how many requests of this class start before one that has `before` requests of its
+    /// own flow ahead of it, if flows take turns by their shares.
     fn ahead_in_class(&self, customer: &customer::Id, work: &Work, before: usize) -> usize {
         let own_weight = f64::from(work.customer_share.max(1));
         let own_services: f64 =
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -31,7 +31,7 @@
     Duration::from_millis(n)
 }
 
-/// All places taken, each for 100 ms; ten run at once, so one ends each 10 ms.
+/// All places are taken for 100 ms each. Ten requests run at once, so one ends every 10 ms.
 fn busy() -> Outlook {
     Outlook {
         room: 0,
@@ -138,7 +138,7 @@
         arrive(&mut gate, work(ticket, Priority::Normal, "chat", 60_000), &busy());
     }
     let late = Work { spread: 0, ..work(999, Priority::Normal, "chat", 1000) };
-    // Earlier due than all that wait, but of another service, so that it takes turns.
+    // Due before all waiting requests, but of another service, with which it takes turns.
     let late = Work { service: "other".into(), ..late };
     let (verdict, _) = arrive(&mut gate, late, &busy());
     assert_eq!(verdict, Verdict::Wait, "a turn of its own comes soon");
@@ -243,7 +243,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Each piece of work gets exactly one answer, and each wait stays within the bound.
+    /// Each request gets exactly one answer, and the number of waiting requests stays within the
+    /// bound.
     #[test]
     fn every_arrival_is_answered_once(
         events in prop::collection::vec((0u8..5, 0u8..3, 0u8..3, 1u64..2000, 0u32..3), 1..200)
