--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! All decisions, without I/O, clock or randomness of their own.
+//! All decisions of the serving system, without I/O, clock or randomness of their own.
 //!
-//! Events and the time go in, actions come out. The same code runs in a host's process, in a
-//! focused test under virtual time and in the exhaustive check of `crates/spec`. A decision that
-//! needs a socket to be tested is in the wrong place.
+//! Events and the time go in, actions come out. The same code runs in a host's process, in tests
+//! under virtual time and in the exhaustive checks of `crates/spec`. A decision that needs a socket
+//! to be tested belongs elsewhere.
 
 pub mod admit;
 pub mod config;
