--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of any size in the proportions of the target: 950 models on 770 servers, 8 zones.
+//! Synthetic clusters of any size, in the proportions of 950 models on 770 servers in 8 zones.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
     resident::{Resident, State as Progress},
 };
 
-/// Models at the target.
+/// Models at full size.
 pub const MODELS: usize = 950;
 
-/// Servers at the target.
+/// Servers at full size.
 pub const SERVERS: usize = 770;
 
 const ZONES: usize = 8;
@@ -24,12 +24,12 @@
 const CAPACITY: Mebibytes = 8 * 80 * GIBIBYTE;
 const SIZES: [Mebibytes; 6] = [16, 30, 70, 90, 140, 240];
 
-/// Servers for this many models.
+/// Returns the number of servers for this many models.
 pub fn servers(models: usize) -> usize {
     (models * SERVERS).div_ceil(MODELS)
 }
 
-/// Declared models.
+/// Returns a configuration that declares this many models.
 pub fn config(models: usize) -> config::Config {
     let models = (0..models).map(|n| {
         let adapters = (0..ADAPTERS)
@@ -47,7 +47,7 @@
     config::Config { models: models.collect(), ..config::Config::default() }
 }
 
-/// Empty engines.
+/// Returns this many engines without models.
 pub fn engines(servers: usize) -> BTreeMap<backend::Id, Engine> {
     let engines = (0..servers).map(|n| {
         let engine = Engine {
@@ -63,7 +63,7 @@
     engines.collect()
 }
 
-/// Demand of a model: a few are busy, most are not. `turn` shifts which.
+/// Returns the demand of a model: a few are busy, most are not. `turn` changes which.
 pub fn demand(n: usize, turn: usize) -> Demand {
     let now = match (n + turn) % 10 {
         0 => 1.6,
@@ -73,7 +73,7 @@
     Demand { now, ahead: now }
 }
 
-/// A planner with all of it placed, and the engines as they then are.
+/// Returns a planner that has placed all models, and the engines as they are then.
 pub fn placed(models: usize) -> (Planner, config::Config, BTreeMap<backend::Id, Engine>) {
     let config = config(models);
     let mut engines = engines(servers(models));
--- a/crates/policy/benches/path.rs
+++ b/crates/policy/benches/path.rs
@@ -1,4 +1,4 @@
-//! Cost of the decisions on one request's path: admit, choose, account.
+//! Cost of the decisions on one request's path: admission, choice of a server, accounting.
 
 use std::{collections::BTreeMap, hint::black_box};
 
@@ -48,7 +48,7 @@
     traffic
 }
 
-/// Model `m` has its replicas on the servers after `m * 7`.
+/// Builds a server's load report. Model `m` has its replicas on the servers after `m * 7`.
 fn load(size: &Size, server: u32) -> Load {
     let holds = |model: &u32| {
         (server + size.servers - model * 7 % size.servers) % size.servers < size.replicas
--- a/crates/policy/examples/demand_traffic.rs
+++ b/crates/policy/examples/demand_traffic.rs
@@ -1,8 +1,10 @@
-//! What reports of demand cost: `cargo run --release -p cyclamenstage-policy --example demand_traffic`.
+//! Measures the cost of demand reports:
 //!
-//! Hosts under virtual time; requests ask for some of the models and adapters of a deployment, a few
-//! far more often than others. Bytes hold the network's headers. The time is that of the planning
-//! host's collector for one report, on this machine.
+//! `cargo run --release -p cyclamenstage-policy --example demand_traffic`.
+//!
+//! Hosts run under virtual time. Requests ask for the models and adapters of a deployment, a few of
+//! them far more often than others. Bytes include the network's headers. The time is what the
+//! planning host's collector takes for one report on this machine.
 
 #![allow(clippy::print_stdout, reason = "the figures are its purpose")]
 
@@ -20,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Hosts, requests a second at all of them, models, adapters of each.
+/// Hosts, requests a second at all of them together, models, adapters of each model.
 const SIZES: [(usize, f64, usize, usize); 4] =
     [(9, 140.0, 26, 4), (85, 780.0, 126, 4), (195, 820.0, 110, 4), (346, 4_300.0, 950, 4)];
 
--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -1,11 +1,12 @@
-//! How old the sums are that hosts have of each other's work, while all of them work:
+//! Measures the age of the sums that hosts have of each other's work, while all of them are busy:
+//!
 //! `cargo run --release -p cyclamenstage-policy --example fleet_age -- [HOSTS..]`.
 //!
-//! Hosts under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is lost.
-//! Each host has ten requests in flight at a few of 240 pairs of server and model, starts and ends
-//! some seven a second, and counts the arrivals of one service. One host in turn has work of its own at
-//! a server that no other has, which changes each round; the age of what each other host has of it
-//! is what is measured.
+//! Hosts run under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is
+//! lost. Each host has ten requests in flight at a few of 240 pairs of server and model, starts and
+//! ends some seven a second, and counts the arrivals of one service. One host in turn also has work
+//! at a server that no other host uses, and changes it each round. Measured is the age of that load
+//! at each other host.
 
 #![allow(clippy::print_stdout, reason = "the figures are its purpose")]
 
@@ -20,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const SIZES: [usize; 4] = [17, 40, 82, 350];
-/// Between two looks of a host at its work, as in the relay.
+/// Time between two publications of a host's work, as in the relay.
 const ROUND: Duration = Duration::from_millis(60);
 const IN_FLIGHT: usize = 10;
 const PAIRS: usize = 240;
@@ -62,7 +63,7 @@
     net.hosts.values().map(|host| host.fleet.counts().sent).sum()
 }
 
-/// What all hosts have to do.
+/// The work of all hosts.
 struct Work {
     random: ChaCha8Rng,
     in_flight: Vec<Vec<usize>>,
@@ -77,7 +78,8 @@
         Work { random, in_flight, arrivals: vec![0; hosts] }
     }
 
-    /// All hosts' work for one round; the sender has so many requests at the server that is its own.
+    /// Publishes all hosts' work for one round. The probing host has this many requests at its own
+    /// server.
     fn step(&mut self, net: &mut Net, probe: Option<(usize, u32)>) {
         for host in 0..self.in_flight.len() {
             if self.random.random_bool(0.4) {
@@ -106,7 +108,7 @@
         })
     }
 
-    /// Ages in milliseconds at all other hosts of what one host has.
+    /// Returns the ages in milliseconds, at all other hosts, of one host's probe load.
     fn ages(&mut self, net: &mut Net, sender: usize) -> Vec<u64> {
         let server = probe_server(sender);
         let mut ages = Vec::new();
@@ -124,7 +126,7 @@
     }
 }
 
-/// A server and model by chance, some far more often than others.
+/// Returns a random pair of server and model; some are far more frequent than others.
 fn pair(random: &mut ChaCha8Rng) -> usize {
     let share: f64 = random.random();
     (share.powi(3) * PAIRS as f64) as usize
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -1,8 +1,10 @@
-//! What the hosts of a routed deployment send each other, and how soon a fact is everywhere:
+//! Measures what the hosts of a routed deployment send each other, and how soon a fact is known
+//! everywhere:
+//!
 //! `cargo run --release -p cyclamenstage-policy --example fleet_traffic -- [HOSTS..]`.
 //!
-//! Hosts under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is lost.
-//! A busy host has requests in flight at twenty servers, none of which stays the same for 100 ms.
+//! Hosts run under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is
+//! lost. A busy host has requests in flight at twenty servers, all of which change every 100 ms.
 
 #![allow(clippy::print_stdout, reason = "the figures are its purpose")]
 
@@ -39,7 +41,7 @@
     }
 }
 
-/// Bytes a second of a host at the mean and at the most, and datagrams.
+/// Returns a host's bytes a second, mean and maximum over hosts, and its datagrams a second.
 fn rates(net: &mut Net, mut act: impl FnMut(&mut Net, u64)) -> (u64, u64, u64) {
     let datagrams = |net: &Net| net.hosts.values().map(|h| h.fleet.counts().sent).sum::<u64>();
     let (before, sent) = (sent_bytes(net), datagrams(net));
@@ -55,7 +57,7 @@
     (mean, most, (datagrams(net) - sent) / SPAN / hosts)
 }
 
-/// Milliseconds that something takes to be everywhere: the median and the longest of some rounds.
+/// Returns the milliseconds until a change is known everywhere: median and maximum of some rounds.
 fn spread(net: &mut Net, mut act: impl FnMut(&mut Net, usize) -> Duration) -> (u128, u128) {
     let mut times: Vec<_> = (0..ROUNDS).map(|round| act(net, round).as_millis()).collect();
     times.sort_unstable();
@@ -92,7 +94,7 @@
     took
 }
 
-/// Runs until this holds, or for a minute.
+/// Runs until the condition holds, for a minute at the most.
 fn wait(net: &mut Net, holds: impl Fn(&Net) -> bool) {
     let end = net.now + Duration::from_secs(60);
     let step = Duration::from_millis(if net.hosts.len() > 16 { 50 } else { 5 });
--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -1,8 +1,9 @@
-//! How fast a change reaches the last host, and at what cost, by the size of the fleet.
+//! Measures how soon a configuration change reaches the last host, and at what cost, by the number
+//! of hosts.
 //!
 //! `cargo run --release -p cyclamenstage-policy --example spread -- [CHANGES] [SECONDS_BETWEEN]`
 //!
-//! Virtual time; prints one JSON object a line.
+//! Runs under virtual time and prints one JSON object a line.
 
 #![allow(clippy::print_stdout, reason = "the example's output")]
 
@@ -17,7 +18,7 @@
 const SIZES: [usize; 4] = [8, 32, 128, 350];
 const SEED: u64 = 5;
 
-/// How much longer a cut or the absence of killed hosts lasts after the change is in force.
+/// How much longer a zone cut or the absence of killed hosts lasts once the change is in force.
 const FAULT: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -75,7 +76,7 @@
     );
 }
 
-/// Writes one change, with the fault beside it; gives the time to the last host.
+/// Writes one change during the fault; returns the time until the last host has it.
 fn change(fleet: &mut Fleet, between: Duration, fault: Fault) -> Option<Duration> {
     let usual = fleet.faults;
     let end = fleet.now + between;
@@ -102,7 +103,7 @@
     reached.then_some(took)
 }
 
-/// Bytes that all hosts sent and received.
+/// Returns the bytes that all hosts sent and received.
 fn totals(fleet: &Fleet) -> u64 {
     fleet.nodes.iter().map(|node| node.sent + node.received).sum()
 }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Many cores of the protocol in one loop under virtual time.
+//! Simulated cluster: many cores of the membership protocol in one loop under virtual time.
 //!
-//! No more than an event queue: messages take a millisecond or two, may be lost, and nothing else
-//! is modelled. Calls that are lost or meet a dead host end in silence after a timeout.
+//! The loop is an event queue only: messages take a millisecond or two and may be lost, and nothing
+//! else is modelled. Calls that are lost or reach a dead host end with a timeout.
 
 use std::{
     cmp::Reverse,
@@ -33,18 +33,18 @@
 const ZONES: usize = 4;
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What goes wrong on the way.
+/// Network faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Faults {
-    /// Share of messages lost.
+    /// Share of messages that are lost.
     pub(crate) loss: f64,
-    /// A zone that is cut off from all others.
+    /// Zone that is cut off from all others.
     pub(crate) cut_zone: Option<usize>,
-    /// Two zones, of which the second hears nothing from the first.
+    /// Sending and receiving zone between which all messages are lost.
     pub(crate) one_way: Option<(usize, usize)>,
 }
 
-/// A host in the loop.
+/// A simulated host.
 pub(crate) struct Node {
     pub(crate) gossip: Gossip,
     pub(crate) running: bool,
@@ -56,7 +56,7 @@
     next_list: Moment,
 }
 
-/// The loop.
+/// The simulated cluster.
 pub(crate) struct Fleet {
     pub(crate) now: Moment,
     pub(crate) nodes: Vec<Node>,
@@ -134,19 +134,19 @@
         }
     }
 
-    /// Starts a host's process anew, with empty memory.
+    /// Restarts a host's process with empty memory.
     pub(crate) fn restart(&mut self, n: usize) {
         let run = self.nodes[n].gossip.epoch().run + 1;
         let (sent, received) = (self.nodes[n].sent, self.nodes[n].received);
         self.nodes[n] = Node { sent, received, ..self.node(n, run) };
     }
 
-    /// Pauses a host's process, or lets it go on.
+    /// Pauses a host's process, or resumes it.
     pub(crate) fn set_paused(&mut self, n: usize, paused: bool) {
         self.nodes[n].paused = paused;
     }
 
-    /// What the running hosts take a host for, each in turn.
+    /// Returns what each other running host takes a host for.
     pub(crate) fn standings(&self, of: usize) -> Vec<Standing> {
         let others = self.nodes.iter().enumerate().filter(|(n, node)| *n != of && node.running);
         others
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Hosts that watch the platform at this moment.
+    /// Returns the hosts that watch the platform at this moment.
     pub(crate) fn watchers(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.is_watching(*n)).collect()
     }
@@ -177,13 +177,13 @@
         self.platform_up && node.running && !node.paused && node.gossip.is_watching(self.now)
     }
 
-    /// Whether every running host holds the newest number.
+    /// Whether every running host has the newest number.
     pub(crate) fn is_in_force(&self) -> bool {
         let running = self.nodes.iter().filter(|node| node.running && !node.paused);
         running.into_iter().all(|node| node.gossip.held(Topic::Config) == self.number)
     }
 
-    /// Whether every running host takes every running host for live.
+    /// Whether every running host takes all other running hosts for live.
     pub(crate) fn is_whole(&self) -> bool {
         let running = || self.nodes.iter().enumerate().filter(|(_, node)| node.running);
         running().all(|(n, node)| {
@@ -199,7 +199,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` or `end`; says whether it was done.
+    /// Runs until `done` or `end`; returns whether it was done.
     pub(crate) fn run_until(&mut self, end: Moment, mut done: impl FnMut(&Fleet) -> bool) -> bool {
         while let Some(Reverse((at, id))) = self.events.peek().copied() {
             if end < at {
@@ -218,7 +218,7 @@
         done(self)
     }
 
-    /// Carries out what a core asked for.
+    /// Carries out the actions that a core requested.
     pub(crate) fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Takes one step; says whether a host's configuration number rose.
+    /// Handles one event; returns whether a host's configuration number rose.
     fn step(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(n) => self.tick(n),
--- a/crates/policy/tests/fleet_demand.rs
+++ b/crates/policy/tests/fleet_demand.rs
@@ -1,4 +1,5 @@
-//! What the host that plans hears of the demand at all others, while all of them work.
+//! Demand reports under load: the host that plans must receive nearly all of the demand within a
+//! second, however many hosts report.
 
 mod fleet_net;
 
@@ -14,10 +15,10 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Between two looks of a host at its work.
+/// Time between two publications of a host's work.
 const ROUND: Duration = Duration::from_millis(60);
 
-/// Rounds in a second, about.
+/// Approximate rounds in a second.
 const SECOND: usize = 16;
 
 /// Requests a second at all hosts together.
@@ -30,10 +31,10 @@
 /// Requests that each host has in flight.
 const IN_FLIGHT: usize = 6;
 
-/// Part of the requests that the planner must have heard of a second after they arrived.
+/// Least share of the requests that the planner must have received one second after they arrived.
 const MIN_RECEIVED_SHARE: f64 = 0.9;
 
-/// The host that plans, and its fence.
+/// The host that plans, and its fencing token.
 const PLANNER: usize = 0;
 const FENCE: u64 = 7;
 
@@ -91,7 +92,7 @@
         self.net.run_for(ROUND);
     }
 
-    /// Sends what is due from a host to the planner.
+    /// Sends a host's report to the planner, if one is due.
     fn report(&mut self, host: usize) {
         let round = self.arrived.len();
         let every = demand::interval(self.hosts).div_duration_f64(ROUND).ceil() as usize;
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Requests at other hosts that the planner has heard of.
+    /// Returns the number of requests at other hosts that were reported to the planner.
     fn received(&mut self) -> u64 {
         let now = self.net.now;
         let received =
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -1,4 +1,4 @@
-//! What hosts tell of themselves, over a network that can't be trusted.
+//! Facts that hosts advertise, over a network that loses, repeats and reorders datagrams.
 
 mod fleet_net;
 
@@ -74,7 +74,7 @@
     assert_eq!((ahead.len(), ahead[0].declared), (1, 12));
     assert!(snapshot.ahead(&"zone-1".into(), 12).is_empty());
     assert_eq!(snapshot.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
-    let lease = snapshot.lease.expect("told");
+    let lease = snapshot.lease.expect("advertised");
     assert_eq!((&*lease.holder, lease.fence), ("host-001", 8));
     assert!(lease.age >= Duration::from_millis(900), "its age grows: {:?}", lease.age);
 }
@@ -120,8 +120,9 @@
     for _ in 0..200 {
         for (host, counts) in counts.iter_mut().enumerate() {
             (0..3).for_each(|_| counts[random.random_range(0..20)] += 1);
-            let told = counts.iter().enumerate().map(|(number, count)| (service(number), *count));
-            net.publish(host, Publication::Arrivals(told.collect()));
+            let arrivals =
+                counts.iter().enumerate().map(|(number, count)| (service(number), *count));
+            net.publish(host, Publication::Arrivals(arrivals.collect()));
             let server = random.random_range(0..5);
             net.publish(host, Publication::InFlight(vec![load(server, random.random_range(1..9))]));
         }
@@ -176,7 +177,7 @@
     assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
 }
 
-/// Work at many servers, of which those with this number in each ten changed at this step.
+/// Loads at many servers. At each step one in ten changes, in turn.
 fn many_loads(step: u32) -> Vec<Load> {
     let changes = |server: usize| (step + 9 - server as u32 % 10) / 10;
     (0..MANY).map(|server| load(server, changes(server) + 1)).collect()
@@ -252,7 +253,7 @@
     let mut net = Net::settled(3, 1);
     net.publish(1, Publication::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
     net.run_for(STEP * 3);
-    // Host 2 hears nothing of the drop before it is forgotten.
+    // Host 2 receives nothing of the removal before it is forgotten.
     net.cut = vec![2];
     net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
@@ -286,7 +287,7 @@
     net.run_for(STEP * 3);
     let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
-    assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "it is no news");
+    assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "an older age is no change");
 }
 
 #[test]
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -1,4 +1,4 @@
-//! Who is known, who is live, and who is not any more.
+//! Discovery and liveness of hosts: start, silence, restart, move, departure.
 
 mod fleet_net;
 
@@ -29,7 +29,7 @@
     assert!(net.run_until_true(Duration::from_secs(10), Net::is_converged));
     for _ in 0..60 {
         net.run_for(Duration::from_secs(1));
-        assert!(net.is_converged(), "a host that talks was taken for silent");
+        assert!(net.is_converged(), "a running host was taken for silent");
     }
 }
 
@@ -72,7 +72,7 @@
     net.publish(4, Publication::Declared(9));
     net.run_for(Duration::from_millis(300));
     assert_eq!(net.snapshot(0).ahead(&"zone-0".into(), 0).len(), 1);
-    // Numbers of runs need not rise.
+    // Incarnations need not rise.
     net.start(4, 7);
     net.run_for(Duration::from_secs(1));
     assert!(net.is_converged());
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts over a network that loses, repeats, delays and cuts, under virtual time.
+//! Hosts under virtual time, over a network that loses, repeats and delays datagrams and isolates
+//! hosts.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -20,11 +21,11 @@
 pub struct Faults {
     pub loss: f64,
     pub repeat: f64,
-    /// Longest extra delay; it lets datagrams overtake each other.
+    /// Longest extra delay; it reorders datagrams.
     pub jitter: Duration,
 }
 
-/// A fifth lost, a tenth doubled, and datagrams that overtake each other.
+/// One datagram in five is lost, one in ten repeated, and datagrams are reordered.
 pub const ROUGH: Faults = Faults { loss: 0.2, repeat: 0.1, jitter: Duration::from_millis(150) };
 
 pub struct Host {
@@ -38,15 +39,15 @@
     pub now: Moment,
     pub faults: Faults,
     pub settings: Settings,
-    /// Hosts by number; a number that is missing is down.
+    /// Running hosts by number.
     pub hosts: BTreeMap<usize, Host>,
-    /// Hosts whose datagrams reach nobody, nor theirs them.
+    /// Hosts to and from which all datagrams are lost.
     pub cut: Vec<usize>,
     pub largest: usize,
-    /// Datagrams from each host to each address; cleared at will.
+    /// Datagrams from each host to each address, since a test last cleared the map.
     pub flows: BTreeMap<(usize, SocketAddr), u64>,
     in_transit: BinaryHeap<Arrival>,
-    /// When hosts are to be woken; a host may stand here more than once.
+    /// Times at which hosts are to be ticked; a host may be listed more than once.
     ticks: BTreeSet<(Moment, usize)>,
     places: BTreeMap<SocketAddr, usize>,
     sequence: u64,
@@ -66,7 +67,7 @@
     }
 }
 
-/// A host at work: requests in flight at twenty servers, none of which stays the same.
+/// Load of a busy host: requests in flight at twenty servers, all of which change with each step.
 pub fn busy_publication(step: u64) -> Publication {
     let loads = (0..20).map(|server| Load {
         server: format!("i-{server:08x}").into(),
@@ -77,7 +78,7 @@
     Publication::InFlight(loads.collect())
 }
 
-/// Bytes that each host has sent, with the network's headers.
+/// Returns the bytes that each host has sent, with the network's headers.
 pub fn sent_bytes(net: &Net) -> Vec<u64> {
     const HEADERS: u64 = 28;
     let counts = net.hosts.values().map(|host| host.fleet.counts());
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Hosts that start within 0.3 s of each other and know the first three.
+    /// Starts hosts within 0.3 s of each other, with the first three as seeds.
     pub fn started(hosts: usize, seed: u64) -> Net {
         let mut net = Net::new(Settings::default(), seed);
         let start = net.now;
@@ -144,7 +145,7 @@
         self.hosts[&host].fleet.snapshot(self.now)
     }
 
-    /// Whether each host that runs takes just the others that run for live.
+    /// Whether each running host takes exactly the running hosts for live.
     pub fn is_converged(&self) -> bool {
         let all = self.hosts.len();
         self.hosts.keys().all(|&host| self.snapshot(host).live == all)
@@ -155,7 +156,7 @@
     }
 
     pub fn run_until(&mut self, end: Moment) {
-        // Tests act on hosts between runs.
+        // Tests call hosts between runs, so there may be datagrams to send.
         let hosts: Vec<_> = self.hosts.keys().copied().collect();
         hosts.into_iter().for_each(|host| self.settle(host));
         self.places = self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Runs until this holds; whether it came to hold within the span.
+    /// Runs until the condition holds; false if it does not hold by the end of the span.
     pub fn run_until_true(&mut self, span: Duration, holds: impl Fn(&Net) -> bool) -> bool {
         let end = self.now + span;
         while self.now < end && !holds(self) {
@@ -189,7 +190,7 @@
         holds(self)
     }
 
-    /// Gives a host a datagram.
+    /// Delivers a datagram to a host.
     pub fn inject(&mut self, host: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
         if let Some(host) = self.hosts.get_mut(&host) {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Lets a host's datagrams fly, and notes when it is to be woken.
+    /// Puts a host's outgoing datagrams in transit, and schedules its next tick.
     fn settle(&mut self, number: usize) {
         let Some(host) = self.hosts.get_mut(&number) else { return };
         self.ticks.insert((host.fleet.next(), number));
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -1,4 +1,4 @@
-//! Notices: at once, once, and not for ever.
+//! Notices: delivered at once, only once, and given up after a few attempts.
 
 mod fleet_net;
 
@@ -25,7 +25,7 @@
     net.run_for(Duration::from_millis(5));
     for host in [0, 1, 3, 4, 5] {
         let [received] = &net.hosts[&host].received[..] else {
-            panic!("host {host} heard something else")
+            panic!("host {host} received something else")
         };
         assert_eq!(received.notice, leaving(1));
         assert_eq!(received.origin, Some(member(2, 0).id));
@@ -67,7 +67,8 @@
         got.sort_by_key(|notice| format!("{notice:?}"));
         got.dedup();
         assert_eq!(got.len(), count, "a notice came twice");
-        // Lost five times over, with one in ten lost: once in 100,000.
+        // With one datagram in ten lost, all five sendings of a notice are lost once in 100,000
+        // notices.
         assert_eq!(count, 100);
     }
     assert_eq!(net.fleet(1).counts().lost_notices, 0);
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -1,4 +1,4 @@
-//! Deployments in which not everybody tells everybody.
+//! Grouped deployments, in which digests go to the own group and between relays only.
 
 mod fleet_net;
 
@@ -14,19 +14,20 @@
 };
 use rstest::rstest;
 
-/// From a fact to its place in every host's sums.
+/// Time within which a fact must be in every host's sums.
 const REACH: Duration = Duration::from_secs(10);
 
-/// Time after which hosts must know of a request that crashes servers.
+/// Time within which hosts must know of a request that crashes servers.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// Until all agree again after many died at once.
+/// Time within which all hosts must agree again after many died at once.
 const MEND: Duration = Duration::from_secs(30);
 
-/// Most that a host may send at the target's size, with the network's headers.
+/// Most bytes that a host may send at the reference size, with the network's headers.
 const BYTES_PER_SECOND: u64 = 3_500;
 
-/// The same in a grown deployment, and what hosts there may send on the mean.
+/// Most bytes that a host of a small grouped deployment may send, and the most on average over
+/// hosts.
 const GROWN_BYTES_PER_SECOND: u64 = 150_000;
 const GROWN_MEAN_BYTES_PER_SECOND: u64 = 30_000;
 
@@ -51,7 +52,7 @@
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
     hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
-    assert!(net.run_until_true(REACH, is_summed), "some host has not heard of all work");
+    assert!(net.run_until_true(REACH, is_summed), "some host has not received all work");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
     hosts
         .iter()
@@ -60,7 +61,7 @@
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
     };
-    assert!(net.run_until_true(REACH, is_counted), "some host has not heard of all arrivals");
+    assert!(net.run_until_true(REACH, is_counted), "some host has not received all arrivals");
 }
 
 fn assert_notice_reaches_all_once(net: &mut Net) {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Works, and says what hosts send a second: on the mean, and at the most.
+/// Keeps all hosts busy, and returns the bytes a second that a host sends: mean and maximum.
 fn busy_bytes(net: &mut Net, seconds: u64) -> (u64, u64) {
     let before = sent_bytes(net);
     for step in 0..seconds * 10 {
@@ -123,7 +124,7 @@
 #[test]
 fn what_a_host_sends_is_bounded() {
     let (mean, most) = busy_bytes(&mut Net::settled(82, 1), 20);
-    assert!(mean <= GROWN_MEAN_BYTES_PER_SECOND, "{mean} bytes a second on the mean");
+    assert!(mean <= GROWN_MEAN_BYTES_PER_SECOND, "{mean} bytes a second on average");
     assert!(most <= GROWN_BYTES_PER_SECOND, "{most} bytes a second");
 }
 
@@ -131,10 +132,11 @@
 #[case::just_above_small(17)]
 #[case::grown(82)]
 fn work_is_known_everywhere_while_it_lasts(#[case] hosts: usize) {
-    /// Between two looks of a host at its work.
+    /// Time between two publications of a host's work.
     const ROUND: Duration = Duration::from_millis(60);
     const ROUNDS: u32 = 80;
-    /// Rounds that an answer to a short request takes, and less than a stream does.
+    /// Most rounds by which sums may lag: about the length of a short request, less than that of a
+    /// stream.
     const OLD: u32 = 8;
     let mut net = Net::settled(hosts, 1);
     for round in 1..=ROUNDS {
@@ -157,20 +159,20 @@
 
 #[test]
 fn only_relays_go_on_telling_hosts_of_other_zones() {
-    /// More than signs of life, fewer than digests, in the span.
-    const TALK: u64 = 6;
+    /// Datagrams in the span: more than keepalives amount to, and fewer than digests do.
+    const MIN_DATAGRAMS: u64 = 6;
     const SPAN: Duration = Duration::from_secs(10);
     const GROUPS_IN_ZONE: usize = 2;
-    // While they start and know few others, all tell all whom they know.
+    // At the start hosts know few others, so each sends digests to all that it knows.
     let mut net = Net::settled(82, 1);
     net.run_for(SPAN);
     net.flows.clear();
     net.run_for(SPAN);
     let zones: BTreeMap<_, _> = (0..82).map(|host| (address(host), host % ZONES)).collect();
-    let talks = net.flows.iter().filter(|(_, count)| **count >= TALK);
-    let afar = talks.filter(|((from, to), _)| from % ZONES != zones[to]);
-    let tellers: BTreeSet<_> = afar.map(|((from, _), _)| *from).collect();
-    assert!(tellers.len() <= GROUPS_IN_ZONE * ZONES, "{tellers:?} tell hosts of other zones");
+    let flows = net.flows.iter().filter(|(_, count)| **count >= MIN_DATAGRAMS);
+    let cross_zone = flows.filter(|((from, to), _)| from % ZONES != zones[to]);
+    let senders: BTreeSet<_> = cross_zone.map(|((from, _), _)| *from).collect();
+    assert!(senders.len() <= GROUPS_IN_ZONE * ZONES, "{senders:?} send digests to other zones");
 }
 
 #[test]
@@ -179,16 +181,16 @@
     const SOON: Duration = Duration::from_secs(5);
     let mut net = Net::settled(HOSTS, 1);
     net.faults.loss = 0.01;
-    // Signs of life to hosts that are not told begin after a round.
+    // Keepalives to hosts that get no digests start after one round.
     net.run_for(Duration::from_secs(15));
     net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
-    assert!(net.run_until_true(SOON, is_everywhere), "some host has not heard of it");
+    assert!(net.run_until_true(SOON, is_everywhere), "some host has not received it");
     for step in 0..15 {
         (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
     }
-    assert!(net.is_converged(), "a host that works was taken for silent");
+    assert!(net.is_converged(), "a busy host was taken for silent");
 }
 
 #[rstest]
@@ -198,7 +200,7 @@
     (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(1)])));
     net.run_for(REACH);
     net.faults.loss = 0.02;
-    // One in five is enough to hit relays of some groups.
+    // Removing one host in five is enough to hit relays of some groups.
     (0..HOSTS).step_by(5).for_each(|host| drop(net.hosts.remove(&host)));
     assert!(net.run_until_true(MEND, |net| is_summed(net) && net.is_converged()), "after deaths");
     for host in [100, 101, 102] {
@@ -245,7 +247,7 @@
     assert_crashes_reach_all(350);
 }
 
-/// Hosts are at work, and the crashes are told beside all else.
+/// Reports crashes while all hosts advertise changing loads, which compete for the same digests.
 fn assert_crashes_reach_all(hosts: usize) {
     let mut net = Net::settled(hosts, 1);
     for step in 0..30 {
@@ -270,7 +272,10 @@
         if is_known(&net) {
             break;
         }
-        assert!(net.now - began < CONTACT, "some host of {hosts} has not heard in {CONTACT:?}");
+        assert!(
+            net.now - began < CONTACT,
+            "some host of {hosts} has not received them within {CONTACT:?}"
+        );
         (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
     }
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams from anywhere: nothing in them may stop a host.
+//! Arbitrary and corrupt datagrams: none of them may panic or stop a host.
 
 mod fleet_net;
 
@@ -17,7 +17,7 @@
     Fleet::new(Duration::ZERO, Settings::default(), member(0, 1), [address(1)])
 }
 
-/// Datagrams that hosts send each other, of each kind.
+/// Returns genuine datagrams of each kind.
 fn genuine() -> Vec<Vec<u8>> {
     let mut net = Net::settled(3, 1);
     let crash = |request| Crash {
