--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -1,4 +1,4 @@
-//! Counters over what several hosts tell.
+//! Aggregation of the facts of several hosts.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 use std::time::Duration;
@@ -20,7 +20,7 @@
     wire::{Run, Scope},
 };
 
-/// Counts that only rise, as far as this host heard them rise.
+/// Totals of the counters that only rise, added up from the increments that this host received.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     sources: BTreeMap<(host::Id, Scope), Provenance>,
@@ -29,7 +29,7 @@
 }
 
 impl Counters {
-    /// Takes by how much counts rose, if their teller counts here.
+    /// Adds increments to the totals, if the table that they come from is counted here.
     pub(super) fn take(
         &mut self,
         id: &host::Id,
@@ -47,16 +47,16 @@
         }
     }
 
-    /// All counts.
+    /// Returns all totals; a key that is counted both directly and from aggregates appears twice.
     pub(super) fn totals(&self) -> impl Iterator<Item = (&Key, u64)> {
         self.direct.iter().chain(&self.aggregated).map(|(key, total)| (key, *total))
     }
 }
 
-/// Requests and prompt tokens at servers, by server and model.
+/// Requests and prompt tokens in flight, by server and model.
 pub(super) type LoadSums = BTreeMap<(backend::Id, Option<model::Id>), (u32, u64)>;
 
-/// Facts of several hosts, as one.
+/// Facts of several hosts, merged into one of each key.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) in_flight: LoadSums,
@@ -91,8 +91,8 @@
                 self.crashes.insert(key, joined);
             }
             Fact::Term(stored) => {
-                let held = self.term.as_ref().map_or(0, |(revision, _)| *revision);
-                if held < stored.0 {
+                let known = self.term.as_ref().map_or(0, |(revision, _)| *revision);
+                if known < stored.0 {
                     self.term = Some(stored.clone());
                 }
             }
@@ -107,17 +107,19 @@
                 self.absent.insert(id.clone(), *run);
             }
             Fact::Limit(server, news) => {
-                let held = self.limits.entry(server.clone()).or_insert(*news);
-                *held = held.merge(*news);
+                let known = self.limits.entry(server.clone()).or_insert(*news);
+                *known = known.merge(*news);
             }
             Fact::State(_) | Fact::Declared(_) | Fact::Arrivals(..) | Fact::Retries(..) => {}
         }
     }
 
-    /// A higher fence is the newer belief; of the same one, the later renewal.
+    /// Merges a belief about the lease: a higher fencing token prevails, and of the same one the
+    /// later renewal.
     fn merge_lease(&mut self, lease: Lease) {
-        let is_newer = self.lease.as_ref().is_none_or(|held| {
-            (held.fence, std::cmp::Reverse(held.age)) < (lease.fence, std::cmp::Reverse(lease.age))
+        let is_newer = self.lease.as_ref().is_none_or(|known| {
+            (known.fence, std::cmp::Reverse(known.age))
+                < (lease.fence, std::cmp::Reverse(lease.age))
         });
         if is_newer {
             self.lease = Some(lease);
@@ -133,23 +135,23 @@
         let store = self.store.into_iter().map(Fact::Store);
         let absent = self.absent.into_iter().map(|(id, run)| Fact::Absent(id, run));
         let limits = self.limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
-        let believed = lease.chain(term).chain(store).chain(absent).chain(limits);
-        loads.chain(servers).chain(crashes).chain(believed)
+        let others = lease.chain(term).chain(store).chain(absent).chain(limits);
+        loads.chain(servers).chain(crashes).chain(others)
     }
 }
 
-/// Work as loads, those at rest among them.
+/// Converts sums to loads, those without work among them.
 pub(super) fn loads(sums: LoadSums) -> impl Iterator<Item = Load> {
     let load = |((server, model), (requests, tokens))| Load { server, model, requests, tokens };
     sums.into_iter().map(load)
 }
 
 fn merge_max<K: Ord, V: Ord + Copy>(entry: Entry<'_, K, V>, value: V) {
-    entry.and_modify(|held| *held = value.max(*held)).or_insert(value);
+    entry.and_modify(|known| *known = value.max(*known)).or_insert(value);
 }
 
 impl Fleet {
-    /// Facts of other hosts at this provenance.
+    /// Facts that other hosts advertise, of tables that are counted in this way.
     pub(super) fn received_facts(
         &self,
         now: Moment,
@@ -163,7 +165,7 @@
         remote_tables.flat_map(move |remote| remote.facts(now))
     }
 
-    /// Brings up to date who counts, and what this host relays.
+    /// Updates which tables are counted and, on a relay, the aggregated tables that it advertises.
     pub(super) fn aggregate(&mut self, now: Moment, fanout: &Fanout) {
         self.counters.sources =
             fanout.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
@@ -183,8 +185,8 @@
         own.facts(now)
             .chain(self.received_facts(now, Provenance::Direct))
             .for_each(|(f, age)| group.add(f, age));
-        let lapsed = self.hosts.iter().filter(|peer| peer.contact == Contact::TimedOut);
-        group.absent = lapsed.map(|peer| (peer.member.id.clone(), peer.member.run())).collect();
+        let timed_out = self.hosts.iter().filter(|peer| peer.contact == Contact::TimedOut);
+        group.absent = timed_out.map(|peer| (peer.member.id.clone(), peer.member.run())).collect();
         let mut totals = self.counters.direct.clone();
         for (key, count) in own.facts(now).filter_map(|(f, _)| Some((f.key(), f.total()?))) {
             *totals.entry(key).or_default() += count;
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -1,4 +1,4 @@
-//! What goes out, and when.
+//! What is sent, and when.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,38 +16,38 @@
     wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
 };
 
-/// Between two rounds in which one host hears of some others.
+/// Time between two unprompted introductions of hosts to each other.
 pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause between two greetings to a silent host.
+/// Least time between two greetings to a silent host.
 const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pause between two greetings to a host that is about to be taken for silent.
+/// Least time between two greetings to a host that is about to be taken for silent.
 const MISSED_GREETING_PAUSE: Duration = Duration::from_millis(200);
 
-/// Seconds for which what was not spent may still be.
+/// Seconds of the rate that a token bucket can hold.
 const BURST_SECONDS: f64 = 0.25;
 
-/// Bytes of a sign of life on the network.
+/// Bytes of a keepalive on the network, with all headers.
 const KEEPALIVE_BYTES: usize = 41;
 
-/// Bytes of a greeting without the network's headers, about.
+/// Approximate bytes of a greeting, without the network's headers.
 pub(super) const HELLO_BYTES: usize = 60;
 
-/// Share of the budget that signs of life may take.
+/// Share of the byte budget that keepalives may take.
 const KEEPALIVE_SHARE: f64 = 0.25;
 
-/// Share of the budget that greetings may take in a large deployment, but for first ones; and
-/// answers to them as much again.
+/// Share of the byte budget that greetings may take in a grouped deployment, first greetings
+/// excepted. Answers to greetings may take as much again.
 const GREETING_SHARE: f64 = 0.1;
 
-/// Rounds after which a host that is not told is silent.
+/// Keepalive rounds without a packet after which a host that gets no digests is silent.
 const MISSED_KEEPALIVES: u32 = 4;
 
-/// Bytes that the network's own headers add to a datagram.
+/// Bytes of the network's headers around a datagram.
 const NETWORK_BYTES: usize = 28;
 
-/// What may still be spent in a large deployment.
+/// Token bucket for bytes; consulted in grouped deployments only.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     left: f64,
@@ -64,12 +64,12 @@
         self.left > 0.0
     }
 
-    /// Takes what a datagram costs; a pending_ack never grows beyond a second's worth.
+    /// Takes the bytes of a datagram. The balance never falls below one second of the rate.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
     }
 
-    /// Takes so many bytes a second from now on.
+    /// Adds what accrued since the last call, and sets the rate in bytes a second.
     fn fill(&mut self, now: Moment, rate: f64) {
         self.rate = rate;
         let span = now.saturating_sub(self.filled).as_secs_f64();
@@ -79,7 +79,7 @@
 }
 
 impl Fleet {
-    /// Does what is due.
+    /// Sends everything that is due.
     pub fn tick(&mut self, now: Moment) {
         if self.next_tick <= now {
             self.next_tick = (self.next_tick + self.fanout.tick(&self.settings)).max(now);
@@ -110,23 +110,24 @@
     fn send_digests(&mut self, now: Moment, fanout: &Fanout) {
         let settings = &self.settings;
         let heartbeat = fanout.heartbeat(settings);
-        let told = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
-        // Others answer in rounds of their own, which are about as late.
-        let oldest = told.min().map_or(Duration::ZERO, |told| now.saturating_sub(told));
+        let sent = fanout.targets().filter_map(|(id, _)| self.hosts.get(id)?.link.last_digest);
+        // The others check for due digests about as rarely as this host does, so their
+        // acknowledgements are about as late.
+        let oldest = sent.min().map_or(Duration::ZERO, |sent| now.saturating_sub(sent));
         let resend = fanout.resend(settings) + oldest.saturating_sub(heartbeat) * 2;
-        let room = fanout.delta_bytes(settings);
+        let limit = fanout.delta_bytes(settings);
         let slack = fanout.tick(settings) / 4;
         let mut due = Vec::new();
         for (id, scopes) in fanout.targets() {
             let Some(peer) = self.hosts.get_mut(id) else { continue };
             peer.link.resend(now, resend);
-            let has_news = peer.link.pending_ack >= fanout.urgent_ack()
+            let has_changes = peer.link.pending_ack >= fanout.urgent_ack()
                 || scopes.iter().any(|&s| peer.link.lacks(s, &self.local_tables[s as usize]));
-            let wait = match has_news {
+            let wait = match has_changes {
                 true => fanout.interval(settings, &self.member.zone, &peer.member.zone),
                 false => heartbeat,
             };
-            if peer.link.last_digest.is_none_or(|told| told + wait <= now + slack) {
+            if peer.link.last_digest.is_none_or(|sent| sent + wait <= now + slack) {
                 due.push((peer.link.last_digest, id.clone(), scopes));
             }
         }
@@ -136,20 +137,20 @@
             if fanout.is_grouped() && !self.digest_bucket.has_tokens() {
                 break;
             }
-            self.send_digest(now, &id, scopes, room);
+            self.send_digest(now, &id, scopes, limit);
         }
     }
 
-    fn send_digest(&mut self, now: Moment, id: &host::Id, scopes: &[Scope], room: usize) {
+    fn send_digest(&mut self, now: Moment, id: &host::Id, scopes: &[Scope], limit: usize) {
         let Some(peer) = self.hosts.get_mut(id) else { return };
         let marks: Vec<_> =
             peer.remote_tables.iter().map(|(scope, remote)| (*scope, remote.mark())).collect();
-        let mut room = SizeLimit { normal: room, max: DATAGRAM_BYTES - HEAD_BYTES };
+        let mut limit = SizeLimit { normal: limit, max: DATAGRAM_BYTES - HEAD_BYTES };
         let mut deltas = Vec::new();
         for &scope in scopes {
             let local = &mut self.local_tables[scope as usize];
-            let Some(delta) = peer.link.delta(now, scope, local, room) else { continue };
-            room = room.without(wire::size(&delta));
+            let Some(delta) = peer.link.delta(now, scope, local, limit) else { continue };
+            limit = limit.without(wire::size(&delta));
             deltas.push(delta);
         }
         peer.link.last_digest = Some(now);
@@ -157,12 +158,13 @@
         let to = wire::tail(peer.member.run());
         let address = peer.member.address;
         let digest = Digest { to, marks, deltas };
-        // Two hosts that only answer each other would never stop.
+        // Answers are not answered: two hosts would never stop answering each other.
         let body = if scopes.is_empty() { Body::Answer(digest) } else { Body::Digest(digest) };
         self.put(address, body);
     }
 
-    /// Notes who is told from now on, and who is no longer heard.
+    /// Notes which hosts are targets of digests from now on, and marks hosts silent whose timeout
+    /// has passed.
     fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence(&self.settings);
         let keepalive_silence = self.keepalive_round(fanout) * MISSED_KEEPALIVES;
@@ -174,11 +176,12 @@
         }
     }
 
-    /// Time in which each host that is not told gets a sign of life, within a share of the budget.
+    /// Time between keepalives to each host that gets no digests, such that all of them stay within
+    /// their share of the budget.
     fn keepalive_round(&self, fanout: &Fanout) -> Duration {
-        let far = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
+        let peers = self.hosts.iter().filter(|peer| !fanout.has(&peer.member.id)).count();
         let share = fanout.budget(&self.settings) * KEEPALIVE_SHARE;
-        let span = Duration::from_secs_f64((far * KEEPALIVE_BYTES) as f64 / share.max(1.0));
+        let span = Duration::from_secs_f64((peers * KEEPALIVE_BYTES) as f64 / share.max(1.0));
         span.max(self.settings.keepalive_interval)
     }
 
@@ -198,7 +201,8 @@
         }
     }
 
-    /// Greets hosts that are missed, the longest ungreeted first.
+    /// Greets hosts that are silent or about to be, those first that were not greeted for the
+    /// longest time.
     fn greet_missed(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence(&self.settings);
         let is_due = |peer: &&Peer| {
@@ -220,15 +224,15 @@
         }
     }
 
-    /// Hosts that this one does not tell get a sign of life now and then.
+    /// Sends keepalives to hosts that get no digests, spread evenly over the round.
     fn send_keepalives(&mut self, now: Moment, fanout: &Fanout) {
         let round = self.keepalive_round(fanout);
         let pace = fanout.tick(&self.settings).as_secs_f64() / round.as_secs_f64();
-        let far = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
-        let mut far: Vec<_> = far.collect();
-        let most = (far.len() as f64 * pace).ceil() as usize;
-        far.sort_by_key(|peer| peer.greeted);
-        let due = far.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
+        let peers = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
+        let mut peers: Vec<_> = peers.collect();
+        let most = (peers.len() as f64 * pace).ceil() as usize;
+        peers.sort_by_key(|peer| peer.greeted);
+        let due = peers.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
         let addresses: Vec<_> = due
             .take(most)
             .map(|peer| {
@@ -239,7 +243,7 @@
         addresses.into_iter().for_each(|address| self.put(address, Body::Keepalive));
     }
 
-    /// One host in turn hears of some of the others, in case that it never met them.
+    /// Introduces some of the known hosts to one host in turn, in case it never met them.
     fn introduce_in_turn(&mut self, now: Moment) {
         if now < self.next_introduction {
             return;
@@ -257,19 +261,19 @@
         self.put(target.address, Body::Hello(hello));
     }
 
-    /// Whether there is budget to answer a host that is known.
+    /// Whether the budget allows an answer to the greeting of a host that is already known.
     pub(super) fn may_answer(&mut self, now: Moment) -> bool {
         self.answer_bucket.fill(now, self.fanout.budget(&self.settings) * GREETING_SHARE);
         !self.fanout.is_grouped() || self.answer_bucket.has_tokens()
     }
 
-    /// Says who this host is.
+    /// Sends a greeting with this host's identity.
     pub(super) fn greet(&mut self, address: SocketAddr, reply: Reply) {
         let hello = Hello { member: self.member.clone(), reply, known: Vec::new() };
         self.put(address, Body::Hello(hello));
     }
 
-    /// Says who this host is and whom it knows.
+    /// Sends greetings that name all other hosts that are not silent.
     pub(super) fn introduce_others(&mut self, address: SocketAddr) {
         let others = self.live_members().into_iter().filter(|other| other.address != address);
         let mut batches = notice::pack(others);
@@ -282,20 +286,20 @@
         }
     }
 
-    /// Other hosts that are not silent.
     fn live_members(&self) -> Vec<Member> {
         let live = self.hosts.iter().filter(|peer| !peer.is_silent());
         live.map(|peer| peer.member.clone()).collect()
     }
 
-    /// Passes a notice on, if this host is a relay.
+    /// Forwards a notice, if this host is a relay.
     pub(super) fn forward(&mut self, now: Moment, from: Run, item: &Item) {
         if self.fanout.is_relay() {
             self.multicast(now, item, Some(from));
         }
     }
 
-    /// Sends a notice to all whom this host tells, but not back.
+    /// Sends a notice to all targets of digests, except to its origin and to the host that
+    /// forwarded it.
     pub(super) fn multicast(&mut self, now: Moment, item: &Item, but: Option<Run>) {
         let targets =
             self.fanout.targets().filter_map(|(id, _)| self.hosts.get(id)).filter(|peer| {
@@ -317,7 +321,7 @@
     }
 }
 
-/// How often a host that is missed is greeted; none if it is not missed.
+/// Returns the pause between greetings to a host that is missed; none if it is not missed.
 fn greeting_pause(now: Moment, silence: Duration, peer: &Peer) -> Option<Duration> {
     if peer.is_silent() {
         return Some(SILENT_GREETING_PAUSE);
