--- a/crates/policy/src/once.rs
+++ b/crates/policy/src/once.rs
@@ -13,10 +13,10 @@
 //! A request without a key can't be recognised when it is sent again, so it needs no claim: its
 //! host dispatches it at most once and never retries it after a byte of it may have left.
 //!
-//! Retention: entries are kept for [`Settings::kept`]. A key that carries a time (a version 7 UUID)
-//! is accepted only while that time is near, see [`Settings::check`], so that the key is refused
-//! before its entry can have been forgotten, whatever the caller's clock says. A key without a time
-//! is recognised for that long and no longer.
+//! Retention: entries are kept for [`Settings::retention`]. A key that carries a time (a version 7
+//! UUID) is accepted only while that time is near, see [`Settings::check`], so that the key is
+//! refused before its entry can have been forgotten, whatever the caller's clock says. A key
+//! without a time is recognised for that long and no longer.
 //!
 //! Outages of the object API: see [`Outage`].
 
@@ -133,9 +133,9 @@
     /// Time for which an entry is kept.
     ///
     /// A key is first accepted at `t` with a time of at most `t + ahead`, and again no later than
-    /// `accept` after that time, each by a clock within `clock_error` of the other. A grant is
-    /// used no later than `grant` after the claim was made.
-    pub fn kept(&self) -> Duration {
+    /// `accept` after that time, each by a clock within `clock_error` of the other. A grant is used
+    /// no later than `grant` after the claim was made.
+    pub fn retention(&self) -> Duration {
         self.accept + self.ahead + 2 * self.clock_error + self.grant
     }
 
--- a/crates/policy/src/once/range/build.rs
+++ b/crates/policy/src/once/range/build.rs
@@ -104,7 +104,7 @@
 }
 
 fn drop_expired(settings: &Settings, now: Now, document: &mut Document) {
-    let kept = millis(settings.kept());
-    document.entries.retain(|_, entry| now.wall <= entry.at + kept);
-    document.gaps.retain(|gap| now.wall <= gap.until + kept);
+    let retention = millis(settings.retention());
+    document.entries.retain(|_, entry| now.wall <= entry.at + retention);
+    document.gaps.retain(|gap| now.wall <= gap.until + retention);
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -311,11 +311,11 @@
 
     /// Drops expired refusals and suspects that have been there for too long.
     pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
-        let kept = millis(settings.suspect);
+        let retention = millis(settings.suspect);
         self.refused.retain(|_, refused| wall < refused.until);
         self.suspects.retain(|_, suspect| {
             let last = suspect.trial.as_ref().map_or(suspect.since, |trial| trial.since);
-            wall < last + kept
+            wall < last + retention
         });
     }
 
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -291,10 +291,10 @@
             return Vec::new();
         };
         let echo = if message.to.is_some() { moment(message.echo) } else { Duration::ZERO };
-        let heard = message.entries.iter().filter_map(|entry| {
+        let merged = message.entries.iter().filter_map(|entry| {
             Some((entry.server.clone(), self.limits.merge(&entry.server, entry.limit, now)?))
         });
-        let changes = heard.collect();
+        let changes = merged.collect();
         for entry in &message.entries {
             match entry.content {
                 Content::Request(request) if arrival == Arrival::Newest => {
--- a/crates/policy/src/quota/client.rs
+++ b/crates/policy/src/quota/client.rs
@@ -15,7 +15,8 @@
 /// Age at which the length of the owner's queue is no longer used.
 const QUEUE_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Time after a change of the limit in which owners are told how many requests were sent before it.
+/// Time after a change of the limit in which the number of requests sent before it is reported to
+/// owners.
 const REPORT_SENT_BEFORE: Duration = Duration::from_secs(3);
 
 /// Shortest interval between two permit requests.
@@ -106,8 +107,8 @@
         self.sent_before = Some((now, sent_before));
     }
 
-    /// Requests sent before the last change of the limit; 0 once owners need no more be told of
-    /// them.
+    /// Requests sent before the last change of the limit; 0 once the number need not be reported to
+    /// owners any more.
     pub fn sent_before(&self, now: Moment) -> u32 {
         self.sent_before
             .filter(|(at, _)| now < *at + REPORT_SENT_BEFORE)
@@ -118,12 +119,12 @@
     /// request waits and one found none a short time ago.
     pub fn unmet_demand(&self, now: Moment) -> Demand {
         let Demand { permits, urgency } = self.demand;
-        let held = self.permits(now);
+        let available = self.permits(now);
         if 0 < permits {
-            return Demand { permits: permits.saturating_sub(held), urgency };
+            return Demand { permits: permits.saturating_sub(available), urgency };
         }
         let has_missed = self.last_miss.is_some_and(|at| now < at + MISS_LIFETIME);
-        Demand { permits: u32::from(has_missed && held == 0), urgency: IDLE }
+        Demand { permits: u32::from(has_missed && available == 0), urgency: IDLE }
     }
 
     /// Whether a permit request to an owner is due now. A changed number of permits is requested
--- a/crates/policy/src/quota/lease.rs
+++ b/crates/policy/src/quota/lease.rs
@@ -57,9 +57,10 @@
         if is_over || is_lent || now < self.free_from {
             return false;
         }
-        let held = self.lease.take().filter(|lease| lease.borrower == *to).map(|lease| lease.until);
+        let earlier =
+            self.lease.take().filter(|lease| lease.borrower == *to).map(|lease| lease.until);
         self.lease =
-            Some(Lease { borrower: to.clone(), until: held.unwrap_or_default().max(until) });
+            Some(Lease { borrower: to.clone(), until: earlier.unwrap_or_default().max(until) });
         true
     }
 }
@@ -90,13 +91,13 @@
         if now < read || until <= now {
             return;
         }
-        let held = self.0.get(from).map(|held| held.until).unwrap_or_default();
-        self.0.insert(from.clone(), Borrowed { until: held.max(until), hosts });
+        let earlier = self.0.get(from).map(|borrowed| borrowed.until).unwrap_or_default();
+        self.0.insert(from.clone(), Borrowed { until: earlier.max(until), hosts });
     }
 
     /// Drops expired leases.
     pub fn expire(&mut self, now: Moment) {
-        self.0.retain(|_, held| now < held.until);
+        self.0.retain(|_, borrowed| now < borrowed.until);
     }
 
     /// Number of shares held now.
@@ -106,15 +107,15 @@
 
     /// Whether the lease of this lender's share is held here now.
     pub fn has(&self, lender: &str, now: Moment) -> bool {
-        self.0.get(lender).is_some_and(|held| now < held.until)
+        self.0.get(lender).is_some_and(|borrowed| now < borrowed.until)
     }
 
     /// Largest number of hosts that any lender counts; 0 without leases.
     pub fn hosts(&self, now: Moment) -> u32 {
-        self.live(now).map(|held| held.hosts).max().unwrap_or(0)
+        self.live(now).map(|borrowed| borrowed.hosts).max().unwrap_or(0)
     }
 
     fn live(&self, now: Moment) -> impl Iterator<Item = &Borrowed> {
-        self.0.values().filter(move |held| now < held.until)
+        self.0.values().filter(move |borrowed| now < borrowed.until)
     }
 }
--- a/crates/policy/src/quota/limits.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -38,7 +38,7 @@
 
 /// Limit of one server as this host knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Belief {
+struct Known {
     limit: VersionedLimit,
     /// When this host took over the limit.
     since: Moment,
@@ -55,7 +55,7 @@
 
 /// Limits of all servers as one host knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Limits(BTreeMap<backend::Id, Belief>);
+pub struct Limits(BTreeMap<backend::Id, Known>);
 
 impl Limits {
     /// Rate limit of a server; `None` if it names none.
@@ -65,7 +65,7 @@
 
     /// Latest limit of a server; version 0 if it has never named one.
     pub fn get(&self, server: &str) -> VersionedLimit {
-        self.0.get(server).map(|belief| belief.limit).unwrap_or_default()
+        self.0.get(server).map(|known| known.limit).unwrap_or_default()
     }
 
     /// Servers that name a limit, each with its latest limit.
@@ -75,7 +75,7 @@
 
     /// Latest limit of each server that has named one, including servers that name none any more.
     pub fn iter(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
-        self.0.iter().map(|(server, belief)| (server, belief.limit))
+        self.0.iter().map(|(server, known)| (server, known.limit))
     }
 
     /// Applies the limit that an answer names, or `None` for an answer without one; `sent` is when
@@ -87,15 +87,15 @@
         sent: Moment,
         now: Moment,
     ) -> Option<Change> {
-        let held = self.0.get(server).copied().unwrap_or_default();
-        let is_later = held.since < sent;
-        let limit = if is_later { limit } else { lower(limit, held.limit.rate) };
-        if limit == held.limit.rate {
+        let known = self.0.get(server).copied().unwrap_or_default();
+        let is_later = known.since < sent;
+        let limit = if is_later { limit } else { lower(limit, known.limit.rate) };
+        if limit == known.limit.rate {
             return None;
         }
-        let current = VersionedLimit { version: held.limit.version + 1, rate: limit };
-        self.0.insert(server.clone(), Belief { limit: current, since: now });
-        Some(Change { previous: held.limit.rate, current })
+        let current = VersionedLimit { version: known.limit.version + 1, rate: limit };
+        self.0.insert(server.clone(), Known { limit: current, since: now });
+        Some(Change { previous: known.limit.rate, current })
     }
 
     /// Merges the limit that another host knows. Returns the change of the rate, if there is one.
@@ -105,13 +105,13 @@
         received: VersionedLimit,
         now: Moment,
     ) -> Option<Change> {
-        let held = self.0.get(server).copied().unwrap_or_default();
-        let current = held.limit.merge(received);
-        if current == held.limit {
+        let known = self.0.get(server).copied().unwrap_or_default();
+        let current = known.limit.merge(received);
+        if current == known.limit {
             return None;
         }
-        self.0.insert(server.clone(), Belief { limit: current, since: now });
-        (current.rate != held.limit.rate).then_some(Change { previous: held.limit.rate, current })
+        self.0.insert(server.clone(), Known { limit: current, since: now });
+        (current.rate != known.limit.rate).then_some(Change { previous: known.limit.rate, current })
     }
 
     /// Forgets a server that is gone, with its version.
--- a/crates/policy/src/quota/members.rs
+++ b/crates/policy/src/quota/members.rs
@@ -37,14 +37,14 @@
     /// Updates which hosts are known, and whether each is heard from. A host that is no longer
     /// known has announced its end or was silent for long.
     pub fn update(&mut self, known: &BTreeMap<&host::Id, bool>, now: Moment) {
-        let heard = known.iter().filter(|(_, is_heard)| **is_heard).map(|(host, _)| *host);
-        self.others.extend(heard.clone().map(|host| (host.clone(), now)));
+        let reachable = known.iter().filter(|(_, is_heard)| **is_heard).map(|(host, _)| *host);
+        self.others.extend(reachable.clone().map(|host| (host.clone(), now)));
         let has_left = |host: &host::Id, last: Moment| {
             !known.contains_key(host) && now < last + GONE_AFTER / 2
         };
         self.others.retain(|host, last| !has_left(host, *last));
-        let heard = heard.count() + 1;
-        if (heard as f64) < MIN_HEARD_FRACTION * f64::from(self.count()) {
+        let reachable = reachable.count() + 1;
+        if (reachable as f64) < MIN_HEARD_FRACTION * f64::from(self.count()) {
             return;
         }
         let is_heard = |host: &host::Id| known.get(host) == Some(&true);
--- a/crates/policy/src/quota/owner.rs
+++ b/crates/policy/src/quota/owner.rs
@@ -89,11 +89,11 @@
             self.pool.borrow(from, echo, length, request.hosts, now);
         }
         self.charge_sent_before(from, request.sent_before, limit, now);
-        let asked = self.pending.entry(from.clone()).or_default();
-        asked.unacknowledged.retain(|(at, _)| echo < *at);
-        let unacknowledged: u32 = asked.unacknowledged.iter().map(|(_, permits)| permits).sum();
-        asked.wanted = request.wanted.saturating_sub(unacknowledged);
-        (asked.urgency, asked.at) = (request.urgency, now);
+        let pending = self.pending.entry(from.clone()).or_default();
+        pending.unacknowledged.retain(|(at, _)| echo < *at);
+        let unacknowledged: u32 = pending.unacknowledged.iter().map(|(_, permits)| permits).sum();
+        pending.wanted = request.wanted.saturating_sub(unacknowledged);
+        (pending.urgency, pending.at) = (request.urgency, now);
     }
 
     /// Charges the requests that a host sent before it knew of the limit, less the grace.
@@ -113,8 +113,8 @@
 
     /// Number of requests of all hosts that wait for permits.
     pub fn waiting(&self, now: Moment) -> u32 {
-        let waiting = self.live(now).filter(|(_, asked)| asked.urgency != IDLE);
-        waiting.map(|(_, asked)| asked.wanted).sum()
+        let waiting = self.live(now).filter(|(_, pending)| pending.urgency != IDLE);
+        waiting.map(|(_, pending)| pending.wanted).sum()
     }
 
     /// Grants the permits that the token bucket holds. `hosts` is the number of hosts that this
@@ -132,10 +132,10 @@
             && self.bucket.take(now)
         {
             self.turn += 1;
-            if let Some(asked) = self.pending.get_mut(&host) {
-                asked.wanted -= 1;
-                asked.turn = self.turn;
-                asked.unacknowledged.push_back((now, 1));
+            if let Some(pending) = self.pending.get_mut(&host) {
+                pending.wanted -= 1;
+                pending.turn = self.turn;
+                pending.unacknowledged.push_back((now, 1));
             }
             *granted.entry(host).or_default() += 1;
         }
@@ -144,8 +144,10 @@
 
     /// Returns the host that is granted the next permit.
     fn next(&self, now: Moment) -> Option<host::Id> {
-        let waiting = self.live(now).filter(|(_, asked)| 0 < asked.wanted);
-        waiting.min_by_key(|(_, asked)| (asked.urgency, asked.turn)).map(|(host, _)| host.clone())
+        let waiting = self.live(now).filter(|(_, pending)| 0 < pending.wanted);
+        waiting
+            .min_by_key(|(_, pending)| (pending.urgency, pending.turn))
+            .map(|(host, _)| host.clone())
     }
 
     /// Forgets the requests that hosts sent before the previous change of the limit.
@@ -155,11 +157,11 @@
 
     /// Drops expired permit requests.
     pub fn expire(&mut self, now: Moment) {
-        self.pending.retain(|_, asked| now < asked.at + REQUEST_LIFETIME);
+        self.pending.retain(|_, pending| now < pending.at + REQUEST_LIFETIME);
     }
 
     fn live(&self, now: Moment) -> impl Iterator<Item = (&host::Id, &Pending)> {
-        self.pending.iter().filter(move |(_, asked)| now < asked.at + REQUEST_LIFETIME)
+        self.pending.iter().filter(move |(_, pending)| now < pending.at + REQUEST_LIFETIME)
     }
 }
 
--- a/crates/policy/src/quota/peer.rs
+++ b/crates/policy/src/quota/peer.rs
@@ -6,9 +6,9 @@
 
 use super::message::{self, Clock};
 
-/// Time without an answer after which other hosts are asked in a host's place.
+/// Time without an answer after which permits are requested from other hosts instead.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for which other hosts are then asked.
+/// Time for which a host that does not answer is avoided.
 const AVOID_FOR: Duration = Duration::from_secs(10);
 
 /// Longest time by which a message may arrive after a later one.
@@ -25,7 +25,7 @@
     seen: BTreeSet<Clock>,
     /// When the first request was sent that has not been answered.
     unanswered_since: Option<Moment>,
-    /// Until when other hosts are asked in its place.
+    /// Until when permits are requested from other hosts instead.
     avoided_until: Moment,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether other hosts are asked in this host's place.
+    /// Whether permits are requested from other hosts instead of this one.
     pub(super) fn is_avoided(&self, now: Moment) -> bool {
         now < self.avoided_until
     }
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -119,7 +119,7 @@
     a.settle(at(0), &mut store, Fault::None);
     let Some(Verdict::Granted { until }) = a.verdict("a1") else { panic!("not granted") };
     assert_eq!(until, at(0).moment + settings.grant);
-    assert!(settings.accept + settings.ahead + settings.grant <= settings.kept());
+    assert!(settings.accept + settings.ahead + settings.grant <= settings.retention());
 }
 
 #[test]
--- a/crates/policy/tests/once_random.rs
+++ b/crates/policy/tests/once_random.rs
@@ -174,8 +174,8 @@
 
     /// A key without a time is recognised for the stated time, any other for ever.
     fn is_recognised(&self, key: TimedKey, granted: u64) -> bool {
-        let kept = self.settings.kept().as_millis() as u64;
-        key.stamp.is_some() || self.time - granted < kept
+        let retention = self.settings.retention().as_millis() as u64;
+        key.stamp.is_some() || self.time - granted < retention
     }
 }
 
@@ -211,7 +211,7 @@
         let again = (first + after).checked_add_signed(error).unwrap();
         let stamp = first.checked_add_signed(offset);
         prop_assert_eq!(settings.check(first, stamp), Ok(()));
-        let forgotten = first + settings.kept().as_millis() as u64 <= again;
+        let forgotten = first + settings.retention().as_millis() as u64 <= again;
         if forgotten {
             prop_assert_eq!(settings.check(again, stamp), Err(Refusal::Old));
         }
--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -44,13 +44,13 @@
 fn an_answer_counts_by_when_its_request_left(
     #[case] sent: u64,
     #[case] limit: Option<Rate>,
-    #[case] believed: Option<Rate>,
+    #[case] known: Option<Rate>,
     #[case] version: Version,
 ) {
     let mut limits = limits();
     limits.observe(&server(), limit, ms(sent), ms(200));
-    assert_eq!(limits.limit("lm-1"), believed);
-    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: believed })));
+    assert_eq!(limits.limit("lm-1"), known);
+    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: known })));
 }
 
 #[rstest]
@@ -62,12 +62,12 @@
 fn a_peers_news_counts_by_its_number(
     #[case] version: Version,
     #[case] limit: Option<Rate>,
-    #[case] believed: Option<Rate>,
+    #[case] known: Option<Rate>,
 ) {
     let mut limits = limits();
     let change = limits.merge(&server(), VersionedLimit { version, rate: limit }, ms(200));
-    assert_eq!(limits.limit("lm-1"), believed);
-    assert_eq!(change.is_some(), believed != rate(5.0));
+    assert_eq!(limits.limit("lm-1"), known);
+    assert_eq!(change.is_some(), known != rate(5.0));
 }
 
 #[test]
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -136,7 +136,11 @@
         quotas.tick(ms(now));
         quotas.shares(ms(now))
     };
-    assert_eq!((10_000..11_400).step_by(20).map(&mut shares).max(), Some(0), "it is asked first");
+    assert_eq!(
+        (10_000..11_400).step_by(20).map(&mut shares).max(),
+        Some(0),
+        "the share is offered to the owner first"
+    );
     assert_eq!((11_400..12_000).step_by(20).map(&mut shares).max(), Some(1));
 }
 
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -23,7 +23,7 @@
 /// Interval at which a host looks at its queue.
 const STEP: Duration = Duration::from_millis(20);
 
-/// Interval at which hosts look who is there.
+/// Interval at which hosts update which others are live.
 const ROUND: Duration = Duration::from_millis(200);
 
 /// Time after which a host regards another one as silent.
@@ -32,15 +32,17 @@
 /// Time from sending a request to its answer.
 const ANSWER: Duration = Duration::from_millis(30);
 
-/// Time from the first naming of a limit until it binds; the window; and the factor by which it may
-/// be exceeded.
+/// Time from the first naming of a limit until it binds.
 const CONTACT: Duration = Duration::from_secs(3);
+/// Window over which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
-const EXCESS: f64 = 1.5;
+/// Factor by which a window may exceed the limit.
+const EXCESS_FACTOR: f64 = 1.5;
 
-/// Time in which a limit reaches all hosts, and requests allowed in a window besides.
-const NEWS: Duration = Duration::from_millis(500);
-const EXTRA: f64 = 5.0;
+/// Time in which a limit reaches all hosts.
+const LIMIT_PROPAGATION: Duration = Duration::from_millis(500);
+/// Requests that are allowed in a window besides.
+const EXTRA_REQUESTS: f64 = 5.0;
 
 /// When a server first names a limit, and the time after which its use is measured.
 pub const LIMITED: Duration = Duration::from_secs(8);
@@ -123,7 +125,7 @@
     /// When its process started.
     born: Moment,
     queue: VecDeque<Moment>,
-    heard: BTreeMap<usize, Moment>,
+    last_heard: BTreeMap<usize, Moment>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -209,7 +211,7 @@
         let mut worst = (0, f64::MAX);
         for (end, at) in self.arrivals.iter().enumerate() {
             let Some(limit) = self.binding(*at) else { continue };
-            let allowed = EXCESS * limit * WINDOW.as_secs_f64() + EXTRA;
+            let allowed = EXCESS_FACTOR * limit * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
             let first = self.arrivals.partition_point(|other| *other + WINDOW <= *at);
             let requests = end + 1 - first;
             if worst.0 as f64 / worst.1 < requests as f64 / allowed {
@@ -230,7 +232,7 @@
         };
         let first = self.plan.limits.first()?;
         let is_named = first.0 + CONTACT <= at && lately(CONTACT).all(|limit| limit.is_some());
-        let highest = lately(WINDOW + NEWS).flatten().fold(0.0, f64::max);
+        let highest = lately(WINDOW + LIMIT_PROPAGATION).flatten().fold(0.0, f64::max);
         is_named.then_some(highest)
     }
 
@@ -290,14 +292,18 @@
         for place in (0..self.hosts.len()).filter(|place| self.runs(*place)).collect::<Vec<_>>() {
             for other in (0..self.hosts.len()).filter(|other| *other != place) {
                 if self.runs(other) && !self.is_cut(place, other) {
-                    self.hosts[place].heard.insert(other, self.now);
+                    self.hosts[place].last_heard.insert(other, self.now);
                 }
             }
             let (now, host) = (self.now, &mut self.hosts[place]);
-            let known: Vec<(host::Id, bool)> =
-                host.heard.iter().map(|(at, last)| (name(*at), now < *last + SILENCE)).collect();
-            let heard = known.iter().filter(|(_, is_heard)| *is_heard).map(|(id, _)| id.clone());
-            let live = heard.chain([name(place)]).collect();
+            let known: Vec<(host::Id, bool)> = host
+                .last_heard
+                .iter()
+                .map(|(at, last)| (name(*at), now < *last + SILENCE))
+                .collect();
+            let last_heard =
+                known.iter().filter(|(_, is_heard)| *is_heard).map(|(id, _)| id.clone());
+            let live = last_heard.chain([name(place)]).collect();
             let known = known.iter().map(|(id, is_heard)| (id, *is_heard));
             host.quotas.hosts(known, live, now - host.born);
             let sender = self.random.random_range(0..self.hosts.len());
@@ -439,7 +445,7 @@
             quotas: Quotas::new(name(place), run),
             born,
             queue: VecDeque::new(),
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
         }
     }
 }
