--- a/crates/policy/src/quota/limits.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -2,9 +2,9 @@
 //!
 //! Each answer of a server names the rate at which it takes requests from then on, and answers
 //! don't arrive in the order in which they were written. An answer is known to be later than a
-//! known limit if its request left after this host took over that limit. Such a change gets the
-//! next version, which is sent along with the limit, so that hosts compare versions and no clocks.
-//! Where the order can't be known, the lower limit holds until a later answer settles it.
+//! known limit if its request left after this host recorded that limit. Such a change gets the next
+//! version, which is sent along with the limit, so that hosts compare versions and no clocks. Where
+//! the order can't be known, the lower limit holds until a later answer settles it.
 
 use std::{cmp::Ordering, collections::BTreeMap};
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Known {
     limit: VersionedLimit,
-    /// When this host took over the limit.
+    /// When this host recorded the limit.
     since: Moment,
 }
 
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -1,8 +1,8 @@
 //! Suspicion: servers that get no requests for a while since they failed.
 //!
-//! A broken connection is surer than any list of servers: the process or the path to it is gone.
-//! The server is excluded at once, for a time that doubles with each further failure; then one
-//! request may try it, and only the success of a request clears the server.
+//! A broken connection is surer evidence than any list of servers: the process or the path to it is
+//! gone. The server is excluded at once, for a time that doubles with each further failure; then
+//! one request may try it, and only the success of a request clears the server.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Suspect {
+struct Exclusion {
     failures: u32,
     until: Moment,
     phase: Phase,
@@ -46,13 +46,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
     backoff: Backoff,
-    suspects: BTreeMap<Index, Suspect>,
+    exclusions: BTreeMap<Index, Exclusion>,
 }
 
 impl Suspicion {
     /// Returns a state in which no server is suspected.
     pub fn new(backoff: Backoff) -> Suspicion {
-        Suspicion { backoff, suspects: BTreeMap::new() }
+        Suspicion { backoff, exclusions: BTreeMap::new() }
     }
 
     /// Records a failed attempt on a server and returns the eligibility of that server from now on.
@@ -63,36 +63,36 @@
             return self.eligibility(server);
         }
         let backoff = self.backoff;
-        let new = Suspect { failures: 0, until: now, phase: Phase::Excluded };
-        let suspect = self.suspects.entry(server).or_insert(new);
-        if suspect.until <= now || suspect.phase == Phase::Trial {
-            suspect.phase = Phase::Excluded;
-            let doublings = suspect.failures.min(MAX_DOUBLINGS);
-            suspect.failures += 1;
-            suspect.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
+        let new = Exclusion { failures: 0, until: now, phase: Phase::Excluded };
+        let exclusion = self.exclusions.entry(server).or_insert(new);
+        if exclusion.until <= now || exclusion.phase == Phase::Trial {
+            exclusion.phase = Phase::Excluded;
+            let doublings = exclusion.failures.min(MAX_DOUBLINGS);
+            exclusion.failures += 1;
+            exclusion.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
         }
-        Eligibility::Suspected(suspect.until)
+        Eligibility::Suspected(exclusion.until)
     }
 
     /// Records a successful attempt on a server; returns whether that cleared a suspicion.
     pub fn succeeded(&mut self, server: Index) -> bool {
-        self.suspects.remove(&server).is_some()
+        self.exclusions.remove(&server).is_some()
     }
 
     /// Records that a request is sent to a server whose exclusion has passed. The exclusion is
     /// extended, so that no other request follows until this one has ended.
     pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
-        if let Some(suspect) = self.suspects.get_mut(&server) {
-            suspect.until = now + self.backoff.first;
-            suspect.phase = Phase::Trial;
+        if let Some(exclusion) = self.exclusions.get_mut(&server) {
+            exclusion.until = now + self.backoff.first;
+            exclusion.phase = Phase::Trial;
         }
         self.eligibility(server)
     }
 
     /// Eligibility of a server, as far as suspicion goes.
     pub fn eligibility(&self, server: Index) -> Eligibility {
-        self.suspects
+        self.exclusions
             .get(&server)
-            .map_or(Eligibility::Live, |suspect| Eligibility::Suspected(suspect.until))
+            .map_or(Eligibility::Live, |exclusion| Eligibility::Suspected(exclusion.until))
     }
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -137,8 +137,8 @@
     (cost, Choice { server, first_token: estimate.total() + round_trip, cached_tokens })
 }
 
-/// Returns a sample of the servers: half of it from the host's own zone if that has as many, and
-/// all servers with a cached prefix besides.
+/// Returns a sample of the servers: at least half of it from the host's own zone if that has as
+/// many, and all servers with a cached prefix besides.
 fn sample(table: &Table, servers: Vec<Index>, cached: &[hints::Holder], seed: u64) -> Vec<Index> {
     if servers.len() <= SAMPLE_SIZE {
         return servers;
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn trial_waits_until_every_host_can_have_heard() {
+fn trial_waits_until_every_host_can_have_read() {
     let mut document = after_death(&[1], "s1");
     let early = document.begin(&settings(), 499, fingerprint(1), &server_run("s2"), &run("a"));
     assert_eq!(early, Err(TrialError::Propagating { until: 500 }));
--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -59,7 +59,7 @@
 #[case::of_the_same_change_and_lower(1, rate(2.0), rate(2.0))]
 #[case::of_the_same_change_and_higher(1, rate(9.0), rate(5.0))]
 #[case::of_an_earlier_change(0, rate(2.0), rate(5.0))]
-fn a_peers_news_counts_by_its_number(
+fn a_peers_limit_counts_by_its_version(
     #[case] version: Version,
     #[case] limit: Option<Rate>,
     #[case] known: Option<Rate>,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_answer_to_a_request_that_left_before_a_peers_news_does_not_undo_it() {
+fn an_answer_to_a_request_that_left_before_a_peers_limit_came_does_not_undo_it() {
     let mut limits = limits();
     limits.merge(&server(), VersionedLimit { version: 2, rate: rate(2.0) }, ms(300));
     assert_eq!(limits.observe(&server(), rate(5.0), ms(250), ms(310)), None);
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn permits_that_are_held_are_not_asked_for_again() {
+fn permits_at_hand_are_not_requested_again() {
     let mut client = Client::default();
     client.set_demand(Demand { permits: 3, urgency: 2 });
     client.on_grant(2, ms(0), ms(0));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_ask_that_is_not_repeated_is_over() {
+fn a_request_that_is_not_repeated_expires() {
     let (mut owner, host) = (Owner::default(), id("a"));
     owner.on_request(&host, &request(5, 1), ms(0), limit(), ms(0));
     assert_eq!(owner.grant(limit(), 1, ms(0)), []);
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_owner_of_the_prefix_wins_until_its_queue_costs_more_than_the_prefill() {
+fn the_holder_of_the_prefix_wins_until_its_queue_costs_more_than_the_prefill() {
     let mut table = table(&[("a", "biloxi", 0), ("b", "biloxi", 0)]);
     let mut hints = Hints::new(hints::Bounds { block_tokens: 50, ..hints::Bounds::default() });
     hints.add(11, 1, Duration::ZERO);
