--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -62,7 +62,7 @@
     Failed,
 }
 
-/// Result of a step.
+/// Answers of a [`Range::step`], and the call to make next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Step {
     /// Answers to the claims that were decided.
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -45,14 +45,14 @@
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request without a key, from the digest of its content.
+    /// Returns the fingerprint of a request by the digest of its content.
     pub fn of_digest(digest: &request::Digest) -> Fingerprint {
         let mut bytes = [0; 16];
         bytes.copy_from_slice(&digest[..16]);
         Fingerprint(bytes)
     }
 
-    /// Returns the fingerprint of a request with an idempotency key.
+    /// Returns the fingerprint of a request by its idempotency key.
     pub fn of_key(key: Key) -> Fingerprint {
         Fingerprint(key.bytes())
     }
@@ -101,7 +101,8 @@
     /// Time in which every host reads of a new suspect; milliseconds in JSON.
     #[serde(rename = "spread_ms", with = "types::time::millis")]
     pub propagation: Duration,
-    /// Time for which a suspect without a trial is kept; milliseconds in JSON.
+    /// Time for which a suspect is kept after it was recorded, or after its open trial began;
+    /// milliseconds in JSON.
     #[serde(rename = "suspect_ms", with = "types::time::millis")]
     pub suspect: Duration,
     /// Time for which a refusal lasts; milliseconds in JSON.
@@ -181,7 +182,7 @@
     Refused,
     /// Some hosts may not have read of the suspect yet.
     Propagating {
-        /// When every host has had time to.
+        /// When every host has had time to read of the suspect.
         until: UnixMillis,
     },
     /// A trial of the suspect is open already.
@@ -309,7 +310,7 @@
         suspect || refused
     }
 
-    /// Drops expired refusals and suspects that have been there for too long.
+    /// Drops expired refusals and suspects.
     pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
         let retention = millis(settings.suspect);
         self.refused.retain(|_, refused| wall < refused.until);
