--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -44,13 +44,13 @@
 fn an_answer_counts_by_when_its_request_left(
     #[case] sent: u64,
     #[case] limit: Option<Rate>,
-    #[case] believed: Option<Rate>,
+    #[case] known: Option<Rate>,
     #[case] version: Version,
 ) {
     let mut limits = limits();
     limits.observe(&server(), limit, ms(sent), ms(200));
-    assert_eq!(limits.limit("lm-1"), believed);
-    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: believed })));
+    assert_eq!(limits.limit("lm-1"), known);
+    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: known })));
 }
 
 #[rstest]
@@ -59,19 +59,19 @@
 #[case::of_the_same_change_and_lower(1, rate(2.0), rate(2.0))]
 #[case::of_the_same_change_and_higher(1, rate(9.0), rate(5.0))]
 #[case::of_an_earlier_change(0, rate(2.0), rate(5.0))]
-fn a_peers_news_counts_by_its_number(
+fn a_peers_limit_counts_by_its_version(
     #[case] version: Version,
     #[case] limit: Option<Rate>,
-    #[case] believed: Option<Rate>,
+    #[case] known: Option<Rate>,
 ) {
     let mut limits = limits();
     let change = limits.merge(&server(), VersionedLimit { version, rate: limit }, ms(200));
-    assert_eq!(limits.limit("lm-1"), believed);
-    assert_eq!(change.is_some(), believed != rate(5.0));
+    assert_eq!(limits.limit("lm-1"), known);
+    assert_eq!(change.is_some(), known != rate(5.0));
 }
 
 #[test]
-fn an_answer_to_a_request_that_left_before_a_peers_news_does_not_undo_it() {
+fn an_answer_to_a_request_that_left_before_a_peers_limit_came_does_not_undo_it() {
     let mut limits = limits();
     limits.merge(&server(), VersionedLimit { version: 2, rate: rate(2.0) }, ms(300));
     assert_eq!(limits.observe(&server(), rate(5.0), ms(250), ms(310)), None);
