--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -301,7 +301,7 @@
 
 /// The store's answer to a call.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum StoreReply {
     /// A page of a list.
     Page(Page),
     /// Changes.
@@ -375,7 +375,7 @@
     fn store_call(&self, call: &Call<'_>) -> Request<Bytes>;
 
     /// Reads the store's answer to a call.
-    fn told(&self, call: &Call<'_>, response: &Response<Bytes>) -> Told;
+    fn store_reply(&self, call: &Call<'_>, response: &Response<Bytes>) -> StoreReply;
 
     /// Name of the declaration's object.
     fn declaration_name(&self) -> &str;
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -8,7 +8,7 @@
 use types::order::Fence;
 
 use crate::{
-    edge::{Call, Kind, Object, Told},
+    edge::{Call, Kind, Object, StoreReply},
     host::Shared,
 };
 
@@ -73,24 +73,26 @@
 
 async fn read(shared: &Shared) {
     match shared.store.brief_call(&Call::Get { kind: Kind::Lease, name: NAME }).await {
-        Told::Object(object) => {
+        StoreReply::Object(object) => {
             let stored = stored(&object);
             if stored.is_some() {
                 shared.term().observe(shared.now(), stored);
             }
         }
-        Told::Absent => shared.term().observe(shared.now(), None),
+        StoreReply::Absent => shared.term().observe(shared.now(), None),
         told => log::debug!(told:? = told; "the lease can't be read"),
     }
 }
 
 async fn write(shared: &Shared, call: &Call<'_>) {
     let outcome = match shared.store.brief_call(call).await {
-        Told::Object(object) => Outcome::Done(object.revision),
-        Told::Conflict(object) => Outcome::Conflict(object.as_ref().and_then(stored)),
-        Told::Absent => Outcome::Absent,
-        Told::Refused => Outcome::Refused,
-        Told::Page(_) | Told::Seen(_) | Told::Compacted | Told::Unclear => Outcome::Unclear,
+        StoreReply::Object(object) => Outcome::Done(object.revision),
+        StoreReply::Conflict(object) => Outcome::Conflict(object.as_ref().and_then(stored)),
+        StoreReply::Absent => Outcome::Absent,
+        StoreReply::Refused => Outcome::Refused,
+        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Compacted | StoreReply::Unclear => {
+            Outcome::Unclear
+        }
     };
     shared.term().write_finished(shared.now(), outcome);
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -21,7 +21,7 @@
 use types::time::Moment;
 
 use crate::{
-    edge::{Call, Kind, Object, Told},
+    edge::{Call, Kind, Object, StoreReply},
     host::Shared,
 };
 
@@ -118,17 +118,17 @@
     let Ok(content) = serde_json::to_value(&stored) else { return true };
     let name = name(request);
     let call = Call::Create { kind: Kind::Quarantine, name: &name, content: &content };
-    matches!(shared.store.call(&call).await, Told::Object(_) | Told::Conflict(_))
+    matches!(shared.store.call(&call).await, StoreReply::Object(_) | StoreReply::Conflict(_))
 }
 
 async fn remove(shared: &Shared, request: Fingerprint) -> bool {
     let (kind, name) = (Kind::Quarantine, name(request));
     match shared.store.call(&Call::Get { kind, name: &name }).await {
-        Told::Object(object) => {
+        StoreReply::Object(object) => {
             let call = Call::Delete { kind, name: &name, revision: object.revision };
-            matches!(shared.store.call(&call).await, Told::Absent | Told::Object(_))
+            matches!(shared.store.call(&call).await, StoreReply::Absent | StoreReply::Object(_))
         }
-        Told::Absent => true,
+        StoreReply::Absent => true,
         _ => false,
     }
 }
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    edge::{Call, Kind, Object, Page, Told},
+    edge::{Call, Kind, Object, Page, StoreReply},
     host::Shared,
 };
 
@@ -66,7 +66,7 @@
         }
         None => (Call::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
     };
-    let is_written = matches!(shared.store.call(&call).await, Told::Object(_));
+    let is_written = matches!(shared.store.call(&call).await, StoreReply::Object(_));
     if is_written {
         shared.dispatcher().registered(start);
     }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -29,7 +29,7 @@
 use crate::{
     clock::Clock,
     connect::{self, Connection},
-    edge::{Call, Dialect, Kind, Object, Page, Revision, Told},
+    edge::{Call, Dialect, Kind, Object, Page, Revision, StoreReply},
 };
 
 /// Longest time for a short call.
@@ -129,19 +129,19 @@
     }
 
     /// Makes a call that is worth nothing when it takes longer than a term of the lease.
-    pub(crate) async fn brief_call(&self, call: &Call<'_>) -> Told {
+    pub(crate) async fn brief_call(&self, call: &Call<'_>) -> StoreReply {
         self.call_within(call, BRIEF).await
     }
 
     /// Makes a short call.
-    pub(crate) async fn call(&self, call: &Call<'_>) -> Told {
+    pub(crate) async fn call(&self, call: &Call<'_>) -> StoreReply {
         self.call_within(call, CALL).await
     }
 
     /// A call that gets no answer holds no other up: one that finds the kept connection in use has a
     /// connection of its own. Where they queued, a list without an answer cost the lease: 2.3 s
     /// without a renewal, by its test.
-    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> Told {
+    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
         let end = Instant::now() + limit;
         let Ok(mut kept) = self.kept.try_lock() else {
             return self.exchange(call, None, end).await.0;
@@ -159,7 +159,7 @@
         kind: Kind,
         since: Revision,
         wait: Duration,
-    ) -> (Told, Option<Connection>) {
+    ) -> (StoreReply, Option<Connection>) {
         let connection = kept.filter(|connection| connection.sender.is_ready());
         let call = Call::Watch { kind, since, wait };
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
@@ -186,7 +186,8 @@
         let mut whole = Page::default();
         loop {
             let after = whole.objects.last().map(|object: &Object| object.name.clone());
-            let Told::Page(page) = self.call(&Call::List { kind, after: after.as_deref() }).await
+            let StoreReply::Page(page) =
+                self.call(&Call::List { kind, after: after.as_deref() }).await
             else {
                 return None;
             };
@@ -208,17 +209,17 @@
         call: &Call<'_>,
         connection: Option<Connection>,
         end: Instant,
-    ) -> (Told, Option<Connection>) {
+    ) -> (StoreReply, Option<Connection>) {
         let began = Instant::now();
         let done = timeout_at(end, self.try_exchange(call, connection)).await;
-        let (told, connection) = done.ok().flatten().unwrap_or((Told::Unclear, None));
+        let (told, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
         self.meters.call(called(call), result(&told));
         // Any call counts: a watch may wait through a whole outage and then bring entries that ran out in it.
-        if matches!(told, Told::Unclear | Told::Refused) {
+        if matches!(told, StoreReply::Unclear | StoreReply::Refused) {
             self.fail();
         }
         let state = match told {
-            Told::Unclear => DependencyState::Lost,
+            StoreReply::Unclear => DependencyState::Lost,
             _ => DependencyState::Regained,
         };
         let took = began.elapsed();
@@ -252,7 +253,7 @@
         &self,
         call: &Call<'_>,
         connection: Option<Connection>,
-    ) -> Option<(Told, Option<Connection>)> {
+    ) -> Option<(StoreReply, Option<Connection>)> {
         let mut connection = match connection {
             Some(connection) => connection,
             None => connect::open(self.address).await.ok()?,
@@ -263,7 +264,7 @@
         let response = connection.sender.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
         let body: Bytes = Limited::new(body, LARGEST).collect().await.ok()?.to_bytes();
-        let told = self.dialect.told(call, &Response::from_parts(head, body));
+        let told = self.dialect.store_reply(call, &Response::from_parts(head, body));
         Some((told, Some(connection)))
     }
 }
@@ -279,13 +280,13 @@
     }
 }
 
-fn result(told: &Told) -> Answered {
+fn result(told: &StoreReply) -> Answered {
     match told {
-        Told::Page(_) | Told::Seen(_) | Told::Object(_) => Answered::Done,
-        Told::Absent => Answered::Absent,
-        Told::Conflict(_) => Answered::Conflict,
-        Told::Compacted => Answered::Compacted,
-        Told::Refused => Answered::Refused,
-        Told::Unclear => Answered::Unclear,
+        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => Answered::Done,
+        StoreReply::Absent => Answered::Absent,
+        StoreReply::Conflict(_) => Answered::Conflict,
+        StoreReply::Compacted => Answered::Compacted,
+        StoreReply::Refused => Answered::Refused,
+        StoreReply::Unclear => Answered::Unclear,
     }
 }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -17,7 +17,7 @@
 
 use self::hedge::Hedge;
 use crate::{
-    edge::{Change, Kind, Object, Revision, Told},
+    edge::{Change, Kind, Object, Revision, StoreReply},
     host::Shared,
 };
 
@@ -82,7 +82,7 @@
             continue;
         }
         match hedge.next(since, shared.watch(kind)).await {
-            Told::Seen(seen) => {
+            StoreReply::Seen(seen) => {
                 match kind {
                     Kind::Declaration => shared.is_newest(),
                     _ => shared.is_current(Duration::ZERO),
@@ -94,7 +94,7 @@
                     sleep(shared.gather()).await;
                 }
             }
-            Told::Compacted => return,
+            StoreReply::Compacted => return,
             _ => sleep(PAUSE).await,
         }
     }
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -20,11 +20,11 @@
 
 use crate::{
     connect::Connection,
-    edge::{Kind, Revision, Told},
+    edge::{Kind, Revision, StoreReply},
     host::Shared,
 };
 
-type Asked<'a> = Pin<Box<dyn Future<Output = (Told, Option<Connection>)> + Send + 'a>>;
+type Asked<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
 
 /// Why a watch is no longer trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     /// The first answer to a watch from this revision, or how the last one under way failed.
     ///
     /// A doubt counts as a failure of the store, in which entries of sound servers may have run out.
-    pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> Told {
+    pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
         let mut oldest = self.ask(since, watch.wait);
         let mut newest: Option<Asked<'a>> = None;
         let mut trusted = Instant::now() + watch.trust;
@@ -93,7 +93,7 @@
         }
     }
 
-    fn end(&mut self, told: Told, connection: Option<Connection>) -> Told {
+    fn end(&mut self, told: StoreReply, connection: Option<Connection>) -> StoreReply {
         if !is_answer(&told) {
             self.failed(&told);
         }
@@ -106,16 +106,16 @@
         Box::pin(self.shared.store.watch(self.kept.take(), self.kind, since, wait))
     }
 
-    fn failed(&self, told: &Told) {
+    fn failed(&self, told: &StoreReply) {
         log::debug!(told:? = told; "a watch failed");
     }
 }
 
-fn is_answer(told: &Told) -> bool {
-    matches!(told, Told::Seen(_) | Told::Compacted)
+fn is_answer(told: &StoreReply) -> bool {
+    matches!(told, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
-async fn poll(asked: &mut Option<Asked<'_>>) -> Option<(Told, Option<Connection>)> {
+async fn poll(asked: &mut Option<Asked<'_>>) -> Option<(StoreReply, Option<Connection>)> {
     match asked {
         Some(asked) => Some(asked.await),
         None => None,
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
     Answer, Ask, Call, Dialect, Limit, Malformed, Object, Onward, Order, Ordered, Problem, Reply,
-    Run, Seal, Told,
+    Run, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -109,16 +109,16 @@
         Request::get(path).body(Bytes::new()).expect("a call")
     }
 
-    fn told(&self, call: &Call<'_>, _: &Response<Bytes>) -> Told {
+    fn store_reply(&self, call: &Call<'_>, _: &Response<Bytes>) -> StoreReply {
         match call {
-            Call::List { kind, .. } => Told::Page(self.world.page(*kind)),
-            Call::Watch { kind, .. } => Told::Seen(self.world.seen(*kind)),
+            Call::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
+            Call::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
             Call::Create { kind: relay::edge::Kind::Host, name, content } => {
                 self.world.registered.send_replace(true);
                 let content = (*content).clone();
-                Told::Object(Object { name: (*name).into(), revision: 1, content })
+                StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
             }
-            _ => Told::Refused,
+            _ => StoreReply::Refused,
         }
     }
 
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -13,7 +13,7 @@
     far::{entry, server},
 };
 use relay::edge::{
-    Call, Change, Dialect, Kind as Of, Object, Operation, Order, Ordered, Seen, Told,
+    Call, Change, Dialect, Kind as Of, Object, Operation, Order, Ordered, Seen, StoreReply,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -48,10 +48,10 @@
     tokio::time::timeout(LIMIT, sending).await.ok()?
 }
 
-async fn told(address: SocketAddr, call: &Call<'_>) -> Told {
+async fn told(address: SocketAddr, call: &Call<'_>) -> StoreReply {
     match exchange(address, Platform.store_call(call)).await {
-        Some(response) => Platform.told(call, &response),
-        None => Told::Unclear,
+        Some(response) => Platform.store_reply(call, &response),
+        None => StoreReply::Unclear,
     }
 }
 
@@ -204,26 +204,31 @@
 async fn objects_change_only_under_their_condition() {
     let (store, door) = store().await;
     let (one, two) = (json!({"n": 1}), json!({"n": 2}));
-    let Told::Object(made) = told(door, &create("x", &one)).await else { panic!("not created") };
+    let StoreReply::Object(made) = told(door, &create("x", &one)).await else {
+        panic!("not created")
+    };
     assert!(
-        matches!(told(door, &create("x", &two)).await, Told::Conflict(Some(held)) if held.content == one)
+        matches!(told(door, &create("x", &two)).await, StoreReply::Conflict(Some(held)) if held.content == one)
     );
     let stale = told(door, &replace("x", made.revision - 1, &two)).await;
-    assert!(matches!(stale, Told::Conflict(Some(held)) if held.revision == made.revision));
-    let Told::Object(same) = told(door, &replace("x", made.revision, &one)).await else {
+    assert!(matches!(stale, StoreReply::Conflict(Some(held)) if held.revision == made.revision));
+    let StoreReply::Object(same) = told(door, &replace("x", made.revision, &one)).await else {
         panic!("not replaced")
     };
     assert_eq!(same.revision, made.revision, "nothing has changed");
-    let Told::Object(next) = told(door, &replace("x", made.revision, &two)).await else {
+    let StoreReply::Object(next) = told(door, &replace("x", made.revision, &two)).await else {
         panic!("not replaced")
     };
     assert!(made.revision < next.revision);
-    assert!(matches!(told(door, &replace("y", 1, &two)).await, Told::Absent));
+    assert!(matches!(told(door, &replace("y", 1, &two)).await, StoreReply::Absent));
 
     let delete = |revision| Call::Delete { kind: Of::Lease, name: "x", revision };
-    assert!(matches!(told(door, &delete(made.revision)).await, Told::Conflict(_)));
-    assert!(matches!(told(door, &delete(next.revision)).await, Told::Absent));
-    assert!(matches!(told(door, &Call::Get { kind: Of::Lease, name: "x" }).await, Told::Absent));
+    assert!(matches!(told(door, &delete(made.revision)).await, StoreReply::Conflict(_)));
+    assert!(matches!(told(door, &delete(next.revision)).await, StoreReply::Absent));
+    assert!(matches!(
+        told(door, &Call::Get { kind: Of::Lease, name: "x" }).await,
+        StoreReply::Absent
+    ));
     assert_eq!((store.count("door").reads, store.count("door").writes), (1, 8));
 }
 
@@ -235,10 +240,10 @@
         told(door, &create(name, &json!({}))).await;
     }
     let list = |after| Call::List { kind: Of::Lease, after };
-    let Told::Page(first) = told(door, &list(None)).await else { panic!("no page") };
+    let StoreReply::Page(first) = told(door, &list(None)).await else { panic!("no page") };
     let names: Vec<&str> = first.objects.iter().map(|object| &*object.name).collect();
     assert_eq!((names, first.more, first.revision), (vec!["a", "b"], true, store.revision()));
-    let Told::Page(second) = told(door, &list(Some("b"))).await else { panic!("no page") };
+    let StoreReply::Page(second) = told(door, &list(Some("b"))).await else { panic!("no page") };
     assert_eq!((second.objects.len(), second.more), (1, false));
 }
 
@@ -250,17 +255,19 @@
     let waiting = tokio::spawn(async move { told(door, &watch(began)).await });
     until("the watch waits", async || store.count("door").watches == 1).await;
     told(door, &create("x", &json!({}))).await;
-    let Told::Seen(Seen { changes, revision }) = waiting.await.unwrap() else { panic!("unseen") };
+    let StoreReply::Seen(Seen { changes, revision }) = waiting.await.unwrap() else {
+        panic!("unseen")
+    };
     assert!(matches!(&changes[..], [Change::Written(object)] if &*object.name == "x"));
-    let Told::Seen(none) = told(door, &watch(revision)).await else { panic!("unseen") };
+    let StoreReply::Seen(none) = told(door, &watch(revision)).await else { panic!("unseen") };
     assert!(none.changes.is_empty());
 
     store.remove(&platform::far::store::kind(Of::Lease), "x");
-    let Told::Seen(seen) = told(door, &watch(revision)).await else { panic!("unseen") };
+    let StoreReply::Seen(seen) = told(door, &watch(revision)).await else { panic!("unseen") };
     assert!(matches!(&seen.changes[..], [Change::Removed { name, .. }] if &**name == "x"));
     store.compact();
-    assert!(matches!(told(door, &watch(revision)).await, Told::Compacted));
-    assert!(matches!(told(door, &watch(store.revision())).await, Told::Seen(_)));
+    assert!(matches!(told(door, &watch(revision)).await, StoreReply::Compacted));
+    assert!(matches!(told(door, &watch(store.revision())).await, StoreReply::Seen(_)));
 }
 
 #[rstest]
@@ -275,8 +282,8 @@
     store.at("door", |mood| mood.refusal = Some(refusal));
     let refused = told(door, &create("x", &json!({}))).await;
     let says_so = matches!(refusal, Refusal::Down | Refusal::TooMany);
-    assert_eq!(matches!(refused, Told::Refused), says_so, "{refused:?}");
-    assert!(matches!(told(other, &create("x", &json!({}))).await, Told::Object(_)));
+    assert_eq!(matches!(refused, StoreReply::Refused), says_so, "{refused:?}");
+    assert!(matches!(told(other, &create("x", &json!({}))).await, StoreReply::Object(_)));
     assert_eq!((store.count("door").refused, store.count("other").refused), (1, 0));
 }
 
@@ -287,7 +294,7 @@
 async fn a_write_without_an_answer_takes_effect(#[case] change: fn(&mut Mood)) {
     let (store, door) = store().await;
     store.at("door", change);
-    assert!(matches!(told(door, &create("x", &json!({}))).await, Told::Unclear));
+    assert!(matches!(told(door, &create("x", &json!({}))).await, StoreReply::Unclear));
     let kind = platform::far::store::kind(Of::Lease);
     until("the write takes effect", async || store.object(&kind, "x").is_some()).await;
 }
@@ -295,10 +302,13 @@
 #[tokio::test]
 async fn a_late_write_whose_condition_no_longer_holds_does_nothing() {
     let (store, door) = store().await;
-    let Told::Object(made) = told(door, &create("x", &json!(1))).await else { panic!("no") };
+    let StoreReply::Object(made) = told(door, &create("x", &json!(1))).await else { panic!("no") };
     store.at("door", |mood| mood.late = Some(LATE));
-    assert!(matches!(told(door, &replace("x", made.revision, &json!(2))).await, Told::Unclear));
-    let Told::Object(next) = told(door, &replace("x", made.revision, &json!(3))).await else {
+    assert!(matches!(
+        told(door, &replace("x", made.revision, &json!(2))).await,
+        StoreReply::Unclear
+    ));
+    let StoreReply::Object(next) = told(door, &replace("x", made.revision, &json!(3))).await else {
         panic!("not replaced")
     };
     until("the late write is judged", async || store.count("door").late == 1).await;
