--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     connect::{self, Connection},
-    edge::{Dialect, Order, Ordered, Reply},
+    edge::{Dialect, Order, OrderReply, OrderStatus},
 };
 
 /// Longest time for a report.
@@ -89,11 +89,11 @@
         server: &Server,
         order: &Order,
         flight: Duration,
-    ) -> Reply {
+    ) -> OrderReply {
         let call = self.exchange(server, dialect.order_call(order));
         match tokio::time::timeout(flight, call).await {
-            Ok(Some(response)) => dialect.ordered(&response),
-            Ok(None) | Err(_) => Reply { ordered: Ordered::Unknown, born: 0 },
+            Ok(Some(response)) => dialect.order_reply(&response),
+            Ok(None) | Err(_) => OrderReply { status: OrderStatus::Unknown, born: 0 },
         }
     }
 
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -156,7 +156,7 @@
 
 /// A server's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderStatus {
     /// It is being carried out.
     Accepted,
     /// It holds already.
@@ -175,9 +175,9 @@
 
 /// What came back for an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct OrderReply {
     /// The server's answer.
-    pub ordered: Ordered,
+    pub status: OrderStatus,
     /// When the run that answers began, if it says so.
     pub born: Born,
 }
@@ -369,7 +369,7 @@
     fn order_call(&self, order: &Order) -> Request<Bytes>;
 
     /// Reads the answer to an order.
-    fn ordered(&self, response: &Response<Bytes>) -> Reply;
+    fn order_reply(&self, response: &Response<Bytes>) -> OrderReply;
 
     /// A call to the store.
     fn store_call(&self, call: &Call<'_>) -> Request<Bytes>;
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     control::Line,
-    edge::{self, Ordered},
+    edge::{self, OrderStatus},
     host::Shared,
     wishes::{self, Wishes},
 };
@@ -125,29 +125,35 @@
     };
     let reply = line.order(&*shared.dialect, server, &sent, shared.flight).await;
     let ordered = match shared.current_run(server, reply.born) {
-        Some(run) if run.id == server.id => reply.ordered,
+        Some(run) if run.id == server.id => reply.status,
         // Another run has it: what it did there is for a report to tell.
-        Some(_) | None => Ordered::NotThere,
+        Some(_) | None => OrderStatus::NotThere,
     };
     answered(shared, order, fence, ordered, began.elapsed());
     match ordered {
-        Ordered::Accepted => Outcome::Accepted,
-        Ordered::Holds => Outcome::AlreadyHolds,
-        Ordered::Conflict | Ordered::Fenced => Outcome::Conflict,
-        Ordered::NotThere | Ordered::Invalid => Outcome::NotThere,
-        Ordered::Unknown => Outcome::Unknown,
+        OrderStatus::Accepted => Outcome::Accepted,
+        OrderStatus::Holds => Outcome::AlreadyHolds,
+        OrderStatus::Conflict | OrderStatus::Fenced => Outcome::Conflict,
+        OrderStatus::NotThere | OrderStatus::Invalid => Outcome::NotThere,
+        OrderStatus::Unknown => Outcome::Unknown,
     }
 }
 
-fn answered(shared: &Shared, order: &place::Order, fence: Fence, ordered: Ordered, took: Duration) {
+fn answered(
+    shared: &Shared,
+    order: &place::Order,
+    fence: Fence,
+    ordered: OrderStatus,
+    took: Duration,
+) {
     let answer = match ordered {
-        Ordered::Accepted => Answer::Accepted,
-        Ordered::Holds => Answer::Holds,
-        Ordered::Conflict => Answer::Conflict,
-        Ordered::Fenced => Answer::Stale,
-        Ordered::NotThere => Answer::OtherRun,
-        Ordered::Invalid => Answer::Rejected,
-        Ordered::Unknown => Answer::None,
+        OrderStatus::Accepted => Answer::Accepted,
+        OrderStatus::Holds => Answer::Holds,
+        OrderStatus::Conflict => Answer::Conflict,
+        OrderStatus::Fenced => Answer::Stale,
+        OrderStatus::NotThere => Answer::OtherRun,
+        OrderStatus::Invalid => Answer::Rejected,
+        OrderStatus::Unknown => Answer::None,
     };
     shared.meters.order(answer);
     shared.teller.belief(Belief::Order {
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Ask, Call, Dialect, Limit, Malformed, Object, Onward, Order, Ordered, Problem, Reply,
-    Run, Seal, StoreReply,
+    Answer, Ask, Call, Dialect, Limit, Malformed, Object, Onward, Order, OrderReply, OrderStatus,
+    Problem, Run, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -97,8 +97,8 @@
         Request::new(Bytes::new())
     }
 
-    fn ordered(&self, _: &Response<Bytes>) -> Reply {
-        Reply { ordered: Ordered::Unknown, born: 0 }
+    fn order_reply(&self, _: &Response<Bytes>) -> OrderReply {
+        OrderReply { status: OrderStatus::Unknown, born: 0 }
     }
 
     fn store_call(&self, call: &Call<'_>) -> Request<Bytes> {
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, request::Parts};
 use platform::far::server::{self as far, Asked, Call, Health};
-use relay::edge::Ordered;
+use relay::edge::OrderStatus;
 use tokio::time::{Instant, sleep};
 use types::routed::{Report, State};
 
@@ -61,7 +61,7 @@
             connection.write(&far::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
-            let answer = far::ordered(Ordered::Invalid, shared.settings.born);
+            let answer = far::ordered(OrderStatus::Invalid, shared.settings.born);
             connection.write(&answer).await.map(|()| After::Keep)
         }
         Call::Order(Some(order)) => ordered(shared, connection, order).await,
@@ -108,7 +108,7 @@
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
-fn carry_out(shared: &Arc<Shared>, order: &far::Order, came: Instant) -> Ordered {
+fn carry_out(shared: &Arc<Shared>, order: &far::Order, came: Instant) -> OrderStatus {
     let (outcome, coming) = shared.stock().order(order, came);
     shared.register();
     if shared.stock().overload.is_some() {
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/stock.rs
@@ -6,7 +6,7 @@
 };
 
 use platform::far::server::Order;
-use relay::edge::{Operation, Ordered};
+use relay::edge::{Operation, OrderStatus};
 use tokio::time::Instant;
 use types::{
     prelude::*,
@@ -22,7 +22,7 @@
     /// The order.
     pub order: Order,
     /// What the server made of it when it was judged.
-    pub outcome: Ordered,
+    pub outcome: OrderStatus,
     /// When it came.
     pub came: Instant,
     /// When it was judged.
@@ -97,26 +97,26 @@
     }
 
     /// Judges an order and takes it in; a load that is accepted is complete at [`Stock::finish`].
-    pub(super) fn order(&mut self, order: &Order, came: Instant) -> (Ordered, Option<Coming>) {
+    pub(super) fn order(&mut self, order: &Order, came: Instant) -> (OrderStatus, Option<Coming>) {
         let outcome = self.judge(order);
         let mut coming = None;
-        if outcome == Ordered::Accepted {
+        if outcome == OrderStatus::Accepted {
             coming = self.accept(order);
         }
         // An adapter is unloaded at once, which is told like what holds already.
-        let is_done = outcome == Ordered::Accepted && coming.is_none();
-        let outcome = if is_done && order.adapter.is_some() { Ordered::Holds } else { outcome };
+        let is_done = outcome == OrderStatus::Accepted && coming.is_none();
+        let outcome = if is_done && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
         self.given.push(Given { order: order.clone(), outcome, came, at: Instant::now() });
         (outcome, coming)
     }
 
-    fn judge(&self, order: &Order) -> Ordered {
-        let Some(engine) = &self.engine else { return Ordered::Invalid };
+    fn judge(&self, order: &Order) -> OrderStatus {
+        let Some(engine) = &self.engine else { return OrderStatus::Invalid };
         let Some(model) = engine.models.iter().find(|model| model.name == order.model) else {
-            return Ordered::Invalid;
+            return OrderStatus::Invalid;
         };
         if order.expected.is_some_and(|expected| expected != self.sequence) {
-            return Ordered::Conflict;
+            return OrderStatus::Conflict;
         }
         let is_there = self.has(Some(&order.model), order.adapter.as_ref());
         let holds = match order.operation {
@@ -126,11 +126,11 @@
         let is_busy = order.adapter.is_none() && self.is_busy();
         let has_base = order.adapter.is_none() || self.held.contains_key(&order.model);
         match (holds, is_busy, has_base) {
-            (true, _, _) => Ordered::Holds,
-            (_, true, _) => Ordered::Conflict,
-            (_, _, false) => Ordered::Invalid,
-            _ if order.adapter.is_some() && model.adapters == 0 => Ordered::Invalid,
-            _ => Ordered::Accepted,
+            (true, _, _) => OrderStatus::Holds,
+            (_, true, _) => OrderStatus::Conflict,
+            (_, _, false) => OrderStatus::Invalid,
+            _ if order.adapter.is_some() && model.adapters == 0 => OrderStatus::Invalid,
+            _ => OrderStatus::Accepted,
         }
     }
 
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -13,7 +13,7 @@
     far::{entry, server},
 };
 use relay::edge::{
-    Call, Change, Dialect, Kind as Of, Object, Operation, Order, Ordered, Seen, StoreReply,
+    Call, Change, Dialect, Kind as Of, Object, Operation, Order, OrderStatus, Seen, StoreReply,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -329,9 +329,9 @@
     }
 }
 
-async fn ordered(server: &Server, order: &Order) -> Ordered {
+async fn ordered(server: &Server, order: &Order) -> OrderStatus {
     let response = exchange(server.address(), Platform.order_call(order)).await;
-    response.map_or(Ordered::Unknown, |response| Platform.ordered(&response).ordered)
+    response.map_or(OrderStatus::Unknown, |response| Platform.order_reply(&response).status)
 }
 
 async fn model_server() -> Server {
@@ -345,23 +345,23 @@
 #[tokio::test]
 async fn orders_are_judged_by_what_is_expected() {
     let server = model_server().await;
-    assert_eq!(ordered(&server, &load("m1", 0)).await, Ordered::Holds);
-    assert_eq!(ordered(&server, &load("m2", 1)).await, Ordered::Conflict);
-    assert_eq!(ordered(&server, &load("m9", 0)).await, Ordered::Invalid);
-    assert_eq!(ordered(&server, &load("m2", 0)).await, Ordered::Accepted);
-    assert_eq!(ordered(&server, &load("m3", 1)).await, Ordered::Conflict, "it is busy");
+    assert_eq!(ordered(&server, &load("m1", 0)).await, OrderStatus::Holds);
+    assert_eq!(ordered(&server, &load("m2", 1)).await, OrderStatus::Conflict);
+    assert_eq!(ordered(&server, &load("m9", 0)).await, OrderStatus::Invalid);
+    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Accepted);
+    assert_eq!(ordered(&server, &load("m3", 1)).await, OrderStatus::Conflict, "it is busy");
     let adapter = |operation, expected| order(operation, "m1", Some("a1"), expected);
-    assert_eq!(ordered(&server, &adapter(Operation::Load, 1)).await, Ordered::Accepted);
+    assert_eq!(ordered(&server, &adapter(Operation::Load, 1)).await, OrderStatus::Accepted);
     let registration = server.registration();
     until("both are held", async || {
         let held = registration.borrow().models.clone();
         held.len() == 2 && held[0].adapters.len() == 1
     })
     .await;
-    assert_eq!(ordered(&server, &adapter(Operation::Unload, 2)).await, Ordered::Holds);
+    assert_eq!(ordered(&server, &adapter(Operation::Unload, 2)).await, OrderStatus::Holds);
     assert_eq!(registration.borrow().sequence, 3);
     let elsewhere = Order { server: "lm-2".into(), ..load("m3", 3) };
-    assert_eq!(ordered(&server, &elsewhere).await, Ordered::NotThere);
+    assert_eq!(ordered(&server, &elsewhere).await, OrderStatus::NotThere);
     assert_eq!(server.overload(), None);
 }
 
@@ -372,7 +372,7 @@
 async fn an_order_without_an_answer_is_carried_out(#[case] fault: OrderFault) {
     let server = model_server().await;
     server.script(|script| script.orders = [fault].into());
-    assert_eq!(ordered(&server, &load("m2", 0)).await, Ordered::Unknown);
+    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
     let registration = server.registration();
     until("it is carried out", async || registration.borrow().models.len() == 2).await;
     assert_eq!(registration.borrow().sequence, 1);
@@ -382,21 +382,21 @@
 async fn a_late_order_after_another_does_nothing() {
     let server = model_server().await;
     server.script(|script| script.orders = [OrderFault::Late(LATE)].into());
-    assert_eq!(ordered(&server, &load("m2", 0)).await, Ordered::Unknown);
-    assert_eq!(ordered(&server, &load("m3", 0)).await, Ordered::Accepted);
+    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
+    assert_eq!(ordered(&server, &load("m3", 0)).await, OrderStatus::Accepted);
     until("the late one is judged", async || server.orders().len() == 2).await;
-    assert_eq!(server.orders()[1].outcome, Ordered::Conflict);
+    assert_eq!(server.orders()[1].outcome, OrderStatus::Conflict);
 }
 
 #[tokio::test]
 async fn a_server_that_is_ordered_too_much_ends() {
     let server = model_server().await;
-    assert_eq!(ordered(&server, &load("m2", 0)).await, Ordered::Accepted);
+    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Accepted);
     let registration = server.registration();
     until("it is held", async || registration.borrow().models.len() == 2).await;
     ordered(&server, &load("m3", 1)).await;
     assert_eq!(server.overload(), Some(Overload::Weights));
-    assert_eq!(ordered(&server, &load("m1", 1)).await, Ordered::Unknown);
+    assert_eq!(ordered(&server, &load("m1", 1)).await, OrderStatus::Unknown);
 }
 
 /// Requests that a full server turns away leave its count of those that wait as it was.
