--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -14,14 +14,14 @@
 use crate::{
     call::Call,
     connect::{self, Connection},
-    edge::{Answer, Ask, Onward, Run, Seal},
+    edge::{Answer, Onward, RequestInfo, Run, Seal},
     fields,
     host::Shared,
 };
 
 /// A caller's request, held whole so that it can be sent again.
 pub(crate) struct Held {
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestInfo,
     pub(crate) ticket: Ticket,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -190,7 +190,7 @@
 
 /// Whether an answer is this request's, and what it says of its run.
 fn judge(
-    ask: &Ask,
+    ask: &RequestInfo,
     server: &Server,
     head: &response::Parts,
     answer: &Answer,
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -26,7 +26,7 @@
 
 /// What the decisions need to know of a caller's request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The caller's name for this attempt of its.
     pub id: Arc<str>,
     /// Host that it names.
@@ -347,7 +347,7 @@
     /// # Errors
     ///
     /// What is missing or can't be read.
-    fn ask(&self, head: &Parts) -> Result<Ask, Malformed>;
+    fn request_info(&self, head: &Parts) -> Result<RequestInfo, Malformed>;
 
     /// An answer of our own.
     fn refuse(&self, problem: Problem) -> Response<Bytes>;
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -24,7 +24,7 @@
 use crate::{
     attempt::{Begun, Failed, Held, Link},
     call::{Again, Call, Ended},
-    edge::{Ask, Problem},
+    edge::{Problem, RequestInfo},
     fields,
     host::{Entered, Shared},
     limit::Limit,
@@ -71,7 +71,7 @@
     let received = shared.now();
     let (head, body) = request.into_parts();
     let declaration = shared.declaration();
-    let Ok(ask) = shared.dialect.ask(&head) else {
+    let Ok(ask) = shared.dialect.request_info(&head) else {
         let (cause, problem) = match declaration {
             Some(_) => (Refusal::Malformed, Problem::Malformed),
             None => (Refusal::NoDeclaration, Problem::NotRun(COME_BACK)),
@@ -105,7 +105,7 @@
 async fn find(
     shared: &Shared,
     declaration: &Declaration,
-    ask: &Ask,
+    ask: &RequestInfo,
     body: Incoming,
 ) -> Result<(Route, service::Id, Bytes), Problem> {
     let route = shared.dispatcher().route(&ask.host, &ask.path).cloned();
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Ask, Call, Dialect, Limit, Malformed, Object, Onward, Order, OrderReply, OrderStatus,
-    Problem, Run, Seal, StoreReply,
+    Answer, Call, Dialect, Limit, Malformed, Object, Onward, Order, OrderReply, OrderStatus,
+    Problem, RequestInfo, Run, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -30,8 +30,8 @@
         "/ready"
     }
 
-    fn ask(&self, head: &Parts) -> Result<Ask, Malformed> {
-        Ok(Ask {
+    fn request_info(&self, head: &Parts) -> Result<RequestInfo, Malformed> {
+        Ok(RequestInfo {
             id: text(&head.headers, "request-name").ok_or(Malformed::NoId)?.into(),
             host: text(&head.headers, "host").ok_or(Malformed::NoHost)?.into(),
             path: head.uri.path().into(),
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// What the system needs to know of it.
-    pub ask: edge::Ask,
+    pub ask: edge::RequestInfo,
     method: Method,
     body: Bytes,
     headers: HeaderMap,
@@ -43,7 +43,7 @@
 impl Ask {
     /// A `GET` of a path at a host, with an id of its own.
     pub fn to(host: &str, path: &str) -> Ask {
-        let ask = edge::Ask {
+        let ask = edge::RequestInfo {
             id: next_id(),
             host: host.into(),
             path: path.into(),
