--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::{
     call::Call,
     connect::{self, Connection},
-    edge::{Answer, Onward, RequestInfo, Run, Seal},
+    edge::{Answer, ForwardOptions, RequestInfo, Run, Seal},
     fields,
     host::Shared,
 };
@@ -112,7 +112,7 @@
     shared: &Arc<Shared>,
     server: &Arc<Server>,
     call: &Call,
-    onward: &Onward<'_>,
+    options: &ForwardOptions<'_>,
 ) -> Result<Begun, Failed> {
     let held = &call.held;
     let mut flight = Flight::new(shared.clone(), server.clone());
@@ -123,7 +123,7 @@
     call.trace.connected(flight.began.elapsed());
     let sent_at = shared.now();
     shared.dispatcher().sent(held.ticket, sent_at);
-    let request = request(shared, held, onward);
+    let request = request(shared, held, options);
     connection.end_abruptly(true);
     let sent = connection.sender.try_send_request(request).await;
     let response = sent.map_err(|mut error| match error.take_message() {
@@ -241,7 +241,7 @@
     )
 }
 
-fn request(shared: &Shared, held: &Held, onward: &Onward<'_>) -> Request<Full<Bytes>> {
+fn request(shared: &Shared, held: &Held, options: &ForwardOptions<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(held.body.clone()));
     *request.method_mut() = held.method.clone();
     *request.uri_mut() = held.uri.clone();
@@ -252,6 +252,6 @@
     if !held.body.is_empty() || held.headers.contains_key(header::CONTENT_LENGTH) {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(held.body.len()));
     }
-    shared.dialect.onward(headers, onward);
+    shared.dialect.forward_headers(headers, options);
     request
 }
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     attempt::{self, Begun, Failed, Flight, Held},
-    edge::{Onward, Problem},
+    edge::{ForwardOptions, Problem},
     host::{Entered, Shared},
     trace::{self, Trace},
 };
@@ -201,14 +201,14 @@
     ) -> Result<Begun, Failed> {
         let left = self.left(shared);
         self.trace.sent(server, after, left);
-        let onward = Onward {
+        let options = ForwardOptions {
             server: &server.name,
             deadline: left,
             priority: RANK,
             resume: after.or(self.held.ask.resume),
         };
         self.account.sent.store(true, Ordering::Relaxed);
-        let begun = attempt::begin(shared, server, self, &onward).await;
+        let begun = attempt::begin(shared, server, self, &options).await;
         if let Err(Failed::NotRun(_) | Failed::Unreachable(_)) = begun {
             self.account.sent.store(false, Ordering::Relaxed);
         }
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -67,7 +67,7 @@
 
 /// How a request goes to a server.
 #[derive(Clone, Debug)]
-pub struct Onward<'a> {
+pub struct ForwardOptions<'a> {
     /// The name of the server that is meant.
     pub server: &'a str,
     /// Time left.
@@ -354,7 +354,7 @@
 
     /// Changes the headers of a caller's request to those that go to a server. Headers of one
     /// connection are gone already.
-    fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>);
+    fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>);
 
     /// Reads the head of a server's answer.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Answer;
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Call, Dialect, Limit, Malformed, Object, Onward, Order, OrderReply, OrderStatus,
-    Problem, RequestInfo, Run, Seal, StoreReply,
+    Answer, Call, Dialect, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
+    OrderStatus, Problem, RequestInfo, Run, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -60,12 +60,12 @@
         response
     }
 
-    fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>) {
-        let server = HeaderValue::from_str(onward.server).expect("an id");
+    fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>) {
+        let server = HeaderValue::from_str(options.server).expect("an id");
         headers.insert("run-of", server);
-        let left = u64::try_from(onward.deadline.as_millis()).expect("a short time");
+        let left = u64::try_from(options.deadline.as_millis()).expect("a short time");
         headers.insert("time-left", left.into());
-        if let Some(event) = onward.resume {
+        if let Some(event) = options.resume {
             headers.insert("resume-after", event.into());
         }
     }
