--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -235,7 +235,7 @@
 
 /// What a watch has seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct WatchBatch {
     /// Changes in their order.
     pub changes: Vec<Change>,
     /// The revision to go on from.
@@ -305,7 +305,7 @@
     /// A page of a list.
     Page(Page),
     /// Changes.
-    Seen(Seen),
+    Seen(WatchBatch),
     /// The object as it is now.
     Object(Object),
     /// There is no such object.
--- a/crates/relay/tests/common/store.rs
+++ b/crates/relay/tests/common/store.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex},
 };
 
-use relay::edge::{Change, Kind, Object, Page, Seen};
+use relay::edge::{Change, Kind, Object, Page, WatchBatch};
 use serde_json::Value;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -55,10 +55,10 @@
         Page { objects: objects.collect(), more: false, revision }
     }
 
-    pub fn seen(&self, kind: Kind) -> Seen {
+    pub fn seen(&self, kind: Kind) -> WatchBatch {
         let page = self.page(kind);
         let changes = page.objects.into_iter().map(Change::Written).collect();
-        Seen { changes, revision: page.revision }
+        WatchBatch { changes, revision: page.revision }
     }
 }
 
--- a/crates/standin/src/routed/store/state.rs
+++ b/crates/standin/src/routed/store/state.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::Response;
 use platform::far::store::{self as far, Call, KindId};
-use relay::edge::{Change, Object, Page, Revision, Seen};
+use relay::edge::{Change, Object, Page, Revision, WatchBatch};
 use serde_json::Value;
 
 /// Objects on a page unless a test bounds them.
@@ -23,7 +23,7 @@
 
 pub(super) enum Watched {
     /// Changes, or none so far.
-    Seen(Seen),
+    Seen(WatchBatch),
     /// The history is gone.
     Compacted,
 }
@@ -80,7 +80,7 @@
         }
         let changes = self.history.iter().filter(|(at, of, _)| since < *at && of == kind);
         let changes = changes.map(|(_, _, change)| change.clone()).collect();
-        Watched::Seen(Seen { changes, revision: self.revision })
+        Watched::Seen(WatchBatch { changes, revision: self.revision })
     }
 
     /// Carries out a call that does not wait.
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -13,7 +13,8 @@
     far::{entry, server},
 };
 use relay::edge::{
-    Call, Change, Dialect, Kind as Of, Object, Operation, Order, OrderStatus, Seen, StoreReply,
+    Call, Change, Dialect, Kind as Of, Object, Operation, Order, OrderStatus, StoreReply,
+    WatchBatch,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -255,7 +256,7 @@
     let waiting = tokio::spawn(async move { told(door, &watch(began)).await });
     until("the watch waits", async || store.count("door").watches == 1).await;
     told(door, &create("x", &json!({}))).await;
-    let StoreReply::Seen(Seen { changes, revision }) = waiting.await.unwrap() else {
+    let StoreReply::Seen(WatchBatch { changes, revision }) = waiting.await.unwrap() else {
         panic!("unseen")
     };
     assert!(matches!(&changes[..], [Change::Written(object)] if &*object.name == "x"));
