--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::{
     call::Call,
     connect::{self, Connection},
-    edge::{Answer, ForwardOptions, RequestInfo, Run, Seal},
+    edge::{Answer, Execution, ForwardOptions, RequestInfo, Seal},
     fields,
     host::Shared,
 };
@@ -196,11 +196,11 @@
     answer: &Answer,
 ) -> Result<(), Failed> {
     const GARBLED: Failed = Failed::Unclear(Unclear::Garbled);
-    match (&answer.id, answer.run) {
+    match (&answer.id, answer.execution) {
         (Some(id), _) if *id != ask.id => return Err(GARBLED),
-        (_, Run::Not) => return Err(Failed::NotRun(not_run(server, head.status, answer))),
-        (None, Run::Unsaid) => return Err(GARBLED),
-        (Some(_), Run::Unsaid) => {}
+        (_, Execution::NotRun) => return Err(Failed::NotRun(not_run(server, head.status, answer))),
+        (None, Execution::Unstated) => return Err(GARBLED),
+        (Some(_), Execution::Unstated) => {}
     }
     let must_be_sealed = head.status.is_success() || head.status == StatusCode::NOT_MODIFIED;
     let is_unsealed = must_be_sealed && answer.seal == Seal::Missing;
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -88,7 +88,7 @@
     /// Whether it bears the server's seal.
     pub seal: Seal,
     /// Whether the server says that the request did not run.
-    pub run: Run,
+    pub run: Execution,
     /// Load at the time: running, waiting, slots.
     pub load: Option<[u32; 3]>,
     /// How long the connection may be idle.
@@ -119,11 +119,11 @@
 
 /// What a server says of a request's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Run {
+pub enum Execution {
     /// It says that the request did not run.
-    Not,
+    NotRun,
     /// It says nothing of the kind.
-    Unsaid,
+    Unstated,
 }
 
 /// An order to a model server.
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Call, Dialect, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
-    OrderStatus, Problem, RequestInfo, Run, Seal, StoreReply,
+    Answer, Call, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
+    OrderStatus, Problem, RequestInfo, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -75,7 +75,7 @@
         Answer {
             id: text(headers, "request-name").map(Arc::from),
             seal,
-            run: headers.get("not-run").map_or(Run::Unsaid, |_| Run::Not),
+            execution: headers.get("not-run").map_or(Execution::Unstated, |_| Execution::NotRun),
             load: None,
             instance: None,
             keep_alive: text(headers, "keep-alive")
