--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -88,7 +88,7 @@
     /// Whether it bears the server's seal.
     pub seal: Seal,
     /// Whether the server says that the request did not run.
-    pub run: Execution,
+    pub execution: Execution,
     /// Load at the time: running, waiting, slots.
     pub load: Option<[u32; 3]>,
     /// How long the connection may be idle.
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -354,7 +354,7 @@
     }
 
     /// Takes in what came of an order, and tells the others.
-    pub(crate) fn order_reply(&self, order: &place::Order, outcome: Outcome) {
+    pub(crate) fn ordered(&self, order: &place::Order, outcome: Outcome) {
         if !matches!(outcome, Outcome::Accepted | Outcome::AlreadyHolds) {
             return;
         }
