--- a/crates/exchange/src/client.rs
+++ b/crates/exchange/src/client.rs
@@ -31,7 +31,7 @@
 use crate::calls::{Registered, RpcClient};
 
 /// Largest answer that is taken.
-const ANSWER_BYTES: u32 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
@@ -95,7 +95,7 @@
     fn peer(&self, address: SocketAddr) -> Result<Peer, Error> {
         let transport = self.transport.clone();
         HttpClientBuilder::new()
-            .max_response_size(ANSWER_BYTES)
+            .max_response_size(MAX_RESPONSE_BYTES)
             .request_timeout(self.limit)
             .set_http_middleware(ServiceBuilder::new().layer(layer_fn(move |_| transport.clone())))
             .build(format!("http://{address}"))
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -30,20 +30,20 @@
 };
 
 /// Time limit of a call.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Notices that wait for their reader, at the most.
-const MOST_NOTICES: usize = 1_024;
+const MAX_PENDING_NOTICES: usize = 1_024;
 
 /// Ports that are tried until one is free for datagrams and calls alike.
-const PORT_TRIES: usize = 16;
+const MAX_PORT_TRIES: usize = 16;
 
 /// Goodbyes, since one may be lost, and the pause between them.
 const GOODBYES: usize = 2;
 const GOODBYE_PAUSE: Duration = Duration::from_millis(30);
 
 /// Longest wait for what is under way at the end.
-const LAST_CALLS: Duration = Duration::from_secs(1);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What an exchange starts with.
 #[derive(Clone)]
@@ -84,7 +84,7 @@
             incarnation,
             seeds: Vec::new(),
             settings: Settings::default(),
-            call_limit: CALL_LIMIT,
+            call_limit: CALL_TIMEOUT,
             clock: clock::steady(),
         }
     }
@@ -128,7 +128,7 @@
         let now = (config.clock)();
         let fleet = Fleet::new(now, config.settings, member.clone(), config.seeds);
         let shared = Arc::new(Shared::new(config.clock, fleet));
-        let (sender, receiver) = mpsc::channel(MOST_NOTICES);
+        let (sender, receiver) = mpsc::channel(MAX_PENDING_NOTICES);
         let (tasks, stop) = (TaskTracker::new(), CancellationToken::new());
         tasks.spawn(run::run(shared.clone(), socket, sender, stop.clone()));
         let members = members(&shared, &member);
@@ -285,7 +285,7 @@
         }
         self.stop.cancel();
         self.tasks.close();
-        if tokio::time::timeout(LAST_CALLS, self.tasks.wait()).await.is_err() {
+        if tokio::time::timeout(SHUTDOWN_TIMEOUT, self.tasks.wait()).await.is_err() {
             log::debug!("calls of other hosts were still under way at the end");
         }
     }
@@ -299,7 +299,7 @@
 
 /// Listens for datagrams and calls at one port.
 async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket, SocketAddr)> {
-    let tries = if address.port() == 0 { PORT_TRIES } else { 1 };
+    let tries = if address.port() == 0 { MAX_PORT_TRIES } else { 1 };
     let mut failure = None;
     for _ in 0..tries {
         let listener = TcpListener::bind(address).await?;
--- a/crates/exchange/src/listener.rs
+++ b/crates/exchange/src/listener.rs
@@ -9,19 +9,19 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 /// Largest request; all are small.
-const REQUEST_BYTES: u32 = 4 * 1024;
+const MAX_REQUEST_BYTES: u32 = 4 * 1024;
 
 /// Largest answer.
-const ANSWER_BYTES: u32 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
 /// Connections that are served at once; more wait.
-const MOST_CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 /// Longest life of a connection, which carries one call.
-const CONNECTION_LIMIT: Duration = Duration::from_secs(10);
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves calls until told to stop.
 pub(crate) async fn listen<T: Send + Sync + 'static>(
@@ -33,17 +33,17 @@
     let (stopped, handle) = stop_channel();
     let config = ServerConfig::builder()
         .http_only()
-        .max_request_body_size(REQUEST_BYTES)
-        .max_response_body_size(ANSWER_BYTES)
+        .max_request_body_size(MAX_REQUEST_BYTES)
+        .max_response_body_size(MAX_RESPONSE_BYTES)
         .build();
     let builder = Server::builder().set_config(config).to_service_builder();
-    let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let next = async {
-            let place = places.clone().acquire_owned().await;
-            (place, listener.accept().await)
+            let permit = permits.clone().acquire_owned().await;
+            (permit, listener.accept().await)
         };
-        let (place, accepted) = tokio::select! {
+        let (permit, accepted) = tokio::select! {
             next = next => next,
             () = stop.cancelled() => break,
         };
@@ -51,7 +51,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!("listener for hosts: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -60,8 +60,8 @@
         let service = builder.clone().build(methods.clone(), stopped.clone());
         let served = serve_with_graceful_shutdown(stream, service, stopped.clone().shutdown());
         tasks.spawn(async move {
-            let _place = place;
-            if let Ok(Err(error)) = tokio::time::timeout(CONNECTION_LIMIT, served).await {
+            let _permit = permit;
+            if let Ok(Err(error)) = tokio::time::timeout(CONNECTION_TIMEOUT, served).await {
                 log::debug!("connection of a host: {error}");
             }
         });
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -23,10 +23,10 @@
 const BUFFER_BYTES: usize = 2_048;
 
 /// Datagrams that are read at one waking, at the most.
-const MOST_AT_ONCE: usize = 64;
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
 /// Age up to which what was worked out is shown again; far below the time between digests.
-const SNAPSHOT_AGE: Duration = Duration::from_millis(20);
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(20);
 
 /// What the task and the users of an exchange share.
 pub(crate) struct Shared {
@@ -60,7 +60,7 @@
         let now = (self.clock)();
         let mut state = self.lock();
         if let Some((made, snapshot)) = &state.snapshot
-            && now < *made + SNAPSHOT_AGE
+            && now < *made + MAX_SNAPSHOT_AGE
         {
             return snapshot.clone();
         }
@@ -106,15 +106,15 @@
     notices: &mpsc::Sender<ReceivedNotice>,
     buffer: &mut [u8],
 ) {
-    for _ in 1..MOST_AT_ONCE {
+    for _ in 1..MAX_DATAGRAMS_PER_WAKEUP {
         let Ok((length, from)) = socket.try_recv_from(buffer) else { return };
         take(shared, notices, from, &buffer[..length]);
     }
 }
 
 fn take(shared: &Shared, notices: &mpsc::Sender<ReceivedNotice>, from: SocketAddr, bytes: &[u8]) {
-    let heard = shared.with(|fleet, now| fleet.receive(now, from, bytes));
-    for notice in heard {
+    let received = shared.with(|fleet, now| fleet.receive(now, from, bytes));
+    for notice in received {
         if notices.try_send(notice).is_err() {
             shared.overflow.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -20,8 +20,8 @@
 };
 
 /// A caller's request, held whole so that it can be sent again.
-pub(crate) struct Held {
-    pub(crate) ask: RequestInfo,
+pub(crate) struct BufferedRequest {
+    pub(crate) info: RequestInfo,
     pub(crate) ticket: Ticket,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -30,23 +30,23 @@
 }
 
 /// How an attempt failed.
-pub(crate) type Failed = policy::dispatch::End;
+pub(crate) type AttemptEnd = policy::dispatch::End;
 
 /// An answer that has begun.
-pub(crate) struct Begun {
+pub(crate) struct ResponseStart {
     pub(crate) head: response::Parts,
-    pub(crate) link: Link,
+    pub(crate) response: OpenResponse,
 }
 
 /// The body of an answer on its way, with its connection.
-pub(crate) struct Link {
+pub(crate) struct OpenResponse {
     pub(crate) body: Incoming,
-    pub(crate) end: End,
+    pub(crate) end: BodyEnd,
     pub(crate) answer: Answer,
     pub(crate) flight: Flight,
 }
 
-impl Link {
+impl OpenResponse {
     /// The answer has come whole.
     pub(crate) fn finish(self) {
         self.flight.finish(self.answer.keep_alive);
@@ -55,7 +55,7 @@
 
 /// What ends the body of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum BodyEnd {
     /// Its own framing.
     Framed,
     /// The end of the connection.
@@ -87,7 +87,7 @@
     /// The answer has come whole: its connection can take another request.
     fn finish(mut self, keep_alive: Option<Duration>) {
         let connection =
-            self.connection.take().inspect(|connection| connection.end_abruptly(false));
+            self.connection.take().inspect(|connection| connection.set_reset_on_close(false));
         if let Some(connection) = connection.filter(|_| self.reuse == Reuse::Allowed) {
             let now = self.shared.now();
             let server = &self.server;
@@ -113,24 +113,24 @@
     server: &Arc<Server>,
     call: &Call,
     options: &ForwardOptions<'_>,
-) -> Result<Begun, Failed> {
-    let held = &call.held;
+) -> Result<ResponseStart, AttemptEnd> {
+    let buffered = &call.request;
     let mut flight = Flight::new(shared.clone(), server.clone());
-    let mut connection = match kept(shared, server).await {
+    let mut connection = match idle_connection(shared, server).await {
         Some(connection) => connection,
         None => connect::open(server.address).await.map_err(|error| unreachable(&error))?,
     };
     call.trace.connected(flight.began.elapsed());
     let sent_at = shared.now();
-    shared.dispatcher().sent(held.ticket, sent_at);
-    let request = request(shared, held, options);
-    connection.end_abruptly(true);
+    shared.dispatcher().sent(buffered.ticket, sent_at);
+    let request = request(shared, buffered, options);
+    connection.set_reset_on_close(true);
     let sent = connection.sender.try_send_request(request).await;
     let response = sent.map_err(|mut error| match error.take_message() {
         // A kept connection had ended before a byte of the request left.
-        Some(_) => Failed::Unreachable(Unreachable::Closed),
-        None if error.error().is_parse() => Failed::Unclear(Unclear::Garbled),
-        None => Failed::Unclear(Unclear::Cut),
+        Some(_) => AttemptEnd::Unreachable(Unreachable::Closed),
+        None if error.error().is_parse() => AttemptEnd::Unclear(Unclear::Garbled),
+        None => AttemptEnd::Unclear(Unclear::Cut),
     })?;
     let (head, body) = response.into_parts();
     flight.reuse = reuse(&head, &connection);
@@ -139,18 +139,18 @@
     if let Some([running, waiting, slots]) = answer.load {
         shared.dispatcher().server_load(&server.id, running, waiting, slots, shared.now());
     }
-    let judged = judge(&held.ask, server, &head, &answer);
-    if is_from(&judged) {
-        shared.dispatcher().answers(held.ticket, shared.now());
-        shared.limit_named(&server.id, answer.limit, sent_at);
+    let validated = validate(&buffered.info, server, &head, &answer);
+    if is_genuine(&validated) {
+        shared.dispatcher().answers(buffered.ticket, shared.now());
+        shared.observe_limit(&server.id, answer.limit, sent_at);
     }
-    judged?;
-    let end = end(&head.headers, &body);
-    Ok(Begun { head, link: Link { body, end, answer, flight } })
+    validated?;
+    let end = body_end(&head.headers, &body);
+    Ok(ResponseStart { head, response: OpenResponse { body, end, answer, flight } })
 }
 
 /// A kept connection that is still good, as far as can be seen.
-async fn kept(shared: &Shared, server: &Server) -> Option<Connection> {
+async fn idle_connection(shared: &Shared, server: &Server) -> Option<Connection> {
     while let Some(connection) = shared.pool.take(shared.now(), &server.id, server.address) {
         // What has come meanwhile, an end or bytes that belong to no request, is seen first.
         yield_now().await;
@@ -166,39 +166,41 @@
     let closes = fields::names(&head.headers, &header::CONNECTION)
         .any(|token| token.eq_ignore_ascii_case("close"));
     // An answer that came before the request had left: its rest would keep the next one waiting.
-    if closes || head.version != Version::HTTP_11 || !connection.is_written() {
+    if closes || head.version != Version::HTTP_11 || !connection.is_flushed() {
         return Reuse::Never;
     }
     Reuse::Allowed
 }
 
-fn end(headers: &HeaderMap, body: &Incoming) -> End {
+fn body_end(headers: &HeaderMap, body: &Incoming) -> BodyEnd {
     let is_framed = body.is_end_stream()
         || headers.contains_key(header::CONTENT_LENGTH)
         || headers.contains_key(header::TRANSFER_ENCODING);
-    if is_framed { End::Framed } else { End::Close }
+    if is_framed { BodyEnd::Framed } else { BodyEnd::Close }
 }
 
-fn unreachable(error: &io::Error) -> Failed {
+fn unreachable(error: &io::Error) -> AttemptEnd {
     match error.kind() {
         io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset => {
-            Failed::Unreachable(Unreachable::Refused)
+            AttemptEnd::Unreachable(Unreachable::Refused)
         }
-        _ => Failed::Unreachable(Unreachable::Timeout),
+        _ => AttemptEnd::Unreachable(Unreachable::Timeout),
     }
 }
 
 /// Whether an answer is this request's, and what it says of its run.
-fn judge(
-    ask: &RequestInfo,
+fn validate(
+    info: &RequestInfo,
     server: &Server,
     head: &response::Parts,
     answer: &Answer,
-) -> Result<(), Failed> {
-    const GARBLED: Failed = Failed::Unclear(Unclear::Garbled);
+) -> Result<(), AttemptEnd> {
+    const GARBLED: AttemptEnd = AttemptEnd::Unclear(Unclear::Garbled);
     match (&answer.id, answer.execution) {
-        (Some(id), _) if *id != ask.id => return Err(GARBLED),
-        (_, Execution::NotRun) => return Err(Failed::NotRun(not_run(server, head.status, answer))),
+        (Some(id), _) if *id != info.id => return Err(GARBLED),
+        (_, Execution::NotRun) => {
+            return Err(AttemptEnd::NotRun(not_run(server, head.status, answer)));
+        }
         (None, Execution::Unstated) => return Err(GARBLED),
         (Some(_), Execution::Unstated) => {}
     }
@@ -207,15 +209,15 @@
     // Nobody asked for an encoding, so no server's own answer has one.
     let is_encoded = head.headers.contains_key(header::CONTENT_ENCODING);
     let is_interim = head.status.is_informational();
-    if is_unsealed || is_encoded || is_interim || promises(head.status) {
+    if is_unsealed || is_encoded || is_interim || implies_not_run(head.status) {
         return Err(GARBLED);
     }
     Ok(())
 }
 
-/// Whether an answer that was judged so is the server's own, and to this request.
-fn is_from(judged: &Result<(), Failed>) -> bool {
-    matches!(judged, Ok(()) | Err(Failed::NotRun(NotRun::Full | NotRun::NotHeld)))
+/// Whether an answer that was validated so is the server's own, and to this request.
+fn is_genuine(validated: &Result<(), AttemptEnd>) -> bool {
+    matches!(validated, Ok(()) | Err(AttemptEnd::NotRun(NotRun::Full | NotRun::NotHeld)))
 }
 
 /// Why a server did not run a request.
@@ -231,7 +233,7 @@
 
 /// Whether callers take a status for a promise that the request did not run. A server that means
 /// it says so by more than the status.
-fn promises(status: StatusCode) -> bool {
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -241,16 +243,20 @@
     )
 }
 
-fn request(shared: &Shared, held: &Held, options: &ForwardOptions<'_>) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(held.body.clone()));
-    *request.method_mut() = held.method.clone();
-    *request.uri_mut() = held.uri.clone();
+fn request(
+    shared: &Shared,
+    buffered: &BufferedRequest,
+    options: &ForwardOptions<'_>,
+) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(buffered.body.clone()));
+    *request.method_mut() = buffered.method.clone();
+    *request.uri_mut() = buffered.uri.clone();
     let headers = request.headers_mut();
-    *headers = held.headers.clone();
+    *headers = buffered.headers.clone();
     fields::strip(headers);
     headers.remove(header::CONTENT_LENGTH);
-    if !held.body.is_empty() || held.headers.contains_key(header::CONTENT_LENGTH) {
-        headers.insert(header::CONTENT_LENGTH, HeaderValue::from(held.body.len()));
+    if !buffered.body.is_empty() || buffered.headers.contains_key(header::CONTENT_LENGTH) {
+        headers.insert(header::CONTENT_LENGTH, HeaderValue::from(buffered.body.len()));
     }
     shared.dialect.forward_headers(headers, options);
     request
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! A request on its way, and its account with the dispatcher.
+//! A request on its way, and its handle with the dispatcher.
 
 use std::{
     pin::pin,
@@ -22,63 +22,54 @@
 };
 
 use crate::{
-    attempt::{self, Begun, Failed, Flight, Held},
+    attempt::{self, AttemptEnd, BufferedRequest, Flight, ResponseStart},
     edge::{ForwardOptions, Problem},
-    host::{Entered, Shared},
+    host::{OpenGuard, Shared},
     trace::{self, Trace},
 };
 
 /// When to come back to another host after a refusal by one that leaves.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 
 /// Time after which a silent server that no other could be found for is left, if one is found then.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Rank of all requests at a server. The urgent go first in the queue here; at a server they would
 /// preempt what runs, whose prompt is then read again.
-const RANK: u8 = 5;
+const SERVER_PRIORITY: u8 = 5;
 
 /// A request that has been read and has a route.
 pub(crate) struct Call {
-    pub(crate) held: Held,
+    pub(crate) request: BufferedRequest,
     pub(crate) route: Route,
     pub(crate) service: service::Id,
     pub(crate) received: Moment,
     pub(crate) limit: Duration,
     pub(crate) fingerprint: dispatch::Fingerprint,
-    pub(crate) account: Account,
+    pub(crate) handle: DispatchHandle,
     pub(crate) trace: Trace,
-    _entered: Entered,
+    _open: OpenGuard,
 }
 
 impl Call {
     pub(crate) fn new(
         shared: &Arc<Shared>,
-        held: Held,
+        request: BufferedRequest,
         (route, service): (Route, service::Id),
         fingerprint: dispatch::Fingerprint,
         received: Moment,
-        entered: Entered,
+        open: OpenGuard,
         trace: Trace,
     ) -> Call {
-        let limit = held.ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-        let account = Account {
+        let limit =
+            request.info.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+        let handle = DispatchHandle {
             shared: shared.clone(),
-            ticket: held.ticket,
+            ticket: request.ticket,
             closed: AtomicBool::new(true),
             sent: AtomicBool::new(false),
         };
-        Call {
-            held,
-            route,
-            service,
-            received,
-            limit,
-            fingerprint,
-            account,
-            trace,
-            _entered: entered,
-        }
+        Call { request, route, service, received, limit, fingerprint, handle, trace, _open: open }
     }
 
     /// When its time is over.
@@ -99,13 +90,13 @@
     }
 
     /// Tells what was read of it.
-    pub(crate) fn arrived(&self, version: Version) {
-        let ask = &self.held.ask;
+    pub(crate) fn trace_arrival(&self, version: Version) {
+        let info = &self.request.info;
         let arrival = Arrival {
             route: self.route.name.clone(),
             version,
-            model: ask.model.clone(),
-            adapter: ask.adapter.clone(),
+            model: info.model.clone(),
+            adapter: info.adapter.clone(),
             repeat: self.route.kind,
             deadline: self.limit,
         };
@@ -117,9 +108,9 @@
     /// # Errors
     ///
     /// It is refused.
-    pub(crate) async fn first(&self, shared: &Shared) -> Result<Arc<Server>, Problem> {
-        let verdict = self.account.arrive(self.ask());
-        self.follow(shared, verdict).await
+    pub(crate) async fn first_server(&self, shared: &Shared) -> Result<Arc<Server>, Problem> {
+        let verdict = self.handle.arrive(self.spec());
+        self.apply_verdict(shared, verdict).await
     }
 
     /// The next server after an attempt that failed.
@@ -127,9 +118,9 @@
     /// # Errors
     ///
     /// It is over.
-    async fn next(&self, shared: &Shared, end: Failed) -> Result<Arc<Server>, Problem> {
+    async fn next_server(&self, shared: &Shared, end: AttemptEnd) -> Result<Arc<Server>, Problem> {
         self.trace.attempt_ended(end, None);
-        match self.account.again(end) {
+        match self.handle.retry(end) {
             dispatch::RetryDecision::Send(server) => self.server(shared, &server).await,
             dispatch::RetryDecision::Wait => {
                 self.trace.queued("again", self.left(shared));
@@ -137,7 +128,7 @@
             }
             dispatch::RetryDecision::Missing { model, adapter } => {
                 self.trace.queued("missing", self.left(shared));
-                shared.missing(&self.service, &model, adapter.as_ref());
+                shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             dispatch::RetryDecision::GiveUp(Answer::NotRun { cause, after }) => {
@@ -155,28 +146,28 @@
     pub(crate) async fn attempt<T>(
         &self,
         patience: Duration,
-        attempt: impl Future<Output = Result<T, Failed>>,
-    ) -> Result<T, Ended> {
+        attempt: impl Future<Output = Result<T, AttemptEnd>>,
+    ) -> Result<T, AttemptFailure> {
         let mut attempt = pin!(attempt);
         let mut pause = patience;
         loop {
             select! {
                 biased;
-                ended = &mut attempt => return ended.map_err(Ended::Failed),
-                Ok(_) = self.account.leave() => {}
+                ended = &mut attempt => return ended.map_err(AttemptFailure::Failed),
+                Ok(_) = self.handle.leave_signal() => {}
                 () = sleep(pause) => {}
             }
             if let Some(server) = self.leave() {
-                return Err(Ended::Left(server));
+                return Err(AttemptFailure::Left(server));
             }
-            pause = LOOK_AGAIN;
+            pause = LEAVE_RETRY_INTERVAL;
         }
     }
 
     /// Leaves a silent server, if another one takes the request.
     pub(crate) fn leave(&self) -> Option<backend::Id> {
-        let server = self.account.leave_for_another()?;
-        self.trace.attempt_ended(Failed::Unclear(Unclear::Silent), None);
+        let server = self.handle.leave_for_another()?;
+        self.trace.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
         Some(server)
     }
 
@@ -185,10 +176,14 @@
     /// # Errors
     ///
     /// The request is over, with this answer to the caller.
-    pub(crate) async fn after(&self, shared: &Shared, end: Ended) -> Result<Arc<Server>, Problem> {
+    pub(crate) async fn server_after(
+        &self,
+        shared: &Shared,
+        end: AttemptFailure,
+    ) -> Result<Arc<Server>, Problem> {
         match end {
-            Ended::Failed(failed) => self.next(shared, failed).await,
-            Ended::Left(server) => self.server(shared, &server).await,
+            AttemptFailure::Failed(failed) => self.next_server(shared, failed).await,
+            AttemptFailure::Left(server) => self.server(shared, &server).await,
         }
     }
 
@@ -198,33 +193,37 @@
         shared: &Arc<Shared>,
         server: &Arc<Server>,
         after: Option<u64>,
-    ) -> Result<Begun, Failed> {
+    ) -> Result<ResponseStart, AttemptEnd> {
         let left = self.left(shared);
         self.trace.sent(server, after, left);
         let options = ForwardOptions {
             server: &server.name,
             deadline: left,
-            priority: RANK,
-            resume: after.or(self.held.ask.resume),
+            priority: SERVER_PRIORITY,
+            resume: after.or(self.request.info.resume),
         };
-        self.account.sent.store(true, Ordering::Relaxed);
+        self.handle.sent.store(true, Ordering::Relaxed);
         let begun = attempt::begin(shared, server, self, &options).await;
-        if let Err(Failed::NotRun(_) | Failed::Unreachable(_)) = begun {
-            self.account.sent.store(false, Ordering::Relaxed);
+        if let Err(AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_)) = begun {
+            self.handle.sent.store(false, Ordering::Relaxed);
         }
         begun
     }
 
     /// What its caller is told when its time is over.
     pub(crate) fn timed_out(&self) -> Problem {
-        if self.account.sent.load(Ordering::Relaxed) {
+        if self.handle.sent.load(Ordering::Relaxed) {
             return Problem::TimedOut;
         }
-        self.trace.refused(Refusal::TooLate, Duration::ZERO, Some(ELSEWHERE));
-        Problem::NotRun(ELSEWHERE)
+        self.trace.refused(Refusal::TooLate, Duration::ZERO, Some(RETRY_ELSEWHERE_AFTER));
+        Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
-    async fn follow(&self, shared: &Shared, verdict: Verdict) -> Result<Arc<Server>, Problem> {
+    async fn apply_verdict(
+        &self,
+        shared: &Shared,
+        verdict: Verdict,
+    ) -> Result<Arc<Server>, Problem> {
         match verdict {
             Verdict::Send(server) => self.server(shared, &server).await,
             Verdict::Wait => {
@@ -233,22 +232,22 @@
             }
             Verdict::Missing { model, adapter } => {
                 self.trace.queued("missing", self.left(shared));
-                shared.missing(&self.service, &model, adapter.as_ref());
+                shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             Verdict::Refuse { cause, after } => {
-                self.account.close();
+                self.handle.close();
                 self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
             // What waits leaves no server.
             Verdict::Quarantined => {
-                self.account.close();
+                self.handle.close();
                 self.trace.refused(Refusal::Poison, self.left(shared), None);
                 Err(Problem::Unclear)
             }
             Verdict::Unclear | Verdict::Leave => {
-                self.account.close();
+                self.handle.close();
                 Err(Problem::Unclear)
             }
         }
@@ -256,8 +255,8 @@
 
     /// It is refused, since this host is about to stop.
     fn stopping(&self, shared: &Shared) -> Problem {
-        self.trace.refused(Refusal::Stopping, self.left(shared), Some(ELSEWHERE));
-        Problem::NotRun(ELSEWHERE)
+        self.trace.refused(Refusal::Stopping, self.left(shared), Some(RETRY_ELSEWHERE_AFTER));
+        Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
     /// The server that was chosen; another one if it has gone in between.
@@ -269,53 +268,53 @@
                 Ok(server)
             }
             None => {
-                let gone = Failed::Unreachable(dispatch::Unreachable::Refused);
-                Box::pin(self.next(shared, gone)).await
+                let gone = AttemptEnd::Unreachable(dispatch::Unreachable::Refused);
+                Box::pin(self.next_server(shared, gone)).await
             }
         }
     }
 
     async fn wait(&self, shared: &Shared) -> Result<Arc<Server>, Problem> {
-        let news = shared.wait(self.held.ticket);
+        let verdict = shared.wait_for_verdict(self.request.ticket);
         let verdict = select! {
-            verdict = news => verdict.ok(),
+            verdict = verdict => verdict.ok(),
             () = shared.closing.cancelled() => {
-                self.account.end(Failed::Cancelled);
+                self.handle.end(AttemptEnd::Cancelled);
                 None
             }
         };
         match verdict {
-            Some(verdict) => Box::pin(self.follow(shared, verdict)).await,
+            Some(verdict) => Box::pin(self.apply_verdict(shared, verdict)).await,
             None => Err(self.stopping(shared)),
         }
     }
 
-    fn ask(&self) -> dispatch::RequestSpec {
-        let held = &self.held.ask;
+    fn spec(&self) -> dispatch::RequestSpec {
+        let info = &self.request.info;
         let deadline = self.received + self.limit;
-        let mut ask =
-            dispatch::RequestSpec::new(self.held.ticket, &self.route, &self.service, deadline);
-        ask.fingerprint = self.fingerprint;
-        ask.model = held.model.clone();
-        ask.adapter = held.adapter.clone();
-        ask.prompt = held.prompt.iter().map(|part| (part.id, part.tokens)).collect();
-        ask.input = held.tokens_in;
-        ask.output = held.length_hint.unwrap_or(held.tokens_out).min(held.tokens_out);
-        ask.resume = held.resume;
-        ask
+        let mut spec =
+            dispatch::RequestSpec::new(self.request.ticket, &self.route, &self.service, deadline);
+        spec.fingerprint = self.fingerprint;
+        spec.model = info.model.clone();
+        spec.adapter = info.adapter.clone();
+        spec.prompt = info.prompt.iter().map(|part| (part.id, part.tokens)).collect();
+        spec.input = info.tokens_in;
+        spec.output = info.length_hint.unwrap_or(info.tokens_out).min(info.tokens_out);
+        spec.resume = info.resume;
+        spec
     }
 }
 
 /// How an attempt ended without an answer.
-pub(crate) enum Ended {
+pub(crate) enum AttemptFailure {
     /// It failed.
-    Failed(Failed),
+    Failed(AttemptEnd),
     /// Another server has taken the request from a silent one.
     Left(backend::Id),
 }
 
-/// A request's account with the dispatcher; it is closed at the latest when it is dropped.
-pub(crate) struct Account {
+/// A request's handle with the dispatcher; it is closed at the latest when it is dropped.
+pub(crate) struct DispatchHandle {
     shared: Arc<Shared>,
     ticket: Ticket,
     closed: AtomicBool,
@@ -323,38 +322,38 @@
     sent: AtomicBool,
 }
 
-impl Account {
+impl DispatchHandle {
     /// The first byte or event of its answer has come.
-    pub(crate) fn first(&self) {
+    pub(crate) fn first_byte(&self) {
         self.shared.dispatcher().first_byte(self.ticket, self.shared.now());
         // Its prompt is read, so the next may follow.
         self.shared.dispatch_wakeup.notify_one();
     }
 
     /// It is over.
-    pub(crate) fn end(&self, end: Failed) {
+    pub(crate) fn end(&self, end: AttemptEnd) {
         if !self.closed.swap(true, Ordering::Relaxed) {
             self.shared.dispatcher().ended(self.ticket, end, self.shared.now());
             self.shared.dispatch_wakeup.notify_one();
         }
     }
 
-    fn arrive(&self, ask: dispatch::RequestSpec) -> Verdict {
+    fn arrive(&self, spec: dispatch::RequestSpec) -> Verdict {
         self.closed.store(false, Ordering::Relaxed);
-        let verdict = self.shared.dispatcher().arrive(ask, self.shared.now());
+        let verdict = self.shared.dispatcher().arrive(spec, self.shared.now());
         if matches!(verdict, Verdict::Wait | Verdict::Missing { .. }) {
             self.shared.dispatch_wakeup.notify_one();
         }
         verdict
     }
 
-    fn again(&self, end: Failed) -> dispatch::RetryDecision {
-        let again = self.shared.dispatcher().attempt_failed(self.ticket, end, self.shared.now());
+    fn retry(&self, end: AttemptEnd) -> dispatch::RetryDecision {
+        let decision = self.shared.dispatcher().attempt_failed(self.ticket, end, self.shared.now());
         self.shared.dispatch_wakeup.notify_one();
-        if matches!(again, dispatch::RetryDecision::GiveUp(_)) {
+        if matches!(decision, dispatch::RetryDecision::GiveUp(_)) {
             self.close();
         }
-        again
+        decision
     }
 
     /// Its caller has got so many events.
@@ -370,8 +369,8 @@
     }
 
     /// Ends when the request is to leave its server.
-    pub(crate) fn leave(&self) -> Leave {
-        self.shared.wait(self.ticket)
+    pub(crate) fn leave_signal(&self) -> LeaveSignal {
+        self.shared.wait_for_verdict(self.ticket)
     }
 
     /// The dispatcher has closed it.
@@ -380,38 +379,43 @@
     }
 }
 
-impl Drop for Account {
+impl Drop for DispatchHandle {
     fn drop(&mut self) {
-        self.shared.forget(self.ticket);
-        self.end(Failed::Cancelled);
+        self.shared.stop_waiting(self.ticket);
+        self.end(AttemptEnd::Cancelled);
     }
 }
 
 /// News that a request is to leave its server.
-pub(crate) type Leave = oneshot::Receiver<Verdict>;
+pub(crate) type LeaveSignal = oneshot::Receiver<Verdict>;
 
 /// A stream's way on to another server.
-pub(crate) struct Again {
+pub(crate) struct Resumer {
     pub(crate) shared: Arc<Shared>,
     pub(crate) call: Arc<Call>,
 }
 
 /// A stream that is being taken to another server.
-pub(crate) type Resuming = BoxFuture<'static, Result<Begun, Problem>>;
+pub(crate) type Resuming = BoxFuture<'static, Result<ResponseStart, Problem>>;
 
-impl Again {
+impl Resumer {
     /// Leaves a silent server, if another one takes the stream.
-    pub(crate) fn leave(&self) -> Option<Ended> {
-        self.call.leave().map(Ended::Left)
+    pub(crate) fn leave(&self) -> Option<AttemptFailure> {
+        self.call.leave().map(AttemptFailure::Left)
     }
 
     /// How long a server may take for its first event.
-    pub(crate) fn first(&self) -> Duration {
+    pub(crate) fn first_event_timeout(&self) -> Duration {
         attempt_timeout::first_event(self.call.route.goal)
     }
 
     /// Goes on after an event, once the connection to the server before is closed.
-    pub(crate) fn start(&self, before: Option<Flight>, after: Option<u64>, end: Ended) -> Resuming {
+    pub(crate) fn start(
+        &self,
+        before: Option<Flight>,
+        after: Option<u64>,
+        end: AttemptFailure,
+    ) -> Resuming {
         let (shared, call) = (self.shared.clone(), self.call.clone());
         async move {
             if let Some(flight) = before {
@@ -427,15 +431,15 @@
     shared: &Arc<Shared>,
     call: &Call,
     after: Option<u64>,
-    end: Ended,
-) -> Result<Begun, Problem> {
+    end: AttemptFailure,
+) -> Result<ResponseStart, Problem> {
     let mut end = end;
     let patience = attempt_timeout::first_event(call.route.goal);
     loop {
-        let server = call.after(shared, end).await?;
+        let server = call.server_after(shared, end).await?;
         end = match call.attempt(patience, call.send(shared, &server, after)).await {
             Ok(begun) if begun.head.status.is_success() => return Ok(begun),
-            Ok(_) => Ended::Failed(Failed::ServerError),
+            Ok(_) => AttemptFailure::Failed(AttemptEnd::ServerError),
             Err(ended) => ended,
         };
     }
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -11,10 +11,10 @@
 
 /// Longest time for a head, which counts from the end of the request before. Callers' connections
 /// must outlive the declared idle limit, whatever it becomes while they are open.
-const HEAD: Duration = Duration::from_secs(300);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Largest head that is read before the declared limit is looked at, in bytes.
-const HEAD_BYTES: usize = 128 * 1024;
+const MAX_HEAD_BYTES: usize = 128 * 1024;
 
 /// Serves callers until told to stop, and returns when the last connection has ended.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener, stop: CancellationToken) {
@@ -40,8 +40,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
-        .max_buf_size(HEAD_BYTES)
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
--- a/crates/relay/src/connect/wire.rs
+++ b/crates/relay/src/connect/wire.rs
@@ -17,46 +17,50 @@
 
 /// Whether something waits to be written.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Unwritten(Arc<AtomicBool>);
+pub(super) struct PendingWrite(Arc<AtomicBool>);
 
-impl Unwritten {
-    pub(super) fn is_some(&self) -> bool {
+impl PendingWrite {
+    pub(super) fn is_pending(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn set(&self, is_some: bool) {
-        self.0.store(is_some, Ordering::Relaxed);
+    fn set(&self, is_pending: bool) {
+        self.0.store(is_pending, Ordering::Relaxed);
     }
 }
 
 /// How a socket ends: in order, or with a reset that takes what is still held up on the way with it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Abrupt(Arc<AtomicBool>);
+pub(super) struct ResetOnClose(Arc<AtomicBool>);
 
-impl Abrupt {
-    pub(super) fn set(&self, is_abrupt: bool) {
-        self.0.store(is_abrupt, Ordering::Relaxed);
+impl ResetOnClose {
+    pub(super) fn set(&self, is_reset: bool) {
+        self.0.store(is_reset, Ordering::Relaxed);
     }
 }
 
 /// A socket. Its writer flushes it only when its own buffers are empty, which is what this rests on.
 pub(super) struct Wire {
     stream: TcpStream,
-    unwritten: Unwritten,
-    abrupt: Abrupt,
+    pending_write: PendingWrite,
+    reset_on_close: ResetOnClose,
 }
 
 impl Wire {
-    pub(super) fn new(stream: TcpStream) -> (Wire, Unwritten, Abrupt) {
-        let (unwritten, abrupt) = (Unwritten::default(), Abrupt::default());
-        let wire = Wire { stream, unwritten: unwritten.clone(), abrupt: abrupt.clone() };
-        (wire, unwritten, abrupt)
+    pub(super) fn new(stream: TcpStream) -> (Wire, PendingWrite, ResetOnClose) {
+        let (pending_write, reset_on_close) = (PendingWrite::default(), ResetOnClose::default());
+        let wire = Wire {
+            stream,
+            pending_write: pending_write.clone(),
+            reset_on_close: reset_on_close.clone(),
+        };
+        (wire, pending_write, reset_on_close)
     }
 }
 
 impl Drop for Wire {
     fn drop(&mut self) {
-        if self.abrupt.0.load(Ordering::Relaxed) {
+        if self.reset_on_close.0.load(Ordering::Relaxed) {
             // A socket that is gone already needs none.
             let _ = self.stream.set_zero_linger();
         }
@@ -80,7 +84,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let wire = self.get_mut();
-        wire.unwritten.set(true);
+        wire.pending_write.set(true);
         Pin::new(&mut wire.stream).poll_write(context, bytes)
     }
 
@@ -90,7 +94,7 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let wire = self.get_mut();
-        wire.unwritten.set(true);
+        wire.pending_write.set(true);
         Pin::new(&mut wire.stream).poll_write_vectored(context, parts)
     }
 
@@ -100,7 +104,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let wire = self.get_mut();
-        wire.unwritten.set(false);
+        wire.pending_write.set(false);
         Pin::new(&mut wire.stream).poll_flush(context)
     }
 
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -1,6 +1,6 @@
 //! Calls to model servers that are no requests: orders and reports.
 //!
-//! Each server has one kept connection for them. A call that runs out of time ends its connection
+//! Each server has one slot connection for them. A call that runs out of time ends its connection
 //! by a reset, so that nothing of it that is still held up on the way arrives later.
 
 use std::{
@@ -24,44 +24,44 @@
 };
 
 /// Longest time for a report.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest answer taken, in bytes.
-const LARGEST: usize = 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-type Kept = Arc<Mutex<Option<Connection>>>;
+type Slot = Arc<Mutex<Option<Connection>>>;
 
-/// Kept connections for orders and reports.
+/// Slot connections for orders and reports.
 #[derive(Default)]
 pub(crate) struct Control {
-    kept: StdMutex<HashMap<backend::Id, Kept>>,
+    slots: StdMutex<HashMap<backend::Id, Slot>>,
 }
 
 /// A connection that is held for one call.
-pub(crate) struct Line<'a> {
-    kept: MutexGuard<'a, Option<Connection>>,
+pub(crate) struct ControlConnection<'a> {
+    slot: MutexGuard<'a, Option<Connection>>,
     connection: Connection,
 }
 
 impl Control {
-    /// Where a server's connection is kept.
-    pub(crate) fn kept(&self, server: &Server) -> Kept {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.entry(server.id.clone()).or_default().clone()
+    /// Where a server's connection is slot.
+    pub(crate) fn slot(&self, server: &Server) -> Slot {
+        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
+        slots.entry(server.id.clone()).or_default().clone()
     }
 
     /// Forgets servers that are gone.
     pub(crate) fn sweep(&self, is_known: impl Fn(&backend::Id) -> bool) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(|server, _| is_known(server));
+        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
+        slots.retain(|server, _| is_known(server));
     }
 
     /// A server's report.
     pub(crate) async fn report(&self, dialect: &dyn Dialect, server: &Server) -> Option<Report> {
-        let kept = self.kept(server);
-        let response = tokio::time::timeout(REPORT, async {
-            let line = Line::open(server, &kept).await?;
-            line.exchange(server, dialect.report_call()).await
+        let slot = self.slot(server);
+        let response = tokio::time::timeout(REPORT_TIMEOUT, async {
+            let connection = ControlConnection::open(server, &slot).await?;
+            connection.exchange(server, dialect.report_call()).await
         })
         .await
         .ok()
@@ -70,16 +70,16 @@
     }
 }
 
-impl<'a> Line<'a> {
-    /// Takes a server's connection, a new one if none is kept.
-    pub(crate) async fn open(server: &Server, kept: &'a Kept) -> Option<Line<'a>> {
-        let mut kept = kept.lock().await;
-        let ready = kept.take().filter(|connection| connection.sender.is_ready());
+impl<'a> ControlConnection<'a> {
+    /// Takes a server's connection, a new one if none is slot.
+    pub(crate) async fn open(server: &Server, slot: &'a Slot) -> Option<ControlConnection<'a>> {
+        let mut slot = slot.lock().await;
+        let ready = slot.take().filter(|connection| connection.sender.is_ready());
         let connection = match ready {
             Some(connection) => connection,
-            None => connect::open_abrupt(server.address).await.ok()?,
+            None => connect::open_with_reset(server.address).await.ok()?,
         };
-        Some(Line { kept, connection })
+        Some(ControlConnection { slot, connection })
     }
 
     /// Gives an order, and waits so long for the answer.
@@ -88,10 +88,10 @@
         dialect: &dyn Dialect,
         server: &Server,
         order: &Order,
-        flight: Duration,
+        timeout: Duration,
     ) -> OrderReply {
         let call = self.exchange(server, dialect.order_call(order));
-        match tokio::time::timeout(flight, call).await {
+        match tokio::time::timeout(timeout, call).await {
             Ok(Some(response)) => dialect.order_reply(&response),
             Ok(None) | Err(_) => OrderReply { status: OrderStatus::Unknown, born: 0 },
         }
@@ -107,8 +107,8 @@
         request.headers_mut().insert(header::HOST, host);
         let response = self.connection.sender.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, LARGEST).collect().await.ok()?.to_bytes();
-        *self.kept = Some(self.connection);
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
+        *self.slot = Some(self.connection);
         Some(Response::from_parts(head, body))
     }
 }
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/deadline.rs
@@ -20,7 +20,7 @@
 use crate::{clock::Clock, host::Shared};
 
 /// Ends when a moment has come.
-pub(crate) struct Limit {
+pub(crate) struct Deadline {
     end: Moment,
     clock: Clock,
     jumped: Arc<Notify>,
@@ -28,34 +28,34 @@
     sleep: Pin<Box<Sleep>>,
 }
 
-impl Limit {
+impl Deadline {
     /// Ends at this moment of the host's clock.
-    pub(crate) fn at(shared: &Shared, end: Moment) -> Limit {
-        let (clock, jumped) = (shared.clock, shared.jumped.clone());
+    pub(crate) fn at(shared: &Shared, end: Moment) -> Deadline {
+        let (clock, jumped) = (shared.clock, shared.clock_jumped.clone());
         let jump = Box::pin(jumped.clone().notified_owned());
         let sleep = Box::pin(sleep(end.saturating_sub(clock.now())));
-        Limit { end, clock, jumped, jump, sleep }
+        Deadline { end, clock, jumped, jump, sleep }
     }
 }
 
-impl Future for Limit {
+impl Future for Deadline {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        let limit = self.get_mut();
+        let deadline = self.get_mut();
         loop {
-            let has_jumped = limit.jump.as_mut().poll(context).is_ready();
+            let has_jumped = deadline.jump.as_mut().poll(context).is_ready();
             if has_jumped {
-                limit.jump = Box::pin(limit.jumped.clone().notified_owned());
+                deadline.jump = Box::pin(deadline.jumped.clone().notified_owned());
             }
-            if !has_jumped && limit.sleep.as_mut().poll(context).is_pending() {
+            if !has_jumped && deadline.sleep.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            let left = limit.end.saturating_sub(limit.clock.now());
+            let left = deadline.end.saturating_sub(deadline.clock.now());
             if left.is_zero() {
                 return Poll::Ready(());
             }
-            limit.sleep.as_mut().reset(Instant::now() + left);
+            deadline.sleep.as_mut().reset(Instant::now() + left);
         }
     }
 }
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -19,10 +19,10 @@
 use crate::host::Shared;
 
 /// Time between two lines on what the planner was given.
-const PAUSE: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Reports that a host sends at once, at the most.
-const MOST_REPORTS: usize = 4;
+const MAX_REPORTS_PER_ROUND: usize = 4;
 
 /// Demand reports that this host sends, and receives while it plans.
 #[derive(Debug)]
@@ -36,12 +36,12 @@
     holder: Option<(Fence, host::Id)>,
     /// Hosts that are live.
     hosts: usize,
-    given: Given,
+    totals: Totals,
 }
 
 /// Requests that the planner was given since the last line.
 #[derive(Debug, Default)]
-struct Given {
+struct Totals {
     began: Option<Moment>,
     own: u64,
     others: u64,
@@ -54,7 +54,7 @@
             collector: Collector::default(),
             holder: None,
             hosts: 1,
-            given: Given::default(),
+            totals: Totals::default(),
         }))
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Takes in which host plans, unless a later one is known.
-    pub(crate) fn holder_heard(&self, holder: &host::Id, fence: Fence) {
+    pub(crate) fn observe_holder(&self, holder: &host::Id, fence: Fence) {
         let mut state = self.demand.lock();
         if state.holder.as_ref().is_none_or(|(known, _)| *known < fence) {
             state.holder = Some((fence, holder.clone()));
@@ -92,10 +92,10 @@
     }
 
     /// Takes in how many hosts are live and who holds the lease, as the exchange has it.
-    pub(crate) fn demand_hosts(&self, snapshot: &FleetSnapshot) {
+    pub(crate) fn observe_hosts(&self, snapshot: &FleetSnapshot) {
         self.demand.lock().hosts = snapshot.live;
         if let Some(lease) = &snapshot.lease {
-            self.holder_heard(&lease.holder, lease.fence);
+            self.observe_holder(&lease.holder, lease.fence);
         }
     }
 
@@ -105,19 +105,19 @@
         let Some(fence) = self.term().fence(now) else { return };
         self.begin_term(fence, now);
         let arrivals = self.demand.lock().collector.take(from, report, now);
-        self.give_demand(Origin::Others, arrivals);
+        self.record_demand(Origin::Others, arrivals);
     }
 
     fn report_demand(&self, exchange: &Exchange) {
         let now = self.now();
         let fence = self.term().fence(now);
         match fence {
-            Some(fence) => self.give_own(fence, now),
+            Some(fence) => self.record_own(fence, now),
             None => self.send_reports(exchange, now),
         }
     }
 
-    fn give_own(&self, fence: Fence, now: Moment) {
+    fn record_own(&self, fence: Fence, now: Moment) {
         self.begin_term(fence, now);
         let mut state = self.demand.lock();
         let mut arrivals = Vec::new();
@@ -127,7 +127,7 @@
             arrivals.extend(state.collector.take(&self.host.id, report, now));
         }
         drop(state);
-        self.give_demand(Origin::Own, arrivals);
+        self.record_demand(Origin::Own, arrivals);
     }
 
     fn send_reports(&self, exchange: &Exchange, now: Moment) {
@@ -138,7 +138,7 @@
         };
         state.reporter.begin(fence, now);
         let mut reports: Vec<_> = state.reporter.report(now).into_iter().collect();
-        while state.reporter.has_unsent() && reports.len() < MOST_REPORTS {
+        while state.reporter.has_unsent() && reports.len() < MAX_REPORTS_PER_ROUND {
             reports.extend(state.reporter.report(now));
         }
         drop(state);
@@ -162,7 +162,7 @@
         self.notify(Notice::LeaseAcquired { fence });
     }
 
-    fn give_demand(&self, origin: Origin, arrivals: Vec<Arrival>) {
+    fn record_demand(&self, origin: Origin, arrivals: Vec<Arrival>) {
         let requests = arrivals.iter().map(|arrival| u64::from(arrival.work.requests)).sum();
         let mut planner = self.planner();
         for Arrival { subject, work, at } in arrivals {
@@ -170,33 +170,33 @@
         }
         drop(planner);
         self.meters.demand(origin, requests);
-        let given = &mut self.demand.lock().given;
+        let totals = &mut self.demand.lock().totals;
         match origin {
-            Origin::Own => given.own += requests,
-            Origin::Others => given.others += requests,
+            Origin::Own => totals.own += requests,
+            Origin::Others => totals.others += requests,
         }
     }
 
     /// Writes how many requests the planner was given, if a line is due.
-    pub(crate) fn show_demand(&self, now: Moment) {
+    pub(crate) fn log_demand(&self, now: Moment) {
         let mut state = self.demand.lock();
-        let began = *state.given.began.get_or_insert(now);
-        if now < began + PAUSE {
+        let began = *state.totals.began.get_or_insert(now);
+        if now < began + LOG_INTERVAL {
             return;
         }
         let hosts = state.collector.reporting(now);
-        let given =
-            std::mem::replace(&mut state.given, Given { began: Some(now), own: 0, others: 0 });
+        let totals =
+            std::mem::replace(&mut state.totals, Totals { began: Some(now), own: 0, others: 0 });
         drop(state);
         let took = now.saturating_sub(began).as_millis() as u64;
         log::info!(
-            own = given.own, others = given.others, hosts = hosts, ms = took;
+            own = totals.own, others = totals.others, hosts = hosts, ms = took;
             "demand given to the planner"
         );
     }
 
     /// This host plans no longer.
-    pub(crate) fn hide_demand(&self) {
-        self.demand.lock().given = Given::default();
+    pub(crate) fn reset_demand_log(&self) {
+        self.demand.lock().totals = Totals::default();
     }
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -36,7 +36,7 @@
     written: Revision,
     presence: Presence,
     /// The revision as of which a peer has said that the server leaves.
-    left: Option<Revision>,
+    left_at: Option<Revision>,
 }
 
 /// Whether the store has an entry of a server.
@@ -104,9 +104,9 @@
             return None;
         }
         let server = Arc::new(server);
-        let left = self.entries.get(&server.id).and_then(|known| known.left);
+        let left_at = self.entries.get(&server.id).and_then(|known| known.left_at);
         let presence = Presence::Registered;
-        let entry = Entry { server: server.clone(), written, presence, left };
+        let entry = Entry { server: server.clone(), written, presence, left_at };
         self.entries.insert(server.id.clone(), entry);
         let before = self.runs.insert(server.name.clone(), server.id.clone());
         if let Some(before) = before.filter(|before| *before != server.id) {
@@ -131,7 +131,7 @@
     /// Notes that a server leaves, as a peer has it from the store as of a revision.
     pub fn leave(&mut self, id: &backend::Id, revision: Revision) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.left = entry.left.max(Some(revision));
+            entry.left_at = entry.left_at.max(Some(revision));
         }
     }
 
@@ -139,7 +139,7 @@
     /// leaves and the entry was not written since.
     pub fn is_leaving(&self, id: &backend::Id) -> bool {
         self.entries.get(id).is_some_and(|entry| {
-            entry.server.state == State::Draining || Some(entry.written) <= entry.left
+            entry.server.state == State::Draining || Some(entry.written) <= entry.left_at
         })
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// What the store's list changes; nothing if a peer has told of a later one meanwhile.
-    pub fn replace(&self, list: Registered) -> Delta {
+    pub fn diff_store_list(&self, list: Registered) -> Delta {
         if list.revision < self.revision {
             return Delta::default();
         }
@@ -196,7 +196,7 @@
     /// An entry that was written by the revision of this directory is known as it is here, or has gone
     /// since. Without that check, a host that had dropped a server took it back from a peer that still used
     /// it, for good, since the store says once that an entry went.
-    pub fn compare(&self, list: Registered) -> Delta {
+    pub fn diff_peer_list(&self, list: Registered) -> Delta {
         if list.revision <= self.revision {
             return Delta::default();
         }
@@ -210,7 +210,7 @@
                 None => delta.deleted.push(id),
             }
         }
-        let is_newer = |told: &exchange::Entry| self.revision < told.written;
+        let is_newer = |entry: &exchange::Entry| self.revision < entry.written;
         delta.upserted = list.servers.into_iter().filter(is_newer).collect();
         delta
     }
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -16,7 +16,7 @@
     story::{Belief, Heard, Teller, Words},
 };
 use policy::{
-    dispatch::{self, Change as News, Dispatcher, RetryBudgetConfig, Ticket, Verdict},
+    dispatch::{self, Change, Dispatcher, RetryBudgetConfig, Ticket, Verdict},
     place::{self, Planner},
     term::{self, OrderLease},
 };
@@ -27,15 +27,15 @@
 
 use crate::{
     clock::Clock, control::Control, demand::Demand, directory::Directory, edge::Dialect,
-    pace::Pace, peers::Counts, planning, pool::Pool, store::Store,
+    log_limiter::LogLimiter, peers::Counts, planning, pool::Pool, store::Store,
 };
 
 /// Time between two hosts that contend for a lease, and the number of times that there are.
-const CONTEND: Duration = Duration::from_millis(60);
-const CONTENDERS: u32 = 5;
+const CONTENTION_STEP: Duration = Duration::from_millis(60);
+const CONTENTION_SLOTS: u32 = 5;
 
 /// Hosts that share the retry budget until others are known.
-const HOSTS: u32 = 8;
+const ASSUMED_HOSTS: u32 = 8;
 
 /// What the parts of a host share.
 pub struct Shared {
@@ -46,19 +46,19 @@
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) clock: Clock,
     /// Tells when the clock has jumped, as after a suspension.
-    pub(crate) jumped: Arc<Notify>,
+    pub(crate) clock_jumped: Arc<Notify>,
     /// Tells what the host believes, and what becomes of requests.
     pub(crate) teller: Teller,
     pub(crate) metrics: Metrics,
     /// The metrics of the path.
     pub(crate) meters: Meters,
     /// When the declaration in force was last known to be the newest.
-    pub(crate) declared: Mutex<Moment>,
+    pub(crate) declaration_confirmed: Mutex<Moment>,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
     pub(crate) control: Control,
     /// Longest flight of an order.
-    pub(crate) flight: Duration,
+    pub(crate) order_timeout: Duration,
     /// Wakes the look at the queues before its next one is due.
     pub(crate) dispatch_wakeup: Notify,
     /// Wakes the planner before its next round is due.
@@ -80,11 +80,11 @@
     /// What is counted for peers.
     pub(crate) counts: Mutex<Counts>,
     /// Paces the log's lines on registrations that can't be read.
-    pub(crate) unreadable: Pace,
+    pub(crate) unreadable_servers_log: LogLimiter,
     /// Paces the log's lines on limits that can't be read.
-    pub(crate) unreadable_limits: Pace,
+    pub(crate) unreadable_limits_log: LogLimiter,
     /// When what is known of the servers was the store's word.
-    pub(crate) current: Mutex<Moment>,
+    pub(crate) servers_confirmed: Mutex<Moment>,
     exchange: OnceLock<Weak<Exchange>>,
     leaving: AtomicBool,
     open: AtomicU32,
@@ -98,7 +98,8 @@
         metrics: Metrics,
         clock: Clock,
     ) -> Shared {
-        let delay = CONTEND * (settings.host.id.bytes().map(u32::from).sum::<u32>() % CONTENDERS);
+        let delay = CONTENTION_STEP
+            * (settings.host.id.bytes().map(u32::from).sum::<u32>() % CONTENTION_SLOTS);
         let times = term::Settings { turn: routed.turn, delay, ..term::Settings::default() };
         let incarnation = rand::random();
         let term = OrderLease::new(settings.host.id.clone(), incarnation, times);
@@ -106,7 +107,7 @@
             host: settings.host.id.clone(),
             run: incarnation,
             zone: settings.host.zone.clone(),
-            hosts: HOSTS,
+            hosts: ASSUMED_HOSTS,
             retries: RetryBudgetConfig {
                 window: routed.retry.window,
                 ratio: routed.retry.ratio,
@@ -129,9 +130,9 @@
             teller,
             metrics,
             meters,
-            declared: Mutex::default(),
+            declaration_confirmed: Mutex::default(),
             control: Control::default(),
-            flight: times.flight,
+            order_timeout: times.flight,
             dispatch_wakeup: Notify::new(),
             plan_wakeup: Notify::new(),
             planner: Mutex::new(Planner::new(rules)),
@@ -142,16 +143,16 @@
             reports: Mutex::default(),
             demand: Demand::new(incarnation),
             counts: Mutex::default(),
-            unreadable: Pace::default(),
-            unreadable_limits: Pace::default(),
-            current: Mutex::default(),
+            unreadable_servers_log: LogLimiter::default(),
+            unreadable_limits_log: LogLimiter::default(),
+            servers_confirmed: Mutex::default(),
             exchange: OnceLock::new(),
             incarnation,
             host: settings.host,
             routed,
             dialect,
             clock,
-            jumped: Arc::default(),
+            clock_jumped: Arc::default(),
             pool: Pool::default(),
             closing: CancellationToken::new(),
             stop: CancellationToken::new(),
@@ -180,34 +181,34 @@
         }
         let version = declaration.version;
         self.teller.belief(Belief::Declaration { version, from });
-        self.is_newest();
+        self.confirm_declaration();
         planning::declare(&mut self.planner(), &declaration, self.now());
         self.dispatcher().declare(&declaration);
         self.notify(Notice::DeclarationInForce { version });
         self.declaration.store(Some(Arc::new(declaration)));
-        self.plan_for_known(before.as_deref());
+        self.register_known(before.as_deref());
     }
 
     /// The declaration in force was just seen to be the newest.
-    pub(crate) fn is_newest(&self) {
-        *self.declared.lock().unwrap_or_else(PoisonError::into_inner) = self.now();
+    pub(crate) fn confirm_declaration(&self) {
+        *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner) = self.now();
     }
 
     /// Shows what changes without an event.
-    pub(crate) fn measure(&self) {
+    pub(crate) fn update_metrics(&self) {
         if let Some(declaration) = self.declaration() {
-            let seen = *self.declared.lock().unwrap_or_else(PoisonError::into_inner);
+            let seen = *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
             self.meters.declaration(declaration.version, self.now().saturating_sub(seen));
         }
         let dispatcher = self.dispatcher();
         let at_servers: u32 = dispatcher.work().iter().map(|(_, _, count, _)| *count).sum();
         let waiting = dispatcher.waiting();
         drop(dispatcher);
-        self.measure_quotas();
-        self.measure_retries();
+        self.update_quota_metrics();
+        self.update_retry_metrics();
         self.meters.queue(Queue::Waiting, waiting);
         self.meters.queue(Queue::InFlight, at_servers as usize);
-        self.meters.queue(Queue::Open, self.open() as usize);
+        self.meters.queue(Queue::Open, self.open_requests() as usize);
     }
 
     /// The servers.
@@ -216,7 +217,7 @@
     }
 
     /// Joins the exchange with the other hosts.
-    pub(crate) fn join(&self, exchange: &Arc<Exchange>) {
+    pub(crate) fn set_exchange(&self, exchange: &Arc<Exchange>) {
         let _ = self.exchange.set(Arc::downgrade(exchange));
     }
 
@@ -246,19 +247,19 @@
     }
 
     /// A number for a request.
-    pub(crate) fn ticket(&self) -> Ticket {
+    pub(crate) fn next_ticket(&self) -> Ticket {
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Will tell what becomes of a request that waits.
-    pub(crate) fn wait(&self, ticket: Ticket) -> oneshot::Receiver<Verdict> {
+    pub(crate) fn wait_for_verdict(&self, ticket: Ticket) -> oneshot::Receiver<Verdict> {
         let (sender, receiver) = oneshot::channel();
         self.waiting().insert(ticket, sender);
         receiver
     }
 
     /// Nobody waits for news of a request any more.
-    pub(crate) fn forget(&self, ticket: Ticket) {
+    pub(crate) fn stop_waiting(&self, ticket: Ticket) {
         self.waiting().remove(&ticket);
     }
 
@@ -271,7 +272,7 @@
         drop(dispatcher);
         self.send_quotas(quotas);
         self.send_loans(loans);
-        for News { ticket, verdict } in changes {
+        for Change { ticket, verdict } in changes {
             if let Some(sender) = self.waiting().remove(&ticket) {
                 // One that has gone meanwhile has told the dispatcher.
                 let _ = sender.send(verdict);
@@ -304,21 +305,21 @@
     }
 
     /// Counts a request in; it is counted out when the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Entered {
+    pub(crate) fn open_request(self: &Arc<Self>) -> OpenGuard {
         self.open.fetch_add(1, Ordering::Relaxed);
-        Entered(self.clone())
+        OpenGuard(self.clone())
     }
 
     /// Requests that are open.
-    pub(crate) fn open(&self) -> u32 {
+    pub(crate) fn open_requests(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 }
 
 /// A request that is open.
-pub(crate) struct Entered(Arc<Shared>);
+pub(crate) struct OpenGuard(Arc<Shared>);
 
-impl Drop for Entered {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -13,29 +13,29 @@
 };
 
 /// Name of the lease on orders.
-const NAME: &str = "orders";
+const LEASE_NAME: &str = "orders";
 
 /// Pause between steps.
-const PACE: Duration = Duration::from_millis(50);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Contends for the lease and renews it until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut held = None;
-    shared.meters.lease(NAME, None);
+    shared.meters.lease(LEASE_NAME, None);
     loop {
         step(&shared).await;
-        held = tell(&shared, held);
-        sleep(PACE).await;
+        held = report_change(&shared, held);
+        sleep(STEP_INTERVAL).await;
     }
 }
 
 /// Tells whether the lease was gained or lost since the last look.
-fn tell(shared: &Shared, before: Option<Fence>) -> Option<Fence> {
+fn report_change(shared: &Shared, before: Option<Fence>) -> Option<Fence> {
     let held = shared.term().fence(shared.now());
     if held == before {
         return held;
     }
-    shared.meters.lease(NAME, held);
+    shared.meters.lease(LEASE_NAME, held);
     if let Some(fence) = before {
         let (state, why) = match shared.is_leaving() {
             true => (LeaseState::Released, "the host is about to stop"),
@@ -50,7 +50,7 @@
 }
 
 fn belief(state: LeaseState, fence: Fence, why: &'static str) -> Belief {
-    let (duty, why) = (Word::Borrowed(NAME), Word::Borrowed(why));
+    let (duty, why) = (Word::Borrowed(LEASE_NAME), Word::Borrowed(why));
     Belief::Lease { duty, state, fence, left: None, why }
 }
 
@@ -61,18 +61,20 @@
         Step::Read => read(shared).await,
         Step::Create(lease) => {
             let Ok(content) = serde_json::to_value(&lease) else { return };
-            write(shared, &Call::Create { kind: Kind::Lease, name: NAME, content: &content }).await;
+            write(shared, &Call::Create { kind: Kind::Lease, name: LEASE_NAME, content: &content })
+                .await;
         }
         Step::Replace(revision, lease) => {
             let Ok(content) = serde_json::to_value(&lease) else { return };
-            let call = Call::Replace { kind: Kind::Lease, name: NAME, revision, content: &content };
+            let call =
+                Call::Replace { kind: Kind::Lease, name: LEASE_NAME, revision, content: &content };
             write(shared, &call).await;
         }
     }
 }
 
 async fn read(shared: &Shared) {
-    match shared.store.brief_call(&Call::Get { kind: Kind::Lease, name: NAME }).await {
+    match shared.store.lease_call(&Call::Get { kind: Kind::Lease, name: LEASE_NAME }).await {
         StoreReply::Object(object) => {
             let stored = stored(&object);
             if stored.is_some() {
@@ -80,12 +82,12 @@
             }
         }
         StoreReply::Absent => shared.term().observe(shared.now(), None),
-        told => log::debug!(told:? = told; "the lease can't be read"),
+        reply => log::debug!(told:? = reply; "the lease can't be read"),
     }
 }
 
 async fn write(shared: &Shared, call: &Call<'_>) {
-    let outcome = match shared.store.brief_call(call).await {
+    let outcome = match shared.store.lease_call(call).await {
         StoreReply::Object(object) => Outcome::Done(object.revision),
         StoreReply::Conflict(object) => Outcome::Conflict(object.as_ref().and_then(stored)),
         StoreReply::Absent => Outcome::Absent,
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -22,29 +22,29 @@
 };
 
 use crate::{
-    attempt::{Begun, Failed, Held, Link},
-    call::{Again, Call, Ended},
+    attempt::{AttemptEnd, BufferedRequest, OpenResponse, ResponseStart},
+    call::{AttemptFailure, Call, Resumer},
+    deadline::Deadline,
     edge::{Problem, RequestInfo},
     fields,
-    host::{Entered, Shared},
-    limit::Limit,
-    stream::{Delivery, Events, Resume, Watch},
+    host::{OpenGuard, Shared},
+    stream::{Delivery, Events, Resume, StreamTimer},
     trace::Trace,
 };
 
 /// When to come back to a host that has no declaration yet.
-const COME_BACK: Duration = Duration::from_millis(300);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Longest wait for a request's body.
-const BODY: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Largest answer that is held whole before it is delivered, in bytes.
-const WHOLE: usize = 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES: usize = 1024 * 1024;
 
 /// Answers a request of a caller.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Delivery> {
-    let entered = shared.enter();
-    let mut response = match read(&shared, request, entered).await {
+    let open = shared.open_request();
+    let mut response = match read(&shared, request, open).await {
         Ok(call) => serve(&shared, &Arc::new(call)).await,
         Err(refused) => refused,
     };
@@ -66,38 +66,38 @@
 async fn read(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
-    entered: Entered,
+    open: OpenGuard,
 ) -> Result<Call, Response<Delivery>> {
     let received = shared.now();
     let (head, body) = request.into_parts();
     let declaration = shared.declaration();
-    let Ok(ask) = shared.dialect.request_info(&head) else {
+    let Ok(info) = shared.dialect.request_info(&head) else {
         let (cause, problem) = match declaration {
             Some(_) => (Refusal::Malformed, Problem::Malformed),
-            None => (Refusal::NoDeclaration, Problem::NotRun(COME_BACK)),
+            None => (Refusal::NoDeclaration, Problem::NotRun(NOT_READY_RETRY_AFTER)),
         };
         shared.meters.refusal(cause);
         return Err(refuse(shared, problem));
     };
-    let trace = Trace::begin(shared, &ask.id, received);
+    let trace = Trace::begin(shared, &info.id, received);
     let Some(declaration) = declaration else {
-        trace.refused(Refusal::NoDeclaration, BODY, Some(COME_BACK));
-        return Err(fail(shared, &trace, Problem::NotRun(COME_BACK)));
+        trace.refused(Refusal::NoDeclaration, BODY_TIMEOUT, Some(NOT_READY_RETRY_AFTER));
+        return Err(fail(shared, &trace, Problem::NotRun(NOT_READY_RETRY_AFTER)));
     };
-    let found = find(shared, &declaration, &ask, body).await;
+    let found = find(shared, &declaration, &info, body).await;
     let (route, service, body) = found.map_err(|problem| fail(shared, &trace, problem))?;
-    let fingerprint = hash(&(&ask.host, &ask.path, &body));
-    let held = Held {
-        ask,
-        ticket: shared.ticket(),
+    let fingerprint = hash(&(&info.host, &info.path, &body));
+    let buffered = BufferedRequest {
+        info,
+        ticket: shared.next_ticket(),
         method: head.method,
         uri: head.uri,
         headers: head.headers,
         body,
     };
     let way = (route, service);
-    let call = Call::new(shared, held, way, fingerprint, received, entered, trace);
-    call.arrived(declaration.version);
+    let call = Call::new(shared, buffered, way, fingerprint, received, open, trace);
+    call.trace_arrival(declaration.version);
     Ok(call)
 }
 
@@ -105,13 +105,13 @@
 async fn find(
     shared: &Shared,
     declaration: &Declaration,
-    ask: &RequestInfo,
+    info: &RequestInfo,
     body: Incoming,
 ) -> Result<(Route, service::Id, Bytes), Problem> {
-    let route = shared.dispatcher().route(&ask.host, &ask.path).cloned();
+    let route = shared.dispatcher().route(&info.host, &info.path).cloned();
     let route = route.ok_or(Problem::NoRoute)?;
     let body = collect(declaration, body).await?;
-    let service = dispatch::split(&route, hash(&ask.id)).cloned().ok_or(Problem::NoRoute)?;
+    let service = dispatch::split(&route, hash(&info.id)).cloned().ok_or(Problem::NoRoute)?;
     Ok((route, service, body))
 }
 
@@ -131,7 +131,7 @@
 
 async fn collect(declaration: &Declaration, body: Incoming) -> Result<Bytes, Problem> {
     let most = usize::try_from(declaration.limits.body_bytes).unwrap_or(usize::MAX);
-    let collected = timeout(BODY, Limited::new(body, most).collect()).await;
+    let collected = timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await;
     let collected = collected.map_err(|_| Problem::Malformed)?;
     let body = collected.map_err(|error| {
         if error.is::<LengthLimitError>() { Problem::TooLarge } else { Problem::Malformed }
@@ -140,11 +140,11 @@
 }
 
 async fn serve(shared: &Arc<Shared>, call: &Arc<Call>) -> Response<Delivery> {
-    shared.arrived(call);
+    shared.record_request(call);
     let ended = select! {
         biased;
         ended = attempts(shared, call) => ended,
-        () = Limit::at(shared, call.end()) => Err(call.timed_out()),
+        () = Deadline::at(shared, call.end()) => Err(call.timed_out()),
     };
     match ended {
         Ok(response) => {
@@ -160,19 +160,19 @@
 }
 
 async fn attempts(shared: &Arc<Shared>, call: &Arc<Call>) -> Result<Response<Delivery>, Problem> {
-    let mut server = call.first(shared).await?;
+    let mut server = call.first_server(shared).await?;
     let mut failure = None;
     loop {
         let end = match attempt(shared, call, &server).await {
             Ok(response) if !response.status().is_server_error() => return Ok(response),
             Ok(response) => {
-                call.trace.attempt_ended(Failed::ServerError, Some(response.status()));
+                call.trace.attempt_ended(AttemptEnd::ServerError, Some(response.status()));
                 failure = Some(response);
-                Ended::Failed(Failed::ServerError)
+                AttemptFailure::Failed(AttemptEnd::ServerError)
             }
             Err(ended) => ended,
         };
-        server = match call.after(shared, end).await {
+        server = match call.server_after(shared, end).await {
             Ok(server) => server,
             // A server's own failure says more than ours.
             Err(problem) => return failure.ok_or(problem),
@@ -186,13 +186,13 @@
     shared: &Arc<Shared>,
     call: &Arc<Call>,
     server: &Arc<Server>,
-) -> Result<Response<Delivery>, Ended> {
+) -> Result<Response<Delivery>, AttemptFailure> {
     let answer = async {
         let begun = call.send(shared, server, None).await?;
         deliver(shared, call, begun).await
     };
     if !call.may_repeat() {
-        return answer.await.map_err(Ended::Failed);
+        return answer.await.map_err(AttemptFailure::Failed);
     }
     let patience = match call.route.kind {
         Kind::Idempotent | Kind::NonIdempotent => {
@@ -206,37 +206,43 @@
 async fn deliver(
     shared: &Arc<Shared>,
     call: &Arc<Call>,
-    begun: Begun,
-) -> Result<Response<Delivery>, Failed> {
-    let Begun { mut head, mut link } = begun;
+    begun: ResponseStart,
+) -> Result<Response<Delivery>, AttemptEnd> {
+    let ResponseStart { mut head, mut response } = begun;
     fields::strip(&mut head.headers);
     if call.route.kind == Kind::Stream && head.status.is_success() {
         head.headers.remove(header::CONTENT_LENGTH);
-        let body = Delivery::Events(Box::new(events(shared, call, link)));
+        let body = Delivery::Events(Box::new(events(shared, call, response)));
         return Ok(Response::from_parts(head, body));
     }
     call.trace.first(Some(head.status));
-    let body = Limited::new(&mut link.body, WHOLE).collect().await;
-    let body = body.map_err(|_| Failed::Unclear(Unclear::Cut))?.to_bytes();
-    link.finish();
+    let body = Limited::new(&mut response.body, MAX_BUFFERED_BODY_BYTES).collect().await;
+    let body = body.map_err(|_| AttemptEnd::Unclear(Unclear::Cut))?.to_bytes();
+    response.finish();
     if !head.status.is_server_error() {
-        call.account.end(Failed::Completed);
+        call.handle.end(AttemptEnd::Completed);
     }
-    if call.held.method != Method::HEAD {
+    if call.request.method != Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
     }
     Ok(Response::from_parts(head, Delivery::whole(body)))
 }
 
-fn events(shared: &Arc<Shared>, call: &Arc<Call>, link: Link) -> Events {
-    let end = Limit::at(shared, call.end());
-    let after = call.held.ask.resume;
+fn events(shared: &Arc<Shared>, call: &Arc<Call>, response: OpenResponse) -> Events {
+    let end = Deadline::at(shared, call.end());
+    let after = call.request.info.resume;
     if !call.may_repeat() {
-        return Events::new(link, after, Resume::Never, Watch::until(end), call.clone());
+        return Events::new(
+            response,
+            after,
+            Resume::Never,
+            StreamTimer::until_end(end),
+            call.clone(),
+        );
     }
-    let again = Again { shared: shared.clone(), call: call.clone() };
-    let first = link.flight.began + again.first();
-    let watch = Watch::pauses(end, first, attempt_timeout::next_event(call.route.gap));
-    let resume = Resume::At(again, call.account.leave());
-    Events::new(link, after, resume, watch, call.clone())
+    let resumer = Resumer { shared: shared.clone(), call: call.clone() };
+    let first = response.flight.began + resumer.first_event_timeout();
+    let timer = StreamTimer::with_timeouts(end, first, attempt_timeout::next_event(call.route.gap));
+    let resume = Resume::OtherServer(resumer, call.handle.leave_signal());
+    Events::new(response, after, resume, timer, call.clone())
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -28,13 +28,13 @@
 use crate::host::Shared;
 
 /// Pause between two rounds of telling and reading.
-const ROUND: Duration = Duration::from_millis(60);
+const ROUND_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Least time between two notices that the same thing is waited for.
-const WANTED: Duration = Duration::from_millis(100);
+const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time behind the peers' servers after which they are asked of a peer.
-const CUT: Duration = Duration::from_millis(600);
+const BEHIND_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// What this host has counted for its peers, and of them.
 #[derive(Default)]
@@ -44,27 +44,28 @@
     /// The last change known here when peers were first seen ahead of it, and when that was.
     behind: Option<(Revision, Moment)>,
     /// Whether the others were told of limits in the last round.
-    tells_limits: bool,
-    wanted: HashMap<(model::Id, Option<adapter::Id>), Moment>,
+    published_limits: bool,
+    load_requests: HashMap<(model::Id, Option<adapter::Id>), Moment>,
 }
 
 impl Counts {
     /// Counts a request.
-    pub(crate) fn arrived(&mut self, service: &service::Id) {
+    pub(crate) fn record_request(&mut self, service: &service::Id) {
         *self.arrivals.entry(service.clone()).or_default() += 1;
     }
 
     /// Whether a notice is due that something is waited for; it counts as given then.
-    pub(crate) fn is_due(
+    pub(crate) fn load_request_is_due(
         &mut self,
         model: &model::Id,
         adapter: Option<&adapter::Id>,
         now: Moment,
     ) -> bool {
         let key = (model.clone(), adapter.cloned());
-        let is_due = self.wanted.get(&key).is_none_or(|last| *last + WANTED <= now);
+        let is_due =
+            self.load_requests.get(&key).is_none_or(|last| *last + LOAD_REQUEST_INTERVAL <= now);
         if is_due {
-            self.wanted.insert(key, now);
+            self.load_requests.insert(key, now);
         }
         is_due
     }
@@ -91,10 +92,10 @@
     }
 }
 
-/// Answers peers' calls.
-pub(crate) struct Answers(pub(crate) Weak<Shared>);
+/// PeerSource peers' calls.
+pub(crate) struct PeerSource(pub(crate) Weak<Shared>);
 
-impl Source for Answers {
+impl Source for PeerSource {
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>> {
         self.0.upgrade()?.declaration().filter(|declaration| above < declaration.version)
     }
@@ -102,15 +103,15 @@
     fn servers(&self, above: Revision) -> Option<Registered> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
-        let is_news = above < directory.revision();
-        is_news.then(|| directory.registered(above, shared.age_of_servers(), shared.now()))
+        let is_newer = above < directory.revision();
+        is_newer.then(|| directory.registered(above, shared.servers_age(), shared.now()))
     }
 
     fn follow(&self, above: Revision) -> Option<Registered> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_known = 0 < directory.revision();
-        is_known.then(|| directory.registered(above, shared.age_of_servers(), shared.now()))
+        is_known.then(|| directory.registered(above, shared.servers_age(), shared.now()))
     }
 }
 
@@ -122,18 +123,22 @@
     let mut standings = BTreeMap::new();
     loop {
         let work = shared.dispatcher().work();
-        tell(&shared, &exchange);
+        publish(&shared, &exchange);
         let snapshot = exchange.fleet();
-        stand(&shared, &snapshot, &mut standings);
-        take(&shared, &snapshot, &work);
-        want(&shared);
-        follow(&shared, &exchange, &snapshot).await;
-        sleep(ROUND.max(exchange.interval())).await;
+        report_liveness(&shared, &snapshot, &mut standings);
+        apply(&shared, &snapshot, &work);
+        repeat_missing(&shared);
+        catch_up(&shared, &exchange, &snapshot).await;
+        sleep(ROUND_INTERVAL.max(exchange.interval())).await;
     }
 }
 
 /// Tells which of the others talk and which have fallen silent since the last look.
-fn stand(shared: &Shared, snapshot: &FleetSnapshot, before: &mut BTreeMap<host::Id, PeerStanding>) {
+fn report_liveness(
+    shared: &Shared,
+    snapshot: &FleetSnapshot,
+    before: &mut BTreeMap<host::Id, PeerStanding>,
+) {
     for status in &snapshot.hosts {
         let standing = match status.liveness {
             Liveness::Silent => PeerStanding::Silent,
@@ -147,7 +152,7 @@
     }
 }
 
-fn tell(shared: &Shared, exchange: &Exchange) {
+fn publish(shared: &Shared, exchange: &Exchange) {
     let now = shared.now();
     let state = match (shared.is_leaving(), shared.declaration()) {
         (true, _) => State::Leaving,
@@ -183,9 +188,10 @@
     let crashes = shared.dispatcher().poison().crashes(now);
     exchange.publish(Publication::Crashes(crashes));
     let limits = limits(shared);
-    let was_told =
-        counts(shared, |counts| std::mem::replace(&mut counts.tells_limits, !limits.is_empty()));
-    if was_told || !limits.is_empty() {
+    let was_published = counts(shared, |counts| {
+        std::mem::replace(&mut counts.published_limits, !limits.is_empty())
+    });
+    if was_published || !limits.is_empty() {
         exchange.publish(Publication::Limits(limits));
     }
 }
@@ -206,7 +212,7 @@
     leaving.map(|server| (server.id.clone(), Departure::Leaving)).collect()
 }
 
-fn take(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
+fn apply(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
     let live = snapshot.hosts.iter().filter(|status| status.liveness == Liveness::Live);
@@ -222,14 +228,14 @@
     drop(dispatcher);
     shared.drain(snapshot.servers.keys());
     shared.quota_hosts(snapshot);
-    shared.demand_hosts(snapshot);
+    shared.observe_hosts(snapshot);
     if shared.term().fence(now).is_some() {
-        tell_running(shared, snapshot, own);
+        update_in_flight(shared, snapshot, own);
     }
 }
 
 /// Tells the planner what runs where.
-fn tell_running(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
+fn update_in_flight(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let mut running: BTreeMap<(&backend::Id, &model::Id), u32> = BTreeMap::new();
     let others = snapshot.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
     let own = own.iter().map(|(server, model, requests, _)| (server, model, *requests));
@@ -237,19 +243,19 @@
         let Some(model) = model else { continue };
         *running.entry((server, model)).or_default() += requests;
     }
-    shared.running(&running, &mut shared.planner());
+    shared.set_in_flight(&running, &mut shared.planner());
 }
 
 /// Says again what requests wait for.
-fn want(shared: &Shared) {
+fn repeat_missing(shared: &Shared) {
     let missing = shared.dispatcher().missing();
     for (service, model, adapter, _) in missing {
-        shared.missing(&service, &model, adapter.as_ref());
+        shared.request_missing(&service, &model, adapter.as_ref());
     }
 }
 
 /// Catches up with a peer that is ahead.
-async fn follow(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
+async fn catch_up(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
     let version = shared.declaration().map_or(0, |declaration| declaration.version);
     if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
@@ -257,17 +263,17 @@
     // A host whose store answers lets changes gather, and is behind its peers meanwhile.
     let gather =
         if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
-    let patience = CUT + gather;
+    let patience = BEHIND_TIMEOUT + gather;
     let is_behind =
         |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, patience, shared.now());
     if !counts(shared, is_behind) {
         return;
     }
     if let Some(ahead) = snapshot.ahead_in_store(&shared.host.zone, shared.revision()).first()
-        && let Ok(Some(told)) =
+        && let Ok(Some(list)) =
             exchange.fetch_servers(ahead.member.address, shared.revision()).await
     {
-        shared.take_servers(told, &ahead.member.id);
+        shared.take_servers(list, &ahead.member.id);
     }
 }
 
@@ -302,9 +308,9 @@
     // A fetch takes up to its time limit, and the other notices don't wait for it.
     let (declared, versions) = unbounded_channel();
     tokio::spawn(fetch_declared(shared.clone(), exchange, versions));
-    while let Some(heard) = notices.recv().await {
+    while let Some(received) = notices.recv().await {
         let now = shared.now();
-        match heard.notice {
+        match received.notice {
             Notice::LoadRequested { model, adapter, .. } => {
                 shared.planner().record_waiting(&model, adapter.as_ref(), now);
                 shared.plan_wakeup.notify_one();
@@ -319,35 +325,35 @@
                 shared.dispatcher().model_unloading(&server, &model, adapter, sequence, now);
             }
             Notice::ServerLeaving { server, departure, revision } => {
-                let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
+                let origin = received.origin.unwrap_or_else(|| received.via.to_string().into());
                 let from = story::Heard::Peer(origin);
-                shared.departs(&server, departure, revision, &from);
+                shared.apply_departure(&server, departure, revision, &from);
             }
             Notice::DeclarationInForce { version } => {
                 // The reader of the channel ends with the process.
-                let _ = declared.send((version, heard.via));
+                let _ = declared.send((version, received.via));
             }
             Notice::LimitChanged { server, news } => {
-                let origin = heard.origin.unwrap_or_else(|| heard.via.to_string().into());
-                shared.limit_heard(&server, news, &origin);
+                let origin = received.origin.unwrap_or_else(|| received.via.to_string().into());
+                shared.receive_limit(&server, news, &origin);
             }
             Notice::Demand(report) => {
-                if let Some(origin) = &heard.origin {
+                if let Some(origin) = &received.origin {
                     shared.demand_received(origin, report);
                 }
             }
             Notice::LeaseAcquired { fence } => {
-                if let Some(origin) = &heard.origin {
-                    shared.holder_heard(origin, fence);
+                if let Some(origin) = &received.origin {
+                    shared.observe_holder(origin, fence);
                 }
             }
             Notice::Loan(message) => {
-                if let Some(origin) = &heard.origin {
+                if let Some(origin) = &received.origin {
                     shared.loan_received(origin, &message);
                 }
             }
             Notice::Quota(message) => {
-                if let Some(origin) = &heard.origin {
+                if let Some(origin) = &received.origin {
                     shared.quota_received(origin, &message);
                 }
             }
@@ -371,7 +377,7 @@
 }
 
 /// Tells the holder of the lease that a request waits for something.
-pub(crate) fn wanted(
+pub(crate) fn request_load(
     shared: &Shared,
     exchange: &Exchange,
     service: &service::Id,
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -11,40 +11,40 @@
 use types::{order::Fence, prelude::*, routed::Server};
 
 use crate::{
-    control::Line,
+    control::ControlConnection,
     edge::{self, OrderStatus},
     host::Shared,
-    wishes::{self, Wishes},
+    unplaced::{self, UnplacedReporter},
 };
 
 /// Longest pause between rounds of planning.
-const ROUND: Duration = Duration::from_millis(50);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Shortest pause between rounds of planning.
-const BREATH: Duration = Duration::from_millis(3);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(3);
 
 /// Time between two reports that are asked of one server.
-const REPORT: Duration = Duration::from_millis(120);
+const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
 /// The same for a server that names a limit: it may count reports as requests.
-const REPORT_LIMITED: Duration = Duration::from_secs(4);
+const LIMITED_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Plans until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut wishes = Wishes::default();
+    let mut unplaced = UnplacedReporter::default();
     loop {
         select! {
-            () = sleep(ROUND) => {}
-            () = shared.plan_wakeup.notified() => sleep(BREATH).await,
+            () = sleep(MAX_ROUND_INTERVAL) => {}
+            () = shared.plan_wakeup.notified() => sleep(MIN_ROUND_INTERVAL).await,
         }
         let now = shared.now();
         if shared.term().fence(now).is_some() {
             round(&shared, now);
-            wishes.tell(&shared, now);
-            shared.show_demand(now);
+            unplaced.report(&shared, now);
+            shared.log_demand(now);
         } else {
-            wishes.end(&shared);
-            shared.hide_demand();
+            unplaced.end(&shared);
+            shared.reset_demand_log();
         }
     }
 }
@@ -60,14 +60,14 @@
     planner.set_unresponsive(&unresponsive);
     planner.set_rate_limits(&limits);
     for order in planner.plan(now) {
-        tokio::spawn(give(shared.clone(), order));
+        tokio::spawn(carry_out(shared.clone(), order));
     }
     let unsettled: Vec<backend::Id> = planner.unsettled(now).cloned().collect();
     drop(planner);
     for id in unsettled {
         let Some(server) = shared.server(&id) else { continue };
         let is_limited = shared.dispatcher().quotas().limit(&id).is_some();
-        let pause = if is_limited { REPORT_LIMITED } else { REPORT };
+        let pause = if is_limited { LIMITED_REPORT_INTERVAL } else { REPORT_INTERVAL };
         if shared.runs_models(&server) && shared.report_is_due(&id, now, pause) {
             tokio::spawn(report(shared.clone(), server));
         }
@@ -79,11 +79,11 @@
     let now = shared.now();
     let Some(server) = shared.current_run(&server, report.born) else { return };
     shared.planner().report(&server.id, &report, now);
-    shared.reported(&server, &report);
+    shared.apply_report(&server, &report);
     shared.plan_wakeup.notify_one();
 }
 
-async fn give(shared: Arc<Shared>, order: place::Order) {
+async fn carry_out(shared: Arc<Shared>, order: place::Order) {
     shared.teller.belief(placement(&shared, &order));
     let outcome = match shared.server(&order.server) {
         Some(server) => send(&shared, &server, &order).await,
@@ -91,23 +91,23 @@
     };
     let now = shared.now();
     shared.planner().record_outcome(&order, outcome, now);
-    shared.ordered(&order, outcome);
+    shared.apply_order(&order, outcome);
     shared.plan_wakeup.notify_one();
 }
 
 async fn send(shared: &Arc<Shared>, server: &Arc<Server>, order: &place::Order) -> Outcome {
     if !shared.dispatcher().take_permit(&server.id, shared.now()) {
-        wishes::held_back(shared, order, "limit");
+        unplaced::report_unsent(shared, order, "limit");
         return Outcome::Busy;
     }
-    let kept = shared.control.kept(server);
-    let Some(line) = Line::open(server, &kept).await else {
-        wishes::held_back(shared, order, "not-reached");
+    let slot = shared.control.slot(server);
+    let Some(connection) = ControlConnection::open(server, &slot).await else {
+        unplaced::report_unsent(shared, order, "not-reached");
         return Outcome::Busy;
     };
     // Judged right before the bytes go out: the connection may have taken its time.
     let Some(fence) = shared.term().may_order(shared.now()) else {
-        wishes::held_back(shared, order, "no-lease");
+        unplaced::report_unsent(shared, order, "no-lease");
         return Outcome::Busy;
     };
     let began = Instant::now();
@@ -123,14 +123,14 @@
         holder: shared.host.id.clone(),
         fence,
     };
-    let reply = line.order(&*shared.dialect, server, &sent, shared.flight).await;
-    let ordered = match shared.current_run(server, reply.born) {
+    let reply = connection.order(&*shared.dialect, server, &sent, shared.order_timeout).await;
+    let status = match shared.current_run(server, reply.born) {
         Some(run) if run.id == server.id => reply.status,
         // Another run has it: what it did there is for a report to tell.
         Some(_) | None => OrderStatus::NotThere,
     };
-    answered(shared, order, fence, ordered, began.elapsed());
-    match ordered {
+    report_answer(shared, order, fence, status, began.elapsed());
+    match status {
         OrderStatus::Accepted => Outcome::Accepted,
         OrderStatus::Holds => Outcome::AlreadyHolds,
         OrderStatus::Conflict | OrderStatus::Fenced => Outcome::Conflict,
@@ -139,14 +139,14 @@
     }
 }
 
-fn answered(
+fn report_answer(
     shared: &Shared,
     order: &place::Order,
     fence: Fence,
-    ordered: OrderStatus,
+    status: OrderStatus,
     took: Duration,
 ) {
-    let answer = match ordered {
+    let answer = match status {
         OrderStatus::Accepted => Answer::Accepted,
         OrderStatus::Holds => Answer::Holds,
         OrderStatus::Conflict => Answer::Conflict,
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -11,13 +11,13 @@
 
 /// How long a server that names no time is taken to keep an idle connection. Times are named in
 /// whole seconds, so one that names none may have less than one.
-const UNNAMED: Duration = Duration::from_millis(900);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(900);
 
 /// Time before the server's own end of an idle connection at which it is given up.
-const MARGIN: Duration = Duration::from_millis(400);
+const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 
 /// Most idle connections to one server.
-const MOST: usize = 64;
+const MAX_IDLE_PER_SERVER: usize = 64;
 
 #[derive(Debug)]
 struct Idle {
@@ -58,10 +58,10 @@
         connection: Connection,
         keep_alive: Option<Duration>,
     ) {
-        let kept_for = keep_alive.unwrap_or(UNNAMED).saturating_sub(MARGIN);
+        let kept_for = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
         let Ok(mut idle) = self.idle.lock() else { return };
         let kept = idle.entry((server.clone(), address)).or_default();
-        if kept.len() < MOST {
+        if kept.len() < MAX_IDLE_PER_SERVER {
             kept.push(Idle { connection, until: now + kept_for });
         }
     }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -26,16 +26,16 @@
 };
 
 /// Pause between two looks at what is known.
-const LOOK: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reads of what is stored.
-const READ: Duration = Duration::from_secs(30);
+const READ_INTERVAL: Duration = Duration::from_secs(30);
 
 /// The same after a read or a write that failed.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time that hosts which saw a crash have for the object, before the holder of the lease writes it.
-const OTHERS: Duration = Duration::from_secs(2);
+const WITNESS_GRACE: Duration = Duration::from_secs(2);
 
 /// Content of an object.
 #[derive(Debug, Deserialize, Serialize)]
@@ -47,7 +47,7 @@
 
 /// What this host knows of the store's objects.
 #[derive(Default)]
-struct Book {
+struct StoreView {
     /// Requests that have an object.
     stored: BTreeSet<Fingerprint>,
     next_read: Moment,
@@ -56,59 +56,59 @@
 
 /// Reads, writes and removes objects until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut book = Book::default();
+    let mut view = StoreView::default();
     loop {
-        if book.next_read <= shared.now() {
-            let is_read = read(&shared, &mut book).await;
-            book.next_read = shared.now() + if is_read { READ } else { AGAIN };
+        if view.next_read <= shared.now() {
+            let is_read = read(&shared, &mut view).await;
+            view.next_read = shared.now() + if is_read { READ_INTERVAL } else { RETRY_INTERVAL };
         }
-        log_news(&shared);
-        if book.next_write <= shared.now() && !write(&shared, &mut book).await {
-            book.next_write = shared.now() + AGAIN;
+        log_changes(&shared);
+        if view.next_write <= shared.now() && !write(&shared, &mut view).await {
+            view.next_write = shared.now() + RETRY_INTERVAL;
         }
-        sleep(LOOK).await;
+        sleep(ROUND_INTERVAL).await;
     }
 }
 
 /// Takes in what is stored; whether it could be read.
-async fn read(shared: &Shared, book: &mut Book) -> bool {
+async fn read(shared: &Shared, view: &mut StoreView) -> bool {
     let Some(page) = shared.store.list(Kind::Quarantine).await else { return false };
     let readable = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
     let objects: Vec<(Fingerprint, Vec<Crash>)> =
         page.objects.iter().filter_map(readable).collect();
     // One that can't be read is none that this host may remove.
-    book.stored = objects.iter().map(|(request, _)| *request).collect();
+    view.stored = objects.iter().map(|(request, _)| *request).collect();
     let crashes: Vec<Crash> = objects.into_iter().flat_map(|(_, crashes)| crashes).collect();
     shared.dispatcher().poison_mut().merge(&crashes, shared.now());
     true
 }
 
 /// Brings the store up to date with what is known; whether it took all.
-async fn write(shared: &Shared, book: &mut Book) -> bool {
+async fn write(shared: &Shared, view: &mut StoreView) -> bool {
     let now = shared.now();
     let refused = shared.dispatcher().poison().refused(now);
     let is_holder = shared.term().fence(now).is_some();
     for (crashes, is_own) in &refused {
         let Some(request) = crashes.first().map(|crash| crash.request) else { continue };
         let youngest = crashes.iter().map(|crash| crash.age).min().unwrap_or_default();
-        let is_ours = *is_own || (is_holder && OTHERS <= youngest);
-        if is_ours && !book.stored.contains(&request) {
+        let is_ours = *is_own || (is_holder && WITNESS_GRACE <= youngest);
+        if is_ours && !view.stored.contains(&request) {
             if !create(shared, request, crashes).await {
                 return false;
             }
-            book.stored.insert(request);
+            view.stored.insert(request);
         }
     }
     let is_refused = |request: &Fingerprint| {
         refused.iter().flat_map(|(crashes, _)| crashes.first()).any(|c| c.request == *request)
     };
     let over: Vec<Fingerprint> =
-        book.stored.iter().filter(|request| !is_refused(request)).copied().collect();
+        view.stored.iter().filter(|request| !is_refused(request)).copied().collect();
     for request in over.into_iter().filter(|_| is_holder) {
         if !remove(shared, request).await {
             return false;
         }
-        book.stored.remove(&request);
+        view.stored.remove(&request);
     }
     true
 }
@@ -162,7 +162,7 @@
 }
 
 /// Logs what has changed in what is thought of requests, with the crashes behind it.
-fn log_news(shared: &Shared) {
+fn log_changes(shared: &Shared) {
     let changes = shared.dispatcher().poison_mut().take_changes(shared.now());
     for StandingChange { request, standing, crashes } in changes {
         let state = match standing {
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -16,24 +16,29 @@
 
 impl Shared {
     /// Takes in what an answer of a server names whose request left at `sent`.
-    pub(crate) fn limit_named(&self, server: &backend::Id, limit: Limit, sent: Moment) {
+    pub(crate) fn observe_limit(&self, server: &backend::Id, limit: Limit, sent: Moment) {
         let limit = match limit {
             Limit::Unnamed => None,
             Limit::Named(rate) => Some(rate),
-            Limit::Unreadable => return self.limit_unreadable(server),
+            Limit::Unreadable => return self.reject_limit(server),
         };
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
-            self.limit_changed(server, change, Heard::Itself);
+            self.report_limit(server, change, Heard::Itself);
             self.notify(Notice::LimitChanged { server: server.clone(), news: change.current });
         }
     }
 
     /// Takes in what another host believes of a server's limit.
-    pub(crate) fn limit_heard(&self, server: &backend::Id, limit: VersionedLimit, from: &host::Id) {
+    pub(crate) fn receive_limit(
+        &self,
+        server: &backend::Id,
+        limit: VersionedLimit,
+        from: &host::Id,
+    ) {
         let change = self.dispatcher().limit_received(server, limit, self.now());
         if let Some(change) = change {
-            self.limit_changed(server, change, Heard::Peer(from.clone()));
+            self.report_limit(server, change, Heard::Peer(from.clone()));
         }
     }
 
@@ -41,21 +46,22 @@
     pub(crate) fn quota_received(&self, from: &host::Id, message: &Message) {
         let changes = self.dispatcher().quota_received(from, message, self.now());
         for (server, change) in changes {
-            self.limit_changed(&server, change, Heard::Peer(from.clone()));
+            self.report_limit(&server, change, Heard::Peer(from.clone()));
         }
         self.dispatch_wakeup.notify_one();
     }
 
     /// Takes in who the other hosts are, and the limits that they believe in.
     pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
-        let is_heard = |liveness| liveness != Liveness::Silent;
-        let known = snapshot.hosts.iter().map(|peer| (&peer.member.id, is_heard(peer.liveness)));
+        let is_reachable = |liveness| liveness != Liveness::Silent;
+        let known =
+            snapshot.hosts.iter().map(|peer| (&peer.member.id, is_reachable(peer.liveness)));
         let others = snapshot.hosts.iter().filter(|peer| peer.liveness == Liveness::Live);
         let own = (!self.is_leaving()).then(|| self.host.id.clone());
         let live = others.map(|peer| peer.member.id.clone()).chain(own).collect();
         self.dispatcher().share_among(known, live, self.now());
         for (server, limit) in &snapshot.limits {
-            self.limit_heard(server, *limit, &crate::workload::PEERS.into());
+            self.receive_limit(server, *limit, &crate::workload::PEERS_ID.into());
         }
     }
 
@@ -65,7 +71,7 @@
     }
 
     /// Shows how limits are shared.
-    pub(crate) fn measure_quotas(&self) {
+    pub(crate) fn update_quota_metrics(&self) {
         let (now, dispatcher) = (self.now(), self.dispatcher());
         let quotas = dispatcher.quotas();
         let (shares, counts) = (quotas.shares(now), quotas.counts());
@@ -78,14 +84,14 @@
     }
 
     /// An answer whose limit can't be read changes no belief.
-    fn limit_unreadable(&self, server: &backend::Id) {
+    fn reject_limit(&self, server: &backend::Id) {
         self.meters.unreadable_limit();
-        if self.unreadable_limits.is_due(self.now()) {
+        if self.unreadable_limits_log.is_due(self.now()) {
             log::error!(server = &**server; "the limit in a server's answer can't be read");
         }
     }
 
-    fn limit_changed(&self, server: &backend::Id, change: Change, from: Heard) {
+    fn report_limit(&self, server: &backend::Id, change: Change, from: Heard) {
         self.teller.belief(Belief::Limit {
             server: server.clone(),
             before: change.previous.map(Rate::as_f64),
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -13,7 +13,7 @@
 use crate::{connect, host::Shared};
 
 /// Path of the metrics.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 /// Answers the balancer until the process ends.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener) {
@@ -35,7 +35,7 @@
 }
 
 fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    if request.uri().path() == METRICS {
+    if request.uri().path() == METRICS_PATH {
         return metrics(shared);
     }
     let mut response = Response::new(Full::default());
@@ -49,7 +49,7 @@
 }
 
 fn metrics(shared: &Shared) -> Response<Full<Bytes>> {
-    shared.measure();
+    shared.update_metrics();
     let Ok(text) = shared.metrics.text() else {
         let mut failed = Response::new(Full::default());
         *failed.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -16,31 +16,31 @@
 };
 
 /// Pause before the store is asked again after it failed.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time after which hosts that started together have registered themselves.
-const TOGETHER: Duration = Duration::from_secs(2);
+const SECOND_READ_DELAY: Duration = Duration::from_secs(2);
 
 /// Time between two looks at the list from then on.
-const LOOK: Duration = Duration::from_secs(60);
+const READ_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Keeps this host registered, and takes in which others are, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
-    let mut looks = [TOGETHER].into_iter().chain(std::iter::repeat(LOOK));
+    let mut pauses = [SECOND_READ_DELAY].into_iter().chain(std::iter::repeat(READ_INTERVAL));
     loop {
         let is_registered = match shared.store.list(Kind::Host).await {
             Some(page) => {
-                take(&shared, &exchange, &page);
+                apply(&shared, &exchange, &page);
                 register(&shared, &exchange, &page).await
             }
             None => false,
         };
-        let pause = if is_registered { looks.next() } else { None };
-        sleep(pause.unwrap_or(AGAIN)).await;
+        let pause = if is_registered { pauses.next() } else { None };
+        sleep(pause.unwrap_or(RETRY_INTERVAL)).await;
     }
 }
 
-fn take(shared: &Shared, exchange: &Exchange, page: &Page) {
+fn apply(shared: &Shared, exchange: &Exchange, page: &Page) {
     let listed = u32::try_from(page.objects.len()).unwrap_or(u32::MAX);
     shared.dispatcher().share_listed(listed);
     let address = |object: &Object| object.content.as_str()?.parse().ok();
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -13,28 +13,28 @@
 use crate::host::Shared;
 
 /// Time between two lines on one service's budget.
-const PAUSE: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs the budgets that are in use until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let mut refused: BTreeMap<service::Id, u64> = BTreeMap::new();
     loop {
-        sleep(PAUSE).await;
+        sleep(LOG_INTERVAL).await;
         let others = exchange.fleet();
-        for (service, account) in shared.retry_budgets() {
-            let before = refused.insert(service.clone(), account.refused).unwrap_or_default();
-            if account.retries != 0 || before < account.refused {
-                log_budget(&service, &account, account.refused - before, &others);
+        for (service, budget) in shared.retry_budgets() {
+            let before = refused.insert(service.clone(), budget.refused).unwrap_or_default();
+            if budget.retries != 0 || before < budget.refused {
+                log_budget(&service, &budget, budget.refused - before, &others);
             }
         }
     }
 }
 
-fn log_budget(service: &str, account: &RetryBudgetStatus, refused: u64, others: &FleetSnapshot) {
+fn log_budget(service: &str, budget: &RetryBudgetStatus, refused: u64, others: &FleetSnapshot) {
     let count = |counts: &BTreeMap<service::Id, u64>| counts.get(service).copied().unwrap_or(0);
     log::info!(
-        service, requests = account.requests, retries = account.retries, open = account.open, refused,
-        left = account.left, hosts = account.hosts,
+        service, requests = budget.requests, retries = budget.retries, open = budget.open, refused,
+        left = budget.left, hosts = budget.hosts,
         others_requests = count(&others.arrivals), others_retries = count(&others.retries);
         "retry budget"
     );
@@ -57,11 +57,11 @@
     }
 
     /// Shows the retry budgets.
-    pub(crate) fn measure_retries(&self) {
-        for (service, account) in self.retry_budgets() {
-            self.meters.budget(&service, account.left);
-            self.meters.budget_spent(&service, account.retries);
-            self.meters.budget_hosts(account.hosts);
+    pub(crate) fn update_retry_metrics(&self) {
+        for (service, budget) in self.retry_budgets() {
+            self.meters.budget(&service, budget.left);
+            self.meters.budget_spent(&service, budget.retries);
+            self.meters.budget_hosts(budget.hosts);
         }
     }
 
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -19,27 +19,27 @@
     edge::Dialect,
     host::Shared,
     lease,
-    peers::{self, Answers},
+    peers::{self, PeerSource},
     planning, quarantine, ready, registration, retries, watch, workload,
 };
 
 /// Part of the grace after which what is still in flight is given up.
-const FINISH: f64 = 0.93;
+const FINISH_FRACTION: f64 = 0.93;
 
 /// Part of the grace after which what still waits for a server is answered.
-const WAIT: f64 = 0.7;
+const WAIT_FRACTION: f64 = 0.7;
 
 /// Time for the balancer to see that this host is not ready.
-const BALANCER: Duration = Duration::from_millis(2500);
+const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
 /// Longest pause between looks at the queues.
-const PUMP: Duration = Duration::from_millis(20);
+const PUMP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two looks after which the machine may have been suspended.
-const JUMP: Duration = Duration::from_millis(100);
+const JUMP_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Pause between sweeps of idle connections.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a host can't start.
 #[derive(Debug, thiserror::Error)]
@@ -131,15 +131,18 @@
 }
 
 fn start_belief(settings: &Process) -> Belief {
-    Belief::Start { program: Word::Borrowed(env!("CARGO_PKG_VERSION")), settings: shown(settings) }
+    Belief::Start {
+        program: Word::Borrowed(env!("CARGO_PKG_VERSION")),
+        settings: settings_json(settings),
+    }
 }
 
 /// Tells that the settings were read anew.
 pub fn reloaded(settings: &Process) {
-    story::belief(Belief::Reload { settings: shown(settings) });
+    story::belief(Belief::Reload { settings: settings_json(settings) });
 }
 
-fn shown(settings: &Process) -> serde_json::Value {
+fn settings_json(settings: &Process) -> serde_json::Value {
     serde_json::to_value(settings.without_secrets()).unwrap_or_default()
 }
 
@@ -158,15 +161,15 @@
     /// then the end of what is in flight.
     pub async fn drain(self) {
         let began = self.shared.now();
-        let grace = self.shared.routed.grace.mul_f64(FINISH);
+        let grace = self.shared.routed.grace.mul_f64(FINISH_FRACTION);
         log::info!(host = &*self.shared.host.id; "drain begins");
         self.shared.teller.belief(Belief::Stop { why: Word::Borrowed("it was asked for") });
         self.shared.leave();
         self.shared.term().stop();
-        sleep(BALANCER).await;
+        sleep(BALANCER_DELAY).await;
         self.stop.cancel();
-        let wait =
-            (began + self.shared.routed.grace.mul_f64(WAIT)).saturating_sub(self.shared.now());
+        let wait = (began + self.shared.routed.grace.mul_f64(WAIT_FRACTION))
+            .saturating_sub(self.shared.now());
         let closing = self.shared.closing.clone();
         tokio::spawn(async move {
             sleep(wait).await;
@@ -174,7 +177,7 @@
         });
         let left = (began + grace).saturating_sub(self.shared.now());
         if tokio::time::timeout(left, self.callers).await.is_err() {
-            log::error!(open = self.shared.open(); "drain ends with requests in flight");
+            log::error!(open = self.shared.open_requests(); "drain ends with requests in flight");
         }
         self.shared.stop.cancel();
         self.exchange.leave().await;
@@ -202,9 +205,9 @@
         clock: Arc::new(move || clock.now()),
         ..Config::new(host.id.clone(), host.zone.clone(), host.peers, shared.incarnation)
     };
-    let answers = Arc::new(Answers(Arc::downgrade(shared)));
-    let exchange = Exchange::start(config, answers).await?;
-    shared.join(&exchange);
+    let source = Arc::new(PeerSource(Arc::downgrade(shared)));
+    let exchange = Exchange::start(config, source).await?;
+    shared.set_exchange(&exchange);
     Ok(exchange)
 }
 
@@ -212,12 +215,12 @@
     let mut before = shared.now();
     loop {
         select! {
-            () = sleep(PUMP) => {}
+            () = sleep(PUMP_INTERVAL) => {}
             () = shared.dispatch_wakeup.notified() => {}
         }
         let now = shared.now();
-        if before + JUMP < now {
-            shared.jumped.notify_waiters();
+        if before + JUMP_THRESHOLD < now {
+            shared.clock_jumped.notify_waiters();
         }
         before = now;
         shared.pump();
@@ -226,7 +229,7 @@
 
 async fn sweep(shared: Arc<Shared>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let now = shared.now();
         let directory = shared.directory();
         shared.pool.sweep(now, |id| directory.get(id).is_some());
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -30,7 +30,7 @@
 };
 
 /// Time that a load is expected to take.
-const LOAD: Duration = Duration::from_secs(1);
+const EXPECTED_LOAD_TIME: Duration = Duration::from_secs(1);
 
 impl Shared {
     /// A server that is registered.
@@ -39,7 +39,7 @@
     }
 
     /// The id of the run that a server's name stands for.
-    fn named(&self, name: &str) -> Option<backend::Id> {
+    fn id_by_name(&self, name: &str) -> Option<backend::Id> {
         self.directory().named(name).map(|server| server.id.clone())
     }
 
@@ -63,7 +63,7 @@
                 sequence: 0,
                 ..(*known).clone()
             };
-            self.written(run, written, &Heard::Itself);
+            self.apply_registration(run, written, &Heard::Itself);
         }
         self.server(&id)
     }
@@ -80,31 +80,31 @@
             Some(exchange::Entry { written: object.revision, server })
         };
         let servers: Vec<_> = page.objects.iter().filter_map(read).collect();
-        let ids = servers.iter().map(|told| told.server.id.clone()).collect();
+        let ids = servers.iter().map(|entry| entry.server.id.clone()).collect();
         let list = Registered { revision: page.revision, ids, servers, ..Registered::default() };
-        self.is_current(Duration::ZERO);
-        let delta = self.directory().replace(list);
-        self.take(delta, page.revision, &Heard::Store);
+        self.confirm_servers(Duration::ZERO);
+        let delta = self.directory().diff_store_list(list);
+        self.apply(delta, page.revision, &Heard::Store);
     }
 
     /// What is known of the servers was the store's word so long ago.
-    pub(crate) fn is_current(&self, age: Duration) {
+    pub(crate) fn confirm_servers(&self, age: Duration) {
         let at = self.now().saturating_sub(age);
-        let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut current = self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         *current = current.max(at);
     }
 
     /// How long ago what is known of the servers was the store's word.
-    pub(crate) fn age_of_servers(&self) -> Duration {
-        let current = *self.current.lock().unwrap_or_else(PoisonError::into_inner);
+    pub(crate) fn servers_age(&self) -> Duration {
+        let current = *self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         self.now().saturating_sub(current)
     }
 
     /// Takes in the servers that a peer knows.
     pub(crate) fn take_servers(self: &Arc<Self>, list: Registered, peer: &host::Id) {
         let revision = list.revision;
-        let delta = self.directory().compare(list);
-        self.take(delta, revision, &Heard::Peer(peer.clone()));
+        let delta = self.directory().diff_peer_list(list);
+        self.apply(delta, revision, &Heard::Peer(peer.clone()));
     }
 
     /// Reads a registration. Each that can't be read is counted; the log has one in a while.
@@ -112,17 +112,20 @@
         let server = self.dialect.server(object);
         if server.is_none() {
             self.meters.unreadable();
-            if self.unreadable.is_due(self.now()) {
+            if self.unreadable_servers_log.is_due(self.now()) {
                 log::error!(server = &*object.name; "a registration can't be read");
             }
         }
         server
     }
 
-    fn take(self: &Arc<Self>, delta: Delta, revision: Revision, from: &Heard) {
-        delta.deleted.iter().for_each(|id| self.removed(id, revision, from));
-        delta.suspected.iter().for_each(|told| self.suspect(&told.id, told.left, from));
-        delta.upserted.into_iter().for_each(|told| self.written(told.server, told.written, from));
+    fn apply(self: &Arc<Self>, delta: Delta, revision: Revision, from: &Heard) {
+        delta.deleted.iter().for_each(|id| self.apply_removal(id, revision, from));
+        delta.suspected.iter().for_each(|suspect| self.suspect(&suspect.id, suspect.left, from));
+        delta
+            .upserted
+            .into_iter()
+            .for_each(|entry| self.apply_registration(entry.server, entry.written, from));
         self.directory().advance(revision);
         self.plan_wakeup.notify_one();
         self.dispatch_wakeup.notify_one();
@@ -134,35 +137,37 @@
             Change::Written(object) => {
                 self.directory().advance(object.revision);
                 match self.registration(object) {
-                    Some(server) => self.written(server, object.revision, &Heard::Store),
+                    Some(server) => self.apply_registration(server, object.revision, &Heard::Store),
                     None => {
-                        let id = self.named(&object.name);
-                        id.iter()
-                            .for_each(|id| self.gone(id, &Heard::Store, "its entry can't be read"));
+                        let id = self.id_by_name(&object.name);
+                        id.iter().for_each(|id| {
+                            self.remove_server(id, &Heard::Store, "its entry can't be read")
+                        });
                     }
                 }
             }
             Change::Removed { name, revision } => {
                 self.directory().advance(*revision);
-                let id = self.named(name).filter(|id| !self.directory().is_newer(id, *revision));
+                let id =
+                    self.id_by_name(name).filter(|id| !self.directory().is_newer(id, *revision));
                 // All that was written up to here is known, also where the removal's revision is not told.
                 let removed = self.revision();
-                id.iter().for_each(|id| self.removed(id, removed, &Heard::Store));
+                id.iter().for_each(|id| self.apply_removal(id, removed, &Heard::Store));
             }
         }
         self.plan_wakeup.notify_one();
         self.dispatch_wakeup.notify_one();
     }
 
-    fn written(&self, server: Server, revision: Revision, from: &Heard) {
+    fn apply_registration(&self, server: Server, revision: Revision, from: &Heard) {
         let before = self.server(&server.id).map(|server| server.state);
         let earlier = self.directory().named(&server.name).cloned();
         let earlier = earlier.filter(|earlier| earlier.id != server.id);
         let was_leaving = self.directory().is_leaving(&server.id);
         let Some(server) = self.directory().put(server, revision) else { return };
         if let Some(earlier) = earlier {
-            self.standing(&earlier, ServerStanding::Gone, from, "it has started again");
-            self.ended(&earlier.id);
+            self.report_standing(&earlier, ServerStanding::Gone, from, "it has started again");
+            self.forget_run(&earlier.id);
         }
         let now = self.now();
         if self.runs_models(&server) {
@@ -173,14 +178,14 @@
         if was_leaving && !self.directory().is_leaving(&server.id) {
             self.dispatcher().resume(&server.id);
             let why = "it was registered after a peer said that it leaves";
-            self.standing(&server, ServerStanding::Seen, from, why);
+            self.report_standing(&server, ServerStanding::Seen, from, why);
         }
         if before != Some(server.state) {
             let standing = match server.state {
                 State::Ready => ServerStanding::Seen,
                 State::Draining => ServerStanding::Leaving,
             };
-            self.standing(&server, standing, from, "it is registered so");
+            self.report_standing(&server, standing, from, "it is registered so");
         }
         // Who was told by a peer doesn't tell it on.
         let is_first_hand = was_used && *from == Heard::Store;
@@ -192,24 +197,24 @@
 
     /// A server's entry has gone. While the store is degraded, entries of sound servers go and come
     /// back; such a server is used on for part of the time that a leaving one may be.
-    fn removed(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Heard) {
+    fn apply_removal(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Heard) {
         let is_ready = self.server(id).is_some_and(|server| server.state == State::Ready);
         // A peer tells by itself which of the servers that its list lacks may come back.
-        let is_told = matches!(from, Heard::Peer(_));
-        if is_ready && !is_told {
+        let is_from_peer = matches!(from, Heard::Peer(_));
+        if is_ready && !is_from_peer {
             if self.store.is_degraded() {
-                return self.suspect(id, self.lapse(), from);
+                return self.suspect(id, self.removal_grace(), from);
             }
             if self.dispatcher().is_ready(id) {
                 let (server, departure) = (id.clone(), Departure::Gone);
                 self.notify(Notice::ServerLeaving { server, departure, revision });
             }
         }
-        self.gone(id, from, "it is no longer registered");
+        self.remove_server(id, from, "it is no longer registered");
     }
 
     /// Time for which a server is used on whose entry has just gone and may come back.
-    fn lapse(&self) -> Duration {
+    fn removal_grace(&self) -> Duration {
         follow::removal_grace(self.gather(), self.routed.drain)
     }
 
@@ -220,12 +225,12 @@
         };
         self.directory().suspect(id, self.now() + left);
         let why = "its entry went while the store was degraded";
-        self.standing(&server, ServerStanding::Suspected, from, why);
+        self.report_standing(&server, ServerStanding::Suspected, from, why);
         let (shared, id, from) = (self.clone(), id.clone(), from.clone());
         tokio::spawn(async move {
             while let Some(left) = shared.suspected_for(&id) {
                 if left.is_zero() {
-                    return shared.gone(&id, &from, "its entry did not come back");
+                    return shared.remove_server(&id, &from, "its entry did not come back");
                 }
                 tokio::time::sleep(left).await;
             }
@@ -240,7 +245,7 @@
     ///
     /// A peer that did not notice an outage takes an entry that ran out in it for a server that leaves. A
     /// host that did notice doubts it as if the store had told it.
-    pub(crate) fn departs(
+    pub(crate) fn apply_departure(
         self: &Arc<Self>,
         id: &backend::Id,
         departure: Departure,
@@ -252,22 +257,27 @@
         }
         match departure {
             Departure::Gone if self.store.is_degraded() => {
-                self.suspect(id, self.lapse(), from);
+                self.suspect(id, self.removal_grace(), from);
             }
             Departure::Gone => {
                 self.dispatcher().unregistered(id, self.now());
-                self.set_aside(id, revision, from);
+                self.stop_sending(id, revision, from);
             }
-            Departure::Leaving => self.set_aside(id, revision, from),
+            Departure::Leaving => self.stop_sending(id, revision, from),
         }
     }
 
     /// Sends a server nothing new until its entry is written after this revision.
-    fn set_aside(&self, id: &backend::Id, revision: Revision, from: &Heard) {
+    fn stop_sending(&self, id: &backend::Id, revision: Revision, from: &Heard) {
         if self.dispatcher().is_ready(id)
             && let Some(server) = self.server(id)
         {
-            self.standing(&server, ServerStanding::Leaving, from, "a peer says that it leaves");
+            self.report_standing(
+                &server,
+                ServerStanding::Leaving,
+                from,
+                "a peer says that it leaves",
+            );
         }
         self.directory().leave(id, revision);
         self.dispatcher().draining(id);
@@ -282,7 +292,13 @@
         }
     }
 
-    fn standing(&self, server: &Server, standing: ServerStanding, from: &Heard, why: &'static str) {
+    fn report_standing(
+        &self,
+        server: &Server,
+        standing: ServerStanding,
+        from: &Heard,
+        why: &'static str,
+    ) {
         self.teller.belief(Belief::Server {
             server: server.id.clone(),
             standing,
@@ -293,16 +309,16 @@
         });
     }
 
-    fn gone(&self, id: &backend::Id, from: &Heard, why: &'static str) {
+    fn remove_server(&self, id: &backend::Id, from: &Heard, why: &'static str) {
         if let Some(server) = self.server(id) {
-            self.standing(&server, ServerStanding::Gone, from, why);
+            self.report_standing(&server, ServerStanding::Gone, from, why);
         }
         self.directory().remove(id);
-        self.ended(id);
+        self.forget_run(id);
     }
 
     /// A run of a server is over: nothing that was known of it counts for a later one.
-    fn ended(&self, id: &backend::Id) {
+    fn forget_run(&self, id: &backend::Id) {
         self.planner().remove_server(id, self.now());
         self.dispatcher().gone(id, self.now());
         self.dispatch_wakeup.notify_one();
@@ -314,7 +330,7 @@
     }
 
     /// Tells the planner of the servers that came before their service was declared.
-    pub(crate) fn plan_for_known(&self, before: Option<&Declaration>) {
+    pub(crate) fn register_known(&self, before: Option<&Declaration>) {
         let was_known = |server: &&Arc<Server>| {
             before.is_some_and(|before| has_engine(before, &server.service))
         };
@@ -338,7 +354,7 @@
     }
 
     /// Takes in a server's report, and tells the others what it holds since the last one.
-    pub(crate) fn reported(&self, server: &Server, report: &Report) {
+    pub(crate) fn apply_report(&self, server: &Server, report: &Report) {
         self.dispatcher().report(&server.id, report, self.now());
         let before = |held: &Held| server.models.iter().any(|known| known.model == held.model);
         for held in report.models.iter().filter(|held| !before(held)) {
@@ -354,7 +370,7 @@
     }
 
     /// Takes in what came of an order, and tells the others.
-    pub(crate) fn ordered(&self, order: &place::Order, outcome: Outcome) {
+    pub(crate) fn apply_order(&self, order: &place::Order, outcome: Outcome) {
         if !matches!(outcome, Outcome::Accepted | Outcome::AlreadyHolds) {
             return;
         }
@@ -377,23 +393,25 @@
                 dispatcher.model_loaded(&server, &model, adapter, sequence, now);
                 self.notify(Notice::Loaded { server, model, adapter: adapter.cloned(), sequence });
             }
-            Operation::Load => dispatcher.model_loading(&server, &model, adapter, now + LOAD),
+            Operation::Load => {
+                dispatcher.model_loading(&server, &model, adapter, now + EXPECTED_LOAD_TIME)
+            }
         }
         self.dispatch_wakeup.notify_one();
     }
 
     /// Counts a request.
-    pub(crate) fn arrived(&self, call: &Call) {
-        let ask = &call.held.ask;
-        self.counts.lock().unwrap_or_else(PoisonError::into_inner).arrived(&call.service);
-        let Some(model) = ask.model.clone() else { return };
-        let output = ask.length_hint.unwrap_or(ask.tokens_out).min(ask.tokens_out);
-        let work = Work { requests: 1, prompt: ask.tokens_in.into(), output: output.into() };
-        self.demand_arrived(Subject { model, adapter: ask.adapter.clone() }, work);
+    pub(crate) fn record_request(&self, call: &Call) {
+        let info = &call.request.info;
+        self.counts.lock().unwrap_or_else(PoisonError::into_inner).record_request(&call.service);
+        let Some(model) = info.model.clone() else { return };
+        let output = info.length_hint.unwrap_or(info.tokens_out).min(info.tokens_out);
+        let work = Work { requests: 1, prompt: info.tokens_in.into(), output: output.into() };
+        self.demand_arrived(Subject { model, adapter: info.adapter.clone() }, work);
     }
 
     /// A request waits for a model or adapter.
-    pub(crate) fn missing(
+    pub(crate) fn request_missing(
         &self,
         service: &service::Id,
         model: &model::Id,
@@ -406,15 +424,15 @@
             return;
         }
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_due = counts.is_due(model, adapter, now);
+        let is_due = counts.load_request_is_due(model, adapter, now);
         drop(counts);
         if is_due && let Some(exchange) = self.exchange() {
-            peers::wanted(self, &exchange, service, model, adapter);
+            peers::request_load(self, &exchange, service, model, adapter);
         }
     }
 
     /// Tells the planner how many requests of each model are at each server, over all hosts.
-    pub(crate) fn running(
+    pub(crate) fn set_in_flight(
         &self,
         running: &BTreeMap<(&backend::Id, &model::Id), u32>,
         planner: &mut Planner,
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -33,20 +33,20 @@
 };
 
 /// Longest time for a short call.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The same for one about the lease.
-const BRIEF: Duration = Duration::from_millis(600);
+const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Time that a watch may take beyond the wait that it asked for. A slow store is heard for so long; a
 /// watch that may be stalled is not left alone until then, but hedged.
 const WATCH_SLACK: Duration = Duration::from_secs(5);
 
 /// Time after the store's last failure in which a server whose entry has gone may come back.
-const DEGRADED: Duration = Duration::from_secs(8);
+const DEGRADED_PERIOD: Duration = Duration::from_secs(8);
 
 /// Largest answer taken, in bytes.
-const LARGEST: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// The platform's store.
 pub(crate) struct Store {
@@ -55,9 +55,9 @@
     kept: Mutex<Option<Connection>>,
     teller: Teller,
     meters: Meters,
-    calls: Reach,
-    declaration: Reach,
-    servers: Reach,
+    calls: CallHealth,
+    declaration: CallHealth,
+    servers: CallHealth,
     /// Outages that have ended.
     outages: watch::Sender<u64>,
     clock: Clock,
@@ -66,19 +66,19 @@
 }
 
 /// Whether calls of a sort were answered at last.
-struct Reach {
+struct CallHealth {
     /// What the log calls it.
     name: &'static str,
     lost: AtomicBool,
 }
 
-impl Reach {
-    fn new(name: &'static str) -> Reach {
-        Reach { name, lost: AtomicBool::new(false) }
+impl CallHealth {
+    fn new(name: &'static str) -> CallHealth {
+        CallHealth { name, lost: AtomicBool::new(false) }
     }
 
     /// Notes how the last call ended; whether that is news.
-    fn turns(&self, lost: bool) -> bool {
+    fn set_lost(&self, lost: bool) -> bool {
         self.lost.swap(lost, Ordering::Relaxed) != lost
     }
 }
@@ -97,9 +97,9 @@
             kept: Mutex::new(None),
             teller,
             meters,
-            calls: Reach::new("store"),
-            declaration: Reach::new("watch of the declaration"),
-            servers: Reach::new("watch of servers"),
+            calls: CallHealth::new("store"),
+            declaration: CallHealth::new("watch of the declaration"),
+            servers: CallHealth::new("watch of servers"),
             outages: watch::Sender::default(),
             clock,
             failed: SyncMutex::default(),
@@ -107,7 +107,7 @@
     }
 
     /// Notes that the store has failed this host.
-    pub(crate) fn fail(&self) {
+    pub(crate) fn record_failure(&self) {
         if !self.is_degraded() {
             let name = Word::Borrowed("registrations");
             let why = Word::Borrowed("the store failed, so that entries of sound servers may go");
@@ -119,7 +119,7 @@
     /// Whether the store has failed this host lately.
     pub(crate) fn is_degraded(&self) -> bool {
         let failed = *self.failed.lock().unwrap_or_else(PoisonError::into_inner);
-        failed.is_some_and(|at| self.clock.now() < at + DEGRADED)
+        failed.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
     }
 
     /// Tells when calls that got no answer are followed by one that does. What was asked before that
@@ -129,13 +129,13 @@
     }
 
     /// Makes a call that is worth nothing when it takes longer than a term of the lease.
-    pub(crate) async fn brief_call(&self, call: &Call<'_>) -> StoreReply {
-        self.call_within(call, BRIEF).await
+    pub(crate) async fn lease_call(&self, call: &Call<'_>) -> StoreReply {
+        self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
 
     /// Makes a short call.
     pub(crate) async fn call(&self, call: &Call<'_>) -> StoreReply {
-        self.call_within(call, CALL).await
+        self.call_within(call, CALL_TIMEOUT).await
     }
 
     /// A call that gets no answer holds no other up: one that finds the kept connection in use has a
@@ -147,9 +147,9 @@
             return self.exchange(call, None, end).await.0;
         };
         let connection = kept.take().filter(|connection| connection.sender.is_ready());
-        let (told, connection) = self.exchange(call, connection, end).await;
+        let (reply, connection) = self.exchange(call, connection, end).await;
         *kept = connection;
-        told
+        reply
     }
 
     /// Waits for changes on a connection that is the watch's own: an earlier one's, or a new one.
@@ -166,14 +166,14 @@
     }
 
     /// A watch of this kind has had no answer for so long that it is no longer trusted.
-    pub(crate) fn silent(&self, kind: Kind, waited: Duration) {
-        if let Some(reach) = self.reach(kind) {
-            self.heard(reach, DependencyState::Lost, waited);
+    pub(crate) fn report_silent_watch(&self, kind: Kind, waited: Duration) {
+        if let Some(health) = self.health(kind) {
+            self.report_state(health, DependencyState::Lost, waited);
         }
     }
 
     /// Whether a kind's watches were answered at last.
-    fn reach(&self, kind: Kind) -> Option<&Reach> {
+    fn health(&self, kind: Kind) -> Option<&CallHealth> {
         match kind {
             Kind::Declaration => Some(&self.declaration),
             Kind::Server => Some(&self.servers),
@@ -183,27 +183,27 @@
 
     /// Lists a kind whole; `None` if a page is missing.
     pub(crate) async fn list(&self, kind: Kind) -> Option<Page> {
-        let mut whole = Page::default();
+        let mut all = Page::default();
         loop {
-            let after = whole.objects.last().map(|object: &Object| object.name.clone());
+            let after = all.objects.last().map(|object: &Object| object.name.clone());
             let StoreReply::Page(page) =
                 self.call(&Call::List { kind, after: after.as_deref() }).await
             else {
                 return None;
             };
-            if whole.revision == 0 {
+            if all.revision == 0 {
                 // Changes between the pages are seen by a watch from the first one.
-                whole.revision = page.revision;
+                all.revision = page.revision;
             }
             let more = page.more && !page.objects.is_empty();
-            whole.objects.extend(page.objects);
+            all.objects.extend(page.objects);
             if !more {
-                return Some(whole);
+                return Some(all);
             }
         }
     }
 
-    /// Makes a call; each that ends is counted and told of, also one that gets no answer.
+    /// Makes a call; each that ends is counted and reply of, also one that gets no answer.
     async fn exchange(
         &self,
         call: &Call<'_>,
@@ -212,41 +212,41 @@
     ) -> (StoreReply, Option<Connection>) {
         let began = Instant::now();
         let done = timeout_at(end, self.try_exchange(call, connection)).await;
-        let (told, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
-        self.meters.call(called(call), result(&told));
+        let (reply, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
+        self.meters.call(called(call), result(&reply));
         // Any call counts: a watch may wait through a whole outage and then bring entries that ran out in it.
-        if matches!(told, StoreReply::Unclear | StoreReply::Refused) {
-            self.fail();
+        if matches!(reply, StoreReply::Unclear | StoreReply::Refused) {
+            self.record_failure();
         }
-        let state = match told {
+        let state = match reply {
             StoreReply::Unclear => DependencyState::Lost,
             _ => DependencyState::Regained,
         };
         let took = began.elapsed();
         if let Call::Watch { kind, .. } = call
-            && let Some(reach) = self.reach(*kind)
+            && let Some(health) = self.health(*kind)
         {
-            self.heard(reach, state, took);
+            self.report_state(health, state, took);
         }
-        if self.heard(&self.calls, state, took) && state == DependencyState::Regained {
+        if self.report_state(&self.calls, state, took) && state == DependencyState::Regained {
             self.outages.send_modify(|ended| *ended += 1);
         }
-        (told, connection)
+        (reply, connection)
     }
 
     /// Tells when calls of a sort get no answer, and when they do again; whether that is news.
-    fn heard(&self, reach: &Reach, state: DependencyState, took: Duration) -> bool {
-        let is_news = reach.turns(state == DependencyState::Lost);
-        if is_news {
+    fn report_state(&self, health: &CallHealth, state: DependencyState, took: Duration) -> bool {
+        let has_changed = health.set_lost(state == DependencyState::Lost);
+        if has_changed {
             let took = took.as_millis();
             let why = match state {
                 DependencyState::Lost => format!("no answer that can be read in {took} ms"),
                 DependencyState::Regained => format!("an answer after {took} ms"),
             };
-            let (name, why) = (Word::Borrowed(reach.name), Word::Owned(why));
+            let (name, why) = (Word::Borrowed(health.name), Word::Owned(why));
             self.teller.belief(Belief::Dependency { name, state, why });
         }
-        is_news
+        has_changed
     }
 
     async fn try_exchange(
@@ -263,9 +263,9 @@
         request.headers_mut().insert(header::HOST, host);
         let response = connection.sender.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
-        let body: Bytes = Limited::new(body, LARGEST).collect().await.ok()?.to_bytes();
-        let told = self.dialect.store_reply(call, &Response::from_parts(head, body));
-        Some((told, Some(connection)))
+        let body: Bytes = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
+        let reply = self.dialect.store_reply(call, &Response::from_parts(head, body));
+        Some((reply, Some(connection)))
     }
 }
 
@@ -280,8 +280,8 @@
     }
 }
 
-fn result(told: &StoreReply) -> Answered {
-    match told {
+fn result(reply: &StoreReply) -> Answered {
+    match reply {
         StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => Answered::Done,
         StoreReply::Absent => Answered::Absent,
         StoreReply::Conflict(_) => Answered::Conflict,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,7 +1,7 @@
 //! The body of an answer to a caller.
 
 mod events;
-mod watch;
+mod timer;
 
 use std::{
     pin::Pin,
@@ -13,11 +13,11 @@
 use http_body_util::Full;
 use policy::{dispatch::Unclear, event::Fault};
 
-use crate::attempt::Failed;
+use crate::attempt::AttemptEnd;
 
 pub(crate) use self::{
     events::{Events, Resume},
-    watch::Watch,
+    timer::StreamTimer,
 };
 
 /// Why a body is cut.
@@ -28,7 +28,7 @@
     Server(#[from] hyper::Error),
     /// The server's connection ended in the middle of an event.
     #[error("the server ended in the middle of an event")]
-    Half,
+    PartialEvent,
     /// What the server sent is not what follows.
     #[error("the server's events can't be passed on: {0:?}")]
     Fault(Fault),
@@ -45,7 +45,7 @@
     pub(crate) fn word(&self) -> &'static str {
         match self {
             Cut::Server(_) => "server-cut",
-            Cut::Half => "half-an-event",
+            Cut::PartialEvent => "half-an-event",
             Cut::Fault(_) => "bad-event",
             Cut::Silence => "silence",
             Cut::Time => "deadline",
@@ -53,13 +53,13 @@
     }
 
     /// What it tells of the server.
-    pub(crate) fn failed(&self) -> Failed {
+    pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
-            Cut::Server(_) | Cut::Half => Failed::Unclear(Unclear::Cut),
-            Cut::Fault(_) => Failed::Unclear(Unclear::Garbled),
-            Cut::Silence => Failed::Unclear(Unclear::Silent),
+            Cut::Server(_) | Cut::PartialEvent => AttemptEnd::Unclear(Unclear::Cut),
+            Cut::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
+            Cut::Silence => AttemptEnd::Unclear(Unclear::Silent),
             // Its time was over, which says nothing of the server.
-            Cut::Time => Failed::Cancelled,
+            Cut::Time => AttemptEnd::Cancelled,
         }
     }
 }
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -12,18 +12,18 @@
 use policy::event::{ResumePoint, Splitter};
 
 use crate::{
-    attempt::{End, Failed, Link},
-    call::{Again, Call, Ended, Leave, Resuming},
+    attempt::{AttemptEnd, BodyEnd, OpenResponse},
+    call::{AttemptFailure, Call, LeaveSignal, Resumer, Resuming},
     stream::{
         Cut,
-        watch::{Alarm, Watch},
+        timer::{Alarm, StreamTimer},
     },
 };
 
 /// What may follow when a stream's server breaks off.
 pub(crate) enum Resume {
     /// Another server may go on, also before this one has broken off.
-    At(Again, Leave),
+    OtherServer(Resumer, LeaveSignal),
     /// Nothing.
     Never,
 }
@@ -33,20 +33,20 @@
     state: State,
     splitter: Splitter,
     resume: Resume,
-    watch: Watch,
+    timer: StreamTimer,
     call: Arc<Call>,
-    begun: Begun,
+    first_event: FirstEvent,
 }
 
 /// Whether an event has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Begun {
-    NotYet,
-    Yes,
+enum FirstEvent {
+    Pending,
+    Received,
 }
 
 enum State {
-    Streaming(Link),
+    Streaming(OpenResponse),
     /// The server before broke off for this reason.
     Resuming(Resuming, Cut),
     /// What was passed on is being written, before the cut.
@@ -65,14 +65,21 @@
 impl Events {
     /// A stream that has begun at a server, after the event that the caller has.
     pub(crate) fn new(
-        link: Link,
+        response: OpenResponse,
         after: Option<u64>,
         resume: Resume,
-        watch: Watch,
+        timer: StreamTimer,
         call: Arc<Call>,
     ) -> Events {
-        let state = State::Streaming(link);
-        Events { state, splitter: Splitter::new(after), resume, watch, call, begun: Begun::NotYet }
+        let state = State::Streaming(response);
+        Events {
+            state,
+            splitter: Splitter::new(after),
+            resume,
+            timer,
+            call,
+            first_event: FirstEvent::Pending,
+        }
     }
 
     pub(super) fn poll(
@@ -109,20 +116,22 @@
     }
 
     fn poll_server(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        let State::Streaming(link) = &mut self.state else {
+        let State::Streaming(response) = &mut self.state else {
             return Poll::Ready(Step::Next(State::Done));
         };
-        match Pin::new(&mut link.body).poll_frame(context) {
+        match Pin::new(&mut response.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 let piece = frame.into_data().unwrap_or_default();
                 Poll::Ready(self.take(piece))
             }
             Poll::Ready(Some(Err(error))) => Poll::Ready(Step::Broken(error.into())),
-            Poll::Ready(None) if link.end == End::Close && self.splitter.has_partial_event() => {
-                Poll::Ready(Step::Broken(Cut::Half))
+            Poll::Ready(None)
+                if response.end == BodyEnd::Close && self.splitter.has_partial_event() =>
+            {
+                Poll::Ready(Step::Broken(Cut::PartialEvent))
             }
             Poll::Ready(None) => Poll::Ready(self.finish()),
-            Poll::Pending => self.poll_watch(context),
+            Poll::Pending => self.poll_timer(context),
         }
     }
 
@@ -130,10 +139,10 @@
         let before = self.splitter.point();
         let taken = self.splitter.take(piece);
         if !taken.events.is_empty() {
-            self.watch.heard();
-            if self.begun == Begun::NotYet {
-                self.begun = Begun::Yes;
-                self.call.account.first();
+            self.timer.received();
+            if self.first_event == FirstEvent::Pending {
+                self.first_event = FirstEvent::Received;
+                self.call.handle.first_byte();
             }
             let passed = match (self.splitter.point(), before) {
                 (ResumePoint::After(event), ResumePoint::After(before)) => {
@@ -144,7 +153,7 @@
             };
             self.call.trace.passed(u32::try_from(passed).unwrap_or(u32::MAX));
             if let ResumePoint::After(event) = self.splitter.point() {
-                self.call.account.delivered(event);
+                self.call.handle.delivered(event);
             }
         }
         if let Some(fault) = taken.fault {
@@ -155,31 +164,31 @@
 
     /// The server's stream is whole.
     fn finish(&mut self) -> Step {
-        if let State::Streaming(link) = std::mem::replace(&mut self.state, State::Done) {
-            link.finish();
-            self.call.account.end(Failed::Completed);
+        if let State::Streaming(response) = std::mem::replace(&mut self.state, State::Done) {
+            response.finish();
+            self.call.handle.end(AttemptEnd::Completed);
             self.call.trace.answered(None);
         }
         Step::Pass(self.splitter.take_remainder())
     }
 
-    fn poll_watch(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        if let Resume::At(_, leave) = &mut self.resume
+    fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<Step> {
+        if let Resume::OtherServer(_, leave) = &mut self.resume
             && let Poll::Ready(_) = Pin::new(&mut *leave).poll(context)
         {
-            // News come once; without another server, the clock asks again.
-            *leave = self.call.account.leave();
+            // News come once; without another server, the clock asks resumer.
+            *leave = self.call.handle.leave_signal();
             if let Some(left) = self.leave() {
                 return Poll::Ready(Step::Next(left));
             }
         }
         loop {
-            match ready!(self.watch.poll(context)) {
+            match ready!(self.timer.poll(context)) {
                 Alarm::End => return Poll::Ready(Step::Next(State::Flushing(Cut::Time))),
                 Alarm::Silence => match self.leave() {
                     Some(left) => return Poll::Ready(Step::Next(left)),
                     // Nobody else can go on: a slow server is better than none.
-                    None => self.watch.heard(),
+                    None => self.timer.received(),
                 },
             }
         }
@@ -200,32 +209,33 @@
             }
             // The limits of the attempt itself tell of silence.
             Poll::Pending => {
-                ready!(self.watch.poll_end(context));
+                ready!(self.timer.poll_end(context));
                 return Poll::Ready(Step::Next(State::Flushing(Cut::Time)));
             }
         };
-        if let Resume::At(again, leave) = &mut self.resume {
-            *leave = self.call.account.leave();
-            self.watch.expect_by(begun.link.flight.began + again.first());
+        if let Resume::OtherServer(resumer, leave) = &mut self.resume {
+            *leave = self.call.handle.leave_signal();
+            self.timer.expect_by(begun.response.flight.began + resumer.first_event_timeout());
         }
-        Poll::Ready(Step::Next(State::Streaming(begun.link)))
+        Poll::Ready(Step::Next(State::Streaming(begun.response)))
     }
 
     /// Goes on at another server, or ends with a cut.
     fn break_off(&mut self, cut: Cut) {
         let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(link) => Some(link.flight),
+            State::Streaming(response) => Some(response.flight),
             _ => None,
         };
         self.state = match &self.resume {
-            Resume::At(again, _) if self.splitter.point() != ResumePoint::Unknown => {
-                let resuming = again.start(flight, self.after(), Ended::Failed(cut.failed()));
+            Resume::OtherServer(resumer, _) if self.splitter.point() != ResumePoint::Unknown => {
+                let resuming =
+                    resumer.start(flight, self.after(), AttemptFailure::Failed(cut.attempt_end()));
                 self.switch();
                 State::Resuming(resuming, cut)
             }
-            Resume::At(..) | Resume::Never => {
-                self.call.account.end(cut.failed());
-                self.call.trace.attempt_ended(cut.failed(), None);
+            Resume::OtherServer(..) | Resume::Never => {
+                self.call.handle.end(cut.attempt_end());
+                self.call.trace.attempt_ended(cut.attempt_end(), None);
                 State::Flushing(cut)
             }
         };
@@ -233,18 +243,18 @@
 
     /// Goes on at another server in place of a silent one, if one takes the stream.
     fn leave(&mut self) -> Option<State> {
-        let Resume::At(again, _) = &self.resume else { return None };
+        let Resume::OtherServer(resumer, _) = &self.resume else { return None };
         if self.splitter.point() == ResumePoint::Unknown
             || !matches!(self.state, State::Streaming(_))
         {
             return None;
         }
-        let left = again.leave()?;
+        let left = resumer.leave()?;
         let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(link) => Some(link.flight),
+            State::Streaming(response) => Some(response.flight),
             _ => None,
         };
-        let resuming = again.start(flight, self.after(), left);
+        let resuming = resumer.start(flight, self.after(), left);
         self.switch();
         Some(State::Resuming(resuming, Cut::Silence))
     }
@@ -260,6 +270,6 @@
     /// What comes next is another server's.
     fn switch(&mut self) {
         self.splitter.switch();
-        self.begun = Begun::NotYet;
+        self.first_event = FirstEvent::Pending;
     }
 }
--- a/crates/relay/src/stream/watch.rs
+++ b/crates/relay/src/stream/timer.rs
@@ -9,10 +9,10 @@
 
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use crate::limit::Limit;
+use crate::deadline::Deadline;
 
 /// Time to read what came while this process was held up, before a server counts as silent.
-const GRACE: Duration = Duration::from_millis(25);
+const READ_GRACE: Duration = Duration::from_millis(25);
 
 /// What a clock tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,43 +24,43 @@
 }
 
 /// The clock of a stream. Hearing something moves no timer; the timer looks again when it fires.
-pub(crate) struct Watch {
-    end: Limit,
+pub(crate) struct StreamTimer {
+    end: Deadline,
     silence: Silence,
 }
 
 enum Silence {
     /// Nothing can be done about it.
-    Borne,
+    Ignored,
     Watched {
         sleep: Pin<Box<Sleep>>,
         until: Instant,
         pause: Duration,
-        doubt: Doubt,
+        grace: Grace,
     },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Doubt {
-    None,
-    Raised,
+enum Grace {
+    NotStarted,
+    Running,
 }
 
-impl Watch {
+impl StreamTimer {
     /// A clock that only ends the stream.
-    pub(crate) fn until(end: Limit) -> Watch {
-        Watch { end, silence: Silence::Borne }
+    pub(crate) fn until_end(end: Deadline) -> StreamTimer {
+        StreamTimer { end, silence: Silence::Ignored }
     }
 
     /// A clock that also wants a first event by `first`, and one each `pause` from then on.
-    pub(crate) fn pauses(end: Limit, first: Instant, pause: Duration) -> Watch {
+    pub(crate) fn with_timeouts(end: Deadline, first: Instant, pause: Duration) -> StreamTimer {
         let sleep = Box::pin(sleep_until(first));
-        let silence = Silence::Watched { sleep, until: first, pause, doubt: Doubt::None };
-        Watch { end, silence }
+        let silence = Silence::Watched { sleep, until: first, pause, grace: Grace::NotStarted };
+        StreamTimer { end, silence }
     }
 
     /// Something has come.
-    pub(crate) fn heard(&mut self) {
+    pub(crate) fn received(&mut self) {
         if let Silence::Watched { pause, .. } = self.silence {
             self.expect_by(Instant::now() + pause);
         }
@@ -68,8 +68,8 @@
 
     /// Something is due by a time.
     pub(crate) fn expect_by(&mut self, time: Instant) {
-        if let Silence::Watched { sleep, until, doubt, .. } = &mut self.silence {
-            (*until, *doubt) = (time, Doubt::None);
+        if let Silence::Watched { sleep, until, grace, .. } = &mut self.silence {
+            (*until, *grace) = (time, Grace::NotStarted);
             if time < sleep.deadline() {
                 sleep.as_mut().reset(time);
             }
@@ -80,18 +80,18 @@
         if Pin::new(&mut self.end).poll(context).is_ready() {
             return Poll::Ready(Alarm::End);
         }
-        let Silence::Watched { sleep, until, doubt, .. } = &mut self.silence else {
+        let Silence::Watched { sleep, until, grace, .. } = &mut self.silence else {
             return Poll::Pending;
         };
         loop {
             ready!(sleep.as_mut().poll(context));
             let now = Instant::now();
-            let next = match doubt {
+            let next = match grace {
                 _ if now < *until => *until,
-                Doubt::Raised => return Poll::Ready(Alarm::Silence),
-                Doubt::None => {
-                    *doubt = Doubt::Raised;
-                    now + GRACE
+                Grace::Running => return Poll::Ready(Alarm::Silence),
+                Grace::NotStarted => {
+                    *grace = Grace::Running;
+                    now + READ_GRACE
                 }
             };
             sleep.as_mut().reset(next);
@@ -101,7 +101,7 @@
     /// Waits for the end only.
     pub(crate) fn poll_end(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while ready!(self.poll(context)) == Alarm::Silence {
-            self.heard();
+            self.received();
         }
         Poll::Ready(())
     }
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -21,7 +21,7 @@
     time::Moment,
 };
 
-use crate::{attempt::Failed, clock::Clock, edge::Problem, host::Shared, stream::Cut};
+use crate::{attempt::AttemptEnd, clock::Clock, edge::Problem, host::Shared, stream::Cut};
 
 /// What is told and counted of one request.
 pub(crate) struct Trace(Mutex<Notes>);
@@ -39,7 +39,7 @@
     attempts: u32,
     status: Option<u16>,
     first: Option<Duration>,
-    heard: Option<Moment>,
+    last_received: Option<Moment>,
     gap: Duration,
     events: u32,
 }
@@ -66,7 +66,7 @@
             attempts: 0,
             status: None,
             first: None,
-            heard: None,
+            last_received: None,
             gap: Duration::ZERO,
             events: 0,
         }))
@@ -126,7 +126,7 @@
     }
 
     /// The attempt under way, if there is one, has ended.
-    pub(crate) fn attempt_ended(&self, end: Failed, status: Option<StatusCode>) {
+    pub(crate) fn attempt_ended(&self, end: AttemptEnd, status: Option<StatusCode>) {
         self.notes().attempt_ended(end, status);
     }
 
@@ -134,7 +134,7 @@
     pub(crate) fn first(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.status = status.map(|status| status.as_u16()).or(notes.status);
-        notes.heard_now();
+        notes.received_now();
     }
 
     /// The status that a stream began with.
@@ -146,13 +146,13 @@
     pub(crate) fn passed(&self, events: u32) {
         let mut notes = self.notes();
         notes.events += events;
-        notes.heard_now();
+        notes.received_now();
     }
 
     /// A server's answer was delivered whole.
     pub(crate) fn answered(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
-        notes.attempt_ended(Failed::Completed, status);
+        notes.attempt_ended(AttemptEnd::Completed, status);
         let status = status.map(|status| status.as_u16()).or(notes.status);
         if status.is_some_and(|status| 500 <= status) {
             return notes.end(Outcome::Failed, status, Some("server-error"));
@@ -173,7 +173,7 @@
             }
             Problem::Unclear => notes.end(Outcome::Unclear, status, Some("may-have-run")),
             Problem::TimedOut => {
-                notes.attempt_ended(Failed::Unclear(Unclear::Silent), None);
+                notes.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
                 notes.end(Outcome::Unclear, status, Some("timed-out"));
             }
             Problem::NotRun(_) => {
@@ -189,7 +189,7 @@
     /// A stream broke off midway.
     pub(crate) fn cut(&self, cut: &Cut) {
         let mut notes = self.notes();
-        notes.attempt_ended(cut.failed(), None);
+        notes.attempt_ended(cut.attempt_end(), None);
         let status = notes.status;
         notes.end(Outcome::Cut, status, Some(cut.word()));
     }
@@ -212,7 +212,7 @@
         }
     }
 
-    fn attempt_ended(&mut self, end: Failed, status: Option<StatusCode>) {
+    fn attempt_ended(&mut self, end: AttemptEnd, status: Option<StatusCode>) {
         let Some(server) = self.open.take() else { return };
         let attempted = attempted(end);
         self.meters.attempt(attempted);
@@ -222,9 +222,9 @@
         self.note(Step::AttemptEnded { attempt, server, outcome, status, ran: ran(end) });
     }
 
-    fn heard_now(&mut self) {
+    fn received_now(&mut self) {
         let now = self.clock.now();
-        match self.heard.replace(now) {
+        match self.last_received.replace(now) {
             Some(before) => self.gap = self.gap.max(now.saturating_sub(before)),
             None => self.first = Some(now.saturating_sub(self.received)),
         }
@@ -265,7 +265,7 @@
 impl Drop for Notes {
     fn drop(&mut self) {
         if self.story.is_some() {
-            self.attempt_ended(Failed::Cancelled, None);
+            self.attempt_ended(AttemptEnd::Cancelled, None);
             let status = self.status;
             self.end(Outcome::Left, status, Some("caller-left"));
         }
@@ -276,20 +276,20 @@
     Input::own("left_ms", left.as_secs_f64() * 1000.0)
 }
 
-fn attempted(end: Failed) -> Attempted {
+fn attempted(end: AttemptEnd) -> Attempted {
     match end {
-        Failed::Completed => Attempted::Whole,
-        Failed::ServerError => Attempted::ServerError,
-        Failed::NotRun(NotRun::Full) => Attempted::Full,
-        Failed::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
-        Failed::NotRun(NotRun::Instance) => Attempted::OtherRun,
-        Failed::Unreachable(Unreachable::Refused) => Attempted::Refused,
-        Failed::Unreachable(Unreachable::Timeout) => Attempted::ConnectTimeout,
-        Failed::Unreachable(Unreachable::Closed) => Attempted::Closed,
-        Failed::Unclear(Unclear::Cut) => Attempted::Cut,
-        Failed::Unclear(Unclear::Silent) => Attempted::Silent,
-        Failed::Unclear(Unclear::Garbled) => Attempted::Garbled,
-        Failed::Cancelled => Attempted::Left,
+        AttemptEnd::Completed => Attempted::Whole,
+        AttemptEnd::ServerError => Attempted::ServerError,
+        AttemptEnd::NotRun(NotRun::Full) => Attempted::Full,
+        AttemptEnd::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
+        AttemptEnd::NotRun(NotRun::Instance) => Attempted::OtherRun,
+        AttemptEnd::Unreachable(Unreachable::Refused) => Attempted::Refused,
+        AttemptEnd::Unreachable(Unreachable::Timeout) => Attempted::ConnectTimeout,
+        AttemptEnd::Unreachable(Unreachable::Closed) => Attempted::Closed,
+        AttemptEnd::Unclear(Unclear::Cut) => Attempted::Cut,
+        AttemptEnd::Unclear(Unclear::Silent) => Attempted::Silent,
+        AttemptEnd::Unclear(Unclear::Garbled) => Attempted::Garbled,
+        AttemptEnd::Cancelled => Attempted::Left,
     }
 }
 
@@ -306,10 +306,10 @@
     }
 }
 
-fn ran(end: Failed) -> Ran {
+fn ran(end: AttemptEnd) -> Ran {
     match end {
-        Failed::Completed | Failed::ServerError => Ran::Ran,
-        Failed::NotRun(_) | Failed::Unreachable(_) => Ran::DidNotRun,
-        Failed::Unclear(_) | Failed::Cancelled => Ran::MayHaveRun,
+        AttemptEnd::Completed | AttemptEnd::ServerError => Ran::Ran,
+        AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_) => Ran::DidNotRun,
+        AttemptEnd::Unclear(_) | AttemptEnd::Cancelled => Ran::MayHaveRun,
     }
 }
--- a/crates/relay/src/wishes.rs
+++ b/crates/relay/src/unplaced.rs
@@ -8,29 +8,29 @@
 
 use crate::{host::Shared, planning};
 
-/// Wishes of the plans of this host.
+/// UnplacedReporter of the plans of this host.
 #[derive(Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
     is_counted: bool,
 }
 
-impl Wishes {
+impl UnplacedReporter {
     /// Tells and counts what the last plan wanted in vain.
-    pub(crate) fn tell(&mut self, shared: &Shared, now: Moment) {
-        let wishes = shared.planner().unplaced().to_vec();
+    pub(crate) fn report(&mut self, shared: &Shared, now: Moment) {
+        let unplaced = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
-            let waiting = wishes.iter().filter(|wish| wish.obstacle == obstacle).count();
+            let waiting = unplaced.iter().filter(|entry| entry.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.word(), waiting);
         }
         self.is_counted = true;
-        for (wish, lasted) in self.limiter.due(&wishes, now) {
+        for (entry, lasted) in self.limiter.due(&unplaced, now) {
             shared.teller.belief(Belief::Wish {
-                model: wish.model,
-                adapter: wish.adapter,
-                replicas: u32::try_from(wish.replicas).unwrap_or(u32::MAX),
+                model: entry.model,
+                adapter: entry.adapter,
+                replicas: u32::try_from(entry.replicas).unwrap_or(u32::MAX),
                 since: lasted,
-                why: Word::Borrowed(wish.obstacle.word()),
+                why: Word::Borrowed(entry.obstacle.word()),
             });
         }
     }
@@ -46,7 +46,7 @@
 }
 
 /// Tells of an order that was decided and isn't sent.
-pub(crate) fn held_back(shared: &Shared, order: &Order, why: &'static str) {
+pub(crate) fn report_unsent(shared: &Shared, order: &Order, why: &'static str) {
     shared.teller.belief(Belief::Wish {
         model: order.model.clone(),
         adapter: order.adapter.clone(),
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -22,7 +22,7 @@
 };
 
 /// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Keeps the declaration in force up to date.
 pub(crate) async fn declaration(shared: Arc<Shared>) {
@@ -35,7 +35,7 @@
             })
             .await;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -49,7 +49,7 @@
             })
             .await;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -84,18 +84,18 @@
         match hedge.next(since, shared.watch(kind)).await {
             StoreReply::Seen(seen) => {
                 match kind {
-                    Kind::Declaration => shared.is_newest(),
-                    _ => shared.is_current(Duration::ZERO),
+                    Kind::Declaration => shared.confirm_declaration(),
+                    _ => shared.confirm_servers(Duration::ZERO),
                 }
                 since = since.max(seen.revision);
-                let is_news = !seen.changes.is_empty();
+                let has_changes = !seen.changes.is_empty();
                 seen.changes.into_iter().for_each(&take);
-                if is_news && kind == Kind::Server {
+                if has_changes && kind == Kind::Server {
                     sleep(shared.gather()).await;
                 }
             }
             StoreReply::Compacted => return,
-            _ => sleep(PAUSE).await,
+            _ => sleep(RETRY_INTERVAL).await,
         }
     }
 }
@@ -113,7 +113,7 @@
     if !follow::is_recent(age, shared.routed.drain) {
         return false;
     }
-    shared.is_current(age);
+    shared.confirm_servers(age);
     shared.take_servers(list, &relay.id);
     true
 }
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -24,7 +24,7 @@
     host::Shared,
 };
 
-type Asked<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
+type PendingWatch<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
 
 /// Why a watch is no longer trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,31 +54,31 @@
     ///
     /// A doubt counts as a failure of the store, in which entries of sound servers may have run out.
     pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
-        let mut oldest = self.ask(since, watch.wait);
-        let mut newest: Option<Asked<'a>> = None;
+        let mut oldest = self.start(since, watch.wait);
+        let mut newest: Option<PendingWatch<'a>> = None;
         let mut trusted = Instant::now() + watch.trust;
         loop {
             select! {
-                (told, connection) = &mut oldest => match newest.take() {
-                    Some(other) if !is_answer(&told) => {
-                        self.failed(&told);
+                (reply, connection) = &mut oldest => match newest.take() {
+                    Some(other) if !is_answer(&reply) => {
+                        self.log_failure(&reply);
                         oldest = other;
                     }
-                    _ => return self.end(told, connection),
+                    _ => return self.end(reply, connection),
                 },
-                Some((told, connection)) = poll(&mut newest) => {
-                    if is_answer(&told) {
-                        return self.end(told, connection);
+                Some((reply, connection)) = poll(&mut newest) => {
+                    if is_answer(&reply) {
+                        return self.end(reply, connection);
                     }
-                    self.failed(&told);
+                    self.log_failure(&reply);
                     newest = None;
                 }
                 cause = self.doubt(trusted) => {
                     if cause == Cause::Silence {
-                        self.shared.store.silent(self.kind, watch.trust);
+                        self.shared.store.report_silent_watch(self.kind, watch.trust);
                     }
-                    self.shared.store.fail();
-                    newest = Some(self.ask(since, watch.wait));
+                    self.shared.store.record_failure();
+                    newest = Some(self.start(since, watch.wait));
                     trusted = Instant::now() + watch.trust;
                 }
             }
@@ -93,29 +93,29 @@
         }
     }
 
-    fn end(&mut self, told: StoreReply, connection: Option<Connection>) -> StoreReply {
-        if !is_answer(&told) {
-            self.failed(&told);
+    fn end(&mut self, reply: StoreReply, connection: Option<Connection>) -> StoreReply {
+        if !is_answer(&reply) {
+            self.log_failure(&reply);
         }
         self.kept = connection;
-        told
+        reply
     }
 
-    fn ask(&mut self, since: Revision, wait: Duration) -> Asked<'a> {
+    fn start(&mut self, since: Revision, wait: Duration) -> PendingWatch<'a> {
         self.outages.mark_unchanged();
         Box::pin(self.shared.store.watch(self.kept.take(), self.kind, since, wait))
     }
 
-    fn failed(&self, told: &StoreReply) {
-        log::debug!(told:? = told; "a watch failed");
+    fn log_failure(&self, reply: &StoreReply) {
+        log::debug!(told:? = reply; "a watch failed");
     }
 }
 
-fn is_answer(told: &StoreReply) -> bool {
-    matches!(told, StoreReply::Seen(_) | StoreReply::Compacted)
+fn is_answer(reply: &StoreReply) -> bool {
+    matches!(reply, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
-async fn poll(asked: &mut Option<Asked<'_>>) -> Option<(StoreReply, Option<Connection>)> {
+async fn poll(asked: &mut Option<PendingWatch<'_>>) -> Option<(StoreReply, Option<Connection>)> {
     match asked {
         Some(asked) => Some(asked.await),
         None => None,
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -4,7 +4,7 @@
 //! once it has told, so prompts that several hosts send within that time meet at one server: each is
 //! read between two tokens of all streams there, and together they make pauses that no host would
 //! have allowed. So work in flight goes round far more often than all else that peers tell
-//! ([`peers`](crate::peers)): every [`FRESH`], if it has changed.
+//! ([`peers`](crate::peers)): every [`LOOK_INTERVAL`], if it has changed.
 //!
 //! With nine hosts before 18 model servers, over five days with faults and three seeds each, streams
 //! in time rose from 0.68 to 0.78 of the worst kind of request, against work told each 60 ms and sent
@@ -23,14 +23,14 @@
 use crate::host::Shared;
 
 /// Time between two looks at what has changed.
-const FRESH: Duration = Duration::from_millis(5);
+const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The same above 16 hosts, where digests wait for a budget, and the longest that what peers told
 /// counts as of the last look. How many hosts turn to a server at once is estimated in these rounds.
-const SLOW: Duration = Duration::from_millis(60);
+const GROUPED_LOOK_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The name under which all peers' work is kept: they tell it as one sum.
-pub(crate) const PEERS: &str = "peers";
+pub(crate) const PEERS_ID: &str = "peers";
 
 /// Tells this host's work and takes in that of the others, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
@@ -42,13 +42,13 @@
             exchange.publish(Publication::InFlight(work.iter().map(load).collect()));
             own = work;
         }
-        let (now, told) = (shared.now(), exchange.in_flight());
-        if told != others || taken + SLOW <= now {
-            let work: Vec<Work> = told.iter().map(work_of).collect();
-            shared.dispatcher().peer(&PEERS.into(), &work, now);
-            (others, taken) = (told, now);
+        let (now, received) = (shared.now(), exchange.in_flight());
+        if received != others || taken + GROUPED_LOOK_INTERVAL <= now {
+            let work: Vec<Work> = received.iter().map(work_of).collect();
+            shared.dispatcher().peer(&PEERS_ID.into(), &work, now);
+            (others, taken) = (received, now);
         }
-        sleep(if exchange.is_grouped() { SLOW } else { FRESH }).await;
+        sleep(if exchange.is_grouped() { GROUPED_LOOK_INTERVAL } else { LOOK_INTERVAL }).await;
     }
 }
 
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -81,7 +81,7 @@
     let told = suspecting().registered(0, Duration::ZERO, NOW);
     let left = UNTIL - NOW;
     assert_eq!(told.suspects, [Suspect { id: "s1".into(), left }]);
-    let delta = directory.compare(Registered { revision: 9, ..told });
+    let delta = directory.diff_peer_list(Registered { revision: 9, ..told });
     assert_eq!(
         (delta.suspected.len(), delta.deleted.len(), delta.upserted.len()),
         (suspected, 0, 0)
@@ -170,7 +170,7 @@
     #[case] written: usize,
     #[case] removed: usize,
 ) {
-    let delta = directory.compare(list);
+    let delta = directory.diff_peer_list(list);
     assert_eq!((delta.upserted.len(), delta.deleted.len()), (written, removed));
 }
 
@@ -185,7 +185,7 @@
     #[case] written: usize,
     #[case] removed: usize,
 ) {
-    let delta = directory.replace(list);
+    let delta = directory.diff_store_list(list);
     assert_eq!((delta.upserted.len(), delta.deleted.len()), (written, removed));
 }
 
