--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server.
+//! One attempt to get a response from a server.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     host::Shared,
 };
 
-/// A caller's request, held whole so that it can be sent again.
+/// A caller's request, buffered completely so that it can be sent again.
 pub(crate) struct BufferedRequest {
     pub(crate) info: RequestInfo,
     pub(crate) ticket: Ticket,
@@ -29,16 +29,16 @@
     pub(crate) body: Bytes,
 }
 
-/// How an attempt failed.
+/// How an attempt ended.
 pub(crate) type AttemptEnd = policy::dispatch::End;
 
-/// An answer that has begun.
+/// A response whose head has arrived.
 pub(crate) struct ResponseStart {
     pub(crate) head: response::Parts,
     pub(crate) response: OpenResponse,
 }
 
-/// The body of an answer on its way, with its connection.
+/// A response whose body is still to be read, with its connection.
 pub(crate) struct OpenResponse {
     pub(crate) body: Incoming,
     pub(crate) end: BodyEnd,
@@ -47,33 +47,32 @@
 }
 
 impl OpenResponse {
-    /// The answer has come whole.
+    /// Ends the attempt after the body was received completely.
     pub(crate) fn finish(self) {
         self.flight.finish(self.answer.keep_alive);
     }
 }
 
-/// What ends the body of an answer.
+/// What marks the end of a response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyEnd {
-    /// Its own framing.
+    /// The framing: a length or chunks.
     Framed,
-    /// The end of the connection.
+    /// The end of the connection, which can't be told from a failure.
     Close,
 }
 
-/// Whether a connection may take another request.
+/// Whether a connection may be used for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reuse {
     Allowed,
     Never,
 }
 
-/// A request on its way at a server, with its connection.
+/// An attempt in flight at a server, with its connection.
 pub(crate) struct Flight {
     shared: Arc<Shared>,
     pub(crate) server: Arc<Server>,
-    /// When the attempt began.
     pub(crate) began: Instant,
     connection: Option<Connection>,
     reuse: Reuse,
@@ -84,7 +83,7 @@
         Flight { shared, server, began: Instant::now(), connection: None, reuse: Reuse::Never }
     }
 
-    /// The answer has come whole: its connection can take another request.
+    /// Returns the connection to the pool after a complete response, if it may be reused.
     fn finish(mut self, keep_alive: Option<Duration>) {
         let connection =
             self.connection.take().inspect(|connection| connection.set_reset_on_close(false));
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Gives the attempt up, and returns when its connection is closed.
+    /// Cancels the attempt, and returns when its connection is closed.
     pub(crate) async fn close(mut self) {
         if let Some(connection) = self.connection.take() {
             connection.close().await;
@@ -103,11 +102,11 @@
     }
 }
 
-/// Sends a request to a server, and waits for the head of its answer.
+/// Sends a request to a server and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// How far the request may have come.
+/// The error states whether the request may have been executed.
 pub(crate) async fn begin(
     shared: &Arc<Shared>,
     server: &Arc<Server>,
@@ -127,7 +126,7 @@
     connection.set_reset_on_close(true);
     let sent = connection.sender.try_send_request(request).await;
     let response = sent.map_err(|mut error| match error.take_message() {
-        // A kept connection had ended before a byte of the request left.
+        // A pooled connection had been closed before a byte of the request was sent.
         Some(_) => AttemptEnd::Unreachable(Unreachable::Closed),
         None if error.error().is_parse() => AttemptEnd::Unclear(Unclear::Garbled),
         None => AttemptEnd::Unclear(Unclear::Cut),
@@ -149,10 +148,11 @@
     Ok(ResponseStart { head, response: OpenResponse { body, end, answer, flight } })
 }
 
-/// A kept connection that is still good, as far as can be seen.
+/// Returns a pooled connection that shows no sign of being closed.
 async fn idle_connection(shared: &Shared, server: &Server) -> Option<Connection> {
     while let Some(connection) = shared.pool.take(shared.now(), &server.id, server.address) {
-        // What has come meanwhile, an end or bytes that belong to no request, is seen first.
+        // Lets the connection's task first read what has arrived since: an end of the stream, or
+        // bytes that belong to no request.
         yield_now().await;
         if connection.sender.is_ready() {
             return Some(connection);
@@ -161,11 +161,12 @@
     None
 }
 
-/// Whether an answer's connection may take another request after it.
+/// Returns whether the connection may be used for another request after this response.
 fn reuse(head: &response::Parts, connection: &Connection) -> Reuse {
     let closes = fields::names(&head.headers, &header::CONNECTION)
         .any(|token| token.eq_ignore_ascii_case("close"));
-    // An answer that came before the request had left: its rest would keep the next one waiting.
+    // The response arrived before the request was sent completely: the remaining bytes would delay
+    // the next request.
     if closes || head.version != Version::HTTP_11 || !connection.is_flushed() {
         return Reuse::Never;
     }
@@ -188,7 +189,8 @@
     }
 }
 
-/// Whether an answer is this request's, and what it says of its run.
+/// Checks that a response belongs to this request and was made by the server, and whether the
+/// server states that it did not execute the request.
 fn validate(
     info: &RequestInfo,
     server: &Server,
@@ -206,7 +208,7 @@
     }
     let must_be_sealed = head.status.is_success() || head.status == StatusCode::NOT_MODIFIED;
     let is_unsealed = must_be_sealed && answer.seal == Seal::Missing;
-    // Nobody asked for an encoding, so no server's own answer has one.
+    // No encoding was requested, so a server's own response has none.
     let is_encoded = head.headers.contains_key(header::CONTENT_ENCODING);
     let is_interim = head.status.is_informational();
     if is_unsealed || is_encoded || is_interim || implies_not_run(head.status) {
@@ -215,12 +217,13 @@
     Ok(())
 }
 
-/// Whether an answer that was validated so is the server's own, and to this request.
+/// Returns whether a response with this result of `validate` was made by the server, for this
+/// request.
 fn is_genuine(validated: &Result<(), AttemptEnd>) -> bool {
     matches!(validated, Ok(()) | Err(AttemptEnd::NotRun(NotRun::Full | NotRun::NotHeld)))
 }
 
-/// Why a server did not run a request.
+/// Returns why a server did not execute a request.
 fn not_run(server: &Server, status: StatusCode, answer: &Answer) -> NotRun {
     if status != StatusCode::MISDIRECTED_REQUEST {
         return NotRun::Full;
@@ -231,8 +234,8 @@
     }
 }
 
-/// Whether callers take a status for a promise that the request did not run. A server that means
-/// it says so by more than the status.
+/// Returns whether callers take a status to mean that the request was not executed. A server that
+/// did not execute it states so by more than the status.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! A request on its way, and its handle with the dispatcher.
+//! A request in progress, and its state in the dispatcher.
 
 use std::{
     pin::pin,
@@ -28,17 +28,17 @@
     trace::{self, Trace},
 };
 
-/// When to come back to another host after a refusal by one that leaves.
+/// Time after which a caller may retry, at another host, if this one is about to stop.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 
-/// Time after which a silent server that no other could be found for is left, if one is found then.
+/// Interval at which a request at a silent server looks for another server, after none was found.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Rank of all requests at a server. The urgent go first in the queue here; at a server they would
-/// preempt what runs, whose prompt is then read again.
+/// Priority of all requests at a server. Urgent requests go first in this host's queue; at a server
+/// they would preempt running requests, whose prompts would have to be read again.
 const SERVER_PRIORITY: u8 = 5;
 
-/// A request that has been read and has a route.
+/// A request that was parsed and matched to a route.
 pub(crate) struct Call {
     pub(crate) request: BufferedRequest,
     pub(crate) route: Route,
@@ -72,7 +72,7 @@
         Call { request, route, service, received, limit, fingerprint, handle, trace, _open: open }
     }
 
-    /// When its time is over.
+    /// Returns the request's deadline.
     pub(crate) fn end(&self) -> Moment {
         self.received + self.limit
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells what was read of it.
+    /// Adds the parsed properties of the request to its trace.
     pub(crate) fn trace_arrival(&self, version: Version) {
         let info = &self.request.info;
         let arrival = Arrival {
@@ -103,21 +103,21 @@
         self.trace.arrived(&self.route, arrival);
     }
 
-    /// The first server for it.
+    /// Returns the first server to send the request to.
     ///
     /// # Errors
     ///
-    /// It is refused.
+    /// The request is refused.
     pub(crate) async fn first_server(&self, shared: &Shared) -> Result<Arc<Server>, Problem> {
         let verdict = self.handle.arrive(self.spec());
         self.apply_verdict(shared, verdict).await
     }
 
-    /// The next server after an attempt that failed.
+    /// Returns the next server after a failed attempt.
     ///
     /// # Errors
     ///
-    /// It is over.
+    /// The request has ended with this problem.
     async fn next_server(&self, shared: &Shared, end: AttemptEnd) -> Result<Arc<Server>, Problem> {
         self.trace.attempt_ended(end, None);
         match self.handle.retry(end) {
@@ -141,8 +141,8 @@
         }
     }
 
-    /// What comes of an attempt at a server. One that is silent for so long is left, but only for
-    /// another that takes the request at once.
+    /// Runs an attempt. If the server is silent for `patience`, the request leaves it, but only if
+    /// another server takes the request at once.
     pub(crate) async fn attempt<T>(
         &self,
         patience: Duration,
@@ -164,18 +164,18 @@
         }
     }
 
-    /// Leaves a silent server, if another one takes the request.
+    /// Leaves a silent server if another server takes the request.
     pub(crate) fn leave(&self) -> Option<backend::Id> {
         let server = self.handle.leave_for_another()?;
         self.trace.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
         Some(server)
     }
 
-    /// The next server after an attempt.
+    /// Returns the next server after an attempt without a response.
     ///
     /// # Errors
     ///
-    /// The request is over, with this answer to the caller.
+    /// The request has ended with this problem.
     pub(crate) async fn server_after(
         &self,
         shared: &Shared,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Sends it to a server, and waits for the head of the answer.
+    /// Sends the request to a server and waits for the head of the response.
     pub(crate) async fn send(
         &self,
         shared: &Arc<Shared>,
@@ -210,7 +210,7 @@
         begun
     }
 
-    /// What its caller is told when its time is over.
+    /// Returns the problem to report after the deadline has passed.
     pub(crate) fn timed_out(&self) -> Problem {
         if self.handle.sent.load(Ordering::Relaxed) {
             return Problem::TimedOut;
@@ -240,7 +240,7 @@
                 self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
-            // What waits leaves no server.
+            // A waiting request has no server to leave, so `Leave` does not occur here.
             Verdict::Quarantined => {
                 self.handle.close();
                 self.trace.refused(Refusal::Poison, self.left(shared), None);
@@ -253,13 +253,13 @@
         }
     }
 
-    /// It is refused, since this host is about to stop.
+    /// Refuses the request because this host is about to stop.
     fn stopping(&self, shared: &Shared) -> Problem {
         self.trace.refused(Refusal::Stopping, self.left(shared), Some(RETRY_ELSEWHERE_AFTER));
         Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
-    /// The server that was chosen; another one if it has gone in between.
+    /// Returns the chosen server, or another one if it has been removed meanwhile.
     async fn server(&self, shared: &Shared, id: &backend::Id) -> Result<Arc<Server>, Problem> {
         match shared.server(id) {
             Some(server) => {
@@ -305,32 +305,34 @@
     }
 }
 
-/// How an attempt ended without an answer.
+/// Why an attempt yielded no response.
 pub(crate) enum AttemptFailure {
-    /// It failed.
+    /// The attempt failed.
     Failed(AttemptEnd),
-    /// Another server has taken the request from a silent one.
+    /// The server was silent, and this other server takes the request.
     Left(backend::Id),
 }
 
-/// A request's handle with the dispatcher; it is closed at the latest when it is dropped.
+/// A request's handle in the dispatcher. Dropping it ends the request there as cancelled, unless it
+/// has ended before.
 pub(crate) struct DispatchHandle {
     shared: Arc<Shared>,
     ticket: Ticket,
     closed: AtomicBool,
-    /// Whether a byte of it may have reached a server that has not said that it did not run.
+    /// Whether a byte of the request may have reached a server that has not stated that it did not
+    /// execute the request.
     sent: AtomicBool,
 }
 
 impl DispatchHandle {
-    /// The first byte or event of its answer has come.
+    /// Reports that the first byte or event of the response has arrived.
     pub(crate) fn first_byte(&self) {
         self.shared.dispatcher().first_byte(self.ticket, self.shared.now());
-        // Its prompt is read, so the next may follow.
+        // The prompt has been processed, so the server can take another one.
         self.shared.dispatch_wakeup.notify_one();
     }
 
-    /// It is over.
+    /// Reports how the request ended, once.
     pub(crate) fn end(&self, end: AttemptEnd) {
         if !self.closed.swap(true, Ordering::Relaxed) {
             self.shared.dispatcher().ended(self.ticket, end, self.shared.now());
@@ -356,24 +358,24 @@
         decision
     }
 
-    /// Its caller has got so many events.
+    /// Reports the number of the last event that was passed to the caller.
     pub(crate) fn delivered(&self, event: u64) {
         self.shared.dispatcher().delivered(self.ticket, event, self.shared.now());
     }
 
-    /// Another server that takes it from a silent one, if there is one now.
+    /// Moves the request from a silent server to another one, if one can take it now.
     fn leave_for_another(&self) -> Option<backend::Id> {
         let server = self.shared.dispatcher().leave(self.ticket, self.shared.now())?;
         self.shared.dispatch_wakeup.notify_one();
         Some(server)
     }
 
-    /// Ends when the request is to leave its server.
+    /// Returns a future that completes when the request is to leave its server.
     pub(crate) fn leave_signal(&self) -> LeaveSignal {
         self.shared.wait_for_verdict(self.ticket)
     }
 
-    /// The dispatcher has closed it.
+    /// Notes that the dispatcher has ended the request by itself.
     fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
@@ -386,30 +388,30 @@
     }
 }
 
-/// News that a request is to leave its server.
+/// Signal that a request is to leave its server.
 pub(crate) type LeaveSignal = oneshot::Receiver<Verdict>;
 
-/// A stream's way on to another server.
+/// Continues an interrupted stream at another server.
 pub(crate) struct Resumer {
     pub(crate) shared: Arc<Shared>,
     pub(crate) call: Arc<Call>,
 }
 
-/// A stream that is being taken to another server.
+/// A pending move of a stream to another server.
 pub(crate) type Resuming = BoxFuture<'static, Result<ResponseStart, Problem>>;
 
 impl Resumer {
-    /// Leaves a silent server, if another one takes the stream.
+    /// Leaves a silent server if another server takes the stream.
     pub(crate) fn leave(&self) -> Option<AttemptFailure> {
         self.call.leave().map(AttemptFailure::Left)
     }
 
-    /// How long a server may take for its first event.
+    /// Returns the time that a server has for its first event.
     pub(crate) fn first_event_timeout(&self) -> Duration {
         attempt_timeout::first_event(self.call.route.goal)
     }
 
-    /// Goes on after an event, once the connection to the server before is closed.
+    /// Resumes the stream after an event, once the connection to the previous server is closed.
     pub(crate) fn start(
         &self,
         before: Option<Flight>,
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -9,14 +9,14 @@
 
 use crate::{connect, host::Shared, path};
 
-/// Longest time for a head, which counts from the end of the request before. Callers' connections
-/// must outlive the declared idle limit, whatever it becomes while they are open.
+/// Maximum time for a request's head, counted from the end of the previous request. Callers'
+/// connections must outlive the declared idle limit, which may change while they are open.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Largest head that is read before the declared limit is looked at, in bytes.
+/// Maximum size of a head that is read, in bytes. The declared limit is checked afterwards.
 const MAX_HEAD_BYTES: usize = 128 * 1024;
 
-/// Serves callers until told to stop, and returns when the last connection has ended.
+/// Serves callers until `stop` is cancelled, and returns when the last connection has ended.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener, stop: CancellationToken) {
     let connections = TaskTracker::new();
     loop {
--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,15 +1,15 @@
 //! The process's clock.
 //!
-//! Time is counted since the start of the process by the clock that goes on while the machine is
-//! suspended, so that a lease or a deadline that ran out meanwhile is seen to have run out. The
-//! time of day decides nothing.
+//! Time is counted from the start of the process by a clock that includes the time for which the
+//! machine was suspended, so that leases and deadlines which expired meanwhile are seen as expired.
+//! Nothing depends on the time of day.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 use types::prelude::*;
 
-/// Time since the start of the process.
+/// Clock that counts from the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     read: fn() -> Duration,
@@ -17,23 +17,23 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock that reads the boot time.
     pub fn start() -> Clock {
         Clock::by(boot_time)
     }
 
-    /// A clock that starts now, by what `read` gives.
+    /// Starts a clock that reads the time from `read`.
     pub fn by(read: fn() -> Duration) -> Clock {
         Clock { read, origin: read() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the clock was started.
     pub fn now(&self) -> Moment {
         (self.read)().saturating_sub(self.origin)
     }
 }
 
-/// The time since the machine started, suspensions included.
+/// Time since the machine was booted, suspensions included.
 pub fn boot_time() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
 }
--- a/crates/relay/src/connect.rs
+++ b/crates/relay/src/connect.rs
@@ -13,13 +13,13 @@
 
 use self::wire::{PendingWrite, ResetOnClose, Wire};
 
-/// Longest time for a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time after which unacknowledged bytes end a connection that has gone silent.
+/// Time after which a connection is closed if sent bytes are not acknowledged, as when the peer has
+/// become unreachable.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection, and the task that drives it.
+/// An HTTP/1.1 connection and the task that drives it.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: http1::SendRequest<Full<Bytes>>,
@@ -29,17 +29,18 @@
 }
 
 impl Connection {
-    /// Whether all that was sent so far has left this process.
+    /// Returns whether all bytes sent so far have been handed to the kernel.
     pub(crate) fn is_flushed(&self) -> bool {
         !self.pending_write.is_pending()
     }
 
-    /// Whether the connection ends with a reset from now on: a request that is given up must not arrive later.
+    /// Sets whether the socket is closed with a reset. A request that was given up must not arrive
+    /// later, so bytes that are still in transit have to be dropped.
     pub(crate) fn set_reset_on_close(&self, is_reset: bool) {
         self.reset_on_close.set(is_reset);
     }
 
-    /// Closes the socket, and returns when it is closed.
+    /// Closes the socket and waits until it is closed.
     pub(crate) async fn close(mut self) {
         self.driver.abort();
         let _ = (&mut self.driver).await;
@@ -47,17 +48,15 @@
 }
 
 impl Drop for Connection {
-    /// Closes the socket at once, whatever is under way on it.
+    /// Closes the socket at once, even during an exchange.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// Opens a connection.
-///
 /// # Errors
 ///
-/// It is refused, or does not stand in time.
+/// The connection is refused or not established in time.
 pub(crate) async fn open(address: SocketAddr) -> io::Result<Connection> {
     drive(connect(address).await?).await
 }
@@ -75,24 +74,25 @@
     let (sender, connection) =
         http1::Builder::new().handshake(TokioIo::new(wire)).await.map_err(io::Error::other)?;
     let driver = tokio::spawn(async move {
-        // The request's side hears of the error.
+        // The error is also reported to the sender of the request.
         let _ = connection.await;
     });
     Ok(Connection { sender, pending_write, reset_on_close, driver })
 }
 
-/// Opens a connection whose end is a reset: what is still held up on the way is lost with it.
+/// Opens a connection that is always closed with a reset, which drops what is still in transit.
 ///
 /// # Errors
 ///
-/// It is refused, or does not stand in time.
+/// The connection is refused or not established in time.
 pub(crate) async fn open_with_reset(address: SocketAddr) -> io::Result<Connection> {
     let stream = connect(address).await?;
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     drive(stream).await
 }
 
-/// Sets what every connection needs; one that can't take an option works without it.
+/// Sets the socket options that every connection needs. Failures are ignored: the connection works
+/// without them.
 pub(crate) fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
--- a/crates/relay/src/connect/wire.rs
+++ b/crates/relay/src/connect/wire.rs
@@ -1,4 +1,4 @@
-//! A socket that tells whether something waits to be written to it, and that may end with a reset.
+//! A socket that knows whether data waits to be written, and that can be closed with a reset.
 
 use std::{
     io::{self, IoSlice},
@@ -15,7 +15,7 @@
     net::TcpStream,
 };
 
-/// Whether something waits to be written.
+/// Flag: data waits to be written to the socket.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingWrite(Arc<AtomicBool>);
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// How a socket ends: in order, or with a reset that takes what is still held up on the way with it.
+/// Flag: the socket is closed with a reset, which drops data in transit, instead of in order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResetOnClose(Arc<AtomicBool>);
 
@@ -39,7 +39,8 @@
     }
 }
 
-/// A socket. Its writer flushes it only when its own buffers are empty, which is what this rests on.
+/// A TCP stream with these flags. The pending-write flag relies on hyper flushing the stream only
+/// when its own buffers are empty.
 pub(super) struct Wire {
     stream: TcpStream,
     pending_write: PendingWrite,
@@ -61,7 +62,7 @@
 impl Drop for Wire {
     fn drop(&mut self) {
         if self.reset_on_close.0.load(Ordering::Relaxed) {
-            // A socket that is gone already needs none.
+            // This fails only if the socket is closed already.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -1,7 +1,7 @@
-//! Calls to model servers that are no requests: orders and reports.
+//! Control calls to model servers: orders and reports.
 //!
-//! Each server has one slot connection for them. A call that runs out of time ends its connection
-//! by a reset, so that nothing of it that is still held up on the way arrives later.
+//! One connection per server is kept open for these calls. A call that times out closes its
+//! connection with a reset, so that no part of the call arrives later.
 
 use std::{
     collections::HashMap,
@@ -23,40 +23,40 @@
     edge::{Dialect, Order, OrderReply, OrderStatus},
 };
 
-/// Longest time for a report.
+/// Timeout of a request for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest answer taken, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 type Slot = Arc<Mutex<Option<Connection>>>;
 
-/// Slot connections for orders and reports.
+/// Idle connections for orders and reports, at most one per server.
 #[derive(Default)]
 pub(crate) struct Control {
     slots: StdMutex<HashMap<backend::Id, Slot>>,
 }
 
-/// A connection that is held for one call.
+/// A server's connection, locked for one call.
 pub(crate) struct ControlConnection<'a> {
     slot: MutexGuard<'a, Option<Connection>>,
     connection: Connection,
 }
 
 impl Control {
-    /// Where a server's connection is slot.
+    /// Returns the slot for a server's idle connection.
     pub(crate) fn slot(&self, server: &Server) -> Slot {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.entry(server.id.clone()).or_default().clone()
     }
 
-    /// Forgets servers that are gone.
+    /// Closes the connections to servers that are no longer known.
     pub(crate) fn sweep(&self, is_known: impl Fn(&backend::Id) -> bool) {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.retain(|server, _| is_known(server));
     }
 
-    /// A server's report.
+    /// Fetches a server's load report; `None` if it can't be had in time or is malformed.
     pub(crate) async fn report(&self, dialect: &dyn Dialect, server: &Server) -> Option<Report> {
         let slot = self.slot(server);
         let response = tokio::time::timeout(REPORT_TIMEOUT, async {
@@ -71,7 +71,7 @@
 }
 
 impl<'a> ControlConnection<'a> {
-    /// Takes a server's connection, a new one if none is slot.
+    /// Takes a server's idle connection, or opens a new one.
     pub(crate) async fn open(server: &Server, slot: &'a Slot) -> Option<ControlConnection<'a>> {
         let mut slot = slot.lock().await;
         let ready = slot.take().filter(|connection| connection.sender.is_ready());
@@ -82,7 +82,7 @@
         Some(ControlConnection { slot, connection })
     }
 
-    /// Gives an order, and waits so long for the answer.
+    /// Sends an order and waits for the response until `timeout`.
     pub(crate) async fn order(
         self,
         dialect: &dyn Dialect,
--- a/crates/relay/src/deadline.rs
+++ b/crates/relay/src/deadline.rs
@@ -1,8 +1,8 @@
-//! Time limits that hold over a suspension.
+//! Deadlines that include the time for which the machine is suspended.
 //!
-//! The timers of the runtime stand still while the machine is suspended. A limit is judged by the
-//! process's clock, which goes on; whoever looks at that clock on a coarse tick tells all limits
-//! when it has jumped.
+//! The timers of the runtime stop while the machine is suspended. A deadline is therefore judged by
+//! the process's clock, which does not stop. The task that checks this clock at short intervals
+//! notifies all deadlines when the clock has jumped.
 
 use std::{
     future::Future,
@@ -19,7 +19,7 @@
 
 use crate::{clock::Clock, host::Shared};
 
-/// Ends when a moment has come.
+/// Future that completes when a moment of the host's clock has passed.
 pub(crate) struct Deadline {
     end: Moment,
     clock: Clock,
@@ -29,7 +29,7 @@
 }
 
 impl Deadline {
-    /// Ends at this moment of the host's clock.
+    /// Creates a deadline at this moment of the host's clock.
     pub(crate) fn at(shared: &Shared, end: Moment) -> Deadline {
         let (clock, jumped) = (shared.clock, shared.clock_jumped.clone());
         let jump = Box::pin(jumped.clone().notified_owned());
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -1,7 +1,8 @@
-//! The edge of a routed deployment: what callers, servers and the store speak.
+//! The protocols of a routed deployment: what its callers, its servers and its store send and
+//! expect.
 //!
-//! A [`Dialect`] turns bytes into our words and our words into bytes. It decides nothing, keeps
-//! nothing and does no I/O, so that the same decisions serve any dialect.
+//! A [`Dialect`] translates between bytes and the types of this module. It makes no decisions, has
+//! no state and does no I/O, so that the same decisions serve any dialect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,377 +13,378 @@
     routed::{Born, Declaration, Rate, Report, Sequence, Server},
 };
 
-/// Number of a change in the store.
+/// Number that the store gives to a change; it grows with every change of any object.
 pub type Revision = u64;
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may have in common, so that a server can cache it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
-    /// What it is known by.
+    /// Identity of the content: equal ids mean equal text.
     pub id: u64,
-    /// Its length.
+    /// Length, in tokens.
     pub tokens: u32,
 }
 
-/// What the decisions need to know of a caller's request.
+/// The properties of a caller's request that admission and routing use.
 #[derive(Clone, Debug)]
 pub struct RequestInfo {
-    /// The caller's name for this attempt of its.
+    /// Request id that the caller chose for this attempt.
     pub id: Arc<str>,
-    /// Host that it names.
+    /// Host that the request names.
     pub host: Arc<str>,
-    /// Path that it names.
+    /// Path that the request names.
     pub path: Arc<str>,
-    /// The model wanted.
+    /// Requested model.
     pub model: Option<model::Id>,
-    /// The adapter wanted on top of it.
+    /// Requested adapter of that model.
     pub adapter: Option<adapter::Id>,
-    /// The prompt, part by part.
+    /// The parts of the prompt, in order.
     pub prompt: Vec<Part>,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub tokens_in: u32,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer, in tokens.
     pub tokens_out: u32,
-    /// Expected tokens of the answer, by the caller's own guess.
+    /// Length of the answer that the caller expects, in tokens.
     pub length_hint: Option<u32>,
-    /// How long the caller waits.
+    /// Time for which the caller waits, counted from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Last event that the caller has of a broken stream.
+    /// Number of the last event that the caller has received of an interrupted stream.
     pub resume: Option<u64>,
 }
 
-/// Why a request can't be read.
+/// Reason why a request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// It has no name.
+    /// The request id is missing.
     #[error("the request has no id")]
     NoId,
-    /// It names no host.
+    /// The host is missing.
     #[error("the request names no host")]
     NoHost,
-    /// A field of its head can't be read.
+    /// A header field can't be parsed.
     #[error("{0} can't be read")]
     Field(&'static str),
 }
 
-/// How a request goes to a server.
+/// What a forwarded request carries in addition to the caller's headers.
 #[derive(Clone, Debug)]
 pub struct ForwardOptions<'a> {
-    /// The name of the server that is meant.
+    /// Name of the server that the message is addressed to.
     pub server: &'a str,
-    /// Time left.
+    /// Time left until the request's deadline.
     pub deadline: Duration,
-    /// Rank at the server; 0 goes first.
+    /// Priority at the server; 0 is the highest.
     pub priority: u8,
-    /// Event after which a stream goes on.
+    /// Number of the event after which the stream is to resume.
     pub resume: Option<u64>,
 }
 
-/// What the head of a server's answer says.
+/// What the head of a server's response states.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The request that it names.
+    /// Request id that the response names.
     pub id: Option<Arc<str>>,
-    /// The name of the server that answers, if it says so.
+    /// Name of the responding server, if stated.
     pub instance: Option<Arc<str>>,
-    /// Whether it bears the server's seal.
+    /// Whether the response bears the server's seal.
     pub seal: Seal,
-    /// Whether the server says that the request did not run.
+    /// Whether the server states that it did not execute the request.
     pub execution: Execution,
-    /// Load at the time: running, waiting, slots.
+    /// Load when the response was sent: running requests, waiting requests, slots.
     pub load: Option<[u32; 3]>,
-    /// How long the connection may be idle.
+    /// Time after which the server closes the connection if it is idle.
     pub keep_alive: Option<Duration>,
-    /// The rate at which its server takes requests.
+    /// The rate limit that the server states.
     pub limit: Limit,
 }
 
-/// The rate at which a server says that it takes requests from all hosts together.
+/// The rate at which a server states that it accepts requests from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// The answer names no limit.
+    /// The response states no limit.
     Unnamed,
-    /// The answer names this limit.
+    /// The response states this limit.
     Named(Rate),
-    /// The answer names a limit that can't be read.
+    /// The response states a limit that can't be parsed.
     Unreadable,
 }
 
-/// Whether an answer is sealed by its server.
+/// Whether a response bears the seal that a server puts on its own responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seal {
-    /// It is.
+    /// The seal is there.
     Present,
-    /// It isn't.
+    /// The seal is missing.
     Missing,
 }
 
-/// What a server says of a request's run.
+/// What a server states about the execution of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It says that the request did not run.
+    /// The request was not executed.
     NotRun,
-    /// It says nothing of the kind.
+    /// Nothing is stated.
     Unstated,
 }
 
-/// An order to a model server.
+/// An order to a model server to load or unload a model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The name of the server that is meant.
+    /// Name of the server that the message is addressed to.
     pub server: Arc<str>,
-    /// What is to be done.
+    /// The requested operation.
     pub operation: Operation,
-    /// The model.
+    /// Model that the order is about.
     pub model: model::Id,
-    /// The adapter of it, if one is meant.
+    /// Adapter of that model; none if the order is about the model itself.
     pub adapter: Option<adapter::Id>,
-    /// The sequence number that the order was worked out from.
+    /// The server's sequence number that the order is based on; the server refuses any other.
     pub expected: Sequence,
-    /// The host that gives it.
+    /// The host that sends the order as holder of the lease.
     pub holder: host::Id,
-    /// Its fencing number.
+    /// Fencing token of the lease.
     pub fence: u64,
 }
 
-/// What an order does.
+/// The operation of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Loads.
+    /// Load the model or adapter.
     Load,
-    /// Unloads.
+    /// Unload the model or adapter.
     Unload,
 }
 
-/// A server's answer to an order.
+/// How a server responded to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderStatus {
-    /// It is being carried out.
+    /// The server executes the order.
     Accepted,
-    /// It holds already.
+    /// The server is already in the requested state.
     Holds,
-    /// Another is being carried out, or the sequence has moved.
+    /// Another order is being executed, or the sequence number differs from the expected one.
     Conflict,
-    /// Its fencing number is too low.
+    /// The fencing token is too old.
     Fenced,
-    /// Another server has the address.
+    /// Another server, or another run of the server, has the address.
     NotThere,
-    /// There is no such order.
+    /// The server does not understand the order.
     Invalid,
-    /// Nothing can be said.
+    /// The outcome is unknown.
     Unknown,
 }
 
-/// What came back for an order.
+/// The response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderReply {
-    /// The server's answer.
+    /// Outcome of the order.
     pub status: OrderStatus,
-    /// When the run that answers began, if it says so.
+    /// Start time of the responding server's run; 0 if not stated.
     pub born: Born,
 }
 
-/// Kinds of objects in the store.
+/// Kind of an object in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The declaration.
+    /// The deployment's declaration.
     Declaration,
-    /// Servers as they register themselves.
+    /// Registration of a server, written by the server.
     Server,
-    /// Hosts of our own.
+    /// Registration of an entry host, written by the host.
     Host,
-    /// Leases of our own.
+    /// A lease that entry hosts contend for.
     Lease,
-    /// Requests that are refused since they crash servers.
+    /// A request that is refused because it crashed servers.
     Quarantine,
 }
 
 /// An object in the store.
 #[derive(Clone, Debug)]
 pub struct Object {
-    /// Its name within its kind.
+    /// Name, unique within the kind.
     pub name: Arc<str>,
-    /// The revision of its last change.
+    /// Revision of the last change.
     pub revision: Revision,
-    /// What it holds.
+    /// Content as JSON.
     pub content: serde_json::Value,
 }
 
-/// A page of a list.
+/// One page of a list of objects.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
-    /// Objects.
+    /// The objects of this page.
     pub objects: Vec<Object>,
-    /// Whether there are more, after the last of these.
+    /// Whether further pages follow.
     pub more: bool,
-    /// The store's revision.
+    /// Revision of the store when it made this page.
     pub revision: Revision,
 }
 
-/// A change of an object.
+/// A change of an object, as a watch reports it.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// It was written.
+    /// The object was created or replaced.
     Written(Object),
-    /// It was removed.
+    /// The object was removed.
     Removed {
-        /// Its name within its kind.
+        /// Name, unique within the kind.
         name: Arc<str>,
-        /// The revision of its last change; 0 if that isn't told.
+        /// Revision of the removal; 0 if the store does not state it.
         revision: Revision,
     },
 }
 
-/// What a watch has seen.
+/// The changes that one call of a watch returned.
 #[derive(Clone, Debug, Default)]
 pub struct WatchBatch {
-    /// Changes in their order.
+    /// Changes, in the order in which they were made.
     pub changes: Vec<Change>,
-    /// The revision to go on from.
+    /// Revision from which the next call watches.
     pub revision: Revision,
 }
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Clone, Debug)]
 pub enum Call<'a> {
-    /// Lists a kind, from the object after `after`.
+    /// Lists the objects of a kind, page by page.
     List {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Last name of the page before.
+        /// Last name of the previous page; none for the first page.
         after: Option<&'a str>,
     },
-    /// Waits for changes since a revision.
+    /// Waits until objects of a kind change.
     Watch {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Changes after this one.
+        /// Only changes after this revision are reported.
         since: Revision,
-        /// Longest wait.
+        /// Time after which the store responds even without a change.
         wait: Duration,
     },
-    /// Reads an object.
+    /// Reads one object.
     Get {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: &'a str,
     },
-    /// Creates an object.
+    /// Creates an object, unless it exists.
     Create {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: &'a str,
-        /// What it holds.
+        /// Content as JSON.
         content: &'a serde_json::Value,
     },
-    /// Replaces an object that still has a revision.
+    /// Replaces an object, if its revision is the given one.
     Replace {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: &'a str,
-        /// The revision that it must have.
+        /// Revision that the object must have.
         revision: Revision,
-        /// What it holds from now on.
+        /// The new content.
         content: &'a serde_json::Value,
     },
-    /// Removes an object that still has a revision.
+    /// Removes an object, if its revision is the given one.
     Delete {
-        /// The kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Its name.
+        /// Name of the object.
         name: &'a str,
-        /// The revision that it must have.
+        /// Revision that the object must have.
         revision: Revision,
     },
 }
 
-/// The store's answer to a call.
+/// The store's response to a call.
 #[derive(Clone, Debug)]
 pub enum StoreReply {
-    /// A page of a list.
+    /// One page of a list of objects.
     Page(Page),
-    /// Changes.
+    /// Changes that a watch returned; none if its wait ended without any.
     Seen(WatchBatch),
-    /// The object as it is now.
+    /// The object as it is after the call.
     Object(Object),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// The condition does not hold; the object as it is, if it was told.
+    /// The object exists already or has another revision; with its present state, if the store sent
+    /// it.
     Conflict(Option<Object>),
-    /// The history asked for is gone.
+    /// The store no longer has the history since the requested revision.
     Compacted,
-    /// Nothing was done.
+    /// The store refused the call and changed nothing.
     Refused,
-    /// Nothing can be said.
+    /// The outcome is unknown.
     Unclear,
 }
 
-/// Why a request ends without a server's answer.
+/// Reason why a request ends with a response of this host instead of a server's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// It can't be read.
+    /// The request can't be parsed.
     Malformed,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// Its body is too large.
+    /// The body exceeds the declared limit.
     TooLarge,
-    /// It did not run; come back after this time.
+    /// The request was not executed; the caller may retry after this time.
     NotRun(Duration),
-    /// It may have run.
+    /// The request may have been executed.
     Unclear,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and the request may have been executed.
     TimedOut,
 }
 
-/// What a deployment's callers, servers and store speak.
+/// Translation between a deployment's protocols and the types of this module.
 pub trait Dialect: Send + Sync + 'static {
-    /// Path at which the balancer asks whether this host is ready.
+    /// Path of the readiness probe that the load balancer sends to this host.
     fn ready_path(&self) -> &str;
 
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// What is missing or can't be read.
+    /// The first field that is missing or can't be parsed.
     fn request_info(&self, head: &Parts) -> Result<RequestInfo, Malformed>;
 
-    /// An answer of our own.
+    /// Builds this host's own response to a request that ends without a server's.
     fn refuse(&self, problem: Problem) -> Response<Bytes>;
 
-    /// Changes the headers of a caller's request to those that go to a server. Headers of one
-    /// connection are gone already.
+    /// Replaces the headers of a caller's request by those for a server. Hop-by-hop headers have
+    /// been removed before.
     fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>);
 
-    /// Reads the head of a server's answer.
+    /// Parses the head of a server's response.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> Answer;
 
-    /// The call for a server's report.
+    /// Builds the request for a server's load report.
     fn report_call(&self) -> Request<Bytes>;
 
-    /// Reads a report.
+    /// Parses a load report; `None` if it is malformed.
     fn report(&self, body: &[u8]) -> Option<Report>;
 
-    /// The call that gives an order.
+    /// Builds the request that sends an order.
     fn order_call(&self, order: &Order) -> Request<Bytes>;
 
-    /// Reads the answer to an order.
+    /// Parses the response to an order.
     fn order_reply(&self, response: &Response<Bytes>) -> OrderReply;
 
-    /// A call to the store.
+    /// Builds a request to the store.
     fn store_call(&self, call: &Call<'_>) -> Request<Bytes>;
 
-    /// Reads the store's answer to a call.
+    /// Parses the store's response to a call.
     fn store_reply(&self, call: &Call<'_>, response: &Response<Bytes>) -> StoreReply;
 
-    /// Name of the declaration's object.
+    /// Name of the object that holds the declaration.
     fn declaration_name(&self) -> &str;
 
-    /// Reads the declaration.
+    /// Parses the declaration; `None` if it is malformed.
     fn declaration(&self, object: &Object) -> Option<Declaration>;
 
-    /// Reads a server's registration.
+    /// Parses a server's registration; `None` if it is malformed.
     fn server(&self, object: &Object) -> Option<Server>;
 }
--- a/crates/relay/src/fields.rs
+++ b/crates/relay/src/fields.rs
@@ -14,7 +14,7 @@
     header::EXPECT,
 ];
 
-/// Removes the fields that concern one connection, those that `Connection` names among them.
+/// Removes the hop-by-hop fields, including those that `Connection` names.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> =
         names(headers, &header::CONNECTION).filter_map(|name| name.parse().ok()).collect();
@@ -25,7 +25,7 @@
     headers.remove("proxy-connection");
 }
 
-/// What a field lists, in however many lines.
+/// Returns the elements of a comma-separated field, over all its lines.
 pub(crate) fn names<'a>(
     headers: &'a HeaderMap,
     field: &HeaderName,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,8 @@
-//! The path of a routed request: from a caller, over one of the service's servers, and back.
+//! The path of a routed request: from a caller through an entry host to one of the service's
+//! servers, and back.
 //!
-//! [`edge`] names what callers, servers and the store speak; an adapter implements it. The rest
-//! moves bytes and keeps time; what is decided stands in `policy`.
+//! [`edge`] defines the interface to callers, servers and the store; an adapter implements it. The
+//! other modules do I/O and timing; the decisions are made in `policy`.
 
 pub mod clock;
 pub mod directory;
--- a/crates/relay/src/log_limiter.rs
+++ b/crates/relay/src/log_limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds how often the log says the same.
+//! Limits how often the same message is logged.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -7,15 +7,15 @@
 
 use types::prelude::*;
 
-/// Least time between two lines.
+/// Minimum time between two messages.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// When a line was last written.
+/// Time of the last message.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter(Mutex<Option<Moment>>);
 
 impl LogLimiter {
-    /// Whether a line is due; it counts as written then.
+    /// Returns whether a message is due, and if so counts it as written.
     pub(crate) fn is_due(&self, now: Moment) -> bool {
         let mut last = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let is_due = last.is_none_or(|last| last + LOG_INTERVAL <= now);
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -1,4 +1,4 @@
-//! The way of a request: read, find its route, choose a server, send, deliver.
+//! The path of a request: read it, find its route, choose a server, send it, deliver the response.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -32,16 +32,17 @@
     trace::Trace,
 };
 
-/// When to come back to a host that has no declaration yet.
+/// Time after which callers may retry at a host that has no declaration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Longest wait for a request's body.
+/// Timeout for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest answer that is held whole before it is delivered, in bytes.
+/// Maximum size of a response that is buffered before delivery, in bytes. Only streams of events
+/// are delivered piece by piece.
 const MAX_BUFFERED_BODY_BYTES: usize = 1024 * 1024;
 
-/// Answers a request of a caller.
+/// Handles a caller's request.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Delivery> {
     let open = shared.open_request();
     let mut response = match read(&shared, request, open).await {
@@ -62,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// The answer to one that goes no further.
+/// The response to a request that is not forwarded.
 async fn read(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
@@ -101,7 +102,7 @@
     Ok(call)
 }
 
-/// The route of a request, the service that it goes to, and its body.
+/// Returns the route of a request, the service that it goes to, and its body.
 async fn find(
     shared: &Shared,
     declaration: &Declaration,
@@ -115,14 +116,14 @@
     Ok((route, service, body))
 }
 
-/// Ends a request with an answer of our own.
+/// Ends a request with this host's own response.
 fn fail(shared: &Shared, trace: &Trace, problem: Problem) -> Response<Delivery> {
     let response = refuse(shared, problem);
     trace.failed(problem, response.status());
     response
 }
 
-/// The same on every host.
+/// Hashes a value, with the same result on every host.
 fn hash(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
@@ -150,7 +151,7 @@
         Ok(response) => {
             match response.body() {
                 Delivery::Whole(_) => call.trace.answered(Some(response.status())),
-                // Its events tell of their end.
+                // The end of the stream is traced when its last event has been delivered.
                 Delivery::Events(_) => call.trace.began(response.status()),
             }
             response
@@ -174,14 +175,14 @@
         };
         server = match call.server_after(shared, end).await {
             Ok(server) => server,
-            // A server's own failure says more than ours.
+            // The server's own error response is more specific than this host's.
             Err(problem) => return failure.ok_or(problem),
         };
     }
 }
 
-/// Sends a request to a server and has its answer delivered. A server is left early only if the
-/// request may run again.
+/// Sends a request to a server and delivers the response. A server is left before it has responded
+/// only if the request may be executed again.
 async fn attempt(
     shared: &Arc<Shared>,
     call: &Arc<Call>,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 mod events;
 mod timer;
@@ -20,28 +20,28 @@
     timer::StreamTimer,
 };
 
-/// Why a body is cut.
+/// Why a body ends before it is complete.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Cut {
-    /// The server broke off.
+    /// The connection to the server failed.
     #[error("the server broke off: {0}")]
     Server(#[from] hyper::Error),
-    /// The server's connection ended in the middle of an event.
+    /// The server closed the connection in the middle of an event.
     #[error("the server ended in the middle of an event")]
     PartialEvent,
-    /// What the server sent is not what follows.
+    /// The server's events are malformed or not the ones that follow.
     #[error("the server's events can't be passed on: {0:?}")]
     Fault(Fault),
-    /// The server has fallen silent.
+    /// The server sent nothing for too long.
     #[error("the server has fallen silent")]
     Silence,
-    /// The request's time is over.
+    /// The deadline of the request has passed.
     #[error("the request's time is over")]
     Time,
 }
 
 impl Cut {
-    /// Its stable word.
+    /// Returns the reason as it is written to logs.
     pub(crate) fn word(&self) -> &'static str {
         match self {
             Cut::Server(_) => "server-cut",
@@ -52,23 +52,23 @@
         }
     }
 
-    /// What it tells of the server.
+    /// Returns the end of the attempt that this implies.
     pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
             Cut::Server(_) | Cut::PartialEvent => AttemptEnd::Unclear(Unclear::Cut),
             Cut::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
             Cut::Silence => AttemptEnd::Unclear(Unclear::Silent),
-            // Its time was over, which says nothing of the server.
+            // The deadline passed, which is no evidence against the server.
             Cut::Time => AttemptEnd::Cancelled,
         }
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub(crate) enum Delivery {
-    /// Whole already.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// Events as they come.
+    /// A stream of events, passed on as they arrive.
     Events(Box<Events>),
 }
 
@@ -104,7 +104,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Delivery::Whole(body) => body.size_hint(),
-            // Another server's events may come to another length.
+            // The stream may continue at another server and have another length.
             Delivery::Events(_) => SizeHint::default(),
         }
     }
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -1,4 +1,4 @@
-//! A stream of events on its way to the caller, over one server after the other if need be.
+//! A stream of events that is delivered to the caller, by several servers in turn if one fails.
 
 use std::{
     future::Future,
@@ -20,15 +20,15 @@
     },
 };
 
-/// What may follow when a stream's server breaks off.
+/// Whether a stream may continue at another server.
 pub(crate) enum Resume {
-    /// Another server may go on, also before this one has broken off.
+    /// Another server may continue the stream, also before the present one has failed.
     OtherServer(Resumer, LeaveSignal),
-    /// Nothing.
+    /// The stream can't be resumed.
     Never,
 }
 
-/// A stream of events on its way to the caller.
+/// A stream of events that is delivered to the caller.
 pub(crate) struct Events {
     state: State,
     splitter: Splitter,
@@ -38,7 +38,7 @@
     first_event: FirstEvent,
 }
 
-/// Whether an event has come.
+/// Whether the present server has sent an event.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FirstEvent {
     Pending,
@@ -47,15 +47,16 @@
 
 enum State {
     Streaming(OpenResponse),
-    /// The server before broke off for this reason.
+    /// The previous server failed for this reason, and another one is being sought.
     Resuming(Resuming, Cut),
-    /// What was passed on is being written, before the cut.
+    /// The stream is to end early. One poll returns pending first, so that the events passed on are
+    /// written before the connection is cut.
     Flushing(Cut),
     Failed(Cut),
     Done,
 }
 
-/// What a state comes to.
+/// Result of polling a state.
 enum Step {
     Pass(Bytes),
     Next(State),
@@ -63,7 +64,8 @@
 }
 
 impl Events {
-    /// A stream that has begun at a server, after the event that the caller has.
+    /// Creates a stream from a server's response, which continues after the event that the caller
+    /// has.
     pub(crate) fn new(
         response: OpenResponse,
         after: Option<u64>,
@@ -162,7 +164,7 @@
         Step::Pass(taken.events)
     }
 
-    /// The server's stream is whole.
+    /// Ends the stream after the server has completed it.
     fn finish(&mut self) -> Step {
         if let State::Streaming(response) = std::mem::replace(&mut self.state, State::Done) {
             response.finish();
@@ -176,7 +178,7 @@
         if let Resume::OtherServer(_, leave) = &mut self.resume
             && let Poll::Ready(_) = Pin::new(&mut *leave).poll(context)
         {
-            // News come once; without another server, the clock asks resumer.
+            // The signal is sent once. If no other server takes the stream, the timer tries again.
             *leave = self.call.handle.leave_signal();
             if let Some(left) = self.leave() {
                 return Poll::Ready(Step::Next(left));
@@ -187,7 +189,7 @@
                 Alarm::End => return Poll::Ready(Step::Next(State::Flushing(Cut::Time))),
                 Alarm::Silence => match self.leave() {
                     Some(left) => return Poll::Ready(Step::Next(left)),
-                    // Nobody else can go on: a slow server is better than none.
+                    // No other server can continue, and a slow server is better than none.
                     None => self.timer.received(),
                 },
             }
@@ -207,7 +209,7 @@
                 };
                 return Poll::Ready(Step::Next(State::Flushing(cut)));
             }
-            // The limits of the attempt itself tell of silence.
+            // The attempt under way has its own timeouts, so only the deadline matters here.
             Poll::Pending => {
                 ready!(self.timer.poll_end(context));
                 return Poll::Ready(Step::Next(State::Flushing(Cut::Time)));
@@ -220,7 +222,7 @@
         Poll::Ready(Step::Next(State::Streaming(begun.response)))
     }
 
-    /// Goes on at another server, or ends with a cut.
+    /// Continues at another server after a failure, or ends the stream early.
     fn break_off(&mut self, cut: Cut) {
         let flight = match std::mem::replace(&mut self.state, State::Done) {
             State::Streaming(response) => Some(response.flight),
@@ -241,7 +243,7 @@
         };
     }
 
-    /// Goes on at another server in place of a silent one, if one takes the stream.
+    /// Continues at another server in place of a silent one, if another server takes the stream.
     fn leave(&mut self) -> Option<State> {
         let Resume::OtherServer(resumer, _) = &self.resume else { return None };
         if self.splitter.point() == ResumePoint::Unknown
@@ -259,7 +261,7 @@
         Some(State::Resuming(resuming, Cut::Silence))
     }
 
-    /// The last event that the caller has.
+    /// Returns the number of the last event that the caller has.
     fn after(&self) -> Option<u64> {
         match self.splitter.point() {
             ResumePoint::After(id) => Some(id),
@@ -267,7 +269,7 @@
         }
     }
 
-    /// What comes next is another server's.
+    /// Prepares for the events of another server.
     fn switch(&mut self) {
         self.splitter.switch();
         self.first_event = FirstEvent::Pending;
--- a/crates/relay/src/stream/timer.rs
+++ b/crates/relay/src/stream/timer.rs
@@ -1,4 +1,4 @@
-//! The clock of a stream: its end, and how long its server may be silent.
+//! The timer of a stream: the deadline of the request, and how long the server may be silent.
 
 use std::{
     future::Future,
@@ -11,26 +11,28 @@
 
 use crate::deadline::Deadline;
 
-/// Time to read what came while this process was held up, before a server counts as silent.
+/// Time for reading what arrived while this process was not scheduled, before a server counts as
+/// silent.
 const READ_GRACE: Duration = Duration::from_millis(25);
 
-/// What a clock tells.
+/// Event of a stream's timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Alarm {
-    /// The request's time is over.
+    /// The deadline of the request has passed.
     End,
-    /// The server has been silent for too long.
+    /// The server has sent nothing for too long.
     Silence,
 }
 
-/// The clock of a stream. Hearing something moves no timer; the timer looks again when it fires.
+/// The timer of a stream. Received data does not reset the underlying timer, only the time until
+/// which silence is accepted; the timer is reset when it fires too early.
 pub(crate) struct StreamTimer {
     end: Deadline,
     silence: Silence,
 }
 
 enum Silence {
-    /// Nothing can be done about it.
+    /// Silence has no effect, since the request may not go to another server.
     Ignored,
     Watched {
         sleep: Pin<Box<Sleep>>,
@@ -47,26 +49,27 @@
 }
 
 impl StreamTimer {
-    /// A clock that only ends the stream.
+    /// Creates a timer that only ends the stream.
     pub(crate) fn until_end(end: Deadline) -> StreamTimer {
         StreamTimer { end, silence: Silence::Ignored }
     }
 
-    /// A clock that also wants a first event by `first`, and one each `pause` from then on.
+    /// Creates a timer that also expects a first event by `first`, and then one within each
+    /// `pause`.
     pub(crate) fn with_timeouts(end: Deadline, first: Instant, pause: Duration) -> StreamTimer {
         let sleep = Box::pin(sleep_until(first));
         let silence = Silence::Watched { sleep, until: first, pause, grace: Grace::NotStarted };
         StreamTimer { end, silence }
     }
 
-    /// Something has come.
+    /// Notes that data has arrived.
     pub(crate) fn received(&mut self) {
         if let Silence::Watched { pause, .. } = self.silence {
             self.expect_by(Instant::now() + pause);
         }
     }
 
-    /// Something is due by a time.
+    /// Expects data by a time.
     pub(crate) fn expect_by(&mut self, time: Instant) {
         if let Silence::Watched { sleep, until, grace, .. } = &mut self.silence {
             (*until, *grace) = (time, Grace::NotStarted);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Waits for the end only.
+    /// Waits for the deadline only, and ignores silence.
     pub(crate) fn poll_end(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while ready!(self.poll(context)) == Alarm::Silence {
             self.received();
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -1,7 +1,8 @@
-//! What is told and counted of one request.
+//! Log entries and metrics of one request.
 //!
-//! A [`Trace`] follows a request from its first line to its last byte. It only takes note: nothing
-//! of the path depends on it. One that is dropped before its end counts as left by its caller.
+//! A [`Trace`] follows a request from its arrival to the last byte of the response. It only
+//! records: nothing on the path depends on it. A trace that is dropped before its end counts as a
+//! request whose caller has left.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -23,18 +24,18 @@
 
 use crate::{attempt::AttemptEnd, clock::Clock, edge::Problem, host::Shared, stream::Cut};
 
-/// What is told and counted of one request.
+/// Log entries and metrics of one request.
 pub(crate) struct Trace(Mutex<Notes>);
 
 struct Notes {
-    /// Taken at the end.
+    /// Taken when the request ends.
     story: Option<story::Request>,
     meters: Meters,
     clock: Clock,
     received: Moment,
     route: Option<Goals>,
     refusal: Option<Refusal>,
-    /// The server that has it now.
+    /// Server of the attempt in flight.
     open: Option<backend::Id>,
     attempts: u32,
     status: Option<u16>,
@@ -44,7 +45,7 @@
     events: u32,
 }
 
-/// What a route asks for.
+/// Kind and latency goals of a route.
 #[derive(Clone, Copy)]
 struct Goals {
     kind: Kind,
@@ -53,7 +54,7 @@
 }
 
 impl Trace {
-    /// Begins with a request's name.
+    /// Starts the trace of a request.
     pub(crate) fn begin(shared: &Shared, id: &request::Id, received: Moment) -> Trace {
         Trace(Mutex::new(Notes {
             story: Some(shared.teller.request(id.clone())),
@@ -72,20 +73,20 @@
         }))
     }
 
-    /// It was read and its route found.
+    /// Records that the request was parsed and its route found.
     pub(crate) fn arrived(&self, route: &Route, arrival: Arrival) {
         let mut notes = self.notes();
         notes.route = Some(Goals { kind: route.kind, goal: route.goal, gap: route.gap });
         notes.note(Step::Arrived(arrival));
     }
 
-    /// It waits.
+    /// Records that the request is queued.
     pub(crate) fn queued(&self, why: &'static str, left: Duration) {
         let inputs = vec![left_input(left)];
         self.notes().note(Step::Queued { why: Word::Borrowed(why), inputs });
     }
 
-    /// It is refused.
+    /// Records that the request is refused.
     pub(crate) fn refused(&self, cause: Refusal, left: Duration, again: Option<Duration>) {
         let mut notes = self.notes();
         notes.refusal = Some(cause);
@@ -93,7 +94,8 @@
         notes.note(Step::Refused { why, inputs, again });
     }
 
-    /// It goes to a server, after an event if that is so of a stream.
+    /// Records that the request is sent to a server; `after` is the last event that the caller has,
+    /// if a stream is resumed.
     pub(crate) fn sent(&self, server: &Server, after: Option<u64>, left: Duration) {
         let mut notes = self.notes();
         let now = notes.clock.now();
@@ -120,36 +122,36 @@
         }
     }
 
-    /// There is a connection to its server, after this time.
+    /// Records the time that it took to get a connection to the server.
     pub(crate) fn connected(&self, took: Duration) {
         self.notes().phase(Phase::Connect, took);
     }
 
-    /// The attempt under way, if there is one, has ended.
+    /// Records the end of the attempt in flight, if there is one.
     pub(crate) fn attempt_ended(&self, end: AttemptEnd, status: Option<StatusCode>) {
         self.notes().attempt_ended(end, status);
     }
 
-    /// The answer's head, or a stream's first event, is here.
+    /// Records the arrival of the response's head.
     pub(crate) fn first(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.status = status.map(|status| status.as_u16()).or(notes.status);
         notes.received_now();
     }
 
-    /// The status that a stream began with.
+    /// Records the status of a stream.
     pub(crate) fn began(&self, status: StatusCode) {
         self.notes().status = Some(status.as_u16());
     }
 
-    /// Events have been passed on.
+    /// Records events that are passed to the caller.
     pub(crate) fn passed(&self, events: u32) {
         let mut notes = self.notes();
         notes.events += events;
         notes.received_now();
     }
 
-    /// A server's answer was delivered whole.
+    /// Records that a server's response is complete.
     pub(crate) fn answered(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.attempt_ended(AttemptEnd::Completed, status);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// It ended with an answer of this host.
+    /// Records that the request ended with this host's own response.
     pub(crate) fn failed(&self, problem: Problem, status: StatusCode) {
         let status = Some(status.as_u16());
         let mut notes = self.notes();
@@ -186,7 +188,7 @@
         }
     }
 
-    /// A stream broke off midway.
+    /// Records that a stream ended early.
     pub(crate) fn cut(&self, cut: &Cut) {
         let mut notes = self.notes();
         notes.attempt_ended(cut.attempt_end(), None);
@@ -230,7 +232,7 @@
         }
     }
 
-    /// What came too late, by the route's goals.
+    /// Returns which goal of the route was missed, if any.
     fn late(&self) -> Option<&'static str> {
         let Goals { goal, gap, .. } = self.route?;
         if self.first.is_some_and(|first| goal < first) {
@@ -293,7 +295,7 @@
     }
 }
 
-/// The word for a refusal by the dispatcher.
+/// Maps the dispatcher's cause to the label of a refusal.
 pub(crate) fn refusal(cause: Cause) -> Refusal {
     match cause {
         Cause::NoServer => Refusal::NoServer,
