--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -1,8 +1,9 @@
-//! What arrives at all hosts, on its way to the planner of the host that holds the lease.
+//! Reports of the requests that arrive at all hosts, sent to the planner of the host that holds the
+//! lease.
 //!
-//! Every host reports its own arrivals ([`policy::demand`]) to the holder that it believes in, the
-//! holder to itself. The planner is given nothing else, so the host that plans also shows how much
-//! that is: compare its line and its metric with the requests of all hosts.
+//! Every host reports its own arrivals ([`policy::demand`]) to the host that it takes for the
+//! holder; the holder reports to itself. The planner has no other source, so the planning host also
+//! logs and counts how many requests it was given, to be compared with the requests of all hosts.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -18,13 +19,13 @@
 
 use crate::host::Shared;
 
-/// Time between two lines on what the planner was given.
+/// Interval at which the number of requests given to the planner is logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reports that a host sends at once, at the most.
+/// Maximum number of reports that are sent in one round.
 const MAX_REPORTS_PER_ROUND: usize = 4;
 
-/// Demand reports that this host sends, and receives while it plans.
+/// Demand reports that this host sends, and those that it receives while it plans.
 #[derive(Debug)]
 pub(crate) struct Demand(Mutex<State>);
 
@@ -32,14 +33,14 @@
 struct State {
     reporter: Reporter,
     collector: Collector,
-    /// Holder of the lease under the highest fence heard of.
+    /// Holder of the lease, by the highest known fencing token.
     holder: Option<(Fence, host::Id)>,
-    /// Hosts that are live.
+    /// Number of live hosts.
     hosts: usize,
     totals: Totals,
 }
 
-/// Requests that the planner was given since the last line.
+/// Requests given to the planner since the last log message.
 #[derive(Debug, Default)]
 struct Totals {
     began: Option<Moment>,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reports what arrives here until the process ends.
+/// Reports this host's arrivals until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     loop {
         shared.report_demand(&exchange);
@@ -78,12 +79,12 @@
         self.demand.lock().reporter.arrive(subject, work, self.now());
     }
 
-    /// The host that is believed to plan.
+    /// Returns the host that is thought to plan.
     pub(crate) fn holder(&self) -> Option<host::Id> {
         self.demand.lock().holder.as_ref().map(|(_, holder)| holder.clone())
     }
 
-    /// Takes in which host plans, unless a later one is known.
+    /// Records which host plans, unless a higher fencing token is known.
     pub(crate) fn observe_holder(&self, holder: &host::Id, fence: Fence) {
         let mut state = self.demand.lock();
         if state.holder.as_ref().is_none_or(|(known, _)| *known < fence) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes in how many hosts are live and who holds the lease, as the exchange has it.
+    /// Records the number of live hosts and the holder of the lease, as known by the exchange.
     pub(crate) fn observe_hosts(&self, snapshot: &FleetSnapshot) {
         self.demand.lock().hosts = snapshot.live;
         if let Some(lease) = &snapshot.lease {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes in another host's report, if this host plans.
+    /// Adds another host's report to the demand, if this host plans.
     pub(crate) fn demand_received(&self, from: &host::Id, report: Report) {
         let now = self.now();
         let Some(fence) = self.term().fence(now) else { return };
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Begins to plan under a fence, if it is a new one.
+    /// Begins a term of planning, if its fencing token is new.
     fn begin_term(&self, fence: Fence, now: Moment) {
         let mut state = self.demand.lock();
         if !state.collector.begin(fence) {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Writes how many requests the planner was given, if a line is due.
+    /// Logs how many requests the planner was given, if a message is due.
     pub(crate) fn log_demand(&self, now: Moment) {
         let mut state = self.demand.lock();
         let began = *state.totals.began.get_or_insert(now);
@@ -195,7 +196,7 @@
         );
     }
 
-    /// This host plans no longer.
+    /// Resets the log's totals when this host no longer plans.
     pub(crate) fn reset_demand_log(&self) {
         self.demand.lock().totals = Totals::default();
     }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -1,10 +1,11 @@
-//! What a host knows of the servers.
+//! The servers that a host knows.
 //!
-//! News of the servers come from the store, and from peers. Both are
-//! ordered by the store's revisions: the directory is complete as of [`Directory::revision`], each entry has the
-//! revision at which it was written, and what is older never replaces what is younger. So an entry that
-//! the store has taken off does not come back by a peer that learns of it later, and one that was written
-//! since is not taken off by a peer that is behind. No list of removed entries has to be kept for that.
+//! Changes of the servers come from the store and from peers. Both are ordered by the store's
+//! revisions: the directory is complete up to [`Directory::revision`], each entry has the revision
+//! at which it was written, and older information never replaces newer. An entry that was removed
+//! from the store is therefore not restored by a peer that receives the removal later, and an entry
+//! that was rewritten is not removed by a peer that is behind. No list of removed entries is
+//! needed.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,38 +20,38 @@
 
 use crate::edge::Revision;
 
-/// The servers by their ids.
+/// The known servers, by id.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: HashMap<backend::Id, Entry>,
-    /// The run that each server's name stands for.
+    /// The current run of each server name.
     runs: HashMap<Arc<str>, backend::Id>,
     revision: Revision,
 }
 
-/// A server that is used.
+/// A server in use.
 #[derive(Debug)]
 struct Entry {
     server: Arc<Server>,
-    /// When the store's entry was written.
+    /// Revision at which the store's entry was written.
     written: Revision,
     presence: Presence,
-    /// The revision as of which a peer has said that the server leaves.
+    /// Store revision up to which a peer has reported that the server is leaving.
     left_at: Option<Revision>,
 }
 
-/// Whether the store has an entry of a server.
+/// Whether the store has an entry for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
     Registered,
-    /// It went, and may come back.
+    /// The entry was removed while the store was degraded, and may be written again.
     Suspect {
-        /// When it is too late for that.
+        /// Time after which the server is removed.
         until: Moment,
     },
 }
 
-/// What a list of the servers changes in the directory.
+/// The difference between a list of servers and the directory.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Delta {
     /// Entries that were written after the directory's revision.
@@ -62,42 +63,43 @@
 }
 
 impl Directory {
-    /// The store's revision as of which this is complete.
+    /// Returns the store revision up to which the directory is complete.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Everything up to a revision has been taken in.
+    /// Notes that all changes up to a revision are included.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// A server.
+    /// Returns a server by its id.
     pub fn get(&self, id: &backend::Id) -> Option<&Arc<Server>> {
         self.entries.get(id).map(|entry| &entry.server)
     }
 
-    /// The run that a name stands for.
+    /// Returns the current run of a server by its name.
     pub fn named(&self, name: &str) -> Option<&Arc<Server>> {
         self.get(self.runs.get(name)?)
     }
 
-    /// Whether a later run of a server is known.
+    /// Returns whether a later run of a server is known.
     pub fn is_superseded(&self, server: &Server) -> bool {
         self.named(&server.name).is_some_and(|known| server.born < known.born)
     }
 
-    /// When a server's entry was written.
+    /// Returns the revision at which a server's entry was written.
     pub fn written(&self, id: &backend::Id) -> Option<Revision> {
         self.entries.get(id).map(|entry| entry.written)
     }
 
-    /// Those that are used: registered, or suspected.
+    /// Returns the servers in use: registered and suspected ones.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.entries.values().map(|entry| &entry.server)
     }
 
-    /// Takes in a server as of a revision, unless a later one or a later run of it is known.
+    /// Adds or replaces a server with an entry written at a revision. Returns `None` and changes
+    /// nothing if a newer entry or a later run is known.
     pub fn put(&mut self, server: Server, written: Revision) -> Option<Arc<Server>> {
         let is_older = self.written(&server.id).is_some_and(|known| written < known);
         if is_older || self.is_superseded(&server) {
@@ -115,47 +117,49 @@
         Some(server)
     }
 
-    /// A server holds just these.
+    /// Sets the models that a server holds.
     pub fn reported(&mut self, id: &backend::Id, models: &[Held]) {
         if let Some(entry) = self.entries.get_mut(id) {
             Arc::make_mut(&mut entry.server).models = models.to_vec();
         }
     }
 
-    /// Whether an entry was written again after a removal at this revision, which then is no news. A
-    /// removal whose revision is not told is news.
+    /// Returns whether an entry was rewritten after a removal at this revision, so that the removal
+    /// is obsolete. A removal without a revision (0) is never obsolete.
     pub fn is_newer(&self, id: &backend::Id, removed: Revision) -> bool {
         0 < removed && self.entries.get(id).is_some_and(|entry| removed < entry.written)
     }
 
-    /// Notes that a server leaves, as a peer has it from the store as of a revision.
+    /// Notes that a server is leaving, as reported by a peer for a store revision.
     pub fn leave(&mut self, id: &backend::Id, revision: Revision) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.left_at = entry.left_at.max(Some(revision));
         }
     }
 
-    /// Whether a server takes nothing new: its entry says that it drains, or a peer has said that it
-    /// leaves and the entry was not written since.
+    /// Returns whether a server accepts no new requests: its entry says that it is draining, or a
+    /// peer has reported that it is leaving and the entry was not rewritten since.
     pub fn is_leaving(&self, id: &backend::Id) -> bool {
         self.entries.get(id).is_some_and(|entry| {
             entry.server.state == State::Draining || Some(entry.written) <= entry.left_at
         })
     }
 
-    /// A server's entry went, and may come back until then.
+    /// Marks a server as suspected: its entry was removed and may be written again before `until`.
     pub fn suspect(&mut self, id: &backend::Id, until: Moment) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.presence = Presence::Suspect { until };
         }
     }
 
-    /// Whether a server's entry went and has not come back, whatever else was heard of it.
+    /// Returns whether a server's entry was removed and not written again, whatever other sources
+    /// say of the server.
     pub fn is_suspect(&self, id: &backend::Id) -> bool {
         self.entries.get(id).is_some_and(|entry| entry.presence != Presence::Registered)
     }
 
-    /// Time for which a suspected server may still be used.
+    /// Returns the time for which a suspected server may still be used; `None` if the server is not
+    /// suspected.
     pub fn suspected_for(&self, id: &backend::Id, now: Moment) -> Option<Duration> {
         match self.entries.get(id)?.presence {
             Presence::Registered => None,
@@ -163,9 +167,10 @@
         }
     }
 
-    /// What a peer is told that knows what was written up to a revision: the servers that are registered,
-    /// as the store had them so long ago, and which others are suspected. A peer that uses a suspected one
-    /// keeps it for the rest of its time; one that does not know it does not learn of it.
+    /// Returns the list for a peer that knows all entries written up to a revision: the registered
+    /// servers, as confirmed by the store `age` ago, and which others are suspected. A peer that
+    /// uses a suspected server keeps it for its remaining time; a peer that does not know the
+    /// server does not add it.
     pub fn registered(&self, above: Revision, age: Duration, now: Moment) -> Registered {
         let mut list = Registered { revision: self.revision, age, ..Registered::default() };
         for (id, entry) in &self.entries {
@@ -183,7 +188,8 @@
         list
     }
 
-    /// What the store's list changes; nothing if a peer has told of a later one meanwhile.
+    /// Compares the store's list with the directory. The difference is empty if a peer has sent a
+    /// later list meanwhile.
     pub fn diff_store_list(&self, list: Registered) -> Delta {
         if list.revision < self.revision {
             return Delta::default();
@@ -191,11 +197,13 @@
         Delta { deleted: self.unlisted(&list), upserted: list.servers, ..Delta::default() }
     }
 
-    /// What a peer's list changes; nothing if it is as old as what is known here.
+    /// Compares a peer's list with the directory. The difference is empty if the list is not newer
+    /// than the directory.
     ///
-    /// An entry that was written by the revision of this directory is known as it is here, or has gone
-    /// since. Without that check, a host that had dropped a server took it back from a peer that still used
-    /// it, for good, since the store says once that an entry went.
+    /// An entry that was written up to the directory's revision is either known here as it is, or
+    /// was removed since, and is ignored. Without this check, a host that had removed a server took
+    /// it back for good from a peer that still used the server, since the store reports a removal
+    /// once.
     pub fn diff_peer_list(&self, list: Registered) -> Delta {
         if list.revision <= self.revision {
             return Delta::default();
@@ -215,7 +223,8 @@
         delta
     }
 
-    /// Servers that a list does not have as registered, and that were not written after it.
+    /// Returns the servers that a list does not contain as registered and that were not written
+    /// after the list was made.
     fn unlisted(&self, list: &Registered) -> Vec<backend::Id> {
         let listed: HashSet<&backend::Id> = list.ids.iter().collect();
         let is_gone = |(id, entry): &(&backend::Id, &Entry)| {
@@ -224,7 +233,7 @@
         self.entries.iter().filter(is_gone).map(|(id, _)| id.clone()).collect()
     }
 
-    /// A server is no longer registered.
+    /// Removes a server.
     pub fn remove(&mut self, id: &backend::Id) {
         let Some(entry) = self.entries.remove(id) else { return };
         if self.runs.get(&entry.server.name) == Some(id) {
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -1,4 +1,4 @@
-//! What the parts of a host share.
+//! State that the tasks of a host share.
 
 use std::{
     collections::HashMap,
@@ -30,40 +30,41 @@
     log_limiter::LogLimiter, peers::Counts, planning, pool::Pool, store::Store,
 };
 
-/// Time between two hosts that contend for a lease, and the number of times that there are.
+/// Step by which hosts delay their attempts to take a lease, so that they don't contend at once,
+/// and the number of different delays. A host's delay follows from its id.
 const CONTENTION_STEP: Duration = Duration::from_millis(60);
 const CONTENTION_SLOTS: u32 = 5;
 
-/// Hosts that share the retry budget until others are known.
+/// Number of hosts that are assumed to share the retry budget until the others are known.
 const ASSUMED_HOSTS: u32 = 8;
 
-/// What the parts of a host share.
+/// State that the tasks of a host share.
 pub struct Shared {
     pub(crate) host: Host,
     pub(crate) routed: Routed,
-    /// The number of this run.
+    /// Identity of this run of the host.
     pub(crate) incarnation: host::Incarnation,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) clock: Clock,
-    /// Tells when the clock has jumped, as after a suspension.
+    /// Notified when the clock has jumped, as after a suspension of the machine.
     pub(crate) clock_jumped: Arc<Notify>,
-    /// Tells what the host believes, and what becomes of requests.
+    /// Writes the structured log of the host's beliefs and of requests.
     pub(crate) teller: Teller,
     pub(crate) metrics: Metrics,
-    /// The metrics of the path.
+    /// Metrics of the request path.
     pub(crate) meters: Meters,
-    /// When the declaration in force was last known to be the newest.
+    /// When the declaration in force was last confirmed to be the newest.
     pub(crate) declaration_confirmed: Mutex<Moment>,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
     pub(crate) control: Control,
-    /// Longest flight of an order.
+    /// Timeout of an order.
     pub(crate) order_timeout: Duration,
-    /// Wakes the look at the queues before its next one is due.
+    /// Wakes the task that pumps the queues before its next round.
     pub(crate) dispatch_wakeup: Notify,
-    /// Wakes the planner before its next round is due.
+    /// Wakes the planner before its next round.
     pub(crate) plan_wakeup: Notify,
-    /// What waits for a server gets its final answer.
+    /// Cancelled when requests that still wait for a server are to be refused.
     pub(crate) closing: CancellationToken,
     pub(crate) stop: CancellationToken,
     declaration: ArcSwapOption<Declaration>,
@@ -73,17 +74,17 @@
     waiting: Mutex<HashMap<Ticket, oneshot::Sender<Verdict>>>,
     tickets: AtomicU64,
     term: Mutex<OrderLease>,
-    /// When servers were last asked for reports.
+    /// When each server was last asked for a report.
     pub(crate) reports: Mutex<HashMap<backend::Id, Moment>>,
     /// Demand reports sent and received.
     pub(crate) demand: Demand,
-    /// What is counted for peers.
+    /// Counters that are published to peers.
     pub(crate) counts: Mutex<Counts>,
-    /// Paces the log's lines on registrations that can't be read.
+    /// Limits log messages about registrations that can't be parsed.
     pub(crate) unreadable_servers_log: LogLimiter,
-    /// Paces the log's lines on limits that can't be read.
+    /// Limits log messages about rate limits that can't be parsed.
     pub(crate) unreadable_limits_log: LogLimiter,
-    /// When what is known of the servers was the store's word.
+    /// When the known servers were last confirmed by the store.
     pub(crate) servers_confirmed: Mutex<Moment>,
     exchange: OnceLock<Weak<Exchange>>,
     leaving: AtomicBool,
@@ -163,17 +164,17 @@
         }
     }
 
-    /// The time since the start of the process.
+    /// Returns the time since the start of the process.
     pub(crate) fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// The declaration in force.
+    /// Returns the declaration in force.
     pub(crate) fn declaration(&self) -> Option<Arc<Declaration>> {
         self.declaration.load_full()
     }
 
-    /// Puts a declaration in force, unless it is older than the one that is.
+    /// Puts a declaration in force, unless the present one has the same or a later version.
     pub(crate) fn declare(&self, declaration: Declaration, from: Heard) {
         let before = self.declaration();
         if before.as_ref().is_some_and(|held| declaration.version <= held.version) {
@@ -189,12 +190,12 @@
         self.register_known(before.as_deref());
     }
 
-    /// The declaration in force was just seen to be the newest.
+    /// Notes that the declaration in force is the newest at this moment.
     pub(crate) fn confirm_declaration(&self) {
         *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner) = self.now();
     }
 
-    /// Shows what changes without an event.
+    /// Updates the metrics of values that change without an event.
     pub(crate) fn update_metrics(&self) {
         if let Some(declaration) = self.declaration() {
             let seen = *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
@@ -211,22 +212,22 @@
         self.meters.queue(Queue::Open, self.open_requests() as usize);
     }
 
-    /// The servers.
+    /// Locks the directory of servers.
     pub(crate) fn directory(&self) -> MutexGuard<'_, Directory> {
         self.directory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Joins the exchange with the other hosts.
+    /// Sets the exchange with the other hosts, once.
     pub(crate) fn set_exchange(&self, exchange: &Arc<Exchange>) {
         let _ = self.exchange.set(Arc::downgrade(exchange));
     }
 
-    /// The exchange with the other hosts.
+    /// Returns the exchange with the other hosts.
     pub(crate) fn exchange(&self) -> Option<Arc<Exchange>> {
         self.exchange.get()?.upgrade()
     }
 
-    /// Sends notices, each to one host and once.
+    /// Sends each notice to its host, without retransmission.
     pub(crate) fn send_once(&self, notices: impl Iterator<Item = (host::Id, Notice)>) {
         let Some(exchange) = self.exchange() else { return };
         for (to, notice) in notices {
@@ -236,34 +237,34 @@
         }
     }
 
-    /// The planner.
+    /// Locks the planner.
     pub(crate) fn planner(&self) -> MutexGuard<'_, Planner> {
         self.planner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The decisions on requests.
+    /// Locks the dispatcher.
     pub(crate) fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A number for a request.
+    /// Returns a number that is unique among this run's requests.
     pub(crate) fn next_ticket(&self) -> Ticket {
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Will tell what becomes of a request that waits.
+    /// Returns a receiver for the dispatcher's next verdict on a request.
     pub(crate) fn wait_for_verdict(&self, ticket: Ticket) -> oneshot::Receiver<Verdict> {
         let (sender, receiver) = oneshot::channel();
         self.waiting().insert(ticket, sender);
         receiver
     }
 
-    /// Nobody waits for news of a request any more.
+    /// Discards the receiver of a request's verdict.
     pub(crate) fn stop_waiting(&self, ticket: Ticket) {
         self.waiting().remove(&ticket);
     }
 
-    /// Moves the queues on.
+    /// Lets the dispatcher advance its queues, and delivers what results.
     pub(crate) fn pump(&self) {
         let mut dispatcher = self.dispatcher();
         let changes = dispatcher.pump(self.now());
@@ -274,7 +275,7 @@
         self.send_loans(loans);
         for Change { ticket, verdict } in changes {
             if let Some(sender) = self.waiting().remove(&ticket) {
-                // One that has gone meanwhile has told the dispatcher.
+                // A request that has ended meanwhile has reported its end to the dispatcher.
                 let _ = sender.send(verdict);
             }
         }
@@ -284,39 +285,39 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The lease on orders.
+    /// Locks this host's view of the lease on orders.
     pub(crate) fn term(&self) -> MutexGuard<'_, OrderLease> {
         self.term.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether the load balancer may send callers to this host.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_leaving() && self.declaration.load().is_some()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// A planned stop begins.
+    /// Marks the beginning of a planned stop.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Counts a request in; it is counted out when the guard is dropped.
+    /// Counts a request as open until the guard is dropped.
     pub(crate) fn open_request(self: &Arc<Self>) -> OpenGuard {
         self.open.fetch_add(1, Ordering::Relaxed);
         OpenGuard(self.clone())
     }
 
-    /// Requests that are open.
+    /// Returns the number of open requests.
     pub(crate) fn open_requests(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 }
 
-/// A request that is open.
+/// Counts one open request while it exists.
 pub(crate) struct OpenGuard(Arc<Shared>);
 
 impl Drop for OpenGuard {
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on giving orders: carries out what `policy::term` asks of the store.
+//! The lease that permits sending orders: carries out the store calls that `policy::term` asks for.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 /// Name of the lease on orders.
 const LEASE_NAME: &str = "orders";
 
-/// Pause between steps.
+/// Interval between steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Contends for the lease and renews it until the process ends.
@@ -29,7 +29,8 @@
     }
 }
 
-/// Tells whether the lease was gained or lost since the last look.
+/// Reports if the lease was gained or lost since the last call, and returns the fencing token that
+/// is held now.
 fn report_change(shared: &Shared, before: Option<Fence>) -> Option<Fence> {
     let held = shared.term().fence(shared.now());
     if held == before {
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: the declaration and the servers.
+//! Watches of the store for the declaration and the servers.
 
 mod hedge;
 
@@ -24,7 +24,7 @@
 /// Pause after a call that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keeps the declaration in force up to date.
+/// Keeps the declaration in force up to date, until the process ends.
 pub(crate) async fn declaration(shared: Arc<Shared>) {
     loop {
         if let Some(since) = read_declaration(&shared).await {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Keeps the servers up to date.
+/// Keeps the directory of servers up to date, until the process ends.
 pub(crate) async fn servers(shared: Arc<Shared>) {
     loop {
         if let Some(page) = shared.store.list(Kind::Server).await {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Hands on changes until the history is lost.
+/// Passes on changes until the store has lost the history since the last one.
 async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, take: impl Fn(Change)) {
     let mut since = since;
     let mut hedge = Hedge::new(shared, kind);
@@ -100,8 +100,8 @@
     }
 }
 
-/// Asks this host's relay for changes of the servers in place of the store; whether what it told is recent
-/// enough.
+/// Fetches changes of the servers from this host's relay instead of the store. Returns whether the
+/// response is recent enough.
 async fn follow_relay(shared: &Arc<Shared>) -> bool {
     let Some((exchange, relay)) = shared.relay() else { return false };
     sleep(follow::relay_poll_interval(shared.routed.drain)).await;
@@ -119,8 +119,8 @@
 }
 
 impl Shared {
-    /// The host through which this one follows the store; none while the store fails, since what goes
-    /// then may come back, and only the store tells.
+    /// Returns the host through which this one follows the store. There is none while the store
+    /// fails, since a removed entry may then be written again, which only the store reports.
     fn relay(&self) -> Option<(Arc<Exchange>, Member)> {
         let exchange = self.exchange()?;
         let is_settled = follow::STARTING <= self.now() && !self.store.is_degraded();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The times of a watch that is asked now.
+    /// Returns the timeouts of a watch that starts now.
     fn watch(&self, kind: Kind) -> follow::WatchTimes {
         let within = match kind {
             Kind::Declaration => self.routed.apply,
@@ -142,12 +142,13 @@
         follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, within)
     }
 
-    /// Time in which changes of the servers gather before this host asks for them again.
+    /// Returns how long this host waits after changes of the servers before it asks for more, so
+    /// that several changes are fetched at once.
     pub(crate) fn gather(&self) -> Duration {
         self.exchange().map_or(Duration::ZERO, |exchange| self.gather_among(&exchange.fleet()))
     }
 
-    /// The same, by what is already known of the others.
+    /// Like [`Shared::gather`], for a given snapshot of the other hosts.
     pub(crate) fn gather_among(&self, snapshot: &FleetSnapshot) -> Duration {
         follow::pause(self.now(), self.role(snapshot), snapshot.live, self.routed.drain)
     }
@@ -156,7 +157,7 @@
         self.exchange().is_some_and(|exchange| exchange.tier() == Tier::Relay)
     }
 
-    /// What this host is to the others in following the store.
+    /// Returns this host's role among the hosts that follow the store.
     fn role(&self, snapshot: &FleetSnapshot) -> Role {
         let live = snapshot.hosts.iter().filter(|peer| peer.liveness == Liveness::Live);
         match self.term().fence(self.now()) {
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -1,13 +1,14 @@
-//! Hedged watches: one that may be stalled gets another asked beside it.
+//! Hedged watches: a watch that may be stalled is duplicated.
 //!
-//! A watch that the store has forgotten looks like one that waits for a change, until its time
-//! limit, which is far beyond the time in which changes must be known. So it is asked once more, on a
-//! connection of its own, as soon as there is a reason to doubt it. The older one stays: a store
-//! that is merely slow still answers it, and giving it up again and again would mean that no
-//! answer ever comes.
+//! A watch that the store has lost looks like one that waits for a change, until its timeout, which
+//! is far longer than the time in which changes must be known. A second watch is therefore started
+//! on a connection of its own as soon as there is a reason to doubt the first. The first one is
+//! kept: a store that is merely slow still answers it, and if watches were cancelled again and
+//! again, no response would ever arrive.
 //!
-//! Without it all hosts stayed stalled for up to 5 s after a silent store was back: in soaks of 60 s
-//! with one silence 2, 16, 32 and 0 requests were handled by too old a declaration, and none with it.
+//! Without hedging, all hosts stayed stalled for up to 5 s after a silent store had recovered: in
+//! soak tests of 60 s with one silence, 2, 16, 32 and 0 requests were handled by an outdated
+//! declaration; with hedging, none were.
 
 use std::{pin::Pin, time::Duration};
 
@@ -26,22 +27,22 @@
 
 type PendingWatch<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
 
-/// Why a watch is no longer trusted.
+/// Why a watch is doubted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// The store answers again; what was asked before may have been lost.
+    /// The store responds again after an outage, in which earlier watches may have been lost.
     Outage,
-    /// Nothing came for too long.
+    /// The watch has had no response for too long.
     Silence,
 }
 
-/// The watches of one kind: the oldest that is under way, up to its limit, and the newest.
+/// The watches of one kind of objects: the oldest in flight, up to its timeout, and the newest.
 pub(super) struct Hedge<'a> {
     shared: &'a Shared,
     kind: Kind,
-    /// Outages of the store that have ended.
+    /// Number of outages of the store that have ended.
     outages: Receiver<u64>,
-    /// The connection of the last answer.
+    /// The connection of the last response, for reuse.
     kept: Option<Connection>,
 }
 
@@ -50,9 +51,11 @@
         Hedge { shared, kind, outages: shared.store.outages(), kept: None }
     }
 
-    /// The first answer to a watch from this revision, or how the last one under way failed.
+    /// Returns the first response to a watch from this revision, or the failure of the last watch
+    /// in flight.
     ///
-    /// A doubt counts as a failure of the store, in which entries of sound servers may have run out.
+    /// A doubt counts as a failure of the store, during which entries of healthy servers may have
+    /// expired.
     pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
         let mut oldest = self.start(since, watch.wait);
         let mut newest: Option<PendingWatch<'a>> = None;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Ends with the first reason to doubt what is under way.
+    /// Completes with the first reason to doubt the watches in flight.
     async fn doubt(&mut self, trusted: Instant) -> Cause {
         select! {
             _ = self.outages.changed() => Cause::Outage,
