--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this host tells the others, and what it does with what they tell.
+//! What this host publishes to its peers, and what it does with what they publish.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,34 +27,35 @@
 
 use crate::host::Shared;
 
-/// Pause between two rounds of telling and reading.
+/// Interval between rounds of publishing and reading.
 const ROUND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Least time between two notices that the same thing is waited for.
+/// Minimum time between two notices that requests wait for the same model or adapter.
 const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time behind the peers' servers after which they are asked of a peer.
+/// Time for which peers may know a later change of the servers before the servers are fetched from
+/// a peer.
 const BEHIND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What this host has counted for its peers, and of them.
+/// Counters that this host publishes to its peers, and its view of their progress.
 #[derive(Default)]
 pub(crate) struct Counts {
-    /// Requests of callers, by service.
+    /// Number of callers' requests, by service.
     arrivals: BTreeMap<service::Id, u64>,
-    /// The last change known here when peers were first seen ahead of it, and when that was.
+    /// The last revision known here when peers were first seen ahead of it, and the time of that.
     behind: Option<(Revision, Moment)>,
-    /// Whether the others were told of limits in the last round.
+    /// Whether rate limits were published in the last round.
     published_limits: bool,
     load_requests: HashMap<(model::Id, Option<adapter::Id>), Moment>,
 }
 
 impl Counts {
-    /// Counts a request.
     pub(crate) fn record_request(&mut self, service: &service::Id) {
         *self.arrivals.entry(service.clone()).or_default() += 1;
     }
 
-    /// Whether a notice is due that something is waited for; it counts as given then.
+    /// Returns whether a notice is due that requests wait for a model or adapter, and if so counts
+    /// it as sent.
     pub(crate) fn load_request_is_due(
         &mut self,
         model: &model::Id,
@@ -70,7 +71,8 @@
         is_due
     }
 
-    /// Whether peers have known a later change of the servers for so long, and nothing came here.
+    /// Returns whether peers have known a later change of the servers for at least `patience`, and
+    /// no change has arrived here.
     fn is_behind(
         &mut self,
         revision: Revision,
@@ -92,7 +94,7 @@
     }
 }
 
-/// PeerSource peers' calls.
+/// Answers calls of peers.
 pub(crate) struct PeerSource(pub(crate) Weak<Shared>);
 
 impl Source for PeerSource {
@@ -115,7 +117,7 @@
     }
 }
 
-/// Tells the others and takes in what they tell, until the process ends.
+/// Publishes to the peers and applies what they publish, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     if let Some(notices) = exchange.notices() {
         tokio::spawn(listen(shared.clone(), exchange.clone(), notices));
@@ -133,7 +135,7 @@
     }
 }
 
-/// Tells which of the others talk and which have fallen silent since the last look.
+/// Reports which peers are heard from and which have fallen silent since the last call.
 fn report_liveness(
     shared: &Shared,
     snapshot: &FleetSnapshot,
@@ -234,7 +236,7 @@
     }
 }
 
-/// Tells the planner what runs where.
+/// Passes the requests in flight at each server, over all hosts, to the planner.
 fn update_in_flight(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
     let mut running: BTreeMap<(&backend::Id, &model::Id), u32> = BTreeMap::new();
     let others = snapshot.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
@@ -246,7 +248,7 @@
     shared.set_in_flight(&running, &mut shared.planner());
 }
 
-/// Says again what requests wait for.
+/// Repeats what requests wait for.
 fn repeat_missing(shared: &Shared) {
     let missing = shared.dispatcher().missing();
     for (service, model, adapter, _) in missing {
@@ -254,13 +256,14 @@
     }
 }
 
-/// Catches up with a peer that is ahead.
+/// Fetches the declaration and the servers from peers that have later ones.
 async fn catch_up(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
     let version = shared.declaration().map_or(0, |declaration| declaration.version);
     if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
     }
-    // A host whose store answers lets changes gather, and is behind its peers meanwhile.
+    // A host whose store responds waits for several changes before it fetches them, and is behind
+    // its peers meanwhile.
     let gather =
         if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
     let patience = BEHIND_TIMEOUT + gather;
@@ -293,7 +296,8 @@
     }
 }
 
-/// The host that listens at an address; named by the address while it is not known.
+/// Returns the id of the host that listens at an address, or the address itself while the host is
+/// unknown.
 fn peer_at(exchange: &Exchange, address: SocketAddr) -> host::Id {
     let snapshot = exchange.fleet();
     let known = snapshot.hosts.iter().find(|status| status.member.address == address);
@@ -305,7 +309,7 @@
     exchange: Arc<Exchange>,
     mut notices: Receiver<ReceivedNotice>,
 ) {
-    // A fetch takes up to its time limit, and the other notices don't wait for it.
+    // A fetch may take as long as its timeout, and must not delay other notices.
     let (declared, versions) = unbounded_channel();
     tokio::spawn(fetch_declared(shared.clone(), exchange, versions));
     while let Some(received) = notices.recv().await {
@@ -330,7 +334,7 @@
                 shared.apply_departure(&server, departure, revision, &from);
             }
             Notice::DeclarationInForce { version } => {
-                // The reader of the channel ends with the process.
+                // The receiver lives until the process ends.
                 let _ = declared.send((version, received.via));
             }
             Notice::LimitChanged { server, news } => {
@@ -361,7 +365,7 @@
     }
 }
 
-/// Fetches declarations that peers have put in force.
+/// Fetches the declarations that peers have announced.
 async fn fetch_declared(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
@@ -376,7 +380,7 @@
     }
 }
 
-/// Tells the holder of the lease that a request waits for something.
+/// Notifies the holder of the lease that a request waits for a model or adapter.
 pub(crate) fn request_load(
     shared: &Shared,
     exchange: &Exchange,
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -1,4 +1,4 @@
-//! Gives the orders that the planner decides on, while this host holds the lease.
+//! Sends the orders that the planner decides on, while this host holds the lease.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,16 +17,16 @@
     unplaced::{self, UnplacedReporter},
 };
 
-/// Longest pause between rounds of planning.
+/// Maximum time between two rounds of planning.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest pause between rounds of planning.
+/// Minimum time between two rounds of planning.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Time between two reports that are asked of one server.
+/// Minimum time between two requests for a report to one server.
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// The same for a server that names a limit: it may count reports as requests.
+/// Like `REPORT_INTERVAL`, for a server that states a rate limit: it may count reports as requests.
 const LIMITED_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Plans until the process ends.
@@ -105,7 +105,8 @@
         unplaced::report_unsent(shared, order, "not-reached");
         return Outcome::Busy;
     };
-    // Judged right before the bytes go out: the connection may have taken its time.
+    // The lease is checked directly before the order is sent, since opening the connection may have
+    // taken long.
     let Some(fence) = shared.term().may_order(shared.now()) else {
         unplaced::report_unsent(shared, order, "no-lease");
         return Outcome::Busy;
@@ -126,7 +127,7 @@
     let reply = connection.order(&*shared.dialect, server, &sent, shared.order_timeout).await;
     let status = match shared.current_run(server, reply.born) {
         Some(run) if run.id == server.id => reply.status,
-        // Another run has it: what it did there is for a report to tell.
+        // Another run of the server has received the order; a report will show what it did.
         Some(_) | None => OrderStatus::NotThere,
     };
     report_answer(shared, order, fence, status, began.elapsed());
@@ -186,7 +187,7 @@
     }
 }
 
-/// Servers that hold a model, as they say.
+/// Returns the number of servers that report to hold a model.
 pub(crate) fn replicas(shared: &Shared, model: &model::Id) -> u32 {
     let directory = shared.directory();
     let holds = |server: &&Arc<Server>| server.models.iter().any(|held| held.model == *model);
@@ -200,7 +201,7 @@
     })
 }
 
-/// Tells the planner of a declaration's engines.
+/// Passes a declaration's engines to the planner.
 pub(crate) fn declare(
     planner: &mut Planner,
     declaration: &types::routed::Declaration,
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections to servers, kept for the next request.
+//! Pool of idle connections to servers.
 //!
-//! The pool never sends anything by itself: a request that fails on a kept connection comes back
-//! to whoever decides whether it may be sent again.
+//! The pool sends nothing by itself. If a request fails on a pooled connection, the caller of the
+//! pool decides whether the request may be sent again.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -9,14 +9,13 @@
 
 use crate::connect::Connection;
 
-/// How long a server that names no time is taken to keep an idle connection. Times are named in
-/// whole seconds, so one that names none may have less than one.
+/// Time for which a server is assumed to keep an idle connection if it states no time. Times are
+/// stated in whole seconds, so a server that states none may use less than one.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(900);
 
-/// Time before the server's own end of an idle connection at which it is given up.
+/// Time before the server closes an idle connection at which the pool discards the connection.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Most idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
 #[derive(Debug)]
@@ -25,14 +24,14 @@
     until: Moment,
 }
 
-/// Idle connections by the run of the server that they lead to.
+/// Idle connections by the run and the address of the server.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<(backend::Id, SocketAddr), Vec<Idle>>>,
 }
 
 impl Pool {
-    /// A connection that can take a request at `now`.
+    /// Takes a connection that can be used for a request at `now`.
     pub(crate) fn take(
         &self,
         now: Moment,
@@ -49,7 +48,7 @@
         None
     }
 
-    /// Keeps a connection whose answer has come whole.
+    /// Returns a connection to the pool after a complete response.
     pub(crate) fn put(
         &self,
         now: Moment,
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Closes what has been idle too long, and what leads to servers that are gone.
+    /// Closes connections that have been idle for too long or lead to removed servers.
     pub(crate) fn sweep(&self, now: Moment, is_known: impl Fn(&backend::Id) -> bool) {
         let Ok(mut idle) = self.idle.lock() else { return };
         idle.retain(|(server, _), kept| {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that crash servers, as the store keeps them.
+//! Storage of the requests that crash servers.
 //!
-//! Hosts tell each other of crashes, which outlives any of them but not all at once. So a request that
-//! is refused has an object in the store, named by its fingerprint, which a host reads when it starts
-//! and now and then. A host writes it that saw one of the crashes; the holder of the lease on orders
-//! makes up for those that ended before they could.
+//! Hosts send each other their records of crashes, which survive the loss of any host but not of
+//! all at once. Each refused request therefore also has an object in the store, named by the
+//! request's fingerprint, which hosts read when they start and at intervals. The object is written
+//! by a host that saw one of the crashes; the holder of the lease on orders writes it for hosts
+//! that ended before they could.
 
 use std::{
     collections::BTreeSet,
@@ -25,30 +26,31 @@
     host::Shared,
 };
 
-/// Pause between two looks at what is known.
+/// Interval between two checks of the known crashes.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two reads of what is stored.
+/// Interval between two reads of the stored objects.
 const READ_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The same after a read or a write that failed.
+/// Delay after a read or a write that failed.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time that hosts which saw a crash have for the object, before the holder of the lease writes it.
+/// Time that hosts which saw a crash have to write the object, before the holder of the lease
+/// writes it.
 const WITNESS_GRACE: Duration = Duration::from_secs(2);
 
-/// Content of an object.
+/// Content of a stored object.
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
     crashes: Vec<Crash>,
-    /// When it was written, in milliseconds of Unix time.
+    /// Time of writing, in milliseconds of Unix time.
     written_ms: u64,
 }
 
-/// What this host knows of the store's objects.
+/// This host's view of the stored objects.
 #[derive(Default)]
 struct StoreView {
-    /// Requests that have an object.
+    /// Requests that have an object in the store.
     stored: BTreeSet<Fingerprint>,
     next_read: Moment,
     next_write: Moment,
@@ -70,20 +72,21 @@
     }
 }
 
-/// Takes in what is stored; whether it could be read.
+/// Merges the stored crashes into the dispatcher's. Returns whether the store could be read.
 async fn read(shared: &Shared, view: &mut StoreView) -> bool {
     let Some(page) = shared.store.list(Kind::Quarantine).await else { return false };
     let readable = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
     let objects: Vec<(Fingerprint, Vec<Crash>)> =
         page.objects.iter().filter_map(readable).collect();
-    // One that can't be read is none that this host may remove.
+    // An object that can't be parsed is not recorded here, so that this host does not remove it.
     view.stored = objects.iter().map(|(request, _)| *request).collect();
     let crashes: Vec<Crash> = objects.into_iter().flat_map(|(_, crashes)| crashes).collect();
     shared.dispatcher().poison_mut().merge(&crashes, shared.now());
     true
 }
 
-/// Brings the store up to date with what is known; whether it took all.
+/// Brings the store up to date with the known crashes. Returns whether the store accepted
+/// everything.
 async fn write(shared: &Shared, view: &mut StoreView) -> bool {
     let now = shared.now();
     let refused = shared.dispatcher().poison().refused(now);
@@ -133,7 +136,8 @@
     }
 }
 
-/// Crashes of an object, as old as they are by now. One that can't be read is passed over.
+/// Returns the crashes in an object, with their ages as of now; `None` if the object can't be
+/// parsed.
 fn parse(object: &Object) -> Option<Vec<Crash>> {
     let stored: Stored = serde_json::from_value(object.content.clone())
         .inspect_err(
@@ -145,12 +149,12 @@
     Some(stored.crashes.into_iter().map(aged).collect())
 }
 
-/// How a request is called in the store and in the log.
+/// Returns the name of a request in the store and in the log.
 fn name(request: Fingerprint) -> String {
     format!("{request:016x}")
 }
 
-/// The request of a name.
+/// Returns the request that an object's name stands for.
 fn parse_name(name: &str) -> Option<Fingerprint> {
     let is_name = name.len() == 16;
     is_name.then(|| Fingerprint::from_str_radix(name, 16).ok()).flatten()
@@ -161,7 +165,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Logs what has changed in what is thought of requests, with the crashes behind it.
+/// Logs changes in the standing of requests, with the crashes that caused them.
 fn log_changes(shared: &Shared) {
     let changes = shared.dispatcher().poison_mut().take_changes(shared.now());
     for StandingChange { request, standing, crashes } in changes {
@@ -181,7 +185,7 @@
     }
 }
 
-/// A crash as it is logged.
+/// Converts a crash to its log entry.
 fn seen(crash: &Crash) -> CrashSeen {
     let role = match crash.isolation {
         Isolation::Shared => "beside others",
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -1,5 +1,5 @@
-//! Limits that servers name, and the quotas that hosts share: between the dispatcher and the other hosts,
-//! the log and the metrics.
+//! Rate limits that servers state, and the quotas that hosts share: the connection of the
+//! dispatcher with the other hosts, the log and the metrics.
 
 use exchange::fleet::{FleetSnapshot, Notice};
 use observe::{
@@ -15,7 +15,7 @@
 use crate::{edge::Limit, host::Shared};
 
 impl Shared {
-    /// Takes in what an answer of a server names whose request left at `sent`.
+    /// Applies the limit that a server's response states, for a request that was sent at `sent`.
     pub(crate) fn observe_limit(&self, server: &backend::Id, limit: Limit, sent: Moment) {
         let limit = match limit {
             Limit::Unnamed => None,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes in what another host believes of a server's limit.
+    /// Applies a server's limit as another host reports it.
     pub(crate) fn receive_limit(
         &self,
         server: &backend::Id,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in another host's asks and grants.
+    /// Applies another host's requests and grants of permits.
     pub(crate) fn quota_received(&self, from: &host::Id, message: &Message) {
         let changes = self.dispatcher().quota_received(from, message, self.now());
         for (server, change) in changes {
@@ -51,7 +51,7 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Takes in who the other hosts are, and the limits that they believe in.
+    /// Applies which other hosts there are, and the limits that they report.
     pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
         let is_reachable = |liveness| liveness != Liveness::Silent;
         let known =
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Sends asks and grants.
+    /// Sends requests and grants of permits.
     pub(crate) fn send_quotas(&self, messages: Vec<(host::Id, Message)>) {
         self.send_once(messages.into_iter().map(|(to, message)| (to, Notice::Quota(message))));
     }
 
-    /// Shows how limits are shared.
+    /// Updates the metrics of shared limits.
     pub(crate) fn update_quota_metrics(&self) {
         let (now, dispatcher) = (self.now(), self.dispatcher());
         let quotas = dispatcher.quotas();
@@ -83,7 +83,7 @@
         self.meters.permits(Permits::Lapsed, counts.lapsed);
     }
 
-    /// An answer whose limit can't be read changes no belief.
+    /// Counts and logs a limit that can't be parsed. The known limit stays.
     fn reject_limit(&self, server: &backend::Id) {
         self.meters.unreadable_limit();
         if self.unreadable_limits_log.is_due(self.now()) {
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -1,4 +1,4 @@
-//! The listener that the balancer asks, and that shows the metrics.
+//! The listener for the load balancer's readiness probe and for the metrics.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -15,7 +15,7 @@
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers the balancer until the process ends.
+/// Serves readiness probes and metrics until the process ends.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,7 +1,8 @@
 //! This host's registration in the store.
 //!
-//! Hosts find each other by it, know by the list how many share the retry budgets though they hear nothing of each
-//! other, and tell by their own entry whether an earlier run of theirs may have spent its part.
+//! Registrations let hosts find each other, and tell them how many hosts share the retry budgets
+//! even if no message gets through. A host's own entry shows at the start whether an earlier run
+//! may have spent that host's part of the budgets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,16 +16,16 @@
     host::Shared,
 };
 
-/// Pause before the store is asked again after it failed.
+/// Delay after a failed call to the store.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which hosts that started together have registered themselves.
+/// Time until the second read, by which hosts that started together have registered.
 const SECOND_READ_DELAY: Duration = Duration::from_secs(2);
 
-/// Time between two looks at the list from then on.
+/// Interval between further reads of the list.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Keeps this host registered, and takes in which others are, until the process ends.
+/// Keeps this host registered and reads which other hosts are, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let mut pauses = [SECOND_READ_DELAY].into_iter().chain(std::iter::repeat(READ_INTERVAL));
     loop {
@@ -47,7 +48,8 @@
     exchange.introduce(page.objects.iter().filter_map(address));
 }
 
-/// Writes this host's entry, unless it stands there; whether it does now.
+/// Writes this host's entry, unless the entry is there with this content. Returns whether the entry
+/// is in the store.
 async fn register(shared: &Shared, exchange: &Exchange, page: &Page) -> bool {
     let name = &*shared.host.id;
     let content = Value::String(exchange.member().address.to_string());
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -1,4 +1,5 @@
-//! Retry budgets: loans between hosts, metrics, and a line for each budget that was used or refused a retry.
+//! Retry budgets: loans between hosts, metrics, and a log message for each budget that was used or
+//! refused a retry.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,7 +13,7 @@
 
 use crate::host::Shared;
 
-/// Time between two lines on one service's budget.
+/// Interval between log messages about one service's budget.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs the budgets that are in use until the process ends.
@@ -41,7 +42,7 @@
 }
 
 impl Shared {
-    /// Takes in another host's ask or loan.
+    /// Applies another host's request for a loan, or its loan.
     pub(crate) fn loan_received(&self, from: &host::Id, message: &Message) {
         let (mut dispatcher, now) = (self.dispatcher(), self.now());
         dispatcher.loan_received(from, message, now);
@@ -51,12 +52,12 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Sends asks and loans.
+    /// Sends requests for loans, and loans.
     pub(crate) fn send_loans(&self, messages: Vec<(host::Id, Message)>) {
         self.send_once(messages.into_iter().map(|(to, message)| (to, Notice::Loan(message))));
     }
 
-    /// Shows the retry budgets.
+    /// Updates the metrics of the retry budgets.
     pub(crate) fn update_retry_metrics(&self) {
         for (service, budget) in self.retry_budgets() {
             self.meters.budget(&service, budget.left);
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a routed host and stops it in order.
+//! Start and planned stop of a routed host.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,38 +23,38 @@
     planning, quarantine, ready, registration, retries, watch, workload,
 };
 
-/// Part of the grace after which what is still in flight is given up.
+/// Fraction of the grace period after which requests in flight are abandoned.
 const FINISH_FRACTION: f64 = 0.93;
 
-/// Part of the grace after which what still waits for a server is answered.
+/// Fraction of the grace period after which requests that still wait for a server are refused.
 const WAIT_FRACTION: f64 = 0.7;
 
-/// Time for the balancer to see that this host is not ready.
+/// Time for the load balancer to notice that this host is not ready.
 const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
-/// Longest pause between looks at the queues.
+/// Maximum interval between two rounds of the dispatcher's queues.
 const PUMP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks after which the machine may have been suspended.
+/// Time between two rounds of the queues above which the machine may have been suspended.
 const JUMP_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// Pause between sweeps of idle connections.
+/// Interval between sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a host can't start.
+/// Reason why a host can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener's address can't be bound.
     #[error("listener for {role} at {address}: {cause}")]
     Bind {
-        /// Whom it is for.
+        /// Users of the listener.
         role: &'static str,
         /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// The metrics can't be set up.
+    /// The metrics can't be registered.
     #[error(transparent)]
     Metrics(#[from] observe::metrics::Error),
     /// The exchange with the other hosts can't start.
@@ -62,7 +62,7 @@
     Exchange(#[from] exchange::Error),
 }
 
-/// A running host.
+/// A running host, until [`Running::drain`] stops it.
 pub struct Running {
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
@@ -83,7 +83,7 @@
     start_by(Clock::start(), settings, routed, dialect).await
 }
 
-/// Starts a host that keeps time by this clock.
+/// Starts a host that uses this clock.
 ///
 /// # Errors
 ///
@@ -137,7 +137,7 @@
     }
 }
 
-/// Tells that the settings were read anew.
+/// Logs that the settings were reloaded.
 pub fn reloaded(settings: &Process) {
     story::belief(Belief::Reload { settings: settings_json(settings) });
 }
@@ -147,18 +147,18 @@
 }
 
 impl Running {
-    /// The host with the addresses that it listens at.
+    /// Returns the host with the addresses that its listeners are bound to.
     pub fn host(&self) -> &Host {
         &self.shared.host
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn address(&self) -> SocketAddr {
         self.shared.host.callers
     }
 
-    /// Stops as planned: not ready first, then a pause for the balancer, then no new connections,
-    /// then the end of what is in flight.
+    /// Stops in order: reports not ready, waits for the load balancer, accepts no new connections,
+    /// then waits until the requests in flight have ended or the grace period is over.
     pub async fn drain(self) {
         let began = self.shared.now();
         let grace = self.shared.routed.grace.mul_f64(FINISH_FRACTION);
@@ -185,7 +185,7 @@
     }
 }
 
-/// Where some other hosts may listen for hosts.
+/// Returns addresses at which other hosts may listen for peers.
 fn seeds(settings: &Process) -> Vec<SocketAddr> {
     let port = settings.peers_share_port.then_some(settings.host.peers.port());
     let address = |peer: &SocketAddr| SocketAddr::new(peer.ip(), port.unwrap_or(peer.port()));
@@ -237,7 +237,8 @@
     }
 }
 
-/// Serves the metrics at their own port too, if one is set. A port that is taken costs only them.
+/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, only
+/// this listener is missing.
 async fn listen_for_metrics(shared: &Arc<Shared>) {
     let Some(port) = shared.routed.metrics_port else { return };
     let address = SocketAddr::new(shared.host.operators.ip(), port);
@@ -249,7 +250,7 @@
     }
 }
 
-/// Binds a listener, and takes down the port if the system picked it.
+/// Binds a listener, and stores the actual address, whose port the system may have chosen.
 async fn bind(role: &'static str, address: &mut SocketAddr) -> Result<TcpListener, Error> {
     let failed = |cause| Error::Bind { role, address: *address, cause };
     let listener = TcpListener::bind(*address).await.map_err(failed)?;
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -1,4 +1,5 @@
-//! What comes in about servers and about the work for them, and whom it is handed on to.
+//! Applies changes of the servers and of the work for them, and passes them on to the dispatcher,
+//! the planner and the peers.
 
 use std::{
     collections::BTreeMap,
@@ -29,30 +30,30 @@
     peers,
 };
 
-/// Time that a load is expected to take.
+/// Expected duration of loading a model.
 const EXPECTED_LOAD_TIME: Duration = Duration::from_secs(1);
 
 impl Shared {
-    /// A server that is registered.
+    /// Returns a known server by its id.
     pub(crate) fn server(&self, id: &backend::Id) -> Option<Arc<Server>> {
         self.directory().get(id).cloned()
     }
 
-    /// The id of the run that a server's name stands for.
+    /// Returns the id of the current run of a server by its name.
     fn id_by_name(&self, name: &str) -> Option<backend::Id> {
         self.directory().named(name).map(|server| server.id.clone())
     }
 
-    /// The run of a server that has answered, as far as it says when it began; none if it is over. One
-    /// that was not known counts as a start from nothing: it holds what it will report, and keeps its
-    /// address and its disk.
+    /// Returns the run of a server that has responded, by the start time in the response; `None` if
+    /// that run is over. An unknown later run counts as a start from nothing: it holds what it will
+    /// report, and keeps its address and its disk.
     pub(crate) fn current_run(&self, server: &Arc<Server>, born: Born) -> Option<Arc<Server>> {
         if born == 0 || born == server.born {
             return Some(server.clone());
         }
         let id = routed::run(&server.name, born);
         let known = self.directory().named(&server.name).cloned()?;
-        // What the store has taken off comes back by the store's word alone.
+        // A server whose entry was removed from the store is restored only by the store.
         if known.born < born && !self.directory().is_suspect(&known.id) {
             let written = self.directory().written(&known.id)?;
             let run = Server {
@@ -68,12 +69,12 @@
         self.server(&id)
     }
 
-    /// The last change of the servers that is known here.
+    /// Returns the last revision of the servers that is known here.
     pub(crate) fn revision(&self) -> Revision {
         self.directory().revision()
     }
 
-    /// Takes in the whole list of servers, as the store has it.
+    /// Applies the store's complete list of servers.
     pub(crate) fn replace_servers(self: &Arc<Self>, page: &Page) {
         let read = |object: &Object| {
             let server = self.registration(object)?;
@@ -87,27 +88,28 @@
         self.apply(delta, page.revision, &Heard::Store);
     }
 
-    /// What is known of the servers was the store's word so long ago.
+    /// Notes that the known servers were confirmed by the store this long ago.
     pub(crate) fn confirm_servers(&self, age: Duration) {
         let at = self.now().saturating_sub(age);
         let mut current = self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         *current = current.max(at);
     }
 
-    /// How long ago what is known of the servers was the store's word.
+    /// Returns how long ago the known servers were confirmed by the store.
     pub(crate) fn servers_age(&self) -> Duration {
         let current = *self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         self.now().saturating_sub(current)
     }
 
-    /// Takes in the servers that a peer knows.
+    /// Applies a peer's list of servers.
     pub(crate) fn take_servers(self: &Arc<Self>, list: Registered, peer: &host::Id) {
         let revision = list.revision;
         let delta = self.directory().diff_peer_list(list);
         self.apply(delta, revision, &Heard::Peer(peer.clone()));
     }
 
-    /// Reads a registration. Each that can't be read is counted; the log has one in a while.
+    /// Parses a registration. Each failure is counted; log messages about failures are rate
+    /// limited.
     fn registration(&self, object: &Object) -> Option<Server> {
         let server = self.dialect.server(object);
         if server.is_none() {
@@ -131,7 +133,7 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Takes in a change of the servers.
+    /// Applies a change of a server's entry in the store.
     pub(crate) fn change_server(self: &Arc<Self>, change: &Change) {
         match change {
             Change::Written(object) => {
@@ -150,7 +152,8 @@
                 self.directory().advance(*revision);
                 let id =
                     self.id_by_name(name).filter(|id| !self.directory().is_newer(id, *revision));
-                // All that was written up to here is known, also where the removal's revision is not told.
+                // All entries written up to the directory's revision are known, also if the removal
+                // has no revision of its own.
                 let removed = self.revision();
                 id.iter().for_each(|id| self.apply_removal(id, removed, &Heard::Store));
             }
@@ -187,7 +190,7 @@
             };
             self.report_standing(&server, standing, from, "it is registered so");
         }
-        // Who was told by a peer doesn't tell it on.
+        // What a peer has reported is not passed on.
         let is_first_hand = was_used && *from == Heard::Store;
         if before == Some(State::Ready) && is_first_hand && server.state == State::Draining {
             let (server, departure) = (server.id.clone(), Departure::Leaving);
@@ -195,11 +198,12 @@
         }
     }
 
-    /// A server's entry has gone. While the store is degraded, entries of sound servers go and come
-    /// back; such a server is used on for part of the time that a leaving one may be.
+    /// Applies the removal of a server's entry. While the store is degraded, entries of healthy
+    /// servers are removed and written again; such a server stays in use for part of the time that
+    /// a leaving one may.
     fn apply_removal(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Heard) {
         let is_ready = self.server(id).is_some_and(|server| server.state == State::Ready);
-        // A peer tells by itself which of the servers that its list lacks may come back.
+        // A peer's list states which of the servers that it lacks may come back.
         let is_from_peer = matches!(from, Heard::Peer(_));
         if is_ready && !is_from_peer {
             if self.store.is_degraded() {
@@ -213,12 +217,13 @@
         self.remove_server(id, from, "it is no longer registered");
     }
 
-    /// Time for which a server is used on whose entry has just gone and may come back.
+    /// Returns the time for which a server stays in use whose entry was just removed and may be
+    /// written again.
     fn removal_grace(&self) -> Duration {
         follow::removal_grace(self.gather(), self.routed.drain)
     }
 
-    /// Uses a server on for a time in which its entry may come back.
+    /// Keeps a server in use for a time in which its entry may be written again.
     fn suspect(self: &Arc<Self>, id: &backend::Id, left: Duration, from: &Heard) {
         let Some(server) = self.server(id).filter(|_| !self.directory().is_suspect(id)) else {
             return;
@@ -241,10 +246,11 @@
         self.directory().suspected_for(id, self.now())
     }
 
-    /// Takes in that a server leaves, as a peer has it from the store.
+    /// Applies a peer's notice that a server is leaving, which the peer has from the store.
     ///
-    /// A peer that did not notice an outage takes an entry that ran out in it for a server that leaves. A
-    /// host that did notice doubts it as if the store had told it.
+    /// A peer that did not notice an outage of the store takes an entry that expired in it for a
+    /// server that leaves. A host that did notice the outage treats the notice like a removal
+    /// reported by the store, and suspects the server.
     pub(crate) fn apply_departure(
         self: &Arc<Self>,
         id: &backend::Id,
@@ -267,7 +273,7 @@
         }
     }
 
-    /// Sends a server nothing new until its entry is written after this revision.
+    /// Sends no new requests to a server until its entry is written after this revision.
     fn stop_sending(&self, id: &backend::Id, revision: Revision, from: &Heard) {
         if self.dispatcher().is_ready(id)
             && let Some(server) = self.server(id)
@@ -283,7 +289,8 @@
         self.dispatcher().draining(id);
     }
 
-    /// Sends servers nothing new whose entries say at a peer that they drain, which is for good.
+    /// Sends no new requests to servers whose entries, as known to a peer, state that they drain,
+    /// which is final.
     pub(crate) fn drain<'a>(&self, ids: impl Iterator<Item = &'a backend::Id>) {
         let (mut directory, mut dispatcher) = (self.directory(), self.dispatcher());
         for id in ids {
@@ -317,19 +324,20 @@
         self.forget_run(id);
     }
 
-    /// A run of a server is over: nothing that was known of it counts for a later one.
+    /// Discards what is known of a run of a server that is over; nothing of it applies to a later
+    /// run.
     fn forget_run(&self, id: &backend::Id) {
         self.planner().remove_server(id, self.now());
         self.dispatcher().gone(id, self.now());
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Whether a server is one of a service with engines, as far as is declared.
+    /// Returns whether a server belongs to a service that is declared with an engine.
     pub(crate) fn runs_models(&self, server: &Server) -> bool {
         self.declaration().is_some_and(|declaration| has_engine(&declaration, &server.service))
     }
 
-    /// Tells the planner of the servers that came before their service was declared.
+    /// Registers with the planner the servers that were known before their service was declared.
     pub(crate) fn register_known(&self, before: Option<&Declaration>) {
         let was_known = |server: &&Arc<Server>| {
             before.is_some_and(|before| has_engine(before, &server.service))
@@ -343,7 +351,8 @@
         self.plan_wakeup.notify_one();
     }
 
-    /// Whether a server was not asked for a report for so long; it counts as asked then.
+    /// Returns whether a server was not asked for a report within `pause`, and if so counts it as
+    /// asked.
     pub(crate) fn report_is_due(&self, id: &backend::Id, now: Moment, pause: Duration) -> bool {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         let is_due = reports.get(id).is_none_or(|last| *last + pause <= now);
@@ -353,7 +362,8 @@
         is_due
     }
 
-    /// Takes in a server's report, and tells the others what it holds since the last one.
+    /// Applies a server's report, and notifies the peers of models that the server has loaded since
+    /// the last one.
     pub(crate) fn apply_report(&self, server: &Server, report: &Report) {
         self.dispatcher().report(&server.id, report, self.now());
         let before = |held: &Held| server.models.iter().any(|known| known.model == held.model);
@@ -369,7 +379,7 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Takes in what came of an order, and tells the others.
+    /// Applies the outcome of an order, and notifies the peers.
     pub(crate) fn apply_order(&self, order: &place::Order, outcome: Outcome) {
         if !matches!(outcome, Outcome::Accepted | Outcome::AlreadyHolds) {
             return;
@@ -388,7 +398,7 @@
                     sequence,
                 });
             }
-            // An adapter is there before a request that is sent now.
+            // The adapter is loaded before a request that is sent now arrives.
             Operation::Load if adapter.is_some() => {
                 dispatcher.model_loaded(&server, &model, adapter, sequence, now);
                 self.notify(Notice::Loaded { server, model, adapter: adapter.cloned(), sequence });
@@ -400,7 +410,7 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Counts a request.
+    /// Counts a request as an arrival and as demand for its model.
     pub(crate) fn record_request(&self, call: &Call) {
         let info = &call.request.info;
         self.counts.lock().unwrap_or_else(PoisonError::into_inner).record_request(&call.service);
@@ -410,7 +420,8 @@
         self.demand_arrived(Subject { model, adapter: info.adapter.clone() }, work);
     }
 
-    /// A request waits for a model or adapter.
+    /// Reports that a request waits for a model or adapter: to the planner if this host plans, else
+    /// to the holder of the lease.
     pub(crate) fn request_missing(
         &self,
         service: &service::Id,
@@ -431,7 +442,7 @@
         }
     }
 
-    /// Tells the planner how many requests of each model are at each server, over all hosts.
+    /// Passes the number of requests of each model at each server, over all hosts, to the planner.
     pub(crate) fn set_in_flight(
         &self,
         running: &BTreeMap<(&backend::Id, &model::Id), u32>,
@@ -446,16 +457,16 @@
         }
     }
 
-    /// Tells all other hosts.
+    /// Sends a notice to all other hosts.
     pub(crate) fn notify(&self, notice: Notice) {
         if let Some(exchange) = self.exchange() {
-            // To all is never to a host that is not known.
+            // Sending to all hosts can't fail because of an unknown host.
             let _ = exchange.send(Recipients::All, notice);
         }
     }
 }
 
-/// Whether a service is declared with engines.
+/// Returns whether a service is declared with an engine.
 fn has_engine(declaration: &Declaration, service: &service::Id) -> bool {
     let mut services = declaration.services.iter();
     services.any(|declared| declared.name == *service && declared.engine.is_some())
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,7 +1,8 @@
 //! Calls to the platform's store.
 //!
-//! One kept connection serves short calls, unless it is in use; watches take connections of their
-//! own. Every call has a time limit, since a connection may go silent for good.
+//! One connection is kept open for short calls; a call that finds it in use opens another. Watches
+//! have connections of their own. Every call has a timeout, since a connection may become silent
+//! for good.
 
 use std::{
     net::SocketAddr,
@@ -32,23 +33,23 @@
     edge::{Call, Dialect, Kind, Object, Page, Revision, StoreReply},
 };
 
-/// Longest time for a short call.
+/// Timeout of a short call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The same for one about the lease.
+/// Timeout of a call about the lease.
 const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time that a watch may take beyond the wait that it asked for. A slow store is heard for so long; a
+/// Time that a watch may take beyond its requested wait. A slow store is waited for this long; a
 /// watch that may be stalled is not left alone until then, but hedged.
 const WATCH_SLACK: Duration = Duration::from_secs(5);
 
-/// Time after the store's last failure in which a server whose entry has gone may come back.
+/// Time after the store's last failure in which a removed server entry may be written again.
 const DEGRADED_PERIOD: Duration = Duration::from_secs(8);
 
-/// Largest answer taken, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The platform's store.
+/// Client of the platform's store.
 pub(crate) struct Store {
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
@@ -58,16 +59,16 @@
     calls: CallHealth,
     declaration: CallHealth,
     servers: CallHealth,
-    /// Outages that have ended.
+    /// Number of outages that have ended.
     outages: watch::Sender<u64>,
     clock: Clock,
-    /// When the store last failed this host.
+    /// When a call of this host last failed.
     failed: SyncMutex<Option<Moment>>,
 }
 
-/// Whether calls of a sort were answered at last.
+/// Whether the last call of a kind got a response.
 struct CallHealth {
-    /// What the log calls it.
+    /// Name in the log.
     name: &'static str,
     lost: AtomicBool,
 }
@@ -77,7 +78,7 @@
         CallHealth { name, lost: AtomicBool::new(false) }
     }
 
-    /// Notes how the last call ended; whether that is news.
+    /// Records whether the last call failed. Returns whether that is a change.
     fn set_lost(&self, lost: bool) -> bool {
         self.lost.swap(lost, Ordering::Relaxed) != lost
     }
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Notes that the store has failed this host.
+    /// Records a failure of the store.
     pub(crate) fn record_failure(&self) {
         if !self.is_degraded() {
             let name = Word::Borrowed("registrations");
@@ -116,19 +117,20 @@
         *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
     }
 
-    /// Whether the store has failed this host lately.
+    /// Returns whether the store has failed this host within `DEGRADED_PERIOD`.
     pub(crate) fn is_degraded(&self) -> bool {
         let failed = *self.failed.lock().unwrap_or_else(PoisonError::into_inner);
         failed.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
     }
 
-    /// Tells when calls that got no answer are followed by one that does. What was asked before that
-    /// may never be answered: a store that was silent forgets who asked.
+    /// Returns a counter that changes when a call gets a response after calls without one. Calls
+    /// made before that may never get a response: a store that was silent loses its pending
+    /// watches.
     pub(crate) fn outages(&self) -> watch::Receiver<u64> {
         self.outages.subscribe()
     }
 
-    /// Makes a call that is worth nothing when it takes longer than a term of the lease.
+    /// Makes a call about the lease, which is useless if it takes longer than a term of the lease.
     pub(crate) async fn lease_call(&self, call: &Call<'_>) -> StoreReply {
         self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
@@ -138,9 +140,9 @@
         self.call_within(call, CALL_TIMEOUT).await
     }
 
-    /// A call that gets no answer holds no other up: one that finds the kept connection in use has a
-    /// connection of its own. Where they queued, a list without an answer cost the lease: 2.3 s
-    /// without a renewal, by its test.
+    /// Makes a call with a timeout. A call without a response does not delay others: if the kept
+    /// connection is in use, the call opens its own. When calls were queued instead, a list without
+    /// a response cost the lease: its test saw 2.3 s without a renewal.
     async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
         let end = Instant::now() + limit;
         let Ok(mut kept) = self.kept.try_lock() else {
@@ -152,7 +154,8 @@
         reply
     }
 
-    /// Waits for changes on a connection that is the watch's own: an earlier one's, or a new one.
+    /// Waits for changes, on a connection that is used for this watch only: the one of an earlier
+    /// watch, or a new one.
     pub(crate) async fn watch(
         &self,
         kept: Option<Connection>,
@@ -165,14 +168,14 @@
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
     }
 
-    /// A watch of this kind has had no answer for so long that it is no longer trusted.
+    /// Reports that a watch of this kind got no response for too long to be trusted.
     pub(crate) fn report_silent_watch(&self, kind: Kind, waited: Duration) {
         if let Some(health) = self.health(kind) {
             self.report_state(health, DependencyState::Lost, waited);
         }
     }
 
-    /// Whether a kind's watches were answered at last.
+    /// Returns the health of the watches of a kind.
     fn health(&self, kind: Kind) -> Option<&CallHealth> {
         match kind {
             Kind::Declaration => Some(&self.declaration),
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Lists a kind whole; `None` if a page is missing.
+    /// Lists all objects of a kind; `None` if a page can't be fetched.
     pub(crate) async fn list(&self, kind: Kind) -> Option<Page> {
         let mut all = Page::default();
         loop {
@@ -192,7 +195,8 @@
                 return None;
             };
             if all.revision == 0 {
-                // Changes between the pages are seen by a watch from the first one.
+                // A watch from the first page's revision also reports changes made between the
+                // pages.
                 all.revision = page.revision;
             }
             let more = page.more && !page.objects.is_empty();
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Makes a call; each that ends is counted and reply of, also one that gets no answer.
+    /// Makes a call, counts it and records its outcome, also if it got no response.
     async fn exchange(
         &self,
         call: &Call<'_>,
@@ -214,7 +218,8 @@
         let done = timeout_at(end, self.try_exchange(call, connection)).await;
         let (reply, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
         self.meters.call(called(call), result(&reply));
-        // Any call counts: a watch may wait through a whole outage and then bring entries that ran out in it.
+        // Failures of all calls count: a watch may wait through a whole outage and then report the
+        // removal of entries that expired in it.
         if matches!(reply, StoreReply::Unclear | StoreReply::Refused) {
             self.record_failure();
         }
@@ -234,7 +239,8 @@
         (reply, connection)
     }
 
-    /// Tells when calls of a sort get no answer, and when they do again; whether that is news.
+    /// Reports when calls of a kind cease or begin again to get responses. Returns whether there
+    /// was a change.
     fn report_state(&self, health: &CallHealth, state: DependencyState, took: Duration) -> bool {
         let has_changed = health.set_lost(state == DependencyState::Lost);
         if has_changed {
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -1,4 +1,4 @@
-//! Tells what the planner wants and can't order.
+//! Reports what the planner wants to place and can't order.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::{host::Shared, planning};
 
-/// UnplacedReporter of the plans of this host.
+/// Reports the unplaced entries of this host's plans.
 #[derive(Debug, Default)]
 pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
@@ -16,7 +16,7 @@
 }
 
 impl UnplacedReporter {
-    /// Tells and counts what the last plan wanted in vain.
+    /// Counts the unplaced entries of the last plan, and reports those that are due.
     pub(crate) fn report(&mut self, shared: &Shared, now: Moment) {
         let unplaced = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// This host plans no longer.
+    /// Resets the metrics when this host no longer plans.
     pub(crate) fn end(&mut self, shared: &Shared) {
         if !std::mem::take(&mut self.is_counted) {
             return;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Tells of an order that was decided and isn't sent.
+/// Reports an order that was decided but not sent.
 pub(crate) fn report_unsent(shared: &Shared, order: &Order, why: &'static str) {
     shared.teller.belief(Belief::Wish {
         model: order.model.clone(),
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -1,14 +1,16 @@
-//! What the hosts have at servers, told to each other while it still counts.
+//! Exchange of the work that hosts have in flight at servers.
 //!
-//! Hosts choose servers by what all of them have sent there. What another host sent is known only
-//! once it has told, so prompts that several hosts send within that time meet at one server: each is
-//! read between two tokens of all streams there, and together they make pauses that no host would
-//! have allowed. So work in flight goes round far more often than all else that peers tell
-//! ([`peers`](crate::peers)): every [`LOOK_INTERVAL`], if it has changed.
+//! Hosts choose servers by the work that all hosts have sent there. Work sent by another host is
+//! known only after that host has published it, so prompts that several hosts send before that may
+//! meet at one server: each prompt is processed between two tokens of all streams there, and
+//! together they cause pauses that no host would have allowed. Work in flight is therefore
+//! published far more often than everything else ([`peers`](crate::peers)): every
+//! [`LOOK_INTERVAL`], if it has changed.
 //!
-//! With nine hosts before 18 model servers, over five days with faults and three seeds each, streams
-//! in time rose from 0.68 to 0.78 of the worst kind of request, against work told each 60 ms and sent
-//! on each 30 ms. A host then spends 0.06 to 0.07 of a core in the mean.
+//! With nine hosts in front of 18 model servers, over five days with faults and three seeds each,
+//! the share of streams in time of the worst kind of request rose from 0.68 to 0.78, compared with
+//! work published every 60 ms and forwarded every 30 ms. A host then spends 0.06 to 0.07 of a core
+//! on average.
 
 use std::sync::Arc;
 
@@ -22,17 +24,18 @@
 
 use crate::host::Shared;
 
-/// Time between two looks at what has changed.
+/// Interval at which changes are looked for.
 const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The same above 16 hosts, where digests wait for a budget, and the longest that what peers told
-/// counts as of the last look. How many hosts turn to a server at once is estimated in these rounds.
+/// Interval above 16 hosts, where digests wait for a budget, and the maximum time for
+/// which received work is used without a refresh. The number of hosts that turn to a server at once
+/// is estimated in these rounds.
 const GROUPED_LOOK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The name under which all peers' work is kept: they tell it as one sum.
+/// The id under which the work of all peers is recorded: it is received as one sum.
 pub(crate) const PEERS_ID: &str = "peers";
 
-/// Tells this host's work and takes in that of the others, until the process ends.
+/// Publishes this host's work and records that of the others, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let (mut own, mut others) = (Vec::new(), Vec::new());
     let mut taken = Duration::ZERO;
