--- a/crates/exchange/src/calls.rs
+++ b/crates/exchange/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that hosts make to each other.
+//! The remote procedure calls that hosts make to each other.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,75 +10,79 @@
     routed::{Declaration, Server, Version},
 };
 
-/// Servers as the store had them at a revision, for one who knows them as of an earlier one.
+/// The servers as the store had them at a revision, for a host that knows them as of an earlier
+/// one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registered {
-    /// The revision.
+    /// Revision of the store at which the list is complete.
     pub revision: Revision,
-    /// How long ago the store said so.
+    /// Time since the store confirmed the list.
     pub age: Duration,
-    /// All servers that were registered then.
+    /// All servers that were registered at that revision.
     pub ids: Vec<backend::Id>,
-    /// Servers that are used on though their entries went, since these may come back.
+    /// Servers that stay in use though their entries were removed, since these may be written
+    /// again.
     pub suspects: Vec<Suspect>,
-    /// Entries of the registered servers that were written since the revision asked from.
+    /// Entries of registered servers that were written after the revision in the request.
     pub servers: Vec<Entry>,
 }
 
-/// A server whose entry went while the store was degraded.
+/// A server whose entry was removed while the store was degraded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The server.
+    /// Id of the server.
     pub id: backend::Id,
-    /// Time for which it may still be used.
+    /// Time for which the server may still be used.
     pub left: Duration,
 }
 
 /// A server's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The revision at which it was written.
+    /// Revision at which the entry was written.
     pub written: Revision,
-    /// The server.
+    /// The registered server.
     pub server: Server,
 }
 
-/// What a host has to answer with.
+/// The data of a host that other hosts may call for.
 pub trait Source: Send + Sync + 'static {
-    /// The declaration in force, if its version is above this one.
+    /// Returns the declaration in force, if its version is above this one.
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>>;
 
-    /// The servers, if they are of a later revision of the store.
+    /// Returns the servers, if they are known as of a later revision of the store.
     fn servers(&self, above: Revision) -> Option<Registered>;
 
-    /// The servers, whether or not they are of a later revision.
+    /// Returns the servers, also if they are not known as of a later revision; `None` if they are
+    /// not known as of any.
     fn follow(&self, above: Revision) -> Option<Registered>;
 }
 
-/// The calls as jsonrpsee carries them.
+/// The calls as jsonrpsee methods.
 #[rpc(server, client)]
 pub(crate) trait Rpc {
-    /// The declaration in force, if it is above this version.
+    /// Returns the declaration in force, if its version is above this one.
     #[method(name = "declaration")]
     async fn declaration(
         &self,
         above: Version,
     ) -> Result<Option<Arc<Declaration>>, ErrorObjectOwned>;
 
-    /// The servers, if they are of a later revision.
+    /// Returns the servers, if they are known as of a later revision.
     #[method(name = "servers")]
     async fn servers(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned>;
 
-    /// The servers, whether or not they are of a later revision.
+    /// Returns the servers, also if they are not known as of a later revision; `None` if they are
+    /// not known as of any.
     #[method(name = "follow")]
     async fn follow(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned>;
 
-    /// The hosts that it knows and hears, itself among them.
+    /// Returns the hosts that are not silent, the called host among them.
     #[method(name = "members")]
     async fn members(&self) -> Result<Vec<Member>, ErrorObjectOwned>;
 }
 
-/// Passes calls on to a [`Source`] and to what is known of the hosts.
+/// Serves the calls from a [`Source`] and from the known members.
 pub(crate) struct Adapter<M> {
     pub(crate) source: Arc<dyn Source>,
     pub(crate) members: M,
--- a/crates/exchange/src/client.rs
+++ b/crates/exchange/src/client.rs
@@ -1,7 +1,7 @@
 //! Calls to other hosts.
 //!
-//! Calls are rare, and open connections may go silent without a reset, so each call has a connection
-//! of its own and a time limit.
+//! Calls are rare, and open connections may become silent without a reset, so each call has a
+//! connection of its own and a timeout.
 
 use std::{
     net::SocketAddr,
@@ -30,7 +30,7 @@
 
 use crate::calls::{Registered, RpcClient};
 
-/// Largest answer that is taken.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
 /// Why a call failed.
@@ -50,7 +50,7 @@
 }
 
 impl Client {
-    /// Starts with the time limit of a call.
+    /// Creates a client with the timeout of a call.
     pub(crate) fn new(limit: Duration) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(limit));
@@ -113,7 +113,7 @@
     }
 }
 
-/// Connections that serve one call each.
+/// Transport that opens a connection for each call.
 #[derive(Clone, Debug)]
 struct Transport(Http<HttpConnector, Body>);
 
--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock that a host decides by.
+//! The clock that the exchange uses.
 
 use std::{sync::Arc, time::Instant};
 
 use types::time::Moment;
 
-/// Tells the time since the process's own origin. It must never go back; one that counts
-/// suspensions shows a woken host that what it heard before is old.
+/// Returns the time since an origin of the process. It must never go back. If it includes
+/// suspensions of the machine, a resumed host sees that what it received before is old.
 pub type Clock = Arc<dyn Fn() -> Moment + Send + Sync>;
 
-/// The steady clock, from now on.
+/// Returns a monotonic clock that starts now. It may stop during suspensions.
 pub fn steady() -> Clock {
     let origin = Instant::now();
     Arc::new(move || origin.elapsed())
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A host's side of the exchange.
+//! A host's side of the exchange: sockets, calls and tasks around [`policy::fleet::Fleet`].
 
 use std::{
     io,
@@ -29,47 +29,47 @@
     run::{self, Shared},
 };
 
-/// Time limit of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Notices that wait for their reader, at the most.
+/// Maximum number of notices that wait for their reader; further ones are dropped.
 const MAX_PENDING_NOTICES: usize = 1_024;
 
-/// Ports that are tried until one is free for datagrams and calls alike.
+/// Maximum number of ports that are tried until one is free for both datagrams and calls.
 const MAX_PORT_TRIES: usize = 16;
 
-/// Goodbyes, since one may be lost, and the pause between them.
+/// Number of goodbye messages, as one may be lost, and the delay after each.
 const GOODBYES: usize = 2;
 const GOODBYE_PAUSE: Duration = Duration::from_millis(30);
 
-/// Longest wait for what is under way at the end.
+/// Maximum time to wait for calls in flight when the exchange ends.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an exchange starts with.
+/// Configuration of an exchange.
 #[derive(Clone)]
 pub struct Config {
-    /// This host's name.
+    /// Id of this host.
     pub host: host::Id,
-    /// Its availability zone.
+    /// Availability zone of this host.
     pub zone: availability::Id,
-    /// Where it listens, for datagrams and calls. Port 0 takes a free one.
+    /// Address of the listeners for datagrams and calls. Port 0 chooses a free one.
     pub address: SocketAddr,
-    /// Where others reach it, if not there.
+    /// Address at which other hosts reach this one, if it differs from `address`.
     pub advertised: Option<SocketAddr>,
-    /// Number of this run; no other run may have the same, in whatever order they are.
+    /// Identity of this run of the host. No other run may have the same; the order does not matter.
     pub incarnation: host::Incarnation,
-    /// Where other hosts may be.
+    /// Addresses at which other hosts may listen.
     pub seeds: Vec<SocketAddr>,
-    /// Times and sizes.
+    /// Intervals and sizes of the protocol.
     pub settings: Settings,
-    /// Time limit of a call.
+    /// Timeout of a call.
     pub call_limit: Duration,
-    /// The clock to decide by.
+    /// Clock for all decisions.
     pub clock: Clock,
 }
 
 impl Config {
-    /// The usual times, by the steady clock, and no seeds.
+    /// Returns a configuration with default times, a monotonic clock and no seeds.
     pub fn new(
         host: host::Id,
         zone: availability::Id,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Why an exchange did not start.
+/// Reason why an exchange can't start.
 #[derive(Debug, thiserror::Error)]
 #[error("can't listen at {address}: {cause}")]
 pub struct Error {
@@ -98,7 +98,8 @@
     cause: io::Error,
 }
 
-/// A host's side of the exchange. It runs until [`Exchange::leave`], or until it is dropped.
+/// A host's side of the exchange. It runs until [`Exchange::leave`] is called or the value is
+/// dropped.
 pub struct Exchange {
     shared: Arc<Shared>,
     client: Client,
@@ -110,11 +111,11 @@
 }
 
 impl Exchange {
-    /// Listens, and begins to look for the other hosts.
+    /// Starts the listeners and begins to contact the other hosts.
     ///
     /// # Errors
     ///
-    /// If the address can't be listened at.
+    /// Fails if the address can't be bound.
     pub async fn start(config: Config, source: Arc<dyn Source>) -> Result<Arc<Exchange>, Error> {
         let address = config.address;
         let sockets = bind(address).await.map_err(|cause| Error { address, cause })?;
@@ -145,93 +146,95 @@
         }))
     }
 
-    /// This host, at the address at which others reach it.
+    /// Returns this host with the address at which others reach it.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// The address that it listens at.
+    /// Returns the address that the listeners are bound to.
     pub fn bound(&self) -> SocketAddr {
         self.bound
     }
 
-    /// Replaces a part of what this host tells; it goes out within an interval.
+    /// Replaces one part of what this host publishes. The change is sent within an interval.
     pub fn publish(&self, publication: Publication) {
         self.shared.with(|fleet, now| fleet.publish(now, publication));
     }
 
-    /// Names further addresses at which hosts may be.
+    /// Adds addresses at which other hosts may listen.
     pub fn introduce(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.shared.with(|fleet, now| fleet.introduce(now, addresses));
     }
 
-    /// Sends a notice at once, and again until it is acknowledged, five times at the most.
+    /// Sends a notice at once, and again until it is acknowledged, at most five times.
     ///
     /// # Errors
     ///
-    /// If it is for one host and that host is not known.
+    /// Fails if the notice is for a single host and that host is not known.
     pub fn send(&self, to: Recipients, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, now| fleet.send(now, to, notice));
         self.shared.wake.notify_one();
         result
     }
 
-    /// Sends a notice to one host, once.
+    /// Sends a notice to one host, without retransmission.
     ///
     /// # Errors
     ///
-    /// If that host is not known.
+    /// Fails if the host is not known.
     pub fn send_once(&self, host: &host::Id, notice: Notice) -> Result<(), UnknownHost> {
         let result = self.shared.with(|fleet, _| fleet.send_once(host, notice));
         self.shared.wake.notify_one();
         result
     }
 
-    /// Notices from other hosts; to be had once.
+    /// Returns the receiver of notices from other hosts; `None` after the first call.
     pub fn notices(&self) -> Option<mpsc::Receiver<ReceivedNotice>> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
-    /// What is known of the other hosts and what they told.
+    /// Returns what is known of the other hosts and what they have published.
     pub fn fleet(&self) -> Arc<FleetSnapshot> {
         self.shared.snapshot()
     }
 
-    /// Work in flight from all others, as they last told; far cheaper than [`Exchange::fleet`].
+    /// Returns the work in flight of all other hosts, as last published; far cheaper than
+    /// [`Exchange::fleet`].
     pub fn in_flight(&self) -> Vec<Load> {
         self.shared.with(|fleet, now| fleet.in_flight(now))
     }
 
-    /// Whether there are so many hosts that digests wait for a budget.
+    /// Returns whether there are so many hosts that digests wait for a budget.
     pub fn is_grouped(&self) -> bool {
         self.shared.with(|fleet, _| fleet.is_grouped())
     }
 
-    /// This host's place among those that tell each other.
+    /// Returns this host's place in the gossip topology.
     pub fn tier(&self) -> Tier {
         self.shared.with(|fleet, _| fleet.tier())
     }
 
-    /// Time between two digests: what others told does not change more often.
+    /// Returns the time between two digests. What other hosts have published does not change more
+    /// often.
     pub fn interval(&self) -> Duration {
         self.shared.with(|fleet, _| fleet.interval())
     }
 
-    /// Datagrams, bytes and losses so far.
+    /// Returns the counts of datagrams, bytes and losses since the start.
     pub fn counts(&self) -> Counts {
         self.shared.with(|fleet, _| fleet.counts())
     }
 
-    /// Notices that came and that the reader was too slow for.
+    /// Returns the number of received notices that were dropped because the reader was too slow.
     pub fn overflow(&self) -> u64 {
         self.shared.overflow.load(Ordering::Relaxed)
     }
 
-    /// A host's declaration, if its version is above this one.
+    /// Fetches the declaration of another host, if its version is above this one.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// Fails if no response arrives in time.
     pub async fn fetch_declaration(
         &self,
         from: SocketAddr,
@@ -240,11 +243,12 @@
         self.client.declaration(from, above).await
     }
 
-    /// The servers that a host knows, if they are of a later revision of the store.
+    /// Fetches the servers that another host knows, if they are known as of a later revision of the
+    /// store.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// Fails if no response arrives in time.
     pub async fn fetch_servers(
         &self,
         from: SocketAddr,
@@ -253,11 +257,12 @@
         self.client.servers(from, above).await
     }
 
-    /// The servers that a host knows; none if it knows none as of any revision.
+    /// Fetches the servers that another host knows; `None` if that host knows none as of any
+    /// revision.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// Fails if no response arrives in time.
     pub async fn follow(
         &self,
         from: SocketAddr,
@@ -266,16 +271,16 @@
         self.client.follow(from, above).await
     }
 
-    /// The hosts that a host hears, itself among them.
+    /// Fetches the hosts that are not silent for another host, that host among them.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// Fails if no response arrives in time.
     pub async fn fetch_members(&self, from: SocketAddr) -> Result<Vec<Member>, client::Error> {
         self.client.members(from).await
     }
 
-    /// Says goodbye, finishes the calls under way and stops listening.
+    /// Sends goodbye messages, closes the listeners and waits for the calls in flight.
     pub async fn leave(&self) {
         self.publish(Publication::State(State::Leaving));
         for _ in 0..GOODBYES {
@@ -297,7 +302,7 @@
     }
 }
 
-/// Listens for datagrams and calls at one port.
+/// Binds the listeners for datagrams and calls to the same port.
 async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket, SocketAddr)> {
     let tries = if address.port() == 0 { MAX_PORT_TRIES } else { 1 };
     let mut failure = None;
@@ -312,7 +317,7 @@
     Err(failure.unwrap_or_else(|| io::ErrorKind::AddrInUse.into()))
 }
 
-/// Reads which hosts are heard, this one among them.
+/// Returns a function that lists the hosts that are not silent, this one among them.
 fn members(shared: &Arc<Shared>, own: &Member) -> impl Fn() -> Vec<Member> + Send + Sync + use<> {
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the hosts of a routed deployment tell each other.
+//! Exchange of state between the hosts of a routed deployment.
 //!
-//! What is told is decided in [`policy::fleet`]; here it meets sockets. Digests and notices go as
-//! datagrams; what is large or must be answered goes as calls over TCP, at the same port. A host
-//! starts an [`Exchange`], publishes its part, and reads what the others told.
+//! What is sent is decided in [`policy::fleet`]; this crate connects it to sockets. Digests and
+//! notices are sent as datagrams; large messages and requests that need a response are calls over
+//! TCP, at the same port. A host starts an [`Exchange`], publishes its state and reads what the
+//! others have published.
 
 mod calls;
 mod client;
--- a/crates/exchange/src/listener.rs
+++ b/crates/exchange/src/listener.rs
@@ -8,22 +8,22 @@
 use tokio::{net::TcpListener, sync::Semaphore};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// Largest request; all are small.
+/// Maximum size of a request, in bytes; all requests are small.
 const MAX_REQUEST_BYTES: u32 = 4 * 1024;
 
-/// Largest answer.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Connections that are served at once; more wait.
+/// Maximum number of connections served at once; further ones wait.
 const MAX_CONNECTIONS: usize = 64;
 
-/// Longest life of a connection, which carries one call.
+/// Maximum lifetime of a connection, which carries one call.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after a failure to accept, such as too many open files.
+/// Delay after a failure to accept a connection, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves calls until told to stop.
+/// Serves calls until `stop` is cancelled.
 pub(crate) async fn listen<T: Send + Sync + 'static>(
     listener: TcpListener,
     methods: RpcModule<T>,
@@ -55,7 +55,7 @@
                 continue;
             }
         };
-        // Without it an answer may wait for the caller's acknowledgement.
+        // With Nagle's algorithm, a response may wait for the caller's acknowledgement.
         let _ = stream.set_nodelay(true);
         let service = builder.clone().build(methods.clone(), stopped.clone());
         let served = serve_with_graceful_shutdown(stream, service, stopped.clone().shutdown());
@@ -66,6 +66,6 @@
             }
         });
     }
-    // An error says that it was stopped before.
+    // An error means that the server was stopped before.
     let _ = handle.stop();
 }
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -1,4 +1,4 @@
-//! The datagrams' task.
+//! The task that receives and sends datagrams.
 
 use std::{
     net::SocketAddr,
@@ -19,27 +19,28 @@
 
 use crate::clock::Clock;
 
-/// Room for a datagram, with some to spare for those that are too long.
+/// Size of the receive buffer, larger than the longest valid datagram, so that longer ones can be
+/// recognized.
 const BUFFER_BYTES: usize = 2_048;
 
-/// Datagrams that are read at one waking, at the most.
+/// Maximum number of datagrams that are read before the task sends again.
 const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
-/// Age up to which what was worked out is shown again; far below the time between digests.
+/// Maximum age of a snapshot that is returned again; far below the time between digests.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(20);
 
-/// What the task and the users of an exchange share.
+/// State shared by the task and the users of an exchange.
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
     pub(crate) wake: Notify,
-    /// Notices that nobody took in time.
+    /// Number of notices dropped because their reader was too slow.
     pub(crate) overflow: AtomicU64,
     state: Mutex<State>,
 }
 
 struct State {
     fleet: Fleet,
-    /// What was known when it was last worked out.
+    /// The last snapshot, and when it was made.
     snapshot: Option<(Moment, Arc<FleetSnapshot>)>,
 }
 
@@ -49,13 +50,13 @@
         Shared { clock, wake: Notify::new(), overflow: AtomicU64::new(0), state }
     }
 
-    /// Does something with the fleet at this moment.
+    /// Calls `act` with the fleet and the present time.
     pub(crate) fn with<T>(&self, act: impl FnOnce(&mut Fleet, Moment) -> T) -> T {
         let now = (self.clock)();
         act(&mut self.lock().fleet, now)
     }
 
-    /// What is known of the others.
+    /// Returns what is known of the other hosts, at most `MAX_SNAPSHOT_AGE` old.
     pub(crate) fn snapshot(&self) -> Arc<FleetSnapshot> {
         let now = (self.clock)();
         let mut state = self.lock();
@@ -74,7 +75,7 @@
     }
 }
 
-/// Reads, ticks and sends until told to stop.
+/// Receives, advances timers and sends until `stop` is cancelled.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     socket: UdpSocket,
@@ -123,7 +124,7 @@
 
 async fn flush(shared: &Shared, socket: &UdpSocket) {
     for datagram in shared.with(|fleet, _| fleet.outgoing()) {
-        // One that is not sent is as good as lost; the fleet sends again what must arrive.
+        // A datagram that can't be sent counts as lost; the fleet retransmits what must arrive.
         if let Err(error) = socket.send_to(&datagram.bytes, datagram.to).await {
             log::debug!(to:% = datagram.to; "datagram not sent: {error}");
         }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -24,19 +24,19 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Cut {
     /// The connection to the server failed.
-    #[error("the server broke off: {0}")]
+    #[error("the connection to the server failed: {0}")]
     Server(#[from] hyper::Error),
     /// The server closed the connection in the middle of an event.
-    #[error("the server ended in the middle of an event")]
+    #[error("the server closed the connection in the middle of an event")]
     PartialEvent,
     /// The server's events are malformed or not the ones that follow.
     #[error("the server's events can't be passed on: {0:?}")]
     Fault(Fault),
     /// The server sent nothing for too long.
-    #[error("the server has fallen silent")]
+    #[error("the server has sent nothing for too long")]
     Silence,
     /// The deadline of the request has passed.
-    #[error("the request's time is over")]
+    #[error("the deadline of the request has passed")]
     Time,
 }
 
