--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -1,8 +1,8 @@
-//! What an exchange costs a small host:
+//! Measures the cost of an exchange for a small host:
 //! `cargo run --release -p cyclamenstage-exchange --example cost -- HOSTS SECONDS CALLS`.
 //!
-//! All hosts run on one thread over loopback and publish changing work each 100 ms; then one asks
-//! another for a declaration, call after call. Processor time and memory are those of the process.
+//! All hosts run on one thread over loopback and publish changing work every 100 ms; then one fetches
+//! a declaration from another, call after call. Processor time and memory are those of the process.
 
 #![allow(clippy::print_stdout, reason = "the figures are its purpose")]
 
@@ -18,11 +18,11 @@
 const ROUTES: usize = 60;
 const SERVERS: u64 = 20;
 
-struct Held(Arc<Declaration>);
+struct FixedSource(Arc<Declaration>);
 
-impl Source for Held {
+impl Source for FixedSource {
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>> {
-        Some(self.0.clone()).filter(|held| held.version > above)
+        Some(self.0.clone()).filter(|declaration| declaration.version > above)
     }
 
     fn servers(&self, _: Revision) -> Option<Registered> {
@@ -39,7 +39,7 @@
     let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
     let [hosts, seconds, calls] = numbers[..] else { return Err("HOSTS SECONDS CALLS".into()) };
     let empty = memory()?;
-    let held = Arc::new(Held(Arc::new(declaration())));
+    let source = Arc::new(FixedSource(Arc::new(declaration())));
     let mut exchanges: Vec<Arc<Exchange>> = Vec::new();
     for host in 0..hosts {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -47,7 +47,7 @@
         let seeds = exchanges.first().map(|first| first.member().address);
         let config = Config::new(format!("host-{host}").into(), zone, address, host + 1);
         let config = Config { seeds: seeds.into_iter().collect(), ..config };
-        let exchange = Exchange::start(config, held.clone()).await?;
+        let exchange = Exchange::start(config, source.clone()).await?;
         exchange.publish(Publication::State(State::Ready));
         exchanges.push(exchange);
     }
@@ -111,14 +111,14 @@
     Declaration { version: 1, routes: (0..ROUTES).map(route).collect(), ..Declaration::default() }
 }
 
-/// Resident memory, in kB.
+/// Returns the resident memory of the process, in kB.
 fn memory() -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).ok_or("no VmRSS")?;
     Ok(line.split_whitespace().nth(1).ok_or("no figure")?.parse()?)
 }
 
-/// Processor time of this thread, the only one that works.
+/// Returns the processor time of this thread, the only busy one.
 fn processor() -> Result<Duration, Box<dyn Error>> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
     Ok(Duration::from_nanos(text.split_whitespace().next().ok_or("no figure")?.parse()?))
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -322,7 +322,7 @@
     let (shared, own) = (Arc::downgrade(shared), own.clone());
     move || {
         let snapshot = shared.upgrade().map(|shared| shared.snapshot()).unwrap_or_default();
-        let heard = snapshot.hosts.iter().filter(|peer| peer.liveness != Liveness::Silent);
-        std::iter::once(own.clone()).chain(heard.map(|peer| peer.member.clone())).collect()
+        let reachable = snapshot.hosts.iter().filter(|peer| peer.liveness != Liveness::Silent);
+        std::iter::once(own.clone()).chain(reachable.map(|peer| peer.member.clone())).collect()
     }
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -79,13 +79,13 @@
     }
 
     /// Returns the current run of a server by its name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Server>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<Server>> {
         self.get(self.runs.get(name)?)
     }
 
     /// Returns whether a later run of a server is known.
     pub fn is_superseded(&self, server: &Server) -> bool {
-        self.named(&server.name).is_some_and(|known| server.born < known.born)
+        self.by_name(&server.name).is_some_and(|known| server.born < known.born)
     }
 
     /// Returns the revision at which a server's entry was written.
@@ -118,7 +118,7 @@
     }
 
     /// Sets the models that a server holds.
-    pub fn reported(&mut self, id: &backend::Id, models: &[Held]) {
+    pub fn set_models(&mut self, id: &backend::Id, models: &[Held]) {
         if let Some(entry) = self.entries.get_mut(id) {
             Arc::make_mut(&mut entry.server).models = models.to_vec();
         }
@@ -131,7 +131,7 @@
     }
 
     /// Notes that a server is leaving, as reported by a peer for a store revision.
-    pub fn leave(&mut self, id: &backend::Id, revision: Revision) {
+    pub fn mark_leaving(&mut self, id: &backend::Id, revision: Revision) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.left_at = entry.left_at.max(Some(revision));
         }
@@ -146,7 +146,7 @@
     }
 
     /// Marks a server as suspected: its entry was removed and may be written again before `until`.
-    pub fn suspect(&mut self, id: &backend::Id, until: Moment) {
+    pub fn mark_suspect(&mut self, id: &backend::Id, until: Moment) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.presence = Presence::Suspect { until };
         }
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -56,7 +56,7 @@
 }
 
 fn refuse(shared: &Shared, problem: Problem) -> Response<Delivery> {
-    shared.dialect.refuse(problem).map(Delivery::whole)
+    shared.dialect.refuse(problem).map(Delivery::complete)
 }
 
 /// Reads a request and finds its route.
@@ -150,7 +150,7 @@
     match ended {
         Ok(response) => {
             match response.body() {
-                Delivery::Whole(_) => call.trace.answered(Some(response.status())),
+                Delivery::Complete(_) => call.trace.answered(Some(response.status())),
                 // The end of the stream is traced when its last event has been delivered.
                 Delivery::Events(_) => call.trace.began(response.status()),
             }
@@ -226,7 +226,7 @@
     if call.request.method != Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
     }
-    Ok(Response::from_parts(head, Delivery::whole(body)))
+    Ok(Response::from_parts(head, Delivery::complete(body)))
 }
 
 fn events(shared: &Arc<Shared>, call: &Arc<Call>, response: OpenResponse) -> Events {
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -39,8 +39,8 @@
         address: SocketAddr,
     ) -> Option<Connection> {
         let mut idle = self.idle.lock().ok()?;
-        let kept = idle.get_mut(&(server.clone(), address))?;
-        while let Some(Idle { connection, until }) = kept.pop() {
+        let connections = idle.get_mut(&(server.clone(), address))?;
+        while let Some(Idle { connection, until }) = connections.pop() {
             if now < until && connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -59,18 +59,18 @@
     ) {
         let kept_for = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
         let Ok(mut idle) = self.idle.lock() else { return };
-        let kept = idle.entry((server.clone(), address)).or_default();
-        if kept.len() < MAX_IDLE_PER_SERVER {
-            kept.push(Idle { connection, until: now + kept_for });
+        let connections = idle.entry((server.clone(), address)).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(Idle { connection, until: now + kept_for });
         }
     }
 
     /// Closes connections that have been idle for too long or lead to removed servers.
     pub(crate) fn sweep(&self, now: Moment, is_known: impl Fn(&backend::Id) -> bool) {
         let Ok(mut idle) = self.idle.lock() else { return };
-        idle.retain(|(server, _), kept| {
-            kept.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-            !kept.is_empty() && is_known(server)
+        idle.retain(|(server, _), connections| {
+            connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            !connections.is_empty() && is_known(server)
         });
     }
 }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -41,7 +41,7 @@
 
     /// Returns the id of the current run of a server by its name.
     fn id_by_name(&self, name: &str) -> Option<backend::Id> {
-        self.directory().named(name).map(|server| server.id.clone())
+        self.directory().by_name(name).map(|server| server.id.clone())
     }
 
     /// Returns the run of a server that has responded, by the start time in the response; `None` if
@@ -52,7 +52,7 @@
             return Some(server.clone());
         }
         let id = routed::run(&server.name, born);
-        let known = self.directory().named(&server.name).cloned()?;
+        let known = self.directory().by_name(&server.name).cloned()?;
         // A server whose entry was removed from the store is restored only by the store.
         if known.born < born && !self.directory().is_suspect(&known.id) {
             let written = self.directory().written(&known.id)?;
@@ -164,7 +164,7 @@
 
     fn apply_registration(&self, server: Server, revision: Revision, from: &Heard) {
         let before = self.server(&server.id).map(|server| server.state);
-        let earlier = self.directory().named(&server.name).cloned();
+        let earlier = self.directory().by_name(&server.name).cloned();
         let earlier = earlier.filter(|earlier| earlier.id != server.id);
         let was_leaving = self.directory().is_leaving(&server.id);
         let Some(server) = self.directory().put(server, revision) else { return };
@@ -228,7 +228,7 @@
         let Some(server) = self.server(id).filter(|_| !self.directory().is_suspect(id)) else {
             return;
         };
-        self.directory().suspect(id, self.now() + left);
+        self.directory().mark_suspect(id, self.now() + left);
         let why = "its entry went while the store was degraded";
         self.report_standing(&server, ServerStanding::Suspected, from, why);
         let (shared, id, from) = (self.clone(), id.clone(), from.clone());
@@ -285,7 +285,7 @@
                 "a peer says that it leaves",
             );
         }
-        self.directory().leave(id, revision);
+        self.directory().mark_leaving(id, revision);
         self.dispatcher().draining(id);
     }
 
@@ -294,7 +294,7 @@
     pub(crate) fn drain<'a>(&self, ids: impl Iterator<Item = &'a backend::Id>) {
         let (mut directory, mut dispatcher) = (self.directory(), self.dispatcher());
         for id in ids {
-            directory.leave(id, Revision::MAX);
+            directory.mark_leaving(id, Revision::MAX);
             dispatcher.draining(id);
         }
     }
@@ -375,7 +375,7 @@
                 sequence: report.sequence,
             });
         }
-        self.directory().reported(&server.id, &report.models);
+        self.directory().set_models(&server.id, &report.models);
         self.dispatch_wakeup.notify_one();
     }
 
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -53,7 +53,7 @@
 pub(crate) struct Store {
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
-    kept: Mutex<Option<Connection>>,
+    slot: Mutex<Option<Connection>>,
     teller: Teller,
     meters: Meters,
     calls: CallHealth,
@@ -95,7 +95,7 @@
         Store {
             dialect,
             address,
-            kept: Mutex::new(None),
+            slot: Mutex::new(None),
             teller,
             meters,
             calls: CallHealth::new("store"),
@@ -145,12 +145,12 @@
     /// a response cost the lease: its test saw 2.3 s without a renewal.
     async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
         let end = Instant::now() + limit;
-        let Ok(mut kept) = self.kept.try_lock() else {
+        let Ok(mut slot) = self.slot.try_lock() else {
             return self.exchange(call, None, end).await.0;
         };
-        let connection = kept.take().filter(|connection| connection.sender.is_ready());
+        let connection = slot.take().filter(|connection| connection.sender.is_ready());
         let (reply, connection) = self.exchange(call, connection, end).await;
-        *kept = connection;
+        *slot = connection;
         reply
     }
 
@@ -158,12 +158,12 @@
     /// watch, or a new one.
     pub(crate) async fn watch(
         &self,
-        kept: Option<Connection>,
+        previous: Option<Connection>,
         kind: Kind,
         since: Revision,
         wait: Duration,
     ) -> (StoreReply, Option<Connection>) {
-        let connection = kept.filter(|connection| connection.sender.is_ready());
+        let connection = previous.filter(|connection| connection.sender.is_ready());
         let call = Call::Watch { kind, since, wait };
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
     }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -42,7 +42,7 @@
 
 impl Cut {
     /// Returns the reason as it is written to logs.
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn as_str(&self) -> &'static str {
         match self {
             Cut::Server(_) => "server-cut",
             Cut::PartialEvent => "half-an-event",
@@ -67,14 +67,14 @@
 /// The body of a response to a caller.
 pub(crate) enum Delivery {
     /// A complete body.
-    Whole(Full<Bytes>),
+    Complete(Full<Bytes>),
     /// A stream of events, passed on as they arrive.
     Events(Box<Events>),
 }
 
 impl Delivery {
-    pub(crate) fn whole(body: Bytes) -> Delivery {
-        Delivery::Whole(Full::new(body))
+    pub(crate) fn complete(body: Bytes) -> Delivery {
+        Delivery::Complete(Full::new(body))
     }
 }
 
@@ -87,7 +87,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
-            Delivery::Whole(body) => {
+            Delivery::Complete(body) => {
                 Pin::new(body).poll_frame(context).map_err(|never| match never {})
             }
             Delivery::Events(events) => events.poll(context),
@@ -96,14 +96,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Delivery::Whole(body) => body.is_end_stream(),
+            Delivery::Complete(body) => body.is_end_stream(),
             Delivery::Events(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Delivery::Whole(body) => body.size_hint(),
+            Delivery::Complete(body) => body.size_hint(),
             // The stream may continue at another server and have another length.
             Delivery::Events(_) => SizeHint::default(),
         }
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -193,7 +193,7 @@
         let mut notes = self.notes();
         notes.attempt_ended(cut.attempt_end(), None);
         let status = notes.status;
-        notes.end(Outcome::Cut, status, Some(cut.word()));
+        notes.end(Outcome::Cut, status, Some(cut.as_str()));
     }
 
     fn notes(&self) -> MutexGuard<'_, Notes> {
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -43,12 +43,12 @@
     /// Number of outages of the store that have ended.
     outages: Receiver<u64>,
     /// The connection of the last response, for reuse.
-    kept: Option<Connection>,
+    idle: Option<Connection>,
 }
 
 impl<'a> Hedge<'a> {
     pub(super) fn new(shared: &'a Shared, kind: Kind) -> Hedge<'a> {
-        Hedge { shared, kind, outages: shared.store.outages(), kept: None }
+        Hedge { shared, kind, outages: shared.store.outages(), idle: None }
     }
 
     /// Returns the first response to a watch from this revision, or the failure of the last watch
@@ -100,13 +100,13 @@
         if !is_answer(&reply) {
             self.log_failure(&reply);
         }
-        self.kept = connection;
+        self.idle = connection;
         reply
     }
 
     fn start(&mut self, since: Revision, wait: Duration) -> PendingWatch<'a> {
         self.outages.mark_unchanged();
-        Box::pin(self.shared.store.watch(self.kept.take(), self.kind, since, wait))
+        Box::pin(self.shared.store.watch(self.idle.take(), self.kind, since, wait))
     }
 
     fn log_failure(&self, reply: &StoreReply) {
@@ -118,9 +118,9 @@
     matches!(reply, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
-async fn poll(asked: &mut Option<PendingWatch<'_>>) -> Option<(StoreReply, Option<Connection>)> {
-    match asked {
-        Some(asked) => Some(asked.await),
+async fn poll(watch: &mut Option<PendingWatch<'_>>) -> Option<(StoreReply, Option<Connection>)> {
+    match watch {
+        Some(watch) => Some(watch.await),
         None => None,
     }
 }
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -27,9 +27,9 @@
 /// Interval at which changes are looked for.
 const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Interval above 16 hosts, where digests wait for a budget, and the maximum time for
-/// which received work is used without a refresh. The number of hosts that turn to a server at once
-/// is estimated in these rounds.
+/// Interval above 16 hosts, where digests wait for a budget, and the maximum time for which received
+/// work is used without a refresh. The number of hosts that turn to a server at once is estimated
+/// in these rounds.
 const GROUPED_LOOK_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The id under which the work of all peers is recorded: it is received as one sum.
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -37,7 +37,7 @@
 fn suspecting() -> Directory {
     let mut directory = Directory::default();
     directory.put(server(&["m1"]), 5);
-    directory.suspect(&"s1".into(), UNTIL);
+    directory.mark_suspect(&"s1".into(), UNTIL);
     directory
 }
 
@@ -45,7 +45,7 @@
 #[rstest]
 fn a_report_does_not_bring_an_entry_back() {
     let mut directory = suspecting();
-    directory.reported(&"s1".into(), &[held("m1"), held("m2")]);
+    directory.set_models(&"s1".into(), &[held("m1"), held("m2")]);
     assert!(directory.is_suspect(&"s1".into()));
 }
 
@@ -118,11 +118,11 @@
     directory.put(run(2_000), 6);
     let ids: Vec<_> = directory.servers().map(|server| server.id.to_string()).collect();
     assert_eq!(ids, ["s1@2000"]);
-    assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
+    assert_eq!(directory.by_name("s1").map(|server| server.born), Some(2_000));
     directory.remove(&"s1@1000".into());
-    assert!(directory.named("s1").is_some(), "the earlier one is over already");
+    assert!(directory.by_name("s1").is_some(), "the earlier one is over already");
     directory.remove(&"s1@2000".into());
-    assert!(directory.named("s1").is_none());
+    assert!(directory.by_name("s1").is_none());
 }
 
 /// Whatever order news come in.
@@ -134,7 +134,7 @@
     let mut directory = Directory::default();
     directory.put(run(2_000), 6);
     assert!(directory.put(run(1_000), written).is_none());
-    assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
+    assert_eq!(directory.by_name("s1").map(|server| server.born), Some(2_000));
 }
 
 /// A directory that is complete as of a revision, with a server whose entry was written then.
