--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -58,7 +58,7 @@
 pub(crate) enum BodyEnd {
     /// The framing: a length or chunks.
     Framed,
-    /// The end of the connection, which can't be told from a failure.
+    /// The end of the connection, which looks the same as a failure.
     Close,
 }
 
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -240,12 +240,12 @@
                 self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
-            // A waiting request has no server to leave, so `Leave` does not occur here.
             Verdict::Quarantined => {
                 self.handle.close();
                 self.trace.refused(Refusal::Poison, self.left(shared), None);
                 Err(Problem::Unclear)
             }
+            // A waiting request has no server to leave, so `Leave` is not expected.
             Verdict::Unclear | Verdict::Leave => {
                 self.handle.close();
                 Err(Problem::Unclear)
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,8 +1,8 @@
 //! This host's registration in the store.
 //!
-//! Registrations let hosts find each other, and tell them how many hosts share the retry budgets
-//! even if no message gets through. A host's own entry shows at the start whether an earlier run
-//! may have spent that host's part of the budgets.
+//! Registrations let hosts find each other, and count the hosts that share the retry budgets even if
+//! no message gets through. A host's own entry shows at the start whether an earlier run may have
+//! spent that host's part of the budgets.
 
 use std::{sync::Arc, time::Duration};
 
