--- a/crates/relay/src/connect.rs
+++ b/crates/relay/src/connect.rs
@@ -11,35 +11,36 @@
 use socket2::SockRef;
 use tokio::{net::TcpStream, task::JoinHandle};
 
-use self::wire::{Abrupt, Unwritten, Wire};
+use self::wire::{PendingWrite, ResetOnClose, Wire};
 
-/// Longest time for a new connection.
-const CONNECT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time after which unacknowledged bytes end a connection that has gone silent.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Time after which a connection is closed if sent bytes are not acknowledged, as when the peer has
+/// become unreachable.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection, and the task that drives it.
+/// An HTTP/1.1 connection and the task that drives it.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: http1::SendRequest<Full<Bytes>>,
-    unwritten: Unwritten,
-    abrupt: Abrupt,
+    pending_write: PendingWrite,
+    reset_on_close: ResetOnClose,
     driver: JoinHandle<()>,
 }
 
 impl Connection {
-    /// Whether all that was sent so far has left this process.
-    pub(crate) fn is_written(&self) -> bool {
-        !self.unwritten.is_some()
+    /// Returns whether all bytes sent so far have been handed to the kernel.
+    pub(crate) fn is_flushed(&self) -> bool {
+        !self.pending_write.is_pending()
     }
 
-    /// Whether the connection ends with a reset from now on: a request that is given up must not arrive later.
-    pub(crate) fn end_abruptly(&self, is_abrupt: bool) {
-        self.abrupt.set(is_abrupt);
+    /// Sets whether the socket is closed with a reset. A request that was given up must not arrive
+    /// later, so bytes that are still in transit have to be dropped.
+    pub(crate) fn set_reset_on_close(&self, is_reset: bool) {
+        self.reset_on_close.set(is_reset);
     }
 
-    /// Closes the socket, and returns when it is closed.
+    /// Closes the socket and waits until it is closed.
     pub(crate) async fn close(mut self) {
         self.driver.abort();
         let _ = (&mut self.driver).await;
@@ -47,23 +48,21 @@
 }
 
 impl Drop for Connection {
-    /// Closes the socket at once, whatever is under way on it.
+    /// Closes the socket at once, even during an exchange.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// Opens a connection.
-///
 /// # Errors
 ///
-/// It is refused, or does not stand in time.
+/// The connection is refused or not established in time.
 pub(crate) async fn open(address: SocketAddr) -> io::Result<Connection> {
     drive(connect(address).await?).await
 }
 
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     prepare(&stream);
@@ -71,29 +70,30 @@
 }
 
 async fn drive(stream: TcpStream) -> io::Result<Connection> {
-    let (wire, unwritten, abrupt) = Wire::new(stream);
+    let (wire, pending_write, reset_on_close) = Wire::new(stream);
     let (sender, connection) =
         http1::Builder::new().handshake(TokioIo::new(wire)).await.map_err(io::Error::other)?;
     let driver = tokio::spawn(async move {
-        // The request's side hears of the error.
+        // The error is also reported to the sender of the request.
         let _ = connection.await;
     });
-    Ok(Connection { sender, unwritten, abrupt, driver })
+    Ok(Connection { sender, pending_write, reset_on_close, driver })
 }
 
-/// Opens a connection whose end is a reset: what is still held up on the way is lost with it.
+/// Opens a connection that is always closed with a reset, which drops what is still in transit.
 ///
 /// # Errors
 ///
-/// It is refused, or does not stand in time.
-pub(crate) async fn open_abrupt(address: SocketAddr) -> io::Result<Connection> {
+/// The connection is refused or not established in time.
+pub(crate) async fn open_with_reset(address: SocketAddr) -> io::Result<Connection> {
     let stream = connect(address).await?;
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     drive(stream).await
 }
 
-/// Sets what every connection needs; one that can't take an option works without it.
+/// Sets the socket options that every connection needs. Failures are ignored: the connection works
+/// without them.
 pub(crate) fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -1,4 +1,4 @@
-//! Gives the orders that the planner decides on, while this host holds the lease.
+//! Sends the orders that the planner decides on, while this host holds the lease.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,40 +11,40 @@
 use types::{order::Fence, prelude::*, routed::Server};
 
 use crate::{
-    control::Line,
-    edge::{self, Ordered},
+    control::ControlConnection,
+    edge::{self, OrderStatus},
     host::Shared,
-    wishes::{self, Wishes},
+    unplaced::{self, UnplacedReporter},
 };
 
-/// Longest pause between rounds of planning.
-const ROUND: Duration = Duration::from_millis(50);
+/// Maximum time between two rounds of planning.
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest pause between rounds of planning.
-const BREATH: Duration = Duration::from_millis(3);
+/// Minimum time between two rounds of planning.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Time between two reports that are asked of one server.
-const REPORT: Duration = Duration::from_millis(120);
+/// Minimum time between two requests for a report to one server.
+const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// The same for a server that names a limit: it may count reports as requests.
-const REPORT_LIMITED: Duration = Duration::from_secs(4);
+/// Like `REPORT_INTERVAL`, for a server that states a rate limit: it may count reports as requests.
+const LIMITED_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Plans until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut wishes = Wishes::default();
+    let mut unplaced = UnplacedReporter::default();
     loop {
         select! {
-            () = sleep(ROUND) => {}
-            () = shared.plan_wakeup.notified() => sleep(BREATH).await,
+            () = sleep(MAX_ROUND_INTERVAL) => {}
+            () = shared.plan_wakeup.notified() => sleep(MIN_ROUND_INTERVAL).await,
         }
         let now = shared.now();
         if shared.term().fence(now).is_some() {
             round(&shared, now);
-            wishes.tell(&shared, now);
-            shared.show_demand(now);
+            unplaced.report(&shared, now);
+            shared.log_demand(now);
         } else {
-            wishes.end(&shared);
-            shared.hide_demand();
+            unplaced.end(&shared);
+            shared.reset_demand_log();
         }
     }
 }
@@ -60,14 +60,14 @@
     planner.set_unresponsive(&unresponsive);
     planner.set_rate_limits(&limits);
     for order in planner.plan(now) {
-        tokio::spawn(give(shared.clone(), order));
+        tokio::spawn(carry_out(shared.clone(), order));
     }
     let unsettled: Vec<backend::Id> = planner.unsettled(now).cloned().collect();
     drop(planner);
     for id in unsettled {
         let Some(server) = shared.server(&id) else { continue };
         let is_limited = shared.dispatcher().quotas().limit(&id).is_some();
-        let pause = if is_limited { REPORT_LIMITED } else { REPORT };
+        let pause = if is_limited { LIMITED_REPORT_INTERVAL } else { REPORT_INTERVAL };
         if shared.runs_models(&server) && shared.report_is_due(&id, now, pause) {
             tokio::spawn(report(shared.clone(), server));
         }
@@ -79,11 +79,11 @@
     let now = shared.now();
     let Some(server) = shared.current_run(&server, report.born) else { return };
     shared.planner().report(&server.id, &report, now);
-    shared.reported(&server, &report);
+    shared.apply_report(&server, &report);
     shared.plan_wakeup.notify_one();
 }
 
-async fn give(shared: Arc<Shared>, order: place::Order) {
+async fn carry_out(shared: Arc<Shared>, order: place::Order) {
     shared.teller.belief(placement(&shared, &order));
     let outcome = match shared.server(&order.server) {
         Some(server) => send(&shared, &server, &order).await,
@@ -91,23 +91,24 @@
     };
     let now = shared.now();
     shared.planner().record_outcome(&order, outcome, now);
-    shared.ordered(&order, outcome);
+    shared.apply_order(&order, outcome);
     shared.plan_wakeup.notify_one();
 }
 
 async fn send(shared: &Arc<Shared>, server: &Arc<Server>, order: &place::Order) -> Outcome {
     if !shared.dispatcher().take_permit(&server.id, shared.now()) {
-        wishes::held_back(shared, order, "limit");
+        unplaced::report_unsent(shared, order, "limit");
         return Outcome::Busy;
     }
-    let kept = shared.control.kept(server);
-    let Some(line) = Line::open(server, &kept).await else {
-        wishes::held_back(shared, order, "not-reached");
+    let slot = shared.control.slot(server);
+    let Some(connection) = ControlConnection::open(server, &slot).await else {
+        unplaced::report_unsent(shared, order, "not-reached");
         return Outcome::Busy;
     };
-    // Judged right before the bytes go out: the connection may have taken its time.
+    // The lease is checked directly before the order is sent, since opening the connection may have
+    // taken long.
     let Some(fence) = shared.term().may_order(shared.now()) else {
-        wishes::held_back(shared, order, "no-lease");
+        unplaced::report_unsent(shared, order, "no-lease");
         return Outcome::Busy;
     };
     let began = Instant::now();
@@ -123,31 +124,37 @@
         holder: shared.host.id.clone(),
         fence,
     };
-    let reply = line.order(&*shared.dialect, server, &sent, shared.flight).await;
-    let ordered = match shared.current_run(server, reply.born) {
-        Some(run) if run.id == server.id => reply.ordered,
-        // Another run has it: what it did there is for a report to tell.
-        Some(_) | None => Ordered::NotThere,
+    let reply = connection.order(&*shared.dialect, server, &sent, shared.order_timeout).await;
+    let status = match shared.current_run(server, reply.born) {
+        Some(run) if run.id == server.id => reply.status,
+        // Another run of the server has received the order; a report will show what it did.
+        Some(_) | None => OrderStatus::NotThere,
     };
-    answered(shared, order, fence, ordered, began.elapsed());
-    match ordered {
-        Ordered::Accepted => Outcome::Accepted,
-        Ordered::Holds => Outcome::AlreadyHolds,
-        Ordered::Conflict | Ordered::Fenced => Outcome::Conflict,
-        Ordered::NotThere | Ordered::Invalid => Outcome::NotThere,
-        Ordered::Unknown => Outcome::Unknown,
+    report_answer(shared, order, fence, status, began.elapsed());
+    match status {
+        OrderStatus::Accepted => Outcome::Accepted,
+        OrderStatus::Holds => Outcome::AlreadyHolds,
+        OrderStatus::Conflict | OrderStatus::Fenced => Outcome::Conflict,
+        OrderStatus::NotThere | OrderStatus::Invalid => Outcome::NotThere,
+        OrderStatus::Unknown => Outcome::Unknown,
     }
 }
 
-fn answered(shared: &Shared, order: &place::Order, fence: Fence, ordered: Ordered, took: Duration) {
-    let answer = match ordered {
-        Ordered::Accepted => Answer::Accepted,
-        Ordered::Holds => Answer::Holds,
-        Ordered::Conflict => Answer::Conflict,
-        Ordered::Fenced => Answer::Stale,
-        Ordered::NotThere => Answer::OtherRun,
-        Ordered::Invalid => Answer::Rejected,
-        Ordered::Unknown => Answer::None,
+fn report_answer(
+    shared: &Shared,
+    order: &place::Order,
+    fence: Fence,
+    status: OrderStatus,
+    took: Duration,
+) {
+    let answer = match status {
+        OrderStatus::Accepted => Answer::Accepted,
+        OrderStatus::Holds => Answer::Holds,
+        OrderStatus::Conflict => Answer::Conflict,
+        OrderStatus::Fenced => Answer::Stale,
+        OrderStatus::NotThere => Answer::OtherRun,
+        OrderStatus::Invalid => Answer::Rejected,
+        OrderStatus::Unknown => Answer::None,
     };
     shared.meters.order(answer);
     shared.teller.belief(Belief::Order {
@@ -180,7 +187,7 @@
     }
 }
 
-/// Servers that hold a model, as they say.
+/// Returns the number of servers that report to hold a model.
 pub(crate) fn replicas(shared: &Shared, model: &model::Id) -> u32 {
     let directory = shared.directory();
     let holds = |server: &&Arc<Server>| server.models.iter().any(|held| held.model == *model);
@@ -194,7 +201,7 @@
     })
 }
 
-/// Tells the planner of a declaration's engines.
+/// Passes a declaration's engines to the planner.
 pub(crate) fn declare(
     planner: &mut Planner,
     declaration: &types::routed::Declaration,
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections to servers, kept for the next request.
+//! Pool of idle connections to servers.
 //!
-//! The pool never sends anything by itself: a request that fails on a kept connection comes back
-//! to whoever decides whether it may be sent again.
+//! The pool sends nothing by itself. If a request fails on a pooled connection, the caller of the
+//! pool decides whether the request may be sent again.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -9,15 +9,14 @@
 
 use crate::connect::Connection;
 
-/// How long a server that names no time is taken to keep an idle connection. Times are named in
-/// whole seconds, so one that names none may have less than one.
-const UNNAMED: Duration = Duration::from_millis(900);
+/// Time for which a server is assumed to keep an idle connection if it states no time. Times are
+/// stated in whole seconds, so a server that states none may use less than one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(900);
 
-/// Time before the server's own end of an idle connection at which it is given up.
-const MARGIN: Duration = Duration::from_millis(400);
+/// Time before the server closes an idle connection at which the pool discards the connection.
+const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Most idle connections to one server.
-const MOST: usize = 64;
+const MAX_IDLE_PER_SERVER: usize = 64;
 
 #[derive(Debug)]
 struct Idle {
@@ -25,14 +24,14 @@
     until: Moment,
 }
 
-/// Idle connections by the run of the server that they lead to.
+/// Idle connections by the run and the address of the server.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<(backend::Id, SocketAddr), Vec<Idle>>>,
 }
 
 impl Pool {
-    /// A connection that can take a request at `now`.
+    /// Takes a connection that can be used for a request at `now`.
     pub(crate) fn take(
         &self,
         now: Moment,
@@ -40,8 +39,8 @@
         address: SocketAddr,
     ) -> Option<Connection> {
         let mut idle = self.idle.lock().ok()?;
-        let kept = idle.get_mut(&(server.clone(), address))?;
-        while let Some(Idle { connection, until }) = kept.pop() {
+        let connections = idle.get_mut(&(server.clone(), address))?;
+        while let Some(Idle { connection, until }) = connections.pop() {
             if now < until && connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -49,7 +48,7 @@
         None
     }
 
-    /// Keeps a connection whose answer has come whole.
+    /// Returns a connection to the pool after a complete response.
     pub(crate) fn put(
         &self,
         now: Moment,
@@ -58,20 +57,20 @@
         connection: Connection,
         keep_alive: Option<Duration>,
     ) {
-        let kept_for = keep_alive.unwrap_or(UNNAMED).saturating_sub(MARGIN);
+        let kept_for = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
         let Ok(mut idle) = self.idle.lock() else { return };
-        let kept = idle.entry((server.clone(), address)).or_default();
-        if kept.len() < MOST {
-            kept.push(Idle { connection, until: now + kept_for });
+        let connections = idle.entry((server.clone(), address)).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(Idle { connection, until: now + kept_for });
         }
     }
 
-    /// Closes what has been idle too long, and what leads to servers that are gone.
+    /// Closes connections that have been idle for too long or lead to removed servers.
     pub(crate) fn sweep(&self, now: Moment, is_known: impl Fn(&backend::Id) -> bool) {
         let Ok(mut idle) = self.idle.lock() else { return };
-        idle.retain(|(server, _), kept| {
-            kept.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
-            !kept.is_empty() && is_known(server)
+        idle.retain(|(server, _), connections| {
+            connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            !connections.is_empty() && is_known(server)
         });
     }
 }
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -1,4 +1,4 @@
-//! The listener that the balancer asks, and that shows the metrics.
+//! The listener for the load balancer's readiness probe and for the metrics.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -13,9 +13,9 @@
 use crate::{connect, host::Shared};
 
 /// Path of the metrics.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
-/// Answers the balancer until the process ends.
+/// Serves readiness probes and metrics until the process ends.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -35,7 +35,7 @@
 }
 
 fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    if request.uri().path() == METRICS {
+    if request.uri().path() == METRICS_PATH {
         return metrics(shared);
     }
     let mut response = Response::new(Full::default());
@@ -49,7 +49,7 @@
 }
 
 fn metrics(shared: &Shared) -> Response<Full<Bytes>> {
-    shared.measure();
+    shared.update_metrics();
     let Ok(text) = shared.metrics.text() else {
         let mut failed = Response::new(Full::default());
         *failed.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,7 +1,8 @@
 //! This host's registration in the store.
 //!
-//! Hosts find each other by it, know by the list how many share the retry budgets though they hear nothing of each
-//! other, and tell by their own entry whether an earlier run of theirs may have spent its part.
+//! Registrations let hosts find each other, and count the hosts that share the retry budgets even if
+//! no message gets through. A host's own entry shows at the start whether an earlier run may have
+//! spent that host's part of the budgets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,43 +12,44 @@
 use tokio::time::sleep;
 
 use crate::{
-    edge::{Call, Kind, Object, Page, Told},
+    edge::{Call, Kind, Object, Page, StoreReply},
     host::Shared,
 };
 
-/// Pause before the store is asked again after it failed.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Delay after a failed call to the store.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which hosts that started together have registered themselves.
-const TOGETHER: Duration = Duration::from_secs(2);
+/// Time until the second read, by which hosts that started together have registered.
+const SECOND_READ_DELAY: Duration = Duration::from_secs(2);
 
-/// Time between two looks at the list from then on.
-const LOOK: Duration = Duration::from_secs(60);
+/// Interval between further reads of the list.
+const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Keeps this host registered, and takes in which others are, until the process ends.
+/// Keeps this host registered and reads which other hosts are, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
-    let mut looks = [TOGETHER].into_iter().chain(std::iter::repeat(LOOK));
+    let mut pauses = [SECOND_READ_DELAY].into_iter().chain(std::iter::repeat(READ_INTERVAL));
     loop {
         let is_registered = match shared.store.list(Kind::Host).await {
             Some(page) => {
-                take(&shared, &exchange, &page);
+                apply(&shared, &exchange, &page);
                 register(&shared, &exchange, &page).await
             }
             None => false,
         };
-        let pause = if is_registered { looks.next() } else { None };
-        sleep(pause.unwrap_or(AGAIN)).await;
+        let pause = if is_registered { pauses.next() } else { None };
+        sleep(pause.unwrap_or(RETRY_INTERVAL)).await;
     }
 }
 
-fn take(shared: &Shared, exchange: &Exchange, page: &Page) {
+fn apply(shared: &Shared, exchange: &Exchange, page: &Page) {
     let listed = u32::try_from(page.objects.len()).unwrap_or(u32::MAX);
     shared.dispatcher().share_listed(listed);
     let address = |object: &Object| object.content.as_str()?.parse().ok();
     exchange.introduce(page.objects.iter().filter_map(address));
 }
 
-/// Writes this host's entry, unless it stands there; whether it does now.
+/// Writes this host's entry, unless the entry is there with this content. Returns whether the entry
+/// is in the store.
 async fn register(shared: &Shared, exchange: &Exchange, page: &Page) -> bool {
     let name = &*shared.host.id;
     let content = Value::String(exchange.member().address.to_string());
@@ -66,7 +68,7 @@
         }
         None => (Call::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
     };
-    let is_written = matches!(shared.store.call(&call).await, Told::Object(_));
+    let is_written = matches!(shared.store.call(&call).await, StoreReply::Object(_));
     if is_written {
         shared.dispatcher().registered(start);
     }
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -1,4 +1,5 @@
-//! Retry budgets: loans between hosts, metrics, and a line for each budget that was used or refused a retry.
+//! Retry budgets: loans between hosts, metrics, and a log message for each budget that was used or
+//! refused a retry.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,36 +13,36 @@
 
 use crate::host::Shared;
 
-/// Time between two lines on one service's budget.
-const PAUSE: Duration = Duration::from_secs(5);
+/// Interval between log messages about one service's budget.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs the budgets that are in use until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let mut refused: BTreeMap<service::Id, u64> = BTreeMap::new();
     loop {
-        sleep(PAUSE).await;
+        sleep(LOG_INTERVAL).await;
         let others = exchange.fleet();
-        for (service, account) in shared.retry_budgets() {
-            let before = refused.insert(service.clone(), account.refused).unwrap_or_default();
-            if account.retries != 0 || before < account.refused {
-                log_budget(&service, &account, account.refused - before, &others);
+        for (service, budget) in shared.retry_budgets() {
+            let before = refused.insert(service.clone(), budget.refused).unwrap_or_default();
+            if budget.retries != 0 || before < budget.refused {
+                log_budget(&service, &budget, budget.refused - before, &others);
             }
         }
     }
 }
 
-fn log_budget(service: &str, account: &RetryBudgetStatus, refused: u64, others: &FleetSnapshot) {
+fn log_budget(service: &str, budget: &RetryBudgetStatus, refused: u64, others: &FleetSnapshot) {
     let count = |counts: &BTreeMap<service::Id, u64>| counts.get(service).copied().unwrap_or(0);
     log::info!(
-        service, requests = account.requests, retries = account.retries, open = account.open, refused,
-        left = account.left, hosts = account.hosts,
+        service, requests = budget.requests, retries = budget.retries, open = budget.open, refused,
+        left = budget.left, hosts = budget.hosts,
         others_requests = count(&others.arrivals), others_retries = count(&others.retries);
         "retry budget"
     );
 }
 
 impl Shared {
-    /// Takes in another host's ask or loan.
+    /// Applies another host's request for a loan, or its loan.
     pub(crate) fn loan_received(&self, from: &host::Id, message: &Message) {
         let (mut dispatcher, now) = (self.dispatcher(), self.now());
         dispatcher.loan_received(from, message, now);
@@ -51,17 +52,17 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Sends asks and loans.
+    /// Sends requests for loans, and loans.
     pub(crate) fn send_loans(&self, messages: Vec<(host::Id, Message)>) {
         self.send_once(messages.into_iter().map(|(to, message)| (to, Notice::Loan(message))));
     }
 
-    /// Shows the retry budgets.
-    pub(crate) fn measure_retries(&self) {
-        for (service, account) in self.retry_budgets() {
-            self.meters.budget(&service, account.left);
-            self.meters.budget_spent(&service, account.retries);
-            self.meters.budget_hosts(account.hosts);
+    /// Updates the metrics of the retry budgets.
+    pub(crate) fn update_retry_metrics(&self) {
+        for (service, budget) in self.retry_budgets() {
+            self.meters.budget(&service, budget.left);
+            self.meters.budget_spent(&service, budget.retries);
+            self.meters.budget_hosts(budget.hosts);
         }
     }
 
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a routed host and stops it in order.
+//! Start and planned stop of a routed host.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,42 +19,42 @@
     edge::Dialect,
     host::Shared,
     lease,
-    peers::{self, Answers},
+    peers::{self, PeerSource},
     planning, quarantine, ready, registration, retries, watch, workload,
 };
 
-/// Part of the grace after which what is still in flight is given up.
-const FINISH: f64 = 0.93;
+/// Fraction of the grace period after which requests in flight are abandoned.
+const FINISH_FRACTION: f64 = 0.93;
 
-/// Part of the grace after which what still waits for a server is answered.
-const WAIT: f64 = 0.7;
+/// Fraction of the grace period after which requests that still wait for a server are refused.
+const WAIT_FRACTION: f64 = 0.7;
 
-/// Time for the balancer to see that this host is not ready.
-const BALANCER: Duration = Duration::from_millis(2500);
+/// Time for the load balancer to notice that this host is not ready.
+const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
-/// Longest pause between looks at the queues.
-const PUMP: Duration = Duration::from_millis(20);
+/// Maximum interval between two rounds of the dispatcher's queues.
+const PUMP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks after which the machine may have been suspended.
-const JUMP: Duration = Duration::from_millis(100);
+/// Time between two rounds of the queues above which the machine may have been suspended.
+const JUMP_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// Pause between sweeps of idle connections.
-const SWEEP: Duration = Duration::from_millis(500);
+/// Interval between sweeps of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a host can't start.
+/// Reason why a host can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener's address can't be bound.
     #[error("listener for {role} at {address}: {cause}")]
     Bind {
-        /// Whom it is for.
+        /// Users of the listener.
         role: &'static str,
         /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// The metrics can't be set up.
+    /// The metrics can't be registered.
     #[error(transparent)]
     Metrics(#[from] observe::metrics::Error),
     /// The exchange with the other hosts can't start.
@@ -62,7 +62,7 @@
     Exchange(#[from] exchange::Error),
 }
 
-/// A running host.
+/// A running host, until [`Running::drain`] stops it.
 pub struct Running {
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
@@ -83,7 +83,7 @@
     start_by(Clock::start(), settings, routed, dialect).await
 }
 
-/// Starts a host that keeps time by this clock.
+/// Starts a host that uses this clock.
 ///
 /// # Errors
 ///
@@ -131,42 +131,45 @@
 }
 
 fn start_belief(settings: &Process) -> Belief {
-    Belief::Start { program: Word::Borrowed(env!("CARGO_PKG_VERSION")), settings: shown(settings) }
+    Belief::Start {
+        program: Word::Borrowed(env!("CARGO_PKG_VERSION")),
+        settings: settings_json(settings),
+    }
 }
 
-/// Tells that the settings were read anew.
+/// Logs that the settings were reloaded.
 pub fn reloaded(settings: &Process) {
-    story::belief(Belief::Reload { settings: shown(settings) });
+    story::belief(Belief::Reload { settings: settings_json(settings) });
 }
 
-fn shown(settings: &Process) -> serde_json::Value {
+fn settings_json(settings: &Process) -> serde_json::Value {
     serde_json::to_value(settings.without_secrets()).unwrap_or_default()
 }
 
 impl Running {
-    /// The host with the addresses that it listens at.
+    /// Returns the host with the addresses that its listeners are bound to.
     pub fn host(&self) -> &Host {
         &self.shared.host
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn address(&self) -> SocketAddr {
         self.shared.host.callers
     }
 
-    /// Stops as planned: not ready first, then a pause for the balancer, then no new connections,
-    /// then the end of what is in flight.
+    /// Stops in order: reports not ready, waits for the load balancer, accepts no new connections,
+    /// then waits until the requests in flight have ended or the grace period is over.
     pub async fn drain(self) {
         let began = self.shared.now();
-        let grace = self.shared.routed.grace.mul_f64(FINISH);
+        let grace = self.shared.routed.grace.mul_f64(FINISH_FRACTION);
         log::info!(host = &*self.shared.host.id; "drain begins");
         self.shared.teller.belief(Belief::Stop { why: Word::Borrowed("it was asked for") });
         self.shared.leave();
         self.shared.term().stop();
-        sleep(BALANCER).await;
+        sleep(BALANCER_DELAY).await;
         self.stop.cancel();
-        let wait =
-            (began + self.shared.routed.grace.mul_f64(WAIT)).saturating_sub(self.shared.now());
+        let wait = (began + self.shared.routed.grace.mul_f64(WAIT_FRACTION))
+            .saturating_sub(self.shared.now());
         let closing = self.shared.closing.clone();
         tokio::spawn(async move {
             sleep(wait).await;
@@ -174,7 +177,7 @@
         });
         let left = (began + grace).saturating_sub(self.shared.now());
         if tokio::time::timeout(left, self.callers).await.is_err() {
-            log::error!(open = self.shared.open(); "drain ends with requests in flight");
+            log::error!(open = self.shared.open_requests(); "drain ends with requests in flight");
         }
         self.shared.stop.cancel();
         self.exchange.leave().await;
@@ -182,7 +185,7 @@
     }
 }
 
-/// Where some other hosts may listen for hosts.
+/// Returns addresses at which other hosts may listen for peers.
 fn seeds(settings: &Process) -> Vec<SocketAddr> {
     let port = settings.peers_share_port.then_some(settings.host.peers.port());
     let address = |peer: &SocketAddr| SocketAddr::new(peer.ip(), port.unwrap_or(peer.port()));
@@ -202,9 +205,9 @@
         clock: Arc::new(move || clock.now()),
         ..Config::new(host.id.clone(), host.zone.clone(), host.peers, shared.incarnation)
     };
-    let answers = Arc::new(Answers(Arc::downgrade(shared)));
-    let exchange = Exchange::start(config, answers).await?;
-    shared.join(&exchange);
+    let source = Arc::new(PeerSource(Arc::downgrade(shared)));
+    let exchange = Exchange::start(config, source).await?;
+    shared.set_exchange(&exchange);
     Ok(exchange)
 }
 
@@ -212,12 +215,12 @@
     let mut before = shared.now();
     loop {
         select! {
-            () = sleep(PUMP) => {}
+            () = sleep(PUMP_INTERVAL) => {}
             () = shared.dispatch_wakeup.notified() => {}
         }
         let now = shared.now();
-        if before + JUMP < now {
-            shared.jumped.notify_waiters();
+        if before + JUMP_THRESHOLD < now {
+            shared.clock_jumped.notify_waiters();
         }
         before = now;
         shared.pump();
@@ -226,7 +229,7 @@
 
 async fn sweep(shared: Arc<Shared>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let now = shared.now();
         let directory = shared.directory();
         shared.pool.sweep(now, |id| directory.get(id).is_some());
@@ -234,7 +237,8 @@
     }
 }
 
-/// Serves the metrics at their own port too, if one is set. A port that is taken costs only them.
+/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, only
+/// this listener is missing.
 async fn listen_for_metrics(shared: &Arc<Shared>) {
     let Some(port) = shared.routed.metrics_port else { return };
     let address = SocketAddr::new(shared.host.operators.ip(), port);
@@ -246,7 +250,7 @@
     }
 }
 
-/// Binds a listener, and takes down the port if the system picked it.
+/// Binds a listener, and stores the actual address, whose port the system may have chosen.
 async fn bind(role: &'static str, address: &mut SocketAddr) -> Result<TcpListener, Error> {
     let failed = |cause| Error::Bind { role, address: *address, cause };
     let listener = TcpListener::bind(*address).await.map_err(failed)?;
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,7 +1,8 @@
 //! Calls to the platform's store.
 //!
-//! One kept connection serves short calls, unless it is in use; watches take connections of their
-//! own. Every call has a time limit, since a connection may go silent for good.
+//! One connection is kept open for short calls; a call that finds it in use opens another. Watches
+//! have connections of their own. Every call has a timeout, since a connection may become silent
+//! for good.
 
 use std::{
     net::SocketAddr,
@@ -29,56 +30,56 @@
 use crate::{
     clock::Clock,
     connect::{self, Connection},
-    edge::{Call, Dialect, Kind, Object, Page, Revision, Told},
+    edge::{Call, Dialect, Kind, Object, Page, Revision, StoreReply},
 };
 
-/// Longest time for a short call.
-const CALL: Duration = Duration::from_secs(2);
+/// Timeout of a short call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The same for one about the lease.
-const BRIEF: Duration = Duration::from_millis(600);
+/// Timeout of a call about the lease.
+const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time that a watch may take beyond the wait that it asked for. A slow store is heard for so long; a
+/// Time that a watch may take beyond its requested wait. A slow store is waited for this long; a
 /// watch that may be stalled is not left alone until then, but hedged.
 const WATCH_SLACK: Duration = Duration::from_secs(5);
 
-/// Time after the store's last failure in which a server whose entry has gone may come back.
-const DEGRADED: Duration = Duration::from_secs(8);
+/// Time after the store's last failure in which a removed server entry may be written again.
+const DEGRADED_PERIOD: Duration = Duration::from_secs(8);
 
-/// Largest answer taken, in bytes.
-const LARGEST: usize = 8 * 1024 * 1024;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The platform's store.
+/// Client of the platform's store.
 pub(crate) struct Store {
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
-    kept: Mutex<Option<Connection>>,
+    slot: Mutex<Option<Connection>>,
     teller: Teller,
     meters: Meters,
-    calls: Reach,
-    declaration: Reach,
-    servers: Reach,
-    /// Outages that have ended.
+    calls: CallHealth,
+    declaration: CallHealth,
+    servers: CallHealth,
+    /// Number of outages that have ended.
     outages: watch::Sender<u64>,
     clock: Clock,
-    /// When the store last failed this host.
+    /// When a call of this host last failed.
     failed: SyncMutex<Option<Moment>>,
 }
 
-/// Whether calls of a sort were answered at last.
-struct Reach {
-    /// What the log calls it.
+/// Whether the last call of a kind got a response.
+struct CallHealth {
+    /// Name in the log.
     name: &'static str,
     lost: AtomicBool,
 }
 
-impl Reach {
-    fn new(name: &'static str) -> Reach {
-        Reach { name, lost: AtomicBool::new(false) }
+impl CallHealth {
+    fn new(name: &'static str) -> CallHealth {
+        CallHealth { name, lost: AtomicBool::new(false) }
     }
 
-    /// Notes how the last call ended; whether that is news.
-    fn turns(&self, lost: bool) -> bool {
+    /// Records whether the last call failed. Returns whether that is a change.
+    fn set_lost(&self, lost: bool) -> bool {
         self.lost.swap(lost, Ordering::Relaxed) != lost
     }
 }
@@ -94,20 +95,20 @@
         Store {
             dialect,
             address,
-            kept: Mutex::new(None),
+            slot: Mutex::new(None),
             teller,
             meters,
-            calls: Reach::new("store"),
-            declaration: Reach::new("watch of the declaration"),
-            servers: Reach::new("watch of servers"),
+            calls: CallHealth::new("store"),
+            declaration: CallHealth::new("watch of the declaration"),
+            servers: CallHealth::new("watch of servers"),
             outages: watch::Sender::default(),
             clock,
             failed: SyncMutex::default(),
         }
     }
 
-    /// Notes that the store has failed this host.
-    pub(crate) fn fail(&self) {
+    /// Records a failure of the store.
+    pub(crate) fn record_failure(&self) {
         if !self.is_degraded() {
             let name = Word::Borrowed("registrations");
             let why = Word::Borrowed("the store failed, so that entries of sound servers may go");
@@ -116,64 +117,66 @@
         *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
     }
 
-    /// Whether the store has failed this host lately.
+    /// Returns whether the store has failed this host within `DEGRADED_PERIOD`.
     pub(crate) fn is_degraded(&self) -> bool {
         let failed = *self.failed.lock().unwrap_or_else(PoisonError::into_inner);
-        failed.is_some_and(|at| self.clock.now() < at + DEGRADED)
+        failed.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
     }
 
-    /// Tells when calls that got no answer are followed by one that does. What was asked before that
-    /// may never be answered: a store that was silent forgets who asked.
+    /// Returns a counter that changes when a call gets a response after calls without one. Calls
+    /// made before that may never get a response: a store that was silent loses its pending
+    /// watches.
     pub(crate) fn outages(&self) -> watch::Receiver<u64> {
         self.outages.subscribe()
     }
 
-    /// Makes a call that is worth nothing when it takes longer than a term of the lease.
-    pub(crate) async fn brief_call(&self, call: &Call<'_>) -> Told {
-        self.call_within(call, BRIEF).await
+    /// Makes a call about the lease, which is useless if it takes longer than a term of the lease.
+    pub(crate) async fn lease_call(&self, call: &Call<'_>) -> StoreReply {
+        self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
 
     /// Makes a short call.
-    pub(crate) async fn call(&self, call: &Call<'_>) -> Told {
-        self.call_within(call, CALL).await
+    pub(crate) async fn call(&self, call: &Call<'_>) -> StoreReply {
+        self.call_within(call, CALL_TIMEOUT).await
     }
 
-    /// A call that gets no answer holds no other up: one that finds the kept connection in use has a
-    /// connection of its own. Where they queued, a list without an answer cost the lease: 2.3 s
-    /// without a renewal, by its test.
-    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> Told {
+    /// Makes a call with a timeout. A call without a response does not delay others: if the kept
+    /// connection is in use, the call opens its own. When calls were queued instead, a list without
+    /// a response cost the lease: its test saw 2.3 s without a renewal.
+    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
         let end = Instant::now() + limit;
-        let Ok(mut kept) = self.kept.try_lock() else {
+        let Ok(mut slot) = self.slot.try_lock() else {
             return self.exchange(call, None, end).await.0;
         };
-        let connection = kept.take().filter(|connection| connection.sender.is_ready());
-        let (told, connection) = self.exchange(call, connection, end).await;
-        *kept = connection;
-        told
+        let connection = slot.take().filter(|connection| connection.sender.is_ready());
+        let (reply, connection) = self.exchange(call, connection, end).await;
+        *slot = connection;
+        reply
     }
 
-    /// Waits for changes on a connection that is the watch's own: an earlier one's, or a new one.
+    /// Waits for changes, on a connection that is used for this watch only: the one of an earlier
+    /// watch, or a new one.
     pub(crate) async fn watch(
         &self,
-        kept: Option<Connection>,
+        previous: Option<Connection>,
         kind: Kind,
         since: Revision,
         wait: Duration,
-    ) -> (Told, Option<Connection>) {
-        let connection = kept.filter(|connection| connection.sender.is_ready());
+    ) -> (StoreReply, Option<Connection>) {
+        let connection = previous.filter(|connection| connection.sender.is_ready());
         let call = Call::Watch { kind, since, wait };
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
     }
 
-    /// A watch of this kind has had no answer for so long that it is no longer trusted.
-    pub(crate) fn silent(&self, kind: Kind, waited: Duration) {
-        if let Some(reach) = self.reach(kind) {
-            self.heard(reach, DependencyState::Lost, waited);
+    /// Reports that a watch of this kind got no response for too long to be trusted.
+    pub(crate) fn report_silent_watch(&self, kind: Kind, waited: Duration) {
+        if let Some(health) = self.health(kind) {
+            self.report_state(health, DependencyState::Lost, waited);
         }
     }
 
-    /// Whether a kind's watches were answered at last.
-    fn reach(&self, kind: Kind) -> Option<&Reach> {
+    /// Returns the health of the watches of a kind.
+    fn health(&self, kind: Kind) -> Option<&CallHealth> {
         match kind {
             Kind::Declaration => Some(&self.declaration),
             Kind::Server => Some(&self.servers),
@@ -181,78 +184,82 @@
         }
     }
 
-    /// Lists a kind whole; `None` if a page is missing.
+    /// Lists all objects of a kind; `None` if a page can't be fetched.
     pub(crate) async fn list(&self, kind: Kind) -> Option<Page> {
-        let mut whole = Page::default();
+        let mut all = Page::default();
         loop {
-            let after = whole.objects.last().map(|object: &Object| object.name.clone());
-            let Told::Page(page) = self.call(&Call::List { kind, after: after.as_deref() }).await
+            let after = all.objects.last().map(|object: &Object| object.name.clone());
+            let StoreReply::Page(page) =
+                self.call(&Call::List { kind, after: after.as_deref() }).await
             else {
                 return None;
             };
-            if whole.revision == 0 {
-                // Changes between the pages are seen by a watch from the first one.
-                whole.revision = page.revision;
+            if all.revision == 0 {
+                // A watch from the first page's revision also reports changes made between the
+                // pages.
+                all.revision = page.revision;
             }
             let more = page.more && !page.objects.is_empty();
-            whole.objects.extend(page.objects);
+            all.objects.extend(page.objects);
             if !more {
-                return Some(whole);
+                return Some(all);
             }
         }
     }
 
-    /// Makes a call; each that ends is counted and told of, also one that gets no answer.
+    /// Makes a call, counts it and records its outcome, also if it got no response.
     async fn exchange(
         &self,
         call: &Call<'_>,
         connection: Option<Connection>,
         end: Instant,
-    ) -> (Told, Option<Connection>) {
+    ) -> (StoreReply, Option<Connection>) {
         let began = Instant::now();
         let done = timeout_at(end, self.try_exchange(call, connection)).await;
-        let (told, connection) = done.ok().flatten().unwrap_or((Told::Unclear, None));
-        self.meters.call(called(call), result(&told));
-        // Any call counts: a watch may wait through a whole outage and then bring entries that ran out in it.
-        if matches!(told, Told::Unclear | Told::Refused) {
-            self.fail();
+        let (reply, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
+        self.meters.call(called(call), result(&reply));
+        // Failures of all calls count: a watch may wait through a whole outage and then report the
+        // removal of entries that expired in it.
+        if matches!(reply, StoreReply::Unclear | StoreReply::Refused) {
+            self.record_failure();
         }
-        let state = match told {
-            Told::Unclear => DependencyState::Lost,
+        let state = match reply {
+            StoreReply::Unclear => DependencyState::Lost,
             _ => DependencyState::Regained,
         };
         let took = began.elapsed();
         if let Call::Watch { kind, .. } = call
-            && let Some(reach) = self.reach(*kind)
+            && let Some(health) = self.health(*kind)
         {
-            self.heard(reach, state, took);
+            self.report_state(health, state, took);
         }
-        if self.heard(&self.calls, state, took) && state == DependencyState::Regained {
+        if self.report_state(&self.calls, state, took) && state == DependencyState::Regained {
             self.outages.send_modify(|ended| *ended += 1);
         }
-        (told, connection)
+        (reply, connection)
     }
 
-    /// Tells when calls of a sort get no answer, and when they do again; whether that is news.
-    fn heard(&self, reach: &Reach, state: DependencyState, took: Duration) -> bool {
-        let is_news = reach.turns(state == DependencyState::Lost);
-        if is_news {
+    /// Reports when calls of a kind cease or begin again to get responses. Returns whether there
+    /// was a change.
+    fn report_state(&self, health: &CallHealth, state: DependencyState, took: Duration) -> bool {
+        let has_changed = health.set_lost(state == DependencyState::Lost);
+        if has_changed {
             let took = took.as_millis();
             let why = match state {
                 DependencyState::Lost => format!("no answer that can be read in {took} ms"),
                 DependencyState::Regained => format!("an answer after {took} ms"),
             };
-            let (name, why) = (Word::Borrowed(reach.name), Word::Owned(why));
+            let (name, why) = (Word::Borrowed(health.name), Word::Owned(why));
             self.teller.belief(Belief::Dependency { name, state, why });
         }
-        is_news
+        has_changed
     }
 
     async fn try_exchange(
         &self,
         call: &Call<'_>,
         connection: Option<Connection>,
-    ) -> Option<(Told, Option<Connection>)> {
+    ) -> Option<(StoreReply, Option<Connection>)> {
         let mut connection = match connection {
             Some(connection) => connection,
             None => connect::open(self.address).await.ok()?,
@@ -262,9 +269,9 @@
         request.headers_mut().insert(header::HOST, host);
         let response = connection.sender.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
-        let body: Bytes = Limited::new(body, LARGEST).collect().await.ok()?.to_bytes();
-        let told = self.dialect.told(call, &Response::from_parts(head, body));
-        Some((told, Some(connection)))
+        let body: Bytes = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
+        let reply = self.dialect.store_reply(call, &Response::from_parts(head, body));
+        Some((reply, Some(connection)))
     }
 }
 
@@ -279,13 +286,13 @@
     }
 }
 
-fn result(told: &Told) -> Answered {
-    match told {
-        Told::Page(_) | Told::Seen(_) | Told::Object(_) => Answered::Done,
-        Told::Absent => Answered::Absent,
-        Told::Conflict(_) => Answered::Conflict,
-        Told::Compacted => Answered::Compacted,
-        Told::Refused => Answered::Refused,
-        Told::Unclear => Answered::Unclear,
+fn result(reply: &StoreReply) -> Answered {
+    match reply {
+        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => Answered::Done,
+        StoreReply::Absent => Answered::Absent,
+        StoreReply::Conflict(_) => Answered::Conflict,
+        StoreReply::Compacted => Answered::Compacted,
+        StoreReply::Refused => Answered::Refused,
+        StoreReply::Unclear => Answered::Unclear,
     }
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,7 +1,7 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 mod events;
-mod watch;
+mod timer;
 
 use std::{
     pin::Pin,
@@ -13,68 +13,68 @@
 use http_body_util::Full;
 use policy::{dispatch::Unclear, event::Fault};
 
-use crate::attempt::Failed;
+use crate::attempt::AttemptEnd;
 
 pub(crate) use self::{
     events::{Events, Resume},
-    watch::Watch,
+    timer::StreamTimer,
 };
 
-/// Why a body is cut.
+/// Why a body ends before it is complete.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Cut {
-    /// The server broke off.
-    #[error("the server broke off: {0}")]
+    /// The connection to the server failed.
+    #[error("the connection to the server failed: {0}")]
     Server(#[from] hyper::Error),
-    /// The server's connection ended in the middle of an event.
-    #[error("the server ended in the middle of an event")]
-    Half,
-    /// What the server sent is not what follows.
+    /// The server closed the connection in the middle of an event.
+    #[error("the server closed the connection in the middle of an event")]
+    PartialEvent,
+    /// The server's events are malformed or not the ones that follow.
     #[error("the server's events can't be passed on: {0:?}")]
     Fault(Fault),
-    /// The server has fallen silent.
-    #[error("the server has fallen silent")]
+    /// The server sent nothing for too long.
+    #[error("the server has sent nothing for too long")]
     Silence,
-    /// The request's time is over.
-    #[error("the request's time is over")]
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
     Time,
 }
 
 impl Cut {
-    /// Its stable word.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Returns the reason as it is written to logs.
+    pub(crate) fn as_str(&self) -> &'static str {
         match self {
             Cut::Server(_) => "server-cut",
-            Cut::Half => "half-an-event",
+            Cut::PartialEvent => "half-an-event",
             Cut::Fault(_) => "bad-event",
             Cut::Silence => "silence",
             Cut::Time => "deadline",
         }
     }
 
-    /// What it tells of the server.
-    pub(crate) fn failed(&self) -> Failed {
+    /// Returns the end of the attempt that this implies.
+    pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
-            Cut::Server(_) | Cut::Half => Failed::Unclear(Unclear::Cut),
-            Cut::Fault(_) => Failed::Unclear(Unclear::Garbled),
-            Cut::Silence => Failed::Unclear(Unclear::Silent),
-            // Its time was over, which says nothing of the server.
-            Cut::Time => Failed::Cancelled,
+            Cut::Server(_) | Cut::PartialEvent => AttemptEnd::Unclear(Unclear::Cut),
+            Cut::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
+            Cut::Silence => AttemptEnd::Unclear(Unclear::Silent),
+            // The deadline passed, which is no evidence against the server.
+            Cut::Time => AttemptEnd::Cancelled,
         }
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub(crate) enum Delivery {
-    /// Whole already.
-    Whole(Full<Bytes>),
-    /// Events as they come.
+    /// A complete body.
+    Complete(Full<Bytes>),
+    /// A stream of events, passed on as they arrive.
     Events(Box<Events>),
 }
 
 impl Delivery {
-    pub(crate) fn whole(body: Bytes) -> Delivery {
-        Delivery::Whole(Full::new(body))
+    pub(crate) fn complete(body: Bytes) -> Delivery {
+        Delivery::Complete(Full::new(body))
     }
 }
 
@@ -87,7 +87,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
-            Delivery::Whole(body) => {
+            Delivery::Complete(body) => {
                 Pin::new(body).poll_frame(context).map_err(|never| match never {})
             }
             Delivery::Events(events) => events.poll(context),
@@ -96,15 +96,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Delivery::Whole(body) => body.is_end_stream(),
+            Delivery::Complete(body) => body.is_end_stream(),
             Delivery::Events(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Delivery::Whole(body) => body.size_hint(),
-            // Another server's events may come to another length.
+            Delivery::Complete(body) => body.size_hint(),
+            // The stream may continue at another server and have another length.
             Delivery::Events(_) => SizeHint::default(),
         }
     }
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -1,4 +1,4 @@
-//! A stream of events on its way to the caller, over one server after the other if need be.
+//! A stream of events that is delivered to the caller, by several servers in turn if one fails.
 
 use std::{
     future::Future,
@@ -12,50 +12,51 @@
 use policy::event::{ResumePoint, Splitter};
 
 use crate::{
-    attempt::{End, Failed, Link},
-    call::{Again, Call, Ended, Leave, Resuming},
+    attempt::{AttemptEnd, BodyEnd, OpenResponse},
+    call::{AttemptFailure, Call, LeaveSignal, Resumer, Resuming},
     stream::{
         Cut,
-        watch::{Alarm, Watch},
+        timer::{Alarm, StreamTimer},
     },
 };
 
-/// What may follow when a stream's server breaks off.
+/// Whether a stream may continue at another server.
 pub(crate) enum Resume {
-    /// Another server may go on, also before this one has broken off.
-    At(Again, Leave),
-    /// Nothing.
+    /// Another server may continue the stream, also before the present one has failed.
+    OtherServer(Resumer, LeaveSignal),
+    /// The stream can't be resumed.
     Never,
 }
 
-/// A stream of events on its way to the caller.
+/// A stream of events that is delivered to the caller.
 pub(crate) struct Events {
     state: State,
     splitter: Splitter,
     resume: Resume,
-    watch: Watch,
+    timer: StreamTimer,
     call: Arc<Call>,
-    begun: Begun,
+    first_event: FirstEvent,
 }
 
-/// Whether an event has come.
+/// Whether the present server has sent an event.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Begun {
-    NotYet,
-    Yes,
+enum FirstEvent {
+    Pending,
+    Received,
 }
 
 enum State {
-    Streaming(Link),
-    /// The server before broke off for this reason.
+    Streaming(OpenResponse),
+    /// The previous server failed for this reason, and another one is being sought.
     Resuming(Resuming, Cut),
-    /// What was passed on is being written, before the cut.
+    /// The stream is to end early. One poll returns pending first, so that the events passed on are
+    /// written before the connection is cut.
     Flushing(Cut),
     Failed(Cut),
     Done,
 }
 
-/// What a state comes to.
+/// Result of polling a state.
 enum Step {
     Pass(Bytes),
     Next(State),
@@ -63,16 +64,24 @@
 }
 
 impl Events {
-    /// A stream that has begun at a server, after the event that the caller has.
+    /// Creates a stream from a server's response, which continues after the event that the caller
+    /// has.
     pub(crate) fn new(
-        link: Link,
+        response: OpenResponse,
         after: Option<u64>,
         resume: Resume,
-        watch: Watch,
+        timer: StreamTimer,
         call: Arc<Call>,
     ) -> Events {
-        let state = State::Streaming(link);
-        Events { state, splitter: Splitter::new(after), resume, watch, call, begun: Begun::NotYet }
+        let state = State::Streaming(response);
+        Events {
+            state,
+            splitter: Splitter::new(after),
+            resume,
+            timer,
+            call,
+            first_event: FirstEvent::Pending,
+        }
     }
 
     pub(super) fn poll(
@@ -109,20 +118,22 @@
     }
 
     fn poll_server(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        let State::Streaming(link) = &mut self.state else {
+        let State::Streaming(response) = &mut self.state else {
             return Poll::Ready(Step::Next(State::Done));
         };
-        match Pin::new(&mut link.body).poll_frame(context) {
+        match Pin::new(&mut response.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 let piece = frame.into_data().unwrap_or_default();
                 Poll::Ready(self.take(piece))
             }
             Poll::Ready(Some(Err(error))) => Poll::Ready(Step::Broken(error.into())),
-            Poll::Ready(None) if link.end == End::Close && self.splitter.has_partial_event() => {
-                Poll::Ready(Step::Broken(Cut::Half))
+            Poll::Ready(None)
+                if response.end == BodyEnd::Close && self.splitter.has_partial_event() =>
+            {
+                Poll::Ready(Step::Broken(Cut::PartialEvent))
             }
             Poll::Ready(None) => Poll::Ready(self.finish()),
-            Poll::Pending => self.poll_watch(context),
+            Poll::Pending => self.poll_timer(context),
         }
     }
 
@@ -130,10 +141,10 @@
         let before = self.splitter.point();
         let taken = self.splitter.take(piece);
         if !taken.events.is_empty() {
-            self.watch.heard();
-            if self.begun == Begun::NotYet {
-                self.begun = Begun::Yes;
-                self.call.account.first();
+            self.timer.received();
+            if self.first_event == FirstEvent::Pending {
+                self.first_event = FirstEvent::Received;
+                self.call.handle.first_byte();
             }
             let passed = match (self.splitter.point(), before) {
                 (ResumePoint::After(event), ResumePoint::After(before)) => {
@@ -144,7 +155,7 @@
             };
             self.call.trace.passed(u32::try_from(passed).unwrap_or(u32::MAX));
             if let ResumePoint::After(event) = self.splitter.point() {
-                self.call.account.delivered(event);
+                self.call.handle.delivered(event);
             }
         }
         if let Some(fault) = taken.fault {
@@ -153,33 +164,33 @@
         Step::Pass(taken.events)
     }
 
-    /// The server's stream is whole.
+    /// Ends the stream after the server has completed it.
     fn finish(&mut self) -> Step {
-        if let State::Streaming(link) = std::mem::replace(&mut self.state, State::Done) {
-            link.finish();
-            self.call.account.end(Failed::Completed);
+        if let State::Streaming(response) = std::mem::replace(&mut self.state, State::Done) {
+            response.finish();
+            self.call.handle.end(AttemptEnd::Completed);
             self.call.trace.answered(None);
         }
         Step::Pass(self.splitter.take_remainder())
     }
 
-    fn poll_watch(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        if let Resume::At(_, leave) = &mut self.resume
+    fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<Step> {
+        if let Resume::OtherServer(_, leave) = &mut self.resume
             && let Poll::Ready(_) = Pin::new(&mut *leave).poll(context)
         {
-            // News come once; without another server, the clock asks again.
-            *leave = self.call.account.leave();
+            // The signal is sent once. If no other server takes the stream, the timer tries again.
+            *leave = self.call.handle.leave_signal();
             if let Some(left) = self.leave() {
                 return Poll::Ready(Step::Next(left));
             }
         }
         loop {
-            match ready!(self.watch.poll(context)) {
+            match ready!(self.timer.poll(context)) {
                 Alarm::End => return Poll::Ready(Step::Next(State::Flushing(Cut::Time))),
                 Alarm::Silence => match self.leave() {
                     Some(left) => return Poll::Ready(Step::Next(left)),
-                    // Nobody else can go on: a slow server is better than none.
-                    None => self.watch.heard(),
+                    // No other server can continue, and a slow server is better than none.
+                    None => self.timer.received(),
                 },
             }
         }
@@ -198,58 +209,59 @@
                 };
                 return Poll::Ready(Step::Next(State::Flushing(cut)));
             }
-            // The limits of the attempt itself tell of silence.
+            // The attempt under way has its own timeouts, so only the deadline matters here.
             Poll::Pending => {
-                ready!(self.watch.poll_end(context));
+                ready!(self.timer.poll_end(context));
                 return Poll::Ready(Step::Next(State::Flushing(Cut::Time)));
             }
         };
-        if let Resume::At(again, leave) = &mut self.resume {
-            *leave = self.call.account.leave();
-            self.watch.expect_by(begun.link.flight.began + again.first());
+        if let Resume::OtherServer(resumer, leave) = &mut self.resume {
+            *leave = self.call.handle.leave_signal();
+            self.timer.expect_by(begun.response.flight.began + resumer.first_event_timeout());
         }
-        Poll::Ready(Step::Next(State::Streaming(begun.link)))
+        Poll::Ready(Step::Next(State::Streaming(begun.response)))
     }
 
-    /// Goes on at another server, or ends with a cut.
+    /// Continues at another server after a failure, or ends the stream early.
     fn break_off(&mut self, cut: Cut) {
         let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(link) => Some(link.flight),
+            State::Streaming(response) => Some(response.flight),
             _ => None,
         };
         self.state = match &self.resume {
-            Resume::At(again, _) if self.splitter.point() != ResumePoint::Unknown => {
-                let resuming = again.start(flight, self.after(), Ended::Failed(cut.failed()));
+            Resume::OtherServer(resumer, _) if self.splitter.point() != ResumePoint::Unknown => {
+                let resuming =
+                    resumer.start(flight, self.after(), AttemptFailure::Failed(cut.attempt_end()));
                 self.switch();
                 State::Resuming(resuming, cut)
             }
-            Resume::At(..) | Resume::Never => {
-                self.call.account.end(cut.failed());
-                self.call.trace.attempt_ended(cut.failed(), None);
+            Resume::OtherServer(..) | Resume::Never => {
+                self.call.handle.end(cut.attempt_end());
+                self.call.trace.attempt_ended(cut.attempt_end(), None);
                 State::Flushing(cut)
             }
         };
     }
 
-    /// Goes on at another server in place of a silent one, if one takes the stream.
+    /// Continues at another server in place of a silent one, if another server takes the stream.
     fn leave(&mut self) -> Option<State> {
-        let Resume::At(again, _) = &self.resume else { return None };
+        let Resume::OtherServer(resumer, _) = &self.resume else { return None };
         if self.splitter.point() == ResumePoint::Unknown
             || !matches!(self.state, State::Streaming(_))
         {
             return None;
         }
-        let left = again.leave()?;
+        let left = resumer.leave()?;
         let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(link) => Some(link.flight),
+            State::Streaming(response) => Some(response.flight),
             _ => None,
         };
-        let resuming = again.start(flight, self.after(), left);
+        let resuming = resumer.start(flight, self.after(), left);
         self.switch();
         Some(State::Resuming(resuming, Cut::Silence))
     }
 
-    /// The last event that the caller has.
+    /// Returns the number of the last event that the caller has.
     fn after(&self) -> Option<u64> {
         match self.splitter.point() {
             ResumePoint::After(id) => Some(id),
@@ -257,9 +269,9 @@
         }
     }
 
-    /// What comes next is another server's.
+    /// Prepares for the events of another server.
     fn switch(&mut self) {
         self.splitter.switch();
-        self.begun = Begun::NotYet;
+        self.first_event = FirstEvent::Pending;
     }
 }
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -1,7 +1,8 @@
-//! What is told and counted of one request.
+//! Log entries and metrics of one request.
 //!
-//! A [`Trace`] follows a request from its first line to its last byte. It only takes note: nothing
-//! of the path depends on it. One that is dropped before its end counts as left by its caller.
+//! A [`Trace`] follows a request from its arrival to the last byte of the response. It only
+//! records: nothing on the path depends on it. A trace that is dropped before its end counts as a
+//! request whose caller has left.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -21,30 +22,30 @@
     time::Moment,
 };
 
-use crate::{attempt::Failed, clock::Clock, edge::Problem, host::Shared, stream::Cut};
+use crate::{attempt::AttemptEnd, clock::Clock, edge::Problem, host::Shared, stream::Cut};
 
-/// What is told and counted of one request.
+/// Log entries and metrics of one request.
 pub(crate) struct Trace(Mutex<Notes>);
 
 struct Notes {
-    /// Taken at the end.
+    /// Taken when the request ends.
     story: Option<story::Request>,
     meters: Meters,
     clock: Clock,
     received: Moment,
     route: Option<Goals>,
     refusal: Option<Refusal>,
-    /// The server that has it now.
+    /// Server of the attempt in flight.
     open: Option<backend::Id>,
     attempts: u32,
     status: Option<u16>,
     first: Option<Duration>,
-    heard: Option<Moment>,
+    last_received: Option<Moment>,
     gap: Duration,
     events: u32,
 }
 
-/// What a route asks for.
+/// Kind and latency goals of a route.
 #[derive(Clone, Copy)]
 struct Goals {
     kind: Kind,
@@ -53,7 +54,7 @@
 }
 
 impl Trace {
-    /// Begins with a request's name.
+    /// Starts the trace of a request.
     pub(crate) fn begin(shared: &Shared, id: &request::Id, received: Moment) -> Trace {
         Trace(Mutex::new(Notes {
             story: Some(shared.teller.request(id.clone())),
@@ -66,26 +67,26 @@
             attempts: 0,
             status: None,
             first: None,
-            heard: None,
+            last_received: None,
             gap: Duration::ZERO,
             events: 0,
         }))
     }
 
-    /// It was read and its route found.
+    /// Records that the request was parsed and its route found.
     pub(crate) fn arrived(&self, route: &Route, arrival: Arrival) {
         let mut notes = self.notes();
         notes.route = Some(Goals { kind: route.kind, goal: route.goal, gap: route.gap });
         notes.note(Step::Arrived(arrival));
     }
 
-    /// It waits.
+    /// Records that the request is queued.
     pub(crate) fn queued(&self, why: &'static str, left: Duration) {
         let inputs = vec![left_input(left)];
         self.notes().note(Step::Queued { why: Word::Borrowed(why), inputs });
     }
 
-    /// It is refused.
+    /// Records that the request is refused.
     pub(crate) fn refused(&self, cause: Refusal, left: Duration, again: Option<Duration>) {
         let mut notes = self.notes();
         notes.refusal = Some(cause);
@@ -93,7 +94,8 @@
         notes.note(Step::Refused { why, inputs, again });
     }
 
-    /// It goes to a server, after an event if that is so of a stream.
+    /// Records that the request is sent to a server; `after` is the last event that the caller has,
+    /// if a stream is resumed.
     pub(crate) fn sent(&self, server: &Server, after: Option<u64>, left: Duration) {
         let mut notes = self.notes();
         let now = notes.clock.now();
@@ -120,39 +122,39 @@
         }
     }
 
-    /// There is a connection to its server, after this time.
+    /// Records the time that it took to get a connection to the server.
     pub(crate) fn connected(&self, took: Duration) {
         self.notes().phase(Phase::Connect, took);
     }
 
-    /// The attempt under way, if there is one, has ended.
-    pub(crate) fn attempt_ended(&self, end: Failed, status: Option<StatusCode>) {
+    /// Records the end of the attempt in flight, if there is one.
+    pub(crate) fn attempt_ended(&self, end: AttemptEnd, status: Option<StatusCode>) {
         self.notes().attempt_ended(end, status);
     }
 
-    /// The answer's head, or a stream's first event, is here.
+    /// Records the arrival of the response's head.
     pub(crate) fn first(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.status = status.map(|status| status.as_u16()).or(notes.status);
-        notes.heard_now();
+        notes.received_now();
     }
 
-    /// The status that a stream began with.
+    /// Records the status of a stream.
     pub(crate) fn began(&self, status: StatusCode) {
         self.notes().status = Some(status.as_u16());
     }
 
-    /// Events have been passed on.
+    /// Records events that are passed to the caller.
     pub(crate) fn passed(&self, events: u32) {
         let mut notes = self.notes();
         notes.events += events;
-        notes.heard_now();
+        notes.received_now();
     }
 
-    /// A server's answer was delivered whole.
+    /// Records that a server's response is complete.
     pub(crate) fn answered(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
-        notes.attempt_ended(Failed::Completed, status);
+        notes.attempt_ended(AttemptEnd::Completed, status);
         let status = status.map(|status| status.as_u16()).or(notes.status);
         if status.is_some_and(|status| 500 <= status) {
             return notes.end(Outcome::Failed, status, Some("server-error"));
@@ -163,7 +165,7 @@
         }
     }
 
-    /// It ended with an answer of this host.
+    /// Records that the request ended with this host's own response.
     pub(crate) fn failed(&self, problem: Problem, status: StatusCode) {
         let status = Some(status.as_u16());
         let mut notes = self.notes();
@@ -173,7 +175,7 @@
             }
             Problem::Unclear => notes.end(Outcome::Unclear, status, Some("may-have-run")),
             Problem::TimedOut => {
-                notes.attempt_ended(Failed::Unclear(Unclear::Silent), None);
+                notes.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
                 notes.end(Outcome::Unclear, status, Some("timed-out"));
             }
             Problem::NotRun(_) => {
@@ -186,12 +188,12 @@
         }
     }
 
-    /// A stream broke off midway.
+    /// Records that a stream ended early.
     pub(crate) fn cut(&self, cut: &Cut) {
         let mut notes = self.notes();
-        notes.attempt_ended(cut.failed(), None);
+        notes.attempt_ended(cut.attempt_end(), None);
         let status = notes.status;
-        notes.end(Outcome::Cut, status, Some(cut.word()));
+        notes.end(Outcome::Cut, status, Some(cut.as_str()));
     }
 
     fn notes(&self) -> MutexGuard<'_, Notes> {
@@ -212,7 +214,7 @@
         }
     }
 
-    fn attempt_ended(&mut self, end: Failed, status: Option<StatusCode>) {
+    fn attempt_ended(&mut self, end: AttemptEnd, status: Option<StatusCode>) {
         let Some(server) = self.open.take() else { return };
         let attempted = attempted(end);
         self.meters.attempt(attempted);
@@ -222,15 +224,15 @@
         self.note(Step::AttemptEnded { attempt, server, outcome, status, ran: ran(end) });
     }
 
-    fn heard_now(&mut self) {
+    fn received_now(&mut self) {
         let now = self.clock.now();
-        match self.heard.replace(now) {
+        match self.last_received.replace(now) {
             Some(before) => self.gap = self.gap.max(now.saturating_sub(before)),
             None => self.first = Some(now.saturating_sub(self.received)),
         }
     }
 
-    /// What came too late, by the route's goals.
+    /// Returns which goal of the route was missed, if any.
     fn late(&self) -> Option<&'static str> {
         let Goals { goal, gap, .. } = self.route?;
         if self.first.is_some_and(|first| goal < first) {
@@ -265,7 +267,7 @@
 impl Drop for Notes {
     fn drop(&mut self) {
         if self.story.is_some() {
-            self.attempt_ended(Failed::Cancelled, None);
+            self.attempt_ended(AttemptEnd::Cancelled, None);
             let status = self.status;
             self.end(Outcome::Left, status, Some("caller-left"));
         }
@@ -276,24 +278,24 @@
     Input::own("left_ms", left.as_secs_f64() * 1000.0)
 }
 
-fn attempted(end: Failed) -> Attempted {
+fn attempted(end: AttemptEnd) -> Attempted {
     match end {
-        Failed::Completed => Attempted::Whole,
-        Failed::ServerError => Attempted::ServerError,
-        Failed::NotRun(NotRun::Full) => Attempted::Full,
-        Failed::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
-        Failed::NotRun(NotRun::Instance) => Attempted::OtherRun,
-        Failed::Unreachable(Unreachable::Refused) => Attempted::Refused,
-        Failed::Unreachable(Unreachable::Timeout) => Attempted::ConnectTimeout,
-        Failed::Unreachable(Unreachable::Closed) => Attempted::Closed,
-        Failed::Unclear(Unclear::Cut) => Attempted::Cut,
-        Failed::Unclear(Unclear::Silent) => Attempted::Silent,
-        Failed::Unclear(Unclear::Garbled) => Attempted::Garbled,
-        Failed::Cancelled => Attempted::Left,
+        AttemptEnd::Completed => Attempted::Whole,
+        AttemptEnd::ServerError => Attempted::ServerError,
+        AttemptEnd::NotRun(NotRun::Full) => Attempted::Full,
+        AttemptEnd::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
+        AttemptEnd::NotRun(NotRun::Instance) => Attempted::OtherRun,
+        AttemptEnd::Unreachable(Unreachable::Refused) => Attempted::Refused,
+        AttemptEnd::Unreachable(Unreachable::Timeout) => Attempted::ConnectTimeout,
+        AttemptEnd::Unreachable(Unreachable::Closed) => Attempted::Closed,
+        AttemptEnd::Unclear(Unclear::Cut) => Attempted::Cut,
+        AttemptEnd::Unclear(Unclear::Silent) => Attempted::Silent,
+        AttemptEnd::Unclear(Unclear::Garbled) => Attempted::Garbled,
+        AttemptEnd::Cancelled => Attempted::Left,
     }
 }
 
-/// The word for a refusal by the dispatcher.
+/// Maps the dispatcher's cause to the label of a refusal.
 pub(crate) fn refusal(cause: Cause) -> Refusal {
     match cause {
         Cause::NoServer => Refusal::NoServer,
@@ -306,10 +308,10 @@
     }
 }
 
-fn ran(end: Failed) -> Ran {
+fn ran(end: AttemptEnd) -> Ran {
     match end {
-        Failed::Completed | Failed::ServerError => Ran::Ran,
-        Failed::NotRun(_) | Failed::Unreachable(_) => Ran::DidNotRun,
-        Failed::Unclear(_) | Failed::Cancelled => Ran::MayHaveRun,
+        AttemptEnd::Completed | AttemptEnd::ServerError => Ran::Ran,
+        AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_) => Ran::DidNotRun,
+        AttemptEnd::Unclear(_) | AttemptEnd::Cancelled => Ran::MayHaveRun,
     }
 }
--- a/crates/relay/src/wishes.rs
+++ b/crates/relay/src/unplaced.rs
@@ -1,4 +1,4 @@
-//! Tells what the planner wants and can't order.
+//! Reports what the planner wants to place and can't order.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 
 use crate::{host::Shared, planning};
 
-/// Wishes of the plans of this host.
+/// Reports the unplaced entries of this host's plans.
 #[derive(Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
     is_counted: bool,
 }
 
-impl Wishes {
-    /// Tells and counts what the last plan wanted in vain.
-    pub(crate) fn tell(&mut self, shared: &Shared, now: Moment) {
-        let wishes = shared.planner().unplaced().to_vec();
+impl UnplacedReporter {
+    /// Counts the unplaced entries of the last plan, and reports those that are due.
+    pub(crate) fn report(&mut self, shared: &Shared, now: Moment) {
+        let unplaced = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
-            let waiting = wishes.iter().filter(|wish| wish.obstacle == obstacle).count();
+            let waiting = unplaced.iter().filter(|entry| entry.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.word(), waiting);
         }
         self.is_counted = true;
-        for (wish, lasted) in self.limiter.due(&wishes, now) {
+        for (entry, lasted) in self.limiter.due(&unplaced, now) {
             shared.teller.belief(Belief::Wish {
-                model: wish.model,
-                adapter: wish.adapter,
-                replicas: u32::try_from(wish.replicas).unwrap_or(u32::MAX),
+                model: entry.model,
+                adapter: entry.adapter,
+                replicas: u32::try_from(entry.replicas).unwrap_or(u32::MAX),
                 since: lasted,
-                why: Word::Borrowed(wish.obstacle.word()),
+                why: Word::Borrowed(entry.obstacle.word()),
             });
         }
     }
 
-    /// This host plans no longer.
+    /// Resets the metrics when this host no longer plans.
     pub(crate) fn end(&mut self, shared: &Shared) {
         if !std::mem::take(&mut self.is_counted) {
             return;
@@ -45,8 +45,8 @@
     }
 }
 
-/// Tells of an order that was decided and isn't sent.
-pub(crate) fn held_back(shared: &Shared, order: &Order, why: &'static str) {
+/// Reports an order that was decided but not sent.
+pub(crate) fn report_unsent(shared: &Shared, order: &Order, why: &'static str) {
     shared.teller.belief(Belief::Wish {
         model: order.model.clone(),
         adapter: order.adapter.clone(),
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -1,13 +1,14 @@
-//! Hedged watches: one that may be stalled gets another asked beside it.
+//! Hedged watches: a watch that may be stalled is duplicated.
 //!
-//! A watch that the store has forgotten looks like one that waits for a change, until its time
-//! limit, which is far beyond the time in which changes must be known. So it is asked once more, on a
-//! connection of its own, as soon as there is a reason to doubt it. The older one stays: a store
-//! that is merely slow still answers it, and giving it up again and again would mean that no
-//! answer ever comes.
+//! A watch that the store has lost looks like one that waits for a change, until its timeout, which
+//! is far longer than the time in which changes must be known. A second watch is therefore started
+//! on a connection of its own as soon as there is a reason to doubt the first. The first one is
+//! kept: a store that is merely slow still answers it, and if watches were cancelled again and
+//! again, no response would ever arrive.
 //!
-//! Without it all hosts stayed stalled for up to 5 s after a silent store was back: in soaks of 60 s
-//! with one silence 2, 16, 32 and 0 requests were handled by too old a declaration, and none with it.
+//! Without hedging, all hosts stayed stalled for up to 5 s after a silent store had recovered: in
+//! soak tests of 60 s with one silence, 2, 16, 32 and 0 requests were handled by an outdated
+//! declaration; with hedging, none were.
 
 use std::{pin::Pin, time::Duration};
 
@@ -20,72 +21,74 @@
 
 use crate::{
     connect::Connection,
-    edge::{Kind, Revision, Told},
+    edge::{Kind, Revision, StoreReply},
     host::Shared,
 };
 
-type Asked<'a> = Pin<Box<dyn Future<Output = (Told, Option<Connection>)> + Send + 'a>>;
+type PendingWatch<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
 
-/// Why a watch is no longer trusted.
+/// Why a watch is doubted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// The store answers again; what was asked before may have been lost.
+    /// The store responds again after an outage, in which earlier watches may have been lost.
     Outage,
-    /// Nothing came for too long.
+    /// The watch has had no response for too long.
     Silence,
 }
 
-/// The watches of one kind: the oldest that is under way, up to its limit, and the newest.
+/// The watches of one kind of objects: the oldest in flight, up to its timeout, and the newest.
 pub(super) struct Hedge<'a> {
     shared: &'a Shared,
     kind: Kind,
-    /// Outages of the store that have ended.
+    /// Number of outages of the store that have ended.
     outages: Receiver<u64>,
-    /// The connection of the last answer.
-    kept: Option<Connection>,
+    /// The connection of the last response, for reuse.
+    idle: Option<Connection>,
 }
 
 impl<'a> Hedge<'a> {
     pub(super) fn new(shared: &'a Shared, kind: Kind) -> Hedge<'a> {
-        Hedge { shared, kind, outages: shared.store.outages(), kept: None }
+        Hedge { shared, kind, outages: shared.store.outages(), idle: None }
     }
 
-    /// The first answer to a watch from this revision, or how the last one under way failed.
+    /// Returns the first response to a watch from this revision, or the failure of the last watch
+    /// in flight.
     ///
-    /// A doubt counts as a failure of the store, in which entries of sound servers may have run out.
-    pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> Told {
-        let mut oldest = self.ask(since, watch.wait);
-        let mut newest: Option<Asked<'a>> = None;
+    /// A doubt counts as a failure of the store, during which entries of healthy servers may have
+    /// expired.
+    pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
+        let mut oldest = self.start(since, watch.wait);
+        let mut newest: Option<PendingWatch<'a>> = None;
         let mut trusted = Instant::now() + watch.trust;
         loop {
             select! {
-                (told, connection) = &mut oldest => match newest.take() {
-                    Some(other) if !is_answer(&told) => {
-                        self.failed(&told);
+                (reply, connection) = &mut oldest => match newest.take() {
+                    Some(other) if !is_answer(&reply) => {
+                        self.log_failure(&reply);
                         oldest = other;
                     }
-                    _ => return self.end(told, connection),
+                    _ => return self.end(reply, connection),
                 },
-                Some((told, connection)) = poll(&mut newest) => {
-                    if is_answer(&told) {
-                        return self.end(told, connection);
+                Some((reply, connection)) = poll(&mut newest) => {
+                    if is_answer(&reply) {
+                        return self.end(reply, connection);
                     }
-                    self.failed(&told);
+                    self.log_failure(&reply);
                     newest = None;
                 }
                 cause = self.doubt(trusted) => {
                     if cause == Cause::Silence {
-                        self.shared.store.silent(self.kind, watch.trust);
+                        self.shared.store.report_silent_watch(self.kind, watch.trust);
                     }
-                    self.shared.store.fail();
-                    newest = Some(self.ask(since, watch.wait));
+                    self.shared.store.record_failure();
+                    newest = Some(self.start(since, watch.wait));
                     trusted = Instant::now() + watch.trust;
                 }
             }
         }
     }
 
-    /// Ends with the first reason to doubt what is under way.
+    /// Completes with the first reason to doubt the watches in flight.
     async fn doubt(&mut self, trusted: Instant) -> Cause {
         select! {
             _ = self.outages.changed() => Cause::Outage,
@@ -93,31 +96,31 @@
         }
     }
 
-    fn end(&mut self, told: Told, connection: Option<Connection>) -> Told {
-        if !is_answer(&told) {
-            self.failed(&told);
+    fn end(&mut self, reply: StoreReply, connection: Option<Connection>) -> StoreReply {
+        if !is_answer(&reply) {
+            self.log_failure(&reply);
         }
-        self.kept = connection;
-        told
+        self.idle = connection;
+        reply
     }
 
-    fn ask(&mut self, since: Revision, wait: Duration) -> Asked<'a> {
+    fn start(&mut self, since: Revision, wait: Duration) -> PendingWatch<'a> {
         self.outages.mark_unchanged();
-        Box::pin(self.shared.store.watch(self.kept.take(), self.kind, since, wait))
+        Box::pin(self.shared.store.watch(self.idle.take(), self.kind, since, wait))
     }
 
-    fn failed(&self, told: &Told) {
-        log::debug!(told:? = told; "a watch failed");
+    fn log_failure(&self, reply: &StoreReply) {
+        log::debug!(told:? = reply; "a watch failed");
     }
 }
 
-fn is_answer(told: &Told) -> bool {
-    matches!(told, Told::Seen(_) | Told::Compacted)
+fn is_answer(reply: &StoreReply) -> bool {
+    matches!(reply, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
-async fn poll(asked: &mut Option<Asked<'_>>) -> Option<(Told, Option<Connection>)> {
-    match asked {
-        Some(asked) => Some(asked.await),
+async fn poll(watch: &mut Option<PendingWatch<'_>>) -> Option<(StoreReply, Option<Connection>)> {
+    match watch {
+        Some(watch) => Some(watch.await),
         None => None,
     }
 }
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Ask, Call, Dialect, Limit, Malformed, Object, Onward, Order, Ordered, Problem, Reply,
-    Run, Seal, Told,
+    Answer, Call, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
+    OrderStatus, Problem, RequestInfo, Seal, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -30,8 +30,8 @@
         "/ready"
     }
 
-    fn ask(&self, head: &Parts) -> Result<Ask, Malformed> {
-        Ok(Ask {
+    fn request_info(&self, head: &Parts) -> Result<RequestInfo, Malformed> {
+        Ok(RequestInfo {
             id: text(&head.headers, "request-name").ok_or(Malformed::NoId)?.into(),
             host: text(&head.headers, "host").ok_or(Malformed::NoHost)?.into(),
             path: head.uri.path().into(),
@@ -60,12 +60,12 @@
         response
     }
 
-    fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>) {
-        let server = HeaderValue::from_str(onward.server).expect("an id");
+    fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>) {
+        let server = HeaderValue::from_str(options.server).expect("an id");
         headers.insert("run-of", server);
-        let left = u64::try_from(onward.deadline.as_millis()).expect("a short time");
+        let left = u64::try_from(options.deadline.as_millis()).expect("a short time");
         headers.insert("time-left", left.into());
-        if let Some(event) = onward.resume {
+        if let Some(event) = options.resume {
             headers.insert("resume-after", event.into());
         }
     }
@@ -75,7 +75,7 @@
         Answer {
             id: text(headers, "request-name").map(Arc::from),
             seal,
-            run: headers.get("not-run").map_or(Run::Unsaid, |_| Run::Not),
+            execution: headers.get("not-run").map_or(Execution::Unstated, |_| Execution::NotRun),
             load: None,
             instance: None,
             keep_alive: text(headers, "keep-alive")
@@ -97,8 +97,8 @@
         Request::new(Bytes::new())
     }
 
-    fn ordered(&self, _: &Response<Bytes>) -> Reply {
-        Reply { ordered: Ordered::Unknown, born: 0 }
+    fn order_reply(&self, _: &Response<Bytes>) -> OrderReply {
+        OrderReply { status: OrderStatus::Unknown, born: 0 }
     }
 
     fn store_call(&self, call: &Call<'_>) -> Request<Bytes> {
@@ -109,16 +109,16 @@
         Request::get(path).body(Bytes::new()).expect("a call")
     }
 
-    fn told(&self, call: &Call<'_>, _: &Response<Bytes>) -> Told {
+    fn store_reply(&self, call: &Call<'_>, _: &Response<Bytes>) -> StoreReply {
         match call {
-            Call::List { kind, .. } => Told::Page(self.world.page(*kind)),
-            Call::Watch { kind, .. } => Told::Seen(self.world.seen(*kind)),
+            Call::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
+            Call::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
             Call::Create { kind: relay::edge::Kind::Host, name, content } => {
                 self.world.registered.send_replace(true);
                 let content = (*content).clone();
-                Told::Object(Object { name: (*name).into(), revision: 1, content })
+                StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
             }
-            _ => Told::Refused,
+            _ => StoreReply::Refused,
         }
     }
 
