--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -1,6 +1,6 @@
 //! Stand-ins of a routed deployment: the store, its servers, callers, and a site of real hosts.
 //!
-//! They speak through the far side's codecs, are scripted by tests, and simulate no performance.
+//! They speak through the remote ends' codecs, are scripted by tests, and simulate no performance.
 
 pub mod caller;
 pub mod host;
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
-use platform::far::caller as far;
+use platform::remote::caller as remote;
 use relay::edge;
 use tokio::{
     net::{TcpSocket, TcpStream},
@@ -148,10 +148,10 @@
 
     /// The request as it is sent.
     pub fn request(&self) -> Request<Bytes> {
-        let mut request = far::request(self.method.clone(), &self.ask, self.body.clone());
+        let mut request = remote::request(self.method.clone(), &self.ask, self.body.clone());
         request.headers_mut().extend(self.headers.clone());
         if self.is_forged {
-            far::forge(request.headers_mut());
+            remote::forge(request.headers_mut());
         }
         request
     }
@@ -165,7 +165,7 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// What its head says to callers.
-    pub told: far::Answer,
+    pub told: remote::Answer,
     /// Its body.
     pub body: Bytes,
     /// Whether it came whole.
@@ -347,7 +347,7 @@
                 Err(_) => break false,
             }
         };
-        let told = far::answer(&self.head.headers);
+        let told = remote::answer(&self.head.headers);
         let (status, headers) = (self.head.status, self.head.headers);
         Ok(Answer { status, headers, told, body: self.text.freeze(), whole })
     }
--- a/crates/standin/src/routed/host.rs
+++ b/crates/standin/src/routed/host.rs
@@ -88,7 +88,7 @@
 
     /// What it answers to the balancer; nothing if it doesn't.
     pub async fn says_ready(&self) -> Option<StatusCode> {
-        let request = Request::get(platform::far::READY)
+        let request = Request::get(platform::remote::READY)
             .header(header::HOST, self.operators.to_string())
             .body(Bytes::new())
             .ok()?;
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -19,7 +19,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use platform::far::server::Asked;
+use platform::remote::server::Asked;
 use tokio::{sync::watch, task::AbortHandle, time::Instant};
 use types::{
     prelude::*,
@@ -345,7 +345,7 @@
     fn name_limit(&self, headers: &mut http::HeaderMap) {
         let limit = lock(&self.script).limit.clone();
         if let Some(limit) = &limit {
-            platform::far::server::limit(headers, limit);
+            platform::remote::server::limit(headers, limit);
         }
         lock(&self.quota).named(limit.as_deref(), self.began.elapsed());
     }
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, request::Parts};
-use platform::far::server::{self as far, Asked, Call, Health};
+use platform::remote::server::{self as remote, Asked, Call, Health};
 use relay::edge::Ordered;
 use tokio::time::{Instant, sleep};
 use types::routed::{Report, State};
@@ -49,27 +49,27 @@
 ) -> io::Result<After> {
     let (head, body) = request.into_parts();
     note_arrival(shared, &head, &body);
-    let expected = far::expected(&head.headers);
+    let expected = remote::expected(&head.headers);
     if expected.is_some_and(|expected| *expected != *shared.settings.id) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
-    match far::call(&head, &body) {
+    match remote::call(&head, &body) {
         Call::Report => {
             let lag = lock(&shared.script).lag;
             let report = shared.stock().report(shared.load(), lag);
             let report = Report { born: shared.settings.born, ..report };
-            connection.write(&far::report(&report)).await.map(|()| After::Keep)
+            connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
-            let answer = far::ordered(Ordered::Invalid, shared.settings.born);
+            let answer = remote::ordered(Ordered::Invalid, shared.settings.born);
             connection.write(&answer).await.map(|()| After::Keep)
         }
         Call::Order(Some(order)) => ordered(shared, connection, order).await,
         Call::Request(_) if head.uri.path() == &*shared.settings.health => {
             let is_ready = shared.registered.borrow().state == State::Ready;
             let health = if is_ready { Health::Well } else { Health::Ill };
-            let mut response = far::health(&shared.settings.id, health);
-            far::load(response.headers_mut(), shared.load());
+            let mut response = remote::health(&shared.settings.id, health);
+            remote::load(response.headers_mut(), shared.load());
             connection.write(&response).await.map(|()| After::Keep)
         }
         Call::Request(asked) => requested(shared, connection, *asked, head, body, stale).await,
@@ -78,7 +78,7 @@
 
 fn note_arrival(shared: &Shared, head: &Parts, body: &[u8]) {
     if head.uri.path() != &*shared.settings.health
-        && let Call::Request(asked) = far::call(head, body)
+        && let Call::Request(asked) = remote::call(head, body)
         && let Some(id) = asked.id
     {
         lock(&shared.arrivals).push(Arrival { id, at: Instant::now() });
@@ -88,7 +88,7 @@
 async fn ordered(
     shared: &Arc<Shared>,
     connection: &mut Connection,
-    order: far::Order,
+    order: remote::Order,
 ) -> io::Result<After> {
     let (came, fault) = (Instant::now(), lock(&shared.script).orders.pop_front());
     if let Some(OrderFault::Late(late)) = fault {
@@ -104,11 +104,11 @@
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
-    let answer = far::ordered(outcome, shared.settings.born);
+    let answer = remote::ordered(outcome, shared.settings.born);
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
-fn carry_out(shared: &Arc<Shared>, order: &far::Order, came: Instant) -> Ordered {
+fn carry_out(shared: &Arc<Shared>, order: &remote::Order, came: Instant) -> Ordered {
     let (outcome, coming) = shared.stock().order(order, came);
     shared.register();
     if shared.stock().overload.is_some() {
@@ -134,13 +134,13 @@
 ) -> io::Result<After> {
     let mut response = Response::new(Bytes::from_static(b"{\"error\":\"not run\"}"));
     *response.status_mut() = status;
-    far::not_run(response.headers_mut());
-    far::load(response.headers_mut(), shared.load());
+    remote::not_run(response.headers_mut());
+    remote::load(response.headers_mut(), shared.load());
     shared.name_limit(response.headers_mut());
-    if let Call::Request(asked) = far::call(head, &[])
+    if let Call::Request(asked) = remote::call(head, &[])
         && let Some(id) = &asked.id
     {
-        far::echo(response.headers_mut(), id);
+        remote::echo(response.headers_mut(), id);
     }
     connection.write(&response).await.map(|()| After::Keep)
 }
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/stock.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use platform::far::server::Order;
+use platform::remote::server::Order;
 use relay::edge::{Operation, Ordered};
 use tokio::time::Instant;
 use types::{
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, header};
-use platform::far::server as far;
+use platform::remote::server as remote;
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -65,11 +65,11 @@
         }
         let headers = response.headers_mut();
         match self.fault {
-            Some(Fault::OtherId) => far::echo(headers, "another-request"),
-            _ => far::echo(headers, &self.id),
+            Some(Fault::OtherId) => remote::echo(headers, "another-request"),
+            _ => remote::echo(headers, &self.id),
         }
         if self.fault != Some(Fault::Unsealed) {
-            far::seal(headers, &format!("{}.{}", self.shared.settings.id, self.id));
+            remote::seal(headers, &format!("{}.{}", self.shared.settings.id, self.id));
         }
         if self.fault == Some(Fault::Encoded) {
             headers.insert(header::CONTENT_ENCODING, HeaderValue::from_static("gzip"));
@@ -77,9 +77,9 @@
         if self.fault == Some(Fault::Closing) {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         } else if let Some(idle) = self.shared.settings.idle {
-            far::keep_alive(headers, idle);
+            remote::keep_alive(headers, idle);
         }
-        far::load(headers, self.shared.load());
+        remote::load(headers, self.shared.load());
         if !self.is_withheld() {
             self.shared.name_limit(headers);
         }
@@ -134,7 +134,7 @@
         }
         let extra = || {
             let mut extra = response.clone();
-            far::echo(extra.headers_mut(), "late-answer");
+            remote::echo(extra.headers_mut(), "late-answer");
             wire::whole(&extra)
         };
         match self.fault {
@@ -171,8 +171,8 @@
     /// The head of a stream.
     fn opening(&self) -> Vec<u8> {
         let mut head = self.head();
-        far::streams(head.headers_mut());
-        far::version(head.headers_mut(), 1);
+        remote::streams(head.headers_mut());
+        remote::version(head.headers_mut(), 1);
         wire::opening(&head, Framing::Chunks)
     }
 
@@ -183,7 +183,7 @@
         };
         let resume = lock(&self.shared.runs)[self.run].asked.resume.unwrap_or_default();
         for number in resume + 1..=events {
-            let event = far::event(number, &format!("token {number}"));
+            let event = remote::event(number, &format!("token {number}"));
             let made = number - 1 - resume;
             match self.fault {
                 Some(Fault::Broken { events }) if events == made => {
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-use platform::far::{entry, store as far};
+use platform::remote::{entry, store as remote};
 use relay::edge::Kind;
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -90,7 +90,7 @@
     /// Writes a declaration as the operator does.
     pub fn declare(&self, declaration: &Declaration) {
         let content = entry::declaration(declaration);
-        self.store.put(&far::kind(Kind::Declaration), DECLARATION, content);
+        self.store.put(&remote::kind(Kind::Declaration), DECLARATION, content);
     }
 
     /// A server's last run.
@@ -124,7 +124,7 @@
     /// Takes a server's registration away for good.
     pub fn forget(&mut self, id: &str) {
         self.silence(id);
-        self.store.remove(&far::kind(Kind::Server), id);
+        self.store.remove(&remote::kind(Kind::Server), id);
     }
 
     /// How often a request ran, over all servers.
@@ -145,7 +145,7 @@
 }
 
 fn put(store: &Store, server: &types::routed::Server) {
-    store.put(&far::kind(Kind::Server), &server.name, entry::server(server));
+    store.put(&remote::kind(Kind::Server), &server.name, entry::server(server));
 }
 
 /// Keeps a server's registration as the server says it.
@@ -308,16 +308,16 @@
 }
 
 /// The kind of the servers' entries.
-pub fn servers() -> far::KindId {
-    far::kind(Kind::Server)
+pub fn servers() -> remote::KindId {
+    remote::kind(Kind::Server)
 }
 
 /// The kind of the declaration.
-pub fn declarations() -> far::KindId {
-    far::kind(Kind::Declaration)
+pub fn declarations() -> remote::KindId {
+    remote::kind(Kind::Declaration)
 }
 
 /// The kind of leases.
-pub fn leases() -> far::KindId {
-    far::kind(Kind::Lease)
+pub fn leases() -> remote::KindId {
+    remote::kind(Kind::Lease)
 }
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -107,7 +107,7 @@
 }
 
 async fn says_ready(address: SocketAddr) -> bool {
-    let request = http::Request::get(platform::far::READY)
+    let request = http::Request::get(platform::remote::READY)
         .header(http::header::HOST, address.to_string())
         .body(bytes::Bytes::new());
     let Ok(request) = request else { return false };
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -403,7 +403,7 @@
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
             tokio::time::sleep(STALE).await;
-            store.remove(&platform::far::store::kind(Kind::Server), &old);
+            store.remove(&platform::remote::store::kind(Kind::Server), &old);
         });
         self.serve(place).await
     }
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use http::{Request, Response};
-use platform::far::store::{self as far, Call, KindId};
+use platform::remote::store::{self as remote, Call, KindId};
 use relay::edge::{Object, Revision};
 use serde_json::Value;
 use tokio::{sync::watch, time::Instant};
@@ -314,7 +314,7 @@
 }
 
 async fn answer(shared: &Arc<Shared>, door: &str, request: &Request<Bytes>) -> Reply {
-    let Some(call) = far::call(request) else { return Reply::Send(far::invalid()) };
+    let Some(call) = remote::call(request) else { return Reply::Send(remote::invalid()) };
     shared.count(door, |count| match &call {
         Call::Watch { .. } => count.watches += 1,
         call if call.is_write() => count.writes += 1,
@@ -346,8 +346,8 @@
 fn refuse(shared: &Shared, door: &str, refusal: Refusal) -> Reply {
     shared.count(door, |count| count.refused += 1);
     match refusal {
-        Refusal::Down => Reply::Send(far::down()),
-        Refusal::TooMany => Reply::Send(far::too_many()),
+        Refusal::Down => Reply::Send(remote::down()),
+        Refusal::TooMany => Reply::Send(remote::too_many()),
         Refusal::Reset => Reply::Reset,
         Refusal::Silence | Refusal::Hold => Reply::Silence,
     }
@@ -397,9 +397,9 @@
         }
         let watched = lock(&shared.state).watched(kind, since);
         match watched {
-            Watched::Compacted => return Reply::Send(far::compacted()),
+            Watched::Compacted => return Reply::Send(remote::compacted()),
             Watched::Seen(seen) if !seen.changes.is_empty() || end <= Instant::now() => {
-                return Reply::Send(far::seen(&seen));
+                return Reply::Send(remote::seen(&seen));
             }
             Watched::Seen(_) => {}
         }
--- a/crates/standin/src/routed/store/state.rs
+++ b/crates/standin/src/routed/store/state.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::Response;
-use platform::far::store::{self as far, Call, KindId};
+use platform::remote::store::{self as remote, Call, KindId};
 use relay::edge::{Change, Object, Page, Revision, Seen};
 use serde_json::Value;
 
@@ -86,24 +86,24 @@
     /// Carries out a call that does not wait.
     pub(super) fn apply(&mut self, call: &Call) -> Response<Bytes> {
         match call {
-            Call::List { kind, after } => far::page(&self.list(kind, after.as_ref())),
+            Call::List { kind, after } => remote::page(&self.list(kind, after.as_ref())),
             Call::Get { kind, name } => {
-                self.object(kind, name).map_or_else(far::absent, far::object)
+                self.object(kind, name).map_or_else(remote::absent, remote::object)
             }
             Call::Create { kind, name, content } => match self.object(kind, name) {
-                Some(held) => far::conflict(held),
-                None => far::object(&self.write(kind, name, content.clone())),
+                Some(held) => remote::conflict(held),
+                None => remote::object(&self.write(kind, name, content.clone())),
             },
             Call::Replace { kind, name, revision, content } => {
                 self.if_at(kind, name, *revision, |state| {
-                    far::object(&state.write(kind, name, content.clone()))
+                    remote::object(&state.write(kind, name, content.clone()))
                 })
             }
             Call::Delete { kind, name, revision } => self.if_at(kind, name, *revision, |state| {
                 state.remove(kind, name);
-                far::removed()
+                remote::removed()
             }),
-            Call::Watch { .. } => far::invalid(),
+            Call::Watch { .. } => remote::invalid(),
         }
     }
 
@@ -115,9 +115,9 @@
         change: impl FnOnce(&mut State) -> Response<Bytes>,
     ) -> Response<Bytes> {
         match self.object(kind, name) {
-            None => far::absent(),
+            None => remote::absent(),
             Some(held) if revision.is_some_and(|revision| revision != held.revision) => {
-                far::conflict(held)
+                remote::conflict(held)
             }
             Some(_) => change(self),
         }
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use platform::{
     Platform,
-    far::{entry, server},
+    remote::{entry, server},
 };
 use relay::edge::{
     Call, Change, Dialect, Kind as Of, Object, Operation, Order, Ordered, Seen, Told,
@@ -255,7 +255,7 @@
     let Told::Seen(none) = told(door, &watch(revision)).await else { panic!("unseen") };
     assert!(none.changes.is_empty());
 
-    store.remove(&platform::far::store::kind(Of::Lease), "x");
+    store.remove(&platform::remote::store::kind(Of::Lease), "x");
     let Told::Seen(seen) = told(door, &watch(revision)).await else { panic!("unseen") };
     assert!(matches!(&seen.changes[..], [Change::Removed { name, .. }] if &**name == "x"));
     store.compact();
@@ -288,7 +288,7 @@
     let (store, door) = store().await;
     store.at("door", change);
     assert!(matches!(told(door, &create("x", &json!({}))).await, Told::Unclear));
-    let kind = platform::far::store::kind(Of::Lease);
+    let kind = platform::remote::store::kind(Of::Lease);
     until("the write takes effect", async || store.object(&kind, "x").is_some()).await;
 }
 
@@ -302,7 +302,7 @@
         panic!("not replaced")
     };
     until("the late write is judged", async || store.count("door").late == 1).await;
-    let kind = platform::far::store::kind(Of::Lease);
+    let kind = platform::remote::store::kind(Of::Lease);
     let held = store.object(&kind, "x").unwrap();
     assert_eq!((held.revision, held.content), (next.revision, json!(3)));
 }
