--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -19,7 +19,7 @@
 
 use bytes::Bytes;
 use http::Method;
-use platform::remote::server::Asked;
+use platform::remote::server::IncomingRequest;
 use tokio::{sync::watch, task::AbortHandle, time::Instant};
 use types::{
     prelude::*,
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// What it asked.
-    pub asked: Asked,
+    pub asked: IncomingRequest,
     /// Its method.
     pub method: Method,
     /// Its path with the query.
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, request::Parts};
-use platform::remote::server::{self as remote, Asked, Call, Health};
+use platform::remote::server::{self as remote, Call, Health, IncomingRequest};
 use relay::edge::Ordered;
 use tokio::time::{Instant, sleep};
 use types::routed::{Report, State};
@@ -192,7 +192,7 @@
 async fn requested(
     shared: &Arc<Shared>,
     connection: &mut Connection,
-    asked: Asked,
+    asked: IncomingRequest,
     head: Parts,
     body: Bytes,
     stale: &mut Stale,
@@ -235,7 +235,7 @@
     fault: Option<Fault>,
 }
 
-fn begin(shared: &Shared, asked: Asked, head: Parts, body: Bytes, met: Met) -> usize {
+fn begin(shared: &Shared, asked: IncomingRequest, head: Parts, body: Bytes, met: Met) -> usize {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str()).to_owned();
     let (method, headers) = (head.method, head.headers);
     let began = Instant::now();
