--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -67,7 +67,7 @@
         Call::Order(Some(order)) => ordered(shared, connection, order).await,
         Call::Request(_) if head.uri.path() == &*shared.settings.health => {
             let is_ready = shared.registered.borrow().state == State::Ready;
-            let health = if is_ready { Health::Well } else { Health::Ill };
+            let health = if is_ready { Health::Healthy } else { Health::Unhealthy };
             let mut response = remote::health(&shared.settings.id, health);
             remote::load(response.headers_mut(), shared.load());
             connection.write(&response).await.map(|()| After::Keep)
