--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -151,7 +151,7 @@
         let mut request = remote::request(self.method.clone(), &self.ask, self.body.clone());
         request.headers_mut().extend(self.headers.clone());
         if self.is_forged {
-            remote::forge(request.headers_mut());
+            remote::set_reserved(request.headers_mut());
         }
         request
     }
