--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -112,7 +112,7 @@
     S: Service<Request<Incoming>, Response = Response<HttpBody>>,
     S::Error: std::fmt::Display,
 {
-    if !settings.token.is_shown_in(request.headers()) {
+    if !settings.token.authorizes(request.headers()) {
         settings.refused.fetch_add(1, Ordering::Relaxed);
         log::warn!(from:% = from; "peer without the right token");
         return empty(StatusCode::UNAUTHORIZED);
--- a/crates/peer/src/token.rs
+++ b/crates/peer/src/token.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether these headers show it; the time depends only on what they show.
-    pub fn is_shown_in(&self, headers: &HeaderMap) -> bool {
+    pub fn authorizes(&self, headers: &HeaderMap) -> bool {
         let Some(wanted) = &self.0 else { return true };
         let shown = headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
         wanted.hash.as_bytes().ct_eq(blake3::hash(shown).as_bytes()).into()
--- a/crates/stage/src/guard.rs
+++ b/crates/stage/src/guard.rs
@@ -71,7 +71,7 @@
 
     /// Whether a request may pass.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
-        self.token.is_shown_in(headers)
+        self.token.authorizes(headers)
     }
 
     /// Notes a refusal.
