--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -30,8 +30,8 @@
 pub type Streamed = Response<Incoming>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const POOL_IDLE: Duration = Duration::from_secs(10);
-const DETAIL_BYTES: usize = 300;
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_DETAIL_BYTES: usize = 300;
 
 /// Client of backend servers.
 #[derive(Clone, Debug)]
@@ -54,8 +54,9 @@
     /// Makes a client whose bytes count on this meter.
     pub fn metered(meter: Meter) -> Client {
         let connector = Connector::new(meter, CONNECT_TIMEOUT);
-        let http =
-            Http::builder(TokioExecutor::new()).pool_idle_timeout(POOL_IDLE).build(connector);
+        let http = Http::builder(TokioExecutor::new())
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .build(connector);
         Client { http }
     }
 
@@ -122,7 +123,7 @@
         let request = self.json(address, "/kv/export", cache)?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        checked(address, status, body)
+        require_success(address, status, body)
     }
 
     /// Has the engine import what another exported.
@@ -135,16 +136,16 @@
         let request = request.map_err(|e| malformed(address, &e))?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        checked(address, status, body).map(|_| ())
+        require_success(address, status, body).map(|_| ())
     }
 
     async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        content: &Q,
     ) -> Result<A, Error> {
-        let request = self.json(address, path, question)?;
+        let request = self.json(address, path, content)?;
         self.ask(address, Ok(request)).await
     }
 
@@ -152,9 +153,9 @@
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        content: &Q,
     ) -> Result<Request<Body>, Error> {
-        let body = serde_json::to_vec(question).map_err(|e| malformed(address, &e))?;
+        let body = serde_json::to_vec(content).map_err(|e| malformed(address, &e))?;
         Request::post(path)
             .header(header::CONTENT_TYPE, "application/json")
             .body(whole(Bytes::from(body)))
@@ -169,7 +170,7 @@
         let request = request.map_err(|e| malformed(address, &e))?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        let body = checked(address, status, body)?;
+        let body = require_success(address, status, body)?;
         serde_json::from_slice(&body).map_err(|e| malformed(address, &e))
     }
 }
@@ -194,7 +195,7 @@
     Ok((status, body.to_bytes()))
 }
 
-pub(crate) fn checked(
+pub(crate) fn require_success(
     address: SocketAddr,
     status: StatusCode,
     body: Bytes,
@@ -202,7 +203,7 @@
     if status.is_success() {
         return Ok(body);
     }
-    let start = &body[..body.len().min(DETAIL_BYTES)];
+    let start = &body[..body.len().min(MAX_DETAIL_BYTES)];
     let detail = String::from_utf8_lossy(start).into_owned();
     Err(Error::Status { address, status, detail })
 }
--- a/crates/backend/src/reports.rs
+++ b/crates/backend/src/reports.rs
@@ -10,7 +10,7 @@
 use types::{report::Load, resident::Resident};
 
 use crate::{
-    client::{Client, checked, empty, malformed, read},
+    client::{Client, empty, malformed, read, require_success},
     error::Error,
     wire,
 };
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug)]
 pub struct Reader {
     address: SocketAddr,
-    known: Option<Known>,
+    cached: Option<CachedResidents>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct CachedResidents {
     tag: HeaderValue,
     residents: Vec<Resident>,
 }
@@ -31,7 +31,7 @@
 impl Reader {
     /// A reader that knows nothing yet.
     pub fn new(address: SocketAddr) -> Reader {
-        Reader { address, known: None }
+        Reader { address, cached: None }
     }
 
     /// Asks for a report.
@@ -43,15 +43,15 @@
         let response = client.send(self.address, self.request()?).await?;
         let headers = response.headers().clone();
         let (status, body) = read(self.address, response).await?;
-        let body = checked(self.address, status, body)?;
+        let body = require_success(self.address, status, body)?;
         let load: Load = serde_json::from_slice(&body).map_err(|e| malformed(self.address, &e))?;
         Ok(self.complete(&headers, load))
     }
 
     fn request(&self) -> Result<Request<crate::Body>, Error> {
         let mut request = Request::get("/load");
-        if let Some(known) = &self.known {
-            request = request.header(wire::KNOWN_RESIDENTS, &known.tag);
+        if let Some(cached) = &self.cached {
+            request = request.header(wire::KNOWN_RESIDENTS, &cached.tag);
         }
         request.body(empty()).map_err(|e| malformed(self.address, &e))
     }
@@ -59,14 +59,15 @@
     /// Puts the known residents into a report that left them out, or learns new ones.
     fn complete(&mut self, headers: &HeaderMap, mut load: Load) -> Load {
         let tag = headers.get(wire::RESIDENTS);
-        match (tag, &self.known) {
-            (Some(tag), Some(known)) if *tag == known.tag => {
-                load.residents.clone_from(&known.residents);
+        match (tag, &self.cached) {
+            (Some(tag), Some(cached)) if *tag == cached.tag => {
+                load.residents.clone_from(&cached.residents);
             }
             (Some(tag), _) => {
-                self.known = Some(Known { tag: tag.clone(), residents: load.residents.clone() });
+                self.cached =
+                    Some(CachedResidents { tag: tag.clone(), residents: load.residents.clone() });
             }
-            (None, _) => self.known = None,
+            (None, _) => self.cached = None,
         }
         load
     }
--- a/crates/objects/src/client.rs
+++ b/crates/objects/src/client.rs
@@ -169,13 +169,15 @@
         match answer.status {
             StatusCode::PRECONDITION_FAILED => Err(Error::Conflict { key: key.into() }),
             StatusCode::PAYLOAD_TOO_LARGE => Err(Error::TooLarge { key: key.into(), size }),
-            _ => self.checked(answer),
+            _ => self.require_success(answer),
         }
     }
 
-    fn checked(&self, answer: Answer) -> Result<Answer, Error> {
+    fn require_success(&self, answer: Answer) -> Result<Answer, Error> {
         match answer.status {
-            StatusCode::TOO_MANY_REQUESTS => Err(Error::Limited { retry_after: wait(&answer) }),
+            StatusCode::TOO_MANY_REQUESTS => {
+                Err(Error::Limited { retry_after: retry_after(&answer) })
+            }
             StatusCode::SERVICE_UNAVAILABLE => Err(self.unavailable("503".into())),
             status if status.is_success() => Ok(answer),
             status => Err(self.malformed(format!("status {status}"))),
@@ -217,7 +219,7 @@
             if answer.status == StatusCode::NOT_FOUND {
                 return Ok(None);
             }
-            let answer = self.checked(answer)?;
+            let answer = self.require_success(answer)?;
             let version = self.version(&answer)?;
             Ok(Some(Object { key: key.into(), version, value: answer.body }))
         })
@@ -228,7 +230,7 @@
             let path = format!("/objects?prefix={prefix}");
             let answer =
                 self.call(Method::GET, &path, Condition::None, Bytes::new(), self.timeout).await?;
-            let answer = self.checked(answer)?;
+            let answer = self.require_success(answer)?;
             let listing: WireListing = self.parse(&answer)?;
             let objects = listing.objects.into_iter().filter_map(WireObject::into_object).collect();
             Ok(Listing { revision: listing.revision, objects })
@@ -276,7 +278,7 @@
             if answer.status == StatusCode::GONE {
                 return Err(Error::Gone { from });
             }
-            let answer = self.checked(answer)?;
+            let answer = self.require_success(answer)?;
             let changes: WireChanges = self.parse(&answer)?;
             let revision = changes.revision;
             let changes = changes.events.into_iter().map(WireObject::into_change).collect();
@@ -289,7 +291,7 @@
             let answer = self
                 .call(Method::GET, "/hosts", Condition::None, Bytes::new(), self.timeout)
                 .await?;
-            let answer = self.checked(answer)?;
+            let answer = self.require_success(answer)?;
             self.parse(&answer)
         })
     }
@@ -315,7 +317,7 @@
     Version(Version),
 }
 
-fn wait(answer: &Answer) -> Duration {
+fn retry_after(answer: &Answer) -> Duration {
     answer
         .headers
         .get(header::RETRY_AFTER)
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -38,8 +38,8 @@
 
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(300);
 const CONTENT_TIMEOUT: Duration = Duration::from_secs(5);
-const IDLE_CONNECTION: Duration = Duration::from_secs(30);
-const ANSWER_BYTES: u32 = 64 * 1024 * 1024;
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_RESPONSE_BYTES: u32 = 64 * 1024 * 1024;
 
 /// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
@@ -86,7 +86,7 @@
         let timeout = self.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let http = Http::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_CONNECTION)
+            .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
             .build(Connector::new(self.meter, timeout));
         Client { token: self.token, timeout, transport: Transport(http), peers: Mutex::default() }
     }
@@ -115,7 +115,7 @@
         heartbeat: Heartbeat,
     ) -> Result<Heartbeat, Error> {
         let peer = self.peer(address)?;
-        within(self.timeout, peer.heartbeat(heartbeat)).await.map_err(failed(address))
+        with_timeout(self.timeout, peer.heartbeat(heartbeat)).await.map_err(error_at(address))
     }
 
     /// Asks a host to try another; it may take as long as that takes.
@@ -125,7 +125,7 @@
     /// If no answer comes in time.
     pub async fn probe(&self, address: SocketAddr, target: &Host) -> Result<Outcome, Error> {
         let peer = self.peer(address)?;
-        within(self.timeout * 2, peer.probe(target.clone())).await.map_err(failed(address))
+        with_timeout(self.timeout * 2, peer.probe(target.clone())).await.map_err(error_at(address))
     }
 
     /// Tries a host.
@@ -135,7 +135,7 @@
     /// If no answer comes in time.
     pub async fn ping(&self, address: SocketAddr) -> Result<(), Error> {
         let peer = self.peer(address)?;
-        within(self.timeout, peer.ping()).await.map_err(failed(address))
+        with_timeout(self.timeout, peer.ping()).await.map_err(error_at(address))
     }
 
     /// Asks for the hosts and backend servers that a host knows.
@@ -145,7 +145,7 @@
     /// If no answer comes in time.
     pub async fn members(&self, address: SocketAddr) -> Result<List, Error> {
         let peer = self.peer(address)?;
-        within(CONTENT_TIMEOUT, peer.members()).await.map_err(failed(address))
+        with_timeout(CONTENT_TIMEOUT, peer.members()).await.map_err(error_at(address))
     }
 
     /// Fetches what a host holds on a topic.
@@ -160,7 +160,7 @@
         above: u64,
     ) -> Result<Content, Error> {
         let peer = self.peer(address)?;
-        within(CONTENT_TIMEOUT, peer.fetch(topic, above)).await.map_err(failed(address))
+        with_timeout(CONTENT_TIMEOUT, peer.fetch(topic, above)).await.map_err(error_at(address))
     }
 
     /// Fetches a part of the configuration, by its key.
@@ -170,7 +170,7 @@
     /// If the host does not hold it, or no answer comes in time.
     pub async fn part(&self, address: SocketAddr, key: &str) -> Result<Box<RawValue>, Error> {
         let peer = self.peer(address)?;
-        within(CONTENT_TIMEOUT, peer.part(key.to_owned())).await.map_err(failed(address))
+        with_timeout(CONTENT_TIMEOUT, peer.part(key.to_owned())).await.map_err(error_at(address))
     }
 
     /// Forgets hosts other than these.
@@ -187,25 +187,25 @@
         let transport = self.transport.clone();
         let peer = HttpClientBuilder::new()
             .set_headers(self.token.headers())
-            .max_response_size(ANSWER_BYTES)
+            .max_response_size(MAX_RESPONSE_BYTES)
             .request_timeout(CONTENT_TIMEOUT)
             .set_http_middleware(ServiceBuilder::new().layer(layer_fn(move |_| transport.clone())))
             .build(format!("http://{address}"))
-            .map_err(failed(address))?;
+            .map_err(error_at(address))?;
         let peer = Arc::new(peer);
         peers.insert(address, peer.clone());
         Ok(peer)
     }
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, client::Error>>,
 ) -> Result<T, client::Error> {
     tokio::time::timeout(limit, call).await.unwrap_or(Err(client::Error::RequestTimeout))
 }
 
-fn failed(address: SocketAddr) -> impl FnOnce(client::Error) -> Error {
+fn error_at(address: SocketAddr) -> impl FnOnce(client::Error) -> Error {
     move |cause| Error { address, cause }
 }
 
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -26,13 +26,13 @@
 };
 
 /// Largest request; the largest is a heartbeat.
-const REQUEST_BYTES: u32 = 64 * 1024;
+const MAX_REQUEST_BYTES: u32 = 64 * 1024;
 
 /// Largest answer; the largest is a whole configuration.
-const ANSWER_BYTES: u32 = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u32 = 64 * 1024 * 1024;
 
 /// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What other hosts see of this one.
 #[derive(Clone, Debug)]
@@ -56,8 +56,8 @@
     let methods = Adapter(api).into_rpc();
     let config = ServerConfig::builder()
         .http_only()
-        .max_request_body_size(REQUEST_BYTES)
-        .max_response_body_size(ANSWER_BYTES)
+        .max_request_body_size(MAX_REQUEST_BYTES)
+        .max_response_body_size(MAX_RESPONSE_BYTES)
         .build();
     let builder = Server::builder().set_config(config).to_service_builder();
     loop {
@@ -72,7 +72,7 @@
             }
             Err(error) => {
                 log::warn!("peers' listener: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/peer/src/token.rs
+++ b/crates/peer/src/token.rs
@@ -13,10 +13,10 @@
 
 /// The token that callers of a listener must show, or none.
 #[derive(Clone, Default)]
-pub struct Token(Option<Wanted>);
+pub struct Token(Option<Expected>);
 
 #[derive(Clone)]
-struct Wanted {
+struct Expected {
     header: HeaderValue,
     hash: blake3::Hash,
 }
@@ -28,28 +28,28 @@
     ///
     /// If it holds characters that a header can't carry.
     pub fn new(token: Option<&str>) -> Result<Token, InvalidHeaderValue> {
-        Ok(Token(token.map(Wanted::new).transpose()?))
+        Ok(Token(token.map(Expected::new).transpose()?))
     }
 
     /// The headers that show it.
     pub(crate) fn headers(&self) -> HeaderMap {
-        self.0.iter().map(|wanted| (AUTHORIZATION, wanted.header.clone())).collect()
+        self.0.iter().map(|expected| (AUTHORIZATION, expected.header.clone())).collect()
     }
 
     /// Whether these headers show it; the time depends only on what they show.
     pub fn authorizes(&self, headers: &HeaderMap) -> bool {
-        let Some(wanted) = &self.0 else { return true };
+        let Some(expected) = &self.0 else { return true };
         let shown = headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
-        wanted.hash.as_bytes().ct_eq(blake3::hash(shown).as_bytes()).into()
+        expected.hash.as_bytes().ct_eq(blake3::hash(shown).as_bytes()).into()
     }
 }
 
-impl Wanted {
-    fn new(token: &str) -> Result<Wanted, InvalidHeaderValue> {
+impl Expected {
+    fn new(token: &str) -> Result<Expected, InvalidHeaderValue> {
         let mut header = HeaderValue::from_str(&format!("{SCHEME}{token}"))?;
         header.set_sensitive(true);
         let hash = blake3::hash(header.as_bytes());
-        Ok(Wanted { header, hash })
+        Ok(Expected { header, hash })
     }
 }
 
