--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP client of backend servers.
 //!
-//! Never repeats a request by itself. The pool below it may pick a fresh connection for a request
-//! of which no byte was written, which is safe for every request.
+//! The client never retries a request. Its connection pool may move a request of which no byte was
+//! written to a new connection, which is safe for every request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,20 +20,20 @@
 
 use crate::{error::Error, wire};
 
-/// Error of a request body that is passed on.
+/// Error of a request body that is forwarded as a stream.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A request body, whole or streamed.
+/// A request body, complete in memory or streamed.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub type Streamed = Response<Incoming>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_DETAIL_BYTES: usize = 300;
 
-/// Client of backend servers.
+/// HTTP client of backend servers with a connection pool, which clones share.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: Http<Connector, Body>,
@@ -46,12 +46,12 @@
 }
 
 impl Client {
-    /// Makes a client; it connects when first used.
+    /// Creates a client, which connects on first use.
     pub fn new() -> Client {
         Client::metered(Meter::default())
     }
 
-    /// Makes a client whose bytes count on this meter.
+    /// Creates a client that counts the bytes of its connections on `meter`.
     pub fn metered(meter: Meter) -> Client {
         let connector = Connector::new(meter, CONNECT_TIMEOUT);
         let http = Http::builder(TokioExecutor::new())
@@ -60,11 +60,12 @@
         Client { http }
     }
 
-    /// Sends a request whose URI is a path; any status counts as an answer.
+    /// Sends a request whose URI is a path. A response of any status is `Ok`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if no byte can have left, else [`Error::Broken`].
+    /// [`Error::Unreachable`] if no byte can have been sent, otherwise [`Error::Broken`];
+    /// [`Error::Malformed`] if the path gives no valid URI.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -81,30 +82,30 @@
         })
     }
 
-    /// Asks for a load report.
+    /// Fetches a load report.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no report.
+    /// As [`Client::send`], and for a response that is not a report.
     pub async fn load(&self, address: SocketAddr) -> Result<Load, Error> {
         self.ask(address, Request::get("/load").body(empty())).await
     }
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no acknowledgement. Unless
-    /// [`Error::is_unsent`], the order may have been or may still be taken.
+    /// As [`Client::send`], and for a response that is not an acknowledgement. Unless
+    /// [`Error::is_unsent`], the server may have accepted the order or may still accept it.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<Ack, Error> {
         self.post(address, "/orders", order).await
     }
 
-    /// Reads cache events from a number on; they come late and with gaps.
+    /// Fetches cache events from a sequence number on. Events arrive late, and some are lost.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no list of events.
+    /// As [`Client::send`], and for a response that is not a list of events.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
@@ -118,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Client::send`]; status 404 if nothing of the prompt is cached.
+    /// As [`Client::send`], and [`Error::Status`]: 404 if no part of the prompt is cached.
     pub async fn export(&self, address: SocketAddr, cache: &wire::Cache) -> Result<Bytes, Error> {
         let request = self.json(address, "/kv/export", cache)?;
         let response = self.send(address, request).await?;
@@ -126,11 +127,11 @@
         require_success(address, status, body)
     }
 
-    /// Has the engine import what another exported.
+    /// Has the engine import a KV cache that another engine exported.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`].
+    /// As [`Client::send`], and [`Error::Status`] if the engine refuses the import.
     pub async fn import(&self, address: SocketAddr, cache: Bytes) -> Result<(), Error> {
         let request = Request::post("/kv/import").body(whole(cache));
         let request = request.map_err(|e| malformed(address, &e))?;
@@ -175,12 +176,12 @@
     }
 }
 
-/// An empty body.
+/// Returns an empty body.
 pub fn empty() -> Body {
     whole(Bytes::new())
 }
 
-/// A body that is here already.
+/// Returns a body that is complete in memory.
 pub fn whole(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -1,42 +1,42 @@
-//! What can go wrong between a host and a backend server.
+//! Errors of calls to backend servers.
 
 use std::net::SocketAddr;
 
 /// Failure of a call to a backend server.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection; no byte of the request can have left.
+    /// The connection failed; no byte of the request can have been sent.
     #[error("backend server at {address} can't be reached: {cause}")]
     Unreachable {
-        /// Where the server listens.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error and its sources, as text.
         cause: String,
     },
-    /// The exchange broke after the request may have left.
-    #[error("backend server at {address} broke the exchange: {cause}")]
+    /// The exchange failed after the request may have been sent.
+    #[error("exchange with backend server at {address} failed: {cause}")]
     Broken {
-        /// Where the server listens.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error and its sources, as text.
         cause: String,
     },
-    /// The answer can't be understood.
-    #[error("backend server at {address} answered nonsense: {cause}")]
+    /// The request can't be built or the response can't be parsed.
+    #[error("malformed exchange with backend server at {address}: {cause}")]
     Malformed {
-        /// Where the server listens.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error and its sources, as text.
         cause: String,
     },
     /// The server answered with an error status.
     #[error("backend server at {address} answered {status}")]
     Status {
-        /// Where the server listens.
+        /// Address of the server.
         address: SocketAddr,
-        /// The status.
+        /// Status of the response.
         status: http::StatusCode,
-        /// Start of the body.
+        /// Start of the response's body, 300 bytes at most.
         detail: String,
     },
 }
--- a/crates/backend/src/frame.rs
+++ b/crates/backend/src/frame.rs
@@ -1,4 +1,4 @@
-//! Token streams from server-sent events.
+//! Token streams, parsed from server-sent events.
 
 use std::time::Duration;
 
@@ -15,34 +15,35 @@
 pub enum Frame {
     /// A token.
     Token {
-        /// Its place in the answer, from zero.
+        /// Position of the token in the response, from 0.
         offset: u64,
-        /// The request that the event says it is for, if it says one.
+        /// Id of the request that the event belongs to, if stated.
         request: Option<String>,
-        /// Whether the engine says that it is the last one, and why.
+        /// Reason why the engine finished, if it marks the token as the last one.
         finish: Option<String>,
-        /// The event's data, passed on as it is.
+        /// Data of the event, forwarded unchanged.
         data: String,
     },
-    /// The end of the answer.
+    /// End of the response.
     Done,
 }
 
-/// What ends a stream before its end.
+/// Failure of a stream before its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The connection broke.
-    #[error("stream broke: {0}")]
+    /// The connection failed.
+    #[error("stream failed: {0}")]
     Broken(String),
-    /// Nothing came for this long.
-    #[error("stream was silent for {0:?}")]
+    /// No event arrived for this long.
+    #[error("no event of the stream arrived for {0:?}")]
     Silent(Duration),
-    /// An event can't be understood.
-    #[error("stream holds nonsense: {0}")]
+    /// An event can't be parsed.
+    #[error("malformed event in stream: {0}")]
     Malformed(String),
 }
 
-/// Reads frames from an answer's body; ends after the first error or the end of the body.
+/// Reads frames from the body of a response. The end or a failure of the body ends the stream; an
+/// event that can't be parsed gives an error in its place.
 pub fn read<B>(body: B) -> impl Stream<Item = Result<Frame, Error>> + Send
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
@@ -57,11 +58,11 @@
     })
 }
 
-/// Reads one event.
+/// Parses one event from its id and data.
 ///
 /// # Errors
 ///
-/// [`Error::Malformed`] if the id is no offset or the data is no JSON object.
+/// [`Error::Malformed`] if the id is not an offset or the data is not a JSON object.
 pub fn parse(id: Option<&str>, data: String) -> Result<Frame, Error> {
     if data == wire::DONE {
         return Ok(Frame::Done);
@@ -70,7 +71,7 @@
         .and_then(|id| id.parse().ok())
         .ok_or_else(|| Error::Malformed(format!("event id {id:?}")))?;
     if !data.starts_with('{') {
-        return Err(Error::Malformed("data is no object".into()));
+        return Err(Error::Malformed("data is not a JSON object".into()));
     }
     match serde_json::from_str::<Chunk>(&data) {
         Ok(chunk) => {
@@ -81,7 +82,7 @@
     }
 }
 
-/// What is read of an event's data; the rest is passed on unread.
+/// Fields that are read of an event's data; the rest is forwarded unread.
 #[derive(Deserialize)]
 struct Chunk {
     id: Option<String>,
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,8 +1,8 @@
-//! Backend servers as a host meets them.
+//! Client of backend servers, for engines and plain servers alike.
 //!
-//! One client for engines and plain servers. What matters to the decisions is kept apart from the
-//! transport: whether a failure came before any byte of the request can have left
-//! ([`Error::is_unsent`]), and where in its stream each token stands ([`frame::Frame`]).
+//! The API states what decisions depend on independently of the transport: whether a failure
+//! occurred before any byte of the request can have been sent ([`Error::is_unsent`]), and the
+//! position of each token in its stream ([`frame::Frame`]).
 
 mod client;
 mod error;
--- a/crates/backend/src/reports.rs
+++ b/crates/backend/src/reports.rs
@@ -1,8 +1,8 @@
-//! Load reports, read again and again from one server.
+//! Load reports, polled repeatedly from one server.
 //!
-//! Most of a report is the list of residents, which seldom changes. The reader names the list that
-//! it knows by its tag, and a server that holds the same one leaves it out. A server that knows
-//! nothing of tags sends the whole report each time, which is as right and costs more bytes.
+//! Most of a report is the list of residents, which seldom changes. The reader sends the tag of the
+//! list that it has cached, and a server whose list has the same tag omits it. A server that does
+//! not support tags sends the complete report each time, which is as correct but costs more bytes.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
     wire,
 };
 
-/// Reads one server's reports.
+/// Reader of one server's load reports.
 #[derive(Clone, Debug)]
 pub struct Reader {
     address: SocketAddr,
@@ -29,16 +29,16 @@
 }
 
 impl Reader {
-    /// A reader that knows nothing yet.
+    /// Creates a reader without cached residents.
     pub fn new(address: SocketAddr) -> Reader {
         Reader { address, cached: None }
     }
 
-    /// Asks for a report.
+    /// Fetches a report, with the cached residents if the server omits them.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no report.
+    /// As [`Client::send`], and for a response that is not a report.
     pub async fn read(&mut self, client: &Client) -> Result<Load, Error> {
         let response = client.send(self.address, self.request()?).await?;
         let headers = response.headers().clone();
@@ -56,7 +56,7 @@
         request.body(empty()).map_err(|e| malformed(self.address, &e))
     }
 
-    /// Puts the known residents into a report that left them out, or learns new ones.
+    /// Adds the cached residents to a report that omits them; otherwise updates the cache.
     fn complete(&mut self, headers: &HeaderMap, mut load: Load) -> Load {
         let tag = headers.get(wire::RESIDENTS);
         match (tag, &self.cached) {
--- a/crates/backend/src/wire.rs
+++ b/crates/backend/src/wire.rs
@@ -1,23 +1,24 @@
-//! Names and shapes on the wire between hosts and engines.
+//! Header names and message formats between hosts and engines.
 
 use serde::{Deserialize, Serialize};
 
-/// Header with the request's id; the answer repeats it.
+/// Header with the request's id; the response repeats it.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Header with the attempt's number; the answer repeats it.
+/// Header with the attempt's number; the response repeats it.
 pub const ATTEMPT: &str = "x-attempt";
 
-/// Header with the priority, as a number that rises with it.
+/// Header with the priority; a higher number is a higher priority.
 pub const PRIORITY: &str = "x-priority";
 
-/// Header of a load report with the tag of its residents.
+/// Header of a load report with the tag of its list of residents.
 pub const RESIDENTS: &str = "x-residents";
 
-/// Header by which a reader names the residents that it knows, so that they can be left out.
+/// Header of a request for a load report with the tag of the reader's cached list of residents; a
+/// server whose list has the same tag omits it.
 pub const KNOWN_RESIDENTS: &str = "x-known-residents";
 
-/// Header that resumes a stream after this token offset.
+/// Header with the token offset after which a stream resumes.
 pub const LAST_EVENT_ID: &str = "last-event-id";
 
 /// Data of the event that ends a stream.
@@ -26,42 +27,42 @@
 /// A request to import or export the KV cache of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cache {
-    /// The model or `model:adapter`.
+    /// Name of the model, or `model:adapter`.
     pub model: String,
-    /// Digests of the prompt's blocks, the first first.
+    /// Digests of the prompt's blocks, in order.
     pub blocks: Vec<u64>,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; a jump means that some were lost.
+    /// Sequence number of the event; a gap means that events were lost.
     pub sequence: u64,
     /// The model that the block belongs to.
     pub model: String,
-    /// Digest of the prompt up to the block's end.
+    /// Digest of the prompt up to the end of the block.
     pub block: u64,
-    /// Whether the block came or went.
+    /// Whether the block was stored or evicted.
     pub change: CacheChange,
 }
 
-/// Whether a block came or went.
+/// Change of a cached block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheChange {
-    /// Now cached.
+    /// The block is now cached.
     Stored,
-    /// No longer cached.
+    /// The block is no longer cached.
     Evicted,
 }
 
-/// Digests of a prompt's prefixes, one for each block of this many bytes.
+/// Size of a block, in bytes; a prompt has one digest for each prefix of full blocks.
 pub const BLOCK_BYTES: usize = 256;
 
-/// Rough number of bytes in one token.
+/// Approximate number of bytes in one token.
 pub const TOKEN_BYTES: usize = 4;
 
-/// Digest of each prefix of `prompt` that ends on a whole block, the shortest first.
+/// Returns the digest of each prefix of `prompt` that ends on a full block, shortest first.
 pub fn blocks(model: &str, prompt: &str) -> Vec<u64> {
     let seed = fnv(FNV_OFFSET, model.as_bytes());
     prompt
