--- a/crates/objects/src/client.rs
+++ b/crates/objects/src/client.rs
@@ -1,8 +1,8 @@
 //! HTTP client of the platform.
 //!
-//! Every call has a time limit, since a platform that accepts and never answers is one of the
-//! failures to expect. The client never repeats a call: whether that is safe is the caller's
-//! matter.
+//! Every call has a timeout, since a platform that accepts connections and never answers is a
+//! failure to expect. The client never retries a call: only its caller can know whether that is
+//! safe.
 
 use std::{
     net::SocketAddr,
@@ -39,7 +39,7 @@
 }
 
 impl Builder {
-    /// Starts from the platform's address.
+    /// Starts from the platform's address, with a timeout of 2 s and a watch time of 20 s.
     pub fn new(address: SocketAddr) -> Builder {
         Builder {
             address,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sets the time limit of a call.
+    /// Sets the timeout of a call and of connecting; a watch may take longer by the watch time.
     pub fn timeout(mut self, timeout: Duration) -> Builder {
         self.timeout = timeout;
         self
@@ -61,13 +61,13 @@
         self
     }
 
-    /// Counts its bytes on this meter.
+    /// Counts the bytes of the client's connections on `meter`.
     pub fn meter(mut self, meter: Meter) -> Builder {
         self.meter = meter;
         self
     }
 
-    /// Makes the client; it connects when first used.
+    /// Creates the client, which connects on first use.
     pub fn build(self) -> Client {
         let connector = Connector::new(self.meter, self.timeout);
         Client {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Client of the platform over HTTP.
+/// HTTP client of the platform.
 #[derive(Debug)]
 pub struct Client {
     http: Http<Connector, Full<Bytes>>,
@@ -90,7 +90,7 @@
     calls: AtomicU64,
 }
 
-/// An answer read whole.
+/// A response whose body was read completely.
 struct Answer {
     status: StatusCode,
     headers: HeaderMap,
@@ -117,7 +117,7 @@
 }
 
 impl Client {
-    /// Calls made so far; each counts against the platform's rates.
+    /// Returns the number of calls made; each counts against the platform's rate limits.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -143,7 +143,7 @@
         let request = request.body(Full::new(body)).map_err(|e| self.malformed(e))?;
         tokio::time::timeout(timeout, self.exchange(request))
             .await
-            .unwrap_or_else(|_| Err(self.unanswered(format!("none within {timeout:?}"))))
+            .unwrap_or_else(|_| Err(self.unanswered(format!("timed out after {timeout:?}"))))
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
@@ -180,7 +180,7 @@
             }
             StatusCode::SERVICE_UNAVAILABLE => Err(self.unavailable("503".into())),
             status if status.is_success() => Ok(answer),
-            status => Err(self.malformed(format!("status {status}"))),
+            status => Err(self.malformed(format!("unexpected status {status}"))),
         }
     }
 
@@ -190,7 +190,7 @@
             .get(header::ETAG)
             .and_then(|tag| tag.to_str().ok())
             .and_then(|tag| tag.trim_matches('"').parse().ok())
-            .ok_or_else(|| self.malformed("no usable ETag"))
+            .ok_or_else(|| self.malformed("ETag is missing or is not a version"))
     }
 
     fn parse<'a, T: Deserialize<'a>>(&self, answer: &'a Answer) -> Result<T, Error> {
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -1,64 +1,64 @@
-//! What can go wrong between a host and the platform.
+//! Errors of calls to the platform.
 
 use std::time::Duration;
 
 /// Failure of a call to the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The object's version is not the expected one, or it exists already.
+    /// The object's version is not the expected one, or the object to be created exists already.
     #[error("object {key}: version conflict")]
     Conflict {
-        /// The object's key.
+        /// Key of the object.
         key: String,
     },
-    /// The watch starts too far back; list again.
-    #[error("watch from {from}: history is gone")]
+    /// The history since the watch's start is no longer stored; the objects must be listed again.
+    #[error("watch from revision {from}: the history is no longer stored")]
     Gone {
-        /// The revision asked for.
+        /// Revision from which the watch was to start.
         from: u64,
     },
-    /// The value is over the platform's limit.
-    #[error("object {key}: {size} bytes are over the value limit")]
+    /// The value exceeds the platform's size limit.
+    #[error("object {key}: value of {size} bytes exceeds the size limit")]
     TooLarge {
-        /// The object's key.
+        /// Key of the object.
         key: String,
         /// Size of the value, in bytes.
         size: usize,
     },
-    /// The platform's rate is used up; nothing was done.
-    #[error("rate limit of the platform, retry after {retry_after:?}")]
+    /// The platform's rate limit is exceeded; nothing was done.
+    #[error("platform's rate limit is exceeded, retry after {retry_after:?}")]
     Limited {
-        /// How long the platform asks to wait.
+        /// Time to wait before a retry, as stated by the platform; 1 s if it states none.
         retry_after: Duration,
     },
-    /// The platform refused the call as a whole; nothing was done.
+    /// The connection failed or the platform answered with status 503; nothing was done.
     #[error("platform at {address} is unavailable: {cause}")]
     Unavailable {
-        /// Where the platform listens.
+        /// Address of the platform.
         address: String,
-        /// Why.
+        /// Cause, as text.
         cause: String,
     },
-    /// The call was sent and no answer came; a write may have taken effect.
-    #[error("platform at {address} gave no answer: {cause}")]
+    /// The call may have been sent and no complete response arrived; a write may have taken effect.
+    #[error("no response from platform at {address}: {cause}")]
     Unanswered {
-        /// Where the platform listens.
+        /// Address of the platform.
         address: String,
-        /// Why.
+        /// Cause, as text.
         cause: String,
     },
-    /// The answer can't be understood.
-    #[error("platform at {address} answered nonsense: {cause}")]
+    /// The request can't be built, or the response can't be parsed or has an unexpected status.
+    #[error("malformed exchange with platform at {address}: {cause}")]
     Malformed {
-        /// Where the platform listens.
+        /// Address of the platform.
         address: String,
-        /// Why.
+        /// Cause, as text.
         cause: String,
     },
 }
 
 impl Error {
-    /// Whether a write that failed so may have taken effect all the same.
+    /// Whether a write that failed with this error may have taken effect.
     pub fn is_ambiguous(&self) -> bool {
         matches!(self, Error::Unanswered { .. } | Error::Malformed { .. })
     }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's services: the object API and the host list.
+//! Access to the platform's services: the object API and the host list.
 //!
-//! Everything that is agreed or kept lives behind [`Store`]. A write whose answer is lost may have
-//! taken effect, so errors say whether they are certain ([`Error::is_ambiguous`]); who writes must
-//! read back before it acts on such an error.
+//! All state that hosts agree on or that must persist is behind [`Store`]. A write whose response
+//! is lost may have taken effect; [`Error::is_ambiguous`] is true for such errors, and a writer
+//! must read the object back before acting on one.
 
 mod client;
 mod error;
--- a/crates/objects/src/store.rs
+++ b/crates/objects/src/store.rs
@@ -1,4 +1,4 @@
-//! The object API as a trait, at the edge of the process.
+//! The object API and the host list as a trait, at the process boundary.
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -6,65 +6,65 @@
 
 use crate::error::Error;
 
-/// Version of an object, given by the platform.
+/// Version of an object, assigned by the platform.
 pub type Version = u64;
 
-/// Number of the platform's latest change.
+/// Number of a change in the platform's store; the latest change has the highest.
 pub type Revision = u64;
 
-/// An object as read.
+/// An object at one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
-    /// Its version.
+    /// Version of the object that was read.
     pub version: Version,
-    /// Its value.
+    /// Value at this version.
     pub value: Bytes,
 }
 
 /// Objects under a prefix at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The revision they were read at.
+    /// Revision at which the objects were read.
     pub revision: Revision,
-    /// The objects, by key.
+    /// Objects, in the order of their keys.
     pub objects: Vec<Object>,
 }
 
-/// One change that a watch saw.
+/// A change that a watch returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Created or updated.
+    /// The object was created or updated.
     Put(Object),
-    /// Deleted.
+    /// The object was deleted.
     Delete {
-        /// The object's key.
+        /// Key of the object.
         key: String,
     },
 }
 
-/// What a watch returned.
+/// Result of a watch; without changes if the watch time passed first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Where to watch from next.
+    /// Revision from which the next watch continues.
     pub revision: Revision,
-    /// What changed, in order.
+    /// Changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// The platform's object API and host list. Each call counts against its rates.
+/// The platform's object API and host list. Each call counts against the platform's rate limits.
 pub trait Store: Send + Sync {
-    /// Reads one object.
+    /// Reads one object; `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Object>, Error>>;
 
     /// Reads all objects under a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Listing, Error>>;
 
-    /// Creates an object, unless it exists.
+    /// Creates an object; [`Error::Conflict`] if it exists.
     fn create<'a>(&'a self, key: &'a str, value: Bytes) -> BoxFuture<'a, Result<Version, Error>>;
 
-    /// Updates an object, if its version is `version`.
+    /// Updates an object; [`Error::Conflict`] unless its version is `version`.
     fn update<'a>(
         &'a self,
         key: &'a str,
@@ -72,16 +72,17 @@
         value: Bytes,
     ) -> BoxFuture<'a, Result<Version, Error>>;
 
-    /// Deletes an object, if its version is `version`.
+    /// Deletes an object; [`Error::Conflict`] unless its version is `version`.
     fn delete<'a>(&'a self, key: &'a str, version: Version) -> BoxFuture<'a, Result<(), Error>>;
 
-    /// Waits for changes under a prefix after revision `from`, up to the client's watch time.
+    /// Waits for changes under a prefix after revision `from`, up to the client's watch time;
+    /// [`Error::Gone`] if the history since `from` is no longer stored.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
         from: Revision,
     ) -> BoxFuture<'a, Result<Changes, Error>>;
 
-    /// Reads the list of hosts and backend servers; it lags.
+    /// Reads the list of hosts and backend servers, which lags behind their actual state.
     fn hosts(&self) -> BoxFuture<'_, Result<List, Error>>;
 }
