--- a/crates/peer/src/api.rs
+++ b/crates/peer/src/api.rs
@@ -1,4 +1,4 @@
-//! The calls that hosts make to each other.
+//! The calls between hosts.
 
 use std::future::Future;
 
@@ -11,22 +11,22 @@
 use serde_json::value::RawValue;
 use types::host::{Host, List};
 
-/// What a host holds on a topic.
+/// Content of a topic, as one host has it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Content {
-    /// Its number.
+    /// Number of the content; newer content has a higher one.
     pub number: u64,
-    /// The content, for the topic's own reader.
+    /// The content as JSON, which only the consumer of the topic parses.
     pub value: Box<RawValue>,
 }
 
-/// What a host that was asked to try another found.
+/// Result of an indirect probe, which one host makes for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It answered.
+    /// The target answered.
     Reached,
-    /// It did not answer.
+    /// The target did not answer.
     Silent,
 }
 
@@ -39,16 +39,16 @@
     }
 }
 
-/// Why a host does not answer a call as asked.
+/// Error that a host returns for a call.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Failure {
-    /// It holds nothing newer.
+    /// The host has no newer content of the topic.
     #[error("nothing newer is held here")]
     NothingNewer,
-    /// It does not hold this part.
+    /// The host does not have this part of the configuration.
     #[error("the part is not held here")]
     NoPart,
-    /// What it holds can't be written as JSON.
+    /// The content can't be serialized as JSON.
     #[error("content can't be written: {0}")]
     Unwritable(String),
 }
@@ -67,60 +67,54 @@
     }
 }
 
-/// What a host answers to others.
+/// Handlers of the calls that other hosts make.
 pub trait Api: Send + Sync + 'static {
-    /// Takes a heartbeat, answers with one.
+    /// Receives a heartbeat and answers with this host's own.
     fn heartbeat(&self, heartbeat: Heartbeat) -> impl Future<Output = Heartbeat> + Send;
 
-    /// Tries another host.
+    /// Probes another host for the caller.
     fn probe(&self, target: Host) -> impl Future<Output = Outcome> + Send;
 
-    /// Whether it is there; nothing more.
+    /// Answers, and does nothing else; shows that the host is reachable.
     fn ping(&self) -> impl Future<Output = ()> + Send;
 
-    /// The hosts and backend servers that it knows, itself among them.
+    /// Returns the hosts and backend servers that this host knows, itself included.
     fn members(&self) -> impl Future<Output = List> + Send;
 
-    /// What it holds on a topic, if newer than `above`.
+    /// Returns the content of a topic if its number is above `above`.
     fn fetch(
         &self,
         topic: Topic,
         above: u64,
     ) -> impl Future<Output = Result<Content, Failure>> + Send;
 
-    /// A part of the configuration, by its key.
+    /// Returns a part of the configuration by its key.
     fn part(&self, key: String) -> impl Future<Output = Result<Box<RawValue>, Failure>> + Send;
 }
 
-/// The calls as jsonrpsee carries them; names are short, since each beat carries one.
+/// The calls of [`Api`] as JSON-RPC methods; names are short, since each heartbeat carries one.
 #[rpc(server, client)]
 pub(crate) trait Rpc {
-    /// Takes a heartbeat, answers with one.
     #[method(name = "beat")]
     async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<Heartbeat, ErrorObjectOwned>;
 
-    /// Tries another host.
     #[method(name = "probe")]
     async fn probe(&self, target: Host) -> Result<Outcome, ErrorObjectOwned>;
 
-    /// Whether it is there.
     #[method(name = "ping")]
     async fn ping(&self) -> Result<(), ErrorObjectOwned>;
 
-    /// The hosts and backend servers that it knows.
     #[method(name = "members")]
     async fn members(&self) -> Result<List, ErrorObjectOwned>;
 
-    /// What it holds on a topic.
     #[method(name = "fetch")]
     async fn fetch(&self, topic: Topic, above: u64) -> Result<Content, ErrorObjectOwned>;
 
-    /// A part of the configuration.
     #[method(name = "part")]
     async fn part(&self, key: String) -> Result<Box<RawValue>, ErrorObjectOwned>;
 }
 
-/// Passes calls on to an [`Api`].
+/// Forwards JSON-RPC calls to an [`Api`].
 pub(crate) struct Adapter<A>(pub(crate) A);
 
 #[jsonrpsee::core::async_trait]
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,7 +1,7 @@
 //! Client of the other hosts.
 //!
-//! One pool of connections serves all peers. jsonrpsee opens connections of its own that can't be
-//! counted, so its transport is replaced by one whose connections are under a meter.
+//! One connection pool serves all peers. The bytes of connections that jsonrpsee itself opens can't
+//! be counted, so its transport is replaced by one whose connections are metered.
 
 use std::{
     collections::HashMap,
@@ -41,7 +41,7 @@
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_RESPONSE_BYTES: u32 = 64 * 1024 * 1024;
 
-/// Why a call to a peer failed.
+/// Failure of a call to a peer.
 #[derive(Debug, thiserror::Error)]
 #[error("peer at {address}: {cause}")]
 pub struct Error {
@@ -58,30 +58,31 @@
 }
 
 impl Builder {
-    /// Starts without a token.
+    /// Starts without a token and with a timeout of 300 ms.
     pub fn new() -> Builder {
         Builder::default()
     }
 
-    /// Sets the token that is shown to peers.
+    /// Sets the token that is sent to peers.
     pub fn token(mut self, token: Token) -> Builder {
         self.token = token;
         self
     }
 
-    /// Sets the time limit of a call; a fetch has a longer one.
+    /// Sets the timeout of connecting, a heartbeat and a ping. A probe has twice this time; calls
+    /// that return content have 5 s.
     pub fn timeout(mut self, timeout: Duration) -> Builder {
         self.timeout = Some(timeout);
         self
     }
 
-    /// Counts its bytes on this meter.
+    /// Counts the bytes of the client's connections on `meter`.
     pub fn meter(mut self, meter: Meter) -> Builder {
         self.meter = meter;
         self
     }
 
-    /// Makes the client; it connects when first used.
+    /// Creates the client, which connects on first use.
     pub fn build(self) -> Client {
         let timeout = self.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let http = Http::builder(TokioExecutor::new())
@@ -92,7 +93,7 @@
     }
 }
 
-/// Client of the other hosts.
+/// Client of the other hosts, with one connection pool for all of them.
 #[derive(Debug)]
 pub struct Client {
     token: Token,
@@ -104,11 +105,11 @@
 type Peer = HttpClient<RpcLogger<RpcService<Transport>>>;
 
 impl Client {
-    /// Sends a heartbeat.
+    /// Sends a heartbeat and returns the peer's.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// If the call fails or no response arrives in time.
     pub async fn heartbeat(
         &self,
         address: SocketAddr,
@@ -118,41 +119,43 @@
         with_timeout(self.timeout, peer.heartbeat(heartbeat)).await.map_err(error_at(address))
     }
 
-    /// Asks a host to try another; it may take as long as that takes.
+    /// Asks a host to probe another, with twice the timeout, since the response waits for that
+    /// probe.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// If the call fails or no response arrives in time.
     pub async fn probe(&self, address: SocketAddr, target: &Host) -> Result<Outcome, Error> {
         let peer = self.peer(address)?;
         with_timeout(self.timeout * 2, peer.probe(target.clone())).await.map_err(error_at(address))
     }
 
-    /// Tries a host.
+    /// Checks that a host answers.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// If the call fails or no response arrives in time.
     pub async fn ping(&self, address: SocketAddr) -> Result<(), Error> {
         let peer = self.peer(address)?;
         with_timeout(self.timeout, peer.ping()).await.map_err(error_at(address))
     }
 
-    /// Asks for the hosts and backend servers that a host knows.
+    /// Fetches the hosts and backend servers that a host knows.
     ///
     /// # Errors
     ///
-    /// If no answer comes in time.
+    /// If the call fails or no response arrives in time.
     pub async fn members(&self, address: SocketAddr) -> Result<List, Error> {
         let peer = self.peer(address)?;
         with_timeout(CONTENT_TIMEOUT, peer.members()).await.map_err(error_at(address))
     }
 
-    /// Fetches what a host holds on a topic.
+    /// Fetches a host's content of a topic.
     ///
     /// # Errors
     ///
-    /// If it holds nothing above this number, or no answer comes in time.
+    /// If the host has no content with a number above `above`, the call fails, or no response
+    /// arrives in time.
     pub async fn fetch(
         &self,
         address: SocketAddr,
@@ -167,13 +170,13 @@
     ///
     /// # Errors
     ///
-    /// If the host does not hold it, or no answer comes in time.
+    /// If the host does not have the part, the call fails, or no response arrives in time.
     pub async fn part(&self, address: SocketAddr, key: &str) -> Result<Box<RawValue>, Error> {
         let peer = self.peer(address)?;
         with_timeout(CONTENT_TIMEOUT, peer.part(key.to_owned())).await.map_err(error_at(address))
     }
 
-    /// Forgets hosts other than these.
+    /// Drops the clients of hosts for whose address `is_known` is false.
     pub fn retain(&self, is_known: impl Fn(&SocketAddr) -> bool) {
         let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         peers.retain(|address, _| is_known(address));
@@ -209,7 +212,7 @@
     move |cause| Error { address, cause }
 }
 
-/// HTTP connections under a meter.
+/// HTTP transport whose connections are metered.
 #[derive(Clone, Debug)]
 struct Transport(Http<Connector, Body>);
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between hosts, over jsonrpsee.
 //!
-//! The protocol itself is in `policy::member`; here are its calls on the wire ([`Api`]), the
-//! listener ([`listen`]) and the client of all peers ([`Client`]). Hosts show each other a token;
-//! every byte in and out is counted on a [`meter::Meter`].
+//! The protocol itself is in `policy::member`; this crate has its calls ([`Api`]), the listener
+//! ([`listen`]) and the client of all peers ([`Client`]). Hosts authenticate to each other with a
+//! token; every byte received or sent is counted on a [`meter::Meter`].
 
 mod api;
 mod client;
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for other hosts.
+//! Listener for the calls of other hosts.
 
 use std::{
     convert::Infallible,
@@ -25,27 +25,27 @@
     token::Token,
 };
 
-/// Largest request; the largest is a heartbeat.
+/// Size limit of a request; heartbeats are the largest.
 const MAX_REQUEST_BYTES: u32 = 64 * 1024;
 
-/// Largest answer; the largest is a whole configuration.
+/// Size limit of a response; a complete configuration is the largest.
 const MAX_RESPONSE_BYTES: u32 = 64 * 1024 * 1024;
 
-/// Pause after a failure to accept, such as too many open files.
+/// Delay after a failure to accept a connection, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What other hosts see of this one.
+/// Settings and counters of the listener.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// The token that they must show.
+    /// Token that callers must send.
     pub token: Token,
-    /// Counts their bytes.
+    /// Counts the bytes of accepted connections.
     pub meter: Meter,
-    /// Counts calls with a wrong token or none.
+    /// Counts calls that are refused because of a wrong or missing token.
     pub refused: Arc<AtomicU64>,
 }
 
-/// Serves other hosts until told to stop.
+/// Serves other hosts until `stop` is cancelled.
 pub async fn listen<A: Api>(
     listener: TcpListener,
     settings: Listener,
@@ -71,12 +71,12 @@
                 connect(stream, from, &settings, rpc, stopped.clone());
             }
             Err(error) => {
-                log::warn!("peers' listener: {error}");
+                log::warn!("can't accept a connection of a peer: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    // An error says that it was stopped before.
+    // Fails only if the server was stopped already.
     let _ = handle.stop();
 }
 
@@ -86,7 +86,7 @@
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
 {
-    // Without it an answer may wait for the peer's acknowledgement.
+    // Otherwise a response may wait for the peer's TCP acknowledgement (Nagle's algorithm).
     let _ = stream.set_nodelay(true);
     let stream = settings.meter.wrap(stream);
     let settings = settings.clone();
@@ -97,7 +97,7 @@
     tokio::spawn(async move {
         let served = serve_with_graceful_shutdown(stream, service, stopped.shutdown()).await;
         if let Err(error) = served {
-            log::debug!("peer's connection: {error}");
+            log::debug!("connection of a peer failed: {error}");
         }
     });
 }
@@ -114,13 +114,13 @@
 {
     if !settings.token.authorizes(request.headers()) {
         settings.refused.fetch_add(1, Ordering::Relaxed);
-        log::warn!(from:% = from; "peer without the right token");
+        log::warn!(from:% = from; "call of a peer refused: wrong or missing token");
         return empty(StatusCode::UNAUTHORIZED);
     }
     match rpc.oneshot(request).await {
         Ok(response) => response,
         Err(error) => {
-            log::warn!(from:% = from; "peer's call: {error}");
+            log::warn!(from:% = from; "call of a peer failed: {error}");
             empty(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
--- a/crates/peer/src/token.rs
+++ b/crates/peer/src/token.rs
@@ -1,7 +1,7 @@
-//! The token that a listener asks for: from other hosts, and from operators.
+//! Bearer token that a listener requires from other hosts and from operators.
 //!
-//! Tokens are compared by their hashes in constant time, so that neither their length nor how much
-//! of a guess is right can be read from the time of a refusal.
+//! Tokens are compared by their hashes in constant time, so that the time of a refusal reveals
+//! neither their length nor how much of a guess is right.
 
 use http::{
     HeaderMap, HeaderValue,
@@ -11,7 +11,7 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// The token that callers of a listener must show, or none.
+/// Token that callers of a listener must send; the default requires none.
 #[derive(Clone, Default)]
 pub struct Token(Option<Expected>);
 
@@ -22,25 +22,26 @@
 }
 
 impl Token {
-    /// A token; none lets everyone in, which is for loopback only.
+    /// Creates a token; `None` admits every caller, which is for loopback only.
     ///
     /// # Errors
     ///
-    /// If it holds characters that a header can't carry.
+    /// If the token has characters that a header can't carry.
     pub fn new(token: Option<&str>) -> Result<Token, InvalidHeaderValue> {
         Ok(Token(token.map(Expected::new).transpose()?))
     }
 
-    /// The headers that show it.
+    /// Returns the headers that carry the token; no headers if there is none.
     pub(crate) fn headers(&self) -> HeaderMap {
         self.0.iter().map(|expected| (AUTHORIZATION, expected.header.clone())).collect()
     }
 
-    /// Whether these headers show it; the time depends only on what they show.
+    /// Whether the headers carry the token, or none is required. The time that this takes depends
+    /// only on the headers.
     pub fn authorizes(&self, headers: &HeaderMap) -> bool {
         let Some(expected) = &self.0 else { return true };
-        let shown = headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
-        expected.hash.as_bytes().ct_eq(blake3::hash(shown).as_bytes()).into()
+        let sent = headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
+        expected.hash.as_bytes().ct_eq(blake3::hash(sent).as_bytes()).into()
     }
 }
 
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,5 +1,5 @@
 //! Calls between hosts over real sockets.
-#![allow(clippy::print_stderr, reason = "the figures that the loop reckons with")]
+#![allow(clippy::print_stderr, reason = "prints the overheads that the fleet tests assume")]
 
 use std::{
     net::SocketAddr,
@@ -23,10 +23,10 @@
 use tokio_util::sync::CancellationToken;
 use types::host::{Entry, Host, List, Listed};
 
-/// Bytes of HTTP and JSON-RPC that `crates/policy/tests/fleet` reckons around a request.
+/// Bytes of HTTP and JSON-RPC around a request that `crates/policy/tests/fleet` assumes.
 const REQUEST_OVERHEAD: u64 = 260;
 
-/// Bytes of HTTP and JSON-RPC that `crates/policy/tests/fleet` reckons around an answer.
+/// Bytes of HTTP and JSON-RPC around a response that `crates/policy/tests/fleet` assumes.
 const ANSWER_OVERHEAD: u64 = 160;
 
 const NOW: Duration = Duration::from_secs(1);
@@ -103,7 +103,7 @@
     let server = serve(Some("secret")).await;
     let client = client(Some("secret"), Meter::default());
     let answer = client.heartbeat(server.address, hello()).await.expect("answered");
-    assert_eq!(answer.from.host.as_deref(), Some(&host(1)), "it was asked who it is");
+    assert_eq!(answer.from.host.as_deref(), Some(&host(1)), "the answer identifies the host");
     let members = client.members(server.address).await.expect("answered");
     assert_eq!(members.hosts[0].host, host(1));
     assert!(client.part(server.address, "config/part/1").await.is_err(), "no such part");
@@ -153,7 +153,7 @@
     let mut tries = 0;
     while client.ping(server.address).await.is_ok() {
         tries += 1;
-        assert!(tries < 1000, "it still answers");
+        assert!(tries < 1000, "the stopped listener still answers");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
