--- a/crates/meter/src/lib.rs
+++ b/crates/meter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Counts the bytes of connections that a host opens.
+//! Counts the bytes of the connections that a host opens or accepts.
 //!
-//! What control costs a host is a promise to its users, so it is counted on the wire, heads and
-//! all, and not worked out from the size of messages.
+//! The cost of control traffic for a host is promised to its users, so the bytes are counted on the
+//! connections, headers included, and not derived from the size of messages.
 
 use std::{
     io,
@@ -25,7 +25,7 @@
 };
 use tower::Service;
 
-/// Bytes so far, of all connections under one meter.
+/// Counts of the bytes received and sent on all metered connections; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Meter(Arc<Counts>);
 
@@ -36,23 +36,23 @@
 }
 
 impl Meter {
-    /// Puts a connection that was accepted under this meter.
+    /// Wraps an accepted connection so that this meter counts its bytes.
     pub fn wrap(&self, stream: TcpStream) -> Metered {
         Metered { stream, meter: self.clone() }
     }
 
-    /// Bytes received.
+    /// Returns the bytes received on all connections, closed ones included.
     pub fn received(&self) -> u64 {
         self.0.received.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent.
+    /// Returns the bytes sent on all connections, closed ones included.
     pub fn sent(&self) -> u64 {
         self.0.sent.load(Ordering::Relaxed)
     }
 }
 
-/// Opens connections under a meter.
+/// Opens connections whose bytes a meter counts.
 #[derive(Clone, Debug)]
 pub struct Connector {
     inner: HttpConnector,
@@ -60,7 +60,7 @@
 }
 
 impl Connector {
-    /// Opens plain TCP connections, giving up after `timeout`.
+    /// Creates a connector for plain TCP; connecting fails after `timeout`.
     pub fn new(meter: Meter, timeout: Duration) -> Connector {
         let mut inner = HttpConnector::new();
         inner.set_nodelay(true);
@@ -88,7 +88,7 @@
     }
 }
 
-/// A connection under a meter.
+/// A TCP connection whose bytes a meter counts.
 #[derive(Debug)]
 pub struct Metered {
     stream: TcpStream,
