--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -88,7 +88,7 @@
     ///
     /// As [`Client::send`], and for a response that is not a report.
     pub async fn load(&self, address: SocketAddr) -> Result<Load, Error> {
-        self.ask(address, Request::get("/load").body(empty())).await
+        self.ask(address, Request::get("/load").body(empty_body())).await
     }
 
     /// Sends an order.
@@ -112,7 +112,7 @@
         from: u64,
     ) -> Result<Vec<wire::CacheEvent>, Error> {
         let path = format!("/cache-events?from={from}");
-        self.ask(address, Request::get(path).body(empty())).await
+        self.ask(address, Request::get(path).body(empty_body())).await
     }
 
     /// Has the engine export the KV cache of a prompt, as opaque bytes.
@@ -133,7 +133,7 @@
     ///
     /// As [`Client::send`], and [`Error::Status`] if the engine refuses the import.
     pub async fn import(&self, address: SocketAddr, cache: Bytes) -> Result<(), Error> {
-        let request = Request::post("/kv/import").body(whole(cache));
+        let request = Request::post("/kv/import").body(full_body(cache));
         let request = request.map_err(|e| malformed(address, &e))?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
@@ -159,7 +159,7 @@
         let body = serde_json::to_vec(content).map_err(|e| malformed(address, &e))?;
         Request::post(path)
             .header(header::CONTENT_TYPE, "application/json")
-            .body(whole(Bytes::from(body)))
+            .body(full_body(Bytes::from(body)))
             .map_err(|e| malformed(address, &e))
     }
 
@@ -177,12 +177,12 @@
 }
 
 /// Returns an empty body.
-pub fn empty() -> Body {
-    whole(Bytes::new())
+pub fn empty_body() -> Body {
+    full_body(Bytes::new())
 }
 
 /// Returns a body that is complete in memory.
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
--- a/crates/backend/src/reports.rs
+++ b/crates/backend/src/reports.rs
@@ -10,7 +10,7 @@
 use types::{report::Load, resident::Resident};
 
 use crate::{
-    client::{Client, empty, malformed, read, require_success},
+    client::{Client, empty_body, malformed, read, require_success},
     error::Error,
     wire,
 };
@@ -53,7 +53,7 @@
         if let Some(cached) = &self.cached {
             request = request.header(wire::KNOWN_RESIDENTS, &cached.tag);
         }
-        request.body(empty()).map_err(|e| malformed(self.address, &e))
+        request.body(empty_body()).map_err(|e| malformed(self.address, &e))
     }
 
     /// Adds the cached residents to a report that omits them; otherwise updates the cache.
--- a/crates/stage/examples/cost.rs
+++ b/crates/stage/examples/cost.rs
@@ -184,7 +184,7 @@
         "messages": [{"role": "user", "content": format!("letter {serial}")}],
     });
     let request = http::Request::post("/v1/chat/completions")
-        .body(::backend::whole(question.to_string().into()))?;
+        .body(::backend::full_body(question.to_string().into()))?;
     let mut body = client.send(callers, request).await?.into_body();
     while let Some(frame) = body.frame().await {
         frame?;
--- a/crates/stage/examples/demo.rs
+++ b/crates/stage/examples/demo.rs
@@ -175,7 +175,7 @@
         "messages": [{"role": "user", "content": "Bonjour"}],
     });
     let request = http::Request::post("/v1/chat/completions")
-        .body(::backend::whole(question.to_string().into()))?;
+        .body(::backend::full_body(question.to_string().into()))?;
     let mut body = ::backend::Client::new().send(callers, request).await?.into_body();
     println!("\nan answer:");
     while let Some(frame) = body.frame().await {
--- a/crates/stage/examples/measure/load.rs
+++ b/crates/stage/examples/measure/load.rs
@@ -105,7 +105,7 @@
     });
     let request = http::Request::post("/v1/chat/completions")
         .header(wire::REQUEST_ID, format!("measure-{serial}"))
-        .body(::backend::whole(question.to_string().into()));
+        .body(::backend::full_body(question.to_string().into()));
     let Ok(request) = request else { return End::Failed("malformed".into()) };
     match client.send(chosen.address, request).await {
         Ok(response) if response.status().is_success() => read(response, started).await,
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -280,8 +280,8 @@
         if let Some(key) = &self.call.request.key {
             request = request.header(crate::filters::identify::IDEMPOTENCY_KEY, &**key);
         }
-        let body = ::backend::whole(self.question.body.clone());
-        request.body(body).unwrap_or_else(|_| Request::new(::backend::empty()))
+        let body = ::backend::full_body(self.question.body.clone());
+        request.body(body).unwrap_or_else(|_| Request::new(::backend::empty_body()))
     }
 }
 
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -50,7 +50,7 @@
     /// The body for one attempt.
     pub(super) fn body(&self) -> ::backend::Body {
         match self {
-            Upload::Held(bytes) => ::backend::whole(bytes.clone()),
+            Upload::Held(bytes) => ::backend::full_body(bytes.clone()),
             Upload::Streamed(lent) => lent.clone().boxed_unsync(),
         }
     }
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -67,7 +67,7 @@
     });
     loop {
         let request = http::Request::post("/v1/chat/completions")
-            .body(::backend::whole(question.to_string().into()))
+            .body(::backend::full_body(question.to_string().into()))
             .expect("request");
         if let Ok(response) = client.send(callers, request).await {
             let _ = response.into_body().collect().await;
