--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn bytes_on_the_wire_are_counted_alike_on_both_sides_and_within_what_the_loop_reckons() {
+async fn bytes_on_the_wire_are_counted_alike_on_both_sides_and_within_the_assumed_overheads() {
     const BEATS: u64 = 20;
     let server = serve(Some("0123456789abcdef0123456789abcdef")).await;
     let meter = Meter::default();
