--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP client of backend servers.
 //!
-//! Never repeats a request by itself. The pool below it may pick a fresh connection for a request
-//! of which no byte was written, which is safe for every request.
+//! The client never retries a request. Its connection pool may move a request of which no byte was
+//! written to a new connection, which is safe for every request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,20 +20,20 @@
 
 use crate::{error::Error, wire};
 
-/// Error of a request body that is passed on.
+/// Error of a request body that is forwarded as a stream.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A request body, whole or streamed.
+/// A request body, complete in memory or streamed.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub type Streamed = Response<Incoming>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const POOL_IDLE: Duration = Duration::from_secs(10);
-const DETAIL_BYTES: usize = 300;
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_DETAIL_BYTES: usize = 300;
 
-/// Client of backend servers.
+/// HTTP client of backend servers with a connection pool, which clones share.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: Http<Connector, Body>,
@@ -46,24 +46,26 @@
 }
 
 impl Client {
-    /// Makes a client; it connects when first used.
+    /// Creates a client, which connects on first use.
     pub fn new() -> Client {
         Client::metered(Meter::default())
     }
 
-    /// Makes a client whose bytes count on this meter.
+    /// Creates a client that counts the bytes of its connections on `meter`.
     pub fn metered(meter: Meter) -> Client {
         let connector = Connector::new(meter, CONNECT_TIMEOUT);
-        let http =
-            Http::builder(TokioExecutor::new()).pool_idle_timeout(POOL_IDLE).build(connector);
+        let http = Http::builder(TokioExecutor::new())
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .build(connector);
         Client { http }
     }
 
-    /// Sends a request whose URI is a path; any status counts as an answer.
+    /// Sends a request whose URI is a path. A response of any status is `Ok`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if no byte can have left, else [`Error::Broken`].
+    /// [`Error::Unreachable`] if no byte can have been sent, otherwise [`Error::Broken`];
+    /// [`Error::Malformed`] if the path gives no valid URI.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -80,71 +82,71 @@
         })
     }
 
-    /// Asks for a load report.
+    /// Fetches a load report.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no report.
+    /// As [`Client::send`], and for a response that is not a report.
     pub async fn load(&self, address: SocketAddr) -> Result<Load, Error> {
-        self.ask(address, Request::get("/load").body(empty())).await
+        self.ask(address, Request::get("/load").body(empty_body())).await
     }
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no acknowledgement. Unless
-    /// [`Error::is_unsent`], the order may have been or may still be taken.
+    /// As [`Client::send`], and for a response that is not an acknowledgement. Unless
+    /// [`Error::is_unsent`], the server may have accepted the order or may still accept it.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<Ack, Error> {
         self.post(address, "/orders", order).await
     }
 
-    /// Reads cache events from a number on; they come late and with gaps.
+    /// Fetches cache events from a sequence number on. Events arrive late, and some are lost.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and for an answer that is no list of events.
+    /// As [`Client::send`], and for a response that is not a list of events.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
         from: u64,
     ) -> Result<Vec<wire::CacheEvent>, Error> {
         let path = format!("/cache-events?from={from}");
-        self.ask(address, Request::get(path).body(empty())).await
+        self.ask(address, Request::get(path).body(empty_body())).await
     }
 
     /// Has the engine export the KV cache of a prompt, as opaque bytes.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`]; status 404 if nothing of the prompt is cached.
+    /// As [`Client::send`], and [`Error::Status`]: 404 if no part of the prompt is cached.
     pub async fn export(&self, address: SocketAddr, cache: &wire::Cache) -> Result<Bytes, Error> {
         let request = self.json(address, "/kv/export", cache)?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        checked(address, status, body)
+        require_success(address, status, body)
     }
 
-    /// Has the engine import what another exported.
+    /// Has the engine import a KV cache that another engine exported.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`].
+    /// As [`Client::send`], and [`Error::Status`] if the engine refuses the import.
     pub async fn import(&self, address: SocketAddr, cache: Bytes) -> Result<(), Error> {
-        let request = Request::post("/kv/import").body(whole(cache));
+        let request = Request::post("/kv/import").body(full_body(cache));
         let request = request.map_err(|e| malformed(address, &e))?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        checked(address, status, body).map(|_| ())
+        require_success(address, status, body).map(|_| ())
     }
 
     async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        content: &Q,
     ) -> Result<A, Error> {
-        let request = self.json(address, path, question)?;
+        let request = self.json(address, path, content)?;
         self.ask(address, Ok(request)).await
     }
 
@@ -152,12 +154,12 @@
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        content: &Q,
     ) -> Result<Request<Body>, Error> {
-        let body = serde_json::to_vec(question).map_err(|e| malformed(address, &e))?;
+        let body = serde_json::to_vec(content).map_err(|e| malformed(address, &e))?;
         Request::post(path)
             .header(header::CONTENT_TYPE, "application/json")
-            .body(whole(Bytes::from(body)))
+            .body(full_body(Bytes::from(body)))
             .map_err(|e| malformed(address, &e))
     }
 
@@ -169,18 +171,18 @@
         let request = request.map_err(|e| malformed(address, &e))?;
         let response = self.send(address, request).await?;
         let (status, body) = read(address, response).await?;
-        let body = checked(address, status, body)?;
+        let body = require_success(address, status, body)?;
         serde_json::from_slice(&body).map_err(|e| malformed(address, &e))
     }
 }
 
-/// An empty body.
-pub fn empty() -> Body {
-    whole(Bytes::new())
+/// Returns an empty body.
+pub fn empty_body() -> Body {
+    full_body(Bytes::new())
 }
 
-/// A body that is here already.
-pub fn whole(bytes: Bytes) -> Body {
+/// Returns a body that is complete in memory.
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -194,7 +196,7 @@
     Ok((status, body.to_bytes()))
 }
 
-pub(crate) fn checked(
+pub(crate) fn require_success(
     address: SocketAddr,
     status: StatusCode,
     body: Bytes,
@@ -202,7 +204,7 @@
     if status.is_success() {
         return Ok(body);
     }
-    let start = &body[..body.len().min(DETAIL_BYTES)];
+    let start = &body[..body.len().min(MAX_DETAIL_BYTES)];
     let detail = String::from_utf8_lossy(start).into_owned();
     Err(Error::Status { address, status, detail })
 }
