--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -5,21 +5,21 @@
 use std::time::Duration;
 
 use common::{
-    Stage, ask,
+    TestHost,
     caller::{Caller, End},
-    route,
-    server::{self, Link, Server, answer, chunk, first},
+    request, route,
+    server::{self, Connection, Server, answer, chunk, first},
 };
 use rstest::rstest;
 use types::routed::{Kind, Route};
 
-async fn begin(kind: Kind, server: &Server) -> (Stage, Caller, Link) {
-    let stage = Stage::start(route(kind), &[server]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = server.accept().await;
-    link.receive().await;
-    (stage, caller, link)
+async fn begin(kind: Kind, server: &Server) -> (TestHost, Caller, Connection) {
+    let host = TestHost::start(route(kind), &[server]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = server.accept().await;
+    connection.receive().await;
+    (host, caller, connection)
 }
 
 /// How the server's connection ends after what it wrote.
@@ -52,18 +52,18 @@
 #[tokio::test]
 async fn what_is_no_answer_is_unclear(#[case] bytes: String, #[case] after: After) {
     let one = Server::listen("one").await;
-    let (_stage, mut caller, mut link) = begin(Kind::NonIdempotent, &one).await;
-    link.write(&bytes).await;
+    let (_host, mut caller, mut connection) = begin(Kind::NonIdempotent, &one).await;
+    connection.write(&bytes).await;
     match after {
-        After::Open => link.closed().await,
-        After::Close => drop(link),
+        After::Open => connection.closed().await,
+        After::Close => drop(connection),
         After::Reset => {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            link.reset();
+            connection.reset();
         }
     }
     let got = caller.answer().await;
-    assert_eq!((got.status, &*got.body, got.end), (502, "ours", End::Whole));
+    assert_eq!((got.status, &*got.body, got.end), (502, "ours", End::Complete));
     assert!(!one.is_called().await, "it may have run");
 }
 
@@ -75,9 +75,9 @@
 #[tokio::test]
 async fn a_servers_own_answer_passes_unchanged(#[case] status: &str, #[case] seal: &str) {
     let one = Server::listen("one").await;
-    let (_stage, mut caller, mut link) = begin(Kind::NonIdempotent, &one).await;
+    let (_host, mut caller, mut connection) = begin(Kind::NonIdempotent, &one).await;
     let answer = answer("q", "yes").replace("200 OK", status).replace("seal", seal);
-    link.write(&answer.replace("\r\n\r\n", "\r\nsome: field\r\n\r\n")).await;
+    connection.write(&answer.replace("\r\n\r\n", "\r\nsome: field\r\n\r\n")).await;
     let got = caller.answer().await;
     assert_eq!((got.status.to_string(), &*got.body), (status[..3].to_owned(), "yes"));
     assert_eq!((got.header(seal), got.header("some")), (Some("of-q"), Some("field")));
@@ -89,22 +89,24 @@
 #[tokio::test]
 async fn an_answer_is_whole_by_its_framing(#[case] bytes: String) {
     let one = Server::listen("one").await;
-    let (_stage, mut caller, mut link) = begin(Kind::NonIdempotent, &one).await;
-    link.write(&bytes).await;
-    drop(link);
+    let (_host, mut caller, mut connection) = begin(Kind::NonIdempotent, &one).await;
+    connection.write(&bytes).await;
+    drop(connection);
     let got = caller.answer().await;
-    assert_eq!((got.status, &*got.body, got.end), (200, "yes", End::Whole));
+    assert_eq!((got.status, &*got.body, got.end), (200, "yes", End::Complete));
 }
 
 #[tokio::test]
 async fn a_request_that_did_not_run_goes_to_another_server() {
     let (one, two) = (Server::listen("one").await, Server::listen("two").await);
-    let stage = Stage::start(route(Kind::NonIdempotent), &[&one, &two]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(&one, &two).await;
-    link.receive().await;
-    link.write(&answer("q", "no").replace("200 OK", "503 No").replace("seal", "not-run")).await;
+    let host = TestHost::start(route(Kind::NonIdempotent), &[&one, &two]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    connection.receive().await;
+    connection
+        .write(&answer("q", "no").replace("200 OK", "503 No").replace("seal", "not-run"))
+        .await;
     let mut second = other.accept().await;
     assert_eq!(&*second.receive().await.body, b"hi");
     second.write(&answer("q", "yes")).await;
@@ -115,14 +117,14 @@
 async fn a_silent_server_is_left_if_the_request_may_run_again() {
     let (one, two) = (Server::listen("one").await, Server::listen("two").await);
     let quick = Route { goal: Duration::from_millis(10), ..route(Kind::Idempotent) };
-    let stage = Stage::start(quick, &[&one, &two]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(&one, &two).await;
-    link.receive().await;
+    let host = TestHost::start(quick, &[&one, &two]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    connection.receive().await;
     let mut second = other.accept().await;
     second.receive().await;
-    link.closed().await;
+    connection.closed().await;
     second.write(&answer("q", "yes")).await;
     assert_eq!(&*caller.answer().await.body, "yes");
 }
@@ -135,14 +137,14 @@
     let (one, two) = (Server::listen("one").await, Server::listen("two").await);
     let quick = Route { goal: Duration::from_millis(10), ..route(kind) };
     let servers = if has_other { vec![&one, &two] } else { vec![&one] };
-    let stage = Stage::start(quick, &servers).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(&one, &two).await;
-    link.receive().await;
+    let host = TestHost::start(quick, &servers).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    connection.receive().await;
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert!(!other.is_called().await);
-    link.write(&answer("q", "yes")).await;
+    connection.write(&answer("q", "yes")).await;
     assert_eq!(&*caller.answer().await.body, "yes");
 }
 
@@ -153,11 +155,11 @@
 async fn a_request_ends_with_its_time(#[case] kind: Kind) {
     let one = Server::listen("one").await;
     let limited = Route { timeout: Duration::from_millis(500), ..route(kind) };
-    let stage = Stage::start(limited, &[&one]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
+    let host = TestHost::start(limited, &[&one]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
     assert_eq!(caller.answer().await.status, 504);
-    link.closed().await;
+    connection.closed().await;
 }
--- a/crates/relay/tests/common/caller.rs
+++ b/crates/relay/tests/common/caller.rs
@@ -18,21 +18,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// As its framing says.
-    Whole,
+    Complete,
     /// Before that.
-    Cut,
+    Truncated,
 }
 
 /// An answer as it came.
 #[derive(Debug)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
     pub end: End,
 }
 
-impl Got {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
         lines.into_iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
@@ -50,13 +50,13 @@
     }
 
     /// Reads an answer to its end.
-    pub async fn answer(&mut self) -> Got {
+    pub async fn answer(&mut self) -> Response {
         let mut got = self.head().await;
-        got.end = End::Cut;
+        got.end = End::Truncated;
         if got.header("transfer-encoding").is_some() {
-            while let Some(piece) = self.piece().await {
+            while let Some(piece) = self.chunk().await {
                 if piece.is_empty() {
-                    got.end = End::Whole;
+                    got.end = End::Complete;
                     break;
                 }
                 got.body += &piece;
@@ -64,24 +64,24 @@
         } else {
             let length = got.header("content-length").and_then(|text| text.parse().ok());
             if let Some(body) = self.bytes(length.unwrap_or(0)).await {
-                (got.body, got.end) = (body, End::Whole);
+                (got.body, got.end) = (body, End::Complete);
             }
         }
         got
     }
 
     /// Reads the head of an answer.
-    pub async fn head(&mut self) -> Got {
+    pub async fn head(&mut self) -> Response {
         let mut head = String::new();
         while let Some(line) = self.line().await.filter(|line| !line.is_empty()) {
             head = head + &line + "\n";
         }
         let status = head.split(' ').nth(1).and_then(|text| text.parse().ok());
-        Got { status: status.unwrap_or(0), head, body: String::new(), end: End::Whole }
+        Response { status: status.unwrap_or(0), head, body: String::new(), end: End::Complete }
     }
 
     /// Reads a chunk; the last one is empty.
-    pub async fn piece(&mut self) -> Option<String> {
+    pub async fn chunk(&mut self) -> Option<String> {
         let length = usize::from_str_radix(&self.line().await?, 16).ok()?;
         let piece = self.bytes(length).await?;
         self.line().await.filter(|line| line.is_empty()).map(|_| piece)
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -20,41 +20,46 @@
 use self::{caller::Caller, dialect::Neutral, server::Server, store::World};
 
 /// Longest wait for anything.
-pub const LONGEST: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The service of all servers.
 const SERVICE: &str = "words";
 
 /// Waits for something, but not for ever.
 pub async fn within<T>(wanted: impl Future<Output = T>) -> T {
-    timeout(LONGEST, wanted).await.expect("in time")
+    timeout(TIMEOUT, wanted).await.expect("in time")
 }
 
 /// A running host.
-pub struct Stage {
+pub struct TestHost {
     pub address: SocketAddr,
     world: Arc<World>,
     _running: Running,
 }
 
-impl Stage {
+impl TestHost {
     /// Starts a host with one route, and waits until it is in force.
-    pub async fn start(route: Route, servers: &[&Server]) -> Stage {
-        Stage::start_by(Clock::start(), route, servers).await
+    pub async fn start(route: Route, servers: &[&Server]) -> TestHost {
+        TestHost::start_by(Clock::start(), route, servers).await
     }
 
     /// The same by a clock of the test's.
-    pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> Stage {
-        Stage::start_with(clock, routed(), route, servers).await
+    pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> TestHost {
+        TestHost::start_with(clock, routed(), route, servers).await
     }
 
     /// The same with no budget for retries.
-    pub async fn without_retries(route: Route, servers: &[&Server]) -> Stage {
-        let retry = Retry { ratio: 0.0, extra: 0.0, window: LONGEST };
-        Stage::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
+    pub async fn without_retries(route: Route, servers: &[&Server]) -> TestHost {
+        let retry = Retry { ratio: 0.0, extra: 0.0, window: TIMEOUT };
+        TestHost::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
     }
 
-    async fn start_with(clock: Clock, routed: Routed, route: Route, servers: &[&Server]) -> Stage {
+    async fn start_with(
+        clock: Clock,
+        routed: Routed,
+        route: Route,
+        servers: &[&Server],
+    ) -> TestHost {
         let declaration = Declaration {
             version: 1,
             routes: vec![route],
@@ -69,10 +74,10 @@
         let dialect = Arc::new(Neutral { world: world.clone() });
         let running =
             relay::start_by(clock, process(store), routed, dialect).await.expect("a host");
-        let stage = Stage { address: running.address(), world, _running: running };
-        within(stage.in_force()).await;
-        within(stage.registered()).await;
-        stage
+        let host = TestHost { address: running.address(), world, _running: running };
+        within(host.in_force()).await;
+        within(host.registered()).await;
+        host
     }
 
     /// Registers one more server.
@@ -110,8 +115,8 @@
         kind,
         resumable: false,
         sticky: false,
-        timeout: LONGEST,
-        goal: LONGEST,
+        timeout: TIMEOUT,
+        goal: TIMEOUT,
         gap: None,
         silence: None,
         attempts: 2,
@@ -126,7 +131,7 @@
 }
 
 /// A caller's request.
-pub fn ask(name: &str) -> String {
+pub fn request(name: &str) -> String {
     format!("POST /a/x HTTP/1.1\r\nhost: h\r\nrequest-name: {name}\r\ncontent-length: 2\r\n\r\nhi")
 }
 
@@ -182,11 +187,11 @@
 fn routed() -> Routed {
     Routed {
         dialect: process::Dialect::Platform,
-        apply: LONGEST,
-        drain: LONGEST,
-        grace: LONGEST,
-        turn: LONGEST,
-        retry: Retry { ratio: 1.0, extra: 100.0, window: LONGEST },
+        apply: TIMEOUT,
+        drain: TIMEOUT,
+        grace: TIMEOUT,
+        turn: TIMEOUT,
+        retry: Retry { ratio: 1.0, extra: 100.0, window: TIMEOUT },
         metrics_port: None,
     }
 }
--- a/crates/relay/tests/common/server.rs
+++ b/crates/relay/tests/common/server.rs
@@ -18,7 +18,7 @@
 }
 
 /// A connection to a server.
-pub struct Link {
+pub struct Connection {
     stream: TcpStream,
 }
 
@@ -38,17 +38,17 @@
 
 impl Server {
     pub async fn listen(id: &str) -> Server {
-        Server::over(id, TcpListener::bind("127.0.0.1:0").await.expect("a port"))
+        Server::with_listener(id, TcpListener::bind("127.0.0.1:0").await.expect("a port"))
     }
 
-    pub fn over(id: &str, listener: TcpListener) -> Server {
+    pub fn with_listener(id: &str, listener: TcpListener) -> Server {
         let address = listener.local_addr().expect("an address");
         Server { id: id.into(), address, listener }
     }
 
-    pub async fn accept(&self) -> Link {
+    pub async fn accept(&self) -> Connection {
         let (stream, _) = within(self.listener.accept()).await.expect("a connection");
-        Link { stream }
+        Connection { stream }
     }
 
     /// Whether a connection comes in a short while.
@@ -59,14 +59,14 @@
 }
 
 /// The one of two servers that is called first, and the other.
-pub async fn first<'a>(one: &'a Server, other: &'a Server) -> (Link, &'a Server) {
+pub async fn first<'a>(one: &'a Server, other: &'a Server) -> (Connection, &'a Server) {
     tokio::select! {
-        link = one.accept() => (link, other),
-        link = other.accept() => (link, one),
+        connection = one.accept() => (connection, other),
+        connection = other.accept() => (connection, one),
     }
 }
 
-impl Link {
+impl Connection {
     /// Reads the head of a request.
     pub async fn head(&mut self) -> String {
         let mut head = Vec::new();
@@ -112,7 +112,7 @@
     }
 
     /// Waits until the other side closes the connection, whatever comes before.
-    pub async fn drained(&mut self) -> usize {
+    pub async fn drain(&mut self) -> usize {
         let (mut buffer, mut bytes) = (vec![0; 64 * 1024], 0);
         while let Ok(read @ 1..) = within(self.stream.read(&mut buffer)).await {
             bytes += read;
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -9,7 +9,7 @@
 };
 
 const NOW: Moment = Duration::from_secs(10);
-const UNTIL: Moment = Duration::from_millis(10_700);
+const SUSPECT_UNTIL: Moment = Duration::from_millis(10_700);
 
 fn server(models: &[&str]) -> Server {
     Server {
@@ -34,17 +34,17 @@
     Held { model: model.into(), version: 1, adapters: vec![] }
 }
 
-fn suspecting() -> Directory {
+fn with_suspect() -> Directory {
     let mut directory = Directory::default();
     directory.put(server(&["m1"]), 5);
-    directory.suspect(&"s1".into(), UNTIL);
+    directory.suspect(&"s1".into(), SUSPECT_UNTIL);
     directory
 }
 
 /// A host that asks a server for reports did so for good after its entry had gone.
 #[rstest]
 fn a_report_does_not_bring_an_entry_back() {
-    let mut directory = suspecting();
+    let mut directory = with_suspect();
     directory.reported(&"s1".into(), &[held("m1"), held("m2")]);
     assert!(directory.is_suspect(&"s1".into()));
 }
@@ -54,34 +54,34 @@
 #[case::newer(6, false)]
 #[case::older(4, true)]
 fn an_entry_that_is_written_again_clears_it(#[case] revision: u64, #[case] is_suspect: bool) {
-    let mut directory = suspecting();
+    let mut directory = with_suspect();
     directory.put(server(&["m1"]), revision);
     assert_eq!(directory.is_suspect(&"s1".into()), is_suspect);
 }
 
 #[rstest]
 fn peers_are_not_told_of_what_is_suspected() {
-    let mut directory = suspecting();
+    let mut directory = with_suspect();
     assert_eq!(directory.registered(0, Duration::ZERO, NOW).ids.len(), 0);
     assert!(directory.get(&"s1".into()).is_some(), "it is used on");
     directory.put(server(&["m1"]), 6);
     assert_eq!(directory.registered(0, Duration::ZERO, NOW).servers.len(), 1);
-    let told = directory.registered(6, Duration::ZERO, NOW);
-    assert_eq!((told.ids.len(), told.servers.len()), (1, 0), "it is known as it is");
+    let reply = directory.registered(6, Duration::ZERO, NOW);
+    assert_eq!((reply.ids.len(), reply.servers.len()), (1, 0), "it is known as it is");
 }
 
 #[rstest]
-#[case::used_here(complete(8, Some(7)), 1)]
-#[case::written_here_since(complete(8, Some(10)), 0)]
-#[case::not_known_here(complete(8, None), 0)]
+#[case::used_here(directory_at(8, Some(7)), 1)]
+#[case::written_here_since(directory_at(8, Some(10)), 0)]
+#[case::not_known_here(directory_at(8, None), 0)]
 fn a_peers_suspect_is_used_for_the_rest_of_its_time(
     #[case] directory: Directory,
     #[case] suspected: usize,
 ) {
-    let told = suspecting().registered(0, Duration::ZERO, NOW);
-    let left = UNTIL - NOW;
-    assert_eq!(told.suspects, [Suspect { id: "s1".into(), left }]);
-    let delta = directory.compare(Registered { revision: 9, ..told });
+    let reply = with_suspect().registered(0, Duration::ZERO, NOW);
+    let left = SUSPECT_UNTIL - NOW;
+    assert_eq!(reply.suspects, [Suspect { id: "s1".into(), left }]);
+    let delta = directory.compare(Registered { revision: 9, ..reply });
     assert_eq!(
         (delta.suspected.len(), delta.deleted.len(), delta.upserted.len()),
         (suspected, 0, 0)
@@ -89,10 +89,10 @@
 }
 
 #[rstest]
-#[case::in_time(NOW, Some(UNTIL - NOW))]
-#[case::too_late(UNTIL + NOW, Some(Duration::ZERO))]
+#[case::in_time(NOW, Some(SUSPECT_UNTIL - NOW))]
+#[case::too_late(SUSPECT_UNTIL + NOW, Some(Duration::ZERO))]
 fn a_suspect_has_a_time_to_come_back(#[case] now: Moment, #[case] left: Option<Duration>) {
-    let mut directory = suspecting();
+    let mut directory = with_suspect();
     assert_eq!(directory.suspected_for(&"s1".into(), now), left);
     directory.put(server(&["m1"]), 6);
     assert_eq!(directory.suspected_for(&"s1".into(), now), None);
@@ -100,22 +100,22 @@
 
 #[rstest]
 fn what_is_gone_is_not_suspected() {
-    let mut directory = suspecting();
+    let mut directory = with_suspect();
     directory.remove(&"s1".into());
     assert!(!directory.is_suspect(&"s1".into()));
     assert_eq!(directory.servers().count(), 0);
 }
 
 /// A run of the server that began at a time.
-fn run(born: u64) -> Server {
+fn server_run(born: u64) -> Server {
     Server { id: routed::run("s1", born), born, ..server(&["m1"]) }
 }
 
 #[rstest]
 fn a_later_run_takes_the_name_over() {
     let mut directory = Directory::default();
-    directory.put(run(1_000), 5);
-    directory.put(run(2_000), 6);
+    directory.put(server_run(1_000), 5);
+    directory.put(server_run(2_000), 6);
     let ids: Vec<_> = directory.servers().map(|server| server.id.to_string()).collect();
     assert_eq!(ids, ["s1@2000"]);
     assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
@@ -132,13 +132,13 @@
 #[case::earlier_entry(5)]
 fn an_earlier_run_never_goes_before_a_later_one(#[case] written: u64) {
     let mut directory = Directory::default();
-    directory.put(run(2_000), 6);
-    assert!(directory.put(run(1_000), written).is_none());
+    directory.put(server_run(2_000), 6);
+    assert!(directory.put(server_run(1_000), written).is_none());
     assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
 }
 
 /// A directory that is complete as of a revision, with a server whose entry was written then.
-fn complete(revision: u64, written: Option<u64>) -> Directory {
+fn directory_at(revision: u64, written: Option<u64>) -> Directory {
     let mut directory = Directory::default();
     if let Some(written) = written {
         directory.put(server(&["m1"]), written);
@@ -147,23 +147,23 @@
     directory
 }
 
-fn list(revision: u64, written: Option<u64>) -> Registered {
+fn listing(revision: u64, written: Option<u64>) -> Registered {
     let entry = |written| Entry { written, server: server(&["m2"]) };
     let servers: Vec<Entry> = written.map(entry).into_iter().collect();
-    let ids = servers.iter().map(|told| told.server.id.clone()).collect();
+    let ids = servers.iter().map(|entry| entry.server.id.clone()).collect();
     Registered { revision, ids, servers, ..Registered::default() }
 }
 
 /// Who has seen an entry go must not learn of it again from a peer that has not.
 #[rstest]
-#[case::removed_here_peer_still_lists_it(complete(8, None), list(9, Some(5)), 0, 0)]
-#[case::written_again_since(complete(8, None), list(9, Some(9)), 1, 0)]
-#[case::the_peer_is_as_old(complete(8, None), list(8, Some(5)), 0, 0)]
-#[case::the_peer_is_older(complete(8, Some(7)), list(6, None), 0, 0)]
-#[case::gone_at_the_peer(complete(8, Some(7)), list(9, None), 0, 1)]
-#[case::known_as_it_is(complete(8, Some(7)), list(9, Some(7)), 0, 0)]
-#[case::written_here_after_the_list(complete(8, Some(10)), list(9, None), 0, 0)]
-#[case::nothing_known_yet(complete(0, None), list(9, Some(5)), 1, 0)]
+#[case::removed_here_peer_still_lists_it(directory_at(8, None), listing(9, Some(5)), 0, 0)]
+#[case::written_again_since(directory_at(8, None), listing(9, Some(9)), 1, 0)]
+#[case::the_peer_is_as_old(directory_at(8, None), listing(8, Some(5)), 0, 0)]
+#[case::the_peer_is_older(directory_at(8, Some(7)), listing(6, None), 0, 0)]
+#[case::gone_at_the_peer(directory_at(8, Some(7)), listing(9, None), 0, 1)]
+#[case::known_as_it_is(directory_at(8, Some(7)), listing(9, Some(7)), 0, 0)]
+#[case::written_here_after_the_list(directory_at(8, Some(10)), listing(9, None), 0, 0)]
+#[case::nothing_known_yet(directory_at(0, None), listing(9, Some(5)), 1, 0)]
 fn a_peers_list_changes_only_what_it_knows_later(
     #[case] directory: Directory,
     #[case] list: Registered,
@@ -176,9 +176,9 @@
 
 /// After a lost history the store's whole list counts, unless a peer has told of a later state.
 #[rstest]
-#[case::lists_what_is_unknown(complete(8, None), list(9, Some(5)), 1, 0)]
-#[case::lacks_what_is_known(complete(8, Some(7)), list(9, None), 0, 1)]
-#[case::overtaken_by_a_peer(complete(8, None), list(7, Some(5)), 0, 0)]
+#[case::lists_what_is_unknown(directory_at(8, None), listing(9, Some(5)), 1, 0)]
+#[case::lacks_what_is_known(directory_at(8, Some(7)), listing(9, None), 0, 1)]
+#[case::overtaken_by_a_peer(directory_at(8, None), listing(7, Some(5)), 0, 0)]
 fn the_stores_list_replaces_what_is_older(
     #[case] directory: Directory,
     #[case] list: Registered,
@@ -195,6 +195,6 @@
 #[case::removed_after_it_was_written(8, false)]
 #[case::revision_not_told(0, false)]
 fn a_removal_is_no_news_of_an_entry_written_since(#[case] removed: u64, #[case] is_newer: bool) {
-    let directory = complete(9, Some(7));
+    let directory = directory_at(9, Some(7));
     assert_eq!(directory.is_newer(&"s1".into(), removed), is_newer);
 }
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -5,25 +5,25 @@
 use std::{net::SocketAddr, time::Duration};
 
 use common::{
-    Stage, ask,
+    TestHost,
     caller::Caller,
-    resumable, route,
-    server::{Link, Server, answer, events, first, stream},
+    request, resumable, route,
+    server::{Connection, Server, answer, events, first, stream},
 };
 use rstest::rstest;
 use tokio::net::{TcpSocket, TcpStream};
 use types::routed::{Kind, Route};
 
 /// Time for a host to notice something, where nothing else tells.
-const NOTICE: Duration = Duration::from_millis(250);
+const SETTLE_TIME: Duration = Duration::from_millis(250);
 
-async fn begin(route: Route, server: &Server) -> (Stage, Caller, Link) {
-    let stage = Stage::start(route, &[server]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = server.accept().await;
-    link.receive().await;
-    (stage, caller, link)
+async fn begin(route: Route, server: &Server) -> (TestHost, Caller, Connection) {
+    let host = TestHost::start(route, &[server]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = server.accept().await;
+    connection.receive().await;
+    (host, caller, connection)
 }
 
 #[rstest]
@@ -32,9 +32,9 @@
     #[values(Kind::Idempotent, Kind::NonIdempotent, Kind::Stream)] kind: Kind,
 ) {
     let one = Server::listen("one").await;
-    let (_stage, caller, mut link) = begin(route(kind), &one).await;
+    let (_host, caller, mut connection) = begin(route(kind), &one).await;
     drop(caller);
-    link.closed().await;
+    connection.closed().await;
 }
 
 /// What a slow link holds up is lost with its request.
@@ -42,25 +42,25 @@
 async fn while_its_server_reads_nothing() {
     const BODY: usize = 1024 * 1024;
     let one = Server::listen("one").await;
-    let stage = Stage::start(route(Kind::Idempotent), &[&one]).await;
-    let mut caller = stage.caller().await;
+    let host = TestHost::start(route(Kind::Idempotent), &[&one]).await;
+    let mut caller = host.caller().await;
     let head = format!(
         "POST /a/q HTTP/1.1\r\nhost: h\r\nrequest-name: q\r\ncontent-length: {BODY}\r\n\r\n"
     );
     caller.write(&(head + &"x".repeat(BODY))).await;
-    tokio::time::sleep(NOTICE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     drop(caller);
-    tokio::time::sleep(NOTICE).await;
-    assert!(one.accept().await.drained().await < BODY);
+    tokio::time::sleep(SETTLE_TIME).await;
+    assert!(one.accept().await.drain().await < BODY);
 }
 
 #[tokio::test]
 async fn in_the_middle_of_an_answer() {
     let one = Server::listen("one").await;
-    let (_stage, caller, mut link) = begin(route(Kind::NonIdempotent), &one).await;
-    link.write(&answer("q", "yes").replace("length: 3", "length: 9")).await;
+    let (_host, caller, mut connection) = begin(route(Kind::NonIdempotent), &one).await;
+    connection.write(&answer("q", "yes").replace("length: 3", "length: 9")).await;
     drop(caller);
-    link.closed().await;
+    connection.closed().await;
 }
 
 #[rstest]
@@ -69,24 +69,24 @@
 #[tokio::test]
 async fn in_the_middle_of_a_stream(#[case] route: Route) {
     let one = Server::listen("one").await;
-    let (_stage, mut caller, mut link) = begin(route, &one).await;
-    link.write(&(stream("q") + &events([1]))).await;
+    let (_host, mut caller, mut connection) = begin(route, &one).await;
+    connection.write(&(stream("q") + &events([1]))).await;
     caller.head().await;
-    caller.piece().await;
+    caller.chunk().await;
     drop(caller);
-    link.closed().await;
+    connection.closed().await;
 }
 
 #[tokio::test]
 async fn while_a_stream_is_taken_to_another_server() {
     let (one, two) = (Server::listen("one").await, Server::listen("two").await);
-    let stage = Stage::start(resumable(), &[&one, &two]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(&one, &two).await;
-    link.receive().await;
-    link.write(&(stream("q") + &events([1]))).await;
-    drop(link);
+    let host = TestHost::start(resumable(), &[&one, &two]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    connection.receive().await;
+    connection.write(&(stream("q") + &events([1]))).await;
+    drop(connection);
     let mut second = other.accept().await;
     second.receive().await;
     drop(caller);
@@ -96,38 +96,39 @@
 #[tokio::test]
 async fn while_no_server_is_there() {
     let one = Server::listen("one").await;
-    let stage = Stage::start(route(Kind::NonIdempotent), &[]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    tokio::time::sleep(NOTICE).await;
+    let host = TestHost::start(route(Kind::NonIdempotent), &[]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     drop(caller);
-    tokio::time::sleep(NOTICE).await;
-    stage.register(&one);
+    tokio::time::sleep(SETTLE_TIME).await;
+    host.register(&one);
     assert!(!one.is_called().await);
 }
 
 #[tokio::test]
 async fn while_no_server_is_there_for_the_rest_of_a_stream() {
     let (one, two) = (Server::listen("one").await, Server::listen("two").await);
-    let (stage, mut caller, mut link) = begin(resumable(), &one).await;
-    link.write(&(stream("q") + &events([1]))).await;
+    let (host, mut caller, mut connection) = begin(resumable(), &one).await;
+    connection.write(&(stream("q") + &events([1]))).await;
     caller.head().await;
-    drop(link);
-    tokio::time::sleep(NOTICE).await;
+    drop(connection);
+    tokio::time::sleep(SETTLE_TIME).await;
     drop(caller);
-    tokio::time::sleep(NOTICE).await;
-    stage.register(&two);
+    tokio::time::sleep(SETTLE_TIME).await;
+    host.register(&two);
     assert!(!two.is_called().await);
 }
 
 /// A listener whose queue is full, so that a new connection stands only when one is accepted.
-async fn full() -> (tokio::net::TcpListener, Vec<TcpStream>) {
+async fn full_listener() -> (tokio::net::TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let listener = socket.listen(1).expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut waiting = Vec::new();
-    while let Ok(Ok(stream)) = tokio::time::timeout(NOTICE, TcpStream::connect(address)).await {
+    while let Ok(Ok(stream)) = tokio::time::timeout(SETTLE_TIME, TcpStream::connect(address)).await
+    {
         waiting.push(stream);
     }
     (listener, waiting)
@@ -135,14 +136,14 @@
 
 #[tokio::test]
 async fn while_the_connection_is_being_made() {
-    let (listener, waiting) = full().await;
-    let one = Server::over("one", listener);
-    let stage = Stage::start(route(Kind::NonIdempotent), &[&one]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    tokio::time::sleep(NOTICE).await;
+    let (listener, waiting) = full_listener().await;
+    let one = Server::with_listener("one", listener);
+    let host = TestHost::start(route(Kind::NonIdempotent), &[&one]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     drop(caller);
-    tokio::time::sleep(NOTICE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     for _ in &waiting {
         one.accept().await;
     }
--- a/crates/relay/tests/reuse.rs
+++ b/crates/relay/tests/reuse.rs
@@ -3,27 +3,27 @@
 mod common;
 
 use common::{
-    Stage, ask,
+    TestHost,
     caller::{Caller, End},
-    route,
-    server::{self, END, Link, Server, answer, events, stream},
+    request, route,
+    server::{self, Connection, END, Server, answer, events, stream},
 };
 use rstest::rstest;
 use types::routed::Kind;
 
-async fn begin(kind: Kind) -> (Stage, Server, Caller, Link) {
+async fn begin(kind: Kind) -> (TestHost, Server, Caller, Connection) {
     let server = Server::listen("one").await;
-    let stage = Stage::start(route(kind), &[&server]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q1")).await;
-    let mut link = server.accept().await;
-    link.receive().await;
-    (stage, server, caller, link)
+    let host = TestHost::start(route(kind), &[&server]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q1")).await;
+    let mut connection = server.accept().await;
+    connection.receive().await;
+    (host, server, caller, connection)
 }
 
 /// The next request goes to the server on a connection of its own.
-async fn is_called_anew(server: &Server, caller: &mut Caller) {
-    caller.write(&ask("q2")).await;
+async fn assert_new_connection(server: &Server, caller: &mut Caller) {
+    caller.write(&request("q2")).await;
     let mut second = server.accept().await;
     second.receive().await;
     second.write(&answer("q2", "right")).await;
@@ -36,11 +36,11 @@
 #[case::stream(Kind::Stream, stream("q1") + &events([1]) + END)]
 #[tokio::test]
 async fn a_connection_serves_one_request_after_another(#[case] kind: Kind, #[case] first: String) {
-    let (_stage, _server, mut caller, mut link) = begin(kind).await;
-    link.write(&first).await;
-    assert_eq!(caller.answer().await.end, End::Whole);
-    caller.write(&ask("q2")).await;
-    assert_eq!(link.receive().await.header("request-name"), Some("q2"));
+    let (_host, _server, mut caller, mut connection) = begin(kind).await;
+    connection.write(&first).await;
+    assert_eq!(caller.answer().await.end, End::Complete);
+    caller.write(&request("q2")).await;
+    assert_eq!(connection.receive().await.header("request-name"), Some("q2"));
 }
 
 #[rstest]
@@ -54,68 +54,69 @@
 #[case::bytes_beyond_its_length(answer("q1", "yes, and more").replace("length: 13", "length: 3"))]
 #[tokio::test]
 async fn a_connection_is_not_used_again_after(#[case] bytes: String) {
-    let (_stage, server, mut caller, mut link) = begin(Kind::NonIdempotent).await;
-    link.write(&bytes).await;
+    let (_host, server, mut caller, mut connection) = begin(Kind::NonIdempotent).await;
+    connection.write(&bytes).await;
     assert_eq!(&*caller.answer().await.body, "yes");
-    caller.write(&ask("q2")).await;
+    caller.write(&request("q2")).await;
     let mut second = server.accept().await;
     assert_eq!(second.receive().await.header("request-name"), Some("q2"));
     second.write(&answer("q2", "right")).await;
     assert_eq!(&*caller.answer().await.body, "right");
-    link.closed().await;
+    connection.closed().await;
 }
 
 #[tokio::test]
 async fn an_extra_answer_between_requests_ends_the_connection() {
-    let (_stage, server, mut caller, mut link) = begin(Kind::NonIdempotent).await;
-    link.write(&answer("q1", "yes")).await;
+    let (_host, server, mut caller, mut connection) = begin(Kind::NonIdempotent).await;
+    connection.write(&answer("q1", "yes")).await;
     assert_eq!(&*caller.answer().await.body, "yes");
-    link.write(&answer("q1", "yes")).await;
-    link.closed().await;
-    is_called_anew(&server, &mut caller).await;
+    connection.write(&answer("q1", "yes")).await;
+    connection.closed().await;
+    assert_new_connection(&server, &mut caller).await;
 }
 
 #[tokio::test]
 async fn a_server_that_ends_between_requests_is_called_anew() {
-    let (_stage, server, mut caller, mut link) = begin(Kind::NonIdempotent).await;
-    link.write(&answer("q1", "yes")).await;
+    let (_host, server, mut caller, mut connection) = begin(Kind::NonIdempotent).await;
+    connection.write(&answer("q1", "yes")).await;
     assert_eq!(&*caller.answer().await.body, "yes");
-    drop(link);
-    is_called_anew(&server, &mut caller).await;
+    drop(connection);
+    assert_new_connection(&server, &mut caller).await;
 }
 
 #[tokio::test]
 async fn an_extra_answer_where_the_next_is_due_is_not_the_next() {
-    let (_stage, server, mut caller, mut link) = begin(Kind::NonIdempotent).await;
-    link.write(&answer("q1", "yes")).await;
+    let (_host, server, mut caller, mut connection) = begin(Kind::NonIdempotent).await;
+    connection.write(&answer("q1", "yes")).await;
     assert_eq!(&*caller.answer().await.body, "yes");
-    caller.write(&ask("q2")).await;
-    link.receive().await;
-    link.write(&(answer("q1", "yes") + &answer("q2", "right"))).await;
+    caller.write(&request("q2")).await;
+    connection.receive().await;
+    connection.write(&(answer("q1", "yes") + &answer("q2", "right"))).await;
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body), (502, "ours"));
-    link.closed().await;
+    connection.closed().await;
     assert!(!server.is_called().await, "it may have run");
 }
 
 /// Larger than what sockets hold between them, and within the declared bound.
-const LONG: usize = 4 * 1024 * 1024;
+const LARGE_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 #[tokio::test]
 async fn an_answer_before_the_request_was_read_passes_and_ends_the_connection() {
     let server = Server::listen("one").await;
-    let stage = Stage::start(route(Kind::NonIdempotent), &[&server]).await;
-    let mut caller = stage.caller().await;
-    let head = ask("q1").replace("length: 2\r\n\r\nhi", &format!("length: {LONG}\r\n\r\n"));
-    caller.write(&(head + &"x".repeat(LONG))).await;
-    let mut link = server.accept().await;
-    link.head().await;
-    link.write(&answer("q1", "early")).await;
+    let host = TestHost::start(route(Kind::NonIdempotent), &[&server]).await;
+    let mut caller = host.caller().await;
+    let head = request("q1")
+        .replace("length: 2\r\n\r\nhi", &format!("length: {LARGE_BODY_BYTES}\r\n\r\n"));
+    caller.write(&(head + &"x".repeat(LARGE_BODY_BYTES))).await;
+    let mut connection = server.accept().await;
+    connection.head().await;
+    connection.write(&answer("q1", "early")).await;
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body), (200, "early"));
     // Whatever the server still reads is the start of that body, and then the end.
-    assert!(link.drained().await < LONG);
-    caller.write(&ask("q2")).await;
+    assert!(connection.drain().await < LARGE_BODY_BYTES);
+    caller.write(&request("q2")).await;
     let mut second = server.accept().await;
     assert_eq!(second.receive().await.header("request-name"), Some("q2"));
     second.write(&server::answer("q2", "right")).await;
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use common::{
-    Stage, ask,
-    caller::{Caller, End, Got},
-    resumable, route,
-    server::{self, END, Link, Server, chunk, event, events, first, stream},
+    TestHost,
+    caller::{Caller, End, Response},
+    request, resumable, route,
+    server::{self, Connection, END, Server, chunk, event, events, first, stream},
 };
 use rstest::rstest;
 use types::routed::{Kind, Route};
@@ -22,13 +22,13 @@
     route: Route,
     one: &'a Server,
     other: &'a Server,
-) -> (Stage, Caller, Link, &'a Server) {
-    let stage = Stage::start(route, &[one, other]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(one, other).await;
-    link.receive().await;
-    (stage, caller, link, other)
+) -> (TestHost, Caller, Connection, &'a Server) {
+    let host = TestHost::start(route, &[one, other]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(one, other).await;
+    connection.receive().await;
+    (host, caller, connection, other)
 }
 
 async fn servers() -> (Server, Server) {
@@ -47,7 +47,7 @@
 }
 
 /// What comes of the event in whose middle the server breaks off.
-fn half(how: Break) -> String {
+fn partial_event(how: Break) -> String {
     match how {
         // A gap shows only between events.
         Break::Gap => String::new(),
@@ -58,35 +58,35 @@
 }
 
 /// Brings a break about; gives the connection if it is still open.
-async fn break_off(mut link: Link, how: Break) -> Option<Link> {
+async fn break_off(mut connection: Connection, how: Break) -> Option<Connection> {
     match how {
         Break::Reset => {
             // What was written before goes first.
             tokio::time::sleep(Duration::from_millis(100)).await;
-            link.reset();
+            connection.reset();
             return None;
         }
         Break::Close => return None,
-        Break::Garbage => link.write(&chunk("@@@@\n\n")).await,
-        Break::BadChunk => link.write("zz\r\n").await,
-        Break::Gap => link.write(&events([5])).await,
+        Break::Garbage => connection.write(&chunk("@@@@\n\n")).await,
+        Break::BadChunk => connection.write("zz\r\n").await,
+        Break::Gap => connection.write(&events([5])).await,
         Break::Silence => {}
     }
-    Some(link)
+    Some(connection)
 }
 
 #[tokio::test]
 async fn events_come_as_they_are_made() {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, _) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&stream("q")).await;
+    let (_host, mut caller, mut connection, _) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&stream("q")).await;
     assert_eq!(caller.head().await.header("seal"), Some("of-q"));
     for id in 1..4 {
-        link.write(&events([id])).await;
-        assert_eq!(caller.piece().await, Some(event(id)));
+        connection.write(&events([id])).await;
+        assert_eq!(caller.chunk().await, Some(event(id)));
     }
-    link.write(END).await;
-    assert_eq!(caller.piece().await.as_deref(), Some(""));
+    connection.write(END).await;
+    assert_eq!(caller.chunk().await.as_deref(), Some(""));
 }
 
 #[rstest]
@@ -95,13 +95,13 @@
 #[tokio::test]
 async fn half_an_event_waits_for_its_other_half(#[case] route: Route) {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, _) = begin(route, &one, &two).await;
+    let (_host, mut caller, mut connection, _) = begin(route, &one, &two).await;
     let (start, rest) = (event(1) + "id: 2\nda", "ta: token 2\n\n");
-    link.write(&(stream("q") + &chunk(&start))).await;
+    connection.write(&(stream("q") + &chunk(&start))).await;
     caller.head().await;
-    assert_eq!(caller.piece().await, Some(event(1)));
-    link.write(&(chunk(rest) + END)).await;
-    assert_eq!(caller.piece().await, Some(event(2)));
+    assert_eq!(caller.chunk().await, Some(event(1)));
+    connection.write(&(chunk(rest) + END)).await;
+    assert_eq!(caller.chunk().await, Some(event(2)));
 }
 
 #[rstest]
@@ -118,23 +118,23 @@
     how: Break,
 ) {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, other) = begin(resumable(), &one, &two).await;
-    link.write(&(stream("q") + &events([1, 2]) + &half(how))).await;
+    let (_host, mut caller, mut connection, other) = begin(resumable(), &one, &two).await;
+    connection.write(&(stream("q") + &events([1, 2]) + &partial_event(how))).await;
     let head = caller.head().await;
-    assert_eq!(caller.piece().await, Some(body([1, 2])));
-    let open = break_off(link, how).await;
+    assert_eq!(caller.chunk().await, Some(body([1, 2])));
+    let open = break_off(connection, how).await;
     let mut second = other.accept().await;
     let received = second.receive().await;
-    if let Some(mut link) = open {
+    if let Some(mut connection) = open {
         // The first server must not be at work beside the second.
-        link.closed().await;
+        connection.closed().await;
     }
     assert_eq!(received.header("resume-after"), Some("2"));
     assert_eq!((received.header("request-name"), &*received.body), (Some("q"), &b"hi"[..]));
     let resumed = stream("q").replace("of-q", "of-another");
     second.write(&(resumed + &events([2, 3, 4]) + END)).await;
     let mut passed = String::new();
-    while let Some(piece) = caller.piece().await.filter(|piece| !piece.is_empty()) {
+    while let Some(piece) = caller.chunk().await.filter(|piece| !piece.is_empty()) {
         passed += &piece;
     }
     assert_eq!((passed, head.header("seal")), (body([3, 4]), Some("of-q")));
@@ -146,11 +146,11 @@
     #[values(Break::Reset, Break::Close, Break::Garbage, Break::BadChunk, Break::Gap)] how: Break,
 ) {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, other) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&(stream("q") + &events([1, 2]) + &half(how))).await;
-    let open = break_off(link, how).await;
+    let (_host, mut caller, mut connection, other) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&(stream("q") + &events([1, 2]) + &partial_event(how))).await;
+    let open = break_off(connection, how).await;
     let got = caller.answer().await;
-    assert_eq!((got.status, got.body, got.end), (200, body([1, 2]), End::Cut));
+    assert_eq!((got.status, got.body, got.end), (200, body([1, 2]), End::Truncated));
     assert!(!other.is_called().await);
     drop(open);
 }
@@ -158,53 +158,53 @@
 #[tokio::test]
 async fn repeated_events_are_dropped() {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, _) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&(stream("q") + &events([1, 2, 1, 2, 3]) + &events([3, 4]) + END)).await;
+    let (_host, mut caller, mut connection, _) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&(stream("q") + &events([1, 2, 1, 2, 3]) + &events([3, 4]) + END)).await;
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body(1..5), End::Whole));
+    assert_eq!((got.body, got.end), (body(1..5), End::Complete));
 }
 
 #[tokio::test]
 async fn a_caller_that_resumes_gets_what_follows() {
     let (one, two) = servers().await;
-    let stage = Stage::start(resumable(), &[&one, &two]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q").replace("\r\n\r\n", "\r\nresume-after: 12\r\n\r\n")).await;
-    let (mut link, other) = first(&one, &two).await;
-    assert_eq!(link.receive().await.header("resume-after"), Some("12"));
-    link.write(&stream("q")).await;
+    let host = TestHost::start(resumable(), &[&one, &two]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q").replace("\r\n\r\n", "\r\nresume-after: 12\r\n\r\n")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    assert_eq!(connection.receive().await.header("resume-after"), Some("12"));
+    connection.write(&stream("q")).await;
     assert_eq!(caller.head().await.status, 200);
-    drop(link);
+    drop(connection);
     let mut second = other.accept().await;
     assert_eq!(second.receive().await.header("resume-after"), Some("12"));
     second.write(&(stream("q") + &events(11..15) + END)).await;
-    assert_eq!(caller.piece().await, Some(body([13, 14])));
+    assert_eq!(caller.chunk().await, Some(body([13, 14])));
 }
 
 #[tokio::test]
 async fn a_stream_goes_to_no_more_servers_than_its_route_allows() {
     let (one, two, three) =
         (Server::listen("one").await, Server::listen("two").await, Server::listen("three").await);
-    let stage = Stage::start(resumable(), &[&one, &two, &three]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
+    let host = TestHost::start(resumable(), &[&one, &two, &three]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
     let mut calls = 0;
     let got = tokio::select! {
         got = caller.answer() => got,
         never = async {
             loop {
-                let mut link = tokio::select! {
-                    link = one.accept() => link,
-                    link = two.accept() => link,
-                    link = three.accept() => link,
+                let mut connection = tokio::select! {
+                    connection = one.accept() => connection,
+                    connection = two.accept() => connection,
+                    connection = three.accept() => connection,
                 };
-                link.receive().await;
+                connection.receive().await;
                 calls += 1;
-                link.write(&(stream("q") + &events([1]) + &chunk("id: 2\n"))).await;
+                connection.write(&(stream("q") + &events([1]) + &chunk("id: 2\n"))).await;
             }
         } => never,
     };
-    assert_eq!((got.body, got.end, calls), (body([1]), End::Cut, 2));
+    assert_eq!((got.body, got.end, calls), (body([1]), End::Truncated, 2));
 }
 
 /// How a server refuses to go on.
@@ -217,43 +217,44 @@
 async fn what_a_second_server_says_is_checked_like_any_other(#[case] head: String) {
     let (one, two) = servers().await;
     let limited = Route { timeout: Duration::from_secs(2), ..resumable() };
-    let (_stage, mut caller, mut link, other) = begin(limited, &one, &two).await;
-    link.write(&(stream("q") + &events([1]))).await;
-    drop(link);
+    let (_host, mut caller, mut connection, other) = begin(limited, &one, &two).await;
+    connection.write(&(stream("q") + &events([1]))).await;
+    drop(connection);
     let mut second = other.accept().await;
     second.receive().await;
     second.write(&(head + &events([2]) + END)).await;
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1]), End::Cut));
+    assert_eq!((got.body, got.end), (body([1]), End::Truncated));
 }
 
 #[rstest]
-#[case::ended(false, End::Whole)]
-#[case::reset(true, End::Cut)]
+#[case::ended(false, End::Complete)]
+#[case::reset(true, End::Truncated)]
 #[tokio::test]
 async fn a_stream_without_framing_ends_with_its_connection(#[case] resets: bool, #[case] end: End) {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, _) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&(server::head("q") + "\r\n" + &body([1, 2]))).await;
+    let (_host, mut caller, mut connection, _) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&(server::head("q") + "\r\n" + &body([1, 2]))).await;
     let mut got = caller.head().await;
-    got.body = caller.piece().await.expect("events");
+    got.body = caller.chunk().await.expect("events");
     if resets {
-        link.reset();
+        connection.reset();
     } else {
-        drop(link);
+        drop(connection);
     }
-    got.end = if caller.piece().await.as_deref() == Some("") { End::Whole } else { End::Cut };
+    got.end =
+        if caller.chunk().await.as_deref() == Some("") { End::Complete } else { End::Truncated };
     assert_eq!((got.body, got.end), (body([1, 2]), end));
 }
 
 #[tokio::test]
 async fn an_end_in_the_middle_of_an_event_is_no_end() {
     let (one, two) = servers().await;
-    let (_stage, mut caller, mut link, _) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&(server::head("q") + "\r\n" + &body([1]) + "id: 2\nda")).await;
-    drop(link);
+    let (_host, mut caller, mut connection, _) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&(server::head("q") + "\r\n" + &body([1]) + "id: 2\nda")).await;
+    drop(connection);
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1]), End::Cut));
+    assert_eq!((got.body, got.end), (body([1]), End::Truncated));
 }
 
 #[rstest]
@@ -263,11 +264,11 @@
 async fn the_end_of_its_time_cuts_a_stream(#[case] route: Route) {
     let (one, two) = servers().await;
     let limited = Route { timeout: Duration::from_millis(700), ..route };
-    let (_stage, mut caller, mut link, other) = begin(limited, &one, &two).await;
-    link.write(&(stream("q") + &events([1]))).await;
+    let (_host, mut caller, mut connection, other) = begin(limited, &one, &two).await;
+    connection.write(&(stream("q") + &events([1]))).await;
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1]), End::Cut));
-    link.closed().await;
+    assert_eq!((got.body, got.end), (body([1]), End::Truncated));
+    connection.closed().await;
     assert!(!other.is_called().await);
 }
 
@@ -275,13 +276,13 @@
 async fn a_silent_server_is_left_before_the_first_event() {
     let (one, two) = servers().await;
     let quick = Route { goal: Duration::from_millis(10), ..resumable() };
-    let (_stage, mut caller, mut link, other) = begin(quick, &one, &two).await;
+    let (_host, mut caller, mut connection, other) = begin(quick, &one, &two).await;
     let mut second = other.accept().await;
     second.receive().await;
-    link.closed().await;
+    connection.closed().await;
     second.write(&(stream("q") + &events([1]) + END)).await;
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1]), End::Whole));
+    assert_eq!((got.body, got.end), (body([1]), End::Complete));
 }
 
 /// A stream that was let go of for another server, and found that no retry was left, was closed at
@@ -293,35 +294,35 @@
 async fn a_silent_server_is_kept_while_no_retry_is_left(#[case] has_answered: bool) {
     let (one, two) = servers().await;
     let quick = Route { goal: Duration::from_millis(10), ..resumable() };
-    let stage = Stage::without_retries(quick, &[&one, &two]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let (mut link, other) = first(&one, &two).await;
-    link.receive().await;
+    let host = TestHost::without_retries(quick, &[&one, &two]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let (mut connection, other) = first(&one, &two).await;
+    connection.receive().await;
     if has_answered {
-        link.write(&stream("q")).await;
+        connection.write(&stream("q")).await;
     }
     tokio::time::sleep(Duration::from_millis(1600)).await;
     let head = if has_answered { String::new() } else { stream("q") };
-    link.write(&(head + &events([1, 2]) + END)).await;
+    connection.write(&(head + &events([1, 2]) + END)).await;
     let got = caller.answer().await;
-    assert_eq!((got.status, got.body, got.end), (200, body([1, 2]), End::Whole));
+    assert_eq!((got.status, got.body, got.end), (200, body([1, 2]), End::Complete));
     assert!(!other.is_called().await);
 }
 
 #[tokio::test]
 async fn a_silent_server_is_kept_if_there_is_no_other() {
     let one = Server::listen("one").await;
-    let stage = Stage::start(resumable(), &[&one]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
-    link.write(&(stream("q") + &events([1]))).await;
+    let host = TestHost::start(resumable(), &[&one]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
+    connection.write(&(stream("q") + &events([1]))).await;
     tokio::time::sleep(Duration::from_millis(1500)).await;
-    link.write(&(events([2]) + END)).await;
-    let got: Got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1, 2]), End::Whole));
+    connection.write(&(events([2]) + END)).await;
+    let got: Response = caller.answer().await;
+    assert_eq!((got.body, got.end), (body([1, 2]), End::Complete));
 }
 
 #[tokio::test]
@@ -329,28 +330,28 @@
     let one = Server::listen("one").await;
     let quick =
         Route { goal: Duration::from_millis(10), timeout: Duration::from_secs(2), ..resumable() };
-    let stage = Stage::start(quick, &[&one]).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
-    link.write(&(stream("q") + &events([1]) + &chunk("id: 2\n"))).await;
-    drop(link);
+    let host = TestHost::start(quick, &[&one]).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
+    connection.write(&(stream("q") + &events([1]) + &chunk("id: 2\n"))).await;
+    drop(connection);
     let got = caller.answer().await;
-    assert_eq!((got.body, got.end), (body([1]), End::Cut));
+    assert_eq!((got.body, got.end), (body([1]), End::Truncated));
 }
 
 /// Most bytes that may lie between a server and a caller that reads nothing: both sockets' buffers
 /// and ours.
-const BETWEEN: usize = 24 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 24 * 1024 * 1024;
 
 #[tokio::test]
 async fn a_caller_that_does_not_read_holds_its_server_up() {
     let (one, two) = servers().await;
-    let (_stage, caller, mut link, _) = begin(route(Kind::Stream), &one, &two).await;
-    link.write(&stream("q")).await;
+    let (_host, caller, mut connection, _) = begin(route(Kind::Stream), &one, &two).await;
+    connection.write(&stream("q")).await;
     let comment = chunk(&format!(":{}\n\n", "x".repeat(60_000)));
-    let went = link.flood(&comment).await;
-    assert!(went < BETWEEN, "{went} bytes went");
+    let written = connection.flood(&comment).await;
+    assert!(written < MAX_BUFFERED_BYTES, "{written} bytes written");
     drop(caller);
 }
--- a/crates/relay/tests/suspended.rs
+++ b/crates/relay/tests/suspended.rs
@@ -6,7 +6,7 @@
 use std::{cell::Cell, time::Duration};
 
 use common::{
-    Stage, ask, resumable, route,
+    TestHost, request, resumable, route,
     server::{Server, answer, events, stream},
 };
 use relay::clock::{self, Clock};
@@ -14,10 +14,10 @@
 use types::routed::{Kind, Route};
 
 /// A request's time; far beyond that of a test.
-const TIME: Duration = Duration::from_secs(3600);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Time for a host to notice a suspension, where nothing else tells.
-const NOTICE: Duration = Duration::from_millis(250);
+const SETTLE_TIME: Duration = Duration::from_millis(250);
 
 thread_local! {
     /// How long the machine of this test was suspended.
@@ -25,65 +25,67 @@
 }
 
 fn suspend() {
-    SUSPENDED.set(SUSPENDED.get() + TIME);
+    SUSPENDED.set(SUSPENDED.get() + REQUEST_TIMEOUT);
 }
 
-fn hour(route: Route) -> Route {
-    Route { timeout: TIME, ..route }
+fn with_timeout(route: Route) -> Route {
+    Route { timeout: REQUEST_TIMEOUT, ..route }
 }
 
-async fn stage(route: Route, server: &Server) -> Stage {
+async fn start_host(route: Route, server: &Server) -> TestHost {
     let clock = Clock::by(|| clock::boot_time() + SUSPENDED.get());
-    Stage::start_by(clock, route, &[server]).await
+    TestHost::start_by(clock, route, &[server]).await
 }
 
 #[rstest]
-#[case::idempotent(hour(route(Kind::Idempotent)))]
-#[case::non_idempotent(hour(route(Kind::NonIdempotent)))]
-#[case::stream(hour(route(Kind::Stream)))]
+#[case::idempotent(with_timeout(route(Kind::Idempotent)))]
+#[case::non_idempotent(with_timeout(route(Kind::NonIdempotent)))]
+#[case::stream(with_timeout(route(Kind::Stream)))]
 #[tokio::test]
 async fn a_request_past_its_time_is_answered_at_the_wake_up(#[case] route: Route) {
     let one = Server::listen("one").await;
-    let stage = stage(route, &one).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
+    let host = start_host(route, &one).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
     suspend();
     assert_eq!(caller.answer().await.status, 504);
-    link.closed().await;
+    connection.closed().await;
 }
 
 #[rstest]
-#[case::resumable(hour(resumable()))]
-#[case::not_resumable(hour(route(Kind::Stream)))]
+#[case::resumable(with_timeout(resumable()))]
+#[case::not_resumable(with_timeout(route(Kind::Stream)))]
 #[tokio::test]
 async fn a_stream_past_its_time_is_cut_at_the_wake_up(#[case] route: Route) {
     let one = Server::listen("one").await;
-    let stage = stage(route, &one).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
-    link.write(&(stream("q") + &events([1]))).await;
+    let host = start_host(route, &one).await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
+    connection.write(&(stream("q") + &events([1]))).await;
     caller.head().await;
-    caller.piece().await;
+    caller.chunk().await;
     suspend();
-    link.closed().await;
-    assert_eq!(caller.piece().await, None);
+    connection.closed().await;
+    assert_eq!(caller.chunk().await, None);
 }
 
 /// What has time left goes on.
 #[tokio::test]
 async fn a_request_outlasts_a_short_suspension() {
     let one = Server::listen("one").await;
-    let stage = stage(Route { timeout: TIME * 2, ..route(Kind::NonIdempotent) }, &one).await;
-    let mut caller = stage.caller().await;
-    caller.write(&ask("q")).await;
-    let mut link = one.accept().await;
-    link.receive().await;
+    let host =
+        start_host(Route { timeout: REQUEST_TIMEOUT * 2, ..route(Kind::NonIdempotent) }, &one)
+            .await;
+    let mut caller = host.caller().await;
+    caller.write(&request("q")).await;
+    let mut connection = one.accept().await;
+    connection.receive().await;
     suspend();
-    tokio::time::sleep(NOTICE).await;
-    link.write(&answer("q", "yes")).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    connection.write(&answer("q", "yes")).await;
     assert_eq!(caller.answer().await.status, 200);
 }
