--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -18,18 +18,18 @@
 use types::routed::{self, Declaration, Server, Version};
 
 /// Longest wait for anything; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
-struct Holdings {
+struct MemorySource {
     declaration: Mutex<Option<Arc<Declaration>>>,
     registered: Mutex<Registered>,
 }
 
-impl Source for Holdings {
+impl Source for MemorySource {
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>> {
-        let held = self.declaration.lock().expect("no panic").clone();
-        held.filter(|declaration| declaration.version > above)
+        let declaration = self.declaration.lock().expect("no panic").clone();
+        declaration.filter(|declaration| declaration.version > above)
     }
 
     fn servers(&self, above: Revision) -> Option<Registered> {
@@ -51,7 +51,7 @@
 }
 
 async fn start(host: u64, seeds: Vec<SocketAddr>) -> Arc<Exchange> {
-    let source = Arc::new(Holdings::default());
+    let source = Arc::new(MemorySource::default());
     let exchange = Exchange::start(config(host, seeds), source).await.expect("loopback");
     exchange.publish(Publication::State(State::Ready));
     exchange
@@ -68,13 +68,13 @@
     hosts
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
+async fn until(mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("it never came to hold");
+    tokio::time::timeout(TIMEOUT, wait).await.expect("it never came to hold");
 }
 
 fn server(id: &str) -> Server {
@@ -122,27 +122,27 @@
         Notice::ServerLeaving { server: "i-1".into(), departure: Departure::Leaving, revision: 1 };
     hosts[0].send(Recipients::All, leaving.clone()).expect("known");
     for receiver in &mut receivers[1..] {
-        let heard = tokio::time::timeout(PATIENCE, receiver.recv()).await.expect("in time");
-        let heard = heard.expect("open");
-        assert_eq!((heard.notice, heard.via), (leaving.clone(), hosts[0].member().address));
-        assert_eq!(heard.origin.as_deref(), Some("host-0"));
+        let received = tokio::time::timeout(TIMEOUT, receiver.recv()).await.expect("in time");
+        let received = received.expect("open");
+        assert_eq!((received.notice, received.via), (leaving.clone(), hosts[0].member().address));
+        assert_eq!(received.origin.as_deref(), Some("host-0"));
     }
     hosts[1]
         .send(Recipients::Host("host-0".into()), Notice::DeclarationInForce { version: 3 })
         .expect("known");
-    let heard = tokio::time::timeout(PATIENCE, receivers[0].recv()).await.expect("in time");
-    assert_eq!(heard.expect("open").notice, Notice::DeclarationInForce { version: 3 });
+    let received = tokio::time::timeout(TIMEOUT, receivers[0].recv()).await.expect("in time");
+    assert_eq!(received.expect("open").notice, Notice::DeclarationInForce { version: 3 });
     assert!(receivers[2].try_recv().is_err());
     assert!(hosts[1].send(Recipients::Host("nobody".into()), leaving).is_err());
 }
 
 #[tokio::test]
 async fn calls_are_answered_from_the_source() {
-    let source = Arc::new(Holdings::default());
-    let answering = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
-    let address = answering.member().address;
-    let asking = start(1, vec![address]).await;
-    assert_eq!(asking.fetch_declaration(address, 0).await.expect("answered"), None);
+    let source = Arc::new(MemorySource::default());
+    let peer = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
+    let address = peer.member().address;
+    let client = start(1, vec![address]).await;
+    assert_eq!(client.fetch_declaration(address, 0).await.expect("answered"), None);
     let declaration = Declaration { version: 12, ..Declaration::default() };
     *source.declaration.lock().expect("no panic") = Some(Arc::new(declaration.clone()));
     let registered = Registered {
@@ -151,29 +151,29 @@
         ..Registered::default()
     };
     *source.registered.lock().expect("no panic") = registered.clone();
-    let fetched = asking.fetch_declaration(address, 11).await.expect("answered");
+    let fetched = client.fetch_declaration(address, 11).await.expect("answered");
     assert_eq!(fetched.as_deref(), Some(&declaration));
-    assert_eq!(asking.fetch_declaration(address, 12).await.expect("answered"), None);
+    assert_eq!(client.fetch_declaration(address, 12).await.expect("answered"), None);
     assert_eq!(
-        asking.fetch_servers(address, 39).await.expect("answered"),
+        client.fetch_servers(address, 39).await.expect("answered"),
         Some(registered.clone())
     );
-    assert_eq!(asking.follow(address, 40).await.expect("answered"), Some(registered));
-    assert_eq!(asking.fetch_servers(address, 40).await.expect("answered"), None);
-    until(|| answering.fleet().live == 2).await;
-    let members = asking.fetch_members(address).await.expect("answered");
-    assert_eq!(members, [answering.member().clone(), asking.member().clone()]);
+    assert_eq!(client.follow(address, 40).await.expect("answered"), Some(registered));
+    assert_eq!(client.fetch_servers(address, 40).await.expect("answered"), None);
+    until(|| peer.fleet().live == 2).await;
+    let members = client.fetch_members(address).await.expect("answered");
+    assert_eq!(members, [peer.member().clone(), client.member().clone()]);
 }
 
 #[tokio::test]
 async fn a_large_answer_comes_whole() {
-    let source = Arc::new(Holdings::default());
-    let answering = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
+    let source = Arc::new(MemorySource::default());
+    let peer = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
     let servers: Vec<_> = (0..2_000).map(|n| entry(&format!("i-{n:08x}"))).collect();
     *source.registered.lock().expect("no panic") =
         Registered { revision: 2, servers, ..Registered::default() };
-    let asking = start(1, Vec::new()).await;
-    let got = asking.fetch_servers(answering.member().address, 1).await.expect("answered");
+    let client = start(1, Vec::new()).await;
+    let got = client.fetch_servers(peer.member().address, 1).await.expect("answered");
     assert_eq!(got.map(|got| got.servers.len()), Some(2_000));
 }
 
@@ -186,11 +186,11 @@
 ) {
     let listener = TcpListener::bind(loopback()).await.expect("loopback");
     let address = listener.local_addr().expect("bound");
-    let source = Arc::new(Holdings::default());
+    let source = Arc::new(MemorySource::default());
     let limit = Duration::from_millis(100);
     let config = Config { call_limit: limit, ..config(1, Vec::new()) };
-    let asking = Exchange::start(config, source).await.expect("loopback");
-    let holding = async {
+    let client = Exchange::start(config, source).await.expect("loopback");
+    let stalled = async {
         match silence {
             Silence::Unaccepted => std::future::pending().await,
             Silence::Unanswered => {
@@ -204,12 +204,12 @@
         }
     };
     let calls = async {
-        assert!(asking.fetch_declaration(address, 0).await.is_err());
-        assert!(asking.fetch_members(address).await.is_err());
+        assert!(client.fetch_declaration(address, 0).await.is_err());
+        assert!(client.fetch_members(address).await.is_err());
     };
     tokio::select! {
-        () = holding => {}
-        done = tokio::time::timeout(PATIENCE, calls) => done.expect("given up in time"),
+        () = stalled => {}
+        done = tokio::time::timeout(TIMEOUT, calls) => done.expect("given up in time"),
     }
 }
 
@@ -227,7 +227,7 @@
     until(|| hosts[..2].iter().all(|host| host.fleet().hosts.len() == 1)).await;
     assert!(hosts[0].fetch_members(address).await.is_err());
     // Its address is free again.
-    let source = Arc::new(Holdings::default());
+    let source = Arc::new(MemorySource::default());
     let next = Config { address, ..config(9, vec![hosts[0].member().address]) };
     let next = Exchange::start(next, source).await.expect("free");
     until(|| next.fleet().live == 3).await;
@@ -245,10 +245,10 @@
     until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Silent))).await;
     let mut config = config(2, vec![hosts[1].member().address]);
     config.incarnation = 1;
-    let source = Arc::new(Holdings::default());
-    let again = Exchange::start(config, source).await.expect("loopback");
+    let source = Arc::new(MemorySource::default());
+    let restarted = Exchange::start(config, source).await.expect("loopback");
     until(|| hosts.iter().all(|host| liveness(host) == Some(Liveness::Live))).await;
-    drop(again);
+    drop(restarted);
 }
 
 #[tokio::test]
@@ -266,7 +266,7 @@
 async fn an_address_that_is_taken_is_an_error() {
     let first = start(0, Vec::new()).await;
     let config = Config { address: first.member().address, ..config(1, Vec::new()) };
-    assert!(Exchange::start(config, Arc::new(Holdings::default())).await.is_err());
+    assert!(Exchange::start(config, Arc::new(MemorySource::default())).await.is_err());
 }
 
 #[test]
