--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -24,10 +24,10 @@
 };
 
 /// Bytes of HTTP and JSON-RPC around a request; measured in `crates/peer/tests/calls.rs`.
-pub(crate) const REQUEST_OVERHEAD: usize = 260;
+pub(crate) const REQUEST_OVERHEAD_BYTES: usize = 260;
 
 /// Bytes of HTTP and JSON-RPC around an answer; measured in `crates/peer/tests/calls.rs`.
-pub(crate) const ANSWER_OVERHEAD: usize = 160;
+pub(crate) const ANSWER_OVERHEAD_BYTES: usize = 160;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 const ZONES: usize = 4;
@@ -51,7 +51,7 @@
     pub(crate) paused: bool,
     pub(crate) sent: u64,
     pub(crate) received: u64,
-    pub(crate) reached: Moment,
+    pub(crate) number_raised_at: Moment,
     next_watch: Moment,
     next_list: Moment,
 }
@@ -76,18 +76,18 @@
     Tick(usize),
     Arrive { from: usize, to: usize, call: Call, deadline: Moment },
     Answer { from: usize, to: usize, answer: Answer },
-    Silence { from: usize, to: usize, call: Call },
+    Timeout { from: usize, to: usize, call: Call },
     Watched { node: usize, number: Number },
 }
 
 enum Call {
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     Probe(usize),
     Fetch,
 }
 
 enum Answer {
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     Probe(usize, Probe),
     Fetch(Number),
 }
@@ -128,7 +128,7 @@
             paused: false,
             sent: 0,
             received: 0,
-            reached: Duration::ZERO,
+            number_raised_at: Duration::ZERO,
             next_watch: Duration::ZERO,
             next_list: Duration::ZERO,
         }
@@ -184,7 +184,7 @@
     }
 
     /// Whether every running host takes every running host for live.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_converged(&self) -> bool {
         let running = || self.nodes.iter().enumerate().filter(|(_, node)| node.running);
         running().all(|(n, node)| {
             running().filter(|(m, _)| *m != n).all(|(m, _)| {
@@ -222,7 +222,9 @@
     pub(crate) fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { to, heartbeat } => self.call(n, index(&to), Call::Beat(heartbeat)),
+                Action::Send { to, heartbeat } => {
+                    self.call(n, index(&to), Call::Heartbeat(heartbeat));
+                }
                 Action::Probe { via, target } => {
                     self.call(n, index(&via), Call::Probe(index(&target)));
                 }
@@ -232,14 +234,14 @@
         }
     }
 
-    /// Takes one step; says whether a host's configuration number rose.
+    /// Takes one step; says whether a host's configuration number increased.
     fn step(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(n) => self.tick(n),
             Event::Arrive { from, to, call, deadline } => self.arrive(from, to, call, deadline),
             Event::Answer { from, to, answer } => self.answered(from, to, answer),
-            Event::Silence { from, to, call } => self.silent(from, to, call),
-            Event::Watched { node, number } => self.hold(node, number),
+            Event::Timeout { from, to, call } => self.timed_out(from, to, call),
+            Event::Watched { node, number } => self.set_number(node, number),
         }
     }
 
@@ -250,10 +252,10 @@
             return false;
         }
         self.read_list(n);
-        let rose = self.poll(n);
+        let increased = self.poll(n);
         let actions = self.nodes[n].gossip.tick(self.now);
         self.perform(n, actions);
-        rose
+        increased
     }
 
     fn read_list(&mut self, n: usize) {
@@ -273,10 +275,10 @@
         }
         self.nodes[n].next_watch = self.now + watch::TIMEOUT;
         self.platform_calls += 1;
-        self.hold(n, self.number)
+        self.set_number(n, self.number)
     }
 
-    fn hold(&mut self, n: usize, number: Number) -> bool {
+    fn set_number(&mut self, n: usize, number: Number) -> bool {
         if !self.is_up(n) {
             return false;
         }
@@ -284,24 +286,24 @@
         self.nodes[n].gossip.platform_answered(self.now);
         let actions = self.nodes[n].gossip.set_version(self.now, Topic::Config, number);
         self.perform(n, actions);
-        self.note_rise(n, before)
+        self.record_increase(n, before)
     }
 
-    fn note_rise(&mut self, n: usize, before: Number) -> bool {
+    fn record_increase(&mut self, n: usize, before: Number) -> bool {
         let after = self.nodes[n].gossip.version(Topic::Config);
         assert!(before <= after, "host {n} went back from {before} to {after}");
         if before < after {
-            self.nodes[n].reached = self.now;
+            self.nodes[n].number_raised_at = self.now;
         }
         before < after
     }
 
     fn call(&mut self, from: usize, to: usize, call: Call) {
-        let bytes = REQUEST_OVERHEAD + call.bytes();
+        let bytes = REQUEST_OVERHEAD_BYTES + call.bytes();
         self.nodes[from].sent += bytes as u64;
         let deadline = self.now + CALL_TIMEOUT;
         if self.is_lost(from, to) {
-            self.schedule(CALL_TIMEOUT, Event::Silence { from, to, call });
+            self.schedule(CALL_TIMEOUT, Event::Timeout { from, to, call });
             return;
         }
         let delay = self.delay(from, to);
@@ -311,15 +313,15 @@
     fn arrive(&mut self, from: usize, to: usize, call: Call, deadline: Moment) -> bool {
         let left = deadline.saturating_sub(self.now);
         if !self.is_up(to) {
-            self.schedule(left, Event::Silence { from, to, call });
+            self.schedule(left, Event::Timeout { from, to, call });
             return false;
         }
-        self.nodes[to].received += (REQUEST_OVERHEAD + call.bytes()) as u64;
+        self.nodes[to].received += (REQUEST_OVERHEAD_BYTES + call.bytes()) as u64;
         let answer = match &call {
-            Call::Beat(heartbeat) => {
+            Call::Heartbeat(heartbeat) => {
                 let (answer, actions) = self.nodes[to].gossip.receive(self.now, heartbeat);
                 self.perform(to, actions);
-                Answer::Beat(answer)
+                Answer::Heartbeat(answer)
             }
             Call::Probe(target) => {
                 let lost = self.is_lost(to, *target) || self.is_lost(*target, to);
@@ -329,9 +331,9 @@
             }
             Call::Fetch => Answer::Fetch(self.nodes[to].gossip.version(Topic::Config)),
         };
-        self.nodes[to].sent += (ANSWER_OVERHEAD + answer.bytes()) as u64;
+        self.nodes[to].sent += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         if self.is_lost(to, from) {
-            self.schedule(left, Event::Silence { from, to, call });
+            self.schedule(left, Event::Timeout { from, to, call });
         } else {
             let delay = self.delay(from, to);
             self.schedule(delay, Event::Answer { from, to, answer });
@@ -343,27 +345,27 @@
         if !self.is_up(from) {
             return false;
         }
-        self.nodes[from].received += (ANSWER_OVERHEAD + answer.bytes()) as u64;
+        self.nodes[from].received += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         let before = self.nodes[from].gossip.version(Topic::Config);
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match answer {
-            Answer::Beat(heartbeat) => gossip.answer(now, &heartbeat),
+            Answer::Heartbeat(heartbeat) => gossip.answer(now, &heartbeat),
             Answer::Probe(target, probe) => gossip.probed(now, &host(target).id, probe),
             Answer::Fetch(number) => gossip.set_version(now, Topic::Config, number),
         };
         self.perform(from, actions);
-        self.note_rise(from, before)
+        self.record_increase(from, before)
     }
 
-    fn silent(&mut self, from: usize, to: usize, call: Call) -> bool {
+    fn timed_out(&mut self, from: usize, to: usize, call: Call) -> bool {
         if !self.is_up(from) {
             return false;
         }
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match call {
-            Call::Beat(_) => gossip.silence(now, &host(to).id),
+            Call::Heartbeat(_) => gossip.silence(now, &host(to).id),
             Call::Probe(target) => gossip.probed(now, &host(target).id, Probe::Silent),
             Call::Fetch => gossip.fetch_failed(now, Topic::Config),
         };
@@ -397,7 +399,7 @@
 impl Call {
     fn bytes(&self) -> usize {
         match self {
-            Call::Beat(heartbeat) => json_bytes(heartbeat),
+            Call::Heartbeat(heartbeat) => json_bytes(heartbeat),
             Call::Probe(target) => json_bytes(&host(*target)),
             Call::Fetch => 8,
         }
@@ -407,7 +409,7 @@
 impl Answer {
     fn bytes(&self) -> usize {
         match self {
-            Answer::Beat(heartbeat) => json_bytes(heartbeat),
+            Answer::Heartbeat(heartbeat) => json_bytes(heartbeat),
             Answer::Probe(..) | Answer::Fetch(_) => 8,
         }
     }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -21,7 +21,7 @@
 fn settled(hosts: usize) -> Fleet {
     let mut fleet = Fleet::new(hosts, 7);
     fleet.run_for(SETTLE);
-    assert!(fleet.is_whole() && fleet.is_in_force());
+    assert!(fleet.is_converged() && fleet.is_in_force());
     fleet
 }
 
@@ -38,10 +38,10 @@
 fn assert_whole_within(fleet: &mut Fleet, span: Duration) {
     let step = Duration::from_millis(500);
     let end = fleet.now + span;
-    while fleet.now < end && !fleet.is_whole() {
+    while fleet.now < end && !fleet.is_converged() {
         fleet.run_for(step);
     }
-    assert!(fleet.is_whole(), "a host that answers is not live on every host");
+    assert!(fleet.is_converged(), "a host that answers is not live on every host");
 }
 
 #[rstest]
@@ -122,7 +122,7 @@
     let mut fleet = settled(8);
     fleet.list.hosts.clear();
     fleet.run_for(Duration::from_secs(900));
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     assert_change_in_force(&mut fleet);
 }
 
@@ -139,7 +139,7 @@
         fleet.run_for(Duration::from_secs(1));
         assert!((0..8).all(|n| !fleet.standings(n).contains(&Standing::Gone)));
     }
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
 }
 
 #[test]
