--- a/crates/relay/tests/common/caller.rs
+++ b/crates/relay/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller whose every byte the test says.
+//! A scripted caller: the test determines each byte sent.
 
 use std::net::SocketAddr;
 
@@ -17,13 +17,13 @@
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// As its framing says.
+    /// At the end that its framing declares.
     Complete,
-    /// Before that.
+    /// Before the end that its framing declares.
     Truncated,
 }
 
-/// An answer as it came.
+/// An answer as it was received.
 #[derive(Debug)]
 pub struct Response {
     pub status: u16,
@@ -49,7 +49,7 @@
         within(self.stream.write_all(text.as_bytes())).await.expect("written");
     }
 
-    /// Reads an answer to its end.
+    /// Reads an answer to its end, whether complete or truncated.
     pub async fn answer(&mut self) -> Response {
         let mut got = self.head().await;
         got.end = End::Truncated;
@@ -80,7 +80,7 @@
         Response { status: status.unwrap_or(0), head, body: String::new(), end: End::Complete }
     }
 
-    /// Reads a chunk; the last one is empty.
+    /// Reads a chunk. Returns an empty text for the last one, `None` if the connection ended.
     pub async fn chunk(&mut self) -> Option<String> {
         let length = usize::from_str_radix(&self.line().await?, 16).ok()?;
         let piece = self.bytes(length).await?;
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -1,4 +1,4 @@
-//! A dialect with neutral names.
+//! A dialect whose header names belong to no platform.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,8 @@
 
 use super::store::World;
 
-/// Names that belong to nobody.
+/// Dialect with neutral names that reads the store's objects from [`World`] instead of the store's
+/// answers.
 pub struct Neutral {
     pub world: Arc<World>,
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A host between a scripted caller and scripted servers.
+//! Harness: a running host between a scripted caller and scripted servers, with a scripted store.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 pub mod caller;
 pub mod dialect;
@@ -19,18 +19,18 @@
 
 use self::{caller::Caller, dialect::Neutral, server::Server, store::World};
 
-/// Longest wait for anything.
+/// Limit of each wait, and value of each time setting of the host that no test varies.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The service of all servers.
+/// The service that all servers belong to.
 const SERVICE: &str = "words";
 
-/// Waits for something, but not for ever.
+/// Awaits a future; panics after [`TIMEOUT`].
 pub async fn within<T>(wanted: impl Future<Output = T>) -> T {
     timeout(TIMEOUT, wanted).await.expect("in time")
 }
 
-/// A running host.
+/// A running host with its store.
 pub struct TestHost {
     pub address: SocketAddr,
     world: Arc<World>,
@@ -38,17 +38,17 @@
 }
 
 impl TestHost {
-    /// Starts a host with one route, and waits until it is in force.
+    /// Starts a host with one route; returns when the route is in force and the host is registered.
     pub async fn start(route: Route, servers: &[&Server]) -> TestHost {
         TestHost::start_by(Clock::start(), route, servers).await
     }
 
-    /// The same by a clock of the test's.
+    /// Starts a host as [`TestHost::start`] does, on a clock that the test controls.
     pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> TestHost {
         TestHost::start_with(clock, routed(), route, servers).await
     }
 
-    /// The same with no budget for retries.
+    /// Starts a host as [`TestHost::start`] does, with an empty retry budget.
     pub async fn without_retries(route: Route, servers: &[&Server]) -> TestHost {
         let retry = Retry { ratio: 0.0, extra: 0.0, window: TIMEOUT };
         TestHost::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
@@ -80,7 +80,7 @@
         host
     }
 
-    /// Registers one more server.
+    /// Registers another server in the store.
     pub fn register(&self, server: &Server) {
         self.world.register(registration(server));
     }
@@ -106,7 +106,7 @@
     }
 }
 
-/// A route of everything under `/a/`.
+/// Returns a route for all paths under `/a/`.
 pub fn route(kind: Kind) -> Route {
     Route {
         name: "r".into(),
@@ -125,12 +125,12 @@
     }
 }
 
-/// A route of streams that may be resumed.
+/// Returns a route for streams that may be resumed at another server.
 pub fn resumable() -> Route {
     Route { resumable: true, ..route(Kind::Stream) }
 }
 
-/// A caller's request.
+/// Returns the text of a caller's request with this request id.
 pub fn request(name: &str) -> String {
     format!("POST /a/x HTTP/1.1\r\nhost: h\r\nrequest-name: {name}\r\ncontent-length: 2\r\n\r\nhi")
 }
--- a/crates/relay/tests/common/server.rs
+++ b/crates/relay/tests/common/server.rs
@@ -1,4 +1,4 @@
-//! A server whose every byte the test says.
+//! A scripted server: the test determines each byte sent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
     listener: TcpListener,
 }
 
-/// A connection to a server.
+/// A connection from the host to a server, at the server's end.
 pub struct Connection {
     stream: TcpStream,
 }
 
-/// A request as it came.
+/// A request as it was received.
 #[derive(Debug)]
 pub struct Received {
     pub head: String,
@@ -51,14 +51,14 @@
         Connection { stream }
     }
 
-    /// Whether a connection comes in a short while.
+    /// Whether a connection arrives within 300 ms.
     pub async fn is_called(&self) -> bool {
         let short = Duration::from_millis(300);
         tokio::time::timeout(short, self.listener.accept()).await.is_ok()
     }
 }
 
-/// The one of two servers that is called first, and the other.
+/// Accepts the first connection to either server; returns it with the server that was not called.
 pub async fn first<'a>(one: &'a Server, other: &'a Server) -> (Connection, &'a Server) {
     tokio::select! {
         connection = one.accept() => (connection, other),
@@ -76,7 +76,7 @@
         String::from_utf8(head).expect("text")
     }
 
-    /// Reads a whole request.
+    /// Reads a request with its body.
     pub async fn receive(&mut self) -> Received {
         let mut received = Received { head: self.head().await, body: Vec::new() };
         let length = received.header("content-length").and_then(|text| text.parse().ok());
@@ -89,7 +89,8 @@
         within(self.stream.write_all(text.as_bytes())).await.expect("written");
     }
 
-    /// Writes a text over and over until nobody takes it any more; gives the bytes that went.
+    /// Writes a text repeatedly until nothing has been accepted for 300 ms; returns the number of
+    /// bytes written.
     pub async fn flood(&mut self, text: &str) -> usize {
         let (text, mut bytes) = (text.as_bytes(), 0);
         let pause = Duration::from_millis(300);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Waits until the other side closes the connection, and reads nothing but that.
+    /// Waits until the host closes the connection; panics if a byte arrives before that.
     pub async fn closed(&mut self) {
         let mut byte = [0];
         match within(self.stream.read(&mut byte)).await {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Waits until the other side closes the connection, whatever comes before.
+    /// Reads until the host closes the connection; returns the number of bytes read.
     pub async fn drain(&mut self) -> usize {
         let (mut buffer, mut bytes) = (vec![0; 64 * 1024], 0);
         while let Ok(read @ 1..) = within(self.stream.read(&mut buffer)).await {
@@ -120,24 +121,24 @@
         bytes
     }
 
-    /// Breaks the connection off with a reset.
+    /// Closes the connection with a reset; bytes not yet sent are discarded.
     pub fn reset(self) {
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("an option");
     }
 }
 
-/// An answer whose body has a length.
+/// Returns an answer whose body is framed by `content-length`.
 pub fn answer(name: &str, body: &str) -> String {
     let length = body.len();
     format!("{}content-length: {length}\r\n\r\n{body}", head(name))
 }
 
-/// The head of a stream's answer.
+/// Returns the head of an event stream with chunked framing.
 pub fn stream(name: &str) -> String {
     format!("{}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n", head(name))
 }
 
-/// The start of the head of a good answer.
+/// Returns the start of a valid answer's head: status, request id and seal.
 pub fn head(name: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nrequest-name: {name}\r\nseal: of-{name}\r\n")
 }
@@ -150,10 +151,10 @@
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
-/// Events in a chunk.
+/// Returns events with these ids in one chunk.
 pub fn events(ids: impl IntoIterator<Item = u64>) -> String {
     chunk(&ids.into_iter().map(event).collect::<String>())
 }
 
-/// The last chunk.
+/// The last chunk of a body.
 pub const END: &str = "0\r\n\r\n";
--- a/crates/relay/tests/common/store.rs
+++ b/crates/relay/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store that answers lists at once and watches when something changes.
+//! A store that answers list calls at once and watch calls when something has changed.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 };
 use types::routed::{Declaration, Server};
 
-/// What is declared and registered.
+/// The store's objects: the declaration and the registered servers.
 pub struct World {
     pub declaration: Declaration,
     servers: Mutex<Vec<Server>>,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Starts the store.
+/// Starts the store; returns its address.
 pub async fn listen(world: Arc<World>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -74,7 +74,7 @@
     address
 }
 
-/// Answers calls; `GET /watch/N` waits for a revision above N.
+/// Answers calls with empty bodies; `GET /watch/N` waits for a revision above N.
 async fn serve(world: Arc<World>, mut stream: TcpStream) {
     let mut revisions = world.revision.subscribe();
     let (mut head, mut byte) = (Vec::new(), [0]);
