--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The servers as the store and peers tell of them, in whatever order.
+//! Merging of server entries from the store and from peers, which arrive in any order.
 
 use exchange::{Entry, Registered, Suspect};
 use relay::directory::Directory;
@@ -41,7 +41,8 @@
     directory
 }
 
-/// A host that asks a server for reports did so for good after its entry had gone.
+/// Guards against a report that clears the suspicion: the host then went on requesting reports from
+/// a server for ever although its entry had been deleted.
 #[rstest]
 fn a_report_does_not_bring_an_entry_back() {
     let mut directory = with_suspect();
@@ -63,11 +64,11 @@
 fn peers_are_not_told_of_what_is_suspected() {
     let mut directory = with_suspect();
     assert_eq!(directory.registered(0, Duration::ZERO, NOW).ids.len(), 0);
-    assert!(directory.get(&"s1".into()).is_some(), "it is used on");
+    assert!(directory.get(&"s1".into()).is_some(), "a suspected server is still used");
     directory.put(server(&["m1"]), 6);
     assert_eq!(directory.registered(0, Duration::ZERO, NOW).servers.len(), 1);
     let reply = directory.registered(6, Duration::ZERO, NOW);
-    assert_eq!((reply.ids.len(), reply.servers.len()), (1, 0), "it is known as it is");
+    assert_eq!((reply.ids.len(), reply.servers.len()), (1, 0), "the peer already has the entry");
 }
 
 #[rstest]
@@ -106,7 +107,7 @@
     assert_eq!(directory.servers().count(), 0);
 }
 
-/// A run of the server that began at a time.
+/// Returns the run of the server that started at `born`.
 fn server_run(born: u64) -> Server {
     Server { id: routed::run("s1", born), born, ..server(&["m1"]) }
 }
@@ -120,12 +121,15 @@
     assert_eq!(ids, ["s1@2000"]);
     assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
     directory.remove(&"s1@1000".into());
-    assert!(directory.named("s1").is_some(), "the earlier one is over already");
+    assert!(
+        directory.named("s1").is_some(),
+        "the removal of the earlier run removed the later one"
+    );
     directory.remove(&"s1@2000".into());
     assert!(directory.named("s1").is_none());
 }
 
-/// Whatever order news come in.
+/// The order in which the entries of two runs arrive makes no difference.
 #[rstest]
 #[case::later_entry(7)]
 #[case::same_entry(6)]
@@ -137,7 +141,8 @@
     assert_eq!(directory.named("s1").map(|server| server.born), Some(2_000));
 }
 
-/// A directory that is complete as of a revision, with a server whose entry was written then.
+/// Returns a directory that is complete as of `revision`; if `written` is given, it has one server,
+/// whose entry was written at that revision.
 fn directory_at(revision: u64, written: Option<u64>) -> Directory {
     let mut directory = Directory::default();
     if let Some(written) = written {
@@ -154,7 +159,8 @@
     Registered { revision, ids, servers, ..Registered::default() }
 }
 
-/// Who has seen an entry go must not learn of it again from a peer that has not.
+/// A host that has seen the deletion of an entry must not take the entry back from a peer that has
+/// not seen it.
 #[rstest]
 #[case::removed_here_peer_still_lists_it(directory_at(8, None), listing(9, Some(5)), 0, 0)]
 #[case::written_again_since(directory_at(8, None), listing(9, Some(9)), 1, 0)]
@@ -174,7 +180,8 @@
     assert_eq!((delta.upserted.len(), delta.deleted.len()), (written, removed));
 }
 
-/// After a lost history the store's whole list counts, unless a peer has told of a later state.
+/// When the store's change history is lost, its complete list replaces the directory, unless a
+/// peer's list has brought the directory to a later revision.
 #[rstest]
 #[case::lists_what_is_unknown(directory_at(8, None), listing(9, Some(5)), 1, 0)]
 #[case::lacks_what_is_known(directory_at(8, Some(7)), listing(9, None), 0, 1)]
@@ -189,7 +196,9 @@
     assert_eq!((delta.upserted.len(), delta.deleted.len()), (written, removed));
 }
 
-/// The history is read from where it was left, also where a peer's list has gone before.
+/// The store's change history is read on from the last revision read, even if a peer's list has
+/// brought the directory further since. A removal from that history must not delete an entry that
+/// was written after it.
 #[rstest]
 #[case::removed_then_written_again(6, true)]
 #[case::removed_after_it_was_written(8, false)]
