--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers: the server's own and unchanged, or none.
+//! Complete answers: the caller gets the server's answer unchanged, or an error from the host.
 
 mod common;
 
@@ -22,7 +22,7 @@
     (host, caller, connection)
 }
 
-/// How the server's connection ends after what it wrote.
+/// What the server does with its connection after writing.
 #[derive(Clone, Copy, Debug)]
 enum After {
     Open,
@@ -64,7 +64,7 @@
     }
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body, got.end), (502, "ours", End::Complete));
-    assert!(!one.is_called().await, "it may have run");
+    assert!(!one.is_called().await, "repeated a request that may have run");
 }
 
 #[rstest]
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A caller that leaves takes its request with it, wherever that is.
+//! A caller that disconnects cancels its request, whatever state the request is in.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use types::routed::{Kind, Route};
 
-/// Time for a host to notice something, where nothing else tells.
+/// Time given to a host to notice an event where the test can't observe that it has.
 const SETTLE_TIME: Duration = Duration::from_millis(250);
 
 async fn begin(route: Route, server: &Server) -> (TestHost, Caller, Connection) {
@@ -37,7 +37,7 @@
     connection.closed().await;
 }
 
-/// What a slow link holds up is lost with its request.
+/// The part of a cancelled request that its server has not read yet is discarded.
 #[tokio::test]
 async fn while_its_server_reads_nothing() {
     const BODY: usize = 1024 * 1024;
@@ -120,7 +120,8 @@
     assert!(!two.is_called().await);
 }
 
-/// A listener whose queue is full, so that a new connection stands only when one is accepted.
+/// Returns a listener whose backlog is full, and the connections that fill it. A further connection
+/// is established only once one of them is accepted.
 async fn full_listener() -> (tokio::net::TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
--- a/crates/relay/tests/reuse.rs
+++ b/crates/relay/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: used again only when nothing of the request before can be left.
+//! Connections to servers are reused only if no bytes of the previous exchange can remain on them.
 
 mod common;
 
@@ -21,7 +21,7 @@
     (host, server, caller, connection)
 }
 
-/// The next request goes to the server on a connection of its own.
+/// Asserts that the next request reaches the server on a new connection.
 async fn assert_new_connection(server: &Server, caller: &mut Caller) {
     caller.write(&request("q2")).await;
     let mut second = server.accept().await;
@@ -95,10 +95,11 @@
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body), (502, "ours"));
     connection.closed().await;
-    assert!(!server.is_called().await, "it may have run");
+    assert!(!server.is_called().await, "repeated a request that may have run");
 }
 
-/// Larger than what sockets hold between them, and within the declared bound.
+/// Length of a body that exceeds the socket buffers of both ends and stays within the declared
+/// limit.
 const LARGE_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 #[tokio::test]
@@ -114,7 +115,7 @@
     connection.write(&answer("q1", "early")).await;
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body), (200, "early"));
-    // Whatever the server still reads is the start of that body, and then the end.
+    // All that the server can still read is the start of that body, then the connection ends.
     assert!(connection.drain().await < LARGE_BODY_BYTES);
     caller.write(&request("q2")).await;
     let mut second = server.accept().await;
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: whole events, once and in order, over one server or two.
+//! Event streams: the caller gets complete events, each once and in order, from one server or from
+//! two in succession.
 
 mod common;
 
@@ -17,7 +18,8 @@
     ids.into_iter().map(event).collect()
 }
 
-/// A host with two servers, and a caller whose stream one of them has begun to receive.
+/// Starts a host with two servers and sends a caller's request, which one of the servers receives.
+/// Returns the connection to that server, and the other server.
 async fn begin<'a>(
     route: Route,
     one: &'a Server,
@@ -35,7 +37,7 @@
     (Server::listen("one").await, Server::listen("two").await)
 }
 
-/// How a server breaks a stream off.
+/// How a server breaks off a stream.
 #[derive(Clone, Copy, Debug)]
 enum Break {
     Reset,
@@ -46,10 +48,10 @@
     Silence,
 }
 
-/// What comes of the event in whose middle the server breaks off.
+/// Returns the part of an event that the server writes before it breaks off.
 fn partial_event(how: Break) -> String {
     match how {
-        // A gap shows only between events.
+        // A gap in the ids shows only between complete events.
         Break::Gap => String::new(),
         Break::Reset | Break::Close | Break::Garbage | Break::BadChunk | Break::Silence => {
             chunk("id: 3\nda")
@@ -57,11 +59,11 @@
     }
 }
 
-/// Brings a break about; gives the connection if it is still open.
+/// Breaks off a stream; returns the connection if that leaves it open.
 async fn break_off(mut connection: Connection, how: Break) -> Option<Connection> {
     match how {
         Break::Reset => {
-            // What was written before goes first.
+            // Lets the bytes written before arrive; the reset would discard them.
             tokio::time::sleep(Duration::from_millis(100)).await;
             connection.reset();
             return None;
@@ -126,7 +128,7 @@
     let mut second = other.accept().await;
     let received = second.receive().await;
     if let Some(mut connection) = open {
-        // The first server must not be at work beside the second.
+        // The first server must not go on working on the request alongside the second.
         connection.closed().await;
     }
     assert_eq!(received.header("resume-after"), Some("2"));
@@ -207,7 +209,7 @@
     assert_eq!((got.body, got.end, calls), (body([1]), End::Truncated, 2));
 }
 
-/// How a server refuses to go on.
+/// The cases are answers with which the second server fails to continue the stream.
 #[rstest]
 #[case::another_request(server::stream("another"))]
 #[case::no_seal(stream("q").replace("seal", "other"))]
@@ -285,8 +287,8 @@
     assert_eq!((got.body, got.end), (body([1]), End::Complete));
 }
 
-/// A stream that was let go of for another server, and found that no retry was left, was closed at
-/// the moment at which its server began.
+/// Guards against a stream that is closed at the moment its server begins to answer, because the
+/// host gave it up in favour of another server before it found that the retry budget was empty.
 #[rstest]
 #[case::before_its_answer(false)]
 #[case::before_its_first_event(true)]
@@ -341,8 +343,8 @@
     assert_eq!((got.body, got.end), (body([1]), End::Truncated));
 }
 
-/// Most bytes that may lie between a server and a caller that reads nothing: both sockets' buffers
-/// and ours.
+/// Most bytes that may be buffered between a server and a caller that reads nothing: by the sockets
+/// on both sides and by the host.
 const MAX_BUFFERED_BYTES: usize = 24 * 1024 * 1024;
 
 #[tokio::test]
--- a/crates/relay/tests/suspended.rs
+++ b/crates/relay/tests/suspended.rs
@@ -1,5 +1,5 @@
-//! Requests whose time ends while the machine is suspended: the process's clock jumps, and the
-//! timers of the runtime don't.
+//! Requests whose deadline passes while the machine is suspended: the process's clock counts the
+//! suspension, the timers of the async runtime don't.
 
 mod common;
 
@@ -13,14 +13,15 @@
 use rstest::rstest;
 use types::routed::{Kind, Route};
 
-/// A request's time; far beyond that of a test.
+/// Timeout of each request; far longer than a test runs, so that only a simulated suspension can
+/// reach it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Time for a host to notice a suspension, where nothing else tells.
+/// Time given to a host to notice a suspension where the test can't observe that it has.
 const SETTLE_TIME: Duration = Duration::from_millis(250);
 
 thread_local! {
-    /// How long the machine of this test was suspended.
+    /// Total time for which the test has simulated a suspension.
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
@@ -73,7 +74,7 @@
     assert_eq!(caller.chunk().await, None);
 }
 
-/// What has time left goes on.
+/// A request whose deadline lies after the end of the suspension goes on.
 #[tokio::test]
 async fn a_request_outlasts_a_short_suspension() {
     let one = Server::listen("one").await;
