--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Hosts that talk over real sockets.
+//! Hosts that communicate over loopback sockets.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
 };
 use types::routed::{self, Declaration, Server, Version};
 
-/// Longest wait for anything; far above what it takes.
+/// Limit of each wait; far longer than any of them takes.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
@@ -74,7 +74,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(TIMEOUT, wait).await.expect("it never came to hold");
+    tokio::time::timeout(TIMEOUT, wait).await.expect("condition not met in time");
 }
 
 fn server(id: &str) -> Server {
@@ -226,7 +226,7 @@
     hosts[2].leave().await;
     until(|| hosts[..2].iter().all(|host| host.fleet().hosts.len() == 1)).await;
     assert!(hosts[0].fetch_members(address).await.is_err());
-    // Its address is free again.
+    // Another host can bind the address.
     let source = Arc::new(MemorySource::default());
     let next = Config { address, ..config(9, vec![hosts[0].member().address]) };
     let next = Exchange::start(next, source).await.expect("free");
