--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Many cores of the protocol in one loop under virtual time.
+//! Simulated fleet: the gossip state machines of many hosts, driven by one event queue under
+//! virtual time.
 //!
-//! No more than an event queue: messages take a millisecond or two, may be lost, and nothing else
-//! is modelled. Calls that are lost or meet a dead host end in silence after a timeout.
+//! Only the loss of messages and a delay of 0.2 to 1.5 ms are modelled. A call that is lost or
+//! whose recipient is down ends with a timeout.
 
 use std::{
     cmp::Reverse,
@@ -23,40 +24,41 @@
     time::Moment,
 };
 
-/// Bytes of HTTP and JSON-RPC around a request; measured in `crates/peer/tests/calls.rs`.
+/// Bytes that HTTP and JSON-RPC add to a request; measured in `crates/peer/tests/calls.rs`.
 pub(crate) const REQUEST_OVERHEAD_BYTES: usize = 260;
 
-/// Bytes of HTTP and JSON-RPC around an answer; measured in `crates/peer/tests/calls.rs`.
+/// Bytes that HTTP and JSON-RPC add to an answer; measured in `crates/peer/tests/calls.rs`.
 pub(crate) const ANSWER_OVERHEAD_BYTES: usize = 160;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 const ZONES: usize = 4;
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What goes wrong on the way.
+/// Network faults to simulate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Faults {
-    /// Share of messages lost.
+    /// Probability that a message is lost.
     pub(crate) loss: f64,
-    /// A zone that is cut off from all others.
+    /// A zone that is partitioned from all others.
     pub(crate) cut_zone: Option<usize>,
-    /// Two zones, of which the second hears nothing from the first.
+    /// Two zones of which the second receives nothing from the first.
     pub(crate) one_way: Option<(usize, usize)>,
 }
 
-/// A host in the loop.
+/// A simulated host.
 pub(crate) struct Node {
     pub(crate) gossip: Gossip,
     pub(crate) running: bool,
     pub(crate) paused: bool,
     pub(crate) sent: u64,
     pub(crate) received: u64,
+    /// When its configuration number last rose.
     pub(crate) number_raised_at: Moment,
     next_watch: Moment,
     next_list: Moment,
 }
 
-/// The loop.
+/// The simulated hosts, the network between them and the platform.
 pub(crate) struct Fleet {
     pub(crate) now: Moment,
     pub(crate) nodes: Vec<Node>,
@@ -134,19 +136,19 @@
         }
     }
 
-    /// Starts a host's process anew, with empty memory.
+    /// Restarts a host's process with empty memory.
     pub(crate) fn restart(&mut self, n: usize) {
         let run = self.nodes[n].gossip.epoch().run + 1;
         let (sent, received) = (self.nodes[n].sent, self.nodes[n].received);
         self.nodes[n] = Node { sent, received, ..self.node(n, run) };
     }
 
-    /// Pauses a host's process, or lets it go on.
+    /// Pauses or resumes a host's process.
     pub(crate) fn set_paused(&mut self, n: usize, paused: bool) {
         self.nodes[n].paused = paused;
     }
 
-    /// What the running hosts take a host for, each in turn.
+    /// Returns a host's standing at each other running host that knows it.
     pub(crate) fn standings(&self, of: usize) -> Vec<Standing> {
         let others = self.nodes.iter().enumerate().filter(|(n, node)| *n != of && node.running);
         others
@@ -155,7 +157,8 @@
             .collect()
     }
 
-    /// Writes the next configuration number to the platform.
+    /// Writes the next configuration number to the platform; hosts that watch it receive the number
+    /// 1 to 4 ms later.
     pub(crate) fn write(&mut self) {
         self.number += 1;
         for n in 0..self.nodes.len() {
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Hosts that watch the platform at this moment.
+    /// Returns the hosts that watch the platform now.
     pub(crate) fn watchers(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.is_watching(*n)).collect()
     }
@@ -177,13 +180,13 @@
         self.platform_up && node.running && !node.paused && node.gossip.is_watching(self.now)
     }
 
-    /// Whether every running host holds the newest number.
+    /// Whether every host that runs and is not paused has the newest configuration number.
     pub(crate) fn is_in_force(&self) -> bool {
         let running = self.nodes.iter().filter(|node| node.running && !node.paused);
         running.into_iter().all(|node| node.gossip.version(Topic::Config) == self.number)
     }
 
-    /// Whether every running host takes every running host for live.
+    /// Whether every running host considers every other running host live.
     pub(crate) fn is_converged(&self) -> bool {
         let running = || self.nodes.iter().enumerate().filter(|(_, node)| node.running);
         running().all(|(n, node)| {
@@ -199,7 +202,8 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` or `end`; says whether it was done.
+    /// Runs until `done` returns true, at most until `end`; returns whether it did. Calls `done`
+    /// after each event that raised a host's configuration number, and at `end`.
     pub(crate) fn run_until(&mut self, end: Moment, mut done: impl FnMut(&Fleet) -> bool) -> bool {
         while let Some(Reverse((at, id))) = self.events.peek().copied() {
             if end < at {
@@ -218,7 +222,7 @@
         done(self)
     }
 
-    /// Carries out what a core asked for.
+    /// Performs the actions that a host's state machine returned.
     pub(crate) fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Takes one step; says whether a host's configuration number increased.
+    /// Handles one event; returns whether it raised a host's configuration number.
     fn step(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(n) => self.tick(n),
@@ -434,7 +438,7 @@
 }
 
 fn index(host: &Host) -> usize {
-    host.id.trim_start_matches("stage-").parse().expect("the loop's own host name")
+    host.id.trim_start_matches("stage-").parse().expect("a name of a simulated host")
 }
 
 fn json_bytes<T: serde::Serialize>(value: &T) -> usize {
