--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -213,6 +213,7 @@
     }
 }
 
+/// The step at which the called host stops responding.
 #[derive(Clone, Copy)]
 enum Silence {
     Unaccepted,
--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -8,7 +8,7 @@
     TestHost,
     caller::{Caller, End},
     request, route,
-    server::{self, Connection, Server, answer, chunk, first},
+    server::{self, Connection, Server, accept_first, answer, chunk},
 };
 use rstest::rstest;
 use types::routed::{Kind, Route};
@@ -102,7 +102,7 @@
     let host = TestHost::start(route(Kind::NonIdempotent), &[&one, &two]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     connection.receive().await;
     connection
         .write(&answer("q", "no").replace("200 OK", "503 No").replace("seal", "not-run"))
@@ -120,7 +120,7 @@
     let host = TestHost::start(quick, &[&one, &two]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     connection.receive().await;
     let mut second = other.accept().await;
     second.receive().await;
@@ -140,7 +140,7 @@
     let host = TestHost::start(quick, &servers).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     connection.receive().await;
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert!(!other.is_called().await);
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -75,8 +75,8 @@
         let running =
             relay::start_by(clock, process(store), routed, dialect).await.expect("a host");
         let host = TestHost { address: running.address(), world, _running: running };
-        within(host.in_force()).await;
-        within(host.registered()).await;
+        within(host.wait_in_force()).await;
+        within(host.wait_registered()).await;
         host
     }
 
@@ -89,12 +89,12 @@
         Caller::connect(self.address).await
     }
 
-    async fn registered(&self) {
+    async fn wait_registered(&self) {
         let mut registered = self.world.registered.subscribe();
         registered.wait_for(|is| *is).await.expect("a store");
     }
 
-    async fn in_force(&self) {
+    async fn wait_in_force(&self) {
         loop {
             let mut caller = self.caller().await;
             caller.write("GET /none HTTP/1.1\r\nhost: h\r\nrequest-name: probe\r\n\r\n").await;
--- a/crates/relay/tests/common/server.rs
+++ b/crates/relay/tests/common/server.rs
@@ -59,7 +59,7 @@
 }
 
 /// Accepts the first connection to either server; returns it with the server that was not called.
-pub async fn first<'a>(one: &'a Server, other: &'a Server) -> (Connection, &'a Server) {
+pub async fn accept_first<'a>(one: &'a Server, other: &'a Server) -> (Connection, &'a Server) {
     tokio::select! {
         connection = one.accept() => (connection, other),
         connection = other.accept() => (connection, one),
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -8,7 +8,7 @@
     TestHost,
     caller::Caller,
     request, resumable, route,
-    server::{Connection, Server, answer, events, first, stream},
+    server::{Connection, Server, accept_first, answer, events, stream},
 };
 use rstest::rstest;
 use tokio::net::{TcpSocket, TcpStream};
@@ -83,7 +83,7 @@
     let host = TestHost::start(resumable(), &[&one, &two]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     connection.receive().await;
     connection.write(&(stream("q") + &events([1]))).await;
     drop(connection);
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -9,7 +9,7 @@
     TestHost,
     caller::{Caller, End, Response},
     request, resumable, route,
-    server::{self, Connection, END, Server, chunk, event, events, first, stream},
+    server::{self, Connection, END, Server, accept_first, chunk, event, events, stream},
 };
 use rstest::rstest;
 use types::routed::{Kind, Route};
@@ -28,7 +28,7 @@
     let host = TestHost::start(route, &[one, other]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(one, other).await;
+    let (mut connection, other) = accept_first(one, other).await;
     connection.receive().await;
     (host, caller, connection, other)
 }
@@ -172,7 +172,7 @@
     let host = TestHost::start(resumable(), &[&one, &two]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q").replace("\r\n\r\n", "\r\nresume-after: 12\r\n\r\n")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     assert_eq!(connection.receive().await.header("resume-after"), Some("12"));
     connection.write(&stream("q")).await;
     assert_eq!(caller.head().await.status, 200);
@@ -299,7 +299,7 @@
     let host = TestHost::without_retries(quick, &[&one, &two]).await;
     let mut caller = host.caller().await;
     caller.write(&request("q")).await;
-    let (mut connection, other) = first(&one, &two).await;
+    let (mut connection, other) = accept_first(&one, &two).await;
     connection.receive().await;
     if has_answered {
         connection.write(&stream("q")).await;
