--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -50,8 +50,8 @@
     pub(crate) gossip: Gossip,
     pub(crate) running: bool,
     pub(crate) paused: bool,
-    pub(crate) sent: u64,
-    pub(crate) received: u64,
+    pub(crate) sent_bytes: u64,
+    pub(crate) received_bytes: u64,
     /// When its configuration number last rose.
     pub(crate) number_raised_at: Moment,
     next_watch: Moment,
@@ -69,8 +69,8 @@
     pub(crate) platform_calls: u64,
     pub(crate) list_calls: u64,
     rng: ChaCha8Rng,
-    events: BinaryHeap<Reverse<(Moment, u64)>>,
-    due: BTreeMap<u64, Event>,
+    queue: BinaryHeap<Reverse<(Moment, u64)>>,
+    events: BTreeMap<u64, Event>,
     sequence: u64,
 }
 
@@ -110,8 +110,8 @@
             platform_calls: 0,
             list_calls: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            events: BinaryHeap::new(),
-            due: BTreeMap::new(),
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
         };
         for n in 0..hosts {
@@ -128,8 +128,8 @@
             gossip: Gossip::new(self.now, Settings::default(), seed, host(n), run),
             running: true,
             paused: false,
-            sent: 0,
-            received: 0,
+            sent_bytes: 0,
+            received_bytes: 0,
             number_raised_at: Duration::ZERO,
             next_watch: Duration::ZERO,
             next_list: Duration::ZERO,
@@ -139,8 +139,8 @@
     /// Restarts a host's process with empty memory.
     pub(crate) fn restart(&mut self, n: usize) {
         let run = self.nodes[n].gossip.epoch().run + 1;
-        let (sent, received) = (self.nodes[n].sent, self.nodes[n].received);
-        self.nodes[n] = Node { sent, received, ..self.node(n, run) };
+        let (sent_bytes, received_bytes) = (self.nodes[n].sent_bytes, self.nodes[n].received_bytes);
+        self.nodes[n] = Node { sent_bytes, received_bytes, ..self.node(n, run) };
     }
 
     /// Pauses or resumes a host's process.
@@ -205,13 +205,13 @@
     /// Runs until `done` returns true, at most until `end`; returns whether it did. Calls `done`
     /// after each event that raised a host's configuration number, and at `end`.
     pub(crate) fn run_until(&mut self, end: Moment, mut done: impl FnMut(&Fleet) -> bool) -> bool {
-        while let Some(Reverse((at, id))) = self.events.peek().copied() {
+        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if end < at {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = at;
-            if let Some(event) = self.due.remove(&id)
+            if let Some(event) = self.events.remove(&id)
                 && self.step(event)
                 && done(self)
             {
@@ -304,7 +304,7 @@
 
     fn call(&mut self, from: usize, to: usize, call: Call) {
         let bytes = REQUEST_OVERHEAD_BYTES + call.bytes();
-        self.nodes[from].sent += bytes as u64;
+        self.nodes[from].sent_bytes += bytes as u64;
         let deadline = self.now + CALL_TIMEOUT;
         if self.is_lost(from, to) {
             self.schedule(CALL_TIMEOUT, Event::Timeout { from, to, call });
@@ -320,7 +320,7 @@
             self.schedule(left, Event::Timeout { from, to, call });
             return false;
         }
-        self.nodes[to].received += (REQUEST_OVERHEAD_BYTES + call.bytes()) as u64;
+        self.nodes[to].received_bytes += (REQUEST_OVERHEAD_BYTES + call.bytes()) as u64;
         let answer = match &call {
             Call::Heartbeat(heartbeat) => {
                 let (answer, actions) = self.nodes[to].gossip.receive(self.now, heartbeat);
@@ -335,7 +335,7 @@
             }
             Call::Fetch => Answer::Fetch(self.nodes[to].gossip.version(Topic::Config)),
         };
-        self.nodes[to].sent += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
+        self.nodes[to].sent_bytes += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         if self.is_lost(to, from) {
             self.schedule(left, Event::Timeout { from, to, call });
         } else {
@@ -349,7 +349,7 @@
         if !self.is_up(from) {
             return false;
         }
-        self.nodes[from].received += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
+        self.nodes[from].received_bytes += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         let before = self.nodes[from].gossip.version(Topic::Config);
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
@@ -395,8 +395,8 @@
 
     fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
-        self.events.push(Reverse((self.now + after, self.sequence)));
-        self.due.insert(self.sequence, event);
+        self.queue.push(Reverse((self.now + after, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 }
 
