--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -23,11 +23,11 @@
     time::Moment,
 };
 
-/// Bytes of HTTP and JSON-RPC around a request; measured in `crates/peer/tests/calls.rs`.
-pub(crate) const REQUEST_OVERHEAD: usize = 260;
+/// Bytes that HTTP and JSON-RPC add to a request; measured in `crates/peer/tests/calls.rs`.
+pub(crate) const REQUEST_OVERHEAD_BYTES: usize = 260;
 
-/// Bytes of HTTP and JSON-RPC around an answer; measured in `crates/peer/tests/calls.rs`.
-pub(crate) const ANSWER_OVERHEAD: usize = 160;
+/// Bytes that HTTP and JSON-RPC add to an answer; measured in `crates/peer/tests/calls.rs`.
+pub(crate) const ANSWER_OVERHEAD_BYTES: usize = 160;
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 const ZONES: usize = 4;
@@ -38,7 +38,7 @@
 pub(crate) struct Faults {
     /// Share of messages that are lost.
     pub(crate) loss: f64,
-    /// Zone that is cut off from all others.
+    /// Zone that is partitioned from all others.
     pub(crate) cut_zone: Option<usize>,
     /// Sending and receiving zone between which all messages are lost.
     pub(crate) one_way: Option<(usize, usize)>,
@@ -49,9 +49,10 @@
     pub(crate) gossip: Gossip,
     pub(crate) running: bool,
     pub(crate) paused: bool,
-    pub(crate) sent: u64,
-    pub(crate) received: u64,
-    pub(crate) reached: Moment,
+    pub(crate) sent_bytes: u64,
+    pub(crate) received_bytes: u64,
+    /// When its configuration number last rose.
+    pub(crate) number_raised_at: Moment,
     next_watch: Moment,
     next_list: Moment,
 }
@@ -67,8 +68,8 @@
     pub(crate) platform_calls: u64,
     pub(crate) list_calls: u64,
     rng: ChaCha8Rng,
-    events: BinaryHeap<Reverse<(Moment, u64)>>,
-    due: BTreeMap<u64, Event>,
+    queue: BinaryHeap<Reverse<(Moment, u64)>>,
+    events: BTreeMap<u64, Event>,
     sequence: u64,
 }
 
@@ -76,18 +77,18 @@
     Tick(usize),
     Arrive { from: usize, to: usize, call: Call, deadline: Moment },
     Answer { from: usize, to: usize, answer: Answer },
-    Silence { from: usize, to: usize, call: Call },
+    Timeout { from: usize, to: usize, call: Call },
     Watched { node: usize, number: Number },
 }
 
 enum Call {
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     Probe(usize),
     Fetch,
 }
 
 enum Answer {
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     Probe(usize, Probe),
     Fetch(Number),
 }
@@ -108,8 +109,8 @@
             platform_calls: 0,
             list_calls: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            events: BinaryHeap::new(),
-            due: BTreeMap::new(),
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
             sequence: 0,
         };
         for n in 0..hosts {
@@ -126,9 +127,9 @@
             gossip: Gossip::new(self.now, Settings::default(), seed, host(n), run),
             running: true,
             paused: false,
-            sent: 0,
-            received: 0,
-            reached: Duration::ZERO,
+            sent_bytes: 0,
+            received_bytes: 0,
+            number_raised_at: Duration::ZERO,
             next_watch: Duration::ZERO,
             next_list: Duration::ZERO,
         }
@@ -137,8 +138,8 @@
     /// Restarts a host's process with empty memory.
     pub(crate) fn restart(&mut self, n: usize) {
         let run = self.nodes[n].gossip.epoch().run + 1;
-        let (sent, received) = (self.nodes[n].sent, self.nodes[n].received);
-        self.nodes[n] = Node { sent, received, ..self.node(n, run) };
+        let (sent_bytes, received_bytes) = (self.nodes[n].sent_bytes, self.nodes[n].received_bytes);
+        self.nodes[n] = Node { sent_bytes, received_bytes, ..self.node(n, run) };
     }
 
     /// Pauses a host's process, or resumes it.
@@ -155,7 +156,8 @@
             .collect()
     }
 
-    /// Writes the next configuration number to the platform.
+    /// Writes the next configuration number to the platform; hosts that watch it receive the number
+    /// 1 to 4 ms later.
     pub(crate) fn write(&mut self) {
         self.number += 1;
         for n in 0..self.nodes.len() {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Returns the hosts that watch the platform at this moment.
+    /// Returns the hosts that watch the platform now.
     pub(crate) fn watchers(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|n| self.is_watching(*n)).collect()
     }
@@ -184,7 +186,7 @@
     }
 
     /// Whether every running host takes all other running hosts for live.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_converged(&self) -> bool {
         let running = || self.nodes.iter().enumerate().filter(|(_, node)| node.running);
         running().all(|(n, node)| {
             running().filter(|(m, _)| *m != n).all(|(m, _)| {
@@ -199,15 +201,16 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` or `end`; returns whether it was done.
+    /// Runs until `done` returns true, at most until `end`; returns whether it did. Calls ` done`
+    /// after each event that raised a host's configuration number, and at `end`.
     pub(crate) fn run_until(&mut self, end: Moment, mut done: impl FnMut(&Fleet) -> bool) -> bool {
-        while let Some(Reverse((at, id))) = self.events.peek().copied() {
+        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if end < at {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = at;
-            if let Some(event) = self.due.remove(&id)
+            if let Some(event) = self.events.remove(&id)
                 && self.step(event)
                 && done(self)
             {
@@ -222,7 +225,9 @@
     pub(crate) fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { to, heartbeat } => self.call(n, index(&to), Call::Beat(heartbeat)),
+                Action::Send { to, heartbeat } => {
+                    self.call(n, index(&to), Call::Heartbeat(heartbeat));
+                }
                 Action::Probe { via, target } => {
                     self.call(n, index(&via), Call::Probe(index(&target)));
                 }
@@ -232,14 +237,14 @@
         }
     }
 
-    /// Handles one event; returns whether a host's configuration number rose.
+    /// Handles one event; returns whether it raised a host's configuration number.
     fn step(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(n) => self.tick(n),
             Event::Arrive { from, to, call, deadline } => self.arrive(from, to, call, deadline),
             Event::Answer { from, to, answer } => self.answered(from, to, answer),
-            Event::Silence { from, to, call } => self.silent(from, to, call),
-            Event::Watched { node, number } => self.hold(node, number),
+            Event::Timeout { from, to, call } => self.timed_out(from, to, call),
+            Event::Watched { node, number } => self.set_number(node, number),
         }
     }
 
@@ -250,10 +255,10 @@
             return false;
         }
         self.read_list(n);
-        let rose = self.poll(n);
+        let increased = self.poll(n);
         let actions = self.nodes[n].gossip.tick(self.now);
         self.perform(n, actions);
-        rose
+        increased
     }
 
     fn read_list(&mut self, n: usize) {
@@ -273,10 +278,10 @@
         }
         self.nodes[n].next_watch = self.now + watch::TIMEOUT;
         self.platform_calls += 1;
-        self.hold(n, self.number)
+        self.set_number(n, self.number)
     }
 
-    fn hold(&mut self, n: usize, number: Number) -> bool {
+    fn set_number(&mut self, n: usize, number: Number) -> bool {
         if !self.is_up(n) {
             return false;
         }
@@ -284,24 +289,24 @@
         self.nodes[n].gossip.platform_answered(self.now);
         let actions = self.nodes[n].gossip.set_version(self.now, Topic::Config, number);
         self.perform(n, actions);
-        self.note_rise(n, before)
+        self.record_increase(n, before)
     }
 
-    fn note_rise(&mut self, n: usize, before: Number) -> bool {
+    fn record_increase(&mut self, n: usize, before: Number) -> bool {
         let after = self.nodes[n].gossip.version(Topic::Config);
         assert!(before <= after, "host {n} went back from {before} to {after}");
         if before < after {
-            self.nodes[n].reached = self.now;
+            self.nodes[n].number_raised_at = self.now;
         }
         before < after
     }
 
     fn call(&mut self, from: usize, to: usize, call: Call) {
-        let bytes = REQUEST_OVERHEAD + call.bytes();
-        self.nodes[from].sent += bytes as u64;
+        let bytes = REQUEST_OVERHEAD_BYTES + call.bytes();
+        self.nodes[from].sent_bytes += bytes as u64;
         let deadline = self.now + CALL_TIMEOUT;
         if self.is_lost(from, to) {
-            self.schedule(CALL_TIMEOUT, Event::Silence { from, to, call });
+            self.schedule(CALL_TIMEOUT, Event::Timeout { from, to, call });
             return;
         }
         let delay = self.delay(from, to);
@@ -311,15 +316,15 @@
     fn arrive(&mut self, from: usize, to: usize, call: Call, deadline: Moment) -> bool {
         let left = deadline.saturating_sub(self.now);
         if !self.is_up(to) {
-            self.schedule(left, Event::Silence { from, to, call });
+            self.schedule(left, Event::Timeout { from, to, call });
             return false;
         }
-        self.nodes[to].received += (REQUEST_OVERHEAD + call.bytes()) as u64;
+        self.nodes[to].received_bytes += (REQUEST_OVERHEAD_BYTES + call.bytes()) as u64;
         let answer = match &call {
-            Call::Beat(heartbeat) => {
+            Call::Heartbeat(heartbeat) => {
                 let (answer, actions) = self.nodes[to].gossip.receive(self.now, heartbeat);
                 self.perform(to, actions);
-                Answer::Beat(answer)
+                Answer::Heartbeat(answer)
             }
             Call::Probe(target) => {
                 let lost = self.is_lost(to, *target) || self.is_lost(*target, to);
@@ -329,9 +334,9 @@
             }
             Call::Fetch => Answer::Fetch(self.nodes[to].gossip.version(Topic::Config)),
         };
-        self.nodes[to].sent += (ANSWER_OVERHEAD + answer.bytes()) as u64;
+        self.nodes[to].sent_bytes += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         if self.is_lost(to, from) {
-            self.schedule(left, Event::Silence { from, to, call });
+            self.schedule(left, Event::Timeout { from, to, call });
         } else {
             let delay = self.delay(from, to);
             self.schedule(delay, Event::Answer { from, to, answer });
@@ -343,27 +348,27 @@
         if !self.is_up(from) {
             return false;
         }
-        self.nodes[from].received += (ANSWER_OVERHEAD + answer.bytes()) as u64;
+        self.nodes[from].received_bytes += (ANSWER_OVERHEAD_BYTES + answer.bytes()) as u64;
         let before = self.nodes[from].gossip.version(Topic::Config);
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match answer {
-            Answer::Beat(heartbeat) => gossip.answer(now, &heartbeat),
+            Answer::Heartbeat(heartbeat) => gossip.answer(now, &heartbeat),
             Answer::Probe(target, probe) => gossip.probed(now, &host(target).id, probe),
             Answer::Fetch(number) => gossip.set_version(now, Topic::Config, number),
         };
         self.perform(from, actions);
-        self.note_rise(from, before)
+        self.record_increase(from, before)
     }
 
-    fn silent(&mut self, from: usize, to: usize, call: Call) -> bool {
+    fn timed_out(&mut self, from: usize, to: usize, call: Call) -> bool {
         if !self.is_up(from) {
             return false;
         }
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match call {
-            Call::Beat(_) => gossip.silence(now, &host(to).id),
+            Call::Heartbeat(_) => gossip.silence(now, &host(to).id),
             Call::Probe(target) => gossip.probed(now, &host(target).id, Probe::Silent),
             Call::Fetch => gossip.fetch_failed(now, Topic::Config),
         };
@@ -389,15 +394,15 @@
 
     fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
-        self.events.push(Reverse((self.now + after, self.sequence)));
-        self.due.insert(self.sequence, event);
+        self.queue.push(Reverse((self.now + after, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 }
 
 impl Call {
     fn bytes(&self) -> usize {
         match self {
-            Call::Beat(heartbeat) => json_bytes(heartbeat),
+            Call::Heartbeat(heartbeat) => json_bytes(heartbeat),
             Call::Probe(target) => json_bytes(&host(*target)),
             Call::Fetch => 8,
         }
@@ -407,7 +412,7 @@
 impl Answer {
     fn bytes(&self) -> usize {
         match self {
-            Answer::Beat(heartbeat) => json_bytes(heartbeat),
+            Answer::Heartbeat(heartbeat) => json_bytes(heartbeat),
             Answer::Probe(..) | Answer::Fetch(_) => 8,
         }
     }
@@ -432,7 +437,7 @@
 }
 
 fn index(host: &Host) -> usize {
-    host.id.trim_start_matches("stage-").parse().expect("the loop's own host name")
+    host.id.trim_start_matches("stage-").parse().expect("a name of a simulated host")
 }
 
 fn json_bytes<T: serde::Serialize>(value: &T) -> usize {
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A host between a scripted caller and scripted servers.
+//! Harness: a running host between a scripted caller and scripted servers, with a scripted store.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 pub mod caller;
 pub mod dialect;
@@ -19,42 +19,47 @@
 
 use self::{caller::Caller, dialect::Neutral, server::Server, store::World};
 
-/// Longest wait for anything.
-pub const LONGEST: Duration = Duration::from_secs(20);
+/// Limit of each wait, and value of each time setting of the host that no test varies.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The service of all servers.
+/// The service that all servers belong to.
 const SERVICE: &str = "words";
 
-/// Waits for something, but not for ever.
+/// Awaits a future; panics after [`TIMEOUT`].
 pub async fn within<T>(wanted: impl Future<Output = T>) -> T {
-    timeout(LONGEST, wanted).await.expect("in time")
+    timeout(TIMEOUT, wanted).await.expect("in time")
 }
 
-/// A running host.
-pub struct Stage {
+/// A running host with its store.
+pub struct TestHost {
     pub address: SocketAddr,
     world: Arc<World>,
     _running: Running,
 }
 
-impl Stage {
-    /// Starts a host with one route, and waits until it is in force.
-    pub async fn start(route: Route, servers: &[&Server]) -> Stage {
-        Stage::start_by(Clock::start(), route, servers).await
+impl TestHost {
+    /// Starts a host with one route; returns when the route is in force and the host is registered.
+    pub async fn start(route: Route, servers: &[&Server]) -> TestHost {
+        TestHost::start_by(Clock::start(), route, servers).await
     }
 
-    /// The same by a clock of the test's.
-    pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> Stage {
-        Stage::start_with(clock, routed(), route, servers).await
+    /// Starts a host as [`TestHost::start`] does, on a clock that the test controls.
+    pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> TestHost {
+        TestHost::start_with(clock, routed(), route, servers).await
     }
 
-    /// The same with no budget for retries.
-    pub async fn without_retries(route: Route, servers: &[&Server]) -> Stage {
-        let retry = Retry { ratio: 0.0, extra: 0.0, window: LONGEST };
-        Stage::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
+    /// Starts a host as [`TestHost::start`] does, with an empty retry budget.
+    pub async fn without_retries(route: Route, servers: &[&Server]) -> TestHost {
+        let retry = Retry { ratio: 0.0, extra: 0.0, window: TIMEOUT };
+        TestHost::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
     }
 
-    async fn start_with(clock: Clock, routed: Routed, route: Route, servers: &[&Server]) -> Stage {
+    async fn start_with(
+        clock: Clock,
+        routed: Routed,
+        route: Route,
+        servers: &[&Server],
+    ) -> TestHost {
         let declaration = Declaration {
             version: 1,
             routes: vec![route],
@@ -69,13 +74,13 @@
         let dialect = Arc::new(Neutral { world: world.clone() });
         let running =
             relay::start_by(clock, process(store), routed, dialect).await.expect("a host");
-        let stage = Stage { address: running.address(), world, _running: running };
-        within(stage.in_force()).await;
-        within(stage.registered()).await;
-        stage
+        let host = TestHost { address: running.address(), world, _running: running };
+        within(host.wait_in_force()).await;
+        within(host.wait_registered()).await;
+        host
     }
 
-    /// Registers one more server.
+    /// Registers another server in the store.
     pub fn register(&self, server: &Server) {
         self.world.register(registration(server));
     }
@@ -84,12 +89,12 @@
         Caller::connect(self.address).await
     }
 
-    async fn registered(&self) {
+    async fn wait_registered(&self) {
         let mut registered = self.world.registered.subscribe();
         registered.wait_for(|is| *is).await.expect("a store");
     }
 
-    async fn in_force(&self) {
+    async fn wait_in_force(&self) {
         loop {
             let mut caller = self.caller().await;
             caller.write("GET /none HTTP/1.1\r\nhost: h\r\nrequest-name: probe\r\n\r\n").await;
@@ -101,7 +106,7 @@
     }
 }
 
-/// A route of everything under `/a/`.
+/// Returns a route for all paths under `/a/`.
 pub fn route(kind: Kind) -> Route {
     Route {
         name: "r".into(),
@@ -110,8 +115,8 @@
         kind,
         resumable: false,
         sticky: false,
-        timeout: LONGEST,
-        goal: LONGEST,
+        timeout: TIMEOUT,
+        goal: TIMEOUT,
         gap: None,
         silence: None,
         attempts: 2,
@@ -120,13 +125,13 @@
     }
 }
 
-/// A route of streams that may be resumed.
+/// Returns a route for streams that may be resumed at another server.
 pub fn resumable() -> Route {
     Route { resumable: true, ..route(Kind::Stream) }
 }
 
-/// A caller's request.
-pub fn ask(name: &str) -> String {
+/// Returns the text of a caller's request with this request id.
+pub fn request(name: &str) -> String {
     format!("POST /a/x HTTP/1.1\r\nhost: h\r\nrequest-name: {name}\r\ncontent-length: 2\r\n\r\nhi")
 }
 
@@ -182,11 +187,11 @@
 fn routed() -> Routed {
     Routed {
         dialect: process::Dialect::Platform,
-        apply: LONGEST,
-        drain: LONGEST,
-        grace: LONGEST,
-        turn: LONGEST,
-        retry: Retry { ratio: 1.0, extra: 100.0, window: LONGEST },
+        apply: TIMEOUT,
+        drain: TIMEOUT,
+        grace: TIMEOUT,
+        turn: TIMEOUT,
+        retry: Retry { ratio: 1.0, extra: 100.0, window: TIMEOUT },
         metrics_port: None,
     }
 }
