--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -22,10 +22,10 @@
 
 use crate::{
     context::Context,
-    filters::{Call, Question, account::Account, attempt},
+    filters::{Call, ModelRequest, account::Account, attempt},
     kv,
     problem::{self, Problem},
-    traffic::{Further, Sent},
+    traffic::{NextAttempt, Sent},
 };
 
 /// A model's answer on its way.
@@ -33,11 +33,11 @@
     context: Arc<Context>,
     account: Account,
     call: Call,
-    question: Arc<Question>,
+    model_request: Arc<ModelRequest>,
     demand: Arc<Demand>,
     stream: Stream,
     next: Option<Sent>,
-    lost: Option<backend::Server>,
+    resume_from: Option<backend::Server>,
     source: Option<Source>,
     failed: Vec<Index>,
     ran: Ran,
@@ -64,7 +64,7 @@
         context: Arc<Context>,
         account: Account,
         call: Call,
-        question: Arc<Question>,
+        model_request: Arc<ModelRequest>,
         demand: Arc<Demand>,
         first: Sent,
     ) -> Answer {
@@ -73,10 +73,10 @@
             context,
             account,
             call,
-            question,
+            model_request,
             demand,
             next: Some(first),
-            lost: None,
+            resume_from: None,
             source: None,
             failed: Vec::new(),
             ran: Ran::DidNotRun,
@@ -98,22 +98,23 @@
                 self.connect().await?;
                 continue;
             };
-            let silence = self.context.settings.bounds.idle.min(self.call.time_left(&self.context));
-            match timeout(silence, source.frames.next()).await {
+            let idle_timeout =
+                self.context.settings.bounds.idle.min(self.call.time_left(&self.context));
+            match timeout(idle_timeout, source.frames.next()).await {
                 Ok(Some(Ok(frame))) => {
-                    if let Some(token) = self.take(frame).await? {
+                    if let Some(token) = self.accept_frame(frame).await? {
                         return Ok(Some(token));
                     }
                 }
-                Ok(Some(Err(error))) => self.lose(&error.to_string()).await?,
-                Ok(None) => self.lose("stream ended early").await?,
-                Err(_) => self.lose("stream fell silent").await?,
+                Ok(Some(Err(error))) => self.stream_lost(&error.to_string()).await?,
+                Ok(None) => self.stream_lost("stream ended early").await?,
+                Err(_) => self.stream_lost("stream fell silent").await?,
             }
         }
     }
 
     /// Judges a frame; gives the token if it is the next.
-    async fn take(&mut self, frame: Frame) -> Result<Option<Token>, Problem> {
+    async fn accept_frame(&mut self, frame: Frame) -> Result<Option<Token>, Problem> {
         let own = self.call.request.id.clone();
         let (request, part, finish, token) = match frame {
             Frame::Token { offset, request, finish, data } => {
@@ -122,7 +123,7 @@
             Frame::Done if self.is_finished() => (None, Part::End(self.stream.next()), None, None),
             // An engine that goes down in order may end its streams as if they were whole.
             Frame::Done => {
-                self.lose("the stream ended before the answer did").await?;
+                self.stream_lost("the stream ended before the answer did").await?;
                 return Ok(None);
             }
         };
@@ -149,7 +150,7 @@
                 Ok(None)
             }
             stream::Verdict::Gap => {
-                self.lose("a token is missing").await?;
+                self.stream_lost("a token is missing").await?;
                 Ok(None)
             }
         }
@@ -168,10 +169,10 @@
     }
 
     /// The stream of the present attempt is lost.
-    async fn lose(&mut self, cause: &str) -> Result<(), Problem> {
+    async fn stream_lost(&mut self, cause: &str) -> Result<(), Problem> {
         let Some(source) = self.source.take() else { return Ok(()) };
         let point = if self.stream.next() == 0 { Point::Head } else { Point::Stream };
-        self.fail(source.sent, point, cause).await
+        self.attempt_failed(source.sent, point, cause).await
     }
 
     /// Makes the attempt that is due.
@@ -179,27 +180,28 @@
         let Some(sent) = self.next.take() else {
             return Err(Problem::new(problem::Kind::Internal, "no attempt is due").ran(self.ran));
         };
-        if let Some(lost) = self.lost.take() {
-            kv::carry(&self.context, &self.call, &lost, &sent).await;
+        if let Some(previous) = self.resume_from.take() {
+            kv::transfer(&self.context, &self.call, &previous, &sent).await;
         }
         let request = self.request();
         self.account.attempted(self.stream.attempt(), &sent.server().id);
-        let patience = self.context.settings.bounds.idle.min(self.call.time_left(&self.context));
-        let asked = self.context.backends.send(sent.server().address, request);
-        match timeout(patience, asked).await {
-            Ok(Ok(response)) => self.begin(sent, response).await,
+        let head_timeout =
+            self.context.settings.bounds.idle.min(self.call.time_left(&self.context));
+        let response = self.context.backends.send(sent.server().address, request);
+        match timeout(head_timeout, response).await {
+            Ok(Ok(response)) => self.response_started(sent, response).await,
             Ok(Err(error)) => {
                 let point = if error.is_unsent() { Point::Connect } else { Point::Waiting };
-                self.fail(sent, point, &error.to_string()).await
+                self.attempt_failed(sent, point, &error.to_string()).await
             }
-            Err(_) => self.fail(sent, Point::Waiting, "no answer in time").await,
+            Err(_) => self.attempt_failed(sent, Point::Waiting, "no answer in time").await,
         }
     }
 
     /// Goes by the head of an engine's answer.
-    async fn begin(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
+    async fn response_started(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
         let status = response.status();
-        if status == StatusCode::OK && self.is_own(response.headers()) {
+        if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
             self.ran = self.ran.max(Ran::MayHaveRun);
             let frames = frame::read(response.into_body()).boxed();
             self.source = Some(Source { frames, sent });
@@ -218,18 +220,23 @@
                 return Err(Problem::new(problem::Kind::BadRequest, detail).ran(Ran::MayHaveRun));
             }
         };
-        self.fail(sent, point, &format!("engine answers {status}")).await
+        self.attempt_failed(sent, point, &format!("engine answers {status}")).await
     }
 
     /// Whether an answer's head names this request and this attempt, if it names any.
-    fn is_own(&self, headers: &HeaderMap) -> bool {
+    fn is_for_this_attempt(&self, headers: &HeaderMap) -> bool {
         let names = |name: &str, own: &str| headers.get(name).is_none_or(|value| value == own);
         names(wire::REQUEST_ID, &self.call.request.id)
             && names(wire::ATTEMPT, &self.stream.attempt().to_string())
     }
 
     /// An attempt has failed: prepares the next one, or gives up.
-    async fn fail(&mut self, sent: Sent, point: Point, cause: &str) -> Result<(), Problem> {
+    async fn attempt_failed(
+        &mut self,
+        sent: Sent,
+        point: Point,
+        cause: &str,
+    ) -> Result<(), Problem> {
         let attempt = self.stream.attempt();
         let server = sent.server().clone();
         log::warn!(
@@ -256,10 +263,10 @@
         self.account.retried(point.as_str());
         if verdict == retry::Verdict::Resume {
             self.account.resumed(next, self.stream.next());
-            self.lost = Some(server);
+            self.resume_from = Some(server);
         }
-        let further = further(&self.context, &self.call, &self.demand, &self.failed).await;
-        match further {
+        let dispatched = next_attempt(&self.context, &self.call, &self.demand, &self.failed).await;
+        match dispatched {
             Some(sent) => {
                 self.next = Some(sent);
                 Ok(())
@@ -269,7 +276,7 @@
     }
 
     fn request(&self) -> Request<::backend::Body> {
-        let mut request = Request::post(self.question.shape.path())
+        let mut request = Request::post(self.model_request.shape.path())
             .header(header::CONTENT_TYPE, "application/json")
             .header(wire::REQUEST_ID, &*self.call.request.id)
             .header(wire::ATTEMPT, self.stream.attempt())
@@ -280,7 +287,7 @@
         if let Some(key) = &self.call.request.key {
             request = request.header(crate::filters::identify::IDEMPOTENCY_KEY, &**key);
         }
-        let body = ::backend::whole(self.question.body.clone());
+        let body = ::backend::whole(self.model_request.body.clone());
         request.body(body).unwrap_or_else(|_| Request::new(::backend::empty()))
     }
 }
@@ -289,22 +296,22 @@
 ///
 /// A server in doubt is waited for no longer than the call's target for the first token: a caller
 /// whom the wait can't help gets the final answer at once.
-pub(crate) async fn further(
+pub(crate) async fn next_attempt(
     context: &Context,
     call: &Call,
     demand: &Demand,
     failed: &[Index],
 ) -> Option<Sent> {
     /// Least pause before servers in doubt are looked at again.
-    const PAUSE: Duration = Duration::from_millis(5);
+    const MIN_WAIT: Duration = Duration::from_millis(5);
     let time_left = call.time_left(context).min(call.request.target.first_token);
     let until = context.now() + time_left;
     loop {
         match context.traffic.dispatch_again(demand, failed) {
-            Further::Sent(sent) => return Some(sent),
-            Further::Unready => return None,
-            Further::At(moment) => {
-                let wait = moment.saturating_sub(context.now()).max(PAUSE);
+            NextAttempt::Sent(sent) => return Some(sent),
+            NextAttempt::Unready => return None,
+            NextAttempt::At(moment) => {
+                let wait = moment.saturating_sub(context.now()).max(MIN_WAIT);
                 if until <= context.now() + wait {
                     return None;
                 }
--- a/crates/stage/src/callers.rs
+++ b/crates/stage/src/callers.rs
@@ -22,13 +22,13 @@
     let models = Router::new()
         .route("/v1/chat/completions", post(attempt::model))
         .route("/v1/completions", post(attempt::model));
-    let models =
-        filters::row(models, &context).layer(from_fn_with_state(context.clone(), identify::model));
+    let models = filters::stack(models, &context)
+        .layer(from_fn_with_state(context.clone(), identify::model));
     let plain = Router::new()
         .route("/services/{service}", any(attempt::plain))
         .route("/services/{service}/{*path}", any(attempt::plain));
     let plain =
-        filters::row(plain, &context).layer(from_fn_with_state(context.clone(), identify::plain));
+        filters::stack(plain, &context).layer(from_fn_with_state(context.clone(), identify::plain));
     models
         .merge(plain)
         .layer(from_fn_with_state(context.clone(), filters::in_force::filter))
--- a/crates/stage/src/claims.rs
+++ b/crates/stage/src/claims.rs
@@ -30,7 +30,7 @@
 
 /// A call of the object API on a range's object.
 #[derive(Debug)]
-pub struct Due {
+pub struct PendingCall {
     /// The range.
     pub range: once::Number,
     /// The call.
@@ -69,7 +69,7 @@
     }
 
     /// Decides what can be decided; returns the calls to make and when to ask again.
-    pub fn step(&self, moment: Moment) -> (Vec<Due>, Option<Moment>) {
+    pub fn step(&self, moment: Moment) -> (Vec<PendingCall>, Option<Moment>) {
         let now = now(moment);
         let mut inner = self.inner();
         let mut answers = Vec::new();
@@ -77,7 +77,7 @@
         for (number, range) in &mut inner.ranges {
             let step = range.step(now);
             answers.extend(step.answers);
-            calls.extend(step.call.map(|call| Due { range: *number, call }));
+            calls.extend(step.call.map(|call| PendingCall { range: *number, call }));
         }
         self.deliver(&mut inner, now, answers);
         let due = inner.ranges.values().filter_map(Range::due).min();
@@ -86,34 +86,34 @@
 
     /// Takes the outcome of a read.
     pub fn read(&self, moment: Moment, range: once::Number, read: Read) {
-        self.told(moment, range, |range, now| range.read(now, read));
+        self.apply(moment, range, |range, now| range.read(now, read));
     }
 
     /// Takes the outcome of a write.
     pub fn wrote(&self, moment: Moment, range: once::Number, written: Written) {
-        self.told(moment, range, |range, now| range.wrote(now, written));
+        self.apply(moment, range, |range, now| range.wrote(now, written));
     }
 
     /// Waits until something is asked or told.
-    pub async fn woken(&self) {
+    pub async fn changed(&self) {
         self.wake.notified().await;
     }
 
     /// Whether everything told is written.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         !self.inner().ranges.values().any(Range::is_busy)
     }
 
-    fn told(
+    fn apply(
         &self,
         moment: Moment,
         range: once::Number,
-        tell: impl FnOnce(&mut Range, Now) -> Vec<Answer>,
+        update: impl FnOnce(&mut Range, Now) -> Vec<Answer>,
     ) {
         let now = now(moment);
         let mut inner = self.inner();
         let Some(range) = inner.ranges.get_mut(&range) else { return };
-        let answers = tell(range, now);
+        let answers = update(range, now);
         self.deliver(&mut inner, now, answers);
     }
 
@@ -121,8 +121,9 @@
     fn deliver(&self, inner: &mut Inner, now: Now, answers: Vec<Answer>) {
         for Answer { id, key, verdict } in answers {
             let Some(reply) = inner.waiting.remove(&id) else { continue };
-            let unheard = reply.send(verdict).is_err_and(|v| matches!(v, Verdict::Granted { .. }));
-            if unheard {
+            let is_undelivered_grant =
+                reply.send(verdict).is_err_and(|v| matches!(v, Verdict::Granted { .. }));
+            if is_undelivered_grant {
                 let change = Change { id, key, end: once::End::Released };
                 self.range(inner, key).end(now, change);
             }
--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -21,8 +21,8 @@
 use types::{config::Numbered, prelude::*};
 
 use crate::{
-    claims::Claims, counted::Counted, declared::Declared, fleet::Fleet, moves::Moves, peers::Peers,
-    traffic::Traffic,
+    claims::Claims, counted::CountedStore, declared::Declared, fleet::Fleet, moves::Moves,
+    peers::Peers, traffic::Traffic,
 };
 
 /// What every part of the host shares.
@@ -93,7 +93,7 @@
         events.record(Event::new(event::Kind::Start));
         let peers = Peers::new(&settings, incarnation, peers_token);
         watch_bytes(&metrics, Link::Peers, peers.meter());
-        let store = Counted::new(builder.build(), metrics.clone(), events.clone());
+        let store = CountedStore::new(builder.build(), metrics.clone(), events.clone());
         Ok(Context {
             peers,
             traffic: Arc::new(Traffic::new(&settings, origin)),
--- a/crates/stage/src/counted.rs
+++ b/crates/stage/src/counted.rs
@@ -22,16 +22,16 @@
 const DOWN: u8 = 2;
 
 /// A platform's client whose calls are counted.
-pub(crate) struct Counted {
+pub(crate) struct CountedStore {
     inner: Client,
     metrics: Metrics,
     events: Arc<Ring>,
-    seen: AtomicU8,
+    last_state: AtomicU8,
 }
 
-impl Counted {
-    pub(crate) fn new(inner: Client, metrics: Metrics, events: Arc<Ring>) -> Counted {
-        Counted { inner, metrics, events, seen: AtomicU8::new(UNKNOWN) }
+impl CountedStore {
+    pub(crate) fn new(inner: Client, metrics: Metrics, events: Arc<Ring>) -> CountedStore {
+        CountedStore { inner, metrics, events, last_state: AtomicU8::new(UNKNOWN) }
     }
 
     async fn call<T>(
@@ -40,13 +40,13 @@
         call: BoxFuture<'_, Result<T, Error>>,
     ) -> Result<T, Error> {
         let result = call.await;
-        self.metrics.platform_call(operation, word(&result));
-        self.notice(&result);
+        self.metrics.platform_call(operation, label(&result));
+        self.observe_state(&result);
         result
     }
 
     /// Records when the platform begins or ceases to answer.
-    fn notice<T>(&self, result: &Result<T, Error>) {
+    fn observe_state<T>(&self, result: &Result<T, Error>) {
         let (state, code) = match result {
             Err(Error::Unavailable { .. } | Error::Unanswered { .. } | Error::Malformed { .. }) => {
                 (PlatformState::Down, DOWN)
@@ -54,14 +54,14 @@
             // A refusal of one call is an answer all the same.
             _ => (PlatformState::Up, UP),
         };
-        if self.seen.swap(code, Ordering::Relaxed) != code {
+        if self.last_state.swap(code, Ordering::Relaxed) != code {
             self.metrics.platform(state);
             self.events.record(Event::new(Kind::Platform { platform: state }));
         }
     }
 }
 
-fn word<T>(result: &Result<T, Error>) -> &'static str {
+fn label<T>(result: &Result<T, Error>) -> &'static str {
     match result {
         Ok(_) => "ok",
         Err(Error::Conflict { .. }) => "conflict",
@@ -74,7 +74,7 @@
     }
 }
 
-impl Store for Counted {
+impl Store for CountedStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Object>, Error>> {
         Box::pin(self.call("get", self.inner.get(key)))
     }
--- a/crates/stage/src/declared.rs
+++ b/crates/stage/src/declared.rs
@@ -22,7 +22,7 @@
 use crate::context::Context;
 
 /// Parts that are fetched at once.
-const FETCHES: usize = 8;
+const CONCURRENT_FETCHES: usize = 8;
 
 /// Why a configuration could not be brought into force.
 #[derive(Debug, thiserror::Error)]
@@ -55,7 +55,7 @@
 
 impl Declared {
     /// The highest number heard of.
-    pub fn heard(&self) -> Number {
+    pub fn newest_number(&self) -> Number {
         self.holder().newest_number()
     }
 
@@ -80,22 +80,22 @@
 /// # Errors
 ///
 /// A part that could not be fetched. The root is remembered: taking it again goes on from there.
-pub async fn take(context: &Context, root: Root, source: &dyn Source) -> Result<(), Error> {
+pub async fn apply_root(context: &Context, root: Root, source: &dyn Source) -> Result<(), Error> {
     let progress = context.declared.holder().observe_root(root)?;
-    enforce(context, progress);
+    put_in_force(context, progress);
     let needs = context.declared.holder().needs();
     let mut parts = stream::iter(needs)
         .map(async |name| source.part(&name).await.map(|bytes| (name, bytes)))
-        .buffer_unordered(FETCHES);
+        .buffer_unordered(CONCURRENT_FETCHES);
     while let Some(part) = parts.next().await {
         let (name, bytes) = part?;
         let progress = context.declared.holder().add_part(name, bytes)?;
-        enforce(context, progress);
+        put_in_force(context, progress);
     }
     Ok(())
 }
 
-fn enforce(context: &Context, progress: Progress) {
+fn put_in_force(context: &Context, progress: Progress) {
     let Progress::InForce(numbered) = progress else { return };
     let number = numbered.number;
     if context.advance(Numbered::clone(&numbered)) {
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -25,7 +25,7 @@
 
 /// Times that a root is read and written for one patch. Losing to another patch ends the loop by
 /// itself, so only lost answers use them up.
-const ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// A sweep of parts that no root names follows each number that this divides.
 const SWEEP_EVERY: config::Number = 64;
@@ -38,29 +38,31 @@
 
 /// Decides on a patch and carries it out.
 pub async fn apply(context: &Arc<Context>, patch: &Patch) -> Outcome {
-    let (outcome, draft) = carry_out(context, patch).await;
+    let (outcome, draft) = write_patch(context, patch).await;
     // Before it is in force here, so that the time line has the cause first.
     record(context, patch, &outcome);
     if let Some(draft) = draft {
-        finish(context, *draft).await;
+        apply_draft(context, *draft).await;
     }
     outcome
 }
 
 /// Writes until the outcome is certain; gives the draft if this very call is known to have
 /// written it.
-async fn carry_out(context: &Context, patch: &Patch) -> (Outcome, Option<Box<Draft>>) {
-    let mut is_ours = false;
+async fn write_patch(context: &Context, patch: &Patch) -> (Outcome, Option<Box<Draft>>) {
+    let mut may_be_ours = false;
     let mut cause = String::new();
-    for _ in 0..ATTEMPTS {
-        let (read, decision) = match decided(context, patch).await {
+    for _ in 0..MAX_ATTEMPTS {
+        let (read, decision) = match read_and_decide(context, patch).await {
             Ok(decided) => decided,
             Err(error) => return (unavailable(error), None),
         };
         let draft = match decision {
             Decision::Accept(draft) => draft,
-            Decision::Repeated(number) if is_ours => return (Outcome::Accepted { number }, None),
-            other => return (outcome(other), None),
+            Decision::Repeated(number) if may_be_ours => {
+                return (Outcome::Accepted { number }, None);
+            }
+            other => return (to_outcome(other), None),
         };
         match write(context, &read, &draft).await {
             Ok(Written::Done) => {
@@ -68,7 +70,7 @@
             }
             // The answer is lost, so the patch may stand under this very call.
             Ok(Written::Unclear(error)) => {
-                is_ours |= error.is_ambiguous();
+                may_be_ours |= error.is_ambiguous();
                 cause = error.to_string();
             }
             Err(error) => return (unavailable(error), None),
@@ -90,21 +92,21 @@
 
 /// Says what would become of a patch, and writes nothing.
 pub async fn check(context: &Context, patch: &Patch) -> Outcome {
-    match decided(context, patch).await {
-        Ok((_, decision)) => outcome(decision),
+    match read_and_decide(context, patch).await {
+        Ok((_, decision)) => to_outcome(decision),
         Err(error) => unavailable(error),
     }
 }
 
 /// Reads the newest configuration and decides on the patch.
-async fn decided(context: &Context, patch: &Patch) -> Result<(Read, Decision), Error> {
+async fn read_and_decide(context: &Context, patch: &Patch) -> Result<(Read, Decision), Error> {
     let read = source::newest(&*context.store).await?;
-    let current = current(context, read.root.clone()).await?;
-    Ok((read, decide(&current, patch, &servers(context))))
+    let current = load_current(context, read.root.clone()).await?;
+    Ok((read, decide(&current, patch, &engines(context))))
 }
 
 /// What a root stands for. Parts that this host holds are not fetched again.
-async fn current(context: &Context, root: Root) -> Result<Current, Error> {
+async fn load_current(context: &Context, root: Root) -> Result<Current, Error> {
     let in_force = context.config();
     if root.number == in_force.number {
         return Ok(Current { root, config: Arc::new(in_force.config.clone()) });
@@ -123,7 +125,7 @@
 }
 
 /// Engines that report their memory and stay.
-fn servers(context: &Context) -> Vec<Server> {
+fn engines(context: &Context) -> Vec<Server> {
     let engine = |entry: &backend::Entry| {
         let reading = context.fleet.reading(&entry.server.id)?;
         let load = &reading.load;
@@ -136,7 +138,7 @@
 
 async fn write(context: &Context, read: &Read, draft: &Draft) -> Result<Written, Error> {
     for part in &draft.parts {
-        match create(context, part).await {
+        match create_part(context, part).await {
             Ok(()) => {}
             Err(error) if error.is_ambiguous() => return Ok(Written::Unclear(error)),
             Err(error) => return Err(error.into()),
@@ -156,7 +158,7 @@
 }
 
 /// Creates a part, unless it is there: its name says what it holds.
-async fn create(context: &Context, part: &Part) -> Result<(), objects::Error> {
+async fn create_part(context: &Context, part: &Part) -> Result<(), objects::Error> {
     let value = part.bytes.clone().into();
     match context.store.create(&part.name.key(), value).await {
         Ok(_) => Ok(()),
@@ -166,10 +168,10 @@
 }
 
 /// Brings an accepted draft into force on this host without reading it back.
-async fn finish(context: &Arc<Context>, draft: Draft) {
+async fn apply_draft(context: &Arc<Context>, draft: Draft) {
     let number = draft.root.number;
     let source = Drafted { parts: draft.parts, rest: Platform(&*context.store) };
-    if let Err(error) = super::take(context, draft.root, &source).await {
+    if let Err(error) = super::apply_root(context, draft.root, &source).await {
         log::warn!(number = number; "configuration was accepted and waits for the watch: {error}");
     }
     if number.is_multiple_of(SWEEP_EVERY) {
@@ -201,7 +203,7 @@
     Ok(())
 }
 
-fn outcome(decision: Decision) -> Outcome {
+fn to_outcome(decision: Decision) -> Outcome {
     match decision {
         Decision::Accept(draft) => Outcome::Accepted { number: draft.root.number },
         Decision::Repeated(number) => Outcome::Repeated { number },
--- a/crates/stage/src/duties.rs
+++ b/crates/stage/src/duties.rs
@@ -15,9 +15,9 @@
 /// Starts every duty; they end with the context's stop token.
 pub fn start(context: &Arc<Context>) {
     spawn(context, list::run(context.clone()));
-    spawn(context, gossip::ask_seeds(context.clone()));
+    spawn(context, gossip::contact_seeds(context.clone()));
     spawn(context, gossip::run(context.clone()));
-    spawn(context, gossip::tell_numbers(context.clone()));
+    spawn(context, gossip::advertise_config(context.clone()));
     spawn(context, config::run(context.clone()));
     spawn(context, reports::run(context.clone()));
     spawn(context, once::run(context.clone()));
--- a/crates/stage/src/duties/config.rs
+++ b/crates/stage/src/duties/config.rs
@@ -21,15 +21,15 @@
 };
 
 /// First wait after a failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Longest wait after a failure.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Follows the configuration for good: a list first, then watches from its revision.
 pub(super) async fn run(context: Arc<Context>) {
     let seed = rendezvous::score(b"config", &context.host().id) ^ context.incarnation;
-    let mut backoff = Backoff::new(FIRST_BACKOFF, LONGEST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     loop {
         if !is_watching(&context) {
             tokio::time::sleep(context.settings.intervals.heartbeat).await;
@@ -44,18 +44,18 @@
 
 async fn follow(context: &Context, backoff: &mut Backoff) -> Result<(), Error> {
     let listing = context.store.list(ROOT_KEY).await?;
-    answered(context, backoff);
+    platform_answered(context, backoff);
     for object in listing.objects.iter().filter(|object| object.key == ROOT_KEY) {
-        take(context, object).await?;
+        apply_object(context, object).await?;
     }
     let mut revision: Revision = listing.revision;
     while is_watching(context) {
         let changes = context.store.watch(ROOT_KEY, revision).await?;
-        answered(context, backoff);
+        platform_answered(context, backoff);
         revision = changes.revision;
         // Of several changes only the last matters: numbers only go up.
         match changes.changes.last() {
-            Some(Change::Put(object)) => take(context, object).await?,
+            Some(Change::Put(object)) => apply_object(context, object).await?,
             Some(Change::Delete { key }) => {
                 log::error!(key = key.as_str(); "configuration deleted; the last one stays");
             }
@@ -69,16 +69,16 @@
     context.peers.gossip().is_watching(context.now())
 }
 
-fn answered(context: &Context, backoff: &mut Backoff) {
+fn platform_answered(context: &Context, backoff: &mut Backoff) {
     backoff.succeed();
     context.peers.gossip().platform_answered(context.now());
 }
 
 /// Takes a root. One that can't be understood is passed over: reading it again won't mend it, and
 /// the watch brings the next.
-async fn take(context: &Context, object: &Object) -> Result<(), Error> {
+async fn apply_object(context: &Context, object: &Object) -> Result<(), Error> {
     match source::parse(object) {
-        Ok(root) => declared::take(context, root, &Platform(&*context.store)).await,
+        Ok(root) => declared::apply_root(context, root, &Platform(&*context.store)).await,
         Err(error) => {
             log::error!("configuration: {error}");
             Ok(())
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -1,6 +1,6 @@
 //! Beats other hosts, and lets the host go by what is known of hosts and backend servers.
 
-mod account;
+mod reporter;
 
 use std::sync::Arc;
 
@@ -10,39 +10,39 @@
 };
 use types::prelude::*;
 
-use self::account::Account;
+use self::reporter::Reporter;
 use crate::{context::Context, peers};
 
 /// How long a peer's word on its work counts.
-const TOLD: Duration = Duration::from_secs(3);
+const PEER_LOAD_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// How long a suspicion holds without being renewed.
-const SUSPICION: Duration = Duration::from_secs(1);
+const SUSPICION_DURATION: Duration = Duration::from_secs(1);
 
 /// Pause between tries to reach the hosts that the settings name.
-const SEED_PAUSE: Duration = Duration::from_millis(500);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Beats for good.
 pub(super) async fn run(context: Arc<Context>) {
-    let mut account = Account::default();
+    let mut reporter = Reporter::default();
     loop {
         let now = context.now();
         let own = context.traffic.in_flight();
         let (pace, actions) = {
             let mut gossip = context.peers.gossip();
-            let digest = own.into_iter().map(|(server, told)| InFlight(server, told.requests));
+            let digest = own.into_iter().map(|(server, load)| InFlight(server, load.requests));
             gossip.set_in_flight(digest.collect());
             (gossip.pace(), gossip.tick(now))
         };
         peers::perform(&context, actions);
         apply(&context);
-        account.update(&context);
+        reporter.update(&context);
         tokio::time::sleep(pace).await;
     }
 }
 
 /// Tells the other hosts of each configuration that comes into force here.
-pub(super) async fn tell_numbers(context: Arc<Context>) {
+pub(super) async fn advertise_config(context: Arc<Context>) {
     let mut changes = context.config_changes();
     loop {
         let number = changes.borrow_and_update().number;
@@ -55,18 +55,18 @@
 }
 
 /// Asks the hosts that the settings name, until any host is known.
-pub(super) async fn ask_seeds(context: Arc<Context>) {
+pub(super) async fn contact_seeds(context: Arc<Context>) {
     while context.peers.gossip().hosts().iter().next().is_none() {
         for address in &context.settings.peers {
-            if let Err(error) = ask_seed(&context, *address).await {
+            if let Err(error) = contact_seed(&context, *address).await {
                 log::debug!("host named by the settings: {error}");
             }
         }
-        tokio::time::sleep(SEED_PAUSE).await;
+        tokio::time::sleep(SEED_RETRY_INTERVAL).await;
     }
 }
 
-async fn ask_seed(
+async fn contact_seed(
     context: &Arc<Context>,
     address: std::net::SocketAddr,
 ) -> Result<(), ::peer::Error> {
@@ -83,20 +83,20 @@
 /// Lets routing go by what is known of hosts and backend servers.
 pub(super) fn apply(context: &Context) {
     let now = context.now();
-    let picture = context.peers.gossip().to_list(now);
-    if picture != *context.fleet.list() {
-        context.traffic.list(&picture);
-        context.fleet.set_list(picture);
+    let list = context.peers.gossip().to_list(now);
+    if list != *context.fleet.list() {
+        context.traffic.set_servers(&list);
+        context.fleet.set_list(list);
     }
     let gossip = context.peers.gossip();
     for server in gossip.servers().iter() {
         if server.standing(now) == Standing::Suspected {
-            let until = route::Eligibility::Suspected(now + SUSPICION);
+            let until = route::Eligibility::Suspected(now + SUSPICION_DURATION);
             context.traffic.set_eligibility(&server.server.id, until);
         }
     }
     for member in gossip.hosts().iter() {
-        if member.answered().is_none_or(|at| at + TOLD <= now) {
+        if member.answered().is_none_or(|at| at + PEER_LOAD_MAX_AGE <= now) {
             context.traffic.forget_peer(&member.host.id);
         }
     }
--- a/crates/stage/src/duties/gossip/account.rs
+++ b/crates/stage/src/duties/gossip/reporter.rs
@@ -13,22 +13,22 @@
 
 /// What was last told.
 #[derive(Debug, Default)]
-pub(super) struct Account {
+pub(super) struct Reporter {
     hosts: BTreeMap<host::Id, Standing>,
     servers: BTreeMap<backend::Id, Standing>,
     refused: u64,
 }
 
-impl Account {
+impl Reporter {
     /// Tells what changed since the last time.
     pub(super) fn update(&mut self, context: &Context) {
-        self.members(context);
+        self.report_members(context);
         let refused = context.peers.refused();
         (self.refused..refused).for_each(|_| context.metrics.denied(Listener::Peers));
         self.refused = refused;
     }
 
-    fn members(&mut self, context: &Context) {
+    fn report_members(&mut self, context: &Context) {
         let now = context.now();
         let gossip = context.peers.gossip();
         let hosts: BTreeMap<_, _> = gossip
@@ -41,7 +41,7 @@
             let kind = event::Kind::Member {
                 member: id.clone(),
                 member_incarnation: run,
-                standing: word(standing).into(),
+                standing: label(standing).into(),
             };
             context.events.record(Event::new(kind));
         }
@@ -51,15 +51,15 @@
             .map(|member| (member.server.id.clone(), member.standing(now)))
             .collect();
         for (id, standing) in changed(&self.servers, &servers) {
-            let kind = event::Kind::Server { standing: word(standing).into() };
+            let kind = event::Kind::Server { standing: label(standing).into() };
             context.events.record(Event::new(kind).server(id));
         }
         for standing in STANDINGS {
             let count = |standings: usize| standings as u64;
             let hosts = hosts.values().filter(|other| **other == standing).count();
             let servers = servers.values().filter(|other| **other == standing).count();
-            context.metrics.members(Member::Host, word(standing), count(hosts));
-            context.metrics.members(Member::Server, word(standing), count(servers));
+            context.metrics.members(Member::Host, label(standing), count(hosts));
+            context.metrics.members(Member::Server, label(standing), count(servers));
         }
         (self.hosts, self.servers) = (hosts, servers);
     }
@@ -78,7 +78,7 @@
         .map(|(id, standing)| (id, *standing))
 }
 
-fn word(standing: Standing) -> &'static str {
+fn label(standing: Standing) -> &'static str {
     match standing {
         Standing::Live => "live",
         Standing::Suspected => "suspected",
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -13,13 +13,13 @@
 use crate::{context::Context, peers};
 
 /// Longest wait between reads that fail.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Reads the list for good.
 pub(super) async fn run(context: Arc<Context>) {
     let least = context.settings.intervals.list;
     let seed = rendezvous::score(b"list", &context.host().id) ^ context.incarnation;
-    let mut backoff = Backoff::new(least, LONGEST_BACKOFF, seed);
+    let mut backoff = Backoff::new(least, MAX_BACKOFF, seed);
     loop {
         let wait = match context.store.hosts().await {
             Ok(list) => {
--- a/crates/stage/src/duties/once.rs
+++ b/crates/stage/src/duties/once.rs
@@ -8,10 +8,10 @@
 use tokio::task::JoinSet;
 use types::prelude::*;
 
-use crate::{claims::Due, context::Context};
+use crate::{claims::PendingCall, context::Context};
 
 /// Longest sleep of the loop.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// Makes the calls for good, one for each range at a time.
 pub(super) async fn run(context: Arc<Context>) {
@@ -22,9 +22,9 @@
             calls.spawn(call(context.clone(), due));
         }
         let now = context.now();
-        let sleep = next.map_or(IDLE, |next| next.saturating_sub(now)).min(IDLE);
+        let sleep = next.map_or(MAX_SLEEP, |next| next.saturating_sub(now)).min(MAX_SLEEP);
         tokio::select! {
-            () = context.claims.woken() => {}
+            () = context.claims.changed() => {}
             () = tokio::time::sleep(sleep) => {}
             Some(_) = calls.join_next() => {}
         }
@@ -34,17 +34,17 @@
 /// Waits until everything told is written, for a planned stop.
 pub async fn flush(context: &Context, limit: Duration) {
     const POLL: Duration = Duration::from_millis(10);
-    let quiet = async {
-        while !context.claims.is_quiet() {
+    let flushed = async {
+        while !context.claims.is_flushed() {
             tokio::time::sleep(POLL).await;
         }
     };
-    if tokio::time::timeout(limit, quiet).await.is_err() {
+    if tokio::time::timeout(limit, flushed).await.is_err() {
         log::error!(host = &*context.host().id; "outcomes of claimed requests are not written");
     }
 }
 
-async fn call(context: Arc<Context>, Due { range, call }: Due) {
+async fn call(context: Arc<Context>, PendingCall { range, call }: PendingCall) {
     let key = format!("once/{range}");
     match call {
         Call::Read => {
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -6,10 +6,10 @@
 //! there. An unload that relies on another replica is sent only if that replica's ledger, read
 //! after the unload was written, still keeps it. A host without the lease settles its own orders.
 
-mod book;
 mod demand;
 mod fleet;
-mod held;
+mod lease;
+mod ledgers;
 mod orders;
 mod settle;
 
@@ -32,15 +32,15 @@
 };
 
 use self::{
-    book::{Book, Stored, Written},
-    demand::Work,
-    held::Held,
+    demand::Samples,
+    lease::PlanningLease,
+    ledgers::{Ledgers, Stored, Written},
     orders::Orders,
 };
 use crate::context::Context;
 
 /// Longest time between two reads of all ledgers; other hosts' writes are also met as conflicts.
-const RELIST: Duration = Duration::from_secs(10);
+const LEDGER_LIST_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Plans for good.
 pub(super) async fn run(context: Arc<Context>) {
@@ -55,21 +55,21 @@
 
 struct Duty {
     context: Arc<Context>,
-    held: Held,
-    book: Book,
+    lease: PlanningLease,
+    ledgers: Ledgers,
     orders: Orders,
     gone_senders: GoneSenders,
     planner: Planner,
-    work: Work,
+    samples: Samples,
     configured: config::Number,
     /// Whether no order of an earlier run of this host is left.
-    looked_back: bool,
+    earlier_runs_settled: bool,
     /// Engines as the planner was told them.
-    told: BTreeMap<backend::Id, Engine>,
+    reported: BTreeMap<backend::Id, Engine>,
     /// Engines that a move was tried on since.
-    tried: BTreeSet<backend::Id>,
+    attempted: BTreeSet<backend::Id>,
     /// When loads were last given again, by unit and server.
-    repeated: BTreeMap<(backend::Id, Unit), Moment>,
+    retried: BTreeMap<(backend::Id, Unit), Moment>,
 }
 
 impl Duty {
@@ -77,57 +77,57 @@
         let planning = &context.settings.planning;
         let times = Times { list_lag: planning.list_lag, linger: planning.linger };
         Duty {
-            held: Held::new(context.clone()),
-            book: Book::new(context.clone()),
+            lease: PlanningLease::new(context.clone()),
+            ledgers: Ledgers::new(context.clone()),
             orders: Orders::new(context.clone()),
             gone_senders: GoneSenders::new(times),
             planner: planner(&context),
-            work: Work::default(),
+            samples: Samples::default(),
             configured: 0,
-            looked_back: false,
-            told: BTreeMap::new(),
-            tried: BTreeSet::new(),
-            repeated: BTreeMap::new(),
+            earlier_runs_settled: false,
+            reported: BTreeMap::new(),
+            attempted: BTreeSet::new(),
+            retried: BTreeMap::new(),
             context,
         }
     }
 
     async fn round(&mut self) -> Result<(), objects::Error> {
         if self.context.is_draining() {
-            self.held.give_up().await;
+            self.lease.release().await;
             return self.settle_own().await;
         }
         if self.context.config().number == 0 || !self.is_listed() {
             return Ok(());
         }
-        if !self.held.keep().await {
-            self.forget_plan();
+        if !self.lease.acquire_or_renew().await {
+            self.reset_planner();
             return self.settle_own().await;
         }
         let now = self.context.now();
         if self.is_list_due(now) {
-            self.book.list().await?;
-            self.orders.sender().retain_in(self.book.ledgers());
+            self.ledgers.list().await?;
+            self.orders.sender().retain_in(self.ledgers.iter());
         }
         self.settle_all().await;
-        self.show();
-        self.repeat_loads().await;
-        self.make_moves().await;
-        self.show();
+        self.publish_moves();
+        self.retry_loads().await;
+        self.execute_moves().await;
+        self.publish_moves();
         Ok(())
     }
 
     fn is_list_due(&self, now: Moment) -> bool {
-        self.book.listed().is_none_or(|listed| listed + RELIST <= now)
+        self.ledgers.listed().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
     }
 
     /// Forgets what the planner was told: another host plans meanwhile.
-    fn forget_plan(&mut self) {
-        if !self.told.is_empty() {
+    fn reset_planner(&mut self) {
+        if !self.reported.is_empty() {
             self.planner = planner(&self.context);
             self.configured = 0;
-            self.told.clear();
-            self.tried.clear();
+            self.reported.clear();
+            self.attempted.clear();
         }
     }
 
@@ -137,29 +137,29 @@
         self.context.fleet.list().hosts.iter().any(|entry| entry.host.id == *host)
     }
 
-    fn show(&self) {
-        self.context.moves.ledgers(self.context.now(), self.book.ledgers());
-        self.context.moves.show(&self.context.metrics);
+    fn publish_moves(&self) {
+        self.context.moves.set_ledgers(self.context.now(), self.ledgers.iter());
+        self.context.moves.record_memory(&self.context.metrics);
     }
 
-    async fn make_moves(&mut self) {
+    async fn execute_moves(&mut self) {
         let config = self.context.config();
         if self.configured != config.number {
             self.planner.configure(&config.config);
             self.configured = config.number;
         }
-        self.tell_demand();
-        self.tell_engines();
+        self.update_demand();
+        self.update_engines();
         let moves = self.planner.plan(self.context.now());
         // What was tried is told anew, so that a move that was not made is proposed again.
-        self.tried = moves.iter().map(|proposal| proposal.server.clone()).collect();
+        self.attempted = moves.iter().map(|proposal| proposal.server.clone()).collect();
         for proposal in &moves {
-            self.make(proposal).await;
+            self.execute(proposal).await;
         }
     }
 
-    async fn make(&mut self, proposal: &Move) {
-        let cause = cause_word(proposal.cause);
+    async fn execute(&mut self, proposal: &Move) {
+        let cause = cause_label(proposal.cause);
         let Some(order) = self.reserve(&proposal.server, &proposal.action, cause.into()).await
         else {
             return;
@@ -176,16 +176,16 @@
     }
 
     /// Gives lost loads again: their memory is held anyway until they are settled.
-    async fn repeat_loads(&mut self) {
+    async fn retry_loads(&mut self) {
         let now = self.context.now();
         let pause = self.context.settings.planning.order * 2;
         let config = self.context.config();
         let lost: Vec<(backend::Id, Action, Arc<str>)> = self
-            .book
-            .ledgers()
+            .ledgers
+            .iter()
             .flat_map(|ledger| ledger.repeatable())
             .filter(|entry| pause <= self.context.moves.known_for(now, &entry.order.id))
-            .filter(|entry| is_wanted(&config.config, &entry.order.action))
+            .filter(|entry| is_declared(&config.config, &entry.order.action))
             .map(|entry| {
                 let order = &entry.order;
                 (order.server.clone(), order.action.clone(), entry.cause.clone())
@@ -194,15 +194,15 @@
         for (server, action, cause) in lost {
             let Action::Load { unit, .. } = &action else { continue };
             let key = (server.clone(), unit.clone());
-            if self.repeated.get(&key).is_some_and(|last| now < *last + pause) {
+            if self.retried.get(&key).is_some_and(|last| now < *last + pause) {
                 continue;
             }
-            self.repeated.insert(key, now);
+            self.retried.insert(key, now);
             if let Some(order) = self.reserve(&server, &action, cause.clone()).await {
                 self.send(order, &cause);
             }
         }
-        self.repeated.retain(|_, last| now < *last + pause);
+        self.retried.retain(|_, last| now < *last + pause);
     }
 
     /// Reserves for an order; gives it back only if the reservation is known to stand.
@@ -212,7 +212,7 @@
         action: &Action,
         cause: Arc<str>,
     ) -> Option<Order> {
-        let Stored { version, ledger } = self.book.get(server).cloned()?;
+        let Stored { version, ledger } = self.ledgers.get(server).cloned()?;
         let claim = self.orders.sender().claim(cause);
         let id = claim.id.clone();
         let (next, order) = match ledger.reserve(claim, action.clone()) {
@@ -223,9 +223,9 @@
                 return None;
             }
         };
-        match self.book.reserve(version, &next, &id).await {
-            Written::Stands => Some(order),
-            Written::Refused => {
+        match self.ledgers.reserve(version, &next, &id).await {
+            Written::Applied => Some(order),
+            Written::NotApplied => {
                 self.orders.sender().forget(&id);
                 None
             }
@@ -238,7 +238,7 @@
 
     /// Whether the keeper's ledger, read now, keeps the unit.
     async fn is_kept(&mut self, unit: &Unit, keeper: &backend::Id) -> bool {
-        match self.book.read(keeper).await {
+        match self.ledgers.read(keeper).await {
             Ok(stored) => may_unload(unit, stored.map(|stored| &stored.ledger)),
             Err(error) => {
                 log::warn!(server = &**keeper; "ledger of the keeper: {error}");
@@ -279,7 +279,7 @@
 }
 
 /// Whether what would be loaded is declared.
-fn is_wanted(config: &config::Config, action: &Action) -> bool {
+fn is_declared(config: &config::Config, action: &Action) -> bool {
     let Action::Load { unit, .. } = action else { return false };
     let Some(declared) = config.models.get(unit.model()) else { return false };
     match unit {
@@ -290,7 +290,7 @@
     }
 }
 
-fn cause_word(cause: Cause) -> &'static str {
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::Missing => "missing",
         Cause::Leaving => "leaving",
--- a/crates/stage/src/duties/plan/demand.rs
+++ b/crates/stage/src/duties/plan/demand.rs
@@ -12,11 +12,11 @@
 use super::Duty;
 
 /// Rounds whose mean is one observation of the forecast.
-const ROUNDS: u32 = 5;
+const ROUNDS_PER_OBSERVATION: u32 = 5;
 
 /// Counts of the rounds since the last observation.
 #[derive(Debug, Default)]
-pub(super) struct Work {
+pub(super) struct Samples {
     forecast: Forecast,
     in_flight: BTreeMap<model::Id, u32>,
     rounds: u32,
@@ -24,25 +24,25 @@
 
 impl Duty {
     /// Counts this round, and tells the planner when enough were counted.
-    pub(super) fn tell_demand(&mut self) {
+    pub(super) fn update_demand(&mut self) {
         for (model, requests) in self.context.traffic.in_flight_by_model() {
-            *self.work.in_flight.entry(model).or_default() += requests;
+            *self.samples.in_flight.entry(model).or_default() += requests;
         }
-        self.work.rounds += 1;
-        if self.work.rounds < ROUNDS {
+        self.samples.rounds += 1;
+        if self.samples.rounds < ROUNDS_PER_OBSERVATION {
             return;
         }
         let hosts = self.live_hosts();
         let config = self.context.config();
-        let in_flight = std::mem::take(&mut self.work.in_flight);
-        let rounds = f64::from(std::mem::take(&mut self.work.rounds));
+        let in_flight = std::mem::take(&mut self.samples.in_flight);
+        let rounds = f64::from(std::mem::take(&mut self.samples.rounds));
         let work = in_flight.iter().filter_map(|(id, requests)| {
             let slots = self.slots(&config.config.models.get(id)?.group)?;
             Some((id.clone(), f64::from(*requests) / rounds * hosts / slots))
         });
         let work = work.collect();
-        self.work.forecast.retain(&config.config);
-        for (id, demand) in self.work.forecast.observe(&work) {
+        self.samples.forecast.retain(&config.config);
+        for (id, demand) in self.samples.forecast.observe(&work) {
             self.planner.set_demand(&id, demand);
         }
     }
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -21,29 +21,29 @@
     }
 
     /// Tells the planner of each engine that changed since it was last told.
-    pub(super) fn tell_engines(&mut self) {
+    pub(super) fn update_engines(&mut self) {
         let now = self.context.now();
         let engines: Vec<Engine> =
-            self.engines().iter().filter_map(|entry| self.picture(entry)).collect();
+            self.engines().iter().filter_map(|entry| self.engine(entry)).collect();
         let known: BTreeSet<&backend::Id> = engines.iter().map(|engine| &engine.server).collect();
         let gone: Vec<backend::Id> =
-            self.told.keys().filter(|server| !known.contains(server)).cloned().collect();
+            self.reported.keys().filter(|server| !known.contains(server)).cloned().collect();
         for server in gone {
             self.planner.remove_engine(&server);
-            self.told.remove(&server);
+            self.reported.remove(&server);
         }
         for engine in engines {
-            let is_known = self.told.get(&engine.server) == Some(&engine);
-            if !is_known || self.tried.contains(&engine.server) {
+            let is_known = self.reported.get(&engine.server) == Some(&engine);
+            if !is_known || self.attempted.contains(&engine.server) {
                 self.planner.set_engine(now, engine.clone());
-                self.told.insert(engine.server.clone(), engine);
+                self.reported.insert(engine.server.clone(), engine);
             }
         }
     }
 
-    fn picture(&self, entry: &backend::Entry) -> Option<Engine> {
+    fn engine(&self, entry: &backend::Entry) -> Option<Engine> {
         let server = &entry.server;
-        let ledger = &self.book.get(&server.id)?.ledger;
+        let ledger = &self.ledgers.get(&server.id)?.ledger;
         let state = match self.context.fleet.reading(&server.id) {
             _ if entry.state == Listed::Leaving => State::Leaving,
             Some(reading) if reading.load.leaving => State::Leaving,
--- a/crates/stage/src/duties/plan/held.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -13,10 +13,10 @@
 const DUTY: &str = "plan";
 
 /// Reads of a lease that another holds, within one term.
-const READS: u32 = 3;
+const READS_PER_TERM: u32 = 3;
 
 /// The planning lease.
-pub(super) struct Held {
+pub(super) struct PlanningLease {
     context: Arc<Context>,
     observer: Observer,
     /// The lease as last read or written, and when.
@@ -25,15 +25,15 @@
     was_held: bool,
 }
 
-impl Held {
-    pub(super) fn new(context: Arc<Context>) -> Held {
+impl PlanningLease {
+    pub(super) fn new(context: Arc<Context>) -> PlanningLease {
         let term = context.settings.planning.lease;
         let observer = Observer::new(context.host().id.clone(), context.incarnation, term);
-        Held { context, observer, known: None, read: None, was_held: false }
+        PlanningLease { context, observer, known: None, read: None, was_held: false }
     }
 
     /// Takes or renews the lease as far as that is due; whether this host may plan.
-    pub(super) async fn keep(&mut self) -> bool {
+    pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
             log::warn!("planning lease: {error}");
             self.read = None;
@@ -49,7 +49,7 @@
     }
 
     /// Gives the lease up, so that another host need not wait for its end.
-    pub(super) async fn give_up(&mut self) {
+    pub(super) async fn release(&mut self) {
         if !self.observer.is_held(self.context.now()) {
             return;
         }
@@ -72,7 +72,7 @@
     async fn step(&mut self) -> Result<(), Error> {
         let now = self.context.now();
         if !self.observer.is_held(now) {
-            let pause = self.context.settings.planning.lease / READS;
+            let pause = self.context.settings.planning.lease / READS_PER_TERM;
             if self.read.is_some_and(|read| now < read + pause) {
                 return Ok(());
             }
--- a/crates/stage/src/duties/plan/book.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -12,10 +12,10 @@
 const PREFIX: &str = "ledger/";
 
 /// Tries at a write whose answer is lost, or at reading it back.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Pause before the second try; it doubles with each.
-const PAUSE: Duration = Duration::from_millis(100);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A ledger with the version that it was read or written at.
 #[derive(Clone, Debug)]
@@ -30,23 +30,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Written {
     /// It stands in the object API.
-    Stands,
+    Applied,
     /// It does not, and never will.
-    Refused,
+    NotApplied,
     /// It may stand, or may still come to stand.
     Unknown,
 }
 
 /// The ledgers as last read or written.
-pub(super) struct Book {
+pub(super) struct Ledgers {
     context: Arc<Context>,
     stored: BTreeMap<backend::Id, Stored>,
     listed: Option<Moment>,
 }
 
-impl Book {
-    pub(super) fn new(context: Arc<Context>) -> Book {
-        Book { context, stored: BTreeMap::new(), listed: None }
+impl Ledgers {
+    pub(super) fn new(context: Arc<Context>) -> Ledgers {
+        Ledgers { context, stored: BTreeMap::new(), listed: None }
     }
 
     pub(super) fn get(&self, server: &backend::Id) -> Option<&Stored> {
@@ -54,14 +54,14 @@
     }
 
     /// Takes in what was learned on top of what stands at this version.
-    pub(super) fn learn(&mut self, version: Version, ledger: Ledger) {
+    pub(super) fn set_unwritten(&mut self, version: Version, ledger: Ledger) {
         let stored = self.stored.get_mut(&ledger.server);
         if let Some(stored) = stored.filter(|stored| stored.version == version) {
             stored.ledger = ledger;
         }
     }
 
-    pub(super) fn ledgers(&self) -> impl Iterator<Item = &Ledger> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Ledger> {
         self.stored.values().map(|stored| &stored.ledger)
     }
 
@@ -72,13 +72,13 @@
 
     /// Reads all ledgers.
     pub(super) async fn list(&mut self) -> Result<(), Error> {
-        let asked = self.context.now();
+        let requested = self.context.now();
         let listing = self.context.store.list(PREFIX).await?;
         self.stored.clear();
         for object in &listing.objects {
-            self.keep(object.version, &object.value, &object.key);
+            self.insert(object.version, &object.value, &object.key);
         }
-        self.listed = Some(asked);
+        self.listed = Some(requested);
         Ok(())
     }
 
@@ -88,7 +88,7 @@
         let object = self.context.store.get(&key).await?;
         self.stored.remove(server);
         if let Some(object) = object {
-            self.keep(object.version, &object.value, &key);
+            self.insert(object.version, &object.value, &key);
         }
         Ok(self.get(server))
     }
@@ -100,8 +100,8 @@
         next: &Ledger,
         id: &order::Id,
     ) -> Written {
-        let stands = |read: &Ledger| read.orders.iter().any(|entry| entry.order.id == *id);
-        self.write(Some(base), next, stands).await
+        let is_applied = |read: &Ledger| read.orders.iter().any(|entry| entry.order.id == *id);
+        self.write(Some(base), next, is_applied).await
     }
 
     /// Writes what evidence made of a ledger, on top of version `base`.
@@ -110,7 +110,7 @@
     }
 
     /// Writes the first ledger of a server.
-    pub(super) async fn begin(&mut self, first: &Ledger) -> Written {
+    pub(super) async fn create(&mut self, first: &Ledger) -> Written {
         self.write(None, first, |read| read == first).await
     }
 
@@ -123,32 +123,32 @@
         &mut self,
         base: Option<Version>,
         next: &Ledger,
-        stands: impl Fn(&Ledger) -> bool,
+        is_applied: impl Fn(&Ledger) -> bool,
     ) -> Written {
         let server = &next.server;
-        let mut may_be_late = false;
-        for attempt in 0..TRIES {
+        let mut may_be_pending = false;
+        for attempt in 0..MAX_ATTEMPTS {
             if 0 < attempt {
-                tokio::time::sleep(PAUSE * 2_u32.pow(attempt - 1)).await;
+                tokio::time::sleep(FIRST_RETRY_DELAY * 2_u32.pow(attempt - 1)).await;
             }
             match self.put(base, next).await {
                 Ok(version) => {
                     let stored = Stored { version, ledger: next.clone() };
                     self.stored.insert(server.clone(), stored);
-                    return Written::Stands;
+                    return Written::Applied;
                 }
-                Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_late = true,
+                Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_pending = true,
                 Err(error) => {
                     log::warn!(server = &**server; "ledger: {error}");
-                    if !may_be_late {
-                        return Written::Refused;
+                    if !may_be_pending {
+                        return Written::NotApplied;
                     }
                 }
             }
             match self.read(server).await {
-                Ok(Some(stored)) if stands(&stored.ledger) => return Written::Stands,
+                Ok(Some(stored)) if is_applied(&stored.ledger) => return Written::Applied,
                 Ok(stored) if stored.map(|stored| stored.version) != base => {
-                    return Written::Refused;
+                    return Written::NotApplied;
                 }
                 Ok(_) => {}
                 Err(error) => log::warn!(server = &**server; "ledger, reading back: {error}"),
@@ -168,7 +168,7 @@
         }
     }
 
-    fn keep(&mut self, version: Version, value: &[u8], key: &str) {
+    fn insert(&mut self, version: Version, value: &[u8], key: &str) {
         match serde_json::from_slice::<Ledger>(value) {
             Ok(ledger) => {
                 self.stored.insert(ledger.server.clone(), Stored { version, ledger });
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -10,14 +10,14 @@
 
 use super::{
     Duty,
-    book::{Stored, Written},
+    ledgers::{Stored, Written},
 };
 use crate::moves::evidence;
 
 impl Duty {
     /// Settles whatever can be settled on every engine.
     pub(super) async fn settle_all(&mut self) {
-        self.look_for_the_gone().await;
+        self.detect_gone_senders().await;
         for entry in self.engines() {
             self.settle(&entry.server).await;
         }
@@ -28,23 +28,23 @@
     pub(super) async fn settle_own(&mut self) -> Result<(), objects::Error> {
         let now = self.context.now();
         let has_open = self.orders.sender().has_orders()
-            || self.book.ledgers().any(|ledger| self.is_sender(ledger));
-        if !has_open && (self.looked_back || !self.is_list_due(now)) {
+            || self.ledgers.iter().any(|ledger| self.is_sender(ledger));
+        if !has_open && (self.earlier_runs_settled || !self.is_list_due(now)) {
             return Ok(());
         }
-        self.book.list().await?;
-        self.orders.sender().retain_in(self.book.ledgers());
+        self.ledgers.list().await?;
+        self.orders.sender().retain_in(self.ledgers.iter());
         self.gone_senders.observe_run(now, &self.context.host().id, self.context.incarnation);
-        let mut is_clear = true;
+        let mut is_settled = true;
         for entry in self.engines() {
-            let ledger = self.book.get(&entry.server.id).map(|stored| &stored.ledger);
+            let ledger = self.ledgers.get(&entry.server.id).map(|stored| &stored.ledger);
             if ledger.is_some_and(|ledger| self.is_sender(ledger)) {
-                is_clear = false;
+                is_settled = false;
                 self.settle(&entry.server).await;
             }
         }
         // Writes of an earlier run may still arrive for the linger time.
-        self.looked_back = is_clear && self.context.settings.planning.linger < now;
+        self.earlier_runs_settled = is_settled && self.context.settings.planning.linger < now;
         Ok(())
     }
 
@@ -56,8 +56,8 @@
 
     async fn settle(&mut self, server: &backend::Server) {
         let report = self.last_report(&server.id);
-        let Some(Stored { version, ledger }) = self.book.get(&server.id).cloned() else {
-            return self.begin(report).await;
+        let Some(Stored { version, ledger }) = self.ledgers.get(&server.id).cloned() else {
+            return self.create_ledger(report).await;
         };
         let fresh = self.fresh_report(server, &ledger).await;
         let mut known: Vec<Evidence<'_>> = report.iter().map(Evidence::Report).collect();
@@ -69,20 +69,20 @@
         let outcome = ledger.settle(&known);
         let affects_planning = outcome.affects_planning(&ledger);
         if !affects_planning {
-            self.book.learn(version, outcome.ledger);
+            self.ledgers.set_unwritten(version, outcome.ledger);
             return;
         }
         // When another host wrote first, the next round looks again.
-        if self.book.settle(version, &outcome.ledger).await == Written::Stands {
-            self.note(outcome);
+        if self.ledgers.settle(version, &outcome.ledger).await == Written::Applied {
+            self.record(outcome);
         }
     }
 
     /// Begins the ledger of a server that has none.
-    async fn begin(&mut self, report: Option<Load>) {
+    async fn create_ledger(&mut self, report: Option<Load>) {
         let Some(load) = report else { return };
         let ledger = Ledger::new(&load);
-        self.book.begin(&ledger).await;
+        self.ledgers.create(&ledger).await;
     }
 
     /// The last report that this host read, under the name that the list gives the server.
@@ -113,11 +113,11 @@
     }
 
     /// Looks whether senders of open orders are gone for good.
-    async fn look_for_the_gone(&mut self) {
+    async fn detect_gone_senders(&mut self) {
         let now = self.context.now();
         let host = self.context.host().id.clone();
         self.gone_senders.observe_run(now, &host, self.context.incarnation);
-        let orders = self.book.ledgers().flat_map(|ledger| &ledger.orders);
+        let orders = self.ledgers.iter().flat_map(|ledger| &ledger.orders);
         let senders: Vec<(host::Id, host::Incarnation)> =
             orders.map(|entry| (entry.order.sender.clone(), entry.order.incarnation)).collect();
         for (sender, incarnation) in &senders {
@@ -138,7 +138,7 @@
         }
     }
 
-    fn note(&self, outcome: Outcome) {
+    fn record(&self, outcome: Outcome) {
         for settled in &outcome.settled {
             let order = &settled.entry.order;
             self.orders.sender().forget(&order.id);
@@ -148,6 +148,6 @@
                 event::Kind::Settlement { order: order.id.clone(), evidence: evidence.into() };
             self.context.events.record(Event::new(kind).server(&order.server));
         }
-        self.context.moves.settled(self.context.now(), outcome.settled);
+        self.context.moves.record_settled(self.context.now(), outcome.settled);
     }
 }
--- a/crates/stage/src/duties/reports.rs
+++ b/crates/stage/src/duties/reports.rs
@@ -49,19 +49,21 @@
     let interval = context.settings.intervals.report;
     let mut reader = reports::Reader::new(server.address);
     loop {
-        let asked = reader.read(&context.control);
-        match tokio::time::timeout(interval * 4, asked).await {
+        let report = reader.read(&context.control);
+        match tokio::time::timeout(interval * 4, report).await {
             Ok(Ok(load)) => {
                 context.traffic.report(&server.id, &load);
                 let (run, leaving) = (load.incarnation, load.leaving);
-                tell(&context, |gossip, now| gossip.server_reported(now, &server.id, run, leaving));
+                update_gossip(&context, |gossip, now| {
+                    gossip.server_reported(now, &server.id, run, leaving)
+                });
                 let reading = Reading { read: context.now(), load };
                 context.fleet.set_reading(&server.id, reading);
             }
             Ok(Err(error)) => {
                 log::debug!("load report: {error}");
                 context.traffic.unreachable(&server.id);
-                tell(&context, |gossip, now| gossip.server_failed(now, &server.id));
+                update_gossip(&context, |gossip, now| gossip.server_failed(now, &server.id));
                 context.fleet.drop_reading(&server.id);
             }
             Err(_) => log::debug!(server = &*server.id; "load report: timeout"),
@@ -71,7 +73,7 @@
 }
 
 /// Lets the membership core know, and carries out what it asks for.
-fn tell(context: &Arc<Context>, tell: impl FnOnce(&mut Gossip, Moment) -> Vec<Action>) {
-    let actions = tell(&mut context.peers.gossip(), context.now());
+fn update_gossip(context: &Arc<Context>, update: impl FnOnce(&mut Gossip, Moment) -> Vec<Action>) {
+    let actions = update(&mut context.peers.gossip(), context.now());
     peers::perform(context, actions);
 }
--- a/crates/stage/src/filters.rs
+++ b/crates/stage/src/filters.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// A model's answer.
-    Model(Arc<Question>),
+    Model(Arc<ModelRequest>),
     /// A plain service's answer.
     Plain {
         /// The group of servers that offers it.
@@ -65,7 +65,7 @@
 
 /// A question to a model.
 #[derive(Debug)]
-pub struct Question {
+pub struct ModelRequest {
     /// Shape of the answer.
     pub shape: Shape,
     /// Whether the caller wants a stream.
@@ -99,18 +99,18 @@
     /// Token by token.
     Streamed,
     /// In one piece.
-    Whole,
+    Buffered,
 }
 
 /// Lays the filters between identification and the attempt around a router.
 ///
 /// The last layer is the first that a call meets: admit, at most once, quarantine, route.
-pub fn row(router: Router<Arc<Context>>, context: &Arc<Context>) -> Router<Arc<Context>> {
+pub fn stack(router: Router<Arc<Context>>, context: &Arc<Context>) -> Router<Arc<Context>> {
     router
         .layer(from_fn_with_state(context.clone(), route::filter))
         .layer(from_fn_with_state(context.clone(), once::filter))
         .layer(from_fn_with_state(context.clone(), admit::filter))
-        .layer(from_fn(once::correct))
+        .layer(from_fn(once::correct_ran))
 }
 
 /// The extension that an earlier filter of the row has added.
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// If the row was put together wrongly.
-pub fn earlier<T: Clone + Send + Sync + 'static>(extensions: &Extensions) -> Result<T, Problem> {
+pub fn extension<T: Clone + Send + Sync + 'static>(extensions: &Extensions) -> Result<T, Problem> {
     extensions
         .get::<T>()
         .cloned()
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -16,13 +16,13 @@
 
 use crate::{
     context::Context,
-    filters::{Call, Kind, earlier},
+    filters::{Call, Kind, extension},
     problem::{self, Problem},
     traffic::{Denial, Reservation},
 };
 
 /// When to come back if no server has what a call wants.
-const UNREADY_COME_BACK: Duration = Duration::from_secs(2);
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A call that has been admitted.
 #[derive(Clone, Debug)]
@@ -42,9 +42,9 @@
 }
 
 async fn admit(context: &Arc<Context>, mut request: Request) -> Result<Request, Problem> {
-    let call: Call = earlier(request.extensions())?;
+    let call: Call = extension(request.extensions())?;
     let demand = demand(context, &call);
-    let reservation = context.traffic.admit(&demand).await.map_err(refused)?;
+    let reservation = context.traffic.admit(&demand).await.map_err(to_problem)?;
     let admitted = Admitted { demand: Arc::new(demand), reservation: Arc::new(reservation) };
     request.extensions_mut().insert(admitted);
     Ok(request)
@@ -56,8 +56,8 @@
     let service = config.services.get(&request.service);
     let customer = service.map(|service| service.customer.clone()).unwrap_or_default();
     let customer_share = config.customers.get(&customer).map_or(1, |customer| customer.share);
-    let (wanted, version) = wanted(call, config);
-    let (place, pool) = context.traffic.places(&wanted);
+    let (destination, version) = destination(call, config);
+    let (place, pool) = context.traffic.destinations(&destination);
     let work = Work {
         ticket: context.traffic.ticket(),
         priority: request.priority,
@@ -68,7 +68,7 @@
         wanted: place,
         pool,
         due: call.received + request.target.first_token,
-        spread: spread(&request.id),
+        spread: request_seed(&request.id),
     };
     Demand {
         work,
@@ -80,7 +80,7 @@
 }
 
 /// What a server must have, and the version in force.
-fn wanted(call: &Call, config: &Config) -> (Destination, model::Version) {
+fn destination(call: &Call, config: &Config) -> (Destination, model::Version) {
     match (&call.kind, &call.request.model) {
         (Kind::Plain { group, .. }, _) => (Destination::Group(group.clone()), "".into()),
         (Kind::Model(_), Some(name)) => (Destination::Model(name.clone()), version(config, name)),
@@ -97,17 +97,17 @@
 }
 
 /// Differs from request to request, so that choices and times to come back do too.
-fn spread(id: &request::Id) -> u64 {
+fn request_seed(id: &request::Id) -> u64 {
     let digest = blake3::hash(id.as_bytes());
     let (first, _) = digest.as_bytes().split_at(size_of::<u64>());
     first.try_into().map_or(0, u64::from_le_bytes)
 }
 
-fn refused(denial: Denial) -> Problem {
+fn to_problem(denial: Denial) -> Problem {
     match denial {
         Denial::Unready => {
             Problem::new(problem::Kind::NoServer, "no backend server is ready for it")
-                .retry_after(UNREADY_COME_BACK)
+                .retry_after(NO_SERVER_RETRY_AFTER)
         }
         Denial::Refused(Refusal { cause, retry_after }) => {
             let detail = match cause {
--- a/crates/stage/src/filters/attempt.rs
+++ b/crates/stage/src/filters/attempt.rs
@@ -19,7 +19,7 @@
     answer::Answer,
     context::Context,
     filters::{
-        Call, Delivery, Kind, account::Account, admit::Admitted, deliver, earlier, once::Grant,
+        Call, Delivery, Kind, account::Account, admit::Admitted, deliver, extension, once::Grant,
         route::Routed,
     },
     problem::{self, Problem},
@@ -27,7 +27,7 @@
 };
 
 /// When to come back after a refusal that a short wait may mend.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Answers a call to a model.
 pub async fn model(State(context): State<Arc<Context>>, request: Request) -> Response {
@@ -39,25 +39,25 @@
 
 async fn try_model(context: Arc<Context>, request: Request) -> Result<Response, Problem> {
     let extensions = request.extensions();
-    let call: Call = earlier(extensions)?;
-    let admitted: Admitted = earlier(extensions)?;
-    let account: Account = earlier(extensions)?;
-    let first = first(&earlier(extensions)?)?;
+    let call: Call = extension(extensions)?;
+    let admitted: Admitted = extension(extensions)?;
+    let account: Account = extension(extensions)?;
+    let first = first(&extension(extensions)?)?;
     Grant::check(extensions, context.now())?;
-    let Kind::Model(question) = call.kind.clone() else {
+    let Kind::Model(model_request) = call.kind.clone() else {
         return Err(Problem::new(problem::Kind::UnknownPath, "no call to a model"));
     };
     let answer = Answer::new(
         context,
         account.clone(),
         call.clone(),
-        question.clone(),
+        model_request.clone(),
         admitted.demand,
         first,
     );
-    let mut response = match question.delivery {
+    let mut response = match model_request.delivery {
         Delivery::Streamed => deliver::streamed(answer, account).await?,
-        Delivery::Whole => deliver::whole(answer, &call, &question).await?,
+        Delivery::Buffered => deliver::buffered(answer, &call, &model_request).await?,
     };
     if let Ok(id) = call.request.id.parse() {
         response.headers_mut().insert(wire::REQUEST_ID, id);
@@ -88,7 +88,7 @@
     };
     let problem = Problem::new(kind, cause).ran(ran);
     match ran {
-        Ran::DidNotRun => problem.retry_after(COME_BACK),
+        Ran::DidNotRun => problem.retry_after(RETRY_AFTER),
         Ran::MayHaveRun | Ran::Ran => problem,
     }
 }
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -17,14 +17,14 @@
 
 use super::{first, give_up, upload::Upload};
 use crate::{
-    answer::further,
+    answer::next_attempt,
     context::Context,
     filters::{
         Call, Kind,
         account::Account,
         admit::Admitted,
         deliver::{self, strip},
-        earlier,
+        extension,
         once::Grant,
     },
     problem::{self, Problem},
@@ -53,10 +53,10 @@
         request: Request,
     ) -> Result<Attempts, Problem> {
         let (parts, body) = request.into_parts();
-        let call: Call = earlier(&parts.extensions)?;
-        let admitted: Admitted = earlier(&parts.extensions)?;
-        let account: Account = earlier(&parts.extensions)?;
-        let first = first(&earlier(&parts.extensions)?)?;
+        let call: Call = extension(&parts.extensions)?;
+        let admitted: Admitted = extension(&parts.extensions)?;
+        let account: Account = extension(&parts.extensions)?;
+        let first = first(&extension(&parts.extensions)?)?;
         let Kind::Plain { path, .. } = call.kind.clone() else {
             return Err(Problem::new(problem::Kind::UnknownPath, "no call to a service"));
         };
@@ -83,14 +83,14 @@
             Grant::check(&self.parts.extensions, self.context.now())
                 .map_err(|problem| problem.ran(self.ran))?;
             self.account.attempted(self.number, &sent.server().id);
-            let asked = self.context.backends.send(sent.server().address, self.request());
-            let answer = tokio::time::timeout(self.call.time_left(&self.context), asked).await;
+            let response = self.context.backends.send(sent.server().address, self.request());
+            let answer = tokio::time::timeout(self.call.time_left(&self.context), response).await;
             let (point, cause) = match answer {
-                Ok(Ok(response)) if is_refusal(&response) => {
-                    match self.fail(sent, Point::Refused, "the service refuses").await {
+                Ok(Ok(response)) if is_rejection(&response) => {
+                    match self.attempt_failed(sent, Point::Refused, "the service refuses").await {
                         Ok(sent) => next = Some(sent),
                         // The service's own words say more than a problem document.
-                        Err(_) => return Ok(deliver::passed_on(response, &self.account)),
+                        Err(_) => return Ok(deliver::passed_through(response, &self.account)),
                     }
                     continue;
                 }
@@ -104,15 +104,15 @@
                         Problem::new(problem::Kind::BadRequest, "the body broke off").ran(ran)
                     );
                 }
-                Ok(Err(error)) => (self.point(&error), error.to_string()),
+                Ok(Err(error)) => (self.failure_point(&error), error.to_string()),
                 Err(_) => (Point::Waiting, "no answer in time".into()),
             };
-            next = Some(self.fail(sent, point, &cause).await?);
+            next = Some(self.attempt_failed(sent, point, &cause).await?);
         }
         Err(Problem::new(problem::Kind::Internal, "no attempt is due").ran(self.ran))
     }
 
-    fn point(&self, error: &::backend::Error) -> Point {
+    fn failure_point(&self, error: &::backend::Error) -> Point {
         if error.is_unsent() {
             Point::Connect
         } else if self.upload.is_unfinished() {
@@ -123,7 +123,12 @@
     }
 
     /// An attempt has failed: gives the next one, or the problem that ends the call.
-    async fn fail(&mut self, sent: Sent, point: Point, cause: &str) -> Result<Sent, Problem> {
+    async fn attempt_failed(
+        &mut self,
+        sent: Sent,
+        point: Point,
+        cause: &str,
+    ) -> Result<Sent, Problem> {
         let server = &sent.server().id;
         log::warn!(
             request = &*self.call.request.id, server = &**server, attempt = self.number;
@@ -146,7 +151,7 @@
             retry::Verdict::Retry | retry::Verdict::Resume => {
                 self.number += 1;
                 self.account.retried(point.as_str());
-                further(&self.context, &self.call, &self.demand, &self.failed)
+                next_attempt(&self.context, &self.call, &self.demand, &self.failed)
                     .await
                     .ok_or_else(|| give_up(&self.call, &self.context, self.ran, cause))
             }
@@ -172,6 +177,6 @@
 }
 
 /// Whether a service refuses for load or because it leaves.
-fn is_refusal(response: &Streamed) -> bool {
+fn is_rejection(response: &Streamed) -> bool {
     matches!(response.status(), StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -19,81 +19,83 @@
 use policy::retry;
 
 use crate::{
-    idle::Guarded,
+    idle::TimeoutBody,
     problem::{Kind, Problem},
 };
 
 /// Longest body that is held.
-const HELD_BYTES: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// The body of a call.
 pub(super) enum Upload {
     /// The host has all of it.
-    Held(Bytes),
+    Buffered(Bytes),
     /// It is streamed through.
-    Streamed(Lent),
+    Streamed(SharedBody),
 }
 
 impl Upload {
     /// Reads a short body, and leaves a long one.
     pub(super) async fn read(body: Body, idle: Duration) -> Result<Upload, Problem> {
-        let is_short = body.size_hint().exact().is_some_and(|length| length <= HELD_BYTES);
-        let body = Guarded::new(body, idle);
+        let is_short = body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED_BYTES);
+        let body = TimeoutBody::new(body, idle);
         if !is_short {
-            let source = Source { body, phase: Phase::Whole };
-            return Ok(Upload::Streamed(Lent(Arc::new(Mutex::new(source)))));
+            let source = Source { body, phase: Phase::Unread };
+            return Ok(Upload::Streamed(SharedBody(Arc::new(Mutex::new(source)))));
         }
-        let bytes = to_bytes(Body::new(body), HELD_BYTES as usize).await;
-        bytes.map(Upload::Held).map_err(|_| Problem::new(Kind::BadRequest, "the body broke off"))
+        let bytes = to_bytes(Body::new(body), MAX_BUFFERED_BYTES as usize).await;
+        bytes
+            .map(Upload::Buffered)
+            .map_err(|_| Problem::new(Kind::BadRequest, "the body broke off"))
     }
 
     /// The body for one attempt.
     pub(super) fn body(&self) -> ::backend::Body {
         match self {
-            Upload::Held(bytes) => ::backend::whole(bytes.clone()),
-            Upload::Streamed(lent) => lent.clone().boxed_unsync(),
+            Upload::Buffered(bytes) => ::backend::whole(bytes.clone()),
+            Upload::Streamed(body) => body.clone().boxed_unsync(),
         }
     }
 
     /// Whether it can be sent again.
     pub(super) fn state(&self) -> retry::Body {
         match self {
-            Upload::Held(_) => retry::Body::Buffered,
-            Upload::Streamed(lent) if lent.phase() == Phase::Whole => retry::Body::Buffered,
+            Upload::Buffered(_) => retry::Body::Buffered,
+            Upload::Streamed(body) if body.phase() == Phase::Unread => retry::Body::Buffered,
             Upload::Streamed(_) => retry::Body::Consumed,
         }
     }
 
     /// Whether the caller's side of it broke off.
     pub(super) fn is_broken(&self) -> bool {
-        matches!(self, Upload::Streamed(lent) if lent.phase() == Phase::Broken)
+        matches!(self, Upload::Streamed(body) if body.phase() == Phase::Failed)
     }
 
     /// Whether a part of it has been passed on and a part is still to come.
     pub(super) fn is_unfinished(&self) -> bool {
-        matches!(self, Upload::Streamed(lent) if lent.phase() != Phase::Over)
+        matches!(self, Upload::Streamed(body) if body.phase() != Phase::Finished)
     }
 }
 
 /// A body that one attempt after another may read.
 #[derive(Clone)]
-pub(super) struct Lent(Arc<Mutex<Source>>);
+pub(super) struct SharedBody(Arc<Mutex<Source>>);
 
 struct Source {
-    body: Guarded<Body>,
+    body: TimeoutBody<Body>,
     phase: Phase,
 }
 
 /// How far a body has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Whole,
-    Begun,
-    Over,
-    Broken,
+    Unread,
+    Started,
+    Finished,
+    Failed,
 }
 
-impl Lent {
+impl SharedBody {
     fn phase(&self) -> Phase {
         self.lock().phase
     }
@@ -103,7 +105,7 @@
     }
 }
 
-impl http_body::Body for Lent {
+impl http_body::Body for SharedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -115,9 +117,9 @@
         let frame = Pin::new(&mut source.body).poll_frame(context);
         match &frame {
             Poll::Pending => {}
-            Poll::Ready(None) => source.phase = Phase::Over,
-            Poll::Ready(Some(Ok(_))) => source.phase = Phase::Begun,
-            Poll::Ready(Some(Err(_))) => source.phase = Phase::Broken,
+            Poll::Ready(None) => source.phase = Phase::Finished,
+            Poll::Ready(Some(Ok(_))) => source.phase = Phase::Started,
+            Poll::Ready(Some(Err(_))) => source.phase = Phase::Failed,
         }
         frame
     }
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -26,8 +26,8 @@
 
 use crate::{
     answer::{Answer, Token},
-    filters::{Call, Question, Shape, account::Account},
-    idle::Guarded,
+    filters::{Call, ModelRequest, Shape, account::Account},
+    idle::TimeoutBody,
     problem::Problem,
     traffic::Sent,
 };
@@ -84,21 +84,21 @@
 /// # Errors
 ///
 /// The problem that ended the answer early.
-pub async fn whole(
+pub async fn buffered(
     mut answer: Answer,
     call: &Call,
-    question: &Question,
+    model_request: &ModelRequest,
 ) -> Result<Response, Problem> {
     let mut text = String::new();
     while let Some(Token { data, .. }) = answer.next().await? {
-        text.push_str(&content(question.shape, &data));
+        text.push_str(&content(model_request.shape, &data));
     }
     let model = call.request.model.as_ref().map(ToString::to_string);
-    let choice = match question.shape {
+    let choice = match model_request.shape {
         Shape::Chat => json!({"index": 0, "message": {"role": "assistant", "content": text}}),
         Shape::Text => json!({"index": 0, "text": text}),
     };
-    let object = match question.shape {
+    let object = match model_request.shape {
         Shape::Chat => "chat.completion",
         Shape::Text => "text_completion",
     };
@@ -122,12 +122,12 @@
     account.token();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
-    let body = Tracked { body: Guarded::new(body, idle), open: Some((sent, account)) };
+    let body = TrackedBody { body: TimeoutBody::new(body, idle), open: Some((sent, account)) };
     Response::from_parts(parts, Body::new(body))
 }
 
 /// Passes on an answer whose attempt has ended already.
-pub fn passed_on(response: Streamed, account: &Account) -> Response {
+pub fn passed_through(response: Streamed, account: &Account) -> Response {
     account.answered();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
@@ -150,12 +150,12 @@
 }
 
 /// A body whose end is the end of its attempt.
-struct Tracked {
-    body: Guarded<Incoming>,
+struct TrackedBody {
+    body: TimeoutBody<Incoming>,
     open: Option<(Sent, Account)>,
 }
 
-impl Tracked {
+impl TrackedBody {
     fn complete(&mut self) {
         if let Some((sent, account)) = self.open.take() {
             sent.complete();
@@ -163,7 +163,7 @@
         }
     }
 
-    fn break_off(&mut self) {
+    fn fail(&mut self) {
         if let Some((sent, account)) = self.open.take() {
             sent.fail(Point::Body);
             account.broke_off();
@@ -171,7 +171,7 @@
     }
 }
 
-impl http_body::Body for Tracked {
+impl http_body::Body for TrackedBody {
     type Data = Bytes;
     type Error = ::backend::BodyError;
 
@@ -183,7 +183,7 @@
         match &frame {
             Poll::Pending => {}
             Poll::Ready(None) => self.complete(),
-            Poll::Ready(Some(Err(_))) => self.break_off(),
+            Poll::Ready(Some(Err(_))) => self.fail(),
             // A server that knows the length may not ask for the end.
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.complete(),
             Poll::Ready(Some(Ok(_))) => {}
@@ -200,7 +200,7 @@
     }
 }
 
-impl Drop for Tracked {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         if self.body.is_end_stream() {
             self.complete();
--- a/crates/stage/src/filters/identify.rs
+++ b/crates/stage/src/filters/identify.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     context::Context,
-    filters::{Call, Delivery, Kind, Question, Shape, account::Account},
+    filters::{Call, Delivery, Kind, ModelRequest, Shape, account::Account},
     idle,
     problem::{self, Problem},
 };
@@ -101,7 +101,7 @@
     let (service_id, service) = offering(&numbered.config, &parts.headers, &name)?;
     let prompt = prompt(shape, &fields)?;
     let delivery = match fields.get("stream") {
-        None | Some(Value::Bool(false) | Value::Null) => Delivery::Whole,
+        None | Some(Value::Bool(false) | Value::Null) => Delivery::Buffered,
         Some(Value::Bool(true)) => Delivery::Streamed,
         Some(_) => return Err(bad("`stream` must be true or false")),
     };
@@ -117,8 +117,8 @@
         ..base(context, service_id, service, &parts.headers, &parts.method, digest(&body))?
     };
     let engine_body = Value::Object(fields).to_string();
-    let question = Question { shape, delivery, body: Bytes::from(engine_body) };
-    let kind = Kind::Model(Arc::new(question));
+    let model_request = ModelRequest { shape, delivery, body: Bytes::from(engine_body) };
+    let kind = Kind::Model(Arc::new(model_request));
     Ok(with_call(context, numbered, parts, Body::empty(), request, kind))
 }
 
@@ -140,8 +140,8 @@
     };
     let path = if rest.starts_with('/') { rest.into() } else { format!("/{rest}").into() };
     let kind = Kind::Plain { group: group.clone(), path };
-    let asked = digest(parts.uri.to_string().as_bytes());
-    let request = base(context, id, service, &parts.headers, &parts.method, asked)?;
+    let url_digest = digest(parts.uri.to_string().as_bytes());
+    let request = base(context, id, service, &parts.headers, &parts.method, url_digest)?;
     Ok(with_call(context, numbered.clone(), parts, body, request, kind))
 }
 
@@ -213,7 +213,7 @@
 
 async fn read(context: &Context, body: Body) -> Result<Bytes, Problem> {
     let limit = context.settings.bounds.body_bytes;
-    let body = Body::new(idle::Guarded::new(body, context.settings.bounds.idle));
+    let body = Body::new(idle::TimeoutBody::new(body, context.settings.bounds.idle));
     to_bytes(body, limit).await.map_err(|error| {
         if types::error::chain(&error).contains("length limit") {
             let detail = format!("the body is over {limit} bytes");
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -32,7 +32,7 @@
 /// Header of an answer that was recorded when its request ran.
 pub const REPLAYED: &str = "idempotent-replayed";
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The right to dispatch a claimed request.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
             Some(grant) if now < grant.until => Ok(()),
             Some(_) => {
                 let detail = "the host was held up between the claim of the key and the dispatch";
-                Err(Problem::new(Kind::ClaimsUnavailable, detail).retry_after(COME_BACK))
+                Err(Problem::new(Kind::ClaimsUnavailable, detail).retry_after(RETRY_AFTER))
             }
         }
     }
@@ -66,9 +66,9 @@
     };
     match (call.request.repeat, &call.request.key) {
         (Repeat::Once, Some(key)) => {
-            let claimed = claimed(context, &call, key, request, next).await;
-            let mut response = claimed.unwrap_or_else(Problem::into_response);
-            response.extensions_mut().insert(Looked);
+            let result = claim_and_run(context, &call, key, request, next).await;
+            let mut response = result.unwrap_or_else(Problem::into_response);
+            response.extensions_mut().insert(KeyChecked);
             response
         }
         (Repeat::Once, None) | (Repeat::Idempotent, _) => next.run(request).await,
@@ -79,7 +79,7 @@
 ///
 /// The send did not run, but an earlier one of the same key may have, and the caller asks for the
 /// fate of both.
-pub async fn correct(request: Request, next: Next) -> Response {
+pub async fn correct_ran(request: Request, next: Next) -> Response {
     let call = request.extensions().get::<Call>();
     let is_keyed =
         call.is_some_and(|c| c.request.repeat == Repeat::Once && c.request.key.is_some());
@@ -89,7 +89,7 @@
         Some(problem)
             if is_keyed
                 && problem.ran == Ran::DidNotRun
-                && extensions.get::<Looked>().is_none() =>
+                && extensions.get::<KeyChecked>().is_none() =>
         {
             problem.clone().ran(Ran::MayHaveRun).into_response()
         }
@@ -99,9 +99,9 @@
 
 /// Marks an answer that was given after the key was looked up.
 #[derive(Clone, Copy, Debug)]
-struct Looked;
+struct KeyChecked;
 
-async fn claimed(
+async fn claim_and_run(
     context: Arc<Context>,
     call: &Call,
     key: &request::Key,
@@ -123,14 +123,14 @@
     record(&context, call, verdict.as_ref());
     let until = match verdict {
         Some(Verdict::Granted { until }) => until,
-        Some(Verdict::Claimed { claimant }) => return Err(in_use(&context, &claimant)),
+        Some(Verdict::Claimed { claimant }) => return Err(in_use_problem(&context, &claimant)),
         Some(Verdict::Done(outcome)) => return replay(outcome),
-        Some(Verdict::Refused(refusal)) => return Err(refused(refusal)),
-        None => return Err(refused(Refusal::Unread)),
+        Some(Verdict::Refused(refusal)) => return Err(refusal_problem(refusal)),
+        None => return Err(refusal_problem(Refusal::Unread)),
     };
     request.extensions_mut().insert(Grant { until });
-    let open = Open { context, id: call.request.id.clone(), key: key.key, end: End::Lost };
-    tokio::spawn(run(open, request, next)).await.map_err(|_| {
+    let guard = ClaimGuard { context, id: call.request.id.clone(), key: key.key, end: End::Lost };
+    tokio::spawn(run(guard, request, next)).await.map_err(|_| {
         let detail = "the request was given up while it ran";
         Problem::new(Kind::BackendFailed, detail).ran(Ran::MayHaveRun)
     })
@@ -150,14 +150,14 @@
 }
 
 /// A claimed request; when dropped it tells how the request ended.
-struct Open {
+struct ClaimGuard {
     context: Arc<Context>,
     id: request::Id,
     key: once::Key,
     end: End,
 }
 
-impl Drop for Open {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         let end = std::mem::replace(&mut self.end, End::Lost);
         let change = Change { id: self.id.clone(), key: self.key, end };
@@ -165,17 +165,17 @@
     }
 }
 
-async fn run(mut open: Open, request: Request, next: Next) -> Response {
+async fn run(mut guard: ClaimGuard, request: Request, next: Next) -> Response {
     let response = next.run(request).await;
     if let Some(problem) = response.extensions().get::<Problem>() {
-        open.end = match problem.ran {
+        guard.end = match problem.ran {
             Ran::DidNotRun => End::Released,
             Ran::MayHaveRun | Ran::Ran => End::Lost,
         };
         return response;
     }
     let (parts, body) = response.into_parts();
-    open.end = End::Ran(outcome(&parts, once::Body::Unrecorded));
+    guard.end = End::Ran(outcome(&parts, once::Body::Unrecorded));
     let is_short = parts
         .headers
         .get(header::CONTENT_LENGTH)
@@ -183,14 +183,14 @@
         .is_some_and(|length| length <= once::Body::LIMIT);
     if !is_short {
         let body = body.map_frame(move |frame| {
-            let _ = &open;
+            let _ = &guard;
             frame
         });
         return Response::from_parts(parts, Body::new(body));
     }
     match to_bytes(body, once::Body::LIMIT).await {
         Ok(bytes) => {
-            open.end = End::Ran(outcome(&parts, once::Body::new(&bytes)));
+            guard.end = End::Ran(outcome(&parts, once::Body::new(&bytes)));
             Response::from_parts(parts, Body::from(bytes))
         }
         Err(error) => Problem::new(Kind::BackendFailed, format!("the answer broke off: {error}"))
@@ -215,8 +215,9 @@
         Problem::new(Kind::BodyTooLarge, detail)
     })?;
     let mut hasher = blake3::Hasher::new();
-    let asked = parts.extensions.get::<Call>().map(|call| call.request.digest).unwrap_or_default();
-    hasher.update(&asked);
+    let request_digest =
+        parts.extensions.get::<Call>().map(|call| call.request.digest).unwrap_or_default();
+    hasher.update(&request_digest);
     hasher.update(parts.method.as_str().as_bytes());
     hasher.update(&bytes);
     let digest = Claim::shorten(hasher.finalize().as_bytes());
@@ -240,7 +241,7 @@
 }
 
 /// The claimant may be at work, or have died at any point: both are "may have run".
-fn in_use(context: &Context, claimant: &once::HostRun) -> Problem {
+fn in_use_problem(context: &Context, claimant: &once::HostRun) -> Problem {
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
     let detail = match is_listed {
@@ -248,10 +249,10 @@
         false => format!("host {} had this request and is gone", claimant.host),
     };
     let problem = Problem::new(Kind::KeyInUse, detail).ran(Ran::MayHaveRun);
-    if is_listed { problem.retry_after(COME_BACK) } else { problem }
+    if is_listed { problem.retry_after(RETRY_AFTER) } else { problem }
 }
 
-fn refused(refusal: Refusal) -> Problem {
+fn refusal_problem(refusal: Refusal) -> Problem {
     let (kind, detail) = match refusal {
         Refusal::Different => {
             (Kind::KeyReused, "the key was used for a request that asks something else")
@@ -269,7 +270,7 @@
     };
     let problem = Problem::new(kind, detail).ran(refusal.ran());
     match kind {
-        Kind::ClaimsUnavailable | Kind::KeyAhead => problem.retry_after(COME_BACK),
+        Kind::ClaimsUnavailable | Kind::KeyAhead => problem.retry_after(RETRY_AFTER),
         _ => problem,
     }
 }
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -11,12 +11,12 @@
 
 use crate::{
     context::Context,
-    filters::{admit::Admitted, earlier},
+    filters::{admit::Admitted, extension},
     problem::{Kind, Problem},
     traffic::Sent,
 };
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The first attempt of a call, to be taken by the one that makes it.
 #[derive(Clone, Debug)]
@@ -35,13 +35,13 @@
     mut request: Request,
     next: Next,
 ) -> Response {
-    let admitted: Admitted = match earlier(request.extensions()) {
+    let admitted: Admitted = match extension(request.extensions()) {
         Ok(admitted) => admitted,
         Err(problem) => return problem.into_response(),
     };
     let Some(sent) = context.traffic.dispatch(&admitted.reservation, &admitted.demand) else {
         return Problem::new(Kind::NoServer, "no backend server is ready for it any more")
-            .retry_after(COME_BACK)
+            .retry_after(RETRY_AFTER)
             .into_response();
     };
     request.extensions_mut().insert(Routed(Arc::new(Mutex::new(Some(sent)))));
--- a/crates/stage/src/guard.rs
+++ b/crates/stage/src/guard.rs
@@ -29,15 +29,15 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// It would be open to strangers.
-    #[error("the listener for {} at {address} needs a token, since it isn't on loopback", word(*listener))]
-    Open {
+    #[error("the listener for {} at {address} needs a token, since it isn't on loopback", label(*listener))]
+    Unprotected {
         /// Whom it is for.
         listener: Listener,
         /// The address in the settings.
         address: SocketAddr,
     },
     /// Nobody could show its token.
-    #[error("the token of the listener for {} can't be sent: {cause}", word(*listener))]
+    #[error("the token of the listener for {} can't be sent: {cause}", label(*listener))]
     Unsendable {
         /// Whom it is for.
         listener: Listener,
@@ -58,7 +58,7 @@
         address: SocketAddr,
     ) -> Result<Guard, Error> {
         if token.is_none() && !address.ip().is_loopback() {
-            return Err(Error::Open { listener, address });
+            return Err(Error::Unprotected { listener, address });
         }
         let token = Token::new(token).map_err(|cause| Error::Unsendable { listener, cause })?;
         Ok(Guard { listener, token })
@@ -75,9 +75,9 @@
     }
 
     /// Notes a refusal.
-    pub fn refused(&self, context: &Context, path: &str) {
+    pub fn record_refusal(&self, context: &Context, path: &str) {
         context.metrics.denied(self.listener);
-        log::warn!(listener = word(self.listener), path = path; "wrong or missing token");
+        log::warn!(listener = label(self.listener), path = path; "wrong or missing token");
     }
 }
 
@@ -95,11 +95,11 @@
     if gate.guard.admits(request.headers()) {
         return next.run(request).await;
     }
-    gate.guard.refused(&gate.context, request.uri().path());
+    gate.guard.record_refusal(&gate.context, request.uri().path());
     (StatusCode::UNAUTHORIZED, [(header::WWW_AUTHENTICATE, SCHEME)]).into_response()
 }
 
-fn word(listener: Listener) -> &'static str {
+fn label(listener: Listener) -> &'static str {
     match listener {
         Listener::Callers => "callers",
         Listener::Peers => "peers",
--- a/crates/stage/src/idle.rs
+++ b/crates/stage/src/idle.rs
@@ -15,25 +15,25 @@
 /// Nothing came for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("nothing came for {0:?}")]
-pub struct Silence(pub Duration);
+pub struct TimedOut(pub Duration);
 
 /// A body with a limit on the time between its frames.
-pub struct Guarded<B> {
+pub struct TimeoutBody<B> {
     body: B,
     limit: Duration,
-    silence: Pin<Box<Sleep>>,
+    timer: Pin<Box<Sleep>>,
     is_waiting: bool,
 }
 
-impl<B> Guarded<B> {
+impl<B> TimeoutBody<B> {
     /// Guards a body. Only time in which a frame is asked for counts.
-    pub fn new(body: B, limit: Duration) -> Guarded<B> {
-        let silence = Box::pin(tokio::time::sleep(limit));
-        Guarded { body, limit, silence, is_waiting: false }
+    pub fn new(body: B, limit: Duration) -> TimeoutBody<B> {
+        let timer = Box::pin(tokio::time::sleep(limit));
+        TimeoutBody { body, limit, timer, is_waiting: false }
     }
 }
 
-impl<B> Body for Guarded<B>
+impl<B> Body for TimeoutBody<B>
 where
     B: Body<Data = Bytes> + Unpin,
     B::Error: Into<BoxError>,
@@ -51,10 +51,10 @@
         }
         if !std::mem::replace(&mut self.is_waiting, true) {
             let deadline = Instant::now() + self.limit;
-            self.silence.as_mut().reset(deadline);
+            self.timer.as_mut().reset(deadline);
         }
-        match self.silence.as_mut().poll(context) {
-            Poll::Ready(()) => Poll::Ready(Some(Err(Silence(self.limit).into()))),
+        match self.timer.as_mut().poll(context) {
+            Poll::Ready(()) => Poll::Ready(Some(Err(TimedOut(self.limit).into()))),
             Poll::Pending => Poll::Pending,
         }
     }
--- a/crates/stage/src/listener.rs
+++ b/crates/stage/src/listener.rs
@@ -15,13 +15,13 @@
 use tower::ServiceExt;
 
 /// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// How long connections are still taken that the system had queued before the end.
-const BACKLOG: Duration = Duration::from_millis(20);
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Least buffer that hyper takes for a head.
-const LEAST_HEAD: usize = 8 * 1024;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Serves until told to stop, and then until every request in flight has ended.
 pub(crate) async fn serve(
@@ -40,11 +40,11 @@
             Ok((stream, _)) => connect(stream, &router, &bounds, &graceful),
             Err(error) => {
                 log::warn!("callers' listener: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    while let Ok(Ok((stream, _))) = tokio::time::timeout(BACKLOG, listener.accept()).await {
+    while let Ok(Ok((stream, _))) = tokio::time::timeout(BACKLOG_TIMEOUT, listener.accept()).await {
         connect(stream, &router, &bounds, &graceful);
     }
     drop(listener);
@@ -69,7 +69,7 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.idle)
-        .max_buf_size(bounds.head_bytes.max(LEAST_HEAD));
+        .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BUFFER_BYTES));
     builder
         .http2()
         .timer(TokioTimer::new())
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -15,11 +15,11 @@
 use types::prelude::*;
 
 /// Settled moves that are kept.
-const KEPT: usize = 256;
+const MAX_SETTLED: usize = 256;
 
 /// An open order with the time that this host has known it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Open {
+pub struct OpenOrder {
     /// The order and what would settle it.
     #[serde(flatten)]
     pub held: Held,
@@ -32,7 +32,7 @@
 
 /// An order that this host settled.
 #[derive(Clone, Debug, Serialize)]
-pub struct Done {
+pub struct SettledOrder {
     /// The order.
     pub order: order::Id,
     /// The server that it was for.
@@ -50,7 +50,7 @@
 
 /// Accelerator memory of one server, in MiB.
 #[derive(Clone, Debug, Serialize)]
-pub struct Server {
+pub struct ServerMemory {
     /// The server.
     pub server: backend::Id,
     /// Its memory by what is known of it.
@@ -64,11 +64,11 @@
     /// Whether the ledgers were read for this answer, or are as this host last knew them.
     pub current: bool,
     /// Orders that are not settled.
-    pub open: Vec<Open>,
+    pub open: Vec<OpenOrder>,
     /// Orders that this host settled, the latest last.
-    pub settled: Vec<Done>,
+    pub settled: Vec<SettledOrder>,
     /// Memory of each server.
-    pub memory: Vec<Server>,
+    pub memory: Vec<ServerMemory>,
 }
 
 /// Moves as this host knows them.
@@ -86,7 +86,7 @@
 
 impl Moves {
     /// Takes in every ledger as read.
-    pub fn ledgers<'a>(&self, now: Moment, ledgers: impl IntoIterator<Item = &'a Ledger>) {
+    pub fn set_ledgers<'a>(&self, now: Moment, ledgers: impl IntoIterator<Item = &'a Ledger>) {
         let mut inner = self.lock();
         inner.ledgers =
             ledgers.into_iter().map(|ledger| (ledger.server.clone(), ledger.clone())).collect();
@@ -99,10 +99,10 @@
     }
 
     /// Notes what this host settled.
-    pub fn settled(&self, now: Moment, settled: impl IntoIterator<Item = Settled>) {
+    pub fn record_settled(&self, now: Moment, settled: impl IntoIterator<Item = Settled>) {
         let mut inner = self.lock();
         inner.settled.extend(settled.into_iter().map(|settled| (now, settled)));
-        let surplus = inner.settled.len().saturating_sub(KEPT);
+        let surplus = inner.settled.len().saturating_sub(MAX_SETTLED);
         inner.settled.drain(..surplus);
     }
 
@@ -116,9 +116,9 @@
         let inner = self.lock();
         let open = inner.ledgers.values().flat_map(Ledger::why_held).map(|held| {
             let since = inner.known.get(&held.order).copied().unwrap_or(now);
-            Open { why: held.waits.to_string(), known_for: now.saturating_sub(since), held }
+            OpenOrder { why: held.waits.to_string(), known_for: now.saturating_sub(since), held }
         });
-        let settled = inner.settled.iter().map(|(at, settled)| Done {
+        let settled = inner.settled.iter().map(|(at, settled)| SettledOrder {
             order: settled.entry.order.id.clone(),
             server: settled.entry.order.server.clone(),
             action: settled.entry.order.action.clone(),
@@ -128,7 +128,7 @@
         });
         let servers = inner.ledgers.iter();
         let memory =
-            servers.map(|(id, ledger)| Server { server: id.clone(), memory: ledger.usage() });
+            servers.map(|(id, ledger)| ServerMemory { server: id.clone(), memory: ledger.usage() });
         Status {
             current,
             open: open.collect(),
@@ -138,7 +138,7 @@
     }
 
     /// Shows memory in the metrics.
-    pub fn show(&self, metrics: &Metrics) {
+    pub fn record_memory(&self, metrics: &Metrics) {
         for (server, ledger) in &self.lock().ledgers {
             let usage = ledger.usage();
             metrics.memory(server, Memory::Promised, usage.promised);
--- a/crates/stage/src/operators.rs
+++ b/crates/stage/src/operators.rs
@@ -65,7 +65,7 @@
         ready: context.is_ready(),
         draining: context.is_draining(),
         configuration: context.config().number,
-        heard: context.declared.heard(),
+        heard: context.declared.newest_number(),
         servers: context.fleet.list().servers.len(),
         reporting: context.fleet.reporting(),
     })
--- a/crates/stage/src/operators/config.rs
+++ b/crates/stage/src/operators/config.rs
@@ -15,7 +15,7 @@
 use crate::{context::Context, declared::patch};
 
 /// Largest patch, in bytes: the whole of a configuration at several times the size planned for.
-const LARGEST_PATCH: usize = 8 * 1024 * 1024;
+const MAX_PATCH_BYTES: usize = 8 * 1024 * 1024;
 
 /// Routes of the declared configuration.
 pub(super) fn router() -> Router<Arc<Context>> {
@@ -23,24 +23,24 @@
         .route("/config", get(in_force))
         .route("/config/patches", post(apply))
         .route("/config/check", post(check))
-        .layer(DefaultBodyLimit::max(LARGEST_PATCH))
+        .layer(DefaultBodyLimit::max(MAX_PATCH_BYTES))
 }
 
 async fn in_force(State(context): State<Arc<Context>>) -> Json<Arc<Numbered>> {
     Json(context.config())
 }
 
-async fn apply(State(context): State<Arc<Context>>, Json(asked): Json<Patch>) -> Response {
+async fn apply(State(context): State<Arc<Context>>, Json(patch): Json<Patch>) -> Response {
     // Once begun it goes on to its end, also when the operator hangs up.
-    let applying = tokio::spawn(async move { patch::apply(&context, &asked).await });
+    let applying = tokio::spawn(async move { patch::apply(&context, &patch).await });
     answer(match applying.await {
         Ok(outcome) => outcome,
         Err(error) => Outcome::Unavailable { cause: error.to_string() },
     })
 }
 
-async fn check(State(context): State<Arc<Context>>, Json(asked): Json<Patch>) -> Response {
-    answer(patch::check(&context, &asked).await)
+async fn check(State(context): State<Arc<Context>>, Json(patch): Json<Patch>) -> Response {
+    answer(patch::check(&context, &patch).await)
 }
 
 fn answer(outcome: Outcome) -> Response {
--- a/crates/stage/src/operators/moves.rs
+++ b/crates/stage/src/operators/moves.rs
@@ -23,7 +23,7 @@
             let objects = listing.objects.iter();
             let ledgers: Vec<Ledger> =
                 objects.filter_map(|object| serde_json::from_slice(&object.value).ok()).collect();
-            context.moves.ledgers(now, &ledgers);
+            context.moves.set_ledgers(now, &ledgers);
             true
         }
         Err(error) => {
--- a/crates/stage/src/operators/watch.rs
+++ b/crates/stage/src/operators/watch.rs
@@ -21,7 +21,7 @@
 
 /// All metrics as Prometheus text.
 pub(super) async fn metrics(State(context): State<Arc<Context>>) -> Response {
-    context.traffic.show(&context.metrics);
+    context.traffic.record_limits(&context.metrics);
     match context.metrics.text() {
         Ok(text) => ([(header::CONTENT_TYPE, metrics::CONTENT_TYPE)], text).into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
@@ -31,7 +31,7 @@
 /// How the time line is written.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Form {
+enum Format {
     /// One JSON object a line; what the merge of several hosts reads.
     #[default]
     Json,
@@ -43,17 +43,17 @@
 
 /// Which events are asked for; all unless narrowed. Times are RFC 3339 text.
 #[derive(Debug, Default, Deserialize)]
-pub(super) struct Asked {
+pub(super) struct TimelineQuery {
     request: Option<String>,
     model: Option<String>,
     server: Option<String>,
     from: Option<String>,
     until: Option<String>,
     #[serde(default)]
-    form: Form,
+    form: Format,
 }
 
-impl Asked {
+impl TimelineQuery {
     fn filter(&self) -> Result<Filter, String> {
         let mut filter = Filter::default();
         if let Some(id) = &self.request {
@@ -82,18 +82,18 @@
 /// The events that this host holds.
 pub(super) async fn timeline(
     State(context): State<Arc<Context>>,
-    Query(asked): Query<Asked>,
+    Query(query): Query<TimelineQuery>,
 ) -> Response {
-    let filter = match asked.filter() {
+    let filter = match query.filter() {
         Ok(filter) => filter,
         Err(cause) => return (StatusCode::BAD_REQUEST, cause).into_response(),
     };
     let records: Vec<Record> =
         context.events.records().into_iter().filter(|record| filter.keeps(record)).collect();
-    match asked.form {
-        Form::Json => json(&records),
-        Form::Text => lines(records.iter().map(merge::line)).into_response(),
-        Form::Page => Html(page::render(&records)).into_response(),
+    match query.form {
+        Format::Json => json(&records),
+        Format::Text => lines(records.iter().map(merge::line)).into_response(),
+        Format::Page => Html(page::render(&records)).into_response(),
     }
 }
 
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -34,7 +34,7 @@
 use crate::{context::Context, declared};
 
 /// Beats are so much rarer in a large fleet.
-const WIDE: u32 = 2;
+const LARGE_FLEET_INTERVAL_FACTOR: u32 = 2;
 
 /// The other hosts.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
         let heartbeat = settings.intervals.heartbeat;
         let rules = member::Settings {
             interval: heartbeat,
-            wide_interval: heartbeat * WIDE,
+            wide_interval: heartbeat * LARGE_FLEET_INTERVAL_FACTOR,
             ..member::Settings::default()
         };
         let me = settings.host.clone();
@@ -102,7 +102,7 @@
             Action::Fetch { from, topic: Topic::Config, .. } => spawn(fetch(context, from)),
             // Nobody holds a quarantine here yet, so nobody asks for one.
             Action::Fetch { topic: Topic::Quarantine, .. } => {}
-            Action::Superseded => supersede(&context),
+            Action::Superseded => stop_superseded(&context),
         }
     }
 }
@@ -118,12 +118,12 @@
 }
 
 /// Stamps a heartbeat that goes out, so that what its receiver does next is stamped later.
-fn stamp(context: &Context, heartbeat: &mut Heartbeat) {
+fn set_stamp(context: &Context, heartbeat: &mut Heartbeat) {
     heartbeat.stamp = context.events.clock().stamp().0;
 }
 
 /// Takes note of the stamp of a heartbeat that came in; a host that doesn't stamp sends none.
-fn see(context: &Context, heartbeat: &Heartbeat) {
+fn observe_stamp(context: &Context, heartbeat: &Heartbeat) {
     if heartbeat.stamp == 0 {
         return;
     }
@@ -133,12 +133,12 @@
 }
 
 async fn send(context: Arc<Context>, to: Host, mut heartbeat: Heartbeat) {
-    stamp(&context, &mut heartbeat);
+    set_stamp(&context, &mut heartbeat);
     let answer = context.peers.client().heartbeat(to.peers, heartbeat).await;
     let now = context.now();
     let actions = match answer {
         Ok(answer) => {
-            see(&context, &answer);
+            observe_stamp(&context, &answer);
             take_in_flight(&context, &answer);
             context.peers.gossip().answer(now, &answer)
         }
@@ -182,11 +182,11 @@
     let root: Root = serde_json::from_str(content.value.get())
         .map_err(|cause| FetchError::Root { host: from.id.clone(), cause })?;
     let source = Peer { client: context.peers.client(), host: from, store: &*context.store };
-    declared::take(context, root, &source).await?;
+    declared::apply_root(context, root, &source).await?;
     Ok(())
 }
 
-fn supersede(context: &Context) {
+fn stop_superseded(context: &Context) {
     if !context.stop_asked.is_cancelled() {
         log::error!(host = &*context.host().id; "a later run of this host is about; this one stops");
         context.stop_asked.cancel();
--- a/crates/stage/src/peers/answers.rs
+++ b/crates/stage/src/peers/answers.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 use types::host::{Host, List};
 
-use super::{perform, see, stamp, take_in_flight};
+use super::{observe_stamp, perform, set_stamp, take_in_flight};
 use crate::context::Context;
 
 /// Serves other hosts until told to stop.
@@ -31,11 +31,11 @@
 
 impl Api for Answers {
     async fn heartbeat(&self, heartbeat: Heartbeat) -> Heartbeat {
-        see(&self.0, &heartbeat);
+        observe_stamp(&self.0, &heartbeat);
         take_in_flight(&self.0, &heartbeat);
         let received = self.0.peers.gossip().receive(self.0.now(), &heartbeat);
         let (mut answer, actions) = received;
-        stamp(&self.0, &mut answer);
+        set_stamp(&self.0, &mut answer);
         perform(&self.0, actions);
         answer
     }
@@ -63,15 +63,15 @@
     async fn part(&self, key: String) -> Result<Box<RawValue>, Failure> {
         let name = part::Name::of_key(&key).ok_or(Failure::NoPart)?;
         let bytes = self.0.declared.part(&name).ok_or(Failure::NoPart)?;
-        let text = String::from_utf8(bytes.to_vec()).map_err(unwritable)?;
-        RawValue::from_string(text).map_err(unwritable)
+        let text = String::from_utf8(bytes.to_vec()).map_err(to_failure)?;
+        RawValue::from_string(text).map_err(to_failure)
     }
 }
 
 fn raw<T: Serialize>(value: &T) -> Result<Box<RawValue>, Failure> {
-    to_raw_value(value).map_err(unwritable)
+    to_raw_value(value).map_err(to_failure)
 }
 
-fn unwritable(error: impl std::fmt::Display) -> Failure {
+fn to_failure(error: impl std::fmt::Display) -> Failure {
     Failure::Unwritable(error.to_string())
 }
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -29,7 +29,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         result = tokio::signal::ctrl_c() => result?,
-        () = reloads(&mut reload, file) => {}
+        () = handle_reloads(&mut reload, file) => {}
     }
     running.drain().await;
     observe::log::flush();
@@ -38,18 +38,18 @@
 
 /// A change of the settings ends nothing. Only the log's level is taken from them: what else a host
 /// may change while it runs is declared.
-async fn reloads(reload: &mut Signal, file: &Path) {
+async fn handle_reloads(reload: &mut Signal, file: &Path) {
     while reload.recv().await.is_some() {
         log::info!("reload asked for");
         match read_process(file) {
-            Ok(settings) => take(&settings),
+            Ok(settings) => apply(&settings),
             Err(findings) => findings.0.iter().for_each(|finding| log::error!("{finding}")),
         }
     }
     std::future::pending().await
 }
 
-fn take(settings: &Process) {
+fn apply(settings: &Process) {
     match settings.log.level.parse() {
         Ok(level) => observe::log::set_level(level),
         Err(error) => log::error!("log level: {error}"),
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -21,7 +21,7 @@
 };
 
 /// Longest wait for outcomes of claimed requests to be written.
-const FLUSH: Duration = Duration::from_secs(5);
+const CLAIMS_FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a host can't start.
 #[derive(Debug, thiserror::Error)]
@@ -116,7 +116,7 @@
         if tokio::time::timeout(drain.finish, self.callers).await.is_err() {
             log::error!(host = &*self.context.host().id; "drain ends with requests in flight");
         }
-        duties::once::flush(&self.context, FLUSH).await;
+        duties::once::flush(&self.context, CLAIMS_FLUSH_TIMEOUT).await;
         record(&self.context, DrainStep::Idle);
         self.context.stop.cancel();
         self.context.duties.close();
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -34,7 +34,7 @@
 pub use self::guard::{Reservation, Sent};
 
 /// One-way time to another zone, until it is measured.
-const OTHER_ZONE: Duration = Duration::from_millis(1);
+const DEFAULT_CROSS_ZONE_LATENCY: Duration = Duration::from_millis(1);
 
 /// Why a request is not admitted; it did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
 /// A further attempt.
 #[derive(Debug)]
-pub enum Further {
+pub enum NextAttempt {
     /// It is on its way.
     Sent(Sent),
     /// Not before this moment.
@@ -74,7 +74,8 @@
     /// For a host with these settings; moments count from `origin`.
     pub fn new(settings: &Process, origin: Instant) -> Traffic {
         let own = settings.host.zone.clone();
-        let distances = Distances { own, other: OTHER_ZONE, named: Default::default() };
+        let distances =
+            Distances { own, other: DEFAULT_CROSS_ZONE_LATENCY, named: Default::default() };
         let policy = policy::traffic::Traffic::new(distances, rules(&settings.traffic));
         let state = Mutex::new(State { policy, waiters: HashMap::new() });
         Traffic { state, tickets: AtomicU64::new(0), origin }
@@ -86,14 +87,14 @@
     }
 
     /// Places of something wanted: its own, and the one of its limits and queue.
-    pub fn places(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
+    pub fn destinations(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
         let place = table.destination(wanted);
         (place, table.pool(place))
     }
 
     /// Takes in the servers that membership knows: what is new, leaving or gone.
-    pub fn list(&self, list: &List) {
+    pub fn set_servers(&self, list: &List) {
         let mut state = self.lock();
         let table = &mut state.policy.table;
         let listed: HashMap<Index, Listed> =
@@ -176,7 +177,7 @@
             let mut state = self.lock();
             let mut changes = Vec::new();
             let admission = state.policy.admit(demand, self.now(), &mut changes);
-            state.tell(changes);
+            state.notify_waiters(changes);
             match admission {
                 Admission::Take => return Ok(Reservation::new(self.clone(), pool)),
                 Admission::Refuse(refusal) => return Err(Denial::Refused(refusal)),
@@ -205,15 +206,15 @@
     }
 
     /// Sends a request again, to another server than these if there is one.
-    pub fn dispatch_again(self: &Arc<Self>, demand: &Demand, avoid: &[Index]) -> Further {
+    pub fn dispatch_again(self: &Arc<Self>, demand: &Demand, avoid: &[Index]) -> NextAttempt {
         let mut state = self.lock();
         match state.policy.dispatch_again(demand, avoid, self.now()) {
             Again::Sent(flight) => {
                 let server = state.policy.table.server(flight.choice.server).clone();
-                Further::Sent(Sent::new(self.clone(), flight, server))
+                NextAttempt::Sent(Sent::new(self.clone(), flight, server))
             }
-            Again::At(moment) => Further::At(moment),
-            Again::Unready => Further::Unready,
+            Again::At(moment) => NextAttempt::At(moment),
+            Again::Unready => NextAttempt::Unready,
         }
     }
 
@@ -227,7 +228,7 @@
         let mut state = self.lock();
         if 0 < state.policy.gate.waiting() {
             let changes = state.policy.pump(self.now());
-            state.tell(changes);
+            state.notify_waiters(changes);
         }
     }
 
@@ -242,7 +243,7 @@
     }
 
     /// Shows the limits in the metrics.
-    pub fn show(&self, metrics: &Metrics) {
+    pub fn record_limits(&self, metrics: &Metrics) {
         let state = self.lock();
         let table = &state.policy.table;
         for (server, destination, limiter) in state.policy.limiters.iter() {
@@ -282,7 +283,7 @@
 
 impl State {
     /// Tells those that wait. One that has gone in the meantime gives its place back itself.
-    fn tell(&mut self, changes: Vec<Change>) {
+    fn notify_waiters(&mut self, changes: Vec<Change>) {
         for change in changes {
             let (ticket, outcome) = match change {
                 Change::Start(ticket) => (ticket, Ok(())),
