--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the host shares.
+//! State shared by all parts of the host.
 
 use std::{
     sync::{
@@ -25,13 +25,13 @@
     peers::Peers, traffic::Traffic,
 };
 
-/// What every part of the host shares.
+/// State shared by all parts of the host.
 pub struct Context {
     /// Settings of this process.
     pub settings: Process,
-    /// Number of this run; greater after each start.
+    /// Number of this run, greater after each start: microseconds since the Unix epoch.
     pub incarnation: host::Incarnation,
-    /// The platform.
+    /// Client of the platform's object API, with calls counted.
     pub store: Arc<dyn Store>,
     /// Client of backend servers for callers' requests.
     pub backends: ::backend::Client,
@@ -43,38 +43,38 @@
     pub platform_bytes: Meter,
     /// Hosts, backend servers and what they report.
     pub fleet: Fleet,
-    /// What is held of the declared configuration.
+    /// Declared configuration as known to this host.
     pub declared: Declared,
-    /// Claims of keys.
+    /// Claims of idempotency keys.
     pub claims: Claims,
-    /// The other hosts.
+    /// Membership state of the other hosts, and the client for calls to them.
     pub peers: Peers,
-    /// Requests on their way: admission, choice of servers, limits.
+    /// Requests in flight: admission, choice of servers, limits.
     pub traffic: Arc<Traffic>,
-    /// Moves as this host knows them.
+    /// Loads and unloads of models and adapters, as known to this host.
     pub moves: Moves,
-    /// Metrics of this host.
+    /// Metrics that this host exports.
     pub metrics: Metrics,
-    /// The last events of this host.
+    /// Most recent events of this host, for the time line.
     pub events: Arc<Ring>,
-    /// The configuration in force; only [`Context::advance`] changes it.
+    /// Configuration in force; only [`Context::advance`] changes it.
     config: watch::Sender<Arc<Numbered>>,
     /// Cancelled when an operator asks for a planned stop.
     pub stop_asked: CancellationToken,
-    /// Ends background duties.
+    /// Cancelled at the end of a planned stop; ends background duties.
     pub stop: CancellationToken,
-    /// Background duties.
+    /// Tracks the background duties.
     pub duties: TaskTracker,
     draining: AtomicBool,
     origin: Instant,
 }
 
 impl Context {
-    /// Starts from settings and the peers' token; the clients connect when first used.
+    /// Creates the state from the settings and the peers' token; clients connect on first use.
     ///
     /// # Errors
     ///
-    /// If the metrics can't be set up.
+    /// Fails if the metrics can't be set up.
     pub fn new(settings: Process, peers_token: peer::Token) -> Result<Context, metrics::Error> {
         let platform_bytes = Meter::default();
         let builder = objects::Builder::new(settings.platform)
@@ -119,27 +119,27 @@
         })
     }
 
-    /// Time since this process began.
+    /// Returns the time since this process started.
     pub fn now(&self) -> Moment {
         self.origin.elapsed()
     }
 
-    /// This host.
+    /// Returns this host's description from the settings.
     pub fn host(&self) -> &Host {
         &self.settings.host
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; its number is 0 before the first one.
     pub fn config(&self) -> Arc<Numbered> {
         self.config.borrow().clone()
     }
 
-    /// Follows the configuration in force.
+    /// Subscribes to changes of the configuration in force.
     pub fn config_changes(&self) -> watch::Receiver<Arc<Numbered>> {
         self.config.subscribe()
     }
 
-    /// Puts a configuration in force, unless its number is not higher; tells whether it did.
+    /// Puts a configuration in force if its number is higher; returns whether it did.
     pub fn advance(&self, numbered: Numbered) -> bool {
         let numbered = Arc::new(numbered);
         self.config.send_if_modified(|current| {
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Whether this host takes new work.
+    /// Whether this host accepts new work: not draining, and with a configuration in force.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && 0 < self.config.borrow().number
     }
@@ -161,13 +161,13 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop: from now on the host is not ready.
     pub fn begin_drain(&self) {
         self.draining.store(true, Ordering::Release);
     }
 }
 
-/// Shows a meter's bytes in the metrics.
+/// Exports a meter's byte counts as metrics.
 fn watch_bytes(metrics: &Metrics, link: Link, meter: &Meter) {
     let meter = meter.clone();
     metrics.watch_bytes(link, move |direction| match direction {
--- a/crates/stage/src/counted.rs
+++ b/crates/stage/src/counted.rs
@@ -1,7 +1,7 @@
-//! The platform's client with every call counted, and its outages noticed.
+//! A platform client that counts every call and detects outages.
 //!
-//! An outage is what operators see first in the metrics and the time line, so it is noticed here,
-//! where every call of every duty passes, and not by each duty for itself.
+//! Operators see an outage first in the metrics and the time line. All calls of all duties pass
+//! through this client, so that outages are detected here rather than by each duty.
 
 use std::sync::{
     Arc,
@@ -21,7 +21,7 @@
 const UP: u8 = 1;
 const DOWN: u8 = 2;
 
-/// A platform's client whose calls are counted.
+/// Platform client whose calls are counted and whose reachability is recorded.
 pub(crate) struct CountedStore {
     inner: Client,
     metrics: Metrics,
@@ -45,13 +45,13 @@
         result
     }
 
-    /// Records when the platform begins or ceases to answer.
+    /// Records changes between reachable and unreachable.
     fn observe_state<T>(&self, result: &Result<T, Error>) {
         let (state, code) = match result {
             Err(Error::Unavailable { .. } | Error::Unanswered { .. } | Error::Malformed { .. }) => {
                 (PlatformState::Down, DOWN)
             }
-            // A refusal of one call is an answer all the same.
+            // A call that the platform rejects is answered nevertheless.
             _ => (PlatformState::Up, UP),
         };
         if self.last_state.swap(code, Ordering::Relaxed) != code {
--- a/crates/stage/src/flags.rs
+++ b/crates/stage/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line, turned into checked settings before anything runs.
+//! The command line, turned into validated settings before anything runs.
 
 use std::{
     io,
@@ -37,25 +37,25 @@
     },
 }
 
-/// Failure of a command.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings are not usable.
+    /// The settings file has errors.
     #[error("the settings have findings:\n{0}")]
     Settings(#[from] Findings),
     /// The log can't be started.
     #[error(transparent)]
     Log(#[from] observe::log::Error),
-    /// The settings name no level of the log.
+    /// The settings name an unknown log level.
     #[error("log level: {0}")]
     Level(#[from] log::ParseLevelError),
-    /// The host can't serve.
+    /// The host can't start.
     #[error(transparent)]
     Serve(#[from] crate::Error),
-    /// The routed host can't serve.
+    /// The host of a routed deployment can't start.
     #[error(transparent)]
     Relay(#[from] relay::Error),
-    /// The system refused something basic.
+    /// A call to the operating system failed, for example setting up signals.
     #[error("system: {0}")]
     System(#[from] io::Error),
 }
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever stops it, with the file and the cause.
+    /// Fails with the file and the cause.
     pub fn run(self) -> Result<ExitCode, Error> {
         match self.command {
             Command::Serve { settings } => {
--- a/crates/stage/src/fleet.rs
+++ b/crates/stage/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The host's picture of hosts and backend servers.
+//! This host's snapshot of hosts and backend servers.
 //!
-//! Lists and reports lag, so the picture is only ever a hint. What requests go by is in `traffic`,
-//! which adds what this host itself has in flight.
+//! Lists and reports lag behind, so the snapshot is only a hint. Requests are routed by `traffic`,
+//! which adds this host's own requests in flight.
 
 use std::{
     collections::HashMap,
@@ -11,16 +11,16 @@
 use arc_swap::ArcSwap;
 use types::{host::List, prelude::*};
 
-/// A load report with the time it was read.
+/// A load report with the time at which it was read.
 #[derive(Clone, Debug)]
 pub struct Reading {
-    /// When this host read it.
+    /// Time at which this host read the report.
     pub read: Moment,
-    /// What the server said.
+    /// The server's report.
     pub load: report::Load,
 }
 
-/// The host's picture of hosts and backend servers.
+/// Hosts and backend servers as known to this host.
 #[derive(Debug, Default)]
 pub struct Fleet {
     list: ArcSwap<List>,
@@ -28,32 +28,32 @@
 }
 
 impl Fleet {
-    /// The platform's list as last read.
+    /// Returns the list as last set.
     pub fn list(&self) -> Arc<List> {
         self.list.load_full()
     }
 
-    /// Takes a newer list.
+    /// Replaces the list.
     pub fn set_list(&self, list: List) {
         self.list.store(Arc::new(list));
     }
 
-    /// A server's load report as last read.
+    /// Returns a server's load report as last read; `None` if the last read failed.
     pub fn reading(&self, server: &backend::Id) -> Option<Arc<Reading>> {
         self.readings().get(server).cloned()
     }
 
-    /// How many servers report their load.
+    /// Returns the number of servers with a load report.
     pub fn reporting(&self) -> usize {
         self.readings().len()
     }
 
-    /// Takes a newer report of a server, under the name that the list gives it.
+    /// Sets a server's latest report, under its name on the list.
     pub fn set_reading(&self, server: &backend::Id, reading: Reading) {
         self.readings().insert(server.clone(), Arc::new(reading));
     }
 
-    /// Forgets the report of a server that doesn't answer.
+    /// Removes the report of a server that doesn't answer.
     pub fn drop_reading(&self, server: &backend::Id) {
         self.readings().remove(server);
     }
--- a/crates/stage/src/guard.rs
+++ b/crates/stage/src/guard.rs
@@ -1,7 +1,7 @@
-//! The token that operators and other hosts must show.
+//! Checks the bearer token of operators and other hosts.
 //!
-//! The comparison is [`peer::Token`]'s. Without a token in the settings a listener only starts on a
-//! loopback address; with one that no header can carry it doesn't start at all.
+//! [`peer::Token`] does the comparison. Without a token in the settings a listener starts only on a
+//! loopback address; with a token that is not a valid header value it doesn't start at all.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -25,33 +25,34 @@
     token: Token,
 }
 
-/// Why a listener can't be guarded.
+/// Why a listener can't be protected by a token.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It would be open to strangers.
+    /// The listener has no token and would be open to other machines.
     #[error("the listener for {} at {address} needs a token, since it isn't on loopback", label(*listener))]
     Unprotected {
-        /// Whom it is for.
+        /// The listener's users.
         listener: Listener,
-        /// The address in the settings.
+        /// Address in the settings.
         address: SocketAddr,
     },
-    /// Nobody could show its token.
+    /// The token is not a valid header value.
     #[error("the token of the listener for {} can't be sent: {cause}", label(*listener))]
     Unsendable {
-        /// Whom it is for.
+        /// The listener's users.
         listener: Listener,
-        /// Why.
+        /// Why the header value is invalid.
         cause: InvalidHeaderValue,
     },
 }
 
 impl Guard {
-    /// Takes the token of a listener.
+    /// Creates the guard of a listener from the token in its settings.
     ///
     /// # Errors
     ///
-    /// There is no token, and the address isn't on loopback; or no header can carry the token.
+    /// Fails if there is no token and the address isn't on loopback, or if the token is not a valid
+    /// header value.
     pub fn new(
         listener: Listener,
         token: Option<&str>,
@@ -64,33 +65,33 @@
         Ok(Guard { listener, token })
     }
 
-    /// The token.
+    /// Returns the token; if the settings have none, it matches every request.
     pub fn token(&self) -> &Token {
         &self.token
     }
 
-    /// Whether a request may pass.
+    /// Whether the headers carry the token; always true without one.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
         self.token.is_shown_in(headers)
     }
 
-    /// Notes a refusal.
+    /// Logs and counts a rejected request.
     pub fn record_refusal(&self, context: &Context, path: &str) {
         context.metrics.denied(self.listener);
         log::warn!(listener = label(self.listener), path = path; "wrong or missing token");
     }
 }
 
-/// A guard, and where it notes refusals.
+/// State of the token filter.
 #[derive(Clone)]
 pub struct Gate {
-    /// The guard.
+    /// Guard of the listener.
     pub guard: Guard,
-    /// What the host shares.
+    /// Shared state, with the metrics that count rejections.
     pub context: Arc<Context>,
 }
 
-/// Refuses requests that don't show the token.
+/// Rejects requests without the token.
 pub async fn filter(State(gate): State<Gate>, request: Request, next: Next) -> Response {
     if gate.guard.admits(request.headers()) {
         return next.run(request).await;
--- a/crates/stage/src/idle.rs
+++ b/crates/stage/src/idle.rs
@@ -1,4 +1,4 @@
-//! A body that fails when nothing comes for too long.
+//! A body that fails if no frame arrives within a time limit.
 
 use std::{
     pin::Pin,
@@ -12,9 +12,9 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Nothing came for too long.
+/// No frame arrived within this limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("nothing came for {0:?}")]
+#[error("no data received for {0:?}")]
 pub struct TimedOut(pub Duration);
 
 /// A body with a limit on the time between its frames.
@@ -26,7 +26,7 @@
 }
 
 impl<B> TimeoutBody<B> {
-    /// Guards a body. Only time in which a frame is asked for counts.
+    /// Wraps a body. Only time during which a frame is polled for counts.
     pub fn new(body: B, limit: Duration) -> TimeoutBody<B> {
         let timer = Box::pin(tokio::time::sleep(limit));
         TimeoutBody { body, limit, timer, is_waiting: false }
--- a/crates/stage/src/kv.rs
+++ b/crates/stage/src/kv.rs
@@ -1,18 +1,18 @@
-//! Carries the KV cache of a prompt from an engine that lost a stream to the one that resumes it.
+//! Transfers a prompt's KV cache from an engine that lost a stream to the engine that resumes it.
 //!
-//! An engine whose connection broke may be alive, and then its cache spares the next one the
-//! reading of the prompt. It is only ever an attempt: it may take no longer than the reading would,
-//! and whatever goes wrong, the stream is resumed without it.
+//! An engine whose connection broke may still be alive, and its cache then saves the next engine
+//! the prefill. The transfer is best-effort: it may take no longer than the prefill would, and if
+//! it fails the stream is resumed without it.
 
 use ::backend::wire::Cache;
 use types::prelude::*;
 
 use crate::{context::Context, filters::Call, traffic::Sent};
 
-/// Shorter readings of a prompt are not worth two calls.
+/// Minimum prefill time for which a transfer is worth its two calls.
 const MIN_PREFILL: Duration = Duration::from_millis(10);
 
-/// Carries the cache over where that is cheaper than reading the prompt again.
+/// Transfers the cache if that is cheaper than repeating the prefill.
 pub(crate) async fn transfer(context: &Context, call: &Call, from: &backend::Server, to: &Sent) {
     let prefill = to.prefill(call.request.prompt_tokens);
     let Some(model) = &call.request.model else { return };
@@ -25,8 +25,12 @@
         context.backends.import(to.server().address, exported).await
     };
     match tokio::time::timeout(prefill, transfer).await {
-        Ok(Ok(())) => log::debug!(request = &*call.request.id; "KV cache carried over"),
-        Ok(Err(error)) => log::debug!(request = &*call.request.id; "no KV cache: {error}"),
-        Err(_) => log::debug!(request = &*call.request.id; "no KV cache in time"),
+        Ok(Ok(())) => log::debug!(request = &*call.request.id; "KV cache transferred"),
+        Ok(Err(error)) => {
+            log::debug!(request = &*call.request.id; "KV cache not transferred: {error}")
+        }
+        Err(_) => {
+            log::debug!(request = &*call.request.id; "KV cache transfer timed out")
+        }
     }
 }
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -1,7 +1,7 @@
-//! The host's program: filters joined in a row, three listeners, and duties in the background.
+//! The program of a host: filters stacked in order, three listeners, and background tasks.
 //!
-//! Holds no decision of its own; those are in `policy`. It is a library so that tests and examples
-//! can run hosts within their own process.
+//! The crate makes no decisions of its own; `policy` does. The program is also a library, so that
+//! tests and examples can run hosts within their own process.
 
 pub mod answer;
 pub mod callers;
--- a/crates/stage/src/listener.rs
+++ b/crates/stage/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: bounds on heads and idle time, and an orderly end.
+//! The callers' listener: limits on heads and idle time, and a graceful shutdown.
 
 use std::{convert::Infallible, time::Duration};
 
@@ -14,16 +14,16 @@
 use tokio_util::sync::CancellationToken;
 use tower::ServiceExt;
 
-/// Pause after a failure to accept, such as too many open files.
+/// Delay after a failed accept, for example with too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long connections are still taken that the system had queued before the end.
+/// How long connections that the system had queued before the stop are still accepted.
 const BACKLOG_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Least buffer that hyper takes for a head.
+/// Minimum buffer size that hyper accepts for a head.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Serves until told to stop, and then until every request in flight has ended.
+/// Serves until stopped, and then until every request in flight has ended.
 pub(crate) async fn serve(
     listener: TcpListener,
     router: Router,
@@ -52,7 +52,7 @@
 }
 
 fn connect(stream: TcpStream, router: &Router, bounds: &Bounds, graceful: &GracefulShutdown) {
-    // Without it the last bytes of each token wait for the caller's acknowledgement.
+    // Otherwise the last bytes of each token would wait for the caller's acknowledgement.
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
     stream.set_write_timeout(Some(bounds.idle));
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves as operators see them: what is open and why, what was settled, whose memory is whose.
+//! Moves for operators: open orders and their reasons, settled orders, and memory of each server.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -14,18 +14,18 @@
 use serde::Serialize;
 use types::prelude::*;
 
-/// Settled moves that are kept.
+/// Maximum number of settled orders stored.
 const MAX_SETTLED: usize = 256;
 
-/// An open order with the time that this host has known it.
+/// An open order, with how long this host has known it.
 #[derive(Clone, Debug, Serialize)]
 pub struct OpenOrder {
-    /// The order and what would settle it.
+    /// Order and the evidence that would settle it.
     #[serde(flatten)]
     pub held: Held,
-    /// What is waited for, in words.
+    /// What the order waits for, as text.
     pub why: String,
-    /// How long this host has known of it; milliseconds in JSON.
+    /// How long this host has known the order; milliseconds in JSON.
     #[serde(rename = "known_for_ms", with = "types::time::millis")]
     pub known_for: Duration,
 }
@@ -33,17 +33,17 @@
 /// An order that this host settled.
 #[derive(Clone, Debug, Serialize)]
 pub struct SettledOrder {
-    /// The order.
+    /// Identifier of the order.
     pub order: order::Id,
-    /// The server that it was for.
+    /// Server that the order was for.
     pub server: backend::Id,
-    /// What it asked for.
+    /// Load or unload that was ordered.
     pub action: order::Action,
-    /// Why it was planned.
+    /// Why the move was planned.
     pub cause: Arc<str>,
-    /// What proved it.
+    /// Evidence that settled the order.
     pub evidence: &'static str,
-    /// How long ago; milliseconds in JSON.
+    /// Time since the order was settled; milliseconds in JSON.
     #[serde(rename = "ago_ms", with = "types::time::millis")]
     pub ago: Duration,
 }
@@ -51,27 +51,27 @@
 /// Accelerator memory of one server, in MiB.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerMemory {
-    /// The server.
+    /// Identifier of the server.
     pub server: backend::Id,
-    /// Its memory by what is known of it.
+    /// Memory that is promised, in doubt and free.
     #[serde(flatten)]
     pub memory: Usage,
 }
 
-/// What operators see of moves.
+/// Moves as reported to operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// Whether the ledgers were read for this answer, or are as this host last knew them.
+    /// Whether the ledgers were read for this response; otherwise the last known ones are used.
     pub current: bool,
     /// Orders that are not settled.
     pub open: Vec<OpenOrder>,
-    /// Orders that this host settled, the latest last.
+    /// Orders that this host settled, latest last.
     pub settled: Vec<SettledOrder>,
-    /// Memory of each server.
+    /// Accelerator memory of each server.
     pub memory: Vec<ServerMemory>,
 }
 
-/// Moves as this host knows them.
+/// Moves as known to this host.
 #[derive(Debug, Default)]
 pub struct Moves {
     inner: Mutex<Inner>,
@@ -85,7 +85,7 @@
 }
 
 impl Moves {
-    /// Takes in every ledger as read.
+    /// Replaces all ledgers with those just read.
     pub fn set_ledgers<'a>(&self, now: Moment, ledgers: impl IntoIterator<Item = &'a Ledger>) {
         let mut inner = self.lock();
         inner.ledgers =
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Notes what this host settled.
+    /// Records orders that this host settled.
     pub fn record_settled(&self, now: Moment, settled: impl IntoIterator<Item = Settled>) {
         let mut inner = self.lock();
         inner.settled.extend(settled.into_iter().map(|settled| (now, settled)));
@@ -106,12 +106,12 @@
         inner.settled.drain(..surplus);
     }
 
-    /// How long this host has known of an order.
+    /// Returns how long this host has known an order; zero if the order is unknown.
     pub fn known_for(&self, now: Moment, id: &order::Id) -> Duration {
         self.lock().known.get(id).map_or(Duration::ZERO, |since| now.saturating_sub(*since))
     }
 
-    /// What operators see.
+    /// Returns the moves for operators.
     pub fn status(&self, now: Moment, current: bool) -> Status {
         let inner = self.lock();
         let open = inner.ledgers.values().flat_map(Ledger::why_held).map(|held| {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Shows memory in the metrics.
+    /// Records the memory of each server in the metrics.
     pub fn record_memory(&self, metrics: &Metrics) {
         for (server, ledger) in &self.lock().ledgers {
             let usage = ledger.usage();
@@ -152,7 +152,7 @@
     }
 }
 
-/// What proved that an order is settled, as a stable word.
+/// Returns the name of the evidence that settled an order; operators' tools rely on it.
 pub fn evidence(how: How) -> &'static str {
     match how {
         How::Taken => "taken",
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -1,4 +1,4 @@
-//! Runs a host of a routed deployment, on one thread: its machines are small.
+//! Runs a host of a routed deployment, on one thread because its machines are small.
 
 use std::{path::Path, process::ExitCode, sync::Arc};
 
@@ -11,11 +11,11 @@
 
 use crate::flags::Error;
 
-/// Serves until SIGTERM or Ctrl-C, then finishes what is in flight.
+/// Serves until SIGTERM or Ctrl-C, then finishes the requests in flight.
 ///
 /// # Errors
 ///
-/// The host can't start.
+/// Fails if the host can't start.
 pub fn run(settings: Process, routed: Routed, file: &Path) -> Result<ExitCode, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(settings, routed, file))
@@ -36,8 +36,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A change of the settings ends nothing. Only the log's level is taken from them: what else a host
-/// may change while it runs is declared.
+/// Reloads the settings on each SIGHUP; never ends. Only the log level is applied: everything else
+/// that a host may change while it runs is part of the declared configuration.
 async fn handle_reloads(reload: &mut Signal, file: &Path) {
     while reload.recv().await.is_some() {
         log::info!("reload asked for");
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a host and stops it in order.
+//! Starts a host and stops it gracefully.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
     listener, operators, peers,
 };
 
-/// Longest wait for outcomes of claimed requests to be written.
+/// Maximum wait for outcomes of claimed requests to be written.
 const CLAIMS_FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a host can't start.
@@ -29,14 +29,14 @@
     /// A listener's address can't be bound.
     #[error("listener for {role} at {address}: {cause}")]
     Bind {
-        /// Whom it is for.
+        /// The listener's users.
         role: &'static str,
-        /// The address in the settings.
+        /// Address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// A listener can't be guarded.
+    /// A listener has no usable token.
     #[error(transparent)]
     Guard(#[from] guard::Error),
     /// The metrics can't be set up.
@@ -44,7 +44,7 @@
     Metrics(#[from] observe::metrics::Error),
 }
 
-/// A running host.
+/// A running host; [`Running::drain`] stops it.
 pub struct Running {
     context: Arc<Context>,
     stop_callers: CancellationToken,
@@ -55,11 +55,11 @@
     operators: JoinHandle<()>,
 }
 
-/// Starts a host; port 0 in the settings means a port that the system picks.
+/// Starts a host. Port 0 in the settings means a port chosen by the system.
 ///
 /// # Errors
 ///
-/// If a listener can't be bound or guarded, or the metrics can't be set up.
+/// Fails if a listener can't be bound or guarded, or the metrics can't be set up.
 pub async fn start(mut settings: Process) -> Result<Running, Error> {
     let callers = bind("callers", &mut settings.host.callers).await?;
     let peers = bind("peers", &mut settings.host.peers).await?;
@@ -96,13 +96,13 @@
 }
 
 impl Running {
-    /// What the host's parts share.
+    /// Returns the state shared by the host's parts.
     pub fn context(&self) -> &Arc<Context> {
         &self.context
     }
 
-    /// Stops as planned: not ready first, then a pause for the balancer, then no new connections,
-    /// then the end of what is in flight.
+    /// Stops the host in order: reports not ready, waits for the balancer, closes the callers'
+    /// listener, and waits for the requests in flight.
     pub async fn drain(self) {
         let drain = self.context.settings.drain.clone();
         self.context.begin_drain();
