--- a/crates/stage/src/declared.rs
+++ b/crates/stage/src/declared.rs
@@ -1,8 +1,8 @@
-//! The declared configuration on this host: what is held of it, and where the rest comes from.
+//! The declared configuration on this host: which parts are known, and where the rest comes from.
 //!
-//! Numbers are heard of from the platform's watch or from other hosts; content is fetched on
-//! demand from whichever of them answers. The number in force only goes up: [`Holder`] sees to it
-//! for roots and parts, and [`Context::advance`] once more for what callers see.
+//! New numbers arrive by the platform's watch or from other hosts; content is fetched on demand
+//! from whichever of them answers. The number in force only goes up: [`Holder`] ensures this
+//! for roots and parts, and [`Context::advance`] once more for the configuration that callers see.
 
 pub mod patch;
 pub mod source;
@@ -21,7 +21,7 @@
 use self::source::Source;
 use crate::context::Context;
 
-/// Parts that are fetched at once.
+/// Number of parts fetched concurrently.
 const CONCURRENT_FETCHES: usize = 8;
 
 /// Why a configuration could not be brought into force.
@@ -30,41 +30,41 @@
     /// The platform's object API failed.
     #[error(transparent)]
     Platform(#[from] objects::Error),
-    /// A part isn't what its root says.
+    /// The content of a part doesn't match its name, or can't be parsed.
     #[error(transparent)]
     Part(#[from] part::Fault),
-    /// A root or a part is gone; a newer root has taken its place, or it was deleted by hand.
+    /// A root or part no longer exists: superseded by a newer root, or deleted manually.
     #[error("{key} is gone")]
     Gone {
-        /// Key of what is gone.
+        /// Key of the missing object.
         key: String,
     },
-    /// A root can't be understood.
+    /// A root can't be parsed.
     #[error("{key} is unreadable: {cause}")]
     Root {
-        /// Key of the root.
+        /// Key of the root's object.
         key: String,
-        /// What the parser says.
+        /// Error of the parser.
         cause: String,
     },
 }
 
-/// What this host holds of the declared configuration.
+/// Roots and parts of the declared configuration that this host has.
 #[derive(Debug, Default)]
 pub struct Declared(Mutex<Holder>);
 
 impl Declared {
-    /// The highest number heard of.
+    /// Returns the highest configuration number that this host has seen announced.
     pub fn newest_number(&self) -> Number {
         self.holder().newest_number()
     }
 
-    /// The root in force without its patches, for another host that asks.
+    /// Returns the root in force without its patches, for another host that fetches it.
     pub fn root(&self) -> Option<Root> {
         self.holder().root().map(|root| root.bare())
     }
 
-    /// A part that is held, for another host that asks.
+    /// Returns a part if this host has it, for another host that fetches it.
     pub fn part(&self, name: &part::Name) -> Option<Arc<[u8]>> {
         self.holder().part(name).cloned()
     }
@@ -74,12 +74,13 @@
     }
 }
 
-/// Takes a root that was heard of, fetches the parts that are missing, and puts the configuration
-/// in force unless a newer one is.
+/// Applies a newly received root: fetches missing parts, and puts the configuration in force unless
+/// a newer one is.
 ///
 /// # Errors
 ///
-/// A part that could not be fetched. The root is remembered: taking it again goes on from there.
+/// Fails if the root's content doesn't match or a part can't be fetched. The root stays recorded:
+/// applying it again resumes the fetch.
 pub async fn apply_root(context: &Context, root: Root, source: &dyn Source) -> Result<(), Error> {
     let progress = context.declared.holder().observe_root(root)?;
     put_in_force(context, progress);
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -1,9 +1,9 @@
-//! Carries a decision on a patch out: parts first, then the root, in one conditional write.
+//! Carries out the decision on a patch: writes the parts, then the root in one conditional write.
 //!
-//! Every way that a write can end leads back to the same question, what the newest root says. Lost
-//! to another patch: the root has moved, and the patch is stale. Answer lost: the root has the
-//! patch, or it has not and nothing was done. So the loop reads and decides again until a write is
-//! certain.
+//! After each uncertain write the newest root is read again. If another patch won, the root has a
+//! new version and this patch is stale. If the response was lost, the root either contains the
+//! patch or doesn't, and then nothing was done. The loop therefore reads and decides again until
+//! the outcome is certain.
 
 use std::sync::Arc;
 
@@ -23,23 +23,23 @@
 };
 use crate::context::Context;
 
-/// Times that a root is read and written for one patch. Losing to another patch ends the loop by
-/// itself, so only lost answers use them up.
+/// Maximum number of times the root is read and written for one patch. Losing to another patch ends
+/// the loop as stale, so that only lost responses use attempts up.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A sweep of parts that no root names follows each number that this divides.
+/// Parts that no root names are deleted after every number that is a multiple of this.
 const SWEEP_EVERY: config::Number = 64;
 
-/// What becomes of a write of the root.
+/// Outcome of a write of the root.
 enum Written {
     Done,
     Unclear(objects::Error),
 }
 
-/// Decides on a patch and carries it out.
+/// Decides on a patch and writes it.
 pub async fn apply(context: &Arc<Context>, patch: &Patch) -> Outcome {
     let (outcome, draft) = write_patch(context, patch).await;
-    // Before it is in force here, so that the time line has the cause first.
+    // Recorded before the configuration is in force here: the time line has the cause first.
     record(context, patch, &outcome);
     if let Some(draft) = draft {
         apply_draft(context, *draft).await;
@@ -47,7 +47,7 @@
     outcome
 }
 
-/// Writes until the outcome is certain; gives the draft if this very call is known to have
+/// Writes until the outcome is certain. Returns the draft only if this call is known to have
 /// written it.
 async fn write_patch(context: &Context, patch: &Patch) -> (Outcome, Option<Box<Draft>>) {
     let mut may_be_ours = false;
@@ -68,7 +68,7 @@
             Ok(Written::Done) => {
                 return (Outcome::Accepted { number: draft.root.number }, Some(draft));
             }
-            // The answer is lost, so the patch may stand under this very call.
+            // The response is lost, so this call may have written the patch.
             Ok(Written::Unclear(error)) => {
                 may_be_ours |= error.is_ambiguous();
                 cause = error.to_string();
@@ -90,7 +90,7 @@
     context.events.record(Event::new(event::Kind::Patch { patch, number, verdict }));
 }
 
-/// Says what would become of a patch, and writes nothing.
+/// Returns the outcome that a patch would have, without writing anything.
 pub async fn check(context: &Context, patch: &Patch) -> Outcome {
     match read_and_decide(context, patch).await {
         Ok((_, decision)) => to_outcome(decision),
@@ -98,14 +98,14 @@
     }
 }
 
-/// Reads the newest configuration and decides on the patch.
+/// Reads the newest root and decides on the patch.
 async fn read_and_decide(context: &Context, patch: &Patch) -> Result<(Read, Decision), Error> {
     let read = source::newest(&*context.store).await?;
     let current = load_current(context, read.root.clone()).await?;
     Ok((read, decide(&current, patch, &engines(context))))
 }
 
-/// What a root stands for. Parts that this host holds are not fetched again.
+/// Loads the configuration of a root. Parts that this host has are not fetched again.
 async fn load_current(context: &Context, root: Root) -> Result<Current, Error> {
     let in_force = context.config();
     if root.number == in_force.number {
@@ -124,7 +124,7 @@
     Ok(Current { root, config: Arc::new(config) })
 }
 
-/// Engines that report their memory and stay.
+/// Engines that are live, not leaving, and report a memory capacity.
 fn engines(context: &Context) -> Vec<Server> {
     let engine = |entry: &backend::Entry| {
         let reading = context.fleet.reading(&entry.server.id)?;
@@ -157,7 +157,7 @@
     }
 }
 
-/// Creates a part, unless it is there: its name says what it holds.
+/// Creates a part's object. An existing object is fine: the name is derived from the content.
 async fn create_part(context: &Context, part: &Part) -> Result<(), objects::Error> {
     let value = part.bytes.clone().into();
     match context.store.create(&part.name.key(), value).await {
@@ -167,18 +167,18 @@
     }
 }
 
-/// Brings an accepted draft into force on this host without reading it back.
+/// Puts an accepted draft in force on this host without reading it back.
 async fn apply_draft(context: &Arc<Context>, draft: Draft) {
     let number = draft.root.number;
     let source = Drafted { parts: draft.parts, rest: Platform(&*context.store) };
     if let Err(error) = super::apply_root(context, draft.root, &source).await {
-        log::warn!(number = number; "configuration was accepted and waits for the watch: {error}");
+        log::warn!(number = number; "accepted configuration waits for the watch: {error}");
     }
     if number.is_multiple_of(SWEEP_EVERY) {
         let context = context.clone();
         context.duties.clone().spawn(async move {
             if let Err(error) = sweep(&context).await {
-                log::warn!("sweep of parts: {error}");
+                log::warn!("deleting unused parts: {error}");
             }
         });
     }
@@ -199,7 +199,7 @@
             }
         }
     }
-    log::info!(number = root.number, deleted = garbage.len(); "parts swept");
+    log::info!(number = root.number, deleted = garbage.len(); "unused parts deleted");
     Ok(())
 }
 
--- a/crates/stage/src/declared/source.rs
+++ b/crates/stage/src/declared/source.rs
@@ -1,4 +1,4 @@
-//! Where roots and parts come from.
+//! Sources of roots and parts.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 
 use super::Error;
 
-/// A place that has parts of configurations.
+/// Source of configuration parts: the platform or another host.
 pub trait Source: Send + Sync {
-    /// Fetches a part.
+    /// Fetches a part by its content-derived name.
     fn part<'a>(&'a self, name: &'a part::Name) -> BoxFuture<'a, Result<Arc<[u8]>, Error>>;
 }
 
-/// The platform's object API.
+/// Reads parts from the platform's object API.
 pub struct Platform<'s>(pub &'s dyn Store);
 
 impl Source for Platform<'_> {
@@ -31,11 +31,11 @@
     }
 }
 
-/// Parts that this host has just written, and the platform for the rest.
+/// Serves parts that this host has just written, and reads the others from the platform.
 pub struct Drafted<'s> {
-    /// What was written.
+    /// Parts just written.
     pub parts: Vec<Part>,
-    /// The rest.
+    /// Source of all other parts.
     pub rest: Platform<'s>,
 }
 
@@ -48,20 +48,20 @@
     }
 }
 
-/// A root and the version of its object.
+/// A root as read, with the version of its object.
 #[derive(Clone, Debug, Default)]
 pub struct Read {
-    /// The object's version; none while there is no object.
+    /// Version of the object; `None` if it doesn't exist.
     pub version: Option<Version>,
-    /// The root; empty while there is no object.
+    /// The root; empty if the object doesn't exist.
     pub root: Root,
 }
 
-/// Reads the newest root.
+/// Reads the newest root from the object API.
 ///
 /// # Errors
 ///
-/// The object API fails, or what it holds is no root.
+/// Fails if the object API fails or the object is not a valid root.
 pub async fn newest(store: &dyn Store) -> Result<Read, Error> {
     match store.get(ROOT_KEY).await? {
         Some(object) => Ok(Read { version: Some(object.version), root: parse(&object)? }),
@@ -69,11 +69,11 @@
     }
 }
 
-/// Reads the value of a root's object.
+/// Parses the value of a root's object.
 ///
 /// # Errors
 ///
-/// It is no root.
+/// Fails if the value is not a valid root.
 pub fn parse(object: &Object) -> Result<Root, Error> {
     serde_json::from_slice(&object.value)
         .map_err(|error| Error::Root { key: object.key.clone(), cause: error.to_string() })
