--- a/crates/stage/src/claims.rs
+++ b/crates/stage/src/claims.rs
@@ -1,6 +1,6 @@
-//! Claims of keys on this host: one [`once::Range`] for each range that was asked for.
+//! Claims of idempotency keys on this host: one [`once::Range`] for each range of keys in use.
 //!
-//! Filters ask and tell here; `duties::once` makes the calls of the object API.
+//! Filters claim keys and report outcomes here; `duties::once` makes the object API calls.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,7 +14,7 @@
 use tokio::sync::{Notify, oneshot};
 use types::prelude::*;
 
-/// Claims of keys on this host.
+/// Claims of idempotency keys on this host, shared by filters and the background duty.
 pub struct Claims {
     me: HostRun,
     settings: Arc<once::Settings>,
@@ -28,27 +28,29 @@
     waiting: HashMap<request::Id, oneshot::Sender<Verdict>>,
 }
 
-/// A call of the object API on a range's object.
+/// An object API call that a range needs next.
 #[derive(Debug)]
 pub struct PendingCall {
-    /// The range.
+    /// Range whose object is read or written.
     pub range: once::Number,
-    /// The call.
+    /// Read or write to make.
     pub call: Call,
 }
 
 impl Claims {
-    /// Starts with nothing claimed.
+    /// Creates an empty set of claims for this run of the host.
     pub fn new(me: HostRun, settings: once::Settings) -> Claims {
         Claims { me, settings: Arc::new(settings), inner: Mutex::default(), wake: Notify::new() }
     }
 
-    /// The run of the host that claims here.
+    /// Returns the host run under which keys are claimed.
     pub fn me(&self) -> &HostRun {
         &self.me
     }
 
-    /// Asks for a key. Dropping the future leaves the claim to be decided; its grant is released.
+    /// Claims a key and waits for the verdict; `None` if the sender of the verdict is dropped.
+    ///
+    /// Dropping the future doesn't withdraw the claim: a grant that is decided later is released.
     pub async fn claim(&self, claim: Claim) -> Option<Verdict> {
         let (reply, verdict) = oneshot::channel();
         {
@@ -60,7 +62,7 @@
         verdict.await.ok()
     }
 
-    /// Tells how a granted claim ended.
+    /// Reports how the request of a granted claim ended.
     pub fn end(&self, moment: Moment, change: Change) {
         let mut inner = self.inner();
         self.range(&mut inner, change.key).end(now(moment), change);
@@ -68,7 +70,7 @@
         self.wake.notify_one();
     }
 
-    /// Decides what can be decided; returns the calls to make and when to ask again.
+    /// Decides pending claims; returns the calls to make and when to call `step` again.
     pub fn step(&self, moment: Moment) -> (Vec<PendingCall>, Option<Moment>) {
         let now = now(moment);
         let mut inner = self.inner();
@@ -84,22 +86,22 @@
         (calls, due)
     }
 
-    /// Takes the outcome of a read.
+    /// Applies the outcome of a read.
     pub fn read(&self, moment: Moment, range: once::Number, read: Read) {
         self.apply(moment, range, |range, now| range.read(now, read));
     }
 
-    /// Takes the outcome of a write.
+    /// Applies the outcome of a write.
     pub fn wrote(&self, moment: Moment, range: once::Number, written: Written) {
         self.apply(moment, range, |range, now| range.wrote(now, written));
     }
 
-    /// Waits until something is asked or told.
+    /// Waits until a claim is made or an outcome is reported.
     pub async fn changed(&self) {
         self.wake.notified().await;
     }
 
-    /// Whether everything told is written.
+    /// Whether all reported outcomes are written.
     pub fn is_flushed(&self) -> bool {
         !self.inner().ranges.values().any(Range::is_busy)
     }
@@ -117,7 +119,8 @@
         self.deliver(&mut inner, now, answers);
     }
 
-    /// A grant whose asker is gone was not dispatched and never will be.
+    /// Sends verdicts to the waiting callers. Releases a grant whose caller is gone: its request
+    /// was not dispatched and never will be.
     fn deliver(&self, inner: &mut Inner, now: Now, answers: Vec<Answer>) {
         for Answer { id, key, verdict } in answers {
             let Some(reply) = inner.waiting.remove(&id) else { continue };
@@ -143,7 +146,7 @@
     }
 }
 
-/// The wall clock is read first: a caller passes a moment that it read before.
+/// Returns both clocks. The wall clock is read here, after the caller has read `moment`.
 fn now(moment: Moment) -> Now {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Now { wall: u64::try_from(wall.as_millis()).unwrap_or(u64::MAX), moment }
--- a/crates/stage/src/duties.rs
+++ b/crates/stage/src/duties.rs
@@ -1,4 +1,4 @@
-//! What a host does in the background.
+//! Background tasks of a host.
 
 mod config;
 mod gossip;
@@ -12,7 +12,7 @@
 
 use crate::context::Context;
 
-/// Starts every duty; they end with the context's stop token.
+/// Starts all background tasks; they end with the context's stop token.
 pub fn start(context: &Arc<Context>) {
     spawn(context, list::run(context.clone()));
     spawn(context, gossip::contact_seeds(context.clone()));
--- a/crates/stage/src/duties/config.rs
+++ b/crates/stage/src/duties/config.rs
@@ -1,7 +1,7 @@
-//! Follows the declared configuration in the object API, where that is this host's part.
+//! Watches the declared configuration in the object API, on the hosts selected to do so.
 //!
-//! A few hosts watch; the others hear of numbers from them, and fetch what they lack. A host that
-//! has just started, and knows no others yet, watches too.
+//! A few hosts watch; the others receive new numbers from them and fetch what they lack. A host
+//! that has just started and knows no other hosts yet watches too.
 
 use std::sync::Arc;
 
@@ -20,13 +20,13 @@
     },
 };
 
-/// First wait after a failure.
+/// Delay after the first failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest wait after a failure.
+/// Maximum delay after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Follows the configuration for good: a list first, then watches from its revision.
+/// Runs forever: one list, then watches from its revision; starts over after a failure.
 pub(super) async fn run(context: Arc<Context>) {
     let seed = rendezvous::score(b"config", &context.host().id) ^ context.incarnation;
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
@@ -53,11 +53,11 @@
         let changes = context.store.watch(ROOT_KEY, revision).await?;
         platform_answered(context, backoff);
         revision = changes.revision;
-        // Of several changes only the last matters: numbers only go up.
+        // Only the last of several changes matters, since numbers only go up.
         match changes.changes.last() {
             Some(Change::Put(object)) => apply_object(context, object).await?,
             Some(Change::Delete { key }) => {
-                log::error!(key = key.as_str(); "configuration deleted; the last one stays");
+                log::error!(key = key.as_str(); "configuration deleted; the last stays in force");
             }
             None => {}
         }
@@ -74,8 +74,8 @@
     context.peers.gossip().platform_answered(context.now());
 }
 
-/// Takes a root. One that can't be understood is passed over: reading it again won't mend it, and
-/// the watch brings the next.
+/// Applies a root's object. An invalid root is skipped: reading it again would not help, and the
+/// watch delivers the next one.
 async fn apply_object(context: &Context, object: &Object) -> Result<(), Error> {
     match source::parse(object) {
         Ok(root) => declared::apply_root(context, root, &Platform(&*context.store)).await,
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -1,4 +1,4 @@
-//! Beats other hosts, and lets the host go by what is known of hosts and backend servers.
+//! Sends heartbeats, and updates routing from the membership state of hosts and backend servers.
 
 mod reporter;
 
@@ -13,16 +13,16 @@
 use self::reporter::Reporter;
 use crate::{context::Context, peers};
 
-/// How long a peer's word on its work counts.
+/// Maximum age of a peer's advertised requests in flight.
 const PEER_LOAD_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// How long a suspicion holds without being renewed.
+/// Time after which a suspicion expires unless it is renewed.
 const SUSPICION_DURATION: Duration = Duration::from_secs(1);
 
-/// Pause between tries to reach the hosts that the settings name.
+/// Delay between attempts to reach the hosts named in the settings.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Beats for good.
+/// Sends heartbeats forever.
 pub(super) async fn run(context: Arc<Context>) {
     let mut reporter = Reporter::default();
     loop {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Tells the other hosts of each configuration that comes into force here.
+/// Advertises each configuration number that comes into force here to the other hosts.
 pub(super) async fn advertise_config(context: Arc<Context>) {
     let mut changes = context.config_changes();
     loop {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Asks the hosts that the settings name, until any host is known.
+/// Contacts the hosts named in the settings until at least one host is known.
 pub(super) async fn contact_seeds(context: Arc<Context>) {
     while context.peers.gossip().hosts().iter().next().is_none() {
         for address in &context.settings.peers {
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Lets routing go by what is known of hosts and backend servers.
+/// Updates routing from the membership state of hosts and backend servers.
 pub(super) fn apply(context: &Context) {
     let now = context.now();
     let list = context.peers.gossip().to_list(now);
--- a/crates/stage/src/duties/gossip/reporter.rs
+++ b/crates/stage/src/duties/gossip/reporter.rs
@@ -1,4 +1,4 @@
-//! Keeps the account of membership: events when a standing changes, figures for operators.
+//! Reports membership to operators: an event for each change of standing, and metrics.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 
-/// What was last told.
+/// Membership state last reported.
 #[derive(Debug, Default)]
 pub(super) struct Reporter {
     hosts: BTreeMap<host::Id, Standing>,
@@ -20,7 +20,7 @@
 }
 
 impl Reporter {
-    /// Tells what changed since the last time.
+    /// Reports what changed since the last call.
     pub(super) fn update(&mut self, context: &Context) {
         self.report_members(context);
         let refused = context.peers.refused();
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -1,8 +1,7 @@
 //! Reads the platform's list of hosts and backend servers.
 //!
-//! The list is one witness among others: it goes to the membership core, and routing goes by what
-//! the core makes of it. All hosts together keep to a fixed rate of reads; peers tell of changes
-//! in between.
+//! The list is one source among others: it is passed to the membership state, from which routing is
+//! updated. All hosts together read at a fixed rate; peers advertise changes in between.
 
 use std::sync::Arc;
 
@@ -12,10 +11,10 @@
 use super::gossip;
 use crate::{context::Context, peers};
 
-/// Longest wait between reads that fail.
+/// Maximum delay between failed reads.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Reads the list for good.
+/// Reads the list forever.
 pub(super) async fn run(context: Arc<Context>) {
     let least = context.settings.intervals.list;
     let seed = rendezvous::score(b"list", &context.host().id) ^ context.incarnation;
--- a/crates/stage/src/duties/once.rs
+++ b/crates/stage/src/duties/once.rs
@@ -1,4 +1,4 @@
-//! Makes the object API calls that claims of keys need.
+//! Makes the object API calls that claims of idempotency keys need.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 use crate::{claims::PendingCall, context::Context};
 
-/// Longest sleep of the loop.
+/// Maximum sleep of the loop.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Makes the calls for good, one for each range at a time.
+/// Makes the calls forever, at most one per range at a time.
 pub(super) async fn run(context: Arc<Context>) {
     let mut calls = JoinSet::new();
     loop {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Waits until everything told is written, for a planned stop.
+/// Waits until all reported outcomes are written, at most for `limit`, during a planned stop.
 pub async fn flush(context: &Context, limit: Duration) {
     const POLL: Duration = Duration::from_millis(10);
     let flushed = async {
@@ -101,7 +101,7 @@
         Ok(version) => Written::Done(version),
         Err(Error::Conflict { .. }) => Written::Conflict,
         Err(error) => {
-            log::warn!(key = key.as_str(); "claims may not be written: {error}");
+            log::warn!(key = key.as_str(); "claims possibly not written: {error}");
             Written::Failed
         }
     }
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -1,10 +1,11 @@
-//! The planner's duty: which model stands where, and the orders that move them.
+//! The planner's duty: decides where models are loaded, and sends the orders for it.
 //!
-//! One host plans at a time, by a lease that only saves work; two that both think they hold it do
-//! no harm. Each round settles what can be settled, then turns the planner's moves into orders:
-//! reserve in the server's ledger, read back when the answer is lost, and send only what stands
-//! there. An unload that relies on another replica is sent only if that replica's ledger, read
-//! after the unload was written, still keeps it. A host without the lease settles its own orders.
+//! One host plans at a time, under a lease that only avoids duplicate work: two hosts that both
+//! consider themselves holders do no harm. Each round settles the orders that can be settled, then
+//! turns the planner's moves into orders: it reserves memory in the server's ledger, reads the
+//! ledger back if the response is lost, and sends only orders that are recorded there. An unload
+//! that relies on another replica is sent only if that replica's ledger, read after the unload was
+//! written, still keeps it. A host without the lease settles its own orders.
 
 mod demand;
 mod fleet;
@@ -39,10 +40,10 @@
 };
 use crate::context::Context;
 
-/// Longest time between two reads of all ledgers; other hosts' writes are also met as conflicts.
+/// Maximum time between two reads of all ledgers; writes by other hosts also show as conflicts.
 const LEDGER_LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Plans for good.
+/// Plans forever.
 pub(super) async fn run(context: Arc<Context>) {
     let mut duty = Duty::new(context.clone());
     loop {
@@ -62,13 +63,13 @@
     planner: Planner,
     samples: Samples,
     configured: config::Number,
-    /// Whether no order of an earlier run of this host is left.
+    /// Whether no order from an earlier run of this host is left.
     earlier_runs_settled: bool,
-    /// Engines as the planner was told them.
+    /// Engines as last passed to the planner.
     reported: BTreeMap<backend::Id, Engine>,
-    /// Engines that a move was tried on since.
+    /// Engines for which a move was attempted in the last round.
     attempted: BTreeSet<backend::Id>,
-    /// When loads were last given again, by unit and server.
+    /// Time of the last repeated load, by server and unit.
     retried: BTreeMap<(backend::Id, Unit), Moment>,
 }
 
@@ -121,7 +122,7 @@
         self.ledgers.listed().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
     }
 
-    /// Forgets what the planner was told: another host plans meanwhile.
+    /// Resets the planner, since another host plans in the meantime.
     fn reset_planner(&mut self) {
         if !self.reported.is_empty() {
             self.planner = planner(&self.context);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Whether the platform lists this host; until then it might be taken for gone.
+    /// Whether the platform lists this host; until then other hosts might consider it gone.
     fn is_listed(&self) -> bool {
         let host = &self.context.host().id;
         self.context.fleet.list().hosts.iter().any(|entry| entry.host.id == *host)
@@ -151,7 +152,8 @@
         self.update_demand();
         self.update_engines();
         let moves = self.planner.plan(self.context.now());
-        // What was tried is told anew, so that a move that was not made is proposed again.
+        // These engines are passed to the planner again, so that a move that was not made is
+        // proposed again.
         self.attempted = moves.iter().map(|proposal| proposal.server.clone()).collect();
         for proposal in &moves {
             self.execute(proposal).await;
@@ -167,7 +169,7 @@
         if let (Action::Unload { unit }, Some(keeper)) = (&order.action, &proposal.keeper)
             && !self.is_kept(unit, keeper).await
         {
-            log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: nobody keeps it");
+            log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: keeper unconfirmed");
             self.orders.sender().mark_not_sent(&order.id);
             return;
         }
@@ -175,7 +177,7 @@
         self.send(order, cause);
     }
 
-    /// Gives lost loads again: their memory is held anyway until they are settled.
+    /// Sends lost loads again: their memory stays reserved anyway until they are settled.
     async fn retry_loads(&mut self) {
         let now = self.context.now();
         let pause = self.context.settings.planning.order * 2;
@@ -205,7 +207,8 @@
         self.retried.retain(|_, last| now < *last + pause);
     }
 
-    /// Reserves for an order; gives it back only if the reservation is known to stand.
+    /// Reserves memory for an order; returns the order only if the reservation is known to be
+    /// written.
     async fn reserve(
         &mut self,
         server: &backend::Id,
@@ -270,7 +273,7 @@
     }
 }
 
-/// A planner that knows nothing yet.
+/// Returns a planner without any state.
 fn planner(context: &Context) -> Planner {
     let planning = &context.settings.planning;
     let limits =
@@ -278,7 +281,7 @@
     Planner::new(limits)
 }
 
-/// Whether what would be loaded is declared.
+/// Whether the unit to load is declared with this version.
 fn is_declared(config: &config::Config, action: &Action) -> bool {
     let Action::Load { unit, .. } = action else { return false };
     let Some(declared) = config.models.get(unit.model()) else { return false };
--- a/crates/stage/src/duties/plan/demand.rs
+++ b/crates/stage/src/duties/plan/demand.rs
@@ -1,8 +1,9 @@
-//! The work that each model gets, for the planner.
+//! Demand for each model, as input of the planner.
 //!
-//! The planning host counts its own requests in flight and takes the others to have as many each,
-//! since the platform's balancer spreads callers evenly. That costs no message; with few requests
-//! on each host it is rough, so that it is averaged over several rounds before the forecast sees it.
+//! The planning host counts its own requests in flight and assumes the same number on every other
+//! host, since the platform's balancer spreads callers evenly. This needs no messages. With few
+//! requests per host the estimate is rough, so several rounds are averaged before the forecast
+//! observes them.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +12,10 @@
 
 use super::Duty;
 
-/// Rounds whose mean is one observation of the forecast.
+/// Number of rounds averaged into one observation of the forecast.
 const ROUNDS_PER_OBSERVATION: u32 = 5;
 
-/// Counts of the rounds since the last observation.
+/// Requests in flight summed over the rounds since the last observation.
 #[derive(Debug, Default)]
 pub(super) struct Samples {
     forecast: Forecast,
@@ -23,7 +24,7 @@
 }
 
 impl Duty {
-    /// Counts this round, and tells the planner when enough were counted.
+    /// Adds a sample, and updates the planner's demand after enough rounds.
     pub(super) fn update_demand(&mut self) {
         for (model, requests) in self.context.traffic.in_flight_by_model() {
             *self.samples.in_flight.entry(model).or_default() += requests;
@@ -53,7 +54,7 @@
         live.count().max(1) as f64
     }
 
-    /// Requests that one engine of a group runs at once, in the mean.
+    /// Mean number of requests that one engine of a group runs concurrently.
     fn slots(&self, group: &backend::Group) -> Option<f64> {
         let engines = self.engines().into_iter().filter(|entry| entry.server.group == *group);
         let slots: Vec<f64> = engines
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines as the planner is told them.
+//! Engines as input of the planner.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -8,7 +8,7 @@
 use super::Duty;
 
 impl Duty {
-    /// Engines on the platform's list.
+    /// Returns the engines on the current list.
     pub(super) fn engines(&self) -> Vec<backend::Entry> {
         let list = self.context.fleet.list();
         list.servers.iter().filter(|entry| entry.server.kind == Kind::Engine).cloned().collect()
@@ -20,7 +20,8 @@
         Some(entry.server.address)
     }
 
-    /// Tells the planner of each engine that changed since it was last told.
+    /// Updates the planner with each engine that changed, appeared or is gone, and with each for
+    /// which a move was attempted.
     pub(super) fn update_engines(&mut self) {
         let now = self.context.now();
         let engines: Vec<Engine> =
--- a/crates/stage/src/duties/plan/lease.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -1,4 +1,4 @@
-//! The planning lease, as this host sees it.
+//! The planning lease, as seen by this host.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
 
 const DUTY: &str = "plan";
 
-/// Reads of a lease that another holds, within one term.
+/// Number of reads per lease term while another host holds the lease.
 const READS_PER_TERM: u32 = 3;
 
-/// The planning lease.
+/// The planning lease, as seen by this host.
 pub(super) struct PlanningLease {
     context: Arc<Context>,
     observer: Observer,
-    /// The lease as last read or written, and when.
+    /// Lease as last read or written, with its object version.
     known: Option<(Version, Lease)>,
     read: Option<Moment>,
     was_held: bool,
@@ -32,7 +32,7 @@
         PlanningLease { context, observer, known: None, read: None, was_held: false }
     }
 
-    /// Takes or renews the lease as far as that is due; whether this host may plan.
+    /// Acquires or renews the lease if that is due; returns whether this host may plan.
     pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
             log::warn!("planning lease: {error}");
@@ -48,7 +48,7 @@
         is_held
     }
 
-    /// Gives the lease up, so that another host need not wait for its end.
+    /// Releases the lease, so that another host need not wait for its expiry.
     pub(super) async fn release(&mut self) {
         if !self.observer.is_held(self.context.now()) {
             return;
@@ -56,7 +56,7 @@
         if let Some((version, _)) = self.known.take() {
             let key = Observer::key(DUTY);
             if let Err(error) = self.context.store.delete(&key, version).await {
-                log::warn!("planning lease, giving up: {error}");
+                log::warn!("releasing the planning lease: {error}");
             }
         }
         self.observer.observe(self.context.now(), None);
@@ -109,7 +109,7 @@
                 Ok(())
             }
             Err(error) if error.is_conflict() => {
-                // Another host was first, or an earlier write of ours took effect.
+                // Another host wrote first, or an earlier write of this host was applied.
                 self.read().await?;
                 let known = self.known.as_ref().map(|(_, lease)| lease);
                 self.observer.observe(now, known);
--- a/crates/stage/src/duties/plan/ledgers.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -1,4 +1,4 @@
-//! The ledgers as last read or written, and writes whose answer may be lost.
+//! The ledgers as last read or written, and writes whose response may be lost.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,29 +11,29 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Tries at a write whose answer is lost, or at reading it back.
+/// Maximum number of attempts at a write, each read back if its response is lost.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Pause before the second try; it doubles with each.
+/// Delay before the second attempt; doubles with each further one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A ledger with the version that it was read or written at.
+/// A ledger with the object version at which it was read or written.
 #[derive(Clone, Debug)]
 pub(super) struct Stored {
     pub(super) version: Version,
-    /// The ledger with what has been learned since, as far as it was not worth writing. Whatever
-    /// is written on top of it is conditional on `version`, so the two are kept together.
+    /// The ledger, including evidence gathered since that was not worth a write. Anything written
+    /// on top of it is conditional on `version`, so the two are stored together.
     pub(super) ledger: Ledger,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Written {
-    /// It stands in the object API.
+    /// The object has the new value.
     Applied,
-    /// It does not, and never will.
+    /// The write was not applied and never will be.
     NotApplied,
-    /// It may stand, or may still come to stand.
+    /// The write may be applied, now or later.
     Unknown,
 }
 
@@ -53,7 +53,7 @@
         self.stored.get(server)
     }
 
-    /// Takes in what was learned on top of what stands at this version.
+    /// Stores evidence that is not worth a write, unless the ledger has another version by now.
     pub(super) fn set_unwritten(&mut self, version: Version, ledger: Ledger) {
         let stored = self.stored.get_mut(&ledger.server);
         if let Some(stored) = stored.filter(|stored| stored.version == version) {
@@ -65,7 +65,7 @@
         self.stored.values().map(|stored| &stored.ledger)
     }
 
-    /// When all ledgers were last read.
+    /// Returns when all ledgers were last read.
     pub(super) fn listed(&self) -> Option<Moment> {
         self.listed
     }
@@ -93,7 +93,7 @@
         Ok(self.get(server))
     }
 
-    /// Writes a ledger that holds a new order, on top of version `base`.
+    /// Writes a ledger with a new order, conditional on version `base`.
     pub(super) async fn reserve(
         &mut self,
         base: Version,
@@ -104,21 +104,21 @@
         self.write(Some(base), next, is_applied).await
     }
 
-    /// Writes what evidence made of a ledger, on top of version `base`.
+    /// Writes a ledger with evidence applied, conditional on version `base`.
     pub(super) async fn settle(&mut self, base: Version, next: &Ledger) -> Written {
         self.write(Some(base), next, |read| read == next).await
     }
 
-    /// Writes the first ledger of a server.
+    /// Creates the ledger of a server.
     pub(super) async fn create(&mut self, first: &Ledger) -> Written {
         self.write(None, first, |read| read == first).await
     }
 
     /// Writes a ledger if the object still has version `base`.
     ///
-    /// A write without an answer is read back. It may still be on its way as long as the object
-    /// has the version that the write is conditional on; it is then written again, until the
-    /// version says what became of it.
+    /// A write without a response is read back. It may still be in transit as long as the object
+    /// has the version that the write is conditional on; it is then repeated until the version
+    /// shows whether it was applied.
     async fn write(
         &mut self,
         base: Option<Version>,
@@ -151,7 +151,7 @@
                     return Written::NotApplied;
                 }
                 Ok(_) => {}
-                Err(error) => log::warn!(server = &**server; "ledger, reading back: {error}"),
+                Err(error) => log::warn!(server = &**server; "reading the ledger back: {error}"),
             }
         }
         self.stored.remove(server);
--- a/crates/stage/src/duties/plan/orders.rs
+++ b/crates/stage/src/duties/plan/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders, each once at most, and keeps what became of them.
+//! Sends orders, each at most once, and records their outcome.
 
 use std::{
     net::SocketAddr,
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 
-/// Orders of this run.
+/// Orders sent by this run of the host.
 #[derive(Clone)]
 pub(super) struct Orders {
     context: Arc<Context>,
@@ -26,12 +26,12 @@
         Orders { context, sender: Arc::new(Mutex::new(sender)) }
     }
 
-    /// What this run knows of its orders.
+    /// Returns the state of this run's orders.
     pub(super) fn sender(&self) -> MutexGuard<'_, Sender> {
         self.sender.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends an order whose reservation stands, and goes on without waiting for the answer.
+    /// Sends an order whose reservation is written; doesn't wait for the response.
     pub(super) fn send(&self, address: SocketAddr, order: Order) {
         self.sender().mark_sent(&order.id);
         let orders = self.clone();
@@ -40,7 +40,7 @@
 
     async fn exchange(&self, address: SocketAddr, order: Order) {
         let sent = self.context.control.order(address, &order);
-        // Dropping the exchange at the end of its time closes its connection.
+        // Dropping the exchange on timeout closes its connection.
         let answer = tokio::time::timeout(self.context.settings.planning.order, sent).await;
         let now = self.context.now();
         match answer {
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -1,4 +1,4 @@
-//! Gathers evidence, and writes what it settles.
+//! Gathers evidence on open orders, and writes the ledgers that it settles.
 
 use observe::{Event, event};
 use policy::ledger::{
@@ -15,7 +15,7 @@
 use crate::moves::evidence;
 
 impl Duty {
-    /// Settles whatever can be settled on every engine.
+    /// Settles all orders that can be settled, on every engine.
     pub(super) async fn settle_all(&mut self) {
         self.detect_gone_senders().await;
         for entry in self.engines() {
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Settles the orders of this host, also of its earlier runs: that they are gone is known here
-    /// before anyone else knows it.
+    /// Settles the orders of this host, including those of its earlier runs: this host is the first
+    /// to know that those runs have ended.
     pub(super) async fn settle_own(&mut self) -> Result<(), objects::Error> {
         let now = self.context.now();
         let has_open = self.orders.sender().has_orders()
@@ -43,12 +43,12 @@
                 self.settle(&entry.server).await;
             }
         }
-        // Writes of an earlier run may still arrive for the linger time.
+        // Writes of an earlier run may still arrive during the linger time.
         self.earlier_runs_settled = is_settled && self.context.settings.planning.linger < now;
         Ok(())
     }
 
-    /// Whether some run of this host has an order in the ledger.
+    /// Whether any run of this host has an order in the ledger.
     fn is_sender(&self, ledger: &Ledger) -> bool {
         let host = &self.context.host().id;
         ledger.orders.iter().any(|entry| entry.order.sender == *host)
@@ -72,26 +72,26 @@
             self.ledgers.set_unwritten(version, outcome.ledger);
             return;
         }
-        // When another host wrote first, the next round looks again.
+        // If another host wrote first, the next round settles again.
         if self.ledgers.settle(version, &outcome.ledger).await == Written::Applied {
             self.record(outcome);
         }
     }
 
-    /// Begins the ledger of a server that has none.
+    /// Creates the ledger of a server that has none, from its load report.
     async fn create_ledger(&mut self, report: Option<Load>) {
         let Some(load) = report else { return };
         let ledger = Ledger::new(&load);
         self.ledgers.create(&ledger).await;
     }
 
-    /// The last report that this host read, under the name that the list gives the server.
+    /// Returns the last load report that this host read, under the server's name on the list.
     fn last_report(&self, server: &backend::Id) -> Option<Load> {
         let reading = self.context.fleet.reading(server)?;
         Some(Load { server: server.clone(), ..reading.load.clone() })
     }
 
-    /// A report asked for now, if a word waits for one.
+    /// Requests a load report now, if evidence depends on one.
     async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<TimedReport> {
         let asked = self.context.now();
         let is_wanted = self.orders.sender().wants_report(asked, ledger)
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Looks whether senders of open orders are gone for good.
+    /// Checks whether senders of open orders are gone permanently.
     async fn detect_gone_senders(&mut self) {
         let now = self.context.now();
         let host = self.context.host().id.clone();
@@ -129,7 +129,7 @@
         if all_listed && !self.gone_senders.is_watching() {
             return;
         }
-        // The shared picture may be as old as an outage; absence is judged by a list of its own.
+        // The shared list may be as old as the current outage, so absence is judged by a new read.
         match self.context.store.hosts().await {
             Ok(list) => {
                 self.gone_senders.observe_list(now, &list, senders.iter().map(|(sender, _)| sender))
--- a/crates/stage/src/duties/pump.rs
+++ b/crates/stage/src/duties/pump.rs
@@ -1,7 +1,7 @@
-//! Looks after waiting work while nothing else happens.
+//! Processes waiting requests while nothing else happens.
 //!
-//! The end of each request starts what waits; this finds the work whose outlook turned bad in the
-//! meantime, and servers whose time out has passed.
+//! The end of each request already starts waiting ones. This task finds requests that can no longer
+//! meet their target, and servers whose suspicion has expired.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 const INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pumps for good.
+/// Runs the admission queue forever.
 pub(super) async fn run(context: Arc<Context>) {
     loop {
         tokio::time::sleep(INTERVAL).await;
--- a/crates/stage/src/duties/reports.rs
+++ b/crates/stage/src/duties/reports.rs
@@ -12,7 +12,7 @@
 
 use crate::{context::Context, fleet::Reading, peers};
 
-/// Keeps one reader for each listed server.
+/// Runs one reader for each listed server.
 pub(super) async fn run(context: Arc<Context>) {
     let mut readers: HashMap<backend::Server, Reader> = HashMap::new();
     loop {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads one server's reports until dropped.
+/// Reads one server's load reports until dropped.
 struct Reader(AbortHandle);
 
 impl Reader {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Lets the membership core know, and carries out what it asks for.
+/// Updates the membership state, and performs the resulting actions.
 fn update_gossip(context: &Arc<Context>, update: impl FnOnce(&mut Gossip, Moment) -> Vec<Action>) {
     let actions = update(&mut context.peers.gossip(), context.now());
     peers::perform(context, actions);
