--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -1,8 +1,8 @@
-//! A model's whole answer, drawn from one engine after another if need be.
+//! A model's complete answer, assembled from one engine after another if attempts fail.
 //!
-//! Engines are always asked for a stream, also for a caller who wants the answer in one piece,
-//! since only a stream can be resumed at its offset after a loss. Which frames count, and what
-//! follows a failure, is decided in `policy`; this carries it out.
+//! Engines are always asked for a stream, even for a caller that wants a single response body: only
+//! a stream can be resumed at its offset after a failure. `policy` decides which frames are
+//! delivered and what follows a failure; this module carries the decisions out.
 
 use ::backend::{
     Streamed,
@@ -28,7 +28,7 @@
     traffic::{NextAttempt, Sent},
 };
 
-/// A model's answer on its way.
+/// A model's answer while it is being received.
 pub struct Answer {
     context: Arc<Context>,
     account: Account,
@@ -49,17 +49,17 @@
     sent: Sent,
 }
 
-/// One token on its way to the caller.
+/// One token for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Its place in the answer.
+    /// Position in the answer, from 0.
     pub offset: u64,
-    /// The engine's event data, in JSON.
+    /// The engine's event data, as JSON text.
     pub data: String,
 }
 
 impl Answer {
-    /// Starts with the first attempt.
+    /// Creates an answer whose first attempt, `first`, has a server but has not been sent.
     pub fn new(
         context: Arc<Context>,
         account: Account,
@@ -84,11 +84,11 @@
         }
     }
 
-    /// The next token, or nothing at the end.
+    /// Returns the next token, or `None` at the end of the answer.
     ///
     /// # Errors
     ///
-    /// When no further attempt is allowed or possible.
+    /// Fails when no further attempt is allowed or possible.
     pub async fn next(&mut self) -> Result<Option<Token>, Problem> {
         loop {
             if self.stream.is_whole() {
@@ -108,12 +108,12 @@
                 }
                 Ok(Some(Err(error))) => self.stream_lost(&error.to_string()).await?,
                 Ok(None) => self.stream_lost("stream ended early").await?,
-                Err(_) => self.stream_lost("stream fell silent").await?,
+                Err(_) => self.stream_lost("no frame within the idle timeout").await?,
             }
         }
     }
 
-    /// Judges a frame; gives the token if it is the next.
+    /// Checks a frame against the stream's state; returns its token if it is the next one.
     async fn accept_frame(&mut self, frame: Frame) -> Result<Option<Token>, Problem> {
         let own = self.call.request.id.clone();
         let (request, part, finish, token) = match frame {
@@ -121,9 +121,10 @@
                 (request, Part::Token(offset), finish, Some(Token { offset, data }))
             }
             Frame::Done if self.is_finished() => (None, Part::End(self.stream.next()), None, None),
-            // An engine that goes down in order may end its streams as if they were whole.
+            // An engine that shuts down gracefully may end unfinished streams with a regular end
+            // mark.
             Frame::Done => {
-                self.stream_lost("the stream ended before the answer did").await?;
+                self.stream_lost("stream ended before the answer was complete").await?;
                 return Ok(None);
             }
         };
@@ -150,13 +151,13 @@
                 Ok(None)
             }
             stream::Verdict::Gap => {
-                self.stream_lost("a token is missing").await?;
+                self.stream_lost("token missing from the stream").await?;
                 Ok(None)
             }
         }
     }
 
-    /// Whether the engine has said why it ends, or has given as many tokens as were asked for.
+    /// Whether the engine gave a finish reason, or sent as many tokens as were requested.
     fn is_finished(&self) -> bool {
         let wanted = u64::from(self.call.request.max_tokens);
         self.finish.is_some() || wanted <= self.stream.next()
@@ -168,14 +169,14 @@
         }
     }
 
-    /// The stream of the present attempt is lost.
+    /// Ends the current attempt because its stream failed.
     async fn stream_lost(&mut self, cause: &str) -> Result<(), Problem> {
         let Some(source) = self.source.take() else { return Ok(()) };
         let point = if self.stream.next() == 0 { Point::Head } else { Point::Stream };
         self.attempt_failed(source.sent, point, cause).await
     }
 
-    /// Makes the attempt that is due.
+    /// Sends the pending attempt and waits for the response head.
     async fn connect(&mut self) -> Result<(), Problem> {
         let Some(sent) = self.next.take() else {
             return Err(Problem::new(problem::Kind::Internal, "no attempt is due").ran(self.ran));
@@ -194,11 +195,13 @@
                 let point = if error.is_unsent() { Point::Connect } else { Point::Waiting };
                 self.attempt_failed(sent, point, &error.to_string()).await
             }
-            Err(_) => self.attempt_failed(sent, Point::Waiting, "no answer in time").await,
+            Err(_) => {
+                self.attempt_failed(sent, Point::Waiting, "no response within the timeout").await
+            }
         }
     }
 
-    /// Goes by the head of an engine's answer.
+    /// Handles the response head: starts reading the stream, or ends the attempt.
     async fn response_started(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
         let status = response.status();
         if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
@@ -209,7 +212,7 @@
         }
         let point = match status {
             StatusCode::OK => Point::Head,
-            // An engine that does not have the model ready any more answers 404.
+            // An engine that no longer has the model ready answers 404.
             StatusCode::TOO_MANY_REQUESTS
             | StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::NOT_FOUND => Point::Refused,
@@ -223,14 +226,14 @@
         self.attempt_failed(sent, point, &format!("engine answers {status}")).await
     }
 
-    /// Whether an answer's head names this request and this attempt, if it names any.
+    /// Whether the response head names this request and this attempt; a missing header matches.
     fn is_for_this_attempt(&self, headers: &HeaderMap) -> bool {
         let names = |name: &str, own: &str| headers.get(name).is_none_or(|value| value == own);
         names(wire::REQUEST_ID, &self.call.request.id)
             && names(wire::ATTEMPT, &self.stream.attempt().to_string())
     }
 
-    /// An attempt has failed: prepares the next one, or gives up.
+    /// Ends a failed attempt: prepares the next one, or returns the final problem.
     async fn attempt_failed(
         &mut self,
         sent: Sent,
@@ -292,17 +295,17 @@
     }
 }
 
-/// A further attempt, as soon as a server may be used.
+/// Dispatches a further attempt as soon as a server may be used; `None` if there is no server.
 ///
-/// A server in doubt is waited for no longer than the call's target for the first token: a caller
-/// whom the wait can't help gets the final answer at once.
+/// Waits for a suspected server no longer than the call's target for the first token: a caller that
+/// the wait can't help gets the final answer at once.
 pub(crate) async fn next_attempt(
     context: &Context,
     call: &Call,
     demand: &Demand,
     failed: &[Index],
 ) -> Option<Sent> {
-    /// Least pause before servers in doubt are looked at again.
+    /// Minimum wait before suspected servers are checked again.
     const MIN_WAIT: Duration = Duration::from_millis(5);
     let time_left = call.time_left(context).min(call.request.target.first_token);
     let until = context.now() + time_left;
--- a/crates/stage/src/callers.rs
+++ b/crates/stage/src/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: routes, and the row of filters that every call goes through.
+//! Routes of the callers' listener, with the stack of filters that every call passes through.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     problem::{Kind, Problem},
 };
 
-/// Routes for callers.
+/// Returns the router for callers.
 pub fn router(context: Arc<Context>) -> Router {
     let models = Router::new()
         .route("/v1/chat/completions", post(attempt::model))
@@ -39,8 +39,8 @@
         .with_state(context)
 }
 
-/// During a planned stop, asks callers on HTTP/1 to open their next connection elsewhere, so that
-/// none has a request on its way when this host closes.
+/// Asks HTTP/1 callers to close their connections during a planned stop, so that none has a request
+/// under way when this host closes its listener.
 async fn close_when_draining(
     State(context): State<Arc<Context>>,
     request: Request,
--- a/crates/stage/src/filters.rs
+++ b/crates/stage/src/filters.rs
@@ -1,9 +1,9 @@
-//! The row of filters that a call goes through, each a tower layer with one job.
+//! The filters that a call passes through, each a tower layer with one job.
 //!
-//! In the order that a call meets them: account, in force, identify, admit, at most once,
-//! quarantine, route, attempt; the answer is delivered on the way back, and the account is closed
-//! when its last byte has gone. Admission holds a place before the slower filters run, and none of
-//! them knows of the others but by what they add to the request's extensions.
+//! In the order of a call: account, configuration in force, identify, admit, at most once,
+//! quarantine, route, attempt. The answer is delivered on the way back, and the account is closed
+//! after its last byte. Admission reserves capacity before the slower filters run. Filters are
+//! independent of each other: they communicate only by the extensions they add to the request.
 
 pub mod account;
 pub mod admit;
@@ -29,52 +29,52 @@
     problem::{self, Problem},
 };
 
-/// A call that has been identified, as it moves along the row.
+/// An identified call, passed from filter to filter.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What the decisions need to know of it.
+    /// Properties of the request that decisions use.
     pub request: Arc<Request>,
-    /// The configuration that it runs under from start to end.
+    /// Configuration under which the call runs from start to end.
     pub numbered: Arc<Numbered>,
-    /// When it came.
+    /// When the host received the call.
     pub received: Moment,
-    /// What it asks for.
+    /// Target of the call: a model or a plain service.
     pub kind: Kind,
 }
 
 impl Call {
-    /// Time left until its deadline.
+    /// Returns the time left until the call's deadline.
     pub fn time_left(&self, context: &Context) -> Duration {
         (self.received + self.request.deadline).saturating_sub(context.now())
     }
 }
 
-/// What a call asks for.
+/// Target of a call.
 #[derive(Clone, Debug)]
 pub enum Kind {
-    /// A model's answer.
+    /// Completion by a model.
     Model(Arc<ModelRequest>),
-    /// A plain service's answer.
+    /// Request to a plain service.
     Plain {
-        /// The group of servers that offers it.
+        /// Group of the servers that offer the service.
         group: backend::Group,
-        /// Path and query to pass on.
+        /// Path and query passed on to the server.
         path: Arc<str>,
     },
 }
 
-/// A question to a model.
+/// A request to a model.
 #[derive(Debug)]
 pub struct ModelRequest {
-    /// Shape of the answer.
+    /// Whether the answer consists of chat messages or plain text.
     pub shape: Shape,
     /// Whether the caller wants a stream.
     pub delivery: Delivery,
-    /// The body for the engine, which always streams.
+    /// Body sent to the engine, which always requests a stream.
     pub body: Bytes,
 }
 
-/// Shape of a model's answer.
+/// Format of a model's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// Chat messages.
@@ -84,7 +84,7 @@
 }
 
 impl Shape {
-    /// Path of the engine that gives it.
+    /// Returns the engine's path for this format.
     pub fn path(self) -> &'static str {
         match self {
             Shape::Chat => "/v1/chat/completions",
@@ -93,18 +93,18 @@
     }
 }
 
-/// How the caller wants the answer.
+/// How the answer is delivered to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Token by token.
+    /// Token by token, as server-sent events.
     Streamed,
-    /// In one piece.
+    /// In one response body.
     Buffered,
 }
 
-/// Lays the filters between identification and the attempt around a router.
+/// Wraps a router in the filters between identification and the attempt.
 ///
-/// The last layer is the first that a call meets: admit, at most once, quarantine, route.
+/// The last layer is the first that a call passes through: admit, at most once, quarantine, route.
 pub fn stack(router: Router<Arc<Context>>, context: &Arc<Context>) -> Router<Arc<Context>> {
     router
         .layer(from_fn_with_state(context.clone(), route::filter))
@@ -113,14 +113,14 @@
         .layer(from_fn(once::correct_ran))
 }
 
-/// The extension that an earlier filter of the row has added.
+/// Returns the extension that an earlier filter has added to the request.
 ///
 /// # Errors
 ///
-/// If the row was put together wrongly.
+/// Fails if the filters are stacked in the wrong order.
 pub fn extension<T: Clone + Send + Sync + 'static>(extensions: &Extensions) -> Result<T, Problem> {
     extensions
         .get::<T>()
         .cloned()
-        .ok_or_else(|| Problem::new(problem::Kind::Internal, "a filter is missing in the row"))
+        .ok_or_else(|| Problem::new(problem::Kind::Internal, "an earlier filter is missing"))
 }
--- a/crates/stage/src/filters/account.rs
+++ b/crates/stage/src/filters/account.rs
@@ -1,7 +1,7 @@
-//! Keeps the account of each call, from its first byte to the last byte of its answer.
+//! Accounts for each call, from its first byte to the last byte of its answer.
 //!
-//! What happens to a call is noted on the way by whoever knows it; the account is closed when its
-//! last holder lets go, which is also how a caller that goes away is seen.
+//! Filters note what happens to a call as they process it. The account is closed when its last
+//! reference is dropped, which also detects a caller that disconnects.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -19,10 +19,10 @@
 
 use crate::{context::Context, problem::Problem};
 
-/// Service under which refusals of calls that could not be identified are counted.
+/// Service label for rejected calls that could not be identified.
 const UNIDENTIFIED: &str = "none";
 
-/// The account of one call.
+/// Account of one call; clones refer to the same account.
 #[derive(Clone)]
 pub struct Account(Arc<Inner>);
 
@@ -47,7 +47,7 @@
         Account(Arc::new(Inner { context, began, notes: Mutex::default() }))
     }
 
-    /// The call has been identified.
+    /// Notes the identified request; counts it as in flight.
     pub fn identified(&self, request: &Arc<request::Request>) {
         let context = &self.0.context;
         let in_flight = context.metrics.in_flight(&request.service);
@@ -55,12 +55,12 @@
         self.record(event::Kind::Request { service: request.service.clone() });
     }
 
-    /// An attempt was sent to a server.
+    /// Notes that an attempt was sent to a server.
     pub fn attempted(&self, attempt: request::Attempt, server: &backend::Id) {
         self.record_at(event::Kind::Attempt { attempt }, server);
     }
 
-    /// An attempt failed.
+    /// Notes that an attempt failed, with the point of failure.
     pub fn failed_attempt(
         &self,
         attempt: request::Attempt,
@@ -70,19 +70,19 @@
         self.record_at(event::Kind::AttemptFailed { attempt, cause: cause.into() }, server);
     }
 
-    /// A further attempt is made, since one failed for this cause.
+    /// Counts a further attempt, with the point of failure of the previous one.
     pub fn retried(&self, cause: &'static str) {
         if let Some(service) = self.service() {
             self.0.context.metrics.retry(&service, cause);
         }
     }
 
-    /// A stream goes on from this offset by a new attempt.
+    /// Notes that a new attempt resumes the stream at this offset.
     pub fn resumed(&self, attempt: request::Attempt, offset: u64) {
         self.record(event::Kind::Resume { attempt, offset });
     }
 
-    /// A token, or the head of an answer without tokens, is handed over.
+    /// Notes that a token, or the head of an answer without tokens, was handed over.
     pub fn token(&self) {
         let now = self.0.context.now();
         let service = self.service();
@@ -101,17 +101,17 @@
         }
     }
 
-    /// The whole answer was handed over.
+    /// Notes that the complete answer was handed over.
     pub fn answered(&self) {
         self.notes().outcome = Some(Outcome::Answered);
     }
 
-    /// The answer broke off after its head had been handed over.
+    /// Notes that the answer failed after its head had been handed over.
     pub fn broke_off(&self) {
         self.notes().outcome = Some(Outcome::Failed);
     }
 
-    /// The call ended with this problem.
+    /// Notes that the call ended with this problem.
     pub fn problem(&self, problem: &Problem) {
         let cause = problem.kind.name();
         self.notes().outcome = Some(match problem.ran {
@@ -188,7 +188,7 @@
     if is_met { Attainment::Met } else { Attainment::Missed }
 }
 
-/// Opens an account for each call.
+/// Opens an account for each call, and notes the problem that a call ends with.
 pub async fn filter(
     State(context): State<Arc<Context>>,
     mut request: Request,
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -1,4 +1,4 @@
-//! Takes a call, has it wait, or refuses it early as not run.
+//! Admits a call, queues it, or rejects it early as not run.
 
 use std::sync::Arc;
 
@@ -21,19 +21,19 @@
     traffic::{Denial, Reservation},
 };
 
-/// When to come back if no server has what a call wants.
+/// `Retry-After` if no server is ready for a call.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A call that has been admitted.
+/// An admitted call.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// What the decisions see of it.
+    /// The request as admission and routing see it.
     pub demand: Arc<Demand>,
-    /// Its place, until it is sent.
+    /// Reserved capacity, until the call is sent.
     pub reservation: Arc<Reservation>,
 }
 
-/// Adds [`Admitted`] to the request, or refuses it.
+/// Adds [`Admitted`] to the request, or rejects it.
 pub async fn filter(State(context): State<Arc<Context>>, request: Request, next: Next) -> Response {
     match admit(&context, request).await {
         Ok(request) => next.run(request).await,
@@ -79,7 +79,7 @@
     }
 }
 
-/// What a server must have, and the version in force.
+/// Returns what a server must have loaded, and its version in force.
 fn destination(call: &Call, config: &Config) -> (Destination, model::Version) {
     match (&call.kind, &call.request.model) {
         (Kind::Plain { group, .. }, _) => (Destination::Group(group.clone()), "".into()),
@@ -96,7 +96,7 @@
     }
 }
 
-/// Differs from request to request, so that choices and times to come back do too.
+/// Returns a hash of the request id, so that choices and retry times differ between requests.
 fn request_seed(id: &request::Id) -> u64 {
     let digest = blake3::hash(id.as_bytes());
     let (first, _) = digest.as_bytes().split_at(size_of::<u64>());
@@ -111,9 +111,9 @@
         }
         Denial::Refused(Refusal { cause, retry_after }) => {
             let detail = match cause {
-                Cause::Late => "its first token can't come in time under the present load",
+                Cause::Late => "its first token can't meet the target under the current load",
                 Cause::Full => "the queue of its model is full",
-                Cause::Displaced => "it made place for more urgent work",
+                Cause::Displaced => "it was displaced by more urgent work",
             };
             Problem::new(problem::Kind::Overloaded, detail).retry_after(retry_after)
         }
--- a/crates/stage/src/filters/attempt.rs
+++ b/crates/stage/src/filters/attempt.rs
@@ -1,7 +1,6 @@
-//! Sends a call to a backend server, and again where that does no harm.
+//! Sends a call to a backend server, and again where repeating it is safe.
 //!
-//! What may be sent again is decided in `policy::retry`; `docs/design/caller-path.md` has the
-//! table.
+//! `policy::retry` decides what may be sent again; `docs/design/caller-path.md` has the table.
 
 mod plain;
 mod upload;
@@ -26,10 +25,10 @@
     traffic::Sent,
 };
 
-/// When to come back after a refusal that a short wait may mend.
+/// `Retry-After` if a short wait may help.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Answers a call to a model.
+/// Handles a call to a model.
 pub async fn model(State(context): State<Arc<Context>>, request: Request) -> Response {
     match try_model(context, request).await {
         Ok(response) => response,
@@ -65,7 +64,7 @@
     Ok(response)
 }
 
-/// Answers a call to a plain service.
+/// Handles a call to a plain service.
 pub async fn plain(State(context): State<Arc<Context>>, request: Request) -> Response {
     match plain::Attempts::start(context, request).await {
         Ok(attempts) => attempts.run().await.unwrap_or_else(Problem::into_response),
@@ -79,7 +78,7 @@
         .ok_or_else(|| Problem::new(problem::Kind::Internal, "the attempt was made already"))
 }
 
-/// The problem that ends a call after its last attempt.
+/// Returns the problem that ends a call after its last attempt.
 pub(crate) fn give_up(call: &Call, context: &Context, ran: Ran, cause: &str) -> Problem {
     let kind = match ran {
         _ if call.time_left(context).is_zero() => problem::Kind::Timeout,
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -31,7 +31,7 @@
     traffic::Sent,
 };
 
-/// Attempts at one call to a plain service.
+/// A call to a plain service, with the state of its attempts.
 pub(super) struct Attempts {
     context: Arc<Context>,
     account: Account,
@@ -47,7 +47,7 @@
 }
 
 impl Attempts {
-    /// Takes the call apart, and reads its body if it is short.
+    /// Takes the extensions of earlier filters, and reads the body if it is short.
     pub(super) async fn start(
         context: Arc<Context>,
         request: Request,
@@ -89,7 +89,7 @@
                 Ok(Ok(response)) if is_rejection(&response) => {
                     match self.attempt_failed(sent, Point::Refused, "the service refuses").await {
                         Ok(sent) => next = Some(sent),
-                        // The service's own words say more than a problem document.
+                        // The service's own response says more than a problem document.
                         Err(_) => return Ok(deliver::passed_through(response, &self.account)),
                     }
                     continue;
@@ -100,12 +100,14 @@
                 }
                 Ok(Err(_)) if self.upload.is_broken() => {
                     let ran = self.ran.max(Ran::MayHaveRun);
-                    return Err(
-                        Problem::new(problem::Kind::BadRequest, "the body broke off").ran(ran)
-                    );
+                    return Err(Problem::new(
+                        problem::Kind::BadRequest,
+                        "the request body ended early",
+                    )
+                    .ran(ran));
                 }
                 Ok(Err(error)) => (self.failure_point(&error), error.to_string()),
-                Err(_) => (Point::Waiting, "no answer in time".into()),
+                Err(_) => (Point::Waiting, "no response before the deadline".into()),
             };
             next = Some(self.attempt_failed(sent, point, &cause).await?);
         }
@@ -122,7 +124,7 @@
         }
     }
 
-    /// An attempt has failed: gives the next one, or the problem that ends the call.
+    /// Ends a failed attempt: returns the next one, or the problem that ends the call.
     async fn attempt_failed(
         &mut self,
         sent: Sent,
@@ -176,7 +178,7 @@
     }
 }
 
-/// Whether a service refuses for load or because it leaves.
+/// Whether a service rejects a request because of load or because it is shutting down.
 fn is_rejection(response: &Streamed) -> bool {
     matches!(response.status(), StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -1,8 +1,8 @@
-//! The body of a call to a plain service, on its way to one server or, if need be, several.
+//! The body of a call to a plain service, sent to one server or, after failures, to several.
 //!
-//! A short body is held, so that it can be sent again. A long one is streamed through; it is lent
-//! to an attempt and stays whole until the attempt reads from it, so that a server that can't be
-//! reached costs nothing.
+//! A short body is buffered, so that it can be sent again. A long one is streamed through; attempts
+//! share it, and it stays unread until an attempt reads from it, so that an unreachable server
+//! costs nothing.
 
 use std::{
     pin::Pin,
@@ -23,19 +23,19 @@
     problem::{Kind, Problem},
 };
 
-/// Longest body that is held.
+/// Length up to which a body is buffered.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
-/// The body of a call.
+/// Body of a call to a plain service.
 pub(super) enum Upload {
-    /// The host has all of it.
+    /// Completely received by the host.
     Buffered(Bytes),
-    /// It is streamed through.
+    /// Streamed through to the server.
     Streamed(SharedBody),
 }
 
 impl Upload {
-    /// Reads a short body, and leaves a long one.
+    /// Reads a short body; leaves a long one unread.
     pub(super) async fn read(body: Body, idle: Duration) -> Result<Upload, Problem> {
         let is_short = body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED_BYTES);
         let body = TimeoutBody::new(body, idle);
@@ -46,10 +46,10 @@
         let bytes = to_bytes(Body::new(body), MAX_BUFFERED_BYTES as usize).await;
         bytes
             .map(Upload::Buffered)
-            .map_err(|_| Problem::new(Kind::BadRequest, "the body broke off"))
+            .map_err(|_| Problem::new(Kind::BadRequest, "the request body ended early"))
     }
 
-    /// The body for one attempt.
+    /// Returns the body for one attempt.
     pub(super) fn body(&self) -> ::backend::Body {
         match self {
             Upload::Buffered(bytes) => ::backend::whole(bytes.clone()),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether it can be sent again.
+    /// Returns whether the body can be sent again.
     pub(super) fn state(&self) -> retry::Body {
         match self {
             Upload::Buffered(_) => retry::Body::Buffered,
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Whether the caller's side of it broke off.
+    /// Whether reading the body from the caller failed.
     pub(super) fn is_broken(&self) -> bool {
         matches!(self, Upload::Streamed(body) if body.phase() == Phase::Failed)
     }
 
-    /// Whether a part of it has been passed on and a part is still to come.
+    /// Whether the body is streamed and its end has not been read yet.
     pub(super) fn is_unfinished(&self) -> bool {
         matches!(self, Upload::Streamed(body) if body.phase() != Phase::Finished)
     }
 }
 
-/// A body that one attempt after another may read.
+/// A streamed body shared by consecutive attempts.
 #[derive(Clone)]
 pub(super) struct SharedBody(Arc<Mutex<Source>>);
 
@@ -86,7 +86,7 @@
     phase: Phase,
 }
 
-/// How far a body has been read.
+/// Progress of reading a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Unread,
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -1,4 +1,4 @@
-//! Brings an answer to the caller: as a stream of events, in one piece, or passed through.
+//! Delivers an answer to the caller: as server-sent events, in one body, or passed through.
 
 use std::{
     convert::Infallible,
@@ -32,7 +32,7 @@
     traffic::Sent,
 };
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are never passed on (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -43,12 +43,12 @@
     header::UPGRADE,
 ];
 
-/// Delivers token by token. Waits for the first one, so that a failure before it is still a plain
-/// refusal.
+/// Delivers an answer token by token. Waits for the first token, so that a failure before it is
+/// still an ordinary error response.
 ///
 /// # Errors
 ///
-/// The problem that came before the first token.
+/// Returns the problem that occurred before the first token.
 pub async fn streamed(mut answer: Answer, account: Account) -> Result<Response, Problem> {
     let first = answer.next().await?.map_or_else(end, event);
     let rest = futures_util::stream::unfold(Some((answer, account)), async |state| {
@@ -56,7 +56,7 @@
         match answer.next().await {
             Ok(Some(token)) => Some((event(token), Some((answer, account)))),
             Ok(None) => Some((end(), None)),
-            // No end mark follows an error, or the caller would take a part for the whole.
+            // No end mark after an error, or the caller would take a partial answer as complete.
             Err(problem) => {
                 account.problem(&problem);
                 Some((failure(&problem), None))
@@ -79,11 +79,11 @@
     Event::default().event("error").data(problem.body().to_string())
 }
 
-/// Delivers in one piece.
+/// Delivers an answer in one body.
 ///
 /// # Errors
 ///
-/// The problem that ended the answer early.
+/// Returns the problem that ended the answer early.
 pub async fn buffered(
     mut answer: Answer,
     call: &Call,
@@ -116,7 +116,7 @@
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// Passes a plain service's answer through, and keeps its attempt open until its end.
+/// Passes a plain service's response through; its attempt ends with the body.
 pub fn plain(response: Streamed, sent: Sent, account: Account, idle: Duration) -> Response {
     sent.answered();
     account.token();
@@ -126,7 +126,7 @@
     Response::from_parts(parts, Body::new(body))
 }
 
-/// Passes on an answer whose attempt has ended already.
+/// Passes on a response whose attempt has already ended.
 pub fn passed_through(response: Streamed, account: &Account) -> Response {
     account.answered();
     let (mut parts, body) = response.into_parts();
@@ -134,7 +134,7 @@
     Response::from_parts(parts, Body::new(body))
 }
 
-/// Removes the headers that belong to one connection.
+/// Removes the hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -149,7 +149,7 @@
     headers.remove("keep-alive");
 }
 
-/// A body whose end is the end of its attempt.
+/// A body whose end also ends its attempt.
 struct TrackedBody {
     body: TimeoutBody<Incoming>,
     open: Option<(Sent, Account)>,
@@ -184,7 +184,7 @@
             Poll::Pending => {}
             Poll::Ready(None) => self.complete(),
             Poll::Ready(Some(Err(_))) => self.fail(),
-            // A server that knows the length may not ask for the end.
+            // A server that knows the length may not poll for the end.
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.complete(),
             Poll::Ready(Some(Ok(_))) => {}
         }
--- a/crates/stage/src/filters/identify.rs
+++ b/crates/stage/src/filters/identify.rs
@@ -1,8 +1,8 @@
-//! Turns what a caller sends into a checked call.
+//! Turns a caller's request into a validated call.
 //!
-//! A call to models may name its service in the `Service` header; without it the call belongs to
-//! the least urgent service that offers the model, so that nobody gains priority by leaving the
-//! name out.
+//! A call to models may name its service in the `Service` header. Without it the call belongs to
+//! the least urgent service that offers the model, so that omitting the name doesn't raise its
+//! priority.
 
 use ::backend::wire;
 use axum::{
@@ -32,13 +32,13 @@
 /// Header that names the service of a call to models.
 pub const SERVICE: &str = "service";
 
-/// Header that identifies a request across re-sends.
+/// Header that identifies a request across repeated sends.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Header by which a caller tightens the time allowed for a request, in milliseconds.
+/// Header by which a caller shortens the time allowed for a request, in milliseconds.
 pub const TIMEOUT: &str = "x-timeout-ms";
 
-/// Header by which a caller says whether a request may run more than once.
+/// Header by which a caller states whether a request may run more than once.
 pub const IDEMPOTENT: &str = "x-idempotent";
 
 const DEFAULT_MAX_TOKENS: u32 = 16;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Lists models and adapters that callers may name.
+/// Lists the models and adapters that callers may name.
 pub async fn models(State(context): State<Arc<Context>>) -> Response {
     let numbered = context.config();
     let data: Vec<Value> = numbered
@@ -190,7 +190,7 @@
     })
 }
 
-/// A caller may mark a request as non-idempotent, and may not clear the service's mark.
+/// Callers may mark a request as non-idempotent, but can't clear the service's mark.
 fn repeat(headers: &HeaderMap, service: &Service, method: &Method) -> Result<Repeat, Problem> {
     let is_declared = service.is_non_idempotent(method.as_str());
     match (header(headers, IDEMPOTENT)?.as_deref(), is_declared) {
@@ -216,10 +216,10 @@
     let body = Body::new(idle::TimeoutBody::new(body, context.settings.bounds.idle));
     to_bytes(body, limit).await.map_err(|error| {
         if types::error::chain(&error).contains("length limit") {
-            let detail = format!("the body is over {limit} bytes");
+            let detail = format!("the body exceeds {limit} bytes");
             return Problem::new(problem::Kind::BodyTooLarge, detail);
         }
-        bad(&format!("the body broke off: {}", types::error::chain(&error)))
+        bad(&format!("the request body ended early: {}", types::error::chain(&error)))
     })
 }
 
@@ -227,7 +227,7 @@
     match serde_json::from_slice(body) {
         Ok(Value::Object(fields)) => Ok(fields),
         Ok(_) => Err(bad("the body must be a JSON object")),
-        Err(error) => Err(bad(&format!("the body is no JSON: {error}"))),
+        Err(error) => Err(bad(&format!("the body is not valid JSON: {error}"))),
     }
 }
 
@@ -301,7 +301,7 @@
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text.to_owned())),
-        Err(_) => Err(bad(&format!("header {name} holds more than visible ASCII"))),
+        Err(_) => Err(bad(&format!("header {name} has characters other than visible ASCII"))),
     }
 }
 
--- a/crates/stage/src/filters/in_force.rs
+++ b/crates/stage/src/filters/in_force.rs
@@ -1,4 +1,4 @@
-//! Pins the configuration in force to a call, so that a change midway doesn't split it.
+//! Pins the configuration in force to a call, so that a change doesn't affect a call under way.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     problem::{Kind, Problem},
 };
 
-/// Adds the configuration in force to the request, or refuses if there is none yet.
+/// Adds the configuration in force to the request, or rejects it if there is none yet.
 pub async fn filter(
     State(context): State<Arc<Context>>,
     mut request: Request,
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -1,10 +1,10 @@
 //! Runs each non-idempotent request at most once over all hosts.
 //!
-//! A request with a key claims it before it goes on, and tells its outcome afterwards. One without
-//! a key needs no claim, since no re-send of it can be recognised; the attempt sends it at most
-//! once.
+//! A request with an idempotency key claims the key before it continues, and reports its outcome
+//! afterwards. One without a key needs no claim, since a repeated send of it can't be recognised;
+//! its attempt is sent at most once.
 //!
-//! A claimed request goes on when its caller hangs up, so that a re-send finds its outcome.
+//! A claimed request continues if its caller disconnects: a repeated send finds its outcome.
 
 use std::sync::Arc;
 
@@ -29,30 +29,30 @@
     problem::{Kind, Problem},
 };
 
-/// Header of an answer that was recorded when its request ran.
+/// Header that marks a response recorded when its request ran.
 pub const REPLAYED: &str = "idempotent-replayed";
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The right to dispatch a claimed request.
+/// Permission to dispatch a claimed request, until the grant expires.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant {
     until: Moment,
 }
 
 impl Grant {
-    /// Refuses the dispatch of a claimed request that comes too late, as after a pause of this
+    /// Rejects a claimed request that is dispatched too late, for example after a pause of this
     /// process.
     ///
     /// # Errors
     ///
-    /// If the grant has ended.
+    /// Fails if the grant has expired.
     pub fn check(extensions: &Extensions, now: Moment) -> Result<(), Problem> {
         match extensions.get::<Grant>() {
             None => Ok(()),
             Some(grant) if now < grant.until => Ok(()),
             Some(_) => {
-                let detail = "the host was held up between the claim of the key and the dispatch";
+                let detail = "the host was delayed between the claim of the key and the dispatch";
                 Err(Problem::new(Kind::ClaimsUnavailable, detail).retry_after(RETRY_AFTER))
             }
         }
@@ -75,10 +75,10 @@
     }
 }
 
-/// Corrects refusals that came before the key was looked up.
+/// Corrects `ran` in rejections that occurred before the key was looked up.
 ///
-/// The send did not run, but an earlier one of the same key may have, and the caller asks for the
-/// fate of both.
+/// This send did not run, but an earlier one with the same key may have, and the caller needs the
+/// answer for both.
 pub async fn correct_ran(request: Request, next: Next) -> Response {
     let call = request.extensions().get::<Call>();
     let is_keyed =
@@ -97,7 +97,7 @@
     }
 }
 
-/// Marks an answer that was given after the key was looked up.
+/// Marks a response that was created after the key was looked up.
 #[derive(Clone, Copy, Debug)]
 struct KeyChecked;
 
@@ -131,12 +131,12 @@
     request.extensions_mut().insert(Grant { until });
     let guard = ClaimGuard { context, id: call.request.id.clone(), key: key.key, end: End::Lost };
     tokio::spawn(run(guard, request, next)).await.map_err(|_| {
-        let detail = "the request was given up while it ran";
+        let detail = "the request was abandoned while it ran";
         Problem::new(Kind::BackendFailed, detail).ran(Ran::MayHaveRun)
     })
 }
 
-/// Puts what was decided on a key into the time line.
+/// Records the verdict on a key in the time line.
 fn record(context: &Context, call: &Call, verdict: Option<&Verdict>) {
     let Some(key) = &call.request.key else { return };
     let claim = match verdict {
@@ -149,7 +149,7 @@
     context.events.record(Event::new(kind).request(&call.request.id));
 }
 
-/// A claimed request; when dropped it tells how the request ended.
+/// A claimed request; reports its outcome when dropped.
 struct ClaimGuard {
     context: Arc<Context>,
     id: request::Id,
@@ -193,7 +193,7 @@
             guard.end = End::Ran(outcome(&parts, once::Body::new(&bytes)));
             Response::from_parts(parts, Body::from(bytes))
         }
-        Err(error) => Problem::new(Kind::BackendFailed, format!("the answer broke off: {error}"))
+        Err(error) => Problem::new(Kind::BackendFailed, format!("the answer ended early: {error}"))
             .ran(Ran::Ran)
             .into_response(),
     }
@@ -205,7 +205,7 @@
     Outcome { status: parts.status.as_u16(), content_type: content_type.to_owned(), body }
 }
 
-/// Reads the body, which two requests with the same key are told apart by.
+/// Reads the body and adds a digest that distinguishes requests with the same key.
 async fn with_digest(context: &Context, request: Request) -> Result<(Request, u64), Problem> {
     let (parts, body) = request.into_parts();
     let limit = context.settings.bounds.body_bytes;
@@ -226,7 +226,7 @@
 
 fn replay(outcome: Outcome) -> Result<Response, Problem> {
     let once::Body::Whole(body) = outcome.body else {
-        let detail = format!("it ran, with status {}; its answer was not kept", outcome.status);
+        let detail = format!("it ran, with status {}; its answer was not stored", outcome.status);
         return Err(Problem::new(Kind::AlreadyRan, detail).ran(Ran::Ran));
     };
     let mut response = Response::new(Body::from(body));
@@ -240,7 +240,7 @@
     Ok(response)
 }
 
-/// The claimant may be at work, or have died at any point: both are "may have run".
+/// The claimant may be running the request or may have died at any point; both mean "may have run".
 fn in_use_problem(context: &Context, claimant: &once::HostRun) -> Problem {
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
@@ -255,7 +255,7 @@
 fn refusal_problem(refusal: Refusal) -> Problem {
     let (kind, detail) = match refusal {
         Refusal::Different => {
-            (Kind::KeyReused, "the key was used for a request that asks something else")
+            (Kind::KeyReused, "the key was used for a request with different content")
         }
         Refusal::Ahead => (Kind::KeyAhead, "the time in the key is ahead of this host's clock"),
         Refusal::Old => (Kind::KeyExpired, "the time in the key is older than keys are kept"),
@@ -266,7 +266,7 @@
         Refusal::Unwritten => {
             (Kind::ClaimsUnavailable, "the key can't be claimed now; send it again")
         }
-        Refusal::Full => (Kind::ClaimsUnavailable, "as many keys are kept as there is room for"),
+        Refusal::Full => (Kind::ClaimsUnavailable, "there is no room for another key"),
     };
     let problem = Problem::new(kind, detail).ran(refusal.ran());
     match kind {
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -1,4 +1,4 @@
-//! Chooses the backend server of a call's first attempt.
+//! Chooses the backend server for a call's first attempt.
 
 use std::sync::{Arc, Mutex};
 
@@ -18,18 +18,18 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The first attempt of a call, to be taken by the one that makes it.
+/// First attempt of a call, for the filter that sends it.
 #[derive(Clone, Debug)]
 pub struct Routed(Arc<Mutex<Option<Sent>>>);
 
 impl Routed {
-    /// The attempt, if nobody has taken it yet.
+    /// Returns the attempt, unless it was taken already.
     pub fn take(&self) -> Option<Sent> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take()
     }
 }
 
-/// Adds [`Routed`] to the request, or refuses if no server can be used any more.
+/// Adds [`Routed`] to the request, or rejects it if no server can be used any more.
 pub async fn filter(
     State(context): State<Arc<Context>>,
     mut request: Request,
--- a/crates/stage/src/problem.rs
+++ b/crates/stage/src/problem.rs
@@ -1,7 +1,7 @@
-//! Refusals as problem documents (RFC 9457).
+//! Error responses as problem documents (RFC 9457).
 //!
-//! Each says in `ran` whether the request did not run, may have run, or ran. "Did not run" is said
-//! only when no byte of it can have reached a backend server.
+//! Each states in `ran` whether the request did not run, may have run, or ran. "Did not run" is
+//! stated only if no byte of the request can have reached a backend server.
 
 use std::time::Duration;
 
@@ -14,42 +14,42 @@
 
 const TYPE_PREFIX: &str = "urn:cyclamenstage:problem:";
 
-/// Why a request is refused.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The request can't be understood.
+    /// The request is malformed.
     BadRequest,
-    /// The body is over its limit.
+    /// The body exceeds its size limit.
     BodyTooLarge,
     /// No such model or adapter is declared.
     UnknownModel,
-    /// No such service is declared, or it does not offer this.
+    /// No such service is declared, or the service doesn't offer the model or path.
     UnknownService,
-    /// No such path.
+    /// No route has this path.
     UnknownPath,
-    /// No backend server can take it now.
+    /// No backend server can accept the request now.
     NoServer,
-    /// It can't meet its target now.
+    /// The request can't meet its latency target under the current load.
     Overloaded,
-    /// The host is not ready.
+    /// No configuration is in force on this host yet.
     NotReady,
-    /// A backend server failed it.
+    /// A backend server failed after it may have received the request.
     BackendFailed,
-    /// Its time is over.
+    /// The request's deadline has passed.
     Timeout,
-    /// Its key was claimed before, and no outcome is known.
+    /// The key was claimed before, and no outcome is known.
     KeyInUse,
-    /// Its key was used for a request that asks something else.
+    /// The key was used for a request with different content.
     KeyReused,
-    /// Its key's own time is older than keys are kept.
+    /// The timestamp in the key is older than the retention of keys.
     KeyExpired,
-    /// Its key's own time is ahead of the host's clock.
+    /// The timestamp in the key is ahead of the host's clock.
     KeyAhead,
-    /// It ran before, and its answer was not kept.
+    /// The request ran before, and its answer was not stored.
     AlreadyRan,
     /// Keys can't be claimed now.
     ClaimsUnavailable,
-    /// The host is at fault.
+    /// An internal error of the host.
     Internal,
 }
 
@@ -117,38 +117,38 @@
     }
 }
 
-/// A refusal.
+/// A failed request, returned to the caller as a problem document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Why.
+    /// Type of the problem.
     pub kind: Kind,
-    /// What exactly, for the caller.
+    /// Explanation for the caller.
     pub detail: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, if waiting helps.
+    /// Value of `Retry-After`, if waiting helps.
     pub retry_after: Option<Duration>,
 }
 
 impl Problem {
-    /// A refusal of a request that did not run.
+    /// Creates a problem for a request that did not run.
     pub fn new(kind: Kind, detail: impl Into<String>) -> Problem {
         Problem { kind, detail: detail.into(), ran: Ran::DidNotRun, retry_after: None }
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request ran.
     pub fn ran(mut self, ran: Ran) -> Problem {
         self.ran = ran;
         self
     }
 
-    /// Says when to come back.
+    /// Sets `Retry-After`.
     pub fn retry_after(mut self, wait: Duration) -> Problem {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The document's body.
+    /// Returns the problem document.
     pub fn body(&self) -> serde_json::Value {
         json!({
             "type": format!("{TYPE_PREFIX}{}", self.kind.name()),
@@ -174,7 +174,7 @@
     }
 }
 
-/// Whole seconds, rounded up, since the header knows no parts.
+/// Whole seconds, rounded up, since the header has no fractions.
 fn seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(0 < wait.subsec_nanos())
 }
