--- a/crates/stage/src/operators.rs
+++ b/crates/stage/src/operators.rs
@@ -1,7 +1,6 @@
-//! The listener for operators.
+//! The operators' listener.
 //!
-//! Whether the host is live and ready is told to anyone, since balancers show no token. All else
-//! needs the token.
+//! Liveness and readiness need no token, since balancers send none. All other paths need it.
 
 mod config;
 mod members;
@@ -28,7 +27,7 @@
     guard::{self, Gate, Guard},
 };
 
-/// Routes for operators.
+/// Returns the router for operators.
 pub fn router(context: Arc<Context>, guard: Guard) -> Router {
     let gate = Gate { guard, context: context.clone() };
     Router::new()
@@ -79,9 +78,9 @@
     Json(context.fleet.list().servers.iter().map(seen).collect())
 }
 
-/// Begins a planned stop, as SIGTERM does.
+/// Starts a planned stop, like SIGTERM.
 async fn drain(State(context): State<Arc<Context>>) -> StatusCode {
-    log::info!(host = &*context.host().id; "an operator asks for a planned stop");
+    log::info!(host = &*context.host().id; "operator requested a planned stop");
     context.stop_asked.cancel();
     StatusCode::ACCEPTED
 }
--- a/crates/stage/src/operators/config.rs
+++ b/crates/stage/src/operators/config.rs
@@ -1,4 +1,4 @@
-//! The declared configuration, for operators.
+//! Paths of the declared configuration, for operators.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
 
 use crate::{context::Context, declared::patch};
 
-/// Largest patch, in bytes: the whole of a configuration at several times the size planned for.
+/// Largest accepted patch: a complete configuration at several times the planned size.
 const MAX_PATCH_BYTES: usize = 8 * 1024 * 1024;
 
-/// Routes of the declared configuration.
+/// Returns the routes of the declared configuration.
 pub(super) fn router() -> Router<Arc<Context>> {
     Router::new()
         .route("/config", get(in_force))
@@ -31,7 +31,7 @@
 }
 
 async fn apply(State(context): State<Arc<Context>>, Json(patch): Json<Patch>) -> Response {
-    // Once begun it goes on to its end, also when the operator hangs up.
+    // Once started, the patch is carried out even if the operator disconnects.
     let applying = tokio::spawn(async move { patch::apply(&context, &patch).await });
     answer(match applying.await {
         Ok(outcome) => outcome,
--- a/crates/stage/src/operators/members.rs
+++ b/crates/stage/src/operators/members.rs
@@ -1,4 +1,4 @@
-//! What this host takes the other hosts for, and its part in watching the platform.
+//! Standing of the other hosts, and whether this host watches the platform.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,11 +14,11 @@
 pub(super) struct Members {
     /// Whether this host watches the object API.
     watching: bool,
-    /// The other hosts.
+    /// Standing of each other host.
     hosts: BTreeMap<host::Id, Standing>,
 }
 
-/// This host's view of the others.
+/// Returns this host's view of the others.
 pub(super) async fn members(State(context): State<Arc<Context>>) -> Json<Members> {
     let watching = context.peers.gossip().is_watching(context.now());
     Json(Members { watching, hosts: context.peers.standings() })
--- a/crates/stage/src/operators/moves.rs
+++ b/crates/stage/src/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Moves for operators: open orders, what would settle each, and memory of each server.
+//! Moves for operators: open orders, the evidence that would settle each, and servers' memory.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Routes of moves.
+/// Returns the routes of moves.
 pub(super) fn router() -> Router<Arc<Context>> {
     Router::new().route("/status/moves", get(moves))
 }
 
-/// Any host may be asked: it reads the ledgers, and answers from memory when it can't.
+/// Any host may be asked: it reads the ledgers, and falls back to its last known ones.
 async fn moves(State(context): State<Arc<Context>>) -> Json<Status> {
     let listing = context.store.list(PREFIX).await;
     let now = context.now();
--- a/crates/stage/src/operators/watch.rs
+++ b/crates/stage/src/operators/watch.rs
@@ -1,4 +1,4 @@
-//! What operators watch: the metrics and this host's part of the time line.
+//! Observability for operators: metrics, and this host's part of the time line.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 
 const JSON_LINES: &str = "application/jsonl";
 
-/// All metrics as Prometheus text.
+/// Returns all metrics as Prometheus text.
 pub(super) async fn metrics(State(context): State<Arc<Context>>) -> Response {
     context.traffic.record_limits(&context.metrics);
     match context.metrics.text() {
@@ -28,20 +28,20 @@
     }
 }
 
-/// How the time line is written.
+/// Output format of the time line.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Format {
-    /// One JSON object a line; what the merge of several hosts reads.
+    /// One JSON object a line, as read by the merge of several hosts' time lines.
     #[default]
     Json,
     /// One line of text for each event.
     Text,
-    /// A page.
+    /// An HTML page.
     Page,
 }
 
-/// Which events are asked for; all unless narrowed. Times are RFC 3339 text.
+/// Filter of the time line; empty selects all events. Times are RFC 3339 text.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct TimelineQuery {
     request: Option<String>,
@@ -76,10 +76,10 @@
 }
 
 fn stamp(text: &str) -> Result<Stamp, String> {
-    Stamp::parse(text).ok_or_else(|| format!("`{text}` is no time in RFC 3339 form"))
+    Stamp::parse(text).ok_or_else(|| format!("`{text}` is not an RFC 3339 time"))
 }
 
-/// The events that this host holds.
+/// Returns the events that this host has in memory.
 pub(super) async fn timeline(
     State(context): State<Arc<Context>>,
     Query(query): Query<TimelineQuery>,
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -1,7 +1,7 @@
-//! The other hosts: what is known of them, the calls to them, and the listener for theirs.
+//! The other hosts: their membership state, calls to them, and the listener for their calls.
 //!
-//! The decisions are `policy::member`'s. Here its core stands behind one lock, its actions become
-//! calls, and what the calls bring goes back in.
+//! `policy::member` makes the decisions. Its state is behind one lock here; its actions become
+//! calls, and the results of the calls are passed back in.
 
 mod answers;
 mod source;
@@ -33,10 +33,10 @@
 use self::source::Peer;
 use crate::{context::Context, declared};
 
-/// Beats are so much rarer in a large fleet.
+/// Factor by which heartbeats are less frequent in a large fleet.
 const LARGE_FLEET_INTERVAL_FACTOR: u32 = 2;
 
-/// The other hosts.
+/// Membership state of the other hosts, and the client for calls to them.
 #[derive(Debug)]
 pub struct Peers {
     gossip: Mutex<Gossip>,
@@ -47,7 +47,7 @@
 }
 
 impl Peers {
-    /// Knows nobody yet.
+    /// Creates the state without any known host.
     pub fn new(settings: &Process, incarnation: host::Incarnation, token: ::peer::Token) -> Peers {
         let heartbeat = settings.intervals.heartbeat;
         let rules = member::Settings {
@@ -64,35 +64,35 @@
         Peers { gossip, client, token, meter, refused: Arc::default() }
     }
 
-    /// The membership core.
+    /// Returns the membership state.
     pub fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// What the other hosts are taken for.
+    /// Returns the standing of each other host.
     pub fn standings(&self) -> BTreeMap<host::Id, Standing> {
         let gossip = self.gossip();
         let members = gossip.hosts().iter();
         members.map(|member| (member.host.id.clone(), member.standing())).collect()
     }
 
-    /// Calls to other hosts.
+    /// Returns the client for calls to other hosts.
     pub fn client(&self) -> &::peer::Client {
         &self.client
     }
 
-    /// Bytes to and from other hosts, both ways round.
+    /// Returns the counter of bytes sent to and received from other hosts, as client and as server.
     pub fn meter(&self) -> &Meter {
         &self.meter
     }
 
-    /// Calls refused for their token so far.
+    /// Returns the number of calls rejected so far because of their token.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 }
 
-/// Carries out what the core asks for, in tasks of their own.
+/// Performs the membership actions, each call in its own task.
 pub fn perform(context: &Arc<Context>, actions: Vec<Action>) {
     for action in actions {
         let context = context.clone();
@@ -100,14 +100,14 @@
             Action::Send { to, heartbeat } => spawn(send(context, to, heartbeat)),
             Action::Probe { via, target } => spawn(probe(context, via, target)),
             Action::Fetch { from, topic: Topic::Config, .. } => spawn(fetch(context, from)),
-            // Nobody holds a quarantine here yet, so nobody asks for one.
+            // No host stores quarantines here yet, so none is fetched.
             Action::Fetch { topic: Topic::Quarantine, .. } => {}
             Action::Superseded => stop_superseded(&context),
         }
     }
 }
 
-/// Takes in what a heartbeat says of its sender's work.
+/// Applies the sender's requests in flight from a heartbeat.
 fn take_in_flight(context: &Context, heartbeat: &Heartbeat) {
     let loads: Vec<(backend::Id, PeerLoad)> = heartbeat
         .in_flight
@@ -117,12 +117,12 @@
     context.traffic.set_peer_load(&heartbeat.from.id, &loads);
 }
 
-/// Stamps a heartbeat that goes out, so that what its receiver does next is stamped later.
+/// Sets the clock stamp of an outgoing heartbeat; the receiver's next events get later stamps.
 fn set_stamp(context: &Context, heartbeat: &mut Heartbeat) {
     heartbeat.stamp = context.events.clock().stamp().0;
 }
 
-/// Takes note of the stamp of a heartbeat that came in; a host that doesn't stamp sends none.
+/// Advances the clock by the stamp of an incoming heartbeat; 0 means that the sender has none.
 fn observe_stamp(context: &Context, heartbeat: &Heartbeat) {
     if heartbeat.stamp == 0 {
         return;
@@ -165,7 +165,7 @@
     }
 }
 
-/// Why a configuration could not be had from a peer.
+/// Why a configuration could not be fetched from a peer.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
     #[error(transparent)]
@@ -188,7 +188,7 @@
 
 fn stop_superseded(context: &Context) {
     if !context.stop_asked.is_cancelled() {
-        log::error!(host = &*context.host().id; "a later run of this host is about; this one stops");
+        log::error!(host = &*context.host().id; "superseded by a later run of this host; stopping");
         context.stop_asked.cancel();
     }
 }
--- a/crates/stage/src/peers/answers.rs
+++ b/crates/stage/src/peers/answers.rs
@@ -1,4 +1,4 @@
-//! What this host answers to others.
+//! The API that this host serves to other hosts.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use super::{observe_stamp, perform, set_stamp, take_in_flight};
 use crate::context::Context;
 
-/// Serves other hosts until told to stop.
+/// Serves other hosts until stopped.
 pub(crate) async fn listen(listener: TcpListener, context: Arc<Context>, stop: CancellationToken) {
     let peers = &context.peers;
     let settings = Listener {
--- a/crates/stage/src/peers/source.rs
+++ b/crates/stage/src/peers/source.rs
@@ -1,4 +1,4 @@
-//! Parts of a configuration from the host that told of it.
+//! Parts of a configuration, from the host that announced it.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
     source::{Platform, Source},
 };
 
-/// A host that holds a configuration; the platform where it no longer holds a part.
+/// Reads parts from another host, or from the platform if the host no longer has them.
 pub(super) struct Peer<'p> {
     pub(super) client: &'p ::peer::Client,
     pub(super) host: &'p Host,
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -1,7 +1,7 @@
-//! The decisions on requests behind one lock, and the guards that keep their account right.
+//! Decisions on requests behind one lock, and guards that release what a request holds.
 //!
-//! Whatever ends a request, also a caller that goes away, drops its guard, and the guard gives the
-//! place back and starts what waits for it.
+//! However a request ends, including by a caller that disconnects, its guard is dropped; the guard
+//! releases the capacity and starts waiting requests.
 
 mod guard;
 
@@ -33,30 +33,30 @@
 use self::guard::Waiter;
 pub use self::guard::{Reservation, Sent};
 
-/// One-way time to another zone, until it is measured.
+/// Assumed one-way latency to another zone, until one is measured.
 const DEFAULT_CROSS_ZONE_LATENCY: Duration = Duration::from_millis(1);
 
 /// Why a request is not admitted; it did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// For load.
+    /// Rejected because of load.
     Refused(Refusal),
-    /// No server has what it wants.
+    /// No server has the requested model, adapter or service ready.
     Unready,
 }
 
-/// A further attempt.
+/// Outcome of dispatching a further attempt.
 #[derive(Debug)]
 pub enum NextAttempt {
-    /// It is on its way.
+    /// Dispatched to a server.
     Sent(Sent),
-    /// Not before this moment.
+    /// Not possible before this moment.
     At(Moment),
-    /// No server has what it wants.
+    /// No server has the requested model, adapter or service ready.
     Unready,
 }
 
-/// The decisions on requests, shared.
+/// Admission, routing and limits of this host's requests, shared between tasks.
 #[derive(Debug)]
 pub struct Traffic {
     state: Mutex<State>,
@@ -71,7 +71,7 @@
 }
 
 impl Traffic {
-    /// For a host with these settings; moments count from `origin`.
+    /// Creates the state for a host with these settings; moments count from `origin`.
     pub fn new(settings: &Process, origin: Instant) -> Traffic {
         let own = settings.host.zone.clone();
         let distances =
@@ -81,19 +81,20 @@
         Traffic { state, tickets: AtomicU64::new(0), origin }
     }
 
-    /// A number for a new piece of work.
+    /// Returns a unique number for a new request.
     pub fn ticket(&self) -> Ticket {
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Places of something wanted: its own, and the one of its limits and queue.
+    /// Returns the index of a destination, and that of the destination whose limits and queue it
+    /// uses.
     pub fn destinations(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
         let place = table.destination(wanted);
         (place, table.pool(place))
     }
 
-    /// Takes in the servers that membership knows: what is new, leaving or gone.
+    /// Updates the servers from the membership list: adds new ones, marks others leaving or gone.
     pub fn set_servers(&self, list: &List) {
         let mut state = self.lock();
         let table = &mut state.policy.table;
@@ -113,13 +114,13 @@
         }
     }
 
-    /// Takes in a load report that was just read.
+    /// Applies a load report that was just read.
     pub fn report(&self, server: &backend::Id, load: &Load) {
         let now = self.now();
         self.with_index(server, |policy, index| policy.report(index, load, now));
     }
 
-    /// A server can't be reached for a report.
+    /// Notes that a server could not be reached for a load report.
     pub fn unreachable(&self, server: &backend::Id) {
         let now = self.now();
         self.with_index(server, |policy, index| policy.unreachable(index, now));
@@ -130,17 +131,17 @@
         self.with_index(server, |policy, index| policy.table.set_eligibility(index, eligibility));
     }
 
-    /// Takes in what a peer has in flight on each server.
+    /// Sets a peer's requests in flight on each server.
     pub fn set_peer_load(&self, peer: &host::Id, in_flight: &[(backend::Id, PeerLoad)]) {
         self.lock().policy.table.set_peer_load(peer, in_flight);
     }
 
-    /// Forgets what a peer told.
+    /// Removes the requests in flight that a peer advertised.
     pub fn forget_peer(&self, peer: &host::Id) {
         self.lock().policy.table.forget_peer(peer);
     }
 
-    /// What this host has in flight, by server, for its peers.
+    /// Returns this host's requests in flight by server, to advertise to peers.
     pub fn in_flight(&self) -> Vec<(backend::Id, PeerLoad)> {
         let state = self.lock();
         let table = &state.policy.table;
@@ -152,7 +153,7 @@
             .collect()
     }
 
-    /// What this host has in flight, by model, those of its adapters included.
+    /// Returns this host's requests in flight by model, including those of its adapters.
     pub fn in_flight_by_model(&self) -> BTreeMap<model::Id, u32> {
         let state = self.lock();
         let mut places: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
@@ -169,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// The refusal, as soon as it is known.
+    /// Returns the rejection as soon as it is decided.
     pub async fn admit(self: &Arc<Self>, demand: &Demand) -> Result<Reservation, Denial> {
         let ticket = demand.work.ticket;
         let pool = demand.work.pool;
@@ -194,7 +195,8 @@
         Ok(Reservation::new(self.clone(), pool))
     }
 
-    /// Sends a request that holds a reservation; nothing if no server can be used any more.
+    /// Dispatches an admitted request; `None` if no server can be used any more
+    /// or the reservation is used already.
     pub fn dispatch(self: &Arc<Self>, reservation: &Reservation, demand: &Demand) -> Option<Sent> {
         if !reservation.use_up() {
             return None;
@@ -205,7 +207,7 @@
         Some(Sent::new(self.clone(), flight, server))
     }
 
-    /// Sends a request again, to another server than these if there is one.
+    /// Dispatches a further attempt, to a server not in `avoid` if there is one.
     pub fn dispatch_again(self: &Arc<Self>, demand: &Demand, avoid: &[Index]) -> NextAttempt {
         let mut state = self.lock();
         match state.policy.dispatch_again(demand, avoid, self.now()) {
@@ -218,12 +220,12 @@
         }
     }
 
-    /// What follows a failed attempt.
+    /// Decides what follows a failed attempt.
     pub fn after_failure(&self, failure: &retry::Failure) -> retry::Verdict {
         self.lock().policy.after_failure(failure)
     }
 
-    /// Starts what has room, and refuses what can't meet its target any more.
+    /// Starts waiting requests that have room, and rejects those that can't meet their target.
     pub fn pump(&self) {
         let mut state = self.lock();
         if 0 < state.policy.gate.waiting() {
@@ -232,17 +234,17 @@
         }
     }
 
-    /// Requests that wait for admission.
+    /// Returns the number of requests that wait for admission.
     pub fn waiting(&self) -> usize {
         self.lock().policy.gate.waiting()
     }
 
-    /// Time since the process began.
+    /// Returns the time since `origin`.
     pub fn now(&self) -> Moment {
         self.origin.elapsed()
     }
 
-    /// Shows the limits in the metrics.
+    /// Records the limits in the metrics.
     pub fn record_limits(&self, metrics: &Metrics) {
         let state = self.lock();
         let table = &state.policy.table;
@@ -282,7 +284,8 @@
 }
 
 impl State {
-    /// Tells those that wait. One that has gone in the meantime gives its place back itself.
+    /// Sends the outcomes to waiting requests. A request that ended in the meantime releases its
+    /// capacity itself.
     fn notify_waiters(&mut self, changes: Vec<Change>) {
         for change in changes {
             let (ticket, outcome) = match change {
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -1,4 +1,4 @@
-//! Guards: a wait, a reservation, an attempt on its way.
+//! Guards for a queued request, a reservation, and an attempt in flight.
 
 use std::sync::{
     Arc,
@@ -16,7 +16,7 @@
 
 use super::Traffic;
 
-/// A place for a request on some server of its model; given back when dropped unused.
+/// Capacity reserved for a request on some server of its model; released when dropped unused.
 #[derive(Debug)]
 pub struct Reservation {
     traffic: Arc<Traffic>,
@@ -29,7 +29,7 @@
         Reservation { traffic, pool, is_used: AtomicBool::new(false) }
     }
 
-    /// Whether this call used it up.
+    /// Marks the reservation as used; returns whether it was unused before.
     pub(super) fn use_up(&self) -> bool {
         !self.is_used.swap(true, Ordering::AcqRel)
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A request in the queue; leaves it when dropped.
+/// A queued request; leaves the queue when dropped.
 pub(super) struct Waiter {
     traffic: Arc<Traffic>,
     ticket: Ticket,
@@ -62,12 +62,12 @@
         Waiter { traffic, ticket, pool, outcome: Some(outcome) }
     }
 
-    /// Waits until the request has a place or is refused.
+    /// Waits until the request is admitted or rejected.
     pub(super) async fn wait(mut self) -> Result<(), Refusal> {
         let Some(receiver) = self.outcome.as_mut() else { return Ok(()) };
         let outcome = receiver.await;
         self.outcome = None;
-        // The sender is kept until it has sent.
+        // The sender is dropped only after it has sent, so that an error can't occur.
         outcome.unwrap_or(Ok(()))
     }
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// An attempt on its way to a server; counted as cancelled when dropped before its end.
+/// An attempt in flight; counted as cancelled when dropped before its end.
 #[derive(Debug)]
 pub struct Sent {
     traffic: Arc<Traffic>,
@@ -102,35 +102,35 @@
         Sent { traffic, flight, server, is_over: false }
     }
 
-    /// The server it goes to.
+    /// Returns the server that the attempt is sent to.
     pub fn server(&self) -> &backend::Server {
         &self.server
     }
 
-    /// That server's index.
+    /// Returns the index of that server.
     pub fn index(&self) -> Index {
         self.flight.choice.server
     }
 
-    /// Time that the server needs to read what it is not thought to have of a prompt.
+    /// Returns the estimated time that the server needs for the uncached part of a prompt.
     pub fn prefill(&self, prompt_tokens: u32) -> Duration {
         let uncached = prompt_tokens.saturating_sub(self.flight.choice.cached_tokens);
         let now = self.traffic.now();
         self.traffic.lock().policy.table.estimate(self.index(), uncached, now).prefill
     }
 
-    /// The first token, or the answer's head, has come.
+    /// Notes the first token, or the head of a response without tokens.
     pub fn answered(&self) {
         let now = self.traffic.now();
         self.traffic.lock().policy.answered(&self.flight, now);
     }
 
-    /// The whole answer has come.
+    /// Ends the attempt after its complete response was received.
     pub fn complete(mut self) {
         self.end(End::Whole);
     }
 
-    /// It failed at this point.
+    /// Ends the attempt as failed at this point.
     pub fn fail(mut self, point: Point) {
         self.end(End::Failed(point));
     }
