--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -57,7 +57,7 @@
     let customer = service.map(|service| service.customer.clone()).unwrap_or_default();
     let customer_share = config.customers.get(&customer).map_or(1, |customer| customer.share);
     let (destination, version) = destination(call, config);
-    let (place, pool) = context.traffic.destinations(&destination);
+    let (index, pool) = context.traffic.destinations(&destination);
     let work = Work {
         ticket: context.traffic.ticket(),
         priority: request.priority,
@@ -65,7 +65,7 @@
         customer_share,
         service: request.service.clone(),
         service_share: service.map_or(1, |service| service.share),
-        wanted: place,
+        wanted: index,
         pool,
         due: call.received + request.target.first_token,
         spread: request_seed(&request.id),
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -88,10 +88,10 @@
 
     /// Returns the index of a destination, and that of the destination whose limits and queue it
     /// uses.
-    pub fn destinations(&self, wanted: &Destination) -> (DestinationIndex, DestinationIndex) {
+    pub fn destinations(&self, destination: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
-        let place = table.destination(wanted);
-        (place, table.pool(place))
+        let index = table.destination(destination);
+        (index, table.pool(index))
     }
 
     /// Updates the servers from the membership list: adds new ones, marks others leaving or gone.
@@ -156,14 +156,14 @@
     /// Returns this host's requests in flight by model, including those of its adapters.
     pub fn in_flight_by_model(&self) -> BTreeMap<model::Id, u32> {
         let state = self.lock();
-        let mut places: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
+        let mut by_destination: BTreeMap<DestinationIndex, u32> = BTreeMap::new();
         for (_, destination, limiter) in
             state.policy.limiters.iter().filter(|(_, _, limiter)| 0 < limiter.in_flight())
         {
-            *places.entry(destination).or_default() += limiter.in_flight();
+            *by_destination.entry(destination).or_default() += limiter.in_flight();
         }
         let table = &state.policy.table;
-        places.into_iter().map(|(place, requests)| (table.name(place), requests)).collect()
+        by_destination.into_iter().map(|(index, requests)| (table.name(index), requests)).collect()
     }
 
     /// Waits for admission.
