--- a/crates/stage/src/callers.rs
+++ b/crates/stage/src/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: routes, and the row of filters that every call goes through.
+//! Routes of the callers' listener, with the stack of filters that every call passes through.
 
 use std::sync::Arc;
 
@@ -17,18 +17,18 @@
     problem::{Kind, Problem},
 };
 
-/// Routes for callers.
+/// Returns the router for callers.
 pub fn router(context: Arc<Context>) -> Router {
     let models = Router::new()
         .route("/v1/chat/completions", post(attempt::model))
         .route("/v1/completions", post(attempt::model));
-    let models =
-        filters::row(models, &context).layer(from_fn_with_state(context.clone(), identify::model));
+    let models = filters::stack(models, &context)
+        .layer(from_fn_with_state(context.clone(), identify::model));
     let plain = Router::new()
         .route("/services/{service}", any(attempt::plain))
         .route("/services/{service}/{*path}", any(attempt::plain));
     let plain =
-        filters::row(plain, &context).layer(from_fn_with_state(context.clone(), identify::plain));
+        filters::stack(plain, &context).layer(from_fn_with_state(context.clone(), identify::plain));
     models
         .merge(plain)
         .layer(from_fn_with_state(context.clone(), filters::in_force::filter))
@@ -39,8 +39,8 @@
         .with_state(context)
 }
 
-/// During a planned stop, asks callers on HTTP/1 to open their next connection elsewhere, so that
-/// none has a request on its way when this host closes.
+/// Asks HTTP/1 callers to close their connections during a planned stop, so that none has a request
+/// under way when this host closes its listener.
 async fn close_when_draining(
     State(context): State<Arc<Context>>,
     request: Request,
--- a/crates/stage/src/duties/plan/held.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -1,4 +1,4 @@
-//! The planning lease, as this host sees it.
+//! The planning lease, as seen by this host.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 
 const DUTY: &str = "plan";
 
-/// Reads of a lease that another holds, within one term.
-const READS: u32 = 3;
+/// Number of reads per lease term while another host holds the lease.
+const READS_PER_TERM: u32 = 3;
 
-/// The planning lease.
-pub(super) struct Held {
+/// The planning lease, as seen by this host.
+pub(super) struct PlanningLease {
     context: Arc<Context>,
     observer: Observer,
-    /// The lease as last read or written, and when.
+    /// Lease as last read or written, with its object version.
     known: Option<(Version, Lease)>,
     read: Option<Moment>,
     was_held: bool,
 }
 
-impl Held {
-    pub(super) fn new(context: Arc<Context>) -> Held {
+impl PlanningLease {
+    pub(super) fn new(context: Arc<Context>) -> PlanningLease {
         let term = context.settings.planning.lease;
         let observer = Observer::new(context.host().id.clone(), context.incarnation, term);
-        Held { context, observer, known: None, read: None, was_held: false }
+        PlanningLease { context, observer, known: None, read: None, was_held: false }
     }
 
-    /// Takes or renews the lease as far as that is due; whether this host may plan.
-    pub(super) async fn keep(&mut self) -> bool {
+    /// Acquires or renews the lease if that is due; returns whether this host may plan.
+    pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
             log::warn!("planning lease: {error}");
             self.read = None;
@@ -48,15 +48,15 @@
         is_held
     }
 
-    /// Gives the lease up, so that another host need not wait for its end.
-    pub(super) async fn give_up(&mut self) {
+    /// Releases the lease, so that another host need not wait for its expiry.
+    pub(super) async fn release(&mut self) {
         if !self.observer.is_held(self.context.now()) {
             return;
         }
         if let Some((version, _)) = self.known.take() {
             let key = Observer::key(DUTY);
             if let Err(error) = self.context.store.delete(&key, version).await {
-                log::warn!("planning lease, giving up: {error}");
+                log::warn!("releasing the planning lease: {error}");
             }
         }
         self.observer.observe(self.context.now(), None);
@@ -72,7 +72,7 @@
     async fn step(&mut self) -> Result<(), Error> {
         let now = self.context.now();
         if !self.observer.is_held(now) {
-            let pause = self.context.settings.planning.lease / READS;
+            let pause = self.context.settings.planning.lease / READS_PER_TERM;
             if self.read.is_some_and(|read| now < read + pause) {
                 return Ok(());
             }
@@ -109,7 +109,7 @@
                 Ok(())
             }
             Err(error) if error.is_conflict() => {
-                // Another host was first, or an earlier write of ours took effect.
+                // Another host wrote first, or an earlier write of this host was applied.
                 self.read().await?;
                 let known = self.known.as_ref().map(|(_, lease)| lease);
                 self.observer.observe(now, known);
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -1,8 +1,8 @@
-//! The body of a call to a plain service, on its way to one server or, if need be, several.
+//! The body of a call to a plain service, sent to one server or, after failures, to several.
 //!
-//! A short body is held, so that it can be sent again. A long one is streamed through; it is lent
-//! to an attempt and stays whole until the attempt reads from it, so that a server that can't be
-//! reached costs nothing.
+//! A short body is buffered, so that it can be sent again. A long one is streamed through; attempts
+//! share it, and it stays unread until an attempt reads from it, so that an unreachable server
+//! costs nothing.
 
 use std::{
     pin::Pin,
@@ -19,81 +19,83 @@
 use policy::retry;
 
 use crate::{
-    idle::Guarded,
+    idle::TimeoutBody,
     problem::{Kind, Problem},
 };
 
-/// Longest body that is held.
-const HELD_BYTES: u64 = 64 * 1024;
+/// Length up to which a body is buffered.
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
-/// The body of a call.
+/// Body of a call to a plain service.
 pub(super) enum Upload {
-    /// The host has all of it.
-    Held(Bytes),
-    /// It is streamed through.
-    Streamed(Lent),
+    /// Completely received by the host.
+    Buffered(Bytes),
+    /// Streamed through to the server.
+    Streamed(SharedBody),
 }
 
 impl Upload {
-    /// Reads a short body, and leaves a long one.
+    /// Reads a short body; leaves a long one unread.
     pub(super) async fn read(body: Body, idle: Duration) -> Result<Upload, Problem> {
-        let is_short = body.size_hint().exact().is_some_and(|length| length <= HELD_BYTES);
-        let body = Guarded::new(body, idle);
+        let is_short = body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED_BYTES);
+        let body = TimeoutBody::new(body, idle);
         if !is_short {
-            let source = Source { body, phase: Phase::Whole };
-            return Ok(Upload::Streamed(Lent(Arc::new(Mutex::new(source)))));
+            let source = Source { body, phase: Phase::Unread };
+            return Ok(Upload::Streamed(SharedBody(Arc::new(Mutex::new(source)))));
         }
-        let bytes = to_bytes(Body::new(body), HELD_BYTES as usize).await;
-        bytes.map(Upload::Held).map_err(|_| Problem::new(Kind::BadRequest, "the body broke off"))
+        let bytes = to_bytes(Body::new(body), MAX_BUFFERED_BYTES as usize).await;
+        bytes
+            .map(Upload::Buffered)
+            .map_err(|_| Problem::new(Kind::BadRequest, "the request body ended early"))
     }
 
-    /// The body for one attempt.
+    /// Returns the body for one attempt.
     pub(super) fn body(&self) -> ::backend::Body {
         match self {
-            Upload::Held(bytes) => ::backend::full_body(bytes.clone()),
-            Upload::Streamed(lent) => lent.clone().boxed_unsync(),
+            Upload::Buffered(bytes) => ::backend::full_body(bytes.clone()),
+            Upload::Streamed(body) => body.clone().boxed_unsync(),
         }
     }
 
-    /// Whether it can be sent again.
+    /// Returns whether the body can be sent again.
     pub(super) fn state(&self) -> retry::Body {
         match self {
-            Upload::Held(_) => retry::Body::Buffered,
-            Upload::Streamed(lent) if lent.phase() == Phase::Whole => retry::Body::Buffered,
+            Upload::Buffered(_) => retry::Body::Buffered,
+            Upload::Streamed(body) if body.phase() == Phase::Unread => retry::Body::Buffered,
             Upload::Streamed(_) => retry::Body::Consumed,
         }
     }
 
-    /// Whether the caller's side of it broke off.
+    /// Whether reading the body from the caller failed.
     pub(super) fn is_broken(&self) -> bool {
-        matches!(self, Upload::Streamed(lent) if lent.phase() == Phase::Broken)
+        matches!(self, Upload::Streamed(body) if body.phase() == Phase::Failed)
     }
 
-    /// Whether a part of it has been passed on and a part is still to come.
+    /// Whether the body is streamed and its end has not been read yet.
     pub(super) fn is_unfinished(&self) -> bool {
-        matches!(self, Upload::Streamed(lent) if lent.phase() != Phase::Over)
+        matches!(self, Upload::Streamed(body) if body.phase() != Phase::Finished)
     }
 }
 
-/// A body that one attempt after another may read.
+/// A streamed body shared by consecutive attempts.
 #[derive(Clone)]
-pub(super) struct Lent(Arc<Mutex<Source>>);
+pub(super) struct SharedBody(Arc<Mutex<Source>>);
 
 struct Source {
-    body: Guarded<Body>,
+    body: TimeoutBody<Body>,
     phase: Phase,
 }
 
-/// How far a body has been read.
+/// Progress of reading a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Whole,
-    Begun,
-    Over,
-    Broken,
+    Unread,
+    Started,
+    Finished,
+    Failed,
 }
 
-impl Lent {
+impl SharedBody {
     fn phase(&self) -> Phase {
         self.lock().phase
     }
@@ -103,7 +105,7 @@
     }
 }
 
-impl http_body::Body for Lent {
+impl http_body::Body for SharedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -115,9 +117,9 @@
         let frame = Pin::new(&mut source.body).poll_frame(context);
         match &frame {
             Poll::Pending => {}
-            Poll::Ready(None) => source.phase = Phase::Over,
-            Poll::Ready(Some(Ok(_))) => source.phase = Phase::Begun,
-            Poll::Ready(Some(Err(_))) => source.phase = Phase::Broken,
+            Poll::Ready(None) => source.phase = Phase::Finished,
+            Poll::Ready(Some(Ok(_))) => source.phase = Phase::Started,
+            Poll::Ready(Some(Err(_))) => source.phase = Phase::Failed,
         }
         frame
     }
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -1,4 +1,4 @@
-//! Brings an answer to the caller: as a stream of events, in one piece, or passed through.
+//! Delivers an answer to the caller: as server-sent events, in one body, or passed through.
 
 use std::{
     convert::Infallible,
@@ -26,13 +26,13 @@
 
 use crate::{
     answer::{Answer, Token},
-    filters::{Call, Question, Shape, account::Account},
-    idle::Guarded,
+    filters::{Call, ModelRequest, Shape, account::Account},
+    idle::TimeoutBody,
     problem::Problem,
     traffic::Sent,
 };
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are never passed on (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -43,12 +43,12 @@
     header::UPGRADE,
 ];
 
-/// Delivers token by token. Waits for the first one, so that a failure before it is still a plain
-/// refusal.
+/// Delivers an answer token by token. Waits for the first token, so that a failure before it is
+/// still an ordinary error response.
 ///
 /// # Errors
 ///
-/// The problem that came before the first token.
+/// Returns the problem that occurred before the first token.
 pub async fn streamed(mut answer: Answer, account: Account) -> Result<Response, Problem> {
     let first = answer.next().await?.map_or_else(end, event);
     let rest = futures_util::stream::unfold(Some((answer, account)), async |state| {
@@ -56,7 +56,7 @@
         match answer.next().await {
             Ok(Some(token)) => Some((event(token), Some((answer, account)))),
             Ok(None) => Some((end(), None)),
-            // No end mark follows an error, or the caller would take a part for the whole.
+            // No end mark after an error, or the caller would take a partial answer as complete.
             Err(problem) => {
                 account.problem(&problem);
                 Some((failure(&problem), None))
@@ -79,26 +79,26 @@
     Event::default().event("error").data(problem.body().to_string())
 }
 
-/// Delivers in one piece.
+/// Delivers an answer in one body.
 ///
 /// # Errors
 ///
-/// The problem that ended the answer early.
-pub async fn whole(
+/// Returns the problem that ended the answer early.
+pub async fn buffered(
     mut answer: Answer,
     call: &Call,
-    question: &Question,
+    model_request: &ModelRequest,
 ) -> Result<Response, Problem> {
     let mut text = String::new();
     while let Some(Token { data, .. }) = answer.next().await? {
-        text.push_str(&content(question.shape, &data));
+        text.push_str(&content(model_request.shape, &data));
     }
     let model = call.request.model.as_ref().map(ToString::to_string);
-    let choice = match question.shape {
+    let choice = match model_request.shape {
         Shape::Chat => json!({"index": 0, "message": {"role": "assistant", "content": text}}),
         Shape::Text => json!({"index": 0, "text": text}),
     };
-    let object = match question.shape {
+    let object = match model_request.shape {
         Shape::Chat => "chat.completion",
         Shape::Text => "text_completion",
     };
@@ -116,25 +116,25 @@
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// Passes a plain service's answer through, and keeps its attempt open until its end.
+/// Passes a plain service's response through; its attempt ends with the body.
 pub fn plain(response: Streamed, sent: Sent, account: Account, idle: Duration) -> Response {
     sent.answered();
     account.token();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
-    let body = Tracked { body: Guarded::new(body, idle), open: Some((sent, account)) };
+    let body = TrackedBody { body: TimeoutBody::new(body, idle), open: Some((sent, account)) };
     Response::from_parts(parts, Body::new(body))
 }
 
-/// Passes on an answer whose attempt has ended already.
-pub fn passed_on(response: Streamed, account: &Account) -> Response {
+/// Passes on a response whose attempt has already ended.
+pub fn passed_through(response: Streamed, account: &Account) -> Response {
     account.answered();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
     Response::from_parts(parts, Body::new(body))
 }
 
-/// Removes the headers that belong to one connection.
+/// Removes the hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -149,13 +149,13 @@
     headers.remove("keep-alive");
 }
 
-/// A body whose end is the end of its attempt.
-struct Tracked {
-    body: Guarded<Incoming>,
+/// A body whose end also ends its attempt.
+struct TrackedBody {
+    body: TimeoutBody<Incoming>,
     open: Option<(Sent, Account)>,
 }
 
-impl Tracked {
+impl TrackedBody {
     fn complete(&mut self) {
         if let Some((sent, account)) = self.open.take() {
             sent.complete();
@@ -163,7 +163,7 @@
         }
     }
 
-    fn break_off(&mut self) {
+    fn fail(&mut self) {
         if let Some((sent, account)) = self.open.take() {
             sent.fail(Point::Body);
             account.broke_off();
@@ -171,7 +171,7 @@
     }
 }
 
-impl http_body::Body for Tracked {
+impl http_body::Body for TrackedBody {
     type Data = Bytes;
     type Error = ::backend::BodyError;
 
@@ -183,8 +183,8 @@
         match &frame {
             Poll::Pending => {}
             Poll::Ready(None) => self.complete(),
-            Poll::Ready(Some(Err(_))) => self.break_off(),
-            // A server that knows the length may not ask for the end.
+            Poll::Ready(Some(Err(_))) => self.fail(),
+            // A server that knows the length may not poll for the end.
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.complete(),
             Poll::Ready(Some(Ok(_))) => {}
         }
@@ -200,7 +200,7 @@
     }
 }
 
-impl Drop for Tracked {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         if self.body.is_end_stream() {
             self.complete();
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -1,10 +1,10 @@
 //! Runs each non-idempotent request at most once over all hosts.
 //!
-//! A request with a key claims it before it goes on, and tells its outcome afterwards. One without
-//! a key needs no claim, since no re-send of it can be recognised; the attempt sends it at most
-//! once.
+//! A request with an idempotency key claims the key before it continues, and reports its outcome
+//! afterwards. One without a key needs no claim, since a repeated send of it can't be recognised;
+//! its attempt is sent at most once.
 //!
-//! A claimed request goes on when its caller hangs up, so that a re-send finds its outcome.
+//! A claimed request continues if its caller disconnects: a repeated send finds its outcome.
 
 use std::sync::Arc;
 
@@ -29,31 +29,31 @@
     problem::{Kind, Problem},
 };
 
-/// Header of an answer that was recorded when its request ran.
+/// Header that marks a response recorded when its request ran.
 pub const REPLAYED: &str = "idempotent-replayed";
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The right to dispatch a claimed request.
+/// Permission to dispatch a claimed request, until the grant expires.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant {
     until: Moment,
 }
 
 impl Grant {
-    /// Refuses the dispatch of a claimed request that comes too late, as after a pause of this
+    /// Rejects a claimed request that is dispatched too late, for example after a pause of this
     /// process.
     ///
     /// # Errors
     ///
-    /// If the grant has ended.
+    /// Fails if the grant has expired.
     pub fn check(extensions: &Extensions, now: Moment) -> Result<(), Problem> {
         match extensions.get::<Grant>() {
             None => Ok(()),
             Some(grant) if now < grant.until => Ok(()),
             Some(_) => {
-                let detail = "the host was held up between the claim of the key and the dispatch";
-                Err(Problem::new(Kind::ClaimsUnavailable, detail).retry_after(COME_BACK))
+                let detail = "the host was delayed between the claim of the key and the dispatch";
+                Err(Problem::new(Kind::ClaimsUnavailable, detail).retry_after(RETRY_AFTER))
             }
         }
     }
@@ -66,20 +66,20 @@
     };
     match (call.request.repeat, &call.request.key) {
         (Repeat::Once, Some(key)) => {
-            let claimed = claimed(context, &call, key, request, next).await;
-            let mut response = claimed.unwrap_or_else(Problem::into_response);
-            response.extensions_mut().insert(Looked);
+            let result = claim_and_run(context, &call, key, request, next).await;
+            let mut response = result.unwrap_or_else(Problem::into_response);
+            response.extensions_mut().insert(KeyChecked);
             response
         }
         (Repeat::Once, None) | (Repeat::Idempotent, _) => next.run(request).await,
     }
 }
 
-/// Corrects refusals that came before the key was looked up.
+/// Corrects `ran` in rejections that occurred before the key was looked up.
 ///
-/// The send did not run, but an earlier one of the same key may have, and the caller asks for the
-/// fate of both.
-pub async fn correct(request: Request, next: Next) -> Response {
+/// This send did not run, but an earlier one with the same key may have, and the caller needs the
+/// answer for both.
+pub async fn correct_ran(request: Request, next: Next) -> Response {
     let call = request.extensions().get::<Call>();
     let is_keyed =
         call.is_some_and(|c| c.request.repeat == Repeat::Once && c.request.key.is_some());
@@ -89,7 +89,7 @@
         Some(problem)
             if is_keyed
                 && problem.ran == Ran::DidNotRun
-                && extensions.get::<Looked>().is_none() =>
+                && extensions.get::<KeyChecked>().is_none() =>
         {
             problem.clone().ran(Ran::MayHaveRun).into_response()
         }
@@ -97,11 +97,11 @@
     }
 }
 
-/// Marks an answer that was given after the key was looked up.
+/// Marks a response that was created after the key was looked up.
 #[derive(Clone, Copy, Debug)]
-struct Looked;
+struct KeyChecked;
 
-async fn claimed(
+async fn claim_and_run(
     context: Arc<Context>,
     call: &Call,
     key: &request::Key,
@@ -123,20 +123,20 @@
     record(&context, call, verdict.as_ref());
     let until = match verdict {
         Some(Verdict::Granted { until }) => until,
-        Some(Verdict::Claimed { claimant }) => return Err(in_use(&context, &claimant)),
+        Some(Verdict::Claimed { claimant }) => return Err(in_use_problem(&context, &claimant)),
         Some(Verdict::Done(outcome)) => return replay(outcome),
-        Some(Verdict::Refused(refusal)) => return Err(refused(refusal)),
-        None => return Err(refused(Refusal::Unread)),
+        Some(Verdict::Refused(refusal)) => return Err(refusal_problem(refusal)),
+        None => return Err(refusal_problem(Refusal::Unread)),
     };
     request.extensions_mut().insert(Grant { until });
-    let open = Open { context, id: call.request.id.clone(), key: key.key, end: End::Lost };
-    tokio::spawn(run(open, request, next)).await.map_err(|_| {
-        let detail = "the request was given up while it ran";
+    let guard = ClaimGuard { context, id: call.request.id.clone(), key: key.key, end: End::Lost };
+    tokio::spawn(run(guard, request, next)).await.map_err(|_| {
+        let detail = "the request was abandoned while it ran";
         Problem::new(Kind::BackendFailed, detail).ran(Ran::MayHaveRun)
     })
 }
 
-/// Puts what was decided on a key into the time line.
+/// Records the verdict on a key in the time line.
 fn record(context: &Context, call: &Call, verdict: Option<&Verdict>) {
     let Some(key) = &call.request.key else { return };
     let claim = match verdict {
@@ -149,15 +149,15 @@
     context.events.record(Event::new(kind).request(&call.request.id));
 }
 
-/// A claimed request; when dropped it tells how the request ended.
-struct Open {
+/// A claimed request; reports its outcome when dropped.
+struct ClaimGuard {
     context: Arc<Context>,
     id: request::Id,
     key: once::Key,
     end: End,
 }
 
-impl Drop for Open {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         let end = std::mem::replace(&mut self.end, End::Lost);
         let change = Change { id: self.id.clone(), key: self.key, end };
@@ -165,17 +165,17 @@
     }
 }
 
-async fn run(mut open: Open, request: Request, next: Next) -> Response {
+async fn run(mut guard: ClaimGuard, request: Request, next: Next) -> Response {
     let response = next.run(request).await;
     if let Some(problem) = response.extensions().get::<Problem>() {
-        open.end = match problem.ran {
+        guard.end = match problem.ran {
             Ran::DidNotRun => End::Released,
             Ran::MayHaveRun | Ran::Ran => End::Lost,
         };
         return response;
     }
     let (parts, body) = response.into_parts();
-    open.end = End::Ran(outcome(&parts, once::Body::Unrecorded));
+    guard.end = End::Ran(outcome(&parts, once::Body::Unrecorded));
     let is_short = parts
         .headers
         .get(header::CONTENT_LENGTH)
@@ -183,17 +183,17 @@
         .is_some_and(|length| length <= once::Body::LIMIT);
     if !is_short {
         let body = body.map_frame(move |frame| {
-            let _ = &open;
+            let _ = &guard;
             frame
         });
         return Response::from_parts(parts, Body::new(body));
     }
     match to_bytes(body, once::Body::LIMIT).await {
         Ok(bytes) => {
-            open.end = End::Ran(outcome(&parts, once::Body::new(&bytes)));
+            guard.end = End::Ran(outcome(&parts, once::Body::new(&bytes)));
             Response::from_parts(parts, Body::from(bytes))
         }
-        Err(error) => Problem::new(Kind::BackendFailed, format!("the answer broke off: {error}"))
+        Err(error) => Problem::new(Kind::BackendFailed, format!("the answer ended early: {error}"))
             .ran(Ran::Ran)
             .into_response(),
     }
@@ -205,7 +205,7 @@
     Outcome { status: parts.status.as_u16(), content_type: content_type.to_owned(), body }
 }
 
-/// Reads the body, which two requests with the same key are told apart by.
+/// Reads the body and adds a digest that distinguishes requests with the same key.
 async fn with_digest(context: &Context, request: Request) -> Result<(Request, u64), Problem> {
     let (parts, body) = request.into_parts();
     let limit = context.settings.bounds.body_bytes;
@@ -215,8 +215,9 @@
         Problem::new(Kind::BodyTooLarge, detail)
     })?;
     let mut hasher = blake3::Hasher::new();
-    let asked = parts.extensions.get::<Call>().map(|call| call.request.digest).unwrap_or_default();
-    hasher.update(&asked);
+    let request_digest =
+        parts.extensions.get::<Call>().map(|call| call.request.digest).unwrap_or_default();
+    hasher.update(&request_digest);
     hasher.update(parts.method.as_str().as_bytes());
     hasher.update(&bytes);
     let digest = Claim::shorten(hasher.finalize().as_bytes());
@@ -225,7 +226,7 @@
 
 fn replay(outcome: Outcome) -> Result<Response, Problem> {
     let once::Body::Whole(body) = outcome.body else {
-        let detail = format!("it ran, with status {}; its answer was not kept", outcome.status);
+        let detail = format!("it ran, with status {}; its answer was not stored", outcome.status);
         return Err(Problem::new(Kind::AlreadyRan, detail).ran(Ran::Ran));
     };
     let mut response = Response::new(Body::from(body));
@@ -239,8 +240,8 @@
     Ok(response)
 }
 
-/// The claimant may be at work, or have died at any point: both are "may have run".
-fn in_use(context: &Context, claimant: &once::HostRun) -> Problem {
+/// The claimant may be running the request or may have died at any point; both mean "may have run".
+fn in_use_problem(context: &Context, claimant: &once::HostRun) -> Problem {
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
     let detail = match is_listed {
@@ -248,13 +249,13 @@
         false => format!("host {} had this request and is gone", claimant.host),
     };
     let problem = Problem::new(Kind::KeyInUse, detail).ran(Ran::MayHaveRun);
-    if is_listed { problem.retry_after(COME_BACK) } else { problem }
+    if is_listed { problem.retry_after(RETRY_AFTER) } else { problem }
 }
 
-fn refused(refusal: Refusal) -> Problem {
+fn refusal_problem(refusal: Refusal) -> Problem {
     let (kind, detail) = match refusal {
         Refusal::Different => {
-            (Kind::KeyReused, "the key was used for a request that asks something else")
+            (Kind::KeyReused, "the key was used for a request with different content")
         }
         Refusal::Ahead => (Kind::KeyAhead, "the time in the key is ahead of this host's clock"),
         Refusal::Old => (Kind::KeyExpired, "the time in the key is older than keys are kept"),
@@ -265,11 +266,11 @@
         Refusal::Unwritten => {
             (Kind::ClaimsUnavailable, "the key can't be claimed now; send it again")
         }
-        Refusal::Full => (Kind::ClaimsUnavailable, "as many keys are kept as there is room for"),
+        Refusal::Full => (Kind::ClaimsUnavailable, "there is no room for another key"),
     };
     let problem = Problem::new(kind, detail).ran(refusal.ran());
     match kind {
-        Kind::ClaimsUnavailable | Kind::KeyAhead => problem.retry_after(COME_BACK),
+        Kind::ClaimsUnavailable | Kind::KeyAhead => problem.retry_after(RETRY_AFTER),
         _ => problem,
     }
 }
--- a/crates/stage/src/operators/moves.rs
+++ b/crates/stage/src/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Moves for operators: open orders, what would settle each, and memory of each server.
+//! Moves for operators: open orders, the evidence that would settle each, and servers' memory.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Routes of moves.
+/// Returns the routes of moves.
 pub(super) fn router() -> Router<Arc<Context>> {
     Router::new().route("/status/moves", get(moves))
 }
 
-/// Any host may be asked: it reads the ledgers, and answers from memory when it can't.
+/// Any host may be asked: it reads the ledgers, and falls back to its last known ones.
 async fn moves(State(context): State<Arc<Context>>) -> Json<Status> {
     let listing = context.store.list(PREFIX).await;
     let now = context.now();
@@ -23,7 +23,7 @@
             let objects = listing.objects.iter();
             let ledgers: Vec<Ledger> =
                 objects.filter_map(|object| serde_json::from_slice(&object.value).ok()).collect();
-            context.moves.ledgers(now, &ledgers);
+            context.moves.set_ledgers(now, &ledgers);
             true
         }
         Err(error) => {
--- a/crates/stage/src/operators/watch.rs
+++ b/crates/stage/src/operators/watch.rs
@@ -1,4 +1,4 @@
-//! What operators watch: the metrics and this host's part of the time line.
+//! Observability for operators: metrics, and this host's part of the time line.
 
 use std::sync::Arc;
 
@@ -19,41 +19,41 @@
 
 const JSON_LINES: &str = "application/jsonl";
 
-/// All metrics as Prometheus text.
+/// Returns all metrics as Prometheus text.
 pub(super) async fn metrics(State(context): State<Arc<Context>>) -> Response {
-    context.traffic.show(&context.metrics);
+    context.traffic.record_limits(&context.metrics);
     match context.metrics.text() {
         Ok(text) => ([(header::CONTENT_TYPE, metrics::CONTENT_TYPE)], text).into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
     }
 }
 
-/// How the time line is written.
+/// Output format of the time line.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Form {
-    /// One JSON object a line; what the merge of several hosts reads.
+enum Format {
+    /// One JSON object a line, as read by the merge of several hosts' time lines.
     #[default]
     Json,
     /// One line of text for each event.
     Text,
-    /// A page.
+    /// An HTML page.
     Page,
 }
 
-/// Which events are asked for; all unless narrowed. Times are RFC 3339 text.
+/// Filter of the time line; empty selects all events. Times are RFC 3339 text.
 #[derive(Debug, Default, Deserialize)]
-pub(super) struct Asked {
+pub(super) struct TimelineQuery {
     request: Option<String>,
     model: Option<String>,
     server: Option<String>,
     from: Option<String>,
     until: Option<String>,
     #[serde(default)]
-    form: Form,
+    form: Format,
 }
 
-impl Asked {
+impl TimelineQuery {
     fn filter(&self) -> Result<Filter, String> {
         let mut filter = Filter::default();
         if let Some(id) = &self.request {
@@ -76,24 +76,24 @@
 }
 
 fn stamp(text: &str) -> Result<Stamp, String> {
-    Stamp::parse(text).ok_or_else(|| format!("`{text}` is no time in RFC 3339 form"))
+    Stamp::parse(text).ok_or_else(|| format!("`{text}` is not an RFC 3339 time"))
 }
 
-/// The events that this host holds.
+/// Returns the events that this host has in memory.
 pub(super) async fn timeline(
     State(context): State<Arc<Context>>,
-    Query(asked): Query<Asked>,
+    Query(query): Query<TimelineQuery>,
 ) -> Response {
-    let filter = match asked.filter() {
+    let filter = match query.filter() {
         Ok(filter) => filter,
         Err(cause) => return (StatusCode::BAD_REQUEST, cause).into_response(),
     };
     let records: Vec<Record> =
         context.events.records().into_iter().filter(|record| filter.keeps(record)).collect();
-    match asked.form {
-        Form::Json => json(&records),
-        Form::Text => lines(records.iter().map(merge::line)).into_response(),
-        Form::Page => Html(page::render(&records)).into_response(),
+    match query.form {
+        Format::Json => json(&records),
+        Format::Text => lines(records.iter().map(merge::line)).into_response(),
+        Format::Page => Html(page::render(&records)).into_response(),
     }
 }
 
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -1,4 +1,4 @@
-//! Runs a host of a routed deployment, on one thread: its machines are small.
+//! Runs a host of a routed deployment, on one thread because its machines are small.
 
 use std::{path::Path, process::ExitCode, sync::Arc};
 
@@ -11,11 +11,11 @@
 
 use crate::flags::Error;
 
-/// Serves until SIGTERM or Ctrl-C, then finishes what is in flight.
+/// Serves until SIGTERM or Ctrl-C, then finishes the requests in flight.
 ///
 /// # Errors
 ///
-/// The host can't start.
+/// Fails if the host can't start.
 pub fn run(settings: Process, routed: Routed, file: &Path) -> Result<ExitCode, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(settings, routed, file))
@@ -29,27 +29,27 @@
     tokio::select! {
         _ = terminate.recv() => {}
         result = tokio::signal::ctrl_c() => result?,
-        () = reloads(&mut reload, file) => {}
+        () = handle_reloads(&mut reload, file) => {}
     }
     running.drain().await;
     observe::log::flush();
     Ok(ExitCode::SUCCESS)
 }
 
-/// A change of the settings ends nothing. Only the log's level is taken from them: what else a host
-/// may change while it runs is declared.
-async fn reloads(reload: &mut Signal, file: &Path) {
+/// Reloads the settings on each SIGHUP; never ends. Only the log level is applied: everything else
+/// that a host may change while it runs is part of the declared configuration.
+async fn handle_reloads(reload: &mut Signal, file: &Path) {
     while reload.recv().await.is_some() {
         log::info!("reload asked for");
         match read_process(file) {
-            Ok(settings) => take(&settings),
+            Ok(settings) => apply(&settings),
             Err(findings) => findings.0.iter().for_each(|finding| log::error!("{finding}")),
         }
     }
     std::future::pending().await
 }
 
-fn take(settings: &Process) {
+fn apply(settings: &Process) {
     match settings.log.level.parse() {
         Ok(level) => observe::log::set_level(level),
         Err(error) => log::error!("log level: {error}"),
