--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -70,7 +70,7 @@
             "object_api_calls_per_second": (fleet.platform_calls - calls.0) as f64 / span,
             "list_reads_per_second": (fleet.list_calls - calls.1) as f64 / span,
             "news_waiting": fleet.nodes.iter().map(|node| node.gossip.pending_updates()).sum::<usize>(),
-            "live_to_all": fleet.is_whole(),
+            "live_to_all": fleet.is_converged(),
             "wall_s": started.elapsed().as_secs_f64(),
         })
     );
@@ -105,7 +105,7 @@
 
 /// Returns the bytes that all hosts sent and received.
 fn totals(fleet: &Fleet) -> u64 {
-    fleet.nodes.iter().map(|node| node.sent + node.received).sum()
+    fleet.nodes.iter().map(|node| node.sent_bytes + node.received_bytes).sum()
 }
 
 fn quantile(sorted: &[Duration], share: f64) -> Option<f64> {
