--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -151,7 +151,7 @@
 }
 
 impl Fleet {
-    /// Facts that other hosts advertise, of tables that are counted in this way.
+    /// Returns the facts in other hosts' tables that enter the snapshot with this provenance.
     pub(super) fn received_facts(
         &self,
         now: Moment,
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -121,8 +121,8 @@
     Alive,
     /// The peer is a target of digests and sent nothing within the silence timeout.
     TimedOut,
-    /// The peer is no target, and sent nothing for several rounds of keepalives or is absent at a
-    /// relay.
+    /// The peer is no target, and sent nothing for several rounds of keepalives or a relay
+    /// reports it as absent.
     Absent,
 }
 
@@ -134,7 +134,7 @@
     since: Moment,
 }
 
-/// What a packet is to this host, by its run and count.
+/// Classification of a packet by its run and count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Freshness {
     /// From the current run of a known host, and newer than all before it.
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -79,7 +79,7 @@
         let is_meant = digest.to == wire::tail(self.member.run());
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
         if !is_meant {
-            // The sender takes this host for an earlier run of it.
+            // The sender still has an earlier run of this host registered.
             let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
             peer.greeted = if is_recent { peer.greeted } else { Some(now) };
             let address = peer.member.address;
--- a/crates/policy/src/fleet/remote_table.rs
+++ b/crates/policy/src/fleet/remote_table.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Applies a delta that continues where the last one ended, and returns what it added to
-    /// counters.
+    /// Applies the changes of a delta that were not read before, and returns what they add to
+    /// counters. A delta that starts after the last edition read leaves a gap and is ignored.
     pub(super) fn merge(&mut self, now: Moment, delta: Delta) -> Increments {
         let Some(end) = delta.from.checked_add(delta.span) else { return Increments::default() };
         if 0 < self.read && self.read < delta.floor {
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -16,7 +16,7 @@
     wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
 };
 
-/// Time between two unprompted introductions of hosts to each other.
+/// Time between greetings that introduce some of the known hosts to one host in turn.
 pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Least time between two greetings to a silent host.
@@ -64,7 +64,8 @@
         self.left > 0.0
     }
 
-    /// Takes the bytes of a datagram. The balance never falls below one second of the rate.
+    /// Takes the bytes of a datagram. The balance may become negative, by one second of the rate at
+    /// the most.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
     }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -431,7 +431,7 @@
     /// Tells all other hosts.
     pub(crate) fn notify(&self, notice: Notice) {
         if let Some(exchange) = self.exchange() {
-            // To all is never to a host that is not known.
+            // Only a notice to one host can fail, if that host is not known.
             let _ = exchange.send(Recipients::All, notice);
         }
     }
