--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -460,7 +460,7 @@
     /// Sends a notice to all other hosts.
     pub(crate) fn notify(&self, notice: Notice) {
         if let Some(exchange) = self.exchange() {
-            // Sending to all hosts can't fail because of an unknown host.
+            // Only a notice to one host can fail, if that host is not known.
             let _ = exchange.send(Recipients::All, notice);
         }
     }
