--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -10,7 +10,10 @@
     until,
 };
 
-use crate::site::{HOST, chat, page, server_of, site, status_of, ticket};
+use crate::{
+    site::{HOST, chat, page, server_of, site, status_of, ticket},
+    stories::{metrics, value},
+};
 
 const SOON: Duration = Duration::from_secs(2);
 
@@ -24,6 +27,14 @@
     #[values(page(), ticket(), chat())] ask: Ask,
 ) {
     let site = site(1).await;
+    // A host has no retries of its own until its registration is in the store.
+    until("the host may retry", async || {
+        let text = metrics(&site.hosts[0]).await;
+        let left =
+            |service| value(&text, &format!("cyclamenstage_routed_budget{{service={service:?}}}"));
+        ["app", "lm"].into_iter().all(|service| left(service).is_some_and(|left| 1.0 <= left))
+    })
+    .await;
     for id in ["app-1", "lm-1"] {
         site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
     }
