--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -5,7 +5,7 @@
 use common::{Site, config, ctl, text, until};
 use rstest::rstest;
 use serde_json::{Value, json};
-use standin::fault::{Proxy, Strike};
+use standin::fault::{Interception, Proxy};
 use types::host::Listed;
 
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
@@ -169,10 +169,10 @@
 async fn a_patch_whose_answer_was_lost_is_sent_again_and_gets_its_first_outcome() {
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
-    let trap = proxy.trap("POST /config/patches", Strike::LoseAnswer);
+    let trap = proxy.intercept("POST /config/patches", Interception::LoseAnswer);
     let file = site.write("a.json", &moves(7), Some(1));
     let run = site.ctl_at(proxy.address(), &["apply", &file]).await;
-    assert!(trap.has_sprung());
+    assert!(trap.has_triggered());
     assert_eq!((run.code, run.out.as_str()), (0, "accepted before as number 2\n"), "{run:?}");
     let (_, root) = site.platform.peek("config/root").unwrap();
     assert_eq!((&root["number"], root["patches"].as_array().unwrap().len()), (&json!(2), 1));
@@ -183,13 +183,13 @@
 async fn an_outage_of_the_object_api_is_waited_out() {
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
-    let trap = proxy.trap("POST /config/patches", Strike::HoldAnswer);
+    let trap = proxy.intercept("POST /config/patches", Interception::HoldAnswer);
     let file = site.write("a.json", &moves(7), Some(1));
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
         // The host has said that it could not.
-        trap.sprung().await;
+        trap.triggered().await;
         site.platform.fault(|fault| fault.down = false);
         trap.release();
     });
--- a/crates/stage/tests/common/caller.rs
+++ b/crates/stage/tests/common/caller.rs
@@ -75,7 +75,7 @@
     pub async fn send(&self, address: SocketAddr) -> Ending {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         let request = http::Request::post(format!("http://{address}/v1/chat/completions"))
-            .header(engine::EFFECT, &self.key)
+            .header(engine::IDEMPOTENCY_KEY, &self.key)
             .body(Full::new(Bytes::from(self.body().to_string())))
             .expect("a request");
         let response = match tokio::time::timeout(PATIENCE, client.request(request)).await {
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -233,13 +233,13 @@
 async fn a_host_cut_off_from_its_peers_goes_on_serving_and_joins_again() {
     let site = Builder::new(3).engine(lm(0)).linked().start().await;
     until_whole(&site).await;
-    site.links().peers(0).door(fault::Door::Shut);
-    site.links().peers(0).cut();
+    site.links().peers(0).set_new_connections(fault::NewConnections::Reset);
+    site.links().peers(0).reset_connections();
     let number = change(&site);
     until_in_force(&site, number).await;
     let chat = Chat::new("cut", MODEL, 4);
     assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Whole);
-    site.links().peers(0).door(fault::Door::Open);
+    site.links().peers(0).set_new_connections(fault::NewConnections::Accept);
     until_whole(&site).await;
     site.end().await;
 }
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -15,7 +15,7 @@
 };
 use rstest::rstest;
 use serde_json::Value;
-use standin::{engine, fault::Strike, weights};
+use standin::{engine, fault::Interception, weights};
 
 use crate::site::{CAPACITY, LATENESS, LINGER, MODEL, Site, engine, until};
 
@@ -127,9 +127,9 @@
 ) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
     let planner = site.some_planner().await;
-    let held = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let held = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
     site.declare(&["a"]);
-    held.sprung().await;
+    held.triggered().await;
     assert_eq!(open(&site).len(), 1, "reserved, and its sender does not know yet");
     site.hosts[planner].kill();
     held.release();
@@ -143,13 +143,13 @@
 #[tokio::test]
 async fn planner_that_dies_after_its_order_is_settled_for_by_the_next(
     #[values(true, false)] fenced: bool,
-    #[values(Strike::HoldAnswer, Strike::HoldRequest)] strike: Strike,
+    #[values(Interception::HoldAnswer, Interception::HoldRequest)] strike: Interception,
 ) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
     let planner = site.some_planner().await;
-    let held = site.to_engine[0].trap(ORDER, strike);
+    let held = site.to_engine[0].intercept(ORDER, strike);
     site.declare(&["a"]);
-    held.sprung().await;
+    held.triggered().await;
     site.hosts[planner].kill();
     site.declare(&["b"]);
     site.restart(planner);
@@ -164,9 +164,9 @@
 async fn paused_planner_resumes_with_an_order_in_its_hand(#[values(true, false)] fenced: bool) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
     let planner = site.some_planner().await;
-    let held = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let held = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
     site.declare(&["a"]);
-    held.sprung().await;
+    held.triggered().await;
     site.hosts[planner].pause().await;
     held.release();
     until("another host plans", async || site.planner().is_some_and(|p| p != planner)).await;
--- a/crates/stage/tests/promises/answers.rs
+++ b/crates/stage/tests/promises/answers.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use standin::{
     engine::Settings,
-    fault::{Fault, Strike, Way},
+    fault::{Direction, Fault, Interception},
 };
 
 use crate::common::{Ask, Builder, Chat, Crowd, Ending, Site, until};
@@ -50,7 +50,7 @@
     let crowd = Crowd::start(6, &site.entrances(), ask("cut"));
     until("streams run", async || 0 < site.engines()[0].in_flight()).await;
 
-    link.set(Way::Back, Fault::CutAfter(bytes));
+    link.set(Direction::ToClient, Fault::ResetAfter(bytes));
     until("calls go on", async || 12 <= crowd.endings().whole()).await;
     link.heal();
 
@@ -76,11 +76,11 @@
 async fn whole_answers_to_their_own_requests_when_they_come_out_of_order() {
     let site = site().await;
     // The answer of the first is kept back until the second has its own.
-    let traps =
-        ["lm-1", "lm-2"].map(|id| site.links().server(id).trap("letter first", Strike::HoldAnswer));
+    let traps = ["lm-1", "lm-2"]
+        .map(|id| site.links().server(id).intercept("letter first", Interception::HoldAnswer));
     let callers = site.hosts()[0].callers();
     let first = tokio::spawn(async move { Chat::new("first", MODEL, 20).send(callers).await });
-    until("the first answer is held", async || traps.iter().any(|trap| trap.has_sprung())).await;
+    until("the first answer is held", async || traps.iter().any(|trap| trap.has_triggered())).await;
 
     assert_eq!(Chat::new("second", MODEL, 20).send(callers).await, Ending::Whole);
     assert!(!first.is_finished());
@@ -97,7 +97,7 @@
     until("streams run", async || 0 < site.engines()[0].in_flight()).await;
 
     let link = site.links().server("lm-1");
-    link.set(Way::Back, Fault::Hold);
+    link.set(Direction::ToClient, Fault::Hold);
     tokio::time::sleep(Duration::from_millis(500)).await;
     link.heal();
     until("calls go on", async || 12 <= crowd.endings().whole()).await;
--- a/crates/stage/tests/promises/not_run.rs
+++ b/crates/stage/tests/promises/not_run.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use standin::{
     engine::Settings,
-    fault::{Door, Fault, Proxy, Strike, Way},
+    fault::{Direction, Fault, Interception, NewConnections, Proxy},
 };
 
 use tokio::task::JoinHandle;
@@ -45,27 +45,27 @@
 }
 
 fn shut(link: &Proxy) {
-    link.cut();
-    link.door(Door::Shut);
+    link.reset_connections();
+    link.set_new_connections(NewConnections::Reset);
 }
 
 fn cut_requests(link: &Proxy) {
-    link.set(Way::Forth, Fault::CutAfter(60));
+    link.set(Direction::ToTarget, Fault::ResetAfter(60));
 }
 
 fn cut_answers(link: &Proxy) {
-    link.set(Way::Back, Fault::CutAfter(0));
+    link.set(Direction::ToClient, Fault::ResetAfter(0));
 }
 
 fn lose_requests(link: &Proxy) {
     (0..ATTEMPTS).for_each(|_| {
-        link.trap("POST /v1", Strike::LoseRequest);
+        link.intercept("POST /v1", Interception::LoseRequest);
     });
 }
 
 fn lose_answers(link: &Proxy) {
     (0..ATTEMPTS).for_each(|_| {
-        link.trap("POST /v1", Strike::LoseAnswer);
+        link.intercept("POST /v1", Interception::LoseAnswer);
     });
 }
 
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use standin::{
-    engine::EFFECT,
-    fault::{Door, Fault, Proxy, Strike, Way},
+    engine::IDEMPOTENCY_KEY,
+    fault::{Direction, Fault, Interception, NewConnections, Proxy},
     plain::Plain,
 };
 
@@ -18,7 +18,7 @@
 
 async fn issue(site: &Site, host: usize, key: &str) -> Option<Answer> {
     let address = site.hosts()[host].callers();
-    try_send(address, "POST", TICKETS, &[(EFFECT, key)], "a ticket").await
+    try_send(address, "POST", TICKETS, &[(IDEMPOTENCY_KEY, key)], "a ticket").await
 }
 
 fn runs(site: &Site, key: &str) -> u64 {
@@ -26,21 +26,21 @@
 }
 
 fn shut(link: &Proxy) {
-    link.cut();
-    link.door(Door::Shut);
+    link.reset_connections();
+    link.set_new_connections(NewConnections::Reset);
 }
 
 fn cut_request(link: &Proxy) {
-    link.set(Way::Forth, Fault::CutAfter(20));
+    link.set(Direction::ToTarget, Fault::ResetAfter(20));
 }
 
 fn cut_answer(link: &Proxy) {
-    link.set(Way::Back, Fault::CutAfter(10));
+    link.set(Direction::ToClient, Fault::ResetAfter(10));
 }
 
 fn lose_answers(link: &Proxy) {
     (0..10).for_each(|_| {
-        link.trap("POST /issue", Strike::LoseAnswer);
+        link.intercept("POST /issue", Interception::LoseAnswer);
     });
 }
 
--- a/crates/stage/tests/promises/pairs.rs
+++ b/crates/stage/tests/promises/pairs.rs
@@ -3,7 +3,7 @@
 use nix::sys::signal::Signal;
 use standin::{
     engine::Settings,
-    fault::{Fault, Way},
+    fault::{Direction, Fault},
 };
 
 use crate::common::{Ask, Builder, Crowd, Site, until};
@@ -73,7 +73,7 @@
     let crowd = crowd(&site, "stop-cut");
     until_under_way(&site).await;
 
-    site.links().server("lm-1").set(Way::Back, Fault::CutAfter(700));
+    site.links().server("lm-1").set(Direction::ToClient, Fault::ResetAfter(700));
     site.hosts()[0].signal(Signal::SIGTERM);
     let code = site.hosts_mut()[0].ended().await;
     until_more_whole(&crowd).await;
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use standin::{
     engine::Settings,
-    fault::{Fault, Strike},
+    fault::{Fault, Interception},
 };
 
 use crate::common::{Ask, Builder, Crowd, Site, send, until};
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn patches_race_while_the_answer_to_a_write_is_lost() {
     let site = site().await;
-    let trap = site.links().platform(0).trap(PUT_ROOT, Strike::LoseAnswer);
+    let trap = site.links().platform(0).intercept(PUT_ROOT, Interception::LoseAnswer);
 
     let (first, second) = tokio::join!(patch(&site, 0, "first"), patch(&site, 1, "second"));
 
@@ -61,14 +61,14 @@
 #[tokio::test]
 async fn host_dies_while_the_answer_to_its_write_is_held() {
     let mut site = site().await;
-    let trap = site.links().platform(0).trap(PUT_ROOT, Strike::HoldAnswer);
+    let trap = site.links().platform(0).intercept(PUT_ROOT, Interception::HoldAnswer);
     let operators = site.hosts()[0].operators();
     let body = json!({"id": "p", "against": 1, "changes": {"customers": {"p": {}}}}).to_string();
     let lost = tokio::spawn(async move {
         let headers = [("content-type", "application/json")];
         crate::common::try_send(operators, "POST", "/config/patches", &headers, &body).await
     });
-    trap.sprung().await;
+    trap.triggered().await;
     site.kill(0);
     assert!(lost.await.unwrap().is_none(), "a dead host answers nothing");
 
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -9,7 +9,7 @@
     server::Fault as Grey,
     soak::{
         Plan, Summary, run,
-        schedule::{self, Fault, Pairs, Planned},
+        schedule::{self, Fault, Pairs, PlannedFault},
     },
 };
 
@@ -37,26 +37,26 @@
     Soak { seed: 180, hosts: 4, length: Duration::from_secs(60), tail: Duration::from_secs(16) };
 
 /// All services fail all requests from then on, until the end.
-fn failing(at: u64, end: u64) -> impl Iterator<Item = Planned> {
+fn failing(at: u64, end: u64) -> impl Iterator<Item = PlannedFault> {
     let fault = |place| Fault::AllGrey(place, Grey::NotRun(StatusCode::SERVICE_UNAVAILABLE));
     FIRST_SERVERS.map(|place| planned(at, end - at, fault(place))).into_iter()
 }
 
-fn planned(at: u64, lasts: u64, fault: Fault) -> Planned {
-    Planned { at: Duration::from_secs(at), lasts: Duration::from_secs(lasts), fault }
+fn planned(at: u64, duration: u64, fault: Fault) -> PlannedFault {
+    PlannedFault { at: Duration::from_secs(at), duration: Duration::from_secs(duration), fault }
 }
 
 /// No datagram passes between hosts for longer than they count those that are silent.
-fn deaf() -> Vec<Planned> {
+fn deaf() -> Vec<PlannedFault> {
     let deaf = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
     [deaf].into_iter().chain(failing(42, 54)).collect()
 }
 
 /// All hosts are killed three times each, one after the other, while services fail.
-fn restarted() -> Vec<Planned> {
-    let kill = |n: u32| Planned {
+fn restarted() -> Vec<PlannedFault> {
+    let kill = |n: u32| PlannedFault {
         at: Duration::from_secs(16) + Duration::from_millis(400) * n,
-        lasts: Duration::from_millis(100),
+        duration: Duration::from_millis(100),
         fault: Fault::Kill(n as usize % HOSTS),
     };
     (0..3 * HOSTS as u32).map(kill).chain(failing(14, 26)).collect()
@@ -64,10 +64,10 @@
 
 /// A request that crashes servers comes all the time, while hosts are restarted in turn, one hears nothing,
 /// and all end at once.
-fn poisoned() -> Vec<Planned> {
-    let kill = |at: u64, host| Planned {
+fn poisoned() -> Vec<PlannedFault> {
+    let kill = |at: u64, host| PlannedFault {
         at: Duration::from_millis(at),
-        lasts: Duration::from_millis(100),
+        duration: Duration::from_millis(100),
         fault: Fault::Kill(host),
     };
     let in_turn = (0..HOSTS).map(|host| kill(7_000 + 300 * host as u64, host));
@@ -91,7 +91,7 @@
 }
 
 /// Runs a soak in a folder of its own.
-async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<Planned>) -> Summary {
+async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<PlannedFault>) -> Summary {
     let folder = tempfile::tempdir().expect("a folder");
     let plan = Plan {
         program: Path::new(env!("CARGO_BIN_EXE_cyclamenstage")),
@@ -108,8 +108,8 @@
 #[case::hosts_that_do_not_hear_each_other(deaf())]
 #[case::hosts_that_are_restarted_in_series(restarted())]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn retries_keep_to_their_budget(#[case] mut schedule: Vec<Planned>) {
-    let ends = schedule.iter().map(|planned| planned.at + planned.lasts);
+async fn retries_keep_to_their_budget(#[case] mut schedule: Vec<PlannedFault>) {
+    let ends = schedule.iter().map(|planned| planned.at + planned.duration);
     let length = ends.max().unwrap_or_default();
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(1, HOSTS, length, schedule).await;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -30,7 +30,7 @@
 pub const POISON: &str = "<<poison>>";
 
 /// Header by which the engine counts runs of one effect.
-pub const EFFECT: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 const BOOT_TIME: Duration = Duration::from_millis(200);
 
@@ -124,7 +124,7 @@
     pub peak: Mebibytes,
     /// Requests that began to run, by request id.
     pub runs: BTreeMap<String, u64>,
-    /// Requests that began to run, by [`EFFECT`] header.
+    /// Requests that began to run, by [`IDEMPOTENCY_KEY`] header.
     pub effects: BTreeMap<String, u64>,
     /// Requests that arrived.
     pub arrivals: u64,
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -28,7 +28,7 @@
 };
 
 use super::{
-    EFFECT, POISON, Shared,
+    IDEMPOTENCY_KEY, POISON, Shared,
     batch::{Job, Token},
     memory::Work,
 };
@@ -103,7 +103,7 @@
             return StatusCode::NOT_FOUND.into_response();
         }
         *state.counts.runs.entry(request.clone()).or_default() += 1;
-        if let Some(effect) = header(headers, EFFECT) {
+        if let Some(effect) = header(headers, IDEMPOTENCY_KEY) {
             *state.counts.effects.entry(effect).or_default() += 1;
         }
         if state.leaving {
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -4,12 +4,12 @@
 //! changes it while it runs. Faults belong to one direction, so that loss may be one-way. TCP never
 //! loses bytes within a stream, so loss is what the ends see of it: silence for as long as
 //! the fault lasts ([`Fault::Hold`]), a connection that one end has left and the other hasn't
-//! noticed ([`Fault::Discard`]), or a reset ([`Proxy::cut`], [`Fault::CutAfter`]). A [`Trap`] waits
+//! noticed ([`Fault::Discard`]), or a reset ([`Proxy::reset_connections`], [`Fault::ResetAfter`]). A [`Interceptor`] waits
 //! for one request by its text and strikes just that one. Small writes come from `tokio-netem`;
 //! delay doesn't, since its delay adds up over the writes of a stream where a long link's doesn't.
 
 mod connection;
-mod trap;
+mod intercept;
 
 use std::{
     io,
@@ -29,20 +29,20 @@
 use tokio_netem::slicer::DynamicSize;
 
 use self::connection::Connection;
-pub use self::trap::{Strike, Trap};
+pub use self::intercept::{Interception, Interceptor};
 
 /// Direction of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Direction {
     /// From the end that connects to the target.
-    Forth,
+    ToTarget,
     /// From the target to the end that connected.
-    Back,
+    ToClient,
 }
 
-impl Way {
+impl Direction {
     /// Both directions.
-    pub const BOTH: [Way; 2] = [Way::Forth, Way::Back];
+    pub const BOTH: [Direction; 2] = [Direction::ToTarget, Direction::ToClient];
 }
 
 /// What happens to the bytes of one direction.
@@ -59,17 +59,17 @@
     /// fault is set.
     Discard,
     /// So many more pass on each connection, then it is reset.
-    CutAfter(u64),
+    ResetAfter(u64),
 }
 
 /// Whether new connections are let in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Door {
+pub enum NewConnections {
     /// They are.
     #[default]
-    Open,
+    Accept,
     /// They are reset at once, as by a machine without a listener.
-    Shut,
+    Reset,
 }
 
 /// A fault and the number of the change that set it.
@@ -83,12 +83,12 @@
 #[derive(Debug)]
 struct Shared {
     target: watch::Sender<SocketAddr>,
-    door: watch::Sender<Door>,
+    new_connections: watch::Sender<NewConnections>,
     forth: watch::Sender<Setting>,
     back: watch::Sender<Setting>,
     cuts: watch::Sender<u64>,
     slice: Arc<DynamicSize>,
-    traps: trap::Traps,
+    traps: intercept::Interceptors,
     accepted: AtomicU64,
     refused: AtomicU64,
     bytes_forth: AtomicU64,
@@ -96,17 +96,17 @@
 }
 
 impl Shared {
-    fn setting(&self, way: Way) -> &watch::Sender<Setting> {
+    fn setting(&self, way: Direction) -> &watch::Sender<Setting> {
         match way {
-            Way::Forth => &self.forth,
-            Way::Back => &self.back,
+            Direction::ToTarget => &self.forth,
+            Direction::ToClient => &self.back,
         }
     }
 
-    fn bytes(&self, way: Way) -> &AtomicU64 {
+    fn bytes(&self, way: Direction) -> &AtomicU64 {
         match way {
-            Way::Forth => &self.bytes_forth,
-            Way::Back => &self.bytes_back,
+            Direction::ToTarget => &self.bytes_forth,
+            Direction::ToClient => &self.bytes_back,
         }
     }
 }
@@ -138,12 +138,12 @@
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             target: watch::Sender::new(target),
-            door: watch::Sender::default(),
+            new_connections: watch::Sender::default(),
             forth: watch::Sender::default(),
             back: watch::Sender::default(),
             cuts: watch::Sender::default(),
             slice: DynamicSize::new(0),
-            traps: trap::Traps::default(),
+            traps: intercept::Interceptors::default(),
             accepted: AtomicU64::new(0),
             refused: AtomicU64::new(0),
             bytes_forth: AtomicU64::new(0),
@@ -164,7 +164,7 @@
     }
 
     /// Sets the fault of one direction, for connections that stand and for new ones.
-    pub fn set(&self, way: Way, fault: Fault) {
+    pub fn set(&self, way: Direction, fault: Fault) {
         self.shared.setting(way).send_modify(|setting| {
             setting.fault = fault;
             setting.change += 1;
@@ -173,23 +173,23 @@
 
     /// Sets the same fault in both directions.
     pub fn set_both(&self, fault: Fault) {
-        Way::BOTH.into_iter().for_each(|way| self.set(way, fault));
+        Direction::BOTH.into_iter().for_each(|way| self.set(way, fault));
     }
 
     /// Opens or shuts the door to new connections.
-    pub fn door(&self, door: Door) {
-        self.shared.door.send_replace(door);
+    pub fn set_new_connections(&self, new: NewConnections) {
+        self.shared.new_connections.send_replace(new);
     }
 
     /// Lets everything pass again.
     pub fn heal(&self) {
         self.shared.slice.set(0);
-        self.door(Door::Open);
+        self.set_new_connections(NewConnections::Accept);
         self.set_both(Fault::Pass);
     }
 
     /// Resets every connection that stands.
-    pub fn cut(&self) {
+    pub fn reset_connections(&self) {
         self.shared.cuts.send_modify(|cuts| *cuts += 1);
     }
 
@@ -202,7 +202,7 @@
     ///
     /// The text is looked for in each piece as it was written, so it should stand in the request's
     /// first line or the start of its headers.
-    pub fn trap(&self, text: &str, strike: Strike) -> Trap {
+    pub fn intercept(&self, text: &str, strike: Interception) -> Interceptor {
         self.shared.traps.lay(text, strike)
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Bytes passed on so far in one direction.
-    pub fn bytes(&self, way: Way) -> u64 {
+    pub fn bytes(&self, way: Direction) -> u64 {
         self.shared.bytes(way).load(Ordering::Relaxed)
     }
 }
@@ -244,7 +244,7 @@
 }
 
 fn admit(stream: TcpStream, shared: &Arc<Shared>, connections: &mut JoinSet<()>) {
-    if *shared.door.borrow() == Door::Shut {
+    if *shared.new_connections.borrow() == NewConnections::Reset {
         shared.refused.fetch_add(1, Ordering::Relaxed);
         reset(&stream);
         return;
--- a/crates/standin/src/fault/connection.rs
+++ b/crates/standin/src/fault/connection.rs
@@ -10,7 +10,7 @@
 };
 use tokio_netem::io::NetEmWriteExt;
 
-use super::{Fault, Setting, Shared, Strike, Trap, Way, reset};
+use super::{Direction, Fault, Interception, Interceptor, Setting, Shared, reset};
 
 /// Most bytes read at a time.
 const PIECE: usize = 16 * 1024;
@@ -41,7 +41,7 @@
     shared: Arc<Shared>,
     cuts: watch::Receiver<u64>,
     /// The trap that waits for this connection's answer.
-    answer: Mutex<Option<Trap>>,
+    answer: Mutex<Option<Interceptor>>,
 }
 
 impl Connection {
@@ -66,8 +66,8 @@
             let (far_read, far_write) = far.split();
             let both = async {
                 tokio::try_join!(
-                    self.pump(Way::Forth, near_read, far_write),
-                    self.pump(Way::Back, far_read, near_write),
+                    self.pump(Direction::ToTarget, near_read, far_write),
+                    self.pump(Direction::ToClient, far_read, near_write),
                 )
             };
             tokio::select! {
@@ -83,7 +83,7 @@
 
     async fn pump(
         &self,
-        way: Way,
+        way: Direction,
         from: impl AsyncReadExt + Unpin,
         to: impl AsyncWriteExt + Unpin,
     ) -> Result<(), Reset> {
@@ -97,7 +97,7 @@
 
     async fn write(
         &self,
-        way: Way,
+        way: Direction,
         mut to: impl AsyncWriteExt + Unpin,
         mut settings: watch::Receiver<Setting>,
         mut items: mpsc::Receiver<Item>,
@@ -126,26 +126,26 @@
     }
 
     /// Lets the traps have a look at a piece.
-    async fn strike(&self, way: Way, piece: &[u8]) -> Result<(), Reset> {
+    async fn strike(&self, way: Direction, piece: &[u8]) -> Result<(), Reset> {
         match way {
-            Way::Forth => self.strike_request(piece).await,
-            Way::Back => self.strike_answer().await,
+            Direction::ToTarget => self.strike_request(piece).await,
+            Direction::ToClient => self.strike_answer().await,
         }
     }
 
     async fn strike_request(&self, piece: &[u8]) -> Result<(), Reset> {
         let Some(trap) = self.shared.traps.catch(piece) else { return Ok(()) };
         match trap.strike() {
-            Strike::LoseRequest => {
+            Interception::LoseRequest => {
                 trap.spring();
                 Err(Reset)
             }
-            Strike::HoldRequest => {
+            Interception::HoldRequest => {
                 trap.spring();
                 trap.released().await;
                 Ok(())
             }
-            Strike::LoseAnswer | Strike::HoldAnswer => {
+            Interception::LoseAnswer | Interception::HoldAnswer => {
                 *self.answer.lock().unwrap_or_else(PoisonError::into_inner) = Some(trap);
                 Ok(())
             }
@@ -157,19 +157,19 @@
         let Some(trap) = waiting else { return Ok(()) };
         trap.spring();
         match trap.strike() {
-            Strike::LoseAnswer => Err(Reset),
-            Strike::HoldAnswer => {
+            Interception::LoseAnswer => Err(Reset),
+            Interception::HoldAnswer => {
                 trap.released().await;
                 Ok(())
             }
-            Strike::LoseRequest | Strike::HoldRequest => Ok(()),
+            Interception::LoseRequest | Interception::HoldRequest => Ok(()),
         }
     }
 }
 
 /// Applies the fault in force to one direction of one connection.
 struct Gate {
-    /// Bytes passed since the fault in force was set; counted only for [`Fault::CutAfter`].
+    /// Bytes passed since the fault in force was set; counted only for [`Fault::ResetAfter`].
     passed: u64,
     /// The change that set it.
     change: u64,
@@ -186,7 +186,7 @@
             self.follow(setting);
             match setting.fault {
                 Fault::Pass | Fault::Delay(_) => return Ok(news),
-                Fault::CutAfter(limit) => return self.part(news, limit),
+                Fault::ResetAfter(limit) => return self.part(news, limit),
                 Fault::Hold => settings.changed().await.map_err(|_| Reset)?,
                 Fault::Discard => {
                     settings.changed().await.map_err(|_| Reset)?;
@@ -218,7 +218,7 @@
     fn cut_if_spent(&mut self, settings: &watch::Receiver<Setting>) -> Result<(), Reset> {
         let setting = *settings.borrow();
         match setting.fault {
-            Fault::CutAfter(limit) if self.change == setting.change && limit <= self.passed => {
+            Fault::ResetAfter(limit) if self.change == setting.change && limit <= self.passed => {
                 Err(Reset)
             }
             _ => Ok(()),
@@ -253,6 +253,6 @@
 fn due(settings: &watch::Receiver<Setting>) -> Instant {
     match settings.borrow().fault {
         Fault::Delay(delay) => Instant::now() + delay,
-        Fault::Pass | Fault::Hold | Fault::Discard | Fault::CutAfter(_) => Instant::now(),
+        Fault::Pass | Fault::Hold | Fault::Discard | Fault::ResetAfter(_) => Instant::now(),
     }
 }
--- a/crates/standin/src/fault/trap.rs
+++ b/crates/standin/src/fault/intercept.rs
@@ -1,4 +1,4 @@
-//! Traps that strike one request, found by its text.
+//! Interceptors that strike one request, found by its text.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,7 +6,7 @@
 
 /// What a trap does to the request that it catches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strike {
+pub enum Interception {
     /// Resets the connection in place of the request: it never arrives.
     LoseRequest,
     /// Lets the request through and resets the connection in place of the answer.
@@ -28,25 +28,25 @@
 
 /// A trap that was laid; the test's end of it.
 #[derive(Clone, Debug)]
-pub struct Trap {
+pub struct Interceptor {
     inner: Arc<Inner>,
 }
 
 #[derive(Debug)]
 struct Inner {
     text: Vec<u8>,
-    strike: Strike,
+    strike: Interception,
     stage: watch::Sender<Stage>,
 }
 
-impl Trap {
+impl Interceptor {
     /// Waits until it has struck: for a lost or held answer, until the answer had come.
-    pub async fn sprung(&self) {
+    pub async fn triggered(&self) {
         self.reached(Stage::Sprung).await;
     }
 
     /// Whether it has struck.
-    pub fn has_sprung(&self) -> bool {
+    pub fn has_triggered(&self) -> bool {
         Stage::Sprung <= *self.inner.stage.borrow()
     }
 
@@ -55,7 +55,7 @@
         self.inner.stage.send_replace(Stage::Released);
     }
 
-    pub(super) fn strike(&self) -> Strike {
+    pub(super) fn strike(&self) -> Interception {
         self.inner.strike
     }
 
@@ -88,21 +88,21 @@
 
 /// The traps laid on one proxy.
 #[derive(Debug, Default)]
-pub(super) struct Traps {
-    laid: Mutex<Vec<Trap>>,
+pub(super) struct Interceptors {
+    laid: Mutex<Vec<Interceptor>>,
 }
 
-impl Traps {
-    pub(super) fn lay(&self, text: &str, strike: Strike) -> Trap {
+impl Interceptors {
+    pub(super) fn lay(&self, text: &str, strike: Interception) -> Interceptor {
         assert!(!text.is_empty(), "a trap needs a text to look for");
         let stage = watch::Sender::new(Stage::Laid);
-        let trap = Trap { inner: Arc::new(Inner { text: text.into(), strike, stage }) };
+        let trap = Interceptor { inner: Arc::new(Inner { text: text.into(), strike, stage }) };
         self.laid.lock().unwrap_or_else(PoisonError::into_inner).push(trap.clone());
         trap
     }
 
     /// The first trap that this piece of a request walks into; it won't catch another.
-    pub(super) fn catch(&self, piece: &[u8]) -> Option<Trap> {
+    pub(super) fn catch(&self, piece: &[u8]) -> Option<Interceptor> {
         let mut laid = self.laid.lock().unwrap_or_else(PoisonError::into_inner);
         let index = laid.iter().position(|trap| trap.takes(piece))?;
         let trap = laid.remove(index);
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -27,7 +27,7 @@
 use crate::net::{Listener, Lost};
 
 /// Header by which a caller names the effect that must happen once.
-pub const EFFECT: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// How the service misbehaves.
 #[derive(Clone, Debug, Default)]
@@ -108,7 +108,7 @@
         self.shared.total.load(Ordering::Relaxed)
     }
 
-    /// Calls run so far by [`EFFECT`] header.
+    /// Calls run so far by [`IDEMPOTENCY_KEY`] header.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.runs).clone()
     }
@@ -160,7 +160,7 @@
 }
 
 fn effect(headers: &HeaderMap) -> Option<String> {
-    headers.get(EFFECT).and_then(|v| v.to_str().ok()).map(str::to_owned)
+    headers.get(IDEMPOTENCY_KEY).and_then(|v| v.to_str().ok()).map(str::to_owned)
 }
 
 /// Length of a body, or nothing if it broke off.
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -26,7 +26,7 @@
     load::Crowd,
     play::Player,
     record::{Arrival, Bounds, Order, Outcome, Record, Run},
-    schedule::Planned,
+    schedule::PlannedFault,
 };
 use super::{
     lock,
@@ -51,7 +51,7 @@
     /// Length.
     pub length: Duration,
     /// Faults.
-    pub schedule: Vec<Planned>,
+    pub schedule: Vec<PlannedFault>,
 }
 
 /// What came of a soak.
@@ -64,7 +64,7 @@
     /// The length, in seconds.
     pub seconds: f64,
     /// Faults.
-    pub schedule: Vec<Planned>,
+    pub schedule: Vec<PlannedFault>,
     /// Requests by kind and outcome.
     pub requests: BTreeMap<String, BTreeMap<String, usize>>,
     /// Runs at servers.
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -16,7 +16,7 @@
 use super::{
     load::{Crowd, Seat},
     record::{Bounds, Declared, Leave, Life, Place, Span, Trouble},
-    schedule::{Fault, Notice, Pairs, Planned},
+    schedule::{Fault, Notice, Pairs, PlannedFault},
     site,
 };
 use crate::routed::{
@@ -70,9 +70,9 @@
 
 /// One end of a fault.
 enum Step<'a> {
-    Begin(&'a Planned),
+    Begin(&'a PlannedFault),
     /// What its beginning noted.
-    End(&'a Planned),
+    End(&'a PlannedFault),
 }
 
 impl Player {
@@ -118,10 +118,11 @@
     /// Plays all faults to their ends.
     pub(super) async fn play(
         &mut self,
-        schedule: &[Planned],
+        schedule: &[PlannedFault],
         began: Instant,
     ) -> Result<(), Failed> {
-        let ends = schedule.iter().map(|planned| (planned.at + planned.lasts, Step::End(planned)));
+        let ends =
+            schedule.iter().map(|planned| (planned.at + planned.duration, Step::End(planned)));
         let mut steps: Vec<(Duration, Step<'_>)> =
             schedule.iter().map(|planned| (planned.at, Step::Begin(planned))).collect();
         steps.extend(ends);
@@ -190,13 +191,13 @@
     }
 
     /// Notes a fault that is as long as planned.
-    fn note(&mut self, place: Place, planned: &Planned) {
+    fn note(&mut self, place: Place, planned: &PlannedFault) {
         let from = self.now();
-        let span = Span { from, to: from + planned.lasts };
+        let span = Span { from, to: from + planned.duration };
         self.troubles.push(Trouble { place, what: format!("{:?}", planned.fault), span });
     }
 
-    fn begin(&mut self, planned: &Planned) -> Result<(), Failed> {
+    fn begin(&mut self, planned: &PlannedFault) -> Result<(), Failed> {
         for place in self.places(planned.fault) {
             self.note(place, planned);
         }
@@ -314,7 +315,7 @@
         Ok(())
     }
 
-    async fn end(&mut self, planned: &Planned) -> Result<(), Failed> {
+    async fn end(&mut self, planned: &PlannedFault) -> Result<(), Failed> {
         let store = self.site.backend.store.clone();
         match planned.fault {
             Fault::Kill(host) | Fault::Stop(host) => self.restart(host, planned).await?,
@@ -377,7 +378,7 @@
         last.into_iter().for_each(|trouble| trouble.span.to = now);
     }
 
-    async fn restart(&mut self, host: usize, planned: &Planned) -> Result<(), Failed> {
+    async fn restart(&mut self, host: usize, planned: &PlannedFault) -> Result<(), Failed> {
         if matches!(planned.fault, Fault::Stop(_)) {
             // It has ended by itself, or is taken away as the platform does it.
             self.site.hosts[host].kill();
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -68,11 +68,12 @@
 
 /// A fault and when it begins.
 #[derive(Clone, Debug, Serialize)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When, since the start.
     pub at: Duration,
     /// How long it lasts; what is restarted is back then.
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
     /// What.
     pub fault: Fault,
 }
@@ -202,7 +203,7 @@
 
 /// Draws the faults for some hosts and a length. The last ones end early enough for recovery to be
 /// seen, if the soak is long enough for that.
-pub fn draw(seed: u64, hosts: usize, length: Duration, tail: Duration) -> Vec<Planned> {
+pub fn draw(seed: u64, hosts: usize, length: Duration, tail: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut refusals = ChaCha8Rng::seed_from_u64(seed ^ REFUSED);
     let mut free: HashMap<Thing, Duration> = HashMap::new();
@@ -211,19 +212,19 @@
     let end = length.saturating_sub(tail);
     while at < end {
         let mut fault = pick(&mut random, hosts);
-        let mut lasts = lasts(&mut random, fault);
+        let mut duration = duration(&mut random, fault);
         if let Fault::Down(refusal) = &mut fault {
             *refusal = REFUSALS.choose(&mut refusals).copied().unwrap_or(Refusal::Down);
             if *refusal == Refusal::Silence {
-                lasts += Duration::from_millis(refusals.random_range(LONGER));
+                duration += Duration::from_millis(refusals.random_range(LONGER));
             }
         }
         let (thing, most) = bounds(fault, hosts);
         let out = free.iter().filter(|(other, until)| same(**other, thing) && at < **until);
         let is_free = free.get(&thing).is_none_or(|until| *until <= at) && out.count() < most;
-        if is_free && at + lasts <= end {
-            free.insert(thing, at + lasts + REST);
-            planned.push(Planned { at, lasts, fault });
+        if is_free && at + duration <= end {
+            free.insert(thing, at + duration + REST);
+            planned.push(PlannedFault { at, duration, fault });
         }
         at += Duration::from_millis(random.random_range(BETWEEN));
     }
@@ -235,7 +236,7 @@
 }
 
 /// Limits that servers name, change and withdraw, beside whatever else happens.
-fn limits(seed: u64, end: Duration) -> Vec<Planned> {
+fn limits(seed: u64, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ LIMITED);
     let mut planned = Vec::new();
     let mut at = Duration::from_millis(random.random_range(LIMITS_BETWEEN));
@@ -246,9 +247,9 @@
             0 => Fault::AllLimited(server, limit),
             _ => Fault::Limited(server, limit),
         };
-        let lasts = Duration::from_millis(random.random_range(LIMIT_LASTS));
-        if at + lasts <= end {
-            planned.push(Planned { at, lasts, fault });
+        let duration = Duration::from_millis(random.random_range(LIMIT_LASTS));
+        if at + duration <= end {
+            planned.push(PlannedFault { at, duration, fault });
         }
         at += Duration::from_millis(random.random_range(LIMITS_BETWEEN));
     }
@@ -257,7 +258,7 @@
 
 /// What presses on the retry budget, beside whatever else happens: services that fail, links between hosts that
 /// lose or delay, and hosts that are restarted in series.
-fn pressed(seed: u64, hosts: usize, end: Duration) -> Vec<Planned> {
+fn pressed(seed: u64, hosts: usize, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ PRESSED);
     let mut planned = Vec::new();
     let mut at = Duration::from_millis(random.random_range(PRESSED_BETWEEN));
@@ -265,26 +266,26 @@
         match random.random_range(0..6) {
             0 => planned.extend(series(&mut random, hosts, at)),
             1 | 2 => {
-                let lasts = Duration::from_millis(random.random_range(LINKS_LAST));
+                let duration = Duration::from_millis(random.random_range(LINKS_LAST));
                 let fault = link(&mut random, hosts);
-                planned.push(Planned { at, lasts: lasts.min(end - at), fault });
+                planned.push(PlannedFault { at, duration: duration.min(end - at), fault });
             }
             _ => {
                 let server = random.random_range(0..SERVERS.len());
                 let grey = GREYS.choose(&mut random).copied().unwrap_or(Grey::Lost);
-                let lasts = Duration::from_millis(random.random_range(FAILING_LASTS));
+                let duration = Duration::from_millis(random.random_range(FAILING_LASTS));
                 let fault = Fault::AllGrey(server, grey);
-                planned.push(Planned { at, lasts: lasts.min(end - at), fault });
+                planned.push(PlannedFault { at, duration: duration.min(end - at), fault });
             }
         }
         at += Duration::from_millis(random.random_range(PRESSED_BETWEEN));
     }
-    planned.retain(|planned| planned.at + planned.lasts <= end);
+    planned.retain(|planned| planned.at + planned.duration <= end);
     planned
 }
 
 /// Times in which a request comes that crashes servers, in one of two soaks.
-fn poisoned(seed: u64, end: Duration) -> Vec<Planned> {
+fn poisoned(seed: u64, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ POISONED);
     let mut planned = Vec::new();
     let mut at = BEFORE.min(end / 4);
@@ -292,20 +293,23 @@
         return planned;
     }
     while at < end {
-        let lasts = Duration::from_millis(random.random_range(POISON_LASTS)).min(end - at);
-        planned.push(Planned { at, lasts, fault: Fault::Poison });
-        at += lasts + Duration::from_millis(random.random_range(POISON_LASTS));
+        let duration = Duration::from_millis(random.random_range(POISON_LASTS)).min(end - at);
+        planned.push(PlannedFault { at, duration, fault: Fault::Poison });
+        at += duration + Duration::from_millis(random.random_range(POISON_LASTS));
     }
     planned
 }
 
 /// Every host is killed and started again, one after the other, a few times.
-fn series(random: &mut ChaCha8Rng, hosts: usize, at: Duration) -> Vec<Planned> {
+fn series(random: &mut ChaCha8Rng, hosts: usize, at: Duration) -> Vec<PlannedFault> {
     let times = random.random_range(SERIES_TIMES);
     let between = Duration::from_millis(random.random_range(SERIES_BETWEEN));
-    let lasts = Duration::from_millis(random.random_range(SERIES_AWAY));
-    let kill =
-        |n: usize| Planned { at: at + between * n as u32, lasts, fault: Fault::Kill(n % hosts) };
+    let duration = Duration::from_millis(random.random_range(SERIES_AWAY));
+    let kill = |n: usize| PlannedFault {
+        at: at + between * n as u32,
+        duration,
+        fault: Fault::Kill(n % hosts),
+    };
     (0..times * hosts).map(kill).collect()
 }
 
@@ -350,7 +354,7 @@
     }
 }
 
-fn lasts(random: &mut ChaCha8Rng, fault: Fault) -> Duration {
+fn duration(random: &mut ChaCha8Rng, fault: Fault) -> Duration {
     match fault {
         Fault::Stop(_) => STOP,
         Fault::Leave(..) => LEAVE,
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -11,7 +11,7 @@
 };
 
 use rstest::rstest;
-use standin::fault::{Door, Fault, Proxy, Strike, Way};
+use standin::fault::{Direction, Fault, Interception, NewConnections, Proxy};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -112,7 +112,7 @@
 
     assert_eq!(stream.read(&mut [0; 8]).await.unwrap(), 0);
     echo.until_ended(1).await;
-    assert_eq!((proxy.bytes(Way::Forth), proxy.bytes(Way::Back)), (5, 5));
+    assert_eq!((proxy.bytes(Direction::ToTarget), proxy.bytes(Direction::ToClient)), (5, 5));
     assert_eq!((proxy.accepted(), proxy.refused()), (1, 0));
 }
 
@@ -121,7 +121,7 @@
     let (echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
     let (pieces, delay) = (100, Duration::from_millis(50));
-    proxy.set(Way::Back, Fault::Delay(delay));
+    proxy.set(Direction::ToClient, Fault::Delay(delay));
 
     let start = Instant::now();
     for number in 1..=pieces {
@@ -136,10 +136,10 @@
 }
 
 #[rstest]
-#[case::requests(Way::Forth, 4)]
-#[case::answers(Way::Back, 9)]
+#[case::requests(Direction::ToTarget, 4)]
+#[case::answers(Direction::ToClient, 9)]
 #[tokio::test]
-async fn one_way_loss_holds_one_direction_alone(#[case] way: Way, #[case] arrived: u64) {
+async fn one_way_loss_holds_one_direction_alone(#[case] way: Direction, #[case] arrived: u64) {
     let (echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
 
@@ -174,7 +174,7 @@
     let (echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
 
-    proxy.set(Way::Forth, fault);
+    proxy.set(Direction::ToTarget, fault);
     drop(stream);
     tokio::time::sleep(SILENCE).await;
     assert_eq!(echo.ended.load(Ordering::SeqCst), 0);
@@ -188,7 +188,7 @@
     let (echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
 
-    proxy.set(Way::Forth, Fault::Discard);
+    proxy.set(Direction::ToTarget, Fault::Discard);
     stream.write_all(b"lost").await.unwrap();
     assert!(is_silent(&mut stream).await);
     proxy.heal();
@@ -202,7 +202,7 @@
     let (echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
 
-    proxy.cut();
+    proxy.reset_connections();
 
     is_reset(stream.read_u8().await);
     echo.until_ended(1).await;
@@ -214,7 +214,7 @@
 async fn shut_door_resets_new_connections_alone() {
     let (_echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
-    proxy.door(Door::Shut);
+    proxy.set_new_connections(NewConnections::Reset);
 
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
     let _ = next.write_all(b"hello").await;
@@ -236,7 +236,7 @@
     let (_echo, proxy, mut stream) = link().await;
     ask(&mut stream, "warm").await.unwrap();
 
-    proxy.set(Way::Back, Fault::CutAfter(limit));
+    proxy.set(Direction::ToClient, Fault::ResetAfter(limit));
     stream.write_all(b"hello").await.unwrap();
 
     let mut heard = Vec::new();
@@ -247,25 +247,25 @@
 #[tokio::test]
 async fn lost_answer_after_the_request_got_through() {
     let (echo, proxy, mut stream) = link().await;
-    let trap = proxy.trap("PUT /objects/a", Strike::LoseAnswer);
+    let trap = proxy.intercept("PUT /objects/a", Interception::LoseAnswer);
     assert_eq!(ask(&mut stream, "GET /objects/a").await.unwrap(), "GET /objects/a");
-    assert!(!trap.has_sprung());
+    assert!(!trap.has_triggered());
 
     stream.write_all(b"PUT /objects/a").await.unwrap();
 
     is_reset(stream.read_u8().await);
-    assert!(trap.has_sprung());
+    assert!(trap.has_triggered());
     assert_eq!(echo.bytes(), 28);
 }
 
 #[tokio::test]
 async fn lost_request_never_arrives_and_the_next_one_does() {
     let (echo, proxy, mut stream) = link().await;
-    let trap = proxy.trap("POST /orders", Strike::LoseRequest);
+    let trap = proxy.intercept("POST /orders", Interception::LoseRequest);
 
     stream.write_all(b"POST /orders 1").await.unwrap();
     is_reset(stream.read_u8().await);
-    trap.sprung().await;
+    trap.triggered().await;
     assert_eq!(echo.bytes(), 0);
 
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
@@ -273,14 +273,17 @@
 }
 
 #[rstest]
-#[case::request(Strike::HoldRequest, 0)]
-#[case::answer(Strike::HoldAnswer, 5)]
+#[case::request(Interception::HoldRequest, 0)]
+#[case::answer(Interception::HoldAnswer, 5)]
 #[tokio::test]
-async fn held_request_comes_after_its_successor(#[case] strike: Strike, #[case] arrived: u64) {
+async fn held_request_comes_after_its_successor(
+    #[case] strike: Interception,
+    #[case] arrived: u64,
+) {
     let (echo, proxy, mut first) = link().await;
-    let trap = proxy.trap("one", strike);
+    let trap = proxy.intercept("one", strike);
     first.write_all(b"  one").await.unwrap();
-    trap.sprung().await;
+    trap.triggered().await;
     assert_eq!(echo.bytes(), arrived);
 
     let mut second = TcpStream::connect(proxy.address()).await.unwrap();
