--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -2,9 +2,9 @@
 //!
 //! [`judge`] looks only at what callers and servers saw.
 
+mod inject;
 pub mod judge;
 mod load;
-mod play;
 pub mod record;
 pub mod schedule;
 mod site;
@@ -22,9 +22,9 @@
 use tokio::time::{Instant, timeout};
 
 use self::{
+    inject::Injector,
     judge::{Breach, retries},
-    load::Crowd,
-    play::Player,
+    load::State,
     record::{Arrival, Bounds, Order, Outcome, Record, Run},
     schedule::PlannedFault,
 };
@@ -35,7 +35,7 @@
 };
 
 /// How long callers have for their last answers.
-const LAST: Duration = Duration::from_secs(6);
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What is soaked.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
 ///
 /// If a host ends before it listens.
 pub async fn run(plan: &Plan<'_>) -> Result<Summary, Box<dyn Error + Send + Sync>> {
-    let record = play(plan).await?;
+    let record = execute(plan).await?;
     let holders: BTreeSet<&str> = record.orders.iter().map(|order| &*order.holder).collect();
     Ok(Summary {
         seed: plan.seed,
@@ -105,92 +105,93 @@
         crashed: judge::crashed(&record),
         retries: retries::worst(&record)
             .into_iter()
-            .map(|(service, window)| (service, window.part()))
+            .map(|(service, window)| (service, window.ratio()))
             .collect(),
         breaches: judge::judge(&record),
     })
 }
 
-async fn play(plan: &Plan<'_>) -> Result<Record, Box<dyn Error + Send + Sync>> {
+async fn execute(plan: &Plan<'_>) -> Result<Record, Box<dyn Error + Send + Sync>> {
     let backend = Backend::start(Vec::new()).await?;
-    let crowd = Arc::new(Crowd {
+    let load = Arc::new(State {
         began: Instant::now(),
-        seats: Mutex::default(),
+        hosts: Mutex::default(),
         versions: Mutex::default(),
         requests: Mutex::default(),
         is_burst: false.into(),
         is_poisoned: false.into(),
         is_over: false.into(),
     });
-    let mut player = Player {
+    let mut injector = Injector {
         site: Site::in_folder(plan.program, backend, plan.folder),
-        crowd,
+        load,
         bounds: Bounds::default(),
-        declaration: site::first(),
+        declaration: site::first_declaration(),
         declared: Vec::new(),
         leaves: Vec::new(),
-        troubles: Vec::new(),
+        disruptions: Vec::new(),
         servers: Vec::new(),
         faulted: BTreeSet::new(),
         crashed: BTreeMap::new(),
     };
-    for place in 0..site::SERVERS.len() {
-        player.serve(place).await?;
+    for index in 0..site::SERVERS.len() {
+        injector.start_server(index).await?;
     }
-    player.declare(site::first());
-    player.site.relay_links();
-    for place in 0..plan.hosts {
+    injector.declare(site::first_declaration());
+    injector.site.relay_links();
+    for index in 0..plan.hosts {
         // As operators have it, for `cyclamenctl explain`.
-        player.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
-        player.seat(place);
+        injector.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
+        injector.register_host(index);
     }
-    player.site.ready().await;
+    injector.site.ready().await;
     // Faults and load count from here on.
     let began = Instant::now();
-    let mut callers = load::start(&player.crowd, plan.seed);
-    player.play(&plan.schedule, began).await?;
-    player.wait(began + plan.length).await?;
-    player.crowd.is_over.store(true, Ordering::Relaxed);
+    let mut callers = load::start(&injector.load, plan.seed);
+    injector.run(&plan.schedule, began).await?;
+    injector.wait(began + plan.length).await?;
+    injector.load.is_over.store(true, Ordering::Relaxed);
     // Who still waits then is left out.
-    let _ = timeout(LAST, async { while callers.join_next().await.is_some() {} }).await;
-    Ok(player.record())
+    let _ =
+        timeout(LAST_ANSWERS_TIMEOUT, async { while callers.join_next().await.is_some() {} }).await;
+    Ok(injector.record())
 }
 
-impl Player {
+impl Injector {
     /// All that was seen.
     fn record(mut self) -> Record {
-        let crowd = &self.crowd;
+        let load = &self.load;
         let servers = &self.site.backend.servers;
         let mut orders = Vec::new();
         let mut overloads = Vec::new();
         for server in servers {
             let mut given = server.orders();
             given.sort_by_key(|given| given.came);
-            let last = given.last().map(|given| crowd.since(given.at)).unwrap_or_default();
+            let last = given.last().map(|given| load.since(given.at)).unwrap_or_default();
             overloads.extend(server.overload().map(|_| (server.id().to_string(), last)));
             orders.extend(given.into_iter().map(|given| Order {
                 server: server.id().to_string(),
                 holder: given.order.holder.to_string(),
                 fence: given.order.fence,
-                came: crowd.since(given.came),
+                arrived_at: load.since(given.came),
             }));
         }
-        orders.sort_by_key(|order| order.came);
+        orders.sort_by_key(|order| order.arrived_at);
         let quota = |server: &Server| {
-            let quota = server.quota().later(crowd.since(server.began()));
+            let quota = server.quota().later(load.since(server.began()));
             (server.id().to_string(), quota)
         };
         let quotas = servers.iter().map(quota).collect();
-        let runs = servers.iter().flat_map(|server| runs(server, crowd)).collect();
-        let arrivals = servers.iter().flat_map(|server| arrivals(server, crowd)).collect();
-        let requests = std::mem::take(&mut *lock(&crowd.requests));
+        let runs = servers.iter().flat_map(|server| runs(server, load)).collect();
+        let arrivals = servers.iter().flat_map(|server| arrivals(server, load)).collect();
+        let requests = std::mem::take(&mut *lock(&load.requests));
         let hosts = &mut self.site.hosts;
-        let dead = hosts
+        let exited = hosts
             .iter_mut()
             .enumerate()
-            .filter_map(|(place, host)| (!host.runs()).then_some(place));
+            .filter_map(|(index, host)| (!host.runs()).then_some(index));
         Record {
-            dead: dead.collect(),
+            exited: exited.collect(),
             hosts: self.site.hosts.iter().map(|host| host.name.clone()).collect(),
             bounds: self.bounds,
             requests,
@@ -201,37 +202,37 @@
             quotas,
             leaves: self.leaves,
             declared: self.declared,
-            troubles: self.troubles,
+            disruptions: self.disruptions,
         }
     }
 }
 
-fn runs(server: &Server, crowd: &Crowd) -> Vec<Run> {
-    let seen = |run: super::server::Run| Run {
+fn runs(server: &Server, load: &State) -> Vec<Run> {
+    let to_record = |run: super::server::Run| Run {
         id: run.asked.id.as_deref().unwrap_or_default().to_owned(),
         server: server.id().to_string(),
         service: server.service().to_string(),
         path: run.path,
-        body: run.body.len(),
-        came: crowd.since(run.came),
-        ended: run.ended.map(|ended| crowd.since(ended)),
-        failed: match run.fault {
+        body_bytes: run.body.len(),
+        arrived_at: load.since(run.came),
+        ended_at: run.ended.map(|ended| load.since(ended)),
+        failure: match run.fault {
             Some(Fault::Failed(status)) => Some(status),
             _ => None,
         },
-        spoilt: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
-        crashed: run.ending == Some(Ending::Crashed),
+        is_corrupted: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
+        is_server_crash: run.ending == Some(Ending::Crashed),
     };
-    server.runs().into_iter().map(seen).collect()
+    server.runs().into_iter().map(to_record).collect()
 }
 
-fn arrivals(server: &Server, crowd: &Crowd) -> Vec<Arrival> {
-    let seen = |arrival: super::server::Arrival| Arrival {
+fn arrivals(server: &Server, load: &State) -> Vec<Arrival> {
+    let to_record = |arrival: super::server::Arrival| Arrival {
         id: arrival.id.to_string(),
         service: server.service().to_string(),
-        at: crowd.since(arrival.at),
+        at: load.since(arrival.at),
     };
-    server.arrivals().into_iter().map(seen).collect()
+    server.arrivals().into_iter().map(to_record).collect()
 }
 
 /// Requests by kind and outcome.
@@ -244,10 +245,10 @@
         };
         let outcome = match &request.outcome {
             Outcome::Unreached => "unreached".into(),
-            Outcome::Left => "left".into(),
-            Outcome::Late => "late".into(),
+            Outcome::CallerClosed => "left".into(),
+            Outcome::TimedOut => "late".into(),
             Outcome::Closed => "closed".into(),
-            Outcome::Answered(answer) if !answer.whole => "cut".into(),
+            Outcome::Answered(answer) if !answer.is_complete => "cut".into(),
             Outcome::Answered(answer) => answer.status.as_u16().to_string(),
         };
         *outcomes.entry(kind).or_default().entry(outcome).or_default() += 1;
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -14,8 +14,8 @@
 use types::routed::Declaration;
 
 use super::{
-    load::{Crowd, Seat},
-    record::{Bounds, Declared, Leave, Life, Place, Span, Trouble},
+    load::{self, HostEntry},
+    record::{Bounds, Component, Declared, Disruption, HostRun, Leave, Span},
     schedule::{Fault, Notice, Pairs, PlannedFault},
     site,
 };
@@ -28,38 +28,38 @@
 };
 
 /// What the store's delay is while it is slow.
-const SLOW: Duration = Duration::from_millis(700);
+const STORE_DELAY: Duration = Duration::from_millis(700);
 
 /// What a slow server takes for an answer, and between events.
-const DULL: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(250));
+const SLOW_SERVER: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(250));
 
 /// Time in which hosts in calm take a declaration in.
-const SEEN: Duration = Duration::from_millis(200);
+const APPLY_TIME: Duration = Duration::from_millis(200);
 
 /// How late a late order, or a late write, is carried out.
-const LATE: Duration = Duration::from_millis(900);
+const LATENESS: Duration = Duration::from_millis(900);
 
 /// Pause between looks at which servers have crashed.
-const LOOK: Duration = Duration::from_millis(50);
+const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// From a server's crash to the start of another one.
-const BACK: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The entry of a crashed server stays for so long.
-const STALE: Duration = Duration::from_millis(2_000);
+const STALE_ENTRY_TIME: Duration = Duration::from_millis(2_000);
 
-type Failed = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Makes the faults.
 #[derive(Debug)]
-pub(super) struct Player {
+pub(super) struct Injector {
     pub(super) site: Site,
-    pub(super) crowd: Arc<Crowd>,
+    pub(super) load: Arc<load::State>,
     pub(super) bounds: Bounds,
     pub(super) declaration: Declaration,
     pub(super) declared: Vec<Declared>,
     pub(super) leaves: Vec<Leave>,
-    pub(super) troubles: Vec<Trouble>,
+    pub(super) disruptions: Vec<Disruption>,
     /// The id of the server at each place now, and how many there were before.
     pub(super) servers: Vec<(String, usize)>,
     /// Places whose server is in a fault of its own.
@@ -75,31 +75,31 @@
     End(&'a PlannedFault),
 }
 
-impl Player {
+impl Injector {
     /// Starts the server at a place.
-    pub(super) async fn serve(&mut self, place: usize) -> Result<(), Failed> {
-        let run = self.servers.get(place).map_or(0, |(_, run)| run + 1);
-        let server = self.site.backend.add(site::server(place, run)).await?;
-        site::calm(server, self.bounds.events);
-        let seat = (server.id().to_string(), run);
-        match self.servers.get_mut(place) {
-            Some(server) => *server = seat,
-            None => self.servers.push(seat),
+    pub(super) async fn start_server(&mut self, index: usize) -> Result<(), BoxError> {
+        let run = self.servers.get(index).map_or(0, |(_, run)| run + 1);
+        let server = self.site.backend.add(site::server_settings(index, run)).await?;
+        site::reset_script(server, self.bounds.stream_events);
+        let entry = (server.id().to_string(), run);
+        match self.servers.get_mut(index) {
+            Some(server) => *server = entry,
+            None => self.servers.push(entry),
         }
         Ok(())
     }
 
     /// Tells callers of a host that has started.
-    pub(super) fn seat(&mut self, place: usize) {
-        let host = &self.site.hosts[place];
+    pub(super) fn register_host(&mut self, index: usize) {
+        let host = &self.site.hosts[index];
         let (callers, operators) = (host.callers(), host.operators());
-        let mut seats = lock(&self.crowd.seats);
-        let start = seats.get(place).map_or(0, |seat| seat.life.start + 1);
-        let life = Life { host: place, start };
-        let seat = Seat { life, callers, operators, is_ready: false };
-        match seats.get_mut(place) {
-            Some(old) => *old = seat,
-            None => seats.push(seat),
+        let mut hosts = lock(&self.load.hosts);
+        let start = hosts.get(index).map_or(0, |entry| entry.host_run.start + 1);
+        let host_run = HostRun { host: index, start };
+        let entry = HostEntry { host_run, callers, operators, is_ready: false };
+        match hosts.get_mut(index) {
+            Some(old) => *old = entry,
+            None => hosts.push(entry),
         }
     }
 
@@ -112,15 +112,15 @@
     }
 
     fn now(&self) -> Duration {
-        self.crowd.since(Instant::now())
+        self.load.since(Instant::now())
     }
 
     /// Plays all faults to their ends.
-    pub(super) async fn play(
+    pub(super) async fn run(
         &mut self,
         schedule: &[PlannedFault],
         began: Instant,
-    ) -> Result<(), Failed> {
+    ) -> Result<(), BoxError> {
         let ends =
             schedule.iter().map(|planned| (planned.at + planned.duration, Step::End(planned)));
         let mut steps: Vec<(Duration, Step<'_>)> =
@@ -133,7 +133,7 @@
             match step {
                 Step::Begin(planned) => {
                     if planned.fault == Fault::SILENCE {
-                        self.align().await?;
+                        self.align_watches().await?;
                     }
                     self.begin(planned)?;
                 }
@@ -145,84 +145,84 @@
 
     /// Lets all hosts watch the store from the same moment on, as a declaration does: what then
     /// happens to one watch happens to all.
-    async fn align(&mut self) -> Result<(), Failed> {
-        self.make(Fault::Declare)?;
-        sleep(SEEN).await;
+    async fn align_watches(&mut self) -> Result<(), BoxError> {
+        self.apply(Fault::Declare)?;
+        sleep(APPLY_TIME).await;
         Ok(())
     }
 
     /// Waits, and starts servers anew that a request has crashed.
-    pub(super) async fn wait(&mut self, until: Instant) -> Result<(), Failed> {
+    pub(super) async fn wait(&mut self, until: Instant) -> Result<(), BoxError> {
         loop {
-            self.revive().await?;
+            self.restart_crashed().await?;
             let now = Instant::now();
             if until <= now {
                 return Ok(());
             }
-            sleep_until(until.min(now + LOOK)).await;
+            sleep_until(until.min(now + CRASH_POLL_INTERVAL)).await;
         }
     }
 
-    async fn revive(&mut self) -> Result<(), Failed> {
-        for place in 0..self.servers.len() {
-            if self.faulted.contains(&place) || self.crashed.contains_key(&place) {
+    async fn restart_crashed(&mut self) -> Result<(), BoxError> {
+        for index in 0..self.servers.len() {
+            if self.faulted.contains(&index) || self.crashed.contains_key(&index) {
                 continue;
             }
-            if let Some(at) = self.server(place).crashed() {
-                let from = self.crowd.since(at);
-                let span = Span { from, to: from + BACK };
-                let place_of = Place::Server(self.servers[place].0.clone());
-                self.troubles.push(Trouble { place: place_of, what: "crashed".into(), span });
-                self.crashed.insert(place, at + BACK);
+            if let Some(at) = self.server(index).crashed() {
+                let from = self.load.since(at);
+                let span = Span { from, to: from + RESTART_DELAY };
+                let component = Component::Server(self.servers[index].0.clone());
+                self.disruptions.push(Disruption { component, what: "crashed".into(), span });
+                self.crashed.insert(index, at + RESTART_DELAY);
             }
         }
         let now = Instant::now();
         let due: Vec<usize> =
-            self.crashed.iter().filter(|(_, at)| **at <= now).map(|(place, _)| *place).collect();
-        for place in due {
-            self.crashed.remove(&place);
-            self.replace(place).await?;
+            self.crashed.iter().filter(|(_, at)| **at <= now).map(|(index, _)| *index).collect();
+        for index in due {
+            self.crashed.remove(&index);
+            self.replace_server(index).await?;
         }
         Ok(())
     }
 
-    fn server(&self, place: usize) -> &Server {
-        self.site.backend.server(&self.servers[place].0)
+    fn server(&self, index: usize) -> &Server {
+        self.site.backend.server(&self.servers[index].0)
     }
 
     /// Notes a fault that is as long as planned.
-    fn note(&mut self, place: Place, planned: &PlannedFault) {
+    fn record_disruption(&mut self, component: Component, planned: &PlannedFault) {
         let from = self.now();
         let span = Span { from, to: from + planned.duration };
-        self.troubles.push(Trouble { place, what: format!("{:?}", planned.fault), span });
+        self.disruptions.push(Disruption { component, what: format!("{:?}", planned.fault), span });
     }
 
-    fn begin(&mut self, planned: &PlannedFault) -> Result<(), Failed> {
-        for place in self.places(planned.fault) {
-            self.note(place, planned);
+    fn begin(&mut self, planned: &PlannedFault) -> Result<(), BoxError> {
+        for component in self.affected(planned.fault) {
+            self.record_disruption(component, planned);
         }
-        self.make(planned.fault)
+        self.apply(planned.fault)
     }
 
-    /// What a fault puts in trouble.
-    fn places(&self, fault: Fault) -> Vec<Place> {
-        let server = |place: usize| Place::Server(self.servers[place].0.clone());
+    /// What a fault puts in disruption.
+    fn affected(&self, fault: Fault) -> Vec<Component> {
+        let server = |index: usize| Component::Server(self.servers[index].0.clone());
         match fault {
-            Fault::Kill(host) | Fault::Freeze(host) => vec![Place::Host(host)],
-            Fault::Stop(host) | Fault::Reload(host) => vec![Place::Planned(host)],
-            Fault::TurnAway(host, _) => vec![Place::Door(host)],
+            Fault::Kill(host) | Fault::Freeze(host) => vec![Component::Host(host)],
+            Fault::Stop(host) | Fault::Reload(host) => vec![Component::HostPlanned(host)],
+            Fault::TurnAway(host, _) => vec![Component::StoreEndpoint(host)],
             Fault::Crash(at) | Fault::Leave(at, _) | Fault::Grey(at, _) | Fault::Dull(at) => {
                 vec![server(at)]
             }
-            Fault::AllGrey(at, _) => site::alike(at).map(server).collect(),
+            Fault::AllGrey(at, _) => site::same_service(at).map(server).collect(),
             Fault::Links(pairs, _) => {
                 let hosts = self.site.hosts.len();
                 let ends = pairs.among(hosts).flat_map(|(from, to)| [from, to]);
                 let ends: BTreeSet<usize> = ends.collect();
-                ends.into_iter().map(Place::Host).collect()
+                ends.into_iter().map(Component::Host).collect()
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
-                vec![Place::Store]
+                vec![Component::Store]
             }
             Fault::Orders(_)
             | Fault::Declare
@@ -234,12 +234,12 @@
     }
 
     /// Sets the links of some pairs of hosts.
-    fn link(&self, pairs: Pairs, way: Way) {
+    fn set_links(&self, pairs: Pairs, way: Way) {
         let links = self.site.links();
         pairs.among(self.site.hosts.len()).for_each(|(from, to)| links.set(from, to, way));
     }
 
-    fn make(&mut self, fault: Fault) -> Result<(), Failed> {
+    fn apply(&mut self, fault: Fault) -> Result<(), BoxError> {
         let store = self.site.backend.store.clone();
         match fault {
             Fault::Kill(host) => self.site.hosts[host].kill(),
@@ -247,9 +247,9 @@
             Fault::Freeze(host) => self.site.hosts[host].signal(Signal::SIGSTOP),
             Fault::Reload(host) => self.reload(host)?,
             Fault::Down(refusal) => store.everywhere(|mood| mood.refusal = Some(refusal)),
-            Fault::Slow => store.everywhere(|mood| mood.delay = SLOW),
+            Fault::Slow => store.everywhere(|mood| mood.delay = STORE_DELAY),
             Fault::Lost(answers) => store.everywhere(|mood| mood.lost = answers),
-            Fault::LateWrite => store.everywhere(|mood| mood.late = Some(LATE)),
+            Fault::LateWrite => store.everywhere(|mood| mood.late = Some(LATENESS)),
             Fault::Compact => store.compact(),
             Fault::TurnAway(host, refusal) => {
                 store.at(&self.site.hosts[host].name, |mood| mood.refusal = Some(refusal));
@@ -268,44 +268,46 @@
                 let at = self.now();
                 self.leaves.push(Leave { server: id, at });
             }
-            Fault::Grey(server, grey) => {
-                self.server(server).script(|script| script.always = Some(grey));
+            Fault::Grey(server, server_fault) => {
+                self.server(server).script(|script| script.always = Some(server_fault));
             }
-            Fault::AllGrey(server, grey) => site::alike(server).for_each(|place| {
-                self.server(place).script(|script| script.always = Some(grey));
+            Fault::AllGrey(server, server_fault) => site::same_service(server).for_each(|index| {
+                self.server(index).script(|script| script.always = Some(server_fault));
             }),
-            Fault::Links(pairs, way) => self.link(pairs, way),
+            Fault::Links(pairs, way) => self.set_links(pairs, way),
             Fault::Dull(server) => {
-                self.server(server).script(|script| (script.work, script.pace) = DULL);
+                self.server(server).script(|script| (script.work, script.pace) = SLOW_SERVER);
             }
             Fault::Orders(server) => self.server(server).script(|script| {
-                script.orders = [OrderFault::Lost, OrderFault::Late(LATE)].into();
+                script.orders = [OrderFault::Lost, OrderFault::Late(LATENESS)].into();
             }),
             Fault::Declare => {
-                let next = site::next(&self.declaration);
+                let next = site::next_declaration(&self.declaration);
                 let version = next.version;
                 self.declare(next);
-                lock(&self.crowd.versions).push(version);
+                lock(&self.load.versions).push(version);
+            }
+            Fault::Burst => self.load.is_burst.store(true, Ordering::Relaxed),
+            Fault::Poison => self.load.is_poisoned.store(true, Ordering::Relaxed),
+            Fault::Limited(server, limit) => self.set_limit([server], Some(limit)),
+            Fault::AllLimited(server, limit) => {
+                self.set_limit(site::same_service(server), Some(limit))
             }
-            Fault::Burst => self.crowd.is_burst.store(true, Ordering::Relaxed),
-            Fault::Poison => self.crowd.is_poisoned.store(true, Ordering::Relaxed),
-            Fault::Limited(server, limit) => self.limit([server], Some(limit)),
-            Fault::AllLimited(server, limit) => self.limit(site::alike(server), Some(limit)),
         }
         Ok(())
     }
 
     /// Lets servers name a limit, in hundredths of a request a second, or none any more.
-    fn limit(&self, places: impl IntoIterator<Item = usize>, limit: Option<u32>) {
+    fn set_limit(&self, indices: impl IntoIterator<Item = usize>, limit: Option<u32>) {
         let named = limit.map(|limit| f64::from(limit) / 100.0);
-        for place in places {
+        for index in indices {
             let named = named.map(|limit| limit.to_string().into());
-            self.server(place).script(|script| script.limit = named);
+            self.server(index).script(|script| script.limit = named);
         }
     }
 
     /// Changes what a host may use at once, and tells it.
-    fn reload(&mut self, host: usize) -> Result<(), Failed> {
+    fn reload(&mut self, host: usize) -> Result<(), BoxError> {
         let host = &self.site.hosts[host];
         let mut settings: Value = serde_json::from_str(&std::fs::read_to_string(host.settings())?)?;
         let extra = settings["routed"]["retry"]["extra"].as_u64().unwrap_or_default();
@@ -315,18 +317,21 @@
         Ok(())
     }
 
-    async fn end(&mut self, planned: &PlannedFault) -> Result<(), Failed> {
+    async fn end(&mut self, planned: &PlannedFault) -> Result<(), BoxError> {
         let store = self.site.backend.store.clone();
         match planned.fault {
             Fault::Kill(host) | Fault::Stop(host) => self.restart(host, planned).await?,
             Fault::Freeze(host) => {
                 self.site.hosts[host].signal(Signal::SIGCONT);
-                self.ends(&Place::Host(host));
+                self.end_disruption(&Component::Host(host));
             }
             Fault::Reload(host) => {
                 let apply = self.bounds.apply;
-                let last = self.troubles.iter_mut().rfind(|t| t.place == Place::Planned(host));
-                last.into_iter().for_each(|trouble| trouble.span.to += apply);
+                let last = self
+                    .disruptions
+                    .iter_mut()
+                    .rfind(|t| t.component == Component::HostPlanned(host));
+                last.into_iter().for_each(|disruption| disruption.span.to += apply);
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
                 store.everywhere(|mood| {
@@ -338,74 +343,79 @@
                         mood.refusal = None;
                     }
                 });
-                self.ends(&Place::Store);
+                self.end_disruption(&Component::Store);
                 if planned.fault == Fault::SILENCE {
-                    self.make(Fault::Declare)?;
+                    self.apply(Fault::Declare)?;
                 }
             }
             Fault::TurnAway(host, _) => {
                 store.at(&self.site.hosts[host].name, |mood| mood.refusal = None);
-                self.ends(&Place::Door(host));
+                self.end_disruption(&Component::StoreEndpoint(host));
             }
             Fault::Crash(server) | Fault::Leave(server, _) => {
                 self.faulted.remove(&server);
                 self.crashed.remove(&server);
-                self.replace(server).await?;
+                self.replace_server(server).await?;
             }
             Fault::Grey(server, _) | Fault::Dull(server) => {
-                site::calm(self.server(server), self.bounds.events);
-                self.ends(&Place::Server(self.servers[server].0.clone()));
+                site::reset_script(self.server(server), self.bounds.stream_events);
+                self.end_disruption(&Component::Server(self.servers[server].0.clone()));
             }
             Fault::AllGrey(server, _) => {
-                for place in site::alike(server).collect::<Vec<_>>() {
-                    site::calm(self.server(place), self.bounds.events);
+                for index in site::same_service(server).collect::<Vec<_>>() {
+                    site::reset_script(self.server(index), self.bounds.stream_events);
                 }
             }
-            Fault::Links(pairs, _) => self.link(pairs, Way::Passes),
-            Fault::Burst => self.crowd.is_burst.store(false, Ordering::Relaxed),
-            Fault::Poison => self.crowd.is_poisoned.store(false, Ordering::Relaxed),
-            Fault::Limited(server, _) => self.limit([server], None),
-            Fault::AllLimited(server, _) => self.limit(site::alike(server), None),
+            Fault::Links(pairs, _) => self.set_links(pairs, Way::Passes),
+            Fault::Burst => self.load.is_burst.store(false, Ordering::Relaxed),
+            Fault::Poison => self.load.is_poisoned.store(false, Ordering::Relaxed),
+            Fault::Limited(server, _) => self.set_limit([server], None),
+            Fault::AllLimited(server, _) => self.set_limit(site::same_service(server), None),
             Fault::Orders(_) | Fault::Declare => {}
         }
         Ok(())
     }
 
     /// Notes that the last trouble of a place ends now.
-    fn ends(&mut self, place: &Place) {
+    fn end_disruption(&mut self, component: &Component) {
         let now = self.now();
-        let last = self.troubles.iter_mut().rfind(|trouble| trouble.place == *place);
-        last.into_iter().for_each(|trouble| trouble.span.to = now);
+        let last =
+            self.disruptions.iter_mut().rfind(|disruption| disruption.component == *component);
+        last.into_iter().for_each(|disruption| disruption.span.to = now);
     }
 
-    async fn restart(&mut self, host: usize, planned: &PlannedFault) -> Result<(), Failed> {
+    async fn restart(&mut self, host: usize, planned: &PlannedFault) -> Result<(), BoxError> {
         if matches!(planned.fault, Fault::Stop(_)) {
             // It has ended by itself, or is taken away as the platform does it.
             self.site.hosts[host].kill();
         }
-        self.ends(&Place::Host(host));
-        self.ends(&Place::Planned(host));
+        self.end_disruption(&Component::Host(host));
+        self.end_disruption(&Component::HostPlanned(host));
         let from = self.now();
         self.site.restart(host).await?;
-        self.seat(host);
+        self.register_host(host);
         // A machine that starts isn't in touch.
         let span = Span { from, to: self.now() };
-        self.troubles.push(Trouble { place: Place::Host(host), what: "start".into(), span });
+        self.disruptions.push(Disruption {
+            component: Component::Host(host),
+            what: "start".into(),
+            span,
+        });
         Ok(())
     }
 
     /// A server of the same service comes in a server's place.
-    async fn replace(&mut self, place: usize) -> Result<(), Failed> {
-        let old = self.servers[place].0.clone();
-        self.server(place).kill();
-        self.ends(&Place::Server(old.clone()));
+    async fn replace_server(&mut self, index: usize) -> Result<(), BoxError> {
+        let old = self.servers[index].0.clone();
+        self.server(index).kill();
+        self.end_disruption(&Component::Server(old.clone()));
         // Nothing is heard of it, and its entry goes a little later.
         self.site.backend.silence(&old);
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(STALE).await;
+            tokio::time::sleep(STALE_ENTRY_TIME).await;
             store.remove(&platform::remote::store::kind(Kind::Server), &old);
         });
-        self.serve(place).await
+        self.start_server(index).await
     }
 }
--- a/crates/standin/src/routed/soak/judge/declared.rs
+++ b/crates/standin/src/routed/soak/judge/declared.rs
@@ -13,12 +13,12 @@
 impl Judge<'_> {
     /// Declarations, as requests show them: the newest that a host has shown binds what is sent to
     /// the same start of it later, and each binds all hosts in touch after a time.
-    pub(super) fn declared(&self) -> Vec<Breach> {
+    pub(super) fn check_declarations(&self) -> Vec<Breach> {
         let mut shown: BTreeMap<_, Vec<(Duration, Version)>> = BTreeMap::new();
         let handled = self.record.requests.iter().filter_map(|request| {
-            let (at, versions) = self.handling(request)?;
+            let (at, versions) = self.first_handling(request)?;
             if let Some(first) = versions.first() {
-                shown.entry(request.life).or_default().push((at, *first));
+                shown.entry(request.host_run).or_default().push((at, *first));
             }
             // What no declaration allows at all is behind all of them.
             Some((request, versions.last().copied().unwrap_or_default()))
@@ -27,10 +27,10 @@
         let mut breaches = Vec::new();
         for (request, newest) in handled {
             let sent = request.span.from;
-            let before = shown.get(&request.life).into_iter().flatten();
+            let before = shown.get(&request.host_run).into_iter().flatten();
             let before = before.filter(|(at, _)| *at + self.record.bounds.rollback < sent);
             let bound = before.map(|(_, version)| *version).max().unwrap_or_default();
-            let due = self.due(request);
+            let due = self.due_version(request);
             if newest < bound {
                 let what = format!("handled by {newest} at the latest, {bound} was shown before");
                 breaches.push(breach(Promise::Config, request, sent, what));
@@ -44,9 +44,9 @@
 
     /// The newest version that was due when a request was sent: each that was written so long before,
     /// whatever trouble there was then, if its host has been in touch since.
-    fn due(&self, request: &Request) -> Version {
+    fn due_version(&self, request: &Request) -> Version {
         let sent = request.span.from;
-        if !self.record.in_touch(request.life.host, Span { from: sent, to: sent }) {
+        if !self.record.is_in_contact(request.host_run.host, Span { from: sent, to: sent }) {
             return 0;
         }
         let apply = self.record.bounds.apply;
@@ -55,11 +55,11 @@
     }
 
     /// When a request was handled first, and the versions that handle it so, rising.
-    fn handling(&self, request: &Request) -> Option<(Duration, Vec<Version>)> {
+    fn first_handling(&self, request: &Request) -> Option<(Duration, Vec<Version>)> {
         let run = self.runs(request).first();
         let service = run.map(|run| run.service.as_str());
         let at = match (&request.outcome, run) {
-            (_, Some(run)) => run.came,
+            (_, Some(run)) => run.arrived_at,
             (Outcome::Answered(answer), None) if answer.status == StatusCode::NOT_FOUND => {
                 request.span.to
             }
--- a/crates/standin/src/routed/soak/judge/retries.rs
+++ b/crates/standin/src/routed/soak/judge/retries.rs
@@ -12,7 +12,7 @@
 };
 
 /// Just after a moment that belongs to a window's start.
-const AFTER: Duration = Duration::from_nanos(1);
+const EPSILON: Duration = Duration::from_nanos(1);
 
 /// A service's window that comes nearest to what is allowed, or goes furthest beyond.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +27,7 @@
 
 impl Window {
     /// Retries as a part of what is allowed.
-    pub fn part(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         self.retries as f64 / self.allowed
     }
 }
@@ -40,7 +40,7 @@
 }
 
 impl Judge<'_> {
-    pub(super) fn retries(&self) -> Vec<Breach> {
+    pub(super) fn check_retries(&self) -> Vec<Breach> {
         let worst = worst(self.record).into_iter();
         let broken = worst.filter(|(_, window)| window.allowed < window.retries as f64);
         let breach = |(service, Window { end, retries, allowed }): (String, Window)| {
@@ -60,7 +60,7 @@
 fn services(record: &Record) -> BTreeMap<String, Service> {
     let mut services: BTreeMap<String, Service> = BTreeMap::new();
     for request in &record.requests {
-        for service in asked(record, request) {
+        for service in target_services(record, request) {
             services.entry(service).or_default().requests.push(request.span.from);
         }
     }
@@ -78,7 +78,7 @@
 }
 
 /// Services that a declaration sends a request to which may be in force for it.
-fn asked(record: &Record, request: &Request) -> std::collections::BTreeSet<String> {
+fn target_services(record: &Record, request: &Request) -> std::collections::BTreeSet<String> {
     let ends = record.declared.iter().skip(1).map(|next| next.at + record.bounds.apply);
     let ends = ends.chain([Duration::MAX]);
     let in_force = record
@@ -99,17 +99,18 @@
         let events = self.requests.iter().chain(&self.retries);
         let ends = events.flat_map(|at| halves.map(|later| *at + later));
         let windows = ends.filter(|end| *end <= last + length).flat_map(|end| {
-            [end, end + AFTER].map(|end| Window {
+            [end, end + EPSILON].map(|end| Window {
                 end,
                 retries: count(&self.retries, end, length),
-                allowed: bounds.retry_ratio * self.paying(end, length) as f64 + bounds.retry_extra,
+                allowed: bounds.retry_ratio * self.requests_counted(end, length) as f64
+                    + bounds.retry_extra,
             })
         });
-        windows.max_by(|one, other| one.part().total_cmp(&other.part()))
+        windows.max_by(|one, other| one.ratio().total_cmp(&other.ratio()))
     }
 
     /// Requests that pay for the retries of a window.
-    fn paying(&self, end: Duration, length: Duration) -> usize {
+    fn requests_counted(&self, end: Duration, length: Duration) -> usize {
         let ends = [Some(end), end.checked_sub(length / 2), end.checked_sub(length)];
         let counts = ends.into_iter().flatten().map(|end| count(&self.requests, end, length));
         counts.max().unwrap_or(0)
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -20,34 +20,34 @@
 use types::routed::{Kind, Version};
 
 use super::{
-    record::{self, Life, Outcome, Request, Span},
-    site::{ADAPTERS, DEADLINE, HOST, MODELS, POISON, since},
+    record::{self, HostRun, Outcome, Request, Span},
+    site::{ADAPTERS, DEADLINE, HOST, MODELS, POISON, added_route},
 };
 use crate::routed::{
     caller::{Answer, Ask, Caller, Failure},
     lock,
 };
 
-/// Callers at once. With [`PAUSE`] they stay under 200 requests a second, also in a burst.
+/// Callers at once. With [`PAUSE_MS`] they stay under 200 requests a second, also in a burst.
 const CALLERS: u64 = 16;
 
-/// Between two requests of one caller, in ms; in a burst it is [`BURST`].
-const PAUSE: std::ops::Range<u64> = 60..300;
-const BURST: std::ops::Range<u64> = 40..120;
+/// Between two requests of one caller, in ms; in a burst it is [`BURST_PAUSE_MS`].
+const PAUSE_MS: std::ops::Range<u64> = 60..300;
+const BURST_PAUSE_MS: std::ops::Range<u64> = 40..120;
 
 /// How long a caller waits beyond the deadline.
-const BEYOND: Duration = Duration::from_secs(1);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// Between two sends of a request that crashes servers.
-const POISON_PAUSE: Duration = Duration::from_millis(300);
+const POISON_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time between the balancer's questions.
-const POLL: Duration = Duration::from_millis(250);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A host as callers and the balancer know it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seat {
-    pub(super) life: Life,
+pub(super) struct HostEntry {
+    pub(super) host_run: HostRun,
     pub(super) callers: SocketAddr,
     pub(super) operators: SocketAddr,
     pub(super) is_ready: bool,
@@ -55,9 +55,9 @@
 
 /// What callers share with those who make the faults.
 #[derive(Debug)]
-pub(super) struct Crowd {
+pub(super) struct State {
     pub(super) began: Instant,
-    pub(super) seats: Mutex<Vec<Seat>>,
+    pub(super) hosts: Mutex<Vec<HostEntry>>,
     pub(super) versions: Mutex<Vec<Version>>,
     pub(super) requests: Mutex<Vec<Request>>,
     pub(super) is_burst: AtomicBool,
@@ -66,47 +66,49 @@
     pub(super) is_over: AtomicBool,
 }
 
-impl Crowd {
+impl State {
     /// Time since the start.
     pub(super) fn since(&self, at: Instant) -> Duration {
         at.duration_since(self.began)
     }
 
     /// Where a request goes: to a ready host, if there is one.
-    fn seat(&self, random: &mut ChaCha8Rng) -> Option<Seat> {
-        let seats = lock(&self.seats);
-        let ready: Vec<&Seat> = seats.iter().filter(|seat| seat.is_ready).collect();
-        ready.choose(random).map(|seat| **seat).or_else(|| seats.choose(random).copied())
+    fn choose_host(&self, random: &mut ChaCha8Rng) -> Option<HostEntry> {
+        let hosts = lock(&self.hosts);
+        let ready: Vec<&HostEntry> = hosts.iter().filter(|entry| entry.is_ready).collect();
+        ready.choose(random).map(|entry| **entry).or_else(|| hosts.choose(random).copied())
     }
 }
 
 /// Starts callers and a balancer.
-pub(super) fn start(crowd: &Arc<Crowd>, seed: u64) -> JoinSet<()> {
+pub(super) fn start(state: &Arc<State>, seed: u64) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     for number in 0..CALLERS {
         let random = ChaCha8Rng::seed_from_u64(seed ^ (number + 1) << 32);
-        tasks.spawn(call(crowd.clone(), number, random));
+        tasks.spawn(run_caller(state.clone(), number, random));
     }
-    tasks.spawn(balance(crowd.clone()));
-    tasks.spawn(poison(crowd.clone(), seed));
+    tasks.spawn(poll_readiness(state.clone()));
+    tasks.spawn(send_poison(state.clone(), seed));
     tasks
 }
 
 /// Asks all hosts whether they are ready.
-async fn balance(crowd: Arc<Crowd>) {
-    while !crowd.is_over.load(Ordering::Relaxed) {
-        let seats = lock(&crowd.seats).clone();
-        for seat in seats {
-            let ready = timeout(POLL, says_ready(seat.operators)).await.unwrap_or_default();
-            let mut seats = lock(&crowd.seats);
-            let same = seats.iter_mut().find(|other| other.life == seat.life);
+async fn poll_readiness(state: Arc<State>) {
+    while !state.is_over.load(Ordering::Relaxed) {
+        let hosts = lock(&state.hosts).clone();
+        for entry in hosts {
+            let ready = timeout(READINESS_POLL_INTERVAL, is_host_ready(entry.operators))
+                .await
+                .unwrap_or_default();
+            let mut hosts = lock(&state.hosts);
+            let same = hosts.iter_mut().find(|other| other.host_run == entry.host_run);
             same.into_iter().for_each(|same| same.is_ready = ready);
         }
-        sleep(POLL).await;
+        sleep(READINESS_POLL_INTERVAL).await;
     }
 }
 
-async fn says_ready(address: SocketAddr) -> bool {
+async fn is_host_ready(address: SocketAddr) -> bool {
     let request = http::Request::get(platform::remote::READY)
         .header(http::header::HOST, address.to_string())
         .body(bytes::Bytes::new());
@@ -116,16 +118,16 @@
 }
 
 /// What one caller asks for next.
-struct Wanted {
+struct NextRequest {
     ask: Ask,
     kind: Kind,
     resumable: bool,
-    body: usize,
-    crashes: bool,
+    body_bytes: usize,
+    crashes_servers: bool,
 }
 
 /// Sends a request that crashes servers through all hosts in turn, from an address of its own at each.
-async fn poison(crowd: Arc<Crowd>, seed: u64) {
+async fn send_poison(state: Arc<State>, seed: u64) {
     let path = ["/tickets/new", "/pages/home", "/draft/2f"][(seed % 3) as usize];
     let (kind, resumable) = match seed % 3 {
         0 => (Kind::NonIdempotent, false),
@@ -137,88 +139,90 @@
     let ask = ask.send(Method::POST, POISON);
     let mut sending = JoinSet::new();
     for turn in 0.. {
-        sleep(POISON_PAUSE).await;
-        if crowd.is_over.load(Ordering::Relaxed) {
+        sleep(POISON_INTERVAL).await;
+        if state.is_over.load(Ordering::Relaxed) {
             break;
         }
-        if !crowd.is_poisoned.load(Ordering::Relaxed) {
+        if !state.is_poisoned.load(Ordering::Relaxed) {
             continue;
         }
-        let seats = lock(&crowd.seats).clone();
-        let seat = seats[turn % seats.len()];
-        let source = IpAddr::from([127, 0, 0, seat.life.host as u8 + 2]);
-        let body = POISON.len();
-        let wanted = Wanted { ask: ask.again(), kind, resumable, body, crashes: true };
-        let crowd = crowd.clone();
+        let hosts = lock(&state.hosts).clone();
+        let entry = hosts[turn % hosts.len()];
+        let source = IpAddr::from([127, 0, 0, entry.host_run.host as u8 + 2]);
+        let body_bytes = POISON.len();
+        let next =
+            NextRequest { ask: ask.again(), kind, resumable, body_bytes, crashes_servers: true };
+        let state = state.clone();
         sending.spawn(async move {
-            let mut caller = Caller::new(seat.callers).from(source);
-            send(&crowd, seat, &mut caller, &wanted, None).await;
+            let mut caller = Caller::new(entry.callers).from(source);
+            send(&state, entry, &mut caller, &next, None).await;
         });
     }
     while sending.join_next().await.is_some() {}
 }
 
-fn want(random: &mut ChaCha8Rng, versions: &[Version]) -> Wanted {
+fn draw_request(random: &mut ChaCha8Rng, versions: &[Version]) -> NextRequest {
     let plain = |path: &str, kind| {
         let ask = Ask::to(HOST, path);
-        Wanted { ask, kind, resumable: false, body: 0, crashes: false }
+        NextRequest { ask, kind, resumable: false, body_bytes: 0, crashes_servers: false }
     };
     let stream = |path: &str, resumable, random: &mut ChaCha8Rng| {
         // Few models get most of the requests.
-        let place = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
-        let mut ask = Ask::to(HOST, path).model(MODELS[place]);
+        let index = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
+        let mut ask = Ask::to(HOST, path).model(MODELS[index]);
         if random.random_bool(0.3) {
             ask = ask.adapter(&format!("a{}", random.random_range(1..=ADAPTERS)));
         }
-        let body = ask.request().body().len();
-        Wanted { ask, kind: Kind::Stream, resumable, body, crashes: false }
+        let body_bytes = ask.request().body().len();
+        NextRequest { ask, kind: Kind::Stream, resumable, body_bytes, crashes_servers: false }
     };
-    let mut wanted = match random.random_range(0..100) {
+    let mut next = match random.random_range(0..100) {
         0..38 => plain("/pages/home?lang=es", Kind::Idempotent),
         38..46 => plain("/pages/deep/x", Kind::Idempotent),
         46..54 => match versions.choose(random) {
-            Some(version) => plain(&format!("{}x", since(*version)), Kind::Idempotent),
+            Some(version) => plain(&format!("{}x", added_route(*version)), Kind::Idempotent),
             None => plain("/pages/y", Kind::Idempotent),
         },
         54..74 => {
             let body = vec![b'x'; random.random_range(1..4_000)];
             let mut ticket = plain("/tickets/new", Kind::NonIdempotent);
-            (ticket.body, ticket.ask) = (body.len(), ticket.ask.send(Method::POST, body));
+            (ticket.body_bytes, ticket.ask) = (body.len(), ticket.ask.send(Method::POST, body));
             ticket
         }
         74..87 => stream("/chat/2f", false, random),
         _ => stream("/draft/2f", true, random),
     };
-    wanted.ask = wanted.ask.deadline(Some(DEADLINE));
-    wanted
+    next.ask = next.ask.deadline(Some(DEADLINE));
+    next
 }
 
-async fn call(crowd: Arc<Crowd>, caller: u64, mut random: ChaCha8Rng) {
-    let mut kept: HashMap<Life, Caller> = HashMap::new();
+async fn run_caller(state: Arc<State>, caller: u64, mut random: ChaCha8Rng) {
+    let mut connections: HashMap<HostRun, Caller> = HashMap::new();
     let mut number = 0_u64;
-    let mut failed: Option<Wanted> = None;
-    while !crowd.is_over.load(Ordering::Relaxed) {
-        let is_burst = crowd.is_burst.load(Ordering::Relaxed);
-        let pause = random.random_range(if is_burst { BURST } else { PAUSE });
+    let mut failed: Option<NextRequest> = None;
+    while !state.is_over.load(Ordering::Relaxed) {
+        let is_burst = state.is_burst.load(Ordering::Relaxed);
+        let pause = random.random_range(if is_burst { BURST_PAUSE_MS } else { PAUSE_MS });
         sleep(Duration::from_millis(pause)).await;
-        let versions = lock(&crowd.versions).clone();
-        let mut wanted = want(&mut random, &versions);
+        let versions = lock(&state.versions).clone();
+        let mut next = draw_request(&mut random, &versions);
         number += 1;
-        wanted.ask = wanted.ask.numbered(caller, number);
+        next.ask = next.ask.numbered(caller, number);
         // What failed beside a request that crashes servers is asked for again, as it was.
         if let Some(again) = failed.take() {
-            wanted = Wanted { ask: again.ask.again(), ..again };
+            next = NextRequest { ask: again.ask.again(), ..again };
         }
-        let Some(seat) = crowd.seat(&mut random) else { continue };
-        let connection = kept.entry(seat.life).or_insert_with(|| Caller::new(seat.callers));
+        let Some(entry) = state.choose_host(&mut random) else { continue };
+        let connection =
+            connections.entry(entry.host_run).or_insert_with(|| Caller::new(entry.callers));
         if random.random_bool(0.1) {
             connection.leave();
         }
-        let leaves = random.random_bool(0.03);
-        let stays = leaves.then(|| Duration::from_millis(random.random_range(5..300)));
-        let is_whole = send(&crowd, seat, connection, &wanted, stays).await;
-        if !is_whole && crowd.is_poisoned.load(Ordering::Relaxed) {
-            failed = Some(wanted);
+        let closes_early = random.random_bool(0.03);
+        let close_after = closes_early.then(|| Duration::from_millis(random.random_range(5..300)));
+        let is_served = send(&state, entry, connection, &next, close_after).await;
+        if !is_served && state.is_poisoned.load(Ordering::Relaxed) {
+            failed = Some(next);
         }
     }
 }
@@ -226,37 +230,39 @@
 /// Sends a request, and notes what came of it; whether an answer came whole. A caller that leaves stays for
 /// so long.
 async fn send(
-    crowd: &Crowd,
-    seat: Seat,
+    state: &State,
+    entry: HostEntry,
     connection: &mut Caller,
-    wanted: &Wanted,
-    stays: Option<Duration>,
+    next: &NextRequest,
+    close_after: Option<Duration>,
 ) -> bool {
-    let from = crowd.since(Instant::now());
-    let asked = timeout(stays.unwrap_or(DEADLINE + BEYOND), connection.ask(&wanted.ask)).await;
-    let outcome = match asked {
-        Ok(Ok(answer)) => Outcome::Answered(answered(answer)),
+    let from = state.since(Instant::now());
+    let result =
+        timeout(close_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN), connection.ask(&next.ask)).await;
+    let outcome = match result {
+        Ok(Ok(answer)) => Outcome::Answered(to_record(answer)),
         Ok(Err(Failure::Connect)) => Outcome::Unreached,
         Ok(Err(Failure::Closed)) => Outcome::Closed,
-        Ok(Err(Failure::Silence)) => Outcome::Late,
-        Err(_) if stays.is_some() => Outcome::Left,
-        Err(_) => Outcome::Late,
+        Ok(Err(Failure::Silence)) => Outcome::TimedOut,
+        Err(_) if close_after.is_some() => Outcome::CallerClosed,
+        Err(_) => Outcome::TimedOut,
     };
-    let is_whole = matches!(outcome, Outcome::Answered(record::Answer { whole: true, .. }));
-    if !is_whole {
+    let is_complete =
+        matches!(outcome, Outcome::Answered(record::Answer { is_complete: true, .. }));
+    if !is_complete {
         connection.leave();
     }
     let is_served =
-        is_whole && matches!(&outcome, Outcome::Answered(answer) if answer.status.is_success());
-    let span = Span { from, to: crowd.since(Instant::now()) };
-    lock(&crowd.requests).push(Request {
-        id: wanted.ask.id().to_string(),
-        kind: wanted.kind,
-        resumable: wanted.resumable,
-        path: wanted.ask.ask.path.to_string(),
-        body: wanted.body,
-        crashes: wanted.crashes,
-        life: seat.life,
+        is_complete && matches!(&outcome, Outcome::Answered(answer) if answer.status.is_success());
+    let span = Span { from, to: state.since(Instant::now()) };
+    lock(&state.requests).push(Request {
+        id: next.ask.id().to_string(),
+        kind: next.kind,
+        resumable: next.resumable,
+        path: next.ask.ask.path.to_string(),
+        body_bytes: next.body_bytes,
+        crashes_servers: next.crashes_servers,
+        host_run: entry.host_run,
         span,
         deadline: DEADLINE,
         outcome,
@@ -264,8 +270,8 @@
     is_served
 }
 
-fn answered(answer: Answer) -> record::Answer {
+fn to_record(answer: Answer) -> record::Answer {
     let Answer { status, told, body, whole, .. } = answer;
     let text = |text: Option<Arc<str>>| text.map(|text| text.to_string());
-    record::Answer { status, id: text(told.id), seal: text(told.seal), body, whole }
+    record::Answer { status, id: text(told.id), seal: text(told.seal), body, is_complete: whole }
 }
--- a/crates/standin/src/routed/soak/record.rs
+++ b/crates/standin/src/routed/soak/record.rs
@@ -23,19 +23,19 @@
     /// Requests may lag behind what their host has shown by this.
     pub rollback: Duration,
     /// Least time between orders of two hosts to one server.
-    pub turn: Duration,
+    pub handover: Duration,
     /// Orders of a host that was frozen don't count for this long.
-    pub thaw: Duration,
+    pub after_freeze: Duration,
     /// From SIGTERM to the end of a process.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// A request that isn't passed on may lose its connection within this.
-    pub loss: Duration,
+    pub early_close: Duration,
     /// Requests are served again after this.
-    pub recover: Duration,
+    pub recovery: Duration,
     /// Share of requests that are served then; stricter than the users' quarter.
-    pub recovered: f64,
+    pub min_served_ratio: f64,
     /// Events of a whole stream.
-    pub events: u64,
+    pub stream_events: u64,
     /// Retries that a service may get for each of its requests.
     pub retry_ratio: f64,
     /// Retries that it may get besides.
@@ -52,13 +52,13 @@
             drain: Duration::from_secs(2),
             apply: Duration::from_secs(2),
             rollback: Duration::from_millis(250),
-            turn: Duration::from_secs(3),
-            thaw: Duration::from_millis(300),
-            grace: Duration::from_secs(8),
-            loss: Duration::from_millis(200),
-            recover: Duration::from_secs(12),
-            recovered: 0.9,
-            events: 10,
+            handover: Duration::from_secs(3),
+            after_freeze: Duration::from_millis(300),
+            stop_grace: Duration::from_secs(8),
+            early_close: Duration::from_millis(200),
+            recovery: Duration::from_secs(12),
+            min_served_ratio: 0.9,
+            stream_events: 10,
             retry_ratio: 0.2,
             retry_extra: 52.0,
             retry_window: Duration::from_secs(10),
@@ -77,14 +77,14 @@
 
 impl Span {
     /// Whether two spans share a moment.
-    pub fn meets(&self, other: Span) -> bool {
+    pub fn overlaps(&self, other: Span) -> bool {
         self.from <= other.to && other.from <= self.to
     }
 }
 
 /// One start of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct HostRun {
     /// Its place among the hosts.
     pub host: usize,
     /// Starts of it before.
@@ -103,11 +103,11 @@
     /// Its path.
     pub path: String,
     /// Length of its body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Whether it crashes the servers that run it.
-    pub crashes: bool,
+    pub crashes_servers: bool,
     /// The host that it was sent to.
-    pub life: Life,
+    pub host_run: HostRun,
     /// From its sending to its end.
     pub span: Span,
     /// The time that it gave.
@@ -122,9 +122,9 @@
     /// No connection stood.
     Unreached,
     /// The caller left.
-    Left,
+    CallerClosed,
     /// The caller gave up, long after the deadline.
-    Late,
+    TimedOut,
     /// The connection ended without an answer.
     Closed,
     /// An answer came.
@@ -143,7 +143,7 @@
     /// Its body.
     pub body: Bytes,
     /// Whether it came whole.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// A run of a request at a server.
@@ -158,17 +158,17 @@
     /// The path that came.
     pub path: String,
     /// Length of the body that came.
-    pub body: usize,
+    pub body_bytes: usize,
     /// When it came.
-    pub came: Duration,
+    pub arrived_at: Duration,
     /// When it ended, if it did.
-    pub ended: Option<Duration>,
+    pub ended_at: Option<Duration>,
     /// The failure that the server answered, if it did.
-    pub failed: Option<StatusCode>,
+    pub failure: Option<StatusCode>,
     /// Whether the server spoilt it, or crashed.
-    pub spoilt: bool,
+    pub is_corrupted: bool,
     /// Whether the server crashed.
-    pub crashed: bool,
+    pub is_server_crash: bool,
 }
 
 /// An arrival of a request at a server, whatever became of it.
@@ -192,7 +192,7 @@
     /// Its fencing number.
     pub fence: u64,
     /// When it came.
-    pub came: Duration,
+    pub arrived_at: Duration,
 }
 
 /// A server that leaves.
@@ -223,26 +223,26 @@
     }
 }
 
-/// What is in trouble.
+/// What is in disruption.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Component {
     /// A host, unplanned.
     Host(usize),
     /// A host, by SIGTERM or SIGHUP.
-    Planned(usize),
+    HostPlanned(usize),
     /// The store.
     Store,
     /// The store, for one host.
-    Door(usize),
+    StoreEndpoint(usize),
     /// A server.
     Server(String),
 }
 
 /// A fault, from its beginning to its end.
 #[derive(Clone, Debug)]
-pub struct Trouble {
-    /// What is in trouble.
-    pub place: Place,
+pub struct Disruption {
+    /// What is in disruption.
+    pub component: Component,
     /// What was done.
     pub what: String,
     /// When.
@@ -255,7 +255,7 @@
     /// Bounds of the promises.
     pub bounds: Bounds,
     /// Hosts whose process isn't there at the end, though nothing ended it.
-    pub dead: Vec<usize>,
+    pub exited: Vec<usize>,
     /// Names of the hosts.
     pub hosts: Vec<String>,
     /// Requests.
@@ -275,37 +275,45 @@
     /// Declarations.
     pub declared: Vec<Declared>,
     /// Faults.
-    pub troubles: Vec<Trouble>,
+    pub disruptions: Vec<Disruption>,
 }
 
 impl Record {
     /// Whether a host was in touch all through a span.
-    pub fn in_touch(&self, host: usize, span: Span) -> bool {
-        self.is_calm(self.with_contact(span), |place| match place {
-            Place::Host(other) | Place::Planned(other) | Place::Door(other) => *other == host,
-            Place::Store => true,
-            Place::Server(_) => false,
+    pub fn is_in_contact(&self, host: usize, span: Span) -> bool {
+        self.is_undisturbed(self.extend_by_contact(span), |component| match component {
+            Component::Host(other)
+            | Component::HostPlanned(other)
+            | Component::StoreEndpoint(other) => *other == host,
+            Component::Store => true,
+            Component::Server(_) => false,
         })
     }
 
     /// Whether the store was without trouble for long enough before a moment.
-    pub fn is_stable(&self, at: Duration) -> bool {
-        let span = self.with_contact(Span { from: at, to: at });
-        self.is_calm(span, |place| *place == Place::Store)
+    pub fn is_store_healthy(&self, at: Duration) -> bool {
+        let span = self.extend_by_contact(Span { from: at, to: at });
+        self.is_undisturbed(span, |component| *component == Component::Store)
     }
 
     /// Whether a server was sound all through a span.
-    pub fn is_sound(&self, server: &str, span: Span) -> bool {
-        self.is_calm(span, |place| matches!(place, Place::Server(other) if other == server))
+    pub fn is_server_healthy(&self, server: &str, span: Span) -> bool {
+        self.is_undisturbed(
+            span,
+            |component| matches!(component, Component::Server(other) if other == server),
+        )
     }
 
     /// Whether none of these places was in trouble in a span.
-    fn is_calm(&self, span: Span, is_meant: impl Fn(&Place) -> bool) -> bool {
-        !self.troubles.iter().any(|trouble| is_meant(&trouble.place) && trouble.span.meets(span))
+    fn is_undisturbed(&self, span: Span, is_affecting: impl Fn(&Component) -> bool) -> bool {
+        !self
+            .disruptions
+            .iter()
+            .any(|disruption| is_affecting(&disruption.component) && disruption.span.overlaps(span))
     }
 
     /// A span and the time before it that has to be calm too.
-    fn with_contact(&self, span: Span) -> Span {
+    fn extend_by_contact(&self, span: Span) -> Span {
         Span { from: span.from.saturating_sub(self.bounds.contact), ..span }
     }
 
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -8,63 +8,63 @@
 use serde::{Serialize, Serializer};
 
 use super::site::SERVERS;
-use crate::routed::{links::Way, server::Fault as Grey, store::Refusal};
+use crate::routed::{links::Way, server::Fault as ServerFault, store::Refusal};
 
 /// Calm before the first fault.
-const BEFORE: Duration = Duration::from_secs(4);
+const WARM_UP: Duration = Duration::from_secs(4);
 
 /// Between the beginnings of two faults, in ms.
-const BETWEEN: std::ops::Range<u64> = 900..3_200;
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 900..3_200;
 
 /// What a silence of the store lasts beyond other faults, in ms: watches end by their limit and are
 /// asked anew in it.
-const LONGER: std::ops::Range<u64> = 0..4_000;
+const EXTRA_SILENCE_MS: std::ops::Range<u64> = 0..4_000;
 
-/// Rest of whatever was in trouble, beyond the fault itself.
-const REST: Duration = Duration::from_secs(4);
+/// Rest of whatever was in disruption, beyond the fault itself.
+const REST_TIME: Duration = Duration::from_secs(4);
 
 /// Draws how the store turns all away, apart from all else, so that a seed keeps its other faults.
-const REFUSED: u64 = 1 << 63;
+const REFUSAL_SEED_MASK: u64 = 1 << 63;
 
 /// Draws the limits that servers name, apart from all else.
-const LIMITED: u64 = 1 << 62;
+const LIMIT_SEED_MASK: u64 = 1 << 62;
 
 /// Draws what presses on the retry budget, apart from all else.
-const PRESSED: u64 = 1 << 61;
+const PRESSURE_SEED_MASK: u64 = 1 << 61;
 
 /// Draws when a request comes that crashes servers, apart from all else.
-const POISONED: u64 = 1 << 60;
+const POISON_SEED_MASK: u64 = 1 << 60;
 
 /// How long such a request keeps coming, in ms.
-const POISON_LASTS: std::ops::Range<u64> = 4_000..20_000;
+const POISON_DURATION_MS: std::ops::Range<u64> = 4_000..20_000;
 
 /// Between two such faults, in ms.
-const PRESSED_BETWEEN: std::ops::Range<u64> = 1_500..6_000;
+const PRESSURE_INTERVAL_MS: std::ops::Range<u64> = 1_500..6_000;
 
 /// How long servers of a service fail alike, and how long links between hosts are out of order, in ms.
-const FAILING_LASTS: std::ops::Range<u64> = 1_000..25_000;
-const LINKS_LAST: std::ops::Range<u64> = 500..40_000;
+const FAILURE_DURATION_MS: std::ops::Range<u64> = 1_000..25_000;
+const LINK_FAULT_DURATION_MS: std::ops::Range<u64> = 500..40_000;
 
 /// How late datagrams are on a slow link, in ms.
-const LINKS_LATE: std::ops::Range<u64> = 100..4_000;
+const LINK_DELAY_MS: std::ops::Range<u64> = 100..4_000;
 
 /// In a series of restarts: times that each host is killed, the time between two, and how long one is away; in ms.
-const SERIES_TIMES: std::ops::RangeInclusive<usize> = 1..=3;
-const SERIES_BETWEEN: std::ops::Range<u64> = 20..700;
-const SERIES_AWAY: std::ops::Range<u64> = 10..300;
+const SERIES_ROUNDS: std::ops::RangeInclusive<usize> = 1..=3;
+const SERIES_INTERVAL_MS: std::ops::Range<u64> = 20..700;
+const SERIES_DOWNTIME_MS: std::ops::Range<u64> = 10..300;
 
 /// Between two limits, in ms, and how long one is named.
-const LIMITS_BETWEEN: std::ops::Range<u64> = 1_000..7_000;
-const LIMIT_LASTS: std::ops::Range<u64> = 500..11_000;
+const LIMIT_INTERVAL_MS: std::ops::Range<u64> = 1_000..7_000;
+const LIMIT_DURATION_MS: std::ops::Range<u64> = 500..11_000;
 
 /// Limits that servers name, in hundredths of a request a second.
 const LIMITS: [u32; 8] = [0, 30, 50, 120, 210, 340, 800, 2_000];
 
 /// From SIGTERM until the host is started anew.
-pub const STOP: Duration = Duration::from_secs(10);
+pub const STOP_DURATION: Duration = Duration::from_secs(10);
 
 /// From a server's leave to its end, which is later than any host may still use it.
-pub const LEAVE: Duration = Duration::from_millis(4_500);
+pub const LEAVE_DURATION: Duration = Duration::from_millis(4_500);
 
 /// A fault and when it begins.
 #[derive(Clone, Debug, Serialize)]
@@ -106,7 +106,7 @@
     /// A server leaves; whether it says so first.
     Leave(usize, Notice),
     /// All requests to a server meet a fault.
-    Grey(usize, #[serde(serialize_with = "debug")] Grey),
+    Grey(usize, #[serde(serialize_with = "debug")] ServerFault),
     /// A server is slow.
     Dull(usize),
     /// A server names a limit, in hundredths of a request a second.
@@ -114,7 +114,7 @@
     /// All servers of a server's service name a limit.
     AllLimited(usize, u32),
     /// All servers of a server's service meet a fault.
-    AllGrey(usize, #[serde(serialize_with = "debug")] Grey),
+    AllGrey(usize, #[serde(serialize_with = "debug")] ServerFault),
     /// Datagrams between hosts are lost or late.
     Links(Pairs, #[serde(serialize_with = "debug")] Way),
     /// Orders to a server are lost, or judged late.
@@ -150,13 +150,13 @@
     pub fn among(self, hosts: usize) -> impl Iterator<Item = (usize, usize)> {
         let pairs = (0..hosts).flat_map(move |from| (0..hosts).map(move |to| (from, to)));
         pairs.filter(move |(from, to)| {
-            let is_meant = match self {
+            let is_included = match self {
                 Pairs::All => true,
                 Pairs::Of(host) => *from == host || *to == host,
                 Pairs::From(host) => *from == host,
                 Pairs::To(host) => *to == host,
             };
-            from != to && is_meant
+            from != to && is_included
         })
     }
 }
@@ -176,7 +176,7 @@
 
 /// What can be in one trouble at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Thing {
+enum Target {
     Host(usize),
     Store,
     Server(usize),
@@ -185,61 +185,62 @@
 
 const REFUSALS: [Refusal; 4] = [Refusal::Down, Refusal::TooMany, Refusal::Reset, Refusal::Silence];
 
-const GREYS: [Grey; 13] = [
-    Grey::Failed(StatusCode::INTERNAL_SERVER_ERROR),
-    Grey::NotRun(StatusCode::SERVICE_UNAVAILABLE),
-    Grey::Silent,
-    Grey::Lost,
-    Grey::Unsealed,
-    Grey::OtherId,
-    Grey::Truncated,
-    Grey::UnframedReset,
-    Grey::Garbled,
-    Grey::Doubled,
-    Grey::DoubledLate,
-    Grey::Broken { events: 3 },
-    Grey::Stalled { events: 3 },
+const SERVER_FAULTS: [ServerFault; 13] = [
+    ServerFault::Failed(StatusCode::INTERNAL_SERVER_ERROR),
+    ServerFault::NotRun(StatusCode::SERVICE_UNAVAILABLE),
+    ServerFault::Silent,
+    ServerFault::Lost,
+    ServerFault::Unsealed,
+    ServerFault::OtherId,
+    ServerFault::Truncated,
+    ServerFault::UnframedReset,
+    ServerFault::Garbled,
+    ServerFault::Doubled,
+    ServerFault::DoubledLate,
+    ServerFault::Broken { events: 3 },
+    ServerFault::Stalled { events: 3 },
 ];
 
 /// Draws the faults for some hosts and a length. The last ones end early enough for recovery to be
 /// seen, if the soak is long enough for that.
 pub fn draw(seed: u64, hosts: usize, length: Duration, tail: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut refusals = ChaCha8Rng::seed_from_u64(seed ^ REFUSED);
-    let mut free: HashMap<Thing, Duration> = HashMap::new();
+    let mut refusals = ChaCha8Rng::seed_from_u64(seed ^ REFUSAL_SEED_MASK);
+    let mut free_from: HashMap<Target, Duration> = HashMap::new();
     let mut planned = Vec::new();
-    let mut at = BEFORE.min(length / 4);
+    let mut at = WARM_UP.min(length / 4);
     let end = length.saturating_sub(tail);
     while at < end {
-        let mut fault = pick(&mut random, hosts);
-        let mut duration = duration(&mut random, fault);
+        let mut fault = draw_fault(&mut random, hosts);
+        let mut duration = draw_duration(&mut random, fault);
         if let Fault::Down(refusal) = &mut fault {
             *refusal = REFUSALS.choose(&mut refusals).copied().unwrap_or(Refusal::Down);
             if *refusal == Refusal::Silence {
-                duration += Duration::from_millis(refusals.random_range(LONGER));
+                duration += Duration::from_millis(refusals.random_range(EXTRA_SILENCE_MS));
             }
         }
-        let (thing, most) = bounds(fault, hosts);
-        let out = free.iter().filter(|(other, until)| same(**other, thing) && at < **until);
-        let is_free = free.get(&thing).is_none_or(|until| *until <= at) && out.count() < most;
+        let (target, max) = exclusion(fault, hosts);
+        let busy =
+            free_from.iter().filter(|(other, until)| is_same_kind(**other, target) && at < **until);
+        let is_free = free_from.get(&target).is_none_or(|until| *until <= at) && busy.count() < max;
         if is_free && at + duration <= end {
-            free.insert(thing, at + duration + REST);
+            free_from.insert(target, at + duration + REST_TIME);
             planned.push(PlannedFault { at, duration, fault });
         }
-        at += Duration::from_millis(random.random_range(BETWEEN));
+        at += Duration::from_millis(random.random_range(FAULT_INTERVAL_MS));
     }
     planned.extend(limits(seed, end));
-    planned.extend(pressed(seed, hosts, end));
-    planned.extend(poisoned(seed, end));
+    planned.extend(retry_pressure(seed, hosts, end));
+    planned.extend(poison(seed, end));
     planned.sort_by_key(|planned| planned.at);
     planned
 }
 
 /// Limits that servers name, change and withdraw, beside whatever else happens.
 fn limits(seed: u64, end: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ LIMITED);
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ LIMIT_SEED_MASK);
     let mut planned = Vec::new();
-    let mut at = Duration::from_millis(random.random_range(LIMITS_BETWEEN));
+    let mut at = Duration::from_millis(random.random_range(LIMIT_INTERVAL_MS));
     while at < end {
         let server = random.random_range(0..SERVERS.len());
         let limit = LIMITS.choose(&mut random).copied().unwrap_or_default();
@@ -247,73 +248,74 @@
             0 => Fault::AllLimited(server, limit),
             _ => Fault::Limited(server, limit),
         };
-        let duration = Duration::from_millis(random.random_range(LIMIT_LASTS));
+        let duration = Duration::from_millis(random.random_range(LIMIT_DURATION_MS));
         if at + duration <= end {
             planned.push(PlannedFault { at, duration, fault });
         }
-        at += Duration::from_millis(random.random_range(LIMITS_BETWEEN));
+        at += Duration::from_millis(random.random_range(LIMIT_INTERVAL_MS));
     }
     planned
 }
 
 /// What presses on the retry budget, beside whatever else happens: services that fail, links between hosts that
 /// lose or delay, and hosts that are restarted in series.
-fn pressed(seed: u64, hosts: usize, end: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ PRESSED);
+fn retry_pressure(seed: u64, hosts: usize, end: Duration) -> Vec<PlannedFault> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ PRESSURE_SEED_MASK);
     let mut planned = Vec::new();
-    let mut at = Duration::from_millis(random.random_range(PRESSED_BETWEEN));
+    let mut at = Duration::from_millis(random.random_range(PRESSURE_INTERVAL_MS));
     while at < end {
         match random.random_range(0..6) {
-            0 => planned.extend(series(&mut random, hosts, at)),
+            0 => planned.extend(restart_series(&mut random, hosts, at)),
             1 | 2 => {
-                let duration = Duration::from_millis(random.random_range(LINKS_LAST));
-                let fault = link(&mut random, hosts);
+                let duration = Duration::from_millis(random.random_range(LINK_FAULT_DURATION_MS));
+                let fault = draw_link_fault(&mut random, hosts);
                 planned.push(PlannedFault { at, duration: duration.min(end - at), fault });
             }
             _ => {
                 let server = random.random_range(0..SERVERS.len());
-                let grey = GREYS.choose(&mut random).copied().unwrap_or(Grey::Lost);
-                let duration = Duration::from_millis(random.random_range(FAILING_LASTS));
-                let fault = Fault::AllGrey(server, grey);
+                let server_fault =
+                    SERVER_FAULTS.choose(&mut random).copied().unwrap_or(ServerFault::Lost);
+                let duration = Duration::from_millis(random.random_range(FAILURE_DURATION_MS));
+                let fault = Fault::AllGrey(server, server_fault);
                 planned.push(PlannedFault { at, duration: duration.min(end - at), fault });
             }
         }
-        at += Duration::from_millis(random.random_range(PRESSED_BETWEEN));
+        at += Duration::from_millis(random.random_range(PRESSURE_INTERVAL_MS));
     }
     planned.retain(|planned| planned.at + planned.duration <= end);
     planned
 }
 
 /// Times in which a request comes that crashes servers, in one of two soaks.
-fn poisoned(seed: u64, end: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ POISONED);
+fn poison(seed: u64, end: Duration) -> Vec<PlannedFault> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ POISON_SEED_MASK);
     let mut planned = Vec::new();
-    let mut at = BEFORE.min(end / 4);
+    let mut at = WARM_UP.min(end / 4);
     if random.random_bool(0.5) {
         return planned;
     }
     while at < end {
-        let duration = Duration::from_millis(random.random_range(POISON_LASTS)).min(end - at);
+        let duration = Duration::from_millis(random.random_range(POISON_DURATION_MS)).min(end - at);
         planned.push(PlannedFault { at, duration, fault: Fault::Poison });
-        at += duration + Duration::from_millis(random.random_range(POISON_LASTS));
+        at += duration + Duration::from_millis(random.random_range(POISON_DURATION_MS));
     }
     planned
 }
 
 /// Every host is killed and started again, one after the other, a few times.
-fn series(random: &mut ChaCha8Rng, hosts: usize, at: Duration) -> Vec<PlannedFault> {
-    let times = random.random_range(SERIES_TIMES);
-    let between = Duration::from_millis(random.random_range(SERIES_BETWEEN));
-    let duration = Duration::from_millis(random.random_range(SERIES_AWAY));
+fn restart_series(random: &mut ChaCha8Rng, hosts: usize, at: Duration) -> Vec<PlannedFault> {
+    let rounds = random.random_range(SERIES_ROUNDS);
+    let interval = Duration::from_millis(random.random_range(SERIES_INTERVAL_MS));
+    let duration = Duration::from_millis(random.random_range(SERIES_DOWNTIME_MS));
     let kill = |n: usize| PlannedFault {
-        at: at + between * n as u32,
+        at: at + interval * n as u32,
         duration,
         fault: Fault::Kill(n % hosts),
     };
-    (0..times * hosts).map(kill).collect()
+    (0..rounds * hosts).map(kill).collect()
 }
 
-fn link(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
+fn draw_link_fault(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
     let host = random.random_range(0..hosts);
     let pairs = match random.random_range(0..5) {
         0 | 1 => Pairs::All,
@@ -322,15 +324,15 @@
         _ => Pairs::To(host),
     };
     let way = match random.random_range(0..3) {
-        0 => Way::Late(Duration::from_millis(random.random_range(LINKS_LATE))),
+        0 => Way::Late(Duration::from_millis(random.random_range(LINK_DELAY_MS))),
         _ => Way::Lost,
     };
     Fault::Links(pairs, way)
 }
 
-fn pick(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
+fn draw_fault(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
     let (host, server) = (random.random_range(0..hosts), random.random_range(0..SERVERS.len()));
-    let grey = GREYS.choose(random).copied().unwrap_or(Grey::Lost);
+    let server_fault = SERVER_FAULTS.choose(random).copied().unwrap_or(ServerFault::Lost);
     let refusal = REFUSALS.choose(random).copied().unwrap_or(Refusal::Down);
     match random.random_range(0..20) {
         0 => Fault::Kill(host),
@@ -346,7 +348,7 @@
         11 => Fault::Crash(server),
         12 => Fault::Leave(server, Notice::Told),
         13 => Fault::Leave(server, Notice::Untold),
-        14 | 15 => Fault::Grey(server, grey),
+        14 | 15 => Fault::Grey(server, server_fault),
         16 => Fault::Dull(server),
         17 => Fault::Orders(server),
         18 => Fault::Declare,
@@ -354,42 +356,42 @@
     }
 }
 
-fn duration(random: &mut ChaCha8Rng, fault: Fault) -> Duration {
+fn draw_duration(random: &mut ChaCha8Rng, fault: Fault) -> Duration {
     match fault {
-        Fault::Stop(_) => STOP,
-        Fault::Leave(..) => LEAVE,
+        Fault::Stop(_) => STOP_DURATION,
+        Fault::Leave(..) => LEAVE_DURATION,
         Fault::Reload(_) | Fault::Compact | Fault::Declare => Duration::ZERO,
         Fault::Orders(_) | Fault::LateWrite => Duration::from_secs(2),
         _ => Duration::from_millis(random.random_range(800..3_500)),
     }
 }
 
-/// What a fault troubles, and how many such things may be in trouble at once.
-fn bounds(fault: Fault, hosts: usize) -> (Thing, usize) {
+/// What a fault disruptions, and how many such things may be in trouble at once.
+fn exclusion(fault: Fault, hosts: usize) -> (Target, usize) {
     match fault {
         Fault::Kill(host)
         | Fault::Stop(host)
         | Fault::Freeze(host)
         | Fault::Reload(host)
-        | Fault::TurnAway(host, _) => (Thing::Host(host), hosts / 2),
+        | Fault::TurnAway(host, _) => (Target::Host(host), hosts / 2),
         Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
-            (Thing::Store, 1)
+            (Target::Store, 1)
         }
         Fault::Crash(server)
         | Fault::Leave(server, _)
         | Fault::Grey(server, _)
         | Fault::Dull(server)
-        | Fault::Orders(server) => (Thing::Server(server), 2),
+        | Fault::Orders(server) => (Target::Server(server), 2),
         Fault::Declare
         | Fault::Burst
         | Fault::Poison
         | Fault::Limited(..)
         | Fault::AllLimited(..)
         | Fault::AllGrey(..)
-        | Fault::Links(..) => (Thing::Callers, 1),
+        | Fault::Links(..) => (Target::Callers, 1),
     }
 }
 
-fn same(one: Thing, other: Thing) -> bool {
+fn is_same_kind(one: Target, other: Target) -> bool {
     std::mem::discriminant(&one) == std::mem::discriminant(&other)
 }
--- a/crates/standin/src/routed/soak/site.rs
+++ b/crates/standin/src/routed/soak/site.rs
@@ -20,7 +20,7 @@
 pub const SERVERS: [&str; 8] = ["app", "app", "app", "other", "other", "lm", "lm", "lm"];
 
 const LM: &str = "lm";
-const FIRST: Version = 3;
+const FIRST_VERSION: Version = 3;
 
 /// Time of a route, and so of its requests.
 pub(super) const DEADLINE: Duration = Duration::from_secs(4);
@@ -75,9 +75,9 @@
 }
 
 /// The first declaration.
-pub(super) fn first() -> Declaration {
+pub(super) fn first_declaration() -> Declaration {
     Declaration {
-        version: FIRST,
+        version: FIRST_VERSION,
         routes: vec![
             route("/pages/", Kind::Idempotent, "app"),
             route("/pages/deep/", Kind::Idempotent, "other"),
@@ -91,17 +91,17 @@
 }
 
 /// The path of a route that a version added.
-pub(super) fn since(version: Version) -> String {
+pub(super) fn added_route(version: Version) -> String {
     format!("/since/{version}/")
 }
 
 /// The declaration after another one: the pages move, and a route comes.
-pub(super) fn next(before: &Declaration) -> Declaration {
+pub(super) fn next_declaration(before: &Declaration) -> Declaration {
     let mut next = before.clone();
     next.version += 1 + next.version % 3;
     let share = &mut next.routes[0].split[0];
     share.service = if *share.service == *"app" { "other".into() } else { "app".into() };
-    next.routes.push(route(&since(next.version), Kind::Idempotent, "other"));
+    next.routes.push(route(&added_route(next.version), Kind::Idempotent, "other"));
     next
 }
 
@@ -115,22 +115,22 @@
 }
 
 /// Places of the servers of a server's service.
-pub(super) fn alike(place: usize) -> impl Iterator<Item = usize> {
-    let is_alike = move |other: &usize| SERVERS[*other] == SERVERS[place];
-    (0..SERVERS.len()).filter(is_alike)
+pub(super) fn same_service(index: usize) -> impl Iterator<Item = usize> {
+    let is_same = move |other: &usize| SERVERS[*other] == SERVERS[index];
+    (0..SERVERS.len()).filter(is_same)
 }
 
 /// Settings of a run of the server at a place.
-pub(super) fn server(place: usize, run: usize) -> Settings {
-    let (service, id) = (SERVERS[place], format!("{}-{place}.{run}", SERVERS[place]));
+pub(super) fn server_settings(index: usize, run: usize) -> Settings {
+    let (service, id) = (SERVERS[index], format!("{}-{index}.{run}", SERVERS[index]));
     match service {
-        LM => Settings::model(&id, service, &engine(), &[MODELS[0], MODELS[1 + place % 2]]),
+        LM => Settings::model(&id, service, &engine(), &[MODELS[0], MODELS[1 + index % 2]]),
         _ => Settings::plain(&id, service),
     }
 }
 
 /// How a server behaves in calm.
-pub(super) fn calm(server: &Server, events: u64) {
+pub(super) fn reset_script(server: &Server, events: u64) {
     server.script(|script| {
         *script = Script {
             work: Duration::from_millis(15),
--- a/crates/standin/tests/soak_judge.rs
+++ b/crates/standin/tests/soak_judge.rs
@@ -12,15 +12,15 @@
     soak::{
         judge::{Promise, judge},
         record::{
-            Answer, Arrival, Declared, Leave, Life, Order, Outcome, Place, Record, Request, Run,
-            Span, Trouble,
+            Answer, Arrival, Component, Declared, Disruption, HostRun, Leave, Order, Outcome,
+            Record, Request, Run, Span,
         },
         schedule,
     },
 };
 use types::routed::Kind;
 
-const LIFE: Life = Life { host: 0, start: 0 };
+const HOST_RUN: HostRun = HostRun { host: 0, start: 0 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -32,7 +32,7 @@
 
 fn answer(status: StatusCode, seal: Option<&str>, body: &str) -> Outcome {
     let (id, seal) = (Some("r1".into()), seal.map(str::to_owned));
-    Outcome::Answered(Answer { status, id, seal, body: body.to_owned().into(), whole: true })
+    Outcome::Answered(Answer { status, id, seal, body: body.to_owned().into(), is_complete: true })
 }
 
 fn events(last: u64) -> String {
@@ -40,7 +40,7 @@
 }
 
 /// A request of 10 s after the start, which host 0 passed to `app-1` and answered well.
-fn served(kind: Kind) -> Record {
+fn served_record(kind: Kind) -> Record {
     let body = match kind {
         Kind::Stream => events(10),
         _ => r#"{"server":"app-1","request":"r1","path":"/pages/x","bytes":0}"#.into(),
@@ -50,9 +50,9 @@
         kind,
         resumable: false,
         path: "/pages/x".into(),
-        body: 0,
-        crashes: false,
-        life: LIFE,
+        body_bytes: 0,
+        crashes_servers: false,
+        host_run: HOST_RUN,
         span: span(10_000, 10_100),
         deadline: ms(4_000),
         outcome: answer(StatusCode::OK, Some("app-1.r1"), &body),
@@ -67,18 +67,18 @@
     }
 }
 
-fn run(server: &str, came: u64, ended: u64) -> Run {
+fn run(server: &str, arrived_at: u64, ended_at: u64) -> Run {
     Run {
         id: "r1".into(),
         server: server.into(),
         service: "app".into(),
         path: "/pages/x".into(),
-        body: 0,
-        came: ms(came),
-        ended: Some(ms(ended)),
-        failed: None,
-        spoilt: false,
-        crashed: false,
+        body_bytes: 0,
+        arrived_at: ms(arrived_at),
+        ended_at: Some(ms(ended_at)),
+        failure: None,
+        is_corrupted: false,
+        is_server_crash: false,
     }
 }
 
@@ -86,28 +86,28 @@
     &mut record.requests[0].outcome
 }
 
-fn answered(record: &mut Record, change: impl FnOnce(&mut Answer)) {
+fn change_answer(record: &mut Record, change: impl FnOnce(&mut Answer)) {
     if let Outcome::Answered(answer) = outcome(record) {
         change(answer);
     }
 }
 
-fn trouble(place: Place, from: u64, to: u64) -> Trouble {
-    Trouble { place, what: "fault".into(), span: span(from, to) }
+fn disruption(component: Component, from: u64, to: u64) -> Disruption {
+    Disruption { component, what: "fault".into(), span: span(from, to) }
 }
 
 /// A server that names a limit of 2 a second gets 18 requests of host 0 at once.
-fn press(record: &mut Record) {
+fn exceed_limit(record: &mut Record) {
     let arrivals = vec![("r1".into(), ms(15_000)); 18];
     let quota = Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] };
     record.quotas.push(("app-1".into(), quota));
 }
 
 /// So many requests at a time of host 0 to `app`, each of which arrives so often, once a millisecond.
-fn retried(record: &mut Record, at: u64, requests: usize, arrivals: usize) {
+fn add_retries(record: &mut Record, at: u64, requests: usize, arrivals: usize) {
     for number in 0..requests {
         let mut request = record.requests[0].clone();
-        (request.id, request.outcome) = (format!("{at}.{number}"), Outcome::Left);
+        (request.id, request.outcome) = (format!("{at}.{number}"), Outcome::CallerClosed);
         request.span = span(at, at + 500);
         let arrival = |nth| {
             let (id, service) = (request.id.clone(), "app".into());
@@ -119,21 +119,23 @@
 }
 
 /// One request that crashes servers, sent anew at each of these times.
-fn crashing(record: &mut Record, times: impl IntoIterator<Item = u64>) {
+fn add_crashes(record: &mut Record, times: impl IntoIterator<Item = u64>) {
     for (number, at) in times.into_iter().enumerate() {
         let id = format!("c{number}");
         let mut request = record.requests[0].clone();
-        (request.id, request.crashes, request.outcome) = (id.clone(), true, Outcome::Closed);
+        (request.id, request.crashes_servers, request.outcome) =
+            (id.clone(), true, Outcome::Closed);
         request.span = span(at, at + 20);
         record.requests.push(request);
         let server = format!("crashed-{number}");
-        let run = Run { id, spoilt: true, crashed: true, ..run(&server, at + 5, at + 10) };
+        let run =
+            Run { id, is_corrupted: true, is_server_crash: true, ..run(&server, at + 5, at + 10) };
         record.runs.push(run);
     }
 }
 
 /// Requests that are refused as what may have run, at these times.
-fn shunned(record: &mut Record, times: impl IntoIterator<Item = u64>) {
+fn add_refusals(record: &mut Record, times: impl IntoIterator<Item = u64>) {
     for (number, at) in times.into_iter().enumerate() {
         let mut request = record.requests[0].clone();
         request.id = format!("s{number}");
@@ -144,36 +146,37 @@
     }
 }
 
-fn order(holder: &str, fence: u64, came: u64) -> Order {
-    Order { server: "lm-1".into(), holder: holder.into(), fence, came: ms(came) }
+fn order(holder: &str, fence: u64, arrived_at: u64) -> Order {
+    Order { server: "lm-1".into(), holder: holder.into(), fence, arrived_at: ms(arrived_at) }
 }
 
 fn orders(record: &mut Record, orders: [(&str, u64, u64); 2]) {
-    record.orders = orders.map(|(holder, fence, came)| order(holder, fence, came)).into();
+    record.orders =
+        orders.map(|(holder, fence, arrived_at)| order(holder, fence, arrived_at)).into();
 }
 
 /// A second version that moves the pages to another service.
-fn moved(record: &mut Record, at: u64) {
+fn move_route(record: &mut Record, at: u64) {
     let services = BTreeMap::from([("/pages/".to_owned(), ["other".to_owned()].into())]);
     record.declared.push(Declared { version: 5, at: ms(at), services });
 }
 
 /// An earlier request at the same host, which the second version decided.
-fn shown(record: &mut Record, came: u64) {
+fn add_handled_request(record: &mut Record, at: u64) {
     let mut before = record.requests[0].clone();
-    (before.id, before.outcome, before.span) = ("r0".into(), Outcome::Left, span(came, came));
+    (before.id, before.outcome, before.span) = ("r0".into(), Outcome::CallerClosed, span(at, at));
     record.requests.push(before);
-    let run = Run { id: "r0".into(), service: "other".into(), ..run("other-1", came, came) };
+    let run = Run { id: "r0".into(), service: "other".into(), ..run("other-1", at, at) };
     record.runs.push(run);
 }
 
-fn leave(record: &mut Record, at: u64) {
+fn add_leave(record: &mut Record, at: u64) {
     record.leaves.push(Leave { server: "app-1".into(), at: ms(at) });
 }
 
 /// Many requests after the last fault, some of them refused.
-fn recovers(record: &mut Record, refused: usize) {
-    record.troubles.push(trouble(Place::Host(1), 1_000, 2_000));
+fn add_requests_after_fault(record: &mut Record, refused: usize) {
+    record.disruptions.push(disruption(Component::Host(1), 1_000, 2_000));
     for number in 0..100 {
         let mut request = record.requests[0].clone();
         (request.id, request.span) = (format!("s{number}"), span(20_000, 20_100));
@@ -207,69 +210,69 @@
     *outcome(r) = answer(StatusCode::SERVICE_UNAVAILABLE, None, "");
 })]
 #[case::a_servers_own_failure(Kind::NonIdempotent, |r: &mut Record| {
-    r.runs[0].failed = Some(StatusCode::INTERNAL_SERVER_ERROR);
+    r.runs[0].failure = Some(StatusCode::INTERNAL_SERVER_ERROR);
     *outcome(r) = answer(StatusCode::INTERNAL_SERVER_ERROR, Some("app-1.r1"), "");
 })]
-#[case::cut_and_looks_so(Kind::Stream, |r: &mut Record| answered(r, |answer| {
-    (answer.body, answer.whole) = (events(4).into(), false);
+#[case::cut_and_looks_so(Kind::Stream, |r: &mut Record| change_answer(r, |answer| {
+    (answer.body, answer.is_complete) = (events(4).into(), false);
 }))]
-#[case::within_the_drain_time(Kind::Idempotent, |r: &mut Record| leave(r, 8_500))]
+#[case::within_the_drain_time(Kind::Idempotent, |r: &mut Record| add_leave(r, 8_500))]
 #[case::left_by_a_host_out_of_touch(Kind::Idempotent, |r: &mut Record| {
-    leave(r, 4_000);
-    r.troubles.push(trouble(Place::Store, 6_000, 7_500));
+    add_leave(r, 4_000);
+    r.disruptions.push(disruption(Component::Store, 6_000, 7_500));
 })]
 #[case::left_by_word_of_a_degraded_store(Kind::Idempotent, |r: &mut Record| {
-    leave(r, 5_000);
-    r.troubles.push(trouble(Place::Store, 2_000, 3_000));
+    add_leave(r, 5_000);
+    r.disruptions.push(disruption(Component::Store, 2_000, 3_000));
 })]
 #[case::hands_over(Kind::Idempotent, |r: &mut Record| orders(r, [("host-0", 4, 1_000), ("host-1", 5, 4_100)]))]
-#[case::just_declared(Kind::Idempotent, |r: &mut Record| moved(r, 9_000))]
+#[case::just_declared(Kind::Idempotent, |r: &mut Record| move_route(r, 9_000))]
 #[case::declared_to_a_host_out_of_touch(Kind::Idempotent, |r: &mut Record| {
-    moved(r, 7_500);
-    r.troubles.push(trouble(Place::Store, 6_000, 7_100));
+    move_route(r, 7_500);
+    r.disruptions.push(disruption(Component::Store, 6_000, 7_100));
 })]
 #[case::shown_at_the_same_moment(Kind::Idempotent, |r: &mut Record| {
-    moved(r, 9_000);
-    shown(r, 9_900);
+    move_route(r, 9_000);
+    add_handled_request(r, 9_900);
 })]
 #[case::closed_before_it_was_passed_on(Kind::Idempotent, |r: &mut Record| {
     r.runs.clear();
-    r.troubles.push(trouble(Place::Planned(0), 9_900, 18_900));
+    r.disruptions.push(disruption(Component::HostPlanned(0), 9_900, 18_900));
     *outcome(r) = Outcome::Closed;
 })]
 #[case::killed(Kind::Idempotent, |r: &mut Record| {
-    r.troubles.push(trouble(Place::Host(0), 10_050, 12_000));
+    r.disruptions.push(disruption(Component::Host(0), 10_050, 12_000));
     *outcome(r) = Outcome::Closed;
 })]
 #[case::presses_after_a_freeze(Kind::Idempotent, |r: &mut Record| {
-    press(r);
-    r.troubles.push(trouble(Place::Host(0), 11_000, 12_500));
+    exceed_limit(r);
+    r.disruptions.push(disruption(Component::Host(0), 11_000, 12_500));
 })]
-#[case::crashes_servers_while_that_is_new(Kind::Idempotent, |r: &mut Record| crashing(r, (1..7).map(|turn| turn * 400)))]
-#[case::crashes_servers_thrice_more(Kind::Idempotent, |r: &mut Record| crashing(r, [100, 200, 300, 3_400, 3_500, 3_600]))]
+#[case::crashes_servers_while_that_is_new(Kind::Idempotent, |r: &mut Record| add_crashes(r, (1..7).map(|turn| turn * 400)))]
+#[case::crashes_servers_thrice_more(Kind::Idempotent, |r: &mut Record| add_crashes(r, [100, 200, 300, 3_400, 3_500, 3_600]))]
 #[case::crashes_servers_by_a_host_that_has_just_started(Kind::Idempotent, |r: &mut Record| {
-    crashing(r, [100, 200, 300, 3_400, 3_500, 3_600, 3_700, 3_800]);
-    r.troubles.push(trouble(Place::Host(0), 900, 1_000));
+    add_crashes(r, [100, 200, 300, 3_400, 3_500, 3_600, 3_700, 3_800]);
+    r.disruptions.push(disruption(Component::Host(0), 900, 1_000));
 })]
 #[case::refused_as_servers_crash(Kind::Idempotent, |r: &mut Record| {
-    shunned(r, [100, 200, 300, 400]);
-    r.troubles.push(trouble(Place::Server("app-2".into()), 90, 9_000));
-    r.troubles.push(trouble(Place::Server("app-3".into()), 310, 9_000));
+    add_refusals(r, [100, 200, 300, 400]);
+    r.disruptions.push(disruption(Component::Server("app-2".into()), 90, 9_000));
+    r.disruptions.push(disruption(Component::Server("app-3".into()), 310, 9_000));
 })]
-#[case::recovers(Kind::Idempotent, |r: &mut Record| recovers(r, 9))]
+#[case::recovers(Kind::Idempotent, |r: &mut Record| add_requests_after_fault(r, 9))]
 #[case::as_many_retries_as_are_allowed(Kind::Idempotent, |r: &mut Record| {
-    retried(r, 15_000, 64, 2);
+    add_retries(r, 15_000, 64, 2);
 })]
 #[case::retries_that_requests_of_the_window_before_pay(Kind::Idempotent, |r: &mut Record| {
-    retried(r, 20_000, 100, 1);
-    retried(r, 26_000, 30, 3);
+    add_retries(r, 20_000, 100, 1);
+    add_retries(r, 26_000, 30, 3);
 })]
 #[case::retries_a_window_apart(Kind::Idempotent, |r: &mut Record| {
-    retried(r, 15_000, 50, 2);
-    retried(r, 25_100, 50, 2);
+    add_retries(r, 15_000, 50, 2);
+    add_retries(r, 25_100, 50, 2);
 })]
 fn a_kept_promise_is_left_alone(#[case] kind: Kind, #[case] change: fn(&mut Record)) {
-    let mut record = served(kind);
+    let mut record = served_record(kind);
     change(&mut record);
     assert!(judge(&record).is_empty(), "{:#?}", judge(&record));
 }
@@ -279,36 +282,36 @@
 #[case::a_stream_run_twice(Kind::Stream, Promise::Twice, |r: &mut Record| r.runs.push(run("app-2", 10_095, 10_099)))]
 #[case::at_two_servers_at_once(Kind::Stream, Promise::Twice, |r: &mut Record| {
     r.requests[0].resumable = true;
-    r.runs[0].ended = None;
+    r.runs[0].ended_at = None;
     r.runs.push(run("app-2", 10_020, 10_099));
 })]
 #[case::refused_and_run(Kind::NonIdempotent, Promise::Refused, |r: &mut Record| {
     *outcome(r) = answer(StatusCode::SERVICE_UNAVAILABLE, None, "");
 })]
-#[case::anothers_answer(Kind::Idempotent, Promise::Mixed, |r: &mut Record| answered(r, |answer| answer.id = Some("r2".into())))]
-#[case::no_seal(Kind::Idempotent, Promise::Mixed, |r: &mut Record| answered(r, |answer| answer.seal = None))]
-#[case::a_strangers_seal(Kind::Idempotent, Promise::Mixed, |r: &mut Record| answered(r, |answer| answer.seal = Some("app-1.r2".into())))]
-#[case::half_a_body(Kind::Idempotent, Promise::Mixed, |r: &mut Record| answered(r, |answer| answer.body = answer.body.slice(..20)))]
+#[case::anothers_answer(Kind::Idempotent, Promise::Mixed, |r: &mut Record| change_answer(r, |answer| answer.id = Some("r2".into())))]
+#[case::no_seal(Kind::Idempotent, Promise::Mixed, |r: &mut Record| change_answer(r, |answer| answer.seal = None))]
+#[case::a_strangers_seal(Kind::Idempotent, Promise::Mixed, |r: &mut Record| change_answer(r, |answer| answer.seal = Some("app-1.r2".into())))]
+#[case::half_a_body(Kind::Idempotent, Promise::Mixed, |r: &mut Record| change_answer(r, |answer| answer.body = answer.body.slice(..20)))]
 #[case::a_failure_made_well(Kind::Idempotent, Promise::Mixed, |r: &mut Record| {
-    r.runs[0].failed = Some(StatusCode::INTERNAL_SERVER_ERROR);
+    r.runs[0].failure = Some(StatusCode::INTERNAL_SERVER_ERROR);
 })]
 #[case::another_failure(Kind::Idempotent, Promise::Mixed, |r: &mut Record| {
-    r.runs[0].failed = Some(StatusCode::INTERNAL_SERVER_ERROR);
-    answered(r, |answer| answer.status = StatusCode::BAD_GATEWAY);
+    r.runs[0].failure = Some(StatusCode::INTERNAL_SERVER_ERROR);
+    change_answer(r, |answer| answer.status = StatusCode::BAD_GATEWAY);
 })]
 #[case::a_stranger(Kind::Idempotent, Promise::Unasked, |r: &mut Record| r.runs.push(Run { id: "r9".into(), ..run("app-1", 1, 2) }))]
 #[case::another_path(Kind::Idempotent, Promise::Unasked, |r: &mut Record| r.runs[0].path = "/pages/y".into())]
-#[case::an_event_missing(Kind::Stream, Promise::Order, |r: &mut Record| answered(r, |answer| {
+#[case::an_event_missing(Kind::Stream, Promise::Order, |r: &mut Record| change_answer(r, |answer| {
     answer.body = events(10).replace("id: 4\ndata: token 4\n\n", "").into();
 }))]
-#[case::an_event_twice(Kind::Stream, Promise::Order, |r: &mut Record| answered(r, |answer| {
-    (answer.body, answer.whole) = (format!("{}{}", events(4), events(1)).into(), false);
+#[case::an_event_twice(Kind::Stream, Promise::Order, |r: &mut Record| change_answer(r, |answer| {
+    (answer.body, answer.is_complete) = (format!("{}{}", events(4), events(1)).into(), false);
 }))]
-#[case::short(Kind::Stream, Promise::Order, |r: &mut Record| answered(r, |answer| answer.body = events(9).into()))]
-#[case::after_the_drain_time(Kind::Idempotent, Promise::Drain, |r: &mut Record| leave(r, 7_800))]
+#[case::short(Kind::Stream, Promise::Order, |r: &mut Record| change_answer(r, |answer| answer.body = events(9).into()))]
+#[case::after_the_drain_time(Kind::Idempotent, Promise::Drain, |r: &mut Record| add_leave(r, 7_800))]
 #[case::after_the_drain_time_and_an_outage(Kind::Idempotent, Promise::Drain, |r: &mut Record| {
-    leave(r, 4_000);
-    r.troubles.push(trouble(Place::Store, 6_000, 7_000));
+    add_leave(r, 4_000);
+    r.disruptions.push(disruption(Component::Store, 6_000, 7_000));
 })]
 #[case::two_holders_of_a_fence(Kind::Idempotent, Promise::One, |r: &mut Record| {
     orders(r, [("host-0", 4, 1_000), ("host-1", 4, 5_000)]);
@@ -320,18 +323,18 @@
     orders(r, [("host-0", 4, 1_000), ("host-1", 5, 3_900)]);
 })]
 #[case::too_much(Kind::Idempotent, Promise::Limit, |r: &mut Record| r.overloads.push(("lm-1".into(), ms(7))))]
-#[case::late_in_force(Kind::Idempotent, Promise::Config, |r: &mut Record| moved(r, 7_900))]
+#[case::late_in_force(Kind::Idempotent, Promise::Config, |r: &mut Record| move_route(r, 7_900))]
 #[case::late_in_force_after_an_outage(Kind::Idempotent, Promise::Config, |r: &mut Record| {
-    moved(r, 7_500);
-    r.troubles.push(trouble(Place::Store, 4_000, 6_900));
+    move_route(r, 7_500);
+    r.disruptions.push(disruption(Component::Store, 4_000, 6_900));
 })]
 #[case::late_in_force_when_declared_in_an_outage(Kind::Idempotent, Promise::Config, |r: &mut Record| {
-    moved(r, 5_000);
-    r.troubles.push(trouble(Place::Store, 4_000, 6_900));
+    move_route(r, 5_000);
+    r.disruptions.push(disruption(Component::Store, 4_000, 6_900));
 })]
 #[case::backwards(Kind::Idempotent, Promise::Config, |r: &mut Record| {
-    moved(r, 9_000);
-    shown(r, 9_700);
+    move_route(r, 9_000);
+    add_handled_request(r, 9_700);
 })]
 #[case::never_declared(Kind::Idempotent, Promise::Config, |r: &mut Record| r.runs[0].service = "lm".into())]
 #[case::not_found(Kind::Idempotent, Promise::Config, |r: &mut Record| {
@@ -339,12 +342,12 @@
     *outcome(r) = answer(StatusCode::NOT_FOUND, None, "");
 })]
 #[case::cut_by_a_stop(Kind::NonIdempotent, Promise::Lost, |r: &mut Record| {
-    r.troubles.push(trouble(Place::Planned(0), 9_900, 18_900));
+    r.disruptions.push(disruption(Component::HostPlanned(0), 9_900, 18_900));
     *outcome(r) = Outcome::Closed;
 })]
 #[case::an_answer_cut_by_a_stop(Kind::Stream, Promise::Lost, |r: &mut Record| {
-    r.troubles.push(trouble(Place::Planned(0), 9_900, 18_900));
-    answered(r, |answer| (answer.body, answer.whole) = (events(4).into(), false));
+    r.disruptions.push(disruption(Component::HostPlanned(0), 9_900, 18_900));
+    change_answer(r, |answer| (answer.body, answer.is_complete) = (events(4).into(), false));
 })]
 #[case::lost_in_calm(Kind::Idempotent, Promise::Lost, |r: &mut Record| {
     let (request, run) = (r.requests[0].clone(), r.runs[0].clone());
@@ -354,35 +357,35 @@
         r.runs.push(Run { id, ..run.clone() });
     }
 })]
-#[case::crashes_servers_again(Kind::Idempotent, Promise::Poison, |r: &mut Record| crashing(r, [100, 200, 300, 3_400, 3_500, 3_600, 3_700]))]
-#[case::refused_without_a_crash(Kind::Idempotent, Promise::Innocent, |r: &mut Record| shunned(r, [100, 200, 300, 400]))]
-#[case::more_than_its_limit(Kind::Idempotent, Promise::Quota, press)]
+#[case::crashes_servers_again(Kind::Idempotent, Promise::Poison, |r: &mut Record| add_crashes(r, [100, 200, 300, 3_400, 3_500, 3_600, 3_700]))]
+#[case::refused_without_a_crash(Kind::Idempotent, Promise::Innocent, |r: &mut Record| add_refusals(r, [100, 200, 300, 400]))]
+#[case::more_than_its_limit(Kind::Idempotent, Promise::Quota, exceed_limit)]
 #[case::more_retries_than_are_allowed(Kind::Idempotent, Promise::Retries, |r: &mut Record| {
-    retried(r, 15_000, 66, 2);
+    add_retries(r, 15_000, 66, 2);
 })]
 #[case::more_retries_in_a_window_than_in_its_halves(Kind::Idempotent, Promise::Retries, |r: &mut Record| {
-    retried(r, 15_000, 20, 3);
-    retried(r, 24_500, 20, 3);
+    add_retries(r, 15_000, 20, 3);
+    add_retries(r, 24_500, 20, 3);
 })]
 #[case::retries_that_no_requests_pay(Kind::Idempotent, Promise::Retries, |r: &mut Record| {
-    retried(r, 15_000, 100, 1);
-    retried(r, 36_000, 20, 4);
+    add_retries(r, 15_000, 100, 1);
+    add_retries(r, 36_000, 20, 4);
 })]
 #[case::more_retries_whatever_troubles_the_hosts(Kind::Idempotent, Promise::Retries, |r: &mut Record| {
-    retried(r, 15_000, 66, 2);
+    add_retries(r, 15_000, 66, 2);
     for host in 0..2 {
-        r.troubles.push(trouble(Place::Host(host), 0, 60_000));
+        r.disruptions.push(disruption(Component::Host(host), 0, 60_000));
     }
-    r.troubles.push(trouble(Place::Store, 0, 60_000));
+    r.disruptions.push(disruption(Component::Store, 0, 60_000));
 })]
-#[case::does_not_recover(Kind::Idempotent, Promise::Recover, |r: &mut Record| recovers(r, 11))]
-#[case::ends_by_itself(Kind::Idempotent, Promise::Fault, |r: &mut Record| r.dead.push(1))]
+#[case::does_not_recover(Kind::Idempotent, Promise::Recover, |r: &mut Record| add_requests_after_fault(r, 11))]
+#[case::ends_by_itself(Kind::Idempotent, Promise::Fault, |r: &mut Record| r.exited.push(1))]
 fn a_broken_promise_is_found(
     #[case] kind: Kind,
     #[case] promise: Promise,
     #[case] change: fn(&mut Record),
 ) {
-    let mut record = served(kind);
+    let mut record = served_record(kind);
     change(&mut record);
     let breaches = judge(&record);
     assert!(!breaches.is_empty(), "nothing found");
