--- a/crates/stage/examples/soak.rs
+++ b/crates/stage/examples/soak.rs
@@ -1,7 +1,9 @@
-//! Soaks hosts of a routed deployment under faults drawn from a seed, and judges what callers and
-//! servers saw. Real processes before stand-ins, loopback only. Ends with 1 if a promise broke.
+//! Soak test of a routed deployment: runs real host processes in front of stand-in servers, under
+//! load and under faults drawn from a seed, and checks the observations of callers and servers.
+//!
+//! Uses loopback addresses only. Exits with 1 if a promise was broken.
 
-#![allow(clippy::print_stdout, reason = "a soak tells what it found")]
+#![allow(clippy::print_stdout, reason = "the result goes to standard output")]
 
 use std::{error::Error, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -9,29 +11,32 @@
 use standin::routed::soak::{Plan, Summary, run, schedule};
 use tabled::builder::Builder;
 
-/// Recovery is judged after the last fault by [`RECOVER`]; the rest is for the requests of then.
-const RECOVER: u64 = 12;
-const TAIL: u64 = RECOVER + 4;
+/// Seconds after the last fault from which recovery is judged.
+const RECOVERY: u64 = 12;
 
-/// Soaks hosts of a routed deployment under faults.
+/// Seconds without faults at the end of a soak; the last 4 are for the requests that show recovery.
+const TAIL: u64 = RECOVERY + 4;
+
+/// Runs hosts of a routed deployment under load and faults, and checks what callers and servers
+/// saw.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// Seeds, each a soak of its own.
+    /// Seeds, separated by commas; each is a soak of its own.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
-    /// Seconds of each; under 24 there is no time to see recovery.
+    /// Duration of each soak in seconds; below 24 recovery is not checked.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(5..=3_600))]
     seconds: u64,
-    /// Hosts.
+    /// Number of hosts.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u8).range(1..=16))]
     hosts: u8,
-    /// The host's program.
+    /// Executable of the host.
     #[arg(long, default_value = "target/release/cyclamenstage")]
     program: PathBuf,
-    /// Folder for the hosts' settings and logs, by seed.
+    /// Directory for the hosts' settings and logs, with a subdirectory for each seed.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
-    /// Prints the schedules and does nothing.
+    /// Prints the fault schedules as JSON and runs nothing.
     #[arg(long)]
     dry: bool,
 }
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -1,6 +1,7 @@
-//! A soak: real hosts before stand-ins, under load, while faults drawn from a seed come and go.
+//! Soak test: real host processes in front of stand-in servers, under load, with injected faults.
 //!
-//! [`judge`] looks only at what callers and servers saw.
+//! The faults and the load are drawn from a seed. [`judge`] checks the result against the promises
+//! of the service, from observations of callers and servers alone.
 
 mod inject;
 pub mod judge;
@@ -34,62 +35,62 @@
     site::{Backend, Site},
 };
 
-/// How long callers have for their last answers.
+/// Time limit for outstanding requests after the soak has ended.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What is soaked.
+/// Parameters of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan<'a> {
-    /// The host's program.
+    /// Executable of the host.
     pub program: &'a Path,
-    /// Folder for settings and logs.
+    /// Directory for settings and logs of the hosts. Must exist.
     pub folder: &'a Path,
-    /// Seed of the faults and the load.
+    /// Seed of the random load; [`schedule::draw`] takes the same seed for the faults.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Length.
+    /// Duration of the load, counted from when all hosts are ready.
     pub length: Duration,
-    /// Faults.
+    /// Faults to inject, with times since the start of the load, sorted by start.
     pub schedule: Vec<PlannedFault>,
 }
 
-/// What came of a soak.
+/// Result of one soak.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// The seed.
+    /// Seed of the random load.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// The length, in seconds.
+    /// Duration of the load.
     pub seconds: f64,
-    /// Faults.
+    /// Faults that were injected.
     pub schedule: Vec<PlannedFault>,
-    /// Requests by kind and outcome.
+    /// Number of requests by kind and outcome.
     pub requests: BTreeMap<String, BTreeMap<String, usize>>,
-    /// Runs at servers.
+    /// Number of executions of requests, over all servers.
     pub runs: usize,
-    /// Orders to servers.
+    /// Number of orders that servers received.
     pub orders: usize,
-    /// Hosts that gave orders.
+    /// Number of distinct hosts that sent orders.
     pub holders: usize,
-    /// Servers that ended under requests that crash them.
+    /// Number of servers that were crashed by a poison request.
     pub crashed: usize,
-    /// Each service's worst window of retries, as a part of what is allowed.
+    /// For each service, the worst window of retries as a ratio of the retries allowed in it.
     pub retries: BTreeMap<String, f64>,
-    /// Broken promises.
+    /// Promises that were found broken, by time.
     pub breaches: Vec<Breach>,
 }
 
-/// Runs a soak and judges it.
+/// Runs a soak and judges its record.
 ///
 /// # Errors
 ///
-/// If a stand-in or a host can't start.
+/// If a stand-in or a host can't start, or the settings of a host can't be rewritten.
 ///
 /// # Panics
 ///
-/// If a host ends before it listens.
+/// If a host process exits before it listens.
 pub async fn run(plan: &Plan<'_>) -> Result<Summary, Box<dyn Error + Send + Sync>> {
     let record = execute(plan).await?;
     let holders: BTreeSet<&str> = record.orders.iter().map(|order| &*order.holder).collect();
@@ -140,25 +141,25 @@
     injector.declare(site::first_declaration());
     injector.site.relay_links();
     for index in 0..plan.hosts {
-        // As operators have it, for `cyclamenctl explain`.
+        // `cyclamenctl explain` needs debug logs, so operators run hosts at this level.
         injector.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
         injector.register_host(index);
     }
     injector.site.ready().await;
-    // Faults and load count from here on.
+    // Times of faults and of the load are relative to this moment.
     let began = Instant::now();
     let mut callers = load::start(&injector.load, plan.seed);
     injector.run(&plan.schedule, began).await?;
     injector.wait(began + plan.length).await?;
     injector.load.is_over.store(true, Ordering::Relaxed);
-    // Who still waits then is left out.
+    // Requests that are outstanding after that are not recorded.
     let _ =
         timeout(LAST_ANSWERS_TIMEOUT, async { while callers.join_next().await.is_some() {} }).await;
     Ok(injector.record())
 }
 
 impl Injector {
-    /// All that was seen.
+    /// Collects the observations of callers, servers and the injector.
     fn record(mut self) -> Record {
         let load = &self.load;
         let servers = &self.site.backend.servers;
@@ -235,7 +236,7 @@
     server.arrivals().into_iter().map(to_record).collect()
 }
 
-/// Requests by kind and outcome.
+/// Counts requests by kind and outcome.
 fn outcomes(record: &Record) -> BTreeMap<String, BTreeMap<String, usize>> {
     let mut outcomes: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
     for request in &record.requests {
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -1,4 +1,4 @@
-//! Makes the faults of a schedule, and notes when each was.
+//! Injects the faults of a schedule, and records what each one disrupted and when.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,30 +27,30 @@
     store::Mood,
 };
 
-/// What the store's delay is while it is slow.
+/// Delay of the store's answers under [`Fault::Slow`].
 const STORE_DELAY: Duration = Duration::from_millis(700);
 
-/// What a slow server takes for an answer, and between events.
+/// Under [`Fault::Dull`], a server's time for an answer and between two events of a stream.
 const SLOW_SERVER: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(250));
 
-/// Time in which hosts in calm take a declaration in.
+/// Time in which undisturbed hosts receive a new declaration.
 const APPLY_TIME: Duration = Duration::from_millis(200);
 
-/// How late a late order, or a late write, is carried out.
+/// Delay after which a late order, or a late write to the store, is executed.
 const LATENESS: Duration = Duration::from_millis(900);
 
-/// Pause between looks at which servers have crashed.
+/// Interval between checks for servers that have crashed.
 const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// From a server's crash to the start of another one.
+/// Time from a server's crash to the start of its replacement.
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The entry of a crashed server stays for so long.
+/// How long the store keeps the entry of a replaced server.
 const STALE_ENTRY_TIME: Duration = Duration::from_millis(2_000);
 
 type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Makes the faults.
+/// Injects faults into the site, and collects what is needed to judge the soak afterwards.
 #[derive(Debug)]
 pub(super) struct Injector {
     pub(super) site: Site,
@@ -60,23 +60,24 @@
     pub(super) declared: Vec<Declared>,
     pub(super) leaves: Vec<Leave>,
     pub(super) disruptions: Vec<Disruption>,
-    /// The id of the server at each place now, and how many there were before.
+    /// For each index of [`site::SERVERS`], the current server's id and the number of its
+    /// predecessors.
     pub(super) servers: Vec<(String, usize)>,
-    /// Places whose server is in a fault of its own.
+    /// Indices of servers that the schedule crashes or makes leave now; the end of that fault
+    /// replaces them.
     pub(super) faulted: BTreeSet<usize>,
-    /// Places whose server was crashed by a request, and when another one starts there.
+    /// Indices of servers that a request has crashed, and when each is to be replaced.
     pub(super) crashed: BTreeMap<usize, Instant>,
 }
 
-/// One end of a fault.
+/// Start or end of a planned fault.
 enum Step<'a> {
     Begin(&'a PlannedFault),
-    /// What its beginning noted.
     End(&'a PlannedFault),
 }
 
 impl Injector {
-    /// Starts the server at a place.
+    /// Starts the server of an index, or the replacement of the one that it had.
     pub(super) async fn start_server(&mut self, index: usize) -> Result<(), BoxError> {
         let run = self.servers.get(index).map_or(0, |(_, run)| run + 1);
         let server = self.site.backend.add(site::server_settings(index, run)).await?;
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// Tells callers of a host that has started.
+    /// Gives callers the addresses of a host that has started.
     pub(super) fn register_host(&mut self, index: usize) {
         let host = &self.site.hosts[index];
         let (callers, operators) = (host.callers(), host.operators());
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Writes a declaration into the store.
+    /// Writes a declaration to the store and records when.
     pub(super) fn declare(&mut self, declaration: Declaration) {
         let (version, services) = (declaration.version, site::services(&declaration));
         self.site.backend.declare(&declaration);
@@ -115,7 +116,7 @@
         self.load.since(Instant::now())
     }
 
-    /// Plays all faults to their ends.
+    /// Runs the schedule until its last fault has ended.
     pub(super) async fn run(
         &mut self,
         schedule: &[PlannedFault],
@@ -126,7 +127,7 @@
         let mut steps: Vec<(Duration, Step<'_>)> =
             schedule.iter().map(|planned| (planned.at, Step::Begin(planned))).collect();
         steps.extend(ends);
-        // A fault without a length ends after it has begun: the sort is stable.
+        // The sort is stable, so that a fault of zero duration begins before it ends.
         steps.sort_by_key(|(at, _)| *at);
         for (at, step) in steps {
             self.wait(began + at).await?;
@@ -143,15 +144,15 @@
         Ok(())
     }
 
-    /// Lets all hosts watch the store from the same moment on, as a declaration does: what then
-    /// happens to one watch happens to all.
+    /// Makes all hosts start a new watch of the store at the same time, by writing a declaration,
+    /// so that the watches of all hosts are affected alike.
     async fn align_watches(&mut self) -> Result<(), BoxError> {
         self.apply(Fault::Declare)?;
         sleep(APPLY_TIME).await;
         Ok(())
     }
 
-    /// Waits, and starts servers anew that a request has crashed.
+    /// Waits, and meanwhile replaces servers that a request has crashed.
     pub(super) async fn wait(&mut self, until: Instant) -> Result<(), BoxError> {
         loop {
             self.restart_crashed().await?;
@@ -190,7 +191,7 @@
         self.site.backend.server(&self.servers[index].0)
     }
 
-    /// Notes a fault that is as long as planned.
+    /// Records a disruption of the planned duration.
     fn record_disruption(&mut self, component: Component, planned: &PlannedFault) {
         let from = self.now();
         let span = Span { from, to: from + planned.duration };
@@ -204,7 +205,7 @@
         self.apply(planned.fault)
     }
 
-    /// What a fault puts in disruption.
+    /// Components that a fault disrupts.
     fn affected(&self, fault: Fault) -> Vec<Component> {
         let server = |index: usize| Component::Server(self.servers[index].0.clone());
         match fault {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Sets the links of some pairs of hosts.
+    /// Sets how datagrams are delivered between some pairs of hosts.
     fn set_links(&self, pairs: Pairs, way: Way) {
         let links = self.site.links();
         pairs.among(self.site.hosts.len()).for_each(|(from, to)| links.set(from, to, way));
@@ -297,7 +298,7 @@
         Ok(())
     }
 
-    /// Lets servers name a limit, in hundredths of a request a second, or none any more.
+    /// Makes servers state a limit, in hundredths of a request per second, or withdraw it.
     fn set_limit(&self, indices: impl IntoIterator<Item = usize>, limit: Option<u32>) {
         let named = limit.map(|limit| f64::from(limit) / 100.0);
         for index in indices {
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Changes what a host may use at once, and tells it.
+    /// Changes a setting of a host that is reloadable, and signals the host to reload.
     fn reload(&mut self, host: usize) -> Result<(), BoxError> {
         let host = &self.site.hosts[host];
         let mut settings: Value = serde_json::from_str(&std::fs::read_to_string(host.settings())?)?;
@@ -376,7 +377,7 @@
         Ok(())
     }
 
-    /// Notes that the last trouble of a place ends now.
+    /// Records that the last disruption of a component ends now.
     fn end_disruption(&mut self, component: &Component) {
         let now = self.now();
         let last =
@@ -386,7 +387,7 @@
 
     async fn restart(&mut self, host: usize, planned: &PlannedFault) -> Result<(), BoxError> {
         if matches!(planned.fault, Fault::Stop(_)) {
-            // It has ended by itself, or is taken away as the platform does it.
+            // The process has exited after SIGTERM, or is killed now as the platform would do.
             self.site.hosts[host].kill();
         }
         self.end_disruption(&Component::Host(host));
@@ -394,7 +395,7 @@
         let from = self.now();
         self.site.restart(host).await?;
         self.register_host(host);
-        // A machine that starts isn't in touch.
+        // A host that is starting has no contact to the store and its peers yet.
         let span = Span { from, to: self.now() };
         self.disruptions.push(Disruption {
             component: Component::Host(host),
@@ -404,12 +405,12 @@
         Ok(())
     }
 
-    /// A server of the same service comes in a server's place.
+    /// Ends a server and starts another one of the same service.
     async fn replace_server(&mut self, index: usize) -> Result<(), BoxError> {
         let old = self.servers[index].0.clone();
         self.server(index).kill();
         self.end_disruption(&Component::Server(old.clone()));
-        // Nothing is heard of it, and its entry goes a little later.
+        // The old server stops registering at once; the store drops its entry a little later.
         self.site.backend.silence(&old);
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
--- a/crates/standin/src/routed/soak/judge.rs
+++ b/crates/standin/src/routed/soak/judge.rs
@@ -1,4 +1,4 @@
-//! Judges the record of a soak by the users' promises.
+//! Checks the record of a soak against the promises to users.
 
 mod declared;
 mod poison;
@@ -14,58 +14,59 @@
 use super::record::{Answer, Component, Order, Outcome, Record, Request, Run, Span};
 use crate::routed::server::quota::{Excess, Quota};
 
-/// Time that a run may go on at a server after its request went elsewhere.
+/// How long an execution may continue after its request has reached another server.
 const MAX_OVERLAP: Duration = Duration::from_millis(400);
 
-/// What the stand-ins' own clockwork may cost.
+/// Allowance for scheduling delays of the stand-ins.
 const TIMING_SLACK: Duration = Duration::from_millis(150);
 
-/// Connections that a host may lose by chance.
+/// Maximum number of requests that may fail without an injected fault as the cause.
 const MAX_UNEXPLAINED: usize = 3;
 
-/// Fewest requests after the last fault from which recovery is judged.
+/// Minimum number of requests after the last fault for recovery to be judged.
 const MIN_SAMPLES: usize = 20;
 
-/// A promise.
+/// A promise to users, as the summary of a soak names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Promise {
-    /// What isn't idempotent runs at most once, and a stream at one server at a time.
+    /// A request that is not idempotent is executed at most once, and a stream by one server at a
+    /// time.
     Twice,
-    /// What is refused never runs.
+    /// A request that was refused as not executed was not executed.
     Refused,
-    /// Each caller gets its own answer, and whole.
+    /// Each caller gets the answer to its own request, unaltered.
     Mixed,
-    /// What runs was asked for.
+    /// Servers execute only requests that callers sent, with the path and body that they sent.
     Unasked,
-    /// Streams are whole and in order.
+    /// Streams are complete and in order.
     Order,
-    /// A leaving server gets nothing new.
+    /// A leaving server receives no new requests.
     Drain,
-    /// One host at a time gives orders.
+    /// One host at a time sends orders to a server.
     One,
-    /// No server is ordered to hold more than it can.
+    /// No server is ordered to load more than fits.
     Limit,
-    /// No server gets more requests than it says that it takes.
+    /// No server receives more requests than the limit that it states.
     Quota,
-    /// What has crashed three servers reaches few others.
+    /// A request that has crashed three servers reaches few others.
     Poison,
-    /// Nothing else is refused as if it crashed servers.
+    /// No other request is refused as if it crashed servers.
     Innocent,
-    /// No service gets more retries than its budget allows.
+    /// No service receives more retries than its budget allows.
     Retries,
-    /// Declarations come into force in time and never go back.
+    /// Declarations come into force in time and are never reverted to an older one.
     Config,
-    /// Planned stops cut nothing, nor does calm.
+    /// No answer is cut off by a planned stop, or without any fault.
     Lost,
     /// Requests are served after the last fault.
     Recover,
-    /// No process ends by itself.
+    /// No host process exits by itself.
     Fault,
 }
 
 impl Promise {
-    /// All of them.
+    /// All promises that a soak is judged by.
     pub const ALL: [Promise; 16] = [
         Promise::Twice,
         Promise::Refused,
@@ -86,20 +87,20 @@
     ];
 }
 
-/// A broken promise.
+/// An observation that breaks a promise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// The promise.
+    /// The promise that is broken.
     pub promise: Promise,
-    /// The request, if it is one's.
+    /// Id of the request, if the breach concerns a single one.
     pub request: Option<String>,
-    /// When, since the start.
+    /// When, since the start of the soak.
     pub at: Duration,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
 }
 
-/// Every promise that was broken, by time.
+/// All breaches that the record shows, by time.
 pub fn judge(record: &Record) -> Vec<Breach> {
     let judge = Judge::new(record);
     let mut breaches = Vec::new();
@@ -119,7 +120,7 @@
         promise: Promise::Limit,
         request: None,
         at: *at,
-        what: format!("{server} was ordered to hold more than it can"),
+        what: format!("{server} was ordered to load more than fits"),
     };
     breaches.extend(record.overloads.iter().map(limit));
     let end = record.requests.iter().map(|request| request.span.to).max().unwrap_or_default();
@@ -127,7 +128,7 @@
         promise: Promise::Fault,
         request: None,
         at: end,
-        what: format!("host {host} ended by itself"),
+        what: format!("process of host {host} exited by itself"),
     };
     breaches.extend(record.exited.iter().map(exited));
     breaches.sort_by_key(|breach| breach.at);
@@ -159,7 +160,7 @@
         self.runs.get(&*request.id).map_or(&[], Vec::as_slice)
     }
 
-    /// What one request's own record breaks.
+    /// Breaches by the outcome and the executions of one request.
     fn check_request(&self, request: &Request) -> Vec<Breach> {
         let mut breaches = Vec::new();
         breaches.extend(self.check_runs(request));
@@ -186,7 +187,7 @@
             let overlaps = before.ended_at.is_none_or(|ended| latest_end < ended)
                 && self.record.is_in_contact(request.host_run.host, span);
             if runs_once || overlaps {
-                let what = format!("ran at {}, then at {}", before.server, after.server);
+                let what = format!("executed by {}, then by {}", before.server, after.server);
                 return Some(breach(Promise::Twice, request, after.arrived_at, what));
             }
         }
@@ -196,7 +197,7 @@
     fn check_answer(&self, request: &Request, answer: &Answer) -> Option<(Promise, String)> {
         let runs = self.runs(request);
         if answer.id.as_ref().is_some_and(|id| *id != request.id) {
-            return Some((Promise::Mixed, format!("got the answer of {:?}", answer.id)));
+            return Some((Promise::Mixed, format!("got the answer to request {:?}", answer.id)));
         }
         const NOT_RUN: [StatusCode; 4] = [
             StatusCode::REQUEST_TIMEOUT,
@@ -206,7 +207,7 @@
         ];
         let is_once = request.kind != Kind::Idempotent;
         if NOT_RUN.contains(&answer.status) && is_once && !runs.is_empty() {
-            let what = format!("{} though it ran at {}", answer.status, runs[0].server);
+            let what = format!("{} though it was executed by {}", answer.status, runs[0].server);
             return Some((Promise::Refused, what));
         }
         let sealed_run = answer
@@ -215,16 +216,22 @@
             .map(|seal| runs.iter().find(|run| *seal == format!("{}.{}", run.server, run.id)));
         if !answer.status.is_success() {
             let failure = sealed_run?.and_then(|run| run.failure);
-            let what = format!("{} under the seal of an answer of {failure:?}", answer.status);
+            let what = format!("{} under the seal of an answer with {failure:?}", answer.status);
             return (failure != Some(answer.status)).then_some((Promise::Mixed, what));
         }
         match sealed_run {
-            None => return Some((Promise::Mixed, "a success without a seal".into())),
+            None => return Some((Promise::Mixed, "a success without a seal of a server".into())),
             Some(None) => {
-                return Some((Promise::Mixed, format!("a stranger's seal: {:?}", answer.seal)));
+                return Some((
+                    Promise::Mixed,
+                    format!("seal of another request or server: {:?}", answer.seal),
+                ));
             }
             Some(Some(run)) if run.failure.is_some() => {
-                return Some((Promise::Mixed, "a success where the server failed".into()));
+                return Some((
+                    Promise::Mixed,
+                    "a success though the server answered a failure".into(),
+                ));
             }
             Some(Some(_)) => {}
         }
@@ -235,8 +242,8 @@
         }
     }
 
-    /// A stream's events are those that follow each other from the first; the last has come if it
-    /// ends as complete.
+    /// Checks that a stream holds consecutive events from the first on, and all of them if it ended
+    /// as complete.
     fn check_stream(&self, answer: &Answer) -> Option<(Promise, String)> {
         let text = String::from_utf8_lossy(&answer.body);
         let mut expected = String::new();
@@ -247,13 +254,13 @@
         }
         let last = self.record.bounds.stream_events;
         if expected != text && (answer.is_complete || !expected.starts_with(&*text)) {
-            return Some((Promise::Order, format!("the stream reads {text:?}")));
+            return Some((Promise::Order, format!("the stream is {text:?}")));
         }
         (answer.is_complete && number != last || last < number)
-            .then(|| (Promise::Order, format!("{number} events, of {last}")))
+            .then(|| (Promise::Order, format!("{number} events instead of {last}")))
     }
 
-    /// What a planned stop cut.
+    /// Checks that a planned stop did not cut the request off, unless something else may have.
     fn check_cut_off(&self, request: &Request) -> Option<Breach> {
         let is_cut = match &request.outcome {
             Outcome::Closed => true,
@@ -292,24 +299,26 @@
         if runs.is_empty() && took < bounds.early_close {
             return None;
         }
-        let what = format!("cut in host {host}'s {}", planned.what);
+        let what = format!("cut off during {} of host {host}", planned.what);
         Some(breach(Promise::Lost, request, request.span.to, what))
     }
 
-    /// What one run breaks.
+    /// Checks that an execution was asked for, and not by way of a server that had left.
     fn check_run(&self, run: &Run) -> Option<Breach> {
         let Some(request) = self.requests.get(&*run.id) else {
-            let what = format!("{} ran what nobody asked for", run.server);
+            let what = format!("{} executed a request that no caller sent", run.server);
             let request = Some(run.id.clone());
             return Some(Breach { promise: Promise::Unasked, request, at: run.arrived_at, what });
         };
         if (&run.path, run.body_bytes) != (&request.path, request.body_bytes) {
-            let what = format!("{} got {} and {} bytes", run.server, run.path, run.body_bytes);
+            let what =
+                format!("{} received {} with {} bytes", run.server, run.path, run.body_bytes);
             return Some(breach(Promise::Unasked, request, run.arrived_at, what));
         }
         let leave = self.record.leaves.iter().find(|leave| leave.server == run.server)?;
         let is_late = leave.at + self.record.bounds.drain + TIMING_SLACK < run.arrived_at;
-        // What was told by a sound store binds a host in touch, whatever was between.
+        // A departure that an undisturbed store learnt of binds each host that is in contact when
+        // it sends, whatever was disrupted in between.
         let is_bound = self.record.is_store_healthy(leave.at)
             && self.record.is_in_contact(
                 request.host_run.host,
@@ -318,7 +327,7 @@
         (is_late && is_bound).then(|| {
             let late = (run.arrived_at - leave.at).as_millis();
             let what = format!(
-                "host {} sent it to {late} ms after {} left",
+                "host {} sent it {late} ms after {} had left",
                 request.host_run.host, run.server
             );
             breach(Promise::Drain, request, run.arrived_at, what)
@@ -334,7 +343,7 @@
             let holder = *holders.entry(order.fence).or_insert(&order.holder);
             let before = last.insert(&order.server, order);
             let what = match before {
-                _ if holder != order.holder => format!("{holder} has this fence too"),
+                _ if holder != order.holder => format!("{holder} uses the same fencing number"),
                 Some(before) if order.fence < before.fence => format!("after {before:?}"),
                 Some(before) if before.holder == order.holder => continue,
                 Some(before)
@@ -355,7 +364,8 @@
         breaches
     }
 
-    /// Whether an order's sender had just been thawed.
+    /// Whether the sender of an order had just been resumed after a freeze. Such an order doesn't
+    /// count.
     fn is_just_resumed(&self, order: &Order) -> bool {
         let host = self.record.hosts.iter().position(|host| *host == order.holder);
         let since = order.arrived_at.saturating_sub(self.record.bounds.after_freeze);
@@ -366,7 +376,10 @@
         })
     }
 
-    /// Requests that hosts in touch passed on to sound servers and left without an answer.
+    /// Requests that hosts in contact forwarded to undisturbed servers and closed without an
+    /// answer.
+    ///
+    /// Up to [`MAX_UNEXPLAINED`] are tolerated.
     fn check_unexplained_losses(&self) -> Vec<Breach> {
         let lost = self.record.requests.iter().filter(|request| {
             let is_sound = |run: &&Run| {
@@ -384,7 +397,8 @@
         if lost.len() <= MAX_UNEXPLAINED { Vec::new() } else { lost }
     }
 
-    /// Servers that got more than they said that they take, from hosts in no trouble of their own.
+    /// Servers that received more than the limit they stated, from hosts that were undisturbed
+    /// themselves.
     fn check_quotas(&self) -> Vec<Breach> {
         let counts = |id: &str, at: Duration| {
             let contact = Span { from: at.saturating_sub(self.record.bounds.contact), to: at };
@@ -398,7 +412,8 @@
         };
         let breach = |(server, quota): &(String, Quota)| {
             let Excess { at, requests, allowed } = quota.excess(counts)?;
-            let what = format!("{server} got {requests} requests in a window, allowed {allowed}");
+            let what =
+                format!("{server} received {requests} requests in a window that allows {allowed}");
             Some(Breach { promise: Promise::Quota, request: None, at, what })
         };
         self.record.quotas.iter().filter_map(breach).collect()
@@ -423,16 +438,16 @@
 
 pub use poison::crashed;
 
-/// Whether a request's answer is a whole success.
+/// Whether a request got a complete answer with a success status.
 pub fn is_served(request: &Request) -> bool {
     matches!(&request.outcome, Outcome::Answered(answer) if answer.is_complete && answer.status.is_success())
 }
 
-/// A plain server's body says what it answers.
+/// Checks the body of a plain server, which names the request, the path and the length it received.
 fn check_plain_body(request: &Request, answer: &Answer) -> Option<(Promise, String)> {
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let is_own = body["request"] == *request.id
         && body["path"] == *request.path
         && body["bytes"] == request.body_bytes;
-    (!is_own).then(|| (Promise::Mixed, format!("the body reads {:?}", answer.body)))
+    (!is_own).then(|| (Promise::Mixed, format!("the body is {:?}", answer.body)))
 }
--- a/crates/standin/src/routed/soak/judge/declared.rs
+++ b/crates/standin/src/routed/soak/judge/declared.rs
@@ -1,4 +1,4 @@
-//! Which declarations hosts have shown, and which were due.
+//! Checks that hosts apply declarations in time and never go back to an older one.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,8 +11,10 @@
 };
 
 impl Judge<'_> {
-    /// Declarations, as requests show them: the newest that a host has shown binds what is sent to
-    /// the same start of it later, and each binds all hosts in touch after a time.
+    /// Infers from where requests were routed which declarations were in force.
+    ///
+    /// The newest version that a host process has used binds it for all requests sent to it later,
+    /// and each version binds all hosts in contact once the apply time has passed.
     pub(super) fn check_declarations(&self) -> Vec<Breach> {
         let mut shown: BTreeMap<_, Vec<(Duration, Version)>> = BTreeMap::new();
         let handled = self.record.requests.iter().filter_map(|request| {
@@ -20,7 +22,7 @@
             if let Some(first) = versions.first() {
                 shown.entry(request.host_run).or_default().push((at, *first));
             }
-            // What no declaration allows at all is behind all of them.
+            // A request whose routing fits no declaration counts as older than all of them.
             Some((request, versions.last().copied().unwrap_or_default()))
         });
         let handled: Vec<(&Request, Version)> = handled.collect();
@@ -32,18 +34,22 @@
             let bound = before.map(|(_, version)| *version).max().unwrap_or_default();
             let due = self.due_version(request);
             if newest < bound {
-                let what = format!("handled by {newest} at the latest, {bound} was shown before");
+                let what =
+                    format!("handled by version {newest} at most, after {bound} had been used");
                 breaches.push(breach(Promise::Config, request, sent, what));
             } else if newest < due {
-                let what = format!("handled by {newest} at the latest, {due} was due");
+                let what = format!("handled by version {newest} at most, though {due} was due");
                 breaches.push(breach(Promise::Config, request, sent, what));
             }
         }
         breaches
     }
 
-    /// The newest version that was due when a request was sent: each that was written so long before,
-    /// whatever trouble there was then, if its host has been in touch since.
+    /// The newest version that was due when a request was sent, or 0 if its host was not in
+    /// contact.
+    ///
+    /// A version is due once the apply time has passed since it was written, even if there were
+    /// faults when it was written.
     fn due_version(&self, request: &Request) -> Version {
         let sent = request.span.from;
         if !self.record.is_in_contact(request.host_run.host, Span { from: sent, to: sent }) {
@@ -54,7 +60,10 @@
         due.map(|declared| declared.version).max().unwrap_or_default()
     }
 
-    /// When a request was handled first, and the versions that handle it so, rising.
+    /// When a request was first handled, and the versions that route it that way, in ascending
+    /// order.
+    ///
+    /// `None` if the request reached no server and was not answered with 404.
     fn first_handling(&self, request: &Request) -> Option<(Duration, Vec<Version>)> {
         let run = self.runs(request).first();
         let service = run.map(|run| run.service.as_str());
--- a/crates/standin/src/routed/soak/judge/poison.rs
+++ b/crates/standin/src/routed/soak/judge/poison.rs
@@ -1,4 +1,5 @@
-//! Judges what becomes of a request that crashes the servers that run it, and of those beside it.
+//! Checks that a poison request, which crashes the servers that run it, is stopped, and that no
+//! other request is refused in its place.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -7,29 +8,32 @@
 use super::{Breach, Judge, MAX_UNEXPLAINED, Promise, breach};
 use crate::routed::soak::record::{Component, Outcome, Record, Request, Run, Span};
 
-/// Servers that such a request may crash before it is known.
+/// Number of servers that a poison request may crash before hosts have to recognise it.
 const CRASHES_TO_DETECT: usize = 3;
 
-/// Times that hosts in touch may send it from then on.
+/// How many more times hosts in contact may send a recognised poison request.
 const MAX_FURTHER_SENDS: usize = 3;
 
-/// Time before a request and after a server's crash in which the request may have been on its way there.
+/// Time after a server's crash in which a request may still have been on its way to that server.
 const TRANSIT_TIME: Duration = Duration::from_millis(300);
 
-/// Servers that ended under requests that crash them.
+/// Number of servers that were crashed by poison requests.
 pub fn crashed(record: &Record) -> usize {
     Judge::new(record).crashes().map(|(_, run)| &run.server).collect::<BTreeSet<_>>().len()
 }
 
 impl Judge<'_> {
-    /// Runs of requests that crash servers.
+    /// Executions of poison requests that crashed a server.
     fn crashes(&self) -> impl Iterator<Item = (&Request, &Run)> {
         let runs = self.record.runs.iter().filter(|run| run.is_server_crash);
         let requests = runs.filter_map(|run| Some((*self.requests.get(&*run.id)?, run)));
         requests.filter(|(request, _)| request.crashes_servers)
     }
 
-    /// Sends, by hosts in touch, of what had crashed three servers a contact time before.
+    /// Executions, sent by hosts in contact, more than a contact time after a poison request had
+    /// crashed its third server.
+    ///
+    /// The first [`MAX_FURTHER_SENDS`] are tolerated.
     pub(super) fn check_poison(&self) -> Vec<Breach> {
         let mut ends: Vec<Duration> = self.crashes().filter_map(|(_, run)| run.ended_at).collect();
         ends.sort();
@@ -50,7 +54,10 @@
             .collect()
     }
 
-    /// Requests that were refused as what may have run, and reached no server.
+    /// Other requests that were answered with 502, as if they might have been executed, though they
+    /// had reached no server and no server crashed meanwhile.
+    ///
+    /// Up to [`MAX_UNEXPLAINED`] are tolerated.
     pub(super) fn check_refused_as_poison(&self) -> Vec<Breach> {
         let arrived: BTreeSet<&str> =
             self.record.arrivals.iter().map(|arrival| &*arrival.id).collect();
@@ -74,7 +81,7 @@
         if refused.len() <= MAX_UNEXPLAINED {
             return Vec::new();
         }
-        let what = "refused as what may have run, and it reached no server";
+        let what = "answered with 502, as maybe executed, though it reached no server";
         let to_breach = |request: &Request| {
             breach(Promise::Innocent, request, request.span.to, what.to_owned())
         };
--- a/crates/standin/src/routed/soak/judge/retries.rs
+++ b/crates/standin/src/routed/soak/judge/retries.rs
@@ -1,8 +1,9 @@
-//! The retry budget: arrivals at a service's servers beyond the first of each request.
+//! Checks the retry budget of each service.
 //!
-//! A window of any position counts, over all hosts; no fault excuses one. Requests pay by when
-//! callers sent them, in the window itself, in the one before it, or in the one half a window
-//! before it, whichever has the most.
+//! A retry is an arrival at a server of the service beyond the first of its request. Every position
+//! of the sliding window is checked, over all hosts; no fault excuses an excess. A window's budget
+//! grows with the requests that callers sent in it, in the window before, or in the one half a
+//! window earlier, whichever has the most.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,28 +12,28 @@
     Breach, Judge, Promise,
 };
 
-/// Just after a moment that belongs to a window's start.
+/// Step past the start of a window, which still belongs to that window.
 const EPSILON: Duration = Duration::from_nanos(1);
 
-/// A service's window that comes nearest to what is allowed, or goes furthest beyond.
+/// One position of a service's sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// Its end.
+    /// End of the window, since the start of the soak.
     pub end: Duration,
-    /// Arrivals beyond the first of each request.
+    /// Retries in the window.
     pub retries: usize,
-    /// Retries that are allowed.
+    /// Retries that the budget allows in the window.
     pub allowed: f64,
 }
 
 impl Window {
-    /// Retries as a part of what is allowed.
+    /// Retries divided by those allowed; above 1 the budget is exceeded.
     pub fn ratio(&self) -> f64 {
         self.retries as f64 / self.allowed
     }
 }
 
-/// What came for one service, by time.
+/// Times of requests to one service and of its retries, both in ascending order.
 #[derive(Debug, Default)]
 struct Service {
     requests: Vec<Duration>,
@@ -44,14 +45,16 @@
         let worst = worst(self.record).into_iter();
         let broken = worst.filter(|(_, window)| window.allowed < window.retries as f64);
         let breach = |(service, Window { end, retries, allowed }): (String, Window)| {
-            let what = format!("{service} got {retries} retries in a window, allowed {allowed:.1}");
+            let what = format!(
+                "{service} received {retries} retries in a window that allows {allowed:.1}"
+            );
             Breach { promise: Promise::Retries, request: None, at: end, what }
         };
         broken.map(breach).collect()
     }
 }
 
-/// The worst window of each service that got a retry.
+/// For each service that received a retry, the window with the highest ratio.
 pub fn worst(record: &Record) -> BTreeMap<String, Window> {
     let services = services(record).into_iter();
     services.filter_map(|(name, service)| Some((name, service.worst(record)?))).collect()
@@ -77,7 +80,7 @@
     services
 }
 
-/// Services that a declaration sends a request to which may be in force for it.
+/// Services that a request may be routed to by any declaration that may be in force for it.
 fn target_services(record: &Record, request: &Request) -> std::collections::BTreeSet<String> {
     let ends = record.declared.iter().skip(1).map(|next| next.at + record.bounds.apply);
     let ends = ends.chain([Duration::MAX]);
@@ -94,7 +97,8 @@
     fn worst(&self, record: &Record) -> Option<Window> {
         let bounds = &record.bounds;
         let (length, last) = (bounds.retry_window, *self.retries.last()?);
-        // The counts change only where a request or a retry enters or leaves one of the windows.
+        // Counts change only where a request or a retry enters or leaves one of the windows, so no
+        // other position has to be tried.
         let halves = [0, 1, 2, 3, 4].map(|halves| length * halves / 2);
         let events = self.requests.iter().chain(&self.retries);
         let ends = events.flat_map(|at| halves.map(|later| *at + later));
@@ -109,7 +113,7 @@
         windows.max_by(|one, other| one.ratio().total_cmp(&other.ratio()))
     }
 
-    /// Requests that pay for the retries of a window.
+    /// Number of requests by which a window's budget grows.
     fn requests_counted(&self, end: Duration, length: Duration) -> usize {
         let ends = [Some(end), end.checked_sub(length / 2), end.checked_sub(length)];
         let counts = ends.into_iter().flatten().map(|end| count(&self.requests, end, length));
@@ -117,7 +121,7 @@
     }
 }
 
-/// Events of a window, both ends included.
+/// Number of times within a window, both ends included.
 fn count(times: &[Duration], end: Duration, length: Duration) -> usize {
     let from = times.partition_point(|at| *at + length < end);
     times.partition_point(|at| *at <= end).saturating_sub(from)
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -1,4 +1,7 @@
-//! Callers of a soak: some tasks, each with one request at a time, so that the load is bounded.
+//! Load of a soak.
+//!
+//! A fixed number of callers send one request at a time each, so that the load is bounded. Another
+//! task polls the readiness of hosts as a load balancer does, and one sends poison requests.
 
 use std::{
     collections::HashMap,
@@ -28,51 +31,56 @@
     lock,
 };
 
-/// Callers at once. With [`PAUSE_MS`] they stay under 200 requests a second, also in a burst.
+/// Number of concurrent callers. With [`PAUSE_MS`] they stay under 200 requests per second, also in
+/// a burst.
 const CALLERS: u64 = 16;
 
-/// Between two requests of one caller, in ms; in a burst it is [`BURST_PAUSE_MS`].
+/// Pause between two requests of one caller, outside bursts.
 const PAUSE_MS: std::ops::Range<u64> = 60..300;
+/// Pause between two requests of one caller in a burst.
 const BURST_PAUSE_MS: std::ops::Range<u64> = 40..120;
 
-/// How long a caller waits beyond the deadline.
+/// How long after the deadline a caller gives up.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// Between two sends of a request that crashes servers.
+/// Interval between two sends of the poison request.
 const POISON_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between the balancer's questions.
+/// Interval between readiness checks, and the time limit of each.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A host as callers and the balancer know it.
+/// A host process as callers see it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HostEntry {
     pub(super) host_run: HostRun,
+    /// Address for requests of callers.
     pub(super) callers: SocketAddr,
+    /// Address for readiness checks.
     pub(super) operators: SocketAddr,
     pub(super) is_ready: bool,
 }
 
-/// What callers share with those who make the faults.
+/// State that the tasks of the load share with the fault injector.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) began: Instant,
     pub(super) hosts: Mutex<Vec<HostEntry>>,
+    /// Versions of declarations written so far; each has added a route that callers use.
     pub(super) versions: Mutex<Vec<Version>>,
     pub(super) requests: Mutex<Vec<Request>>,
     pub(super) is_burst: AtomicBool,
-    /// Whether a request comes again and again that crashes servers.
+    /// Whether the poison request is being sent.
     pub(super) is_poisoned: AtomicBool,
     pub(super) is_over: AtomicBool,
 }
 
 impl State {
-    /// Time since the start.
+    /// Time since the start of the soak.
     pub(super) fn since(&self, at: Instant) -> Duration {
         at.duration_since(self.began)
     }
 
-    /// Where a request goes: to a ready host, if there is one.
+    /// Chooses a ready host at random, or any host if none is ready.
     fn choose_host(&self, random: &mut ChaCha8Rng) -> Option<HostEntry> {
         let hosts = lock(&self.hosts);
         let ready: Vec<&HostEntry> = hosts.iter().filter(|entry| entry.is_ready).collect();
@@ -80,7 +88,7 @@
     }
 }
 
-/// Starts callers and a balancer.
+/// Starts the callers, the readiness checks and the sender of the poison request.
 pub(super) fn start(state: &Arc<State>, seed: u64) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     for number in 0..CALLERS {
@@ -92,7 +100,7 @@
     tasks
 }
 
-/// Asks all hosts whether they are ready.
+/// Polls the readiness of all hosts, until the soak is over.
 async fn poll_readiness(state: Arc<State>) {
     while !state.is_over.load(Ordering::Relaxed) {
         let hosts = lock(&state.hosts).clone();
@@ -117,7 +125,7 @@
     opened.is_ok_and(|opened| opened.head.status == StatusCode::OK)
 }
 
-/// What one caller asks for next.
+/// The next request of a caller.
 struct NextRequest {
     ask: Ask,
     kind: Kind,
@@ -126,7 +134,7 @@
     crashes_servers: bool,
 }
 
-/// Sends a request that crashes servers through all hosts in turn, from an address of its own at each.
+/// Sends the poison request through all hosts in turn, from a different source address for each.
 async fn send_poison(state: Arc<State>, seed: u64) {
     let path = ["/tickets/new", "/pages/home", "/draft/2f"][(seed % 3) as usize];
     let (kind, resumable) = match seed % 3 {
@@ -167,7 +175,7 @@
         NextRequest { ask, kind, resumable: false, body_bytes: 0, crashes_servers: false }
     };
     let stream = |path: &str, resumable, random: &mut ChaCha8Rng| {
-        // Few models get most of the requests.
+        // The minimum of two draws skews the load towards few models.
         let index = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
         let mut ask = Ask::to(HOST, path).model(MODELS[index]);
         if random.random_bool(0.3) {
@@ -208,7 +216,7 @@
         let mut next = draw_request(&mut random, &versions);
         number += 1;
         next.ask = next.ask.numbered(caller, number);
-        // What failed beside a request that crashes servers is asked for again, as it was.
+        // A request that failed while poison was sent is retried unchanged by its caller.
         if let Some(again) = failed.take() {
             next = NextRequest { ask: again.ask.again(), ..again };
         }
@@ -227,8 +235,10 @@
     }
 }
 
-/// Sends a request, and notes what came of it; whether an answer came whole. A caller that leaves stays for
-/// so long.
+/// Sends a request and records its outcome. Returns whether it got a complete answer with a success
+/// status.
+///
+/// With `close_after`, the caller closes its connection after that time.
 async fn send(
     state: &State,
     entry: HostEntry,
--- a/crates/standin/src/routed/soak/record.rs
+++ b/crates/standin/src/routed/soak/record.rs
@@ -1,4 +1,6 @@
-//! What callers, servers and those who made the faults saw of a soak. Times are since its start.
+//! Observations of a soak by callers, servers and the fault injector.
+//!
+//! All times are since the start of the soak.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,41 +13,42 @@
 
 use crate::routed::server::quota::Quota;
 
-/// Bounds that the promises name.
+/// Time limits and quotas that the promises state.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// A machine without trouble for this long is in touch.
+    /// A host that was undisturbed for this long is in contact with the store and its peers.
     pub contact: Duration,
-    /// A leaving server gets nothing new after this.
+    /// Time after which a leaving server receives no new requests.
     pub drain: Duration,
-    /// A declaration is in force after this.
+    /// Time after which a declaration is in force at all hosts in contact.
     pub apply: Duration,
-    /// Requests may lag behind what their host has shown by this.
+    /// How long after a host has used a declaration it may still handle requests by an older one.
     pub rollback: Duration,
-    /// Least time between orders of two hosts to one server.
+    /// Minimum time between orders of two hosts to one server.
     pub handover: Duration,
-    /// Orders of a host that was frozen don't count for this long.
+    /// How long after a freeze a host's orders are not judged.
     pub after_freeze: Duration,
-    /// From SIGTERM to the end of a process.
+    /// Time from SIGTERM until a host process exits.
     pub stop_grace: Duration,
-    /// A request that isn't passed on may lose its connection within this.
+    /// Within this time, a planned stop may close the connection of a request not yet forwarded.
     pub early_close: Duration,
-    /// Requests are served again after this.
+    /// Time after the last fault from which requests have to be served again.
     pub recovery: Duration,
-    /// Share of requests that are served then; stricter than the users' quarter.
+    /// Minimum ratio of requests that are served after `recovery`. Users are promised only a
+    /// quarter.
     pub min_served_ratio: f64,
-    /// Events of a whole stream.
+    /// Number of events in a complete stream.
     pub stream_events: u64,
-    /// Retries that a service may get for each of its requests.
+    /// Retries that a service may receive for each of its requests.
     pub retry_ratio: f64,
-    /// Retries that it may get besides.
+    /// Retries that a service may receive in a window in addition.
     pub retry_extra: f64,
-    /// The sliding window in which they are counted.
+    /// Length of the sliding window in which retries are counted.
     pub retry_window: Duration,
 }
 
 impl Default for Bounds {
-    /// The users' bounds, as the settings of the stand-in's hosts have them.
+    /// The bounds that users are promised, under the settings of the hosts in the stand-in site.
     fn default() -> Bounds {
         Bounds {
             contact: Duration::from_secs(3),
@@ -66,220 +69,221 @@
     }
 }
 
-/// A span of time.
+/// A span of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its start.
+    /// Start, since the start of the soak.
     pub from: Duration,
-    /// Its end.
+    /// End, since the start of the soak.
     pub to: Duration,
 }
 
 impl Span {
-    /// Whether two spans share a moment.
+    /// Whether the spans have a moment in common.
     pub fn overlaps(&self, other: Span) -> bool {
         self.from <= other.to && other.from <= self.to
     }
 }
 
-/// One start of a host.
+/// One run of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostRun {
-    /// Its place among the hosts.
+    /// Index of the host.
     pub host: usize,
-    /// Starts of it before.
+    /// Number of earlier runs of this host.
     pub start: usize,
 }
 
-/// A request, as its caller saw it.
+/// A request as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Request id that the caller chose.
     pub id: String,
-    /// What may be done with it.
+    /// Whether the request may be repeated.
     pub kind: Kind,
-    /// Whether it is a stream that may go on elsewhere.
+    /// Whether it is a stream that may be resumed at another server.
     pub resumable: bool,
-    /// Its path.
+    /// Path with the query.
     pub path: String,
-    /// Length of its body.
+    /// Length of the body.
     pub body_bytes: usize,
-    /// Whether it crashes the servers that run it.
+    /// Whether it is a poison request, which crashes the servers that run it.
     pub crashes_servers: bool,
-    /// The host that it was sent to.
+    /// The host process that it was sent to.
     pub host_run: HostRun,
-    /// From its sending to its end.
+    /// From when it was sent until its caller saw the outcome.
     pub span: Span,
-    /// The time that it gave.
+    /// Time limit that the caller set, counted from the sending.
     pub deadline: Duration,
-    /// Its end.
+    /// What the caller observed in the end.
     pub outcome: Outcome,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// No connection stood.
+    /// The caller could not connect.
     Unreached,
-    /// The caller left.
+    /// The caller closed its connection before the answer was complete.
     CallerClosed,
-    /// The caller gave up, long after the deadline.
+    /// No complete answer came until well after the deadline.
     TimedOut,
-    /// The connection ended without an answer.
+    /// The connection was closed before an answer began.
     Closed,
-    /// An answer came.
+    /// An answer came, maybe truncated.
     Answered(Answer),
 }
 
-/// An answer, as far as it came.
+/// An answer, as far as the caller received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The request that it says it answers.
+    /// Id of the request that the answer claims to belong to.
     pub id: Option<String>,
-    /// The server's seal.
+    /// Header by which a server marks its answer with its own id and that of the request.
     pub seal: Option<String>,
-    /// Its body.
+    /// Body, as far as received.
     pub body: Bytes,
-    /// Whether it came whole.
+    /// Whether the body ended as its framing says.
     pub is_complete: bool,
 }
 
-/// A run of a request at a server.
+/// One execution of a request at a server.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The server's service.
+    /// Service of the server.
     pub service: String,
-    /// The path that came.
+    /// Path that the server received, with the query.
     pub path: String,
-    /// Length of the body that came.
+    /// Length of the body that the server received.
     pub body_bytes: usize,
-    /// When it came.
+    /// When the request reached the server.
     pub arrived_at: Duration,
-    /// When it ended, if it did.
+    /// When the execution ended; `None` if it was still running at the end of the soak.
     pub ended_at: Option<Duration>,
-    /// The failure that the server answered, if it did.
+    /// Status of the failure that the server was made to answer with.
     pub failure: Option<StatusCode>,
-    /// Whether the server spoilt it, or crashed.
+    /// Whether the answer was corrupted on purpose, or the server crashed.
     pub is_corrupted: bool,
-    /// Whether the server crashed.
+    /// Whether the server crashed during the execution.
     pub is_server_crash: bool,
 }
 
-/// An arrival of a request at a server, whatever became of it.
+/// Arrival of a request at a server, whether it was executed or not.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// The server's service.
+    /// Service of the server.
     pub service: String,
-    /// When it came.
+    /// When the request reached the server.
     pub at: Duration,
 }
 
-/// An order, as a server judged it.
+/// An order that a server received.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The host that gave it.
+    /// Name of the host that sent it.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing number.
     pub fence: u64,
-    /// When it came.
+    /// When the order reached the server.
     pub arrived_at: Duration,
 }
 
-/// A server that leaves.
+/// Planned departure of a server.
 #[derive(Clone, Debug)]
 pub struct Leave {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// When the store had it.
+    /// When the store was told of the departure.
     pub at: Duration,
 }
 
-/// A declaration.
+/// A declaration that was written to the store.
 #[derive(Clone, Debug)]
 pub struct Declared {
-    /// Its number.
+    /// Version number of the declaration.
     pub version: Version,
-    /// When the store had it.
+    /// When it was written.
     pub at: Duration,
-    /// Services that take the requests of each prefix.
+    /// Services that each path prefix is routed to.
     pub services: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Declared {
-    /// Services that take a path; none if no route does.
+    /// Services that a path is routed to, by its longest prefix; `None` if no route matches.
     pub fn of(&self, path: &str) -> Option<&BTreeSet<String>> {
         let matching = self.services.iter().filter(|(prefix, _)| path.starts_with(*prefix));
         matching.max_by_key(|(prefix, _)| prefix.len()).map(|(_, services)| services)
     }
 }
 
-/// What is in disruption.
+/// A part of the site that faults disrupt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Component {
-    /// A host, unplanned.
+    /// A host, by index, through an unplanned fault.
     Host(usize),
-    /// A host, by SIGTERM or SIGHUP.
+    /// A host, by index, through SIGTERM or SIGHUP.
     HostPlanned(usize),
-    /// The store.
+    /// The store, for all hosts.
     Store,
-    /// The store, for one host.
+    /// The store as one host sees it, by the index of the host.
     StoreEndpoint(usize),
-    /// A server.
+    /// A server, by id.
     Server(String),
 }
 
-/// A fault, from its beginning to its end.
+/// Effect of a fault on one component.
 #[derive(Clone, Debug)]
 pub struct Disruption {
-    /// What is in disruption.
+    /// The component that was disrupted.
     pub component: Component,
-    /// What was done.
+    /// Debug text of the fault, or `crashed` or `start` where a server or a host was replaced.
     pub what: String,
-    /// When.
+    /// From the start of the fault until its end.
     pub span: Span,
 }
 
-/// All that was seen.
+/// All observations of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// Bounds of the promises.
+    /// Bounds by which the record is judged.
     pub bounds: Bounds,
-    /// Hosts whose process isn't there at the end, though nothing ended it.
+    /// Indices of hosts whose process had exited at the end, though no fault ended it.
     pub exited: Vec<usize>,
-    /// Names of the hosts.
+    /// Names of the hosts, by index.
     pub hosts: Vec<String>,
-    /// Requests.
+    /// Requests whose outcome the callers saw.
     pub requests: Vec<Request>,
-    /// Runs.
+    /// Executions of requests at all servers.
     pub runs: Vec<Run>,
-    /// Arrivals at servers.
+    /// Arrivals of requests at all servers.
     pub arrivals: Vec<Arrival>,
-    /// Orders, of each server in the order in which they came.
+    /// Orders that servers received, by time of arrival.
     pub orders: Vec<Order>,
-    /// Servers that were ordered to hold more than there is room for, and when at the latest.
+    /// Servers that were ordered to load more than fits, each with the time of its last order.
     pub overloads: Vec<(String, Duration)>,
-    /// What came to each server, and the limits that it named.
+    /// For each server, the arrivals and the limits that it stated.
     pub quotas: Vec<(String, Quota)>,
-    /// Servers that leave.
+    /// Planned departures of servers.
     pub leaves: Vec<Leave>,
-    /// Declarations.
+    /// Declarations, by time.
     pub declared: Vec<Declared>,
-    /// Faults.
+    /// Disruptions, in the order in which they were recorded.
     pub disruptions: Vec<Disruption>,
 }
 
 impl Record {
-    /// Whether a host was in touch all through a span.
+    /// Whether a host was in contact with the store during a whole span: neither the host nor the
+    /// store was disrupted in it or within the contact time before it.
     pub fn is_in_contact(&self, host: usize, span: Span) -> bool {
         self.is_undisturbed(self.extend_by_contact(span), |component| match component {
             Component::Host(other)
@@ -290,13 +294,13 @@
         })
     }
 
-    /// Whether the store was without trouble for long enough before a moment.
+    /// Whether the store was undisturbed for the contact time before a moment.
     pub fn is_store_healthy(&self, at: Duration) -> bool {
         let span = self.extend_by_contact(Span { from: at, to: at });
         self.is_undisturbed(span, |component| *component == Component::Store)
     }
 
-    /// Whether a server was sound all through a span.
+    /// Whether no fault disrupted a server in a span.
     pub fn is_server_healthy(&self, server: &str, span: Span) -> bool {
         self.is_undisturbed(
             span,
@@ -304,7 +308,7 @@
         )
     }
 
-    /// Whether none of these places was in trouble in a span.
+    /// Whether no disruption of the selected components overlaps a span.
     fn is_undisturbed(&self, span: Span, is_affecting: impl Fn(&Component) -> bool) -> bool {
         !self
             .disruptions
@@ -312,12 +316,12 @@
             .any(|disruption| is_affecting(&disruption.component) && disruption.span.overlaps(span))
     }
 
-    /// A span and the time before it that has to be calm too.
+    /// The span, extended backwards by the contact time.
     fn extend_by_contact(&self, span: Span) -> Span {
         Span { from: span.from.saturating_sub(self.bounds.contact), ..span }
     }
 
-    /// Runs of a request.
+    /// Executions of a request, by its id.
     pub fn runs_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a Run> {
         self.runs.iter().filter(move |run| run.id == id)
     }
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak, drawn from its seed alone.
+//! Draws the fault schedule of a soak from its seed.
 
 use std::{collections::HashMap, fmt::Debug, hash::Hash, time::Duration};
 
@@ -10,129 +10,141 @@
 use super::site::SERVERS;
 use crate::routed::{links::Way, server::Fault as ServerFault, store::Refusal};
 
-/// Calm before the first fault.
+/// Time before the first fault, if the soak is long enough. Limits and faults that cause retries may
+/// start earlier.
 const WARM_UP: Duration = Duration::from_secs(4);
 
-/// Between the beginnings of two faults, in ms.
+/// Time between the starts of two faults.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 900..3_200;
 
-/// What a silence of the store lasts beyond other faults, in ms: watches end by their limit and are
-/// asked anew in it.
+/// Added to the duration of a fault in which the store does not answer, so that watches reach their
+/// time limit and are started again meanwhile.
 const EXTRA_SILENCE_MS: std::ops::Range<u64> = 0..4_000;
 
-/// Rest of whatever was in disruption, beyond the fault itself.
+/// Time after a fault in which its target gets no other one.
 const REST_TIME: Duration = Duration::from_secs(4);
 
-/// Draws how the store turns all away, apart from all else, so that a seed keeps its other faults.
+/// Separate random stream for how the store refuses all hosts, so that a seed's other faults stay
+/// the same.
 const REFUSAL_SEED_MASK: u64 = 1 << 63;
 
-/// Draws the limits that servers name, apart from all else.
+/// Separate random stream for the limits that servers state.
 const LIMIT_SEED_MASK: u64 = 1 << 62;
 
-/// Draws what presses on the retry budget, apart from all else.
+/// Separate random stream for the faults that cause many retries.
 const PRESSURE_SEED_MASK: u64 = 1 << 61;
 
-/// Draws when a request comes that crashes servers, apart from all else.
+/// Separate random stream for the times of poison requests.
 const POISON_SEED_MASK: u64 = 1 << 60;
 
-/// How long such a request keeps coming, in ms.
+/// How long a poison request keeps being sent, and how long the pause after it is.
 const POISON_DURATION_MS: std::ops::Range<u64> = 4_000..20_000;
 
-/// Between two such faults, in ms.
+/// Time between the starts of two faults that cause retries.
 const PRESSURE_INTERVAL_MS: std::ops::Range<u64> = 1_500..6_000;
 
-/// How long servers of a service fail alike, and how long links between hosts are out of order, in ms.
+/// How long all servers of a service fail in the same way.
 const FAILURE_DURATION_MS: std::ops::Range<u64> = 1_000..25_000;
+
+/// How long links between hosts lose or delay datagrams.
 const LINK_FAULT_DURATION_MS: std::ops::Range<u64> = 500..40_000;
 
-/// How late datagrams are on a slow link, in ms.
+/// Delay of datagrams on a slow link.
 const LINK_DELAY_MS: std::ops::Range<u64> = 100..4_000;
 
-/// In a series of restarts: times that each host is killed, the time between two, and how long one is away; in ms.
+/// How many times each host is killed in a series of restarts.
 const SERIES_ROUNDS: std::ops::RangeInclusive<usize> = 1..=3;
+
+/// Time between two kills in a series of restarts.
 const SERIES_INTERVAL_MS: std::ops::Range<u64> = 20..700;
+
+/// Time from a kill to the restart of the host, in a series of restarts.
 const SERIES_DOWNTIME_MS: std::ops::Range<u64> = 10..300;
 
-/// Between two limits, in ms, and how long one is named.
+/// Time between the starts of two limits.
 const LIMIT_INTERVAL_MS: std::ops::Range<u64> = 1_000..7_000;
+
+/// How long a server states a limit.
 const LIMIT_DURATION_MS: std::ops::Range<u64> = 500..11_000;
 
-/// Limits that servers name, in hundredths of a request a second.
+/// Limits that servers state, in hundredths of a request per second.
 const LIMITS: [u32; 8] = [0, 30, 50, 120, 210, 340, 800, 2_000];
 
-/// From SIGTERM until the host is started anew.
+/// Time from SIGTERM until the host is started again.
 pub const STOP_DURATION: Duration = Duration::from_secs(10);
 
-/// From a server's leave to its end, which is later than any host may still use it.
+/// Time from the start of a server's departure to its end, after which no host may still use it.
 pub const LEAVE_DURATION: Duration = Duration::from_millis(4_500);
 
-/// A fault and when it begins.
+/// A fault with its time in the schedule.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlannedFault {
-    /// When, since the start.
+    /// Start, since the start of the soak.
     pub at: Duration,
-    /// How long it lasts; what is restarted is back then.
+    /// How long the fault lasts. A killed or stopped component is restarted at its end.
     #[serde(rename = "lasts")]
     pub duration: Duration,
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// What is done. Hosts and servers are named by their place.
+/// A fault to inject. Hosts and servers are named by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Fault {
-    /// A host is killed.
+    /// Kills a host with SIGKILL.
     Kill(usize),
-    /// A host gets SIGTERM.
+    /// Sends SIGTERM to a host.
     Stop(usize),
-    /// A host is frozen, and goes on.
+    /// Suspends a host with SIGSTOP, and resumes it at the end of the fault.
     Freeze(usize),
-    /// A host's settings change, and it gets SIGHUP.
+    /// Changes a setting of a host and sends it SIGHUP.
     Reload(usize),
-    /// The store turns all away; a silence begins and ends with a new declaration.
+    /// The store refuses all hosts. If it does so by not answering, a new declaration is written
+    /// before and after.
     Down(#[serde(serialize_with = "debug")] Refusal),
-    /// The store is slow.
+    /// The store delays its answers.
     Slow,
-    /// Answers to writes are lost at all doors, this many each.
+    /// The store loses its answers to writes, this many for each host.
     Lost(u32),
-    /// The next write at each door is carried out late.
+    /// The store executes the next write of each host late.
     LateWrite,
-    /// The store forgets its history.
+    /// The store discards its history of changes, so that watches of older revisions fail.
     Compact,
-    /// The store turns one host away.
+    /// The store refuses one host.
     TurnAway(usize, #[serde(serialize_with = "debug")] Refusal),
-    /// A server crashes, and another one comes in its place.
+    /// A server crashes and is replaced.
     Crash(usize),
-    /// A server leaves; whether it says so first.
+    /// A server leaves, with or without announcing it.
     Leave(usize, Notice),
     /// All requests to a server meet a fault.
     Grey(usize, #[serde(serialize_with = "debug")] ServerFault),
-    /// A server is slow.
+    /// A server answers slowly.
     Dull(usize),
-    /// A server names a limit, in hundredths of a request a second.
+    /// A server states a limit, in hundredths of a request per second.
     Limited(usize, u32),
-    /// All servers of a server's service name a limit.
+    /// All servers of the service of a server state a limit, in hundredths of a request per second.
     AllLimited(usize, u32),
-    /// All servers of a server's service meet a fault.
+    /// All requests to all servers of the service of a server meet a fault.
     AllGrey(usize, #[serde(serialize_with = "debug")] ServerFault),
-    /// Datagrams between hosts are lost or late.
+    /// Datagrams between hosts are lost or delayed.
     Links(Pairs, #[serde(serialize_with = "debug")] Way),
-    /// Orders to a server are lost, or judged late.
+    /// A server loses its answer to one order, and executes the next one late.
     Orders(usize),
-    /// A new declaration.
+    /// A new declaration is written to the store.
     Declare,
-    /// Callers press.
+    /// Callers send requests at a higher rate.
     Burst,
-    /// A request that crashes the servers that run it comes again and again, through all hosts.
+    /// A poison request, which crashes the servers that run it, is sent repeatedly through all
+    /// hosts.
     Poison,
 }
 
 impl Fault {
-    /// The store is silent for all.
+    /// The store accepts requests of all hosts and does not answer.
     pub const SILENCE: Fault = Fault::Down(Refusal::Silence);
 }
 
-/// Pairs of hosts whose link is out of order.
+/// Pairs of hosts whose link is disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Pairs {
     /// All pairs.
@@ -146,7 +158,7 @@
 }
 
 impl Pairs {
-    /// Sender and receiver of each, among so many hosts.
+    /// Sender and receiver of each pair, for a number of hosts.
     pub fn among(self, hosts: usize) -> impl Iterator<Item = (usize, usize)> {
         let pairs = (0..hosts).flat_map(move |from| (0..hosts).map(move |to| (from, to)));
         pairs.filter(move |(from, to)| {
@@ -161,12 +173,12 @@
     }
 }
 
-/// Whether a leaving server says so.
+/// Whether a leaving server announces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Notice {
-    /// It says that it drains.
+    /// The server reports that it is draining.
     Told,
-    /// Its entry goes.
+    /// The server's entry disappears from the store.
     Untold,
 }
 
@@ -174,7 +186,7 @@
     serializer.serialize_str(&format!("{fault:?}"))
 }
 
-/// What can be in one trouble at a time.
+/// What a fault acts on. A target has one fault at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Target {
     Host(usize),
@@ -201,8 +213,8 @@
     ServerFault::Stalled { events: 3 },
 ];
 
-/// Draws the faults for some hosts and a length. The last ones end early enough for recovery to be
-/// seen, if the soak is long enough for that.
+/// Draws the schedule for a number of hosts and a duration, sorted by start. All faults end `tail`
+/// before the end of the soak, so that recovery can be observed.
 pub fn draw(seed: u64, hosts: usize, length: Duration, tail: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut refusals = ChaCha8Rng::seed_from_u64(seed ^ REFUSAL_SEED_MASK);
@@ -236,7 +248,7 @@
     planned
 }
 
-/// Limits that servers name, change and withdraw, beside whatever else happens.
+/// Draws limits that servers state, change and withdraw, at the same time as any other fault.
 fn limits(seed: u64, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ LIMIT_SEED_MASK);
     let mut planned = Vec::new();
@@ -257,8 +269,8 @@
     planned
 }
 
-/// What presses on the retry budget, beside whatever else happens: services that fail, links between hosts that
-/// lose or delay, and hosts that are restarted in series.
+/// Draws faults that cause many retries, at the same time as any other fault: services that fail,
+/// links between hosts that lose or delay datagrams, and series of host restarts.
 fn retry_pressure(seed: u64, hosts: usize, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ PRESSURE_SEED_MASK);
     let mut planned = Vec::new();
@@ -286,7 +298,7 @@
     planned
 }
 
-/// Times in which a request comes that crashes servers, in one of two soaks.
+/// Draws when a poison request is sent, in one of two soaks.
 fn poison(seed: u64, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ POISON_SEED_MASK);
     let mut planned = Vec::new();
@@ -302,7 +314,7 @@
     planned
 }
 
-/// Every host is killed and started again, one after the other, a few times.
+/// Kills and restarts the hosts one after the other, for one or more rounds.
 fn restart_series(random: &mut ChaCha8Rng, hosts: usize, at: Duration) -> Vec<PlannedFault> {
     let rounds = random.random_range(SERIES_ROUNDS);
     let interval = Duration::from_millis(random.random_range(SERIES_INTERVAL_MS));
@@ -366,7 +378,7 @@
     }
 }
 
-/// What a fault disruptions, and how many such things may be in trouble at once.
+/// Target of a fault, and how many targets of that kind may be disrupted at a time.
 fn exclusion(fault: Fault, hosts: usize) -> (Target, usize) {
     match fault {
         Fault::Kill(host)
--- a/crates/standin/src/routed/soak/site.rs
+++ b/crates/standin/src/routed/soak/site.rs
@@ -1,4 +1,4 @@
-//! The site of a soak: what its operators declare, and its servers.
+//! Declarations and servers of the site under test.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,18 +11,18 @@
 
 pub(super) const HOST: &str = "desk.example";
 pub(super) const MODELS: [&str; 4] = ["welcome", "desk", "notes", "paper"];
-/// What the body of a request holds that crashes the servers that run it.
+/// Text in the body of a poison request, which crashes the servers that run it.
 pub(super) const POISON: &str = "poison";
 
 pub(super) const ADAPTERS: u32 = 3;
 
-/// Services of the servers, by place.
+/// Service of each server, by index.
 pub const SERVERS: [&str; 8] = ["app", "app", "app", "other", "other", "lm", "lm", "lm"];
 
 const LM: &str = "lm";
 const FIRST_VERSION: Version = 3;
 
-/// Time of a route, and so of its requests.
+/// Timeout of each route, and deadline of the requests to it.
 pub(super) const DEADLINE: Duration = Duration::from_secs(4);
 
 fn route(prefix: &str, kind: Kind, service: &str) -> Route {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A server holds three of the four models, and two adapters.
+/// Engine with room for three of the four models, and for two adapters.
 fn engine() -> Engine {
     let model = |name: &str| Model {
         name: name.into(),
@@ -74,7 +74,7 @@
     Service { name: name.into(), health: "/health".into(), connections: 100, engine }
 }
 
-/// The first declaration.
+/// The declaration in force at the start of a soak.
 pub(super) fn first_declaration() -> Declaration {
     Declaration {
         version: FIRST_VERSION,
@@ -90,12 +90,13 @@
     }
 }
 
-/// The path of a route that a version added.
+/// Path prefix of the route that a version of the declaration added.
 pub(super) fn added_route(version: Version) -> String {
     format!("/since/{version}/")
 }
 
-/// The declaration after another one: the pages move, and a route comes.
+/// The declaration that follows `before`: `/pages/` is routed to the other service, and a route is
+/// added.
 pub(super) fn next_declaration(before: &Declaration) -> Declaration {
     let mut next = before.clone();
     next.version += 1 + next.version % 3;
@@ -105,7 +106,7 @@
     next
 }
 
-/// Services by prefix.
+/// Services that each path prefix is routed to.
 pub(super) fn services(declaration: &Declaration) -> BTreeMap<String, BTreeSet<String>> {
     let services = |route: &Route| {
         let services = route.split.iter().map(|share| share.service.to_string());
@@ -114,13 +115,13 @@
     declaration.routes.iter().map(services).collect()
 }
 
-/// Places of the servers of a server's service.
+/// Indices of all servers of the service of the server at `index`.
 pub(super) fn same_service(index: usize) -> impl Iterator<Item = usize> {
     let is_same = move |other: &usize| SERVERS[*other] == SERVERS[index];
     (0..SERVERS.len()).filter(is_same)
 }
 
-/// Settings of a run of the server at a place.
+/// Settings of the server at `index`; `run` counts its predecessors.
 pub(super) fn server_settings(index: usize, run: usize) -> Settings {
     let (service, id) = (SERVERS[index], format!("{}-{index}.{run}", SERVERS[index]));
     match service {
@@ -129,7 +130,7 @@
     }
 }
 
-/// How a server behaves in calm.
+/// Makes a server behave normally, without faults.
 pub(super) fn reset_script(server: &Server, events: u64) {
     server.script(|script| {
         *script = Script {
--- a/crates/standin/tests/quota_judge.rs
+++ b/crates/standin/tests/quota_judge.rs
@@ -1,4 +1,4 @@
-//! The rule on limits, as a server judges it by its own clock.
+//! Tests of the check that a server receives no more requests than the limit that it states.
 
 use std::time::Duration;
 
@@ -9,13 +9,14 @@
     Duration::from_millis(ms)
 }
 
-/// A server that names a limit of 2 a second from 10 s on, which allows 17 requests in 4 s.
+/// A server that states a limit of 2 requests per second from 10 s on, which allows 17 requests in
+/// 4 s.
 fn limited(arrivals: impl IntoIterator<Item = u64>) -> Quota {
     let arrivals = arrivals.into_iter().map(|at| ("r".into(), ms(at))).collect();
     Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] }
 }
 
-/// So many requests, one each 10 ms, the first of them then.
+/// `count` requests, 10 ms apart, from `from` on.
 fn burst(from: u64, count: u64) -> impl Iterator<Item = u64> {
     (0..count).map(move |number| from + 10 * number)
 }
--- a/crates/standin/tests/soak_judge.rs
+++ b/crates/standin/tests/soak_judge.rs
@@ -1,4 +1,5 @@
-//! The judge of a soak: each promise, broken by a made-up record, and kept by its neighbour.
+//! Tests of the soak judge: for each promise, a record that breaks it and similar ones that keep
+//! it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -39,7 +40,7 @@
     (1..=last).map(|number| format!("id: {number}\ndata: token {number}\n\n")).collect()
 }
 
-/// A request of 10 s after the start, which host 0 passed to `app-1` and answered well.
+/// Record of one request, sent 10 s after the start, that host 0 forwarded to `app-1` and answered.
 fn served_record(kind: Kind) -> Record {
     let body = match kind {
         Kind::Stream => events(10),
@@ -96,14 +97,15 @@
     Disruption { component, what: "fault".into(), span: span(from, to) }
 }
 
-/// A server that names a limit of 2 a second gets 18 requests of host 0 at once.
+/// Adds a server that states a limit of 2 requests per second and receives 18 at once from host 0.
 fn exceed_limit(record: &mut Record) {
     let arrivals = vec![("r1".into(), ms(15_000)); 18];
     let quota = Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] };
     record.quotas.push(("app-1".into(), quota));
 }
 
-/// So many requests at a time of host 0 to `app`, each of which arrives so often, once a millisecond.
+/// Adds `requests` requests of host 0 to `app`, sent at `at`, each with `arrivals` arrivals, 1 ms
+/// apart.
 fn add_retries(record: &mut Record, at: u64, requests: usize, arrivals: usize) {
     for number in 0..requests {
         let mut request = record.requests[0].clone();
@@ -118,7 +120,7 @@
     }
 }
 
-/// One request that crashes servers, sent anew at each of these times.
+/// Adds a poison request that is sent at each of these times and crashes a server each time.
 fn add_crashes(record: &mut Record, times: impl IntoIterator<Item = u64>) {
     for (number, at) in times.into_iter().enumerate() {
         let id = format!("c{number}");
@@ -134,7 +136,7 @@
     }
 }
 
-/// Requests that are refused as what may have run, at these times.
+/// Adds requests, at these times, that are answered with 502 as if they might have been executed.
 fn add_refusals(record: &mut Record, times: impl IntoIterator<Item = u64>) {
     for (number, at) in times.into_iter().enumerate() {
         let mut request = record.requests[0].clone();
@@ -155,13 +157,13 @@
         orders.map(|(holder, fence, arrived_at)| order(holder, fence, arrived_at)).into();
 }
 
-/// A second version that moves the pages to another service.
+/// Adds a second declaration, which routes `/pages/` to another service.
 fn move_route(record: &mut Record, at: u64) {
     let services = BTreeMap::from([("/pages/".to_owned(), ["other".to_owned()].into())]);
     record.declared.push(Declared { version: 5, at: ms(at), services });
 }
 
-/// An earlier request at the same host, which the second version decided.
+/// Adds an earlier request at the same host that was routed by the second declaration.
 fn add_handled_request(record: &mut Record, at: u64) {
     let mut before = record.requests[0].clone();
     (before.id, before.outcome, before.span) = ("r0".into(), Outcome::CallerClosed, span(at, at));
@@ -174,7 +176,7 @@
     record.leaves.push(Leave { server: "app-1".into(), at: ms(at) });
 }
 
-/// Many requests after the last fault, some of them refused.
+/// Adds a fault and 100 requests long after it, the first `refused` of which are refused.
 fn add_requests_after_fault(record: &mut Record, refused: usize) {
     record.disruptions.push(disruption(Component::Host(1), 1_000, 2_000));
     for number in 0..100 {
@@ -388,16 +390,18 @@
     let mut record = served_record(kind);
     change(&mut record);
     let breaches = judge(&record);
-    assert!(!breaches.is_empty(), "nothing found");
+    assert!(!breaches.is_empty(), "no breach was found");
     assert!(breaches.iter().all(|breach| breach.promise == promise), "{breaches:#?}");
 }
 
-/// The table of rules and judges in the page on promises.
+/// The page on promises, whose table names the judge of each rule.
 const PAGE: &str = include_str!("../../../docs/PROMISES.md");
 
 #[test]
 fn the_page_on_promises_names_every_judge_and_no_other() {
-    let (_, table) = PAGE.split_once("## Which judge sees which rule").expect("the table");
+    let (_, table) = PAGE
+        .split_once("## Which judge sees which rule")
+        .expect("the page has the table of judges");
     let table = table.split("\n## ").next().unwrap_or_default();
     let rows = table.lines().filter(|line| line.starts_with('|')).skip(2);
     let judges = rows.filter_map(|row| row.split('|').nth(2)).map(str::trim);
