--- a/crates/standin/examples/report_bytes.rs
+++ b/crates/standin/examples/report_bytes.rs
@@ -19,28 +19,28 @@
     println!("{:>9} {:>13} {:>13} {:>6}", "residents", "whole B/read", "tagged B/read", "ratio");
     for models in MODELS {
         let engine = Engine::start(settings(models)).await?;
-        let whole = measure(&engine, Habit::Forgets).await?;
-        let tagged = measure(&engine, Habit::Remembers).await?;
+        let untagged = measure(&engine, ReaderState::New).await?;
+        let tagged = measure(&engine, ReaderState::Kept).await?;
         let residents = engine.residents().len();
-        let ratio = tagged as f64 / whole as f64;
-        println!("{residents:>9} {whole:>13} {tagged:>13} {ratio:>6.2}");
+        let ratio = tagged as f64 / untagged as f64;
+        println!("{residents:>9} {untagged:>13} {tagged:>13} {ratio:>6.2}");
     }
     Ok(())
 }
 
 /// Whether the reader knows what it read before.
 #[derive(Clone, Copy)]
-enum Habit {
-    Forgets,
-    Remembers,
+enum ReaderState {
+    New,
+    Kept,
 }
 
-async fn measure(engine: &Engine, habit: Habit) -> Result<u64, ::backend::Error> {
+async fn measure(engine: &Engine, state: ReaderState) -> Result<u64, ::backend::Error> {
     let meter = Meter::default();
     let client = Client::metered(meter.clone());
     let mut reader = Reader::new(engine.address());
     for _ in 0..READS {
-        if let Habit::Forgets = habit {
+        if let ReaderState::New = state {
             reader = Reader::new(engine.address());
         }
         reader.read(&client).await?;
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -80,8 +80,8 @@
                 .waiting
                 .iter()
                 .enumerate()
-                .max_by_key(|(place, job)| (job.priority, std::cmp::Reverse(*place)))
-                .map_or(0, |(place, _)| place);
+                .max_by_key(|(index, job)| (job.priority, std::cmp::Reverse(*index)))
+                .map_or(0, |(index, _)| index);
             self.running.push(self.waiting.remove(best));
         }
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -5,8 +5,8 @@
 use ::backend::wire::{CacheChange, CacheEvent};
 
 /// Every so many events one is lost.
-const GAP: u64 = 10;
-const EVENTS_KEPT: usize = 1_000;
+const LOSS_INTERVAL: u64 = 10;
+const MAX_EVENTS: usize = 1_000;
 
 #[derive(Debug)]
 pub(super) struct Cache {
@@ -31,7 +31,7 @@
         for block in blocks {
             self.tick += 1;
             if self.blocks.insert(*block, self.tick).is_none() {
-                self.event(model, *block, CacheChange::Stored);
+                self.record(model, *block, CacheChange::Stored);
             }
         }
         while self.limit < self.blocks.len() {
@@ -39,7 +39,7 @@
                 return;
             };
             self.blocks.remove(&oldest);
-            self.event(model, oldest, CacheChange::Evicted);
+            self.record(model, oldest, CacheChange::Evicted);
         }
     }
 
@@ -47,14 +47,14 @@
         self.events.iter().filter(|event| from <= event.sequence).cloned().collect()
     }
 
-    fn event(&mut self, model: &str, block: u64, change: CacheChange) {
+    fn record(&mut self, model: &str, block: u64, change: CacheChange) {
         self.sequence += 1;
-        if self.sequence.is_multiple_of(GAP) {
+        if self.sequence.is_multiple_of(LOSS_INTERVAL) {
             return;
         }
         let sequence = self.sequence;
         self.events.push(CacheEvent { sequence, model: model.into(), block, change });
-        if EVENTS_KEPT < self.events.len() {
+        if MAX_EVENTS < self.events.len() {
             self.events.remove(0);
         }
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -32,7 +32,7 @@
     batch::{Job, Token},
     memory::Work,
 };
-use crate::net::Lost;
+use crate::net::LoseAnswer;
 
 const DEFAULT_MAX_TOKENS: u64 = 16;
 const UNLOAD_TIME: Duration = Duration::from_millis(5);
@@ -50,7 +50,7 @@
 }
 
 #[derive(Deserialize)]
-struct Question {
+struct ModelRequest {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -59,7 +59,7 @@
     messages: Option<Value>,
 }
 
-impl Question {
+impl ModelRequest {
     fn prompt(&self) -> String {
         match (&self.messages, &self.prompt) {
             (Some(messages), _) => messages.to_string(),
@@ -69,33 +69,33 @@
     }
 }
 
-/// Shape of an answer.
+/// Format of an answer.
 #[derive(Clone, Copy)]
-enum Shape {
+enum Format {
     Chat,
     Text,
 }
 
 async fn chat(state: State<Arc<Shared>>, headers: HeaderMap, body: Bytes) -> Response {
-    generate(&state.0, Shape::Chat, &headers, &body).await
+    generate(&state.0, Format::Chat, &headers, &body).await
 }
 
 async fn completions(state: State<Arc<Shared>>, headers: HeaderMap, body: Bytes) -> Response {
-    generate(&state.0, Shape::Text, &headers, &body).await
+    generate(&state.0, Format::Text, &headers, &body).await
 }
 
 async fn generate(
     shared: &Arc<Shared>,
-    shape: Shape,
+    format: Format,
     headers: &HeaderMap,
     body: &Bytes,
 ) -> Response {
-    let Ok(question) = serde_json::from_slice::<Question>(body) else {
+    let Ok(model_request) = serde_json::from_slice::<ModelRequest>(body) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     let request = header(headers, wire::REQUEST_ID).unwrap_or_default();
-    let name = model::Name::parse(&question.model);
-    let prompt = question.prompt();
+    let name = model::Name::parse(&model_request.model);
+    let prompt = model_request.prompt();
     let tokens = {
         let mut state = shared.state();
         state.counts.arrivals += 1;
@@ -109,16 +109,16 @@
         if state.leaving {
             log::debug!(request = request.as_str(); "work for a leaving engine");
         }
-        enqueue(&mut state, headers, &question, &prompt)
+        enqueue(&mut state, headers, &model_request, &prompt)
     };
     if prompt.contains(POISON) {
         shared.crash_by_poison();
         return std::future::pending().await;
     }
     shared.wake.notify_one();
-    let mut response = match question.stream {
-        true => streamed(shape, &request, &question.model, tokens).into_response(),
-        false => whole(shape, &request, &question.model, tokens).await,
+    let mut response = match model_request.stream {
+        true => stream_answer(format, &request, &model_request.model, tokens).into_response(),
+        false => full_answer(format, &request, &model_request.model, tokens).await,
     };
     for name in [wire::REQUEST_ID, wire::ATTEMPT] {
         if let Some(value) = headers.get(name) {
@@ -131,29 +131,29 @@
 fn enqueue(
     state: &mut super::state::State,
     headers: &HeaderMap,
-    question: &Question,
+    model_request: &ModelRequest,
     prompt: &str,
 ) -> mpsc::UnboundedReceiver<Token> {
     let resume = header(headers, wire::LAST_EVENT_ID).and_then(|id| id.parse::<u64>().ok());
     let next = resume.map_or(0, |last| last + 1);
-    let blocks = wire::blocks(&question.model, prompt);
+    let blocks = wire::blocks(&model_request.model, prompt);
     let cached = state.cache.hits(&blocks) * wire::BLOCK_BYTES;
     let uncached = (prompt.len() - cached).div_ceil(wire::TOKEN_BYTES) as u64;
-    state.cache.store(&question.model, &blocks);
+    state.cache.store(&model_request.model, &blocks);
     let (sender, tokens) = mpsc::unbounded_channel();
     state.batch.push(Job {
         priority: header(headers, wire::PRIORITY).and_then(|p| p.parse().ok()).unwrap_or(0),
         prompt: prompt.to_owned(),
         prompt_left: uncached + next,
         next,
-        end: question.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(next + 1),
+        end: model_request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(next + 1),
         tokens: sender,
     });
     tokens
 }
 
-fn streamed(
-    shape: Shape,
+fn stream_answer(
+    format: Format,
     request: &str,
     model: &str,
     tokens: mpsc::UnboundedReceiver<Token>,
@@ -173,7 +173,7 @@
             Ok(token) => token,
             Err(error) => return stream::iter(vec![Err(error)]),
         };
-        let data = chunk(shape, &request, &model, &token.text);
+        let data = chunk(format, &request, &model, &token.text);
         let event = Event::default().id(token.offset.to_string()).data(data.to_string());
         let done = token.is_last.then(|| Event::default().data(wire::DONE));
         stream::iter([event].into_iter().chain(done).map(Ok).collect::<Vec<_>>())
@@ -181,39 +181,39 @@
     Sse::new(events)
 }
 
-fn chunk(shape: Shape, request: &str, model: &str, text: &str) -> Value {
-    match shape {
-        Shape::Chat => json!({
+fn chunk(format: Format, request: &str, model: &str, text: &str) -> Value {
+    match format {
+        Format::Chat => json!({
             "id": request, "object": "chat.completion.chunk", "model": model,
             "choices": [{"index": 0, "delta": {"content": text}}],
         }),
-        Shape::Text => json!({
+        Format::Text => json!({
             "id": request, "object": "text_completion", "model": model,
             "choices": [{"index": 0, "text": text}],
         }),
     }
 }
 
-async fn whole(
-    shape: Shape,
+async fn full_answer(
+    format: Format,
     request: &str,
     model: &str,
     mut tokens: mpsc::UnboundedReceiver<Token>,
 ) -> Response {
     let mut text = String::new();
     loop {
-        let Some(token) = tokens.recv().await else { return lost() };
+        let Some(token) = tokens.recv().await else { return lost_response() };
         text.push_str(&token.text);
         if token.is_last {
             break;
         }
     }
-    let answer = match shape {
-        Shape::Chat => json!({
+    let answer = match format {
+        Format::Chat => json!({
             "id": request, "object": "chat.completion", "model": model,
             "choices": [{"index": 0, "message": {"role": "assistant", "content": text}}],
         }),
-        Shape::Text => chunk(shape, request, model, &text),
+        Format::Text => chunk(format, request, model, &text),
     };
     Json(answer).into_response()
 }
@@ -234,64 +234,64 @@
 }
 
 async fn order(State(shared): State<Arc<Shared>>, Json(order): Json<Order>) -> Response {
-    let fate = fate(&shared);
-    match fate {
-        Fate::Taken => Json(take(&shared, &order)).into_response(),
-        Fate::Lost => lost(),
-        Fate::AckLost => {
-            take(&shared, &order);
-            lost()
+    let delivery = next_delivery(&shared);
+    match delivery {
+        OrderDelivery::Delivered => Json(execute(&shared, &order)).into_response(),
+        OrderDelivery::Lost => lost_response(),
+        OrderDelivery::AckLost => {
+            execute(&shared, &order);
+            lost_response()
         }
-        Fate::Late(lateness) => {
+        OrderDelivery::Late(lateness) => {
             tokio::spawn(async move {
                 tokio::time::sleep(lateness).await;
-                take(&shared, &order);
+                execute(&shared, &order);
             });
-            lost()
+            lost_response()
         }
     }
 }
 
 /// What becomes of an order.
-enum Fate {
-    Taken,
+enum OrderDelivery {
+    Delivered,
     Lost,
     AckLost,
     Late(Duration),
 }
 
-fn fate(shared: &Shared) -> Fate {
+fn next_delivery(shared: &Shared) -> OrderDelivery {
     let fault = &mut shared.state().fault;
     if 0 < fault.lost_orders {
         fault.lost_orders -= 1;
-        return Fate::Lost;
+        return OrderDelivery::Lost;
     }
     if 0 < fault.lost_acks {
         fault.lost_acks -= 1;
-        return Fate::AckLost;
+        return OrderDelivery::AckLost;
     }
     if 0 < fault.late_orders {
         fault.late_orders -= 1;
-        return Fate::Late(fault.lateness);
+        return OrderDelivery::Late(fault.lateness);
     }
-    Fate::Taken
+    OrderDelivery::Delivered
 }
 
-fn lost() -> Response {
+fn lost_response() -> Response {
     let mut response = StatusCode::OK.into_response();
-    response.extensions_mut().insert(Lost);
+    response.extensions_mut().insert(LoseAnswer);
     response
 }
 
-fn take(shared: &Arc<Shared>, order: &Order) -> Ack {
+fn execute(shared: &Arc<Shared>, order: &Order) -> Ack {
     let mut guard = shared.state();
     let state = &mut *guard;
     if !state.is_up {
         return Ack::Refused { reason: "engine is down".into() };
     }
-    let (ack, work) = state.memory.take(&mut state.counts, order);
+    let (ack, work) = state.memory.execute(&mut state.counts, order);
     let incarnation = state.incarnation;
-    if work != Work::Nothing {
+    if work != Work::Done {
         tokio::spawn(finish(shared.clone(), incarnation, work));
     }
     ack
@@ -299,7 +299,7 @@
 
 async fn finish(shared: Arc<Shared>, incarnation: backend::Incarnation, work: Work) {
     match work {
-        Work::Nothing => {}
+        Work::Done => {}
         Work::Load(_) => shared.settings.weights.load().await,
         Work::Unload(_) => tokio::time::sleep(UNLOAD_TIME).await,
     }
@@ -310,14 +310,14 @@
 }
 
 #[derive(Deserialize)]
-struct From {
+struct EventsQuery {
     #[serde(default)]
     from: u64,
 }
 
 async fn cache_events(
     State(shared): State<Arc<Shared>>,
-    Query(query): Query<From>,
+    Query(query): Query<EventsQuery>,
 ) -> Json<Vec<CacheEvent>> {
     Json(shared.state().cache.events(query.from))
 }
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -10,7 +10,7 @@
 
 use super::{Counts, Settings};
 
-const ORDERS_KEPT: usize = 128;
+const MAX_ORDERS: usize = 128;
 
 #[derive(Debug)]
 pub(super) struct Memory {
@@ -25,7 +25,7 @@
 /// What must still happen after an order was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Work {
-    Nothing,
+    Done,
     Load(Unit),
     Unload(Unit),
 }
@@ -77,28 +77,28 @@
             None => {
                 ready.any(|r| matches!(&r.unit, Unit::Model { model, .. } if *model == name.model))
             }
-            Some(wanted) => ready.any(|r| {
+            Some(adapter_name) => ready.any(|r| {
                 matches!(&r.unit, Unit::Adapter { model, adapter, .. }
-                    if *model == name.model && adapter == wanted)
+                    if *model == name.model && adapter == adapter_name)
             }),
         }
     }
 
-    pub(super) fn take(&mut self, counts: &mut Counts, order: &Order) -> (Ack, Work) {
+    pub(super) fn execute(&mut self, counts: &mut Counts, order: &Order) -> (Ack, Work) {
         if self.orders.contains(&order.id) {
-            return (Ack::Accepted, Work::Nothing);
+            return (Ack::Accepted, Work::Done);
         }
         if self.fenced && order.fence <= self.fence {
-            return (Ack::Stale { highest: self.fence }, Work::Nothing);
+            return (Ack::Stale { highest: self.fence }, Work::Done);
         }
-        let taken = self.apply(counts, &order.action);
-        let (ack, work) = match taken {
+        let result = self.apply(counts, &order.action);
+        let (ack, work) = match result {
             Ok(work) => (Ack::Accepted, work),
-            Err(reason) => (Ack::Refused { reason: reason.into() }, Work::Nothing),
+            Err(reason) => (Ack::Refused { reason: reason.into() }, Work::Done),
         };
         self.fence = self.fence.max(order.fence);
         self.orders.push_back(order.id.clone());
-        if ORDERS_KEPT < self.orders.len() {
+        if MAX_ORDERS < self.orders.len() {
             self.orders.pop_front();
         }
         (ack, work)
@@ -108,18 +108,18 @@
         match action {
             Action::Role { role } => {
                 self.role = *role;
-                Ok(Work::Nothing)
+                Ok(Work::Done)
             }
             Action::Load { unit, memory } => match self.find(unit).map(|r| r.state) {
                 Some(State::Unloading) => Err("unit is being unloaded"),
-                Some(State::Loading | State::Ready) => Ok(Work::Nothing),
+                Some(State::Loading | State::Ready) => Ok(Work::Done),
                 None => {
                     self.add(counts, unit, *memory);
                     Ok(Work::Load(unit.clone()))
                 }
             },
             Action::Unload { unit } => match self.find(unit) {
-                None => Ok(Work::Nothing),
+                None => Ok(Work::Done),
                 Some(resident) => {
                     resident.state = State::Unloading;
                     counts.moves += 1;
@@ -132,17 +132,17 @@
     /// A real engine would fail here; this one counts, so that the test can.
     fn add(&mut self, counts: &mut Counts, unit: &Unit, memory: Mebibytes) {
         self.residents.push(Resident { unit: unit.clone(), memory, state: State::Loading });
-        let taken: Mebibytes = self.residents.iter().map(|r| r.memory).sum();
+        let used: Mebibytes = self.residents.iter().map(|r| r.memory).sum();
         counts.moves += 1;
-        counts.peak = counts.peak.max(taken);
-        if self.capacity < taken {
+        counts.peak = counts.peak.max(used);
+        if self.capacity < used {
             counts.overcommits += 1;
         }
     }
 
     pub(super) fn finish(&mut self, work: &Work) {
         match work {
-            Work::Nothing => {}
+            Work::Done => {}
             Work::Load(unit) => {
                 if let Some(resident) = self.find(unit).filter(|r| r.state == State::Loading) {
                     resident.state = State::Ready;
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -7,7 +7,7 @@
 
 use super::{Counts, Fault, Settings, batch::Batch, cache::Cache, memory::Memory};
 
-const REPORTS_KEPT: usize = 64;
+const MAX_REPORTS: usize = 64;
 
 #[derive(Debug)]
 pub(super) struct State {
@@ -58,15 +58,16 @@
     /// A report as old as the settings' lag.
     pub(super) fn report(&mut self, settings: &Settings) -> report::Load {
         let now = Instant::now();
-        let fresh = self.snapshot(settings);
-        self.reports.push_back((now, fresh));
-        if REPORTS_KEPT < self.reports.len() {
+        let current = self.snapshot(settings);
+        self.reports.push_back((now, current));
+        if MAX_REPORTS < self.reports.len() {
             self.reports.pop_front();
         }
-        let is_old = |(taken, _): &&(Instant, report::Load)| settings.report_lag <= now - *taken;
-        let shown = self.reports.iter().rev().find(is_old).or(self.reports.front());
-        match shown {
-            Some((taken, load)) => report::Load { age: now - *taken, ..load.clone() },
+        let is_due =
+            |(taken_at, _): &&(Instant, report::Load)| settings.report_lag <= now - *taken_at;
+        let visible = self.reports.iter().rev().find(is_due).or(self.reports.front());
+        match visible {
+            Some((taken_at, load)) => report::Load { age: now - *taken_at, ..load.clone() },
             None => self.snapshot(settings),
         }
     }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -84,29 +84,29 @@
 struct Shared {
     target: watch::Sender<SocketAddr>,
     new_connections: watch::Sender<NewConnections>,
-    forth: watch::Sender<Setting>,
-    back: watch::Sender<Setting>,
-    cuts: watch::Sender<u64>,
-    slice: Arc<DynamicSize>,
-    traps: intercept::Interceptors,
+    to_target: watch::Sender<Setting>,
+    to_client: watch::Sender<Setting>,
+    resets: watch::Sender<u64>,
+    max_write: Arc<DynamicSize>,
+    interceptors: intercept::Interceptors,
     accepted: AtomicU64,
     refused: AtomicU64,
-    bytes_forth: AtomicU64,
-    bytes_back: AtomicU64,
+    bytes_to_target: AtomicU64,
+    bytes_to_client: AtomicU64,
 }
 
 impl Shared {
-    fn setting(&self, way: Direction) -> &watch::Sender<Setting> {
-        match way {
-            Direction::ToTarget => &self.forth,
-            Direction::ToClient => &self.back,
+    fn setting(&self, direction: Direction) -> &watch::Sender<Setting> {
+        match direction {
+            Direction::ToTarget => &self.to_target,
+            Direction::ToClient => &self.to_client,
         }
     }
 
-    fn bytes(&self, way: Direction) -> &AtomicU64 {
-        match way {
-            Direction::ToTarget => &self.bytes_forth,
-            Direction::ToClient => &self.bytes_back,
+    fn bytes(&self, direction: Direction) -> &AtomicU64 {
+        match direction {
+            Direction::ToTarget => &self.bytes_to_target,
+            Direction::ToClient => &self.bytes_to_client,
         }
     }
 }
@@ -139,15 +139,15 @@
         let shared = Arc::new(Shared {
             target: watch::Sender::new(target),
             new_connections: watch::Sender::default(),
-            forth: watch::Sender::default(),
-            back: watch::Sender::default(),
-            cuts: watch::Sender::default(),
-            slice: DynamicSize::new(0),
-            traps: intercept::Interceptors::default(),
+            to_target: watch::Sender::default(),
+            to_client: watch::Sender::default(),
+            resets: watch::Sender::default(),
+            max_write: DynamicSize::new(0),
+            interceptors: intercept::Interceptors::default(),
             accepted: AtomicU64::new(0),
             refused: AtomicU64::new(0),
-            bytes_forth: AtomicU64::new(0),
-            bytes_back: AtomicU64::new(0),
+            bytes_to_target: AtomicU64::new(0),
+            bytes_to_client: AtomicU64::new(0),
         });
         let accepting = tokio::spawn(accept(listener, Arc::clone(&shared))).abort_handle();
         Ok(Proxy { address, shared, accepting })
@@ -164,8 +164,8 @@
     }
 
     /// Sets the fault of one direction, for connections that stand and for new ones.
-    pub fn set(&self, way: Direction, fault: Fault) {
-        self.shared.setting(way).send_modify(|setting| {
+    pub fn set(&self, direction: Direction, fault: Fault) {
+        self.shared.setting(direction).send_modify(|setting| {
             setting.fault = fault;
             setting.change += 1;
         });
@@ -173,7 +173,7 @@
 
     /// Sets the same fault in both directions.
     pub fn set_both(&self, fault: Fault) {
-        Direction::BOTH.into_iter().for_each(|way| self.set(way, fault));
+        Direction::BOTH.into_iter().for_each(|direction| self.set(direction, fault));
     }
 
     /// Opens or shuts the door to new connections.
@@ -183,27 +183,27 @@
 
     /// Lets everything pass again.
     pub fn heal(&self) {
-        self.shared.slice.set(0);
+        self.shared.max_write.set(0);
         self.set_new_connections(NewConnections::Accept);
         self.set_both(Fault::Pass);
     }
 
     /// Resets every connection that stands.
     pub fn reset_connections(&self) {
-        self.shared.cuts.send_modify(|cuts| *cuts += 1);
+        self.shared.resets.send_modify(|resets| *resets += 1);
     }
 
     /// Writes at most this many bytes at a time; zero writes as they come.
     pub fn slice(&self, bytes: usize) {
-        self.shared.slice.set(bytes);
+        self.shared.max_write.set(bytes);
     }
 
     /// Lays a trap for the next request whose text holds `text`.
     ///
     /// The text is looked for in each piece as it was written, so it should stand in the request's
     /// first line or the start of its headers.
-    pub fn intercept(&self, text: &str, strike: Interception) -> Interceptor {
-        self.shared.traps.lay(text, strike)
+    pub fn intercept(&self, text: &str, interception: Interception) -> Interceptor {
+        self.shared.interceptors.add(text, interception)
     }
 
     /// Connections let in so far.
@@ -217,8 +217,8 @@
     }
 
     /// Bytes passed on so far in one direction.
-    pub fn bytes(&self, way: Direction) -> u64 {
-        self.shared.bytes(way).load(Ordering::Relaxed)
+    pub fn bytes(&self, direction: Direction) -> u64 {
+        self.shared.bytes(direction).load(Ordering::Relaxed)
     }
 }
 
@@ -230,13 +230,13 @@
 
 /// Accepts for good; connections belong to the set, so that aborting this task ends them.
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(20);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => admit(stream, &shared, &mut connections),
-                Err(_) => tokio::time::sleep(PAUSE_AFTER_ERROR).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             Some(_) = connections.join_next() => {}
         }
--- a/crates/standin/src/fault/connection.rs
+++ b/crates/standin/src/fault/connection.rs
@@ -13,22 +13,22 @@
 use super::{Direction, Fault, Interception, Interceptor, Setting, Shared, reset};
 
 /// Most bytes read at a time.
-const PIECE: usize = 16 * 1024;
+const MAX_CHUNK: usize = 16 * 1024;
 
 /// Most pieces on their way in one direction.
-const PIECES: usize = 1024;
+const MAX_QUEUED_CHUNKS: usize = 1024;
 
 /// What a pump reads, and when it is due at the other end.
 struct Item {
     due: Instant,
-    news: News,
+    event: Event,
 }
 
 /// What one end does.
-enum News {
-    Piece(Vec<u8>),
+enum Event {
+    Data(Vec<u8>),
     /// It closed its direction.
-    End,
+    Closed,
     /// It reset the connection or broke.
     Broken,
 }
@@ -39,127 +39,128 @@
 /// One connection.
 pub(super) struct Connection {
     shared: Arc<Shared>,
-    cuts: watch::Receiver<u64>,
-    /// The trap that waits for this connection's answer.
-    answer: Mutex<Option<Interceptor>>,
+    resets: watch::Receiver<u64>,
+    /// The interceptor that waits for this connection's answer.
+    pending_answer: Mutex<Option<Interceptor>>,
 }
 
 impl Connection {
     pub(super) fn new(shared: Arc<Shared>) -> Connection {
-        let cuts = shared.cuts.subscribe();
-        Connection { shared, cuts, answer: Mutex::new(None) }
+        let resets = shared.resets.subscribe();
+        Connection { shared, resets, pending_answer: Mutex::new(None) }
     }
 
     /// Carries bytes until both ends have closed, one breaks, or a fault resets it.
-    pub(super) async fn run(self, mut near: TcpStream) {
-        let mut cuts = self.cuts.clone();
+    pub(super) async fn run(self, mut client: TcpStream) {
+        let mut resets = self.resets.clone();
         let target = *self.shared.target.borrow();
-        let Ok(mut far) = TcpStream::connect(target).await else {
-            reset(&near);
+        let Ok(mut target_stream) = TcpStream::connect(target).await else {
+            reset(&client);
             return;
         };
         // Without this, small pieces would wait for acknowledgements and look like a fault.
-        let _ = near.set_nodelay(true);
-        let _ = far.set_nodelay(true);
+        let _ = client.set_nodelay(true);
+        let _ = target_stream.set_nodelay(true);
         let ended = {
-            let (near_read, near_write) = near.split();
-            let (far_read, far_write) = far.split();
+            let (client_read, client_write) = client.split();
+            let (target_read, target_write) = target_stream.split();
             let both = async {
                 tokio::try_join!(
-                    self.pump(Direction::ToTarget, near_read, far_write),
-                    self.pump(Direction::ToClient, far_read, near_write),
+                    self.forward(Direction::ToTarget, client_read, target_write),
+                    self.forward(Direction::ToClient, target_read, client_write),
                 )
             };
             tokio::select! {
                 ended = both => ended.map(|_| ()),
-                _ = cuts.changed() => Err(Reset),
+                _ = resets.changed() => Err(Reset),
             }
         };
         if let Err(Reset) = ended {
-            reset(&near);
-            reset(&far);
+            reset(&client);
+            reset(&target_stream);
         }
     }
 
-    async fn pump(
+    async fn forward(
         &self,
-        way: Direction,
+        direction: Direction,
         from: impl AsyncReadExt + Unpin,
         to: impl AsyncWriteExt + Unpin,
     ) -> Result<(), Reset> {
-        let (sender, receiver) = mpsc::channel(PIECES);
-        let settings = self.shared.setting(way).subscribe();
-        let to = to.slice_writes_dyn(Arc::clone(&self.shared.slice));
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let settings = self.shared.setting(direction).subscribe();
+        let to = to.slice_writes_dyn(Arc::clone(&self.shared.max_write));
         let read = read(from, settings.clone(), sender);
-        let write = self.write(way, to, settings, receiver);
+        let write = self.write(direction, to, settings, receiver);
         tokio::try_join!(read, write).map(|_| ())
     }
 
     async fn write(
         &self,
-        way: Direction,
+        direction: Direction,
         mut to: impl AsyncWriteExt + Unpin,
         mut settings: watch::Receiver<Setting>,
         mut items: mpsc::Receiver<Item>,
     ) -> Result<(), Reset> {
-        let mut gate = Gate { passed: 0, change: settings.borrow().change };
+        let mut state = FaultState { passed: 0, change: settings.borrow().change };
         while let Some(item) = items.recv().await {
             tokio::time::sleep_until(item.due).await;
-            if let News::Piece(piece) = &item.news {
-                self.strike(way, piece).await?;
+            if let Event::Data(chunk) = &item.event {
+                self.intercept(direction, chunk).await?;
             }
-            let written = match gate.pass(&mut settings, item.news).await? {
-                News::Piece(piece) => {
-                    self.shared.bytes(way).fetch_add(piece.len() as u64, Ordering::Relaxed);
-                    to.write_all(&piece).await
+            let written = match state.apply(&mut settings, item.event).await? {
+                Event::Data(chunk) => {
+                    self.shared.bytes(direction).fetch_add(chunk.len() as u64, Ordering::Relaxed);
+                    to.write_all(&chunk).await
                 }
-                News::End => to.shutdown().await,
-                News::Broken => return Err(Reset),
+                Event::Closed => to.shutdown().await,
+                Event::Broken => return Err(Reset),
             };
             if written.is_err() {
                 // The other pump reads that this end broke, and tells the other end by its own way.
                 return Ok(());
             }
-            gate.cut_if_spent(&settings)?;
+            state.reset_if_spent(&settings)?;
         }
         Ok(())
     }
 
-    /// Lets the traps have a look at a piece.
-    async fn strike(&self, way: Direction, piece: &[u8]) -> Result<(), Reset> {
-        match way {
-            Direction::ToTarget => self.strike_request(piece).await,
-            Direction::ToClient => self.strike_answer().await,
+    /// Lets the traps have a look at a chunk.
+    async fn intercept(&self, direction: Direction, chunk: &[u8]) -> Result<(), Reset> {
+        match direction {
+            Direction::ToTarget => self.intercept_request(chunk).await,
+            Direction::ToClient => self.intercept_answer().await,
         }
     }
 
-    async fn strike_request(&self, piece: &[u8]) -> Result<(), Reset> {
-        let Some(trap) = self.shared.traps.catch(piece) else { return Ok(()) };
-        match trap.strike() {
+    async fn intercept_request(&self, chunk: &[u8]) -> Result<(), Reset> {
+        let Some(interceptor) = self.shared.interceptors.take_match(chunk) else { return Ok(()) };
+        match interceptor.interception() {
             Interception::LoseRequest => {
-                trap.spring();
+                interceptor.trigger();
                 Err(Reset)
             }
             Interception::HoldRequest => {
-                trap.spring();
-                trap.released().await;
+                interceptor.trigger();
+                interceptor.released().await;
                 Ok(())
             }
             Interception::LoseAnswer | Interception::HoldAnswer => {
-                *self.answer.lock().unwrap_or_else(PoisonError::into_inner) = Some(trap);
+                *self.pending_answer.lock().unwrap_or_else(PoisonError::into_inner) =
+                    Some(interceptor);
                 Ok(())
             }
         }
     }
 
-    async fn strike_answer(&self) -> Result<(), Reset> {
-        let waiting = self.answer.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let Some(trap) = waiting else { return Ok(()) };
-        trap.spring();
-        match trap.strike() {
+    async fn intercept_answer(&self) -> Result<(), Reset> {
+        let pending = self.pending_answer.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let Some(interceptor) = pending else { return Ok(()) };
+        interceptor.trigger();
+        match interceptor.interception() {
             Interception::LoseAnswer => Err(Reset),
             Interception::HoldAnswer => {
-                trap.released().await;
+                interceptor.released().await;
                 Ok(())
             }
             Interception::LoseRequest | Interception::HoldRequest => Ok(()),
@@ -168,25 +169,25 @@
 }
 
 /// Applies the fault in force to one direction of one connection.
-struct Gate {
+struct FaultState {
     /// Bytes passed since the fault in force was set; counted only for [`Fault::ResetAfter`].
     passed: u64,
     /// The change that set it.
     change: u64,
 }
 
-impl Gate {
-    async fn pass(
+impl FaultState {
+    async fn apply(
         &mut self,
         settings: &mut watch::Receiver<Setting>,
-        news: News,
-    ) -> Result<News, Reset> {
+        event: Event,
+    ) -> Result<Event, Reset> {
         loop {
             let setting = *settings.borrow_and_update();
-            self.follow(setting);
+            self.update(setting);
             match setting.fault {
-                Fault::Pass | Fault::Delay(_) => return Ok(news),
-                Fault::ResetAfter(limit) => return self.part(news, limit),
+                Fault::Pass | Fault::Delay(_) => return Ok(event),
+                Fault::ResetAfter(limit) => return self.limit_bytes(event, limit),
                 Fault::Hold => settings.changed().await.map_err(|_| Reset)?,
                 Fault::Discard => {
                     settings.changed().await.map_err(|_| Reset)?;
@@ -196,26 +197,26 @@
         }
     }
 
-    fn follow(&mut self, setting: Setting) {
+    fn update(&mut self, setting: Setting) {
         if self.change != setting.change {
             self.change = setting.change;
             self.passed = 0;
         }
     }
 
-    fn part(&mut self, news: News, limit: u64) -> Result<News, Reset> {
-        let News::Piece(mut piece) = news else { return Ok(news) };
+    fn limit_bytes(&mut self, event: Event, limit: u64) -> Result<Event, Reset> {
+        let Event::Data(mut chunk) = event else { return Ok(event) };
         let left = usize::try_from(limit - self.passed).unwrap_or(usize::MAX);
         if left == 0 {
             return Err(Reset);
         }
-        piece.truncate(left);
-        self.passed += piece.len() as u64;
-        Ok(News::Piece(piece))
+        chunk.truncate(left);
+        self.passed += chunk.len() as u64;
+        Ok(Event::Data(chunk))
     }
 
     /// Resets as soon as the last byte allowed has passed, without waiting for one more.
-    fn cut_if_spent(&mut self, settings: &watch::Receiver<Setting>) -> Result<(), Reset> {
+    fn reset_if_spent(&mut self, settings: &watch::Receiver<Setting>) -> Result<(), Reset> {
         let setting = *settings.borrow();
         match setting.fault {
             Fault::ResetAfter(limit) if self.change == setting.change && limit <= self.passed => {
@@ -233,24 +234,24 @@
     items: mpsc::Sender<Item>,
 ) -> Result<(), Reset> {
     loop {
-        let mut piece = vec![0; PIECE];
-        let news = match from.read(&mut piece).await {
-            Ok(0) => News::End,
+        let mut chunk = vec![0; MAX_CHUNK];
+        let event = match from.read(&mut chunk).await {
+            Ok(0) => Event::Closed,
             Ok(length) => {
-                piece.truncate(length);
-                News::Piece(piece)
+                chunk.truncate(length);
+                Event::Data(chunk)
             }
-            Err(_) => News::Broken,
+            Err(_) => Event::Broken,
         };
-        let last = !matches!(news, News::Piece(_));
-        let item = Item { due: due(&settings), news };
-        if items.send(item).await.is_err() || last {
+        let is_last = !matches!(event, Event::Data(_));
+        let item = Item { due: due_time(&settings), event };
+        if items.send(item).await.is_err() || is_last {
             return Ok(());
         }
     }
 }
 
-fn due(settings: &watch::Receiver<Setting>) -> Instant {
+fn due_time(settings: &watch::Receiver<Setting>) -> Instant {
     match settings.borrow().fault {
         Fault::Delay(delay) => Instant::now() + delay,
         Fault::Pass | Fault::Hold | Fault::Discard | Fault::ResetAfter(_) => Instant::now(),
--- a/crates/standin/src/fault/intercept.rs
+++ b/crates/standin/src/fault/intercept.rs
@@ -20,9 +20,9 @@
 /// How far a trap is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    Laid,
-    Caught,
-    Sprung,
+    Armed,
+    Matched,
+    Triggered,
     Released,
 }
 
@@ -35,19 +35,19 @@
 #[derive(Debug)]
 struct Inner {
     text: Vec<u8>,
-    strike: Interception,
+    interception: Interception,
     stage: watch::Sender<Stage>,
 }
 
 impl Interceptor {
     /// Waits until it has struck: for a lost or held answer, until the answer had come.
     pub async fn triggered(&self) {
-        self.reached(Stage::Sprung).await;
+        self.wait_for_stage(Stage::Triggered).await;
     }
 
     /// Whether it has struck.
     pub fn has_triggered(&self) -> bool {
-        Stage::Sprung <= *self.inner.stage.borrow()
+        Stage::Triggered <= *self.inner.stage.borrow()
     }
 
     /// Lets what it holds go on, or takes it up if it has caught nothing yet.
@@ -55,58 +55,59 @@
         self.inner.stage.send_replace(Stage::Released);
     }
 
-    pub(super) fn strike(&self) -> Interception {
-        self.inner.strike
+    pub(super) fn interception(&self) -> Interception {
+        self.inner.interception
     }
 
-    pub(super) fn spring(&self) {
+    pub(super) fn trigger(&self) {
         self.inner.stage.send_if_modified(|stage| {
-            let first = *stage < Stage::Sprung;
-            if first {
-                *stage = Stage::Sprung;
+            let is_first = *stage < Stage::Triggered;
+            if is_first {
+                *stage = Stage::Triggered;
             }
-            first
+            is_first
         });
     }
 
     pub(super) async fn released(&self) {
-        self.reached(Stage::Released).await;
+        self.wait_for_stage(Stage::Released).await;
     }
 
-    async fn reached(&self, stage: Stage) {
+    async fn wait_for_stage(&self, stage: Stage) {
         let mut changes = self.inner.stage.subscribe();
         // The sender lives as long as this trap does, so the wait ends with the stage alone.
         let _ = changes.wait_for(|now| stage <= *now).await;
     }
 
-    fn takes(&self, piece: &[u8]) -> bool {
+    fn matches(&self, chunk: &[u8]) -> bool {
         let text = &self.inner.text;
-        *self.inner.stage.borrow() == Stage::Laid
-            && piece.windows(text.len()).any(|window| window == text)
+        *self.inner.stage.borrow() == Stage::Armed
+            && chunk.windows(text.len()).any(|window| window == text)
     }
 }
 
 /// The traps laid on one proxy.
 #[derive(Debug, Default)]
 pub(super) struct Interceptors {
-    laid: Mutex<Vec<Interceptor>>,
+    armed: Mutex<Vec<Interceptor>>,
 }
 
 impl Interceptors {
-    pub(super) fn lay(&self, text: &str, strike: Interception) -> Interceptor {
+    pub(super) fn add(&self, text: &str, interception: Interception) -> Interceptor {
         assert!(!text.is_empty(), "a trap needs a text to look for");
-        let stage = watch::Sender::new(Stage::Laid);
-        let trap = Interceptor { inner: Arc::new(Inner { text: text.into(), strike, stage }) };
-        self.laid.lock().unwrap_or_else(PoisonError::into_inner).push(trap.clone());
-        trap
+        let stage = watch::Sender::new(Stage::Armed);
+        let interceptor =
+            Interceptor { inner: Arc::new(Inner { text: text.into(), interception, stage }) };
+        self.armed.lock().unwrap_or_else(PoisonError::into_inner).push(interceptor.clone());
+        interceptor
     }
 
-    /// The first trap that this piece of a request walks into; it won't catch another.
-    pub(super) fn catch(&self, piece: &[u8]) -> Option<Interceptor> {
-        let mut laid = self.laid.lock().unwrap_or_else(PoisonError::into_inner);
-        let index = laid.iter().position(|trap| trap.takes(piece))?;
-        let trap = laid.remove(index);
-        trap.inner.stage.send_replace(Stage::Caught);
-        Some(trap)
+    /// The first trap that this chunk of a request walks into; it won't catch another.
+    pub(super) fn take_match(&self, chunk: &[u8]) -> Option<Interceptor> {
+        let mut armed = self.armed.lock().unwrap_or_else(PoisonError::into_inner);
+        let index = armed.iter().position(|interceptor| interceptor.matches(chunk))?;
+        let interceptor = armed.remove(index);
+        interceptor.inner.stage.send_replace(Stage::Matched);
+        Some(interceptor)
     }
 }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -20,12 +20,12 @@
 };
 use tower::ServiceExt;
 
-const BIND_TRIES: u32 = 100;
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_ATTEMPTS: u32 = 100;
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Marks an answer that must not reach the caller: its connection is closed instead.
 #[derive(Clone, Copy, Debug)]
-pub struct Lost;
+pub struct LoseAnswer;
 
 /// A running listener; it ends when dropped.
 #[derive(Debug)]
@@ -74,9 +74,11 @@
 }
 
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    for _ in 0..BIND_TRIES {
+    for _ in 0..BIND_ATTEMPTS {
         match TcpListener::bind(address).await {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse => tokio::time::sleep(BIND_PAUSE).await,
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
+                tokio::time::sleep(BIND_RETRY_DELAY).await
+            }
             result => return result,
         }
     }
@@ -92,7 +94,7 @@
                 Ok((stream, _)) => {
                     connections.spawn(serve(stream, router.clone()));
                 }
-                Err(_) => tokio::time::sleep(BIND_PAUSE).await,
+                Err(_) => tokio::time::sleep(BIND_RETRY_DELAY).await,
             },
             Some(_) = connections.join_next() => {}
         }
@@ -112,8 +114,8 @@
 
 async fn answer(router: Router, request: Request) -> Result<Response, Arc<io::Error>> {
     let response = router.oneshot(request).await.unwrap_or_else(|never: Infallible| match never {});
-    match response.extensions().get::<Lost>() {
-        Some(Lost) => Err(Arc::new(io::Error::other("answer lost on purpose"))),
+    match response.extensions().get::<LoseAnswer>() {
+        Some(LoseAnswer) => Err(Arc::new(io::Error::other("answer lost on purpose"))),
         None => Ok(response),
     }
 }
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -25,12 +25,12 @@
 use tokio::{sync::watch, time::Instant};
 use types::host::List;
 
-use crate::net::{Listener, Lost};
+use crate::net::{Listener, LoseAnswer};
 
 /// Largest value, in bytes.
-pub const VALUE_LIMIT: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-const HISTORY: usize = 10_000;
+const MAX_HISTORY: usize = 10_000;
 
 /// How the platform misbehaves.
 #[derive(Clone, Debug, Default)]
@@ -106,9 +106,9 @@
         let router = Router::new()
             .route("/objects", get(list))
             .route("/objects/{*key}", get(read).put(put).delete(delete))
-            .route("/watch", get(wait))
+            .route("/watch", get(watch))
             .route("/hosts", get(hosts))
-            .layer(middleware::from_fn_with_state(shared.clone(), misbehave))
+            .layer(middleware::from_fn_with_state(shared.clone(), inject_faults))
             .with_state(shared.clone());
         let listener = Listener::start(router).await?;
         Ok(Platform { listener, shared })
@@ -183,13 +183,13 @@
             None => self.objects.remove(&key),
         };
         self.history.push_back(Event { version, key, value });
-        if HISTORY < self.history.len() {
+        if MAX_HISTORY < self.history.len() {
             self.history.pop_front();
         }
         version
     }
 
-    fn shown_list(&mut self) -> List {
+    fn visible_list(&mut self) -> List {
         let now = Instant::now();
         while self.pending.front().is_some_and(|(due, _)| *due <= now) {
             if let Some((_, list)) = self.pending.pop_front() {
@@ -213,7 +213,11 @@
 }
 
 /// Counts the call, then lets it through, delays it, refuses it, or loses its answer.
-async fn misbehave(State(shared): State<Arc<Shared>>, request: Request, next: Next) -> Response {
+async fn inject_faults(
+    State(shared): State<Arc<Shared>>,
+    request: Request,
+    next: Next,
+) -> Response {
     let is_write = request.method() != axum::http::Method::GET;
     let (latency, refusal) = {
         let mut state = shared.state();
@@ -227,8 +231,8 @@
         return refusal;
     }
     let mut response = next.run(request).await;
-    if is_write && response.status().is_success() && take_loss(&shared) {
-        response.extensions_mut().insert(Lost);
+    if is_write && response.status().is_success() && consume_lost_answer(&shared) {
+        response.extensions_mut().insert(LoseAnswer);
     }
     response
 }
@@ -256,7 +260,7 @@
     None
 }
 
-fn take_loss(shared: &Shared) -> bool {
+fn consume_lost_answer(shared: &Shared) -> bool {
     let mut state = shared.state();
     let is_lost = 0 < state.fault.lost_answers;
     state.fault.lost_answers = state.fault.lost_answers.saturating_sub(1);
@@ -271,12 +275,12 @@
 }
 
 #[derive(Deserialize)]
-struct Prefix {
+struct ListQuery {
     #[serde(default)]
     prefix: String,
 }
 
-async fn list(State(shared): State<Arc<Shared>>, Query(query): Query<Prefix>) -> Response {
+async fn list(State(shared): State<Arc<Shared>>, Query(query): Query<ListQuery>) -> Response {
     let state = shared.state();
     let objects: Vec<Value> = state
         .objects
@@ -293,7 +297,7 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    if VALUE_LIMIT < body.len() {
+    if MAX_VALUE_BYTES < body.len() {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
     let Ok(value) = serde_json::from_slice::<Value>(&body) else {
@@ -314,16 +318,16 @@
     let mut state = shared.state();
     let current = state.objects.get(&key).map(|(version, _)| *version);
     let must_be_absent = headers.contains_key(header::IF_NONE_MATCH);
-    let wanted = headers
+    let expected = headers
         .get(header::IF_MATCH)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.trim_matches('"').parse::<u64>().ok());
-    let holds = match (must_be_absent, wanted) {
+    let is_met = match (must_be_absent, expected) {
         (true, _) => current.is_none(),
         (false, Some(version)) => current == Some(version),
         (false, None) => return StatusCode::PRECONDITION_REQUIRED.into_response(),
     };
-    if !holds {
+    if !is_met {
         return StatusCode::PRECONDITION_FAILED.into_response();
     }
     let version = state.put(key, value);
@@ -333,14 +337,14 @@
 }
 
 #[derive(Deserialize)]
-struct Watch {
+struct WatchQuery {
     #[serde(default)]
     prefix: String,
     from: u64,
     timeout_ms: u64,
 }
 
-async fn wait(State(shared): State<Arc<Shared>>, Query(query): Query<Watch>) -> Response {
+async fn watch(State(shared): State<Arc<Shared>>, Query(query): Query<WatchQuery>) -> Response {
     let deadline = Instant::now() + Duration::from_millis(query.timeout_ms);
     let mut revision = shared.revision.subscribe();
     loop {
@@ -358,7 +362,7 @@
     }
 }
 
-fn changes(shared: &Shared, query: &Watch) -> Option<Response> {
+fn changes(shared: &Shared, query: &WatchQuery) -> Option<Response> {
     let state = shared.state();
     let oldest = state.history.front().map_or(state.revision + 1, |event| event.version);
     if query.from + 1 < oldest {
@@ -377,7 +381,7 @@
 }
 
 async fn hosts(State(shared): State<Arc<Shared>>) -> Json<List> {
-    Json(shared.state().shown_list())
+    Json(shared.state().visible_list())
 }
 
 fn etag(version: u64) -> [(header::HeaderName, String); 1] {
--- a/crates/standin/src/page.rs
+++ b/crates/standin/src/page.rs
@@ -1,18 +1,18 @@
 //! Pages whose console blocks are run by tests.
 
-/// Whether a page's line shows what was printed; `...` stands for anything, and runs of blanks
+/// Whether a page's output shows what was printed; `...` stands for anything, and runs of blanks
 /// count as one.
-pub fn is_shown(line: &str, shown: &str) -> bool {
+pub fn is_shown(output: &str, pattern: &str) -> bool {
     let squeeze = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
-    let line = squeeze(line);
-    let shown = squeeze(shown);
-    let mut rest = line.as_str();
-    for (index, piece) in shown.split("...").enumerate() {
+    let output = squeeze(output);
+    let pattern = squeeze(pattern);
+    let mut rest = output.as_str();
+    for (index, piece) in pattern.split("...").enumerate() {
         match rest.find(piece) {
             Some(0) => rest = &rest[piece.len()..],
-            Some(place) if index != 0 => rest = &rest[place + piece.len()..],
+            Some(offset) if index != 0 => rest = &rest[offset + piece.len()..],
             _ => return false,
         }
     }
-    rest.is_empty() || shown.ends_with("...")
+    rest.is_empty() || pattern.ends_with("...")
 }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -24,7 +24,7 @@
 use serde_json::json;
 use types::{backend, order::Role, report::Load};
 
-use crate::net::{Listener, Lost};
+use crate::net::{Listener, LoseAnswer};
 
 /// Header by which a caller names the effect that must happen once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -76,7 +76,7 @@
         });
         let router = Router::new()
             .fallback(run)
-            .layer(middleware::from_fn_with_state(shared.clone(), lose))
+            .layer(middleware::from_fn_with_state(shared.clone(), inject_faults))
             .route("/load", get(load))
             .with_state(shared.clone());
         let listener = Listener::start(router).await?;
@@ -118,18 +118,22 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-async fn lose(State(shared): State<Arc<Shared>>, request: Request, next: Next) -> Response {
-    if take(&mut lock(&shared.fault).refusals) {
+async fn inject_faults(
+    State(shared): State<Arc<Shared>>,
+    request: Request,
+    next: Next,
+) -> Response {
+    if consume(&mut lock(&shared.fault).refusals) {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
     let mut response = next.run(request).await;
-    if take(&mut lock(&shared.fault).lost_answers) {
-        response.extensions_mut().insert(Lost);
+    if consume(&mut lock(&shared.fault).lost_answers) {
+        response.extensions_mut().insert(LoseAnswer);
     }
     response
 }
 
-fn take(count: &mut u32) -> bool {
+fn consume(count: &mut u32) -> bool {
     let is_left = 0 < *count;
     *count = count.saturating_sub(1);
     is_left
@@ -141,7 +145,7 @@
     let path = request.uri().path().to_owned();
     let effect = effect(request.headers());
     shared.running.fetch_add(1, Ordering::Relaxed);
-    let bytes = drain(request.into_body()).await;
+    let bytes = body_length(request.into_body()).await;
     let work = lock(&shared.fault).work;
     if bytes.is_some() {
         shared.total.fetch_add(1, Ordering::Relaxed);
@@ -164,7 +168,7 @@
 }
 
 /// Length of a body, or nothing if it broke off.
-async fn drain(body: Body) -> Option<u64> {
+async fn body_length(body: Body) -> Option<u64> {
     let mut stream = body.into_data_stream();
     let mut bytes = 0;
     while let Some(chunk) = stream.next().await {
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -19,7 +19,7 @@
 };
 
 /// Long enough that nothing in these tests comes by itself within it.
-const SILENCE: Duration = Duration::from_millis(200);
+const QUIET_TIME: Duration = Duration::from_millis(200);
 
 /// An echo server that counts the bytes it got and the connections that ended.
 struct Echo {
@@ -64,50 +64,50 @@
 }
 
 async fn echo_back(mut stream: TcpStream, bytes: &AtomicU64) -> io::Result<()> {
-    let mut piece = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        let length = stream.read(&mut piece).await?;
+        let length = stream.read(&mut chunk).await?;
         if length == 0 {
             return Ok(());
         }
         bytes.fetch_add(length as u64, Ordering::SeqCst);
-        stream.write_all(&piece[..length]).await?;
+        stream.write_all(&chunk[..length]).await?;
     }
 }
 
-async fn link() -> (Echo, Proxy, TcpStream) {
+async fn connect() -> (Echo, Proxy, TcpStream) {
     let echo = Echo::start().await;
     let proxy = Proxy::start(echo.address).await.unwrap();
     let stream = TcpStream::connect(proxy.address()).await.unwrap();
     (echo, proxy, stream)
 }
 
-async fn ask(stream: &mut TcpStream, text: &str) -> io::Result<String> {
+async fn echo_text(stream: &mut TcpStream, text: &str) -> io::Result<String> {
     stream.write_all(text.as_bytes()).await?;
-    hear(stream, text.len()).await
+    read_text(stream, text.len()).await
 }
 
-async fn hear(stream: &mut TcpStream, length: usize) -> io::Result<String> {
+async fn read_text(stream: &mut TcpStream, length: usize) -> io::Result<String> {
     let mut answer = vec![0; length];
     stream.read_exact(&mut answer).await?;
     Ok(String::from_utf8(answer).expect("the echo of text"))
 }
 
-async fn is_silent(stream: &mut TcpStream) -> bool {
-    tokio::time::timeout(SILENCE, stream.read_u8()).await.is_err()
+async fn receives_nothing(stream: &mut TcpStream) -> bool {
+    tokio::time::timeout(QUIET_TIME, stream.read_u8()).await.is_err()
 }
 
-fn is_reset<T: std::fmt::Debug>(result: io::Result<T>) {
+fn assert_reset<T: std::fmt::Debug>(result: io::Result<T>) {
     let kind = result.unwrap_err().kind();
-    let reset = [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe];
-    assert!(reset.contains(&kind), "{kind:?}");
+    let kinds = [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe];
+    assert!(kinds.contains(&kind), "{kind:?}");
 }
 
 #[tokio::test]
 async fn passes_bytes_and_closings_and_counts_them() {
-    let (echo, proxy, mut stream) = link().await;
+    let (echo, proxy, mut stream) = connect().await;
 
-    assert_eq!(ask(&mut stream, "hello").await.unwrap(), "hello");
+    assert_eq!(echo_text(&mut stream, "hello").await.unwrap(), "hello");
     stream.shutdown().await.unwrap();
 
     assert_eq!(stream.read(&mut [0; 8]).await.unwrap(), 0);
@@ -118,52 +118,55 @@
 
 #[tokio::test]
 async fn delay_does_not_add_up_over_pieces() {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
-    let (pieces, delay) = (100, Duration::from_millis(50));
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
+    let (chunks, delay) = (100, Duration::from_millis(50));
     proxy.set(Direction::ToClient, Fault::Delay(delay));
 
     let start = Instant::now();
-    for number in 1..=pieces {
+    for number in 1..=chunks {
         stream.write_all(b"x").await.unwrap();
         echo.until_bytes(4 + number).await;
     }
-    hear(&mut stream, pieces as usize).await.unwrap();
+    read_text(&mut stream, chunks as usize).await.unwrap();
 
     // A delay that adds up takes a hundred times as long as one that doesn't.
     let taken = start.elapsed();
-    assert!(delay <= taken && taken < delay * pieces as u32, "{taken:?}");
+    assert!(delay <= taken && taken < delay * chunks as u32, "{taken:?}");
 }
 
 #[rstest]
 #[case::requests(Direction::ToTarget, 4)]
 #[case::answers(Direction::ToClient, 9)]
 #[tokio::test]
-async fn one_way_loss_holds_one_direction_alone(#[case] way: Direction, #[case] arrived: u64) {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+async fn one_way_loss_holds_one_direction_alone(
+    #[case] direction: Direction,
+    #[case] arrived: u64,
+) {
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
-    proxy.set(way, Fault::Hold);
+    proxy.set(direction, Fault::Hold);
     stream.write_all(b"later").await.unwrap();
-    assert!(is_silent(&mut stream).await);
+    assert!(receives_nothing(&mut stream).await);
     assert_eq!(echo.bytes(), arrived);
 
     proxy.heal();
-    assert_eq!(hear(&mut stream, 5).await.unwrap(), "later");
+    assert_eq!(read_text(&mut stream, 5).await.unwrap(), "later");
 }
 
 #[tokio::test]
 async fn held_link_lets_in_new_connections_and_stays_silent() {
-    let (echo, proxy, _stream) = link().await;
+    let (echo, proxy, _stream) = connect().await;
     proxy.set_both(Fault::Hold);
 
     let mut late = TcpStream::connect(proxy.address()).await.unwrap();
     late.write_all(b"late").await.unwrap();
-    assert!(is_silent(&mut late).await);
+    assert!(receives_nothing(&mut late).await);
     assert_eq!(echo.bytes(), 0);
 
     proxy.heal();
-    assert_eq!(hear(&mut late, 4).await.unwrap(), "late");
+    assert_eq!(read_text(&mut late, 4).await.unwrap(), "late");
 }
 
 #[rstest]
@@ -171,12 +174,12 @@
 #[case::discarded(Fault::Discard)]
 #[tokio::test]
 async fn half_open_connection_stays_at_the_far_end(#[case] fault: Fault) {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
     proxy.set(Direction::ToTarget, fault);
     drop(stream);
-    tokio::time::sleep(SILENCE).await;
+    tokio::time::sleep(QUIET_TIME).await;
     assert_eq!(echo.ended.load(Ordering::SeqCst), 0);
 
     proxy.heal();
@@ -185,46 +188,46 @@
 
 #[tokio::test]
 async fn discarded_bytes_never_come_and_the_connection_is_reset_afterwards() {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
     proxy.set(Direction::ToTarget, Fault::Discard);
     stream.write_all(b"lost").await.unwrap();
-    assert!(is_silent(&mut stream).await);
+    assert!(receives_nothing(&mut stream).await);
     proxy.heal();
 
-    is_reset(stream.read_u8().await);
+    assert_reset(stream.read_u8().await);
     assert_eq!(echo.bytes(), 4);
 }
 
 #[tokio::test]
 async fn cut_resets_both_ends_of_what_stands_and_lets_in_new_ones() {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
     proxy.reset_connections();
 
-    is_reset(stream.read_u8().await);
+    assert_reset(stream.read_u8().await);
     echo.until_ended(1).await;
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut next, "again").await.unwrap(), "again");
+    assert_eq!(echo_text(&mut next, "again").await.unwrap(), "again");
 }
 
 #[tokio::test]
 async fn shut_door_resets_new_connections_alone() {
-    let (_echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (_echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
     proxy.set_new_connections(NewConnections::Reset);
 
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
     let _ = next.write_all(b"hello").await;
-    is_reset(next.read_u8().await);
-    assert_eq!(ask(&mut stream, "still").await.unwrap(), "still");
+    assert_reset(next.read_u8().await);
+    assert_eq!(echo_text(&mut stream, "still").await.unwrap(), "still");
     assert_eq!(proxy.refused(), 1);
 
     proxy.heal();
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut next, "again").await.unwrap(), "again");
+    assert_eq!(echo_text(&mut next, "again").await.unwrap(), "again");
 }
 
 #[rstest]
@@ -233,43 +236,43 @@
 #[case::after_the_last(5)]
 #[tokio::test]
 async fn cut_after_counts_from_when_it_was_set(#[case] limit: u64) {
-    let (_echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (_echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
     proxy.set(Direction::ToClient, Fault::ResetAfter(limit));
     stream.write_all(b"hello").await.unwrap();
 
-    let mut heard = Vec::new();
-    is_reset(stream.read_to_end(&mut heard).await);
-    assert_eq!(heard, &b"hello"[..limit as usize]);
+    let mut received = Vec::new();
+    assert_reset(stream.read_to_end(&mut received).await);
+    assert_eq!(received, &b"hello"[..limit as usize]);
 }
 
 #[tokio::test]
 async fn lost_answer_after_the_request_got_through() {
-    let (echo, proxy, mut stream) = link().await;
-    let trap = proxy.intercept("PUT /objects/a", Interception::LoseAnswer);
-    assert_eq!(ask(&mut stream, "GET /objects/a").await.unwrap(), "GET /objects/a");
-    assert!(!trap.has_triggered());
+    let (echo, proxy, mut stream) = connect().await;
+    let interceptor = proxy.intercept("PUT /objects/a", Interception::LoseAnswer);
+    assert_eq!(echo_text(&mut stream, "GET /objects/a").await.unwrap(), "GET /objects/a");
+    assert!(!interceptor.has_triggered());
 
     stream.write_all(b"PUT /objects/a").await.unwrap();
 
-    is_reset(stream.read_u8().await);
-    assert!(trap.has_triggered());
+    assert_reset(stream.read_u8().await);
+    assert!(interceptor.has_triggered());
     assert_eq!(echo.bytes(), 28);
 }
 
 #[tokio::test]
 async fn lost_request_never_arrives_and_the_next_one_does() {
-    let (echo, proxy, mut stream) = link().await;
-    let trap = proxy.intercept("POST /orders", Interception::LoseRequest);
+    let (echo, proxy, mut stream) = connect().await;
+    let interceptor = proxy.intercept("POST /orders", Interception::LoseRequest);
 
     stream.write_all(b"POST /orders 1").await.unwrap();
-    is_reset(stream.read_u8().await);
-    trap.triggered().await;
+    assert_reset(stream.read_u8().await);
+    interceptor.triggered().await;
     assert_eq!(echo.bytes(), 0);
 
     let mut next = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut next, "POST /orders 2").await.unwrap(), "POST /orders 2");
+    assert_eq!(echo_text(&mut next, "POST /orders 2").await.unwrap(), "POST /orders 2");
 }
 
 #[rstest]
@@ -277,51 +280,51 @@
 #[case::answer(Interception::HoldAnswer, 5)]
 #[tokio::test]
 async fn held_request_comes_after_its_successor(
-    #[case] strike: Interception,
+    #[case] interception: Interception,
     #[case] arrived: u64,
 ) {
-    let (echo, proxy, mut first) = link().await;
-    let trap = proxy.intercept("one", strike);
+    let (echo, proxy, mut first) = connect().await;
+    let interceptor = proxy.intercept("one", interception);
     first.write_all(b"  one").await.unwrap();
-    trap.triggered().await;
+    interceptor.triggered().await;
     assert_eq!(echo.bytes(), arrived);
 
     let mut second = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut second, "two").await.unwrap(), "two");
-    assert!(is_silent(&mut first).await);
-    trap.release();
+    assert_eq!(echo_text(&mut second, "two").await.unwrap(), "two");
+    assert!(receives_nothing(&mut first).await);
+    interceptor.release();
 
-    assert_eq!(hear(&mut first, 5).await.unwrap(), "  one");
+    assert_eq!(read_text(&mut first, 5).await.unwrap(), "  one");
 }
 
 #[tokio::test]
 async fn sliced_bytes_come_whole_and_in_order() {
-    let (_echo, proxy, mut stream) = link().await;
+    let (_echo, proxy, mut stream) = connect().await;
     proxy.slice(1);
     let text = "data: {\"token\":1}\n\n".repeat(50);
 
-    assert_eq!(ask(&mut stream, &text).await.unwrap(), text);
+    assert_eq!(echo_text(&mut stream, &text).await.unwrap(), text);
 }
 
 #[tokio::test]
 async fn target_that_is_gone_resets_the_caller() {
-    let (echo, proxy, _stream) = link().await;
+    let (echo, proxy, _stream) = connect().await;
     let spare = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     proxy.retarget(spare.local_addr().unwrap());
     drop(spare);
 
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
-    is_reset(stream.read_u8().await);
+    assert_reset(stream.read_u8().await);
 
     proxy.retarget(echo.address);
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut stream, "back").await.unwrap(), "back");
+    assert_eq!(echo_text(&mut stream, "back").await.unwrap(), "back");
 }
 
 #[tokio::test]
 async fn dropped_proxy_ends_its_connections() {
-    let (echo, proxy, mut stream) = link().await;
-    ask(&mut stream, "warm").await.unwrap();
+    let (echo, proxy, mut stream) = connect().await;
+    echo_text(&mut stream, "warm").await.unwrap();
 
     drop(proxy);
 
