--- a/crates/standin/examples/report_bytes.rs
+++ b/crates/standin/examples/report_bytes.rs
@@ -1,8 +1,9 @@
-//! Bytes that one reader of load reports costs, with and without the tag of known residents.
+//! Measures the traffic of reading load reports, with and without the tag of known residents.
 //!
-//! Three sizes of engine, a fixed number of reads each; prints bytes for one report.
+//! Reads the reports of three engines with different numbers of models, a fixed number of times
+//! each, and prints the mean bytes per read.
 
-#![allow(clippy::print_stdout, reason = "a measurement prints its result")]
+#![allow(clippy::print_stdout, reason = "the result goes to standard output")]
 
 use std::error::Error;
 
@@ -16,19 +17,19 @@
 
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
-    println!("{:>9} {:>13} {:>13} {:>6}", "residents", "whole B/read", "tagged B/read", "ratio");
+    println!("{:>9} {:>13} {:>13} {:>6}", "residents", "full B/read", "tagged B/read", "ratio");
     for models in MODELS {
         let engine = Engine::start(settings(models)).await?;
-        let untagged = measure(&engine, ReaderState::New).await?;
+        let full = measure(&engine, ReaderState::New).await?;
         let tagged = measure(&engine, ReaderState::Kept).await?;
         let residents = engine.residents().len();
-        let ratio = tagged as f64 / untagged as f64;
-        println!("{residents:>9} {untagged:>13} {tagged:>13} {ratio:>6.2}");
+        let ratio = tagged as f64 / full as f64;
+        println!("{residents:>9} {full:>13} {tagged:>13} {ratio:>6.2}");
     }
     Ok(())
 }
 
-/// Whether the reader knows what it read before.
+/// Whether each read has a new reader, or one that knows the residents of earlier reports.
 #[derive(Clone, Copy)]
 enum ReaderState {
     New,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,9 +1,9 @@
-//! Stand-in of a model engine.
+//! Stand-in for a model engine.
 //!
-//! Batches continuously, one token a step for each running request, after its prompt was read at
-//! the prefill rate. Keeps a small prefix cache and the true accelerator memory, and counts every
-//! overcommit, run and crash. What it answers is a function of prompt and offset alone
-//! ([`token`]), so that a test can tell a right answer from another request's.
+//! Simulates continuous batching: each running request gets one token per step once its prompt has
+//! been processed at the prefill rate. Keeps a small prefix cache and an account of accelerator
+//! memory, and counts overcommits, executions and crashes. The answer is a function of prompt and
+//! offset alone ([`token`]), so that a test can tell it from the answer to another request.
 
 mod batch;
 mod cache;
@@ -26,43 +26,44 @@
 use self::state::State;
 use crate::{net::Listener, weights};
 
-/// A request that holds this text crashes the engine when it starts to run.
+/// Text in a prompt that crashes the engine when the request starts to run.
 pub const POISON: &str = "<<poison>>";
 
-/// Header by which the engine counts runs of one effect.
+/// Header with the idempotency key, by which [`Counts::effects`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
+/// Time from a crash to the restart, unless the settings say otherwise.
 const BOOT_TIME: Duration = Duration::from_millis(200);
 
-/// What an engine is like. Make one with [`Settings::new`] and change its fields.
+/// Configuration of an engine: create it with [`Settings::new`] and change fields as needed.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// Server id that the engine reports.
     pub id: backend::Id,
-    /// Accelerator memory, in MiB.
+    /// Size of the accelerator memory in MiB.
     pub capacity: Mebibytes,
-    /// Most requests that run at once.
+    /// Maximum number of requests in the running batch; others wait.
     pub slots: u32,
-    /// Time of one step.
+    /// Duration of one step, in which each running request gets a token.
     pub step: Duration,
-    /// Prompt tokens read in one step.
+    /// Prompt tokens processed per step, over all running requests.
     pub prefill_rate: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How late cache events and load reports come.
+    /// Minimum age of the load reports that the engine serves.
     pub report_lag: Duration,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with an outdated fencing number are refused.
     pub fenced: bool,
-    /// Units in memory, ready, at each start.
+    /// Units that are loaded and ready at each start, each with its memory.
     pub preload: Vec<(Unit, Mebibytes)>,
-    /// Where weights come from.
+    /// Store that loads take their weights from, and so the time.
     pub weights: weights::Store,
-    /// How long after a crash it starts again; never if there is none.
+    /// Time after a crash by a request until the engine restarts; `None` if it never does.
     pub restart_after: Option<Duration>,
 }
 
 impl Settings {
-    /// A middling engine without anything loaded.
+    /// An engine with 80,000 MiB, 16 slots, steps of 5 ms and nothing loaded.
     pub fn new(id: &str) -> Settings {
         Settings {
             id: id.into(),
@@ -79,14 +80,14 @@
         }
     }
 
-    /// Adds a model that is ready from the start.
+    /// Adds a model that is ready at each start.
     pub fn with_model(mut self, model: &str, version: &str, memory: Mebibytes) -> Settings {
         let unit = Unit::Model { model: model.into(), version: version.into() };
         self.preload.push((unit, memory));
         self
     }
 
-    /// Adds an adapter that is ready from the start.
+    /// Adds an adapter that is ready at each start.
     pub fn with_adapter(
         mut self,
         model: &str,
@@ -100,45 +101,45 @@
     }
 }
 
-/// How the engine misbehaves.
+/// Faults that the engine injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
-    /// Closes the connection on this many orders and never takes them.
+    /// Number of next orders that are dropped: the connection is closed without an answer.
     pub lost_orders: u32,
-    /// Takes this many orders and loses their acknowledgements.
+    /// Number of next orders that are executed, but whose acknowledgements are lost.
     pub lost_acks: u32,
-    /// Closes the connection on this many orders and takes them later.
+    /// Number of next orders whose connection is closed, and that are executed later.
     pub late_orders: u32,
-    /// How much later.
+    /// Delay of the execution of late orders.
     pub lateness: Duration,
-    /// Answers no token after this many steps more, but keeps its connections open.
+    /// Whether the engine generates no tokens, while it keeps its connections open.
     pub frozen: bool,
 }
 
-/// What truly happened on the engine, over all of its runs.
+/// Counters of the engine. They keep counting over crashes and restarts.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Times that memory went over its capacity.
+    /// Loads after which the memory in use exceeded the capacity.
     pub overcommits: u64,
-    /// Most memory taken at any time, in MiB.
+    /// Highest memory use after a load, in MiB.
     pub peak: Mebibytes,
-    /// Requests that began to run, by request id.
+    /// Executions, by request id.
     pub runs: BTreeMap<String, u64>,
-    /// Requests that began to run, by [`IDEMPOTENCY_KEY`] header.
+    /// Executions, by idempotency key.
     pub effects: BTreeMap<String, u64>,
-    /// Requests that arrived.
+    /// Requests that arrived, including those for a model that isn't loaded.
     pub arrivals: u64,
-    /// Requests whose caller went away before their end.
+    /// Requests whose caller disconnected before the answer was complete.
     pub cancels: u64,
-    /// Tokens generated.
+    /// Tokens generated for all requests.
     pub tokens: u64,
-    /// Loads and unloads taken.
+    /// Loads and unloads that were begun.
     pub moves: u64,
-    /// Crashes.
+    /// Crashes, by a request or by [`Engine::crash`].
     pub crashes: u64,
 }
 
-/// A running engine.
+/// A running engine, which stops listening when dropped.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -154,7 +155,7 @@
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts an engine on a loopback port that the system picks.
     ///
     /// # Errors
     ///
@@ -173,51 +174,51 @@
         Ok(Engine { shared })
     }
 
-    /// Where it listens.
+    /// Address of the HTTP interface. It stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         *lock(&self.shared.address)
     }
 
-    /// Its settings.
+    /// The settings that the engine was started with.
     pub fn settings(&self) -> &Settings {
         &self.shared.settings
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults that are injected.
     pub fn fault(&self, change: impl FnOnce(&mut Fault)) {
         change(&mut self.shared.state().fault);
     }
 
-    /// Says in its reports that it is leaving.
+    /// Makes the engine report that it is leaving. It still accepts requests.
     pub fn leave(&self) {
         self.shared.state().leaving = true;
     }
 
-    /// Ends its process at once: connections, memory and queue are gone.
+    /// Simulates the sudden end of the process: connections, memory and queue are lost.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Starts it again after a crash, at the same address.
+    /// Restarts the engine after a crash, at the same address and with the next incarnation number.
     ///
     /// # Errors
     ///
-    /// If its port can't be bound again.
+    /// If the port can't be bound again.
     pub async fn restart(&self) -> io::Result<()> {
         self.shared.restart().await
     }
 
-    /// What truly happened.
+    /// Counters up to now.
     pub fn counts(&self) -> Counts {
         self.shared.state().counts.clone()
     }
 
-    /// What is truly in memory now.
+    /// Units in memory now, without the lag of load reports.
     pub fn residents(&self) -> Vec<resident::Resident> {
         self.shared.state().memory.residents().to_vec()
     }
 
-    /// Requests running or waiting now.
+    /// Number of requests that are running or waiting.
     pub fn in_flight(&self) -> usize {
         self.shared.state().batch.len()
     }
@@ -252,7 +253,7 @@
         self.listen().await
     }
 
-    /// Crashes because of a request, and starts again if the settings say so.
+    /// Crashes because of a request, and restarts after [`Settings::restart_after`].
     fn crash_by_poison(self: &Arc<Self>) {
         let weak: Weak<Shared> = Arc::downgrade(self);
         let pause = self.settings.restart_after;
@@ -262,7 +263,7 @@
             tokio::time::sleep(pause).await;
             let Some(shared) = weak.upgrade() else { return };
             if let Err(error) = shared.restart().await {
-                log::error!(server = &*shared.settings.id; "engine can't start again: {error}");
+                log::error!(server = &*shared.settings.id; "engine cannot restart: {error}");
             }
         });
     }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: who runs, and one token a step for each.
+//! Continuous batching: selects the running requests and generates one token per step for each.
 
 use std::{sync::Weak, time::Duration};
 
@@ -6,12 +6,14 @@
 
 use super::Shared;
 
-/// One token with its place in the answer.
+/// One token of an answer.
 #[derive(Clone, Debug)]
 pub(super) struct Token {
+    /// Index of the token in the answer.
     pub(super) offset: u64,
     pub(super) text: String,
-    /// Whether it is the last of its answer; without it the answer broke off.
+    /// Whether the answer is complete with this token. If the tokens end without it, the engine
+    /// crashed.
     pub(super) is_last: bool,
 }
 
@@ -19,8 +21,11 @@
 pub(super) struct Job {
     pub(super) priority: u8,
     pub(super) prompt: String,
+    /// Prompt tokens that are still to be processed.
     pub(super) prompt_left: u64,
+    /// Offset of the next token.
     pub(super) next: u64,
+    /// Offset at which the answer ends, exclusive.
     pub(super) end: u64,
     pub(super) tokens: mpsc::UnboundedSender<Token>,
 }
@@ -31,7 +36,7 @@
     waiting: Vec<Job>,
 }
 
-/// The token at an offset of the answer to a prompt.
+/// The token at an offset of the answer to a prompt: the offset and a digest of both.
 pub fn token(prompt: &str, offset: u64) -> String {
     let digest = prompt.bytes().fold(offset.wrapping_mul(31), |d, b| {
         d.rotate_left(5).wrapping_add(u64::from(b)).wrapping_mul(0x9e37_79b9)
@@ -60,7 +65,7 @@
         self.running.iter().chain(&self.waiting).map(|job| job.prompt_left).sum()
     }
 
-    /// One step; returns tokens made and requests found cancelled.
+    /// Executes one step. Returns the number of generated tokens and of requests found cancelled.
     fn step(&mut self, slots: u32, prefill_rate: u32) -> (u64, u64) {
         let before = self.len();
         self.running.retain(|job| !job.tokens.is_closed());
@@ -73,7 +78,7 @@
         (tokens, cancels)
     }
 
-    /// Fills free places by priority, then by order of arrival.
+    /// Fills free slots by priority, then by order of arrival.
     fn admit(&mut self, slots: u32) {
         while self.running.len() < slots as usize && !self.waiting.is_empty() {
             let best = self
@@ -103,7 +108,7 @@
                 text: token(&job.prompt, job.next),
                 is_last: job.next + 1 == job.end,
             };
-            // A closed channel is found and counted at the next step.
+            // A closed channel is noticed and counted as a cancelled request in the next step.
             let _ = job.tokens.send(token);
             job.next += 1;
             tokens += 1;
@@ -112,7 +117,7 @@
     }
 }
 
-/// Steps while there is work, until the engine is dropped.
+/// Executes steps while there are requests, until the engine is dropped.
 pub(super) async fn run(shared: Weak<Shared>) {
     const IDLE: Duration = Duration::from_millis(50);
     loop {
@@ -129,7 +134,7 @@
             state.batch.len() == 0
         };
         if is_idle {
-            // A bounded wait, so that a dropped engine ends this task.
+            // The wait is bounded so that this task ends after the engine is dropped.
             let _ = tokio::time::timeout(IDLE, engine.wake.notified()).await;
         }
         drop(engine);
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,10 +1,10 @@
-//! Prefix cache of limited size, with events that have gaps.
+//! Prefix cache of limited size that reports its changes, some of which are lost.
 
 use std::collections::BTreeMap;
 
 use ::backend::wire::{CacheChange, CacheEvent};
 
-/// Every so many events one is lost.
+/// One in this many events is lost, so that readers meet gaps in the sequence.
 const LOSS_INTERVAL: u64 = 10;
 const MAX_EVENTS: usize = 1_000;
 
@@ -22,7 +22,7 @@
         Cache { limit, blocks: BTreeMap::new(), tick: 0, sequence: 0, events: Vec::new() }
     }
 
-    /// Leading blocks that are cached.
+    /// Number of leading blocks that are cached.
     pub(super) fn hits(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine: completions, load reports, orders and the prefix cache.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -69,7 +69,7 @@
     }
 }
 
-/// Format of an answer.
+/// API that an answer is formatted for.
 #[derive(Clone, Copy)]
 enum Format {
     Chat,
@@ -107,7 +107,7 @@
             *state.counts.effects.entry(effect).or_default() += 1;
         }
         if state.leaving {
-            log::debug!(request = request.as_str(); "work for a leaving engine");
+            log::debug!(request = request.as_str(); "request for a leaving engine");
         }
         enqueue(&mut state, headers, &model_request, &prompt)
     };
@@ -164,7 +164,8 @@
         match tokens.recv().await {
             Some(token) if token.is_last => Some((Ok(token), None)),
             Some(token) => Some((Ok(token), Some(tokens))),
-            // The process died under the answer: its connection breaks without an end mark.
+            // The engine crashed before the answer was complete: the connection breaks without an
+            // end mark.
             None => Some((Err(io::Error::other("engine crashed")), None)),
         }
     });
@@ -252,7 +253,7 @@
     }
 }
 
-/// What becomes of an order.
+/// How an order and its acknowledgement are delivered.
 enum OrderDelivery {
     Delivered,
     Lost,
@@ -322,7 +323,7 @@
     Json(shared.state().cache.events(query.from))
 }
 
-/// The export is the list of blocks that are truly cached.
+/// Exports the leading blocks that are cached, or answers with 404 if there are none.
 async fn export(State(shared): State<Arc<Shared>>, Json(mut cache): Json<Cache>) -> Response {
     let hits = shared.state().cache.hits(&cache.blocks);
     if hits == 0 {
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -1,4 +1,4 @@
-//! The true accelerator memory, and the orders that change it.
+//! Accelerator memory, and the orders that change it.
 
 use std::collections::VecDeque;
 
@@ -22,7 +22,7 @@
     role: Role,
 }
 
-/// What must still happen after an order was taken.
+/// Work that remains after an order was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Work {
     Done,
@@ -70,7 +70,7 @@
         self.role
     }
 
-    /// Whether a version of the model, and of the adapter if one is named, is ready.
+    /// Whether any version of the adapter is ready, or of the model if the name has no adapter.
     pub(super) fn is_ready(&self, name: &model::Name) -> bool {
         let mut ready = self.residents.iter().filter(|r| r.state == State::Ready);
         match &name.adapter {
@@ -129,7 +129,8 @@
         }
     }
 
-    /// A real engine would fail here; this one counts, so that the test can.
+    /// Adds a unit even if it exceeds the capacity. A real engine would fail; this one counts the
+    /// overcommit, so that a test can fail on it.
     fn add(&mut self, counts: &mut Counts, unit: &Unit, memory: Mebibytes) {
         self.residents.push(Resident { unit: unit.clone(), memory, state: State::Loading });
         let used: Mebibytes = self.residents.iter().map(|r| r.memory).sum();
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! Everything that one run of the engine's process knows.
+//! State of the engine's process, and what outlives a crash of it.
 
 use std::collections::VecDeque;
 
@@ -55,7 +55,8 @@
         self.memory = Memory::new(settings);
     }
 
-    /// A report as old as the settings' lag.
+    /// The newest report that is at least as old as [`Settings::report_lag`], or else the oldest
+    /// one kept.
     pub(super) fn report(&mut self, settings: &Settings) -> report::Load {
         let now = Instant::now();
         let current = self.snapshot(settings);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,12 +1,14 @@
-//! A proxy between two TCP ends that misbehaves on request.
+//! TCP proxy that injects faults on request.
 //!
-//! A test puts one on a link (host to platform, host to server, host to host, caller to host) and
-//! changes it while it runs. Faults belong to one direction, so that loss may be one-way. TCP never
-//! loses bytes within a stream, so loss is what the ends see of it: silence for as long as
-//! the fault lasts ([`Fault::Hold`]), a connection that one end has left and the other hasn't
-//! noticed ([`Fault::Discard`]), or a reset ([`Proxy::reset_connections`], [`Fault::ResetAfter`]). A [`Interceptor`] waits
-//! for one request by its text and strikes just that one. Small writes come from `tokio-netem`;
-//! delay doesn't, since its delay adds up over the writes of a stream where a long link's doesn't.
+//! A test puts a proxy on a link (host to platform, host to server, host to host, caller to host)
+//! and changes its faults while it runs. Faults apply to one direction, so that loss may be
+//! one-way. TCP loses no bytes within a stream, so loss is simulated by what the ends observe:
+//! silence for as long as the fault lasts ([`Fault::Hold`]), a connection that one end has closed
+//! while the other has not noticed ([`Fault::Discard`]), or a reset ([`Proxy::reset_connections`],
+//! [`Fault::ResetAfter`]). An [`Interceptor`] affects a single request, which it finds by its text.
+//!
+//! Small writes are implemented by `tokio-netem`. Delay is not, because the delay of `tokio-netem`
+//! adds up over the writes of a stream, while that of a long link does not.
 
 mod connection;
 mod intercept;
@@ -31,12 +33,12 @@
 use self::connection::Connection;
 pub use self::intercept::{Interception, Interceptor};
 
-/// Direction of bytes.
+/// Direction in which bytes flow through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Direction {
-    /// From the end that connects to the target.
+    /// From the connecting client to the target.
     ToTarget,
-    /// From the target to the end that connected.
+    /// From the target to the connecting client.
     ToClient,
 }
 
@@ -48,38 +50,38 @@
 /// What happens to the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// They pass.
+    /// Bytes pass.
     #[default]
     Pass,
-    /// They pass this much later; the order and the rate stay.
+    /// Bytes pass later by this time, in the same order and at the same rate.
     Delay(Duration),
-    /// They wait, and so do closings, until another fault is set.
+    /// Bytes and closings are held until another fault is set.
     Hold,
-    /// They and closings are thrown away; a connection that lost any is reset as soon as another
+    /// Bytes and closings are discarded. A connection that lost any is reset as soon as another
     /// fault is set.
     Discard,
-    /// So many more pass on each connection, then it is reset.
+    /// This many more bytes pass on each connection, which is then reset.
     ResetAfter(u64),
 }
 
-/// Whether new connections are let in.
+/// What the proxy does with new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NewConnections {
-    /// They are.
+    /// Forwards them to the target.
     #[default]
     Accept,
-    /// They are reset at once, as by a machine without a listener.
+    /// Resets them at once, as a machine without a listener does.
     Reset,
 }
 
-/// A fault and the number of the change that set it.
+/// The fault of one direction, and the number of changes so far, which identifies the last one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Setting {
     fault: Fault,
     change: u64,
 }
 
-/// What the proxy and its connections share.
+/// State that the proxy shares with its connections.
 #[derive(Debug)]
 struct Shared {
     target: watch::Sender<SocketAddr>,
@@ -111,7 +113,7 @@
     }
 }
 
-/// A running proxy; it ends, with all its connections, when dropped.
+/// A running proxy, which ends with all its connections when dropped.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -129,7 +131,7 @@
         Proxy::on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?, target)
     }
 
-    /// Starts a proxy to `target` on a listener.
+    /// Starts a proxy to `target` on a bound listener.
     ///
     /// # Errors
     ///
@@ -153,17 +155,17 @@
         Ok(Proxy { address, shared, accepting })
     }
 
-    /// Where it listens.
+    /// Address that clients connect to in place of the target.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends new connections to another target; those that stand stay.
+    /// Sends new connections to another target. Existing connections keep theirs.
     pub fn retarget(&self, target: SocketAddr) {
         self.shared.target.send_replace(target);
     }
 
-    /// Sets the fault of one direction, for connections that stand and for new ones.
+    /// Sets the fault of one direction, for existing and new connections.
     pub fn set(&self, direction: Direction, fault: Fault) {
         self.shared.setting(direction).send_modify(|setting| {
             setting.fault = fault;
@@ -176,47 +178,51 @@
         Direction::BOTH.into_iter().for_each(|direction| self.set(direction, fault));
     }
 
-    /// Opens or shuts the door to new connections.
+    /// Sets what happens to new connections. Existing connections are not affected.
     pub fn set_new_connections(&self, new: NewConnections) {
         self.shared.new_connections.send_replace(new);
     }
 
-    /// Lets everything pass again.
+    /// Removes all faults and the limit of writes, and accepts new connections. Interceptors stay.
     pub fn heal(&self) {
         self.shared.max_write.set(0);
         self.set_new_connections(NewConnections::Accept);
         self.set_both(Fault::Pass);
     }
 
-    /// Resets every connection that stands.
+    /// Resets all existing connections.
     pub fn reset_connections(&self) {
         self.shared.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Writes at most this many bytes at a time; zero writes as they come.
+    /// Limits each write to this many bytes; 0 removes the limit.
     pub fn slice(&self, bytes: usize) {
         self.shared.max_write.set(bytes);
     }
 
-    /// Lays a trap for the next request whose text holds `text`.
+    /// Intercepts the next request that contains `text`.
+    ///
+    /// Each chunk is searched on its own, so the text should be in the request's first line or at
+    /// the start of its headers, where it is unlikely to be split.
+    ///
+    /// # Panics
     ///
-    /// The text is looked for in each piece as it was written, so it should stand in the request's
-    /// first line or the start of its headers.
+    /// If `text` is empty.
     pub fn intercept(&self, text: &str, interception: Interception) -> Interceptor {
         self.shared.interceptors.add(text, interception)
     }
 
-    /// Connections let in so far.
+    /// Number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.shared.accepted.load(Ordering::Relaxed)
     }
 
-    /// Connections reset at the door so far.
+    /// Number of new connections reset so far because of [`NewConnections::Reset`].
     pub fn refused(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
 
-    /// Bytes passed on so far in one direction.
+    /// Number of bytes forwarded so far in one direction.
     pub fn bytes(&self, direction: Direction) -> u64 {
         self.shared.bytes(direction).load(Ordering::Relaxed)
     }
@@ -228,7 +234,8 @@
     }
 }
 
-/// Accepts for good; connections belong to the set, so that aborting this task ends them.
+/// Accepts connections until aborted. They belong to the `JoinSet`, so that aborting this task
+/// closes them.
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     let mut connections = JoinSet::new();
@@ -253,7 +260,7 @@
     connections.spawn(Connection::new(Arc::clone(shared)).run(stream));
 }
 
-/// Makes the coming close a reset. A socket that is gone already needs none.
+/// Makes the next close of the socket a reset. An error means that the socket is closed already.
 fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
--- a/crates/standin/src/fault/connection.rs
+++ b/crates/standin/src/fault/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through the proxy: two pumps and what stops them.
+//! One connection through the proxy: forwards both directions until they end or a fault resets it.
 
 use std::sync::{Arc, Mutex, PoisonError, atomic::Ordering};
 
@@ -12,35 +12,35 @@
 
 use super::{Direction, Fault, Interception, Interceptor, Setting, Shared, reset};
 
-/// Most bytes read at a time.
+/// Maximum number of bytes read at a time.
 const MAX_CHUNK: usize = 16 * 1024;
 
-/// Most pieces on their way in one direction.
+/// Maximum number of chunks queued in one direction.
 const MAX_QUEUED_CHUNKS: usize = 1024;
 
-/// What a pump reads, and when it is due at the other end.
+/// An event of one end, and when it is due at the other end.
 struct Item {
     due: Instant,
     event: Event,
 }
 
-/// What one end does.
+/// What was read from one end.
 enum Event {
     Data(Vec<u8>),
-    /// It closed its direction.
+    /// The end closed its direction of the connection.
     Closed,
-    /// It reset the connection or broke.
+    /// The end reset the connection, or reading failed.
     Broken,
 }
 
-/// Why a pump stopped before both ends had closed.
+/// Reason to stop forwarding before both ends have closed: the connection is to be reset.
 struct Reset;
 
-/// One connection.
+/// A connection of a client to the target.
 pub(super) struct Connection {
     shared: Arc<Shared>,
     resets: watch::Receiver<u64>,
-    /// The interceptor that waits for this connection's answer.
+    /// Interceptor that has matched a request and waits for its answer.
     pending_answer: Mutex<Option<Interceptor>>,
 }
 
@@ -50,7 +50,8 @@
         Connection { shared, resets, pending_answer: Mutex::new(None) }
     }
 
-    /// Carries bytes until both ends have closed, one breaks, or a fault resets it.
+    /// Forwards bytes until both ends have closed, one end breaks, or a fault resets the
+    /// connection.
     pub(super) async fn run(self, mut client: TcpStream) {
         let mut resets = self.resets.clone();
         let target = *self.shared.target.borrow();
@@ -58,7 +59,7 @@
             reset(&client);
             return;
         };
-        // Without this, small pieces would wait for acknowledgements and look like a fault.
+        // Without this, small chunks would wait for acknowledgements, which looks like a fault.
         let _ = client.set_nodelay(true);
         let _ = target_stream.set_nodelay(true);
         let ended = {
@@ -117,7 +118,8 @@
                 Event::Broken => return Err(Reset),
             };
             if written.is_err() {
-                // The other pump reads that this end broke, and tells the other end by its own way.
+                // The opposite direction reads that this end is broken, and applies its own fault
+                // before it resets the other end.
                 return Ok(());
             }
             state.reset_if_spent(&settings)?;
@@ -125,7 +127,7 @@
         Ok(())
     }
 
-    /// Lets the traps have a look at a chunk.
+    /// Applies interceptors to a chunk.
     async fn intercept(&self, direction: Direction, chunk: &[u8]) -> Result<(), Reset> {
         match direction {
             Direction::ToTarget => self.intercept_request(chunk).await,
@@ -168,11 +170,11 @@
     }
 }
 
-/// Applies the fault in force to one direction of one connection.
+/// Applies the current fault to one direction of one connection.
 struct FaultState {
-    /// Bytes passed since the fault in force was set; counted only for [`Fault::ResetAfter`].
+    /// Bytes forwarded since the current fault was set. Counted only for [`Fault::ResetAfter`].
     passed: u64,
-    /// The change that set it.
+    /// Number of the change that set the current fault.
     change: u64,
 }
 
@@ -215,7 +217,8 @@
         Ok(Event::Data(chunk))
     }
 
-    /// Resets as soon as the last byte allowed has passed, without waiting for one more.
+    /// Resets as soon as the last allowed byte has been forwarded, without waiting for the next
+    /// one.
     fn reset_if_spent(&mut self, settings: &watch::Receiver<Setting>) -> Result<(), Reset> {
         let setting = *settings.borrow();
         match setting.fault {
@@ -227,7 +230,7 @@
     }
 }
 
-/// Reads pieces and stamps each with the time that it is due.
+/// Reads chunks and queues each with the time at which it is due.
 async fn read(
     mut from: impl AsyncReadExt + Unpin,
     settings: watch::Receiver<Setting>,
--- a/crates/standin/src/fault/intercept.rs
+++ b/crates/standin/src/fault/intercept.rs
@@ -1,23 +1,23 @@
-//! Interceptors that strike one request, found by its text.
+//! Interceptors, which lose or hold one request or its answer.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use tokio::sync::watch;
 
-/// What a trap does to the request that it catches.
+/// What an interceptor does to the request that it matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interception {
-    /// Resets the connection in place of the request: it never arrives.
+    /// Resets the connection instead of forwarding the request, which never arrives.
     LoseRequest,
-    /// Lets the request through and resets the connection in place of the answer.
+    /// Forwards the request, and resets the connection instead of forwarding the answer.
     LoseAnswer,
-    /// Keeps the request back, and all after it on its connection, until released.
+    /// Holds the request, and all that follows on its connection, until released.
     HoldRequest,
-    /// Keeps the answer back, and all after it on its connection, until released.
+    /// Holds the answer, and all that follows on its connection, until released.
     HoldAnswer,
 }
 
-/// How far a trap is.
+/// Progress of an interceptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Armed,
@@ -26,7 +26,7 @@
     Released,
 }
 
-/// A trap that was laid; the test's end of it.
+/// Handle of an interceptor, by which a test observes and releases it.
 #[derive(Clone, Debug)]
 pub struct Interceptor {
     inner: Arc<Inner>,
@@ -40,17 +40,17 @@
 }
 
 impl Interceptor {
-    /// Waits until it has struck: for a lost or held answer, until the answer had come.
+    /// Waits until the interceptor has acted; for a lost or held answer, until the answer has come.
     pub async fn triggered(&self) {
         self.wait_for_stage(Stage::Triggered).await;
     }
 
-    /// Whether it has struck.
+    /// Whether the interceptor has acted.
     pub fn has_triggered(&self) -> bool {
         Stage::Triggered <= *self.inner.stage.borrow()
     }
 
-    /// Lets what it holds go on, or takes it up if it has caught nothing yet.
+    /// Forwards what the interceptor holds, or disarms it if it has matched nothing yet.
     pub fn release(&self) {
         self.inner.stage.send_replace(Stage::Released);
     }
@@ -75,7 +75,7 @@
 
     async fn wait_for_stage(&self, stage: Stage) {
         let mut changes = self.inner.stage.subscribe();
-        // The sender lives as long as this trap does, so the wait ends with the stage alone.
+        // The sender lives as long as this handle, so the wait ends only when the stage is reached.
         let _ = changes.wait_for(|now| stage <= *now).await;
     }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// The traps laid on one proxy.
+/// Armed interceptors of one proxy.
 #[derive(Debug, Default)]
 pub(super) struct Interceptors {
     armed: Mutex<Vec<Interceptor>>,
@@ -94,7 +94,7 @@
 
 impl Interceptors {
     pub(super) fn add(&self, text: &str, interception: Interception) -> Interceptor {
-        assert!(!text.is_empty(), "a trap needs a text to look for");
+        assert!(!text.is_empty(), "an interceptor needs a text to match");
         let stage = watch::Sender::new(Stage::Armed);
         let interceptor =
             Interceptor { inner: Arc::new(Inner { text: text.into(), interception, stage }) };
@@ -102,7 +102,7 @@
         interceptor
     }
 
-    /// The first trap that this chunk of a request walks into; it won't catch another.
+    /// Removes and returns the first interceptor that matches a chunk of a request.
     pub(super) fn take_match(&self, chunk: &[u8]) -> Option<Interceptor> {
         let mut armed = self.armed.lock().unwrap_or_else(PoisonError::into_inner);
         let index = armed.iter().position(|interceptor| interceptor.matches(chunk))?;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins of the systems that hosts meet. Not shipped.
+//! Stand-ins for the systems that hosts talk to, for tests, examples and benchmarks. Not shipped.
 //!
-//! Each listens on loopback at a port that the system picks, keeps its own count of what truly
-//! happened, and misbehaves on request. Verdicts of tests rest on these counts, not on what the
-//! system under test says of itself.
+//! Each stand-in listens on a loopback port that the system picks, counts what happened to it, and
+//! injects faults on request. Tests check these counts rather than the reports of the system under
+//! test.
 
 pub mod engine;
 pub mod fault;
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -1,4 +1,4 @@
-//! A listener that can be cut off, killed and started again on its port.
+//! HTTP listener that can be killed with all its connections and started again on the same port.
 
 use std::{
     convert::Infallible,
@@ -23,11 +23,11 @@
 const BIND_ATTEMPTS: u32 = 100;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Marks an answer that must not reach the caller: its connection is closed instead.
+/// Response extension that makes the listener close the connection instead of sending the response.
 #[derive(Clone, Copy, Debug)]
 pub struct LoseAnswer;
 
-/// A running listener; it ends when dropped.
+/// A running listener, which is killed when dropped.
 #[derive(Debug)]
 pub struct Listener {
     address: SocketAddr,
@@ -44,7 +44,7 @@
         Listener::start_at((Ipv4Addr::LOCALHOST, 0).into(), router).await
     }
 
-    /// Serves `router` at `address`, waiting a little for an earlier owner to let go of it.
+    /// Serves `router` at `address`. Retries for about 2 s while the address is still in use.
     ///
     /// # Errors
     ///
@@ -56,12 +56,12 @@
         Ok(Listener { address, accepting })
     }
 
-    /// Where it listens.
+    /// Address that it is bound to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends it at once, with every connection that it has.
+    /// Stops listening and closes all connections at once.
     pub fn kill(&self) {
         self.accepting.abort();
     }
@@ -85,7 +85,8 @@
     TcpListener::bind(address).await
 }
 
-/// Accepts for good; connections belong to the set, so that aborting this task ends them.
+/// Accepts connections until aborted. They belong to the `JoinSet`, so that aborting this task
+/// closes them.
 async fn accept(listener: TcpListener, router: Router) {
     let mut connections = JoinSet::new();
     loop {
@@ -106,7 +107,7 @@
     let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
         answer(router.clone(), request.map(Body::new))
     });
-    // A broken connection is the peer's affair and no error of the stand-in.
+    // A broken connection is not an error of the stand-in.
     let _ = auto::Builder::new(TokioExecutor::new())
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform: the object API and the host list.
+//! Stand-in for the platform: the object API and the host list.
 //!
-//! Objects are JSON values with versions from one counter. The [`Handle`] switches on outages,
-//! latency, rate limits and lost answers, and counts every call.
+//! Objects are JSON values, with versions from one counter. [`Fault`] switches on outages, latency,
+//! rate limits and lost answers, and [`Calls`] counts every call.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -27,42 +27,43 @@
 
 use crate::net::{Listener, LoseAnswer};
 
-/// Largest value, in bytes.
+/// Maximum length of the body of a write; a longer one is refused with 413.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
+/// Number of changes that are kept; a watch from before them is answered with 410.
 const MAX_HISTORY: usize = 10_000;
 
-/// How the platform misbehaves.
+/// Faults that the platform injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
-    /// Answers every call with 503.
+    /// Whether every call is answered with 503.
     pub down: bool,
-    /// Waits this long before each answer.
+    /// Delay of each answer.
     pub latency: Duration,
-    /// Takes this many writes and loses their answers.
+    /// Number of next writes that are executed, but whose answers are lost.
     pub lost_answers: u32,
-    /// Most calls a second; zero for no limit.
+    /// Maximum number of calls per second; 0 for no limit.
     pub rate: u32,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
-    /// Reads, of one object or a list.
+    /// Reads of one object or a list of objects.
     pub reads: u64,
-    /// Writes, also those refused.
+    /// Writes, including refused ones.
     pub writes: u64,
-    /// Watches.
+    /// Watches, including those that ended without a change.
     pub watches: u64,
-    /// Reads of the host list.
+    /// Reads of the list of hosts.
     pub lists: u64,
-    /// Calls refused by rate.
+    /// Calls refused by the rate limit.
     pub limited: u64,
-    /// Calls refused in an outage.
+    /// Calls refused because of [`Fault::down`].
     pub refused: u64,
 }
 
-/// The running stand-in.
+/// A running platform, which ends when dropped.
 #[derive(Debug)]
 pub struct Platform {
     listener: Listener,
@@ -96,7 +97,7 @@
 }
 
 impl Platform {
-    /// Starts it, empty.
+    /// Starts a platform without objects on a loopback port that the system picks.
     ///
     /// # Errors
     ///
@@ -106,7 +107,7 @@
         let router = Router::new()
             .route("/objects", get(list))
             .route("/objects/{*key}", get(read).put(put).delete(delete))
-            .route("/watch", get(watch))
+            .route("/watch", get(watch_changes))
             .route("/hosts", get(hosts))
             .layer(middleware::from_fn_with_state(shared.clone(), inject_faults))
             .with_state(shared.clone());
@@ -114,22 +115,22 @@
         Ok(Platform { listener, shared })
     }
 
-    /// Where it listens.
+    /// Address of the object API and the host list.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults that are injected.
     pub fn fault(&self, change: impl FnOnce(&mut Fault)) {
         change(&mut self.shared.state().fault);
     }
 
-    /// Sets how long the host list lags.
+    /// Sets the delay after which a changed host list becomes visible.
     pub fn list_lag(&self, lag: Duration) {
         self.shared.state().list_lag = lag;
     }
 
-    /// Sets the host list; it shows after the lag.
+    /// Sets the host list, which becomes visible after [`Platform::list_lag`].
     pub fn set_list(&self, list: List) {
         let mut state = self.shared.state();
         if state.list_lag.is_zero() {
@@ -141,22 +142,22 @@
         state.pending.push_back((due, list));
     }
 
-    /// Calls so far.
+    /// Number of calls up to now.
     pub fn calls(&self) -> Calls {
         self.shared.state().calls
     }
 
-    /// Reads an object from behind, uncounted.
+    /// Reads an object with its version, bypassing the API, faults and counters.
     pub fn peek(&self, key: &str) -> Option<(u64, Value)> {
         self.shared.state().objects.get(key).cloned()
     }
 
-    /// Keys under a prefix, uncounted.
+    /// Lists the keys with a prefix, bypassing the API, faults and counters.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.shared.state().objects.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
-    /// Writes an object from behind, uncounted.
+    /// Writes an object, bypassing the API, faults and counters. Returns its new version.
     pub fn poke(&self, key: &str, value: Value) -> u64 {
         self.shared.put(key.to_owned(), Some(value))
     }
@@ -212,7 +213,7 @@
     }
 }
 
-/// Counts the call, then lets it through, delays it, refuses it, or loses its answer.
+/// Counts the call, and delays it, refuses it or loses its answer as [`Fault`] says.
 async fn inject_faults(
     State(shared): State<Arc<Shared>>,
     request: Request,
@@ -344,7 +345,10 @@
     timeout_ms: u64,
 }
 
-async fn watch(State(shared): State<Arc<Shared>>, Query(query): Query<WatchQuery>) -> Response {
+async fn watch_changes(
+    State(shared): State<Arc<Shared>>,
+    Query(query): Query<WatchQuery>,
+) -> Response {
     let deadline = Instant::now() + Duration::from_millis(query.timeout_ms);
     let mut revision = shared.revision.subscribe();
     loop {
--- a/crates/standin/src/page.rs
+++ b/crates/standin/src/page.rs
@@ -1,7 +1,7 @@
-//! Pages whose console blocks are run by tests.
+//! Helper for tests that run the console examples of documentation pages.
 
-/// Whether a page's output shows what was printed; `...` stands for anything, and runs of blanks
-/// count as one.
+/// Whether a line of output matches a line of a page, in which `...` stands for any text. Runs of
+/// blanks count as one blank.
 pub fn is_shown(output: &str, pattern: &str) -> bool {
     let squeeze = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
     let output = squeeze(output);
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service: it counts each call that it runs.
+//! Stand-in for a plain service, which counts the calls that it executes.
 
 use std::{
     collections::BTreeMap,
@@ -26,21 +26,21 @@
 
 use crate::net::{Listener, LoseAnswer};
 
-/// Header by which a caller names the effect that must happen once.
+/// Header with the idempotency key, by which [`Plain::runs`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// How the service misbehaves.
+/// Faults that the service injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
-    /// Time that each call takes.
+    /// Execution time of each call.
     pub work: Duration,
-    /// Runs this many calls and loses their answers.
+    /// Number of next calls that are executed, but whose answers are lost.
     pub lost_answers: u32,
-    /// Answers this many calls with 503, unrun.
+    /// Number of next calls that are answered with 503 and not executed.
     pub refusals: u32,
 }
 
-/// A running plain service.
+/// A running plain service, which ends when dropped.
 #[derive(Debug)]
 pub struct Plain {
     listener: Listener,
@@ -59,7 +59,8 @@
 }
 
 impl Plain {
-    /// Starts it.
+    /// Starts a service on a loopback port that the system picks; `id` is the server id that it
+    /// reports.
     ///
     /// # Errors
     ///
@@ -83,32 +84,32 @@
         Ok(Plain { listener, shared })
     }
 
-    /// Where it listens.
+    /// Address for calls and for load reports.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults that are injected.
     pub fn fault(&self, change: impl FnOnce(&mut Fault)) {
         change(&mut lock(&self.shared.fault));
     }
 
-    /// Says in its reports that it is leaving.
+    /// Makes the service report that it is leaving. It still accepts calls.
     pub fn leave(&self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Ends it at once, with every connection.
+    /// Stops listening and closes all connections at once.
     pub fn kill(&self) {
         self.listener.kill();
     }
 
-    /// Calls run so far.
+    /// Number of calls executed so far.
     pub fn total(&self) -> u64 {
         self.shared.total.load(Ordering::Relaxed)
     }
 
-    /// Calls run so far by [`IDEMPOTENCY_KEY`] header.
+    /// Number of calls executed so far, by idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.runs).clone()
     }
@@ -139,7 +140,7 @@
     is_left
 }
 
-/// Reads the body to its end, counts the run, and echoes what it got.
+/// Reads the whole body, counts the execution, and answers with a description of the request.
 async fn run(State(shared): State<Arc<Shared>>, request: Request) -> Response {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
@@ -167,7 +168,7 @@
     headers.get(IDEMPOTENCY_KEY).and_then(|v| v.to_str().ok()).map(str::to_owned)
 }
 
-/// Length of a body, or nothing if it broke off.
+/// Length of a body, or `None` if it was truncated.
 async fn body_length(body: Body) -> Option<u64> {
     let mut stream = body.into_data_stream();
     let mut bytes = 0;
--- a/crates/standin/src/routed/soak/judge/poison.rs
+++ b/crates/standin/src/routed/soak/judge/poison.rs
@@ -81,7 +81,8 @@
         if refused.len() <= MAX_UNEXPLAINED {
             return Vec::new();
         }
-        let what = "answered with 502, as maybe executed, though it reached no server";
+        let what =
+            "answered with 502 as if it might have been executed, though it reached no server";
         let to_breach = |request: &Request| {
             breach(Promise::Innocent, request, request.span.to, what.to_owned())
         };
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the weight store: loads take time, and more at once take longer.
+//! Stand-in for the weight store, with a limited rate and number of concurrent loads.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
     time::Instant,
 };
 
-/// A weight store with a rate and a number of loads at full speed.
+/// A weight store; clones share its limits.
 #[derive(Clone, Debug)]
 pub struct Store {
     permits: Arc<Semaphore>,
@@ -17,7 +17,8 @@
 }
 
 impl Store {
-    /// Takes the loads a second, the loads at once at full speed, and the time of one load.
+    /// Creates a store that starts `rate` loads per second, runs up to `max_concurrent_loads` at a
+    /// time and lets the others wait, and takes `load_time` for each.
     pub fn new(rate: f64, max_concurrent_loads: usize, load_time: Duration) -> Store {
         Store {
             permits: Arc::new(Semaphore::new(max_concurrent_loads)),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Waits as long as one load takes.
+    /// Waits for as long as one load takes, including the wait for its turn.
     pub async fn load(&self) {
         let start = {
             let mut next_start = self.next_start.lock().await;
@@ -36,7 +37,7 @@
             start
         };
         tokio::time::sleep_until(start).await;
-        // The semaphore is never closed; without a permit the load just runs at once.
+        // The semaphore is never closed, so that this waits for a permit.
         let _permit = self.permits.acquire().await;
         tokio::time::sleep(self.load_time).await;
     }
--- a/crates/standin/tests/fault.rs
+++ b/crates/standin/tests/fault.rs
@@ -1,4 +1,4 @@
-//! The proxy's faults, each as the ends of a connection see it.
+//! Tests of the fault proxy: each fault as both ends of a connection observe it.
 
 use std::{
     io::{self, ErrorKind},
@@ -18,10 +18,11 @@
     time::Instant,
 };
 
-/// Long enough that nothing in these tests comes by itself within it.
+/// How long a connection has to stay without bytes to count as silent. Bytes that are not held
+/// arrive well within this time.
 const QUIET_TIME: Duration = Duration::from_millis(200);
 
-/// An echo server that counts the bytes it got and the connections that ended.
+/// Echo server that counts received bytes and ended connections.
 struct Echo {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -90,7 +91,7 @@
 async fn read_text(stream: &mut TcpStream, length: usize) -> io::Result<String> {
     let mut answer = vec![0; length];
     stream.read_exact(&mut answer).await?;
-    Ok(String::from_utf8(answer).expect("the echo of text"))
+    Ok(String::from_utf8(answer).expect("the echo is the text that was sent"))
 }
 
 async fn receives_nothing(stream: &mut TcpStream) -> bool {
@@ -130,7 +131,7 @@
     }
     read_text(&mut stream, chunks as usize).await.unwrap();
 
-    // A delay that adds up takes a hundred times as long as one that doesn't.
+    // A delay that adds up over the chunks would take a hundred times as long.
     let taken = start.elapsed();
     assert!(delay <= taken && taken < delay * chunks as u32, "{taken:?}");
 }
