--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -300,14 +300,14 @@
 
     /// Makes servers state a limit, in hundredths of a request per second, or withdraw it.
     fn set_limit(&self, indices: impl IntoIterator<Item = usize>, limit: Option<u32>) {
-        let named = limit.map(|limit| f64::from(limit) / 100.0);
+        let limit = limit.map(|limit| f64::from(limit) / 100.0);
         for index in indices {
-            let named = named.map(|limit| limit.to_string().into());
-            self.server(index).script(|script| script.limit = named);
+            let limit = limit.map(|limit| limit.to_string().into());
+            self.server(index).script(|script| script.limit = limit);
         }
     }
 
-    /// Changes a setting of a host that is reloadable, and signals the host to reload.
+    /// Changes a setting of a host that takes effect on a reload, and sends it SIGHUP.
     fn reload(&mut self, host: usize) -> Result<(), BoxError> {
         let host = &self.site.hosts[host];
         let mut settings: Value = serde_json::from_str(&std::fs::read_to_string(host.settings())?)?;
@@ -410,7 +410,8 @@
         let old = self.servers[index].0.clone();
         self.server(index).kill();
         self.end_disruption(&Component::Server(old.clone()));
-        // The old server stops registering at once; the store drops its entry a little later.
+        // The old server stops registering at once; its entry is removed from the store a little
+        // later.
         self.site.backend.silence(&old);
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -37,6 +37,7 @@
 
 /// Pause between two requests of one caller, outside bursts.
 const PAUSE_MS: std::ops::Range<u64> = 60..300;
+
 /// Pause between two requests of one caller in a burst.
 const BURST_PAUSE_MS: std::ops::Range<u64> = 40..120;
 
@@ -65,7 +66,8 @@
 pub(super) struct State {
     pub(super) began: Instant,
     pub(super) hosts: Mutex<Vec<HostEntry>>,
-    /// Versions of declarations written so far; each has added a route that callers use.
+    /// Versions of the declarations written during the soak; each has added a route that callers
+    /// use.
     pub(super) versions: Mutex<Vec<Version>>,
     pub(super) requests: Mutex<Vec<Request>>,
     pub(super) is_burst: AtomicBool,
