--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,12 +1,12 @@
-//! Prefix cache of limited size, with events that have gaps.
+//! Prefix cache of limited size that reports its changes, some of which are lost.
 
 use std::collections::BTreeMap;
 
 use ::backend::wire::{CacheChange, CacheEvent};
 
-/// Every so many events one is lost.
-const GAP: u64 = 10;
-const EVENTS_KEPT: usize = 1_000;
+/// One in this many events is lost, so that readers meet gaps in the sequence.
+const LOSS_INTERVAL: u64 = 10;
+const MAX_EVENTS: usize = 1_000;
 
 #[derive(Debug)]
 pub(super) struct Cache {
@@ -22,7 +22,7 @@
         Cache { limit, blocks: BTreeMap::new(), tick: 0, sequence: 0, events: Vec::new() }
     }
 
-    /// Leading blocks that are cached.
+    /// Number of leading blocks that are cached.
     pub(super) fn hits(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
@@ -31,7 +31,7 @@
         for block in blocks {
             self.tick += 1;
             if self.blocks.insert(*block, self.tick).is_none() {
-                self.event(model, *block, CacheChange::Stored);
+                self.record(model, *block, CacheChange::Stored);
             }
         }
         while self.limit < self.blocks.len() {
@@ -39,7 +39,7 @@
                 return;
             };
             self.blocks.remove(&oldest);
-            self.event(model, oldest, CacheChange::Evicted);
+            self.record(model, oldest, CacheChange::Evicted);
         }
     }
 
@@ -47,14 +47,14 @@
         self.events.iter().filter(|event| from <= event.sequence).cloned().collect()
     }
 
-    fn event(&mut self, model: &str, block: u64, change: CacheChange) {
+    fn record(&mut self, model: &str, block: u64, change: CacheChange) {
         self.sequence += 1;
-        if self.sequence.is_multiple_of(GAP) {
+        if self.sequence.is_multiple_of(LOSS_INTERVAL) {
             return;
         }
         let sequence = self.sequence;
         self.events.push(CacheEvent { sequence, model: model.into(), block, change });
-        if EVENTS_KEPT < self.events.len() {
+        if MAX_EVENTS < self.events.len() {
             self.events.remove(0);
         }
     }
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,7 +1,7 @@
-//! Stand-in of the platform: the object API and the host list.
+//! Stand-in for the platform: the object API and the host list.
 //!
-//! Objects are JSON values with versions from one counter. The [`Handle`] switches on outages,
-//! latency, rate limits and lost answers, and counts every call.
+//! Objects are JSON values, with versions from one counter. [`Fault`] switches on outages, latency,
+//! rate limits and lost answers, and [`Calls`] counts every call.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -25,44 +25,45 @@
 use tokio::{sync::watch, time::Instant};
 use types::host::List;
 
-use crate::net::{Listener, Lost};
+use crate::net::{Listener, LoseAnswer};
 
-/// Largest value, in bytes.
-pub const VALUE_LIMIT: usize = 1024 * 1024;
+/// Maximum length of the body of a write; a longer one is refused with 413.
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-const HISTORY: usize = 10_000;
+/// Number of changes that are kept; a watch from before them is answered with 410.
+const MAX_HISTORY: usize = 10_000;
 
-/// How the platform misbehaves.
+/// Faults that the platform injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
-    /// Answers every call with 503.
+    /// Whether every call is answered with 503.
     pub down: bool,
-    /// Waits this long before each answer.
+    /// Delay of each answer.
     pub latency: Duration,
-    /// Takes this many writes and loses their answers.
+    /// Number of next writes that are executed, but whose answers are lost.
     pub lost_answers: u32,
-    /// Most calls a second; zero for no limit.
+    /// Maximum number of calls per second; 0 for no limit.
     pub rate: u32,
 }
 
-/// Calls counted by kind.
+/// Number of calls by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
-    /// Reads, of one object or a list.
+    /// Reads of one object or a list of objects.
     pub reads: u64,
-    /// Writes, also those refused.
+    /// Writes, including refused ones.
     pub writes: u64,
-    /// Watches.
+    /// Watches, including those that ended without a change.
     pub watches: u64,
-    /// Reads of the host list.
+    /// Reads of the list of hosts.
     pub lists: u64,
-    /// Calls refused by rate.
+    /// Calls refused by the rate limit.
     pub limited: u64,
-    /// Calls refused in an outage.
+    /// Calls refused because of [`Fault::down`].
     pub refused: u64,
 }
 
-/// The running stand-in.
+/// A running platform, which ends when dropped.
 #[derive(Debug)]
 pub struct Platform {
     listener: Listener,
@@ -96,7 +97,7 @@
 }
 
 impl Platform {
-    /// Starts it, empty.
+    /// Starts a platform without objects on a loopback port that the system picks.
     ///
     /// # Errors
     ///
@@ -106,30 +107,30 @@
         let router = Router::new()
             .route("/objects", get(list))
             .route("/objects/{*key}", get(read).put(put).delete(delete))
-            .route("/watch", get(wait))
+            .route("/watch", get(watch_changes))
             .route("/hosts", get(hosts))
-            .layer(middleware::from_fn_with_state(shared.clone(), misbehave))
+            .layer(middleware::from_fn_with_state(shared.clone(), inject_faults))
             .with_state(shared.clone());
         let listener = Listener::start(router).await?;
         Ok(Platform { listener, shared })
     }
 
-    /// Where it listens.
+    /// Address of the object API and the host list.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults that are injected.
     pub fn fault(&self, change: impl FnOnce(&mut Fault)) {
         change(&mut self.shared.state().fault);
     }
 
-    /// Sets how long the host list lags.
+    /// Sets the delay after which a changed host list becomes visible.
     pub fn list_lag(&self, lag: Duration) {
         self.shared.state().list_lag = lag;
     }
 
-    /// Sets the host list; it shows after the lag.
+    /// Sets the host list, which becomes visible after [`Platform::list_lag`].
     pub fn set_list(&self, list: List) {
         let mut state = self.shared.state();
         if state.list_lag.is_zero() {
@@ -141,22 +142,22 @@
         state.pending.push_back((due, list));
     }
 
-    /// Calls so far.
+    /// Number of calls up to now.
     pub fn calls(&self) -> Calls {
         self.shared.state().calls
     }
 
-    /// Reads an object from behind, uncounted.
+    /// Reads an object with its version, bypassing the API, faults and counters.
     pub fn peek(&self, key: &str) -> Option<(u64, Value)> {
         self.shared.state().objects.get(key).cloned()
     }
 
-    /// Keys under a prefix, uncounted.
+    /// Lists the keys with a prefix, bypassing the API, faults and counters.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.shared.state().objects.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
-    /// Writes an object from behind, uncounted.
+    /// Writes an object, bypassing the API, faults and counters. Returns its new version.
     pub fn poke(&self, key: &str, value: Value) -> u64 {
         self.shared.put(key.to_owned(), Some(value))
     }
@@ -183,13 +184,13 @@
             None => self.objects.remove(&key),
         };
         self.history.push_back(Event { version, key, value });
-        if HISTORY < self.history.len() {
+        if MAX_HISTORY < self.history.len() {
             self.history.pop_front();
         }
         version
     }
 
-    fn shown_list(&mut self) -> List {
+    fn visible_list(&mut self) -> List {
         let now = Instant::now();
         while self.pending.front().is_some_and(|(due, _)| *due <= now) {
             if let Some((_, list)) = self.pending.pop_front() {
@@ -212,8 +213,12 @@
     }
 }
 
-/// Counts the call, then lets it through, delays it, refuses it, or loses its answer.
-async fn misbehave(State(shared): State<Arc<Shared>>, request: Request, next: Next) -> Response {
+/// Counts the call, and delays it, refuses it or loses its answer as [`Fault`] says.
+async fn inject_faults(
+    State(shared): State<Arc<Shared>>,
+    request: Request,
+    next: Next,
+) -> Response {
     let is_write = request.method() != axum::http::Method::GET;
     let (latency, refusal) = {
         let mut state = shared.state();
@@ -227,8 +232,8 @@
         return refusal;
     }
     let mut response = next.run(request).await;
-    if is_write && response.status().is_success() && take_loss(&shared) {
-        response.extensions_mut().insert(Lost);
+    if is_write && response.status().is_success() && consume_lost_answer(&shared) {
+        response.extensions_mut().insert(LoseAnswer);
     }
     response
 }
@@ -256,7 +261,7 @@
     None
 }
 
-fn take_loss(shared: &Shared) -> bool {
+fn consume_lost_answer(shared: &Shared) -> bool {
     let mut state = shared.state();
     let is_lost = 0 < state.fault.lost_answers;
     state.fault.lost_answers = state.fault.lost_answers.saturating_sub(1);
@@ -271,12 +276,12 @@
 }
 
 #[derive(Deserialize)]
-struct Prefix {
+struct ListQuery {
     #[serde(default)]
     prefix: String,
 }
 
-async fn list(State(shared): State<Arc<Shared>>, Query(query): Query<Prefix>) -> Response {
+async fn list(State(shared): State<Arc<Shared>>, Query(query): Query<ListQuery>) -> Response {
     let state = shared.state();
     let objects: Vec<Value> = state
         .objects
@@ -293,7 +298,7 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    if VALUE_LIMIT < body.len() {
+    if MAX_VALUE_BYTES < body.len() {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
     let Ok(value) = serde_json::from_slice::<Value>(&body) else {
@@ -314,16 +319,16 @@
     let mut state = shared.state();
     let current = state.objects.get(&key).map(|(version, _)| *version);
     let must_be_absent = headers.contains_key(header::IF_NONE_MATCH);
-    let wanted = headers
+    let expected = headers
         .get(header::IF_MATCH)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.trim_matches('"').parse::<u64>().ok());
-    let holds = match (must_be_absent, wanted) {
+    let is_met = match (must_be_absent, expected) {
         (true, _) => current.is_none(),
         (false, Some(version)) => current == Some(version),
         (false, None) => return StatusCode::PRECONDITION_REQUIRED.into_response(),
     };
-    if !holds {
+    if !is_met {
         return StatusCode::PRECONDITION_FAILED.into_response();
     }
     let version = state.put(key, value);
@@ -333,14 +338,17 @@
 }
 
 #[derive(Deserialize)]
-struct Watch {
+struct WatchQuery {
     #[serde(default)]
     prefix: String,
     from: u64,
     timeout_ms: u64,
 }
 
-async fn wait(State(shared): State<Arc<Shared>>, Query(query): Query<Watch>) -> Response {
+async fn watch_changes(
+    State(shared): State<Arc<Shared>>,
+    Query(query): Query<WatchQuery>,
+) -> Response {
     let deadline = Instant::now() + Duration::from_millis(query.timeout_ms);
     let mut revision = shared.revision.subscribe();
     loop {
@@ -358,7 +366,7 @@
     }
 }
 
-fn changes(shared: &Shared, query: &Watch) -> Option<Response> {
+fn changes(shared: &Shared, query: &WatchQuery) -> Option<Response> {
     let state = shared.state();
     let oldest = state.history.front().map_or(state.revision + 1, |event| event.version);
     if query.from + 1 < oldest {
@@ -377,7 +385,7 @@
 }
 
 async fn hosts(State(shared): State<Arc<Shared>>) -> Json<List> {
-    Json(shared.state().shown_list())
+    Json(shared.state().visible_list())
 }
 
 fn etag(version: u64) -> [(header::HeaderName, String); 1] {
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -1,10 +1,11 @@
-//! A soak: real hosts before stand-ins, under load, while faults drawn from a seed come and go.
+//! Soak test: real host processes in front of stand-in servers, under load, with injected faults.
 //!
-//! [`judge`] looks only at what callers and servers saw.
+//! The faults and the load are drawn from a seed. [`judge`] checks the result against the promises
+//! of the service, from observations of callers and servers alone.
 
+mod inject;
 pub mod judge;
 mod load;
-mod play;
 pub mod record;
 pub mod schedule;
 mod site;
@@ -22,11 +23,11 @@
 use tokio::time::{Instant, timeout};
 
 use self::{
+    inject::Injector,
     judge::{Breach, retries},
-    load::Crowd,
-    play::Player,
+    load::State,
     record::{Arrival, Bounds, Order, Outcome, Record, Run},
-    schedule::Planned,
+    schedule::PlannedFault,
 };
 use super::{
     lock,
@@ -34,64 +35,64 @@
     site::{Backend, Site},
 };
 
-/// How long callers have for their last answers.
-const LAST: Duration = Duration::from_secs(6);
+/// Time limit for outstanding requests after the soak has ended.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What is soaked.
+/// Parameters of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan<'a> {
-    /// The host's program.
+    /// Executable of the host.
     pub program: &'a Path,
-    /// Folder for settings and logs.
+    /// Directory for settings and logs of the hosts. Must exist.
     pub folder: &'a Path,
-    /// Seed of the faults and the load.
+    /// Seed of the random load; [`schedule::draw`] takes the same seed for the faults.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Length.
+    /// Duration of the load, counted from when all hosts are ready.
     pub length: Duration,
-    /// Faults.
-    pub schedule: Vec<Planned>,
+    /// Faults to inject, with times since the start of the load, sorted by start.
+    pub schedule: Vec<PlannedFault>,
 }
 
-/// What came of a soak.
+/// Result of one soak.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// The seed.
+    /// Seed of the random load.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// The length, in seconds.
+    /// Duration of the load.
     pub seconds: f64,
-    /// Faults.
-    pub schedule: Vec<Planned>,
-    /// Requests by kind and outcome.
+    /// Faults that were injected.
+    pub schedule: Vec<PlannedFault>,
+    /// Number of requests by kind and outcome.
     pub requests: BTreeMap<String, BTreeMap<String, usize>>,
-    /// Runs at servers.
+    /// Number of executions of requests, over all servers.
     pub runs: usize,
-    /// Orders to servers.
+    /// Number of orders that servers received.
     pub orders: usize,
-    /// Hosts that gave orders.
+    /// Number of distinct hosts that sent orders.
     pub holders: usize,
-    /// Servers that ended under requests that crash them.
+    /// Number of servers that were crashed by a poison request.
     pub crashed: usize,
-    /// Each service's worst window of retries, as a part of what is allowed.
+    /// For each service, the worst window of retries as a ratio of the retries allowed in it.
     pub retries: BTreeMap<String, f64>,
-    /// Broken promises.
+    /// Promises that were found broken, by time.
     pub breaches: Vec<Breach>,
 }
 
-/// Runs a soak and judges it.
+/// Runs a soak and judges its record.
 ///
 /// # Errors
 ///
-/// If a stand-in or a host can't start.
+/// If a stand-in or a host can't start, or the settings of a host can't be rewritten.
 ///
 /// # Panics
 ///
-/// If a host ends before it listens.
+/// If a host process exits before it listens.
 pub async fn run(plan: &Plan<'_>) -> Result<Summary, Box<dyn Error + Send + Sync>> {
-    let record = play(plan).await?;
+    let record = execute(plan).await?;
     let holders: BTreeSet<&str> = record.orders.iter().map(|order| &*order.holder).collect();
     Ok(Summary {
         seed: plan.seed,
@@ -105,92 +106,93 @@
         crashed: judge::crashed(&record),
         retries: retries::worst(&record)
             .into_iter()
-            .map(|(service, window)| (service, window.part()))
+            .map(|(service, window)| (service, window.ratio()))
             .collect(),
         breaches: judge::judge(&record),
     })
 }
 
-async fn play(plan: &Plan<'_>) -> Result<Record, Box<dyn Error + Send + Sync>> {
+async fn execute(plan: &Plan<'_>) -> Result<Record, Box<dyn Error + Send + Sync>> {
     let backend = Backend::start(Vec::new()).await?;
-    let crowd = Arc::new(Crowd {
+    let load = Arc::new(State {
         began: Instant::now(),
-        seats: Mutex::default(),
+        hosts: Mutex::default(),
         versions: Mutex::default(),
         requests: Mutex::default(),
         is_burst: false.into(),
         is_poisoned: false.into(),
         is_over: false.into(),
     });
-    let mut player = Player {
+    let mut injector = Injector {
         site: Site::in_folder(plan.program, backend, plan.folder),
-        crowd,
+        load,
         bounds: Bounds::default(),
-        declaration: site::first(),
+        declaration: site::first_declaration(),
         declared: Vec::new(),
         leaves: Vec::new(),
-        troubles: Vec::new(),
+        disruptions: Vec::new(),
         servers: Vec::new(),
         faulted: BTreeSet::new(),
         crashed: BTreeMap::new(),
     };
-    for place in 0..site::SERVERS.len() {
-        player.serve(place).await?;
+    for index in 0..site::SERVERS.len() {
+        injector.start_server(index).await?;
     }
-    player.declare(site::first());
-    player.site.relay_links();
-    for place in 0..plan.hosts {
-        // As operators have it, for `cyclamenctl explain`.
-        player.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
-        player.seat(place);
+    injector.declare(site::first_declaration());
+    injector.site.relay_links();
+    for index in 0..plan.hosts {
+        // `cyclamenctl explain` needs debug logs, so operators run hosts at this level.
+        injector.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
+        injector.register_host(index);
     }
-    player.site.ready().await;
-    // Faults and load count from here on.
+    injector.site.ready().await;
+    // Times of faults and of the load are relative to this moment.
     let began = Instant::now();
-    let mut callers = load::start(&player.crowd, plan.seed);
-    player.play(&plan.schedule, began).await?;
-    player.wait(began + plan.length).await?;
-    player.crowd.is_over.store(true, Ordering::Relaxed);
-    // Who still waits then is left out.
-    let _ = timeout(LAST, async { while callers.join_next().await.is_some() {} }).await;
-    Ok(player.record())
+    let mut callers = load::start(&injector.load, plan.seed);
+    injector.run(&plan.schedule, began).await?;
+    injector.wait(began + plan.length).await?;
+    injector.load.is_over.store(true, Ordering::Relaxed);
+    // Requests that are outstanding after that are not recorded.
+    let _ =
+        timeout(LAST_ANSWERS_TIMEOUT, async { while callers.join_next().await.is_some() {} }).await;
+    Ok(injector.record())
 }
 
-impl Player {
-    /// All that was seen.
+impl Injector {
+    /// Collects the observations of callers, servers and the injector.
     fn record(mut self) -> Record {
-        let crowd = &self.crowd;
+        let load = &self.load;
         let servers = &self.site.backend.servers;
         let mut orders = Vec::new();
         let mut overloads = Vec::new();
         for server in servers {
             let mut given = server.orders();
             given.sort_by_key(|given| given.came);
-            let last = given.last().map(|given| crowd.since(given.at)).unwrap_or_default();
+            let last = given.last().map(|given| load.since(given.at)).unwrap_or_default();
             overloads.extend(server.overload().map(|_| (server.id().to_string(), last)));
             orders.extend(given.into_iter().map(|given| Order {
                 server: server.id().to_string(),
                 holder: given.order.holder.to_string(),
                 fence: given.order.fence,
-                came: crowd.since(given.came),
+                arrived_at: load.since(given.came),
             }));
         }
-        orders.sort_by_key(|order| order.came);
+        orders.sort_by_key(|order| order.arrived_at);
         let quota = |server: &Server| {
-            let quota = server.quota().later(crowd.since(server.began()));
+            let quota = server.quota().later(load.since(server.began()));
             (server.id().to_string(), quota)
         };
         let quotas = servers.iter().map(quota).collect();
-        let runs = servers.iter().flat_map(|server| runs(server, crowd)).collect();
-        let arrivals = servers.iter().flat_map(|server| arrivals(server, crowd)).collect();
-        let requests = std::mem::take(&mut *lock(&crowd.requests));
+        let runs = servers.iter().flat_map(|server| runs(server, load)).collect();
+        let arrivals = servers.iter().flat_map(|server| arrivals(server, load)).collect();
+        let requests = std::mem::take(&mut *lock(&load.requests));
         let hosts = &mut self.site.hosts;
-        let dead = hosts
+        let exited = hosts
             .iter_mut()
             .enumerate()
-            .filter_map(|(place, host)| (!host.runs()).then_some(place));
+            .filter_map(|(index, host)| (!host.runs()).then_some(index));
         Record {
-            dead: dead.collect(),
+            exited: exited.collect(),
             hosts: self.site.hosts.iter().map(|host| host.name.clone()).collect(),
             bounds: self.bounds,
             requests,
@@ -201,40 +203,40 @@
             quotas,
             leaves: self.leaves,
             declared: self.declared,
-            troubles: self.troubles,
+            disruptions: self.disruptions,
         }
     }
 }
 
-fn runs(server: &Server, crowd: &Crowd) -> Vec<Run> {
-    let seen = |run: super::server::Run| Run {
+fn runs(server: &Server, load: &State) -> Vec<Run> {
+    let to_record = |run: super::server::Run| Run {
         id: run.asked.id.as_deref().unwrap_or_default().to_owned(),
         server: server.id().to_string(),
         service: server.service().to_string(),
         path: run.path,
-        body: run.body.len(),
-        came: crowd.since(run.came),
-        ended: run.ended.map(|ended| crowd.since(ended)),
-        failed: match run.fault {
+        body_bytes: run.body.len(),
+        arrived_at: load.since(run.came),
+        ended_at: run.ended.map(|ended| load.since(ended)),
+        failure: match run.fault {
             Some(Fault::Failed(status)) => Some(status),
             _ => None,
         },
-        spoilt: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
-        crashed: run.ending == Some(Ending::Crashed),
+        is_corrupted: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
+        is_server_crash: run.ending == Some(Ending::Crashed),
     };
-    server.runs().into_iter().map(seen).collect()
+    server.runs().into_iter().map(to_record).collect()
 }
 
-fn arrivals(server: &Server, crowd: &Crowd) -> Vec<Arrival> {
-    let seen = |arrival: super::server::Arrival| Arrival {
+fn arrivals(server: &Server, load: &State) -> Vec<Arrival> {
+    let to_record = |arrival: super::server::Arrival| Arrival {
         id: arrival.id.to_string(),
         service: server.service().to_string(),
-        at: crowd.since(arrival.at),
+        at: load.since(arrival.at),
     };
-    server.arrivals().into_iter().map(seen).collect()
+    server.arrivals().into_iter().map(to_record).collect()
 }
 
-/// Requests by kind and outcome.
+/// Counts requests by kind and outcome.
 fn outcomes(record: &Record) -> BTreeMap<String, BTreeMap<String, usize>> {
     let mut outcomes: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
     for request in &record.requests {
@@ -244,10 +246,10 @@
         };
         let outcome = match &request.outcome {
             Outcome::Unreached => "unreached".into(),
-            Outcome::Left => "left".into(),
-            Outcome::Late => "late".into(),
+            Outcome::CallerClosed => "left".into(),
+            Outcome::TimedOut => "late".into(),
             Outcome::Closed => "closed".into(),
-            Outcome::Answered(answer) if !answer.whole => "cut".into(),
+            Outcome::Answered(answer) if !answer.is_complete => "cut".into(),
             Outcome::Answered(answer) => answer.status.as_u16().to_string(),
         };
         *outcomes.entry(kind).or_default().entry(outcome).or_default() += 1;
