--- a/crates/stage/tests/bounds.rs
+++ b/crates/stage/tests/bounds.rs
@@ -4,8 +4,8 @@
 
 use common::{
     Answer,
-    inside::Inside,
-    script::{Act, Script},
+    in_process::Fixture,
+    script::{Behavior, Script},
     send,
 };
 use rstest::rstest;
@@ -16,17 +16,17 @@
 };
 use types::backend::Kind;
 
-async fn inside() -> (Inside, Vec<Script>) {
+async fn fixture() -> (Fixture, Vec<Script>) {
     let servers = vec![
-        Script::start("lm-1", Kind::Engine, 0, Act::Serve).await,
-        Script::start("app-1", Kind::Plain, 0, Act::Serve).await,
+        Script::start("lm-1", Kind::Engine, 0, Behavior::Serve).await,
+        Script::start("app-1", Kind::Plain, 0, Behavior::Serve).await,
     ];
     let bounds = json!({"body_bytes": 5000, "head_bytes": 9000, "idle_ms": 200});
-    (Inside::start_with(&servers, bounds).await, servers)
+    (Fixture::start_with(&servers, bounds).await, servers)
 }
 
-async fn chat(inside: &Inside, headers: &[(&str, &str)], body: &str) -> Answer {
-    send(inside.callers(), "POST", "/v1/chat/completions", headers, body).await
+async fn chat(fixture: &Fixture, headers: &[(&str, &str)], body: &str) -> Answer {
+    send(fixture.callers(), "POST", "/v1/chat/completions", headers, body).await
 }
 
 const GOOD: &str = r#"{"model": "welcome", "messages": []}"#;
@@ -46,11 +46,11 @@
     #[case] status: u16,
     #[case] kind: &str,
 ) {
-    let (inside, servers) = inside().await;
-    let answer = chat(&inside, &[], body).await;
+    let (fixture, servers) = fixture().await;
+    let answer = chat(&fixture, &[], body).await;
     check(&answer, status, kind);
     assert_eq!(servers[0].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[rstest]
@@ -66,22 +66,22 @@
     #[case] status: u16,
     #[case] kind: &str,
 ) {
-    let (inside, servers) = inside().await;
-    let answer = chat(&inside, headers, GOOD).await;
+    let (fixture, servers) = fixture().await;
+    let answer = chat(&fixture, headers, GOOD).await;
     check(&answer, status, kind);
     assert_eq!(servers[0].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_caller_may_not_clear_the_mark_of_a_non_idempotent_method() {
-    let (inside, servers) = inside().await;
+    let (fixture, servers) = fixture().await;
     let uri = "/services/tickets/rooms";
     let headers = [("x-idempotent", "true")];
-    let answer = send(inside.callers(), "POST", uri, &headers, "letter").await;
+    let answer = send(fixture.callers(), "POST", uri, &headers, "letter").await;
     check(&answer, 400, "bad-request");
     assert_eq!(servers[1].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 fn check(answer: &Answer, status: u16, kind: &str) {
@@ -95,8 +95,8 @@
 }
 
 /// Sends these bytes, then nothing; gives what comes back before the connection ends.
-async fn raw(inside: &Inside, bytes: &str) -> String {
-    let mut stream = TcpStream::connect(inside.callers()).await.expect("connection");
+async fn raw(fixture: &Fixture, bytes: &str) -> String {
+    let mut stream = TcpStream::connect(fixture.callers()).await.expect("connection");
     stream.write_all(bytes.as_bytes()).await.expect("bytes");
     let mut answer = Vec::new();
     // A connection that is reset has ended too.
@@ -106,13 +106,13 @@
 
 #[tokio::test]
 async fn a_head_over_its_limit_is_refused() {
-    let (inside, servers) = inside().await;
+    let (fixture, servers) = fixture().await;
     let long = "x".repeat(20_000);
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: x\r\nx: {long}\r\n\r\n");
-    let answer = raw(&inside, &request).await;
+    let answer = raw(&fixture, &request).await;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
     assert_eq!(servers[0].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[rstest]
@@ -127,41 +127,41 @@
 )]
 #[tokio::test]
 async fn a_caller_that_falls_silent_is_not_waited_for(#[case] sent: &str, #[case] begins: &str) {
-    let (inside, servers) = inside().await;
-    let answer = raw(&inside, sent).await;
+    let (fixture, servers) = fixture().await;
+    let answer = raw(&fixture, sent).await;
     assert!(answer.starts_with(begins), "{answer}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_request_past_its_own_time_gets_a_timeout_that_says_what_is_known() {
-    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Act::Silent).await];
-    let inside = Inside::start(&servers).await;
-    let answer = chat(&inside, &[("x-timeout-ms", "150")], GOOD).await;
+    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Behavior::NoAnswer).await];
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat(&fixture, &[("x-timeout-ms", "150")], GOOD).await;
     assert_eq!(answer.status, 504, "{}", answer.text());
     assert_eq!(answer.json()["ran"], "may-have-run");
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn headers_of_one_connection_are_not_passed_on() {
-    let (inside, servers) = inside().await;
+    let (fixture, servers) = fixture().await;
     let headers = [("connection", "x-own"), ("x-own", "1"), ("te", "trailers"), ("x-kept", "2")];
     let uri = "/services/tickets/rooms?lang=es";
-    let answer = send(inside.callers(), "PUT", uri, &headers, "letter").await;
+    let answer = send(fixture.callers(), "PUT", uri, &headers, "letter").await;
     assert_eq!(answer.status, 200);
     let head = servers[1].last_head().to_lowercase();
     assert!(head.starts_with("put /rooms?lang=es "), "{head}");
     assert!(head.contains("x-kept: 2"), "{head}");
     assert!(!head.contains("x-own") && !head.contains("te: trailers"), "{head}");
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn models_and_adapters_are_listed() {
-    let (inside, _servers) = inside().await;
-    let answer = send(inside.callers(), "GET", "/v1/models", &[], "").await;
+    let (fixture, _servers) = fixture().await;
+    let answer = send(fixture.callers(), "GET", "/v1/models", &[], "").await;
     assert_eq!(answer.json()["data"][0]["id"], "welcome");
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
--- a/crates/stage/tests/common/caller.rs
+++ b/crates/stage/tests/common/caller.rs
@@ -22,19 +22,19 @@
 use standin::engine;
 use tokio::task::JoinHandle;
 
-use super::{PATIENCE, answer_text, events, try_send};
+use super::{TIMEOUT, answer_text, events, try_send};
 
 /// How one call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// With the whole right answer.
-    Whole,
+    Complete,
     /// With a problem document, or a stream that ended with one; what it said of the run.
     Problem { name: String, ran: String },
     /// The connection was made and broke without a word.
-    Cut,
+    Disconnected,
     /// No connection was made.
-    Unreached,
+    ConnectFailed,
     /// With something that is not its answer.
     Wrong(String),
 }
@@ -66,7 +66,7 @@
         })
     }
 
-    fn right(&self) -> String {
+    fn expected_text(&self) -> String {
         let prompt = self.body()["messages"].to_string();
         (0..self.tokens).map(|offset| engine::token(&prompt, offset)).collect()
     }
@@ -78,34 +78,39 @@
             .header(engine::EFFECT, &self.key)
             .body(Full::new(Bytes::from(self.body().to_string())))
             .expect("a request");
-        let response = match tokio::time::timeout(PATIENCE, client.request(request)).await {
+        let response = match tokio::time::timeout(TIMEOUT, client.request(request)).await {
             Err(_) => return Ending::Wrong("no answer within patience".into()),
-            Ok(Err(error)) if error.is_connect() => return Ending::Unreached,
-            Ok(Err(_)) => return Ending::Cut,
+            Ok(Err(error)) if error.is_connect() => return Ending::ConnectFailed,
+            Ok(Err(_)) => return Ending::Disconnected,
             Ok(Ok(response)) => response,
         };
         let is_stream = response.status() == http::StatusCode::OK;
-        let (text, end) = read(response.into_body()).await;
+        let (text, end) = read_body(response.into_body()).await;
         match (is_stream, end) {
-            (_, End::Never) => Ending::Wrong(format!("{}: no end within patience", self.key)),
-            (true, end) => self.judge(&text, end),
-            (false, End::Cut) => Ending::Cut,
-            (false, End::Clean) => problem(&text),
+            (_, BodyEnd::TimedOut) => {
+                Ending::Wrong(format!("{}: no end within patience", self.key))
+            }
+            (true, end) => self.classify(&text, end),
+            (false, BodyEnd::Aborted) => Ending::Disconnected,
+            (false, BodyEnd::Eof) => problem(&text),
         }
     }
 
-    fn judge(&self, text: &str, end: End) -> Ending {
+    fn classify(&self, text: &str, end: BodyEnd) -> Ending {
         let events = events(text);
-        let (heard, right) = (answer_text(&events), self.right());
-        if !right.starts_with(&heard) {
-            return Ending::Wrong(format!("{}: heard {heard:?}, right is {right:?}", self.key));
+        let (received, expected) = (answer_text(&events), self.expected_text());
+        if !expected.starts_with(&received) {
+            return Ending::Wrong(format!(
+                "{}: heard {received:?}, right is {expected:?}",
+                self.key
+            ));
         }
         let last = events.last().map_or("", |event| event.data.as_str());
         match last {
-            "[DONE]" if heard == right => Ending::Whole,
-            "[DONE]" => Ending::Wrong(format!("{}: ended after {heard:?}", self.key)),
+            "[DONE]" if received == expected => Ending::Complete,
+            "[DONE]" => Ending::Wrong(format!("{}: ended after {received:?}", self.key)),
             data if data.contains("\"ran\"") => problem(data),
-            _ if end == End::Cut => Ending::Cut,
+            _ if end == BodyEnd::Aborted => Ending::Disconnected,
             _ => Ending::Wrong(format!("{}: ended without an end mark", self.key)),
         }
     }
@@ -113,20 +118,20 @@
 
 /// How a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    Clean,
-    Cut,
-    Never,
+enum BodyEnd {
+    Eof,
+    Aborted,
+    TimedOut,
 }
 
-async fn read(mut body: hyper::body::Incoming) -> (String, End) {
+async fn read_body(mut body: hyper::body::Incoming) -> (String, BodyEnd) {
     let mut text = Vec::new();
     let end = loop {
-        match tokio::time::timeout(PATIENCE, body.frame()).await {
+        match tokio::time::timeout(TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => text.extend(frame.into_data().unwrap_or_default()),
-            Ok(Some(Err(_))) => break End::Cut,
-            Ok(None) => break End::Clean,
-            Err(_) => break End::Never,
+            Ok(Some(Err(_))) => break BodyEnd::Aborted,
+            Ok(None) => break BodyEnd::Eof,
+            Err(_) => break BodyEnd::TimedOut,
         }
     };
     (String::from_utf8_lossy(&text).into_owned(), end)
@@ -156,60 +161,61 @@
         self.0.lock().expect("no panic while adding").clone()
     }
 
-    pub fn whole(&self) -> usize {
-        self.all().iter().filter(|(_, ending)| *ending == Ending::Whole).count()
+    pub fn complete_count(&self) -> usize {
+        self.all().iter().filter(|(_, ending)| *ending == Ending::Complete).count()
     }
 
     /// Those that did not end with their whole answer.
-    pub fn others(&self) -> Vec<(String, Ending)> {
-        self.all().into_iter().filter(|(_, ending)| *ending != Ending::Whole).collect()
+    pub fn failures(&self) -> Vec<(String, Ending)> {
+        self.all().into_iter().filter(|(_, ending)| *ending != Ending::Complete).collect()
     }
 
     /// Those that a caller must never see: cut without a word, or wrong.
-    pub fn broken(&self) -> Vec<(String, Ending)> {
-        let is_broken = |ending: &Ending| matches!(ending, Ending::Cut | Ending::Wrong(_));
-        self.all().into_iter().filter(|(_, ending)| is_broken(ending)).collect()
+    pub fn violations(&self) -> Vec<(String, Ending)> {
+        let is_violation =
+            |ending: &Ending| matches!(ending, Ending::Disconnected | Ending::Wrong(_));
+        self.all().into_iter().filter(|(_, ending)| is_violation(ending)).collect()
     }
 }
 
 /// A host as a caller's balancer knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct Entrance {
+pub struct HostAddresses {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
 }
 
 /// What each call of a crowd asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Workload {
     pub name: &'static str,
     pub models: Vec<String>,
     pub tokens: u64,
 }
 
 /// Callers at work until told to stop; the number of calls is bounded all the same.
-pub struct Crowd {
+pub struct LoadGenerator {
     endings: Arc<Endings>,
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
 }
 
-const MOST_CALLS: u64 = 2_000;
+const MAX_CALLS: u64 = 2_000;
 
-impl Crowd {
+impl LoadGenerator {
     /// Sets so many callers to work, each with one call after the other.
-    pub fn start(callers: usize, entrances: &[Entrance], ask: Ask) -> Crowd {
+    pub fn start(callers: usize, hosts: &[HostAddresses], workload: Workload) -> LoadGenerator {
         let (endings, stop) = (Arc::new(Endings::default()), Arc::new(AtomicBool::new(false)));
         let calls = Arc::new(AtomicU64::new(0));
-        let work = (0..callers).map(|place| {
-            let mut entrances = entrances.to_vec();
-            let turn = place % entrances.len();
-            entrances.rotate_left(turn);
+        let work = (0..callers).map(|index| {
+            let mut hosts = hosts.to_vec();
+            let first = index % hosts.len();
+            hosts.rotate_left(first);
             let (endings, stop, calls) = (endings.clone(), stop.clone(), calls.clone());
-            tokio::spawn(call(entrances, ask.clone(), endings, stop, calls))
+            tokio::spawn(call(hosts, workload.clone(), endings, stop, calls))
         });
         let callers = work.collect();
-        Crowd { endings, stop, callers }
+        LoadGenerator { endings, stop, callers }
     }
 
     pub fn endings(&self) -> &Endings {
@@ -227,44 +233,44 @@
 }
 
 async fn call(
-    mut entrances: Vec<Entrance>,
-    ask: Ask,
+    mut hosts: Vec<HostAddresses>,
+    workload: Workload,
     endings: Arc<Endings>,
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
 ) {
     while !stop.load(Ordering::Relaxed) {
         let number = calls.fetch_add(1, Ordering::Relaxed);
-        if MOST_CALLS <= number {
+        if MAX_CALLS <= number {
             return;
         }
-        let model = &ask.models[number as usize % ask.models.len()];
-        let chat = Chat::new(format!("{}-{number}", ask.name), model, ask.tokens);
-        let ending = through_balancer(&mut entrances, &chat).await;
+        let model = &workload.models[number as usize % workload.models.len()];
+        let chat = Chat::new(format!("{}-{number}", workload.name), model, workload.tokens);
+        let ending = send_through_balancer(&mut hosts, &chat).await;
         endings.add(&chat.key, ending);
     }
 }
 
 /// Sends a chat to the next host that is ready and can be reached.
-async fn through_balancer(entrances: &mut [Entrance], chat: &Chat) -> Ending {
-    for _ in 0..entrances.len() {
-        entrances.rotate_left(1);
-        let entrance = entrances[0];
-        if !is_ready(entrance).await {
+async fn send_through_balancer(hosts: &mut [HostAddresses], chat: &Chat) -> Ending {
+    for _ in 0..hosts.len() {
+        hosts.rotate_left(1);
+        let host = hosts[0];
+        if !is_ready(host).await {
             continue;
         }
-        match chat.send(entrance.callers).await {
-            Ending::Unreached => {}
+        match chat.send(host.callers).await {
+            Ending::ConnectFailed => {}
             ending => return ending,
         }
     }
-    Ending::Unreached
+    Ending::ConnectFailed
 }
 
 /// A balancer's probe, which gives up on a host that doesn't answer in time.
-async fn is_ready(entrance: Entrance) -> bool {
-    const PROBE_TIME: Duration = Duration::from_secs(2);
-    let probe = try_send(entrance.operators, "GET", "/ready", &[], "");
-    let answer = tokio::time::timeout(PROBE_TIME, probe).await;
+async fn is_ready(host: HostAddresses) -> bool {
+    const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+    let probe = try_send(host.operators, "GET", "/ready", &[], "");
+    let answer = tokio::time::timeout(PROBE_TIMEOUT, probe).await;
     answer.is_ok_and(|answer| answer.is_some_and(|answer| answer.status == 200))
 }
--- a/crates/stage/tests/common/http.rs
+++ b/crates/stage/tests/common/http.rs
@@ -10,7 +10,7 @@
 };
 use serde_json::Value;
 
-use super::PATIENCE;
+use super::TIMEOUT;
 
 /// An answer read whole.
 #[derive(Debug)]
@@ -43,9 +43,9 @@
         request = request.header(*name, *value);
     }
     let request = request.body(Full::new(Bytes::from(body.to_owned()))).expect("request");
-    let response = tokio::time::timeout(PATIENCE, client.request(request)).await.ok()?.ok()?;
+    let response = tokio::time::timeout(TIMEOUT, client.request(request)).await.ok()?.ok()?;
     let (parts, body) = response.into_parts();
-    let body = tokio::time::timeout(PATIENCE, body.collect()).await.ok()?.ok()?.to_bytes();
+    let body = tokio::time::timeout(TIMEOUT, body.collect()).await.ok()?.ok()?.to_bytes();
     Some(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
 }
 
--- a/crates/stage/tests/common/inside.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -11,20 +11,20 @@
 use super::{get, script::Script, until};
 
 /// A host within the test's own process.
-pub struct Inside {
+pub struct Fixture {
     pub host: Running,
     pub platform: Platform,
 }
 
-impl Inside {
+impl Fixture {
     /// Starts it before these servers. It reads each server's report once and then rarely, so that
     /// only the requests show what becomes of a server.
-    pub async fn start(servers: &[Script]) -> Inside {
-        Inside::start_with(servers, json!({})).await
+    pub async fn start(servers: &[Script]) -> Fixture {
+        Fixture::start_with(servers, json!({})).await
     }
 
-    /// As [`Inside::start`], with these bounds on callers.
-    pub async fn start_with(servers: &[Script], bounds: serde_json::Value) -> Inside {
+    /// As [`Fixture::start`], with these bounds on callers.
+    pub async fn start_with(servers: &[Script], bounds: serde_json::Value) -> Fixture {
         let platform = Platform::start().await.expect("platform");
         let config = json!({
             "customers": {"guests": {}},
@@ -57,14 +57,14 @@
         });
         let settings = serde_json::from_value(settings).expect("settings");
         let host = stage::start(settings).await.expect("host");
-        let inside = Inside { host, platform };
-        let operators = inside.host.context().host().operators;
+        let fixture = Fixture { host, platform };
+        let operators = fixture.host.context().host().operators;
         until("the host is ready", async || {
             let Some(status) = get(operators, "/status").await else { return false };
             status["ready"] == true && status["reporting"] == servers.len()
         })
         .await;
-        inside
+        fixture
     }
 
     pub fn callers(&self) -> std::net::SocketAddr {
--- a/crates/stage/tests/common/links.rs
+++ b/crates/stage/tests/common/links.rs
@@ -27,7 +27,7 @@
         servers: Vec<(backend::Id, SocketAddr)>,
     ) -> Links {
         // Hosts pick their ports when they start; until then their links lead nowhere.
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut links = Links {
             platform: Vec::new(),
             callers: Vec::new(),
@@ -36,8 +36,8 @@
         };
         for _ in 0..hosts {
             links.platform.push(proxy(platform).await);
-            links.callers.push(proxy(nowhere).await);
-            links.peers.push(proxy(nowhere).await);
+            links.callers.push(proxy(unassigned).await);
+            links.peers.push(proxy(unassigned).await);
         }
         for (id, address) in servers {
             links.servers.insert(id, proxy(address).await);
@@ -66,9 +66,9 @@
     }
 
     /// Leads a host's links to where it listens now.
-    pub fn lead(&self, place: usize, host: &Host) {
-        self.callers[place].retarget(host.callers);
-        self.peers[place].retarget(host.peers);
+    pub fn retarget(&self, index: usize, host: &Host) {
+        self.callers[index].retarget(host.callers);
+        self.peers[index].retarget(host.peers);
     }
 }
 
--- a/crates/stage/tests/common/mod.rs
+++ b/crates/stage/tests/common/mod.rs
@@ -5,35 +5,35 @@
 
 mod caller;
 mod http;
-pub mod inside;
+pub mod in_process;
 mod links;
+mod observability;
 mod process;
 pub mod script;
-mod seen;
 mod site;
 
 pub use self::{
-    caller::{Ask, Chat, Crowd, Ending, Endings, Entrance},
+    caller::{Chat, Ending, Endings, HostAddresses, LoadGenerator, Workload},
     http::{Answer, Event, answer_text, events, get, post_chat, send, try_send},
     links::Links,
+    observability::{metrics, records, value},
     process::Process,
-    seen::{metrics, records, value},
     site::{Builder, Site},
 };
 
 use std::time::Duration;
 
 /// How long a test waits for what must come; far more than it takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Polls a condition, and fails by name when patience ends.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "never: {what}");
 }
--- a/crates/stage/tests/common/process.rs
+++ b/crates/stage/tests/common/process.rs
@@ -36,7 +36,7 @@
             .spawn()
             .expect("host process");
         let mut process = Process { host: host.clone(), child, log };
-        until("the host listens", async || process.find_addresses(&mut host)).await;
+        until("the host listens", async || process.read_addresses(&mut host)).await;
         process.host = host;
         process
     }
@@ -72,7 +72,7 @@
     }
 
     /// Waits for its end; its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let mut status = None;
         until("the process ends", async || {
             status = self.child.try_wait().expect("own child");
@@ -84,18 +84,18 @@
 
     /// Reads from its log where it listens; the system picked the ports, so that no two processes
     /// can ever be given the same one.
-    fn find_addresses(&mut self, host: &mut Host) -> bool {
-        let ended = self.child.try_wait().expect("own child");
-        assert!(ended.is_none(), "{} ended at its start: {:#?}", host.id, self.log());
+    fn read_addresses(&mut self, host: &mut Host) -> bool {
+        let status = self.child.try_wait().expect("own child");
+        assert!(status.is_none(), "{} ended at its start: {:#?}", host.id, self.log());
         let log = self.log();
         let Some(line) = log.iter().find(|line| line["message"] == "host starts") else {
             return false;
         };
         let address = |role: &str| line["attributes"][role].as_str().and_then(|a| a.parse().ok());
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         host.callers = address("callers").expect("a listener for callers");
         host.operators = address("operators").expect("a listener for operators");
-        host.peers = address("peers").unwrap_or(nowhere);
+        host.peers = address("peers").unwrap_or(unassigned);
         true
     }
 }
--- a/crates/stage/tests/common/script.rs
+++ b/crates/stage/tests/common/script.rs
@@ -24,23 +24,23 @@
 
 /// What a scripted server does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Behavior {
     /// Answers in full.
     Serve,
     /// Closes after the first bytes of the body.
-    CloseEarly,
+    CloseDuringRequest,
     /// Closes after the whole request.
-    Close,
+    CloseAfterRequest,
     /// Never answers.
-    Silent,
+    NoAnswer,
     /// Answers this status.
     Status(u16),
     /// Answers the head and closes.
-    Head,
+    HeadOnly,
     /// Sends these events of a stream and closes.
     Events(Vec<Step>),
     /// Sends half of the body that its head announces, and closes.
-    Half,
+    HalfBody,
 }
 
 /// One event of a stream.
@@ -49,7 +49,7 @@
     /// The token at this offset.
     Token(u64),
     /// A token at this offset of another request.
-    Stranger(u64),
+    OtherRequest(u64),
     /// The end mark.
     Done,
 }
@@ -60,13 +60,13 @@
     pub kind: Kind,
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 struct Shared {
     id: String,
-    busy: u32,
-    act: Mutex<Act>,
+    running: u32,
+    behavior: Mutex<Behavior>,
     requests: AtomicU32,
     head: Mutex<String>,
     kv: Mutex<Vec<String>>,
@@ -74,25 +74,25 @@
 
 impl Script {
     /// Starts it; it reports this many requests running, so that tests choose who is tried first.
-    pub async fn start(id: &str, kind: Kind, busy: u32, act: Act) -> Script {
+    pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> Script {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let shared = Arc::new(Shared {
             id: id.into(),
-            busy,
-            act: Mutex::new(act),
+            running,
+            behavior: Mutex::new(behavior),
             requests: AtomicU32::new(0),
             head: Mutex::default(),
             kv: Mutex::default(),
         });
-        let accepting = tokio::spawn(accept(listener, shared.clone()));
-        Script { id: id.into(), kind, address, shared, accepting }
+        let accept_task = tokio::spawn(accept(listener, shared.clone()));
+        Script { id: id.into(), kind, address, shared, accept_task }
     }
 
     /// Stops listening.
     pub async fn close(&mut self) {
-        self.accepting.abort();
-        let _ = (&mut self.accepting).await;
+        self.accept_task.abort();
+        let _ = (&mut self.accept_task).await;
     }
 
     /// Requests of which at least the head arrived.
@@ -132,32 +132,32 @@
     }
     shared.requests.fetch_add(1, Ordering::SeqCst);
     shared.head.lock().expect("head").clone_from(&head);
-    let act = shared.act.lock().expect("act").clone();
-    if act == Act::CloseEarly {
+    let behavior = shared.behavior.lock().expect("act").clone();
+    if behavior == Behavior::CloseDuringRequest {
         return Some(());
     }
     let body = read_body(&mut stream, &head, rest).await?;
-    match act {
-        Act::CloseEarly | Act::Close => Some(()),
-        Act::Silent => std::future::pending().await,
-        Act::Status(status) => respond(&mut stream, &format!("{status} No"), "no").await,
-        Act::Head => stream.write_all(STREAM_HEAD.as_bytes()).await.ok(),
-        Act::Events(steps) => {
+    match behavior {
+        Behavior::CloseDuringRequest | Behavior::CloseAfterRequest => Some(()),
+        Behavior::NoAnswer => std::future::pending().await,
+        Behavior::Status(status) => respond(&mut stream, &format!("{status} No"), "no").await,
+        Behavior::HeadOnly => stream.write_all(STREAM_HEAD.as_bytes()).await.ok(),
+        Behavior::Events(steps) => {
             stream.write_all(STREAM_HEAD.as_bytes()).await.ok()?;
             events(&mut stream, &head, &steps).await
         }
-        Act::Half => {
+        Behavior::HalfBody => {
             stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf!").await.ok()
         }
-        Act::Serve if head.starts_with("POST /v1/") => {
+        Behavior::Serve if head.starts_with("POST /v1/") => {
             stream.write_all(STREAM_HEAD.as_bytes()).await.ok()?;
-            let asked: Value = serde_json::from_slice(&body).unwrap_or_default();
-            let first = header(&head, "last-event-id").map_or(0, |last| last + 1);
-            let end = asked["max_tokens"].as_u64().unwrap_or(1);
+            let request: Value = serde_json::from_slice(&body).unwrap_or_default();
+            let first = header_number(&head, "last-event-id").map_or(0, |last| last + 1);
+            let end = request["max_tokens"].as_u64().unwrap_or(1);
             let steps: Vec<Step> = (first..end).map(Step::Token).chain([Step::Done]).collect();
             events(&mut stream, &head, &steps).await
         }
-        Act::Serve => respond(&mut stream, "200 OK", "done").await,
+        Behavior::Serve => respond(&mut stream, "200 OK", "done").await,
     }
 }
 
@@ -165,11 +165,11 @@
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
 async fn events(stream: &mut TcpStream, head: &str, steps: &[Step]) -> Option<()> {
-    let own = text(head, "x-request-id").unwrap_or_default();
+    let request_id = header_text(head, "x-request-id").unwrap_or_default();
     for step in steps {
         let event = match step {
-            Step::Token(offset) => event(&own, *offset, &token(*offset)),
-            Step::Stranger(offset) => event("another", *offset, "wrong "),
+            Step::Token(offset) => event(&request_id, *offset, &token(*offset)),
+            Step::OtherRequest(offset) => event("another", *offset, "wrong "),
             Step::Done => "data: [DONE]\n\n".into(),
         };
         stream.write_all(event.as_bytes()).await.ok()?;
@@ -211,13 +211,13 @@
 }
 
 async fn read_body(stream: &mut TcpStream, head: &str, mut bytes: Vec<u8>) -> Option<Vec<u8>> {
-    let length = header(head, "content-length");
-    let is_chunked = text(head, "transfer-encoding").is_some();
-    let is_whole = |bytes: &[u8]| match length {
+    let length = header_number(head, "content-length");
+    let is_chunked = header_text(head, "transfer-encoding").is_some();
+    let is_complete = |bytes: &[u8]| match length {
         Some(length) => length <= bytes.len() as u64,
         None => !is_chunked || bytes.ends_with(b"0\r\n\r\n"),
     };
-    while !is_whole(&bytes) {
+    while !is_complete(&bytes) {
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
             return None;
         }
@@ -225,11 +225,11 @@
     Some(bytes)
 }
 
-fn header(head: &str, name: &str) -> Option<u64> {
-    text(head, name)?.parse().ok()
+fn header_number(head: &str, name: &str) -> Option<u64> {
+    header_text(head, name)?.parse().ok()
 }
 
-fn text(head: &str, name: &str) -> Option<String> {
+fn header_text(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(':')?;
         found.eq_ignore_ascii_case(name).then(|| value.trim().to_owned())
@@ -244,7 +244,7 @@
         sequence: 1,
         age: Duration::ZERO,
         leaving: false,
-        running: shared.busy,
+        running: shared.running,
         waiting: 0,
         slots: 64,
         step: Duration::from_millis(1),
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -16,7 +16,7 @@
     host::{Entry, Host, List, Listed},
 };
 
-use super::{Entrance, Links, Process, get, until};
+use super::{HostAddresses, Links, Process, get, until};
 
 const ROOT: &str = "config/root";
 const ZONES: [&str; 4] = ["mobile-hall", "biloxi-hall", "gulfport-hall", "pensacola-hall"];
@@ -28,10 +28,10 @@
     plains: Vec<Plain>,
     hosts: Vec<Process>,
     links: Option<Links>,
-    change: Box<dyn Fn(&mut Value)>,
-    listed: Vec<Listed>,
+    settings_change: Box<dyn Fn(&mut Value)>,
+    list_states: Vec<Listed>,
     files: TempDir,
-    runs: usize,
+    starts: usize,
     network: Network,
 }
 
@@ -40,7 +40,7 @@
     hosts: usize,
     engines: Vec<engine::Settings>,
     plains: Vec<Plain>,
-    is_linked: bool,
+    has_proxies: bool,
     config: Box<dyn FnOnce(&mut Value)>,
     settings: Box<dyn Fn(&mut Value)>,
 }
@@ -52,7 +52,7 @@
             hosts,
             engines: Vec::new(),
             plains: Vec::new(),
-            is_linked: false,
+            has_proxies: false,
             config: Box::new(|_| {}),
             settings: Box::new(|_| {}),
         }
@@ -71,8 +71,8 @@
     }
 
     /// Puts a fault proxy on every link.
-    pub fn linked(mut self) -> Builder {
-        self.is_linked = true;
+    pub fn with_proxies(mut self) -> Builder {
+        self.has_proxies = true;
         self
     }
 
@@ -101,25 +101,25 @@
             plains: self.plains,
             hosts: Vec::new(),
             links: None,
-            change: self.settings,
-            listed: vec![Listed::Live; self.hosts],
+            settings_change: self.settings,
+            list_states: vec![Listed::Live; self.hosts],
             files: tempfile::tempdir().expect("folder for settings"),
-            runs: 0,
+            starts: 0,
             network: Network::unused(),
         };
-        if self.is_linked {
+        if self.has_proxies {
             let servers = site.servers().into_iter().map(|s| (s.id, s.address)).collect();
             site.links = Some(Links::start(self.hosts, site.platform.address(), servers).await);
         }
         let mut config = site.config();
         (self.config)(&mut config);
         site.platform.poke(ROOT, json!({"number": 1, "config": config}));
-        for place in 0..self.hosts {
-            let process = site.spawn(place).await;
+        for index in 0..self.hosts {
+            let process = site.spawn(index).await;
             site.hosts.push(process);
         }
-        site.list();
-        site.ready().await;
+        site.publish_list();
+        site.wait_until_ready().await;
         site
     }
 }
@@ -156,9 +156,10 @@
     }
 
     /// Where callers come in, past any link.
-    pub fn entrances(&self) -> Vec<Entrance> {
-        let entrance = |p: &Process| Entrance { callers: p.callers(), operators: p.operators() };
-        self.hosts.iter().map(entrance).collect()
+    pub fn host_addresses(&self) -> Vec<HostAddresses> {
+        let addresses =
+            |p: &Process| HostAddresses { callers: p.callers(), operators: p.operators() };
+        self.hosts.iter().map(addresses).collect()
     }
 
     /// Times that any engine began to run a request of this key.
@@ -177,8 +178,8 @@
     }
 
     /// The number of the configuration that a host says is in force.
-    pub async fn in_force(&self, place: usize) -> u64 {
-        let status = get(self.hosts[place].operators(), "/status").await;
+    pub async fn in_force(&self, index: usize) -> u64 {
+        let status = get(self.hosts[index].operators(), "/status").await;
         status.and_then(|status| status["configuration"].as_u64()).unwrap_or(0)
     }
 
@@ -194,57 +195,57 @@
     }
 
     /// Ends a host without notice; the list goes on naming it.
-    pub fn kill(&mut self, place: usize) {
-        self.hosts[place].kill();
+    pub fn kill(&mut self, index: usize) {
+        self.hosts[index].kill();
     }
 
     /// Changes the settings of hosts that start from now on.
     pub fn change_settings(&mut self, change: impl Fn(&mut Value) + 'static) {
-        self.change = Box::new(change);
+        self.settings_change = Box::new(change);
     }
 
     /// Starts a host again after its end, as a new process under the same name.
-    pub async fn restart(&mut self, place: usize) {
-        self.hosts[place] = self.spawn(place).await;
-        self.listed[place] = Listed::Live;
-        self.list();
+    pub async fn restart(&mut self, index: usize) {
+        self.hosts[index] = self.spawn(index).await;
+        self.list_states[index] = Listed::Live;
+        self.publish_list();
     }
 
     /// Changes what the platform's list says of a host.
-    pub fn list_host(&mut self, place: usize, state: Listed) {
-        self.listed[place] = state;
-        self.list();
+    pub fn set_list_state(&mut self, index: usize, state: Listed) {
+        self.list_states[index] = state;
+        self.publish_list();
     }
 
     /// Ends a host by a signal and starts another in its place.
-    pub async fn replace(&mut self, place: usize, signal: Signal) {
-        self.hosts[place].signal(signal);
-        self.hosts[place].ended().await;
-        self.restart(place).await;
-        self.host_ready(place).await;
+    pub async fn replace(&mut self, index: usize, signal: Signal) {
+        self.hosts[index].signal(signal);
+        self.hosts[index].wait_for_exit().await;
+        self.restart(index).await;
+        self.wait_until_host_ready(index).await;
     }
 
     /// Ends every host in order.
-    pub async fn end(mut self) {
+    pub async fn shut_down(mut self) {
         for host in &self.hosts {
             host.signal(Signal::SIGTERM);
         }
         for host in &mut self.hosts {
-            assert_eq!(host.ended().await, Some(0), "{} ends cleanly", host.host.id);
+            assert_eq!(host.wait_for_exit().await, Some(0), "{} ends cleanly", host.host.id);
         }
     }
 
     /// Waits until each host is ready and hears each server.
-    pub async fn ready(&self) {
-        for place in 0..self.hosts.len() {
-            self.host_ready(place).await;
+    pub async fn wait_until_ready(&self) {
+        for index in 0..self.hosts.len() {
+            self.wait_until_host_ready(index).await;
         }
     }
 
     /// Waits until one host is ready and hears each server.
-    pub async fn host_ready(&self, place: usize) {
+    pub async fn wait_until_host_ready(&self, index: usize) {
         let servers = self.engines.len() + self.plains.len();
-        let host = &self.hosts[place];
+        let host = &self.hosts[index];
         until("the host is ready", async || {
             let Some(status) = get(host.operators(), "/status").await else { return false };
             status["ready"] == true && status["reporting"] == servers
@@ -279,11 +280,11 @@
 
     /// The servers as the list names them: behind their links, if the site has links.
     fn servers(&self) -> Vec<Server> {
-        let engines = self.engines.iter().enumerate().map(|(place, engine)| {
-            server(&engine.settings().id, "lm", Kind::Engine, place, engine.address())
+        let engines = self.engines.iter().enumerate().map(|(index, engine)| {
+            server(&engine.settings().id, "lm", Kind::Engine, index, engine.address())
         });
-        let plains = self.plains.iter().enumerate().map(|(place, plain)| {
-            server(&format!("app-{place}"), "app", Kind::Plain, place, plain.address())
+        let plains = self.plains.iter().enumerate().map(|(index, plain)| {
+            server(&format!("app-{index}"), "app", Kind::Plain, index, plain.address())
         });
         let mut servers: Vec<Server> = engines.chain(plains).collect();
         if let Some(links) = &self.links {
@@ -293,48 +294,48 @@
     }
 
     /// Publishes the list of hosts and servers.
-    pub fn list(&self) {
+    pub fn publish_list(&self) {
         let live = |server| backend::Entry { server, state: Listed::Live };
-        let hosts = self.hosts.iter().enumerate().map(|(place, process)| {
+        let hosts = self.hosts.iter().enumerate().map(|(index, process)| {
             let mut host = process.host.clone();
             if let Some(links) = &self.links {
-                host.peers = links.peers(place).address();
-                host.callers = links.callers(place).address();
+                host.peers = links.peers(index).address();
+                host.callers = links.callers(index).address();
             }
-            Entry { host, state: self.listed[place] }
+            Entry { host, state: self.list_states[index] }
         });
         let servers = self.servers().into_iter().map(live).collect();
         self.platform.set_list(List { hosts: hosts.collect(), servers });
     }
 
-    async fn spawn(&mut self, place: usize) -> Process {
-        let any = SocketAddr::new(self.network.host(place), 0);
+    async fn spawn(&mut self, index: usize) -> Process {
+        let any = SocketAddr::new(self.network.host(index), 0);
         let host = Host {
-            id: format!("host-{place}").into(),
-            zone: ZONES[place % ZONES.len()].into(),
+            id: format!("host-{index}").into(),
+            zone: ZONES[index % ZONES.len()].into(),
             callers: any,
             peers: any,
             operators: any,
         };
         let links = self.links.as_ref();
-        let platform = links.map_or(self.platform.address(), |l| l.platform(place).address());
+        let platform = links.map_or(self.platform.address(), |l| l.platform(index).address());
         let mut settings = json!({
             "host": host,
             "platform": platform,
             "intervals": {"list_ms": 100, "report_ms": 50, "heartbeat_ms": 50, "plan_ms": 200},
             "drain": {"balancer_ms": 100, "finish_ms": 20_000},
         });
-        (self.change)(&mut settings);
-        self.runs += 1;
-        let process = Process::start(settings, self.files.path(), self.runs).await;
+        (self.settings_change)(&mut settings);
+        self.starts += 1;
+        let process = Process::start(settings, self.files.path(), self.starts).await;
         if let Some(links) = &self.links {
-            links.lead(place, &process.host);
+            links.retarget(index, &process.host);
         }
         process
     }
 }
 
-fn server(id: &str, group: &str, kind: Kind, place: usize, address: SocketAddr) -> Server {
-    let zone = ZONES[place % ZONES.len()].into();
+fn server(id: &str, group: &str, kind: Kind, index: usize, address: SocketAddr) -> Server {
+    let zone = ZONES[index % ZONES.len()].into();
     Server { id: id.into(), group: group.into(), kind, zone, address }
 }
--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -52,7 +52,7 @@
     for host in 0..3 {
         assert_eq!(in_force(&site, host).await["config"]["models"]["new"]["memory"], 500);
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -88,7 +88,7 @@
     }
     assert_eq!(winners.keys().copied().collect::<Vec<_>>(), (2..2 + ROUNDS).collect::<Vec<_>>());
     everywhere(&site, 1 + ROUNDS).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -107,7 +107,7 @@
     }
     let (_, root) = site.platform.peek("config/root").unwrap();
     assert_eq!((&root["number"], &root["config"]["weights"]["moves"]), (&json!(3), &json!(6.0)));
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -121,7 +121,7 @@
     let taken = apply(&site, 1, &asked).await;
     assert_eq!(taken.json(), json!({"outcome": "accepted", "number": 2}));
     everywhere(&site, 2).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -146,7 +146,7 @@
     newer["number"] = json!(4);
     site.platform.poke("config/root", newer);
     everywhere(&site, 4).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -179,7 +179,7 @@
         assert_eq!(config["models"]["small-123"]["memory"], 2);
         assert_eq!(config["models"].as_object().unwrap().len(), 601);
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[rstest]
@@ -203,7 +203,7 @@
         assert!(text.contains(place), "{text}");
     }
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -215,7 +215,7 @@
     let answer = send(operators, "POST", "/config/check", &headers, &asked).await;
     assert_eq!(answer.json(), json!({"outcome": "accepted", "number": 2}));
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 const TOKEN: &str = "a-token-of-more-than-16-characters";
@@ -328,8 +328,8 @@
     let operators = site.hosts()[1].operators();
     assert_eq!(send(operators, "POST", "/drain", &[], "").await.status, 202);
     let mut drained = site.hosts_mut().remove(1);
-    assert_eq!(drained.ended().await, Some(0));
-    site.end().await;
+    assert_eq!(drained.wait_for_exit().await, Some(0));
+    site.shut_down().await;
 }
 
 #[test]
--- a/crates/stage/tests/control.rs
+++ b/crates/stage/tests/control.rs
@@ -22,8 +22,8 @@
 fn processor(process: &Process) -> f64 {
     let text = fs::read_to_string(format!("/proc/{}/stat", process.id())).expect("own child");
     let after_name = text.rsplit(')').next().unwrap_or_default();
-    let ticks = |place: usize| {
-        let field = after_name.split_whitespace().nth(place);
+    let ticks = |index: usize| {
+        let field = after_name.split_whitespace().nth(index);
         field.and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0)
     };
     const USER: usize = 11;
@@ -72,8 +72,8 @@
 #[ignore = "a measurement of two minutes"]
 async fn cost_of_control_by_hosts() {
     for hosts in [2, 4, 8, 16] {
-        let lm = |place| engine::Settings::new(&format!("lm-{place}")).with_model("m", "1", 1000);
-        let builder = (0..9).fold(Builder::new(hosts), |builder, place| builder.engine(lm(place)));
+        let lm = |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 1000);
+        let builder = (0..9).fold(Builder::new(hosts), |builder, index| builder.engine(lm(index)));
         let usual = |settings: &mut serde_json::Value| settings["intervals"] = json!({});
         let site = builder.settings(usual).start().await;
         until_whole(&site).await;
@@ -97,6 +97,6 @@
             "all_hosts_list_reads_per_second": calls(before.2.lists, after.2.lists),
         });
         eprintln!("{figures}");
-        site.end().await;
+        site.shut_down().await;
     }
 }
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -122,7 +122,7 @@
         let answer = upload.finish().await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         assert!(answer.contains(&format!("\"bytes\":{}", 2 * Upload::HALF)), "{answer}");
-        assert_eq!(site.hosts_mut()[host].ended().await, Some(0));
+        assert_eq!(site.hosts_mut()[host].wait_for_exit().await, Some(0));
     }
     let cut: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
     assert_eq!(cut, 0, "the engines saw callers go away");
@@ -148,7 +148,7 @@
     }
     assert_eq!(leaving.counts().arrivals, before, "new work for a leaving server");
     check_streams(&site, streams).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -164,7 +164,7 @@
     near.crash();
     check_streams(&site, streams).await;
     assert_eq!(site.engines()[1].counts().arrivals, STREAMS as u64);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -186,5 +186,5 @@
     until("the engines are free", async || engines_busy(&site) == 0).await;
     let cancels: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
     assert_eq!(cancels, STREAMS as u64);
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use common::{Ask, Builder, Chat, Crowd, Ending, Site, get, until};
+use common::{Builder, Chat, Ending, LoadGenerator, Site, Workload, get, until};
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use standin::{engine, fault};
@@ -14,12 +14,12 @@
 const MODEL: &str = "welcome";
 const ZONES: usize = 4;
 
-fn lm(place: usize) -> engine::Settings {
-    engine::Settings::new(&format!("lm-{place}")).with_model(MODEL, "1", 1000)
+fn lm(index: usize) -> engine::Settings {
+    engine::Settings::new(&format!("lm-{index}")).with_model(MODEL, "1", 1000)
 }
 
-fn ask(name: &'static str) -> Ask {
-    Ask { name, models: vec![MODEL.into()], tokens: 8 }
+fn workload(name: &'static str) -> Workload {
+    Workload { name, models: vec![MODEL.into()], tokens: 8 }
 }
 
 /// Declares a change; gives its number.
@@ -27,8 +27,8 @@
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
 
-async fn members(site: &Site, place: usize) -> Value {
-    get(site.hosts()[place].operators(), "/members").await.unwrap_or_default()
+async fn members(site: &Site, index: usize) -> Value {
+    get(site.hosts()[index].operators(), "/members").await.unwrap_or_default()
 }
 
 async fn standing(site: &Site, at: usize, of: usize) -> Value {
@@ -52,16 +52,16 @@
 
 async fn watchers(site: &Site) -> usize {
     let mut watchers = 0;
-    for place in 0..site.hosts().len() {
-        watchers += usize::from(members(site, place).await["watching"] == true);
+    for index in 0..site.hosts().len() {
+        watchers += usize::from(members(site, index).await["watching"] == true);
     }
     watchers
 }
 
 async fn until_in_force(site: &Site, number: u64) {
-    for place in 0..site.hosts().len() {
-        until(&format!("number {number} is in force on host {place}"), async || {
-            site.in_force(place).await == number
+    for index in 0..site.hosts().len() {
+        until(&format!("number {number} is in force on host {index}"), async || {
+            site.in_force(index).await == number
         })
         .await;
     }
@@ -77,7 +77,7 @@
         until_in_force(&site, number).await;
     }
     assert_eq!(watchers(&site).await, ZONES);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -87,16 +87,16 @@
     until("one host in each zone watches", async || watchers(&site).await == ZONES).await;
     // Who watches is read before the first one is killed, since another host then takes its place.
     let mut watching = Vec::new();
-    for place in 0..6 {
-        watching.push(members(&site, place).await["watching"] == true);
+    for index in 0..6 {
+        watching.push(members(&site, index).await["watching"] == true);
     }
-    let (killed, left): (Vec<usize>, Vec<usize>) = (0..6).partition(|place| watching[*place]);
-    for place in killed {
-        site.kill(place);
+    let (killed, left): (Vec<usize>, Vec<usize>) = (0..6).partition(|index| watching[*index]);
+    for index in killed {
+        site.kill(index);
     }
     let number = change(&site);
-    for place in &left {
-        until("the number is in force", async || site.in_force(*place).await == number).await;
+    for index in &left {
+        until("the number is in force", async || site.in_force(*index).await == number).await;
     }
     assert_eq!(left.len(), 2);
 }
@@ -112,10 +112,10 @@
     let seeds: Vec<SocketAddr> = site.hosts()[..2].iter().map(|host| host.host.peers).collect();
     site.change_settings(move |settings| settings["peers"] = json!(seeds));
     site.restart(2).await;
-    site.host_ready(2).await;
+    site.wait_until_host_ready(2).await;
     assert_eq!(site.in_force(2).await, number);
     let ending = Chat::new("after", MODEL, 6).send(site.hosts()[2].callers()).await;
-    assert_eq!(ending, Ending::Whole);
+    assert_eq!(ending, Ending::Complete);
 }
 
 #[tokio::test]
@@ -123,53 +123,54 @@
     let site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
     until_whole(&site).await;
     site.platform.fault(|fault| fault.down = true);
-    let crowd = Crowd::start(8, &site.entrances(), ask("outage"));
+    let generator = LoadGenerator::start(8, &site.host_addresses(), workload("outage"));
     let before = site.platform.calls();
     let number = change(&site);
     let enough = 200;
-    until("calls are answered", async || enough <= crowd.endings().whole()).await;
-    for place in 0..4 {
-        assert!(site.in_force(place).await < number, "the platform was down");
+    until("calls are answered", async || enough <= generator.endings().complete_count()).await;
+    for index in 0..4 {
+        assert!(site.in_force(index).await < number, "the platform was down");
     }
     let refused = site.platform.calls().refused - before.refused;
     assert!(0 < refused, "nobody asked the platform");
     site.platform.fault(|fault| fault.down = false);
     until_in_force(&site, number).await;
-    assert_eq!(crowd.stop().await.others(), []);
-    site.end().await;
+    assert_eq!(generator.stop().await.failures(), []);
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn each_host_in_turn_is_killed_under_load_and_only_its_own_calls_suffer() {
     let mut site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
     until_whole(&site).await;
-    for place in 0..4 {
+    for index in 0..4 {
         let others: Vec<_> = site
-            .entrances()
+            .host_addresses()
             .into_iter()
             .enumerate()
-            .filter(|(other, _)| *other != place)
-            .map(|(_, entrance)| entrance)
+            .filter(|(other, _)| *other != index)
+            .map(|(_, addresses)| addresses)
             .collect();
-        let crowd = Crowd::start(6, &others, ask("killed"));
+        let generator = LoadGenerator::start(6, &others, workload("killed"));
         let whole = async |count: usize| {
-            until("calls are answered", async || count <= crowd.endings().whole()).await;
+            until("calls are answered", async || count <= generator.endings().complete_count())
+                .await;
         };
         whole(20).await;
-        site.kill(place);
-        until_standing(&site, place, "gone").await;
-        let done = crowd.endings().whole();
+        site.kill(index);
+        until_standing(&site, index, "gone").await;
+        let done = generator.endings().complete_count();
         whole(done + 20).await;
-        site.restart(place).await;
-        site.host_ready(place).await;
+        site.restart(index).await;
+        site.wait_until_host_ready(index).await;
         until_whole(&site).await;
         assert_eq!(
-            crowd.stop().await.others(),
+            generator.stop().await.failures(),
             [],
-            "host {place} was killed, others' calls failed"
+            "host {index} was killed, others' calls failed"
         );
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -179,13 +180,13 @@
     site.hosts()[1].signal(Signal::SIGSTOP);
     until_standing(&site, 1, "gone").await;
     let number = change(&site);
-    for place in [0, 2, 3] {
-        until("the number is in force", async || site.in_force(place).await == number).await;
+    for index in [0, 2, 3] {
+        until("the number is in force", async || site.in_force(index).await == number).await;
     }
     site.hosts()[1].signal(Signal::SIGCONT);
     until_in_force(&site, number).await;
     until_whole(&site).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -198,18 +199,18 @@
     until_whole(&site).await;
     site.hosts()[0].signal(Signal::SIGTERM);
     until_standing(&site, 0, "leaving").await;
-    assert_eq!(site.hosts_mut()[0].ended().await, Some(0));
+    assert_eq!(site.hosts_mut()[0].wait_for_exit().await, Some(0));
 }
 
 #[tokio::test]
 async fn a_host_that_the_list_calls_leaving_is_leaving_for_all() {
     let mut site = Builder::new(3).engine(lm(0)).start().await;
     until_whole(&site).await;
-    site.list_host(1, Listed::Leaving);
+    site.set_list_state(1, Listed::Leaving);
     until_standing(&site, 1, "leaving").await;
-    site.list_host(1, Listed::Live);
+    site.set_list_state(1, Listed::Live);
     until_standing(&site, 1, "live").await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -219,27 +220,27 @@
     let lists = site.platform.calls().lists;
     site.platform.set_list(Default::default());
     until("each host has read it", async || lists + 12 <= site.platform.calls().lists).await;
-    for place in 0..3 {
-        let status = get(site.hosts()[place].operators(), "/status").await.unwrap_or_default();
+    for index in 0..3 {
+        let status = get(site.hosts()[index].operators(), "/status").await.unwrap_or_default();
         assert_eq!(status["servers"], 1);
-        let ending = Chat::new(format!("empty-{place}"), MODEL, 4);
-        assert_eq!(ending.send(site.hosts()[place].callers()).await, Ending::Whole);
+        let ending = Chat::new(format!("empty-{index}"), MODEL, 4);
+        assert_eq!(ending.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     until_whole(&site).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_host_cut_off_from_its_peers_goes_on_serving_and_joins_again() {
-    let site = Builder::new(3).engine(lm(0)).linked().start().await;
+    let site = Builder::new(3).engine(lm(0)).with_proxies().start().await;
     until_whole(&site).await;
     site.links().peers(0).door(fault::Door::Shut);
     site.links().peers(0).cut();
     let number = change(&site);
     until_in_force(&site, number).await;
     let chat = Chat::new("cut", MODEL, 4);
-    assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Whole);
+    assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Complete);
     site.links().peers(0).door(fault::Door::Open);
     until_whole(&site).await;
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -64,7 +64,7 @@
     assert_eq!(value(&text, "cyclamenstage_configuration"), 1.0, "{text}");
     assert_eq!(value(&text, "cyclamenstage_platform_up"), 1.0, "{text}");
     assert!(0.0 < value(&text, r#"cyclamenstage_control_bytes_total{direction="in""#), "{text}");
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -88,7 +88,7 @@
         })
         .collect();
     assert_eq!(seen, [PlatformState::Up, PlatformState::Down, PlatformState::Up]);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -113,7 +113,7 @@
 
     let expected = [Kind::Request { service: "chat".into() }, Kind::Attempt { attempt: 0 }, ended];
     assert_eq!(kinds, expected);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -134,7 +134,7 @@
         assert!(mine().any(|r| r.event.kind == Kind::Start), "{number}");
         assert!(mine().any(|r| r.event.kind == Kind::Configuration { number: 1 }), "{number}");
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// A host five seconds ahead sends a heartbeat: what the receiver does next is stamped later.
@@ -156,7 +156,7 @@
     let query = format!("request={}", request_id(&call));
     let records = records(host, &query).await;
     assert!(!records.is_empty() && records.iter().all(|record| ahead < record.at), "{records:?}");
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[rstest]
@@ -168,7 +168,7 @@
     let uri = format!("/timeline?{query}");
     let answer = send(site.hosts()[0].operators(), "GET", &uri, &[], "").await;
     assert!(answer.text().contains(expected), "{}", answer.text());
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -178,5 +178,5 @@
     let answer = try_send(site.hosts()[0].operators(), "GET", uri, &[], "").await.unwrap();
     assert_eq!(answer.status, 400);
     assert!(answer.text().contains("yesterday"));
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -24,7 +24,7 @@
         answers.iter().filter(|answer| answer.status != 200).for_each(assert_honest);
     }
     assert_runs(&site, 10);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -42,7 +42,7 @@
         assert_eq!(again.headers["idempotent-replayed"], "true");
     }
     assert_runs(&site, 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -55,7 +55,7 @@
     assert_eq!(other.status, 422);
     assert_eq!(other.json()["ran"], "did-not-run");
     assert_runs(&site, 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// The host dies while the service works on the request.
@@ -78,7 +78,7 @@
     }
     site.hosts_mut().remove(0);
     assert_runs(&site, 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// The process is stopped with a claim on its way and goes on long after another host had the key.
@@ -110,7 +110,7 @@
     }
     site.platform.fault(|fault| fault.latency = Duration::ZERO);
     assert!(runs(&site).values().all(|runs| *runs == 1), "{:?}", runs(&site));
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -122,7 +122,7 @@
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
     assert_runs(&site, 6);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -142,7 +142,7 @@
     until("keys are claimed again", async || ticket(&site, 0, "during").await.status == 200).await;
     let runs = runs(&site);
     assert_eq!((runs["before"], runs["during"]), (1, 1));
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -150,18 +150,18 @@
     let mut site = site().await;
     let first = ticket(&site, 0, "ticket").await;
     assert_eq!(first.status, 200);
-    for place in 0..HOSTS {
-        replace(&mut site, place, Signal::SIGTERM).await;
-        let again = ticket(&site, place, "ticket").await;
+    for index in 0..HOSTS {
+        replace(&mut site, index, Signal::SIGTERM).await;
+        let again = ticket(&site, index, "ticket").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "{}", again.text());
     }
-    for place in 0..HOSTS {
-        replace(&mut site, place, Signal::SIGKILL).await;
-        let again = ticket(&site, place, "ticket").await;
+    for index in 0..HOSTS {
+        replace(&mut site, index, Signal::SIGKILL).await;
+        let again = ticket(&site, index, "ticket").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "{}", again.text());
     }
     assert_runs(&site, 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// The service runs the request and its answer never comes.
@@ -177,7 +177,7 @@
         assert_honest(&again);
     }
     assert_runs(&site, 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// Admission refuses before the key is looked up: the host can't say that no other send ran, and
@@ -197,10 +197,10 @@
     assert_eq!(refused.json()["ran"], "may-have-run", "{}", refused.text());
     assert!(refused.headers.contains_key("retry-after"));
     assert_eq!(site.plains()[0].total(), total);
-    site.list_host(0, Listed::Live);
+    site.set_list_state(0, Listed::Live);
     until("it runs", async || ticket(&site, 1, "ticket").await.status == 200).await;
     assert_eq!(runs(&site)["ticket"], 1);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// The platform's list, with every backend server leaving. An empty list would change nothing.
@@ -219,11 +219,11 @@
 }
 
 /// Ends a host by a signal and starts another in its place.
-async fn replace(site: &mut Site, place: usize, signal: Signal) {
-    site.hosts()[place].signal(signal);
-    site.hosts_mut()[place].ended().await;
-    site.restart(place).await;
-    site.ready().await;
+async fn replace(site: &mut Site, index: usize, signal: Signal) {
+    site.hosts()[index].signal(signal);
+    site.hosts_mut()[index].wait_for_exit().await;
+    site.restart(index).await;
+    site.wait_until_ready().await;
 }
 
 async fn ticket(site: &Site, host: usize, key: &str) -> Answer {
--- a/crates/stage/tests/once_cost.rs
+++ b/crates/stage/tests/once_cost.rs
@@ -52,7 +52,7 @@
     let keys = 4 * SENDS;
     println!("{} ranges, {} bytes a key", sizes.len(), sizes.iter().sum::<usize>() / keys);
     assert!(site.plains()[0].runs().values().filter(|runs| **runs == 1).count() >= keys);
-    site.end().await;
+    site.shut_down().await;
 }
 
 async fn run(site: &Site, parallel: usize, keys: Option<&str>) -> Vec<f64> {
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -19,8 +19,8 @@
 
 const MODEL: &str = "welcome";
 
-fn lm(place: usize) -> engine::Settings {
-    engine::Settings::new(&format!("lm-{place}")).with_model(MODEL, "1", 1000)
+fn lm(index: usize) -> engine::Settings {
+    engine::Settings::new(&format!("lm-{index}")).with_model(MODEL, "1", 1000)
 }
 
 async fn site(hosts: usize) -> Site {
@@ -41,8 +41,8 @@
 }
 
 async fn until_in_force(site: &Site, number: u64) {
-    for place in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(place).await == number).await;
+    for index in 0..site.hosts().len() {
+        until("the number is in force", async || site.in_force(index).await == number).await;
     }
 }
 
@@ -61,11 +61,11 @@
     for call in 0..CALLS {
         let chat = Chat::new(format!("call-{call}"), MODEL, 4);
         let ending = chat.send(site.hosts()[call % 4].callers()).await;
-        assert_eq!(ending, Ending::Whole);
+        assert_eq!(ending, Ending::Complete);
     }
     site.platform.fault(|fault| *fault = objects::Fault::default());
     until_in_force(&site, number).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -91,7 +91,7 @@
         }
         let chat = Chat::new(format!("call-{call}"), MODEL, 4);
         match chat.send(site.hosts()[call % HOSTS].callers()).await {
-            Ending::Whole => whole += 1,
+            Ending::Complete => whole += 1,
             ending => others.push((since.as_secs(), ending)),
         }
         if OUTAGE / 2 <= since && !is_replaced {
@@ -99,7 +99,7 @@
             number = change(&site);
             site.kill(HOSTS - 1);
             site.restart(HOSTS - 1).await;
-            site.host_ready(HOSTS - 1).await;
+            site.wait_until_host_ready(HOSTS - 1).await;
             eprintln!("host replaced in the outage, ready after {:?}", began.elapsed() - since);
         }
         if OUTAGE <= since && healed.is_none() {
@@ -129,7 +129,7 @@
     eprintln!("calls a second, all hosts: most after it {:.1}", most(true));
     eprintln!("change in force on all after {in_force:?}");
     assert_eq!(others, []);
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// Calls that the platform got, of every kind.
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -4,8 +4,8 @@
 
 use common::{
     Answer,
-    inside::Inside,
-    script::{Act, Script},
+    in_process::Fixture,
+    script::{Behavior, Script},
     send, until,
 };
 use serde_json::json;
@@ -18,16 +18,16 @@
 const ROOM: u32 = 2;
 
 /// A host before one server that never answers, with all of its room taken.
-async fn full() -> (Inside, Vec<Script>, Vec<JoinHandle<Answer>>) {
-    let servers = vec![Script::start("lm-1", Kind::Engine, BUSY, Act::Silent).await];
-    let inside = Inside::start(&servers).await;
-    let running = (0..ROOM).map(|_| chat(&inside, "60000")).collect();
+async fn full() -> (Fixture, Vec<Script>, Vec<JoinHandle<Answer>>) {
+    let servers = vec![Script::start("lm-1", Kind::Engine, BUSY, Behavior::NoAnswer).await];
+    let fixture = Fixture::start(&servers).await;
+    let running = (0..ROOM).map(|_| chat(&fixture, "60000")).collect();
     until("the server is full", async || servers[0].requests() == ROOM).await;
-    (inside, servers, running)
+    (fixture, servers, running)
 }
 
-fn chat(inside: &Inside, timeout_ms: &'static str) -> JoinHandle<Answer> {
-    let address = inside.callers();
+fn chat(fixture: &Fixture, timeout_ms: &'static str) -> JoinHandle<Answer> {
+    let address = fixture.callers();
     let body = json!({"model": "welcome", "messages": []}).to_string();
     tokio::spawn(async move {
         let headers = [("x-timeout-ms", timeout_ms)];
@@ -35,14 +35,14 @@
     })
 }
 
-fn waiting(inside: &Inside) -> usize {
-    inside.host.context().traffic.waiting()
+fn waiting(fixture: &Fixture) -> usize {
+    fixture.host.context().traffic.waiting()
 }
 
 #[tokio::test]
 async fn work_that_cannot_meet_its_target_is_refused_at_once_and_told_when_to_come_back() {
-    let (inside, servers, running) = full().await;
-    let answer = chat(&inside, "20").await.expect("an answer");
+    let (fixture, servers, running) = full().await;
+    let answer = chat(&fixture, "20").await.expect("an answer");
     assert_eq!(answer.status, 503, "{}", answer.text());
     let problem = answer.json();
     assert_eq!(problem["type"], "urn:cyclamenstage:problem:overloaded");
@@ -55,38 +55,38 @@
 
 #[tokio::test]
 async fn an_empty_list_takes_no_server_away() {
-    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Act::Serve).await];
-    let inside = Inside::start(&servers).await;
-    inside.platform.set_list(Default::default());
-    let before = inside.platform.calls().lists;
-    until("the empty list is read", async || before + 2 <= inside.platform.calls().lists).await;
-    assert_eq!(chat(&inside, "60000").await.expect("an answer").status, 200);
-    inside.host.drain().await;
+    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Behavior::Serve).await];
+    let fixture = Fixture::start(&servers).await;
+    fixture.platform.set_list(Default::default());
+    let before = fixture.platform.calls().lists;
+    until("the empty list is read", async || before + 2 <= fixture.platform.calls().lists).await;
+    assert_eq!(chat(&fixture, "60000").await.expect("an answer").status, 200);
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_waiting_caller_that_goes_away_leaves_the_queue_and_never_runs() {
-    let (inside, servers, running) = full().await;
-    let gone = chat(&inside, "60000");
-    until("it waits", async || waiting(&inside) == 1).await;
+    let (fixture, servers, running) = full().await;
+    let gone = chat(&fixture, "60000");
+    until("it waits", async || waiting(&fixture) == 1).await;
     gone.abort();
-    until("it has left", async || waiting(&inside) == 0).await;
+    until("it has left", async || waiting(&fixture) == 0).await;
     running.iter().for_each(JoinHandle::abort);
-    let last = chat(&inside, "60000");
+    let last = chat(&fixture, "60000");
     until("the next one runs", async || servers[0].requests() == ROOM + 1).await;
     last.abort();
 }
 
 #[tokio::test]
 async fn a_waiting_request_runs_when_a_caller_before_it_goes_away() {
-    let (inside, servers, running) = full().await;
-    let next = chat(&inside, "60000");
-    until("it waits", async || waiting(&inside) == 1).await;
+    let (fixture, servers, running) = full().await;
+    let next = chat(&fixture, "60000");
+    until("it waits", async || waiting(&fixture) == 1).await;
     assert_eq!(servers[0].requests(), ROOM);
     running[0].abort();
     until("it runs", async || servers[0].requests() == ROOM + 1).await;
     next.abort();
     running.iter().for_each(JoinHandle::abort);
-    let drained = timeout(Duration::from_secs(20), inside.host.drain()).await;
+    let drained = timeout(Duration::from_secs(20), fixture.host.drain()).await;
     assert!(drained.is_ok(), "callers that went away hold the host up");
 }
--- a/crates/stage/tests/path.rs
+++ b/crates/stage/tests/path.rs
@@ -23,7 +23,7 @@
         assert_eq!(offsets, (0..12).collect::<Vec<u64>>());
         assert_eq!(answer_text(&events), site.expected(&body, 12));
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -37,7 +37,7 @@
     assert_eq!(response.status, 200, "{}", response.text());
     let answer = response.json();
     assert_eq!(answer["choices"][0]["message"]["content"], site.expected(&body, 5));
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -54,7 +54,7 @@
         assert_eq!(echo["bytes"], "a long letter".len());
     }
     assert_eq!(site.plains()[0].total(), 2);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -68,5 +68,5 @@
     assert_eq!(response.json()["ran"], "did-not-run");
     let response = common::send(address, "GET", "/services/nobody/x", &[], "").await;
     assert_eq!(response.json()["type"], "urn:cyclamenstage:problem:unknown-service");
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/answers.rs
+++ b/crates/stage/tests/promises/answers.rs
@@ -8,7 +8,7 @@
     fault::{Fault, Strike, Way},
 };
 
-use crate::common::{Ask, Builder, Chat, Crowd, Ending, Site, until};
+use crate::common::{Builder, Chat, Ending, LoadGenerator, Site, Workload, until};
 
 const MODEL: &str = "lector";
 
@@ -17,26 +17,26 @@
 }
 
 async fn site() -> Site {
-    Builder::new(2).engine(engine("lm-1")).engine(engine("lm-2")).linked().start().await
+    Builder::new(2).engine(engine("lm-1")).engine(engine("lm-2")).with_proxies().start().await
 }
 
-fn ask(name: &'static str) -> Ask {
-    Ask { name, models: vec![MODEL.into()], tokens: 60 }
+fn workload(name: &'static str) -> Workload {
+    Workload { name, models: vec![MODEL.into()], tokens: 60 }
 }
 
 #[tokio::test]
 async fn whole_answer_when_an_engine_dies_mid_stream() {
     let site = site().await;
-    let crowd = Crowd::start(8, &site.entrances(), ask("dies"));
+    let generator = LoadGenerator::start(8, &site.host_addresses(), workload("dies"));
     until("both engines run requests", async || site.engines().iter().all(|e| 1 < e.in_flight()))
         .await;
 
     site.engines()[0].crash();
-    until("calls go on", async || 24 <= crowd.endings().whole()).await;
+    until("calls go on", async || 24 <= generator.endings().complete_count()).await;
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    site.end().await;
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    site.shut_down().await;
 }
 
 #[rstest]
@@ -47,16 +47,16 @@
 async fn whole_answer_when_streams_are_cut(#[case] bytes: u64) {
     let site = site().await;
     let link = site.links().server("lm-1");
-    let crowd = Crowd::start(6, &site.entrances(), ask("cut"));
+    let generator = LoadGenerator::start(6, &site.host_addresses(), workload("cut"));
     until("streams run", async || 0 < site.engines()[0].in_flight()).await;
 
     link.set(Way::Back, Fault::CutAfter(bytes));
-    until("calls go on", async || 12 <= crowd.endings().whole()).await;
+    until("calls go on", async || 12 <= generator.endings().complete_count()).await;
     link.heal();
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    site.end().await;
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -67,9 +67,9 @@
     for number in 0..4 {
         let chat = Chat::new(format!("slow-{number}"), MODEL, 30);
         let host = &site.hosts()[number % 2];
-        assert_eq!(chat.send(host.callers()).await, Ending::Whole);
+        assert_eq!(chat.send(host.callers()).await, Ending::Complete);
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -82,27 +82,27 @@
     let first = tokio::spawn(async move { Chat::new("first", MODEL, 20).send(callers).await });
     until("the first answer is held", async || traps.iter().any(|trap| trap.has_sprung())).await;
 
-    assert_eq!(Chat::new("second", MODEL, 20).send(callers).await, Ending::Whole);
+    assert_eq!(Chat::new("second", MODEL, 20).send(callers).await, Ending::Complete);
     assert!(!first.is_finished());
     traps.iter().for_each(|trap| trap.release());
 
-    assert_eq!(first.await.unwrap(), Ending::Whole);
-    site.end().await;
+    assert_eq!(first.await.unwrap(), Ending::Complete);
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn whole_answer_when_it_comes_late() {
     let site = site().await;
-    let crowd = Crowd::start(6, &site.entrances(), ask("late"));
+    let generator = LoadGenerator::start(6, &site.host_addresses(), workload("late"));
     until("streams run", async || 0 < site.engines()[0].in_flight()).await;
 
     let link = site.links().server("lm-1");
     link.set(Way::Back, Fault::Hold);
     tokio::time::sleep(Duration::from_millis(500)).await;
     link.heal();
-    until("calls go on", async || 12 <= crowd.endings().whole()).await;
+    until("calls go on", async || 12 <= generator.endings().complete_count()).await;
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    site.end().await;
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/configuration.rs
+++ b/crates/stage/tests/promises/configuration.rs
@@ -10,7 +10,11 @@
 const CHANGES: u64 = 10;
 
 async fn site() -> Site {
-    Builder::new(3).engine(Settings::new("lm-1").with_model("m", "v1", 900)).linked().start().await
+    Builder::new(3)
+        .engine(Settings::new("lm-1").with_model("m", "v1", 900))
+        .with_proxies()
+        .start()
+        .await
 }
 
 fn add_customer(site: &Site) -> u64 {
@@ -21,8 +25,8 @@
 }
 
 /// Numbers that came into force on a host, in its own order.
-async fn history(site: &Site, place: usize) -> Vec<u64> {
-    let records = records(&site.hosts()[place], "").await;
+async fn history(site: &Site, index: usize) -> Vec<u64> {
+    let records = records(&site.hosts()[index], "").await;
     let number = |kind: &Kind| match kind {
         Kind::Configuration { number } => Some(*number),
         _ => None,
@@ -31,8 +35,8 @@
 }
 
 async fn until_in_force(site: &Site, number: u64) {
-    for place in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(place).await == number).await;
+    for index in 0..site.hosts().len() {
+        until("the number is in force", async || site.in_force(index).await == number).await;
     }
 }
 
@@ -44,12 +48,12 @@
         until_in_force(&site, number).await;
     }
 
-    for place in 0..site.hosts().len() {
-        let history = history(&site, place).await;
+    for index in 0..site.hosts().len() {
+        let history = history(&site, index).await;
         assert!(history.is_sorted_by(|before, after| before < after), "{history:?}");
         assert_eq!(history.last(), Some(&(CHANGES + 1)));
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -62,7 +66,7 @@
     site.platform.fault(|fault| fault.down = false);
 
     until_in_force(&site, number).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -76,7 +80,7 @@
     link.heal();
 
     until_in_force(&site, number).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -84,14 +88,14 @@
     let mut site = site().await;
     let number = add_customer(&site);
     until_in_force(&site, number).await;
-    for place in 0..site.hosts().len() {
-        site.kill(place);
-        site.restart(place).await;
-        site.host_ready(place).await;
+    for index in 0..site.hosts().len() {
+        site.kill(index);
+        site.restart(index).await;
+        site.wait_until_host_ready(index).await;
 
-        assert_eq!(history(&site, place).await, [number]);
+        assert_eq!(history(&site, index).await, [number]);
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// The platform answers from an old copy, then from the true one again.
@@ -108,8 +112,8 @@
     let next = add_customer(&site);
     until_in_force(&site, next).await;
 
-    for place in 0..site.hosts().len() {
-        assert_eq!(history(&site, place).await, [1, number, next]);
+    for index in 0..site.hosts().len() {
+        assert_eq!(history(&site, index).await, [1, number, next]);
     }
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/graceful.rs
+++ b/crates/stage/tests/promises/graceful.rs
@@ -3,7 +3,7 @@
 use nix::sys::signal::Signal;
 use standin::engine::Settings;
 
-use crate::common::{Ask, Builder, Crowd, Site, until};
+use crate::common::{Builder, LoadGenerator, Site, Workload, until};
 
 const MODEL: &str = "portal";
 
@@ -23,21 +23,21 @@
 #[tokio::test]
 async fn planned_stop_of_each_host_in_turn_cuts_and_refuses_nothing() {
     let mut site = site().await;
-    let ask = Ask { name: "stop", models: vec![MODEL.into()], tokens: 100 };
-    for place in 0..site.hosts().len() {
-        let crowd = Crowd::start(9, &site.entrances(), ask.clone());
-        until("calls end", async || 9 <= crowd.endings().whole()).await;
+    let workload = Workload { name: "stop", models: vec![MODEL.into()], tokens: 100 };
+    for index in 0..site.hosts().len() {
+        let generator = LoadGenerator::start(9, &site.host_addresses(), workload.clone());
+        until("calls end", async || 9 <= generator.endings().complete_count()).await;
 
-        site.hosts()[place].signal(Signal::SIGTERM);
-        let code = site.hosts_mut()[place].ended().await;
-        let whole = crowd.endings().whole();
-        until("calls go on", async || whole + 9 <= crowd.endings().whole()).await;
+        site.hosts()[index].signal(Signal::SIGTERM);
+        let code = site.hosts_mut()[index].wait_for_exit().await;
+        let complete = generator.endings().complete_count();
+        until("calls go on", async || complete + 9 <= generator.endings().complete_count()).await;
 
-        let endings = crowd.stop().await;
+        let endings = generator.stop().await;
         assert_eq!(code, Some(0));
-        assert_eq!(endings.others(), [], "of {} at the stop of {place}", endings.all().len());
-        site.restart(place).await;
-        site.host_ready(place).await;
+        assert_eq!(endings.failures(), [], "of {} at the stop of {index}", endings.all().len());
+        site.restart(index).await;
+        site.wait_until_host_ready(index).await;
     }
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/leaving.rs
+++ b/crates/stage/tests/promises/leaving.rs
@@ -4,33 +4,33 @@
 
 use standin::engine::Settings;
 
-use crate::common::{Ask, Builder, Crowd, until};
+use crate::common::{Builder, LoadGenerator, Workload, until};
 
 const MODEL: &str = "portal";
 
 /// "A few seconds", as the users' measure of it.
-const FEW_SECONDS: Duration = Duration::from_secs(3);
+const LEAVE_DEADLINE: Duration = Duration::from_secs(3);
 
 #[tokio::test]
 async fn leaving_engine_gets_nothing_new_though_the_list_lags() {
     let engine = |id: &str| Settings::new(id).with_model(MODEL, "v1", 900);
     let site = Builder::new(2).engine(engine("lm-1")).engine(engine("lm-2")).start().await;
     site.platform.list_lag(Duration::from_secs(60));
-    let ask = Ask { name: "leave", models: vec![MODEL.into()], tokens: 10 };
-    let crowd = Crowd::start(8, &site.entrances(), ask);
+    let workload = Workload { name: "leave", models: vec![MODEL.into()], tokens: 10 };
+    let generator = LoadGenerator::start(8, &site.host_addresses(), workload);
     until("both engines get work", async || {
         site.engines().iter().all(|engine| 4 < engine.counts().arrivals)
     })
     .await;
 
     site.engines()[0].leave();
-    tokio::time::sleep(FEW_SECONDS).await;
+    tokio::time::sleep(LEAVE_DEADLINE).await;
     let before = site.engines()[0].counts().arrivals;
-    let whole = crowd.endings().whole();
-    until("calls go on", async || whole + 40 <= crowd.endings().whole()).await;
+    let complete = generator.endings().complete_count();
+    until("calls go on", async || complete + 40 <= generator.endings().complete_count()).await;
 
-    let endings = crowd.stop().await;
+    let endings = generator.stop().await;
     assert_eq!(site.engines()[0].counts().arrivals, before, "new work for a leaving server");
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    site.end().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/not_run.rs
+++ b/crates/stage/tests/promises/not_run.rs
@@ -19,10 +19,10 @@
 /// One engine, and a short time for a whole request: the last word must have come by then.
 async fn site() -> Site {
     let engine = Settings::new("lm-1").with_model(MODEL, "v1", 900);
-    let short = |settings: &mut serde_json::Value| {
+    let short_timeouts = |settings: &mut serde_json::Value| {
         settings["bounds"] = serde_json::json!({"request_ms": 3_000, "idle_ms": 2_000});
     };
-    Builder::new(2).engine(engine).settings(short).linked().start().await
+    Builder::new(2).engine(engine).settings(short_timeouts).with_proxies().start().await
 }
 
 /// Sends all calls at once, to both hosts by turns.
@@ -44,7 +44,7 @@
     endings
 }
 
-fn shut(link: &Proxy) {
+fn refuse_connections(link: &Proxy) {
     link.cut();
     link.door(Door::Shut);
 }
@@ -72,7 +72,7 @@
 /// Whatever breaks on the way to the one engine: no refusal may say "did not run" of a request
 /// that the engine began to run.
 #[rstest]
-#[case::door_shut(shut)]
+#[case::door_shut(refuse_connections)]
 #[case::requests_cut(cut_requests)]
 #[case::answers_cut(cut_answers)]
 #[case::requests_lost(lose_requests)]
@@ -84,10 +84,13 @@
 
     let endings = join(send_all(&site, 5)).await;
 
-    check(&site, &endings);
-    assert!(endings.iter().any(|(_, ending)| *ending != Ending::Whole), "the fault had no effect");
+    check_not_run(&site, &endings);
+    assert!(
+        endings.iter().any(|(_, ending)| *ending != Ending::Complete),
+        "the fault had no effect"
+    );
     site.links().server("lm-1").heal();
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -99,9 +102,9 @@
     site.engines()[0].crash();
 
     let endings = join(calls).await;
-    check(&site, &endings);
-    assert!(endings.iter().all(|(_, ending)| *ending != Ending::Whole));
-    site.end().await;
+    check_not_run(&site, &endings);
+    assert!(endings.iter().all(|(_, ending)| *ending != Ending::Complete));
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -119,13 +122,13 @@
     })
     .await;
 
-    check(&site, &endings);
-    site.end().await;
+    check_not_run(&site, &endings);
+    site.shut_down().await;
 }
 
-fn check(site: &Site, endings: &[(String, Ending)]) {
+fn check_not_run(site: &Site, endings: &[(String, Ending)]) {
     for (key, ending) in endings {
-        assert!(!matches!(ending, Ending::Cut | Ending::Wrong(_)), "{key}: {ending:?}");
+        assert!(!matches!(ending, Ending::Disconnected | Ending::Wrong(_)), "{key}: {ending:?}");
         if ending.is_not_run() {
             assert_eq!(site.runs(key), 0, "{key} ran, and the caller was told that it did not");
         }
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -13,7 +13,7 @@
 
 async fn site() -> Site {
     let (first, second) = (Plain::start("app-0").await, Plain::start("app-1").await);
-    Builder::new(3).plain(first.unwrap()).plain(second.unwrap()).linked().start().await
+    Builder::new(3).plain(first.unwrap()).plain(second.unwrap()).with_proxies().start().await
 }
 
 async fn issue(site: &Site, host: usize, key: &str) -> Option<Answer> {
@@ -25,7 +25,7 @@
     site.plains().iter().filter_map(|plain| plain.runs().get(key).copied()).sum()
 }
 
-fn shut(link: &Proxy) {
+fn refuse_connections(link: &Proxy) {
     link.cut();
     link.door(Door::Shut);
 }
@@ -46,7 +46,7 @@
 
 /// Each ticket is asked for once; what the caller is told must be what the service counted.
 #[rstest]
-#[case::shut(shut)]
+#[case::refuse_connections(refuse_connections)]
 #[case::request_cut(cut_request)]
 #[case::answer_cut(cut_answer)]
 #[case::answers_lost(lose_answers)]
@@ -68,5 +68,5 @@
         }
     }
     site.links().server("app-0").heal();
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/pairs.rs
+++ b/crates/stage/tests/promises/pairs.rs
@@ -6,7 +6,7 @@
     fault::{Fault, Way},
 };
 
-use crate::common::{Ask, Builder, Crowd, Site, until};
+use crate::common::{Builder, LoadGenerator, Site, Workload, until};
 
 const MODEL: &str = "portal";
 
@@ -17,109 +17,113 @@
         settings["drain"]["balancer_ms"] = 1_500.into();
     };
     let builder = Builder::new(3).settings(slow_balancer);
-    engines.into_iter().fold(builder, Builder::engine).linked().start().await
+    engines.into_iter().fold(builder, Builder::engine).with_proxies().start().await
 }
 
-fn crowd(site: &Site, name: &'static str) -> Crowd {
-    let ask = Ask { name, models: vec![MODEL.into()], tokens: 60 };
-    Crowd::start(9, &site.entrances(), ask)
+fn generator(site: &Site, name: &'static str) -> LoadGenerator {
+    let workload = Workload { name, models: vec![MODEL.into()], tokens: 60 };
+    LoadGenerator::start(9, &site.host_addresses(), workload)
 }
 
-async fn until_under_way(site: &Site) {
+async fn until_engines_busy(site: &Site) {
     until("each engine runs requests", async || site.engines().iter().all(|e| 0 < e.in_flight()))
         .await;
 }
 
-async fn until_more_whole(crowd: &Crowd) {
-    let whole = crowd.endings().whole();
-    until("calls go on", async || whole + 18 <= crowd.endings().whole()).await;
+async fn until_more_complete(generator: &LoadGenerator) {
+    let complete = generator.endings().complete_count();
+    until("calls go on", async || complete + 18 <= generator.endings().complete_count()).await;
 }
 
 #[tokio::test]
 async fn engine_dies_during_an_outage_of_the_platform() {
     let site = site().await;
-    let crowd = crowd(&site, "outage");
-    until_under_way(&site).await;
+    let generator = generator(&site, "outage");
+    until_engines_busy(&site).await;
 
     site.platform.fault(|fault| fault.down = true);
-    until_more_whole(&crowd).await;
+    until_more_complete(&generator).await;
     site.engines()[0].crash();
-    until_more_whole(&crowd).await;
+    until_more_complete(&generator).await;
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
     site.platform.fault(|fault| fault.down = false);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn two_engines_die_one_after_the_other() {
     let site = site().await;
-    let crowd = crowd(&site, "twice");
-    until_under_way(&site).await;
+    let generator = generator(&site, "twice");
+    until_engines_busy(&site).await;
 
     site.engines()[0].crash();
     site.engines()[1].crash();
-    until_more_whole(&crowd).await;
+    until_more_complete(&generator).await;
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    site.end().await;
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn planned_stop_while_streams_are_cut() {
     let mut site = site().await;
-    let crowd = crowd(&site, "stop-cut");
-    until_under_way(&site).await;
+    let generator = generator(&site, "stop-cut");
+    until_engines_busy(&site).await;
 
     site.links().server("lm-1").set(Way::Back, Fault::CutAfter(700));
     site.hosts()[0].signal(Signal::SIGTERM);
-    let code = site.hosts_mut()[0].ended().await;
-    until_more_whole(&crowd).await;
+    let code = site.hosts_mut()[0].wait_for_exit().await;
+    until_more_complete(&generator).await;
 
-    let endings = crowd.stop().await;
+    let endings = generator.stop().await;
     assert_eq!(code, Some(0));
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
     site.links().server("lm-1").heal();
     site.restart(0).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// What a killed host had in flight breaks off; its callers see that, and nothing worse.
 #[tokio::test]
 async fn host_dies_while_an_engine_dies() {
     let mut site = site().await;
-    let crowd = crowd(&site, "host-engine");
-    until_under_way(&site).await;
+    let generator = generator(&site, "host-engine");
+    until_engines_busy(&site).await;
 
     site.kill(0);
     site.engines()[0].crash();
-    until_more_whole(&crowd).await;
-
-    let endings = crowd.stop().await;
-    let others = endings.others();
-    let is_clean = |ending: &crate::common::Ending| *ending == crate::common::Ending::Cut;
-    assert!(others.iter().all(|(_, ending)| is_clean(ending)), "{others:?}");
-    assert!(others.len() <= 9, "more calls broke off than the dead host can have had: {others:?}");
+    until_more_complete(&generator).await;
+
+    let endings = generator.stop().await;
+    let failures = endings.failures();
+    let is_disconnected =
+        |ending: &crate::common::Ending| *ending == crate::common::Ending::Disconnected;
+    assert!(failures.iter().all(|(_, ending)| is_disconnected(ending)), "{failures:?}");
+    assert!(
+        failures.len() <= 9,
+        "more calls broke off than the dead host can have had: {failures:?}"
+    );
     site.restart(0).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn host_is_frozen_while_the_platform_is_down_and_goes_on_afterwards() {
     let site = site().await;
-    let crowd = crowd(&site, "frozen");
-    until_under_way(&site).await;
+    let generator = generator(&site, "frozen");
+    until_engines_busy(&site).await;
 
     site.platform.fault(|fault| fault.down = true);
     site.hosts()[1].signal(Signal::SIGSTOP);
-    until_more_whole(&crowd).await;
+    until_more_complete(&generator).await;
     site.hosts()[1].signal(Signal::SIGCONT);
-    until_more_whole(&crowd).await;
+    until_more_complete(&generator).await;
 
-    let endings = crowd.stop().await;
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
+    let endings = generator.stop().await;
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
     site.platform.fault(|fault| fault.down = false);
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -7,7 +7,7 @@
     fault::{Fault, Strike},
 };
 
-use crate::common::{Ask, Builder, Crowd, Site, send, until};
+use crate::common::{Builder, LoadGenerator, Site, Workload, send, until};
 
 const MODEL: &str = "portal";
 const PUT_ROOT: &str = "PUT /objects/config/root";
@@ -18,7 +18,7 @@
         settings["drain"]["balancer_ms"] = 1_500.into();
     };
     let builder = Builder::new(3).settings(slow_balancer);
-    builder.engine(engine("lm-1")).engine(engine("lm-2")).linked().start().await
+    builder.engine(engine("lm-1")).engine(engine("lm-2")).with_proxies().start().await
 }
 
 /// Sends a patch against the first number through a host; its status and outcome.
@@ -32,8 +32,8 @@
 }
 
 async fn until_in_force(site: &Site, number: u64) {
-    for place in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(place).await == number).await;
+    for index in 0..site.hosts().len() {
+        until("the number is in force", async || site.in_force(index).await == number).await;
     }
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(again.0, 200, "the winner sent again gets its first outcome: {again:?}");
     until_in_force(&site, 2).await;
     trap.release();
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// A host dies with a patch in its hand, and its operator sends it again through another.
@@ -64,13 +64,13 @@
     let trap = site.links().platform(0).trap(PUT_ROOT, Strike::HoldAnswer);
     let operators = site.hosts()[0].operators();
     let body = json!({"id": "p", "against": 1, "changes": {"customers": {"p": {}}}}).to_string();
-    let lost = tokio::spawn(async move {
+    let request = tokio::spawn(async move {
         let headers = [("content-type", "application/json")];
         crate::common::try_send(operators, "POST", "/config/patches", &headers, &body).await
     });
     trap.sprung().await;
     site.kill(0);
-    assert!(lost.await.unwrap().is_none(), "a dead host answers nothing");
+    assert!(request.await.unwrap().is_none(), "a dead host answers nothing");
 
     let (status, outcome) = patch(&site, 1, "p").await;
 
@@ -78,27 +78,27 @@
     trap.release();
     site.restart(0).await;
     until_in_force(&site, 2).await;
-    site.end().await;
+    site.shut_down().await;
 }
 
 /// A host stops as planned while it and the others are cut off from each other.
 #[tokio::test]
 async fn planned_stop_while_hosts_are_cut_off_from_each_other() {
     let mut site = site().await;
-    let ask = Ask { name: "apart", models: vec![MODEL.into()], tokens: 60 };
-    let crowd = Crowd::start(9, &site.entrances(), ask);
-    until("calls end", async || 9 <= crowd.endings().whole()).await;
+    let workload = Workload { name: "apart", models: vec![MODEL.into()], tokens: 60 };
+    let generator = LoadGenerator::start(9, &site.host_addresses(), workload);
+    until("calls end", async || 9 <= generator.endings().complete_count()).await;
 
-    (0..3).for_each(|place| site.links().peers(place).set_both(Fault::Hold));
+    (0..3).for_each(|index| site.links().peers(index).set_both(Fault::Hold));
     site.hosts()[2].signal(Signal::SIGTERM);
-    let code = site.hosts_mut()[2].ended().await;
-    let whole = crowd.endings().whole();
-    until("calls go on", async || whole + 18 <= crowd.endings().whole()).await;
+    let code = site.hosts_mut()[2].wait_for_exit().await;
+    let complete = generator.endings().complete_count();
+    until("calls go on", async || complete + 18 <= generator.endings().complete_count()).await;
 
-    let endings = crowd.stop().await;
+    let endings = generator.stop().await;
     assert_eq!(code, Some(0));
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    (0..3).for_each(|place| site.links().peers(place).heal());
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    (0..3).for_each(|index| site.links().peers(index).heal());
     site.restart(2).await;
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -7,7 +7,7 @@
 
 use types::resident::{State, Unit};
 
-use crate::common::{Ask, Builder, Chat, Crowd, Ending, Site, send, until};
+use crate::common::{Builder, Chat, Ending, LoadGenerator, Site, Workload, send, until};
 
 const MODELS: [&str; 2] = ["portal", "notices"];
 const STEPS: u64 = 24;
@@ -67,32 +67,36 @@
     let site = site().await;
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let models = MODELS.iter().map(ToString::to_string).collect();
-    let crowd = Crowd::start(4, &site.entrances(), Ask { name: "walk", models, tokens: 10 });
+    let generator = LoadGenerator::start(
+        4,
+        &site.host_addresses(),
+        Workload { name: "walk", models, tokens: 10 },
+    );
 
     let mut number = 1;
     for step in 0..STEPS {
         let host = random.random_range(0..3);
         let next = apply(&site, host, step, number, change(&mut random)).await;
         if number < next {
-            for place in 0..3 {
-                until("the number is in force", async || next <= site.in_force(place).await).await;
+            for index in 0..3 {
+                until("the number is in force", async || next <= site.in_force(index).await).await;
             }
         }
         number = next;
-        let ended = crowd.endings().all().len();
-        until("calls go on", async || ended + 4 <= crowd.endings().all().len()).await;
+        let ended = generator.endings().all().len();
+        until("calls go on", async || ended + 4 <= generator.endings().all().len()).await;
     }
 
     until("the versions declared last are ready", async || all_ready(&site)).await;
-    let endings = crowd.stop().await;
+    let endings = generator.stop().await;
     assert!(STEPS / 4 < number, "too few of the patches were accepted: {number}");
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    for (place, model) in MODELS.iter().enumerate() {
-        let chat = Chat::new(format!("last-{place}"), model, 5);
-        assert_eq!(chat.send(site.hosts()[place].callers()).await, Ending::Whole);
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    for (index, model) in MODELS.iter().enumerate() {
+        let chat = Chat::new(format!("last-{index}"), model, 5);
+        assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     let moves: u64 = site.engines().iter().map(|engine| engine.counts().moves).sum();
     assert!(STEPS / 4 < moves, "too few moves for a walk: {moves}");
     assert!(site.engines().iter().all(|engine| engine.counts().overcommits == 0));
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/reachable.rs
+++ b/crates/stage/tests/reachable.rs
@@ -104,8 +104,8 @@
     #[case] memory: u64,
     #[case] least_short: u64,
 ) {
-    let engines = (0..3).map(|place| {
-        engine::Settings::new(&format!("lm-{place}")).with_model(&format!("m-{place}"), "1", memory)
+    let engines = (0..3).map(|index| {
+        engine::Settings::new(&format!("lm-{index}")).with_model(&format!("m-{index}"), "1", memory)
     });
     let site = Site::start(2, engines.collect()).await;
     let operators = site.hosts()[0].operators();
@@ -167,5 +167,5 @@
     assert!(least_short <= short, "{outcomes:?}");
     assert!(CHANGES < answered, "{answered}");
     println!("{answered} answered, none unreachable; {outcomes:?}");
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/retry.rs
+++ b/crates/stage/tests/retry.rs
@@ -7,15 +7,15 @@
 
 use common::{
     Answer, answer_text, events,
-    inside::Inside,
-    script::{Act, Script, Step, token},
+    in_process::Fixture,
+    script::{Behavior, Script, Step, token},
     send,
 };
 use rstest::rstest;
 use serde_json::json;
 use types::backend::Kind;
 
-use Step::{Done, Stranger, Token};
+use Step::{Done, OtherRequest, Token};
 
 /// What the caller must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,10 +32,10 @@
 
 const LATER: u32 = 50;
 
-async fn servers(kind: Kind, act: Act) -> Vec<Script> {
+async fn servers(kind: Kind, act: Behavior) -> Vec<Script> {
     vec![
         Script::start("first", kind, 0, act).await,
-        Script::start("second", kind, LATER, Act::Serve).await,
+        Script::start("second", kind, LATER, Behavior::Serve).await,
     ]
 }
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 enum First {
     Connect,
-    Does(Act),
+    Does(Behavior),
 }
 
 /// Requests that reach the first server.
@@ -66,13 +66,18 @@
 #[rstest]
 #[case::connect(First::Connect, "PUT", "letter", Seen::Answer)]
 #[case::connect_once(First::Connect, "POST", "letter", Seen::Answer)]
-#[case::waiting(First::Does(Act::Close), "PUT", "letter", Seen::Answer)]
-#[case::waiting_once(First::Does(Act::Close), "POST", "letter", Seen::Problem("may-have-run"))]
-#[case::refused(First::Does(Act::Status(503)), "PUT", "letter", Seen::Answer)]
-#[case::refused_once(First::Does(Act::Status(503)), "POST", "letter", Seen::Status(503))]
-#[case::fault_is_the_answer(First::Does(Act::Status(500)), "PUT", "letter", Seen::Status(500))]
-#[case::body(First::Does(Act::Half), "PUT", "letter", Seen::Broken)]
-#[case::body_once(First::Does(Act::Half), "POST", "letter", Seen::Broken)]
+#[case::waiting(First::Does(Behavior::CloseAfterRequest), "PUT", "letter", Seen::Answer)]
+#[case::waiting_once(
+    First::Does(Behavior::CloseAfterRequest),
+    "POST",
+    "letter",
+    Seen::Problem("may-have-run")
+)]
+#[case::refused(First::Does(Behavior::Status(503)), "PUT", "letter", Seen::Answer)]
+#[case::refused_once(First::Does(Behavior::Status(503)), "POST", "letter", Seen::Status(503))]
+#[case::fault_is_the_answer(First::Does(Behavior::Status(500)), "PUT", "letter", Seen::Status(500))]
+#[case::body(First::Does(Behavior::HalfBody), "PUT", "letter", Seen::Broken)]
+#[case::body_once(First::Does(Behavior::HalfBody), "POST", "letter", Seen::Broken)]
 #[tokio::test]
 async fn plain_call_fails_at(
     #[case] first: First,
@@ -81,31 +86,35 @@
     #[case] seen: Seen,
 ) {
     let act = match &first {
-        First::Connect => Act::Serve,
+        First::Connect => Behavior::Serve,
         First::Does(act) => act.clone(),
     };
     let mut servers = servers(Kind::Plain, act).await;
-    let inside = Inside::start(&servers).await;
+    let fixture = Fixture::start(&servers).await;
     if matches!(first, First::Connect) {
         servers[0].close().await;
     }
     let uri = "/services/tickets/rooms";
-    let answer = common::try_send(inside.callers(), method, uri, &[], body).await;
+    let answer = common::try_send(fixture.callers(), method, uri, &[], body).await;
     match answer {
         Some(answer) => check(&answer, seen, servers[1].requests()),
         None => assert_eq!((seen, servers[1].requests()), (Seen::Broken, 0)),
     }
     assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 /// Too long to be held, so that a part is gone once it was sent.
 #[rstest]
 #[case::connect(First::Connect, "PUT", Seen::Answer)]
 #[case::connect_once(First::Connect, "POST", Seen::Answer)]
-#[case::sending(First::Does(Act::CloseEarly), "PUT", Seen::Problem("may-have-run"))]
-#[case::sending_once(First::Does(Act::CloseEarly), "POST", Seen::Problem("may-have-run"))]
-#[case::waiting(First::Does(Act::Close), "PUT", Seen::Problem("may-have-run"))]
+#[case::sending(First::Does(Behavior::CloseDuringRequest), "PUT", Seen::Problem("may-have-run"))]
+#[case::sending_once(
+    First::Does(Behavior::CloseDuringRequest),
+    "POST",
+    Seen::Problem("may-have-run")
+)]
+#[case::waiting(First::Does(Behavior::CloseAfterRequest), "PUT", Seen::Problem("may-have-run"))]
 #[tokio::test]
 async fn long_upload_fails_at(#[case] first: First, #[case] method: &str, #[case] seen: Seen) {
     let body = "a page of a long letter ".repeat(40_000);
@@ -115,49 +124,53 @@
 #[rstest]
 #[case::connect(First::Connect, "true", Seen::Answer)]
 #[case::connect_once(First::Connect, "false", Seen::Answer)]
-#[case::waiting(First::Does(Act::Close), "true", Seen::Answer)]
-#[case::waiting_once(First::Does(Act::Close), "false", Seen::Problem("may-have-run"))]
-#[case::refused(First::Does(Act::Status(503)), "true", Seen::Answer)]
-#[case::refused_once(First::Does(Act::Status(503)), "false", Seen::Problem("may-have-run"))]
-#[case::fault(First::Does(Act::Status(500)), "true", Seen::Answer)]
-#[case::fault_once(First::Does(Act::Status(500)), "false", Seen::Problem("may-have-run"))]
-#[case::not_ready_any_more(First::Does(Act::Status(404)), "true", Seen::Answer)]
-#[case::head(First::Does(Act::Head), "true", Seen::Answer)]
-#[case::head_once(First::Does(Act::Head), "false", Seen::Problem("ran"))]
-#[case::silent(First::Does(Act::Silent), "true", Seen::Answer)]
-#[case::silent_once(First::Does(Act::Silent), "false", Seen::Problem("may-have-run"))]
+#[case::waiting(First::Does(Behavior::CloseAfterRequest), "true", Seen::Answer)]
+#[case::waiting_once(
+    First::Does(Behavior::CloseAfterRequest),
+    "false",
+    Seen::Problem("may-have-run")
+)]
+#[case::refused(First::Does(Behavior::Status(503)), "true", Seen::Answer)]
+#[case::refused_once(First::Does(Behavior::Status(503)), "false", Seen::Problem("may-have-run"))]
+#[case::fault(First::Does(Behavior::Status(500)), "true", Seen::Answer)]
+#[case::fault_once(First::Does(Behavior::Status(500)), "false", Seen::Problem("may-have-run"))]
+#[case::not_ready_any_more(First::Does(Behavior::Status(404)), "true", Seen::Answer)]
+#[case::head(First::Does(Behavior::HeadOnly), "true", Seen::Answer)]
+#[case::head_once(First::Does(Behavior::HeadOnly), "false", Seen::Problem("ran"))]
+#[case::silent(First::Does(Behavior::NoAnswer), "true", Seen::Answer)]
+#[case::silent_once(First::Does(Behavior::NoAnswer), "false", Seen::Problem("may-have-run"))]
 #[tokio::test]
 async fn chat_fails_at(#[case] first: First, #[case] idempotent: &str, #[case] seen: Seen) {
     let act = match &first {
-        First::Connect => Act::Serve,
+        First::Connect => Behavior::Serve,
         First::Does(act) => act.clone(),
     };
     let mut servers = servers(Kind::Engine, act).await;
-    let inside = Inside::start_with(&servers, json!({"idle_ms": 300})).await;
+    let fixture = Fixture::start_with(&servers, json!({"idle_ms": 300})).await;
     if matches!(first, First::Connect) {
         servers[0].close().await;
     }
-    let answer = chat(&inside, idempotent).await;
+    let answer = chat(&fixture, idempotent).await;
     check(&answer, seen, servers[1].requests());
     assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
     if seen == Seen::Answer {
         assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     }
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
-async fn chat(inside: &Inside, idempotent: &str) -> Answer {
-    chat_about(inside, idempotent, "hola").await
+async fn chat(fixture: &Fixture, idempotent: &str) -> Answer {
+    chat_about(fixture, idempotent, "hola").await
 }
 
-async fn chat_about(inside: &Inside, idempotent: &str, prompt: &str) -> Answer {
+async fn chat_about(fixture: &Fixture, idempotent: &str, prompt: &str) -> Answer {
     let body = json!({
         "model": "welcome", "stream": true, "max_tokens": 6,
         "messages": [{"role": "user", "content": prompt}],
     });
     let headers = [("x-idempotent", idempotent)];
     let uri = "/v1/chat/completions";
-    send(inside.callers(), "POST", uri, &headers, &body.to_string()).await
+    send(fixture.callers(), "POST", uri, &headers, &body.to_string()).await
 }
 
 fn tokens(count: u64) -> String {
@@ -169,35 +182,35 @@
 #[case::false_end(vec![Token(0), Token(1), Done], 1)]
 #[case::doubled(vec![Token(0), Token(0), Token(1), Token(1), Token(0), Token(2), Token(3), Token(4), Token(5), Done], 0)]
 #[case::gap(vec![Token(0), Token(2), Token(3)], 1)]
-#[case::of_another_request(vec![Token(0), Stranger(1), Token(1), Stranger(2), Token(2), Token(3), Token(4), Token(5), Done], 0)]
+#[case::of_another_request(vec![Token(0), OtherRequest(1), Token(1), OtherRequest(2), Token(2), Token(3), Token(4), Token(5), Done], 0)]
 #[case::out_of_order(vec![Token(1), Token(0), Token(2)], 1)]
 #[case::after_the_end(vec![Token(0), Token(1), Token(2), Token(3), Token(4), Token(5), Done, Token(6)], 0)]
 #[tokio::test]
 async fn each_token_comes_once_in_order(#[case] steps: Vec<Step>, #[case] resumed: u32) {
-    let servers = servers(Kind::Engine, Act::Events(steps)).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat(&inside, "true").await;
+    let servers = servers(Kind::Engine, Behavior::Events(steps)).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat(&fixture, "true").await;
     let events = events(&answer.text());
     assert_eq!(answer_text(&events), tokens(6), "{}", answer.text());
     let offsets: Vec<u64> = events.iter().filter_map(|event| event.id).collect();
     assert_eq!(offsets, (0..6).collect::<Vec<u64>>());
     assert_eq!(events.last().map(|event| event.data.as_str()), Some("[DONE]"));
     assert_eq!(servers[1].requests(), resumed);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_cut_stream_that_may_run_once_ends_with_one_clear_error() {
-    let servers = servers(Kind::Engine, Act::Events(vec![Token(0), Token(1)])).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat(&inside, "false").await;
+    let servers = servers(Kind::Engine, Behavior::Events(vec![Token(0), Token(1)])).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat(&fixture, "false").await;
     let text = answer.text();
     assert_eq!(answer_text(&events(&text)), tokens(2));
     assert_eq!(text.matches("event: error").count(), 1, "{text}");
     assert!(text.contains("\"ran\":\"ran\""), "{text}");
     assert!(!text.contains("[DONE]"), "a part must not look like the whole: {text}");
     assert_eq!(servers[1].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 /// The prompt takes near a second to read at the scripted rate, or next to nothing.
@@ -210,22 +223,22 @@
     #[case] exports: &[&str],
     #[case] imports: &[&str],
 ) {
-    let servers = servers(Kind::Engine, Act::Events(vec![Token(0), Token(1)])).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat_about(&inside, "true", &prompt).await;
+    let servers = servers(Kind::Engine, Behavior::Events(vec![Token(0), Token(1)])).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat_about(&fixture, "true", &prompt).await;
     assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     assert_eq!(servers[0].kv_calls(), exports);
     assert_eq!(servers[1].kv_calls(), imports);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_failed_server_gets_nothing_more_for_a_while() {
-    let servers = servers(Kind::Engine, Act::Close).await;
-    let inside = Inside::start(&servers).await;
+    let servers = servers(Kind::Engine, Behavior::CloseAfterRequest).await;
+    let fixture = Fixture::start(&servers).await;
     for _ in 0..5 {
-        assert_eq!(chat(&inside, "true").await.status, 200);
+        assert_eq!(chat(&fixture, "true").await.status, 200);
     }
     assert!((1..=2).contains(&servers[0].requests()), "{} requests", servers[0].requests());
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
