--- a/crates/stage/tests/bounds.rs
+++ b/crates/stage/tests/bounds.rs
@@ -29,7 +29,7 @@
     send(fixture.callers(), "POST", "/v1/chat/completions", headers, body).await
 }
 
-const GOOD: &str = r#"{"model": "welcome", "messages": []}"#;
+const VALID_BODY: &str = r#"{"model": "welcome", "messages": []}"#;
 
 #[rstest]
 #[case::no_json("{", 400, "bad-request")]
@@ -48,7 +48,7 @@
 ) {
     let (fixture, servers) = fixture().await;
     let answer = chat(&fixture, &[], body).await;
-    check(&answer, status, kind);
+    check_refused(&answer, status, kind);
     assert_eq!(servers[0].requests(), 0);
     fixture.host.drain().await;
 }
@@ -67,8 +67,8 @@
     #[case] kind: &str,
 ) {
     let (fixture, servers) = fixture().await;
-    let answer = chat(&fixture, headers, GOOD).await;
-    check(&answer, status, kind);
+    let answer = chat(&fixture, headers, VALID_BODY).await;
+    check_refused(&answer, status, kind);
     assert_eq!(servers[0].requests(), 0);
     fixture.host.drain().await;
 }
@@ -79,12 +79,12 @@
     let uri = "/services/tickets/rooms";
     let headers = [("x-idempotent", "true")];
     let answer = send(fixture.callers(), "POST", uri, &headers, "letter").await;
-    check(&answer, 400, "bad-request");
+    check_refused(&answer, 400, "bad-request");
     assert_eq!(servers[1].requests(), 0);
     fixture.host.drain().await;
 }
 
-fn check(answer: &Answer, status: u16, kind: &str) {
+fn check_refused(answer: &Answer, status: u16, kind: &str) {
     assert_eq!(answer.status, status, "{}", answer.text());
     let problem = answer.json();
     assert_eq!(problem["type"], format!("urn:cyclamenstage:problem:{kind}"));
@@ -95,7 +95,7 @@
 }
 
 /// Sends these bytes, then nothing; gives what comes back before the connection ends.
-async fn raw(fixture: &Fixture, bytes: &str) -> String {
+async fn send_raw(fixture: &Fixture, bytes: &str) -> String {
     let mut stream = TcpStream::connect(fixture.callers()).await.expect("connection");
     stream.write_all(bytes.as_bytes()).await.expect("bytes");
     let mut answer = Vec::new();
@@ -107,9 +107,9 @@
 #[tokio::test]
 async fn a_head_over_its_limit_is_refused() {
     let (fixture, servers) = fixture().await;
-    let long = "x".repeat(20_000);
-    let request = format!("GET /v1/models HTTP/1.1\r\nhost: x\r\nx: {long}\r\n\r\n");
-    let answer = raw(&fixture, &request).await;
+    let long_value = "x".repeat(20_000);
+    let request = format!("GET /v1/models HTTP/1.1\r\nhost: x\r\nx: {long_value}\r\n\r\n");
+    let answer = send_raw(&fixture, &request).await;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
     assert_eq!(servers[0].requests(), 0);
     fixture.host.drain().await;
@@ -126,10 +126,13 @@
     "HTTP/1.1 400"
 )]
 #[tokio::test]
-async fn a_caller_that_falls_silent_is_not_waited_for(#[case] sent: &str, #[case] begins: &str) {
+async fn a_caller_that_falls_silent_is_not_waited_for(
+    #[case] sent: &str,
+    #[case] expected_start: &str,
+) {
     let (fixture, servers) = fixture().await;
-    let answer = raw(&fixture, sent).await;
-    assert!(answer.starts_with(begins), "{answer}");
+    let answer = send_raw(&fixture, sent).await;
+    assert!(answer.starts_with(expected_start), "{answer}");
     assert_eq!(servers[0].requests() + servers[1].requests(), 0);
     fixture.host.drain().await;
 }
@@ -138,7 +141,7 @@
 async fn a_request_past_its_own_time_gets_a_timeout_that_says_what_is_known() {
     let servers = vec![Script::start("lm-1", Kind::Engine, 0, Behavior::NoAnswer).await];
     let fixture = Fixture::start(&servers).await;
-    let answer = chat(&fixture, &[("x-timeout-ms", "150")], GOOD).await;
+    let answer = chat(&fixture, &[("x-timeout-ms", "150")], VALID_BODY).await;
     assert_eq!(answer.status, 504, "{}", answer.text());
     assert_eq!(answer.json()["ran"], "may-have-run");
     fixture.host.drain().await;
--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -35,7 +35,7 @@
     get(site.hosts()[host].operators(), "/config").await.unwrap_or_default()
 }
 
-async fn everywhere(site: &Site, number: u64) {
+async fn until_in_force(site: &Site, number: u64) {
     for host in 0..site.hosts().len() {
         until("the number is in force", async || in_force(site, host).await["number"] == number)
             .await;
@@ -48,7 +48,7 @@
     let changes = json!({"models": {"new": model(500)}});
     let answer = apply(&site, 0, &patch("a", 1, changes)).await;
     assert_eq!((answer.status, answer.json()), (200, json!({"outcome": "accepted", "number": 2})));
-    everywhere(&site, 2).await;
+    until_in_force(&site, 2).await;
     for host in 0..3 {
         assert_eq!(in_force(&site, host).await["config"]["models"]["new"]["memory"], 500);
     }
@@ -81,28 +81,28 @@
             }
         }
         let (_, root) = site.platform.peek("config/root").unwrap();
-        let won = &winners[&(against + 1)];
-        assert_eq!(won.len(), 1, "{winners:?}");
-        let expected = (10 + round * RACERS + won[0]) as f64;
+        let winner = &winners[&(against + 1)];
+        assert_eq!(winner.len(), 1, "{winners:?}");
+        let expected = (10 + round * RACERS + winner[0]) as f64;
         assert_eq!(root["config"]["weights"]["moves"], expected);
     }
     assert_eq!(winners.keys().copied().collect::<Vec<_>>(), (2..2 + ROUNDS).collect::<Vec<_>>());
-    everywhere(&site, 1 + ROUNDS).await;
+    until_in_force(&site, 1 + ROUNDS).await;
     site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_patch_whose_answer_was_lost_gets_its_first_outcome_through_any_host() {
     let site = Site::start(2, engines(1)).await;
-    let asked = patch("a", 1, json!({"weights": {"moves": 5}}));
+    let request = patch("a", 1, json!({"weights": {"moves": 5}}));
     site.platform.fault(|fault| fault.lost_answers = 1);
-    let first = apply(&site, 0, &asked).await;
+    let first = apply(&site, 0, &request).await;
     assert_eq!(first.json(), json!({"outcome": "accepted", "number": 2}));
 
     let later = apply(&site, 1, &patch("b", 2, json!({"weights": {"moves": 6}}))).await;
     assert_eq!(later.json()["number"], 3);
     for host in 0..2 {
-        let again = apply(&site, host, &asked).await;
+        let again = apply(&site, host, &request).await;
         assert_eq!(again.json(), json!({"outcome": "repeated", "number": 2}));
     }
     let (_, root) = site.platform.peek("config/root").unwrap();
@@ -113,14 +113,14 @@
 #[tokio::test]
 async fn in_an_outage_a_patch_is_refused_and_taken_when_it_is_sent_again() {
     let site = Site::start(2, engines(1)).await;
-    let asked = patch("a", 1, json!({"weights": {"moves": 5}}));
+    let request = patch("a", 1, json!({"weights": {"moves": 5}}));
     site.platform.fault(|fault| fault.down = true);
-    let refused = apply(&site, 0, &asked).await;
+    let refused = apply(&site, 0, &request).await;
     assert_eq!((refused.status, &refused.json()["outcome"]), (503, &json!("unavailable")));
     site.platform.fault(|fault| fault.down = false);
-    let taken = apply(&site, 1, &asked).await;
-    assert_eq!(taken.json(), json!({"outcome": "accepted", "number": 2}));
-    everywhere(&site, 2).await;
+    let accepted = apply(&site, 1, &request).await;
+    assert_eq!(accepted.json(), json!({"outcome": "accepted", "number": 2}));
+    until_in_force(&site, 2).await;
     site.shut_down().await;
 }
 
@@ -130,12 +130,12 @@
     let (_, old) = site.platform.peek("config/root").unwrap();
     apply(&site, 0, &patch("a", 1, json!({"weights": {"moves": 5}}))).await;
     apply(&site, 0, &patch("b", 2, json!({"weights": {"moves": 6}}))).await;
-    everywhere(&site, 3).await;
+    until_in_force(&site, 3).await;
 
     let nonsense = json!({"number": 9, "color": "red"});
-    for shown in [old.clone(), nonsense, old.clone()] {
+    for root in [old.clone(), nonsense, old.clone()] {
         let watches = site.platform.calls().watches;
-        site.platform.poke("config/root", shown);
+        site.platform.poke("config/root", root);
         until("each host watches again", async || watches + 2 <= site.platform.calls().watches)
             .await;
         for host in 0..2 {
@@ -145,33 +145,33 @@
     let mut newer = old;
     newer["number"] = json!(4);
     site.platform.poke("config/root", newer);
-    everywhere(&site, 4).await;
+    until_in_force(&site, 4).await;
     site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_large_configuration_goes_by_parts() {
     let site = Site::start(3, engines(2)).await;
-    let many: BTreeMap<String, Value> =
+    let models: BTreeMap<String, Value> =
         (0..600).map(|i| (format!("small-{i:03}"), model(1))).collect();
-    let answer = apply(&site, 0, &patch("many", 1, json!({"models": many}))).await;
+    let answer = apply(&site, 0, &patch("many", 1, json!({"models": models}))).await;
     assert_eq!(answer.json(), json!({"outcome": "accepted", "number": 2}));
-    everywhere(&site, 2).await;
+    until_in_force(&site, 2).await;
     let parts = site.platform.keys("config/part/");
     assert!(10 < parts.len(), "{} parts", parts.len());
 
     // A change of one model writes one part and the root. Planners write too, so objects are
     // counted and not calls.
-    let named = |root: &Value| root["parts"].as_array().unwrap().clone();
+    let part_names = |root: &Value| root["parts"].as_array().unwrap().clone();
     let (version, before) = site.platform.peek("config/root").unwrap();
     let changes = json!({"models": {"small-123": {"memory": 2}}});
     apply(&site, 1, &patch("one", 2, changes)).await;
-    everywhere(&site, 3).await;
+    until_in_force(&site, 3).await;
     let stored = site.platform.keys("config/part/");
     assert_eq!(stored.iter().filter(|key| !parts.contains(key)).count(), 1);
     let (next, after) = site.platform.peek("config/root").unwrap();
     assert!(version < next && after["number"] == 3);
-    let (before, after) = (named(&before), named(&after));
+    let (before, after) = (part_names(&before), part_names(&after));
     assert_eq!(before.len(), after.len());
     assert_eq!(after.iter().filter(|name| !before.contains(name)).count(), 1);
     for host in 0..3 {
@@ -192,15 +192,16 @@
     #[case] outcome: &str,
 ) {
     let site = Site::start(1, engines(1)).await;
-    let asked = patch("a", 1, changes);
+    let request = patch("a", 1, changes);
     for path in ["/config/check", "/config/patches"] {
         let headers = [("content-type", "application/json")];
         let operators = site.hosts()[0].operators();
-        let answer = send(operators, "POST", path, &headers, &asked.to_string()).await;
+        let answer = send(operators, "POST", path, &headers, &request.to_string()).await;
         assert_eq!((answer.status, &answer.json()["outcome"]), (422, &json!(outcome)));
         let text = answer.text();
-        let place = if outcome == "short" { "\"group\":\"lm\"" } else { "/services/chat/customer" };
-        assert!(text.contains(place), "{text}");
+        let expected =
+            if outcome == "short" { "\"group\":\"lm\"" } else { "/services/chat/customer" };
+        assert!(text.contains(expected), "{text}");
     }
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
     site.shut_down().await;
@@ -209,10 +210,10 @@
 #[tokio::test]
 async fn a_check_writes_nothing() {
     let site = Site::start(1, engines(1)).await;
-    let asked = patch("a", 1, json!({"weights": {"moves": 5}})).to_string();
+    let request = patch("a", 1, json!({"weights": {"moves": 5}})).to_string();
     let operators = site.hosts()[0].operators();
     let headers = [("content-type", "application/json")];
-    let answer = send(operators, "POST", "/config/check", &headers, &asked).await;
+    let answer = send(operators, "POST", "/config/check", &headers, &request).await;
     assert_eq!(answer.json(), json!({"outcome": "accepted", "number": 2}));
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
     site.shut_down().await;
@@ -231,7 +232,7 @@
     });
     for (path, value) in changes.as_object().into_iter().flatten() {
         match settings.pointer_mut(path) {
-            Some(place) => *place = value.clone(),
+            Some(field) => *field = value.clone(),
             None => settings[path.trim_start_matches('/')] = value.clone(),
         }
     }
@@ -337,12 +338,12 @@
     let page =
         include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/configuration.md"));
     let lines: Vec<&str> = page.lines().collect();
-    let shown: Vec<_> = lines
+    let examples: Vec<_> = lines
         .windows(2)
         .filter_map(|pair| Some((pair[0].strip_prefix("$ cyclamenstage ")?, pair[1])))
         .collect();
-    assert_eq!(shown.len(), 2);
-    for (arguments, output) in shown {
+    assert_eq!(examples.len(), 2);
+    for (arguments, output) in examples {
         let run = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(arguments.split_whitespace())
             .current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
--- a/crates/stage/tests/control.rs
+++ b/crates/stage/tests/control.rs
@@ -13,13 +13,13 @@
 use serde_json::json;
 use standin::engine;
 
-const SETTLE: Duration = Duration::from_secs(5);
-const SPAN: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+const MEASURED_TIME: Duration = Duration::from_secs(20);
 const TICKS_PER_SECOND: f64 = 100.0;
 const MIB: f64 = 1024.0 * 1024.0;
 
 /// Seconds of processor time that a process has used.
-fn processor(process: &Process) -> f64 {
+fn cpu_seconds(process: &Process) -> f64 {
     let text = fs::read_to_string(format!("/proc/{}/stat", process.id())).expect("own child");
     let after_name = text.rsplit(')').next().unwrap_or_default();
     let ticks = |index: usize| {
@@ -32,7 +32,7 @@
 }
 
 /// Memory that a process holds, in bytes.
-fn memory(process: &Process) -> f64 {
+fn resident_bytes(process: &Process) -> f64 {
     const PAGE: f64 = 4096.0;
     let text = fs::read_to_string(format!("/proc/{}/statm", process.id())).expect("own child");
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<f64>().ok());
@@ -40,7 +40,7 @@
 }
 
 /// Bytes of control, both ways, by link.
-async fn bytes(process: &Process) -> [f64; 3] {
+async fn control_bytes(process: &Process) -> [f64; 3] {
     let text = metrics(process).await;
     ["peers", "platform", "servers"].map(|link| {
         ["in", "out"]
@@ -57,7 +57,7 @@
     })
 }
 
-async fn until_whole(site: &Site) {
+async fn until_peers_known(site: &Site) {
     for host in site.hosts() {
         until("a host knows the others", async || {
             let status = get(host.operators(), "/members").await.unwrap_or_default();
@@ -74,20 +74,21 @@
     for hosts in [2, 4, 8, 16] {
         let lm = |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 1000);
         let builder = (0..9).fold(Builder::new(hosts), |builder, index| builder.engine(lm(index)));
-        let usual = |settings: &mut serde_json::Value| settings["intervals"] = json!({});
-        let site = builder.settings(usual).start().await;
-        until_whole(&site).await;
-        tokio::time::sleep(SETTLE).await;
+        let default_intervals =
+            |settings: &mut serde_json::Value| settings["intervals"] = json!({});
+        let site = builder.settings(default_intervals).start().await;
+        until_peers_known(&site).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let host = &site.hosts()[0];
-        let before = (processor(host), bytes(host).await, site.platform.calls());
-        tokio::time::sleep(SPAN).await;
-        let after = (processor(host), bytes(host).await, site.platform.calls());
-        let per_second = |before: f64, after: f64| (after - before) / SPAN.as_secs_f64();
+        let before = (cpu_seconds(host), control_bytes(host).await, site.platform.calls());
+        tokio::time::sleep(MEASURED_TIME).await;
+        let after = (cpu_seconds(host), control_bytes(host).await, site.platform.calls());
+        let per_second = |before: f64, after: f64| (after - before) / MEASURED_TIME.as_secs_f64();
         let calls = |before: u64, after: u64| per_second(before as f64, after as f64);
-        let figures = json!({
+        let report = json!({
             "hosts": hosts,
             "core_percent": 100.0 * per_second(before.0, after.0),
-            "memory_mib": memory(host) / MIB,
+            "memory_mib": resident_bytes(host) / MIB,
             "peers_bytes_per_second": per_second(before.1[0], after.1[0]),
             "platform_bytes_per_second": per_second(before.1[1], after.1[1]),
             "servers_bytes_per_second": per_second(before.1[2], after.1[2]),
@@ -96,7 +97,7 @@
             "all_hosts_watches_per_second": calls(before.2.watches, after.2.watches),
             "all_hosts_list_reads_per_second": calls(before.2.lists, after.2.lists),
         });
-        eprintln!("{figures}");
+        eprintln!("{report}");
         site.shut_down().await;
     }
 }
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -17,8 +17,8 @@
 
 const ENGINES: usize = 3;
 const CALLERS: usize = 8;
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_model_gets_a_third_replica() {
@@ -61,18 +61,18 @@
 /// Calls again and again, whatever the answer.
 async fn call(callers: std::net::SocketAddr) {
     let client = ::backend::Client::new();
-    let question = json!({
+    let chat = json!({
         "model": "busy", "stream": true, "max_tokens": 100,
         "messages": [{"role": "user", "content": "hola"}],
     });
     loop {
         let request = http::Request::post("/v1/chat/completions")
-            .body(::backend::full_body(question.to_string().into()))
+            .body(::backend::full_body(chat.to_string().into()))
             .expect("request");
         if let Ok(response) = client.send(callers, request).await {
             let _ = response.into_body().collect().await;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -105,11 +105,11 @@
     engines.iter().filter(|engine| !engine.residents().is_empty()).count()
 }
 
-async fn until(what: &str, is_so: impl Fn() -> bool) {
-    let waiting = async {
-        while !is_so() {
-            tokio::time::sleep(POLL).await;
+async fn until(what: &str, condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "{what} did not come");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "{what} did not come");
 }
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -18,10 +18,10 @@
 const STREAMS: usize = 8;
 
 /// Time between two questions of the balancer.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Pause for the balancer at a planned stop, within which new work is taken.
-const PAUSE: Duration = Duration::from_secs(3);
+const BALANCER_PAUSE: Duration = Duration::from_secs(3);
 
 /// A step of an engine whose streams outlast the signal and the pause.
 const SLOW_STEP: Duration = Duration::from_millis(25);
@@ -61,7 +61,7 @@
     }
 }
 
-fn engines_busy(site: &Site) -> usize {
+fn requests_in_flight(site: &Site) -> usize {
     site.engines().iter().map(|engine| engine.in_flight()).sum()
 }
 
@@ -101,19 +101,22 @@
     let plain = Plain::start("app-1").await.expect("plain service");
     let slow = engines().into_iter().map(|engine| engine::Settings { step: SLOW_STEP, ..engine });
     let builder = slow.fold(Builder::new(3), Builder::engine).plain(plain);
-    let pause = |settings: &mut Value| {
-        settings["drain"]["balancer_ms"] = u64::try_from(PAUSE.as_millis()).unwrap().into();
+    let balancer_pause = |settings: &mut Value| {
+        settings["drain"]["balancer_ms"] =
+            u64::try_from(BALANCER_PAUSE.as_millis()).unwrap().into();
     };
-    let mut site = builder.settings(pause).start().await;
+    let mut site = builder.settings(balancer_pause).start().await;
     for host in 0..3 {
         let streams = start_streams(&site, host);
         let upload = Upload::begin(site.hosts()[host].callers()).await;
-        until("all streams run", async || engines_busy(&site) == STREAMS).await;
+        until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
         site.hosts()[host].signal(Signal::SIGTERM);
         // What is answered while the signal is under way is not yet part of the stop.
         let operators = site.hosts()[host].operators();
-        let begun = until("the stop has begun", async || !is_ready(operators).await);
-        tokio::time::timeout(PROBE, begun).await.expect("not ready when the balancer asks next");
+        let not_ready = until("the stop has begun", async || !is_ready(operators).await);
+        tokio::time::timeout(PROBE_INTERVAL, not_ready)
+            .await
+            .expect("not ready when the balancer asks next");
         // Still within the pause for the balancer: new work is taken.
         let late = post_chat(site.hosts()[host].callers(), &long_chat(99)).await;
         assert_eq!(late.status, 200, "{}", late.text());
@@ -124,15 +127,15 @@
         assert!(answer.contains(&format!("\"bytes\":{}", 2 * Upload::HALF)), "{answer}");
         assert_eq!(site.hosts_mut()[host].wait_for_exit().await, Some(0));
     }
-    let cut: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
-    assert_eq!(cut, 0, "the engines saw callers go away");
+    let cancels: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
+    assert_eq!(cancels, 0, "the engines saw callers go away");
 }
 
 #[tokio::test]
 async fn a_leaving_server_gets_nothing_new_and_finishes_what_it_has() {
     let site = Site::start(2, engines()).await;
     let streams = start_streams(&site, 0);
-    until("all streams run", async || engines_busy(&site) == STREAMS).await;
+    until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
     let leaving = &site.engines()[0];
     leaving.leave();
     // The platform's list never says so in this test; the report does, within its interval.
@@ -156,12 +159,12 @@
     let site = Site::start(1, engines()).await;
     let streams = start_streams(&site, 0);
     // The host's own zone is preferred, so its engine has all of them.
-    let near = &site.engines()[0];
+    let same_zone = &site.engines()[0];
     until("all streams are under way", async || {
-        near.in_flight() == STREAMS && 10 * STREAMS < near.counts().tokens as usize
+        same_zone.in_flight() == STREAMS && 10 * STREAMS < same_zone.counts().tokens as usize
     })
     .await;
-    near.crash();
+    same_zone.crash();
     check_streams(&site, streams).await;
     assert_eq!(site.engines()[1].counts().arrivals, STREAMS as u64);
     site.shut_down().await;
@@ -181,9 +184,9 @@
         stream.write_all(format!("{head}{body}").as_bytes()).await.expect("request");
         streams.push(stream);
     }
-    until("all streams run", async || engines_busy(&site) == STREAMS).await;
+    until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
     drop(streams);
-    until("the engines are free", async || engines_busy(&site) == 0).await;
+    until("the engines are free", async || requests_in_flight(&site) == 0).await;
     let cancels: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
     assert_eq!(cancels, STREAMS as u64);
     site.shut_down().await;
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -31,26 +31,26 @@
     get(site.hosts()[index].operators(), "/members").await.unwrap_or_default()
 }
 
-async fn standing(site: &Site, at: usize, of: usize) -> Value {
-    members(site, at).await["hosts"][format!("host-{of}")].clone()
+async fn liveness(site: &Site, observer: usize, subject: usize) -> Value {
+    members(site, observer).await["hosts"][format!("host-{subject}")].clone()
 }
 
-async fn until_standing(site: &Site, of: usize, wanted: &str) {
-    for at in (0..site.hosts().len()).filter(|at| *at != of) {
-        until(&format!("host {at} takes host {of} for {wanted}"), async || {
-            standing(site, at, of).await == wanted
+async fn until_liveness(site: &Site, subject: usize, expected: &str) {
+    for observer in (0..site.hosts().len()).filter(|observer| *observer != subject) {
+        until(&format!("host {observer} takes host {subject} for {expected}"), async || {
+            liveness(site, observer, subject).await == expected
         })
         .await;
     }
 }
 
-async fn until_whole(site: &Site) {
-    for of in 0..site.hosts().len() {
-        until_standing(site, of, "live").await;
+async fn until_all_live(site: &Site) {
+    for subject in 0..site.hosts().len() {
+        until_liveness(site, subject, "live").await;
     }
 }
 
-async fn watchers(site: &Site) -> usize {
+async fn watcher_count(site: &Site) -> usize {
     let mut watchers = 0;
     for index in 0..site.hosts().len() {
         watchers += usize::from(members(site, index).await["watching"] == true);
@@ -70,41 +70,41 @@
 #[tokio::test]
 async fn a_configuration_reaches_every_host_though_few_watch() {
     let site = Builder::new(6).engine(lm(0)).start().await;
-    until_whole(&site).await;
-    until("one host in each zone watches", async || watchers(&site).await == ZONES).await;
+    until_all_live(&site).await;
+    until("one host in each zone watches", async || watcher_count(&site).await == ZONES).await;
     for _ in 0..10 {
         let number = change(&site);
         until_in_force(&site, number).await;
     }
-    assert_eq!(watchers(&site).await, ZONES);
+    assert_eq!(watcher_count(&site).await, ZONES);
     site.shut_down().await;
 }
 
 #[tokio::test]
 async fn others_watch_when_every_watcher_is_killed() {
     let mut site = Builder::new(6).engine(lm(0)).start().await;
-    until_whole(&site).await;
-    until("one host in each zone watches", async || watchers(&site).await == ZONES).await;
+    until_all_live(&site).await;
+    until("one host in each zone watches", async || watcher_count(&site).await == ZONES).await;
     // Who watches is read before the first one is killed, since another host then takes its place.
     let mut watching = Vec::new();
     for index in 0..6 {
         watching.push(members(&site, index).await["watching"] == true);
     }
-    let (killed, left): (Vec<usize>, Vec<usize>) = (0..6).partition(|index| watching[*index]);
+    let (killed, remaining): (Vec<usize>, Vec<usize>) = (0..6).partition(|index| watching[*index]);
     for index in killed {
         site.kill(index);
     }
     let number = change(&site);
-    for index in &left {
+    for index in &remaining {
         until("the number is in force", async || site.in_force(*index).await == number).await;
     }
-    assert_eq!(left.len(), 2);
+    assert_eq!(remaining.len(), 2);
 }
 
 #[tokio::test]
 async fn a_host_that_starts_while_the_platform_is_down_serves_by_what_its_peers_have() {
     let mut site = Builder::new(3).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     let number = change(&site);
     until_in_force(&site, number).await;
     site.platform.fault(|fault| fault.down = true);
@@ -121,7 +121,7 @@
 #[tokio::test]
 async fn serving_goes_on_in_an_outage_of_the_platform_and_a_change_waits_for_its_end() {
     let site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.platform.fault(|fault| fault.down = true);
     let generator = LoadGenerator::start(8, &site.host_addresses(), workload("outage"));
     let before = site.platform.calls();
@@ -142,7 +142,7 @@
 #[tokio::test]
 async fn each_host_in_turn_is_killed_under_load_and_only_its_own_calls_suffer() {
     let mut site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     for index in 0..4 {
         let others: Vec<_> = site
             .host_addresses()
@@ -152,18 +152,18 @@
             .map(|(_, addresses)| addresses)
             .collect();
         let generator = LoadGenerator::start(6, &others, workload("killed"));
-        let whole = async |count: usize| {
+        let until_complete = async |count: usize| {
             until("calls are answered", async || count <= generator.endings().complete_count())
                 .await;
         };
-        whole(20).await;
+        until_complete(20).await;
         site.kill(index);
-        until_standing(&site, index, "gone").await;
-        let done = generator.endings().complete_count();
-        whole(done + 20).await;
+        until_liveness(&site, index, "gone").await;
+        let complete = generator.endings().complete_count();
+        until_complete(complete + 20).await;
         site.restart(index).await;
         site.wait_until_host_ready(index).await;
-        until_whole(&site).await;
+        until_all_live(&site).await;
         assert_eq!(
             generator.stop().await.failures(),
             [],
@@ -176,16 +176,16 @@
 #[tokio::test]
 async fn a_host_that_was_paused_comes_back_with_the_newest_number() {
     let site = Builder::new(4).engine(lm(0)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.hosts()[1].signal(Signal::SIGSTOP);
-    until_standing(&site, 1, "gone").await;
+    until_liveness(&site, 1, "gone").await;
     let number = change(&site);
     for index in [0, 2, 3] {
         until("the number is in force", async || site.in_force(index).await == number).await;
     }
     site.hosts()[1].signal(Signal::SIGCONT);
     until_in_force(&site, number).await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.shut_down().await;
 }
 
@@ -196,27 +196,27 @@
         .settings(|settings| settings["drain"]["balancer_ms"] = json!(3000))
         .start()
         .await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.hosts()[0].signal(Signal::SIGTERM);
-    until_standing(&site, 0, "leaving").await;
+    until_liveness(&site, 0, "leaving").await;
     assert_eq!(site.hosts_mut()[0].wait_for_exit().await, Some(0));
 }
 
 #[tokio::test]
 async fn a_host_that_the_list_calls_leaving_is_leaving_for_all() {
     let mut site = Builder::new(3).engine(lm(0)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.set_list_state(1, Listed::Leaving);
-    until_standing(&site, 1, "leaving").await;
+    until_liveness(&site, 1, "leaving").await;
     site.set_list_state(1, Listed::Live);
-    until_standing(&site, 1, "live").await;
+    until_liveness(&site, 1, "live").await;
     site.shut_down().await;
 }
 
 #[tokio::test]
 async fn an_empty_list_leaves_hosts_and_servers_in_place() {
     let site = Builder::new(3).engine(lm(0)).start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     let lists = site.platform.calls().lists;
     site.platform.set_list(Default::default());
     until("each host has read it", async || lists + 12 <= site.platform.calls().lists).await;
@@ -226,14 +226,14 @@
         let ending = Chat::new(format!("empty-{index}"), MODEL, 4);
         assert_eq!(ending.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_host_cut_off_from_its_peers_goes_on_serving_and_joins_again() {
     let site = Builder::new(3).engine(lm(0)).with_proxies().start().await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.links().peers(0).door(fault::Door::Shut);
     site.links().peers(0).cut();
     let number = change(&site);
@@ -241,6 +241,6 @@
     let chat = Chat::new("cut", MODEL, 4);
     assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Complete);
     site.links().peers(0).door(fault::Door::Open);
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.shut_down().await;
 }
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -17,11 +17,11 @@
 use serde_json::Value;
 use standin::{engine, fault::Strike, weights};
 
-use crate::site::{CAPACITY, LATENESS, LINGER, MODEL, Site, engine, until};
+use crate::site::{CAPACITY, LINGER, MODEL_MEMORY, ORDER_DELAY, Site, engine, until};
 
-const LEASE: u64 = 600;
+const LEASE_MS: u64 = 600;
 const PUT_LEDGER: &str = "PUT /objects/ledger/lm-0";
-const ORDER: &str = "POST /orders";
+const POST_ORDER: &str = "POST /orders";
 
 /// What goes wrong while models take turns in memory.
 #[derive(Clone, Copy, Debug)]
@@ -54,13 +54,13 @@
         }
     }
 
-    async fn strike(self, site: &Site) {
+    async fn inject(self, site: &Site) {
         let engine = &site.engines[0];
         match self {
             Trouble::OrdersLost => engine.fault(|fault| fault.lost_orders = 1),
             Trouble::OrdersLate => engine.fault(|fault| {
                 fault.late_orders = 1;
-                fault.lateness = LATENESS;
+                fault.lateness = ORDER_DELAY;
             }),
             Trouble::AcksLost => engine.fault(|fault| fault.lost_acks = 2),
             Trouble::PlatformDown => {
@@ -95,29 +95,29 @@
     trouble: Trouble,
     #[values(true, false)] fenced: bool,
 ) {
-    let mut site = Site::start(2, vec![trouble.settings(fenced)], LEASE).await;
+    let mut site = Site::start(2, vec![trouble.settings(fenced)], LEASE_MS).await;
     for model in ["a", "b", "a"] {
         site.declare(&[model]);
-        trouble.strike(&site).await;
-        site.holds(model).await;
+        trouble.inject(&site).await;
+        site.wait_until_loaded(model).await;
     }
-    site.ends_well().await;
+    site.check_no_overcommit().await;
 }
 
 /// A late order to load is still on its way when its model is given up for another.
 #[rstest]
 #[tokio::test]
 async fn late_load_finds_its_memory_still_reserved(#[values(true, false)] fenced: bool) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
     site.engines[0].fault(|fault| {
         fault.late_orders = 1;
-        fault.lateness = LATENESS;
+        fault.lateness = ORDER_DELAY;
     });
     site.declare(&["a"]);
-    until("the load is reserved", async || !open(&site).is_empty()).await;
+    until("the load is reserved", async || !open_orders(&site).is_empty()).await;
     site.declare(&["b"]);
-    site.holds("b").await;
-    site.ends_well().await;
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
@@ -125,18 +125,18 @@
 async fn planner_that_dies_before_its_order_leaves_memory_covered_until_it_is_gone(
     #[values(true, false)] fenced: bool,
 ) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let trap = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
     site.declare(&["a"]);
-    held.sprung().await;
-    assert_eq!(open(&site).len(), 1, "reserved, and its sender does not know yet");
+    trap.sprung().await;
+    assert_eq!(open_orders(&site).len(), 1, "reserved, and its sender does not know yet");
     site.hosts[planner].kill();
-    held.release();
+    trap.release();
     site.declare(&["b"]);
-    site.delist(planner);
-    site.holds("b").await;
-    site.ends_well().await;
+    site.remove_from_list(planner);
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
@@ -145,39 +145,39 @@
     #[values(true, false)] fenced: bool,
     #[values(Strike::HoldAnswer, Strike::HoldRequest)] strike: Strike,
 ) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_engine[0].trap(ORDER, strike);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let trap = site.to_engine[0].trap(POST_ORDER, strike);
     site.declare(&["a"]);
-    held.sprung().await;
+    trap.sprung().await;
     site.hosts[planner].kill();
     site.declare(&["b"]);
     site.restart(planner);
-    tokio::time::sleep(LATENESS).await;
-    held.release();
-    site.holds("b").await;
-    site.ends_well().await;
+    tokio::time::sleep(ORDER_DELAY).await;
+    trap.release();
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn paused_planner_resumes_with_an_order_in_its_hand(#[values(true, false)] fenced: bool) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let trap = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
     site.declare(&["a"]);
-    held.sprung().await;
+    trap.sprung().await;
     site.hosts[planner].pause().await;
-    held.release();
+    trap.release();
     until("another host plans", async || site.planner().is_some_and(|p| p != planner)).await;
     site.declare(&["b"]);
     tokio::time::sleep(LINGER * 2).await;
-    assert!(!site.has(0, "b"), "a's memory is reserved as long as its order may come");
-    assert_eq!(open(&site)[0].1, format!("host-{planner}"));
+    assert!(!site.has_ready(0, "b"), "a's memory is reserved as long as its order may come");
+    assert_eq!(open_orders(&site)[0].1, format!("host-{planner}"));
 
     site.hosts[planner].resume();
-    site.holds("b").await;
-    site.ends_well().await;
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 /// A lease so short that each host takes it from the other all the time.
@@ -191,31 +191,34 @@
         site.engines[0].fault(|fault| fault.lost_acks = 1);
         site.engines[1].fault(|fault| {
             fault.late_orders = 1;
-            fault.lateness = LATENESS / 3;
+            fault.lateness = ORDER_DELAY / 3;
         });
-        site.holds(model).await;
+        site.wait_until_loaded(model).await;
     }
-    site.ends_well().await;
+    site.check_no_overcommit().await;
 }
 
 #[tokio::test]
 async fn operators_see_why_memory_is_held_and_what_would_free_it() {
-    let mut site = Site::start(2, vec![engine(0, false)], LEASE).await;
+    let mut site = Site::start(2, vec![engine(0, false)], LEASE_MS).await;
     site.engines[0].fault(|fault| fault.lost_orders = 1);
     site.declare(&["a"]);
-    until("an order is lost", async || 1 < open(&site).len() || site.has(0, "a")).await;
+    until("an order is lost", async || 1 < open_orders(&site).len() || site.has_ready(0, "a"))
+        .await;
     // Any host tells, also one that never plans; this one runs in the test's own process.
-    let onlooker = stage::start(site.onlooker()).await.expect("a host");
-    let text = get(onlooker.context().host().operators, "/status/moves").await;
+    let host = stage::start(site.unlisted_settings()).await.expect("a host");
+    let text = get(host.context().host().operators, "/status/moves").await;
     let status: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(status["current"], true);
     assert_eq!(status["memory"][0]["capacity"], CAPACITY);
-    assert_eq!(status["memory"][0]["promised"], MODEL);
+    assert_eq!(status["memory"][0]["promised"], MODEL_MEMORY);
     let open = status["open"].as_array().expect("open moves");
     assert!(!open.is_empty(), "the lost order is in doubt for the linger time");
-    let ways = open[0]["settled_by"].as_array().expect("ways to settle");
-    assert!(ways.iter().any(|way| way.as_str().is_some_and(|way| way.contains("in flight"))));
-    site.ends_well().await;
+    let conditions = open[0]["settled_by"].as_array().expect("ways to settle");
+    assert!(conditions.iter().any(|condition| {
+        condition.as_str().is_some_and(|condition| condition.contains("in flight"))
+    }));
+    site.check_no_overcommit().await;
 }
 
 async fn get(address: SocketAddr, path: &str) -> String {
@@ -229,7 +232,7 @@
 }
 
 /// Open orders of the first engine with their senders.
-fn open(site: &Site) -> Vec<(String, String)> {
+fn open_orders(site: &Site) -> Vec<(String, String)> {
     let orders = site.ledger(0).map(|ledger| ledger.orders).unwrap_or_default();
     let open = orders.iter().map(|entry| &entry.order);
     open.map(|order| (order.id.to_string(), order.sender.to_string())).collect()
--- a/crates/stage/tests/moves/site.rs
+++ b/crates/stage/tests/moves/site.rs
@@ -27,18 +27,18 @@
 };
 
 /// How long a test waits for what must come; far more than it takes on a loaded machine.
-const PATIENCE: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(10);
+const TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Memory of each engine; no two models fit together.
 pub const CAPACITY: u64 = 100;
-pub const MODEL: u64 = 60;
+pub const MODEL_MEMORY: u64 = 60;
 
 /// Longest time that anything sent may still arrive, as the hosts are told.
 pub const LINGER: Duration = Duration::from_millis(2_500);
 
 /// Lateness of orders: long after their sender gave up, and less than the linger time.
-pub const LATENESS: Duration = Duration::from_millis(1_500);
+pub const ORDER_DELAY: Duration = Duration::from_millis(1_500);
 
 /// A host's process; killed when dropped.
 pub struct Process {
@@ -99,11 +99,11 @@
     /// Links to each engine.
     pub to_engine: Vec<Proxy>,
     pub hosts: Vec<Process>,
-    listed: Vec<host::Entry>,
+    list_entries: Vec<host::Entry>,
     files: TempDir,
     lease_ms: u64,
-    number: u64,
-    runs: usize,
+    config_number: u64,
+    starts: usize,
 }
 
 impl Site {
@@ -127,35 +127,35 @@
             to_platform,
             to_engine,
             hosts: Vec::new(),
-            listed: Vec::new(),
+            list_entries: Vec::new(),
             files: tempfile::tempdir().expect("folder"),
             lease_ms,
-            number: 0,
-            runs: 0,
+            config_number: 0,
+            starts: 0,
         };
         site.declare(&[]);
-        for place in 0..hosts {
-            let process = site.spawn(place);
-            site.listed.push(host::Entry { host: process.host.clone(), state: Listed::Live });
+        for index in 0..hosts {
+            let process = site.spawn(index);
+            site.list_entries.push(host::Entry { host: process.host.clone(), state: Listed::Live });
             site.hosts.push(process);
         }
-        site.list();
-        for place in 0..site.engines.len() {
-            until("the engine has a ledger", async || site.ledger(place).is_some()).await;
+        site.publish_list();
+        for index in 0..site.engines.len() {
+            until("the engine has a ledger", async || site.ledger(index).is_some()).await;
         }
         site
     }
 
     /// Declares exactly these models under the next number.
     pub fn declare(&mut self, models: &[&str]) {
-        self.number += 1;
+        self.config_number += 1;
         let declared = |name: &&str| {
-            let model = json!({"group": "lm", "version": "1", "memory": MODEL});
+            let model = json!({"group": "lm", "version": "1", "memory": MODEL_MEMORY});
             ((*name).to_owned(), model)
         };
         let models: serde_json::Map<String, Value> = models.iter().map(declared).collect();
         let config = json!({"models": models});
-        self.platform.poke("config/root", json!({"number": self.number, "config": config}));
+        self.platform.poke("config/root", json!({"number": self.config_number, "config": config}));
     }
 
     /// The ledger of an engine, as it stands.
@@ -165,27 +165,27 @@
     }
 
     /// Whether a model is ready in an engine's true memory.
-    pub fn has(&self, engine: usize, model: &str) -> bool {
+    pub fn has_ready(&self, engine: usize, model: &str) -> bool {
         let residents = self.engines[engine].residents();
         residents.iter().any(|r| &**r.unit.model() == model && r.state == State::Ready)
     }
 
     /// Waits until every engine holds exactly this model.
-    pub async fn holds(&self, model: &str) {
-        for place in 0..self.engines.len() {
-            until(&format!("engine {place} holds {model}"), async || {
-                self.has(place, model) && self.engines[place].residents().len() == 1
+    pub async fn wait_until_loaded(&self, model: &str) {
+        for index in 0..self.engines.len() {
+            until(&format!("engine {index} holds {model}"), async || {
+                self.has_ready(index, model) && self.engines[index].residents().len() == 1
             })
             .await;
         }
     }
 
     /// Waits until no order is open, and the ledgers say what is truly in memory.
-    async fn settled(&self) {
-        for place in 0..self.engines.len() {
-            until(&format!("the ledger of engine {place} settles"), async || {
-                self.ledger(place).is_some_and(|ledger| {
-                    ledger.orders.is_empty() && ledger.residents == self.engines[place].residents()
+    async fn wait_until_settled(&self) {
+        for index in 0..self.engines.len() {
+            until(&format!("the ledger of engine {index} settles"), async || {
+                self.ledger(index).is_some_and(|ledger| {
+                    ledger.orders.is_empty() && ledger.residents == self.engines[index].residents()
                 })
             })
             .await;
@@ -194,10 +194,10 @@
 
     /// Waits until all is settled and whatever may still come has come; no engine's memory was
     /// overcommitted meanwhile.
-    pub async fn ends_well(&self) {
-        self.settled().await;
-        tokio::time::sleep(LATENESS).await;
-        self.settled().await;
+    pub async fn check_no_overcommit(&self) {
+        self.wait_until_settled().await;
+        tokio::time::sleep(ORDER_DELAY).await;
+        self.wait_until_settled().await;
         for engine in &self.engines {
             let counts = engine.counts();
             assert_eq!(counts.overcommits, 0, "{}: {counts:?}", engine.settings().id);
@@ -213,52 +213,53 @@
     }
 
     /// Waits until a host holds the planning lease.
-    pub async fn some_planner(&self) -> usize {
+    pub async fn wait_for_planner(&self) -> usize {
         until("a host plans", async || self.planner().is_some()).await;
         self.planner().expect("a planner")
     }
 
     /// Takes a host off the platform's list.
-    pub fn delist(&mut self, place: usize) {
-        let id = self.hosts[place].id().clone();
-        self.listed.retain(|entry| entry.host.id != id);
-        self.list();
+    pub fn remove_from_list(&mut self, index: usize) {
+        let id = self.hosts[index].id().clone();
+        self.list_entries.retain(|entry| entry.host.id != id);
+        self.publish_list();
     }
 
     /// Starts a host again after its end, under the same name.
-    pub fn restart(&mut self, place: usize) {
-        self.hosts[place] = self.spawn(place);
+    pub fn restart(&mut self, index: usize) {
+        self.hosts[index] = self.spawn(index);
     }
 
     /// Settings of a host that the platform does not list.
-    pub fn onlooker(&self) -> settings::process::Process {
+    pub fn unlisted_settings(&self) -> settings::process::Process {
         let host = with_any_ports("onlooker");
         let settings = json!({"host": host, "platform": self.platform.address()});
         serde_json::from_value(settings).expect("settings")
     }
 
-    fn list(&self) {
+    fn publish_list(&self) {
         let servers = self.engines.iter().zip(&self.to_engine).enumerate();
-        let servers = servers.map(|(place, (engine, link))| {
+        let servers = servers.map(|(index, (engine, link))| {
             let server = Server {
                 id: engine.settings().id.clone(),
                 group: "lm".into(),
                 kind: Kind::Engine,
-                zone: format!("zone-{place}").into(),
+                zone: format!("zone-{index}").into(),
                 address: link.address(),
             };
             Entry { server, state: Listed::Live }
         });
-        self.platform.set_list(List { hosts: self.listed.clone(), servers: servers.collect() });
+        self.platform
+            .set_list(List { hosts: self.list_entries.clone(), servers: servers.collect() });
     }
 
-    fn spawn(&mut self, place: usize) -> Process {
-        let host = with_any_ports(&format!("host-{place}"));
-        self.runs += 1;
-        let log = self.files.path().join(format!("{}-{}.log", host.id, self.runs));
+    fn spawn(&mut self, index: usize) -> Process {
+        let host = with_any_ports(&format!("host-{index}"));
+        self.starts += 1;
+        let log = self.files.path().join(format!("{}-{}.log", host.id, self.starts));
         let settings = json!({
             "host": host,
-            "platform": self.to_platform[place].address(),
+            "platform": self.to_platform[index].address(),
             "intervals": {"list_ms": 50, "report_ms": 40, "plan_ms": 40},
             "drain": {"balancer_ms": 10, "finish_ms": 1_000},
             "planning": {
@@ -268,7 +269,7 @@
             },
             "log": {"file": log, "level": "info"},
         });
-        let file = self.files.path().join(format!("{}-{}.json", host.id, self.runs));
+        let file = self.files.path().join(format!("{}-{}.json", host.id, self.starts));
         std::fs::write(&file, settings.to_string()).expect("settings file");
         let child = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(["serve", "--settings"])
@@ -286,17 +287,17 @@
 }
 
 /// An engine for two models of which only one fits.
-pub fn engine(place: usize, fenced: bool) -> engine::Settings {
-    let id = format!("lm-{place}");
+pub fn engine(index: usize, fenced: bool) -> engine::Settings {
+    let id = format!("lm-{index}");
     engine::Settings { capacity: CAPACITY, fenced, ..engine::Settings::new(&id) }
 }
 
 /// Polls a condition, and fails by name when patience ends.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "never: {what}");
 }
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -70,8 +70,8 @@
 #[tokio::test]
 async fn outage_of_the_platform_shows_and_passes() {
     let site = site().await;
-    let up = async |wanted: f64| {
-        value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == wanted
+    let up = async |expected: f64| {
+        value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == expected
     };
 
     site.platform.fault(|fault| fault.down = true);
@@ -79,7 +79,7 @@
     site.platform.fault(|fault| fault.down = false);
     until("its end shows", async || up(1.0).await).await;
 
-    let seen: Vec<PlatformState> = records(&site.hosts()[1], "")
+    let states: Vec<PlatformState> = records(&site.hosts()[1], "")
         .await
         .into_iter()
         .filter_map(|record| match record.event.kind {
@@ -87,7 +87,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(seen, [PlatformState::Up, PlatformState::Down, PlatformState::Up]);
+    assert_eq!(states, [PlatformState::Up, PlatformState::Down, PlatformState::Up]);
     site.shut_down().await;
 }
 
@@ -129,10 +129,10 @@
     assert!(merged.is_sorted_by_key(|record| record.at));
     let hosts: BTreeSet<&str> = merged.iter().map(|record| &*record.host).collect();
     assert_eq!(hosts, BTreeSet::from(["host-0", "host-1"]));
-    for number in ["host-0", "host-1"] {
-        let mine = || merged.iter().filter(|record| &*record.host == number);
-        assert!(mine().any(|r| r.event.kind == Kind::Start), "{number}");
-        assert!(mine().any(|r| r.event.kind == Kind::Configuration { number: 1 }), "{number}");
+    for host in ["host-0", "host-1"] {
+        let of_host = || merged.iter().filter(|record| &*record.host == host);
+        assert!(of_host().any(|r| r.event.kind == Kind::Start), "{host}");
+        assert!(of_host().any(|r| r.event.kind == Kind::Configuration { number: 1 }), "{host}");
     }
     site.shut_down().await;
 }
@@ -142,20 +142,20 @@
 async fn heartbeats_carry_the_clock_from_host_to_host() {
     let site = site().await;
     let host = &site.hosts()[0];
-    let ahead = Stamp::from_wall(SystemTime::now() + Duration::from_secs(5));
-    let stranger = Host { id: "stranger".into(), ..site.hosts()[1].host.clone() };
+    let future = Stamp::from_wall(SystemTime::now() + Duration::from_secs(5));
+    let sender = Host { id: "stranger".into(), ..site.hosts()[1].host.clone() };
     let rules = policy::member::Settings::default();
-    let mut gossip = Gossip::new(Duration::ZERO, rules, 1, stranger, 1);
-    let heartbeat = Heartbeat { stamp: ahead.0, ..gossip.hello(Duration::from_secs(1)) };
+    let mut gossip = Gossip::new(Duration::ZERO, rules, 1, sender, 1);
+    let heartbeat = Heartbeat { stamp: future.0, ..gossip.hello(Duration::from_secs(1)) };
     let client = peer::Builder::new().build();
 
     let answer = client.heartbeat(host.host.peers, heartbeat).await.expect("an answer");
     let call = post_chat(host.callers(), &chat("welcome")).await;
 
-    assert!(ahead < Stamp(answer.stamp));
+    assert!(future < Stamp(answer.stamp));
     let query = format!("request={}", request_id(&call));
     let records = records(host, &query).await;
-    assert!(!records.is_empty() && records.iter().all(|record| ahead < record.at), "{records:?}");
+    assert!(!records.is_empty() && records.iter().all(|record| future < record.at), "{records:?}");
     site.shut_down().await;
 }
 
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -17,11 +17,11 @@
     let site = site().await;
     for round in 0..10 {
         let key = format!("ticket-{round}");
-        let sends = (0..12).map(|number| ticket(&site, number % HOSTS, &key));
+        let sends = (0..12).map(|number| request_ticket(&site, number % HOSTS, &key));
         let answers = join_all(sends).await;
         let ran = answers.iter().filter(|answer| answer.status == 200).count();
         assert!(0 < ran, "one is answered: {answers:?}");
-        answers.iter().filter(|answer| answer.status != 200).for_each(assert_honest);
+        answers.iter().filter(|answer| answer.status != 200).for_each(assert_not_denied);
     }
     assert_runs(&site, 10);
     site.shut_down().await;
@@ -30,15 +30,15 @@
 #[tokio::test]
 async fn sent_again_the_recorded_answer_comes_from_every_host() {
     let site = site().await;
-    let first = ticket(&site, 0, "ticket").await;
+    let first = request_ticket(&site, 0, "ticket").await;
     assert_eq!(first.status, 200, "{}", first.text());
     for host in 0..HOSTS {
         until("the outcome is known", async || {
-            let again = ticket(&site, host, "ticket").await;
+            let again = request_ticket(&site, host, "ticket").await;
             again.status == 200 && again.body == first.body
         })
         .await;
-        let again = ticket(&site, host, "ticket").await;
+        let again = request_ticket(&site, host, "ticket").await;
         assert_eq!(again.headers["idempotent-replayed"], "true");
     }
     assert_runs(&site, 1);
@@ -48,12 +48,13 @@
 #[tokio::test]
 async fn same_key_with_another_body_is_refused() {
     let site = site().await;
-    assert_eq!(ticket(&site, 0, "ticket").await.status, 200);
+    assert_eq!(request_ticket(&site, 0, "ticket").await.status, 200);
     let headers = [("idempotency-key", "ticket")];
     let callers = site.hosts()[1].callers();
-    let other = send(callers, "POST", "/services/tickets/issue", &headers, "another guest").await;
-    assert_eq!(other.status, 422);
-    assert_eq!(other.json()["ran"], "did-not-run");
+    let conflicting =
+        send(callers, "POST", "/services/tickets/issue", &headers, "another guest").await;
+    assert_eq!(conflicting.status, 422);
+    assert_eq!(conflicting.json()["ran"], "did-not-run");
     assert_runs(&site, 1);
     site.shut_down().await;
 }
@@ -72,9 +73,9 @@
     assert!(first.await.unwrap().is_none(), "its answer is lost");
     site.plains()[0].fault(|fault| fault.work = Duration::ZERO);
     for host in [1, 2, 1] {
-        let again = ticket(&site, host, "ticket").await;
+        let again = request_ticket(&site, host, "ticket").await;
         assert_eq!(again.status, 409, "{}", again.text());
-        assert_honest(&again);
+        assert_not_denied(&again);
     }
     site.hosts_mut().remove(0);
     assert_runs(&site, 1);
@@ -99,12 +100,12 @@
             .await;
         tokio::time::sleep(Duration::from_millis(20 * round)).await;
         site.hosts()[0].signal(Signal::SIGSTOP);
-        let other = ticket(&site, 1, &key).await;
+        let other = request_ticket(&site, 1, &key).await;
         site.hosts()[0].signal(Signal::SIGCONT);
         let paused = paused.await.unwrap().expect("it goes on");
         for answer in [paused, other] {
             if answer.status != 200 {
-                assert_honest(&answer);
+                assert_not_denied(&answer);
             }
         }
     }
@@ -118,7 +119,8 @@
     let site = site().await;
     for round in 0..6 {
         site.platform.fault(|fault| fault.lost_answers = 1 + round % 2);
-        let answer = ticket(&site, round as usize % HOSTS, &format!("ticket-{round}")).await;
+        let answer =
+            request_ticket(&site, round as usize % HOSTS, &format!("ticket-{round}")).await;
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
     assert_runs(&site, 6);
@@ -128,18 +130,21 @@
 #[tokio::test]
 async fn outage_refuses_honestly_and_keys_work_again_after_it() {
     let site = site().await;
-    assert_eq!(ticket(&site, 0, "before").await.status, 200);
+    assert_eq!(request_ticket(&site, 0, "before").await.status, 200);
     site.platform.fault(|fault| fault.down = true);
-    let again = ticket(&site, 1, "before").await;
+    let again = request_ticket(&site, 1, "before").await;
     assert_eq!(again.status, 503, "{}", again.text());
     assert_eq!(again.json()["ran"], "may-have-run", "this host can't know that it ran");
     let unkeyed = send(site.hosts()[0].callers(), "POST", "/services/tickets/issue", &[], BODY);
     assert_eq!(unkeyed.await.status, 200, "a request without a key needs no claim");
-    let refused = ticket(&site, 0, "during").await;
+    let refused = request_ticket(&site, 0, "during").await;
     assert_eq!(refused.status, 503);
     assert!(refused.headers.contains_key("retry-after"));
     site.platform.fault(|fault| fault.down = false);
-    until("keys are claimed again", async || ticket(&site, 0, "during").await.status == 200).await;
+    until("keys are claimed again", async || {
+        request_ticket(&site, 0, "during").await.status == 200
+    })
+    .await;
     let runs = runs(&site);
     assert_eq!((runs["before"], runs["during"]), (1, 1));
     site.shut_down().await;
@@ -148,16 +153,16 @@
 #[tokio::test]
 async fn keys_outlive_every_host() {
     let mut site = site().await;
-    let first = ticket(&site, 0, "ticket").await;
+    let first = request_ticket(&site, 0, "ticket").await;
     assert_eq!(first.status, 200);
     for index in 0..HOSTS {
         replace(&mut site, index, Signal::SIGTERM).await;
-        let again = ticket(&site, index, "ticket").await;
+        let again = request_ticket(&site, index, "ticket").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "{}", again.text());
     }
     for index in 0..HOSTS {
         replace(&mut site, index, Signal::SIGKILL).await;
-        let again = ticket(&site, index, "ticket").await;
+        let again = request_ticket(&site, index, "ticket").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "{}", again.text());
     }
     assert_runs(&site, 1);
@@ -169,12 +174,12 @@
 async fn answer_lost_by_the_service_is_never_asked_for_again() {
     let site = site().await;
     site.plains()[0].fault(|fault| fault.lost_answers = 1);
-    let first = ticket(&site, 0, "ticket").await;
+    let first = request_ticket(&site, 0, "ticket").await;
     assert_eq!(first.json()["ran"], "may-have-run", "{}", first.text());
     for host in 0..HOSTS {
-        let again = ticket(&site, host, "ticket").await;
+        let again = request_ticket(&site, host, "ticket").await;
         assert_eq!(again.status, 409, "{}", again.text());
-        assert_honest(&again);
+        assert_not_denied(&again);
     }
     assert_runs(&site, 1);
     site.shut_down().await;
@@ -193,12 +198,12 @@
     })
     .await;
     let total = site.plains()[0].total();
-    let refused = ticket(&site, 0, "ticket").await;
+    let refused = request_ticket(&site, 0, "ticket").await;
     assert_eq!(refused.json()["ran"], "may-have-run", "{}", refused.text());
     assert!(refused.headers.contains_key("retry-after"));
     assert_eq!(site.plains()[0].total(), total);
     site.set_list_state(0, Listed::Live);
-    until("it runs", async || ticket(&site, 1, "ticket").await.status == 200).await;
+    until("it runs", async || request_ticket(&site, 1, "ticket").await.status == 200).await;
     assert_eq!(runs(&site)["ticket"], 1);
     site.shut_down().await;
 }
@@ -226,14 +231,14 @@
     site.wait_until_ready().await;
 }
 
-async fn ticket(site: &Site, host: usize, key: &str) -> Answer {
+async fn request_ticket(site: &Site, host: usize, key: &str) -> Answer {
     let headers = [("idempotency-key", key)];
     let callers = site.hosts()[host].callers();
     send(callers, "POST", "/services/tickets/issue", &headers, BODY).await
 }
 
 /// A refusal never says "did not run" of a key that ran.
-fn assert_honest(answer: &Answer) {
+fn assert_not_denied(answer: &Answer) {
     let ran = answer.json()["ran"].clone();
     assert!(ran == "may-have-run" || ran == "ran", "{}", answer.text());
 }
--- a/crates/stage/tests/once_cost.rs
+++ b/crates/stage/tests/once_cost.rs
@@ -13,31 +13,31 @@
 const HOSTS: usize = 3;
 const SENDS: usize = 400;
 /// Time that the platform takes to answer.
-const PLATFORM: Duration = Duration::from_millis(3);
+const PLATFORM_LATENCY: Duration = Duration::from_millis(3);
 
 #[tokio::test]
 #[ignore = "a measurement"]
 async fn cost_of_a_claim() {
     let site =
         Site::start_with(HOSTS, Vec::new(), vec![Plain::start("app-0").await.unwrap()]).await;
-    site.platform.fault(|fault| fault.latency = PLATFORM);
-    for parallel in [1, 16, 64, 256] {
-        let unkeyed = run(&site, parallel, None).await;
+    site.platform.fault(|fault| fault.latency = PLATFORM_LATENCY);
+    for concurrency in [1, 16, 64, 256] {
+        let unkeyed = send_all(&site, concurrency, None).await;
         let before = site.platform.calls();
-        let prefix = format!("{parallel}");
-        let began = Instant::now();
-        let keyed = run(&site, parallel, Some(&prefix)).await;
-        let took = began.elapsed().as_secs_f64();
+        let prefix = format!("{concurrency}");
+        let start = Instant::now();
+        let keyed = send_all(&site, concurrency, Some(&prefix)).await;
+        let elapsed = start.elapsed().as_secs_f64();
         tokio::time::sleep(Duration::from_secs(1)).await;
         let after = site.platform.calls();
         println!(
-            "{parallel:>3} at once: without a key p50 {:.1} p99 {:.1} ms; with p50 {:.1} p99 {:.1} ms; \
+            "{concurrency:>3} at once: without a key p50 {:.1} p99 {:.1} ms; with p50 {:.1} p99 {:.1} ms; \
              {:.0} claims/s; {:.2} writes and {:.2} reads a claim",
-            at(&unkeyed, 0.5),
-            at(&unkeyed, 0.99),
-            at(&keyed, 0.5),
-            at(&keyed, 0.99),
-            keyed.len() as f64 / took,
+            percentile(&unkeyed, 0.5),
+            percentile(&unkeyed, 0.99),
+            percentile(&keyed, 0.5),
+            percentile(&keyed, 0.99),
+            keyed.len() as f64 / elapsed,
             (after.writes - before.writes) as f64 / keyed.len() as f64,
             (after.reads - before.reads) as f64 / keyed.len() as f64,
         );
@@ -55,26 +55,26 @@
     site.shut_down().await;
 }
 
-async fn run(site: &Site, parallel: usize, keys: Option<&str>) -> Vec<f64> {
+async fn send_all(site: &Site, concurrency: usize, keys: Option<&str>) -> Vec<f64> {
     let mut times: Vec<f64> = stream::iter(0..SENDS)
         .map(|number| async move {
             let key = keys.map(|prefix| format!("ticket-{prefix}-{number}"));
             let headers: Vec<(&str, &str)> =
                 key.iter().map(|key| ("idempotency-key", key.as_str())).collect();
             let callers = site.hosts()[number % HOSTS].callers();
-            let began = Instant::now();
+            let start = Instant::now();
             let answer =
                 send(callers, "POST", "/services/tickets/issue", &headers, "room 12").await;
             assert_eq!(answer.status, 200, "{}", answer.text());
-            began.elapsed().as_secs_f64() * 1000.0
+            start.elapsed().as_secs_f64() * 1000.0
         })
-        .buffer_unordered(parallel)
+        .buffer_unordered(concurrency)
         .collect()
         .await;
     times.sort_by(f64::total_cmp);
     times
 }
 
-fn at(sorted: &[f64], share: f64) -> f64 {
-    sorted[((sorted.len() - 1) as f64 * share) as usize]
+fn percentile(sorted: &[f64], ratio: f64) -> f64 {
+    sorted[((sorted.len() - 1) as f64 * ratio) as usize]
 }
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -28,7 +28,7 @@
     for host in site.hosts() {
         until("a host knows the others", async || {
             let status = get(host.operators(), "/members").await.unwrap_or_default();
-            status["hosts"].as_object().is_some_and(|others| others.len() + 1 == hosts)
+            status["hosts"].as_object().is_some_and(|peers| peers.len() + 1 == hosts)
         })
         .await;
     }
@@ -52,11 +52,11 @@
 #[case::refusing_by_rate(|fault: &mut objects::Fault| fault.rate = 1)]
 #[tokio::test]
 async fn every_call_is_served_and_the_change_comes_after(
-    #[case] fail: impl Fn(&mut objects::Fault),
+    #[case] inject: impl Fn(&mut objects::Fault),
 ) {
     const CALLS: usize = 40;
     let site = site(4).await;
-    site.platform.fault(fail);
+    site.platform.fault(inject);
     let number = change(&site);
     for call in 0..CALLS {
         let chat = Chat::new(format!("call-{call}"), MODEL, 4);
@@ -73,67 +73,67 @@
 async fn ten_minutes_without_the_platform() {
     const HOSTS: usize = 8;
     const OUTAGE: Duration = Duration::from_secs(600);
-    const AFTER: Duration = Duration::from_secs(30);
-    const PAUSE: Duration = Duration::from_millis(250);
+    const TAIL: Duration = Duration::from_secs(30);
+    const CALL_INTERVAL: Duration = Duration::from_millis(250);
     let mut site = site(HOSTS).await;
     let seeds: Vec<SocketAddr> = site.hosts()[..3].iter().map(|host| host.host.peers).collect();
     site.change_settings(move |settings| settings["peers"] = json!(seeds));
     site.platform.fault(|fault| fault.down = true);
-    let began = Instant::now();
-    let (mut whole, mut others, mut rates) = (0, Vec::new(), Vec::new());
-    let (mut asked, mut second) = (total(&site), Instant::now());
-    let (mut number, mut is_replaced, mut healed) = (0, false, None::<Instant>);
+    let start = Instant::now();
+    let (mut complete, mut failures, mut rates) = (0, Vec::new(), Vec::new());
+    let (mut calls_before, mut sample_start) = (total_calls(&site), Instant::now());
+    let (mut number, mut is_host_replaced, mut restored_at) = (0, false, None::<Instant>);
     let mut in_force = None;
     for call in 0.. {
-        let since = began.elapsed();
-        if OUTAGE + AFTER <= since {
+        let elapsed = start.elapsed();
+        if OUTAGE + TAIL <= elapsed {
             break;
         }
         let chat = Chat::new(format!("call-{call}"), MODEL, 4);
         match chat.send(site.hosts()[call % HOSTS].callers()).await {
-            Ending::Complete => whole += 1,
-            ending => others.push((since.as_secs(), ending)),
+            Ending::Complete => complete += 1,
+            ending => failures.push((elapsed.as_secs(), ending)),
         }
-        if OUTAGE / 2 <= since && !is_replaced {
-            is_replaced = true;
+        if OUTAGE / 2 <= elapsed && !is_host_replaced {
+            is_host_replaced = true;
             number = change(&site);
             site.kill(HOSTS - 1);
             site.restart(HOSTS - 1).await;
             site.wait_until_host_ready(HOSTS - 1).await;
-            eprintln!("host replaced in the outage, ready after {:?}", began.elapsed() - since);
+            eprintln!("host replaced in the outage, ready after {:?}", start.elapsed() - elapsed);
         }
-        if OUTAGE <= since && healed.is_none() {
+        if OUTAGE <= elapsed && restored_at.is_none() {
             site.platform.fault(|fault| fault.down = false);
-            healed = Some(Instant::now());
+            restored_at = Some(Instant::now());
         }
-        if let Some(at) = healed.filter(|_| in_force.is_none()) {
+        if let Some(at) = restored_at.filter(|_| in_force.is_none()) {
             until_in_force(&site, number).await;
             in_force = Some(at.elapsed());
         }
-        if Duration::from_secs(1) <= second.elapsed() {
-            let now = total(&site);
-            let rate = (now - asked) as f64 / second.elapsed().as_secs_f64();
-            rates.push((healed.is_some(), rate));
-            (asked, second) = (now, Instant::now());
+        if Duration::from_secs(1) <= sample_start.elapsed() {
+            let now = total_calls(&site);
+            let rate = (now - calls_before) as f64 / sample_start.elapsed().as_secs_f64();
+            rates.push((restored_at.is_some(), rate));
+            (calls_before, sample_start) = (now, Instant::now());
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
-    let most = |is_after: bool| {
+    let max_rate = |is_after: bool| {
         let rates = rates.iter().filter(|(after, _)| *after == is_after);
         rates.map(|(_, rate)| *rate).fold(0.0, f64::max)
     };
     let mean = rates.iter().filter(|(after, _)| !after).map(|(_, rate)| rate).sum::<f64>()
         / rates.iter().filter(|(after, _)| !after).count() as f64;
-    eprintln!("whole {whole}, others {others:?}");
-    eprintln!("calls a second, all hosts: outage mean {mean:.1}, most {:.1}", most(false));
-    eprintln!("calls a second, all hosts: most after it {:.1}", most(true));
+    eprintln!("whole {complete}, others {failures:?}");
+    eprintln!("calls a second, all hosts: outage mean {mean:.1}, most {:.1}", max_rate(false));
+    eprintln!("calls a second, all hosts: most after it {:.1}", max_rate(true));
     eprintln!("change in force on all after {in_force:?}");
-    assert_eq!(others, []);
+    assert_eq!(failures, []);
     site.shut_down().await;
 }
 
 /// Calls that the platform got, of every kind.
-fn total(site: &Site) -> u64 {
+fn total_calls(site: &Site) -> u64 {
     let calls = site.platform.calls();
     calls.reads + calls.writes + calls.watches + calls.lists
 }
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -14,15 +14,16 @@
 
 /// What the server reports as running already: two short of its 64 slots and the eighth more that
 /// hosts may send.
-const BUSY: u32 = 70;
-const ROOM: u32 = 2;
+const REPORTED_RUNNING: u32 = 70;
+const FREE_SLOTS: u32 = 2;
 
 /// A host before one server that never answers, with all of its room taken.
-async fn full() -> (Fixture, Vec<Script>, Vec<JoinHandle<Answer>>) {
-    let servers = vec![Script::start("lm-1", Kind::Engine, BUSY, Behavior::NoAnswer).await];
+async fn full_server() -> (Fixture, Vec<Script>, Vec<JoinHandle<Answer>>) {
+    let servers =
+        vec![Script::start("lm-1", Kind::Engine, REPORTED_RUNNING, Behavior::NoAnswer).await];
     let fixture = Fixture::start(&servers).await;
-    let running = (0..ROOM).map(|_| chat(&fixture, "60000")).collect();
-    until("the server is full", async || servers[0].requests() == ROOM).await;
+    let running = (0..FREE_SLOTS).map(|_| chat(&fixture, "60000")).collect();
+    until("the server is full", async || servers[0].requests() == FREE_SLOTS).await;
     (fixture, servers, running)
 }
 
@@ -35,13 +36,13 @@
     })
 }
 
-fn waiting(fixture: &Fixture) -> usize {
+fn waiting_count(fixture: &Fixture) -> usize {
     fixture.host.context().traffic.waiting()
 }
 
 #[tokio::test]
 async fn work_that_cannot_meet_its_target_is_refused_at_once_and_told_when_to_come_back() {
-    let (fixture, servers, running) = full().await;
+    let (fixture, servers, running) = full_server().await;
     let answer = chat(&fixture, "20").await.expect("an answer");
     assert_eq!(answer.status, 503, "{}", answer.text());
     let problem = answer.json();
@@ -49,7 +50,7 @@
     assert_eq!(problem["ran"], "did-not-run");
     let retry_after = answer.headers.get("retry-after").and_then(|v| v.to_str().ok());
     assert!(retry_after.is_some_and(|v| v.parse::<u64>().is_ok_and(|v| 1 <= v)));
-    assert_eq!(servers[0].requests(), ROOM, "a refused request reached the server");
+    assert_eq!(servers[0].requests(), FREE_SLOTS, "a refused request reached the server");
     running.iter().for_each(JoinHandle::abort);
 }
 
@@ -66,25 +67,25 @@
 
 #[tokio::test]
 async fn a_waiting_caller_that_goes_away_leaves_the_queue_and_never_runs() {
-    let (fixture, servers, running) = full().await;
-    let gone = chat(&fixture, "60000");
-    until("it waits", async || waiting(&fixture) == 1).await;
-    gone.abort();
-    until("it has left", async || waiting(&fixture) == 0).await;
+    let (fixture, servers, running) = full_server().await;
+    let abandoned = chat(&fixture, "60000");
+    until("it waits", async || waiting_count(&fixture) == 1).await;
+    abandoned.abort();
+    until("it has left", async || waiting_count(&fixture) == 0).await;
     running.iter().for_each(JoinHandle::abort);
     let last = chat(&fixture, "60000");
-    until("the next one runs", async || servers[0].requests() == ROOM + 1).await;
+    until("the next one runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
     last.abort();
 }
 
 #[tokio::test]
 async fn a_waiting_request_runs_when_a_caller_before_it_goes_away() {
-    let (fixture, servers, running) = full().await;
+    let (fixture, servers, running) = full_server().await;
     let next = chat(&fixture, "60000");
-    until("it waits", async || waiting(&fixture) == 1).await;
-    assert_eq!(servers[0].requests(), ROOM);
+    until("it waits", async || waiting_count(&fixture) == 1).await;
+    assert_eq!(servers[0].requests(), FREE_SLOTS);
     running[0].abort();
-    until("it runs", async || servers[0].requests() == ROOM + 1).await;
+    until("it runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
     next.abort();
     running.iter().for_each(JoinHandle::abort);
     let drained = timeout(Duration::from_secs(20), fixture.host.drain()).await;
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -45,8 +45,8 @@
 
     let (first, second) = tokio::join!(patch(&site, 0, "first"), patch(&site, 1, "second"));
 
-    let won = [&first, &second].iter().filter(|(status, _)| *status == 200).count();
-    assert_eq!(won, 1, "one wins the number: {first:?}, {second:?}");
+    let winners = [&first, &second].iter().filter(|(status, _)| *status == 200).count();
+    assert_eq!(winners, 1, "one wins the number: {first:?}, {second:?}");
     until_in_force(&site, 2).await;
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     assert_eq!(root["number"], 2);
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -39,10 +39,12 @@
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     let residents = || site.engines().iter().flat_map(|engine| engine.residents());
     MODELS.iter().all(|name| {
-        let wanted = &root["config"]["models"][name]["version"];
+        let declared_version = &root["config"]["models"][name]["version"];
         residents().any(|resident| match &resident.unit {
             Unit::Model { model, version } => {
-                &**model == *name && *wanted == **version && resident.state == State::Ready
+                &**model == *name
+                    && *declared_version == **version
+                    && resident.state == State::Ready
             }
             Unit::Adapter { .. } => false,
         })
--- a/crates/stage/tests/reachable.rs
+++ b/crates/stage/tests/reachable.rs
@@ -24,8 +24,8 @@
 
 const SEED: u64 = 20_261_202;
 const CHANGES: u64 = 120;
-const MOST_MODELS: usize = 6;
-const PAUSE: Duration = Duration::from_millis(10);
+const MAX_MODELS: usize = 6;
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Calls one model again and again through all hosts until told to stop.
 struct Caller {
@@ -35,28 +35,28 @@
 
 /// What callers saw.
 #[derive(Clone, Default)]
-struct Seen {
+struct Results {
     answered: Arc<AtomicU64>,
     unreachable: Arc<Mutex<Vec<String>>>,
 }
 
 impl Caller {
-    fn start(hosts: Vec<std::net::SocketAddr>, model: &str, seen: &Seen) -> Caller {
+    fn start(hosts: Vec<std::net::SocketAddr>, model: &str, results: &Results) -> Caller {
         let stop = CancellationToken::new();
-        let (token, seen, model) = (stop.clone(), seen.clone(), model.to_owned());
+        let (token, results, model) = (stop.clone(), results.clone(), model.to_owned());
         let task = tokio::spawn(async move {
             for host in hosts.into_iter().cycle() {
                 if token.is_cancelled() {
                     return;
                 }
-                let answer = post_chat(host, &ask(&model)).await;
+                let answer = post_chat(host, &chat_body(&model)).await;
                 if answer.status == 200 {
-                    seen.answered.fetch_add(1, Ordering::Relaxed);
+                    results.answered.fetch_add(1, Ordering::Relaxed);
                 } else {
                     let what = format!("{model}: {} {}", answer.status, answer.text());
-                    seen.unreachable.lock().unwrap().push(what);
+                    results.unreachable.lock().unwrap().push(what);
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(CALL_INTERVAL).await;
             }
         });
         Caller { stop, task }
@@ -68,7 +68,7 @@
     }
 }
 
-fn ask(model: &str) -> Value {
+fn chat_body(model: &str) -> Value {
     json!({"model": model, "max_tokens": 2, "messages": [{"role": "user", "content": "hi"}]})
 }
 
@@ -81,7 +81,7 @@
 ) -> (Value, Option<String>) {
     let model = models.choose(rng).unwrap().clone();
     match rng.random_range(0..6) {
-        0 | 1 if models.len() < MOST_MODELS => {
+        0 | 1 if models.len() < MAX_MODELS => {
             let entry = json!({"group": "lm", "version": "1", "memory": memory});
             (json!({format!("m{step}"): entry}), None)
         }
@@ -102,7 +102,7 @@
 #[tokio::test]
 async fn every_model_stays_reachable_through_a_walk_of_changes(
     #[case] memory: u64,
-    #[case] least_short: u64,
+    #[case] min_short: u64,
 ) {
     let engines = (0..3).map(|index| {
         engine::Settings::new(&format!("lm-{index}")).with_model(&format!("m-{index}"), "1", memory)
@@ -110,7 +110,7 @@
     let site = Site::start(2, engines.collect()).await;
     let operators = site.hosts()[0].operators();
     let hosts: Vec<_> = site.hosts().iter().map(|host| host.callers()).collect();
-    let seen = Seen::default();
+    let results = Results::default();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let mut callers: BTreeMap<String, Caller> = BTreeMap::new();
     let mut outcomes: BTreeMap<String, u64> = BTreeMap::new();
@@ -122,11 +122,11 @@
             if !callers.contains_key(model) {
                 // A model counts from its first answer on.
                 until("a new model answers", async || {
-                    post_chat(hosts[0], &ask(model)).await.status == 200
-                        && post_chat(hosts[1], &ask(model)).await.status == 200
+                    post_chat(hosts[0], &chat_body(model)).await.status == 200
+                        && post_chat(hosts[1], &chat_body(model)).await.status == 200
                 })
                 .await;
-                callers.insert(model.clone(), Caller::start(hosts.clone(), model, &seen));
+                callers.insert(model.clone(), Caller::start(hosts.clone(), model, &results));
             }
         }
         let names: Vec<String> = models.keys().cloned().collect();
@@ -159,12 +159,12 @@
     for caller in callers.into_values() {
         caller.stop().await;
     }
-    let unreachable = seen.unreachable.lock().unwrap().clone();
-    let answered = seen.answered.load(Ordering::Relaxed);
+    let unreachable = results.unreachable.lock().unwrap().clone();
+    let answered = results.answered.load(Ordering::Relaxed);
     assert_eq!(unreachable, Vec::<String>::new(), "of {answered} answered; {outcomes:?}");
     assert!(CHANGES / 2 < outcomes["accepted"], "{outcomes:?}");
     let short = outcomes.get("short").copied().unwrap_or_default();
-    assert!(least_short <= short, "{outcomes:?}");
+    assert!(min_short <= short, "{outcomes:?}");
     assert!(CHANGES < answered, "{answered}");
     println!("{answered} answered, none unreachable; {outcomes:?}");
     site.shut_down().await;
--- a/crates/stage/tests/retry.rs
+++ b/crates/stage/tests/retry.rs
@@ -19,151 +19,213 @@
 
 /// What the caller must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
+enum Expected {
     /// The second server's whole answer.
-    Answer,
+    SecondAnswer,
     /// A problem that says this of the run, and nothing reached the second server.
     Problem(&'static str),
     /// This status from the first server itself.
-    Status(u16),
+    FirstStatus(u16),
     /// An answer that breaks off, and nothing reached the second server.
     Broken,
 }
 
-const LATER: u32 = 50;
+const SECOND_RUNNING: u32 = 50;
 
-async fn servers(kind: Kind, act: Behavior) -> Vec<Script> {
+async fn servers(kind: Kind, behavior: Behavior) -> Vec<Script> {
     vec![
-        Script::start("first", kind, 0, act).await,
-        Script::start("second", kind, LATER, Behavior::Serve).await,
+        Script::start("first", kind, 0, behavior).await,
+        Script::start("second", kind, SECOND_RUNNING, Behavior::Serve).await,
     ]
 }
 
-fn check(answer: &Answer, seen: Seen, second: u32) {
-    match seen {
-        Seen::Answer => assert_eq!((answer.status, second), (200, 1), "{}", answer.text()),
-        Seen::Status(status) => assert_eq!((answer.status, second), (status, 0)),
-        Seen::Problem(ran) => {
+fn check_answer(answer: &Answer, expected: Expected, second_requests: u32) {
+    match expected {
+        Expected::SecondAnswer => {
+            assert_eq!((answer.status, second_requests), (200, 1), "{}", answer.text())
+        }
+        Expected::FirstStatus(status) => assert_eq!((answer.status, second_requests), (status, 0)),
+        Expected::Problem(ran) => {
             assert_eq!(answer.json()["ran"], ran, "{}", answer.text());
-            assert_eq!(second, 0, "sent again");
+            assert_eq!(second_requests, 0, "sent again");
         }
-        Seen::Broken => panic!("an answer where none can be whole: {answer:?}"),
+        Expected::Broken => panic!("an answer where none can be whole: {answer:?}"),
     }
 }
 
 /// `Connect` is a server that stops listening after its report.
 #[derive(Clone, Debug)]
-enum First {
-    Connect,
-    Does(Behavior),
+enum FirstServer {
+    NotListening,
+    Behaves(Behavior),
 }
 
 /// Requests that reach the first server.
-fn reached(first: &First) -> u32 {
-    u32::from(matches!(first, First::Does(_)))
+fn expected_requests(first: &FirstServer) -> u32 {
+    u32::from(matches!(first, FirstServer::Behaves(_)))
 }
 
 #[rstest]
-#[case::connect(First::Connect, "PUT", "letter", Seen::Answer)]
-#[case::connect_once(First::Connect, "POST", "letter", Seen::Answer)]
-#[case::waiting(First::Does(Behavior::CloseAfterRequest), "PUT", "letter", Seen::Answer)]
+#[case::connect(FirstServer::NotListening, "PUT", "letter", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "POST", "letter", Expected::SecondAnswer)]
+#[case::waiting(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "PUT",
+    "letter",
+    Expected::SecondAnswer
+)]
 #[case::waiting_once(
-    First::Does(Behavior::CloseAfterRequest),
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
     "POST",
     "letter",
-    Seen::Problem("may-have-run")
+    Expected::Problem("may-have-run")
 )]
-#[case::refused(First::Does(Behavior::Status(503)), "PUT", "letter", Seen::Answer)]
-#[case::refused_once(First::Does(Behavior::Status(503)), "POST", "letter", Seen::Status(503))]
-#[case::fault_is_the_answer(First::Does(Behavior::Status(500)), "PUT", "letter", Seen::Status(500))]
-#[case::body(First::Does(Behavior::HalfBody), "PUT", "letter", Seen::Broken)]
-#[case::body_once(First::Does(Behavior::HalfBody), "POST", "letter", Seen::Broken)]
+#[case::refused(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "PUT",
+    "letter",
+    Expected::SecondAnswer
+)]
+#[case::refused_once(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "POST",
+    "letter",
+    Expected::FirstStatus(503)
+)]
+#[case::fault_is_the_answer(
+    FirstServer::Behaves(Behavior::Status(500)),
+    "PUT",
+    "letter",
+    Expected::FirstStatus(500)
+)]
+#[case::body(FirstServer::Behaves(Behavior::HalfBody), "PUT", "letter", Expected::Broken)]
+#[case::body_once(FirstServer::Behaves(Behavior::HalfBody), "POST", "letter", Expected::Broken)]
 #[tokio::test]
 async fn plain_call_fails_at(
-    #[case] first: First,
+    #[case] first: FirstServer,
     #[case] method: &str,
     #[case] body: &str,
-    #[case] seen: Seen,
+    #[case] expected: Expected,
 ) {
-    let act = match &first {
-        First::Connect => Behavior::Serve,
-        First::Does(act) => act.clone(),
+    let behavior = match &first {
+        FirstServer::NotListening => Behavior::Serve,
+        FirstServer::Behaves(behavior) => behavior.clone(),
     };
-    let mut servers = servers(Kind::Plain, act).await;
+    let mut servers = servers(Kind::Plain, behavior).await;
     let fixture = Fixture::start(&servers).await;
-    if matches!(first, First::Connect) {
+    if matches!(first, FirstServer::NotListening) {
         servers[0].close().await;
     }
     let uri = "/services/tickets/rooms";
     let answer = common::try_send(fixture.callers(), method, uri, &[], body).await;
     match answer {
-        Some(answer) => check(&answer, seen, servers[1].requests()),
-        None => assert_eq!((seen, servers[1].requests()), (Seen::Broken, 0)),
+        Some(answer) => check_answer(&answer, expected, servers[1].requests()),
+        None => assert_eq!((expected, servers[1].requests()), (Expected::Broken, 0)),
     }
-    assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
+    assert_eq!(
+        servers[0].requests(),
+        expected_requests(&first),
+        "the first server was not tried first"
+    );
     fixture.host.drain().await;
 }
 
 /// Too long to be held, so that a part is gone once it was sent.
 #[rstest]
-#[case::connect(First::Connect, "PUT", Seen::Answer)]
-#[case::connect_once(First::Connect, "POST", Seen::Answer)]
-#[case::sending(First::Does(Behavior::CloseDuringRequest), "PUT", Seen::Problem("may-have-run"))]
+#[case::connect(FirstServer::NotListening, "PUT", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "POST", Expected::SecondAnswer)]
+#[case::sending(
+    FirstServer::Behaves(Behavior::CloseDuringRequest),
+    "PUT",
+    Expected::Problem("may-have-run")
+)]
 #[case::sending_once(
-    First::Does(Behavior::CloseDuringRequest),
+    FirstServer::Behaves(Behavior::CloseDuringRequest),
     "POST",
-    Seen::Problem("may-have-run")
+    Expected::Problem("may-have-run")
+)]
+#[case::waiting(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "PUT",
+    Expected::Problem("may-have-run")
 )]
-#[case::waiting(First::Does(Behavior::CloseAfterRequest), "PUT", Seen::Problem("may-have-run"))]
 #[tokio::test]
-async fn long_upload_fails_at(#[case] first: First, #[case] method: &str, #[case] seen: Seen) {
+async fn long_upload_fails_at(
+    #[case] first: FirstServer,
+    #[case] method: &str,
+    #[case] expected: Expected,
+) {
     let body = "a page of a long letter ".repeat(40_000);
-    plain_call_fails_at(first, method, &body, seen).await;
+    plain_call_fails_at(first, method, &body, expected).await;
 }
 
 #[rstest]
-#[case::connect(First::Connect, "true", Seen::Answer)]
-#[case::connect_once(First::Connect, "false", Seen::Answer)]
-#[case::waiting(First::Does(Behavior::CloseAfterRequest), "true", Seen::Answer)]
+#[case::connect(FirstServer::NotListening, "true", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "false", Expected::SecondAnswer)]
+#[case::waiting(FirstServer::Behaves(Behavior::CloseAfterRequest), "true", Expected::SecondAnswer)]
 #[case::waiting_once(
-    First::Does(Behavior::CloseAfterRequest),
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
     "false",
-    Seen::Problem("may-have-run")
+    Expected::Problem("may-have-run")
+)]
+#[case::refused(FirstServer::Behaves(Behavior::Status(503)), "true", Expected::SecondAnswer)]
+#[case::refused_once(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "false",
+    Expected::Problem("may-have-run")
+)]
+#[case::fault(FirstServer::Behaves(Behavior::Status(500)), "true", Expected::SecondAnswer)]
+#[case::fault_once(
+    FirstServer::Behaves(Behavior::Status(500)),
+    "false",
+    Expected::Problem("may-have-run")
+)]
+#[case::not_ready_any_more(
+    FirstServer::Behaves(Behavior::Status(404)),
+    "true",
+    Expected::SecondAnswer
+)]
+#[case::head(FirstServer::Behaves(Behavior::HeadOnly), "true", Expected::SecondAnswer)]
+#[case::head_once(FirstServer::Behaves(Behavior::HeadOnly), "false", Expected::Problem("ran"))]
+#[case::silent(FirstServer::Behaves(Behavior::NoAnswer), "true", Expected::SecondAnswer)]
+#[case::silent_once(
+    FirstServer::Behaves(Behavior::NoAnswer),
+    "false",
+    Expected::Problem("may-have-run")
 )]
-#[case::refused(First::Does(Behavior::Status(503)), "true", Seen::Answer)]
-#[case::refused_once(First::Does(Behavior::Status(503)), "false", Seen::Problem("may-have-run"))]
-#[case::fault(First::Does(Behavior::Status(500)), "true", Seen::Answer)]
-#[case::fault_once(First::Does(Behavior::Status(500)), "false", Seen::Problem("may-have-run"))]
-#[case::not_ready_any_more(First::Does(Behavior::Status(404)), "true", Seen::Answer)]
-#[case::head(First::Does(Behavior::HeadOnly), "true", Seen::Answer)]
-#[case::head_once(First::Does(Behavior::HeadOnly), "false", Seen::Problem("ran"))]
-#[case::silent(First::Does(Behavior::NoAnswer), "true", Seen::Answer)]
-#[case::silent_once(First::Does(Behavior::NoAnswer), "false", Seen::Problem("may-have-run"))]
 #[tokio::test]
-async fn chat_fails_at(#[case] first: First, #[case] idempotent: &str, #[case] seen: Seen) {
-    let act = match &first {
-        First::Connect => Behavior::Serve,
-        First::Does(act) => act.clone(),
+async fn chat_fails_at(
+    #[case] first: FirstServer,
+    #[case] idempotent: &str,
+    #[case] expected: Expected,
+) {
+    let behavior = match &first {
+        FirstServer::NotListening => Behavior::Serve,
+        FirstServer::Behaves(behavior) => behavior.clone(),
     };
-    let mut servers = servers(Kind::Engine, act).await;
+    let mut servers = servers(Kind::Engine, behavior).await;
     let fixture = Fixture::start_with(&servers, json!({"idle_ms": 300})).await;
-    if matches!(first, First::Connect) {
+    if matches!(first, FirstServer::NotListening) {
         servers[0].close().await;
     }
     let answer = chat(&fixture, idempotent).await;
-    check(&answer, seen, servers[1].requests());
-    assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
-    if seen == Seen::Answer {
+    check_answer(&answer, expected, servers[1].requests());
+    assert_eq!(
+        servers[0].requests(),
+        expected_requests(&first),
+        "the first server was not tried first"
+    );
+    if expected == Expected::SecondAnswer {
         assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     }
     fixture.host.drain().await;
 }
 
 async fn chat(fixture: &Fixture, idempotent: &str) -> Answer {
-    chat_about(fixture, idempotent, "hola").await
+    chat_with_prompt(fixture, idempotent, "hola").await
 }
 
-async fn chat_about(fixture: &Fixture, idempotent: &str, prompt: &str) -> Answer {
+async fn chat_with_prompt(fixture: &Fixture, idempotent: &str, prompt: &str) -> Answer {
     let body = json!({
         "model": "welcome", "stream": true, "max_tokens": 6,
         "messages": [{"role": "user", "content": prompt}],
@@ -225,7 +287,7 @@
 ) {
     let servers = servers(Kind::Engine, Behavior::Events(vec![Token(0), Token(1)])).await;
     let fixture = Fixture::start(&servers).await;
-    let answer = chat_about(&fixture, "true", &prompt).await;
+    let answer = chat_with_prompt(&fixture, "true", &prompt).await;
     assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     assert_eq!(servers[0].kv_calls(), exports);
     assert_eq!(servers[1].kv_calls(), imports);
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -47,13 +47,13 @@
 }
 
 /// No datagram passes between hosts for longer than they count those that are silent.
-fn deaf() -> Vec<Planned> {
-    let deaf = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
-    [deaf].into_iter().chain(failing(42, 54)).collect()
+fn partitioned() -> Vec<Planned> {
+    let partitioned = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
+    [partitioned].into_iter().chain(failing(42, 54)).collect()
 }
 
 /// All hosts are killed three times each, one after the other, while services fail.
-fn restarted() -> Vec<Planned> {
+fn restarts() -> Vec<Planned> {
     let kill = |n: u32| Planned {
         at: Duration::from_secs(16) + Duration::from_millis(400) * n,
         lasts: Duration::from_millis(100),
@@ -64,7 +64,7 @@
 
 /// A request that crashes servers comes all the time, while hosts are restarted in turn, one hears nothing,
 /// and all end at once.
-fn poisoned() -> Vec<Planned> {
+fn poison() -> Vec<Planned> {
     let kill = |at: u64, host| Planned {
         at: Duration::from_millis(at),
         lasts: Duration::from_millis(100),
@@ -83,7 +83,7 @@
 #[case::stream(2)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_crashes_servers_costs_few_and_nobody_else(#[case] seed: u64) {
-    let mut schedule = poisoned();
+    let mut schedule = poison();
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(seed, HOSTS, Duration::from_secs(25), schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
@@ -105,8 +105,8 @@
 }
 
 #[rstest]
-#[case::hosts_that_do_not_hear_each_other(deaf())]
-#[case::hosts_that_are_restarted_in_series(restarted())]
+#[case::hosts_that_do_not_hear_each_other(partitioned())]
+#[case::hosts_that_are_restarted_in_series(restarts())]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retries_keep_to_their_budget(#[case] mut schedule: Vec<Planned>) {
     let ends = schedule.iter().map(|planned| planned.at + planned.lasts);
@@ -121,8 +121,8 @@
 #[case::short(SHORT)]
 #[case::silent_store(SILENT_STORE)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_soak_breaks_no_promise(#[case] drawn: Soak) {
-    let Soak { seed, hosts, length, tail } = drawn;
+async fn a_soak_breaks_no_promise(#[case] parameters: Soak) {
+    let Soak { seed, hosts, length, tail } = parameters;
     let schedule = schedule::draw(seed, hosts, length, tail);
     assert!(!schedule.is_empty());
     let summary = soak(seed, hosts, length, schedule).await;
