--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -127,12 +127,12 @@
 ) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
     let planner = site.wait_for_planner().await;
-    let trap = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let interceptor = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
     site.declare(&["a"]);
-    trap.sprung().await;
+    interceptor.sprung().await;
     assert_eq!(open_orders(&site).len(), 1, "reserved, and its sender does not know yet");
     site.hosts[planner].kill();
-    trap.release();
+    interceptor.release();
     site.declare(&["b"]);
     site.remove_from_list(planner);
     site.wait_until_loaded("b").await;
@@ -147,14 +147,14 @@
 ) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
     let planner = site.wait_for_planner().await;
-    let trap = site.to_engine[0].trap(POST_ORDER, strike);
+    let interceptor = site.to_engine[0].trap(POST_ORDER, strike);
     site.declare(&["a"]);
-    trap.sprung().await;
+    interceptor.sprung().await;
     site.hosts[planner].kill();
     site.declare(&["b"]);
     site.restart(planner);
     tokio::time::sleep(ORDER_DELAY).await;
-    trap.release();
+    interceptor.release();
     site.wait_until_loaded("b").await;
     site.check_no_overcommit().await;
 }
@@ -164,11 +164,11 @@
 async fn paused_planner_resumes_with_an_order_in_its_hand(#[values(true, false)] fenced: bool) {
     let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
     let planner = site.wait_for_planner().await;
-    let trap = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
+    let interceptor = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
     site.declare(&["a"]);
-    trap.sprung().await;
+    interceptor.sprung().await;
     site.hosts[planner].pause().await;
-    trap.release();
+    interceptor.release();
     until("another host plans", async || site.planner().is_some_and(|p| p != planner)).await;
     site.declare(&["b"]);
     tokio::time::sleep(LINGER * 2).await;
--- a/crates/stage/tests/promises/answers.rs
+++ b/crates/stage/tests/promises/answers.rs
@@ -76,15 +76,18 @@
 async fn whole_answers_to_their_own_requests_when_they_come_out_of_order() {
     let site = site().await;
     // The answer of the first is kept back until the second has its own.
-    let traps =
+    let interceptors =
         ["lm-1", "lm-2"].map(|id| site.links().server(id).trap("letter first", Strike::HoldAnswer));
     let callers = site.hosts()[0].callers();
     let first = tokio::spawn(async move { Chat::new("first", MODEL, 20).send(callers).await });
-    until("the first answer is held", async || traps.iter().any(|trap| trap.has_sprung())).await;
+    until("the first answer is held", async || {
+        interceptors.iter().any(|interceptor| interceptor.has_sprung())
+    })
+    .await;
 
     assert_eq!(Chat::new("second", MODEL, 20).send(callers).await, Ending::Complete);
     assert!(!first.is_finished());
-    traps.iter().for_each(|trap| trap.release());
+    interceptors.iter().for_each(|interceptor| interceptor.release());
 
     assert_eq!(first.await.unwrap(), Ending::Complete);
     site.shut_down().await;
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn patches_race_while_the_answer_to_a_write_is_lost() {
     let site = site().await;
-    let trap = site.links().platform(0).trap(PUT_ROOT, Strike::LoseAnswer);
+    let interceptor = site.links().platform(0).trap(PUT_ROOT, Strike::LoseAnswer);
 
     let (first, second) = tokio::join!(patch(&site, 0, "first"), patch(&site, 1, "second"));
 
@@ -53,7 +53,7 @@
     let again = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
     assert_eq!(again.0, 200, "the winner sent again gets its first outcome: {again:?}");
     until_in_force(&site, 2).await;
-    trap.release();
+    interceptor.release();
     site.shut_down().await;
 }
 
@@ -61,21 +61,21 @@
 #[tokio::test]
 async fn host_dies_while_the_answer_to_its_write_is_held() {
     let mut site = site().await;
-    let trap = site.links().platform(0).trap(PUT_ROOT, Strike::HoldAnswer);
+    let interceptor = site.links().platform(0).trap(PUT_ROOT, Strike::HoldAnswer);
     let operators = site.hosts()[0].operators();
     let body = json!({"id": "p", "against": 1, "changes": {"customers": {"p": {}}}}).to_string();
     let request = tokio::spawn(async move {
         let headers = [("content-type", "application/json")];
         crate::common::try_send(operators, "POST", "/config/patches", &headers, &body).await
     });
-    trap.sprung().await;
+    interceptor.sprung().await;
     site.kill(0);
     assert!(request.await.unwrap().is_none(), "a dead host answers nothing");
 
     let (status, outcome) = patch(&site, 1, "p").await;
 
     assert_eq!((status, &outcome["number"]), (200, &json!(2)), "{outcome}");
-    trap.release();
+    interceptor.release();
     site.restart(0).await;
     until_in_force(&site, 2).await;
     site.shut_down().await;
