--- a/crates/stage/tests/common/caller.rs
+++ b/crates/stage/tests/common/caller.rs
@@ -1,7 +1,7 @@
-//! Callers that check every answer against the one right text, and count how their calls ended.
+//! Load generator that checks each answer against the only valid text and records how calls ended.
 //!
-//! A caller does what a portal behind the platform's balancer does: it goes to a host that says it
-//! is ready, and to the next one when a connection can't be made.
+//! A caller acts like a client behind the platform's load balancer: it calls a host that reports
+//! ready, and the next one if it cannot connect.
 
 use std::{
     net::SocketAddr,
@@ -27,26 +27,27 @@
 /// How one call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With the whole right answer.
+    /// The full expected answer.
     Complete,
-    /// With a problem document, or a stream that ended with one; what it said of the run.
+    /// A problem document, or a stream that ended with one. `name` is the last part of its type,
+    /// `ran` states whether the request ran.
     Problem { name: String, ran: String },
-    /// The connection was made and broke without a word.
+    /// The established connection broke without a problem document.
     Disconnected,
-    /// No connection was made.
+    /// The connection could not be established.
     ConnectFailed,
-    /// With something that is not its answer.
+    /// Anything else, such as another text or a timeout, with a description.
     Wrong(String),
 }
 
 impl Ending {
-    /// Whether it was refused as not run.
+    /// Whether the call was refused with `did-not-run`.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Ending::Problem { ran, .. } if ran == "did-not-run")
     }
 }
 
-/// One streamed chat.
+/// A streamed chat request; `key` is its idempotency key and part of its prompt.
 #[derive(Clone, Debug)]
 pub struct Chat {
     pub key: String,
@@ -71,7 +72,7 @@
         (0..self.tokens).map(|offset| engine::token(&prompt, offset)).collect()
     }
 
-    /// Sends it to one host, under its key, and judges the answer.
+    /// Sends the request to one host and checks the answer.
     pub async fn send(&self, address: SocketAddr) -> Ending {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         let request = http::Request::post(format!("http://{address}/v1/chat/completions"))
@@ -79,7 +80,7 @@
             .body(Full::new(Bytes::from(self.body().to_string())))
             .expect("a request");
         let response = match tokio::time::timeout(TIMEOUT, client.request(request)).await {
-            Err(_) => return Ending::Wrong("no answer within patience".into()),
+            Err(_) => return Ending::Wrong("no answer within the time limit".into()),
             Ok(Err(error)) if error.is_connect() => return Ending::ConnectFailed,
             Ok(Err(_)) => return Ending::Disconnected,
             Ok(Ok(response)) => response,
@@ -88,7 +89,7 @@
         let (text, end) = read_body(response.into_body()).await;
         match (is_stream, end) {
             (_, BodyEnd::TimedOut) => {
-                Ending::Wrong(format!("{}: no end within patience", self.key))
+                Ending::Wrong(format!("{}: the body did not end within the time limit", self.key))
             }
             (true, end) => self.classify(&text, end),
             (false, BodyEnd::Aborted) => Ending::Disconnected,
@@ -101,22 +102,21 @@
         let (received, expected) = (answer_text(&events), self.expected_text());
         if !expected.starts_with(&received) {
             return Ending::Wrong(format!(
-                "{}: heard {received:?}, right is {expected:?}",
+                "{}: received {received:?}, expected {expected:?}",
                 self.key
             ));
         }
         let last = events.last().map_or("", |event| event.data.as_str());
         match last {
             "[DONE]" if received == expected => Ending::Complete,
-            "[DONE]" => Ending::Wrong(format!("{}: ended after {received:?}", self.key)),
+            "[DONE]" => Ending::Wrong(format!("{}: [DONE] after {received:?}", self.key)),
             data if data.contains("\"ran\"") => problem(data),
             _ if end == BodyEnd::Aborted => Ending::Disconnected,
-            _ => Ending::Wrong(format!("{}: ended without an end mark", self.key)),
+            _ => Ending::Wrong(format!("{}: the stream ended without [DONE]", self.key)),
         }
     }
 }
 
-/// How a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyEnd {
     Eof,
@@ -148,29 +148,29 @@
     }
 }
 
-/// How the calls of a crowd ended.
+/// Keys of ended calls, and how each call ended.
 #[derive(Debug, Default)]
 pub struct Endings(Mutex<Vec<(String, Ending)>>);
 
 impl Endings {
     fn add(&self, key: &str, ending: Ending) {
-        self.0.lock().expect("no panic while adding").push((key.into(), ending));
+        self.0.lock().expect("lock is not poisoned").push((key.into(), ending));
     }
 
     pub fn all(&self) -> Vec<(String, Ending)> {
-        self.0.lock().expect("no panic while adding").clone()
+        self.0.lock().expect("lock is not poisoned").clone()
     }
 
     pub fn complete_count(&self) -> usize {
         self.all().iter().filter(|(_, ending)| *ending == Ending::Complete).count()
     }
 
-    /// Those that did not end with their whole answer.
+    /// Calls that ended without their full expected answer.
     pub fn failures(&self) -> Vec<(String, Ending)> {
         self.all().into_iter().filter(|(_, ending)| *ending != Ending::Complete).collect()
     }
 
-    /// Those that a caller must never see: cut without a word, or wrong.
+    /// Calls that ended as no call may: disconnected without a problem document, or wrong.
     pub fn violations(&self) -> Vec<(String, Ending)> {
         let is_violation =
             |ending: &Ending| matches!(ending, Ending::Disconnected | Ending::Wrong(_));
@@ -178,14 +178,16 @@
     }
 }
 
-/// A host as a caller's balancer knows it.
+/// Addresses at which a load balancer calls and probes a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostAddresses {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
 }
 
-/// What each call of a crowd asks for.
+/// Requests of a load generator: chats of `tokens` tokens, the models in turn.
+///
+/// `name` is the prefix of the calls' keys.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub name: &'static str,
@@ -193,7 +195,7 @@
     pub tokens: u64,
 }
 
-/// Callers at work until told to stop; the number of calls is bounded all the same.
+/// Concurrent callers that send requests until stopped, at most [`MAX_CALLS`] in total.
 pub struct LoadGenerator {
     endings: Arc<Endings>,
     stop: Arc<AtomicBool>,
@@ -203,7 +205,7 @@
 const MAX_CALLS: u64 = 2_000;
 
 impl LoadGenerator {
-    /// Sets so many callers to work, each with one call after the other.
+    /// Starts callers, each of which sends one request after the other.
     pub fn start(callers: usize, hosts: &[HostAddresses], workload: Workload) -> LoadGenerator {
         let (endings, stop) = (Arc::new(Endings::default()), Arc::new(AtomicBool::new(false)));
         let calls = Arc::new(AtomicU64::new(0));
@@ -222,11 +224,11 @@
         &self.endings
     }
 
-    /// Lets every call under way come to its end, and returns how all ended.
+    /// Waits for the calls in flight to end, and returns how all calls ended.
     pub async fn stop(self) -> Arc<Endings> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            caller.await.expect("a caller that doesn't panic");
+            caller.await.expect("caller task must not panic");
         }
         self.endings
     }
@@ -251,7 +253,7 @@
     }
 }
 
-/// Sends a chat to the next host that is ready and can be reached.
+/// Sends a chat to the next host that is ready and accepts the connection.
 async fn send_through_balancer(hosts: &mut [HostAddresses], chat: &Chat) -> Ending {
     for _ in 0..hosts.len() {
         hosts.rotate_left(1);
@@ -267,7 +269,7 @@
     Ending::ConnectFailed
 }
 
-/// A balancer's probe, which gives up on a host that doesn't answer in time.
+/// Probes a host as a load balancer does; a host that does not answer in time is not ready.
 async fn is_ready(host: HostAddresses) -> bool {
     const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
     let probe = try_send(host.operators, "GET", "/ready", &[], "");
--- a/crates/stage/tests/common/http.rs
+++ b/crates/stage/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! Calls to hosts and their answers.
+//! HTTP calls to hosts, and parsers of their answers and event streams.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 use super::TIMEOUT;
 
-/// An answer read whole.
+/// A response whose body has been read to its end.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -30,6 +30,7 @@
     }
 }
 
+/// Sends a request over a new connection; `None` if the connection breaks or a wait times out.
 pub async fn try_send(
     address: SocketAddr,
     method: &str,
@@ -49,6 +50,7 @@
     Some(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
 }
 
+/// As [`try_send`], but panics without an answer.
 pub async fn send(
     address: SocketAddr,
     method: &str,
@@ -74,6 +76,7 @@
     pub data: String,
 }
 
+/// Parses an event stream; blocks without a `data` field are left out.
 pub fn events(text: &str) -> Vec<Event> {
     let field = |block: &str, name: &str| {
         block.lines().find_map(|line| Some(line.strip_prefix(name)?.trim().to_owned()))
@@ -86,6 +89,7 @@
         .collect()
 }
 
+/// Joins the `content` of all chat chunks; events that are none are left out.
 pub fn answer_text(events: &[Event]) -> String {
     events
         .iter()
--- a/crates/stage/tests/common/in_process.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -1,4 +1,4 @@
-//! A host within the test's own process, before scripted backend servers.
+//! A host in the test's process, with scripted backend servers.
 
 use serde_json::json;
 use stage::Running;
@@ -10,20 +10,22 @@
 
 use super::{get, script::Script, until};
 
-/// A host within the test's own process.
+/// A host in the test's process and the stand-in platform that it uses.
 pub struct Fixture {
     pub host: Running,
     pub platform: Platform,
 }
 
 impl Fixture {
-    /// Starts it before these servers. It reads each server's report once and then rarely, so that
-    /// only the requests show what becomes of a server.
+    /// Starts a host and waits until it is ready and has a report from each server.
+    ///
+    /// The host reads each server's report once and then every 600 s, so that it learns of a
+    /// server's failure from requests only.
     pub async fn start(servers: &[Script]) -> Fixture {
         Fixture::start_with(servers, json!({})).await
     }
 
-    /// As [`Fixture::start`], with these bounds on callers.
+    /// As [`Fixture::start`], with the given `bounds` settings for callers.
     pub async fn start_with(servers: &[Script], bounds: serde_json::Value) -> Fixture {
         let platform = Platform::start().await.expect("platform");
         let config = json!({
--- a/crates/stage/tests/common/links.rs
+++ b/crates/stage/tests/common/links.rs
@@ -1,7 +1,7 @@
-//! A fault proxy on every link of a site.
+//! Fault proxies on all connections of a site.
 //!
-//! The host list is one for all, so a link to a server or to a host's peers listener is shared by
-//! all hosts that use it; the link to the platform and the one from callers are each host's own.
+//! The host list is the same for all hosts, so they share the proxy before a server and the one
+//! before a host's peers listener. Each host has its own proxy to the platform and for its callers.
 
 use std::{
     collections::BTreeMap,
@@ -11,7 +11,7 @@
 use standin::fault::Proxy;
 use types::{backend, host::Host};
 
-/// The proxies of a site.
+/// Fault proxies of a site, by what they connect.
 pub struct Links {
     platform: Vec<Proxy>,
     callers: Vec<Proxy>,
@@ -20,13 +20,13 @@
 }
 
 impl Links {
-    /// Starts the links of so many hosts and of these servers.
+    /// Starts the proxies for a number of hosts and for the given servers.
     pub async fn start(
         hosts: usize,
         platform: SocketAddr,
         servers: Vec<(backend::Id, SocketAddr)>,
     ) -> Links {
-        // Hosts pick their ports when they start; until then their links lead nowhere.
+        // The system assigns a host's ports at its start; `retarget` sets them then.
         let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut links = Links {
             platform: Vec::new(),
@@ -45,27 +45,27 @@
         links
     }
 
-    /// From one host to the platform.
+    /// Proxy from one host to the platform.
     pub fn platform(&self, host: usize) -> &Proxy {
         &self.platform[host]
     }
 
-    /// From callers to one host.
+    /// Proxy from callers to one host.
     pub fn callers(&self, host: usize) -> &Proxy {
         &self.callers[host]
     }
 
-    /// From other hosts to one host.
+    /// Proxy from other hosts to the peers listener of one host.
     pub fn peers(&self, host: usize) -> &Proxy {
         &self.peers[host]
     }
 
-    /// From all hosts to one server.
+    /// Proxy from all hosts to one server; panics if the site has no such server.
     pub fn server(&self, id: &str) -> &Proxy {
         self.servers.get(id).expect("a server of the site")
     }
 
-    /// Leads a host's links to where it listens now.
+    /// Points the proxies before a host to its current listeners.
     pub fn retarget(&self, index: usize, host: &Host) {
         self.callers[index].retarget(host.callers);
         self.peers[index].retarget(host.peers);
--- a/crates/stage/tests/common/mod.rs
+++ b/crates/stage/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A small site for tests: stand-ins in this process, hosts as processes of their own, and, where a
-//! test asks for them, a fault proxy on every link.
+//! Test site: stand-in platform and backend servers in the test's process, hosts as child processes
+//! and, where a test enables them, a fault proxy on every connection.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the helpers")]
 
 mod caller;
 mod http;
@@ -23,17 +23,17 @@
 
 use std::time::Duration;
 
-/// How long a test waits for what must come; far more than it takes on a loaded machine.
+/// Time limit of each wait; far longer than any awaited condition takes on a loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls a condition, and fails by name when patience ends.
+/// Polls a condition every [`POLL_INTERVAL`]; panics with its description after [`TIMEOUT`].
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let polling = async {
         while !condition().await {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/stage/tests/common/observability.rs
+++ b/crates/stage/tests/common/observability.rs
@@ -1,21 +1,21 @@
-//! What a host shows to operators.
+//! Metrics and timeline records read from a host's operators listener.
 
 use observe::event::Record;
 
 use super::{Process, send};
 
-/// All metrics of a host, as text.
+/// Reads all metrics of a host in the text format.
 pub async fn metrics(host: &Process) -> String {
     send(host.operators(), "GET", "/metrics", &[], "").await.text()
 }
 
-/// The value of the first series that begins so; zero if there is none.
+/// Value of the first line that starts with `series`; 0 if there is none.
 pub fn value(text: &str, series: &str) -> f64 {
     let line = text.lines().find(|line| line.starts_with(series));
     line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
 }
 
-/// A host's part of the time line, narrowed by a query.
+/// Reads a host's timeline records that match a query string, such as `request=ID`.
 pub async fn records(host: &Process, query: &str) -> Vec<Record> {
     let uri = format!("/timeline?{query}");
     let answer = send(host.operators(), "GET", &uri, &[], "").await;
--- a/crates/stage/tests/common/process.rs
+++ b/crates/stage/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! A host as a process of its own.
+//! Hosts that run as child processes.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -15,7 +15,7 @@
 
 use super::until;
 
-/// A host's process; killed when dropped.
+/// A host that runs as a child process; killed when dropped.
 pub struct Process {
     pub host: Host,
     child: Child,
@@ -23,9 +23,12 @@
 }
 
 impl Process {
-    /// Starts a host whose settings let the system pick its ports, and waits until it listens.
+    /// Starts a host whose settings give port 0 for each listener, and waits until it listens.
+    ///
+    /// `run` tells the log and settings files of one host's runs apart.
     pub async fn start(mut settings: Value, folder: &Path, run: usize) -> Process {
-        let mut host: Host = serde_json::from_value(settings["host"].clone()).expect("a host");
+        let mut host: Host =
+            serde_json::from_value(settings["host"].clone()).expect("host settings");
         let log = folder.join(format!("{}-{run}.log", host.id));
         settings["log"] = serde_json::json!({"file": log, "level": "debug"});
         let file = folder.join(format!("{}-{run}.json", host.id));
@@ -41,7 +44,6 @@
         process
     }
 
-    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -54,7 +56,7 @@
         self.host.operators
     }
 
-    /// What it logged so far, a JSON object a line; a last line that is half written is left out.
+    /// Parses the log written so far, a JSON object per line; an incomplete last line is left out.
     pub fn log(&self) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
@@ -65,16 +67,16 @@
         kill(Pid::from_raw(id), signal).expect("signal to own child");
     }
 
-    /// Ends it without notice.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits until the process has exited; `None` if a signal ended it.
     pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let mut status = None;
-        until("the process ends", async || {
+        until("the process exits", async || {
             status = self.child.try_wait().expect("own child");
             status.is_some()
         })
@@ -82,19 +84,20 @@
         status.and_then(|status| status.code())
     }
 
-    /// Reads from its log where it listens; the system picked the ports, so that no two processes
-    /// can ever be given the same one.
+    /// Reads the listeners' addresses from the log; false as long as they are not logged.
+    ///
+    /// The system assigns the ports, so that no two processes are given the same one.
     fn read_addresses(&mut self, host: &mut Host) -> bool {
         let status = self.child.try_wait().expect("own child");
-        assert!(status.is_none(), "{} ended at its start: {:#?}", host.id, self.log());
+        assert!(status.is_none(), "{} exited while starting: {:#?}", host.id, self.log());
         let log = self.log();
         let Some(line) = log.iter().find(|line| line["message"] == "host starts") else {
             return false;
         };
         let address = |role: &str| line["attributes"][role].as_str().and_then(|a| a.parse().ok());
         let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        host.callers = address("callers").expect("a listener for callers");
-        host.operators = address("operators").expect("a listener for operators");
+        host.callers = address("callers").expect("address of the callers listener");
+        host.operators = address("operators").expect("address of the operators listener");
         host.peers = address("peers").unwrap_or(unassigned);
         true
     }
--- a/crates/stage/tests/common/script.rs
+++ b/crates/stage/tests/common/script.rs
@@ -1,4 +1,4 @@
-//! A backend server that fails on purpose, at an exact byte of the exchange.
+//! Scripted backend servers, which fail at an exact point of an HTTP exchange.
 
 use std::{
     net::SocketAddr,
@@ -22,39 +22,39 @@
     resident::{Resident, State, Unit},
 };
 
-/// What a scripted server does with a request.
+/// What a scripted server does with each inference or service request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// Answers in full.
+    /// Sends the full answer.
     Serve,
-    /// Closes after the first bytes of the body.
+    /// Closes the connection after the head, without reading the rest of the body.
     CloseDuringRequest,
-    /// Closes after the whole request.
+    /// Closes the connection after the complete request, without an answer.
     CloseAfterRequest,
-    /// Never answers.
+    /// Reads the request and never answers.
     NoAnswer,
-    /// Answers this status.
+    /// Answers with this status.
     Status(u16),
-    /// Answers the head and closes.
+    /// Sends the head of an event stream and closes the connection.
     HeadOnly,
-    /// Sends these events of a stream and closes.
+    /// Sends these events of a stream and closes the connection.
     Events(Vec<Step>),
-    /// Sends half of the body that its head announces, and closes.
+    /// Sends half of the body that `content-length` announces, and closes the connection.
     HalfBody,
 }
 
 /// One event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The token at this offset.
+    /// The token at this offset of the answer.
     Token(u64),
-    /// A token at this offset of another request.
+    /// A wrong token at this offset, under the id of another request.
     OtherRequest(u64),
-    /// The end mark.
+    /// The end marker `[DONE]`.
     Done,
 }
 
-/// A backend server that fails on purpose.
+/// A backend server with a scripted behavior; its load reports and KV cache calls always succeed.
 pub struct Script {
     pub id: String,
     pub kind: Kind,
@@ -73,7 +73,9 @@
 }
 
 impl Script {
-    /// Starts it; it reports this many requests running, so that tests choose who is tried first.
+    /// Starts a server that reports `running` requests in progress.
+    ///
+    /// Hosts try the server with fewer first, so tests set the order of attempts by it.
     pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> Script {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
@@ -89,25 +91,25 @@
         Script { id: id.into(), kind, address, shared, accept_task }
     }
 
-    /// Stops listening.
+    /// Closes the listener, so that new connections are refused.
     pub async fn close(&mut self) {
         self.accept_task.abort();
         let _ = (&mut self.accept_task).await;
     }
 
-    /// Requests of which at least the head arrived.
+    /// Number of requests of which at least the head arrived.
     pub fn requests(&self) -> u32 {
         self.shared.requests.load(Ordering::SeqCst)
     }
 }
 
 impl Script {
-    /// First lines of the calls about KV caches.
+    /// Request lines of the KV cache calls (`POST /kv/..`).
     pub fn kv_calls(&self) -> Vec<String> {
         self.shared.kv.lock().expect("kv").clone()
     }
 
-    /// Head of the last request.
+    /// Head of the last inference or service request; empty before the first.
     pub fn last_head(&self) -> String {
         self.shared.head.lock().expect("head").clone()
     }
@@ -132,7 +134,7 @@
     }
     shared.requests.fetch_add(1, Ordering::SeqCst);
     shared.head.lock().expect("head").clone_from(&head);
-    let behavior = shared.behavior.lock().expect("act").clone();
+    let behavior = shared.behavior.lock().expect("behavior").clone();
     if behavior == Behavior::CloseDuringRequest {
         return Some(());
     }
@@ -174,13 +176,13 @@
         };
         stream.write_all(event.as_bytes()).await.ok()?;
         stream.flush().await.ok()?;
-        // One event for each packet, so that the host sees them one by one.
+        // Sends each event in a packet of its own, so that the host receives them one by one.
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     Some(())
 }
 
-/// The token at an offset of every answer.
+/// Text of the token at an offset, the same in every answer.
 pub fn token(offset: u64) -> String {
     format!("t{offset} ")
 }
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and hosts together.
+//! A test site: stand-in platform, engines and plain services, and host processes.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 const ROOT: &str = "config/root";
 const ZONES: [&str; 4] = ["mobile-hall", "biloxi-hall", "gulfport-hall", "pensacola-hall"];
 
-/// Stand-ins and hosts.
+/// Running stand-ins and host processes; methods take hosts by their index.
 pub struct Site {
     pub platform: Platform,
     engines: Vec<Engine>,
@@ -35,7 +35,7 @@
     network: Network,
 }
 
-/// A site that is not yet running.
+/// Configures a [`Site`] before it starts.
 pub struct Builder {
     hosts: usize,
     engines: Vec<engine::Settings>,
@@ -46,7 +46,7 @@
 }
 
 impl Builder {
-    /// A site of so many hosts.
+    /// A site of `hosts` hosts, without backend servers or fault proxies.
     pub fn new(hosts: usize) -> Builder {
         Builder {
             hosts,
@@ -58,37 +58,37 @@
         }
     }
 
-    /// Adds an engine.
+    /// Adds an engine; its preloaded models are declared and offered by the service `chat`.
     pub fn engine(mut self, settings: engine::Settings) -> Builder {
         self.engines.push(settings);
         self
     }
 
-    /// Adds a plain service.
+    /// Adds a plain server of group `app`, which the service `tickets` offers.
     pub fn plain(mut self, plain: Plain) -> Builder {
         self.plains.push(plain);
         self
     }
 
-    /// Puts a fault proxy on every link.
+    /// Puts a fault proxy on every connection; see [`Links`].
     pub fn with_proxies(mut self) -> Builder {
         self.has_proxies = true;
         self
     }
 
-    /// Changes the first configuration before it is declared.
+    /// Edits the initial configuration before it is declared.
     pub fn config(mut self, change: impl FnOnce(&mut Value) + 'static) -> Builder {
         self.config = Box::new(change);
         self
     }
 
-    /// Changes the settings of each host's process.
+    /// Edits the settings of each host process at each of its starts.
     pub fn settings(mut self, change: impl Fn(&mut Value) + 'static) -> Builder {
         self.settings = Box::new(change);
         self
     }
 
-    /// Starts everything and waits until each host is ready and hears each server.
+    /// Starts all parts and waits until each host is ready and has a report from each server.
     pub async fn start(self) -> Site {
         let platform = Platform::start().await.expect("platform");
         let mut engines = Vec::new();
@@ -103,7 +103,7 @@
             links: None,
             settings_change: self.settings,
             list_states: vec![Listed::Live; self.hosts],
-            files: tempfile::tempdir().expect("folder for settings"),
+            files: tempfile::tempdir().expect("directory for settings"),
             starts: 0,
             network: Network::unused(),
         };
@@ -125,11 +125,12 @@
 }
 
 impl Site {
-    /// Starts engines and hosts; one service `chat` offers every model of the engines.
+    /// Starts hosts and engines; the service `chat` offers all models that the engines preload.
     pub async fn start(hosts: usize, engines: Vec<engine::Settings>) -> Site {
         Site::start_with(hosts, engines, Vec::new()).await
     }
 
+    /// As [`Site::start`], with plain servers too; the service `tickets` offers them.
     pub async fn start_with(
         hosts: usize,
         engines: Vec<engine::Settings>,
@@ -155,69 +156,69 @@
         &self.plains
     }
 
-    /// Where callers come in, past any link.
+    /// Addresses of all hosts for callers, not through the fault proxies.
     pub fn host_addresses(&self) -> Vec<HostAddresses> {
         let addresses =
             |p: &Process| HostAddresses { callers: p.callers(), operators: p.operators() };
         self.hosts.iter().map(addresses).collect()
     }
 
-    /// Times that any engine began to run a request of this key.
+    /// Number of times that engines began to run a request with this key.
     pub fn runs(&self, key: &str) -> u64 {
         self.engines.iter().filter_map(|engine| engine.counts().effects.get(key).copied()).sum()
     }
 
-    /// Puts a configuration under the next number into the platform.
+    /// Writes a changed configuration to the platform under the next number, which it returns.
     pub fn declare(&self, change: impl FnOnce(&mut Value)) -> u64 {
         let (_, mut root) = self.platform.peek(ROOT).expect("a configuration");
         change(&mut root["config"]);
-        let number = root["number"].as_u64().expect("a number") + 1;
+        let number = root["number"].as_u64().expect("configuration number") + 1;
         root["number"] = number.into();
         self.platform.poke(ROOT, root);
         number
     }
 
-    /// The number of the configuration that a host says is in force.
+    /// Configuration number that a host reports as in force; 0 if it does not answer.
     pub async fn in_force(&self, index: usize) -> u64 {
         let status = get(self.hosts[index].operators(), "/status").await;
         status.and_then(|status| status["configuration"].as_u64()).unwrap_or(0)
     }
 
-    /// The proxies, of a site that was built with them.
+    /// The fault proxies; panics unless the site was built [`with_proxies`](Builder::with_proxies).
     pub fn links(&self) -> &Links {
         self.links.as_ref().expect("a site with proxies on its links")
     }
 
-    /// The right answer to a chat, of so many tokens.
+    /// Text of `tokens` tokens that an engine generates for a chat request.
     pub fn expected(&self, body: &Value, tokens: u64) -> String {
         let prompt = body["messages"].to_string();
         (0..tokens).map(|offset| engine::token(&prompt, offset)).collect()
     }
 
-    /// Ends a host without notice; the list goes on naming it.
+    /// Kills a host with SIGKILL; the platform's list still names it.
     pub fn kill(&mut self, index: usize) {
         self.hosts[index].kill();
     }
 
-    /// Changes the settings of hosts that start from now on.
+    /// Replaces the edit of the settings for hosts that start from now on.
     pub fn change_settings(&mut self, change: impl Fn(&mut Value) + 'static) {
         self.settings_change = Box::new(change);
     }
 
-    /// Starts a host again after its end, as a new process under the same name.
+    /// Starts an ended host again as a new process with the same id, and lists it as live.
     pub async fn restart(&mut self, index: usize) {
         self.hosts[index] = self.spawn(index).await;
         self.list_states[index] = Listed::Live;
         self.publish_list();
     }
 
-    /// Changes what the platform's list says of a host.
+    /// Sets a host's state in the platform's list.
     pub fn set_list_state(&mut self, index: usize, state: Listed) {
         self.list_states[index] = state;
         self.publish_list();
     }
 
-    /// Ends a host by a signal and starts another in its place.
+    /// Ends a host with a signal, starts it again and waits until it is ready.
     pub async fn replace(&mut self, index: usize, signal: Signal) {
         self.hosts[index].signal(signal);
         self.hosts[index].wait_for_exit().await;
@@ -225,24 +226,29 @@
         self.wait_until_host_ready(index).await;
     }
 
-    /// Ends every host in order.
+    /// Stops all hosts with SIGTERM and requires exit code 0 of each.
     pub async fn shut_down(mut self) {
         for host in &self.hosts {
             host.signal(Signal::SIGTERM);
         }
         for host in &mut self.hosts {
-            assert_eq!(host.wait_for_exit().await, Some(0), "{} ends cleanly", host.host.id);
+            assert_eq!(
+                host.wait_for_exit().await,
+                Some(0),
+                "{} did not exit cleanly",
+                host.host.id
+            );
         }
     }
 
-    /// Waits until each host is ready and hears each server.
+    /// Waits until each host is ready and has a report from each server.
     pub async fn wait_until_ready(&self) {
         for index in 0..self.hosts.len() {
             self.wait_until_host_ready(index).await;
         }
     }
 
-    /// Waits until one host is ready and hears each server.
+    /// Waits until one host is ready and has a report from each server.
     pub async fn wait_until_host_ready(&self, index: usize) {
         let servers = self.engines.len() + self.plains.len();
         let host = &self.hosts[index];
@@ -278,7 +284,7 @@
         })
     }
 
-    /// The servers as the list names them: behind their links, if the site has links.
+    /// Backend servers for the list; with proxies, under the addresses of these.
     fn servers(&self) -> Vec<Server> {
         let engines = self.engines.iter().enumerate().map(|(index, engine)| {
             server(&engine.settings().id, "lm", Kind::Engine, index, engine.address())
@@ -293,7 +299,7 @@
         servers
     }
 
-    /// Publishes the list of hosts and servers.
+    /// Writes the list of hosts and servers to the platform.
     pub fn publish_list(&self) {
         let live = |server| backend::Entry { server, state: Listed::Live };
         let hosts = self.hosts.iter().enumerate().map(|(index, process)| {
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -1,6 +1,6 @@
-//! Accelerator memory is never promised twice: hosts as processes, orders and answers that are
-//! lost or late, planners that die, rest or race, an object API that fails, engines that restart.
-//! The stand-in engine keeps the true memory and counts every overcommit.
+//! Accelerator memory is never reserved twice: host processes with lost or late orders and
+//! answers, with planners that are killed, paused or race, with a failing object API and with
+//! engines that restart. The stand-in engine tracks its actual memory and counts each overcommit.
 
 mod site;
 
@@ -23,7 +23,7 @@
 const PUT_LEDGER: &str = "PUT /objects/ledger/lm-0";
 const POST_ORDER: &str = "POST /orders";
 
-/// What goes wrong while models take turns in memory.
+/// Fault that is injected after each declaration while models replace each other in memory.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     OrdersLost,
@@ -71,9 +71,9 @@
             }
             Trouble::PlatformAnswersLost => site.platform.fault(|fault| fault.lost_answers = 3),
             Trouble::EngineRestarts => {
-                until("the engine is loading", async || !engine.residents().is_empty()).await;
+                until("the engine loads a model", async || !engine.residents().is_empty()).await;
                 engine.crash();
-                engine.restart().await.expect("the same port");
+                engine.restart().await.expect("restart on the same port");
             }
             Trouble::ReportsLate => {}
         }
@@ -104,7 +104,7 @@
     site.check_no_overcommit().await;
 }
 
-/// A late order to load is still on its way when its model is given up for another.
+/// A load order is still in flight when another model is declared in place of the one it loads.
 #[rstest]
 #[tokio::test]
 async fn late_load_finds_its_memory_still_reserved(#[values(true, false)] fenced: bool) {
@@ -130,7 +130,11 @@
     let interceptor = site.to_platform[planner].trap(PUT_LEDGER, Strike::HoldAnswer);
     site.declare(&["a"]);
     interceptor.sprung().await;
-    assert_eq!(open_orders(&site).len(), 1, "reserved, and its sender does not know yet");
+    assert_eq!(
+        open_orders(&site).len(),
+        1,
+        "expected one reserved order while the answer to its sender is held back"
+    );
     site.hosts[planner].kill();
     interceptor.release();
     site.declare(&["b"]);
@@ -169,10 +173,13 @@
     interceptor.sprung().await;
     site.hosts[planner].pause().await;
     interceptor.release();
-    until("another host plans", async || site.planner().is_some_and(|p| p != planner)).await;
+    until("another host holds the planning lease", async || {
+        site.planner().is_some_and(|p| p != planner)
+    })
+    .await;
     site.declare(&["b"]);
     tokio::time::sleep(LINGER * 2).await;
-    assert!(!site.has_ready(0, "b"), "a's memory is reserved as long as its order may come");
+    assert!(!site.has_ready(0, "b"), "b was loaded while the order for a may still arrive");
     assert_eq!(open_orders(&site)[0].1, format!("host-{planner}"));
 
     site.hosts[planner].resume();
@@ -180,7 +187,7 @@
     site.check_no_overcommit().await;
 }
 
-/// A lease so short that each host takes it from the other all the time.
+/// The lease of 30 ms is so short that hosts take it from each other all the time.
 #[rstest]
 #[tokio::test]
 async fn two_planners_at_once_promise_no_memory_twice(#[values(true, false)] fenced: bool) {
@@ -205,7 +212,7 @@
     site.declare(&["a"]);
     until("an order is lost", async || 1 < open_orders(&site).len() || site.has_ready(0, "a"))
         .await;
-    // Any host tells, also one that never plans; this one runs in the test's own process.
+    // Any host reports open moves, even one that never plans, such as this one in the test process.
     let host = stage::start(site.unlisted_settings()).await.expect("a host");
     let text = get(host.context().host().operators, "/status/moves").await;
     let status: Value = serde_json::from_str(&text).expect("JSON");
@@ -213,8 +220,8 @@
     assert_eq!(status["memory"][0]["capacity"], CAPACITY);
     assert_eq!(status["memory"][0]["promised"], MODEL_MEMORY);
     let open = status["open"].as_array().expect("open moves");
-    assert!(!open.is_empty(), "the lost order is in doubt for the linger time");
-    let conditions = open[0]["settled_by"].as_array().expect("ways to settle");
+    assert!(!open.is_empty(), "the lost order is not open during the linger time");
+    let conditions = open[0]["settled_by"].as_array().expect("settled_by");
     assert!(conditions.iter().any(|condition| {
         condition.as_str().is_some_and(|condition| condition.contains("in flight"))
     }));
@@ -223,15 +230,15 @@
 
 async fn get(address: SocketAddr, path: &str) -> String {
     let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    let uri = format!("http://{address}{path}").parse().expect("a URI");
-    let response =
-        client.request(Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("a request"));
-    let response = response.await.expect("an answer");
-    let body = response.into_body().collect().await.expect("a body").to_bytes();
+    let uri = format!("http://{address}{path}").parse().expect("valid URI");
+    let response = client
+        .request(Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("valid request"));
+    let response = response.await.expect("response");
+    let body = response.into_body().collect().await.expect("response body").to_bytes();
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Open orders of the first engine with their senders.
+/// Ids and senders of the first engine's open orders.
 fn open_orders(site: &Site) -> Vec<(String, String)> {
     let orders = site.ledger(0).map(|ledger| ledger.orders).unwrap_or_default();
     let open = orders.iter().map(|entry| &entry.order);
--- a/crates/stage/tests/moves/site.rs
+++ b/crates/stage/tests/moves/site.rs
@@ -1,5 +1,5 @@
-//! Hosts as processes of their own around stand-ins, with a proxy on each host's link to the
-//! platform and on the link to each engine.
+//! Test site: host processes and stand-ins, with a proxy between each host and the platform and
+//! one before each engine.
 
 use std::{
     net::SocketAddr,
@@ -26,29 +26,29 @@
     resident::State,
 };
 
-/// How long a test waits for what must come; far more than it takes on a loaded machine.
+/// Time limit of each wait; far longer than any awaited condition takes on a loaded machine.
 const TIMEOUT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Memory of each engine; no two models fit together.
+/// Memory of each engine, too small for two models of [`MODEL_MEMORY`].
 pub const CAPACITY: u64 = 100;
 pub const MODEL_MEMORY: u64 = 60;
 
-/// Longest time that anything sent may still arrive, as the hosts are told.
+/// The hosts' `linger_ms` setting: longest time for which a sent order may still arrive.
 pub const LINGER: Duration = Duration::from_millis(2_500);
 
-/// Lateness of orders: long after their sender gave up, and less than the linger time.
+/// Delay of late orders: long after their sender's timeout, and within [`LINGER`].
 pub const ORDER_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A host's process; killed when dropped.
+/// A host that runs as a child process; killed when dropped.
 pub struct Process {
     child: Child,
     host: Host,
 }
 
 impl Process {
-    /// Stops it, and waits until each of its threads rests: the signal takes effect a while after
-    /// it was sent.
+    /// Sends SIGSTOP and waits until all threads are stopped, since the signal takes effect only
+    /// some time after it was sent.
     pub async fn pause(&self) {
         self.signal(Signal::SIGSTOP);
         until("the process is stopped", async || self.is_stopped()).await;
@@ -60,10 +60,10 @@
 
     fn is_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
-        let tasks = tasks.expect("threads of own child").filter_map(Result::ok);
+        let tasks = tasks.expect("task directory of own child").filter_map(Result::ok);
         let states =
             tasks.filter_map(|task| std::fs::read_to_string(task.path().join("stat")).ok());
-        // The state follows the command's name, which stands in parentheses.
+        // The state follows the command name, which is in parentheses.
         states.into_iter().all(|stat| {
             let state = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().next());
             state == Some("T")
@@ -91,12 +91,13 @@
     }
 }
 
+/// Running stand-ins and host processes; methods take hosts and engines by their index.
 pub struct Site {
     pub platform: Platform,
     pub engines: Vec<Engine>,
-    /// Links from each host to the platform.
+    /// Proxies between each host and the platform.
     pub to_platform: Vec<Proxy>,
-    /// Links to each engine.
+    /// Proxies before each engine, used by all hosts.
     pub to_engine: Vec<Proxy>,
     pub hosts: Vec<Process>,
     list_entries: Vec<host::Entry>,
@@ -107,7 +108,7 @@
 }
 
 impl Site {
-    /// Hosts and engines without a model declared, once each engine has its ledger.
+    /// Starts hosts and engines without a declared model; returns when each engine has a ledger.
     pub async fn start(hosts: usize, engines: Vec<engine::Settings>, lease_ms: u64) -> Site {
         let platform = Platform::start().await.expect("platform");
         let mut running = Vec::new();
@@ -128,7 +129,7 @@
             to_engine,
             hosts: Vec::new(),
             list_entries: Vec::new(),
-            files: tempfile::tempdir().expect("folder"),
+            files: tempfile::tempdir().expect("directory"),
             lease_ms,
             config_number: 0,
             starts: 0,
@@ -146,7 +147,7 @@
         site
     }
 
-    /// Declares exactly these models under the next number.
+    /// Declares exactly these models under the next configuration number.
     pub fn declare(&mut self, models: &[&str]) {
         self.config_number += 1;
         let declared = |name: &&str| {
@@ -158,32 +159,32 @@
         self.platform.poke("config/root", json!({"number": self.config_number, "config": config}));
     }
 
-    /// The ledger of an engine, as it stands.
+    /// Reads an engine's current ledger from the platform.
     pub fn ledger(&self, engine: usize) -> Option<Ledger> {
         let (_, value) = self.platform.peek(&Ledger::key(&self.engines[engine].settings().id))?;
         serde_json::from_value(value).ok()
     }
 
-    /// Whether a model is ready in an engine's true memory.
+    /// Whether a model is ready in an engine's actual memory.
     pub fn has_ready(&self, engine: usize, model: &str) -> bool {
         let residents = self.engines[engine].residents();
         residents.iter().any(|r| &**r.unit.model() == model && r.state == State::Ready)
     }
 
-    /// Waits until every engine holds exactly this model.
+    /// Waits until every engine has this model ready and no other model in memory.
     pub async fn wait_until_loaded(&self, model: &str) {
         for index in 0..self.engines.len() {
-            until(&format!("engine {index} holds {model}"), async || {
+            until(&format!("engine {index} has only {model} in memory"), async || {
                 self.has_ready(index, model) && self.engines[index].residents().len() == 1
             })
             .await;
         }
     }
 
-    /// Waits until no order is open, and the ledgers say what is truly in memory.
+    /// Waits until no order is open and the ledgers agree with the engines' actual memory.
     async fn wait_until_settled(&self) {
         for index in 0..self.engines.len() {
-            until(&format!("the ledger of engine {index} settles"), async || {
+            until(&format!("the ledger of engine {index} matches its memory"), async || {
                 self.ledger(index).is_some_and(|ledger| {
                     ledger.orders.is_empty() && ledger.residents == self.engines[index].residents()
                 })
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Waits until all is settled and whatever may still come has come; no engine's memory was
-    /// overcommitted meanwhile.
+    /// Waits until all orders are settled and late ones have arrived, and checks that no engine's
+    /// memory was ever overcommitted.
     pub async fn check_no_overcommit(&self) {
         self.wait_until_settled().await;
         tokio::time::sleep(ORDER_DELAY).await;
@@ -214,7 +215,7 @@
 
     /// Waits until a host holds the planning lease.
     pub async fn wait_for_planner(&self) -> usize {
-        until("a host plans", async || self.planner().is_some()).await;
+        until("a host holds the planning lease", async || self.planner().is_some()).await;
         self.planner().expect("a planner")
     }
 
@@ -225,12 +226,12 @@
         self.publish_list();
     }
 
-    /// Starts a host again after its end, under the same name.
+    /// Starts an ended host again with the same id.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = self.spawn(index);
     }
 
-    /// Settings of a host that the platform does not list.
+    /// Settings of a host that is not in the platform's list.
     pub fn unlisted_settings(&self) -> settings::process::Process {
         let host = with_any_ports("onlooker");
         let settings = json!({"host": host, "platform": self.platform.address()});
@@ -264,7 +265,7 @@
             "drain": {"balancer_ms": 10, "finish_ms": 1_000},
             "planning": {
                 "lease_ms": self.lease_ms, "order_ms": 400, "list_lag_ms": 500,
-                "linger_ms": u64::try_from(LINGER.as_millis()).expect("a short time"),
+                "linger_ms": u64::try_from(LINGER.as_millis()).expect("milliseconds fit in u64"),
                 "loads_per_second": 50.0, "loads_at_once": 8,
             },
             "log": {"file": log, "level": "info"},
@@ -280,24 +281,24 @@
     }
 }
 
-/// A host whose ports the system picks.
+/// A host entry with port 0 for each listener, so that the system assigns the ports.
 fn with_any_ports(id: &str) -> Host {
     let any = SocketAddr::new(Network::unused().host(0), 0);
     Host { id: id.into(), zone: "zone".into(), callers: any, peers: any, operators: any }
 }
 
-/// An engine for two models of which only one fits.
+/// Settings of an engine whose memory holds one of the two models at a time.
 pub fn engine(index: usize, fenced: bool) -> engine::Settings {
     let id = format!("lm-{index}");
     engine::Settings { capacity: CAPACITY, fenced, ..engine::Settings::new(&id) }
 }
 
-/// Polls a condition, and fails by name when patience ends.
+/// Polls a condition every [`POLL_INTERVAL`]; panics with its description after [`TIMEOUT`].
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let polling = async {
         while !condition().await {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/stage/tests/promises/answers.rs
+++ b/crates/stage/tests/promises/answers.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request.
+//! A caller receives the complete answer to its own request.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
         .await;
 
     site.engines()[0].crash();
-    until("calls go on", async || 24 <= generator.endings().complete_count()).await;
+    until("enough calls have completed", async || 24 <= generator.endings().complete_count()).await;
 
     let endings = generator.stop().await;
     assert_eq!(endings.failures(), [], "of {}", endings.all().len());
@@ -48,10 +48,10 @@
     let site = site().await;
     let link = site.links().server("lm-1");
     let generator = LoadGenerator::start(6, &site.host_addresses(), workload("cut"));
-    until("streams run", async || 0 < site.engines()[0].in_flight()).await;
+    until("the engine runs requests", async || 0 < site.engines()[0].in_flight()).await;
 
     link.set(Way::Back, Fault::CutAfter(bytes));
-    until("calls go on", async || 12 <= generator.endings().complete_count()).await;
+    until("enough calls have completed", async || 12 <= generator.endings().complete_count()).await;
     link.heal();
 
     let endings = generator.stop().await;
@@ -75,12 +75,12 @@
 #[tokio::test]
 async fn whole_answers_to_their_own_requests_when_they_come_out_of_order() {
     let site = site().await;
-    // The answer of the first is kept back until the second has its own.
+    // The answer to the first request is held back until the second has been answered.
     let interceptors =
         ["lm-1", "lm-2"].map(|id| site.links().server(id).trap("letter first", Strike::HoldAnswer));
     let callers = site.hosts()[0].callers();
     let first = tokio::spawn(async move { Chat::new("first", MODEL, 20).send(callers).await });
-    until("the first answer is held", async || {
+    until("the first answer is held back", async || {
         interceptors.iter().any(|interceptor| interceptor.has_sprung())
     })
     .await;
@@ -97,13 +97,13 @@
 async fn whole_answer_when_it_comes_late() {
     let site = site().await;
     let generator = LoadGenerator::start(6, &site.host_addresses(), workload("late"));
-    until("streams run", async || 0 < site.engines()[0].in_flight()).await;
+    until("the engine runs requests", async || 0 < site.engines()[0].in_flight()).await;
 
     let link = site.links().server("lm-1");
     link.set(Way::Back, Fault::Hold);
     tokio::time::sleep(Duration::from_millis(500)).await;
     link.heal();
-    until("calls go on", async || 12 <= generator.endings().complete_count()).await;
+    until("enough calls have completed", async || 12 <= generator.endings().complete_count()).await;
 
     let endings = generator.stop().await;
     assert_eq!(endings.failures(), [], "of {}", endings.all().len());
--- a/crates/stage/tests/promises/configuration.rs
+++ b/crates/stage/tests/promises/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! An accepted configuration is in force on every host within seconds and never reverts.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     })
 }
 
-/// Numbers that came into force on a host, in its own order.
+/// Configuration numbers that came into force on a host, in the order of its timeline.
 async fn history(site: &Site, index: usize) -> Vec<u64> {
     let records = records(&site.hosts()[index], "").await;
     let number = |kind: &Kind| match kind {
@@ -36,7 +36,7 @@
 
 async fn until_in_force(site: &Site, number: u64) {
     for index in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(index).await == number).await;
+        until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
 }
 
@@ -75,7 +75,10 @@
     let link = site.links().platform(0);
     link.set_both(Fault::Hold);
     let number = add_customer(&site);
-    until("another host has it", async || site.in_force(1).await == number).await;
+    until("the configuration is in force on another host", async || {
+        site.in_force(1).await == number
+    })
+    .await;
 
     link.heal();
 
@@ -98,7 +101,7 @@
     site.shut_down().await;
 }
 
-/// The platform answers from an old copy, then from the true one again.
+/// The platform answers with an old configuration, then with the latest one again.
 #[tokio::test]
 async fn old_answer_of_the_platform_reverts_nothing() {
     let site = site().await;
--- a/crates/stage/tests/promises/graceful.rs
+++ b/crates/stage/tests/promises/graceful.rs
@@ -1,4 +1,4 @@
-//! Every planned stop is a graceful shutdown and cuts no request in flight.
+//! A planned stop is a graceful shutdown and interrupts no request in flight.
 
 use nix::sys::signal::Signal;
 use standin::engine::Settings;
@@ -26,16 +26,25 @@
     let workload = Workload { name: "stop", models: vec![MODEL.into()], tokens: 100 };
     for index in 0..site.hosts().len() {
         let generator = LoadGenerator::start(9, &site.host_addresses(), workload.clone());
-        until("calls end", async || 9 <= generator.endings().complete_count()).await;
+        until("calls complete before the stop", async || 9 <= generator.endings().complete_count())
+            .await;
 
         site.hosts()[index].signal(Signal::SIGTERM);
         let code = site.hosts_mut()[index].wait_for_exit().await;
         let complete = generator.endings().complete_count();
-        until("calls go on", async || complete + 9 <= generator.endings().complete_count()).await;
+        until("more calls complete after the stop", async || {
+            complete + 9 <= generator.endings().complete_count()
+        })
+        .await;
 
         let endings = generator.stop().await;
         assert_eq!(code, Some(0));
-        assert_eq!(endings.failures(), [], "of {} at the stop of {index}", endings.all().len());
+        assert_eq!(
+            endings.failures(),
+            [],
+            "of {} calls at the stop of host {index}",
+            endings.all().len()
+        );
         site.restart(index).await;
         site.wait_until_host_ready(index).await;
     }
--- a/crates/stage/tests/promises/leaving.rs
+++ b/crates/stage/tests/promises/leaving.rs
@@ -1,4 +1,4 @@
-//! A backend server that is leaving receives no new work after a few seconds.
+//! A leaving backend server receives no new requests after a few seconds.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const MODEL: &str = "portal";
 
-/// "A few seconds", as the users' measure of it.
+/// Time after which a leaving server must receive no new request: "a few seconds" in the guarantee.
 const LEAVE_DEADLINE: Duration = Duration::from_secs(3);
 
 #[tokio::test]
@@ -18,7 +18,7 @@
     site.platform.list_lag(Duration::from_secs(60));
     let workload = Workload { name: "leave", models: vec![MODEL.into()], tokens: 10 };
     let generator = LoadGenerator::start(8, &site.host_addresses(), workload);
-    until("both engines get work", async || {
+    until("both engines have received requests", async || {
         site.engines().iter().all(|engine| 4 < engine.counts().arrivals)
     })
     .await;
@@ -27,10 +27,15 @@
     tokio::time::sleep(LEAVE_DEADLINE).await;
     let before = site.engines()[0].counts().arrivals;
     let complete = generator.endings().complete_count();
-    until("calls go on", async || complete + 40 <= generator.endings().complete_count()).await;
+    until("more calls complete", async || complete + 40 <= generator.endings().complete_count())
+        .await;
 
     let endings = generator.stop().await;
-    assert_eq!(site.engines()[0].counts().arrivals, before, "new work for a leaving server");
+    assert_eq!(
+        site.engines()[0].counts().arrivals,
+        before,
+        "a leaving server received new requests"
+    );
     assert_eq!(endings.failures(), [], "of {}", endings.all().len());
     site.shut_down().await;
 }
--- a/crates/stage/tests/promises/main.rs
+++ b/crates/stage/tests/promises/main.rs
@@ -1,7 +1,7 @@
-//! What must always hold, proved with real processes while things fail.
+//! Guarantees that must hold during failures, tested with real host processes.
 //!
-//! Each module is one promise; `pairs` is two failures at once. Verdicts come from callers that
-//! know the right answer and from the stand-ins' own counts, not from the system's word.
+//! Each module tests one guarantee; `pairs` and `pairs_control` combine two failures. The checks
+//! use callers that know the expected answer and the stand-ins' own counts, not what hosts report.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/stage/tests/promises/not_run.rs
+++ b/crates/stage/tests/promises/not_run.rs
@@ -1,4 +1,4 @@
-//! When a request is refused as not run, it truly did not run.
+//! A request that is refused with `did-not-run` did not run on any engine.
 
 use rstest::rstest;
 use standin::{
@@ -13,10 +13,10 @@
 const MODEL: &str = "portal";
 const CALLS: usize = 12;
 
-/// More than all calls with their retries can make.
+/// More attempts than all calls make with their retries.
 const ATTEMPTS: usize = 500;
 
-/// One engine, and a short time for a whole request: the last word must have come by then.
+/// A site with one engine and a time limit of 3 s per request, by which each call must have ended.
 async fn site() -> Site {
     let engine = Settings::new("lm-1").with_model(MODEL, "v1", 900);
     let short_timeouts = |settings: &mut serde_json::Value| {
@@ -25,7 +25,7 @@
     Builder::new(2).engine(engine).settings(short_timeouts).with_proxies().start().await
 }
 
-/// Sends all calls at once, to both hosts by turns.
+/// Sends all calls concurrently, to the two hosts in turn.
 fn send_all(site: &Site, tokens: u64) -> Vec<JoinHandle<(String, Ending)>> {
     (0..CALLS)
         .map(|number| {
@@ -39,7 +39,7 @@
 async fn join(calls: Vec<JoinHandle<(String, Ending)>>) -> Vec<(String, Ending)> {
     let mut endings = Vec::new();
     for call in calls {
-        endings.push(call.await.expect("a caller that doesn't panic"));
+        endings.push(call.await.expect("caller task must not panic"));
     }
     endings
 }
@@ -69,8 +69,8 @@
     });
 }
 
-/// Whatever breaks on the way to the one engine: no refusal may say "did not run" of a request
-/// that the engine began to run.
+/// Whichever fault the connection to the only engine has, no request that the engine began to run
+/// is refused with `did-not-run`.
 #[rstest]
 #[case::door_shut(refuse_connections)]
 #[case::requests_cut(cut_requests)]
@@ -97,7 +97,7 @@
 async fn not_run_is_true_when_the_engine_dies() {
     let site = site().await;
     let calls = send_all(&site, 400);
-    until("requests run", async || 0 < site.engines()[0].in_flight()).await;
+    until("the engine runs requests", async || 0 < site.engines()[0].in_flight()).await;
 
     site.engines()[0].crash();
 
@@ -112,10 +112,10 @@
     let site = site().await;
     site.engines()[0].crash();
 
-    // Until the hosts notice, a call may find its connection broken, which is no "did not run".
+    // Until the host notices the crash, a connection may break, which gives no `did-not-run`.
     let callers = site.hosts()[0].callers();
     let mut endings = Vec::new();
-    until("calls are refused as not run", async || {
+    until("a call is refused with did-not-run", async || {
         let chat = Chat::new(format!("key-{}", endings.len()), MODEL, 5);
         endings.push((chat.key.clone(), chat.send(callers).await));
         endings.last().is_some_and(|(_, ending)| ending.is_not_run())
@@ -130,7 +130,7 @@
     for (key, ending) in endings {
         assert!(!matches!(ending, Ending::Disconnected | Ending::Wrong(_)), "{key}: {ending:?}");
         if ending.is_not_run() {
-            assert_eq!(site.runs(key), 0, "{key} ran, and the caller was told that it did not");
+            assert_eq!(site.runs(key), 0, "{key} ran, but was refused with did-not-run");
         }
     }
 }
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -44,7 +44,7 @@
     });
 }
 
-/// Each ticket is asked for once; what the caller is told must be what the service counted.
+/// Each ticket is requested once, and the answer must agree with the runs that the service counted.
 #[rstest]
 #[case::refuse_connections(refuse_connections)]
 #[case::request_cut(cut_request)]
@@ -57,12 +57,12 @@
 
     for number in 0..6 {
         let key = format!("ticket-{number}");
-        let answer = issue(&site, number % 3, &key).await.expect("a word in any case");
+        let answer = issue(&site, number % 3, &key).await.expect("an answer to each request");
         let ran = runs(&site, &key);
         assert!(ran <= 1, "{key} ran {ran} times");
         match (answer.status, answer.json()["ran"].as_str()) {
-            (200, _) => assert_eq!(ran, 1, "{key} was answered"),
-            (_, Some("did-not-run")) => assert_eq!(ran, 0, "{key} was refused as not run"),
+            (200, _) => assert_eq!(ran, 1, "{key} was answered with status 200"),
+            (_, Some("did-not-run")) => assert_eq!(ran, 0, "{key} was refused with did-not-run"),
             (_, Some("may-have-run")) => {}
             (status, said) => panic!("{key}: status {status}, ran {said:?}: {}", answer.text()),
         }
--- a/crates/stage/tests/promises/pairs.rs
+++ b/crates/stage/tests/promises/pairs.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Complete answers during two failures at the same time.
 
 use nix::sys::signal::Signal;
 use standin::{
@@ -32,7 +32,8 @@
 
 async fn until_more_complete(generator: &LoadGenerator) {
     let complete = generator.endings().complete_count();
-    until("calls go on", async || complete + 18 <= generator.endings().complete_count()).await;
+    until("more calls complete", async || complete + 18 <= generator.endings().complete_count())
+        .await;
 }
 
 #[tokio::test]
@@ -86,7 +87,7 @@
     site.shut_down().await;
 }
 
-/// What a killed host had in flight breaks off; its callers see that, and nothing worse.
+/// Calls in flight on the killed host are disconnected, and no call fails in any other way.
 #[tokio::test]
 async fn host_dies_while_an_engine_dies() {
     let mut site = site().await;
@@ -104,7 +105,7 @@
     assert!(failures.iter().all(|(_, ending)| is_disconnected(ending)), "{failures:?}");
     assert!(
         failures.len() <= 9,
-        "more calls broke off than the dead host can have had: {failures:?}"
+        "more calls were disconnected than the killed host can have had: {failures:?}"
     );
     site.restart(0).await;
     site.shut_down().await;
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -1,4 +1,4 @@
-//! Two failures at once, of what hosts agree on.
+//! Two failures at the same time that affect the configuration or the connections between hosts.
 
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
     builder.engine(engine("lm-1")).engine(engine("lm-2")).with_proxies().start().await
 }
 
-/// Sends a patch against the first number through a host; its status and outcome.
+/// Sends a patch against configuration 1 through a host; returns status and outcome.
 async fn patch(site: &Site, host: usize, id: &str) -> (u16, Value) {
     let operators = site.hosts()[host].operators();
     let changes = json!({"customers": {id: {}}});
@@ -33,11 +33,11 @@
 
 async fn until_in_force(site: &Site, number: u64) {
     for index in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(index).await == number).await;
+        until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
 }
 
-/// Two operators race while the platform's answer to the first write is lost.
+/// Two operators patch the same number while the platform's answer to the first write is lost.
 #[tokio::test]
 async fn patches_race_while_the_answer_to_a_write_is_lost() {
     let site = site().await;
@@ -46,18 +46,18 @@
     let (first, second) = tokio::join!(patch(&site, 0, "first"), patch(&site, 1, "second"));
 
     let winners = [&first, &second].iter().filter(|(status, _)| *status == 200).count();
-    assert_eq!(winners, 1, "one wins the number: {first:?}, {second:?}");
+    assert_eq!(winners, 1, "exactly one patch gets the next number: {first:?}, {second:?}");
     until_in_force(&site, 2).await;
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     assert_eq!(root["number"], 2);
     let again = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
-    assert_eq!(again.0, 200, "the winner sent again gets its first outcome: {again:?}");
+    assert_eq!(again.0, 200, "the accepted patch, sent again, gets its first outcome: {again:?}");
     until_in_force(&site, 2).await;
     interceptor.release();
     site.shut_down().await;
 }
 
-/// A host dies with a patch in its hand, and its operator sends it again through another.
+/// A host dies during the write of a patch, and the operator sends the patch through another host.
 #[tokio::test]
 async fn host_dies_while_the_answer_to_its_write_is_held() {
     let mut site = site().await;
@@ -70,7 +70,7 @@
     });
     interceptor.sprung().await;
     site.kill(0);
-    assert!(request.await.unwrap().is_none(), "a dead host answers nothing");
+    assert!(request.await.unwrap().is_none(), "the killed host answered");
 
     let (status, outcome) = patch(&site, 1, "p").await;
 
@@ -81,19 +81,22 @@
     site.shut_down().await;
 }
 
-/// A host stops as planned while it and the others are cut off from each other.
 #[tokio::test]
 async fn planned_stop_while_hosts_are_cut_off_from_each_other() {
     let mut site = site().await;
     let workload = Workload { name: "apart", models: vec![MODEL.into()], tokens: 60 };
     let generator = LoadGenerator::start(9, &site.host_addresses(), workload);
-    until("calls end", async || 9 <= generator.endings().complete_count()).await;
+    until("calls complete before the stop", async || 9 <= generator.endings().complete_count())
+        .await;
 
     (0..3).for_each(|index| site.links().peers(index).set_both(Fault::Hold));
     site.hosts()[2].signal(Signal::SIGTERM);
     let code = site.hosts_mut()[2].wait_for_exit().await;
     let complete = generator.endings().complete_count();
-    until("calls go on", async || complete + 18 <= generator.endings().complete_count()).await;
+    until("more calls complete after the stop", async || {
+        complete + 18 <= generator.endings().complete_count()
+    })
+    .await;
 
     let endings = generator.stop().await;
     assert_eq!(code, Some(0));
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -1,4 +1,4 @@
-//! Every model we have created stays reachable.
+//! Every declared model stays reachable while the configuration changes.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,7 +21,9 @@
     Builder::new(3).engine(engine("lm-1")).engine(engine("lm-2")).start().await
 }
 
-/// One random change: a model comes, goes, or gets another version, also one that is called.
+/// Returns a random change that adds or removes a model or sets a model's version.
+///
+/// Models in [`MODELS`], which are called all the time, are never removed.
 fn change(random: &mut ChaCha8Rng) -> Value {
     let other = format!("other-{}", random.random_range(0..3));
     let called = MODELS[random.random_range(0..MODELS.len())].to_owned();
@@ -34,7 +36,7 @@
     }
 }
 
-/// Whether each called model is ready somewhere in the version declared last.
+/// Whether each called model is ready on an engine in the version declared last.
 fn all_ready(site: &Site) -> bool {
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     let residents = || site.engines().iter().flat_map(|engine| engine.residents());
@@ -51,7 +53,7 @@
     })
 }
 
-/// Sends a patch; gives the number in force after it, whether it was accepted or not.
+/// Sends a patch; returns the number it was accepted under, or `against` if it was refused.
 async fn apply(site: &Site, host: usize, id: u64, against: u64, changes: Value) -> u64 {
     let operators = site.hosts()[host].operators();
     let body = json!({"id": format!("step-{id}"), "against": against, "changes": changes});
@@ -63,7 +65,7 @@
     }
 }
 
-/// Models come, change version and go by a random walk, while two of them are called all the time.
+/// Random changes add, remove and update models while two of them are called all the time.
 #[tokio::test]
 async fn models_stay_reachable_while_models_are_changed_at_random() {
     let site = site().await;
@@ -81,24 +83,25 @@
         let next = apply(&site, host, step, number, change(&mut random)).await;
         if number < next {
             for index in 0..3 {
-                until("the number is in force", async || next <= site.in_force(index).await).await;
+                until("the configuration is in force", async || next <= site.in_force(index).await)
+                    .await;
             }
         }
         number = next;
         let ended = generator.endings().all().len();
-        until("calls go on", async || ended + 4 <= generator.endings().all().len()).await;
+        until("more calls end", async || ended + 4 <= generator.endings().all().len()).await;
     }
 
-    until("the versions declared last are ready", async || all_ready(&site)).await;
+    until("the last declared versions are ready", async || all_ready(&site)).await;
     let endings = generator.stop().await;
-    assert!(STEPS / 4 < number, "too few of the patches were accepted: {number}");
+    assert!(STEPS / 4 < number, "too few patches were accepted: the last number is {number}");
     assert_eq!(endings.failures(), [], "of {}", endings.all().len());
     for (index, model) in MODELS.iter().enumerate() {
         let chat = Chat::new(format!("last-{index}"), model, 5);
         assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     let moves: u64 = site.engines().iter().map(|engine| engine.counts().moves).sum();
-    assert!(STEPS / 4 < moves, "too few moves for a walk: {moves}");
+    assert!(STEPS / 4 < moves, "the changes caused too few moves: {moves}");
     assert!(site.engines().iter().all(|engine| engine.counts().overcommits == 0));
     site.shut_down().await;
 }
