--- a/crates/stage/tests/bounds.rs
+++ b/crates/stage/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they are told when they don't keep to it.
+//! Limits on callers' requests, and the answers to requests that exceed them.
 
 mod common;
 
@@ -94,12 +94,12 @@
     assert_eq!(content_type, Some(&b"application/problem+json"[..]));
 }
 
-/// Sends these bytes, then nothing; gives what comes back before the connection ends.
+/// Sends bytes and then nothing more; returns what is received until the connection ends.
 async fn send_raw(fixture: &Fixture, bytes: &str) -> String {
     let mut stream = TcpStream::connect(fixture.callers()).await.expect("connection");
     stream.write_all(bytes.as_bytes()).await.expect("bytes");
     let mut answer = Vec::new();
-    // A connection that is reset has ended too.
+    // A reset ends the connection too, so the error is ignored.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -1,5 +1,5 @@
-//! The declared configuration with real hosts: races, lost answers, outages, numbers that only go
-//! up.
+//! The declared configuration with real host processes: concurrent patches, lost answers, outages,
+//! and numbers that only increase.
 
 mod common;
 
@@ -24,7 +24,6 @@
     json!({"id": id, "against": against, "changes": changes})
 }
 
-/// Sends a patch through a host.
 async fn apply(site: &Site, host: usize, patch: &Value) -> Answer {
     let operators = site.hosts()[host].operators();
     let headers = [("content-type", "application/json")];
@@ -37,8 +36,10 @@
 
 async fn until_in_force(site: &Site, number: u64) {
     for host in 0..site.hosts().len() {
-        until("the number is in force", async || in_force(site, host).await["number"] == number)
-            .await;
+        until("the configuration is in force", async || {
+            in_force(site, host).await["number"] == number
+        })
+        .await;
     }
 }
 
@@ -136,8 +137,10 @@
     for root in [old.clone(), nonsense, old.clone()] {
         let watches = site.platform.calls().watches;
         site.platform.poke("config/root", root);
-        until("each host watches again", async || watches + 2 <= site.platform.calls().watches)
-            .await;
+        until("each host has started a new watch", async || {
+            watches + 2 <= site.platform.calls().watches
+        })
+        .await;
         for host in 0..2 {
             assert_eq!(in_force(&site, host).await["number"], 3);
         }
@@ -160,8 +163,8 @@
     let parts = site.platform.keys("config/part/");
     assert!(10 < parts.len(), "{} parts", parts.len());
 
-    // A change of one model writes one part and the root. Planners write too, so objects are
-    // counted and not calls.
+    // A change of one model writes one part and the root. Planners write too, so the test counts
+    // stored objects and not calls.
     let part_names = |root: &Value| root["parts"].as_array().unwrap().clone();
     let (version, before) = site.platform.peek("config/root").unwrap();
     let changes = json!({"models": {"small-123": {"memory": 2}}});
@@ -184,7 +187,10 @@
 
 #[rstest]
 #[case::too_large(json!({"models": {"big": model(80_001)}}), "short")]
-#[case::no_room_beside_the_old(json!({"models": {"m": {"version": "2", "memory": 71_000}}}), "short")]
+#[case::no_room_beside_the_old(
+    json!({"models": {"m": {"version": "2", "memory": 71_000}}}),
+    "short"
+)]
 #[case::dangling(json!({"services": {"chat": {"customer": "nobody"}}}), "invalid")]
 #[tokio::test]
 async fn what_cannot_be_made_is_refused_with_what_and_where(
@@ -221,7 +227,7 @@
 
 const TOKEN: &str = "a-token-of-more-than-16-characters";
 
-/// Settings for `cyclamenstage`, with changes on top.
+/// Writes a settings file for `cyclamenstage`; `changes` maps JSON pointers to values.
 fn settings(directory: &tempfile::TempDir, changes: Value) -> std::path::PathBuf {
     let mut settings = json!({
         "host": {
--- a/crates/stage/tests/control.rs
+++ b/crates/stage/tests/control.rs
@@ -1,9 +1,9 @@
-//! What control costs a host that has no requests, by the number of hosts.
+//! Cost of control traffic to a host without requests, by number of hosts.
 //!
-//! Run by hand, as a measurement:
+//! A measurement, to be run by hand:
 //! `cargo test --release -p cyclamenstage --test control -- --ignored --nocapture --test-threads 1`
 
-#![allow(clippy::print_stderr, reason = "a measurement's output")]
+#![allow(clippy::print_stderr, reason = "output of a measurement")]
 
 mod common;
 
@@ -18,7 +18,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 const MIB: f64 = 1024.0 * 1024.0;
 
-/// Seconds of processor time that a process has used.
+/// User and system CPU time that a process has used, in seconds.
 fn cpu_seconds(process: &Process) -> f64 {
     let text = fs::read_to_string(format!("/proc/{}/stat", process.id())).expect("own child");
     let after_name = text.rsplit(')').next().unwrap_or_default();
@@ -31,7 +31,7 @@
     (ticks(USER) + ticks(SYSTEM)) / TICKS_PER_SECOND
 }
 
-/// Memory that a process holds, in bytes.
+/// Resident memory of a process, in bytes.
 fn resident_bytes(process: &Process) -> f64 {
     const PAGE: f64 = 4096.0;
     let text = fs::read_to_string(format!("/proc/{}/statm", process.id())).expect("own child");
@@ -39,7 +39,7 @@
     pages.unwrap_or(0.0) * PAGE
 }
 
-/// Bytes of control, both ways, by link.
+/// Control traffic in both directions, in bytes, with peers, with the platform and with servers.
 async fn control_bytes(process: &Process) -> [f64; 3] {
     let text = metrics(process).await;
     ["peers", "platform", "servers"].map(|link| {
@@ -59,7 +59,7 @@
 
 async fn until_peers_known(site: &Site) {
     for host in site.hosts() {
-        until("a host knows the others", async || {
+        until("the host knows all other hosts", async || {
             let status = get(host.operators(), "/members").await.unwrap_or_default();
             let known = status["hosts"].as_object().map_or(0, |hosts| hosts.len());
             known + 1 == site.hosts().len()
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-#[ignore = "a measurement of two minutes"]
+#[ignore = "a measurement that takes two minutes"]
 async fn cost_of_control_by_hosts() {
     for hosts in [2, 4, 8, 16] {
         let lm = |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 1000);
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -1,4 +1,4 @@
-//! The planner's duty sees demand: a busy model gets a replica more, though nothing is declared.
+//! The planner reacts to demand: a busy model gets another replica without a declared change.
 
 use std::{net::Ipv4Addr, time::Duration};
 
@@ -46,19 +46,19 @@
     let running = stage::start(settings).await.expect("host");
     let own = running.context().host().clone();
     platform.set_list(list(own.clone(), &engines));
-    until("two replicas", || replicas(&engines) == 2).await;
+    until("two engines have the model", || replicas(&engines) == 2).await;
 
     let mut callers = JoinSet::new();
     for _ in 0..CALLERS {
         callers.spawn(call(own.callers));
     }
-    until("a third replica", || replicas(&engines) == ENGINES).await;
+    until("all three engines have the model", || replicas(&engines) == ENGINES).await;
     callers.shutdown().await;
     assert!(engines.iter().all(|engine| engine.counts().overcommits == 0));
     running.drain().await;
 }
 
-/// Calls again and again, whatever the answer.
+/// Sends chats one after the other until aborted, whatever the answer.
 async fn call(callers: std::net::SocketAddr) {
     let client = ::backend::Client::new();
     let chat = json!({
@@ -111,5 +111,5 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "{what} did not come");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops: of a host with long streams and uploads in flight, and of a backend server.
+//! Planned stops of a host with long streams and uploads in flight, and of a backend server.
 
 mod common;
 
@@ -17,13 +17,14 @@
 const TOKENS: u64 = 200;
 const STREAMS: usize = 8;
 
-/// Time between two questions of the balancer.
+/// Interval between two readiness probes of the load balancer.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause for the balancer at a planned stop, within which new work is taken.
+/// `drain.balancer_ms`: time for the load balancer to notice a planned stop; new requests are
+/// accepted within it.
 const BALANCER_PAUSE: Duration = Duration::from_secs(3);
 
-/// A step of an engine whose streams outlast the signal and the pause.
+/// Time per token of an engine whose streams outlast the signal and [`BALANCER_PAUSE`].
 const SLOW_STEP: Duration = Duration::from_millis(25);
 
 fn engines() -> Vec<engine::Settings> {
@@ -53,7 +54,7 @@
 
 async fn check_streams(site: &Site, streams: Vec<(Value, JoinHandle<Answer>)>) {
     for (body, stream) in streams {
-        let answer = stream.await.expect("an answer");
+        let answer = stream.await.expect("stream task must not panic");
         assert_eq!(answer.status, 200, "{}", answer.text());
         let events = events(&answer.text());
         assert_eq!(answer_text(&events), site.expected(&body, TOKENS));
@@ -65,7 +66,7 @@
     site.engines().iter().map(|engine| engine.in_flight()).sum()
 }
 
-/// An upload whose second half comes only after `finish`.
+/// An upload whose second half is sent by [`finish`](Upload::finish).
 struct Upload {
     stream: TcpStream,
 }
@@ -109,15 +110,16 @@
     for host in 0..3 {
         let streams = start_streams(&site, host);
         let upload = Upload::begin(site.hosts()[host].callers()).await;
-        until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
+        until("all streams run on the engines", async || requests_in_flight(&site) == STREAMS)
+            .await;
         site.hosts()[host].signal(Signal::SIGTERM);
-        // What is answered while the signal is under way is not yet part of the stop.
+        // An answer given before the process handles the signal is not yet part of the stop.
         let operators = site.hosts()[host].operators();
-        let not_ready = until("the stop has begun", async || !is_ready(operators).await);
+        let not_ready = until("the host reports not ready", async || !is_ready(operators).await);
         tokio::time::timeout(PROBE_INTERVAL, not_ready)
             .await
-            .expect("not ready when the balancer asks next");
-        // Still within the pause for the balancer: new work is taken.
+            .expect("host reports not ready by the balancer's next probe");
+        // New requests are still accepted within the pause for the balancer.
         let late = post_chat(site.hosts()[host].callers(), &long_chat(99)).await;
         assert_eq!(late.status, 200, "{}", late.text());
         assert_eq!(late.headers.get("connection").map(|v| v.as_bytes()), Some(&b"close"[..]));
@@ -128,17 +130,18 @@
         assert_eq!(site.hosts_mut()[host].wait_for_exit().await, Some(0));
     }
     let cancels: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
-    assert_eq!(cancels, 0, "the engines saw callers go away");
+    assert_eq!(cancels, 0, "requests were cancelled at the engines");
 }
 
 #[tokio::test]
 async fn a_leaving_server_gets_nothing_new_and_finishes_what_it_has() {
     let site = Site::start(2, engines()).await;
     let streams = start_streams(&site, 0);
-    until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
+    until("all streams run on the engines", async || requests_in_flight(&site) == STREAMS).await;
     let leaving = &site.engines()[0];
     leaving.leave();
-    // The platform's list never says so in this test; the report does, within its interval.
+    // The platform's list never marks the engine as leaving; its load report does, within the
+    // report interval.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = leaving.counts().arrivals;
     for caller in 0..40 {
@@ -149,7 +152,7 @@
         let answer = post_chat(site.hosts()[caller % 2].callers(), &body).await;
         assert_eq!(answer.status, 200, "{}", answer.text());
     }
-    assert_eq!(leaving.counts().arrivals, before, "new work for a leaving server");
+    assert_eq!(leaving.counts().arrivals, before, "a leaving server received new requests");
     check_streams(&site, streams).await;
     site.shut_down().await;
 }
@@ -158,9 +161,9 @@
 async fn a_server_killed_in_the_middle_of_streams_costs_no_token() {
     let site = Site::start(1, engines()).await;
     let streams = start_streams(&site, 0);
-    // The host's own zone is preferred, so its engine has all of them.
+    // Hosts prefer servers in their own zone, so that zone's engine has all streams.
     let same_zone = &site.engines()[0];
-    until("all streams are under way", async || {
+    until("all streams run and have tokens", async || {
         same_zone.in_flight() == STREAMS && 10 * STREAMS < same_zone.counts().tokens as usize
     })
     .await;
@@ -184,9 +187,9 @@
         stream.write_all(format!("{head}{body}").as_bytes()).await.expect("request");
         streams.push(stream);
     }
-    until("all streams run", async || requests_in_flight(&site) == STREAMS).await;
+    until("all streams run on the engines", async || requests_in_flight(&site) == STREAMS).await;
     drop(streams);
-    until("the engines are free", async || requests_in_flight(&site) == 0).await;
+    until("no request runs on the engines", async || requests_in_flight(&site) == 0).await;
     let cancels: u64 = site.engines().iter().map(|engine| engine.counts().cancels).sum();
     assert_eq!(cancels, STREAMS as u64);
     site.shut_down().await;
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -1,5 +1,5 @@
-//! Hosts that act together, as real processes: what spreads, what an outage of the platform leaves
-//! standing, and what becomes of hosts and servers that die, leave or pause.
+//! Membership of real host processes: how configurations spread, what works during an outage of the
+//! platform, and how hosts and servers that die, leave or pause are treated.
 
 mod common;
 
@@ -22,7 +22,7 @@
     Workload { name, models: vec![MODEL.into()], tokens: 8 }
 }
 
-/// Declares a change; gives its number.
+/// Declares a changed configuration and returns its number.
 fn change(site: &Site) -> u64 {
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
@@ -60,7 +60,7 @@
 
 async fn until_in_force(site: &Site, number: u64) {
     for index in 0..site.hosts().len() {
-        until(&format!("number {number} is in force on host {index}"), async || {
+        until(&format!("configuration {number} is in force on host {index}"), async || {
             site.in_force(index).await == number
         })
         .await;
@@ -71,7 +71,8 @@
 async fn a_configuration_reaches_every_host_though_few_watch() {
     let site = Builder::new(6).engine(lm(0)).start().await;
     until_all_live(&site).await;
-    until("one host in each zone watches", async || watcher_count(&site).await == ZONES).await;
+    until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
+        .await;
     for _ in 0..10 {
         let number = change(&site);
         until_in_force(&site, number).await;
@@ -84,8 +85,9 @@
 async fn others_watch_when_every_watcher_is_killed() {
     let mut site = Builder::new(6).engine(lm(0)).start().await;
     until_all_live(&site).await;
-    until("one host in each zone watches", async || watcher_count(&site).await == ZONES).await;
-    // Who watches is read before the first one is killed, since another host then takes its place.
+    until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
+        .await;
+    // Reads all watchers before the first kill, since another host then takes over its watch.
     let mut watching = Vec::new();
     for index in 0..6 {
         watching.push(members(&site, index).await["watching"] == true);
@@ -96,7 +98,8 @@
     }
     let number = change(&site);
     for index in &remaining {
-        until("the number is in force", async || site.in_force(*index).await == number).await;
+        until("the configuration is in force", async || site.in_force(*index).await == number)
+            .await;
     }
     assert_eq!(remaining.len(), 2);
 }
@@ -127,12 +130,16 @@
     let before = site.platform.calls();
     let number = change(&site);
     let enough = 200;
-    until("calls are answered", async || enough <= generator.endings().complete_count()).await;
+    until("enough calls have completed", async || enough <= generator.endings().complete_count())
+        .await;
     for index in 0..4 {
-        assert!(site.in_force(index).await < number, "the platform was down");
+        assert!(
+            site.in_force(index).await < number,
+            "a change came into force while the platform was down"
+        );
     }
     let refused = site.platform.calls().refused - before.refused;
-    assert!(0 < refused, "nobody asked the platform");
+    assert!(0 < refused, "no host called the platform");
     site.platform.fault(|fault| fault.down = false);
     until_in_force(&site, number).await;
     assert_eq!(generator.stop().await.failures(), []);
@@ -153,8 +160,10 @@
             .collect();
         let generator = LoadGenerator::start(6, &others, workload("killed"));
         let until_complete = async |count: usize| {
-            until("calls are answered", async || count <= generator.endings().complete_count())
-                .await;
+            until("enough calls have completed", async || {
+                count <= generator.endings().complete_count()
+            })
+            .await;
         };
         until_complete(20).await;
         site.kill(index);
@@ -167,7 +176,7 @@
         assert_eq!(
             generator.stop().await.failures(),
             [],
-            "host {index} was killed, others' calls failed"
+            "calls to other hosts failed after host {index} was killed"
         );
     }
     site.shut_down().await;
@@ -181,7 +190,7 @@
     until_liveness(&site, 1, "gone").await;
     let number = change(&site);
     for index in [0, 2, 3] {
-        until("the number is in force", async || site.in_force(index).await == number).await;
+        until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
     site.hosts()[1].signal(Signal::SIGCONT);
     until_in_force(&site, number).await;
@@ -219,7 +228,8 @@
     until_all_live(&site).await;
     let lists = site.platform.calls().lists;
     site.platform.set_list(Default::default());
-    until("each host has read it", async || lists + 12 <= site.platform.calls().lists).await;
+    until("each host has read the empty list", async || lists + 12 <= site.platform.calls().lists)
+        .await;
     for index in 0..3 {
         let status = get(site.hosts()[index].operators(), "/status").await.unwrap_or_default();
         assert_eq!(status["servers"], 1);
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -1,4 +1,4 @@
-//! What operators see of real host processes: metrics, the time line, the log.
+//! Metrics and the timeline of real host processes, as operators read them.
 
 mod common;
 
@@ -45,7 +45,7 @@
     assert_eq!(events(&answer.text()).len() as u64, TOKENS + 1);
     assert_eq!(post_chat(callers, &chat("nobody")).await.status, 404);
 
-    // The account closes when the answer's last holder is gone, a moment after its last byte.
+    // A call is counted when the last owner of its answer is dropped, shortly after the last byte.
     until("both calls are counted", async || {
         let text = metrics(&site.hosts()[0]).await;
         value(&text, r#"cyclamenstage_requests_total{outcome="answered",service="chat"}"#) == 1.0
@@ -75,9 +75,9 @@
     };
 
     site.platform.fault(|fault| fault.down = true);
-    until("the outage shows", async || up(0.0).await).await;
+    until("the platform is reported down", async || up(0.0).await).await;
     site.platform.fault(|fault| fault.down = false);
-    until("its end shows", async || up(1.0).await).await;
+    until("the platform is reported up", async || up(1.0).await).await;
 
     let states: Vec<PlatformState> = records(&site.hosts()[1], "")
         .await
@@ -137,7 +137,8 @@
     site.shut_down().await;
 }
 
-/// A host five seconds ahead sends a heartbeat: what the receiver does next is stamped later.
+/// A heartbeat from a host whose clock is five seconds ahead advances the receiver's clock, so that
+/// its next records have later stamps.
 #[tokio::test]
 async fn heartbeats_carry_the_clock_from_host_to_host() {
     let site = site().await;
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -1,4 +1,4 @@
-//! At most one run of each keyed request over all hosts, counted by the service itself.
+//! Each request with an idempotency key runs at most once across all hosts, as the service counts.
 
 mod common;
 
@@ -20,7 +20,7 @@
         let sends = (0..12).map(|number| request_ticket(&site, number % HOSTS, &key));
         let answers = join_all(sends).await;
         let ran = answers.iter().filter(|answer| answer.status == 200).count();
-        assert!(0 < ran, "one is answered: {answers:?}");
+        assert!(0 < ran, "no send was answered: {answers:?}");
         answers.iter().filter(|answer| answer.status != 200).for_each(assert_not_denied);
     }
     assert_runs(&site, 10);
@@ -33,7 +33,7 @@
     let first = request_ticket(&site, 0, "ticket").await;
     assert_eq!(first.status, 200, "{}", first.text());
     for host in 0..HOSTS {
-        until("the outcome is known", async || {
+        until("the recorded answer is returned", async || {
             let again = request_ticket(&site, host, "ticket").await;
             again.status == 200 && again.body == first.body
         })
@@ -59,7 +59,7 @@
     site.shut_down().await;
 }
 
-/// The host dies while the service works on the request.
+/// The host is killed while the service processes the request.
 #[tokio::test]
 async fn sent_again_after_its_host_died_does_not_run_again() {
     let mut site = site().await;
@@ -68,9 +68,9 @@
     let first = tokio::spawn(async move {
         try_send(callers, "POST", "/services/tickets/issue", &[KEY], BODY).await
     });
-    until("it runs", async || site.plains()[0].total() == 1).await;
+    until("the request runs", async || site.plains()[0].total() == 1).await;
     site.hosts()[0].signal(Signal::SIGKILL);
-    assert!(first.await.unwrap().is_none(), "its answer is lost");
+    assert!(first.await.unwrap().is_none(), "the killed host answered");
     site.plains()[0].fault(|fault| fault.work = Duration::ZERO);
     for host in [1, 2, 1] {
         let again = request_ticket(&site, host, "ticket").await;
@@ -82,7 +82,7 @@
     site.shut_down().await;
 }
 
-/// The process is stopped with a claim on its way and goes on long after another host had the key.
+/// A host is paused during its claim of a key and resumes after another host handled the same key.
 #[tokio::test]
 async fn paused_host_that_goes_on_does_not_run_what_another_ran() {
     let site = site().await;
@@ -96,13 +96,12 @@
             try_send(callers, "POST", "/services/tickets/issue", &headers, BODY).await
         });
         let before = site.platform.calls();
-        until("its claim is on the way", async || site.platform.calls().reads != before.reads)
-            .await;
+        until("the claim is in flight", async || site.platform.calls().reads != before.reads).await;
         tokio::time::sleep(Duration::from_millis(20 * round)).await;
         site.hosts()[0].signal(Signal::SIGSTOP);
         let other = request_ticket(&site, 1, &key).await;
         site.hosts()[0].signal(Signal::SIGCONT);
-        let paused = paused.await.unwrap().expect("it goes on");
+        let paused = paused.await.unwrap().expect("an answer after the host has resumed");
         for answer in [paused, other] {
             if answer.status != 200 {
                 assert_not_denied(&answer);
@@ -134,14 +133,18 @@
     site.platform.fault(|fault| fault.down = true);
     let again = request_ticket(&site, 1, "before").await;
     assert_eq!(again.status, 503, "{}", again.text());
-    assert_eq!(again.json()["ran"], "may-have-run", "this host can't know that it ran");
+    assert_eq!(
+        again.json()["ran"],
+        "may-have-run",
+        "without the platform this host cannot know whether it ran"
+    );
     let unkeyed = send(site.hosts()[0].callers(), "POST", "/services/tickets/issue", &[], BODY);
     assert_eq!(unkeyed.await.status, 200, "a request without a key needs no claim");
     let refused = request_ticket(&site, 0, "during").await;
     assert_eq!(refused.status, 503);
     assert!(refused.headers.contains_key("retry-after"));
     site.platform.fault(|fault| fault.down = false);
-    until("keys are claimed again", async || {
+    until("a key can be claimed again", async || {
         request_ticket(&site, 0, "during").await.status == 200
     })
     .await;
@@ -169,7 +172,7 @@
     site.shut_down().await;
 }
 
-/// The service runs the request and its answer never comes.
+/// The service runs the request, and its answer is lost.
 #[tokio::test]
 async fn answer_lost_by_the_service_is_never_asked_for_again() {
     let site = site().await;
@@ -185,13 +188,13 @@
     site.shut_down().await;
 }
 
-/// Admission refuses before the key is looked up: the host can't say that no other send ran, and
-/// the key is not used up.
+/// Admission refuses the request before the key is looked up, so that the host cannot know whether
+/// another send with the key ran, and the key stays unclaimed.
 #[tokio::test]
 async fn refused_before_its_claim_its_key_runs_later() {
     let mut site = site().await;
     site.platform.set_list(with_leaving_servers(&site).await);
-    until("no server takes new work", async || {
+    until("no server accepts new requests", async || {
         let callers = site.hosts()[0].callers();
         let unkeyed = send(callers, "POST", "/services/tickets/issue", &[], BODY).await;
         unkeyed.json()["type"] == "urn:cyclamenstage:problem:no-server"
@@ -203,12 +206,13 @@
     assert!(refused.headers.contains_key("retry-after"));
     assert_eq!(site.plains()[0].total(), total);
     site.set_list_state(0, Listed::Live);
-    until("it runs", async || request_ticket(&site, 1, "ticket").await.status == 200).await;
+    until("the request runs", async || request_ticket(&site, 1, "ticket").await.status == 200)
+        .await;
     assert_eq!(runs(&site)["ticket"], 1);
     site.shut_down().await;
 }
 
-/// The platform's list, with every backend server leaving. An empty list would change nothing.
+/// The platform's list with every backend server leaving; hosts ignore an empty list.
 async fn with_leaving_servers(site: &Site) -> List {
     let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the list");
     let mut list: List = serde_json::from_value(list).expect("a list");
@@ -223,7 +227,7 @@
     Site::start_with(HOSTS, Vec::new(), vec![Plain::start("app-0").await.unwrap()]).await
 }
 
-/// Ends a host by a signal and starts another in its place.
+/// Ends a host with a signal, starts it again and waits until all hosts are ready.
 async fn replace(site: &mut Site, index: usize, signal: Signal) {
     site.hosts()[index].signal(signal);
     site.hosts_mut()[index].wait_for_exit().await;
@@ -237,7 +241,7 @@
     send(callers, "POST", "/services/tickets/issue", &headers, BODY).await
 }
 
-/// A refusal never says "did not run" of a key that ran.
+/// Requires a refusal that does not deny a run: `may-have-run` or `ran`.
 fn assert_not_denied(answer: &Answer) {
     let ran = answer.json()["ran"].clone();
     assert!(ran == "may-have-run" || ran == "ran", "{}", answer.text());
--- a/crates/stage/tests/once_cost.rs
+++ b/crates/stage/tests/once_cost.rs
@@ -1,6 +1,6 @@
-//! What a claim costs: added latency, and writes of the object API for each claim.
+//! Cost of claiming an idempotency key: added latency, and object API writes and reads per claim.
 
-#![allow(clippy::print_stdout, reason = "the figures of a run")]
+#![allow(clippy::print_stdout, reason = "output of a measurement")]
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const HOSTS: usize = 3;
 const SENDS: usize = 400;
-/// Time that the platform takes to answer.
+/// Latency of each answer of the platform.
 const PLATFORM_LATENCY: Duration = Duration::from_millis(3);
 
 #[tokio::test]
@@ -31,8 +31,9 @@
         tokio::time::sleep(Duration::from_secs(1)).await;
         let after = site.platform.calls();
         println!(
-            "{concurrency:>3} at once: without a key p50 {:.1} p99 {:.1} ms; with p50 {:.1} p99 {:.1} ms; \
-             {:.0} claims/s; {:.2} writes and {:.2} reads a claim",
+            "{concurrency:>3} concurrent: without key p50 {:.1} p99 {:.1} ms; \
+             with key p50 {:.1} p99 {:.1} ms; \
+             {:.0} claims/s; {:.2} writes and {:.2} reads per claim",
             percentile(&unkeyed, 0.5),
             percentile(&unkeyed, 0.99),
             percentile(&keyed, 0.5),
@@ -50,7 +51,7 @@
         .map(|(_, value)| value.to_string().len())
         .collect();
     let keys = 4 * SENDS;
-    println!("{} ranges, {} bytes a key", sizes.len(), sizes.iter().sum::<usize>() / keys);
+    println!("{} ranges, {} bytes per key", sizes.len(), sizes.iter().sum::<usize>() / keys);
     assert!(site.plains()[0].runs().values().filter(|runs| **runs == 1).count() >= keys);
     site.shut_down().await;
 }
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -1,9 +1,9 @@
-//! The platform's object API and list fail in every way that is to be expected.
+//! The platform's object API and list are down, slow or rate limited.
 //!
-//! The long one is a measurement, run by hand:
+//! The test of ten minutes is a measurement, to be run by hand:
 //! `cargo test --release -p cyclamenstage --test outage -- --ignored --nocapture`
 
-#![allow(clippy::print_stderr, reason = "a measurement's output")]
+#![allow(clippy::print_stderr, reason = "output of a measurement")]
 
 mod common;
 
@@ -26,7 +26,7 @@
 async fn site(hosts: usize) -> Site {
     let site = Builder::new(hosts).engine(lm(0)).engine(lm(1)).start().await;
     for host in site.hosts() {
-        until("a host knows the others", async || {
+        until("the host knows all other hosts", async || {
             let status = get(host.operators(), "/members").await.unwrap_or_default();
             status["hosts"].as_object().is_some_and(|peers| peers.len() + 1 == hosts)
         })
@@ -35,14 +35,14 @@
     site
 }
 
-/// Declares a change; gives its number.
+/// Declares a changed configuration and returns its number.
 fn change(site: &Site) -> u64 {
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
 
 async fn until_in_force(site: &Site, number: u64) {
     for index in 0..site.hosts().len() {
-        until("the number is in force", async || site.in_force(index).await == number).await;
+        until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
 }
 
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-#[ignore = "a measurement of twelve minutes"]
+#[ignore = "a measurement that takes twelve minutes"]
 async fn ten_minutes_without_the_platform() {
     const HOSTS: usize = 8;
     const OUTAGE: Duration = Duration::from_secs(600);
@@ -100,7 +100,10 @@
             site.kill(HOSTS - 1);
             site.restart(HOSTS - 1).await;
             site.wait_until_host_ready(HOSTS - 1).await;
-            eprintln!("host replaced in the outage, ready after {:?}", start.elapsed() - elapsed);
+            eprintln!(
+                "host replaced during the outage, ready after {:?}",
+                start.elapsed() - elapsed
+            );
         }
         if OUTAGE <= elapsed && restored_at.is_none() {
             site.platform.fault(|fault| fault.down = false);
@@ -124,15 +127,18 @@
     };
     let mean = rates.iter().filter(|(after, _)| !after).map(|(_, rate)| rate).sum::<f64>()
         / rates.iter().filter(|(after, _)| !after).count() as f64;
-    eprintln!("whole {complete}, others {failures:?}");
-    eprintln!("calls a second, all hosts: outage mean {mean:.1}, most {:.1}", max_rate(false));
-    eprintln!("calls a second, all hosts: most after it {:.1}", max_rate(true));
-    eprintln!("change in force on all after {in_force:?}");
+    eprintln!("complete answers {complete}, failures {failures:?}");
+    eprintln!(
+        "calls per second, all hosts, during the outage: mean {mean:.1}, max {:.1}",
+        max_rate(false)
+    );
+    eprintln!("calls per second, all hosts, after the outage: max {:.1}", max_rate(true));
+    eprintln!("change in force on all hosts after {in_force:?}");
     assert_eq!(failures, []);
     site.shut_down().await;
 }
 
-/// Calls that the platform got, of every kind.
+/// Number of calls of all kinds that the platform received.
 fn total_calls(site: &Site) -> u64 {
     let calls = site.platform.calls();
     calls.reads + calls.writes + calls.watches + calls.lists
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests that find no room: they wait, are refused at once, or leave.
+//! Requests for which the server has no free slot wait, are refused at once or are cancelled.
 
 mod common;
 
@@ -12,18 +12,18 @@
 use tokio::{task::JoinHandle, time::timeout};
 use types::{backend::Kind, prelude::Duration};
 
-/// What the server reports as running already: two short of its 64 slots and the eighth more that
-/// hosts may send.
+/// Requests that the server reports as running: two below the hosts' limit for it, which is its 64
+/// slots and one eighth more.
 const REPORTED_RUNNING: u32 = 70;
 const FREE_SLOTS: u32 = 2;
 
-/// A host before one server that never answers, with all of its room taken.
+/// A host with one server that never answers and has no free slot left.
 async fn full_server() -> (Fixture, Vec<Script>, Vec<JoinHandle<Answer>>) {
     let servers =
         vec![Script::start("lm-1", Kind::Engine, REPORTED_RUNNING, Behavior::NoAnswer).await];
     let fixture = Fixture::start(&servers).await;
     let running = (0..FREE_SLOTS).map(|_| chat(&fixture, "60000")).collect();
-    until("the server is full", async || servers[0].requests() == FREE_SLOTS).await;
+    until("all free slots are taken", async || servers[0].requests() == FREE_SLOTS).await;
     (fixture, servers, running)
 }
 
@@ -69,12 +69,12 @@
 async fn a_waiting_caller_that_goes_away_leaves_the_queue_and_never_runs() {
     let (fixture, servers, running) = full_server().await;
     let abandoned = chat(&fixture, "60000");
-    until("it waits", async || waiting_count(&fixture) == 1).await;
+    until("the request waits", async || waiting_count(&fixture) == 1).await;
     abandoned.abort();
-    until("it has left", async || waiting_count(&fixture) == 0).await;
+    until("the request has left the queue", async || waiting_count(&fixture) == 0).await;
     running.iter().for_each(JoinHandle::abort);
     let last = chat(&fixture, "60000");
-    until("the next one runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
+    until("the next request runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
     last.abort();
 }
 
@@ -82,12 +82,12 @@
 async fn a_waiting_request_runs_when_a_caller_before_it_goes_away() {
     let (fixture, servers, running) = full_server().await;
     let next = chat(&fixture, "60000");
-    until("it waits", async || waiting_count(&fixture) == 1).await;
+    until("the request waits", async || waiting_count(&fixture) == 1).await;
     assert_eq!(servers[0].requests(), FREE_SLOTS);
     running[0].abort();
-    until("it runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
+    until("the waiting request runs", async || servers[0].requests() == FREE_SLOTS + 1).await;
     next.abort();
     running.iter().for_each(JoinHandle::abort);
     let drained = timeout(Duration::from_secs(20), fixture.host.drain()).await;
-    assert!(drained.is_ok(), "callers that went away hold the host up");
+    assert!(drained.is_ok(), "cancelled calls delay the host's drain");
 }
--- a/crates/stage/tests/path.rs
+++ b/crates/stage/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers through real host processes to stand-in backend servers.
+//! End-to-end calls through real host processes to stand-in backend servers.
 
 mod common;
 
--- a/crates/stage/tests/reachable.rs
+++ b/crates/stage/tests/reachable.rs
@@ -1,7 +1,7 @@
-//! Every model that was created stays reachable through a long walk of changes: adding, another
-//! version, more and fewer replicas, adapters, removing others.
+//! Every declared model stays reachable during a long random sequence of changes: models added and
+//! removed, new versions, more and fewer replicas, and adapters.
 
-#![allow(clippy::print_stdout, reason = "the figures are read with --nocapture")]
+#![allow(clippy::print_stdout, reason = "counts are read with --nocapture")]
 
 mod common;
 
@@ -27,13 +27,13 @@
 const MAX_MODELS: usize = 6;
 const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls one model again and again through all hosts until told to stop.
+/// Calls one model through all hosts in turn until stopped.
 struct Caller {
     stop: CancellationToken,
     task: tokio::task::JoinHandle<()>,
 }
 
-/// What callers saw.
+/// Counts of answered calls, and descriptions of failed calls.
 #[derive(Clone, Default)]
 struct Results {
     answered: Arc<AtomicU64>,
@@ -72,7 +72,7 @@
     json!({"model": model, "max_tokens": 2, "messages": [{"role": "user", "content": "hi"}]})
 }
 
-/// The next change of a random walk, and the model that it removes.
+/// Returns a random change to the models, and the model that it removes, if any.
 fn change(
     rng: &mut ChaCha8Rng,
     step: u64,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Three engines of 80,000 MiB each: four replicas fit on each, or two.
+/// Each of three engines with 80,000 MiB has room for four replicas, or for two.
 #[rstest]
 #[case::with_room(20_000, 0)]
 #[case::at_the_edge_of_memory(39_000, 10)]
@@ -120,8 +120,8 @@
         let models = current["config"]["models"].as_object().unwrap();
         for model in models.keys() {
             if !callers.contains_key(model) {
-                // A model counts from its first answer on.
-                until("a new model answers", async || {
+                // A new model must stay reachable from its first answer through each host on.
+                until("a new model answers through both hosts", async || {
                     post_chat(hosts[0], &chat_body(model)).await.status == 200
                         && post_chat(hosts[1], &chat_body(model)).await.status == 200
                 })
@@ -150,7 +150,7 @@
         assert!(["accepted", "unchanged", "short"].contains(&&*outcome), "{}", answer.text());
         *outcomes.entry(outcome).or_default() += 1;
     }
-    // Whatever is still on its way comes to rest with callers asking.
+    // Callers go on until all open orders are settled.
     until("no order is open", async || {
         let moves = get(operators, "/status/moves").await.unwrap();
         moves["open"].as_array().is_some_and(|open| open.is_empty())
--- a/crates/stage/tests/retry.rs
+++ b/crates/stage/tests/retry.rs
@@ -1,7 +1,8 @@
-//! The table of failure points through real sockets, and streams that are cut, doubled or mixed up.
+//! Retries at each point of failure over real sockets, and streams that are cut, repeat tokens or
+//! contain tokens of other requests.
 //!
-//! The first server fails by its script; the second, which reports more load and so is tried next,
-//! answers. What reached the second shows whether the request was sent again.
+//! The first server fails as scripted. The second reports more load, so it is tried next, and it
+//! answers. The requests that reach the second server show whether a request was sent again.
 
 mod common;
 
@@ -17,19 +18,20 @@
 
 use Step::{Done, OtherRequest, Token};
 
-/// What the caller must see.
+/// Expected answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expected {
-    /// The second server's whole answer.
+    /// The complete answer of the second server.
     SecondAnswer,
-    /// A problem that says this of the run, and nothing reached the second server.
+    /// A problem document with this `ran`; nothing reached the second server.
     Problem(&'static str),
-    /// This status from the first server itself.
+    /// The first server's own answer with this status; nothing reached the second server.
     FirstStatus(u16),
-    /// An answer that breaks off, and nothing reached the second server.
+    /// An answer that ends early; nothing reached the second server.
     Broken,
 }
 
+/// Running requests that the second server reports, so that the first one, with 0, is tried first.
 const SECOND_RUNNING: u32 = 50;
 
 async fn servers(kind: Kind, behavior: Behavior) -> Vec<Script> {
@@ -47,20 +49,20 @@
         Expected::FirstStatus(status) => assert_eq!((answer.status, second_requests), (status, 0)),
         Expected::Problem(ran) => {
             assert_eq!(answer.json()["ran"], ran, "{}", answer.text());
-            assert_eq!(second_requests, 0, "sent again");
+            assert_eq!(second_requests, 0, "the request was sent again");
         }
-        Expected::Broken => panic!("an answer where none can be whole: {answer:?}"),
+        Expected::Broken => panic!("a complete answer where it must end early: {answer:?}"),
     }
 }
 
-/// `Connect` is a server that stops listening after its report.
+/// The first server; `NotListening` closes its listener after its load report.
 #[derive(Clone, Debug)]
 enum FirstServer {
     NotListening,
     Behaves(Behavior),
 }
 
-/// Requests that reach the first server.
+/// Number of requests that must reach the first server.
 fn expected_requests(first: &FirstServer) -> u32 {
     u32::from(matches!(first, FirstServer::Behaves(_)))
 }
@@ -125,12 +127,12 @@
     assert_eq!(
         servers[0].requests(),
         expected_requests(&first),
-        "the first server was not tried first"
+        "unexpected number of requests at the first server"
     );
     fixture.host.drain().await;
 }
 
-/// Too long to be held, so that a part is gone once it was sent.
+/// The upload is too long to be buffered, so it cannot be sent again once a part was sent.
 #[rstest]
 #[case::connect(FirstServer::NotListening, "PUT", Expected::SecondAnswer)]
 #[case::connect_once(FirstServer::NotListening, "POST", Expected::SecondAnswer)]
@@ -213,7 +215,7 @@
     assert_eq!(
         servers[0].requests(),
         expected_requests(&first),
-        "the first server was not tried first"
+        "unexpected number of requests at the first server"
     );
     if expected == Expected::SecondAnswer {
         assert_eq!(answer_text(&events(&answer.text())), tokens(6));
@@ -242,11 +244,26 @@
 #[rstest]
 #[case::cut(vec![Token(0), Token(1)], 1)]
 #[case::false_end(vec![Token(0), Token(1), Done], 1)]
-#[case::doubled(vec![Token(0), Token(0), Token(1), Token(1), Token(0), Token(2), Token(3), Token(4), Token(5), Done], 0)]
+#[case::doubled(
+    vec![
+        Token(0), Token(0), Token(1), Token(1), Token(0), Token(2), Token(3), Token(4), Token(5),
+        Done,
+    ],
+    0
+)]
 #[case::gap(vec![Token(0), Token(2), Token(3)], 1)]
-#[case::of_another_request(vec![Token(0), OtherRequest(1), Token(1), OtherRequest(2), Token(2), Token(3), Token(4), Token(5), Done], 0)]
+#[case::of_another_request(
+    vec![
+        Token(0), OtherRequest(1), Token(1), OtherRequest(2), Token(2), Token(3), Token(4),
+        Token(5), Done,
+    ],
+    0
+)]
 #[case::out_of_order(vec![Token(1), Token(0), Token(2)], 1)]
-#[case::after_the_end(vec![Token(0), Token(1), Token(2), Token(3), Token(4), Token(5), Done, Token(6)], 0)]
+#[case::after_the_end(
+    vec![Token(0), Token(1), Token(2), Token(3), Token(4), Token(5), Done, Token(6)],
+    0
+)]
 #[tokio::test]
 async fn each_token_comes_once_in_order(#[case] steps: Vec<Step>, #[case] resumed: u32) {
     let servers = servers(Kind::Engine, Behavior::Events(steps)).await;
@@ -270,14 +287,19 @@
     assert_eq!(answer_text(&events(&text)), tokens(2));
     assert_eq!(text.matches("event: error").count(), 1, "{text}");
     assert!(text.contains("\"ran\":\"ran\""), "{text}");
-    assert!(!text.contains("[DONE]"), "a part must not look like the whole: {text}");
+    assert!(!text.contains("[DONE]"), "a partial answer must not look complete: {text}");
     assert_eq!(servers[1].requests(), 0);
     fixture.host.drain().await;
 }
 
-/// The prompt takes near a second to read at the scripted rate, or next to nothing.
+/// At the server's prefill rate the long prompt takes nearly a second to process, the short one
+/// almost no time.
 #[rstest]
-#[case::long_prompt("a long letter ".repeat(250_000), &["POST /kv/export HTTP/1.1"], &["POST /kv/import HTTP/1.1"])]
+#[case::long_prompt(
+    "a long letter ".repeat(250_000),
+    &["POST /kv/export HTTP/1.1"],
+    &["POST /kv/import HTTP/1.1"]
+)]
 #[case::short_prompt("hola".into(), &[], &[])]
 #[tokio::test]
 async fn a_resumed_stream_takes_the_cache_along_where_that_is_cheaper(
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks of fixed seeds, and no promise broken.
+//! Soak tests with fixed seeds or schedules, which must not break any guarantee.
 
 use std::{path::Path, time::Duration};
 
@@ -15,10 +15,10 @@
 
 const HOSTS: usize = 6;
 
-/// A server of each service.
+/// Index of the first server of each service.
 const FIRST_SERVERS: [usize; 3] = [0, 3, 5];
 
-/// A soak of a seed, as `--example soak` draws it.
+/// Parameters of a soak whose schedule is drawn from its seed, as `--example soak` draws it.
 #[derive(Clone, Copy, Debug)]
 struct Soak {
     seed: u64,
@@ -27,16 +27,17 @@
     tail: Duration,
 }
 
-/// Few faults.
+/// A short soak with few faults.
 const SHORT: Soak =
     Soak { seed: 5, hosts: 3, length: Duration::from_secs(7), tail: Duration::from_secs(1) };
 
-/// The store falls silent for 6.2 s after a declaration, and another one follows: 32 requests were
-/// handled by too old a declaration where a stalled watch was trusted up to its limit.
+/// The store does not answer for 6.2 s after a declaration, and another declaration follows. While
+/// hosts trusted a stalled watch up to its time limit, they handled 32 requests under an outdated
+/// declaration.
 const SILENT_STORE: Soak =
     Soak { seed: 180, hosts: 4, length: Duration::from_secs(60), tail: Duration::from_secs(16) };
 
-/// All services fail all requests from then on, until the end.
+/// All services fail all requests from second `at` until second `end`.
 fn failing(at: u64, end: u64) -> impl Iterator<Item = Planned> {
     let fault = |place| Fault::AllGrey(place, Grey::NotRun(StatusCode::SERVICE_UNAVAILABLE));
     FIRST_SERVERS.map(|place| planned(at, end - at, fault(place))).into_iter()
@@ -46,13 +47,13 @@
     Planned { at: Duration::from_secs(at), lasts: Duration::from_secs(lasts), fault }
 }
 
-/// No datagram passes between hosts for longer than they count those that are silent.
+/// All datagrams between hosts are lost for longer than a host counts silent hosts as present.
 fn partitioned() -> Vec<Planned> {
     let partitioned = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
     [partitioned].into_iter().chain(failing(42, 54)).collect()
 }
 
-/// All hosts are killed three times each, one after the other, while services fail.
+/// Each host is killed three times, one host after the other, while services fail.
 fn restarts() -> Vec<Planned> {
     let kill = |n: u32| Planned {
         at: Duration::from_secs(16) + Duration::from_millis(400) * n,
@@ -62,8 +63,8 @@
     (0..3 * HOSTS as u32).map(kill).chain(failing(14, 26)).collect()
 }
 
-/// A request that crashes servers comes all the time, while hosts are restarted in turn, one hears nothing,
-/// and all end at once.
+/// A request that crashes servers is sent all the time, while hosts are restarted in turn, one host
+/// receives no datagrams, and all hosts are killed at once.
 fn poison() -> Vec<Planned> {
     let kill = |at: u64, host| Planned {
         at: Duration::from_millis(at),
@@ -90,9 +91,9 @@
     assert!(3 <= summary.crashed, "{} servers ended", summary.crashed);
 }
 
-/// Runs a soak in a folder of its own.
+/// Runs a soak with its files in a temporary directory.
 async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<Planned>) -> Summary {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let plan = Plan {
         program: Path::new(env!("CARGO_BIN_EXE_cyclamenstage")),
         folder: folder.path(),
@@ -101,7 +102,7 @@
         length,
         schedule,
     };
-    run(&plan).await.expect("a soak")
+    run(&plan).await.expect("soak runs to its end")
 }
 
 #[rstest]
