--- a/crates/stage/tests/bounds.rs
+++ b/crates/stage/tests/bounds.rs
@@ -5,7 +5,7 @@
 use common::{
     Answer,
     in_process::Fixture,
-    script::{Behavior, Script},
+    script::{Behavior, ScriptedServer},
     send,
 };
 use rstest::rstest;
@@ -16,10 +16,10 @@
 };
 use types::backend::Kind;
 
-async fn fixture() -> (Fixture, Vec<Script>) {
+async fn fixture() -> (Fixture, Vec<ScriptedServer>) {
     let servers = vec![
-        Script::start("lm-1", Kind::Engine, 0, Behavior::Serve).await,
-        Script::start("app-1", Kind::Plain, 0, Behavior::Serve).await,
+        ScriptedServer::start("lm-1", Kind::Engine, 0, Behavior::Serve).await,
+        ScriptedServer::start("app-1", Kind::Plain, 0, Behavior::Serve).await,
     ];
     let bounds = json!({"body_bytes": 5000, "head_bytes": 9000, "idle_ms": 200});
     (Fixture::start_with(&servers, bounds).await, servers)
@@ -139,7 +139,7 @@
 
 #[tokio::test]
 async fn a_request_past_its_own_time_gets_a_timeout_that_says_what_is_known() {
-    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Behavior::NoAnswer).await];
+    let servers = vec![ScriptedServer::start("lm-1", Kind::Engine, 0, Behavior::NoAnswer).await];
     let fixture = Fixture::start(&servers).await;
     let answer = chat(&fixture, &[("x-timeout-ms", "150")], VALID_BODY).await;
     assert_eq!(answer.status, 504, "{}", answer.text());
--- a/crates/stage/tests/common/in_process.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -8,7 +8,7 @@
     host::{List, Listed},
 };
 
-use super::{get, script::Script, until};
+use super::{get, script::ScriptedServer, until};
 
 /// A host in the test's process and the stand-in platform that it uses.
 pub struct Fixture {
@@ -21,12 +21,12 @@
     ///
     /// The host reads each server's report once and then every 600 s, so that it learns of a
     /// server's failure from requests only.
-    pub async fn start(servers: &[Script]) -> Fixture {
+    pub async fn start(servers: &[ScriptedServer]) -> Fixture {
         Fixture::start_with(servers, json!({})).await
     }
 
     /// As [`Fixture::start`], with the given `bounds` settings for callers.
-    pub async fn start_with(servers: &[Script], bounds: serde_json::Value) -> Fixture {
+    pub async fn start_with(servers: &[ScriptedServer], bounds: serde_json::Value) -> Fixture {
         let platform = Platform::start().await.expect("platform");
         let config = json!({
             "customers": {"guests": {}},
@@ -74,14 +74,14 @@
     }
 }
 
-fn entry(script: &Script) -> backend::Entry {
-    let group = if script.kind == Kind::Engine { "lm" } else { "app" };
+fn entry(scripted: &ScriptedServer) -> backend::Entry {
+    let group = if scripted.kind == Kind::Engine { "lm" } else { "app" };
     let server = Server {
-        id: script.id.as_str().into(),
+        id: scripted.id.as_str().into(),
         group: group.into(),
-        kind: script.kind,
+        kind: scripted.kind,
         zone: "biloxi-hall".into(),
-        address: script.address,
+        address: scripted.address,
     };
     backend::Entry { server, state: Listed::Live }
 }
--- a/crates/stage/tests/common/mod.rs
+++ b/crates/stage/tests/common/mod.rs
@@ -16,7 +16,7 @@
     caller::{Chat, Ending, Endings, HostAddresses, LoadGenerator, Workload},
     http::{Answer, Event, answer_text, events, get, post_chat, send, try_send},
     links::Links,
-    observability::{metrics, records, value},
+    observability::{metric_value, metrics, records},
     process::Process,
     site::{Builder, Site},
 };
--- a/crates/stage/tests/common/observability.rs
+++ b/crates/stage/tests/common/observability.rs
@@ -10,7 +10,7 @@
 }
 
 /// Value of the first line that starts with `series`; 0 if there is none.
-pub fn value(text: &str, series: &str) -> f64 {
+pub fn metric_value(text: &str, series: &str) -> f64 {
     let line = text.lines().find(|line| line.starts_with(series));
     line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
 }
--- a/crates/stage/tests/common/process.rs
+++ b/crates/stage/tests/common/process.rs
@@ -26,12 +26,12 @@
     /// Starts a host whose settings give port 0 for each listener, and waits until it listens.
     ///
     /// `run` tells the log and settings files of one host's runs apart.
-    pub async fn start(mut settings: Value, folder: &Path, run: usize) -> Process {
+    pub async fn start(mut settings: Value, directory: &Path, run: usize) -> Process {
         let mut host: Host =
             serde_json::from_value(settings["host"].clone()).expect("host settings");
-        let log = folder.join(format!("{}-{run}.log", host.id));
+        let log = directory.join(format!("{}-{run}.log", host.id));
         settings["log"] = serde_json::json!({"file": log, "level": "debug"});
-        let file = folder.join(format!("{}-{run}.json", host.id));
+        let file = directory.join(format!("{}-{run}.json", host.id));
         std::fs::write(&file, settings.to_string()).expect("settings file");
         let child = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(["serve", "--settings"])
--- a/crates/stage/tests/common/script.rs
+++ b/crates/stage/tests/common/script.rs
@@ -55,7 +55,7 @@
 }
 
 /// A backend server with a scripted behavior; its load reports and KV cache calls always succeed.
-pub struct Script {
+pub struct ScriptedServer {
     pub id: String,
     pub kind: Kind,
     pub address: SocketAddr,
@@ -72,11 +72,11 @@
     kv: Mutex<Vec<String>>,
 }
 
-impl Script {
+impl ScriptedServer {
     /// Starts a server that reports `running` requests in progress.
     ///
     /// Hosts try the server with fewer first, so tests set the order of attempts by it.
-    pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> Script {
+    pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
         let shared = Arc::new(Shared {
@@ -88,7 +88,7 @@
             kv: Mutex::default(),
         });
         let accept_task = tokio::spawn(accept(listener, shared.clone()));
-        Script { id: id.into(), kind, address, shared, accept_task }
+        ScriptedServer { id: id.into(), kind, address, shared, accept_task }
     }
 
     /// Closes the listener, so that new connections are refused.
@@ -103,7 +103,7 @@
     }
 }
 
-impl Script {
+impl ScriptedServer {
     /// Request lines of the KV cache calls (`POST /kv/..`).
     pub fn kv_calls(&self) -> Vec<String> {
         self.shared.kv.lock().expect("kv").clone()
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -190,7 +190,7 @@
     }
 
     /// Text of `tokens` tokens that an engine generates for a chat request.
-    pub fn expected(&self, body: &Value, tokens: u64) -> String {
+    pub fn expected_text(&self, body: &Value, tokens: u64) -> String {
         let prompt = body["messages"].to_string();
         (0..tokens).map(|offset| engine::token(&prompt, offset)).collect()
     }
--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -291,21 +291,23 @@
     let host = stage::start(settings).await.unwrap();
     let operators = host.context().host().operators;
 
-    let right = format!("Bearer {TOKEN}");
-    let wrong = format!("Bearer {TOKEN}x");
-    let bare = TOKEN.to_string();
+    let valid = format!("Bearer {TOKEN}");
+    let invalid = format!("Bearer {TOKEN}x");
+    let without_scheme = TOKEN.to_string();
     let status = async |path: &str, token: Option<&str>| {
         let headers: Vec<_> = token.iter().map(|token| ("authorization", *token)).collect();
         send(operators, "GET", path, &headers, "").await.status
     };
-    for token in [None, Some(""), Some(wrong.as_str()), Some(bare.as_str()), Some("Bearer ")] {
+    for token in
+        [None, Some(""), Some(invalid.as_str()), Some(without_scheme.as_str()), Some("Bearer ")]
+    {
         for path in ["/status", "/config", "/hosts", "/metrics"] {
             assert_eq!(status(path, token).await, 401, "{path} {token:?}");
         }
     }
     assert_eq!(status("/live", None).await, 200);
-    assert_eq!(status("/config", Some(&right)).await, 200);
-    let headers = [("authorization", right.as_str())];
+    assert_eq!(status("/config", Some(&valid)).await, 200);
+    let headers = [("authorization", valid.as_str())];
     let metrics = send(operators, "GET", "/metrics", &headers, "").await.text();
     let line = metrics.lines().find(|line| line.starts_with("cyclamenstage_denied_total")).unwrap();
     assert!(line.contains("operators") && line.ends_with(" 20"), "{line}");
--- a/crates/stage/tests/control.rs
+++ b/crates/stage/tests/control.rs
@@ -9,7 +9,7 @@
 
 use std::{fs, time::Duration};
 
-use common::{Builder, Process, Site, get, metrics, until, value};
+use common::{Builder, Process, Site, get, metric_value, metrics, until};
 use serde_json::json;
 use standin::engine;
 
@@ -51,7 +51,7 @@
                     line.starts_with("cyclamenstage_control_bytes")
                         && labels.iter().all(|label| line.contains(label))
                 };
-                text.lines().find(is_series).map_or(0.0, |line| value(line, ""))
+                text.lines().find(is_series).map_or(0.0, |line| metric_value(line, ""))
             })
             .sum()
     })
@@ -72,8 +72,10 @@
 #[ignore = "a measurement that takes two minutes"]
 async fn cost_of_control_by_hosts() {
     for hosts in [2, 4, 8, 16] {
-        let lm = |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 1000);
-        let builder = (0..9).fold(Builder::new(hosts), |builder, index| builder.engine(lm(index)));
+        let engine_settings =
+            |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 1000);
+        let builder = (0..9)
+            .fold(Builder::new(hosts), |builder, index| builder.engine(engine_settings(index)));
         let default_intervals =
             |settings: &mut serde_json::Value| settings["intervals"] = json!({});
         let site = builder.settings(default_intervals).start().await;
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -44,13 +44,13 @@
     });
     let settings: Process = serde_json::from_value(settings).expect("settings");
     let running = stage::start(settings).await.expect("host");
-    let own = running.context().host().clone();
-    platform.set_list(list(own.clone(), &engines));
+    let listed_host = running.context().host().clone();
+    platform.set_list(list(listed_host.clone(), &engines));
     until("two engines have the model", || replicas(&engines) == 2).await;
 
     let mut callers = JoinSet::new();
     for _ in 0..CALLERS {
-        callers.spawn(call(own.callers));
+        callers.spawn(call(listed_host.callers));
     }
     until("all three engines have the model", || replicas(&engines) == ENGINES).await;
     callers.shutdown().await;
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -57,7 +57,7 @@
         let answer = stream.await.expect("stream task must not panic");
         assert_eq!(answer.status, 200, "{}", answer.text());
         let events = events(&answer.text());
-        assert_eq!(answer_text(&events), site.expected(&body, TOKENS));
+        assert_eq!(answer_text(&events), site.expected_text(&body, TOKENS));
         assert_eq!(events.last().map(|event| event.data.as_str()), Some("[DONE]"));
     }
 }
@@ -120,9 +120,9 @@
             .await
             .expect("host reports not ready by the balancer's next probe");
         // New requests are still accepted within the pause for the balancer.
-        let late = post_chat(site.hosts()[host].callers(), &long_chat(99)).await;
-        assert_eq!(late.status, 200, "{}", late.text());
-        assert_eq!(late.headers.get("connection").map(|v| v.as_bytes()), Some(&b"close"[..]));
+        let new_answer = post_chat(site.hosts()[host].callers(), &long_chat(99)).await;
+        assert_eq!(new_answer.status, 200, "{}", new_answer.text());
+        assert_eq!(new_answer.headers.get("connection").map(|v| v.as_bytes()), Some(&b"close"[..]));
         check_streams(&site, streams).await;
         let answer = upload.finish().await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -14,7 +14,7 @@
 const MODEL: &str = "welcome";
 const ZONES: usize = 4;
 
-fn lm(index: usize) -> engine::Settings {
+fn engine_settings(index: usize) -> engine::Settings {
     engine::Settings::new(&format!("lm-{index}")).with_model(MODEL, "1", 1000)
 }
 
@@ -23,7 +23,7 @@
 }
 
 /// Declares a changed configuration and returns its number.
-fn change(site: &Site) -> u64 {
+fn declare_change(site: &Site) -> u64 {
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
 
@@ -69,12 +69,12 @@
 
 #[tokio::test]
 async fn a_configuration_reaches_every_host_though_few_watch() {
-    let site = Builder::new(6).engine(lm(0)).start().await;
+    let site = Builder::new(6).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
     until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
         .await;
     for _ in 0..10 {
-        let number = change(&site);
+        let number = declare_change(&site);
         until_in_force(&site, number).await;
     }
     assert_eq!(watcher_count(&site).await, ZONES);
@@ -83,7 +83,7 @@
 
 #[tokio::test]
 async fn others_watch_when_every_watcher_is_killed() {
-    let mut site = Builder::new(6).engine(lm(0)).start().await;
+    let mut site = Builder::new(6).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
     until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
         .await;
@@ -96,7 +96,7 @@
     for index in killed {
         site.kill(index);
     }
-    let number = change(&site);
+    let number = declare_change(&site);
     for index in &remaining {
         until("the configuration is in force", async || site.in_force(*index).await == number)
             .await;
@@ -106,9 +106,10 @@
 
 #[tokio::test]
 async fn a_host_that_starts_while_the_platform_is_down_serves_by_what_its_peers_have() {
-    let mut site = Builder::new(3).engine(lm(0)).engine(lm(1)).start().await;
+    let mut site =
+        Builder::new(3).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
     until_all_live(&site).await;
-    let number = change(&site);
+    let number = declare_change(&site);
     until_in_force(&site, number).await;
     site.platform.fault(|fault| fault.down = true);
     site.kill(2);
@@ -123,12 +124,12 @@
 
 #[tokio::test]
 async fn serving_goes_on_in_an_outage_of_the_platform_and_a_change_waits_for_its_end() {
-    let site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
+    let site = Builder::new(4).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
     until_all_live(&site).await;
     site.platform.fault(|fault| fault.down = true);
     let generator = LoadGenerator::start(8, &site.host_addresses(), workload("outage"));
     let before = site.platform.calls();
-    let number = change(&site);
+    let number = declare_change(&site);
     let enough = 200;
     until("enough calls have completed", async || enough <= generator.endings().complete_count())
         .await;
@@ -148,7 +149,8 @@
 
 #[tokio::test]
 async fn each_host_in_turn_is_killed_under_load_and_only_its_own_calls_suffer() {
-    let mut site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
+    let mut site =
+        Builder::new(4).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
     until_all_live(&site).await;
     for index in 0..4 {
         let others: Vec<_> = site
@@ -184,11 +186,11 @@
 
 #[tokio::test]
 async fn a_host_that_was_paused_comes_back_with_the_newest_number() {
-    let site = Builder::new(4).engine(lm(0)).start().await;
+    let site = Builder::new(4).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
     site.hosts()[1].signal(Signal::SIGSTOP);
     until_liveness(&site, 1, "gone").await;
-    let number = change(&site);
+    let number = declare_change(&site);
     for index in [0, 2, 3] {
         until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
@@ -201,7 +203,7 @@
 #[tokio::test]
 async fn a_host_that_drains_is_leaving_for_all_though_the_list_calls_it_live() {
     let mut site = Builder::new(3)
-        .engine(lm(0))
+        .engine(engine_settings(0))
         .settings(|settings| settings["drain"]["balancer_ms"] = json!(3000))
         .start()
         .await;
@@ -213,7 +215,7 @@
 
 #[tokio::test]
 async fn a_host_that_the_list_calls_leaving_is_leaving_for_all() {
-    let mut site = Builder::new(3).engine(lm(0)).start().await;
+    let mut site = Builder::new(3).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
     site.set_list_state(1, Listed::Leaving);
     until_liveness(&site, 1, "leaving").await;
@@ -224,7 +226,7 @@
 
 #[tokio::test]
 async fn an_empty_list_leaves_hosts_and_servers_in_place() {
-    let site = Builder::new(3).engine(lm(0)).start().await;
+    let site = Builder::new(3).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
     let lists = site.platform.calls().lists;
     site.platform.set_list(Default::default());
@@ -242,11 +244,11 @@
 
 #[tokio::test]
 async fn a_host_cut_off_from_its_peers_goes_on_serving_and_joins_again() {
-    let site = Builder::new(3).engine(lm(0)).with_proxies().start().await;
+    let site = Builder::new(3).engine(engine_settings(0)).with_proxies().start().await;
     until_all_live(&site).await;
     site.links().peers(0).door(fault::Door::Shut);
     site.links().peers(0).cut();
-    let number = change(&site);
+    let number = declare_change(&site);
     until_in_force(&site, number).await;
     let chat = Chat::new("cut", MODEL, 4);
     assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Complete);
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -7,7 +7,9 @@
     time::{Duration, SystemTime},
 };
 
-use common::{Answer, Site, events, metrics, post_chat, records, send, try_send, until, value};
+use common::{
+    Answer, Site, events, metric_value, metrics, post_chat, records, send, try_send, until,
+};
 use observe::{
     clock::Stamp,
     event::{Kind, Outcome, PlatformState},
@@ -48,22 +50,28 @@
     // A call is counted when the last owner of its answer is dropped, shortly after the last byte.
     until("both calls are counted", async || {
         let text = metrics(&site.hosts()[0]).await;
-        value(&text, r#"cyclamenstage_requests_total{outcome="answered",service="chat"}"#) == 1.0
-            && value(&text, r#"cyclamenstage_requests_total{outcome="refused",service="none"}"#)
-                == 1.0
+        metric_value(&text, r#"cyclamenstage_requests_total{outcome="answered",service="chat"}"#)
+            == 1.0
+            && metric_value(
+                &text,
+                r#"cyclamenstage_requests_total{outcome="refused",service="none"}"#,
+            ) == 1.0
     })
     .await;
     let text = metrics(&site.hosts()[0]).await;
     let gaps = r#"cyclamenstage_between_tokens_seconds_count{service="chat"}"#;
-    assert_eq!(value(&text, gaps), (TOKENS - 1) as f64, "{text}");
+    assert_eq!(metric_value(&text, gaps), (TOKENS - 1) as f64, "{text}");
     let first = r#"cyclamenstage_first_token_seconds_count{service="chat"}"#;
-    assert_eq!(value(&text, first), 1.0, "{text}");
+    assert_eq!(metric_value(&text, first), 1.0, "{text}");
     let refusals = r#"cyclamenstage_refusals_total{cause="unknown-model",service="none"}"#;
-    assert_eq!(value(&text, refusals), 1.0, "{text}");
-    assert_eq!(value(&text, r#"cyclamenstage_in_flight{service="chat"}"#), 0.0, "{text}");
-    assert_eq!(value(&text, "cyclamenstage_configuration"), 1.0, "{text}");
-    assert_eq!(value(&text, "cyclamenstage_platform_up"), 1.0, "{text}");
-    assert!(0.0 < value(&text, r#"cyclamenstage_control_bytes_total{direction="in""#), "{text}");
+    assert_eq!(metric_value(&text, refusals), 1.0, "{text}");
+    assert_eq!(metric_value(&text, r#"cyclamenstage_in_flight{service="chat"}"#), 0.0, "{text}");
+    assert_eq!(metric_value(&text, "cyclamenstage_configuration"), 1.0, "{text}");
+    assert_eq!(metric_value(&text, "cyclamenstage_platform_up"), 1.0, "{text}");
+    assert!(
+        0.0 < metric_value(&text, r#"cyclamenstage_control_bytes_total{direction="in""#),
+        "{text}"
+    );
     site.shut_down().await;
 }
 
@@ -71,7 +79,7 @@
 async fn outage_of_the_platform_shows_and_passes() {
     let site = site().await;
     let up = async |expected: f64| {
-        value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == expected
+        metric_value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == expected
     };
 
     site.platform.fault(|fault| fault.down = true);
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -19,12 +19,13 @@
 
 const MODEL: &str = "welcome";
 
-fn lm(index: usize) -> engine::Settings {
+fn engine_settings(index: usize) -> engine::Settings {
     engine::Settings::new(&format!("lm-{index}")).with_model(MODEL, "1", 1000)
 }
 
 async fn site(hosts: usize) -> Site {
-    let site = Builder::new(hosts).engine(lm(0)).engine(lm(1)).start().await;
+    let site =
+        Builder::new(hosts).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
     for host in site.hosts() {
         until("the host knows all other hosts", async || {
             let status = get(host.operators(), "/members").await.unwrap_or_default();
@@ -36,7 +37,7 @@
 }
 
 /// Declares a changed configuration and returns its number.
-fn change(site: &Site) -> u64 {
+fn declare_change(site: &Site) -> u64 {
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
 
@@ -57,7 +58,7 @@
     const CALLS: usize = 40;
     let site = site(4).await;
     site.platform.fault(inject);
-    let number = change(&site);
+    let number = declare_change(&site);
     for call in 0..CALLS {
         let chat = Chat::new(format!("call-{call}"), MODEL, 4);
         let ending = chat.send(site.hosts()[call % 4].callers()).await;
@@ -96,7 +97,7 @@
         }
         if OUTAGE / 2 <= elapsed && !is_host_replaced {
             is_host_replaced = true;
-            number = change(&site);
+            number = declare_change(&site);
             site.kill(HOSTS - 1);
             site.restart(HOSTS - 1).await;
             site.wait_until_host_ready(HOSTS - 1).await;
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -5,7 +5,7 @@
 use common::{
     Answer,
     in_process::Fixture,
-    script::{Behavior, Script},
+    script::{Behavior, ScriptedServer},
     send, until,
 };
 use serde_json::json;
@@ -18,9 +18,10 @@
 const FREE_SLOTS: u32 = 2;
 
 /// A host with one server that never answers and has no free slot left.
-async fn full_server() -> (Fixture, Vec<Script>, Vec<JoinHandle<Answer>>) {
-    let servers =
-        vec![Script::start("lm-1", Kind::Engine, REPORTED_RUNNING, Behavior::NoAnswer).await];
+async fn full_server() -> (Fixture, Vec<ScriptedServer>, Vec<JoinHandle<Answer>>) {
+    let servers = vec![
+        ScriptedServer::start("lm-1", Kind::Engine, REPORTED_RUNNING, Behavior::NoAnswer).await,
+    ];
     let fixture = Fixture::start(&servers).await;
     let running = (0..FREE_SLOTS).map(|_| chat(&fixture, "60000")).collect();
     until("all free slots are taken", async || servers[0].requests() == FREE_SLOTS).await;
@@ -56,7 +57,7 @@
 
 #[tokio::test]
 async fn an_empty_list_takes_no_server_away() {
-    let servers = vec![Script::start("lm-1", Kind::Engine, 0, Behavior::Serve).await];
+    let servers = vec![ScriptedServer::start("lm-1", Kind::Engine, 0, Behavior::Serve).await];
     let fixture = Fixture::start(&servers).await;
     fixture.platform.set_list(Default::default());
     let before = fixture.platform.calls().lists;
--- a/crates/stage/tests/path.rs
+++ b/crates/stage/tests/path.rs
@@ -21,7 +21,7 @@
         assert_eq!(events.last().map(|e| e.data.as_str()), Some("[DONE]"));
         let offsets: Vec<u64> = events.iter().filter_map(|e| e.id).collect();
         assert_eq!(offsets, (0..12).collect::<Vec<u64>>());
-        assert_eq!(answer_text(&events), site.expected(&body, 12));
+        assert_eq!(answer_text(&events), site.expected_text(&body, 12));
     }
     site.shut_down().await;
 }
@@ -36,7 +36,7 @@
     let response = post_chat(site.hosts()[0].callers(), &body).await;
     assert_eq!(response.status, 200, "{}", response.text());
     let answer = response.json();
-    assert_eq!(answer["choices"][0]["message"]["content"], site.expected(&body, 5));
+    assert_eq!(answer["choices"][0]["message"]["content"], site.expected_text(&body, 5));
     site.shut_down().await;
 }
 
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -24,7 +24,7 @@
 /// Returns a random change that adds or removes a model or sets a model's version.
 ///
 /// Models in [`MODELS`], which are called all the time, are never removed.
-fn change(random: &mut ChaCha8Rng) -> Value {
+fn random_change(random: &mut ChaCha8Rng) -> Value {
     let other = format!("other-{}", random.random_range(0..3));
     let called = MODELS[random.random_range(0..MODELS.len())].to_owned();
     let version = format!("v{}", random.random_range(1..4));
@@ -80,7 +80,7 @@
     let mut number = 1;
     for step in 0..STEPS {
         let host = random.random_range(0..3);
-        let next = apply(&site, host, step, number, change(&mut random)).await;
+        let next = apply(&site, host, step, number, random_change(&mut random)).await;
         if number < next {
             for index in 0..3 {
                 until("the configuration is in force", async || next <= site.in_force(index).await)
--- a/crates/stage/tests/reachable.rs
+++ b/crates/stage/tests/reachable.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns a random change to the models, and the model that it removes, if any.
-fn change(
+fn random_change(
     rng: &mut ChaCha8Rng,
     step: u64,
     models: &[String],
@@ -130,7 +130,7 @@
             }
         }
         let names: Vec<String> = models.keys().cloned().collect();
-        let (changes, removed) = change(&mut rng, step, &names, memory);
+        let (changes, removed) = random_change(&mut rng, step, &names, memory);
         let mut offered = names;
         offered.extend(changes.as_object().unwrap().keys().cloned());
         offered.sort();
--- a/crates/stage/tests/retry.rs
+++ b/crates/stage/tests/retry.rs
@@ -9,7 +9,7 @@
 use common::{
     Answer, answer_text, events,
     in_process::Fixture,
-    script::{Behavior, Script, Step, token},
+    script::{Behavior, ScriptedServer, Step, token},
     send,
 };
 use rstest::rstest;
@@ -34,10 +34,10 @@
 /// Running requests that the second server reports, so that the first one, with 0, is tried first.
 const SECOND_RUNNING: u32 = 50;
 
-async fn servers(kind: Kind, behavior: Behavior) -> Vec<Script> {
+async fn servers(kind: Kind, behavior: Behavior) -> Vec<ScriptedServer> {
     vec![
-        Script::start("first", kind, 0, behavior).await,
-        Script::start("second", kind, SECOND_RUNNING, Behavior::Serve).await,
+        ScriptedServer::start("first", kind, 0, behavior).await,
+        ScriptedServer::start("second", kind, SECOND_RUNNING, Behavior::Serve).await,
     ]
 }
 
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use standin::routed::{
     links::Way,
-    server::Fault as Grey,
+    server::Fault as ServerFault,
     soak::{
         Plan, Summary, run,
         schedule::{self, Fault, Pairs, Planned},
@@ -39,8 +39,9 @@
 
 /// All services fail all requests from second `at` until second `end`.
 fn failing(at: u64, end: u64) -> impl Iterator<Item = Planned> {
-    let fault = |place| Fault::AllGrey(place, Grey::NotRun(StatusCode::SERVICE_UNAVAILABLE));
-    FIRST_SERVERS.map(|place| planned(at, end - at, fault(place))).into_iter()
+    let fault =
+        |server| Fault::AllGrey(server, ServerFault::NotRun(StatusCode::SERVICE_UNAVAILABLE));
+    FIRST_SERVERS.map(|server| planned(at, end - at, fault(server))).into_iter()
 }
 
 fn planned(at: u64, lasts: u64, fault: Fault) -> Planned {
@@ -48,13 +49,13 @@
 }
 
 /// All datagrams between hosts are lost for longer than a host counts silent hosts as present.
-fn partitioned() -> Vec<Planned> {
-    let partitioned = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
-    [partitioned].into_iter().chain(failing(42, 54)).collect()
+fn partition_schedule() -> Vec<Planned> {
+    let lost_datagrams = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
+    [lost_datagrams].into_iter().chain(failing(42, 54)).collect()
 }
 
 /// Each host is killed three times, one host after the other, while services fail.
-fn restarts() -> Vec<Planned> {
+fn restart_schedule() -> Vec<Planned> {
     let kill = |n: u32| Planned {
         at: Duration::from_secs(16) + Duration::from_millis(400) * n,
         lasts: Duration::from_millis(100),
@@ -65,7 +66,7 @@
 
 /// A request that crashes servers is sent all the time, while hosts are restarted in turn, one host
 /// receives no datagrams, and all hosts are killed at once.
-fn poison() -> Vec<Planned> {
+fn poison_schedule() -> Vec<Planned> {
     let kill = |at: u64, host| Planned {
         at: Duration::from_millis(at),
         lasts: Duration::from_millis(100),
@@ -84,7 +85,7 @@
 #[case::stream(2)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_crashes_servers_costs_few_and_nobody_else(#[case] seed: u64) {
-    let mut schedule = poison();
+    let mut schedule = poison_schedule();
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(seed, HOSTS, Duration::from_secs(25), schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
@@ -106,8 +107,8 @@
 }
 
 #[rstest]
-#[case::hosts_that_do_not_hear_each_other(partitioned())]
-#[case::hosts_that_are_restarted_in_series(restarts())]
+#[case::hosts_that_do_not_hear_each_other(partition_schedule())]
+#[case::hosts_that_are_restarted_in_series(restart_schedule())]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retries_keep_to_their_budget(#[case] mut schedule: Vec<Planned>) {
     let ends = schedule.iter().map(|planned| planned.at + planned.lasts);
