--- a/crates/stage/tests/common/caller.rs
+++ b/crates/stage/tests/common/caller.rs
@@ -1,7 +1,7 @@
-//! Callers that check every answer against the one right text, and count how their calls ended.
+//! Load generator that checks each answer against the only valid text and records how calls ended.
 //!
-//! A caller does what a portal behind the platform's balancer does: it goes to a host that says it
-//! is ready, and to the next one when a connection can't be made.
+//! A caller acts like a client behind the platform's load balancer: it calls a host that reports
+//! ready, and the next one if it cannot connect.
 
 use std::{
     net::SocketAddr,
@@ -22,31 +22,32 @@
 use standin::engine;
 use tokio::task::JoinHandle;
 
-use super::{PATIENCE, answer_text, events, try_send};
+use super::{TIMEOUT, answer_text, events, try_send};
 
 /// How one call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With the whole right answer.
-    Whole,
-    /// With a problem document, or a stream that ended with one; what it said of the run.
+    /// The full expected answer.
+    Complete,
+    /// A problem document, or a stream that ended with one. `name` is the last part of its type,
+    /// `ran` states whether the request ran.
     Problem { name: String, ran: String },
-    /// The connection was made and broke without a word.
-    Cut,
-    /// No connection was made.
-    Unreached,
-    /// With something that is not its answer.
+    /// The established connection broke without a problem document.
+    Disconnected,
+    /// The connection could not be established.
+    ConnectFailed,
+    /// Anything else, such as another text or a timeout, with a description.
     Wrong(String),
 }
 
 impl Ending {
-    /// Whether it was refused as not run.
+    /// Whether the call was refused with `did-not-run`.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Ending::Problem { ran, .. } if ran == "did-not-run")
     }
 }
 
-/// One streamed chat.
+/// A streamed chat request; `key` is its idempotency key and part of its prompt.
 #[derive(Clone, Debug)]
 pub struct Chat {
     pub key: String,
@@ -66,67 +67,71 @@
         })
     }
 
-    fn right(&self) -> String {
+    fn expected_text(&self) -> String {
         let prompt = self.body()["messages"].to_string();
         (0..self.tokens).map(|offset| engine::token(&prompt, offset)).collect()
     }
 
-    /// Sends it to one host, under its key, and judges the answer.
+    /// Sends the request to one host and checks the answer.
     pub async fn send(&self, address: SocketAddr) -> Ending {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         let request = http::Request::post(format!("http://{address}/v1/chat/completions"))
             .header(engine::IDEMPOTENCY_KEY, &self.key)
             .body(Full::new(Bytes::from(self.body().to_string())))
             .expect("a request");
-        let response = match tokio::time::timeout(PATIENCE, client.request(request)).await {
-            Err(_) => return Ending::Wrong("no answer within patience".into()),
-            Ok(Err(error)) if error.is_connect() => return Ending::Unreached,
-            Ok(Err(_)) => return Ending::Cut,
+        let response = match tokio::time::timeout(TIMEOUT, client.request(request)).await {
+            Err(_) => return Ending::Wrong("no answer within the time limit".into()),
+            Ok(Err(error)) if error.is_connect() => return Ending::ConnectFailed,
+            Ok(Err(_)) => return Ending::Disconnected,
             Ok(Ok(response)) => response,
         };
         let is_stream = response.status() == http::StatusCode::OK;
-        let (text, end) = read(response.into_body()).await;
+        let (text, end) = read_body(response.into_body()).await;
         match (is_stream, end) {
-            (_, End::Never) => Ending::Wrong(format!("{}: no end within patience", self.key)),
-            (true, end) => self.judge(&text, end),
-            (false, End::Cut) => Ending::Cut,
-            (false, End::Clean) => problem(&text),
+            (_, BodyEnd::TimedOut) => {
+                Ending::Wrong(format!("{}: the body did not end within the time limit", self.key))
+            }
+            (true, end) => self.classify(&text, end),
+            (false, BodyEnd::Aborted) => Ending::Disconnected,
+            (false, BodyEnd::Eof) => problem(&text),
         }
     }
 
-    fn judge(&self, text: &str, end: End) -> Ending {
+    fn classify(&self, text: &str, end: BodyEnd) -> Ending {
         let events = events(text);
-        let (heard, right) = (answer_text(&events), self.right());
-        if !right.starts_with(&heard) {
-            return Ending::Wrong(format!("{}: heard {heard:?}, right is {right:?}", self.key));
+        let (received, expected) = (answer_text(&events), self.expected_text());
+        if !expected.starts_with(&received) {
+            return Ending::Wrong(format!(
+                "{}: received {received:?}, expected {expected:?}",
+                self.key
+            ));
         }
         let last = events.last().map_or("", |event| event.data.as_str());
         match last {
-            "[DONE]" if heard == right => Ending::Whole,
-            "[DONE]" => Ending::Wrong(format!("{}: ended after {heard:?}", self.key)),
+            "[DONE]" if received == expected => Ending::Complete,
+            "[DONE]" => Ending::Wrong(format!("{}: [DONE] after {received:?}", self.key)),
             data if data.contains("\"ran\"") => problem(data),
-            _ if end == End::Cut => Ending::Cut,
-            _ => Ending::Wrong(format!("{}: ended without an end mark", self.key)),
+            _ if end == BodyEnd::Aborted => Ending::Disconnected,
+            _ => Ending::Wrong(format!("{}: the stream ended without [DONE]", self.key)),
         }
     }
 }
 
-/// How a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    Clean,
-    Cut,
-    Never,
+enum BodyEnd {
+    Eof,
+    Aborted,
+    TimedOut,
 }
 
-async fn read(mut body: hyper::body::Incoming) -> (String, End) {
+async fn read_body(mut body: hyper::body::Incoming) -> (String, BodyEnd) {
     let mut text = Vec::new();
     let end = loop {
-        match tokio::time::timeout(PATIENCE, body.frame()).await {
+        match tokio::time::timeout(TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => text.extend(frame.into_data().unwrap_or_default()),
-            Ok(Some(Err(_))) => break End::Cut,
-            Ok(None) => break End::Clean,
-            Err(_) => break End::Never,
+            Ok(Some(Err(_))) => break BodyEnd::Aborted,
+            Ok(None) => break BodyEnd::Eof,
+            Err(_) => break BodyEnd::TimedOut,
         }
     };
     (String::from_utf8_lossy(&text).into_owned(), end)
@@ -143,128 +148,131 @@
     }
 }
 
-/// How the calls of a crowd ended.
+/// Keys of ended calls, and how each call ended.
 #[derive(Debug, Default)]
 pub struct Endings(Mutex<Vec<(String, Ending)>>);
 
 impl Endings {
     fn add(&self, key: &str, ending: Ending) {
-        self.0.lock().expect("no panic while adding").push((key.into(), ending));
+        self.0.lock().expect("lock is not poisoned").push((key.into(), ending));
     }
 
     pub fn all(&self) -> Vec<(String, Ending)> {
-        self.0.lock().expect("no panic while adding").clone()
+        self.0.lock().expect("lock is not poisoned").clone()
     }
 
-    pub fn whole(&self) -> usize {
-        self.all().iter().filter(|(_, ending)| *ending == Ending::Whole).count()
+    pub fn complete_count(&self) -> usize {
+        self.all().iter().filter(|(_, ending)| *ending == Ending::Complete).count()
     }
 
-    /// Those that did not end with their whole answer.
-    pub fn others(&self) -> Vec<(String, Ending)> {
-        self.all().into_iter().filter(|(_, ending)| *ending != Ending::Whole).collect()
+    /// Calls that ended without their full expected answer.
+    pub fn failures(&self) -> Vec<(String, Ending)> {
+        self.all().into_iter().filter(|(_, ending)| *ending != Ending::Complete).collect()
     }
 
-    /// Those that a caller must never see: cut without a word, or wrong.
-    pub fn broken(&self) -> Vec<(String, Ending)> {
-        let is_broken = |ending: &Ending| matches!(ending, Ending::Cut | Ending::Wrong(_));
-        self.all().into_iter().filter(|(_, ending)| is_broken(ending)).collect()
+    /// Calls that ended as no call may: disconnected without a problem document, or wrong.
+    pub fn violations(&self) -> Vec<(String, Ending)> {
+        let is_violation =
+            |ending: &Ending| matches!(ending, Ending::Disconnected | Ending::Wrong(_));
+        self.all().into_iter().filter(|(_, ending)| is_violation(ending)).collect()
     }
 }
 
-/// A host as a caller's balancer knows it.
+/// Addresses at which a load balancer calls and probes a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Entrance {
+pub struct HostAddresses {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
 }
 
-/// What each call of a crowd asks for.
+/// Requests of a load generator: chats of `tokens` tokens, the models in turn.
+///
+/// `name` is the prefix of the calls' keys.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Workload {
     pub name: &'static str,
     pub models: Vec<String>,
     pub tokens: u64,
 }
 
-/// Callers at work until told to stop; the number of calls is bounded all the same.
-pub struct Crowd {
+/// Concurrent callers that send requests until stopped, at most [`MAX_CALLS`] in total.
+pub struct LoadGenerator {
     endings: Arc<Endings>,
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
 }
 
-const MOST_CALLS: u64 = 2_000;
+const MAX_CALLS: u64 = 2_000;
 
-impl Crowd {
-    /// Sets so many callers to work, each with one call after the other.
-    pub fn start(callers: usize, entrances: &[Entrance], ask: Ask) -> Crowd {
+impl LoadGenerator {
+    /// Starts callers, each of which sends one request after the other.
+    pub fn start(callers: usize, hosts: &[HostAddresses], workload: Workload) -> LoadGenerator {
         let (endings, stop) = (Arc::new(Endings::default()), Arc::new(AtomicBool::new(false)));
         let calls = Arc::new(AtomicU64::new(0));
-        let work = (0..callers).map(|place| {
-            let mut entrances = entrances.to_vec();
-            let turn = place % entrances.len();
-            entrances.rotate_left(turn);
+        let work = (0..callers).map(|index| {
+            let mut hosts = hosts.to_vec();
+            let first = index % hosts.len();
+            hosts.rotate_left(first);
             let (endings, stop, calls) = (endings.clone(), stop.clone(), calls.clone());
-            tokio::spawn(call(entrances, ask.clone(), endings, stop, calls))
+            tokio::spawn(call(hosts, workload.clone(), endings, stop, calls))
         });
         let callers = work.collect();
-        Crowd { endings, stop, callers }
+        LoadGenerator { endings, stop, callers }
     }
 
     pub fn endings(&self) -> &Endings {
         &self.endings
     }
 
-    /// Lets every call under way come to its end, and returns how all ended.
+    /// Waits for the calls in flight to end, and returns how all calls ended.
     pub async fn stop(self) -> Arc<Endings> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            caller.await.expect("a caller that doesn't panic");
+            caller.await.expect("caller task must not panic");
         }
         self.endings
     }
 }
 
 async fn call(
-    mut entrances: Vec<Entrance>,
-    ask: Ask,
+    mut hosts: Vec<HostAddresses>,
+    workload: Workload,
     endings: Arc<Endings>,
     stop: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
 ) {
     while !stop.load(Ordering::Relaxed) {
         let number = calls.fetch_add(1, Ordering::Relaxed);
-        if MOST_CALLS <= number {
+        if MAX_CALLS <= number {
             return;
         }
-        let model = &ask.models[number as usize % ask.models.len()];
-        let chat = Chat::new(format!("{}-{number}", ask.name), model, ask.tokens);
-        let ending = through_balancer(&mut entrances, &chat).await;
+        let model = &workload.models[number as usize % workload.models.len()];
+        let chat = Chat::new(format!("{}-{number}", workload.name), model, workload.tokens);
+        let ending = send_through_balancer(&mut hosts, &chat).await;
         endings.add(&chat.key, ending);
     }
 }
 
-/// Sends a chat to the next host that is ready and can be reached.
-async fn through_balancer(entrances: &mut [Entrance], chat: &Chat) -> Ending {
-    for _ in 0..entrances.len() {
-        entrances.rotate_left(1);
-        let entrance = entrances[0];
-        if !is_ready(entrance).await {
+/// Sends a chat to the next host that is ready and accepts the connection.
+async fn send_through_balancer(hosts: &mut [HostAddresses], chat: &Chat) -> Ending {
+    for _ in 0..hosts.len() {
+        hosts.rotate_left(1);
+        let host = hosts[0];
+        if !is_ready(host).await {
             continue;
         }
-        match chat.send(entrance.callers).await {
-            Ending::Unreached => {}
+        match chat.send(host.callers).await {
+            Ending::ConnectFailed => {}
             ending => return ending,
         }
     }
-    Ending::Unreached
+    Ending::ConnectFailed
 }
 
-/// A balancer's probe, which gives up on a host that doesn't answer in time.
-async fn is_ready(entrance: Entrance) -> bool {
-    const PROBE_TIME: Duration = Duration::from_secs(2);
-    let probe = try_send(entrance.operators, "GET", "/ready", &[], "");
-    let answer = tokio::time::timeout(PROBE_TIME, probe).await;
+/// Probes a host as a load balancer does; a host that does not answer in time is not ready.
+async fn is_ready(host: HostAddresses) -> bool {
+    const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+    let probe = try_send(host.operators, "GET", "/ready", &[], "");
+    let answer = tokio::time::timeout(PROBE_TIMEOUT, probe).await;
     answer.is_ok_and(|answer| answer.is_some_and(|answer| answer.status == 200))
 }
--- a/crates/stage/tests/common/inside.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -1,4 +1,4 @@
-//! A host within the test's own process, before scripted backend servers.
+//! A host in the test's process, with scripted backend servers.
 
 use serde_json::json;
 use stage::Running;
@@ -8,23 +8,25 @@
     host::{List, Listed},
 };
 
-use super::{get, script::Script, until};
+use super::{get, script::ScriptedServer, until};
 
-/// A host within the test's own process.
-pub struct Inside {
+/// A host in the test's process and the stand-in platform that it uses.
+pub struct Fixture {
     pub host: Running,
     pub platform: Platform,
 }
 
-impl Inside {
-    /// Starts it before these servers. It reads each server's report once and then rarely, so that
-    /// only the requests show what becomes of a server.
-    pub async fn start(servers: &[Script]) -> Inside {
-        Inside::start_with(servers, json!({})).await
+impl Fixture {
+    /// Starts a host and waits until it is ready and has a report from each server.
+    ///
+    /// The host reads each server's report once and then every 600 s, so that it learns of a
+    /// server's failure from requests only.
+    pub async fn start(servers: &[ScriptedServer]) -> Fixture {
+        Fixture::start_with(servers, json!({})).await
     }
 
-    /// As [`Inside::start`], with these bounds on callers.
-    pub async fn start_with(servers: &[Script], bounds: serde_json::Value) -> Inside {
+    /// As [`Fixture::start`], with the given `bounds` settings for callers.
+    pub async fn start_with(servers: &[ScriptedServer], bounds: serde_json::Value) -> Fixture {
         let platform = Platform::start().await.expect("platform");
         let config = json!({
             "customers": {"guests": {}},
@@ -57,14 +59,14 @@
         });
         let settings = serde_json::from_value(settings).expect("settings");
         let host = stage::start(settings).await.expect("host");
-        let inside = Inside { host, platform };
-        let operators = inside.host.context().host().operators;
+        let fixture = Fixture { host, platform };
+        let operators = fixture.host.context().host().operators;
         until("the host is ready", async || {
             let Some(status) = get(operators, "/status").await else { return false };
             status["ready"] == true && status["reporting"] == servers.len()
         })
         .await;
-        inside
+        fixture
     }
 
     pub fn callers(&self) -> std::net::SocketAddr {
@@ -72,14 +74,14 @@
     }
 }
 
-fn entry(script: &Script) -> backend::Entry {
-    let group = if script.kind == Kind::Engine { "lm" } else { "app" };
+fn entry(scripted: &ScriptedServer) -> backend::Entry {
+    let group = if scripted.kind == Kind::Engine { "lm" } else { "app" };
     let server = Server {
-        id: script.id.as_str().into(),
+        id: scripted.id.as_str().into(),
         group: group.into(),
-        kind: script.kind,
+        kind: scripted.kind,
         zone: "biloxi-hall".into(),
-        address: script.address,
+        address: scripted.address,
     };
     backend::Entry { server, state: Listed::Live }
 }
--- a/crates/stage/tests/common/mod.rs
+++ b/crates/stage/tests/common/mod.rs
@@ -1,39 +1,39 @@
-//! A small site for tests: stand-ins in this process, hosts as processes of their own, and, where a
-//! test asks for them, a fault proxy on every link.
+//! Test site: stand-in platform and backend servers in the test's process, hosts as child processes
+//! and, where a test enables them, a fault proxy on every connection.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the helpers")]
 
 mod caller;
 mod http;
-pub mod inside;
+pub mod in_process;
 mod links;
+mod observability;
 mod process;
 pub mod script;
-mod seen;
 mod site;
 
 pub use self::{
-    caller::{Ask, Chat, Crowd, Ending, Endings, Entrance},
+    caller::{Chat, Ending, Endings, HostAddresses, LoadGenerator, Workload},
     http::{Answer, Event, answer_text, events, get, post_chat, send, try_send},
     links::Links,
+    observability::{metric_value, metrics, records},
     process::Process,
-    seen::{metrics, records, value},
     site::{Builder, Site},
 };
 
 use std::time::Duration;
 
-/// How long a test waits for what must come; far more than it takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of each wait; far longer than any awaited condition takes on a loaded machine.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls a condition, and fails by name when patience ends.
+/// Polls a condition every [`POLL_INTERVAL`]; panics with its description after [`TIMEOUT`].
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -1,11 +1,11 @@
-//! Hosts that act together, as real processes: what spreads, what an outage of the platform leaves
-//! standing, and what becomes of hosts and servers that die, leave or pause.
+//! Membership of real host processes: how configurations spread, what works during an outage of the
+//! platform, and how hosts and servers that die, leave or pause are treated.
 
 mod common;
 
 use std::net::SocketAddr;
 
-use common::{Ask, Builder, Chat, Crowd, Ending, Site, get, until};
+use common::{Builder, Chat, Ending, LoadGenerator, Site, Workload, get, until};
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use standin::{engine, fault};
@@ -14,54 +14,54 @@
 const MODEL: &str = "welcome";
 const ZONES: usize = 4;
 
-fn lm(place: usize) -> engine::Settings {
-    engine::Settings::new(&format!("lm-{place}")).with_model(MODEL, "1", 1000)
+fn engine_settings(index: usize) -> engine::Settings {
+    engine::Settings::new(&format!("lm-{index}")).with_model(MODEL, "1", 1000)
 }
 
-fn ask(name: &'static str) -> Ask {
-    Ask { name, models: vec![MODEL.into()], tokens: 8 }
+fn workload(name: &'static str) -> Workload {
+    Workload { name, models: vec![MODEL.into()], tokens: 8 }
 }
 
-/// Declares a change; gives its number.
-fn change(site: &Site) -> u64 {
+/// Declares a changed configuration and returns its number.
+fn declare_change(site: &Site) -> u64 {
     site.declare(|config| config["weights"] = json!({"attainment": 1.0, "moves": 2.0}))
 }
 
-async fn members(site: &Site, place: usize) -> Value {
-    get(site.hosts()[place].operators(), "/members").await.unwrap_or_default()
+async fn members(site: &Site, index: usize) -> Value {
+    get(site.hosts()[index].operators(), "/members").await.unwrap_or_default()
 }
 
-async fn standing(site: &Site, at: usize, of: usize) -> Value {
-    members(site, at).await["hosts"][format!("host-{of}")].clone()
+async fn liveness(site: &Site, observer: usize, subject: usize) -> Value {
+    members(site, observer).await["hosts"][format!("host-{subject}")].clone()
 }
 
-async fn until_standing(site: &Site, of: usize, wanted: &str) {
-    for at in (0..site.hosts().len()).filter(|at| *at != of) {
-        until(&format!("host {at} takes host {of} for {wanted}"), async || {
-            standing(site, at, of).await == wanted
+async fn until_liveness(site: &Site, subject: usize, expected: &str) {
+    for observer in (0..site.hosts().len()).filter(|observer| *observer != subject) {
+        until(&format!("host {observer} takes host {subject} for {expected}"), async || {
+            liveness(site, observer, subject).await == expected
         })
         .await;
     }
 }
 
-async fn until_whole(site: &Site) {
-    for of in 0..site.hosts().len() {
-        until_standing(site, of, "live").await;
+async fn until_all_live(site: &Site) {
+    for subject in 0..site.hosts().len() {
+        until_liveness(site, subject, "live").await;
     }
 }
 
-async fn watchers(site: &Site) -> usize {
+async fn watcher_count(site: &Site) -> usize {
     let mut watchers = 0;
-    for place in 0..site.hosts().len() {
-        watchers += usize::from(members(site, place).await["watching"] == true);
+    for index in 0..site.hosts().len() {
+        watchers += usize::from(members(site, index).await["watching"] == true);
     }
     watchers
 }
 
 async fn until_in_force(site: &Site, number: u64) {
-    for place in 0..site.hosts().len() {
-        until(&format!("number {number} is in force on host {place}"), async || {
-            site.in_force(place).await == number
+    for index in 0..site.hosts().len() {
+        until(&format!("configuration {number} is in force on host {index}"), async || {
+            site.in_force(index).await == number
         })
         .await;
     }
@@ -69,177 +69,190 @@
 
 #[tokio::test]
 async fn a_configuration_reaches_every_host_though_few_watch() {
-    let site = Builder::new(6).engine(lm(0)).start().await;
-    until_whole(&site).await;
-    until("one host in each zone watches", async || watchers(&site).await == ZONES).await;
+    let site = Builder::new(6).engine(engine_settings(0)).start().await;
+    until_all_live(&site).await;
+    until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
+        .await;
     for _ in 0..10 {
-        let number = change(&site);
+        let number = declare_change(&site);
         until_in_force(&site, number).await;
     }
-    assert_eq!(watchers(&site).await, ZONES);
-    site.end().await;
+    assert_eq!(watcher_count(&site).await, ZONES);
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn others_watch_when_every_watcher_is_killed() {
-    let mut site = Builder::new(6).engine(lm(0)).start().await;
-    until_whole(&site).await;
-    until("one host in each zone watches", async || watchers(&site).await == ZONES).await;
-    // Who watches is read before the first one is killed, since another host then takes its place.
+    let mut site = Builder::new(6).engine(engine_settings(0)).start().await;
+    until_all_live(&site).await;
+    until("one host per zone watches the platform", async || watcher_count(&site).await == ZONES)
+        .await;
+    // Reads all watchers before the first kill, since another host then takes over its watch.
     let mut watching = Vec::new();
-    for place in 0..6 {
-        watching.push(members(&site, place).await["watching"] == true);
+    for index in 0..6 {
+        watching.push(members(&site, index).await["watching"] == true);
     }
-    let (killed, left): (Vec<usize>, Vec<usize>) = (0..6).partition(|place| watching[*place]);
-    for place in killed {
-        site.kill(place);
+    let (killed, remaining): (Vec<usize>, Vec<usize>) = (0..6).partition(|index| watching[*index]);
+    for index in killed {
+        site.kill(index);
     }
-    let number = change(&site);
-    for place in &left {
-        until("the number is in force", async || site.in_force(*place).await == number).await;
+    let number = declare_change(&site);
+    for index in &remaining {
+        until("the configuration is in force", async || site.in_force(*index).await == number)
+            .await;
     }
-    assert_eq!(left.len(), 2);
+    assert_eq!(remaining.len(), 2);
 }
 
 #[tokio::test]
 async fn a_host_that_starts_while_the_platform_is_down_serves_by_what_its_peers_have() {
-    let mut site = Builder::new(3).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
-    let number = change(&site);
+    let mut site =
+        Builder::new(3).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
+    until_all_live(&site).await;
+    let number = declare_change(&site);
     until_in_force(&site, number).await;
     site.platform.fault(|fault| fault.down = true);
     site.kill(2);
     let seeds: Vec<SocketAddr> = site.hosts()[..2].iter().map(|host| host.host.peers).collect();
     site.change_settings(move |settings| settings["peers"] = json!(seeds));
     site.restart(2).await;
-    site.host_ready(2).await;
+    site.wait_until_host_ready(2).await;
     assert_eq!(site.in_force(2).await, number);
     let ending = Chat::new("after", MODEL, 6).send(site.hosts()[2].callers()).await;
-    assert_eq!(ending, Ending::Whole);
+    assert_eq!(ending, Ending::Complete);
 }
 
 #[tokio::test]
 async fn serving_goes_on_in_an_outage_of_the_platform_and_a_change_waits_for_its_end() {
-    let site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
+    let site = Builder::new(4).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
+    until_all_live(&site).await;
     site.platform.fault(|fault| fault.down = true);
-    let crowd = Crowd::start(8, &site.entrances(), ask("outage"));
+    let generator = LoadGenerator::start(8, &site.host_addresses(), workload("outage"));
     let before = site.platform.calls();
-    let number = change(&site);
+    let number = declare_change(&site);
     let enough = 200;
-    until("calls are answered", async || enough <= crowd.endings().whole()).await;
-    for place in 0..4 {
-        assert!(site.in_force(place).await < number, "the platform was down");
+    until("enough calls have completed", async || enough <= generator.endings().complete_count())
+        .await;
+    for index in 0..4 {
+        assert!(
+            site.in_force(index).await < number,
+            "a change came into force while the platform was down"
+        );
     }
     let refused = site.platform.calls().refused - before.refused;
-    assert!(0 < refused, "nobody asked the platform");
+    assert!(0 < refused, "no host called the platform");
     site.platform.fault(|fault| fault.down = false);
     until_in_force(&site, number).await;
-    assert_eq!(crowd.stop().await.others(), []);
-    site.end().await;
+    assert_eq!(generator.stop().await.failures(), []);
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn each_host_in_turn_is_killed_under_load_and_only_its_own_calls_suffer() {
-    let mut site = Builder::new(4).engine(lm(0)).engine(lm(1)).start().await;
-    until_whole(&site).await;
-    for place in 0..4 {
+    let mut site =
+        Builder::new(4).engine(engine_settings(0)).engine(engine_settings(1)).start().await;
+    until_all_live(&site).await;
+    for index in 0..4 {
         let others: Vec<_> = site
-            .entrances()
+            .host_addresses()
             .into_iter()
             .enumerate()
-            .filter(|(other, _)| *other != place)
-            .map(|(_, entrance)| entrance)
+            .filter(|(other, _)| *other != index)
+            .map(|(_, addresses)| addresses)
             .collect();
-        let crowd = Crowd::start(6, &others, ask("killed"));
-        let whole = async |count: usize| {
-            until("calls are answered", async || count <= crowd.endings().whole()).await;
+        let generator = LoadGenerator::start(6, &others, workload("killed"));
+        let until_complete = async |count: usize| {
+            until("enough calls have completed", async || {
+                count <= generator.endings().complete_count()
+            })
+            .await;
         };
-        whole(20).await;
-        site.kill(place);
-        until_standing(&site, place, "gone").await;
-        let done = crowd.endings().whole();
-        whole(done + 20).await;
-        site.restart(place).await;
-        site.host_ready(place).await;
-        until_whole(&site).await;
+        until_complete(20).await;
+        site.kill(index);
+        until_liveness(&site, index, "gone").await;
+        let complete = generator.endings().complete_count();
+        until_complete(complete + 20).await;
+        site.restart(index).await;
+        site.wait_until_host_ready(index).await;
+        until_all_live(&site).await;
         assert_eq!(
-            crowd.stop().await.others(),
+            generator.stop().await.failures(),
             [],
-            "host {place} was killed, others' calls failed"
+            "calls to other hosts failed after host {index} was killed"
         );
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_host_that_was_paused_comes_back_with_the_newest_number() {
-    let site = Builder::new(4).engine(lm(0)).start().await;
-    until_whole(&site).await;
+    let site = Builder::new(4).engine(engine_settings(0)).start().await;
+    until_all_live(&site).await;
     site.hosts()[1].signal(Signal::SIGSTOP);
-    until_standing(&site, 1, "gone").await;
-    let number = change(&site);
-    for place in [0, 2, 3] {
-        until("the number is in force", async || site.in_force(place).await == number).await;
+    until_liveness(&site, 1, "gone").await;
+    let number = declare_change(&site);
+    for index in [0, 2, 3] {
+        until("the configuration is in force", async || site.in_force(index).await == number).await;
     }
     site.hosts()[1].signal(Signal::SIGCONT);
     until_in_force(&site, number).await;
-    until_whole(&site).await;
-    site.end().await;
+    until_all_live(&site).await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_host_that_drains_is_leaving_for_all_though_the_list_calls_it_live() {
     let mut site = Builder::new(3)
-        .engine(lm(0))
+        .engine(engine_settings(0))
         .settings(|settings| settings["drain"]["balancer_ms"] = json!(3000))
         .start()
         .await;
-    until_whole(&site).await;
+    until_all_live(&site).await;
     site.hosts()[0].signal(Signal::SIGTERM);
-    until_standing(&site, 0, "leaving").await;
-    assert_eq!(site.hosts_mut()[0].ended().await, Some(0));
+    until_liveness(&site, 0, "leaving").await;
+    assert_eq!(site.hosts_mut()[0].wait_for_exit().await, Some(0));
 }
 
 #[tokio::test]
 async fn a_host_that_the_list_calls_leaving_is_leaving_for_all() {
-    let mut site = Builder::new(3).engine(lm(0)).start().await;
-    until_whole(&site).await;
-    site.list_host(1, Listed::Leaving);
-    until_standing(&site, 1, "leaving").await;
-    site.list_host(1, Listed::Live);
-    until_standing(&site, 1, "live").await;
-    site.end().await;
+    let mut site = Builder::new(3).engine(engine_settings(0)).start().await;
+    until_all_live(&site).await;
+    site.set_list_state(1, Listed::Leaving);
+    until_liveness(&site, 1, "leaving").await;
+    site.set_list_state(1, Listed::Live);
+    until_liveness(&site, 1, "live").await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn an_empty_list_leaves_hosts_and_servers_in_place() {
-    let site = Builder::new(3).engine(lm(0)).start().await;
-    until_whole(&site).await;
+    let site = Builder::new(3).engine(engine_settings(0)).start().await;
+    until_all_live(&site).await;
     let lists = site.platform.calls().lists;
     site.platform.set_list(Default::default());
-    until("each host has read it", async || lists + 12 <= site.platform.calls().lists).await;
-    for place in 0..3 {
-        let status = get(site.hosts()[place].operators(), "/status").await.unwrap_or_default();
+    until("each host has read the empty list", async || lists + 12 <= site.platform.calls().lists)
+        .await;
+    for index in 0..3 {
+        let status = get(site.hosts()[index].operators(), "/status").await.unwrap_or_default();
         assert_eq!(status["servers"], 1);
-        let ending = Chat::new(format!("empty-{place}"), MODEL, 4);
-        assert_eq!(ending.send(site.hosts()[place].callers()).await, Ending::Whole);
+        let ending = Chat::new(format!("empty-{index}"), MODEL, 4);
+        assert_eq!(ending.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
-    until_whole(&site).await;
-    site.end().await;
+    until_all_live(&site).await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn a_host_cut_off_from_its_peers_goes_on_serving_and_joins_again() {
-    let site = Builder::new(3).engine(lm(0)).linked().start().await;
-    until_whole(&site).await;
+    let site = Builder::new(3).engine(engine_settings(0)).with_proxies().start().await;
+    until_all_live(&site).await;
     site.links().peers(0).set_new_connections(fault::NewConnections::Reset);
     site.links().peers(0).reset_connections();
-    let number = change(&site);
+    let number = declare_change(&site);
     until_in_force(&site, number).await;
     let chat = Chat::new("cut", MODEL, 4);
-    assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Whole);
+    assert_eq!(chat.send(site.hosts()[0].callers()).await, Ending::Complete);
     site.links().peers(0).set_new_connections(fault::NewConnections::Accept);
-    until_whole(&site).await;
-    site.end().await;
+    until_all_live(&site).await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -1,6 +1,6 @@
-//! Accelerator memory is never promised twice: hosts as processes, orders and answers that are
-//! lost or late, planners that die, rest or race, an object API that fails, engines that restart.
-//! The stand-in engine keeps the true memory and counts every overcommit.
+//! Accelerator memory is never reserved twice: host processes with lost or late orders and
+//! answers, with planners that are killed, paused or race, with a failing object API and with
+//! engines that restart. The stand-in engine tracks its actual memory and counts each overcommit.
 
 mod site;
 
@@ -17,13 +17,13 @@
 use serde_json::Value;
 use standin::{engine, fault::Interception, weights};
 
-use crate::site::{CAPACITY, LATENESS, LINGER, MODEL, Site, engine, until};
+use crate::site::{CAPACITY, LINGER, MODEL_MEMORY, ORDER_DELAY, Site, engine, until};
 
-const LEASE: u64 = 600;
+const LEASE_MS: u64 = 600;
 const PUT_LEDGER: &str = "PUT /objects/ledger/lm-0";
-const ORDER: &str = "POST /orders";
+const POST_ORDER: &str = "POST /orders";
 
-/// What goes wrong while models take turns in memory.
+/// Fault that is injected after each declaration while models replace each other in memory.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     OrdersLost,
@@ -54,13 +54,13 @@
         }
     }
 
-    async fn strike(self, site: &Site) {
+    async fn inject(self, site: &Site) {
         let engine = &site.engines[0];
         match self {
             Trouble::OrdersLost => engine.fault(|fault| fault.lost_orders = 1),
             Trouble::OrdersLate => engine.fault(|fault| {
                 fault.late_orders = 1;
-                fault.lateness = LATENESS;
+                fault.lateness = ORDER_DELAY;
             }),
             Trouble::AcksLost => engine.fault(|fault| fault.lost_acks = 2),
             Trouble::PlatformDown => {
@@ -71,9 +71,9 @@
             }
             Trouble::PlatformAnswersLost => site.platform.fault(|fault| fault.lost_answers = 3),
             Trouble::EngineRestarts => {
-                until("the engine is loading", async || !engine.residents().is_empty()).await;
+                until("the engine loads a model", async || !engine.residents().is_empty()).await;
                 engine.crash();
-                engine.restart().await.expect("the same port");
+                engine.restart().await.expect("restart on the same port");
             }
             Trouble::ReportsLate => {}
         }
@@ -95,29 +95,29 @@
     trouble: Trouble,
     #[values(true, false)] fenced: bool,
 ) {
-    let mut site = Site::start(2, vec![trouble.settings(fenced)], LEASE).await;
+    let mut site = Site::start(2, vec![trouble.settings(fenced)], LEASE_MS).await;
     for model in ["a", "b", "a"] {
         site.declare(&[model]);
-        trouble.strike(&site).await;
-        site.holds(model).await;
+        trouble.inject(&site).await;
+        site.wait_until_loaded(model).await;
     }
-    site.ends_well().await;
+    site.check_no_overcommit().await;
 }
 
-/// A late order to load is still on its way when its model is given up for another.
+/// A load order is still in flight when another model is declared in place of the one it loads.
 #[rstest]
 #[tokio::test]
 async fn late_load_finds_its_memory_still_reserved(#[values(true, false)] fenced: bool) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
     site.engines[0].fault(|fault| {
         fault.late_orders = 1;
-        fault.lateness = LATENESS;
+        fault.lateness = ORDER_DELAY;
     });
     site.declare(&["a"]);
-    until("the load is reserved", async || !open(&site).is_empty()).await;
+    until("the load is reserved", async || !open_orders(&site).is_empty()).await;
     site.declare(&["b"]);
-    site.holds("b").await;
-    site.ends_well().await;
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
@@ -125,18 +125,22 @@
 async fn planner_that_dies_before_its_order_leaves_memory_covered_until_it_is_gone(
     #[values(true, false)] fenced: bool,
 ) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let interceptor = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
     site.declare(&["a"]);
-    held.triggered().await;
-    assert_eq!(open(&site).len(), 1, "reserved, and its sender does not know yet");
+    interceptor.triggered().await;
+    assert_eq!(
+        open_orders(&site).len(),
+        1,
+        "expected one reserved order while the answer to its sender is held back"
+    );
     site.hosts[planner].kill();
-    held.release();
+    interceptor.release();
     site.declare(&["b"]);
-    site.delist(planner);
-    site.holds("b").await;
-    site.ends_well().await;
+    site.remove_from_list(planner);
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
@@ -145,42 +149,45 @@
     #[values(true, false)] fenced: bool,
     #[values(Interception::HoldAnswer, Interception::HoldRequest)] strike: Interception,
 ) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_engine[0].intercept(ORDER, strike);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let interceptor = site.to_engine[0].intercept(POST_ORDER, strike);
     site.declare(&["a"]);
-    held.triggered().await;
+    interceptor.triggered().await;
     site.hosts[planner].kill();
     site.declare(&["b"]);
     site.restart(planner);
-    tokio::time::sleep(LATENESS).await;
-    held.release();
-    site.holds("b").await;
-    site.ends_well().await;
+    tokio::time::sleep(ORDER_DELAY).await;
+    interceptor.release();
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn paused_planner_resumes_with_an_order_in_its_hand(#[values(true, false)] fenced: bool) {
-    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE).await;
-    let planner = site.some_planner().await;
-    let held = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
+    let mut site = Site::start(2, vec![engine(0, fenced)], LEASE_MS).await;
+    let planner = site.wait_for_planner().await;
+    let interceptor = site.to_platform[planner].intercept(PUT_LEDGER, Interception::HoldAnswer);
     site.declare(&["a"]);
-    held.triggered().await;
+    interceptor.triggered().await;
     site.hosts[planner].pause().await;
-    held.release();
-    until("another host plans", async || site.planner().is_some_and(|p| p != planner)).await;
+    interceptor.release();
+    until("another host holds the planning lease", async || {
+        site.planner().is_some_and(|p| p != planner)
+    })
+    .await;
     site.declare(&["b"]);
     tokio::time::sleep(LINGER * 2).await;
-    assert!(!site.has(0, "b"), "a's memory is reserved as long as its order may come");
-    assert_eq!(open(&site)[0].1, format!("host-{planner}"));
+    assert!(!site.has_ready(0, "b"), "b was loaded while the order for a may still arrive");
+    assert_eq!(open_orders(&site)[0].1, format!("host-{planner}"));
 
     site.hosts[planner].resume();
-    site.holds("b").await;
-    site.ends_well().await;
+    site.wait_until_loaded("b").await;
+    site.check_no_overcommit().await;
 }
 
-/// A lease so short that each host takes it from the other all the time.
+/// The lease of 30 ms is so short that hosts take it from each other all the time.
 #[rstest]
 #[tokio::test]
 async fn two_planners_at_once_promise_no_memory_twice(#[values(true, false)] fenced: bool) {
@@ -191,45 +198,48 @@
         site.engines[0].fault(|fault| fault.lost_acks = 1);
         site.engines[1].fault(|fault| {
             fault.late_orders = 1;
-            fault.lateness = LATENESS / 3;
+            fault.lateness = ORDER_DELAY / 3;
         });
-        site.holds(model).await;
+        site.wait_until_loaded(model).await;
     }
-    site.ends_well().await;
+    site.check_no_overcommit().await;
 }
 
 #[tokio::test]
 async fn operators_see_why_memory_is_held_and_what_would_free_it() {
-    let mut site = Site::start(2, vec![engine(0, false)], LEASE).await;
+    let mut site = Site::start(2, vec![engine(0, false)], LEASE_MS).await;
     site.engines[0].fault(|fault| fault.lost_orders = 1);
     site.declare(&["a"]);
-    until("an order is lost", async || 1 < open(&site).len() || site.has(0, "a")).await;
-    // Any host tells, also one that never plans; this one runs in the test's own process.
-    let onlooker = stage::start(site.onlooker()).await.expect("a host");
-    let text = get(onlooker.context().host().operators, "/status/moves").await;
+    until("an order is lost", async || 1 < open_orders(&site).len() || site.has_ready(0, "a"))
+        .await;
+    // Any host reports open moves, even one that never plans, such as this one in the test process.
+    let host = stage::start(site.unlisted_settings()).await.expect("a host");
+    let text = get(host.context().host().operators, "/status/moves").await;
     let status: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(status["current"], true);
     assert_eq!(status["memory"][0]["capacity"], CAPACITY);
-    assert_eq!(status["memory"][0]["promised"], MODEL);
+    assert_eq!(status["memory"][0]["promised"], MODEL_MEMORY);
     let open = status["open"].as_array().expect("open moves");
-    assert!(!open.is_empty(), "the lost order is in doubt for the linger time");
-    let ways = open[0]["settled_by"].as_array().expect("ways to settle");
-    assert!(ways.iter().any(|way| way.as_str().is_some_and(|way| way.contains("in flight"))));
-    site.ends_well().await;
+    assert!(!open.is_empty(), "the lost order is not open during the linger time");
+    let conditions = open[0]["settled_by"].as_array().expect("settled_by");
+    assert!(conditions.iter().any(|condition| {
+        condition.as_str().is_some_and(|condition| condition.contains("in flight"))
+    }));
+    site.check_no_overcommit().await;
 }
 
 async fn get(address: SocketAddr, path: &str) -> String {
     let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    let uri = format!("http://{address}{path}").parse().expect("a URI");
-    let response =
-        client.request(Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("a request"));
-    let response = response.await.expect("an answer");
-    let body = response.into_body().collect().await.expect("a body").to_bytes();
+    let uri = format!("http://{address}{path}").parse().expect("valid URI");
+    let response = client
+        .request(Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("valid request"));
+    let response = response.await.expect("response");
+    let body = response.into_body().collect().await.expect("response body").to_bytes();
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Open orders of the first engine with their senders.
-fn open(site: &Site) -> Vec<(String, String)> {
+/// Ids and senders of the first engine's open orders.
+fn open_orders(site: &Site) -> Vec<(String, String)> {
     let orders = site.ledger(0).map(|ledger| ledger.orders).unwrap_or_default();
     let open = orders.iter().map(|entry| &entry.order);
     open.map(|order| (order.id.to_string(), order.sender.to_string())).collect()
--- a/crates/stage/tests/moves/site.rs
+++ b/crates/stage/tests/moves/site.rs
@@ -1,5 +1,5 @@
-//! Hosts as processes of their own around stand-ins, with a proxy on each host's link to the
-//! platform and on the link to each engine.
+//! Test site: host processes and stand-ins, with a proxy between each host and the platform and
+//! one before each engine.
 
 use std::{
     net::SocketAddr,
@@ -26,29 +26,29 @@
     resident::State,
 };
 
-/// How long a test waits for what must come; far more than it takes on a loaded machine.
-const PATIENCE: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(10);
+/// Time limit of each wait; far longer than any awaited condition takes on a loaded machine.
+const TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Memory of each engine; no two models fit together.
+/// Memory of each engine, too small for two models of [`MODEL_MEMORY`].
 pub const CAPACITY: u64 = 100;
-pub const MODEL: u64 = 60;
+pub const MODEL_MEMORY: u64 = 60;
 
-/// Longest time that anything sent may still arrive, as the hosts are told.
+/// The hosts' `linger_ms` setting: longest time for which a sent order may still arrive.
 pub const LINGER: Duration = Duration::from_millis(2_500);
 
-/// Lateness of orders: long after their sender gave up, and less than the linger time.
-pub const LATENESS: Duration = Duration::from_millis(1_500);
+/// Delay of late orders: long after their sender's timeout, and within [`LINGER`].
+pub const ORDER_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A host's process; killed when dropped.
+/// A host that runs as a child process; killed when dropped.
 pub struct Process {
     child: Child,
     host: Host,
 }
 
 impl Process {
-    /// Stops it, and waits until each of its threads rests: the signal takes effect a while after
-    /// it was sent.
+    /// Sends SIGSTOP and waits until all threads are stopped, since the signal takes effect only
+    /// some time after it was sent.
     pub async fn pause(&self) {
         self.signal(Signal::SIGSTOP);
         until("the process is stopped", async || self.is_stopped()).await;
@@ -60,10 +60,10 @@
 
     fn is_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
-        let tasks = tasks.expect("threads of own child").filter_map(Result::ok);
+        let tasks = tasks.expect("task directory of own child").filter_map(Result::ok);
         let states =
             tasks.filter_map(|task| std::fs::read_to_string(task.path().join("stat")).ok());
-        // The state follows the command's name, which stands in parentheses.
+        // The state follows the command name, which is in parentheses.
         states.into_iter().all(|stat| {
             let state = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().next());
             state == Some("T")
@@ -91,23 +91,24 @@
     }
 }
 
+/// Running stand-ins and host processes; methods take hosts and engines by their index.
 pub struct Site {
     pub platform: Platform,
     pub engines: Vec<Engine>,
-    /// Links from each host to the platform.
+    /// Proxies between each host and the platform.
     pub to_platform: Vec<Proxy>,
-    /// Links to each engine.
+    /// Proxies before each engine, used by all hosts.
     pub to_engine: Vec<Proxy>,
     pub hosts: Vec<Process>,
-    listed: Vec<host::Entry>,
+    list_entries: Vec<host::Entry>,
     files: TempDir,
     lease_ms: u64,
-    number: u64,
-    runs: usize,
+    config_number: u64,
+    starts: usize,
 }
 
 impl Site {
-    /// Hosts and engines without a model declared, once each engine has its ledger.
+    /// Starts hosts and engines without a declared model; returns when each engine has a ledger.
     pub async fn start(hosts: usize, engines: Vec<engine::Settings>, lease_ms: u64) -> Site {
         let platform = Platform::start().await.expect("platform");
         let mut running = Vec::new();
@@ -127,77 +128,77 @@
             to_platform,
             to_engine,
             hosts: Vec::new(),
-            listed: Vec::new(),
-            files: tempfile::tempdir().expect("folder"),
+            list_entries: Vec::new(),
+            files: tempfile::tempdir().expect("directory"),
             lease_ms,
-            number: 0,
-            runs: 0,
+            config_number: 0,
+            starts: 0,
         };
         site.declare(&[]);
-        for place in 0..hosts {
-            let process = site.spawn(place);
-            site.listed.push(host::Entry { host: process.host.clone(), state: Listed::Live });
+        for index in 0..hosts {
+            let process = site.spawn(index);
+            site.list_entries.push(host::Entry { host: process.host.clone(), state: Listed::Live });
             site.hosts.push(process);
         }
-        site.list();
-        for place in 0..site.engines.len() {
-            until("the engine has a ledger", async || site.ledger(place).is_some()).await;
+        site.publish_list();
+        for index in 0..site.engines.len() {
+            until("the engine has a ledger", async || site.ledger(index).is_some()).await;
         }
         site
     }
 
-    /// Declares exactly these models under the next number.
+    /// Declares exactly these models under the next configuration number.
     pub fn declare(&mut self, models: &[&str]) {
-        self.number += 1;
+        self.config_number += 1;
         let declared = |name: &&str| {
-            let model = json!({"group": "lm", "version": "1", "memory": MODEL});
+            let model = json!({"group": "lm", "version": "1", "memory": MODEL_MEMORY});
             ((*name).to_owned(), model)
         };
         let models: serde_json::Map<String, Value> = models.iter().map(declared).collect();
         let config = json!({"models": models});
-        self.platform.poke("config/root", json!({"number": self.number, "config": config}));
+        self.platform.poke("config/root", json!({"number": self.config_number, "config": config}));
     }
 
-    /// The ledger of an engine, as it stands.
+    /// Reads an engine's current ledger from the platform.
     pub fn ledger(&self, engine: usize) -> Option<Ledger> {
         let (_, value) = self.platform.peek(&Ledger::key(&self.engines[engine].settings().id))?;
         serde_json::from_value(value).ok()
     }
 
-    /// Whether a model is ready in an engine's true memory.
-    pub fn has(&self, engine: usize, model: &str) -> bool {
+    /// Whether a model is ready in an engine's actual memory.
+    pub fn has_ready(&self, engine: usize, model: &str) -> bool {
         let residents = self.engines[engine].residents();
         residents.iter().any(|r| &**r.unit.model() == model && r.state == State::Ready)
     }
 
-    /// Waits until every engine holds exactly this model.
-    pub async fn holds(&self, model: &str) {
-        for place in 0..self.engines.len() {
-            until(&format!("engine {place} holds {model}"), async || {
-                self.has(place, model) && self.engines[place].residents().len() == 1
+    /// Waits until every engine has this model ready and no other model in memory.
+    pub async fn wait_until_loaded(&self, model: &str) {
+        for index in 0..self.engines.len() {
+            until(&format!("engine {index} has only {model} in memory"), async || {
+                self.has_ready(index, model) && self.engines[index].residents().len() == 1
             })
             .await;
         }
     }
 
-    /// Waits until no order is open, and the ledgers say what is truly in memory.
-    async fn settled(&self) {
-        for place in 0..self.engines.len() {
-            until(&format!("the ledger of engine {place} settles"), async || {
-                self.ledger(place).is_some_and(|ledger| {
-                    ledger.orders.is_empty() && ledger.residents == self.engines[place].residents()
+    /// Waits until no order is open and the ledgers agree with the engines' actual memory.
+    async fn wait_until_settled(&self) {
+        for index in 0..self.engines.len() {
+            until(&format!("the ledger of engine {index} matches its memory"), async || {
+                self.ledger(index).is_some_and(|ledger| {
+                    ledger.orders.is_empty() && ledger.residents == self.engines[index].residents()
                 })
             })
             .await;
         }
     }
 
-    /// Waits until all is settled and whatever may still come has come; no engine's memory was
-    /// overcommitted meanwhile.
-    pub async fn ends_well(&self) {
-        self.settled().await;
-        tokio::time::sleep(LATENESS).await;
-        self.settled().await;
+    /// Waits until all orders are settled and late ones have arrived, and checks that no engine's
+    /// memory was ever overcommitted.
+    pub async fn check_no_overcommit(&self) {
+        self.wait_until_settled().await;
+        tokio::time::sleep(ORDER_DELAY).await;
+        self.wait_until_settled().await;
         for engine in &self.engines {
             let counts = engine.counts();
             assert_eq!(counts.overcommits, 0, "{}: {counts:?}", engine.settings().id);
@@ -213,62 +214,63 @@
     }
 
     /// Waits until a host holds the planning lease.
-    pub async fn some_planner(&self) -> usize {
-        until("a host plans", async || self.planner().is_some()).await;
+    pub async fn wait_for_planner(&self) -> usize {
+        until("a host holds the planning lease", async || self.planner().is_some()).await;
         self.planner().expect("a planner")
     }
 
     /// Takes a host off the platform's list.
-    pub fn delist(&mut self, place: usize) {
-        let id = self.hosts[place].id().clone();
-        self.listed.retain(|entry| entry.host.id != id);
-        self.list();
+    pub fn remove_from_list(&mut self, index: usize) {
+        let id = self.hosts[index].id().clone();
+        self.list_entries.retain(|entry| entry.host.id != id);
+        self.publish_list();
     }
 
-    /// Starts a host again after its end, under the same name.
-    pub fn restart(&mut self, place: usize) {
-        self.hosts[place] = self.spawn(place);
+    /// Starts an ended host again with the same id.
+    pub fn restart(&mut self, index: usize) {
+        self.hosts[index] = self.spawn(index);
     }
 
-    /// Settings of a host that the platform does not list.
-    pub fn onlooker(&self) -> settings::process::Process {
+    /// Settings of a host that is not in the platform's list.
+    pub fn unlisted_settings(&self) -> settings::process::Process {
         let host = with_any_ports("onlooker");
         let settings = json!({"host": host, "platform": self.platform.address()});
         serde_json::from_value(settings).expect("settings")
     }
 
-    fn list(&self) {
+    fn publish_list(&self) {
         let servers = self.engines.iter().zip(&self.to_engine).enumerate();
-        let servers = servers.map(|(place, (engine, link))| {
+        let servers = servers.map(|(index, (engine, link))| {
             let server = Server {
                 id: engine.settings().id.clone(),
                 group: "lm".into(),
                 kind: Kind::Engine,
-                zone: format!("zone-{place}").into(),
+                zone: format!("zone-{index}").into(),
                 address: link.address(),
             };
             Entry { server, state: Listed::Live }
         });
-        self.platform.set_list(List { hosts: self.listed.clone(), servers: servers.collect() });
+        self.platform
+            .set_list(List { hosts: self.list_entries.clone(), servers: servers.collect() });
     }
 
-    fn spawn(&mut self, place: usize) -> Process {
-        let host = with_any_ports(&format!("host-{place}"));
-        self.runs += 1;
-        let log = self.files.path().join(format!("{}-{}.log", host.id, self.runs));
+    fn spawn(&mut self, index: usize) -> Process {
+        let host = with_any_ports(&format!("host-{index}"));
+        self.starts += 1;
+        let log = self.files.path().join(format!("{}-{}.log", host.id, self.starts));
         let settings = json!({
             "host": host,
-            "platform": self.to_platform[place].address(),
+            "platform": self.to_platform[index].address(),
             "intervals": {"list_ms": 50, "report_ms": 40, "plan_ms": 40},
             "drain": {"balancer_ms": 10, "finish_ms": 1_000},
             "planning": {
                 "lease_ms": self.lease_ms, "order_ms": 400, "list_lag_ms": 500,
-                "linger_ms": u64::try_from(LINGER.as_millis()).expect("a short time"),
+                "linger_ms": u64::try_from(LINGER.as_millis()).expect("milliseconds fit in u64"),
                 "loads_per_second": 50.0, "loads_at_once": 8,
             },
             "log": {"file": log, "level": "info"},
         });
-        let file = self.files.path().join(format!("{}-{}.json", host.id, self.runs));
+        let file = self.files.path().join(format!("{}-{}.json", host.id, self.starts));
         std::fs::write(&file, settings.to_string()).expect("settings file");
         let child = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(["serve", "--settings"])
@@ -279,24 +281,24 @@
     }
 }
 
-/// A host whose ports the system picks.
+/// A host entry with port 0 for each listener, so that the system assigns the ports.
 fn with_any_ports(id: &str) -> Host {
     let any = SocketAddr::new(Network::unused().host(0), 0);
     Host { id: id.into(), zone: "zone".into(), callers: any, peers: any, operators: any }
 }
 
-/// An engine for two models of which only one fits.
-pub fn engine(place: usize, fenced: bool) -> engine::Settings {
-    let id = format!("lm-{place}");
+/// Settings of an engine whose memory holds one of the two models at a time.
+pub fn engine(index: usize, fenced: bool) -> engine::Settings {
+    let id = format!("lm-{index}");
     engine::Settings { capacity: CAPACITY, fenced, ..engine::Settings::new(&id) }
 }
 
-/// Polls a condition, and fails by name when patience ends.
+/// Polls a condition every [`POLL_INTERVAL`]; panics with its description after [`TIMEOUT`].
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, polling).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -1,4 +1,4 @@
-//! What operators see of real host processes: metrics, the time line, the log.
+//! Metrics and the timeline of real host processes, as operators read them.
 
 mod common;
 
@@ -7,7 +7,9 @@
     time::{Duration, SystemTime},
 };
 
-use common::{Answer, Site, events, metrics, post_chat, records, send, try_send, until, value};
+use common::{
+    Answer, Site, events, metric_value, metrics, post_chat, records, send, try_send, until,
+};
 use observe::{
     clock::Stamp,
     event::{Kind, Outcome, PlatformState},
@@ -45,41 +47,47 @@
     assert_eq!(events(&answer.text()).len() as u64, TOKENS + 1);
     assert_eq!(post_chat(callers, &chat("nobody")).await.status, 404);
 
-    // The account closes when the answer's last holder is gone, a moment after its last byte.
+    // A call is counted when the last owner of its answer is dropped, shortly after the last byte.
     until("both calls are counted", async || {
         let text = metrics(&site.hosts()[0]).await;
-        value(&text, r#"cyclamenstage_requests_total{outcome="answered",service="chat"}"#) == 1.0
-            && value(&text, r#"cyclamenstage_requests_total{outcome="refused",service="none"}"#)
-                == 1.0
+        metric_value(&text, r#"cyclamenstage_requests_total{outcome="answered",service="chat"}"#)
+            == 1.0
+            && metric_value(
+                &text,
+                r#"cyclamenstage_requests_total{outcome="refused",service="none"}"#,
+            ) == 1.0
     })
     .await;
     let text = metrics(&site.hosts()[0]).await;
     let gaps = r#"cyclamenstage_between_tokens_seconds_count{service="chat"}"#;
-    assert_eq!(value(&text, gaps), (TOKENS - 1) as f64, "{text}");
+    assert_eq!(metric_value(&text, gaps), (TOKENS - 1) as f64, "{text}");
     let first = r#"cyclamenstage_first_token_seconds_count{service="chat"}"#;
-    assert_eq!(value(&text, first), 1.0, "{text}");
+    assert_eq!(metric_value(&text, first), 1.0, "{text}");
     let refusals = r#"cyclamenstage_refusals_total{cause="unknown-model",service="none"}"#;
-    assert_eq!(value(&text, refusals), 1.0, "{text}");
-    assert_eq!(value(&text, r#"cyclamenstage_in_flight{service="chat"}"#), 0.0, "{text}");
-    assert_eq!(value(&text, "cyclamenstage_configuration"), 1.0, "{text}");
-    assert_eq!(value(&text, "cyclamenstage_platform_up"), 1.0, "{text}");
-    assert!(0.0 < value(&text, r#"cyclamenstage_control_bytes_total{direction="in""#), "{text}");
-    site.end().await;
+    assert_eq!(metric_value(&text, refusals), 1.0, "{text}");
+    assert_eq!(metric_value(&text, r#"cyclamenstage_in_flight{service="chat"}"#), 0.0, "{text}");
+    assert_eq!(metric_value(&text, "cyclamenstage_configuration"), 1.0, "{text}");
+    assert_eq!(metric_value(&text, "cyclamenstage_platform_up"), 1.0, "{text}");
+    assert!(
+        0.0 < metric_value(&text, r#"cyclamenstage_control_bytes_total{direction="in""#),
+        "{text}"
+    );
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn outage_of_the_platform_shows_and_passes() {
     let site = site().await;
-    let up = async |wanted: f64| {
-        value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == wanted
+    let up = async |expected: f64| {
+        metric_value(&metrics(&site.hosts()[1]).await, "cyclamenstage_platform_up") == expected
     };
 
     site.platform.fault(|fault| fault.down = true);
-    until("the outage shows", async || up(0.0).await).await;
+    until("the platform is reported down", async || up(0.0).await).await;
     site.platform.fault(|fault| fault.down = false);
-    until("its end shows", async || up(1.0).await).await;
+    until("the platform is reported up", async || up(1.0).await).await;
 
-    let seen: Vec<PlatformState> = records(&site.hosts()[1], "")
+    let states: Vec<PlatformState> = records(&site.hosts()[1], "")
         .await
         .into_iter()
         .filter_map(|record| match record.event.kind {
@@ -87,8 +95,8 @@
             _ => None,
         })
         .collect();
-    assert_eq!(seen, [PlatformState::Up, PlatformState::Down, PlatformState::Up]);
-    site.end().await;
+    assert_eq!(states, [PlatformState::Up, PlatformState::Down, PlatformState::Up]);
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -113,7 +121,7 @@
 
     let expected = [Kind::Request { service: "chat".into() }, Kind::Attempt { attempt: 0 }, ended];
     assert_eq!(kinds, expected);
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -129,34 +137,35 @@
     assert!(merged.is_sorted_by_key(|record| record.at));
     let hosts: BTreeSet<&str> = merged.iter().map(|record| &*record.host).collect();
     assert_eq!(hosts, BTreeSet::from(["host-0", "host-1"]));
-    for number in ["host-0", "host-1"] {
-        let mine = || merged.iter().filter(|record| &*record.host == number);
-        assert!(mine().any(|r| r.event.kind == Kind::Start), "{number}");
-        assert!(mine().any(|r| r.event.kind == Kind::Configuration { number: 1 }), "{number}");
+    for host in ["host-0", "host-1"] {
+        let of_host = || merged.iter().filter(|record| &*record.host == host);
+        assert!(of_host().any(|r| r.event.kind == Kind::Start), "{host}");
+        assert!(of_host().any(|r| r.event.kind == Kind::Configuration { number: 1 }), "{host}");
     }
-    site.end().await;
+    site.shut_down().await;
 }
 
-/// A host five seconds ahead sends a heartbeat: what the receiver does next is stamped later.
+/// A heartbeat from a host whose clock is five seconds ahead advances the receiver's clock, so that
+/// its next records have later stamps.
 #[tokio::test]
 async fn heartbeats_carry_the_clock_from_host_to_host() {
     let site = site().await;
     let host = &site.hosts()[0];
-    let ahead = Stamp::from_wall(SystemTime::now() + Duration::from_secs(5));
-    let stranger = Host { id: "stranger".into(), ..site.hosts()[1].host.clone() };
+    let future = Stamp::from_wall(SystemTime::now() + Duration::from_secs(5));
+    let sender = Host { id: "stranger".into(), ..site.hosts()[1].host.clone() };
     let rules = policy::member::Settings::default();
-    let mut gossip = Gossip::new(Duration::ZERO, rules, 1, stranger, 1);
-    let heartbeat = Heartbeat { stamp: ahead.0, ..gossip.hello(Duration::from_secs(1)) };
+    let mut gossip = Gossip::new(Duration::ZERO, rules, 1, sender, 1);
+    let heartbeat = Heartbeat { stamp: future.0, ..gossip.hello(Duration::from_secs(1)) };
     let client = peer::Builder::new().build();
 
     let answer = client.heartbeat(host.host.peers, heartbeat).await.expect("an answer");
     let call = post_chat(host.callers(), &chat("welcome")).await;
 
-    assert!(ahead < Stamp(answer.stamp));
+    assert!(future < Stamp(answer.stamp));
     let query = format!("request={}", request_id(&call));
     let records = records(host, &query).await;
-    assert!(!records.is_empty() && records.iter().all(|record| ahead < record.at), "{records:?}");
-    site.end().await;
+    assert!(!records.is_empty() && records.iter().all(|record| future < record.at), "{records:?}");
+    site.shut_down().await;
 }
 
 #[rstest]
@@ -168,7 +177,7 @@
     let uri = format!("/timeline?{query}");
     let answer = send(site.hosts()[0].operators(), "GET", &uri, &[], "").await;
     assert!(answer.text().contains(expected), "{}", answer.text());
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -178,5 +187,5 @@
     let answer = try_send(site.hosts()[0].operators(), "GET", uri, &[], "").await.unwrap();
     assert_eq!(answer.status, 400);
     assert!(answer.text().contains("yesterday"));
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/not_run.rs
+++ b/crates/stage/tests/promises/not_run.rs
@@ -1,4 +1,4 @@
-//! When a request is refused as not run, it truly did not run.
+//! A request that is refused with `did-not-run` did not run on any engine.
 
 use rstest::rstest;
 use standin::{
@@ -13,19 +13,19 @@
 const MODEL: &str = "portal";
 const CALLS: usize = 12;
 
-/// More than all calls with their retries can make.
+/// More attempts than all calls make with their retries.
 const ATTEMPTS: usize = 500;
 
-/// One engine, and a short time for a whole request: the last word must have come by then.
+/// A site with one engine and a time limit of 3 s per request, by which each call must have ended.
 async fn site() -> Site {
     let engine = Settings::new("lm-1").with_model(MODEL, "v1", 900);
-    let short = |settings: &mut serde_json::Value| {
+    let short_timeouts = |settings: &mut serde_json::Value| {
         settings["bounds"] = serde_json::json!({"request_ms": 3_000, "idle_ms": 2_000});
     };
-    Builder::new(2).engine(engine).settings(short).linked().start().await
+    Builder::new(2).engine(engine).settings(short_timeouts).with_proxies().start().await
 }
 
-/// Sends all calls at once, to both hosts by turns.
+/// Sends all calls concurrently, to the two hosts in turn.
 fn send_all(site: &Site, tokens: u64) -> Vec<JoinHandle<(String, Ending)>> {
     (0..CALLS)
         .map(|number| {
@@ -39,12 +39,12 @@
 async fn join(calls: Vec<JoinHandle<(String, Ending)>>) -> Vec<(String, Ending)> {
     let mut endings = Vec::new();
     for call in calls {
-        endings.push(call.await.expect("a caller that doesn't panic"));
+        endings.push(call.await.expect("caller task must not panic"));
     }
     endings
 }
 
-fn shut(link: &Proxy) {
+fn refuse_connections(link: &Proxy) {
     link.reset_connections();
     link.set_new_connections(NewConnections::Reset);
 }
@@ -69,10 +69,10 @@
     });
 }
 
-/// Whatever breaks on the way to the one engine: no refusal may say "did not run" of a request
-/// that the engine began to run.
+/// Whichever fault the connection to the only engine has, no request that the engine began to run
+/// is refused with `did-not-run`.
 #[rstest]
-#[case::door_shut(shut)]
+#[case::door_shut(refuse_connections)]
 #[case::requests_cut(cut_requests)]
 #[case::answers_cut(cut_answers)]
 #[case::requests_lost(lose_requests)]
@@ -84,24 +84,27 @@
 
     let endings = join(send_all(&site, 5)).await;
 
-    check(&site, &endings);
-    assert!(endings.iter().any(|(_, ending)| *ending != Ending::Whole), "the fault had no effect");
+    check_not_run(&site, &endings);
+    assert!(
+        endings.iter().any(|(_, ending)| *ending != Ending::Complete),
+        "the fault had no effect"
+    );
     site.links().server("lm-1").heal();
-    site.end().await;
+    site.shut_down().await;
 }
 
 #[tokio::test]
 async fn not_run_is_true_when_the_engine_dies() {
     let site = site().await;
     let calls = send_all(&site, 400);
-    until("requests run", async || 0 < site.engines()[0].in_flight()).await;
+    until("the engine runs requests", async || 0 < site.engines()[0].in_flight()).await;
 
     site.engines()[0].crash();
 
     let endings = join(calls).await;
-    check(&site, &endings);
-    assert!(endings.iter().all(|(_, ending)| *ending != Ending::Whole));
-    site.end().await;
+    check_not_run(&site, &endings);
+    assert!(endings.iter().all(|(_, ending)| *ending != Ending::Complete));
+    site.shut_down().await;
 }
 
 #[tokio::test]
@@ -109,25 +112,25 @@
     let site = site().await;
     site.engines()[0].crash();
 
-    // Until the hosts notice, a call may find its connection broken, which is no "did not run".
+    // Until the host notices the crash, a connection may break, which gives no `did-not-run`.
     let callers = site.hosts()[0].callers();
     let mut endings = Vec::new();
-    until("calls are refused as not run", async || {
+    until("a call is refused with did-not-run", async || {
         let chat = Chat::new(format!("key-{}", endings.len()), MODEL, 5);
         endings.push((chat.key.clone(), chat.send(callers).await));
         endings.last().is_some_and(|(_, ending)| ending.is_not_run())
     })
     .await;
 
-    check(&site, &endings);
-    site.end().await;
+    check_not_run(&site, &endings);
+    site.shut_down().await;
 }
 
-fn check(site: &Site, endings: &[(String, Ending)]) {
+fn check_not_run(site: &Site, endings: &[(String, Ending)]) {
     for (key, ending) in endings {
-        assert!(!matches!(ending, Ending::Cut | Ending::Wrong(_)), "{key}: {ending:?}");
+        assert!(!matches!(ending, Ending::Disconnected | Ending::Wrong(_)), "{key}: {ending:?}");
         if ending.is_not_run() {
-            assert_eq!(site.runs(key), 0, "{key} ran, and the caller was told that it did not");
+            assert_eq!(site.runs(key), 0, "{key} ran, but was refused with did-not-run");
         }
     }
 }
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -13,7 +13,7 @@
 
 async fn site() -> Site {
     let (first, second) = (Plain::start("app-0").await, Plain::start("app-1").await);
-    Builder::new(3).plain(first.unwrap()).plain(second.unwrap()).linked().start().await
+    Builder::new(3).plain(first.unwrap()).plain(second.unwrap()).with_proxies().start().await
 }
 
 async fn issue(site: &Site, host: usize, key: &str) -> Option<Answer> {
@@ -25,7 +25,7 @@
     site.plains().iter().filter_map(|plain| plain.runs().get(key).copied()).sum()
 }
 
-fn shut(link: &Proxy) {
+fn refuse_connections(link: &Proxy) {
     link.reset_connections();
     link.set_new_connections(NewConnections::Reset);
 }
@@ -44,9 +44,9 @@
     });
 }
 
-/// Each ticket is asked for once; what the caller is told must be what the service counted.
+/// Each ticket is requested once, and the answer must agree with the runs that the service counted.
 #[rstest]
-#[case::shut(shut)]
+#[case::refuse_connections(refuse_connections)]
 #[case::request_cut(cut_request)]
 #[case::answer_cut(cut_answer)]
 #[case::answers_lost(lose_answers)]
@@ -57,16 +57,16 @@
 
     for number in 0..6 {
         let key = format!("ticket-{number}");
-        let answer = issue(&site, number % 3, &key).await.expect("a word in any case");
+        let answer = issue(&site, number % 3, &key).await.expect("an answer to each request");
         let ran = runs(&site, &key);
         assert!(ran <= 1, "{key} ran {ran} times");
         match (answer.status, answer.json()["ran"].as_str()) {
-            (200, _) => assert_eq!(ran, 1, "{key} was answered"),
-            (_, Some("did-not-run")) => assert_eq!(ran, 0, "{key} was refused as not run"),
+            (200, _) => assert_eq!(ran, 1, "{key} was answered with status 200"),
+            (_, Some("did-not-run")) => assert_eq!(ran, 0, "{key} was refused with did-not-run"),
             (_, Some("may-have-run")) => {}
             (status, said) => panic!("{key}: status {status}, ran {said:?}: {}", answer.text()),
         }
     }
     site.links().server("app-0").heal();
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -1,4 +1,4 @@
-//! Every model we have created stays reachable.
+//! Every declared model stays reachable while the configuration changes.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,7 +7,7 @@
 
 use types::resident::{State, Unit};
 
-use crate::common::{Ask, Builder, Chat, Crowd, Ending, Site, send, until};
+use crate::common::{Builder, Chat, Ending, LoadGenerator, Site, Workload, send, until};
 
 const MODELS: [&str; 2] = ["portal", "notices"];
 const STEPS: u64 = 24;
@@ -21,8 +21,10 @@
     Builder::new(3).engine(engine("lm-1")).engine(engine("lm-2")).start().await
 }
 
-/// One random change: a model comes, goes, or gets another version, also one that is called.
-fn change(random: &mut ChaCha8Rng) -> Value {
+/// Returns a random change that adds or removes a model or sets a model's version.
+///
+/// Models in [`MODELS`], which are called all the time, are never removed.
+fn random_change(random: &mut ChaCha8Rng) -> Value {
     let other = format!("other-{}", random.random_range(0..3));
     let called = MODELS[random.random_range(0..MODELS.len())].to_owned();
     let version = format!("v{}", random.random_range(1..4));
@@ -34,22 +36,24 @@
     }
 }
 
-/// Whether each called model is ready somewhere in the version declared last.
+/// Whether each called model is ready on an engine in the version declared last.
 fn all_ready(site: &Site) -> bool {
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     let residents = || site.engines().iter().flat_map(|engine| engine.residents());
     MODELS.iter().all(|name| {
-        let wanted = &root["config"]["models"][name]["version"];
+        let declared_version = &root["config"]["models"][name]["version"];
         residents().any(|resident| match &resident.unit {
             Unit::Model { model, version } => {
-                &**model == *name && *wanted == **version && resident.state == State::Ready
+                &**model == *name
+                    && *declared_version == **version
+                    && resident.state == State::Ready
             }
             Unit::Adapter { .. } => false,
         })
     })
 }
 
-/// Sends a patch; gives the number in force after it, whether it was accepted or not.
+/// Sends a patch; returns the number it was accepted under, or `against` if it was refused.
 async fn apply(site: &Site, host: usize, id: u64, against: u64, changes: Value) -> u64 {
     let operators = site.hosts()[host].operators();
     let body = json!({"id": format!("step-{id}"), "against": against, "changes": changes});
@@ -61,38 +65,43 @@
     }
 }
 
-/// Models come, change version and go by a random walk, while two of them are called all the time.
+/// Random changes add, remove and update models while two of them are called all the time.
 #[tokio::test]
 async fn models_stay_reachable_while_models_are_changed_at_random() {
     let site = site().await;
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let models = MODELS.iter().map(ToString::to_string).collect();
-    let crowd = Crowd::start(4, &site.entrances(), Ask { name: "walk", models, tokens: 10 });
+    let generator = LoadGenerator::start(
+        4,
+        &site.host_addresses(),
+        Workload { name: "walk", models, tokens: 10 },
+    );
 
     let mut number = 1;
     for step in 0..STEPS {
         let host = random.random_range(0..3);
-        let next = apply(&site, host, step, number, change(&mut random)).await;
+        let next = apply(&site, host, step, number, random_change(&mut random)).await;
         if number < next {
-            for place in 0..3 {
-                until("the number is in force", async || next <= site.in_force(place).await).await;
+            for index in 0..3 {
+                until("the configuration is in force", async || next <= site.in_force(index).await)
+                    .await;
             }
         }
         number = next;
-        let ended = crowd.endings().all().len();
-        until("calls go on", async || ended + 4 <= crowd.endings().all().len()).await;
+        let ended = generator.endings().all().len();
+        until("more calls end", async || ended + 4 <= generator.endings().all().len()).await;
     }
 
-    until("the versions declared last are ready", async || all_ready(&site)).await;
-    let endings = crowd.stop().await;
-    assert!(STEPS / 4 < number, "too few of the patches were accepted: {number}");
-    assert_eq!(endings.others(), [], "of {}", endings.all().len());
-    for (place, model) in MODELS.iter().enumerate() {
-        let chat = Chat::new(format!("last-{place}"), model, 5);
-        assert_eq!(chat.send(site.hosts()[place].callers()).await, Ending::Whole);
+    until("the last declared versions are ready", async || all_ready(&site)).await;
+    let endings = generator.stop().await;
+    assert!(STEPS / 4 < number, "too few patches were accepted: the last number is {number}");
+    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    for (index, model) in MODELS.iter().enumerate() {
+        let chat = Chat::new(format!("last-{index}"), model, 5);
+        assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     let moves: u64 = site.engines().iter().map(|engine| engine.counts().moves).sum();
-    assert!(STEPS / 4 < moves, "too few moves for a walk: {moves}");
+    assert!(STEPS / 4 < moves, "the changes caused too few moves: {moves}");
     assert!(site.engines().iter().all(|engine| engine.counts().overcommits == 0));
-    site.end().await;
+    site.shut_down().await;
 }
--- a/crates/stage/tests/retry.rs
+++ b/crates/stage/tests/retry.rs
@@ -1,163 +1,240 @@
-//! The table of failure points through real sockets, and streams that are cut, doubled or mixed up.
+//! Retries at each point of failure over real sockets, and streams that are cut, repeat tokens or
+//! contain tokens of other requests.
 //!
-//! The first server fails by its script; the second, which reports more load and so is tried next,
-//! answers. What reached the second shows whether the request was sent again.
+//! The first server fails as scripted. The second reports more load, so it is tried next, and it
+//! answers. The requests that reach the second server show whether a request was sent again.
 
 mod common;
 
 use common::{
     Answer, answer_text, events,
-    inside::Inside,
-    script::{Act, Script, Step, token},
+    in_process::Fixture,
+    script::{Behavior, ScriptedServer, Step, token},
     send,
 };
 use rstest::rstest;
 use serde_json::json;
 use types::backend::Kind;
 
-use Step::{Done, Stranger, Token};
+use Step::{Done, OtherRequest, Token};
 
-/// What the caller must see.
+/// Expected answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
-    /// The second server's whole answer.
-    Answer,
-    /// A problem that says this of the run, and nothing reached the second server.
+enum Expected {
+    /// The complete answer of the second server.
+    SecondAnswer,
+    /// A problem document with this `ran`; nothing reached the second server.
     Problem(&'static str),
-    /// This status from the first server itself.
-    Status(u16),
-    /// An answer that breaks off, and nothing reached the second server.
+    /// The first server's own answer with this status; nothing reached the second server.
+    FirstStatus(u16),
+    /// An answer that ends early; nothing reached the second server.
     Broken,
 }
 
-const LATER: u32 = 50;
+/// Running requests that the second server reports, so that the first one, with 0, is tried first.
+const SECOND_RUNNING: u32 = 50;
 
-async fn servers(kind: Kind, act: Act) -> Vec<Script> {
+async fn servers(kind: Kind, behavior: Behavior) -> Vec<ScriptedServer> {
     vec![
-        Script::start("first", kind, 0, act).await,
-        Script::start("second", kind, LATER, Act::Serve).await,
+        ScriptedServer::start("first", kind, 0, behavior).await,
+        ScriptedServer::start("second", kind, SECOND_RUNNING, Behavior::Serve).await,
     ]
 }
 
-fn check(answer: &Answer, seen: Seen, second: u32) {
-    match seen {
-        Seen::Answer => assert_eq!((answer.status, second), (200, 1), "{}", answer.text()),
-        Seen::Status(status) => assert_eq!((answer.status, second), (status, 0)),
-        Seen::Problem(ran) => {
+fn check_answer(answer: &Answer, expected: Expected, second_requests: u32) {
+    match expected {
+        Expected::SecondAnswer => {
+            assert_eq!((answer.status, second_requests), (200, 1), "{}", answer.text())
+        }
+        Expected::FirstStatus(status) => assert_eq!((answer.status, second_requests), (status, 0)),
+        Expected::Problem(ran) => {
             assert_eq!(answer.json()["ran"], ran, "{}", answer.text());
-            assert_eq!(second, 0, "sent again");
+            assert_eq!(second_requests, 0, "the request was sent again");
         }
-        Seen::Broken => panic!("an answer where none can be whole: {answer:?}"),
+        Expected::Broken => panic!("a complete answer where it must end early: {answer:?}"),
     }
 }
 
-/// `Connect` is a server that stops listening after its report.
+/// The first server; `NotListening` closes its listener after its load report.
 #[derive(Clone, Debug)]
-enum First {
-    Connect,
-    Does(Act),
+enum FirstServer {
+    NotListening,
+    Behaves(Behavior),
 }
 
-/// Requests that reach the first server.
-fn reached(first: &First) -> u32 {
-    u32::from(matches!(first, First::Does(_)))
+/// Number of requests that must reach the first server.
+fn expected_requests(first: &FirstServer) -> u32 {
+    u32::from(matches!(first, FirstServer::Behaves(_)))
 }
 
 #[rstest]
-#[case::connect(First::Connect, "PUT", "letter", Seen::Answer)]
-#[case::connect_once(First::Connect, "POST", "letter", Seen::Answer)]
-#[case::waiting(First::Does(Act::Close), "PUT", "letter", Seen::Answer)]
-#[case::waiting_once(First::Does(Act::Close), "POST", "letter", Seen::Problem("may-have-run"))]
-#[case::refused(First::Does(Act::Status(503)), "PUT", "letter", Seen::Answer)]
-#[case::refused_once(First::Does(Act::Status(503)), "POST", "letter", Seen::Status(503))]
-#[case::fault_is_the_answer(First::Does(Act::Status(500)), "PUT", "letter", Seen::Status(500))]
-#[case::body(First::Does(Act::Half), "PUT", "letter", Seen::Broken)]
-#[case::body_once(First::Does(Act::Half), "POST", "letter", Seen::Broken)]
+#[case::connect(FirstServer::NotListening, "PUT", "letter", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "POST", "letter", Expected::SecondAnswer)]
+#[case::waiting(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "PUT",
+    "letter",
+    Expected::SecondAnswer
+)]
+#[case::waiting_once(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "POST",
+    "letter",
+    Expected::Problem("may-have-run")
+)]
+#[case::refused(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "PUT",
+    "letter",
+    Expected::SecondAnswer
+)]
+#[case::refused_once(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "POST",
+    "letter",
+    Expected::FirstStatus(503)
+)]
+#[case::fault_is_the_answer(
+    FirstServer::Behaves(Behavior::Status(500)),
+    "PUT",
+    "letter",
+    Expected::FirstStatus(500)
+)]
+#[case::body(FirstServer::Behaves(Behavior::HalfBody), "PUT", "letter", Expected::Broken)]
+#[case::body_once(FirstServer::Behaves(Behavior::HalfBody), "POST", "letter", Expected::Broken)]
 #[tokio::test]
 async fn plain_call_fails_at(
-    #[case] first: First,
+    #[case] first: FirstServer,
     #[case] method: &str,
     #[case] body: &str,
-    #[case] seen: Seen,
+    #[case] expected: Expected,
 ) {
-    let act = match &first {
-        First::Connect => Act::Serve,
-        First::Does(act) => act.clone(),
+    let behavior = match &first {
+        FirstServer::NotListening => Behavior::Serve,
+        FirstServer::Behaves(behavior) => behavior.clone(),
     };
-    let mut servers = servers(Kind::Plain, act).await;
-    let inside = Inside::start(&servers).await;
-    if matches!(first, First::Connect) {
+    let mut servers = servers(Kind::Plain, behavior).await;
+    let fixture = Fixture::start(&servers).await;
+    if matches!(first, FirstServer::NotListening) {
         servers[0].close().await;
     }
     let uri = "/services/tickets/rooms";
-    let answer = common::try_send(inside.callers(), method, uri, &[], body).await;
+    let answer = common::try_send(fixture.callers(), method, uri, &[], body).await;
     match answer {
-        Some(answer) => check(&answer, seen, servers[1].requests()),
-        None => assert_eq!((seen, servers[1].requests()), (Seen::Broken, 0)),
+        Some(answer) => check_answer(&answer, expected, servers[1].requests()),
+        None => assert_eq!((expected, servers[1].requests()), (Expected::Broken, 0)),
     }
-    assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
-    inside.host.drain().await;
+    assert_eq!(
+        servers[0].requests(),
+        expected_requests(&first),
+        "unexpected number of requests at the first server"
+    );
+    fixture.host.drain().await;
 }
 
-/// Too long to be held, so that a part is gone once it was sent.
+/// The upload is too long to be buffered, so it cannot be sent again once a part was sent.
 #[rstest]
-#[case::connect(First::Connect, "PUT", Seen::Answer)]
-#[case::connect_once(First::Connect, "POST", Seen::Answer)]
-#[case::sending(First::Does(Act::CloseEarly), "PUT", Seen::Problem("may-have-run"))]
-#[case::sending_once(First::Does(Act::CloseEarly), "POST", Seen::Problem("may-have-run"))]
-#[case::waiting(First::Does(Act::Close), "PUT", Seen::Problem("may-have-run"))]
+#[case::connect(FirstServer::NotListening, "PUT", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "POST", Expected::SecondAnswer)]
+#[case::sending(
+    FirstServer::Behaves(Behavior::CloseDuringRequest),
+    "PUT",
+    Expected::Problem("may-have-run")
+)]
+#[case::sending_once(
+    FirstServer::Behaves(Behavior::CloseDuringRequest),
+    "POST",
+    Expected::Problem("may-have-run")
+)]
+#[case::waiting(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "PUT",
+    Expected::Problem("may-have-run")
+)]
 #[tokio::test]
-async fn long_upload_fails_at(#[case] first: First, #[case] method: &str, #[case] seen: Seen) {
+async fn long_upload_fails_at(
+    #[case] first: FirstServer,
+    #[case] method: &str,
+    #[case] expected: Expected,
+) {
     let body = "a page of a long letter ".repeat(40_000);
-    plain_call_fails_at(first, method, &body, seen).await;
+    plain_call_fails_at(first, method, &body, expected).await;
 }
 
 #[rstest]
-#[case::connect(First::Connect, "true", Seen::Answer)]
-#[case::connect_once(First::Connect, "false", Seen::Answer)]
-#[case::waiting(First::Does(Act::Close), "true", Seen::Answer)]
-#[case::waiting_once(First::Does(Act::Close), "false", Seen::Problem("may-have-run"))]
-#[case::refused(First::Does(Act::Status(503)), "true", Seen::Answer)]
-#[case::refused_once(First::Does(Act::Status(503)), "false", Seen::Problem("may-have-run"))]
-#[case::fault(First::Does(Act::Status(500)), "true", Seen::Answer)]
-#[case::fault_once(First::Does(Act::Status(500)), "false", Seen::Problem("may-have-run"))]
-#[case::not_ready_any_more(First::Does(Act::Status(404)), "true", Seen::Answer)]
-#[case::head(First::Does(Act::Head), "true", Seen::Answer)]
-#[case::head_once(First::Does(Act::Head), "false", Seen::Problem("ran"))]
-#[case::silent(First::Does(Act::Silent), "true", Seen::Answer)]
-#[case::silent_once(First::Does(Act::Silent), "false", Seen::Problem("may-have-run"))]
+#[case::connect(FirstServer::NotListening, "true", Expected::SecondAnswer)]
+#[case::connect_once(FirstServer::NotListening, "false", Expected::SecondAnswer)]
+#[case::waiting(FirstServer::Behaves(Behavior::CloseAfterRequest), "true", Expected::SecondAnswer)]
+#[case::waiting_once(
+    FirstServer::Behaves(Behavior::CloseAfterRequest),
+    "false",
+    Expected::Problem("may-have-run")
+)]
+#[case::refused(FirstServer::Behaves(Behavior::Status(503)), "true", Expected::SecondAnswer)]
+#[case::refused_once(
+    FirstServer::Behaves(Behavior::Status(503)),
+    "false",
+    Expected::Problem("may-have-run")
+)]
+#[case::fault(FirstServer::Behaves(Behavior::Status(500)), "true", Expected::SecondAnswer)]
+#[case::fault_once(
+    FirstServer::Behaves(Behavior::Status(500)),
+    "false",
+    Expected::Problem("may-have-run")
+)]
+#[case::not_ready_any_more(
+    FirstServer::Behaves(Behavior::Status(404)),
+    "true",
+    Expected::SecondAnswer
+)]
+#[case::head(FirstServer::Behaves(Behavior::HeadOnly), "true", Expected::SecondAnswer)]
+#[case::head_once(FirstServer::Behaves(Behavior::HeadOnly), "false", Expected::Problem("ran"))]
+#[case::silent(FirstServer::Behaves(Behavior::NoAnswer), "true", Expected::SecondAnswer)]
+#[case::silent_once(
+    FirstServer::Behaves(Behavior::NoAnswer),
+    "false",
+    Expected::Problem("may-have-run")
+)]
 #[tokio::test]
-async fn chat_fails_at(#[case] first: First, #[case] idempotent: &str, #[case] seen: Seen) {
-    let act = match &first {
-        First::Connect => Act::Serve,
-        First::Does(act) => act.clone(),
+async fn chat_fails_at(
+    #[case] first: FirstServer,
+    #[case] idempotent: &str,
+    #[case] expected: Expected,
+) {
+    let behavior = match &first {
+        FirstServer::NotListening => Behavior::Serve,
+        FirstServer::Behaves(behavior) => behavior.clone(),
     };
-    let mut servers = servers(Kind::Engine, act).await;
-    let inside = Inside::start_with(&servers, json!({"idle_ms": 300})).await;
-    if matches!(first, First::Connect) {
+    let mut servers = servers(Kind::Engine, behavior).await;
+    let fixture = Fixture::start_with(&servers, json!({"idle_ms": 300})).await;
+    if matches!(first, FirstServer::NotListening) {
         servers[0].close().await;
     }
-    let answer = chat(&inside, idempotent).await;
-    check(&answer, seen, servers[1].requests());
-    assert_eq!(servers[0].requests(), reached(&first), "the first server was not tried first");
-    if seen == Seen::Answer {
+    let answer = chat(&fixture, idempotent).await;
+    check_answer(&answer, expected, servers[1].requests());
+    assert_eq!(
+        servers[0].requests(),
+        expected_requests(&first),
+        "unexpected number of requests at the first server"
+    );
+    if expected == Expected::SecondAnswer {
         assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     }
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
-async fn chat(inside: &Inside, idempotent: &str) -> Answer {
-    chat_about(inside, idempotent, "hola").await
+async fn chat(fixture: &Fixture, idempotent: &str) -> Answer {
+    chat_with_prompt(fixture, idempotent, "hola").await
 }
 
-async fn chat_about(inside: &Inside, idempotent: &str, prompt: &str) -> Answer {
+async fn chat_with_prompt(fixture: &Fixture, idempotent: &str, prompt: &str) -> Answer {
     let body = json!({
         "model": "welcome", "stream": true, "max_tokens": 6,
         "messages": [{"role": "user", "content": prompt}],
     });
     let headers = [("x-idempotent", idempotent)];
     let uri = "/v1/chat/completions";
-    send(inside.callers(), "POST", uri, &headers, &body.to_string()).await
+    send(fixture.callers(), "POST", uri, &headers, &body.to_string()).await
 }
 
 fn tokens(count: u64) -> String {
@@ -167,42 +244,62 @@
 #[rstest]
 #[case::cut(vec![Token(0), Token(1)], 1)]
 #[case::false_end(vec![Token(0), Token(1), Done], 1)]
-#[case::doubled(vec![Token(0), Token(0), Token(1), Token(1), Token(0), Token(2), Token(3), Token(4), Token(5), Done], 0)]
+#[case::doubled(
+    vec![
+        Token(0), Token(0), Token(1), Token(1), Token(0), Token(2), Token(3), Token(4), Token(5),
+        Done,
+    ],
+    0
+)]
 #[case::gap(vec![Token(0), Token(2), Token(3)], 1)]
-#[case::of_another_request(vec![Token(0), Stranger(1), Token(1), Stranger(2), Token(2), Token(3), Token(4), Token(5), Done], 0)]
+#[case::of_another_request(
+    vec![
+        Token(0), OtherRequest(1), Token(1), OtherRequest(2), Token(2), Token(3), Token(4),
+        Token(5), Done,
+    ],
+    0
+)]
 #[case::out_of_order(vec![Token(1), Token(0), Token(2)], 1)]
-#[case::after_the_end(vec![Token(0), Token(1), Token(2), Token(3), Token(4), Token(5), Done, Token(6)], 0)]
+#[case::after_the_end(
+    vec![Token(0), Token(1), Token(2), Token(3), Token(4), Token(5), Done, Token(6)],
+    0
+)]
 #[tokio::test]
 async fn each_token_comes_once_in_order(#[case] steps: Vec<Step>, #[case] resumed: u32) {
-    let servers = servers(Kind::Engine, Act::Events(steps)).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat(&inside, "true").await;
+    let servers = servers(Kind::Engine, Behavior::Events(steps)).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat(&fixture, "true").await;
     let events = events(&answer.text());
     assert_eq!(answer_text(&events), tokens(6), "{}", answer.text());
     let offsets: Vec<u64> = events.iter().filter_map(|event| event.id).collect();
     assert_eq!(offsets, (0..6).collect::<Vec<u64>>());
     assert_eq!(events.last().map(|event| event.data.as_str()), Some("[DONE]"));
     assert_eq!(servers[1].requests(), resumed);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_cut_stream_that_may_run_once_ends_with_one_clear_error() {
-    let servers = servers(Kind::Engine, Act::Events(vec![Token(0), Token(1)])).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat(&inside, "false").await;
+    let servers = servers(Kind::Engine, Behavior::Events(vec![Token(0), Token(1)])).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat(&fixture, "false").await;
     let text = answer.text();
     assert_eq!(answer_text(&events(&text)), tokens(2));
     assert_eq!(text.matches("event: error").count(), 1, "{text}");
     assert!(text.contains("\"ran\":\"ran\""), "{text}");
-    assert!(!text.contains("[DONE]"), "a part must not look like the whole: {text}");
+    assert!(!text.contains("[DONE]"), "a partial answer must not look complete: {text}");
     assert_eq!(servers[1].requests(), 0);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
-/// The prompt takes near a second to read at the scripted rate, or next to nothing.
+/// At the server's prefill rate the long prompt takes nearly a second to process, the short one
+/// almost no time.
 #[rstest]
-#[case::long_prompt("a long letter ".repeat(250_000), &["POST /kv/export HTTP/1.1"], &["POST /kv/import HTTP/1.1"])]
+#[case::long_prompt(
+    "a long letter ".repeat(250_000),
+    &["POST /kv/export HTTP/1.1"],
+    &["POST /kv/import HTTP/1.1"]
+)]
 #[case::short_prompt("hola".into(), &[], &[])]
 #[tokio::test]
 async fn a_resumed_stream_takes_the_cache_along_where_that_is_cheaper(
@@ -210,22 +307,22 @@
     #[case] exports: &[&str],
     #[case] imports: &[&str],
 ) {
-    let servers = servers(Kind::Engine, Act::Events(vec![Token(0), Token(1)])).await;
-    let inside = Inside::start(&servers).await;
-    let answer = chat_about(&inside, "true", &prompt).await;
+    let servers = servers(Kind::Engine, Behavior::Events(vec![Token(0), Token(1)])).await;
+    let fixture = Fixture::start(&servers).await;
+    let answer = chat_with_prompt(&fixture, "true", &prompt).await;
     assert_eq!(answer_text(&events(&answer.text())), tokens(6));
     assert_eq!(servers[0].kv_calls(), exports);
     assert_eq!(servers[1].kv_calls(), imports);
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
 
 #[tokio::test]
 async fn a_failed_server_gets_nothing_more_for_a_while() {
-    let servers = servers(Kind::Engine, Act::Close).await;
-    let inside = Inside::start(&servers).await;
+    let servers = servers(Kind::Engine, Behavior::CloseAfterRequest).await;
+    let fixture = Fixture::start(&servers).await;
     for _ in 0..5 {
-        assert_eq!(chat(&inside, "true").await.status, 200);
+        assert_eq!(chat(&fixture, "true").await.status, 200);
     }
     assert!((1..=2).contains(&servers[0].requests()), "{} requests", servers[0].requests());
-    inside.host.drain().await;
+    fixture.host.drain().await;
 }
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks of fixed seeds, and no promise broken.
+//! Soak tests with fixed seeds or schedules, which must not break any guarantee.
 
 use std::{path::Path, time::Duration};
 
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use standin::routed::{
     links::Way,
-    server::Fault as Grey,
+    server::Fault as ServerFault,
     soak::{
         Plan, Summary, run,
         schedule::{self, Fault, Pairs, PlannedFault},
@@ -15,10 +15,10 @@
 
 const HOSTS: usize = 6;
 
-/// A server of each service.
+/// Index of the first server of each service.
 const FIRST_SERVERS: [usize; 3] = [0, 3, 5];
 
-/// A soak of a seed, as `--example soak` draws it.
+/// Parameters of a soak whose schedule is drawn from its seed, as `--example soak` draws it.
 #[derive(Clone, Copy, Debug)]
 struct Soak {
     seed: u64,
@@ -27,33 +27,35 @@
     tail: Duration,
 }
 
-/// Few faults.
+/// A short soak with few faults.
 const SHORT: Soak =
     Soak { seed: 5, hosts: 3, length: Duration::from_secs(7), tail: Duration::from_secs(1) };
 
-/// The store falls silent for 6.2 s after a declaration, and another one follows: 32 requests were
-/// handled by too old a declaration where a stalled watch was trusted up to its limit.
+/// The store does not answer for 6.2 s after a declaration, and another declaration follows. While
+/// hosts trusted a stalled watch up to its time limit, they handled 32 requests under an outdated
+/// declaration.
 const SILENT_STORE: Soak =
     Soak { seed: 180, hosts: 4, length: Duration::from_secs(60), tail: Duration::from_secs(16) };
 
-/// All services fail all requests from then on, until the end.
+/// All services fail all requests from second `at` until second `end`.
 fn failing(at: u64, end: u64) -> impl Iterator<Item = PlannedFault> {
-    let fault = |place| Fault::AllGrey(place, Grey::NotRun(StatusCode::SERVICE_UNAVAILABLE));
-    FIRST_SERVERS.map(|place| planned(at, end - at, fault(place))).into_iter()
+    let fault =
+        |server| Fault::AllGrey(server, ServerFault::NotRun(StatusCode::SERVICE_UNAVAILABLE));
+    FIRST_SERVERS.map(|server| planned(at, end - at, fault(server))).into_iter()
 }
 
 fn planned(at: u64, duration: u64, fault: Fault) -> PlannedFault {
     PlannedFault { at: Duration::from_secs(at), duration: Duration::from_secs(duration), fault }
 }
 
-/// No datagram passes between hosts for longer than they count those that are silent.
-fn deaf() -> Vec<PlannedFault> {
-    let deaf = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
-    [deaf].into_iter().chain(failing(42, 54)).collect()
+/// All datagrams between hosts are lost for longer than a host counts silent hosts as present.
+fn partition_schedule() -> Vec<PlannedFault> {
+    let lost_datagrams = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
+    [lost_datagrams].into_iter().chain(failing(42, 54)).collect()
 }
 
-/// All hosts are killed three times each, one after the other, while services fail.
-fn restarted() -> Vec<PlannedFault> {
+/// Each host is killed three times, one host after the other, while services fail.
+fn restart_schedule() -> Vec<PlannedFault> {
     let kill = |n: u32| PlannedFault {
         at: Duration::from_secs(16) + Duration::from_millis(400) * n,
         duration: Duration::from_millis(100),
@@ -62,9 +64,9 @@
     (0..3 * HOSTS as u32).map(kill).chain(failing(14, 26)).collect()
 }
 
-/// A request that crashes servers comes all the time, while hosts are restarted in turn, one hears nothing,
-/// and all end at once.
-fn poisoned() -> Vec<PlannedFault> {
+/// A request that crashes servers is sent all the time, while hosts are restarted in turn, one host
+/// receives no datagrams, and all hosts are killed at once.
+fn poison_schedule() -> Vec<PlannedFault> {
     let kill = |at: u64, host| PlannedFault {
         at: Duration::from_millis(at),
         duration: Duration::from_millis(100),
@@ -83,16 +85,16 @@
 #[case::stream(2)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_crashes_servers_costs_few_and_nobody_else(#[case] seed: u64) {
-    let mut schedule = poisoned();
+    let mut schedule = poison_schedule();
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(seed, HOSTS, Duration::from_secs(25), schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
     assert!(3 <= summary.crashed, "{} servers ended", summary.crashed);
 }
 
-/// Runs a soak in a folder of its own.
+/// Runs a soak with its files in a temporary directory.
 async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<PlannedFault>) -> Summary {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let plan = Plan {
         program: Path::new(env!("CARGO_BIN_EXE_cyclamenstage")),
         folder: folder.path(),
@@ -101,12 +103,12 @@
         length,
         schedule,
     };
-    run(&plan).await.expect("a soak")
+    run(&plan).await.expect("soak runs to its end")
 }
 
 #[rstest]
-#[case::hosts_that_do_not_hear_each_other(deaf())]
-#[case::hosts_that_are_restarted_in_series(restarted())]
+#[case::hosts_that_do_not_hear_each_other(partition_schedule())]
+#[case::hosts_that_are_restarted_in_series(restart_schedule())]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retries_keep_to_their_budget(#[case] mut schedule: Vec<PlannedFault>) {
     let ends = schedule.iter().map(|planned| planned.at + planned.duration);
@@ -121,8 +123,8 @@
 #[case::short(SHORT)]
 #[case::silent_store(SILENT_STORE)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_soak_breaks_no_promise(#[case] drawn: Soak) {
-    let Soak { seed, hosts, length, tail } = drawn;
+async fn a_soak_breaks_no_promise(#[case] parameters: Soak) {
+    let Soak { seed, hosts, length, tail } = parameters;
     let schedule = schedule::draw(seed, hosts, length, tail);
     assert!(!schedule.is_empty());
     let summary = soak(seed, hosts, length, schedule).await;
