--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -8,7 +8,7 @@
 use types::routed::{Declaration, Kind};
 
 use crate::site::{
-    HOST, PAGES, backend, declaration, page, route, server_of, site, status_of, undeclared,
+    HOST, PAGES, backend, declaration, page, route, server_of, site, start_site, status_of,
 };
 
 #[rstest]
@@ -49,7 +49,7 @@
 
 #[tokio::test]
 async fn a_host_that_knows_no_declaration_refuses_as_not_run() {
-    let site = undeclared(backend().await, 1).await;
+    let site = start_site(backend().await, 1).await;
     let host = &site.hosts[0];
     assert_eq!(host.says_ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = host.caller().ask(&page()).await.unwrap();
@@ -68,7 +68,7 @@
     let mut declared = declaration();
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[("app", 3), ("other", 1)]);
     backend.declare(&declared);
-    let site = undeclared(backend, 1).await;
+    let site = start_site(backend, 1).await;
     site.ready().await;
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
@@ -79,7 +79,7 @@
 }
 
 /// The declaration with the pages at another service.
-fn moved(version: u64, service: &str) -> Declaration {
+fn declaration_with_pages_at(version: u64, service: &str) -> Declaration {
     let mut declared = declaration();
     declared.version = version;
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[(service, 1)]);
@@ -93,19 +93,19 @@
 #[tokio::test]
 async fn a_new_declaration_is_in_force_and_never_goes_back() {
     let site = site(2).await;
-    site.backend.declare(&moved(7, "other"));
+    site.backend.declare(&declaration_with_pages_at(7, "other"));
     for host in &site.hosts {
         until("the new version is in force", async || goes_to(host, "other").await).await;
     }
     // A store that forgot and was restored: what it holds now is older.
-    site.backend.declare(&moved(5, "app"));
+    site.backend.declare(&declaration_with_pages_at(5, "app"));
     site.seen().await;
     for host in &site.hosts {
         for _ in 0..10 {
             assert!(goes_to(host, "other").await, "{} went back", host.name);
         }
     }
-    site.backend.declare(&moved(9, "app"));
+    site.backend.declare(&declaration_with_pages_at(9, "app"));
     for host in &site.hosts {
         until("the newest version is in force", async || goes_to(host, "app").await).await;
     }
@@ -160,7 +160,7 @@
 /// that no server holds is loaded though no registration changes.
 #[tokio::test]
 async fn servers_known_before_the_first_declaration_get_orders() {
-    let site = undeclared(backend().await, 1).await;
+    let site = start_site(backend().await, 1).await;
     site.seen().await;
     site.backend.declare(&declaration());
     until("a model that is missing is ordered", async || {
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -15,7 +15,7 @@
     stories::{metrics, value},
 };
 
-const SOON: Duration = Duration::from_secs(2);
+const DEADLINE: Duration = Duration::from_secs(2);
 
 #[rstest]
 #[case::full(StatusCode::SERVICE_UNAVAILABLE)]
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn what_a_server_did_not_run_is_tried_elsewhere(
     #[case] status: StatusCode,
-    #[values(page(), ticket(), chat())] ask: Ask,
+    #[values(page(), ticket(), chat())] request: Ask,
 ) {
     let site = site(1).await;
     // A host has no retries of its own until its registration is in the store.
@@ -39,9 +39,9 @@
         site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
     }
     for _ in 0..4 {
-        let again = ask.again();
-        assert_eq!(status_of(&site.hosts[0], &again).await, Some(StatusCode::OK));
-        assert_eq!(site.backend.runs_of(&again.id()), 1);
+        let copy = request.again();
+        assert_eq!(status_of(&site.hosts[0], &copy).await, Some(StatusCode::OK));
+        assert_eq!(site.backend.runs_of(&copy.id()), 1);
     }
 }
 
@@ -50,12 +50,12 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn what_no_server_ran_is_refused_as_not_run(#[case] ask: Ask) {
+async fn what_no_server_ran_is_refused_as_not_run(#[case] request: Ask) {
     let site = site(1).await;
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
     site.backend.script(|script| script.always = Some(full));
-    let ask = ask.deadline(Some(SOON));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = request.deadline(Some(DEADLINE));
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.told.seal, None);
     assert_eq!(site.backend.runs(), 0);
@@ -74,11 +74,11 @@
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(fault));
     for _ in 0..3 {
-        let ask = ticket();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-        let unclear = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
-        assert!(unclear.contains(&answer.status), "{} after it ran", answer.status);
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        let request = ticket();
+        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+        let unresolved = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
+        assert!(unresolved.contains(&answer.status), "{} after it ran", answer.status);
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
     }
 }
 
@@ -95,12 +95,12 @@
     let site = site(1).await;
     site.backend.server("app-1").script(|script| script.always = Some(fault));
     for _ in 0..4 {
-        let ask = page();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let request = page();
+        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
         assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
         assert_eq!(answer.field("server"), "app-2");
-        assert_eq!(answer.field("request"), *ask.id());
-        assert!(site.backend.runs_of(&ask.id()) <= 2);
+        assert_eq!(answer.field("request"), *request.id());
+        assert!(site.backend.runs_of(&request.id()) <= 2);
     }
 }
 
@@ -114,11 +114,11 @@
 async fn a_wrong_answer_to_a_stream_never_passes(#[case] fault: Fault) {
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(fault));
-    let ask = chat();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = chat();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
     assert_eq!((answer.events(), answer.told.seal), (vec![], None));
-    assert_eq!(site.backend.runs_of(&ask.id()), 1);
+    assert_eq!(site.backend.runs_of(&request.id()), 1);
 }
 
 #[rstest]
@@ -131,11 +131,11 @@
     site.backend.script(|script| script.always = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..10 {
-        let ask = page();
-        let answer = caller.ask(&ask).await.unwrap();
+        let request = page();
+        let answer = caller.ask(&request).await.unwrap();
         assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-        assert_eq!(answer.told.id, Some(ask.id()));
-        assert_eq!(answer.field("request"), *ask.id());
+        assert_eq!(answer.told.id, Some(request.id()));
+        assert_eq!(answer.field("request"), *request.id());
     }
     assert_eq!(caller.connections(), 1);
 }
@@ -149,12 +149,12 @@
     site.backend.script(|script| script.always = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..20 {
-        let ask = ticket();
-        let answer = caller.ask(&ask).await.unwrap();
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        let request = ticket();
+        let answer = caller.ask(&request).await.unwrap();
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.told.id, Some(ask.id()));
-            assert_eq!(answer.field("request"), *ask.id());
+            assert_eq!(answer.told.id, Some(request.id()));
+            assert_eq!(answer.field("request"), *request.id());
         } else {
             // The answer that came in its place hides its own.
             assert_eq!((answer.status, answer.told.seal), (StatusCode::BAD_GATEWAY, None));
@@ -167,13 +167,13 @@
     let site = site(1).await;
     let failed = Fault::Failed(StatusCode::INTERNAL_SERVER_ERROR);
     site.backend.script(|script| script.always = Some(failed));
-    let ask = ticket();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = ticket();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert!(answer.told.seal.is_some());
     assert_eq!(
-        (answer.field("request"), site.backend.runs_of(&ask.id())),
-        (ask.id().as_ref().into(), 1)
+        (answer.field("request"), site.backend.runs_of(&request.id())),
+        (request.id().as_ref().into(), 1)
     );
 }
 
@@ -184,8 +184,8 @@
     site.backend.server("app-1").kill();
     site.backend.add_at(address, Settings::plain("other-2", "other")).await.unwrap();
     for _ in 0..10 {
-        let ask = ticket();
-        assert_eq!(server_of(&site.hosts[0], &ask).await.as_deref(), Some("app-2"));
+        let request = ticket();
+        assert_eq!(server_of(&site.hosts[0], &request).await.as_deref(), Some("app-2"));
     }
     assert_eq!(site.backend.server("other-2").runs().len(), 0);
 }
@@ -206,11 +206,11 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_caller_that_leaves_closes_the_servers_connection(#[case] ask: Ask) {
+async fn a_caller_that_leaves_closes_the_servers_connection(#[case] request: Ask) {
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    let asking = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     asking.abort();
     until("the server sees the caller leave", async || {
@@ -229,7 +229,8 @@
     }
     site.seen().await;
     site.backend.script(|script| script.poison = Some("poison"));
-    let poison = Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(SOON));
+    let poison =
+        Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(DEADLINE));
     for _ in 0..6 {
         let status = status_of(&site.hosts[0], &poison.again()).await;
         assert!(status.is_some_and(|status| status.is_server_error()), "{status:?}");
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -10,11 +10,11 @@
     net::TcpStream,
 };
 
-use crate::site::{HOST, backend, declaration, page, site, status_of, undeclared};
+use crate::site::{HOST, backend, declaration, page, site, start_site, status_of};
 
 /// Sends bytes and reads what comes until the other side closes, or for a while.
-async fn raw(address: SocketAddr, pieces: &[&[u8]]) -> String {
-    const WHILE: Duration = Duration::from_millis(1500);
+async fn send_raw(address: SocketAddr, pieces: &[&[u8]]) -> String {
+    const READ_TIMEOUT: Duration = Duration::from_millis(1500);
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
     for piece in pieces {
@@ -23,11 +23,11 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let mut answer = Vec::new();
-    let _ = tokio::time::timeout(WHILE, stream.read_to_end(&mut answer)).await;
+    let _ = tokio::time::timeout(READ_TIMEOUT, stream.read_to_end(&mut answer)).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn head(method: &str, id: &str, fields: &str) -> String {
+fn request_head(method: &str, id: &str, fields: &str) -> String {
     format!("{method} /tickets/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {id}\r\n{fields}\r\n")
 }
 
@@ -45,10 +45,10 @@
 #[tokio::test]
 async fn a_smuggled_request_never_runs(#[case] fields: &str, #[case] body: &str) {
     let site = site(1).await;
-    let head = head("POST", "r-outer", fields);
+    let head = request_head("POST", "r-outer", fields);
     // One that names an id of its own is a caller's request only if framing says so to everybody.
     let sent = format!("{head}{body}{SMUGGLED}");
-    let answer = raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
+    let answer = send_raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     for run in runs {
         let text = String::from_utf8_lossy(&run.body).into_owned();
@@ -67,10 +67,10 @@
 #[tokio::test]
 async fn a_body_is_passed_on_whole(#[case] fields: &str, #[case] pieces: &[&str]) {
     let site = site(1).await;
-    let head = head("POST", "r-1", &format!("{fields}Connection: close\r\n"));
+    let head = request_head("POST", "r-1", &format!("{fields}Connection: close\r\n"));
     let mut sent = vec![head.as_bytes()];
     sent.extend(pieces.iter().map(|piece| piece.as_bytes()));
-    let answer = raw(site.hosts[0].callers(), &sent).await;
+    let answer = send_raw(site.hosts[0].callers(), &sent).await;
     assert!(answer.contains("HTTP/1.1 200"), "{answer}");
     let runs: Vec<_> = site.backend.servers.iter().flat_map(|server| server.runs()).collect();
     assert_eq!((runs.len(), &runs[0].body[..]), (1, &b"room 12"[..]));
@@ -81,9 +81,11 @@
 #[tokio::test]
 async fn requests_that_follow_at_once_are_answered_in_order() {
     let site = site(1).await;
-    let sent = ["r-1", "r-2", "r-3"].map(|id| head("POST", id, "Content-Length: 0\r\n")).concat();
-    let answer = raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
-    let ids: Vec<&str> = answer.lines().filter_map(|l| l.strip_prefix("x-request-id: ")).collect();
+    let sent =
+        ["r-1", "r-2", "r-3"].map(|id| request_head("POST", id, "Content-Length: 0\r\n")).concat();
+    let answer = send_raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
+    let ids: Vec<&str> =
+        answer.lines().filter_map(|line| line.strip_prefix("x-request-id: ")).collect();
     assert_eq!(ids, ["r-1", "r-2", "r-3"]);
     assert!(ids.iter().all(|id| site.backend.runs_of(id) == 1));
 }
@@ -117,10 +119,10 @@
     let mut declared = declaration();
     declared.limits.body_bytes = 10_000;
     backend.declare(&declared);
-    let site = undeclared(backend, 1).await;
+    let site = start_site(backend, 1).await;
     site.ready().await;
-    let ask = Ask::to(HOST, "/tickets/x").send(Method::POST, vec![b'x'; bytes]);
-    assert_eq!(status_of(&site.hosts[0], &ask).await, Some(status));
+    let request = Ask::to(HOST, "/tickets/x").send(Method::POST, vec![b'x'; bytes]);
+    assert_eq!(status_of(&site.hosts[0], &request).await, Some(status));
     assert_eq!(site.backend.runs(), usize::from(status == StatusCode::OK));
 }
 
@@ -128,7 +130,7 @@
 async fn a_request_without_a_name_is_malformed() {
     let site = site(1).await;
     let sent = format!("GET /pages/x HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n\r\n");
-    let answer = raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
+    let answer = send_raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     assert_eq!(site.backend.runs(), 0);
 }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -19,42 +19,42 @@
 };
 
 use crate::{
-    site::{chat, engine, page, site, usual_site},
+    site::{chat, engine, page, site, site_with_info_log},
     stories::{metrics, value},
 };
 
 /// Time from the naming until the limit binds, one window, and a little more.
-const JUDGED: Duration = Duration::from_secs(9);
+const OBSERVATION_TIME: Duration = Duration::from_secs(9);
 
 /// Between two requests of a caller. Two servers of 8 slots take far more.
-const PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time that callers give a request.
 const DEADLINE: Duration = Duration::from_secs(2);
 
 /// Part of a limit that is to be used while more is asked for.
-const USED: f64 = 0.9;
+const MIN_UTILIZATION: f64 = 0.9;
 
 /// An answer's status, how long it took, and when the caller may come back.
-type Answered = (StatusCode, Duration, Option<Duration>);
+type TimedAnswer = (StatusCode, Duration, Option<Duration>);
 
 /// Callers of each host.
 const CALLERS: usize = 6;
 
 /// Calls hosts until a moment, each caller once at the least.
-async fn press(hosts: &[Host], ask: impl Fn() -> Ask, until: Instant) -> Vec<Answered> {
+async fn send_load(hosts: &[Host], request: impl Fn() -> Ask, until: Instant) -> Vec<TimedAnswer> {
     let mut callers = JoinSet::new();
     for host in hosts.iter().flat_map(|host| [host; CALLERS]) {
-        let (mut caller, ask) = (host.caller(), ask());
+        let (mut caller, request) = (host.caller(), request());
         callers.spawn(async move {
             let mut answers = Vec::new();
             loop {
-                let (ask, from) = (ask.again().deadline(Some(DEADLINE)), Instant::now());
+                let (request, from) = (request.again().deadline(Some(DEADLINE)), Instant::now());
                 // A host that stands still answers nobody.
-                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&ask)).await {
+                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&request)).await {
                     answers.push((answer.status, from.elapsed(), answer.told.retry_after));
                 }
-                sleep(PAUSE).await;
+                sleep(REQUEST_INTERVAL).await;
                 if until <= Instant::now() {
                     return answers;
                 }
@@ -64,11 +64,11 @@
     callers.join_all().await.concat()
 }
 
-fn name_limit(server: &Server, limit: Option<&str>) {
+fn set_limit(server: &Server, limit: Option<&str>) {
     server.script(|script| script.limit = limit.map(Into::into));
 }
 
-fn check(site: &Site, ids: &[&str]) {
+fn check_quotas(site: &Site, ids: &[&str]) {
     for id in ids {
         let excess = site.backend.server(id).quota().excess(|_, _| true);
         assert_eq!(excess, None, "{id}");
@@ -76,15 +76,15 @@
 }
 
 /// Part of a limit that was used in the last seconds.
-fn used(server: &Server, limit: f64, time: Duration) -> f64 {
+fn utilization(server: &Server, limit: f64, time: Duration) -> f64 {
     let since = server.began().elapsed().saturating_sub(time);
     let arrivals = server.quota().arrivals;
-    let lately = arrivals.iter().filter(|(_, at)| since < *at).count();
-    lately as f64 / (limit * time.as_secs_f64())
+    let recent = arrivals.iter().filter(|(_, at)| since < *at).count();
+    recent as f64 / (limit * time.as_secs_f64())
 }
 
 /// The servers that name a limit, as far as a host knows.
-async fn limited(host: &Host) -> Option<f64> {
+async fn limited_servers(host: &Host) -> Option<f64> {
     value(&metrics(host).await, "cyclamenstage_routed_limited_servers")
 }
 
@@ -92,13 +92,13 @@
 async fn a_server_gets_no_more_than_its_limit_from_all_hosts_together() {
     let site = site(3).await;
     let began = Instant::now();
-    let pressing = press(&site.hosts, page, began + JUDGED);
-    let naming = async {
+    let load = send_load(&site.hosts, page, began + OBSERVATION_TIME);
+    let limit_changes = async {
         sleep_until(began + Duration::from_millis(300)).await;
-        name_limit(site.backend.server("app-1"), Some("2.1"));
+        set_limit(site.backend.server("app-1"), Some("2.1"));
     };
-    let (answers, ()) = tokio::join!(pressing, naming);
-    check(&site, &["app-1"]);
+    let (answers, ()) = tokio::join!(load, limit_changes);
+    check_quotas(&site, &["app-1"]);
     let failed: Vec<_> = answers.iter().filter(|(status, ..)| *status != StatusCode::OK).collect();
     assert!(failed.is_empty(), "the other server takes the rest: {failed:?}");
 }
@@ -111,16 +111,16 @@
 async fn a_limit_is_kept_that_only_garbled_answers_name(#[case] fault: Fault) {
     let site = site(3).await;
     let began = Instant::now();
-    let pressing = press(&site.hosts, page, began + JUDGED);
-    let naming = async {
+    let load = send_load(&site.hosts, page, began + OBSERVATION_TIME);
+    let limit_changes = async {
         sleep_until(began + Duration::from_millis(300)).await;
         site.backend.script(|script| script.always = Some(fault));
         for id in ["app-1", "app-2"] {
-            name_limit(site.backend.server(id), Some("0.3"));
+            set_limit(site.backend.server(id), Some("0.3"));
         }
     };
-    tokio::join!(pressing, naming);
-    check(&site, &["app-1", "app-2"]);
+    tokio::join!(load, limit_changes);
+    check_quotas(&site, &["app-1", "app-2"]);
 }
 
 /// Hosts refuse at once what no server can take in time, and use what the servers take.
@@ -128,43 +128,46 @@
 #[case::plain(page(), ["app-1", "app-2"])]
 #[case::streams(chat(), ["lm-1", "lm-2"])]
 #[tokio::test]
-async fn all_servers_of_a_service_may_name_limits(#[case] ask: Ask, #[case] ids: [&str; 2]) {
+async fn all_servers_of_a_service_may_name_limits(#[case] request: Ask, #[case] ids: [&str; 2]) {
     const LIMIT: f64 = 4.0;
     let site = site(3).await;
-    ids.iter().for_each(|id| name_limit(site.backend.server(id), Some("4")));
+    ids.iter().for_each(|id| set_limit(site.backend.server(id), Some("4")));
     // Hosts lend no shares right after their start.
-    let warm = Instant::now() + Duration::from_secs(7);
-    press(&site.hosts, || ask.clone(), warm).await;
-    let answers = press(&site.hosts, || ask.clone(), warm + Duration::from_secs(8)).await;
-    check(&site, &ids);
-    let used: f64 =
-        ids.iter().map(|id| used(site.backend.server(id), LIMIT, Duration::from_secs(8))).sum();
-    assert!(USED <= used / 2.0, "{used} of both limits used");
+    let warmed_up = Instant::now() + Duration::from_secs(7);
+    send_load(&site.hosts, || request.clone(), warmed_up).await;
+    let answers =
+        send_load(&site.hosts, || request.clone(), warmed_up + Duration::from_secs(8)).await;
+    check_quotas(&site, &ids);
+    let utilization: f64 = ids
+        .iter()
+        .map(|id| utilization(site.backend.server(id), LIMIT, Duration::from_secs(8)))
+        .sum();
+    assert!(MIN_UTILIZATION <= utilization / 2.0, "{utilization} of both limits used");
     let refused = |status: StatusCode| status == StatusCode::SERVICE_UNAVAILABLE;
     assert!(answers.iter().all(|(status, ..)| status.is_success() || refused(*status)));
     let refused: Vec<_> = answers.iter().filter(|(status, ..)| refused(*status)).collect();
     assert!(!refused.is_empty(), "twice as much is asked for as the servers take");
     assert!(refused.iter().all(|(_, _, after)| after.is_some()));
-    let held = refused.iter().filter(|(_, took, _)| DEADLINE / 2 < *took).count();
-    assert_eq!(held, 0, "held until their deadline: {refused:?}");
+    let delayed = refused.iter().filter(|(_, took, _)| DEADLINE / 2 < *took).count();
+    assert_eq!(delayed, 0, "held until their deadline: {refused:?}");
 }
 
 #[tokio::test]
 async fn a_host_keeps_to_a_limit_that_only_others_have_seen() {
     let site = site(3).await;
-    name_limit(site.backend.server("other-1"), Some("0.5"));
+    set_limit(site.backend.server("other-1"), Some("0.5"));
     let deep = || Ask::to(crate::site::HOST, "/pages/deep/x");
     until("the first host has an answer", async || {
-        press(&site.hosts[..1], deep, Instant::now()).await;
-        limited(&site.hosts[0]).await == Some(1.0)
+        send_load(&site.hosts[..1], deep, Instant::now()).await;
+        limited_servers(&site.hosts[0]).await == Some(1.0)
     })
     .await;
     for host in &site.hosts[1..] {
-        let news = until("the news", async || limited(host).await == Some(1.0));
-        timeout(quota::CONTACT, news).await.expect("in force everywhere in time");
+        let learned = until("the news", async || limited_servers(host).await == Some(1.0));
+        timeout(quota::CONTACT, learned).await.expect("in force everywhere in time");
     }
-    press(&site.hosts[1..], deep, Instant::now() + JUDGED).await;
-    check(&site, &["other-1"]);
+    send_load(&site.hosts[1..], deep, Instant::now() + OBSERVATION_TIME).await;
+    check_quotas(&site, &["other-1"]);
 }
 
 #[tokio::test]
@@ -172,15 +175,15 @@
     let site = site(3).await;
     let began = Instant::now();
     let limits = [Some("9"), Some("1.5"), Some("0"), Some("20"), None, Some("2.5")];
-    let naming = async {
+    let limit_changes = async {
         for (step, limit) in limits.into_iter().enumerate() {
             sleep_until(began + Duration::from_millis(2_600) * step as u32).await;
-            name_limit(site.backend.server("app-2"), limit);
+            set_limit(site.backend.server("app-2"), limit);
         }
     };
-    let pressing = press(&site.hosts, page, began + Duration::from_secs(22));
-    let (answers, ()) = tokio::join!(pressing, naming);
-    check(&site, &["app-2"]);
+    let load = send_load(&site.hosts, page, began + Duration::from_secs(22));
+    let (answers, ()) = tokio::join!(load, limit_changes);
+    check_quotas(&site, &["app-2"]);
     let failed: Vec<_> = answers.iter().filter(|(status, ..)| *status != StatusCode::OK).collect();
     assert!(failed.is_empty(), "the other server takes the rest: {failed:?}");
 }
@@ -192,30 +195,30 @@
 async fn no_host_is_needed_for_a_limit_to_be_kept(#[case] signal: Signal) {
     let mut site = site(3).await;
     let began = Instant::now();
-    ["app-1", "app-2"].iter().for_each(|id| name_limit(site.backend.server(id), Some("6")));
-    press(&site.hosts, page, began + JUDGED).await;
+    ["app-1", "app-2"].iter().for_each(|id| set_limit(site.backend.server(id), Some("6")));
+    send_load(&site.hosts, page, began + OBSERVATION_TIME).await;
     // Each host in turn, so that each server's owner is among them.
-    for place in 0..3 {
-        site.hosts[place].signal(signal);
-        let others: Vec<usize> = (0..3).filter(|other| *other != place).collect();
+    for index in 0..3 {
+        site.hosts[index].signal(signal);
+        let others: Vec<usize> = (0..3).filter(|other| *other != index).collect();
         let until = Instant::now() + Duration::from_secs(6);
-        let pressing = others
+        let load = others
             .iter()
-            .map(|other| press(std::slice::from_ref(&site.hosts[*other]), page, until));
-        futures_util::future::join_all(pressing).await;
+            .map(|other| send_load(std::slice::from_ref(&site.hosts[*other]), page, until));
+        futures_util::future::join_all(load).await;
         match signal {
-            Signal::SIGSTOP => site.hosts[place].signal(Signal::SIGCONT),
+            Signal::SIGSTOP => site.hosts[index].signal(Signal::SIGCONT),
             _ => {
-                site.restart(place).await.expect("a host");
-                site.hosts[place].ready().await;
+                site.restart(index).await.expect("a host");
+                site.hosts[index].ready().await;
             }
         }
     }
-    check(&site, &["app-1", "app-2"]);
-    press(&site.hosts, page, Instant::now() + JUDGED).await;
-    check(&site, &["app-1", "app-2"]);
-    let used = used(site.backend.server("app-1"), 6.0, Duration::from_secs(3));
-    assert!(0.5 < used, "{used} of the limit used after the last host is back");
+    check_quotas(&site, &["app-1", "app-2"]);
+    send_load(&site.hosts, page, Instant::now() + OBSERVATION_TIME).await;
+    check_quotas(&site, &["app-1", "app-2"]);
+    let utilization = utilization(site.backend.server("app-1"), 6.0, Duration::from_secs(3));
+    assert!(0.5 < utilization, "{utilization} of the limit used after the last host is back");
 }
 
 #[rstest]
@@ -228,18 +231,18 @@
 #[tokio::test]
 async fn a_limit_that_cannot_be_read_changes_nothing(#[case] limit: &str) {
     const REQUESTS: usize = 10;
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     let server = site.backend.server("other-1");
-    name_limit(server, Some(limit));
+    set_limit(server, Some(limit));
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
-        let ask = Ask::to(crate::site::HOST, "/pages/deep/x");
-        assert_eq!(caller.ask(&ask).await.unwrap().status, StatusCode::OK);
+        let request = Ask::to(crate::site::HOST, "/pages/deep/x");
+        assert_eq!(caller.ask(&request).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(&site.hosts[0]).await;
     let unreadable = value(&text, "cyclamenstage_routed_unreadable_limits_total");
     assert_eq!(unreadable, Some(REQUESTS as f64));
-    assert_eq!(limited(&site.hosts[0]).await, Some(0.0));
+    assert_eq!(limited_servers(&site.hosts[0]).await, Some(0.0));
     let line = "the limit in a server's answer can't be read";
     until("the log says so", async || site.hosts[0].logged(line)).await;
     let log = site.hosts[0].log();
@@ -251,38 +254,38 @@
     let mut site = site(1).await;
     let run = |born| Settings { born, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
     site.backend.restart(run(1_000)).await.expect("its address");
-    name_limit(site.backend.server("lm-1"), Some("0.3"));
+    set_limit(site.backend.server("lm-1"), Some("0.3"));
     let desk = || chat().model("desk").deadline(Some(DEADLINE));
     until("the limit is known", async || {
-        press(&site.hosts, desk, Instant::now()).await;
-        limited(&site.hosts[0]).await == Some(1.0)
+        send_load(&site.hosts, desk, Instant::now()).await;
+        limited_servers(&site.hosts[0]).await == Some(1.0)
     })
     .await;
     site.backend.restart(run(2_000)).await.expect("its address");
     until("the next run answers", async || {
-        press(&site.hosts, desk, Instant::now()).await;
+        send_load(&site.hosts, desk, Instant::now()).await;
         !site.backend.server("lm-1").runs().is_empty()
     })
     .await;
     for _ in 0..20 {
-        let answers = press(&site.hosts, desk, Instant::now() + PAUSE).await;
+        let answers = send_load(&site.hosts, desk, Instant::now() + REQUEST_INTERVAL).await;
         assert!(answers.iter().all(|(status, ..)| *status == StatusCode::OK), "{answers:?}");
     }
 }
 
 #[tokio::test]
 async fn a_change_of_a_limit_is_told_in_the_log() {
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     let server = site.backend.server("other-1");
     for limit in [Some("2.5"), Some("4"), None] {
-        name_limit(server, limit);
+        set_limit(server, limit);
         until("the change is told", async || {
-            press(&site.hosts, || Ask::to(crate::site::HOST, "/pages/deep/x"), Instant::now())
+            send_load(&site.hosts, || Ask::to(crate::site::HOST, "/pages/deep/x"), Instant::now())
                 .await;
             let log = site.hosts[0].log();
-            let told = log.iter().rfind(|record| record["kind"] == "limit");
+            let last = log.iter().rfind(|record| record["kind"] == "limit");
             let now = limit.and_then(|limit| limit.parse::<f64>().ok());
-            told.is_some_and(|record| {
+            last.is_some_and(|record| {
                 record["server"] == "other-1"
                     && record["from"] == "itself"
                     && record["now"] == json!(now)
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -14,61 +14,62 @@
 };
 use tokio::task::JoinSet;
 
-use crate::site::{TURN, chat, site};
+use crate::site::{HANDOVER_GAP, chat, site};
 
 const MODELS: [&str; 3] = ["welcome", "desk", "notes"];
 const ADAPTERS: [&str; 2] = ["a1", "a2"];
 
 /// Time that a caller gives a request for an adapter.
-const SOON: Duration = Duration::from_millis(800);
+const DEADLINE: Duration = Duration::from_millis(800);
 
 /// Time between requests; each adapter is left alone for several of them, and can make way.
-const PAUSE: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Asks for one adapter after the other, of more than there are places, at one host after the other.
-fn demand(site: &Site) -> JoinSet<()> {
+fn spawn_demand(site: &Site) -> JoinSet<()> {
     let mut callers: Vec<Caller> = site.hosts.iter().map(Host::caller).collect();
-    let mut asking = JoinSet::new();
-    asking.spawn(async move {
-        for turn in 0.. {
-            let (model, adapter) = (MODELS[turn % MODELS.len()], ADAPTERS[turn / MODELS.len() % 2]);
-            let place = turn / 2 % callers.len();
-            ask(&mut callers[place], model, adapter).await;
+    let mut tasks = JoinSet::new();
+    tasks.spawn(async move {
+        for number in 0.. {
+            let (model, adapter) =
+                (MODELS[number % MODELS.len()], ADAPTERS[number / MODELS.len() % 2]);
+            let index = number / 2 % callers.len();
+            ask(&mut callers[index], model, adapter).await;
         }
     });
-    asking
+    tasks
 }
 
 async fn ask(caller: &mut Caller, model: &str, adapter: &str) {
-    let ask = chat().model(model).adapter(adapter).deadline(Some(SOON));
+    let request = chat().model(model).adapter(adapter).deadline(Some(DEADLINE));
     // A host may be gone or frozen, and what it refuses is asked again soon enough.
-    let answer = tokio::time::timeout(SOON * 2, caller.ask(&ask)).await;
+    let answer = tokio::time::timeout(DEADLINE * 2, caller.ask(&request)).await;
     if !matches!(answer, Ok(Ok(_))) {
         caller.leave();
     }
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(REQUEST_INTERVAL).await;
 }
 
 /// Orders to all servers, in the order in which they were judged.
 fn orders(site: &Site) -> Vec<Given> {
     let mut orders: Vec<Given> = site.backend.servers.iter().flat_map(Server::orders).collect();
-    orders.sort_by_key(|given| given.at);
+    orders.sort_by_key(|record| record.at);
     orders
 }
 
 fn holder(site: &Site) -> Option<String> {
-    orders(site).last().map(|given| given.order.holder.to_string())
+    orders(site).last().map(|record| record.order.holder.to_string())
 }
 
-/// The place of the host that gives orders now.
-async fn place_of_holder(site: &Site) -> usize {
+/// The index of the host that gives orders now.
+async fn holder_index(site: &Site) -> usize {
     until("someone gives orders", async || holder(site).is_some()).await;
     let name = holder(site).expect("a holder");
     site.hosts.iter().position(|host| host.name == name).expect("a host of the site")
 }
 
 /// Waits until another host gives orders.
-async fn handed_over(site: &Site, before: &str) {
+async fn wait_for_handover(site: &Site, before: &str) {
     until("another host gives orders", async || {
         holder(site).is_some_and(|holder| holder != before)
     })
@@ -76,31 +77,31 @@
 }
 
 /// Each server has one holder at a time, with fencing numbers that rise, and turns that are apart.
-fn check(site: &Site) {
+fn check_orders(site: &Site) {
     for server in &site.backend.servers {
-        let given = server.orders();
-        for pair in given.windows(2) {
+        let records = server.orders();
+        for pair in records.windows(2) {
             let [before, after] = pair else { continue };
             let context = format!("{} got {before:?}, then {after:?}", server.id());
             if before.order.holder == after.order.holder {
                 assert!(before.order.fence <= after.order.fence, "{context}");
             } else {
                 assert!(before.order.fence < after.order.fence, "{context}");
-                assert!(before.at + TURN <= after.at, "{context}");
+                assert!(before.at + HANDOVER_GAP <= after.at, "{context}");
             }
         }
-        assert_eq!(server.overload(), None, "{} got {given:?}", server.id());
+        assert_eq!(server.overload(), None, "{} got {records:?}", server.id());
     }
 }
 
 #[tokio::test]
 async fn one_host_gives_orders() {
     let site = site(3).await;
-    let _asking = demand(&site);
+    let _demand = spawn_demand(&site);
     until("many orders are given", async || 30 < orders(&site).len()).await;
     let first = holder(&site);
-    assert!(orders(&site).iter().all(|given| Some(given.order.holder.to_string()) == first));
-    check(&site);
+    assert!(orders(&site).iter().all(|record| Some(record.order.holder.to_string()) == first));
+    check_orders(&site);
 }
 
 #[rstest]
@@ -109,24 +110,24 @@
 #[tokio::test]
 async fn orders_go_on_when_their_host_ends(#[case] signal: Signal) {
     let site = site(3).await;
-    let _asking = demand(&site);
-    let place = place_of_holder(&site).await;
-    site.hosts[place].signal(signal);
-    handed_over(&site, &site.hosts[place].name).await;
-    check(&site);
+    let _demand = spawn_demand(&site);
+    let index = holder_index(&site).await;
+    site.hosts[index].signal(signal);
+    wait_for_handover(&site, &site.hosts[index].name).await;
+    check_orders(&site);
 }
 
 #[tokio::test]
 async fn a_host_that_was_frozen_gives_no_orders_of_its_former_turn() {
     let site = site(3).await;
-    let _asking = demand(&site);
-    let place = place_of_holder(&site).await;
-    site.hosts[place].signal(Signal::SIGSTOP);
-    handed_over(&site, &site.hosts[place].name).await;
-    site.hosts[place].signal(Signal::SIGCONT);
+    let _demand = spawn_demand(&site);
+    let index = holder_index(&site).await;
+    site.hosts[index].signal(Signal::SIGSTOP);
+    wait_for_handover(&site, &site.hosts[index].name).await;
+    site.hosts[index].signal(Signal::SIGCONT);
     let before = orders(&site).len();
     until("orders go on", async || before + 20 < orders(&site).len()).await;
-    check(&site);
+    check_orders(&site);
 }
 
 #[rstest]
@@ -135,14 +136,14 @@
 #[tokio::test]
 async fn orders_go_on_when_the_store_turns_their_host_away(#[case] refusal: Refusal) {
     let site = site(3).await;
-    let _asking = demand(&site);
-    let place = place_of_holder(&site).await;
-    site.backend.store.at(&site.hosts[place].name, |mood| mood.refusal = Some(refusal));
-    handed_over(&site, &site.hosts[place].name).await;
-    site.backend.store.at(&site.hosts[place].name, |mood| mood.refusal = None);
+    let _demand = spawn_demand(&site);
+    let index = holder_index(&site).await;
+    site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = Some(refusal));
+    wait_for_handover(&site, &site.hosts[index].name).await;
+    site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = None);
     let before = orders(&site).len();
     until("orders go on", async || before + 20 < orders(&site).len()).await;
-    check(&site);
+    check_orders(&site);
 }
 
 #[rstest]
@@ -153,14 +154,14 @@
     #[case] change: fn(&mut Mood),
 ) {
     let site = site(3).await;
-    let _asking = demand(&site);
-    place_of_holder(&site).await;
+    let _demand = spawn_demand(&site);
+    holder_index(&site).await;
     for _ in 0..3 {
         site.backend.store.everywhere(change);
         let before = orders(&site).len();
         until("orders go on", async || before + 20 < orders(&site).len()).await;
     }
-    check(&site);
+    check_orders(&site);
 }
 
 #[tokio::test]
@@ -172,7 +173,7 @@
         let faults = [OrderFault::Lost, late].into_iter().cycle().take(12);
         server.script(|script| script.orders = faults.collect());
     }
-    let _asking = demand(&site);
+    let _demand = spawn_demand(&site);
     until("orders go on after all faults", async || 60 < orders(&site).len()).await;
-    check(&site);
+    check_orders(&site);
 }
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -12,7 +12,7 @@
 };
 use tokio::time::{sleep, timeout};
 
-use crate::site::{HOST, backend, declaration, page, status_of, undeclared_with};
+use crate::site::{HOST, backend, declaration, new_site, page, status_of};
 
 const HOSTS: usize = 4;
 
@@ -20,31 +20,31 @@
 const SERVERS: usize = 40;
 
 /// Crashes after which the request is known to cause them.
-const KNOWN: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 /// Time without trouble after which a host is in touch, with some to spare.
-const CONTACT: Duration = Duration::from_millis(3_300);
+const RECOVERY_TIME: Duration = Duration::from_millis(3_300);
 
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What happens to the hosts once the request has crashed three servers.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Disruption {
     /// Each host is killed and started in turn.
-    InTurn,
+    RollingRestart,
     /// All hosts are killed at once, and started, twice.
-    AtOnce,
+    FullRestart,
     /// Each host in turn hears nothing and is not heard.
-    Deaf,
+    Partition,
 }
 
 /// Where the caller of the request is seen to call from.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     /// One address at all hosts.
-    One,
+    OneAddress,
     /// Another address at each host.
-    EachHost,
+    AddressPerHost,
 }
 
 async fn site() -> Site {
@@ -54,7 +54,7 @@
     }
     backend.script(|script| script.poison = Some("poison"));
     backend.declare(&declaration());
-    let mut site = undeclared_with(backend, Site::relay_links);
+    let mut site = new_site(backend, Site::relay_links);
     for _ in 0..HOSTS {
         site.add(|_| {}).await.expect("a host");
     }
@@ -70,23 +70,25 @@
 
 /// Sends the request through each host, and an innocent one beside it.
 async fn send_through_all(site: &mut Site, source: Source) {
-    for place in 0..HOSTS {
-        let host = &site.hosts[place];
+    for index in 0..HOSTS {
+        let host = &site.hosts[index];
         let poison =
-            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(PATIENCE));
+            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(TIMEOUT));
         let mut caller = match source {
-            Source::One => host.caller(),
-            Source::EachHost => host.caller().from(IpAddr::from([127, 77, 0, place as u8 + 1])),
+            Source::OneAddress => host.caller(),
+            Source::AddressPerHost => {
+                host.caller().from(IpAddr::from([127, 77, 0, index as u8 + 1]))
+            }
         };
-        let _ = timeout(PATIENCE, caller.ask(&poison)).await;
+        let _ = timeout(TIMEOUT, caller.ask(&poison)).await;
         assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK), "an innocent request");
-        forget_crashed(site);
+        deregister_crashed(site);
         sleep(Duration::from_millis(150)).await;
     }
 }
 
 /// Ends the registrations of the servers that have crashed.
-fn forget_crashed(site: &mut Site) {
+fn deregister_crashed(site: &mut Site) {
     let has_crashed =
         |server: &&Server| server.runs().iter().any(|run| run.ending == Some(Ending::Crashed));
     let crashed = site.backend.servers.iter().filter(has_crashed);
@@ -95,67 +97,67 @@
 }
 
 /// Lets the request crash as many servers as it may in calm.
-async fn learn(site: &mut Site, source: Source) {
+async fn crash_until_refused(site: &mut Site, source: Source) {
     for _ in 0..3 {
         send_through_all(site, source).await;
     }
-    assert_eq!(crashed(site), KNOWN, "servers ended in calm");
+    assert_eq!(crashed(site), MAX_CRASHES, "servers ended in calm");
 }
 
-async fn restart(site: &mut Site, places: std::ops::Range<usize>) {
-    places.clone().for_each(|place| site.hosts[place].kill());
-    for place in places {
-        site.restart(place).await.expect("a host");
-        site.hosts[place].ready().await;
+async fn restart(site: &mut Site, indexes: std::ops::Range<usize>) {
+    indexes.clone().for_each(|index| site.hosts[index].kill());
+    for index in indexes {
+        site.restart(index).await.expect("a host");
+        site.hosts[index].ready().await;
     }
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
 }
 
 /// Sets the links between a host and all others.
-fn set_links(site: &Site, place: usize, way: Way) {
-    for other in (0..HOSTS).filter(|other| *other != place) {
-        site.links().set(place, other, way);
-        site.links().set(other, place, way);
+fn set_links(site: &Site, index: usize, delivery: Way) {
+    for other in (0..HOSTS).filter(|other| *other != index) {
+        site.links().set(index, other, delivery);
+        site.links().set(other, index, delivery);
     }
 }
 
 #[rstest]
-#[case::hosts_start_anew_in_turn(Trouble::InTurn)]
-#[case::all_hosts_start_anew_at_once(Trouble::AtOnce)]
-#[case::hosts_hear_nothing_in_turn(Trouble::Deaf)]
+#[case::hosts_start_anew_in_turn(Disruption::RollingRestart)]
+#[case::all_hosts_start_anew_at_once(Disruption::FullRestart)]
+#[case::hosts_hear_nothing_in_turn(Disruption::Partition)]
 #[tokio::test]
-async fn a_request_known_to_crash_servers_stays_refused(#[case] trouble: Trouble) {
+async fn a_request_known_to_crash_servers_stays_refused(#[case] disruption: Disruption) {
     let mut site = site().await;
-    learn(&mut site, Source::One).await;
-    match trouble {
-        Trouble::InTurn => {
-            for place in 0..HOSTS {
-                restart(&mut site, place..place + 1).await;
-                send_through_all(&mut site, Source::One).await;
+    crash_until_refused(&mut site, Source::OneAddress).await;
+    match disruption {
+        Disruption::RollingRestart => {
+            for index in 0..HOSTS {
+                restart(&mut site, index..index + 1).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
-        Trouble::AtOnce => {
+        Disruption::FullRestart => {
             for _ in 0..3 {
                 restart(&mut site, 0..HOSTS).await;
-                send_through_all(&mut site, Source::One).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
-        Trouble::Deaf => {
-            for place in 0..HOSTS {
-                set_links(&site, place, Way::Lost);
-                sleep(CONTACT + Duration::from_secs(1)).await;
-                send_through_all(&mut site, Source::One).await;
-                set_links(&site, place, Way::Passes);
-                sleep(CONTACT).await;
-                send_through_all(&mut site, Source::One).await;
+        Disruption::Partition => {
+            for index in 0..HOSTS {
+                set_links(&site, index, Way::Lost);
+                sleep(RECOVERY_TIME + Duration::from_secs(1)).await;
+                send_through_all(&mut site, Source::OneAddress).await;
+                set_links(&site, index, Way::Passes);
+                sleep(RECOVERY_TIME).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
     }
-    assert_eq!(crashed(&site), KNOWN, "servers ended");
+    assert_eq!(crashed(&site), MAX_CRASHES, "servers ended");
 }
 
 #[tokio::test]
 async fn a_request_that_crashes_servers_is_known_wherever_it_is_called_from() {
     let mut site = site().await;
-    learn(&mut site, Source::EachHost).await;
+    crash_until_refused(&mut site, Source::AddressPerHost).await;
 }
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -6,7 +6,7 @@
 use crate::site::{chat, engine, site, status_of};
 
 /// A run of a model server that began at a time.
-fn run(born: u64, models: &[&str]) -> Settings {
+fn run_settings(born: u64, models: &[&str]) -> Settings {
     Settings { born, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
 
@@ -21,17 +21,17 @@
     let desk = || chat().model("desk");
     // Orders raise the count of the first run above that of the second.
     for adapter in ["a1", "a2"] {
-        let ask = desk().adapter(adapter);
+        let request = desk().adapter(adapter);
         until("the adapter answers", async || {
-            status_of(&site.hosts[0], &ask).await.is_some_and(|status| status.is_success())
+            status_of(&site.hosts[0], &request).await.is_some_and(|status| status.is_success())
         })
         .await;
     }
     assert!(!site.backend.server("lm-1").orders().is_empty());
-    site.backend.restart(run(1_785_971_202_000, models)).await.expect("its address");
-    for place in [0, 1] {
+    site.backend.restart(run_settings(1_785_971_202_000, models)).await.expect("its address");
+    for index in [0, 1] {
         until("the model answers again", async || {
-            let status = status_of(&site.hosts[place], &desk()).await;
+            let status = status_of(&site.hosts[index], &desk()).await;
             status.is_some_and(|status| status.is_success())
         })
         .await;
@@ -53,7 +53,7 @@
 async fn an_entry_of_an_earlier_run_changes_nothing() {
     let mut site = site(1).await;
     let welcome = || chat().model("welcome");
-    site.backend.restart(run(2_000, &["welcome"])).await.expect("its address");
+    site.backend.restart(run_settings(2_000, &["welcome"])).await.expect("its address");
     until("the second run is used", async || {
         status_of(&site.hosts[0], &welcome().unread()).await;
         !site.backend.server("lm-1").runs().is_empty()
@@ -65,10 +65,10 @@
     site.backend.silence("lm-1");
     site.backend.put(&earlier);
     site.seen().await;
-    let before = site.backend.server("lm-1").runs().len();
+    let runs_before = site.backend.server("lm-1").runs().len();
     until("it is still used", async || {
         status_of(&site.hosts[0], &welcome().unread()).await;
-        before < site.backend.server("lm-1").runs().len()
+        runs_before < site.backend.server("lm-1").runs().len()
     })
     .await;
 }
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -14,14 +14,14 @@
 #[case::with_a_body(Ask::to(HOST, "/pages/form").send(Method::PUT, vec![b'x'; 100_000]))]
 #[case::method_of_its_own(Ask::to(HOST, "/pages/form").send(Method::DELETE, ""))]
 #[tokio::test]
-async fn a_plain_request_is_served(#[case] ask: Ask) {
+async fn a_plain_request_is_served(#[case] request: Ask) {
     let site = site(1).await;
-    let sent = ask.request();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let sent = request.request();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-    assert_eq!(answer.told.id, Some(ask.id()));
+    assert_eq!(answer.told.id, Some(request.id()));
     let server = answer.field("server").as_str().unwrap().to_owned();
-    let seal = format!("{server}.{}", ask.id());
+    let seal = format!("{server}.{}", request.id());
     assert_eq!(answer.told.seal.as_deref(), Some(&*seal));
 
     let runs = site.backend.server(&server).runs();
@@ -37,23 +37,23 @@
 #[case::resumable(draft(), 1)]
 #[case::resumed_by_the_caller(draft().resume(2), 3)]
 #[tokio::test]
-async fn a_stream_is_served(#[case] ask: Ask, #[case] first: u64) {
+async fn a_stream_is_served(#[case] request: Ask, #[case] first: u64) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
     assert_eq!(answer.events(), (first..=5).collect::<Vec<_>>());
     assert!(answer.told.seal.is_some());
-    assert_eq!(site.backend.runs_of(&ask.id()), 1);
+    assert_eq!(site.backend.runs_of(&request.id()), 1);
 }
 
 #[tokio::test]
 async fn a_model_that_one_server_holds_is_served() {
     let site = site(1).await;
     for _ in 0..4 {
-        let ask = chat().model("desk");
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let request = chat().model("desk");
+        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
         assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
     }
 }
 
@@ -61,11 +61,11 @@
 #[case::adapter(chat().adapter("a1"))]
 #[case::model(chat().model("notes"))]
 #[tokio::test]
-async fn what_no_server_holds_is_loaded(#[case] ask: Ask) {
+async fn what_no_server_holds_is_loaded(#[case] request: Ask) {
     let site = site(2).await;
     let mut caller = site.hosts[0].caller();
     until("it is served", async || {
-        let answer = caller.ask(&ask.again()).await.unwrap();
+        let answer = caller.ask(&request.again()).await.unwrap();
         let promises = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
         assert!(promises.contains(&answer.status), "{}", answer.status);
         answer.events() == [1, 2, 3, 4, 5]
@@ -80,13 +80,13 @@
 #[case::plain(page())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn headers_that_are_the_systems_are_dropped_from_strangers(#[case] ask: Ask) {
+async fn headers_that_are_the_systems_are_dropped_from_strangers(#[case] request: Ask) {
     let site = site(1).await;
-    let ask = ask.forged();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = request.forged();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK, "no server was found by a forged instance");
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-    for run in runs.filter(|run| run.asked.id == Some(ask.id())) {
+    for run in runs.filter(|run| run.asked.id == Some(request.id())) {
         assert_eq!(run.asked.controls, Vec::<http::HeaderName>::new());
         assert_ne!(run.asked.priority, Some(7));
         assert_eq!(run.asked.version, None);
@@ -96,12 +96,12 @@
 #[tokio::test]
 async fn headers_of_one_connection_stay_there_and_others_pass() {
     let site = site(1).await;
-    let ask = page()
+    let request = page()
         .header("connection", "x-mine, keep-alive")
         .header("x-mine", "1")
         .header("te", "trailers")
         .header("x-room", "12");
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     let server = answer.field("server").as_str().unwrap().to_owned();
     let headers = site.backend.server(&server).runs()[0].headers.clone();
     assert_eq!(headers["x-room"], "12");
@@ -111,8 +111,8 @@
 #[tokio::test]
 async fn the_deadline_passed_on_is_what_is_left() {
     let site = site(1).await;
-    let ask = page().deadline(Some(Duration::from_secs(5)));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = page().deadline(Some(Duration::from_secs(5)));
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     let server = answer.field("server").as_str().unwrap().to_owned();
     let deadline = site.backend.server(&server).runs()[0].asked.deadline.unwrap();
     assert!(deadline <= Duration::from_secs(5), "{deadline:?}");
@@ -127,8 +127,8 @@
 async fn a_callers_connection_is_kept() {
     let site = site(1).await;
     let mut caller = site.hosts[0].caller();
-    for ask in [page(), ticket(), chat(), page()] {
-        assert_eq!(caller.ask(&ask).await.unwrap().status, StatusCode::OK);
+    for request in [page(), ticket(), chat(), page()] {
+        assert_eq!(caller.ask(&request).await.unwrap().status, StatusCode::OK);
     }
     assert_eq!(caller.connections(), 1);
 }
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -28,38 +28,38 @@
 
 /// A host is held to all bounds once it and the store have been sound for so long. No other bound is
 /// longer: a declaration has 2 s and a leaving server has 2 s.
-const CONTACT: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// Several hosts could tell each other, did not all their watches stall.
 const HOSTS: usize = 3;
 
 /// Hosts of which some are no scouts, and wait long for a change.
-const FOLLOWED: usize = 6;
+const HOSTS_WITH_FOLLOWERS: usize = 6;
 
 /// How the store falls silent.
 #[derive(Clone, Copy)]
-enum Silence {
+enum Outage {
     /// Until watches have ended by their limit and were asked anew.
     Long,
     /// For a moment, in which watches wait and hardly any other call is made.
     Short,
     /// For the watches that wait alone: all other calls are answered as ever.
-    Unseen,
+    WatchesOnly,
 }
 
 /// A site whose hosts watch from the same moment on, after a store that was silent and is back.
-async fn after(silence: Silence) -> Site {
+async fn site_after(outage: Outage) -> Site {
     let site = site(HOSTS).await;
     declare_route(&site, 10);
     site.seen().await;
     let store = &site.backend.store;
-    let stalled = match silence {
-        Silence::Long => 2,
-        Silence::Short | Silence::Unseen => 1,
+    let stalled = match outage {
+        Outage::Long => 2,
+        Outage::Short | Outage::WatchesOnly => 1,
     };
-    store.everywhere(|mood| match silence {
-        Silence::Long | Silence::Short => mood.refusal = Some(Refusal::Silence),
-        Silence::Unseen => mood.silent = Some(Sort::Watches),
+    store.everywhere(|mood| match outage {
+        Outage::Long | Outage::Short => mood.refusal = Some(Refusal::Silence),
+        Outage::WatchesOnly => mood.silent = Some(Sort::Watches),
     });
     for host in &site.hosts {
         for kind in [sites::declarations(), sites::servers()] {
@@ -72,36 +72,36 @@
 }
 
 #[rstest]
-#[case::long(Silence::Long)]
-#[case::short(Silence::Short)]
-#[case::unseen(Silence::Unseen)]
+#[case::long(Outage::Long)]
+#[case::short(Outage::Short)]
+#[case::unseen(Outage::WatchesOnly)]
 #[tokio::test]
-async fn a_declaration_is_in_force_in_time_after_a_silence(#[case] silence: Silence) {
-    let site = after(silence).await;
-    let ask = declare_route(&site, 11);
-    sleep(CONTACT).await;
+async fn a_declaration_is_in_force_in_time_after_a_silence(#[case] outage: Outage) {
+    let site = site_after(outage).await;
+    let request = declare_route(&site, 11);
+    sleep(RECOVERY_TIME).await;
     for host in &site.hosts {
-        let status = status_of(host, &ask.again()).await;
+        let status = status_of(host, &request.again()).await;
         assert_eq!(status, Some(StatusCode::OK), "{} is behind", host.name);
     }
 }
 
 #[rstest]
-#[case::long(Silence::Long)]
-#[case::short(Silence::Short)]
-#[case::unseen(Silence::Unseen)]
+#[case::long(Outage::Long)]
+#[case::short(Outage::Short)]
+#[case::unseen(Outage::WatchesOnly)]
 #[tokio::test]
-async fn a_leaving_server_is_left_alone_in_time_after_a_silence(#[case] silence: Silence) {
-    let site = after(silence).await;
+async fn a_leaving_server_is_left_alone_in_time_after_a_silence(#[case] outage: Outage) {
+    let site = site_after(outage).await;
     let leaving = site.backend.server("app-1");
     leaving.leave(None);
-    sleep(CONTACT).await;
-    let before = leaving.runs().len();
+    sleep(RECOVERY_TIME).await;
+    let runs_before = leaving.runs().len();
     for host in &site.hosts {
         for _ in 0..6 {
             assert_eq!(status_of(host, &ticket()).await, Some(StatusCode::OK));
         }
-        assert_eq!(leaving.runs().len(), before, "{} still sends to it", host.name);
+        assert_eq!(leaving.runs().len(), runs_before, "{} still sends to it", host.name);
     }
 }
 
@@ -109,20 +109,20 @@
 /// that knows of the outage uses such a server on; one that does not takes it for gone.
 #[tokio::test]
 async fn a_server_whose_entry_runs_out_in_a_silence_is_used_on() {
-    const SILENCE: Duration = Duration::from_secs(3);
-    const AWAY: Duration = Duration::from_millis(1000);
+    const OUTAGE: Duration = Duration::from_secs(3);
+    const ABSENCE: Duration = Duration::from_millis(1000);
     let site = site(HOSTS).await;
     site.seen().await;
     let store = &site.backend.store;
     store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
-    sleep(SILENCE).await;
+    sleep(OUTAGE).await;
     store.everywhere(|mood| *mood = Mood::default());
-    store.expire(&sites::servers(), "other-1", AWAY);
-    is_reached_throughout(&site, AWAY).await;
+    store.expire(&sites::servers(), "other-1", ABSENCE);
+    assert_reachable_throughout(&site, ABSENCE).await;
 }
 
 /// Asserts that at each moment of a span every host sends requests on to a server without a wait.
-async fn is_reached_throughout(site: &Site, span: Duration) {
+async fn assert_reachable_throughout(site: &Site, span: Duration) {
     let deep = Ask::to(HOST, "/pages/deep/x");
     let end = Instant::now() + span;
     while Instant::now() < end {
@@ -138,55 +138,55 @@
 
 #[tokio::test]
 async fn entries_that_run_out_while_a_watch_waits_through_a_silence_cost_no_server() {
-    const AWAY: Duration = Duration::from_millis(800);
-    let site = site(FOLLOWED).await;
+    const ABSENCE: Duration = Duration::from_millis(800);
+    let site = site(HOSTS_WITH_FOLLOWERS).await;
     site.seen().await;
     // Until a host knows the others, it asks often.
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
     let store = &site.backend.store;
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
-    sleep(CONTACT / 4).await;
+    sleep(RECOVERY_TIME / 4).await;
     store.everywhere(|mood| mood.refusal = Some(Refusal::Hold));
-    sleep(CONTACT).await;
-    store.expire(&sites::servers(), "other-1", AWAY);
+    sleep(RECOVERY_TIME).await;
+    store.expire(&sites::servers(), "other-1", ABSENCE);
     store.everywhere(|mood| *mood = Mood::default());
-    is_reached_throughout(&site, AWAY).await;
+    assert_reachable_throughout(&site, ABSENCE).await;
 }
 
 #[tokio::test]
 async fn a_server_is_used_again_once_its_entry_is_back_whatever_peers_said() {
-    const AWAY: Duration = Duration::from_millis(500);
+    const ABSENCE: Duration = Duration::from_millis(500);
     let site = site(2).await;
     site.seen().await;
     let store = &site.backend.store;
     let second = &site.hosts[1].name;
     store.at(second, |mood| mood.refusal = Some(Refusal::Silence));
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
     store.at(second, |mood| *mood = Mood::default());
     site.seen().await;
-    store.expire(&sites::servers(), "other-1", AWAY);
-    sleep(CONTACT).await;
-    is_reached_throughout(&site, AWAY).await;
+    store.expire(&sites::servers(), "other-1", ABSENCE);
+    sleep(RECOVERY_TIME).await;
+    assert_reachable_throughout(&site, ABSENCE).await;
 }
 
 #[tokio::test]
 async fn a_server_that_a_peer_only_suspects_is_used_on_by_who_learns_of_it_from_the_peer() {
-    const AWAY: Duration = Duration::from_millis(1000);
+    const ABSENCE: Duration = Duration::from_millis(1000);
     // Less than the time for which a host is behind before it asks a peer.
-    const BEHIND: Duration = Duration::from_millis(550);
+    const LAG: Duration = Duration::from_millis(550);
     let site = site(2).await;
     site.seen().await;
     let store = &site.backend.store;
     store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
     store.everywhere(|mood| *mood = Mood::default());
     site.seen().await;
     store.at(&site.hosts[0].name, |mood| mood.refusal = Some(Refusal::Down));
     // The first host is behind from here on, and asks the second while the entry is away.
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
-    sleep(BEHIND).await;
-    store.expire(&sites::servers(), "other-1", AWAY);
-    is_reached_throughout(&site, AWAY).await;
+    sleep(LAG).await;
+    store.expire(&sites::servers(), "other-1", ABSENCE);
+    assert_reachable_throughout(&site, ABSENCE).await;
 }
 
 /// What the store has taken off stays off, though a peer that learnt it later still uses it on: a list
@@ -196,36 +196,36 @@
 /// sees a further change, and so is ahead of the first, which asks it for its list.
 #[tokio::test]
 async fn a_server_whose_entry_went_does_not_come_back_by_a_peer() {
-    const LATER: Duration = Duration::from_secs(1);
+    const STORE_DELAY: Duration = Duration::from_secs(1);
     let mut site = site(2).await;
     site.seen().await;
     let store = site.backend.store.clone();
-    let [first, second] = [0, 1].map(|place| site.hosts[place].name.clone());
+    let [first, second] = [0, 1].map(|index| site.hosts[index].name.clone());
     store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
     store.everywhere(|mood| *mood = Mood::default());
     site.seen().await;
     // A watch that is asked now looks at the store a second later.
-    store.at(&second, |mood| mood.delay = LATER);
+    store.at(&second, |mood| mood.delay = STORE_DELAY);
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
-    sleep(LATER / 4).await;
+    sleep(STORE_DELAY / 4).await;
     site.backend.forget("other-1");
-    let gone = store.revision();
+    let removal = store.revision();
     until("the first host has seen it", async || {
-        store.watched_from(&first, &sites::servers()) >= Some(gone)
+        store.watched_from(&first, &sites::servers()) >= Some(removal)
     })
     .await;
     store.at(&first, |mood| mood.refusal = Some(Refusal::Down));
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 2}));
-    sleep(CONTACT).await;
-    let before = site.backend.server("other-1").runs().len();
+    sleep(RECOVERY_TIME).await;
+    let runs_before = site.backend.server("other-1").runs().len();
     let deep = Ask::to(HOST, "/pages/deep/x");
     assert_ne!(status_of(&site.hosts[0], &deep).await, Some(StatusCode::OK));
-    assert_eq!(site.backend.server("other-1").runs().len(), before, "it is used again");
+    assert_eq!(site.backend.server("other-1").runs().len(), runs_before, "it is used again");
 }
 
 /// Time from one renewal of the lease on orders to the next, over a span.
-async fn longest_renewal(site: &Site, span: Duration) -> Duration {
+async fn longest_renewal_gap(site: &Site, span: Duration) -> Duration {
     let began = Instant::now();
     let (mut renewed, mut longest) = (began, Duration::ZERO);
     let mut revision = site.backend.store.revision_of(&sites::leases(), "orders");
@@ -244,7 +244,7 @@
 /// would be lost with each such list, and no orders given for seconds.
 #[tokio::test]
 async fn lists_without_an_answer_do_not_cost_the_lease() {
-    const TERM: Duration = Duration::from_millis(1500);
+    const LEASE_TERM: Duration = Duration::from_millis(1500);
     let site = site(2).await;
     let store = &site.backend.store;
     until("a host holds the lease", async || {
@@ -255,6 +255,6 @@
     // All watches end, and what they followed is listed anew.
     store.put(&"notes".into(), "a", serde_json::json!(1));
     store.compact();
-    let longest = longest_renewal(&site, 3 * TERM).await;
-    assert!(longest < TERM, "{longest:?} without a renewal");
+    let longest = longest_renewal_gap(&site, 3 * LEASE_TERM).await;
+    assert!(longest < LEASE_TERM, "{longest:?} without a renewal");
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -18,7 +18,7 @@
 pub const DRAFT: &str = "/draft/";
 
 /// Time between the orders of two hosts to one server, as the settings have it.
-pub const TURN: Duration = Duration::from_secs(3);
+pub const HANDOVER_GAP: Duration = Duration::from_secs(3);
 
 /// A route of [`HOST`].
 pub fn route(prefix: &str, kind: Kind, services: &[(&str, u32)]) -> Route {
@@ -102,16 +102,16 @@
 pub async fn site(hosts: usize) -> Site {
     let backend = backend().await;
     backend.declare(&declaration());
-    let site = undeclared(backend, hosts).await;
+    let site = start_site(backend, hosts).await;
     site.ready().await;
     site
 }
 
 /// A site with one host that logs at the level that is usual.
-pub async fn usual_site() -> Site {
+pub async fn site_with_info_log() -> Site {
     let backend = backend().await;
     backend.declare(&declaration());
-    let mut site = undeclared(backend, 0).await;
+    let mut site = start_site(backend, 0).await;
     site.add(|settings| settings["log"] = serde_json::json!({"level": "info"}))
         .await
         .expect("a host");
@@ -120,7 +120,7 @@
 }
 
 /// A site without hosts over a backend as it is, prepared by `prepare`.
-pub fn undeclared_with(backend: Backend, prepare: impl FnOnce(&mut Site)) -> Site {
+pub fn new_site(backend: Backend, prepare: impl FnOnce(&mut Site)) -> Site {
     let program = Path::new(env!("CARGO_BIN_EXE_cyclamenstage"));
     let mut site = Site::new(program, backend).expect("a folder");
     prepare(&mut site);
@@ -128,8 +128,8 @@
 }
 
 /// A site whose hosts have started over a backend as it is.
-pub async fn undeclared(backend: Backend, hosts: usize) -> Site {
-    let mut site = undeclared_with(backend, |_| {});
+pub async fn start_site(backend: Backend, hosts: usize) -> Site {
+    let mut site = new_site(backend, |_| {});
     for _ in 0..hosts {
         site.add(|_| {}).await.expect("a host");
     }
@@ -163,12 +163,12 @@
 }
 
 /// The server that answers a request.
-pub async fn server_of(host: &Host, ask: &Ask) -> Option<String> {
-    let answer = host.caller().ask(ask).await.ok()?;
+pub async fn server_of(host: &Host, request: &Ask) -> Option<String> {
+    let answer = host.caller().ask(request).await.ok()?;
     answer.field("server").as_str().map(str::to_owned)
 }
 
 /// The status that a request gets.
-pub async fn status_of(host: &Host, ask: &Ask) -> Option<StatusCode> {
-    Some(host.caller().ask(ask).await.ok()?.status)
+pub async fn status_of(host: &Host, request: &Ask) -> Option<StatusCode> {
+    Some(host.caller().ask(request).await.ok()?.status)
 }
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -15,20 +15,20 @@
 #[case::draining(true)]
 #[case::gone_from_the_list(false)]
 #[tokio::test]
-async fn a_leaving_server_gets_nothing_new(#[case] says_so: bool) {
+async fn a_leaving_server_gets_nothing_new(#[case] is_announced: bool) {
     let mut site = site(2).await;
-    match says_so {
+    match is_announced {
         true => site.backend.server("app-1").leave(None),
         false => site.backend.forget("app-1"),
     }
     site.seen().await;
-    let before = site.backend.server("app-1").runs().len();
+    let runs_before = site.backend.server("app-1").runs().len();
     for host in &site.hosts {
-        for ask in [page(), ticket(), page(), ticket()] {
-            assert_eq!(status_of(host, &ask).await, Some(StatusCode::OK));
+        for request in [page(), ticket(), page(), ticket()] {
+            assert_eq!(status_of(host, &request).await, Some(StatusCode::OK));
         }
     }
-    assert_eq!(site.backend.server("app-1").runs().len(), before);
+    assert_eq!(site.backend.server("app-1").runs().len(), runs_before);
 }
 
 #[tokio::test]
@@ -52,12 +52,12 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sigterm_cuts_nothing_and_the_process_ends(#[case] ask: Ask) {
+async fn sigterm_cuts_nothing_and_the_process_ends(#[case] request: Ask) {
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    let asking = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
 
     site.hosts[0].signal(Signal::SIGTERM);
@@ -79,12 +79,12 @@
 #[case::plain(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sighup_ends_nothing(#[case] ask: Ask) {
+async fn sighup_ends_nothing(#[case] request: Ask) {
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    let asking = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -15,22 +15,22 @@
 };
 
 use crate::site::{
-    HOST, backend, chat, declaration, declare_route, page, server_of, site, status_of, ticket,
-    undeclared, usual_site,
+    HOST, backend, chat, declaration, declare_route, page, server_of, site, site_with_info_log,
+    start_site, status_of, ticket,
 };
 
-async fn serves(host: &Host) {
-    for ask in [page(), ticket(), chat()] {
-        assert_eq!(status_of(host, &ask).await, Some(StatusCode::OK));
+async fn assert_served(host: &Host) {
+    for request in [page(), ticket(), chat()] {
+        assert_eq!(status_of(host, &request).await, Some(StatusCode::OK));
     }
 }
 
 /// Declares a further route, and waits until every host serves it.
-async fn declares_on(site: &Site, version: u64) {
-    let moved = declare_route(site, version);
+async fn declare_and_wait(site: &Site, version: u64) {
+    let request = declare_route(site, version);
     for host in &site.hosts {
         until("the declaration is in force", async || {
-            status_of(host, &moved.again()).await == Some(StatusCode::OK)
+            status_of(host, &request.again()).await == Some(StatusCode::OK)
         })
         .await;
     }
@@ -47,16 +47,16 @@
     site.backend.store.everywhere(|mood| mood.refusal = Some(refusal));
     for host in &site.hosts {
         for _ in 0..5 {
-            serves(host).await;
+            assert_served(host).await;
         }
         assert_eq!(host.says_ready().await, Some(StatusCode::OK));
     }
     site.backend.store.everywhere(|mood| mood.refusal = None);
-    declares_on(&site, 11).await;
+    declare_and_wait(&site, 11).await;
 }
 
 /// Whether the host's last word on something that it relies on is this one.
-fn last_said(host: &Host, name: &str, state: &str) -> bool {
+fn last_logged_state_is(host: &Host, name: &str, state: &str) -> bool {
     let log = host.log();
     let last = log.iter().rfind(|line| line["kind"] == "dependency" && line["name"] == name);
     last.is_some_and(|line| line["state"] == state)
@@ -64,16 +64,17 @@
 
 #[tokio::test]
 async fn an_outage_is_told_by_the_calls_that_got_no_answer() {
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     let host = &site.hosts[0];
-    let sorts = ["store", "watch of the declaration", "watch of servers"];
+    let dependencies = ["store", "watch of the declaration", "watch of servers"];
     site.backend.store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
-    for sort in sorts {
-        until("its loss is told", async || last_said(host, sort, "lost")).await;
+    for dependency in dependencies {
+        until("its loss is told", async || last_logged_state_is(host, dependency, "lost")).await;
     }
     site.backend.store.everywhere(|mood| mood.refusal = None);
-    for sort in sorts {
-        until("its return is told", async || last_said(host, sort, "regained")).await;
+    for dependency in dependencies {
+        until("its return is told", async || last_logged_state_is(host, dependency, "regained"))
+            .await;
     }
 }
 
@@ -87,27 +88,28 @@
     let store = backend.store.clone();
     store.open("host-0").await.unwrap();
     store.at("host-0", |mood| mood.refusal = Some(refusal));
-    let site = undeclared(backend, 1).await;
+    let site = start_site(backend, 1).await;
     until("the host has asked", async || 0 < store.count("host-0").refused).await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::SERVICE_UNAVAILABLE));
     store.at("host-0", |mood| mood.refusal = None);
     site.ready().await;
-    serves(&site.hosts[0]).await;
+    assert_served(&site.hosts[0]).await;
 }
 
 /// The platform names hosts by another port than the one at which they listen for each other.
 #[tokio::test]
 async fn a_host_finds_its_peers_by_the_port_that_they_share_while_the_store_is_away() {
     let mut site = site(1).await;
-    let known = site.hosts[0].peers().expect("its listener for hosts");
+    let peer_address = site.hosts[0].peers().expect("its listener for hosts");
     let store = &site.backend.store;
     store.open("host-1").await.expect("a door");
     store.at("host-1", |mood| mood.refusal = Some(Refusal::Down));
     let change = |settings: &mut Value| {
         let callers = settings["host"]["callers"].as_str().and_then(|text| text.parse().ok());
-        let own = SocketAddr::new(callers.map(|it: SocketAddr| it.ip()).unwrap(), known.port());
+        let own =
+            SocketAddr::new(callers.map(|it: SocketAddr| it.ip()).unwrap(), peer_address.port());
         settings["host"]["peers"] = json!(own);
-        settings["peers"] = json!([SocketAddr::new(known.ip(), 1)]);
+        settings["peers"] = json!([SocketAddr::new(peer_address.ip(), 1)]);
         settings["peers_share_port"] = json!(true);
     };
     site.add(change).await.expect("a host").ready().await;
@@ -121,8 +123,8 @@
 async fn a_slow_store_delays_only_what_needs_it(#[case] delay: Duration) {
     let site = site(1).await;
     site.backend.store.everywhere(|mood| mood.delay = delay);
-    serves(&site.hosts[0]).await;
-    declares_on(&site, 11).await;
+    assert_served(&site.hosts[0]).await;
+    declare_and_wait(&site, 11).await;
 }
 
 #[tokio::test]
@@ -131,8 +133,8 @@
     for version in [11, 12] {
         site.backend.store.put(&"notes".into(), "a", serde_json::json!(version));
         site.backend.store.compact();
-        serves(&site.hosts[0]).await;
-        declares_on(&site, version).await;
+        assert_served(&site.hosts[0]).await;
+        declare_and_wait(&site, version).await;
     }
     site.backend.add(Settings::plain("other-2", "other")).await.unwrap();
     site.backend.forget("other-1");
@@ -149,11 +151,11 @@
     let backend = backend().await;
     backend.store.page(2);
     backend.declare(&declaration());
-    let site = undeclared(backend, 1).await;
+    let site = start_site(backend, 1).await;
     site.ready().await;
     let deep = Ask::to(HOST, "/pages/deep/x");
-    for ask in [page(), ticket(), chat(), deep] {
-        assert_eq!(status_of(&site.hosts[0], &ask).await, Some(StatusCode::OK));
+    for request in [page(), ticket(), chat(), deep] {
+        assert_eq!(status_of(&site.hosts[0], &request).await, Some(StatusCode::OK));
     }
 }
 
@@ -176,14 +178,14 @@
     let site = site(3).await;
     let host = &site.hosts[0];
     site.backend.store.at(&host.name, |mood| mood.refusal = Some(refusal));
-    declares_on(&site, 11).await;
+    declare_and_wait(&site, 11).await;
     site.backend.server("app-1").leave(None);
     until("the host hears that a server is leaving", async || {
-        let before = site.backend.server("app-1").runs().len();
+        let runs_before = site.backend.server("app-1").runs().len();
         for _ in 0..6 {
             assert_eq!(status_of(host, &ticket()).await, Some(StatusCode::OK));
         }
-        site.backend.server("app-1").runs().len() == before
+        site.backend.server("app-1").runs().len() == runs_before
     })
     .await;
     assert_eq!(host.says_ready().await, Some(StatusCode::OK));
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -17,9 +17,11 @@
     until,
 };
 
-use crate::site::{backend, chat, declaration, draft, page, ticket, undeclared, usual_site};
+use crate::site::{
+    backend, chat, declaration, draft, page, site_with_info_log, start_site, ticket,
+};
 
-const SOON: Duration = Duration::from_secs(2);
+const DEADLINE: Duration = Duration::from_secs(2);
 const FULL: Fault = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
 
 /// What `cyclamenctl explain` tells of a request, from the hosts' logs.
@@ -29,37 +31,37 @@
 }
 
 /// What `cyclamenctl explain` says to a question, from the hosts' logs.
-pub async fn report(site: &Site, question: &str) -> Report {
+pub async fn report(site: &Site, query: &str) -> Report {
     let logs: Vec<PathBuf> = site.hosts.iter().map(|host| host.log_file().to_owned()).collect();
-    let question: Vec<PathBuf> = question.split(' ').map(Into::into).collect();
-    let asked = tokio::task::spawn_blocking(move || {
-        let words = ["cyclamenctl".into(), "explain".into()].into_iter().chain(question);
+    let query: Vec<PathBuf> = query.split(' ').map(Into::into).collect();
+    let report = tokio::task::spawn_blocking(move || {
+        let words = ["cyclamenctl".into(), "explain".into()].into_iter().chain(query);
         let words = words.chain(["--logs".into()]).chain(logs);
         Flags::try_parse_from(words).expect("flags").report().expect("a report")
     });
-    asked.await.expect("it ends")
+    report.await.expect("it ends")
 }
 
 /// The story of a request, once its end is written.
-async fn story(site: &Site, id: &str) -> Vec<Value> {
-    let mut story = Vec::new();
+async fn finished_lines(site: &Site, id: &str) -> Vec<Value> {
+    let mut lines = Vec::new();
     until("the story is told", async || {
-        story = explain(site, id).await;
-        story.iter().any(|line| line["kind"] == "ended")
+        lines = explain(site, id).await;
+        lines.iter().any(|line| line["kind"] == "ended")
     })
     .await;
-    story
+    lines
 }
 
 /// The lines of a kind, in order.
-fn of<'a>(story: &'a [Value], kind: &str) -> Vec<&'a Value> {
-    story.iter().filter(|line| line["kind"] == kind).collect()
+fn of_kind<'a>(lines: &'a [Value], kind: &str) -> Vec<&'a Value> {
+    lines.iter().filter(|line| line["kind"] == kind).collect()
 }
 
-async fn failing(fault: Fault, ask: &Ask) -> (Site, Answer) {
-    let site = usual_site().await;
+async fn ask_with_fault(fault: Fault, request: &Ask) -> (Site, Answer) {
+    let site = site_with_info_log().await;
     site.backend.script(|script| script.always = Some(fault));
-    let answer = site.hosts[0].caller().ask(ask).await.unwrap();
+    let answer = site.hosts[0].caller().ask(request).await.unwrap();
     (site, answer)
 }
 
@@ -84,24 +86,24 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_refusal_is_explained(#[case] ask: Ask) {
-    let ask = ask.deadline(Some(SOON));
-    let (site, answer) = failing(FULL, &ask).await;
+async fn a_refusal_is_explained(#[case] request: Ask) {
+    let request = request.deadline(Some(DEADLINE));
+    let (site, answer) = ask_with_fault(FULL, &request).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    let story = story(&site, &ask.id()).await;
+    let lines = finished_lines(&site, &request.id()).await;
 
-    assert_eq!(of(&story, "arrived")[0]["version"], 3);
-    let ended = of(&story, "attempt-ended");
-    assert!(!ended.is_empty(), "{story:#?}");
+    assert_eq!(of_kind(&lines, "arrived")[0]["version"], 3);
+    let ended = of_kind(&lines, "attempt-ended");
+    assert!(!ended.is_empty(), "{lines:#?}");
     for attempt in ended {
         assert_eq!((&attempt["outcome"], &attempt["ran"]), (&json!("full"), &json!("did-not-run")));
     }
-    let refused = of(&story, "refused");
-    assert_eq!(refused.len(), 1, "{story:#?}");
-    let end = of(&story, "ended")[0];
+    let refused = of_kind(&lines, "refused");
+    assert_eq!(refused.len(), 1, "{lines:#?}");
+    let end = of_kind(&lines, "ended")[0];
     assert_eq!((&end["outcome"], &end["status"]), (&json!("refused"), &json!(503)));
     assert_eq!(end["why"], refused[0]["why"]);
-    assert!(!of(&story, "declaration").is_empty(), "what it was decided on: {story:#?}");
+    assert!(!of_kind(&lines, "declaration").is_empty(), "what it was decided on: {lines:#?}");
 
     let text = metrics(&site.hosts[0]).await;
     let series = format!(
@@ -116,7 +118,7 @@
 async fn a_refusal_with_budget_left_is_not_put_down_to_it() {
     let backend = backend().await;
     backend.declare(&declaration());
-    let mut site = undeclared(backend, 0).await;
+    let mut site = start_site(backend, 0).await;
     site.add(|settings| {
         settings["log"] = json!({"level": "info"});
         settings["routed"]["retry"]["extra"] = json!(1000);
@@ -125,21 +127,21 @@
     .unwrap();
     site.ready().await;
     site.backend.script(|script| script.always = Some(FULL));
-    let ask = ticket().deadline(Some(SOON));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = ticket().deadline(Some(DEADLINE));
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    let story = story(&site, &ask.id()).await;
-    let why = of(&story, "ended")[0]["why"].clone();
-    assert!([json!("attempts"), json!("full")].contains(&why), "{story:#?}");
+    let lines = finished_lines(&site, &request.id()).await;
+    let why = of_kind(&lines, "ended")[0]["why"].clone();
+    assert!([json!("attempts"), json!("full")].contains(&why), "{lines:#?}");
 }
 
 #[tokio::test]
 async fn a_request_that_no_route_takes_is_explained() {
-    let site = usual_site().await;
-    let ask = Ask::to("nowhere.example", "/");
-    site.hosts[0].caller().ask(&ask).await.unwrap();
-    let story = story(&site, &ask.id()).await;
-    let end = of(&story, "ended")[0];
+    let site = site_with_info_log().await;
+    let request = Ask::to("nowhere.example", "/");
+    site.hosts[0].caller().ask(&request).await.unwrap();
+    let lines = finished_lines(&site, &request.id()).await;
+    let end = of_kind(&lines, "ended")[0];
     assert_eq!((&end["outcome"], &end["why"]), (&json!("refused"), &json!("no-route")));
 }
 
@@ -148,37 +150,37 @@
 #[case::garbled(Fault::Garbled, "garbled")]
 #[tokio::test]
 async fn a_failure_after_a_server_had_it_is_explained(#[case] fault: Fault, #[case] how: &str) {
-    let ask = ticket();
-    let (site, answer) = failing(fault, &ask).await;
-    let story = story(&site, &ask.id()).await;
+    let request = ticket();
+    let (site, answer) = ask_with_fault(fault, &request).await;
+    let lines = finished_lines(&site, &request.id()).await;
 
-    let attempts = of(&story, "attempt");
-    assert_eq!(attempts.len(), 1, "{story:#?}");
+    let attempts = of_kind(&lines, "attempt");
+    assert_eq!(attempts.len(), 1, "{lines:#?}");
     let server = attempts[0]["server"].as_str().unwrap();
-    assert_eq!(site.backend.server(server).runs_of(&ask.id()), 1);
-    let ended = of(&story, "attempt-ended")[0];
+    assert_eq!(site.backend.server(server).runs_of(&request.id()), 1);
+    let ended = of_kind(&lines, "attempt-ended")[0];
     assert_eq!((&ended["outcome"], &ended["ran"]), (&json!(how), &json!("may-have-run")));
     assert_eq!(ended["server"], server);
-    let end = of(&story, "ended")[0];
+    let end = of_kind(&lines, "ended")[0];
     assert_eq!(
         (&end["outcome"], &end["status"]),
         (&json!("unclear"), &json!(answer.status.as_u16()))
     );
-    let seen = of(&story, "server");
-    assert!(seen.iter().any(|line| line["server"] == server), "its standing: {story:#?}");
+    let states = of_kind(&lines, "server");
+    assert!(states.iter().any(|line| line["server"] == server), "its standing: {lines:#?}");
 }
 
 #[tokio::test]
 async fn a_cut_stream_is_explained() {
-    let ask = chat();
-    let (site, answer) = failing(Fault::Broken { events: 2 }, &ask).await;
+    let request = chat();
+    let (site, answer) = ask_with_fault(Fault::Broken { events: 2 }, &request).await;
     assert!(!answer.whole);
     assert_eq!(answer.events(), [1, 2]);
-    let story = story(&site, &ask.id()).await;
+    let lines = finished_lines(&site, &request.id()).await;
 
-    let ended = of(&story, "attempt-ended")[0];
+    let ended = of_kind(&lines, "attempt-ended")[0];
     assert_eq!((&ended["outcome"], &ended["ran"]), (&json!("cut"), &json!("may-have-run")));
-    let end = of(&story, "ended")[0];
+    let end = of_kind(&lines, "ended")[0];
     assert_eq!((&end["outcome"], &end["status"]), (&json!("cut"), &json!(200)));
     assert_eq!((&end["events"], &end["model"]), (&json!(2), &json!("welcome")));
     assert!(end["first"].is_u64(), "{end:#}");
@@ -186,16 +188,16 @@
 
 #[tokio::test]
 async fn a_resumed_stream_is_explained() {
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     site.backend.script(|script| script.faults = [Fault::Broken { events: 2 }].into());
     let mut caller = site.hosts[0].caller();
-    let ask = draft();
-    let answer = caller.ask(&ask).await.unwrap();
-    let story = story(&site, &ask.id()).await;
-    let resumed = of(&story, "resumed");
-    assert_eq!(resumed[0]["after"], 2, "{story:#?}");
+    let request = draft();
+    let answer = caller.ask(&request).await.unwrap();
+    let lines = finished_lines(&site, &request.id()).await;
+    let resumed = of_kind(&lines, "resumed");
+    assert_eq!(resumed[0]["after"], 2, "{lines:#?}");
     assert_eq!(resumed[0]["attempt"], 2);
-    let end = of(&story, "ended")[0];
+    let end = of_kind(&lines, "ended")[0];
     assert_eq!(end["events"], answer.events().len());
 }
 
@@ -203,12 +205,12 @@
 #[case::plain(page(), 0)]
 #[case::stream(chat(), 5)]
 #[tokio::test]
-async fn a_request_that_goes_well_is_one_line(#[case] ask: Ask, #[case] events: u64) {
-    let site = usual_site().await;
-    assert_eq!(site.hosts[0].caller().ask(&ask).await.unwrap().status, StatusCode::OK);
-    story(&site, &ask.id()).await;
+async fn a_request_that_goes_well_is_one_line(#[case] request: Ask, #[case] events: u64) {
+    let site = site_with_info_log().await;
+    assert_eq!(site.hosts[0].caller().ask(&request).await.unwrap().status, StatusCode::OK);
+    finished_lines(&site, &request.id()).await;
     let lines: Vec<_> =
-        site.hosts[0].log().into_iter().filter(|line| line["request"] == *ask.id()).collect();
+        site.hosts[0].log().into_iter().filter(|line| line["request"] == *request.id()).collect();
     assert_eq!(lines.len(), 1, "{lines:#?}");
     assert_eq!((&lines[0]["outcome"], &lines[0]["events"]), (&json!("answered"), &json!(events)));
     assert_eq!((&lines[0]["version"], &lines[0]["attempts"]), (&json!(3), &json!(1)));
@@ -219,22 +221,26 @@
 
 #[tokio::test]
 async fn sighup_sets_the_level_of_the_log() {
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     let host = &site.hosts[0];
     let start = host.log().into_iter().find(|line| line["kind"] == "start").expect("its start");
     let mut settings = start["settings"].clone();
-    let steps = async |ask: &Ask| {
-        assert_eq!(host.caller().ask(ask).await.unwrap().status, StatusCode::OK);
-        story(&site, &ask.id()).await.iter().filter(|line| line["kind"] == "attempt").count()
+    let logged_attempts = async |request: &Ask| {
+        assert_eq!(host.caller().ask(request).await.unwrap().status, StatusCode::OK);
+        finished_lines(&site, &request.id())
+            .await
+            .iter()
+            .filter(|line| line["kind"] == "attempt")
+            .count()
     };
-    assert_eq!(steps(&page()).await, 0);
+    assert_eq!(logged_attempts(&page()).await, 0);
 
     settings["log"]["level"] = json!("debug");
     std::fs::write(host.settings(), settings.to_string()).unwrap();
     host.signal(Signal::SIGHUP);
     let reloads = || host.log().iter().filter(|line| line["kind"] == "reload").count();
     until("the settings are read", async || reloads() == 1).await;
-    assert_eq!(steps(&page()).await, 1);
+    assert_eq!(logged_attempts(&page()).await, 1);
 
     settings["log"]["level"] = json!("loud");
     settings["extra"] = json!(1);
@@ -242,15 +248,15 @@
     host.signal(Signal::SIGHUP);
     until("the findings are told", async || host.log().iter().any(|line| line["level"] == "ERROR"))
         .await;
-    assert_eq!((steps(&page()).await, reloads()), (1, 1), "the old ones stay in force");
+    assert_eq!((logged_attempts(&page()).await, reloads()), (1, 1), "the old ones stay in force");
 }
 
 #[tokio::test]
 async fn the_path_fills_its_metrics() {
-    let site = usual_site().await;
+    let site = site_with_info_log().await;
     let host = &site.hosts[0];
-    for ask in [page(), page(), chat()] {
-        assert_eq!(host.caller().ask(&ask).await.unwrap().status, StatusCode::OK);
+    for request in [page(), page(), chat()] {
+        assert_eq!(host.caller().ask(&request).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(host).await;
     let connects = r#"cyclamenstage_routed_phase_seconds_count{kind="idempotent",phase="connect"}"#;
@@ -274,18 +280,18 @@
     }
     backend.script(|script| script.always = Some(Fault::Failed(StatusCode::BAD_GATEWAY)));
     backend.declare(&declaration());
-    let mut site = undeclared(backend, 0).await;
+    let mut site = start_site(backend, 0).await;
     for _ in 0..2 {
         let retry = json!({"ratio": 0.0, "extra": EXTRA, "window_s": 60});
         site.add(|settings| settings["routed"]["retry"] = retry).await.unwrap();
     }
     site.ready().await;
-    let (mut asked, mut retries) = (0, 0);
+    let (mut answered, mut retries) = (0, 0);
     until("a host passes its share", async || {
-        let ask = page().deadline(Some(Duration::from_millis(500)));
-        asked += usize::from(site.hosts[0].caller().ask(&ask).await.is_ok());
+        let request = page().deadline(Some(Duration::from_millis(500)));
+        answered += usize::from(site.hosts[0].caller().ask(&request).await.is_ok());
         let arrivals: usize = site.backend.servers.iter().map(|it| it.arrivals().len()).sum();
-        retries = arrivals.saturating_sub(asked);
+        retries = arrivals.saturating_sub(answered);
         SHARE < retries
     })
     .await;
@@ -295,25 +301,25 @@
 /// Repeated reports would count a request again within the pause.
 #[tokio::test]
 async fn the_host_that_plans_is_given_each_request_of_every_host_once() {
-    const REPEATS: Duration = Duration::from_millis(500);
+    const REPORT_REPEAT_TIME: Duration = Duration::from_millis(500);
     let backend = backend().await;
     backend.declare(&declaration());
-    let site = undeclared(backend, 2).await;
+    let site = start_site(backend, 2).await;
     site.ready().await;
     for host in &site.hosts {
         for _ in 0..3 {
             assert_eq!(host.caller().ask(&chat()).await.unwrap().status, StatusCode::OK);
         }
     }
-    let given = async |host: usize| {
+    let demand_of = async |host: usize| {
         let text = metrics(&site.hosts[host]).await;
         ["own", "others"].map(|origin| {
             let series = format!(r#"cyclamenstage_routed_demand_total{{origin="{origin}"}}"#);
             value(&text, &series).unwrap_or(0.0)
         })
     };
-    let all = async || [given(0).await, given(1).await].contains(&[3.0, 3.0]);
+    let all = async || [demand_of(0).await, demand_of(1).await].contains(&[3.0, 3.0]);
     until("one host is given all requests", all).await;
-    tokio::time::sleep(REPEATS).await;
-    assert!(all().await, "{:?} {:?}", given(0).await, given(1).await);
+    tokio::time::sleep(REPORT_REPEAT_TIME).await;
+    assert!(all().await, "{:?} {:?}", demand_of(0).await, demand_of(1).await);
 }
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -24,12 +24,12 @@
 }
 
 /// The first stream that comes to a server has a fault, until it has come to one.
-async fn once(site: &Site, fault: Fault, ask: &Ask) -> Answer {
+async fn ask_until_fault(site: &Site, fault: Fault, request: &Ask) -> Answer {
     let server = site.backend.server("lm-1");
     server.script(|script| script.faults = [fault].into());
     loop {
         // A prompt that the other server had read would go there each time.
-        let answer = site.hosts[0].caller().ask(&ask.unread()).await.unwrap();
+        let answer = site.hosts[0].caller().ask(&request.unread()).await.unwrap();
         if !server.runs().is_empty() {
             return answer;
         }
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn a_broken_stream_that_may_not_run_again_looks_broken(#[case] events: u64) {
     let site = site(1).await;
-    let answer = once(&site, Fault::Broken { events }, &chat()).await;
+    let answer = ask_until_fault(&site, Fault::Broken { events }, &chat()).await;
     assert!(!answer.whole || !answer.status.is_success(), "a cut stream looks whole");
     assert_eq!(answer.events(), (1..=events).collect::<Vec<_>>());
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_resumable_stream_goes_on_elsewhere(#[case] fault: Fault, #[case] after: Option<u64>) {
     let site = site(1).await;
-    let answer = once(&site, fault, &draft()).await;
+    let answer = ask_until_fault(&site, fault, &draft()).await;
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
     assert_eq!(answer.events(), vec![1, 2, 3, 4, 5]);
 
@@ -79,16 +79,16 @@
     for server in model_servers(&site) {
         server.script(|script| (script.events, script.pace) = (1000, Duration::from_millis(20)));
     }
-    for ask in [chat(), draft()] {
+    for request in [chat(), draft()] {
         let mut caller = site.hosts[0].caller();
-        let mut opened = caller.open(&ask).await.unwrap();
+        let mut opened = caller.open(&request).await.unwrap();
         assert!(opened.event(3).await);
         drop((opened, caller));
         until("the server sees the caller leave", async || {
             runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
         })
         .await;
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
     }
 }
 
@@ -109,8 +109,8 @@
     for server in model_servers(&site) {
         server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
     }
-    let ask = chat().deadline(Some(Duration::from_millis(700)));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = chat().deadline(Some(Duration::from_millis(700)));
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert!(!answer.whole, "a stream without its end looks whole");
     assert_eq!(answer.events(), vec![1, 2]);
     until("the server is left", async || {
@@ -123,11 +123,11 @@
 #[tokio::test]
 async fn a_stream_whose_only_holder_fails_goes_to_another_that_gets_its_adapter() {
     let site = site(1).await;
-    let ask = draft().adapter("a1");
-    let first = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = draft().adapter("a1");
+    let first = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(first.status, StatusCode::OK);
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
     holder.script(|script| script.always = Some(Fault::Lost));
-    let answer = site.hosts[0].caller().ask(&ask.again()).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&request.again()).await.unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
 }
