--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -1,4 +1,4 @@
-//! Routes as they are declared, and declarations that follow each other.
+//! Matching of requests to declared routes, and changes of the declaration.
 
 use std::time::Duration;
 
@@ -75,10 +75,13 @@
         assert_eq!(caller.ask(&page()).await.unwrap().status, StatusCode::OK);
     }
     let other = site.backend.server("other-1").runs().len();
-    assert!((60..140).contains(&other), "{other} of {REQUESTS} for a quarter");
+    assert!(
+        (60..140).contains(&other),
+        "{other} of {REQUESTS} requests went to a service with a weight of 1 in 4"
+    );
 }
 
-/// The declaration with the pages at another service.
+/// The declaration with [`PAGES`] routed to another service.
 fn declaration_with_pages_at(version: u64, service: &str) -> Declaration {
     let mut declared = declaration();
     declared.version = version;
@@ -97,12 +100,12 @@
     for host in &site.hosts {
         until("the new version is in force", async || goes_to(host, "other").await).await;
     }
-    // A store that forgot and was restored: what it holds now is older.
+    // As after a restore of the store from a backup: it holds an older version.
     site.backend.declare(&declaration_with_pages_at(5, "app"));
     site.seen().await;
     for host in &site.hosts {
         for _ in 0..10 {
-            assert!(goes_to(host, "other").await, "{} went back", host.name);
+            assert!(goes_to(host, "other").await, "{} went back to an older version", host.name);
         }
     }
     site.backend.declare(&declaration_with_pages_at(9, "app"));
@@ -120,7 +123,7 @@
     declared.version += 4;
     declared.routes[0] = route("/new/", Kind::Idempotent, &[("other", 1)]);
     site.backend.declare(&declared);
-    until("the new route is there", async || {
+    until("the new route is in force", async || {
         status_of(&site.hosts[0], &new).await == Some(StatusCode::OK)
     })
     .await;
@@ -153,17 +156,18 @@
     );
     site.seen().await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
-    until("the host logs it", async || site.hosts[0].logged("a declaration can't be read")).await;
+    until("the host logs the error", async || site.hosts[0].logged("a declaration can't be read"))
+        .await;
 }
 
-/// A list of servers that comes before the first declaration is planned for all the same: a model
-/// that no server holds is loaded though no registration changes.
+/// Guards against a host that plans only when a registration changes: it got the list of servers
+/// before the first declaration, and still has to load a model that no server holds.
 #[tokio::test]
 async fn servers_known_before_the_first_declaration_get_orders() {
     let site = start_site(backend().await, 1).await;
     site.seen().await;
     site.backend.declare(&declaration());
-    until("a model that is missing is ordered", async || {
+    until("an order to load the missing model is sent", async || {
         let mut orders = site.backend.servers.iter().flat_map(|server| server.orders());
         orders.any(|given| &*given.order.model == "notes")
     })
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -1,4 +1,4 @@
-//! Servers that refuse, fail, break off or answer wrongly.
+//! Servers that refuse requests, fail, close connections early or give wrong answers.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     #[values(page(), ticket(), chat())] request: Ask,
 ) {
     let site = site(1).await;
-    // A host has no retries of its own until its registration is in the store.
+    // A host has no retry budget until its registration is in the store.
     until("the host may retry", async || {
         let text = metrics(&site.hosts[0]).await;
         let left =
@@ -77,7 +77,11 @@
         let request = ticket();
         let answer = site.hosts[0].caller().ask(&request).await.unwrap();
         let unresolved = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
-        assert!(unresolved.contains(&answer.status), "{} after it ran", answer.status);
+        assert!(
+            unresolved.contains(&answer.status),
+            "got {} for a request that ran",
+            answer.status
+        );
         assert_eq!(site.backend.runs_of(&request.id()), 1);
     }
 }
@@ -156,7 +160,7 @@
             assert_eq!(answer.told.id, Some(request.id()));
             assert_eq!(answer.field("request"), *request.id());
         } else {
-            // The answer that came in its place hides its own.
+            // The extra answer arrived in place of this request's own, which is lost.
             assert_eq!((answer.status, answer.told.seal), (StatusCode::BAD_GATEWAY, None));
         }
     }
@@ -213,7 +217,7 @@
     let asking = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     asking.abort();
-    until("the server sees the caller leave", async || {
+    until("the server sees that the caller has closed the connection", async || {
         let runs = site.backend.servers.iter().flat_map(|server| server.runs());
         runs.into_iter().all(|run| run.ending == Some(Ending::Left))
     })
@@ -238,6 +242,6 @@
     let crashed = |run: &standin::routed::server::Run| run.ending == Some(Ending::Crashed);
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     let crashes = runs.into_iter().filter(crashed).count();
-    assert!(crashes <= 3, "{crashes} servers lost");
+    assert!(crashes <= 3, "the request crashed {crashes} servers");
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -1,4 +1,4 @@
-//! What callers send, byte by byte.
+//! Framing of callers' requests: smuggling, bodies in pieces, pipelining and truncated requests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,13 +12,13 @@
 
 use crate::site::{HOST, backend, declaration, page, site, start_site, status_of};
 
-/// Sends bytes and reads what comes until the other side closes, or for a while.
+/// Sends bytes, and returns what arrives until the other side closes or the read times out.
 async fn send_raw(address: SocketAddr, pieces: &[&[u8]]) -> String {
     const READ_TIMEOUT: Duration = Duration::from_millis(1500);
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
     for piece in pieces {
-        // It may be refused before it has all been sent.
+        // The host may refuse the request and close before all of it is sent.
         let _ = stream.write_all(piece).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -46,16 +46,19 @@
 async fn a_smuggled_request_never_runs(#[case] fields: &str, #[case] body: &str) {
     let site = site(1).await;
     let head = request_head("POST", "r-outer", fields);
-    // One that names an id of its own is a caller's request only if framing says so to everybody.
+    // The smuggled request may run only as a request of its own that the caller gets an answer to.
     let sent = format!("{head}{body}{SMUGGLED}");
     let answer = send_raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     for run in runs {
         let text = String::from_utf8_lossy(&run.body).into_owned();
-        assert!(!text.contains("evil"), "{text:?} was passed on within a body");
+        assert!(
+            !text.contains("evil"),
+            "the smuggled request was forwarded as part of a body: {text:?}"
+        );
         if run.asked.id.as_deref() == Some("evil") {
             let answers = answer.matches("HTTP/1.1 ").count();
-            assert_eq!(answers, 2, "a smuggled request ran and nobody was told: {answer:?}");
+            assert_eq!(answers, 2, "the smuggled request ran without an answer to it: {answer:?}");
         }
     }
 }
@@ -75,7 +78,7 @@
     let runs: Vec<_> = site.backend.servers.iter().flat_map(|server| server.runs()).collect();
     assert_eq!((runs.len(), &runs[0].body[..]), (1, &b"room 12"[..]));
     let expects = runs[0].headers.contains_key("expect");
-    assert!(!expects, "what concerns one connection was passed on");
+    assert!(!expects, "the hop-by-hop Expect header was forwarded");
 }
 
 #[tokio::test]
@@ -102,7 +105,7 @@
     let mut stream = TcpStream::connect(site.hosts[0].callers()).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     drop(stream);
-    // Whatever came of it has come before this one is answered.
+    // By the time this request is answered, the truncated one would have reached a server.
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
     assert_eq!(site.backend.runs(), 1);
 }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -1,4 +1,6 @@
-//! Servers that name the rate at which they take requests from all hosts together.
+//! Servers that limit the rate of requests which all hosts together send them.
+//!
+//! A server names its limit, in requests per second, in its answers.
 
 use std::time::Duration;
 
@@ -23,25 +25,26 @@
     stories::{metrics, value},
 };
 
-/// Time from the naming until the limit binds, one window, and a little more.
+/// Duration of a load after which a limit can be checked: the time until a new limit binds, one
+/// window of the quota, and some margin.
 const OBSERVATION_TIME: Duration = Duration::from_secs(9);
 
-/// Between two requests of a caller. Two servers of 8 slots take far more.
+/// Pause of a caller between two requests. Two servers of 8 slots take a far higher rate than this
+/// load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time that callers give a request.
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// Part of a limit that is to be used while more is asked for.
+/// Minimum share of a limit that hosts have to use under a load above the limit.
 const MIN_UTILIZATION: f64 = 0.9;
 
-/// An answer's status, how long it took, and when the caller may come back.
+/// Status of an answer, time until it arrived, and its `Retry-After`.
 type TimedAnswer = (StatusCode, Duration, Option<Duration>);
 
-/// Callers of each host.
+/// Concurrent callers of each host.
 const CALLERS: usize = 6;
 
-/// Calls hosts until a moment, each caller once at the least.
+/// Sends requests to hosts until a moment; each caller sends at least one.
 async fn send_load(hosts: &[Host], request: impl Fn() -> Ask, until: Instant) -> Vec<TimedAnswer> {
     let mut callers = JoinSet::new();
     for host in hosts.iter().flat_map(|host| [host; CALLERS]) {
@@ -50,7 +53,7 @@
             let mut answers = Vec::new();
             loop {
                 let (request, from) = (request.again().deadline(Some(DEADLINE)), Instant::now());
-                // A host that stands still answers nobody.
+                // A stopped or killed host gives no answer.
                 if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&request)).await {
                     answers.push((answer.status, from.elapsed(), answer.told.retry_after));
                 }
@@ -75,7 +78,7 @@
     }
 }
 
-/// Part of a limit that was used in the last seconds.
+/// Share of a limit that was used in the last `time` of the server's run.
 fn utilization(server: &Server, limit: f64, time: Duration) -> f64 {
     let since = server.began().elapsed().saturating_sub(time);
     let arrivals = server.quota().arrivals;
@@ -83,7 +86,7 @@
     recent as f64 / (limit * time.as_secs_f64())
 }
 
-/// The servers that name a limit, as far as a host knows.
+/// Number of servers with a limit, by the metrics of a host.
 async fn limited_servers(host: &Host) -> Option<f64> {
     value(&metrics(host).await, "cyclamenstage_routed_limited_servers")
 }
@@ -100,10 +103,10 @@
     let (answers, ()) = tokio::join!(load, limit_changes);
     check_quotas(&site, &["app-1"]);
     let failed: Vec<_> = answers.iter().filter(|(status, ..)| *status != StatusCode::OK).collect();
-    assert!(failed.is_empty(), "the other server takes the rest: {failed:?}");
+    assert!(failed.is_empty(), "the other server could have taken the rest: {failed:?}");
 }
 
-/// A server in need may be one that fails, too.
+/// A server that needs its limit may give wrong answers at the same time; the limit in them counts.
 #[rstest]
 #[case::no_seal(Fault::Unsealed)]
 #[case::another_id(Fault::OtherId)]
@@ -123,7 +126,7 @@
     check_quotas(&site, &["app-1", "app-2"]);
 }
 
-/// Hosts refuse at once what no server can take in time, and use what the servers take.
+/// Hosts refuse at once what no server can take before the deadline, and use the limits up.
 #[rstest]
 #[case::plain(page(), ["app-1", "app-2"])]
 #[case::streams(chat(), ["lm-1", "lm-2"])]
@@ -132,7 +135,7 @@
     const LIMIT: f64 = 4.0;
     let site = site(3).await;
     ids.iter().for_each(|id| set_limit(site.backend.server(id), Some("4")));
-    // Hosts lend no shares right after their start.
+    // Hosts don't lend each other shares of a limit right after their start.
     let warmed_up = Instant::now() + Duration::from_secs(7);
     send_load(&site.hosts, || request.clone(), warmed_up).await;
     let answers =
@@ -142,14 +145,14 @@
         .iter()
         .map(|id| utilization(site.backend.server(id), LIMIT, Duration::from_secs(8)))
         .sum();
-    assert!(MIN_UTILIZATION <= utilization / 2.0, "{utilization} of both limits used");
+    assert!(MIN_UTILIZATION <= utilization / 2.0, "only {utilization} of two limits used");
     let refused = |status: StatusCode| status == StatusCode::SERVICE_UNAVAILABLE;
     assert!(answers.iter().all(|(status, ..)| status.is_success() || refused(*status)));
     let refused: Vec<_> = answers.iter().filter(|(status, ..)| refused(*status)).collect();
-    assert!(!refused.is_empty(), "twice as much is asked for as the servers take");
+    assert!(!refused.is_empty(), "no request was refused at twice the rate of both limits");
     assert!(refused.iter().all(|(_, _, after)| after.is_some()));
     let delayed = refused.iter().filter(|(_, took, _)| DEADLINE / 2 < *took).count();
-    assert_eq!(delayed, 0, "held until their deadline: {refused:?}");
+    assert_eq!(delayed, 0, "refused only after half of the deadline: {refused:?}");
 }
 
 #[tokio::test]
@@ -157,14 +160,16 @@
     let site = site(3).await;
     set_limit(site.backend.server("other-1"), Some("0.5"));
     let deep = || Ask::to(crate::site::HOST, "/pages/deep/x");
-    until("the first host has an answer", async || {
+    until("the first host knows the limit", async || {
         send_load(&site.hosts[..1], deep, Instant::now()).await;
         limited_servers(&site.hosts[0]).await == Some(1.0)
     })
     .await;
     for host in &site.hosts[1..] {
-        let learned = until("the news", async || limited_servers(host).await == Some(1.0));
-        timeout(quota::CONTACT, learned).await.expect("in force everywhere in time");
+        let learned = until("the limit is known to the other host", async || {
+            limited_servers(host).await == Some(1.0)
+        });
+        timeout(quota::CONTACT, learned).await.expect("every host knows the limit before it binds");
     }
     send_load(&site.hosts[1..], deep, Instant::now() + OBSERVATION_TIME).await;
     check_quotas(&site, &["other-1"]);
@@ -185,7 +190,7 @@
     let (answers, ()) = tokio::join!(load, limit_changes);
     check_quotas(&site, &["app-2"]);
     let failed: Vec<_> = answers.iter().filter(|(status, ..)| *status != StatusCode::OK).collect();
-    assert!(failed.is_empty(), "the other server takes the rest: {failed:?}");
+    assert!(failed.is_empty(), "the other server could have taken the rest: {failed:?}");
 }
 
 #[rstest]
@@ -197,7 +202,7 @@
     let began = Instant::now();
     ["app-1", "app-2"].iter().for_each(|id| set_limit(site.backend.server(id), Some("6")));
     send_load(&site.hosts, page, began + OBSERVATION_TIME).await;
-    // Each host in turn, so that each server's owner is among them.
+    // Each host in turn, so that the owner of each server's quota is among them.
     for index in 0..3 {
         site.hosts[index].signal(signal);
         let others: Vec<usize> = (0..3).filter(|other| *other != index).collect();
@@ -209,7 +214,7 @@
         match signal {
             Signal::SIGSTOP => site.hosts[index].signal(Signal::SIGCONT),
             _ => {
-                site.restart(index).await.expect("a host");
+                site.restart(index).await.expect("the host starts");
                 site.hosts[index].ready().await;
             }
         }
@@ -218,7 +223,7 @@
     send_load(&site.hosts, page, Instant::now() + OBSERVATION_TIME).await;
     check_quotas(&site, &["app-1", "app-2"]);
     let utilization = utilization(site.backend.server("app-1"), 6.0, Duration::from_secs(3));
-    assert!(0.5 < utilization, "{utilization} of the limit used after the last host is back");
+    assert!(0.5 < utilization, "only {utilization} of the limit used after the last host is back");
 }
 
 #[rstest]
@@ -244,7 +249,7 @@
     assert_eq!(unreadable, Some(REQUESTS as f64));
     assert_eq!(limited_servers(&site.hosts[0]).await, Some(0.0));
     let line = "the limit in a server's answer can't be read";
-    until("the log says so", async || site.hosts[0].logged(line)).await;
+    until("the host logs the error", async || site.hosts[0].logged(line)).await;
     let log = site.hosts[0].log();
     assert_eq!(log.iter().filter(|record| record["message"] == line).count(), 1);
 }
@@ -253,7 +258,7 @@
 async fn a_later_run_of_a_server_begins_without_a_limit() {
     let mut site = site(1).await;
     let run = |born| Settings { born, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
-    site.backend.restart(run(1_000)).await.expect("its address");
+    site.backend.restart(run(1_000)).await.expect("the address is free again");
     set_limit(site.backend.server("lm-1"), Some("0.3"));
     let desk = || chat().model("desk").deadline(Some(DEADLINE));
     until("the limit is known", async || {
@@ -261,7 +266,7 @@
         limited_servers(&site.hosts[0]).await == Some(1.0)
     })
     .await;
-    site.backend.restart(run(2_000)).await.expect("its address");
+    site.backend.restart(run(2_000)).await.expect("the address is free again");
     until("the next run answers", async || {
         send_load(&site.hosts, desk, Instant::now()).await;
         !site.backend.server("lm-1").runs().is_empty()
@@ -279,7 +284,7 @@
     let server = site.backend.server("other-1");
     for limit in [Some("2.5"), Some("4"), None] {
         set_limit(server, limit);
-        until("the change is told", async || {
+        until("the change of the limit is logged", async || {
             send_load(&site.hosts, || Ask::to(crate::site::HOST, "/pages/deep/x"), Instant::now())
                 .await;
             let log = site.hosts[0].log();
--- a/crates/stage/tests/routed/main.rs
+++ b/crates/stage/tests/routed/main.rs
@@ -1,4 +1,4 @@
-//! A routed deployment with real hosts, before stand-ins of the store, the servers and callers.
+//! Tests of a routed deployment: real host processes with simulated callers, servers and store.
 
 mod declared;
 mod faults;
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to model servers: what is given, and by whom.
+//! Orders to model servers: at most one host sends them at a time, within the servers' limits.
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
 const MODELS: [&str; 3] = ["welcome", "desk", "notes"];
 const ADAPTERS: [&str; 2] = ["a1", "a2"];
 
-/// Time that a caller gives a request for an adapter.
 const DEADLINE: Duration = Duration::from_millis(800);
 
-/// Time between requests; each adapter is left alone for several of them, and can make way.
+/// Pause between two requests. Each adapter is idle for several pauses, so that it may be unloaded
+/// for another.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks for one adapter after the other, of more than there are places, at one host after the other.
+/// Requests adapters in turn, of which there are more than slots, from the hosts in turn.
 fn spawn_demand(site: &Site) -> JoinSet<()> {
     let mut callers: Vec<Caller> = site.hosts.iter().map(Host::caller).collect();
     let mut tasks = JoinSet::new();
@@ -42,7 +42,7 @@
 
 async fn ask(caller: &mut Caller, model: &str, adapter: &str) {
     let request = chat().model(model).adapter(adapter).deadline(Some(DEADLINE));
-    // A host may be gone or frozen, and what it refuses is asked again soon enough.
+    // The host may be stopped; what it refuses is requested again in the next round.
     let answer = tokio::time::timeout(DEADLINE * 2, caller.ask(&request)).await;
     if !matches!(answer, Ok(Ok(_))) {
         caller.leave();
@@ -50,7 +50,7 @@
     tokio::time::sleep(REQUEST_INTERVAL).await;
 }
 
-/// Orders to all servers, in the order in which they were judged.
+/// Orders that all servers got, by the time at which the server accepted or refused each.
 fn orders(site: &Site) -> Vec<Given> {
     let mut orders: Vec<Given> = site.backend.servers.iter().flat_map(Server::orders).collect();
     orders.sort_by_key(|record| record.at);
@@ -61,22 +61,23 @@
     orders(site).last().map(|record| record.order.holder.to_string())
 }
 
-/// The index of the host that gives orders now.
+/// Index in [`Site::hosts`] of the host that sent the last order.
 async fn holder_index(site: &Site) -> usize {
-    until("someone gives orders", async || holder(site).is_some()).await;
-    let name = holder(site).expect("a holder");
-    site.hosts.iter().position(|host| host.name == name).expect("a host of the site")
+    until("a host sends orders", async || holder(site).is_some()).await;
+    let name = holder(site).expect("an order was sent");
+    site.hosts.iter().position(|host| host.name == name).expect("a host of the site sent the order")
 }
 
-/// Waits until another host gives orders.
-async fn wait_for_handover(site: &Site, before: &str) {
-    until("another host gives orders", async || {
-        holder(site).is_some_and(|holder| holder != before)
+/// Waits until a host other than `previous` sends orders.
+async fn wait_for_handover(site: &Site, previous: &str) {
+    until("another host sends orders", async || {
+        holder(site).is_some_and(|holder| holder != previous)
     })
     .await;
 }
 
-/// Each server has one holder at a time, with fencing numbers that rise, and turns that are apart.
+/// Asserts that each server got orders from one holder at a time, with rising fencing numbers and
+/// [`HANDOVER_GAP`] between two holders, and no more orders than it can carry out.
 fn check_orders(site: &Site) {
     for server in &site.backend.servers {
         let records = server.orders();
@@ -98,7 +99,7 @@
 async fn one_host_gives_orders() {
     let site = site(3).await;
     let _demand = spawn_demand(&site);
-    until("many orders are given", async || 30 < orders(&site).len()).await;
+    until("many orders are sent", async || 30 < orders(&site).len()).await;
     let first = holder(&site);
     assert!(orders(&site).iter().all(|record| Some(record.order.holder.to_string()) == first));
     check_orders(&site);
@@ -126,7 +127,7 @@
     wait_for_handover(&site, &site.hosts[index].name).await;
     site.hosts[index].signal(Signal::SIGCONT);
     let before = orders(&site).len();
-    until("orders go on", async || before + 20 < orders(&site).len()).await;
+    until("more orders are sent", async || before + 20 < orders(&site).len()).await;
     check_orders(&site);
 }
 
@@ -142,7 +143,7 @@
     wait_for_handover(&site, &site.hosts[index].name).await;
     site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = None);
     let before = orders(&site).len();
-    until("orders go on", async || before + 20 < orders(&site).len()).await;
+    until("more orders are sent", async || before + 20 < orders(&site).len()).await;
     check_orders(&site);
 }
 
@@ -159,7 +160,7 @@
     for _ in 0..3 {
         site.backend.store.everywhere(change);
         let before = orders(&site).len();
-        until("orders go on", async || before + 20 < orders(&site).len()).await;
+        until("more orders are sent", async || before + 20 < orders(&site).len()).await;
     }
     check_orders(&site);
 }
@@ -174,6 +175,6 @@
         server.script(|script| script.orders = faults.collect());
     }
     let _demand = spawn_demand(&site);
-    until("orders go on after all faults", async || 60 < orders(&site).len()).await;
+    until("orders are sent after all faults", async || 60 < orders(&site).len()).await;
     check_orders(&site);
 }
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -1,5 +1,5 @@
-//! The operators' page on failed requests: its commands are run over real hosts' logs, and what
-//! they print is what it shows.
+//! Checks the examples in the operators' page on failed requests: runs its commands over the logs
+//! of real hosts and compares their output with the page.
 
 use std::time::Duration;
 
@@ -18,29 +18,29 @@
 const LOG_FILE: &str = "host-0-1.log";
 const DEADLINE: Duration = Duration::from_millis(500);
 
-/// Longer than the pause that the stream's route allows.
+/// Longer than the gap between events that the route allows.
 const EVENT_GAP: Duration = Duration::from_millis(700);
 
-/// What the page shows below a command over the host's log.
+/// Output that the page shows below `cyclamenctl explain` with this query.
 fn documented(query: &str) -> Vec<&'static str> {
     let command = format!("$ cyclamenctl explain {query} --logs {LOG_FILE}\n");
     let (_, rest) = PAGE.split_once(&command).unwrap_or_else(|| panic!("no {command}"));
     rest.split("```").next().unwrap().lines().collect()
 }
 
-/// What the command prints over the host's log.
+/// Output of `cyclamenctl explain` with this query over the log of the site's first host.
 async fn printed(site: &Site, query: &str) -> Vec<String> {
     let log = site.hosts[0].log_file();
     assert!(log.ends_with(LOG_FILE));
     report(site, query).await.text.lines().map(str::to_owned).collect()
 }
 
-/// Whether a line is told as a belief; which of these were formed meanwhile differs between runs.
+/// Whether a line shows a belief of the host. Which beliefs are logged differs between runs.
 fn is_belief(line: &str) -> bool {
     line.contains(" ~ ")
 }
 
-/// The lines that are shown come in their order, and none but beliefs come between them.
+/// Asserts that the documented lines are printed in their order, with only beliefs between them.
 fn check_lines(printed: &[String], documented: &[&str]) {
     let mut documented = documented.iter();
     let mut next = documented.next();
@@ -50,24 +50,25 @@
         } else {
             assert!(
                 is_belief(line),
-                "shown is {next:?}, but there is\n{line}\nof\n{}",
+                "expected {next:?}, but this line is printed:\n{line}\nof\n{}",
                 printed.join("\n")
             );
         }
     }
-    assert_eq!(next, None, "not in\n{}", printed.join("\n"));
+    assert_eq!(next, None, "a documented line is not printed in\n{}", printed.join("\n"));
 }
 
-/// Asks, and checks the page once the request's end is written.
+/// Sends a request under this id, and checks the page once the end of the request is logged.
 async fn check_request(site: &Site, id: &str, request: Ask) {
     let mut caller = site.hosts[0].caller();
-    caller.ask(&request.named(id)).await.expect("an answer");
+    caller.ask(&request.named(id)).await.expect("the request is answered");
     check_finished(site, id).await;
 }
 
 async fn check_finished(site: &Site, id: &str) {
     let is_end = |line: &serde_json::Value| line["request"] == id && line["kind"] == "ended";
-    until("its end is told", async || site.hosts[0].log().iter().any(is_end)).await;
+    until("the end of the request is logged", async || site.hosts[0].log().iter().any(is_end))
+        .await;
     check_lines(&printed(site, id).await, &documented(id));
 }
 
@@ -100,27 +101,27 @@
     site.backend.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
     let request = draft().named("late-1");
     let mut caller = site.hosts[0].caller();
-    let mut opened = caller.open(&request).await.expect("a head");
+    let mut opened = caller.open(&request).await.expect("the answer starts");
     assert!(opened.event(2).await);
     tokio::time::sleep(EVENT_GAP).await;
     site.backend.script(|script| script.always = None);
     let first = site.backend.servers.iter().find(|server| server.runs_of("late-1") == 1);
-    first.expect("the server that has it").kill();
-    assert!(opened.finish().await.expect("an end").whole);
+    first.expect("a server has the request").kill();
+    assert!(opened.finish().await.expect("the answer ends").whole);
     check_finished(&site, "late-1").await;
 }
 
-/// The fencing number of a real term isn't known before; the page's stands for it.
+/// The fencing number differs between runs, so it is replaced by the page's before the comparison.
 #[tokio::test]
 async fn a_term_is_told_as_the_page_shows() {
     const FENCE: &str = "41";
     let site = site_with_info_log().await;
     let orders = || site.hosts[0].log().into_iter().filter(|line| line["kind"] == "order");
-    until("all is placed", async || {
+    until("all models are placed", async || {
         orders().filter(|line| line["answer"] == "accepted").count() == 3
     })
     .await;
-    let fence = orders().next().expect("an order")["fence"].clone();
+    let fence = orders().next().expect("an order is logged")["fence"].clone();
     assert!(orders().all(|line| line["fence"] == fence));
     assert_ne!(fence, json!(null));
     let mut lines = printed(&site, &format!("--term {fence}")).await;
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the servers that run it, while hosts start anew or don't hear each other.
+//! A request that crashes each server that runs it, while hosts restart or can't reach each other.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -16,47 +16,51 @@
 
 const HOSTS: usize = 4;
 
-/// Servers that the request may crash; none comes back.
+/// Exclusive bound of the numbers in the ids of plain servers. The request may crash all of these
+/// servers; a crashed one doesn't restart.
 const SERVERS: usize = 40;
 
-/// Crashes after which the request is known to cause them.
+/// Number of crashes after which hosts refuse the request.
 const MAX_CRASHES: usize = 3;
 
-/// Time without trouble after which a host is in touch, with some to spare.
+/// Time without disruption after which a host knows what its peers know, with some margin.
 const RECOVERY_TIME: Duration = Duration::from_millis(3_300);
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happens to the hosts once the request has crashed three servers.
+/// What happens to the hosts once the request has crashed [`MAX_CRASHES`] servers.
 #[derive(Clone, Copy, Debug)]
 enum Disruption {
-    /// Each host is killed and started in turn.
+    /// Each host in turn is killed and restarted.
     RollingRestart,
-    /// All hosts are killed at once, and started, twice.
+    /// All hosts are killed at once and restarted, three times.
     FullRestart,
-    /// Each host in turn hears nothing and is not heard.
+    /// Each host in turn is cut off from all others, in both directions.
     Partition,
 }
 
-/// Where the caller of the request is seen to call from.
+/// Source address of the caller, as the hosts see it.
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    /// One address at all hosts.
+    /// The same address for all hosts.
     OneAddress,
-    /// Another address at each host.
+    /// A different address for each host.
     AddressPerHost,
 }
 
 async fn site() -> Site {
     let mut backend = backend().await;
     for number in 3..SERVERS {
-        backend.add(Settings::plain(&format!("app-{number}"), "app")).await.expect("a server");
+        backend
+            .add(Settings::plain(&format!("app-{number}"), "app"))
+            .await
+            .expect("the server starts");
     }
     backend.script(|script| script.poison = Some("poison"));
     backend.declare(&declaration());
     let mut site = new_site(backend, Site::relay_links);
     for _ in 0..HOSTS {
-        site.add(|_| {}).await.expect("a host");
+        site.add(|_| {}).await.expect("the host starts");
     }
     site.ready().await;
     sleep(Duration::from_secs(1)).await;
@@ -68,7 +72,8 @@
     runs.filter(|run| run.ending == Some(Ending::Crashed)).count()
 }
 
-/// Sends the request through each host, and an innocent one beside it.
+/// Sends the crashing request through each host, each time followed by a harmless one, which has to
+/// succeed.
 async fn send_through_all(site: &mut Site, source: Source) {
     for index in 0..HOSTS {
         let host = &site.hosts[index];
@@ -81,13 +86,16 @@
             }
         };
         let _ = timeout(TIMEOUT, caller.ask(&poison)).await;
-        assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK), "an innocent request");
+        assert_eq!(
+            status_of(host, &page()).await,
+            Some(StatusCode::OK),
+            "a harmless request failed"
+        );
         deregister_crashed(site);
         sleep(Duration::from_millis(150)).await;
     }
 }
 
-/// Ends the registrations of the servers that have crashed.
 fn deregister_crashed(site: &mut Site) {
     let has_crashed =
         |server: &&Server| server.runs().iter().any(|run| run.ending == Some(Ending::Crashed));
@@ -96,24 +104,25 @@
     crashed.iter().for_each(|id| site.backend.forget(id));
 }
 
-/// Lets the request crash as many servers as it may in calm.
+/// Sends the request, without any disruption, until it has crashed [`MAX_CRASHES`] servers, and
+/// asserts that it crashes no more.
 async fn crash_until_refused(site: &mut Site, source: Source) {
     for _ in 0..3 {
         send_through_all(site, source).await;
     }
-    assert_eq!(crashed(site), MAX_CRASHES, "servers ended in calm");
+    assert_eq!(crashed(site), MAX_CRASHES, "number of servers crashed without a disruption");
 }
 
 async fn restart(site: &mut Site, indexes: std::ops::Range<usize>) {
     indexes.clone().for_each(|index| site.hosts[index].kill());
     for index in indexes {
-        site.restart(index).await.expect("a host");
+        site.restart(index).await.expect("the host starts");
         site.hosts[index].ready().await;
     }
     sleep(RECOVERY_TIME).await;
 }
 
-/// Sets the links between a host and all others.
+/// Sets the delivery on the links between a host and all others, in both directions.
 fn set_links(site: &Site, index: usize, delivery: Way) {
     for other in (0..HOSTS).filter(|other| *other != index) {
         site.links().set(index, other, delivery);
@@ -153,7 +162,7 @@
             }
         }
     }
-    assert_eq!(crashed(&site), MAX_CRASHES, "servers ended");
+    assert_eq!(crashed(&site), MAX_CRASHES, "number of servers crashed");
 }
 
 #[tokio::test]
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -1,17 +1,17 @@
-//! Servers that start again under their name.
+//! Servers that restart under the same id.
 
 use rstest::rstest;
 use standin::routed::{server::Settings, until};
 
 use crate::site::{chat, engine, site, status_of};
 
-/// A run of a model server that began at a time.
+/// Settings for a run of the first model server that starts at `born`, in Unix milliseconds.
 fn run_settings(born: u64, models: &[&str]) -> Settings {
     Settings { born, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
 
-/// What the run before held and had been ordered counts for nothing: the next one holds what it says, and
-/// gets its models by orders at its own count.
+/// Models and orders of the previous run don't count for the next one: it holds the models that it
+/// reports, and its orders carry its own count of orders.
 #[rstest]
 #[case::holds_nothing(&[])]
 #[case::holds_another(&["notes"])]
@@ -19,7 +19,7 @@
 async fn a_server_that_starts_again_is_another_one(#[case] models: &[&str]) {
     let mut site = site(2).await;
     let desk = || chat().model("desk");
-    // Orders raise the count of the first run above that of the second.
+    // Raises the first run's count of orders, so that the second run's is lower.
     for adapter in ["a1", "a2"] {
         let request = desk().adapter(adapter);
         until("the adapter answers", async || {
@@ -28,7 +28,10 @@
         .await;
     }
     assert!(!site.backend.server("lm-1").orders().is_empty());
-    site.backend.restart(run_settings(1_785_971_202_000, models)).await.expect("its address");
+    site.backend
+        .restart(run_settings(1_785_971_202_000, models))
+        .await
+        .expect("the address is free again");
     for index in [0, 1] {
         until("the model answers again", async || {
             let status = status_of(&site.hosts[index], &desk()).await;
@@ -44,16 +47,19 @@
     .await;
     let orders = site.backend.server("lm-1").orders();
     let first = orders.first().expect("an order");
-    assert_eq!(first.order.expected, Some(0), "it was worked out from the new run");
+    assert_eq!(first.order.expected, Some(0), "the order was planned for the previous run");
     assert_eq!(site.backend.server("lm-1").overload(), None);
 }
 
-/// An entry that was written before, and comes late, brings no earlier run back.
+/// A registration of an earlier run that reaches the store late doesn't replace the current run.
 #[tokio::test]
 async fn an_entry_of_an_earlier_run_changes_nothing() {
     let mut site = site(1).await;
     let welcome = || chat().model("welcome");
-    site.backend.restart(run_settings(2_000, &["welcome"])).await.expect("its address");
+    site.backend
+        .restart(run_settings(2_000, &["welcome"]))
+        .await
+        .expect("the address is free again");
     until("the second run is used", async || {
         status_of(&site.hosts[0], &welcome().unread()).await;
         !site.backend.server("lm-1").runs().is_empty()
@@ -66,7 +72,7 @@
     site.backend.put(&earlier);
     site.seen().await;
     let runs_before = site.backend.server("lm-1").runs().len();
-    until("it is still used", async || {
+    until("the second run is still used", async || {
         status_of(&site.hosts[0], &welcome().unread()).await;
         runs_before < site.backend.server("lm-1").runs().len()
     })
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -1,4 +1,4 @@
-//! Requests of each kind, and what a server sees of them.
+//! Requests of each kind that succeed, and what the server receives of them.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
 async fn what_no_server_holds_is_loaded(#[case] request: Ask) {
     let site = site(2).await;
     let mut caller = site.hosts[0].caller();
-    until("it is served", async || {
+    until("the request is served", async || {
         let answer = caller.ask(&request.again()).await.unwrap();
         let promises = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
         assert!(promises.contains(&answer.status), "{}", answer.status);
@@ -84,7 +84,11 @@
     let site = site(1).await;
     let request = request.forged();
     let answer = site.hosts[0].caller().ask(&request).await.unwrap();
-    assert_eq!(answer.status, StatusCode::OK, "no server was found by a forged instance");
+    assert_eq!(
+        answer.status,
+        StatusCode::OK,
+        "a forged header of the caller changed the choice of server"
+    );
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     for run in runs.filter(|run| run.asked.id == Some(request.id())) {
         assert_eq!(run.asked.controls, Vec::<http::HeaderName>::new());
@@ -120,7 +124,10 @@
     let answer = site.hosts[0].caller().ask(&page().deadline(None)).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-    assert!(runs.into_iter().all(|run| run.asked.deadline.is_some()), "each has a deadline");
+    assert!(
+        runs.into_iter().all(|run| run.asked.deadline.is_some()),
+        "a request reached a server without a deadline"
+    );
 }
 
 #[tokio::test]
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -1,16 +1,11 @@
-//! Watches of the store that nothing ever comes on.
+//! Outages of the store after which watches stay without an answer.
 //!
-//! What users saw: a route was handled by an old declaration on every host, three seconds after the
-//! operators had the confirmation of a newer one. The order of events: all hosts had taken a declaration at the
-//! same moment and watched for the next; the store fell silent; the watches ended by their own time limit, and were
-//! asked again while the store was still silent; the store came back, answered each other call within
-//! milliseconds, and took newer declarations; the watches stayed silent up to their limit, 4.7 s
-//! later. Since the watches of all hosts were stalled alike, none could tell the others.
-//!
-//! Evidence: on six hosts the store was lost at 9.92 s and 15.97 s, each 5.8 s, the limit of a
-//! watch, after the watch was asked (4.12 s, 10.17 s); in between it was regained (11.2 s) and
-//! answered other calls in each second. All seven versions that were missed came at 16.2 s, from the
-//! store, within 4 ms.
+//! The tests guard against hosts that use an old declaration or list of servers after the store is
+//! back. All hosts watch from the same moment. The store stops answering, the watches time out and
+//! are sent again during the outage; the store then answers every other call, but these watches
+//! stay unanswered until they time out (5.8 s after they were sent, up to 4.7 s after the store
+//! is back). As the watches of all hosts are stalled alike, no host can inform another. Hosts then
+//! routed by an old declaration 3 s after the operators had the confirmation of a newer one.
 
 use std::time::Duration;
 
@@ -26,28 +21,29 @@
 
 use crate::site::{HOST, declare_route, site, status_of, ticket};
 
-/// A host is held to all bounds once it and the store have been sound for so long. No other bound is
-/// longer: a declaration has 2 s and a leaving server has 2 s.
+/// Time after an outage from which on all bounds apply to a host again. It covers the other bounds:
+/// 2 s until a declaration is in force, and 2 s until a leaving server gets no more requests.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Several hosts could tell each other, did not all their watches stall.
+/// More than one, as a host whose watches work would inform the others.
 const HOSTS: usize = 3;
 
-/// Hosts of which some are no scouts, and wait long for a change.
+/// Enough hosts that some aren't scouts: those wait long for a change in each watch.
 const HOSTS_WITH_FOLLOWERS: usize = 6;
 
-/// How the store falls silent.
+/// How long, and for which calls, the store doesn't answer.
 #[derive(Clone, Copy)]
 enum Outage {
-    /// Until watches have ended by their limit and were asked anew.
+    /// All calls, until watches have timed out and were sent again.
     Long,
-    /// For a moment, in which watches wait and hardly any other call is made.
+    /// All calls, but so briefly that hardly any call but the pending watches is affected.
     Short,
-    /// For the watches that wait alone: all other calls are answered as ever.
+    /// Only watches; all other calls are answered.
     WatchesOnly,
 }
 
-/// A site whose hosts watch from the same moment on, after a store that was silent and is back.
+/// Starts hosts that watch from the same moment on, and returns when the store is back after an
+/// outage.
 async fn site_after(outage: Outage) -> Site {
     let site = site(HOSTS).await;
     declare_route(&site, 10);
@@ -82,7 +78,7 @@
     sleep(RECOVERY_TIME).await;
     for host in &site.hosts {
         let status = status_of(host, &request.again()).await;
-        assert_eq!(status, Some(StatusCode::OK), "{} is behind", host.name);
+        assert_eq!(status, Some(StatusCode::OK), "{} does not use the declaration", host.name);
     }
 }
 
@@ -101,12 +97,17 @@
         for _ in 0..6 {
             assert_eq!(status_of(host, &ticket()).await, Some(StatusCode::OK));
         }
-        assert_eq!(leaving.runs().len(), runs_before, "{} still sends to it", host.name);
+        assert_eq!(
+            leaving.runs().len(),
+            runs_before,
+            "{} still sends requests to the leaving server",
+            host.name
+        );
     }
 }
 
-/// Entries of sound servers run out while the store is silent, and come back a little later. A host
-/// that knows of the outage uses such a server on; one that does not takes it for gone.
+/// The registrations of healthy servers expire during an outage and are back a little later. A host
+/// that knows of the outage goes on using such a server; one that doesn't would remove it.
 #[tokio::test]
 async fn a_server_whose_entry_runs_out_in_a_silence_is_used_on() {
     const OUTAGE: Duration = Duration::from_secs(3);
@@ -121,7 +122,7 @@
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
-/// Asserts that at each moment of a span every host sends requests on to a server without a wait.
+/// Asserts that during a span every host forwards requests to a server without waiting for one.
 async fn assert_reachable_throughout(site: &Site, span: Duration) {
     let deep = Ask::to(HOST, "/pages/deep/x");
     let end = Instant::now() + span;
@@ -129,8 +130,12 @@
         for host in &site.hosts {
             let began = Instant::now();
             let status = status_of(host, &deep.again()).await;
-            assert_eq!(status, Some(StatusCode::OK), "{} has no server", host.name);
-            assert!(began.elapsed() < span / 2, "{} waited for its entry", host.name);
+            assert_eq!(status, Some(StatusCode::OK), "{} found no server", host.name);
+            assert!(
+                began.elapsed() < span / 2,
+                "{} waited for the registration of a server",
+                host.name
+            );
         }
         sleep(Duration::from_millis(50)).await;
     }
@@ -141,7 +146,7 @@
     const ABSENCE: Duration = Duration::from_millis(800);
     let site = site(HOSTS_WITH_FOLLOWERS).await;
     site.seen().await;
-    // Until a host knows the others, it asks often.
+    // Hosts call the store often until they know each other.
     sleep(RECOVERY_TIME).await;
     let store = &site.backend.store;
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
@@ -172,7 +177,7 @@
 #[tokio::test]
 async fn a_server_that_a_peer_only_suspects_is_used_on_by_who_learns_of_it_from_the_peer() {
     const ABSENCE: Duration = Duration::from_millis(1000);
-    // Less than the time for which a host is behind before it asks a peer.
+    // Less than the time for which a host lags behind before it asks a peer.
     const LAG: Duration = Duration::from_millis(550);
     let site = site(2).await;
     site.seen().await;
@@ -182,18 +187,20 @@
     store.everywhere(|mood| *mood = Mood::default());
     site.seen().await;
     store.at(&site.hosts[0].name, |mood| mood.refusal = Some(Refusal::Down));
-    // The first host is behind from here on, and asks the second while the entry is away.
+    // The first host lags behind from here on, and asks the second while the registration is
+    // absent.
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(LAG).await;
     store.expire(&sites::servers(), "other-1", ABSENCE);
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
-/// What the store has taken off stays off, though a peer that learnt it later still uses it on: a list
-/// told by that peer brought the server back for good, since the store says once that an entry went.
+/// Guards against a removed server that comes back by a peer's list. It would stay for good, as the
+/// store reports each removal only once.
 ///
-/// The first host learns that an entry went, and is then turned away; the second learns it a second later,
-/// sees a further change, and so is ahead of the first, which asks it for its list.
+/// The first host learns of the removal, then the store refuses its calls. The second host learns
+/// of the removal a second later and goes on using the server, as after an outage; it then sees a
+/// further change, so it is ahead of the first, which asks it for its list.
 #[tokio::test]
 async fn a_server_whose_entry_went_does_not_come_back_by_a_peer() {
     const STORE_DELAY: Duration = Duration::from_secs(1);
@@ -205,13 +212,13 @@
     sleep(RECOVERY_TIME).await;
     store.everywhere(|mood| *mood = Mood::default());
     site.seen().await;
-    // A watch that is asked now looks at the store a second later.
+    // The store evaluates a watch that is sent now a second later.
     store.at(&second, |mood| mood.delay = STORE_DELAY);
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(STORE_DELAY / 4).await;
     site.backend.forget("other-1");
     let removal = store.revision();
-    until("the first host has seen it", async || {
+    until("the first host has seen the removal", async || {
         store.watched_from(&first, &sites::servers()) >= Some(removal)
     })
     .await;
@@ -221,10 +228,14 @@
     let runs_before = site.backend.server("other-1").runs().len();
     let deep = Ask::to(HOST, "/pages/deep/x");
     assert_ne!(status_of(&site.hosts[0], &deep).await, Some(StatusCode::OK));
-    assert_eq!(site.backend.server("other-1").runs().len(), runs_before, "it is used again");
+    assert_eq!(
+        site.backend.server("other-1").runs().len(),
+        runs_before,
+        "the removed server is used again"
+    );
 }
 
-/// Time from one renewal of the lease on orders to the next, over a span.
+/// Longest time within a span between two renewals of the lease on orders.
 async fn longest_renewal_gap(site: &Site, span: Duration) -> Duration {
     let began = Instant::now();
     let (mut renewed, mut longest) = (began, Duration::ZERO);
@@ -240,8 +251,8 @@
     longest
 }
 
-/// The holder's calls about the lease don't queue behind a list that nothing comes of: the lease
-/// would be lost with each such list, and no orders given for seconds.
+/// The holder's calls about the lease don't queue behind a list call that gets no answer. Otherwise
+/// each such call would cost the lease, and no orders would be sent for seconds.
 #[tokio::test]
 async fn lists_without_an_answer_do_not_cost_the_lease() {
     const LEASE_TERM: Duration = Duration::from_millis(1500);
@@ -252,9 +263,9 @@
     })
     .await;
     store.everywhere(|mood| mood.silent = Some(Sort::Lists));
-    // All watches end, and what they followed is listed anew.
+    // Ends all watches, after which hosts list the objects again.
     store.put(&"notes".into(), "a", serde_json::json!(1));
     store.compact();
     let longest = longest_renewal_gap(&site, 3 * LEASE_TERM).await;
-    assert!(longest < LEASE_TERM, "{longest:?} without a renewal");
+    assert!(longest < LEASE_TERM, "the lease was not renewed for {longest:?}");
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -1,4 +1,4 @@
-//! The site that the tests share: three plain servers and two model servers.
+//! The deployment that the tests share: three plain servers, two model servers and some hosts.
 
 use std::{path::Path, time::Duration};
 
@@ -17,7 +17,8 @@
 pub const CHAT: &str = "/chat/";
 pub const DRAFT: &str = "/draft/";
 
-/// Time between the orders of two hosts to one server, as the settings have it.
+/// Minimum time between the last order that a server gets from one host and the first from another,
+/// as the hosts' settings define it.
 pub const HANDOVER_GAP: Duration = Duration::from_secs(3);
 
 /// A route of [`HOST`].
@@ -70,7 +71,7 @@
     Service { name: name.into(), health: "/health".into(), connections: 100, engine }
 }
 
-/// The declaration that most tests begin with.
+/// Declaration of version 3, with which most tests begin.
 pub fn declaration() -> Declaration {
     Declaration {
         version: 3,
@@ -95,10 +96,10 @@
         Settings::model("lm-1", "lm", &engine, &["welcome", "desk"]),
         Settings::model("lm-2", "lm", &engine, &["welcome"]),
     ];
-    Backend::start(servers).await.expect("servers")
+    Backend::start(servers).await.expect("the servers start")
 }
 
-/// A site with a declaration and some hosts, ready.
+/// Starts this many hosts with [`declaration`] in force, and waits until they are ready.
 pub async fn site(hosts: usize) -> Site {
     let backend = backend().await;
     backend.declare(&declaration());
@@ -107,36 +108,36 @@
     site
 }
 
-/// A site with one host that logs at the level that is usual.
+/// Starts one host with [`declaration`] in force that logs at level `info`, the default.
 pub async fn site_with_info_log() -> Site {
     let backend = backend().await;
     backend.declare(&declaration());
     let mut site = start_site(backend, 0).await;
     site.add(|settings| settings["log"] = serde_json::json!({"level": "info"}))
         .await
-        .expect("a host");
+        .expect("the host starts");
     site.ready().await;
     site
 }
 
-/// A site without hosts over a backend as it is, prepared by `prepare`.
+/// Creates a site without hosts and passes it to `prepare`; declares nothing.
 pub fn new_site(backend: Backend, prepare: impl FnOnce(&mut Site)) -> Site {
     let program = Path::new(env!("CARGO_BIN_EXE_cyclamenstage"));
-    let mut site = Site::new(program, backend).expect("a folder");
+    let mut site = Site::new(program, backend).expect("a temporary directory");
     prepare(&mut site);
     site
 }
 
-/// A site whose hosts have started over a backend as it is.
+/// Starts this many hosts without declaring anything or waiting until they are ready.
 pub async fn start_site(backend: Backend, hosts: usize) -> Site {
     let mut site = new_site(backend, |_| {});
     for _ in 0..hosts {
-        site.add(|_| {}).await.expect("a host");
+        site.add(|_| {}).await.expect("the host starts");
     }
     site
 }
 
-/// Declares a further route, and returns what asks for it.
+/// Declares one more route as this version, and returns a request that only the new route takes.
 pub fn declare_route(site: &Site, version: u64) -> Ask {
     let prefix = format!("/pages-{version}/");
     let mut declared = declaration();
@@ -162,13 +163,13 @@
     Ask::to(HOST, "/draft/2f").model("welcome")
 }
 
-/// The server that answers a request.
+/// Sends a request and returns the id of the server that answered it.
 pub async fn server_of(host: &Host, request: &Ask) -> Option<String> {
     let answer = host.caller().ask(request).await.ok()?;
     answer.field("server").as_str().map(str::to_owned)
 }
 
-/// The status that a request gets.
+/// Sends a request and returns the status of its answer, or none if there was no answer.
 pub async fn status_of(host: &Host, request: &Ask) -> Option<StatusCode> {
     Some(host.caller().ask(request).await.ok()?.status)
 }
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -61,13 +61,13 @@
     until("the request runs", async || site.backend.runs() == 2).await;
 
     site.hosts[0].signal(Signal::SIGTERM);
-    until("the host says that it is not ready", async || {
+    until("the host reports that it is not ready", async || {
         site.hosts[0].says_ready().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
     let late = idle.ask(&page()).await.unwrap();
     assert_eq!((late.status, late.whole), (StatusCode::OK, true));
-    assert!(late.closes(), "a kept connection is told that it ends");
+    assert!(late.closes(), "a persistent connection isn't closed by a stopping host");
 
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
@@ -88,7 +88,7 @@
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
-        until("the host has the signal", async || site.hosts[0].logged("reload asked for")).await;
+        until("the host logs the signal", async || site.hosts[0].logged("reload asked for")).await;
     }
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -1,4 +1,4 @@
-//! The store fails in its ways, while requests go on.
+//! Failures of the store, during which requests are still served.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Declares a further route, and waits until every host serves it.
+/// Declares one more route, and waits until every host serves it.
 async fn declare_and_wait(site: &Site, version: u64) {
     let request = declare_route(site, version);
     for host in &site.hosts {
@@ -55,7 +55,7 @@
     declare_and_wait(&site, 11).await;
 }
 
-/// Whether the host's last word on something that it relies on is this one.
+/// Whether the last state that a host logged for this dependency is `state`.
 fn last_logged_state_is(host: &Host, name: &str, state: &str) -> bool {
     let log = host.log();
     let last = log.iter().rfind(|line| line["kind"] == "dependency" && line["name"] == name);
@@ -69,12 +69,17 @@
     let dependencies = ["store", "watch of the declaration", "watch of servers"];
     site.backend.store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
     for dependency in dependencies {
-        until("its loss is told", async || last_logged_state_is(host, dependency, "lost")).await;
+        until("the loss of the dependency is logged", async || {
+            last_logged_state_is(host, dependency, "lost")
+        })
+        .await;
     }
     site.backend.store.everywhere(|mood| mood.refusal = None);
     for dependency in dependencies {
-        until("its return is told", async || last_logged_state_is(host, dependency, "regained"))
-            .await;
+        until("the return of the dependency is logged", async || {
+            last_logged_state_is(host, dependency, "regained")
+        })
+        .await;
     }
 }
 
@@ -89,20 +94,21 @@
     store.open("host-0").await.unwrap();
     store.at("host-0", |mood| mood.refusal = Some(refusal));
     let site = start_site(backend, 1).await;
-    until("the host has asked", async || 0 < store.count("host-0").refused).await;
+    until("the host has called the store", async || 0 < store.count("host-0").refused).await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::SERVICE_UNAVAILABLE));
     store.at("host-0", |mood| mood.refusal = None);
     site.ready().await;
     assert_served(&site.hosts[0]).await;
 }
 
-/// The platform names hosts by another port than the one at which they listen for each other.
+/// The addresses of peers in the settings have another port than the one at which hosts listen for
+/// each other; with `peers_share_port` the host uses its own peer port instead.
 #[tokio::test]
 async fn a_host_finds_its_peers_by_the_port_that_they_share_while_the_store_is_away() {
     let mut site = site(1).await;
-    let peer_address = site.hosts[0].peers().expect("its listener for hosts");
+    let peer_address = site.hosts[0].peers().expect("the host listens for peers");
     let store = &site.backend.store;
-    store.open("host-1").await.expect("a door");
+    store.open("host-1").await.expect("the store opens an endpoint");
     store.at("host-1", |mood| mood.refusal = Some(Refusal::Down));
     let change = |settings: &mut Value| {
         let callers = settings["host"]["callers"].as_str().and_then(|text| text.parse().ok());
@@ -112,10 +118,10 @@
         settings["peers"] = json!([SocketAddr::new(peer_address.ip(), 1)]);
         settings["peers_share_port"] = json!(true);
     };
-    site.add(change).await.expect("a host").ready().await;
+    site.add(change).await.expect("the host starts").ready().await;
 }
 
-/// A slow store is not one that is gone: what it answers late counts.
+/// A slow store doesn't count as unreachable: its late answers are used.
 #[rstest]
 #[case::a_little(Duration::from_millis(600))]
 #[case::very(Duration::from_millis(1600))]
@@ -140,7 +146,7 @@
     site.backend.forget("other-1");
     site.backend.store.compact();
     let deep = Ask::to(HOST, "/pages/deep/x");
-    until("the list of servers is read anew", async || {
+    until("the list of servers is read again", async || {
         server_of(&site.hosts[0], &deep.again()).await.as_deref() == Some("other-2")
     })
     .await;
@@ -165,7 +171,11 @@
     site.backend.store.expire(&sites::servers(), "other-1", Duration::from_millis(500));
     let deep = Ask::to(HOST, "/pages/deep/x");
     let answer = status_of(&site.hosts[0], &deep).await;
-    assert_eq!(answer, Some(StatusCode::OK), "a request can wait half a second for its server");
+    assert_eq!(
+        answer,
+        Some(StatusCode::OK),
+        "a request waits for a server that is absent for half a second"
+    );
 }
 
 #[rstest]
@@ -180,7 +190,7 @@
     site.backend.store.at(&host.name, |mood| mood.refusal = Some(refusal));
     declare_and_wait(&site, 11).await;
     site.backend.server("app-1").leave(None);
-    until("the host hears that a server is leaving", async || {
+    until("the host learns from its peers that a server is leaving", async || {
         let runs_before = site.backend.server("app-1").runs().len();
         for _ in 0..6 {
             assert_eq!(status_of(host, &ticket()).await, Some(StatusCode::OK));
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -1,4 +1,4 @@
-//! What on-call finds of a request afterwards: its story by its id alone, and the metrics.
+//! `cyclamenctl explain` over the hosts' logs for finished requests, and the metrics.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -24,28 +24,31 @@
 const DEADLINE: Duration = Duration::from_secs(2);
 const FULL: Fault = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
 
-/// What `cyclamenctl explain` tells of a request, from the hosts' logs.
+/// Lines that `cyclamenctl explain` finds for a request in the logs of all hosts.
 async fn explain(site: &Site, id: &str) -> Vec<Value> {
     let report = report(site, id).await.json;
     report["lines"].as_array().cloned().unwrap_or_default()
 }
 
-/// What `cyclamenctl explain` says to a question, from the hosts' logs.
+/// Report of `cyclamenctl explain` with these arguments, separated by spaces, over all hosts' logs.
 pub async fn report(site: &Site, query: &str) -> Report {
     let logs: Vec<PathBuf> = site.hosts.iter().map(|host| host.log_file().to_owned()).collect();
     let query: Vec<PathBuf> = query.split(' ').map(Into::into).collect();
     let report = tokio::task::spawn_blocking(move || {
         let words = ["cyclamenctl".into(), "explain".into()].into_iter().chain(query);
         let words = words.chain(["--logs".into()]).chain(logs);
-        Flags::try_parse_from(words).expect("flags").report().expect("a report")
+        Flags::try_parse_from(words)
+            .expect("the flags are valid")
+            .report()
+            .expect("the logs can be read")
     });
-    report.await.expect("it ends")
+    report.await.expect("the command doesn't panic")
 }
 
-/// The story of a request, once its end is written.
+/// Lines for a request, once the hosts have logged its end.
 async fn finished_lines(site: &Site, id: &str) -> Vec<Value> {
     let mut lines = Vec::new();
-    until("the story is told", async || {
+    until("the end of the request is logged", async || {
         lines = explain(site, id).await;
         lines.iter().any(|line| line["kind"] == "ended")
     })
@@ -53,7 +56,6 @@
     lines
 }
 
-/// The lines of a kind, in order.
 fn of_kind<'a>(lines: &'a [Value], kind: &str) -> Vec<&'a Value> {
     lines.iter().filter(|line| line["kind"] == kind).collect()
 }
@@ -75,7 +77,7 @@
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
 
-/// The value of the series whose line begins so.
+/// Value of the first series whose line begins with `series`, in the text of the metrics page.
 pub fn value(text: &str, series: &str) -> Option<f64> {
     let line = text.lines().find(|line| line.starts_with(series))?;
     line.rsplit(' ').next()?.parse().ok()
@@ -103,7 +105,10 @@
     let end = of_kind(&lines, "ended")[0];
     assert_eq!((&end["outcome"], &end["status"]), (&json!("refused"), &json!(503)));
     assert_eq!(end["why"], refused[0]["why"]);
-    assert!(!of_kind(&lines, "declaration").is_empty(), "what it was decided on: {lines:#?}");
+    assert!(
+        !of_kind(&lines, "declaration").is_empty(),
+        "no declaration is given as the basis of the decision: {lines:#?}"
+    );
 
     let text = metrics(&site.hosts[0]).await;
     let series = format!(
@@ -113,7 +118,8 @@
     assert_eq!(value(&text, &series), Some(1.0), "{text}");
 }
 
-/// Where there is budget left, a request that no server ran ends for want of attempts or of places.
+/// With retry budget left, a request that no server ran is refused because its attempts are used up
+/// or all servers are full.
 #[tokio::test]
 async fn a_refusal_with_budget_left_is_not_put_down_to_it() {
     let backend = backend().await;
@@ -167,7 +173,10 @@
         (&json!("unclear"), &json!(answer.status.as_u16()))
     );
     let states = of_kind(&lines, "server");
-    assert!(states.iter().any(|line| line["server"] == server), "its standing: {lines:#?}");
+    assert!(
+        states.iter().any(|line| line["server"] == server),
+        "the state of the server is missing: {lines:#?}"
+    );
 }
 
 #[tokio::test]
@@ -223,7 +232,11 @@
 async fn sighup_sets_the_level_of_the_log() {
     let site = site_with_info_log().await;
     let host = &site.hosts[0];
-    let start = host.log().into_iter().find(|line| line["kind"] == "start").expect("its start");
+    let start = host
+        .log()
+        .into_iter()
+        .find(|line| line["kind"] == "start")
+        .expect("the host logs its start");
     let mut settings = start["settings"].clone();
     let logged_attempts = async |request: &Ask| {
         assert_eq!(host.caller().ask(request).await.unwrap().status, StatusCode::OK);
@@ -239,16 +252,22 @@
     std::fs::write(host.settings(), settings.to_string()).unwrap();
     host.signal(Signal::SIGHUP);
     let reloads = || host.log().iter().filter(|line| line["kind"] == "reload").count();
-    until("the settings are read", async || reloads() == 1).await;
+    until("the settings are reloaded", async || reloads() == 1).await;
     assert_eq!(logged_attempts(&page()).await, 1);
 
     settings["log"]["level"] = json!("loud");
     settings["extra"] = json!(1);
     std::fs::write(host.settings(), settings.to_string()).unwrap();
     host.signal(Signal::SIGHUP);
-    until("the findings are told", async || host.log().iter().any(|line| line["level"] == "ERROR"))
-        .await;
-    assert_eq!((logged_attempts(&page()).await, reloads()), (1, 1), "the old ones stay in force");
+    until("the errors of the settings are logged", async || {
+        host.log().iter().any(|line| line["level"] == "ERROR")
+    })
+    .await;
+    assert_eq!(
+        (logged_attempts(&page()).await, reloads()),
+        (1, 1),
+        "the previous settings are no longer in force"
+    );
 }
 
 #[tokio::test]
@@ -269,7 +288,8 @@
     assert_eq!(waiting, Some(0.0), "{text}");
 }
 
-/// All requests come to one of two hosts, and all fail.
+/// One of two hosts gets all requests, and all of them fail: it needs more than its share of
+/// retries.
 #[tokio::test]
 async fn a_host_that_is_short_of_retries_borrows_from_another() {
     const EXTRA: usize = 40;
@@ -287,7 +307,7 @@
     }
     site.ready().await;
     let (mut answered, mut retries) = (0, 0);
-    until("a host passes its share", async || {
+    until("the host exceeds its own share of retries", async || {
         let request = page().deadline(Some(Duration::from_millis(500)));
         answered += usize::from(site.hosts[0].caller().ask(&request).await.is_ok());
         let arrivals: usize = site.backend.servers.iter().map(|it| it.arrivals().len()).sum();
@@ -295,10 +315,11 @@
         SHARE < retries
     })
     .await;
-    assert!(retries <= EXTRA, "{retries}");
+    assert!(retries <= EXTRA, "{retries} retries, more than the budget of all hosts");
 }
 
-/// Repeated reports would count a request again within the pause.
+/// Guards against reports of demand that are sent again and counted twice: within
+/// `REPORT_REPEAT_TIME` a repeated report would arrive.
 #[tokio::test]
 async fn the_host_that_plans_is_given_each_request_of_every_host_once() {
     const REPORT_REPEAT_TIME: Duration = Duration::from_millis(500);
@@ -319,7 +340,7 @@
         })
     };
     let all = async || [demand_of(0).await, demand_of(1).await].contains(&[3.0, 3.0]);
-    until("one host is given all requests", all).await;
+    until("one host has counted all requests", all).await;
     tokio::time::sleep(REPORT_REPEAT_TIME).await;
     assert!(all().await, "{:?} {:?}", demand_of(0).await, demand_of(1).await);
 }
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break off, fall silent or go on at another server.
+//! Streams that break, stall, or are resumed at another server.
 
 use std::time::Duration;
 
@@ -23,12 +23,13 @@
     runs
 }
 
-/// The first stream that comes to a server has a fault, until it has come to one.
+/// Makes the first stream at server `lm-1` fail, and sends requests until that server gets one.
+/// Returns the answer to that request.
 async fn ask_until_fault(site: &Site, fault: Fault, request: &Ask) -> Answer {
     let server = site.backend.server("lm-1");
     server.script(|script| script.faults = [fault].into());
     loop {
-        // A prompt that the other server had read would go there each time.
+        // A new prompt each time, as a host prefers the server that has a prompt's prefix cached.
         let answer = site.hosts[0].caller().ask(&request.unread()).await.unwrap();
         if !server.runs().is_empty() {
             return answer;
@@ -43,10 +44,10 @@
 async fn a_broken_stream_that_may_not_run_again_looks_broken(#[case] events: u64) {
     let site = site(1).await;
     let answer = ask_until_fault(&site, Fault::Broken { events }, &chat()).await;
-    assert!(!answer.whole || !answer.status.is_success(), "a cut stream looks whole");
+    assert!(!answer.whole || !answer.status.is_success(), "a broken stream looks complete");
     assert_eq!(answer.events(), (1..=events).collect::<Vec<_>>());
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
-    assert!(text.is_empty() || text.ends_with("\n\n"), "half an event came: {text:?}");
+    assert!(text.is_empty() || text.ends_with("\n\n"), "the caller got a partial event: {text:?}");
     let runs = runs(&site);
     let id = runs.iter().find(|run| run.ending == Some(Ending::Spoilt)).unwrap().asked.id.clone();
     assert_eq!(site.backend.runs_of(&id.unwrap()), 1);
@@ -66,7 +67,11 @@
     let first = site.backend.server("lm-1").runs()[0].clone();
     let id = first.asked.id.unwrap();
     let seal = format!("lm-1.{id}");
-    assert_eq!(answer.told.seal.as_deref(), Some(&*seal), "the first server's head stays");
+    assert_eq!(
+        answer.told.seal.as_deref(),
+        Some(&*seal),
+        "the head of the answer is not the first server's"
+    );
     let second = site.backend.server("lm-2").runs();
     let second = second.iter().find(|run| run.asked.id.as_ref() == Some(&id)).unwrap();
     assert_eq!(second.asked.resume, after);
@@ -84,7 +89,7 @@
         let mut opened = caller.open(&request).await.unwrap();
         assert!(opened.event(3).await);
         drop((opened, caller));
-        until("the server sees the caller leave", async || {
+        until("the server sees that the caller has closed the connection", async || {
             runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
         })
         .await;
@@ -100,7 +105,7 @@
     }
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&chat()).await.unwrap();
-    assert!(opened.event(2).await, "what the server has sent is not held back");
+    assert!(opened.event(2).await, "the host holds back events that the server has sent");
 }
 
 #[tokio::test]
@@ -111,15 +116,16 @@
     }
     let request = chat().deadline(Some(Duration::from_millis(700)));
     let answer = site.hosts[0].caller().ask(&request).await.unwrap();
-    assert!(!answer.whole, "a stream without its end looks whole");
+    assert!(!answer.whole, "a stream without its end looks complete");
     assert_eq!(answer.events(), vec![1, 2]);
-    until("the server is left", async || {
+    until("the host closes the connection to the server", async || {
         runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
     })
     .await;
 }
 
-/// The adapter stands at one server, which breaks each stream off before its first event.
+/// Only one server has the adapter loaded, and it closes each connection before the first event.
+/// The other server has to load the adapter.
 #[tokio::test]
 async fn a_stream_whose_only_holder_fails_goes_to_another_that_gets_its_adapter() {
     let site = site(1).await;
