--- a/crates/stage/examples/cost.rs
+++ b/crates/stage/examples/cost.rs
@@ -31,13 +31,13 @@
 };
 
 /// Clock ticks a second in which Linux counts processor time for programs.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 const MODELS: usize = 4;
 /// Tokens of an answer.
-const ANSWER: u32 = 50;
+const ANSWER_TOKENS: u32 = 50;
 
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// Measures what a host spends, idle and under load.
 #[derive(Debug, Parser)]
@@ -115,9 +115,9 @@
     }
     let mut running = Vec::new();
     for n in 1..hosts {
-        running.push(stage::start(settings(n, any(), &platform)?).await?);
+        running.push(stage::start(settings(n, ephemeral_addresses(), &platform)?).await?);
     }
-    let ports = [free()?, free()?, free()?];
+    let ports = [free_address()?, free_address()?, free_address()?];
     let own = settings(0, ports, &platform)?;
     let folder = tempfile::tempdir()?;
     let file = folder.path().join("settings.json");
@@ -133,12 +133,12 @@
     let child = Spawned(child);
     platform.set_list(list(&own.host, &running, &engines));
     let load = tokio::spawn(load(own.host.callers, tokens));
-    tokio::time::sleep(SETTLE).await;
-    let (ticks, bytes, calls) = (processor(&child)?, bytes(&running), calls(&platform));
-    let length = Duration::from_secs(flags.seconds);
-    tokio::time::sleep(length).await;
-    let seconds = length.as_secs_f64();
-    let spent = (processor(&child)? - ticks) / TICKS / seconds * 100.0;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (ticks, bytes, calls) = (cpu_ticks(&child)?, bytes(&running), calls(&platform));
+    let duration = Duration::from_secs(flags.seconds);
+    tokio::time::sleep(duration).await;
+    let seconds = duration.as_secs_f64();
+    let spent = (cpu_ticks(&child)? - ticks) / TICKS_PER_SECOND / seconds * 100.0;
     let now = self::bytes(&running);
     let rate = |from: u64, to: u64| (to - from) as f64 / 1000.0 / seconds;
     println!(
@@ -160,17 +160,17 @@
         return;
     }
     let client = ::backend::Client::new();
-    let gap = Duration::from_secs(1) * ANSWER / u32::try_from(tokens).unwrap_or(u32::MAX);
+    let gap = Duration::from_secs(1) * ANSWER_TOKENS / u32::try_from(tokens).unwrap_or(u32::MAX);
     let mut ticks = tokio::time::interval(gap);
-    let mut callers_waiting = JoinSet::new();
+    let mut requests = JoinSet::new();
     for serial in 0_usize.. {
         ticks.tick().await;
         let client = client.clone();
-        callers_waiting.spawn(async move {
+        requests.spawn(async move {
             // A refusal or a cut answer only makes the load smaller, which the host's figures show.
             let _ = ask(&client, callers, serial).await;
         });
-        while callers_waiting.try_join_next().is_some() {}
+        while requests.try_join_next().is_some() {}
     }
 }
 
@@ -179,12 +179,12 @@
     callers: SocketAddr,
     serial: usize,
 ) -> Result<(), Box<dyn Error + Send + Sync>> {
-    let question = json!({
-        "model": model(serial % MODELS), "stream": true, "max_tokens": ANSWER,
+    let payload = json!({
+        "model": model(serial % MODELS), "stream": true, "max_tokens": ANSWER_TOKENS,
         "messages": [{"role": "user", "content": format!("letter {serial}")}],
     });
     let request = http::Request::post("/v1/chat/completions")
-        .body(::backend::full_body(question.to_string().into()))?;
+        .body(::backend::full_body(payload.to_string().into()))?;
     let mut body = client.send(callers, request).await?.into_body();
     while let Some(frame) = body.frame().await {
         frame?;
@@ -196,12 +196,12 @@
     format!("model-{n}")
 }
 
-fn any() -> [SocketAddr; 3] {
+fn ephemeral_addresses() -> [SocketAddr; 3] {
     [(Ipv4Addr::LOCALHOST, 0).into(); 3]
 }
 
 /// An address that was free a moment ago.
-fn free() -> std::io::Result<SocketAddr> {
+fn free_address() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
@@ -246,7 +246,7 @@
 }
 
 /// Clock ticks that a process has spent.
-fn processor(child: &Spawned) -> Result<f64, Box<dyn Error>> {
+fn cpu_ticks(child: &Spawned) -> Result<f64, Box<dyn Error>> {
     const USER: usize = 11;
     let stat = fs::read_to_string(format!("/proc/{}/stat", child.0.id()))?;
     let (_, rest) = stat.rsplit_once(") ").ok_or("unreadable stat")?;
--- a/crates/stage/examples/demo.rs
+++ b/crates/stage/examples/demo.rs
@@ -26,8 +26,8 @@
 
 const HOSTS: usize = 3;
 const ZONES: [&str; 4] = ["mobile-hall", "biloxi-hall", "gulfport-hall", "pensacola-hall"];
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Shows the main job on embedded stand-ins.
 #[derive(Debug, Parser)]
@@ -48,13 +48,13 @@
     let engines = [engine("lm-1").await?, engine("lm-2").await?];
     let plain = Plain::start("app-1").await?;
     let mut hosts = Vec::new();
-    for place in 0..HOSTS {
-        hosts.push(stage::start(settings(place, &platform)?).await?);
+    for index in 0..HOSTS {
+        hosts.push(stage::start(settings(index, &platform)?).await?);
     }
     platform.set_list(list(&hosts, &engines, &plain));
-    ready(&hosts).await?;
-    show(&platform, &hosts);
-    ask(&hosts[0]).await?;
+    wait_until_ready(&hosts).await?;
+    print_commands(&platform, &hosts);
+    print_answer(&hosts[0]).await?;
     println!("\nCtrl-C ends it.");
     tokio::signal::ctrl_c().await?;
     println!("\nfinishing what is in flight ...");
@@ -99,11 +99,11 @@
     })
 }
 
-fn settings(place: usize, platform: &Platform) -> serde_json::Result<Process> {
-    let any = (Ipv4Addr::LOCALHOST, 0).into();
-    let zone = ZONES[place % ZONES.len()].into();
-    let id = format!("host-{}", place + 1).into();
-    let host = Host { id, zone, callers: any, peers: any, operators: any };
+fn settings(index: usize, platform: &Platform) -> serde_json::Result<Process> {
+    let any_port = (Ipv4Addr::LOCALHOST, 0).into();
+    let zone = ZONES[index % ZONES.len()].into();
+    let id = format!("host-{}", index + 1).into();
+    let host = Host { id, zone, callers: any_port, peers: any_port, operators: any_port };
     serde_json::from_value(json!({
         "host": host, "platform": platform.address(), "drain": {"balancer_ms": 200},
     }))
@@ -114,11 +114,11 @@
         .iter()
         .map(|host| Entry { host: host.context().host().clone(), state: Listed::Live })
         .collect();
-    let engines = engines.iter().enumerate().map(|(place, engine)| Server {
+    let engines = engines.iter().enumerate().map(|(index, engine)| Server {
         id: engine.settings().id.clone(),
         group: "portal-lm".into(),
         kind: Kind::Engine,
-        zone: ZONES[place].into(),
+        zone: ZONES[index].into(),
         address: engine.address(),
     });
     let plain = Server {
@@ -132,7 +132,7 @@
     List { hosts, servers: engines.chain([plain]).map(live).collect() }
 }
 
-async fn ready(hosts: &[Running]) -> Result<(), &'static str> {
+async fn wait_until_ready(hosts: &[Running]) -> Result<(), &'static str> {
     let is_ready = |host: &Running| {
         let context = host.context();
         context.is_ready() && context.fleet.reporting() == context.fleet.list().servers.len()
@@ -142,13 +142,13 @@
             .iter()
             .all(|host| is_ready(host) && !host.context().fleet.list().servers.is_empty())
         {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_WITHIN, waiting).await.map_err(|_| "hosts did not get ready")
+    tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| "hosts did not get ready")
 }
 
-fn show(platform: &Platform, hosts: &[Running]) {
+fn print_commands(platform: &Platform, hosts: &[Running]) {
     println!("platform {}", platform.address());
     for host in hosts {
         let host = host.context().host();
@@ -167,15 +167,15 @@
 }
 
 /// Streams one answer to the screen.
-async fn ask(host: &Running) -> Result<(), Box<dyn Error>> {
+async fn print_answer(host: &Running) -> Result<(), Box<dyn Error>> {
     use http_body_util::BodyExt;
     let callers = host.context().host().callers;
-    let question = json!({
+    let payload = json!({
         "model": "welcome", "stream": true, "max_tokens": 8,
         "messages": [{"role": "user", "content": "Bonjour"}],
     });
     let request = http::Request::post("/v1/chat/completions")
-        .body(::backend::full_body(question.to_string().into()))?;
+        .body(::backend::full_body(payload.to_string().into()))?;
     let mut body = ::backend::Client::new().send(callers, request).await?.into_body();
     println!("\nan answer:");
     while let Some(frame) = body.frame().await {
--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -16,8 +16,8 @@
 use crate::HOSTS;
 
 const HOST: &str = "portal.example";
-const PAUSE: Duration = Duration::from_millis(100);
-const TRIES: u32 = 100;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u32 = 100;
 
 /// Starts everything, shows it, and ends on Ctrl-C.
 pub async fn show() -> Result<(), Box<dyn Error>> {
@@ -31,17 +31,17 @@
     .await?;
     backend.declare(&declaration(engine));
     let mut hosts = Vec::new();
-    for place in 0..HOSTS {
-        hosts.push(start(&backend, place).await?);
+    for index in 0..HOSTS {
+        hosts.push(start(&backend, index).await?);
     }
     for host in &hosts {
         println!("{} callers {}", host.host().id, host.host().callers);
     }
     let callers = hosts[0].host().callers;
-    let asks = asks();
-    asks.iter().for_each(|ask| println!("\n{}", curl(callers, ask)));
-    for ask in &asks {
-        answer(callers, ask).await?;
+    let requests = requests();
+    requests.iter().for_each(|request| println!("\n{}", curl(callers, request)));
+    for request in &requests {
+        print_answer(callers, request).await?;
     }
     println!("\nCtrl-C ends it.");
     tokio::signal::ctrl_c().await?;
@@ -51,15 +51,15 @@
     Ok(())
 }
 
-async fn start(backend: &Backend, place: usize) -> Result<Running, Box<dyn Error>> {
-    let name = format!("host-{}", place + 1);
+async fn start(backend: &Backend, index: usize) -> Result<Running, Box<dyn Error>> {
+    let name = format!("host-{}", index + 1);
     let store = backend.store.open(&name).await?;
-    let settings: Process = serde_json::from_value(site::settings(&name, place, store, &[]))?;
+    let settings: Process = serde_json::from_value(site::settings(&name, index, store, &[]))?;
     let routed = settings.routed.clone().ok_or("the settings route nothing")?;
     Ok(relay::start(settings, routed, Arc::new(Platform)).await?)
 }
 
-fn asks() -> [Ask; 3] {
+fn requests() -> [Ask; 3] {
     [
         Ask::to(HOST, "/drafts/welcome").model("welcome"),
         Ask::to(HOST, "/login/"),
@@ -68,8 +68,8 @@
 }
 
 /// The line that asks the same from a shell.
-fn curl(callers: SocketAddr, ask: &Ask) -> String {
-    let request = ask.again().request();
+fn curl(callers: SocketAddr, spec: &Ask) -> String {
+    let request = spec.again().request();
     let headers =
         request.headers().iter().filter(|(name, _)| *name != http::header::CONTENT_LENGTH);
     let headers = headers
@@ -81,20 +81,21 @@
 }
 
 /// Asks as a caller does: what did not run is asked again after the time that it is told.
-async fn answer(callers: SocketAddr, ask: &Ask) -> Result<(), Box<dyn Error>> {
+async fn print_answer(callers: SocketAddr, request: &Ask) -> Result<(), Box<dyn Error>> {
     let mut caller = Caller::new(callers);
-    for _ in 0..TRIES {
-        let answer = caller.ask(&ask.again()).await.map_err(|failure| format!("{failure:?}"))?;
+    for _ in 0..MAX_ATTEMPTS {
+        let answer =
+            caller.ask(&request.again()).await.map_err(|failure| format!("{failure:?}"))?;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             println!(
                 "\n{} {}:\n{}",
-                ask.ask.path,
+                request.ask.path,
                 answer.status,
                 String::from_utf8_lossy(&answer.body)
             );
             return Ok(());
         }
-        tokio::time::sleep(answer.told.retry_after.unwrap_or(PAUSE)).await;
+        tokio::time::sleep(answer.told.retry_after.unwrap_or(RETRY_DELAY)).await;
     }
     Err("no answer".into())
 }
--- a/crates/stage/examples/latency.rs
+++ b/crates/stage/examples/latency.rs
@@ -33,16 +33,16 @@
     host::{List, Listed},
 };
 
-const WARM_UP: usize = 500;
+const WARM_UP_CALLS: usize = 500;
 const CALLS: usize = 5000;
 const CHATS: usize = 300;
 const TOKENS: u32 = 32;
 const REFUSALS: usize = 3000;
 /// Clock ticks in a second of processor time, as Linux counts them for user space.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
-type Fault = Box<dyn Error>;
+type BoxError = Box<dyn Error>;
 
 /// The host's process; killed when dropped.
 struct Host {
@@ -59,16 +59,16 @@
 
 impl Host {
     /// Processor time used so far.
-    fn used(&self) -> Result<Duration, Fault> {
+    fn cpu_time(&self) -> Result<Duration, BoxError> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
-        Ok(Duration::from_secs_f64(ticks / TICKS))
+        Ok(Duration::from_secs_f64(ticks / TICKS_PER_SECOND))
     }
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Fault> {
+async fn main() -> Result<(), BoxError> {
     let platform = Platform::start().await?;
     platform.poke("config/root", json!({"number": 1, "config": config()}));
     let plain = Plain::start("app-0").await?;
@@ -85,25 +85,25 @@
     platform.set_list(List { hosts: Vec::new(), servers });
     let host = start(&platform)?;
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    ready(&client, &host).await?;
+    wait_until_ready(&client, &host).await?;
     added_latency(&client, &host, plain.address()).await?;
     processor_time(&client, &host).await
 }
 
 /// Calls straight and through the host by turns, so that both meet the same machine.
-async fn added_latency(client: &Http, host: &Host, straight: SocketAddr) -> Result<(), Fault> {
+async fn added_latency(client: &Http, host: &Host, server: SocketAddr) -> Result<(), BoxError> {
     let mut direct = Histogram::<u64>::new(3)?;
-    let mut through = Histogram::<u64>::new(3)?;
-    for count in 0..WARM_UP + CALLS {
-        let one = timed(client, straight, "/rooms").await?;
-        let other = timed(client, host.callers, "/services/tickets/rooms").await?;
-        if WARM_UP <= count {
-            direct.record(one)?;
-            through.record(other)?;
+    let mut via_host = Histogram::<u64>::new(3)?;
+    for count in 0..WARM_UP_CALLS + CALLS {
+        let direct_us = time_call(client, server, "/rooms").await?;
+        let via_host_us = time_call(client, host.callers, "/services/tickets/rooms").await?;
+        if WARM_UP_CALLS <= count {
+            direct.record(direct_us)?;
+            via_host.record(via_host_us)?;
         }
     }
     println!("{CALLS} plain calls each, one at a time, microseconds:");
-    for (name, histogram) in [("straight", &direct), ("through one host", &through)] {
+    for (name, histogram) in [("straight", &direct), ("through one host", &via_host)] {
         println!(
             "  {name:17} p50 {:5}  p90 {:5}  p99 {:5}  max {:6}",
             histogram.value_at_quantile(0.5),
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-async fn timed(client: &Http, address: SocketAddr, path: &str) -> Result<u64, Fault> {
+async fn time_call(client: &Http, address: SocketAddr, path: &str) -> Result<u64, BoxError> {
     let began = Instant::now();
     let request = http::Request::put(format!("http://{address}{path}"))
         .body(Full::new(Bytes::from_static(b"a short letter")))?;
@@ -127,29 +127,33 @@
     Ok(u64::try_from(began.elapsed().as_micros())?)
 }
 
-async fn processor_time(client: &Http, host: &Host) -> Result<(), Fault> {
-    let before = host.used()?;
+async fn processor_time(client: &Http, host: &Host) -> Result<(), BoxError> {
+    let before = host.cpu_time()?;
     for _ in 0..CALLS {
-        timed(client, host.callers, "/services/tickets/rooms").await?;
+        time_call(client, host.callers, "/services/tickets/rooms").await?;
     }
-    show("plain call", CALLS, host.used()? - before);
-    let before = host.used()?;
+    print_cpu_time("plain call", CALLS, host.cpu_time()? - before);
+    let before = host.cpu_time()?;
     for _ in 0..CHATS {
         chat(client, host, "chat", TOKENS).await?;
     }
-    show("streamed chat of 32 tokens", CHATS, host.used()? - before);
+    print_cpu_time("streamed chat of 32 tokens", CHATS, host.cpu_time()? - before);
     // The chat in front of them takes a long time; each of these is refused at once.
     let blockers =
         futures_util::future::join_all((0..5).map(|_| chat(client, host, "slow", 60_000)));
     let refused = async {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let before = host.used()?;
+        let before = host.cpu_time()?;
         let mut refused = 0;
         for _ in 0..REFUSALS {
             refused += usize::from(chat(client, host, "chat", TOKENS).await? == 503);
         }
-        show(&format!("chat, {refused} of {REFUSALS} refused"), REFUSALS, host.used()? - before);
-        Ok::<(), Fault>(())
+        print_cpu_time(
+            &format!("chat, {refused} of {REFUSALS} refused"),
+            REFUSALS,
+            host.cpu_time()? - before,
+        );
+        Ok::<(), BoxError>(())
     };
     tokio::select! {
         result = refused => result,
@@ -157,8 +161,8 @@
     }
 }
 
-fn show(name: &str, count: usize, used: Duration) {
-    let each = used.as_secs_f64() / count as f64;
+fn print_cpu_time(name: &str, count: usize, cpu_time: Duration) {
+    let each = cpu_time.as_secs_f64() / count as f64;
     println!(
         "{name}: {:.0} us of the host's processor time each, {:.0} per core second",
         each * 1e6,
@@ -166,7 +170,7 @@
     );
 }
 
-async fn chat(client: &Http, host: &Host, service: &str, tokens: u32) -> Result<u16, Fault> {
+async fn chat(client: &Http, host: &Host, service: &str, tokens: u32) -> Result<u16, BoxError> {
     let body = json!({
         "model": "welcome", "stream": true, "max_tokens": tokens,
         "messages": [{"role": "user", "content": "hola"}],
@@ -180,8 +184,8 @@
     Ok(status)
 }
 
-fn start(platform: &Platform) -> Result<Host, Fault> {
-    let (callers, peers, operators) = (free()?, free()?, free()?);
+fn start(platform: &Platform) -> Result<Host, BoxError> {
+    let (callers, peers, operators) = (free_address()?, free_address()?, free_address()?);
     let settings = json!({
         "host": {
             "id": "host-0", "zone": "biloxi-hall",
@@ -202,10 +206,10 @@
     Ok(Host { child, callers })
 }
 
-async fn ready(client: &Http, host: &Host) -> Result<(), Fault> {
+async fn wait_until_ready(client: &Http, host: &Host) -> Result<(), BoxError> {
     for _ in 0..100 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let is_up = timed(client, host.callers, "/services/tickets/rooms").await.is_ok();
+        let is_up = time_call(client, host.callers, "/services/tickets/rooms").await.is_ok();
         if is_up && chat(client, host, "slow", 1).await.is_ok_and(|status| status == 200) {
             return Ok(());
         }
@@ -213,7 +217,7 @@
     Err("the host does not get ready".into())
 }
 
-fn free() -> std::io::Result<SocketAddr> {
+fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
--- a/crates/stage/examples/measure.rs
+++ b/crates/stage/examples/measure.rs
@@ -33,12 +33,12 @@
 use crate::{
     demand::{Demand, Schedule},
     deployment::{Deployment, Sizes},
-    report::Figures,
+    report::Report,
     site::Site,
 };
 
 /// Longest time of one run, in seconds.
-const LONGEST: u64 = 300;
+const MAX_SECONDS: u64 = 300;
 
 /// Measures attainment per accelerator and moves against two baselines.
 #[derive(Debug, Parser)]
@@ -56,7 +56,11 @@
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
     /// Seconds of load in each run.
-    #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(3..=LONGEST))]
+    #[arg(
+        long,
+        default_value_t = 24,
+        value_parser = clap::value_parser!(u64).range(3..=MAX_SECONDS)
+    )]
     seconds: u64,
     /// Share of the engines' capacity that the steady demand asks for.
     #[arg(long, default_value_t = 0.7)]
@@ -68,8 +72,14 @@
     #[arg(long, value_delimiter = ',')]
     weights: Vec<f64>,
     /// Ways to run; all by default.
-    #[arg(long, value_enum, value_delimiter = ',', default_values = ["ours", "hosts", "static", "last-minute"])]
-    ways: Vec<Way>,
+    #[arg(
+        long = "ways",
+        value_name = "WAYS",
+        value_enum,
+        value_delimiter = ',',
+        default_values = ["ours", "hosts", "static", "last-minute"]
+    )]
+    strategies: Vec<Strategy>,
     /// Folder for the plot; none is drawn by default.
     #[arg(long)]
     plots: Option<PathBuf>,
@@ -93,7 +103,7 @@
 /// How models are placed and requests routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Way {
+enum Strategy {
     /// Our hosts, with their planner.
     Ours,
     /// Our hosts with the first placement for good: what they give without moves.
@@ -104,10 +114,10 @@
     LastMinute,
 }
 
-impl Way {
+impl Strategy {
     /// Whether requests go through our hosts.
     fn has_hosts(self) -> bool {
-        matches!(self, Way::Ours | Way::Hosts)
+        matches!(self, Strategy::Ours | Strategy::Hosts)
     }
 }
 
@@ -118,52 +128,57 @@
     if let [attainment, moves] = flags.weights[..] {
         sizes.config.weights = Weights { attainment, moves };
     }
-    let mut all = Vec::new();
+    let mut reports = Vec::new();
     for seed in &flags.seeds {
-        for way in &flags.ways {
-            let figures = run(&flags, &sizes, *way, *seed).await?;
+        for strategy in &flags.strategies {
+            let report = run(&flags, &sizes, *strategy, *seed).await?;
             if flags.json {
-                println!("{}", serde_json::to_string(&figures)?);
+                println!("{}", serde_json::to_string(&report)?);
             }
-            all.push(figures);
+            reports.push(report);
         }
     }
     if !flags.json {
-        println!("{}", report::table(&all));
-        println!("{}", report::summary(&all));
+        println!("{}", report::table(&reports));
+        println!("{}", report::summary(&reports));
     }
     if let Some(folder) = &flags.plots {
         std::fs::create_dir_all(folder)?;
-        let path = plot::draw(folder, &all)?;
+        let path = plot::draw(folder, &reports)?;
         println!("{}", path.display());
     }
     Ok(())
 }
 
-async fn run(flags: &Flags, sizes: &Sizes, way: Way, seed: u64) -> Result<Figures, Box<dyn Error>> {
-    let length = Duration::from_secs(flags.seconds);
-    let schedule = Schedule::new(sizes, flags.demand, flags.level, length, seed);
-    let site = Arc::new(Site::start(sizes, flags.hosts, way).await?);
-    let counts = Arc::new(load::Counts::new(sizes));
-    let director = placement::spawn(&site, sizes, way, counts.clone());
-    let faults = tokio::spawn(fail(site.clone(), flags.faults, length));
-    let outcomes = load::play(&site, &schedule, way, counts).await;
+async fn run(
+    flags: &Flags,
+    sizes: &Sizes,
+    strategy: Strategy,
+    seed: u64,
+) -> Result<Report, Box<dyn Error>> {
+    let duration = Duration::from_secs(flags.seconds);
+    let schedule = Schedule::new(sizes, flags.demand, flags.level, duration, seed);
+    let site = Arc::new(Site::start(sizes, flags.hosts, strategy).await?);
+    let counts = Arc::new(load::ArrivalCounts::new(sizes));
+    let placement_task = placement::spawn(&site, sizes, strategy, counts.clone());
+    let faults = tokio::spawn(inject_faults(site.clone(), flags.faults, duration));
+    let outcomes = load::run_schedule(&site, &schedule, strategy, counts).await;
     faults.abort();
-    director.abort();
-    let figures = Figures::new(flags, way, seed, sizes, outcomes, site.moves());
+    placement_task.abort();
+    let report = Report::new(flags, strategy, seed, sizes, outcomes, site.moves());
     site.stop().await;
-    Ok(figures)
+    Ok(report)
 }
 
-async fn fail(site: Arc<Site>, faults: Faults, length: Duration) {
-    const DOWN: Duration = Duration::from_secs(3);
+async fn inject_faults(site: Arc<Site>, faults: Faults, duration: Duration) {
+    const DOWNTIME: Duration = Duration::from_secs(3);
     match faults {
         Faults::None => {}
         Faults::Crash => {
-            tokio::time::sleep(length / 2).await;
+            tokio::time::sleep(duration / 2).await;
             let engine = &site.engines[0];
             engine.crash();
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(DOWNTIME).await;
             if let Err(error) = engine.restart().await {
                 eprintln!("engine can't start again: {error}");
             }
@@ -172,7 +187,7 @@
             engine.fault(|fault| {
                 fault.lost_orders = 1;
                 fault.late_orders = 1;
-                fault.lateness = DOWN;
+                fault.lateness = DOWNTIME;
             });
         }),
     }
--- a/crates/stage/examples/measure/demand.rs
+++ b/crates/stage/examples/measure/demand.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) arrivals: Vec<Arrival>,
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
 }
 
 impl Schedule {
@@ -46,7 +46,7 @@
         sizes: &Sizes,
         demand: Demand,
         level: f64,
-        length: Duration,
+        duration: Duration,
         seed: u64,
     ) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -58,7 +58,7 @@
                 sizes.service(id).is_some_and(|(_, service)| service.priority == Priority::Urgent);
             let rate = |at: f64| level * rate(sizes, demand, *rank, is_urgent, at);
             let adapters: Vec<&adapter::Id> = model.adapters.keys().collect();
-            for at in times(&mut rng, length, rate) {
+            for at in arrival_times(&mut rng, duration, rate) {
                 let pick = rng.random_range(0..=adapters.len());
                 arrivals.push(Arrival {
                     at,
@@ -70,7 +70,7 @@
             }
         }
         arrivals.sort_by_key(|arrival| arrival.at);
-        Schedule { arrivals, length }
+        Schedule { arrivals, duration }
     }
 }
 
@@ -79,10 +79,10 @@
     let models = sizes.config.models.len();
     let weight = |rank: usize| 1.0 / (rank as f64 + 1.0);
     let sum: f64 = (0..models).map(weight).sum();
-    let middle = (1.0 / 3.0..2.0 / 3.0).contains(&at);
+    let is_middle_third = (1.0 / 3.0..2.0 / 3.0).contains(&at);
     let (rank, level) = match demand {
         Demand::Steady => (rank, 1.0),
-        Demand::LobbyRush if middle && is_urgent => (rank, 5.0),
+        Demand::LobbyRush if is_middle_third && is_urgent => (rank, 5.0),
         Demand::LobbyRush => (rank, 1.0),
         Demand::Shift if 1.0 / 3.0 <= at => (models - 1 - rank, 1.0),
         Demand::Shift => (rank, 1.0),
@@ -92,18 +92,22 @@
 }
 
 /// Arrival times of a Poisson process whose rate changes, by thinning.
-fn times(rng: &mut ChaCha8Rng, length: Duration, rate: impl Fn(f64) -> f64) -> Vec<Duration> {
-    let seconds = length.as_secs_f64();
-    let most = (0..=100).map(|part| rate(f64::from(part) / 100.0)).fold(f64::EPSILON, f64::max);
-    let mut times = Vec::new();
+fn arrival_times(
+    rng: &mut ChaCha8Rng,
+    duration: Duration,
+    rate: impl Fn(f64) -> f64,
+) -> Vec<Duration> {
+    let seconds = duration.as_secs_f64();
+    let max_rate = (0..=100).map(|part| rate(f64::from(part) / 100.0)).fold(f64::EPSILON, f64::max);
+    let mut arrival_times = Vec::new();
     let mut at = 0.0;
     loop {
-        at -= (1.0 - rng.random::<f64>()).ln() / most;
+        at -= (1.0 - rng.random::<f64>()).ln() / max_rate;
         if seconds <= at {
-            return times;
+            return arrival_times;
         }
-        if rng.random::<f64>() * most < rate(at / seconds) {
-            times.push(Duration::from_secs_f64(at));
+        if rng.random::<f64>() * max_rate < rate(at / seconds) {
+            arrival_times.push(Duration::from_secs_f64(at));
         }
     }
 }
--- a/crates/stage/examples/measure/deployment.rs
+++ b/crates/stage/examples/measure/deployment.rs
@@ -42,7 +42,7 @@
 pub(crate) const TOKENS: u32 = 24;
 
 const CAPACITY: Mebibytes = 80_000;
-const ADAPTER: Mebibytes = 200;
+const ADAPTER_MEMORY: Mebibytes = 200;
 
 impl Deployment {
     pub(crate) fn sizes(self) -> Sizes {
@@ -60,7 +60,7 @@
                     config::Weights { attainment: 3.0, moves: 1.0 },
                     "portal-lm",
                     ["guests", "staff"],
-                    Counts { models: 14, adapters: 40, memory: [12_000, 16_000, 20_000] },
+                    ModelCounts { models: 14, adapters: 40, memory: [12_000, 16_000, 20_000] },
                 ),
             },
             Deployment::CoAntioquia => Sizes {
@@ -76,14 +76,14 @@
                     config::Weights { attainment: 1.0, moves: 3.0 },
                     "lector",
                     ["deadlines", "letters"],
-                    Counts { models: 20, adapters: 63, memory: [18_000, 22_000, 25_000] },
+                    ModelCounts { models: 20, adapters: 63, memory: [18_000, 22_000, 25_000] },
                 ),
             },
         }
     }
 }
 
-struct Counts {
+struct ModelCounts {
     models: usize,
     adapters: usize,
     memory: [Mebibytes; 3],
@@ -93,13 +93,16 @@
 fn config(
     weights: config::Weights,
     group: &str,
-    [urgent, patient]: [&str; 2],
-    counts: Counts,
+    [urgent, normal]: [&str; 2],
+    counts: ModelCounts,
 ) -> config::Config {
     let ids: Vec<model::Id> = (0..counts.models).map(|n| format!("model-{n:02}").into()).collect();
     let models = ids.iter().enumerate().map(|(n, id)| {
         let adapters = (0..counts.adapters).filter(|a| a % counts.models == n).map(|a| {
-            (format!("adapter-{a:02}").into(), Adapter { memory: ADAPTER, version: "v1".into() })
+            (
+                format!("adapter-{a:02}").into(),
+                Adapter { memory: ADAPTER_MEMORY, version: "v1".into() },
+            )
         });
         let model = Model {
             group: group.into(),
@@ -111,8 +114,8 @@
         };
         (id.clone(), model)
     });
-    let offered = |rest: usize| {
-        let ids = ids.iter().enumerate().filter(|(n, _)| n % 2 == rest);
+    let offered = |remainder: usize| {
+        let ids = ids.iter().enumerate().filter(|(n, _)| n % 2 == remainder);
         Offer::Models(ids.map(|(_, id)| id.clone()).collect())
     };
     let service = |offer, priority, first_token, between_tokens| Service {
@@ -128,7 +131,7 @@
     };
     let services = [
         (urgent.into(), service(offered(0), Priority::Urgent, 1_000, 74)),
-        (patient.into(), service(offered(1), Priority::Normal, 4_000, 200)),
+        (normal.into(), service(offered(1), Priority::Normal, 4_000, 200)),
     ];
     config::Config {
         weights,
--- a/crates/stage/examples/measure/load.rs
+++ b/crates/stage/examples/measure/load.rs
@@ -16,7 +16,7 @@
 use types::prelude::*;
 
 use crate::{
-    Way,
+    Strategy,
     demand::{Arrival, Schedule},
     deployment::Sizes,
     route::Router,
@@ -24,14 +24,16 @@
 };
 
 /// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Arrivals by model, shared with the mover of models.
-pub(crate) struct Counts(BTreeMap<model::Id, AtomicU64>);
+pub(crate) struct ArrivalCounts(BTreeMap<model::Id, AtomicU64>);
 
-impl Counts {
-    pub(crate) fn new(sizes: &Sizes) -> Counts {
-        Counts(sizes.config.models.keys().map(|id| (id.clone(), AtomicU64::new(0))).collect())
+impl ArrivalCounts {
+    pub(crate) fn new(sizes: &Sizes) -> ArrivalCounts {
+        ArrivalCounts(
+            sizes.config.models.keys().map(|id| (id.clone(), AtomicU64::new(0))).collect(),
+        )
     }
 
     /// Arrivals since this was last asked.
@@ -39,7 +41,7 @@
         self.0.iter().map(|(id, count)| (id.clone(), count.swap(0, Ordering::Relaxed))).collect()
     }
 
-    fn note(&self, model: &model::Id) {
+    fn record(&self, model: &model::Id) {
         if let Some(count) = self.0.get(model) {
             count.fetch_add(1, Ordering::Relaxed);
         }
@@ -65,28 +67,28 @@
 }
 
 /// Plays a schedule and waits for every end.
-pub(crate) async fn play(
+pub(crate) async fn run_schedule(
     site: &Arc<Site>,
     schedule: &Schedule,
-    way: Way,
-    counts: Arc<Counts>,
+    strategy: Strategy,
+    counts: Arc<ArrivalCounts>,
 ) -> Vec<Outcome> {
     let client = ::backend::Client::new();
-    let router = Arc::new(Router::new(site, way));
+    let router = Arc::new(Router::new(site, strategy));
     let origin = Instant::now();
     let mut callers = JoinSet::new();
     for (serial, arrival) in schedule.arrivals.iter().cloned().enumerate() {
         tokio::time::sleep_until(origin + arrival.at).await;
-        counts.note(&arrival.model);
+        counts.record(&arrival.model);
         let (client, router) = (client.clone(), router.clone());
         callers.spawn(async move {
-            let asked = ask(&client, &router, &arrival, serial);
-            let end = tokio::time::timeout(PATIENCE, asked).await;
+            let answer = ask(&client, &router, &arrival, serial);
+            let end = tokio::time::timeout(TIMEOUT, answer).await;
             let end = end.unwrap_or_else(|_| End::Failed("given up".into()));
             Outcome { arrival, end }
         });
     }
-    tokio::time::sleep_until(origin + schedule.length).await;
+    tokio::time::sleep_until(origin + schedule.duration).await;
     let mut outcomes = callers.join_all().await;
     outcomes.sort_by_key(|outcome| outcome.arrival.at);
     outcomes
@@ -94,28 +96,28 @@
 
 async fn ask(client: &::backend::Client, router: &Router, arrival: &Arrival, serial: usize) -> End {
     let started = Instant::now();
-    let Some(chosen) = router.choose(arrival) else {
+    let Some(route) = router.choose(arrival) else {
         return End::Refused("no replica".into());
     };
     let name =
         model::Name { model: arrival.model.clone(), adapter: arrival.adapter.clone() }.to_string();
-    let question = json!({
+    let payload = json!({
         "model": name, "stream": true, "max_tokens": arrival.tokens,
         "messages": [{"role": "user", "content": format!("letter {}", arrival.prompt)}],
     });
     let request = http::Request::post("/v1/chat/completions")
         .header(wire::REQUEST_ID, format!("measure-{serial}"))
-        .body(::backend::full_body(question.to_string().into()));
+        .body(::backend::full_body(payload.to_string().into()));
     let Ok(request) = request else { return End::Failed("malformed".into()) };
-    match client.send(chosen.address, request).await {
-        Ok(response) if response.status().is_success() => read(response, started).await,
+    match client.send(route.address, request).await {
+        Ok(response) if response.status().is_success() => read_stream(response, started).await,
         Ok(response) => End::Refused(cause(response).await),
         Err(error) => End::Failed(if error.is_unsent() { "unreachable" } else { "broken" }.into()),
     }
 }
 
 /// Reads a stream of events to its end mark.
-async fn read(response: ::backend::Streamed, started: Instant) -> End {
+async fn read_stream(response: ::backend::Streamed, started: Instant) -> End {
     let mut body = response.into_body();
     let mut text = Vec::new();
     let mut first = None;
@@ -129,7 +131,7 @@
     let text = String::from_utf8_lossy(&text);
     if let Some((_, error)) = text.split_once("event: error") {
         let cause = error.lines().find_map(|line| line.strip_prefix("data:"));
-        return End::Failed(cause.map_or_else(|| "error".into(), kind));
+        return End::Failed(cause.map_or_else(|| "error".into(), problem_type));
     }
     if !text.contains(wire::DONE) {
         return End::Failed("cut".into());
@@ -145,13 +147,13 @@
     let body = response.into_body().collect().await.map(|body| body.to_bytes());
     let body = body.unwrap_or_default();
     match std::str::from_utf8(&body) {
-        Ok(text) if !text.is_empty() => kind(text),
+        Ok(text) if !text.is_empty() => problem_type(text),
         _ => status.to_string(),
     }
 }
 
 /// The type of a problem document.
-fn kind(text: &str) -> String {
+fn problem_type(text: &str) -> String {
     let problem: Value = serde_json::from_str(text.trim()).unwrap_or_default();
     problem["type"].as_str().map_or_else(|| "unknown".into(), str::to_owned)
 }
--- a/crates/stage/examples/measure/placement.rs
+++ b/crates/stage/examples/measure/placement.rs
@@ -17,17 +17,22 @@
     resident::{Resident, State as Progress},
 };
 
-use crate::{Way, deployment::Sizes, load::Counts, site::Site};
+use crate::{Strategy, deployment::Sizes, load::ArrivalCounts, site::Site};
 
 /// A minute of the last-minute planner, shortened so that a run holds several.
 pub(crate) const MINUTE: Duration = Duration::from_secs(6);
 
 const TICK: Duration = Duration::from_millis(500);
-const REPORT_WITHIN: Duration = Duration::from_millis(400);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Starts the mover of models, if the way has one.
-pub(crate) fn spawn(site: &Arc<Site>, sizes: &Sizes, way: Way, counts: Arc<Counts>) -> AbortHandle {
-    let mover = Mover {
+pub(crate) fn spawn(
+    site: &Arc<Site>,
+    sizes: &Sizes,
+    strategy: Strategy,
+    counts: Arc<ArrivalCounts>,
+) -> AbortHandle {
+    let placer = Placer {
         site: site.clone(),
         sizes: sizes.clone(),
         counts,
@@ -35,29 +40,31 @@
         engines: BTreeMap::new(),
         fence: 0,
     };
-    match way {
-        Way::Ours | Way::Hosts | Way::Static => tokio::spawn(async {}).abort_handle(),
-        Way::LastMinute => tokio::spawn(last_minute(mover)).abort_handle(),
+    match strategy {
+        Strategy::Ours | Strategy::Hosts | Strategy::Static => {
+            tokio::spawn(async {}).abort_handle()
+        }
+        Strategy::LastMinute => tokio::spawn(last_minute(placer)).abort_handle(),
     }
 }
 
-struct Mover {
+struct Placer {
     site: Arc<Site>,
     sizes: Sizes,
-    counts: Arc<Counts>,
+    counts: Arc<ArrivalCounts>,
     client: ::backend::Client,
     engines: BTreeMap<backend::Id, Engine>,
     fence: order::Fence,
 }
 
-impl Mover {
+impl Placer {
     /// Reads every engine's report; one that does not answer is suspected.
-    async fn read(&mut self) {
+    async fn read_reports(&mut self) {
         let servers = self.site.servers.clone();
         let client = &self.client;
         let reports = servers.iter().map(|server| async move {
-            let asked = client.load(server.address);
-            let report = tokio::time::timeout(REPORT_WITHIN, asked).await;
+            let call = client.load(server.address);
+            let report = tokio::time::timeout(REPORT_TIMEOUT, call).await;
             (server, report.ok().and_then(Result::ok))
         });
         for (server, report) in futures_util::future::join_all(reports).await {
@@ -98,40 +105,43 @@
         arrivals: &BTreeMap<model::Id, u64>,
         period: Duration,
     ) -> BTreeMap<model::Id, f64> {
-        let worth = period.as_secs_f64() * self.sizes.engine_rate();
-        arrivals.iter().map(|(id, count)| (id.clone(), *count as f64 / worth)).collect()
+        let requests_per_engine = period.as_secs_f64() * self.sizes.engine_rate();
+        arrivals
+            .iter()
+            .map(|(id, count)| (id.clone(), *count as f64 / requests_per_engine))
+            .collect()
     }
 }
 
 fn engine(server: &Server, capacity: Mebibytes, residents: Vec<Resident>) -> Engine {
-    let taken: Mebibytes = residents.iter().map(|resident| resident.memory).sum();
+    let used: Mebibytes = residents.iter().map(|resident| resident.memory).sum();
     Engine {
         server: server.id.clone(),
         group: server.group.clone(),
         zone: server.zone.clone(),
         state: State::Live,
-        free: capacity.saturating_sub(taken),
+        free: capacity.saturating_sub(used),
         residents,
     }
 }
 
 /// Each minute, gives every model replicas in proportion to the demand of the last one, as many
 /// as memory holds, and moves at once to what that asks for.
-async fn last_minute(mut mover: Mover) {
+async fn last_minute(mut placer: Placer) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut wanted: BTreeMap<model::Id, usize> = BTreeMap::new();
-    let mut counted = Instant::now();
+    let mut targets: BTreeMap<model::Id, usize> = BTreeMap::new();
+    let mut counted_since = Instant::now();
     loop {
         ticks.tick().await;
-        mover.read().await;
-        if MINUTE <= counted.elapsed() {
-            let work = mover.work(&mover.counts.take(), counted.elapsed());
-            counted = Instant::now();
-            wanted = replicas(&mover.sizes, &work);
+        placer.read_reports().await;
+        if MINUTE <= counted_since.elapsed() {
+            let work = placer.work(&placer.counts.take(), counted_since.elapsed());
+            counted_since = Instant::now();
+            targets = replicas(&placer.sizes, &work);
         }
-        for (id, count) in wanted.clone() {
-            mover.bring_to(&id, count).await;
+        for (id, count) in targets.clone() {
+            placer.scale_towards(&id, count).await;
         }
     }
 }
@@ -139,52 +149,52 @@
 /// Replicas of each model in proportion to its work, within nine tenths of all memory.
 fn replicas(sizes: &Sizes, work: &BTreeMap<model::Id, f64>) -> BTreeMap<model::Id, usize> {
     let models = &sizes.config.models;
-    let mut wanted: BTreeMap<model::Id, usize> = models.keys().map(|id| (id.clone(), 1)).collect();
-    let footprint = |id: &model::Id| models.get(id).map_or(0, bundle);
-    let mut left = sizes.capacity * sizes.engines as Mebibytes * 9 / 10;
-    left = left.saturating_sub(models.keys().map(footprint).sum());
+    let mut targets: BTreeMap<model::Id, usize> = models.keys().map(|id| (id.clone(), 1)).collect();
+    let footprint = |id: &model::Id| models.get(id).map_or(0, memory_with_adapters);
+    let mut free = sizes.capacity * sizes.engines as Mebibytes * 9 / 10;
+    free = free.saturating_sub(models.keys().map(footprint).sum());
     loop {
         let load =
             |id: &model::Id, count: usize| work.get(id).copied().unwrap_or(0.0) / count as f64;
-        let next = wanted
+        let next = targets
             .iter()
-            .filter(|(id, count)| footprint(id) <= left && **count < sizes.engines)
+            .filter(|(id, count)| footprint(id) <= free && **count < sizes.engines)
             .max_by(|a, b| load(a.0, *a.1).total_cmp(&load(b.0, *b.1)))
             .map(|(id, _)| id.clone());
-        let Some(id) = next else { return wanted };
-        left -= footprint(&id);
-        *wanted.entry(id).or_default() += 1;
+        let Some(id) = next else { return targets };
+        free -= footprint(&id);
+        *targets.entry(id).or_default() += 1;
     }
 }
 
-fn bundle(model: &model::Model) -> Mebibytes {
+fn memory_with_adapters(model: &model::Model) -> Mebibytes {
     model.footprint() + model.adapters.values().map(|adapter| adapter.memory).sum::<Mebibytes>()
 }
 
-impl Mover {
+impl Placer {
     /// One step towards this many replicas: unloads above it, loads below it where memory allows.
-    async fn bring_to(&mut self, id: &model::Id, count: usize) {
+    async fn scale_towards(&mut self, id: &model::Id, count: usize) {
         let Some(model) = self.sizes.config.models.get(id).cloned() else { return };
-        let holding: Vec<backend::Id> = self.holding(id, |_| true);
-        let ready = self.holding(id, |state| state == Progress::Ready);
-        if count < holding.len() && 1 < ready.len() {
+        let holders: Vec<backend::Id> = self.holders(id, |_| true);
+        let ready = self.holders(id, |state| state == Progress::Ready);
+        if count < holders.len() && 1 < ready.len() {
             let Some(server) = ready.last().cloned() else { return };
             for unit in self.units(&server, id) {
                 self.order(&server, Action::Unload { unit: unit.clone() }).await;
-                self.note_unload(&server, &unit);
+                self.mark_unloading(&server, &unit);
             }
         }
-        if holding.len() < count {
-            let need = bundle(&model);
-            let site = self
+        if holders.len() < count {
+            let need = memory_with_adapters(&model);
+            let candidate = self
                 .engines
                 .values()
                 .filter(|e| {
-                    e.state == State::Live && need <= e.free && !holding.contains(&e.server)
+                    e.state == State::Live && need <= e.free && !holders.contains(&e.server)
                 })
                 .max_by_key(|engine| engine.free)
                 .map(|engine| engine.server.clone());
-            let Some(server) = site else { return };
+            let Some(server) = candidate else { return };
             let base = Unit::Model { model: id.clone(), version: model.version.clone() };
             self.load(&server, base, model.footprint()).await;
             for (adapter, declared) in &model.adapters {
@@ -206,24 +216,25 @@
         }
     }
 
-    fn note_unload(&mut self, server: &backend::Id, unit: &Unit) {
+    fn mark_unloading(&mut self, server: &backend::Id, unit: &Unit) {
         let residents = self.engines.get_mut(server).map(|engine| &mut engine.residents);
-        let resident = residents.and_then(|held| held.iter_mut().find(|r| r.unit == *unit));
+        let resident =
+            residents.and_then(|residents| residents.iter_mut().find(|r| r.unit == *unit));
         if let Some(resident) = resident {
             resident.state = Progress::Unloading;
         }
     }
 
-    fn holding(&self, id: &model::Id, state: impl Fn(Progress) -> bool) -> Vec<backend::Id> {
+    fn holders(&self, id: &model::Id, state: impl Fn(Progress) -> bool) -> Vec<backend::Id> {
         let live = self.engines.values().filter(|engine| engine.state == State::Live);
-        let holding = live.filter(|engine| {
+        let holders = live.filter(|engine| {
             engine.residents.iter().any(|resident| {
                 matches!(&resident.unit, Unit::Model { model, .. } if model == id)
                     && resident.state != Progress::Unloading
                     && state(resident.state)
             })
         });
-        holding.map(|engine| engine.server.clone()).collect()
+        holders.map(|engine| engine.server.clone()).collect()
     }
 
     fn units(&self, server: &backend::Id, id: &model::Id) -> Vec<Unit> {
--- a/crates/stage/examples/measure/plot.rs
+++ b/crates/stage/examples/measure/plot.rs
@@ -7,13 +7,13 @@
 
 use plotters::prelude::*;
 
-use crate::{Way, report::Figures};
+use crate::{Strategy, report::Report};
 
 const SIZE: (u32, u32) = (900, 420);
 
 /// Draws the first seed's runs into one picture, and returns where it is.
-pub(crate) fn draw(folder: &Path, all: &[Figures]) -> Result<PathBuf, Box<dyn Error>> {
-    let first = all.first().ok_or("no run")?;
+pub(crate) fn draw(folder: &Path, reports: &[Report]) -> Result<PathBuf, Box<dyn Error>> {
+    let first = reports.first().ok_or("no run")?;
     let title = format!("{:?}, {:?}, faults {:?}", first.deployment, first.demand, first.faults);
     let path = folder.join(file(&title));
     let area = SVGBackend::new(&path, SIZE).into_drawing_area();
@@ -26,16 +26,16 @@
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..seconds, 0.0..1.05)?;
     chart.configure_mesh().x_desc("seconds").y_desc("share within target").draw()?;
-    for figures in all.iter().filter(|figures| figures.seed == first.seed) {
-        let colour = colour(figures.way);
-        let points = figures
+    for report in reports.iter().filter(|report| report.seed == first.seed) {
+        let colour = colour(report.strategy);
+        let points = report
             .seconds
             .iter()
             .enumerate()
             .map(|(at, second)| (at as f64, second.met as f64 / second.requests.max(1) as f64));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
-            .label(format!("{:?}, {} moves", figures.way, figures.moves))
+            .label(format!("{:?}, {} moves", report.strategy, report.moves))
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
@@ -45,12 +45,12 @@
     Ok(path)
 }
 
-fn colour(way: Way) -> RGBColor {
-    match way {
-        Way::Ours => RGBColor(0, 110, 60),
-        Way::Hosts => RGBColor(140, 150, 40),
-        Way::Static => RGBColor(190, 60, 40),
-        Way::LastMinute => RGBColor(50, 80, 180),
+fn colour(strategy: Strategy) -> RGBColor {
+    match strategy {
+        Strategy::Ours => RGBColor(0, 110, 60),
+        Strategy::Hosts => RGBColor(140, 150, 40),
+        Strategy::Static => RGBColor(190, 60, 40),
+        Strategy::LastMinute => RGBColor(50, 80, 180),
     }
 }
 
--- a/crates/stage/examples/measure/report.rs
+++ b/crates/stage/examples/measure/report.rs
@@ -8,7 +8,7 @@
 use types::prelude::*;
 
 use crate::{
-    Faults, Flags, Way,
+    Faults, Flags, Strategy,
     demand::Demand,
     deployment::{Deployment, Sizes},
     load::{End, Outcome},
@@ -16,11 +16,12 @@
 
 /// Figures of one run.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Figures {
+pub(crate) struct Report {
     pub(crate) deployment: Deployment,
     pub(crate) demand: Demand,
     pub(crate) faults: Faults,
-    pub(crate) way: Way,
+    #[serde(rename = "way")]
+    pub(crate) strategy: Strategy,
     pub(crate) seed: u64,
     pub(crate) requests: usize,
     /// Share of requests that met their target.
@@ -53,17 +54,17 @@
     pub(crate) met: usize,
 }
 
-impl Figures {
+impl Report {
     pub(crate) fn new(
         flags: &Flags,
-        way: Way,
+        strategy: Strategy,
         seed: u64,
         sizes: &Sizes,
         outcomes: Vec<Outcome>,
         moves: u64,
-    ) -> Figures {
-        let met = outcomes.iter().filter(|outcome| is_met(sizes, outcome)).count();
-        let attainment = share(met, outcomes.len());
+    ) -> Report {
+        let met = outcomes.iter().filter(|outcome| meets_target(sizes, outcome)).count();
+        let attainment = ratio(met, outcomes.len());
         let mut refusals = BTreeMap::new();
         let mut failures = BTreeMap::new();
         let mut seconds = vec![Second::default(); flags.seconds as usize];
@@ -75,14 +76,14 @@
             }
             if let Some(second) = seconds.get_mut(outcome.arrival.at.as_secs() as usize) {
                 second.requests += 1;
-                second.met += usize::from(is_met(sizes, outcome));
+                second.met += usize::from(meets_target(sizes, outcome));
             }
         }
-        Figures {
+        Report {
             deployment: flags.deployment,
             demand: flags.demand,
             faults: flags.faults,
-            way,
+            strategy,
             seed,
             requests: outcomes.len(),
             attainment,
@@ -104,14 +105,14 @@
         }
     }
     let services = grouped.into_iter().map(|(id, outcomes)| {
-        let met = outcomes.iter().filter(|outcome| is_met(sizes, outcome)).count();
-        let firsts = firsts(&outcomes);
+        let met = outcomes.iter().filter(|outcome| meets_target(sizes, outcome)).count();
+        let first_token_times = first_token_times(&outcomes);
         let service = Service {
             requests: outcomes.len(),
-            attainment: share(met, outcomes.len()),
-            first_token_p50_ms: firsts.value_at_quantile(0.5),
-            first_token_p95_ms: firsts.value_at_quantile(0.95),
-            first_token_p99_ms: firsts.value_at_quantile(0.99),
+            attainment: ratio(met, outcomes.len()),
+            first_token_p50_ms: first_token_times.value_at_quantile(0.5),
+            first_token_p95_ms: first_token_times.value_at_quantile(0.95),
+            first_token_p99_ms: first_token_times.value_at_quantile(0.99),
         };
         (id, service)
     });
@@ -119,7 +120,7 @@
 }
 
 /// First-token times of the answered, in milliseconds.
-fn firsts(outcomes: &[&Outcome]) -> Histogram<u64> {
+fn first_token_times(outcomes: &[&Outcome]) -> Histogram<u64> {
     const LARGEST_MS: u64 = 60_000;
     const DIGITS: u8 = 3;
     let mut histogram =
@@ -132,7 +133,7 @@
     histogram
 }
 
-fn is_met(sizes: &Sizes, outcome: &Outcome) -> bool {
+fn meets_target(sizes: &Sizes, outcome: &Outcome) -> bool {
     let target = sizes.service(&outcome.arrival.model).map(|(_, service)| service.target);
     match (&outcome.end, target) {
         (End::Answered { first, between }, Some(target)) => {
@@ -142,13 +143,14 @@
     }
 }
 
-fn share(part: usize, whole: usize) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn ratio(count: usize, total: usize) -> f64 {
+    count as f64 / total.max(1) as f64
 }
 
 #[derive(Tabled)]
 struct Row {
-    way: String,
+    #[tabled(rename = "way")]
+    strategy: String,
     seed: u64,
     requests: usize,
     attainment: String,
@@ -162,22 +164,22 @@
 }
 
 /// One line for each run.
-pub(crate) fn table(all: &[Figures]) -> String {
-    let rows = all.iter().map(|figures| Row {
-        way: name(figures.way),
-        seed: figures.seed,
-        requests: figures.requests,
-        attainment: percent(figures.attainment),
-        per_accelerator: percent(figures.attainment_per_accelerator),
-        moves: figures.moves,
-        services: figures.services.iter().map(|(id, service)| line(id, service)).collect(),
-        refused: causes(&figures.refusals),
-        failed: causes(&figures.failures),
+pub(crate) fn table(reports: &[Report]) -> String {
+    let rows = reports.iter().map(|report| Row {
+        strategy: name(report.strategy),
+        seed: report.seed,
+        requests: report.requests,
+        attainment: percent(report.attainment),
+        per_accelerator: percent(report.attainment_per_accelerator),
+        moves: report.moves,
+        services: report.services.iter().map(|(id, service)| service_cell(id, service)).collect(),
+        refused: format_causes(&report.refusals),
+        failed: format_causes(&report.failures),
     });
     Table::new(rows).with(Style::markdown()).to_string()
 }
 
-fn line(id: &str, service: &Service) -> String {
+fn service_cell(id: &str, service: &Service) -> String {
     format!(
         "{id}: {}, {}/{}/{}; ",
         percent(service.attainment),
@@ -187,13 +189,14 @@
     )
 }
 
-fn causes(causes: &BTreeMap<String, usize>) -> String {
+fn format_causes(causes: &BTreeMap<String, usize>) -> String {
     causes.iter().map(|(cause, count)| format!("{cause}: {count}; ")).collect()
 }
 
 #[derive(Tabled)]
 struct Median {
-    way: String,
+    #[tabled(rename = "way")]
+    strategy: String,
     runs: usize,
     #[tabled(rename = "attainment per accelerator: median (range)")]
     attainment: String,
@@ -202,18 +205,19 @@
 }
 
 /// Medians, the lower of two, and ranges over the seeds.
-pub(crate) fn summary(all: &[Figures]) -> String {
-    let ways = [Way::Ours, Way::Hosts, Way::Static, Way::LastMinute];
-    let rows = ways.into_iter().filter_map(|way| {
-        let runs: Vec<&Figures> = all.iter().filter(|figures| figures.way == way).collect();
+pub(crate) fn summary(reports: &[Report]) -> String {
+    let strategies = [Strategy::Ours, Strategy::Hosts, Strategy::Static, Strategy::LastMinute];
+    let rows = strategies.into_iter().filter_map(|strategy| {
+        let runs: Vec<&Report> =
+            reports.iter().filter(|report| report.strategy == strategy).collect();
         let mut attainments: Vec<f64> =
-            runs.iter().map(|figures| figures.attainment_per_accelerator).collect();
+            runs.iter().map(|report| report.attainment_per_accelerator).collect();
         attainments.sort_by(f64::total_cmp);
-        let mut moves: Vec<u64> = runs.iter().map(|figures| figures.moves).collect();
+        let mut moves: Vec<u64> = runs.iter().map(|report| report.moves).collect();
         moves.sort_unstable();
         let middle = runs.len().saturating_sub(1) / 2;
         Some(Median {
-            way: name(way),
+            strategy: name(strategy),
             runs: runs.len(),
             attainment: format!(
                 "{} ({} to {})",
@@ -227,16 +231,16 @@
     Table::new(rows).with(Style::markdown()).to_string()
 }
 
-fn name(way: Way) -> String {
-    match way {
-        Way::Ours => "ours",
-        Way::Hosts => "hosts",
-        Way::Static => "static",
-        Way::LastMinute => "last-minute",
+fn name(strategy: Strategy) -> String {
+    match strategy {
+        Strategy::Ours => "ours",
+        Strategy::Hosts => "hosts",
+        Strategy::Static => "static",
+        Strategy::LastMinute => "last-minute",
     }
     .to_owned()
 }
 
-fn percent(share: f64) -> String {
-    format!("{:.2}%", share * 100.0)
+fn percent(ratio: f64) -> String {
+    format!("{:.2}%", ratio * 100.0)
 }
--- a/crates/stage/examples/measure/route.rs
+++ b/crates/stage/examples/measure/route.rs
@@ -10,23 +10,23 @@
 
 use types::{prelude::*, resident::State as Progress};
 
-use crate::{Way, demand::Arrival, site::Site};
+use crate::{Strategy, demand::Arrival, site::Site};
 
 /// Chooses where a request goes.
 pub(crate) struct Router {
     site: Arc<Site>,
-    way: Way,
-    turn: AtomicUsize,
+    strategy: Strategy,
+    next: AtomicUsize,
     in_flight: Vec<Arc<AtomicU32>>,
 }
 
 /// A chosen way, which counts as in flight until dropped.
-pub(crate) struct Chosen {
+pub(crate) struct Route {
     pub(crate) address: SocketAddr,
     in_flight: Option<Arc<AtomicU32>>,
 }
 
-impl Drop for Chosen {
+impl Drop for Route {
     fn drop(&mut self) {
         if let Some(count) = &self.in_flight {
             count.fetch_sub(1, Ordering::Relaxed);
@@ -35,40 +35,42 @@
 }
 
 impl Router {
-    pub(crate) fn new(site: &Arc<Site>, way: Way) -> Router {
+    pub(crate) fn new(site: &Arc<Site>, strategy: Strategy) -> Router {
         let in_flight = site.engines.iter().map(|_| Arc::default()).collect();
-        Router { site: site.clone(), way, turn: AtomicUsize::new(0), in_flight }
+        Router { site: site.clone(), strategy, next: AtomicUsize::new(0), in_flight }
     }
 
     /// Where this request goes; none if no engine has its model ready.
-    pub(crate) fn choose(&self, arrival: &Arrival) -> Option<Chosen> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        if self.way.has_hosts() {
+    pub(crate) fn choose(&self, arrival: &Arrival) -> Option<Route> {
+        let next = self.next.fetch_add(1, Ordering::Relaxed);
+        if self.strategy.has_hosts() {
             let callers = &self.site.callers;
-            return Some(Chosen { address: callers[turn % callers.len()], in_flight: None });
+            return Some(Route { address: callers[next % callers.len()], in_flight: None });
         }
         let ready: Vec<usize> =
             (0..self.site.engines.len()).filter(|n| self.is_ready(*n, arrival)).collect();
         let load = |n: &&usize| self.in_flight[**n].load(Ordering::Relaxed);
-        let chosen = match self.way {
-            Way::LastMinute => ready.iter().min_by_key(load),
-            Way::Ours | Way::Hosts | Way::Static => ready.get(turn % ready.len().max(1)),
+        let chosen = match self.strategy {
+            Strategy::LastMinute => ready.iter().min_by_key(load),
+            Strategy::Ours | Strategy::Hosts | Strategy::Static => {
+                ready.get(next % ready.len().max(1))
+            }
         };
         let count = self.in_flight[*chosen?].clone();
         count.fetch_add(1, Ordering::Relaxed);
-        Some(Chosen { address: self.site.servers[*chosen?].address, in_flight: Some(count) })
+        Some(Route { address: self.site.servers[*chosen?].address, in_flight: Some(count) })
     }
 
     fn is_ready(&self, engine: usize, arrival: &Arrival) -> bool {
         self.site.engines[engine].residents().iter().any(|resident| {
-            let is_it = match (&resident.unit, &arrival.adapter) {
+            let is_match = match (&resident.unit, &arrival.adapter) {
                 (Unit::Model { model, .. }, None) => *model == arrival.model,
                 (Unit::Adapter { model, adapter, .. }, Some(wanted)) => {
                     *model == arrival.model && adapter == wanted
                 }
                 _ => false,
             };
-            is_it && resident.state == Progress::Ready
+            is_match && resident.state == Progress::Ready
         })
     }
 }
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -18,14 +18,14 @@
     prelude::*,
 };
 
-use crate::{Way, deployment::Sizes};
+use crate::{Strategy, deployment::Sizes};
 
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
-const ROUNDS: usize = 64;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const PLANNING_ROUNDS: usize = 64;
 
 /// Between rounds of planning.
-const PLAN_MS: u64 = 500;
+const PLAN_INTERVAL_MS: u64 = 500;
 
 /// Longer than any run: no round after the first, which finds nothing to do.
 const NEVER_MS: u64 = 3_600_000;
@@ -42,7 +42,11 @@
 
 impl Site {
     /// Starts everything with the models placed, and waits until the hosts see it.
-    pub(crate) async fn start(sizes: &Sizes, hosts: u8, way: Way) -> Result<Site, Box<dyn Error>> {
+    pub(crate) async fn start(
+        sizes: &Sizes,
+        hosts: u8,
+        strategy: Strategy,
+    ) -> Result<Site, Box<dyn Error>> {
         let platform = Platform::start().await?;
         platform.poke("config/root", json!({"number": 1, "config": sizes.config}));
         let weights = weights::Store::new(
@@ -57,16 +61,16 @@
         }
         let servers: Vec<Server> =
             engines.iter().enumerate().map(|(n, e)| server(sizes, n, e)).collect();
-        let hosts = if way.has_hosts() { hosts } else { 0 };
+        let hosts = if strategy.has_hosts() { hosts } else { 0 };
         let mut running = Vec::new();
         for n in 0..hosts {
-            let any = (Ipv4Addr::LOCALHOST, 0).into();
+            let any_port = (Ipv4Addr::LOCALHOST, 0).into();
             let zone = sizes.zones[usize::from(n) % sizes.zones.len()].into();
             let id = format!("host-{n}").into();
-            let host = Host { id, zone, callers: any, peers: any, operators: any };
+            let host = Host { id, zone, callers: any_port, peers: any_port, operators: any_port };
             let settings = json!({
                 "host": host, "platform": platform.address(), "drain": {"balancer_ms": 0},
-                "intervals": {"plan_ms": if way == Way::Ours { PLAN_MS } else { NEVER_MS }},
+                "intervals": {"plan_ms": if strategy == Strategy::Ours { PLAN_INTERVAL_MS } else { NEVER_MS }},
                 "planning": {
                     "loads_per_second": sizes.limits.loads_per_second,
                     "loads_at_once": sizes.limits.at_once,
@@ -75,7 +79,7 @@
             running.push(stage::start(serde_json::from_value::<Process>(settings)?).await?);
         }
         platform.set_list(list(&running, &servers));
-        ready(&running, servers.len()).await?;
+        wait_until_ready(&running, servers.len()).await?;
         let callers = running.iter().map(|host| host.context().host().callers).collect();
         Ok(Site { engines, servers, hosts: Mutex::new(running), callers, _platform: platform })
     }
@@ -109,11 +113,11 @@
         placed.insert(engine.server.clone(), Vec::new());
         planner.set_engine(Duration::ZERO, engine);
     }
-    for planned in planner.simulate(Duration::ZERO, ROUNDS) {
-        let Some(held) = placed.get_mut(&planned.server) else { continue };
+    for planned in planner.simulate(Duration::ZERO, PLANNING_ROUNDS) {
+        let Some(preload) = placed.get_mut(&planned.server) else { continue };
         match planned.action {
-            types::order::Action::Load { unit, memory } => held.push((unit, memory)),
-            types::order::Action::Unload { unit } => held.retain(|(other, _)| *other != unit),
+            types::order::Action::Load { unit, memory } => preload.push((unit, memory)),
+            types::order::Action::Unload { unit } => preload.retain(|(other, _)| *other != unit),
             types::order::Action::Role { .. } => {}
         }
     }
@@ -159,13 +163,13 @@
     List { hosts, servers: servers.iter().map(live).collect() }
 }
 
-async fn ready(hosts: &[Running], servers: usize) -> Result<(), &'static str> {
+async fn wait_until_ready(hosts: &[Running], servers: usize) -> Result<(), &'static str> {
     let is_ready =
         |host: &Running| host.context().is_ready() && host.context().fleet.reporting() == servers;
     let waiting = async {
         while !hosts.iter().all(is_ready) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_WITHIN, waiting).await.map_err(|_| "hosts did not get ready")
+    tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| "hosts did not get ready")
 }
--- a/crates/stage/examples/rush.rs
+++ b/crates/stage/examples/rush.rs
@@ -41,19 +41,19 @@
 const TOKENS: u32 = 32;
 /// What the engines can serve each second.
 const CAPACITY: f64 = 1000.0 * (ENGINES as u32 * SLOTS) as f64 / (10 * TOKENS) as f64;
-const TARGET: Duration = Duration::from_millis(400);
+const GUEST_TARGET: Duration = Duration::from_millis(400);
 const STAFF_TARGET: Duration = Duration::from_secs(2);
 /// How long a caller stays before it gives up.
-const PATIENCE: Duration = Duration::from_secs(4);
+const TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Parts of the run with the guests' demand as a multiple of the capacity.
-const PARTS: [(&str, f64, Duration); 3] = [
+const PHASES: [(&str, f64, Duration); 3] = [
     ("before", 0.5, Duration::from_secs(3)),
     ("rush", 10.0, Duration::from_secs(5)),
     ("after", 0.5, Duration::from_secs(6)),
 ];
 /// The staff's demand as a multiple of the capacity.
-const STAFF: f64 = 0.2;
+const STAFF_DEMAND: f64 = 0.2;
 
 #[derive(Parser)]
 struct Flags {
@@ -70,9 +70,9 @@
 
 /// What became of one request.
 struct Sample {
-    part: usize,
+    phase: usize,
     caller: Caller,
-    first: Option<Duration>,
+    first_token: Option<Duration>,
     was_refused: bool,
 }
 
@@ -81,20 +81,20 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let flags = Flags::parse();
-    println!("capacity {CAPACITY} requests/s, target {TARGET:?}, seed {}", flags.seed);
+    println!("capacity {CAPACITY} requests/s, target {GUEST_TARGET:?}, seed {}", flags.seed);
     println!(
         "way                      part    guests sent  met  share | staff sent  met | refused"
     );
-    for (name, traffic) in ways() {
+    for (name, traffic) in traffic_settings() {
         let samples = run(&traffic, flags.seed).await?;
-        for (part, (title, _, _)) in PARTS.iter().enumerate() {
-            show(name, title, samples.iter().filter(|sample| sample.part == part));
+        for (phase, (title, _, _)) in PHASES.iter().enumerate() {
+            print_row(name, title, samples.iter().filter(|sample| sample.phase == phase));
         }
     }
     Ok(())
 }
 
-fn ways() -> [(&'static str, Value); 6] {
+fn traffic_settings() -> [(&'static str, Value); 6] {
     [
         ("open", json!({"admission": "open"})),
         ("judged, fixed 4", json!({"limit": {"fixed": 4}})),
@@ -105,17 +105,19 @@
     ]
 }
 
-fn show<'a>(name: &str, part: &str, samples: impl Iterator<Item = &'a Sample> + Clone) {
-    let of = |caller| samples.clone().filter(move |sample| sample.caller == caller);
-    let met = |caller, target| {
-        of(caller).filter(|sample| sample.first.is_some_and(|first| first <= target)).count()
+fn print_row<'a>(name: &str, phase: &str, samples: impl Iterator<Item = &'a Sample> + Clone) {
+    let samples_of = |caller| samples.clone().filter(move |sample| sample.caller == caller);
+    let count_met = |caller, target| {
+        samples_of(caller)
+            .filter(|sample| sample.first_token.is_some_and(|first_token| first_token <= target))
+            .count()
     };
-    let (guests, staff) = (of(Caller::Guest).count(), of(Caller::Staff).count());
-    let guests_met = met(Caller::Guest, TARGET);
+    let (guests, staff) = (samples_of(Caller::Guest).count(), samples_of(Caller::Staff).count());
+    let guests_met = count_met(Caller::Guest, GUEST_TARGET);
     println!(
-        "{name:24} {part:7} {guests:11} {guests_met:5} {:5.1}% | {staff:10} {:4} | {}",
+        "{name:24} {phase:7} {guests:11} {guests_met:5} {:5.1}% | {staff:10} {:4} | {}",
         100.0 * guests_met as f64 / guests.max(1) as f64,
-        met(Caller::Staff, STAFF_TARGET),
+        count_met(Caller::Staff, STAFF_TARGET),
         samples.clone().filter(|sample| sample.was_refused).count(),
     );
 }
@@ -124,19 +126,19 @@
     let platform = Platform::start().await?;
     platform.poke("config/root", json!({"number": 1, "config": config()}));
     let mut engines = Vec::new();
-    for place in 0..ENGINES {
+    for index in 0..ENGINES {
         let settings = engine::Settings {
             slots: SLOTS,
             step: STEP,
             report_lag: Duration::from_millis(100),
-            ..engine::Settings::new(&format!("lm-{place}")).with_model("welcome", "v1", 900)
+            ..engine::Settings::new(&format!("lm-{index}")).with_model("welcome", "v1", 900)
         };
         engines.push(Engine::start(settings).await?);
     }
     platform.set_list(List { hosts: Vec::new(), servers: engines.iter().map(entry).collect() });
     let mut hosts = Vec::new();
-    for place in 0..HOSTS {
-        hosts.push(stage::start(process(place, &platform, traffic)?).await?);
+    for index in 0..HOSTS {
+        hosts.push(stage::start(process(index, &platform, traffic)?).await?);
     }
     let addresses: Vec<SocketAddr> =
         hosts.iter().map(|host| host.context().host().callers).collect();
@@ -151,23 +153,23 @@
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let client = Arc::new(client);
     let began = Instant::now();
-    let mut sent = Vec::new();
-    for (count, (at, part, caller)) in schedule(seed).into_iter().enumerate() {
+    let mut tasks = Vec::new();
+    for (count, (at, phase, caller)) in schedule(seed).into_iter().enumerate() {
         tokio::time::sleep_until((began + at).into()).await;
         let (client, host) = (client.clone(), hosts[count % hosts.len()]);
-        sent.push(tokio::spawn(async move {
-            let asked = Instant::now();
+        tasks.push(tokio::spawn(async move {
+            let sent_at = Instant::now();
             let answer = ask(&client, host, caller, count).await;
-            let first = answer.as_ref().ok().map(|_| asked.elapsed());
+            let first_token = answer.as_ref().ok().map(|_| sent_at.elapsed());
             let was_refused = matches!(answer, Err(Some(503)));
             if let Ok(body) = answer {
-                let _ = tokio::time::timeout(PATIENCE, body.collect()).await;
+                let _ = tokio::time::timeout(TIMEOUT, body.collect()).await;
             }
-            Sample { part, caller, first, was_refused }
+            Sample { phase, caller, first_token, was_refused }
         }));
     }
-    let ended = futures_util::future::join_all(sent).await;
-    ended.into_iter().filter_map(Result::ok).collect()
+    let results = futures_util::future::join_all(tasks).await;
+    results.into_iter().filter_map(Result::ok).collect()
 }
 
 /// Poisson arrivals of guests and staff.
@@ -175,21 +177,21 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let mut start = Duration::ZERO;
-    for (part, (_, multiple, length)) in PARTS.iter().enumerate() {
+    for (phase, (_, multiple, duration)) in PHASES.iter().enumerate() {
         for (caller, rate) in
-            [(Caller::Guest, multiple * CAPACITY), (Caller::Staff, STAFF * CAPACITY)]
+            [(Caller::Guest, multiple * CAPACITY), (Caller::Staff, STAFF_DEMAND * CAPACITY)]
         {
             let mut at = Duration::ZERO;
             loop {
                 let uniform: f64 = rng.random();
                 at += Duration::from_secs_f64(-(1.0 - uniform).ln() / rate);
-                if *length <= at {
+                if *duration <= at {
                     break;
                 }
-                arrivals.push((start + at, part, caller));
+                arrivals.push((start + at, phase, caller));
             }
         }
-        start += *length;
+        start += *duration;
     }
     arrivals.sort_by_key(|(at, _, _)| *at);
     arrivals
@@ -212,10 +214,10 @@
     });
     let request = http::Request::post(format!("http://{host}/v1/chat/completions"))
         .header("service", service)
-        .header("x-timeout-ms", PATIENCE.as_millis() as u64)
+        .header("x-timeout-ms", TIMEOUT.as_millis() as u64)
         .body(Full::new(Bytes::from(body.to_string())))
         .map_err(|_| None)?;
-    let answer = tokio::time::timeout(PATIENCE, client.request(request)).await;
+    let answer = tokio::time::timeout(TIMEOUT, client.request(request)).await;
     let response = answer.map_err(|_| None)?.map_err(|_| None)?;
     // The host sends the head with the first token.
     match response.status().as_u16() {
@@ -235,7 +237,7 @@
         "customers": {"magnolia": {}},
         "models": {"welcome": {"group": "lm", "version": "v1", "memory": 900}},
         "services": {
-            "guests": service("urgent", TARGET),
+            "guests": service("urgent", GUEST_TARGET),
             "staff": service("normal", STAFF_TARGET),
         },
     })
@@ -253,15 +255,15 @@
 }
 
 fn process(
-    place: usize,
+    index: usize,
     platform: &Platform,
     traffic: &Value,
 ) -> Result<Process, serde_json::Error> {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     serde_json::from_value(json!({
         "host": {
-            "id": format!("host-{place}"), "zone": "biloxi-hall",
-            "callers": any, "peers": any, "operators": any,
+            "id": format!("host-{index}"), "zone": "biloxi-hall",
+            "callers": any_port, "peers": any_port, "operators": any_port,
         },
         "platform": platform.address(),
         "intervals": {"list_ms": 200, "report_ms": 100, "heartbeat_ms": 250, "plan_ms": 60_000},
--- a/crates/stage/examples/slopes/control.rs
+++ b/crates/stage/examples/slopes/control.rs
@@ -20,14 +20,14 @@
     fleet,
 };
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 const MODELS: [usize; 4] = [119, 238, 475, 950];
 const HOSTS: [usize; 4] = [8, 32, 128, 350];
 const EVENTS: [usize; 4] = [3_072, 6_144, 12_288, 24_576];
 const SERVICES: [usize; 4] = [4, 16, 64, 128];
 
-pub(crate) fn rows() -> Result<Vec<Row>, Failure> {
+pub(crate) fn rows() -> Result<Vec<Row>, BoxError> {
     let mut bytes = Vec::new();
     let mut times = Vec::new();
     let mut memory = Vec::new();
@@ -45,10 +45,10 @@
     }
     let mut pages = Vec::new();
     for services in SERVICES {
-        pages.push((services as f64, page(services)? / 1024.0));
+        pages.push((services as f64, metrics_page_bytes(services)? / 1024.0));
     }
     let rings: Vec<_> = EVENTS.map(|n| (n as f64, kibibytes(2, || ring(n)))).to_vec();
-    let records: Vec<_> = EVENTS.map(|n| (n as f64, recording(n))).to_vec();
+    let records: Vec<_> = EVENTS.map(|n| (n as f64, record_time(n))).to_vec();
     Ok(vec![
         Row::new("configuration on the wire", "KiB", "models", bytes, 950.0),
         Row::new("configuration read from JSON", "ms", "models", times, 950.0),
@@ -103,7 +103,7 @@
     Event::new(kind).request(&id).model(&"model-00001".into()).server(&"server-00001".into())
 }
 
-fn recording(events: usize) -> f64 {
+fn record_time(events: usize) -> f64 {
     let ring = ring(events);
     let mut n = 0;
     micros(5, 20_000, || {
@@ -113,7 +113,7 @@
 }
 
 /// Bytes of the page when every service has seen each kind of end.
-fn page(services: usize) -> Result<f64, Failure> {
+fn metrics_page_bytes(services: usize) -> Result<f64, BoxError> {
     let metrics = Metrics::new()?;
     for n in 0..services {
         let service: service::Id = format!("service-{n:03}").into();
--- a/crates/stage/examples/slopes/fit.rs
+++ b/crates/stage/examples/slopes/fit.rs
@@ -40,14 +40,14 @@
             Some((_, value)) => (*value, "measured"),
             None => (base + slope * target, "fit"),
         };
-        let shown = points.iter().map(|(at, value)| format!("{at}: {}", short(*value)));
+        let shown = points.iter().map(|(at, value)| format!("{at}: {}", format_value(*value)));
         Row {
             what: what.into(),
             unit,
             size,
             points: shown.collect::<Vec<_>>().join(", "),
-            fit: format!("{} + {}·n, R² {fit:.3}", short(base), short(slope)),
-            target: format!("{target}: {} ({how})", short(value)),
+            fit: format!("{} + {}·n, R² {fit:.3}", format_value(base), format_value(slope)),
+            target: format!("{target}: {} ({how})", format_value(value)),
         }
     }
 }
@@ -66,7 +66,7 @@
     (y - slope * x, slope, fit)
 }
 
-fn short(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         size if 100.0 <= size => format!("{value:.0}"),
         size if 1.0 <= size => format!("{value:.2}"),
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -14,7 +14,7 @@
 
 use crate::fit::{Row, kibibytes, micros};
 
-const SIZES: [usize; 4] = [119, 238, 475, 950];
+const MODELS: [usize; 4] = [119, 238, 475, 950];
 const TARGET: f64 = 950.0;
 const GROUPS: usize = 4;
 const ZONES: usize = 8;
@@ -23,15 +23,15 @@
 const CAPACITY: Mebibytes = 8 * 80 * GIBIBYTE;
 const MEMORY: [Mebibytes; 6] = [16, 30, 70, 90, 140, 240];
 const ROUNDS: usize = 64;
-const LOST: &str = "zone-0";
+const LOST_ZONE: &str = "zone-0";
 const NOW: Moment = Duration::from_secs(3600);
 
 pub(crate) fn plan_rows() -> Vec<Row> {
-    let placed: Vec<Placed> = SIZES.iter().map(|models| Placed::new(*models)).collect();
-    let points = |of: &dyn Fn(&Placed) -> f64| {
+    let placed: Vec<Placement> = MODELS.iter().map(|models| Placement::new(*models)).collect();
+    let points = |of: &dyn Fn(&Placement) -> f64| {
         placed.iter().map(|p| (p.config.models.len() as f64, of(p))).collect::<Vec<_>>()
     };
-    let row = |what, unit, of: &dyn Fn(&Placed) -> f64| {
+    let row = |what, unit, of: &dyn Fn(&Placement) -> f64| {
         Row::new(what, unit, "models", points(of), TARGET)
     };
     vec![
@@ -40,7 +40,7 @@
         row("plan of a planner that takes over", "ms", &|p| takeover(p) / 1e3),
         row("plan after one engine changed", "ms", &|p| one_engine(p) / 1e3),
         row("plan after one patch", "ms", &|p| one_patch(p) / 1e3),
-        row("loads after one of 8 zones is lost", "loads", &zone_lost),
+        row("loads after one of 8 zones is lost", "loads", &loads_after_zone_loss),
         row("models without an engine until then", "models", &unreachable),
     ]
 }
@@ -63,16 +63,16 @@
     config::Config { models: models.collect(), ..config::Config::default() }
 }
 
-struct Placed {
+struct Placement {
     config: config::Config,
     planner: Planner,
     engines: BTreeMap<backend::Id, Engine>,
 }
 
-impl Placed {
-    fn new(models: usize) -> Placed {
+impl Placement {
+    fn new(models: usize) -> Placement {
         let config = config(models);
-        let mut engines = empty(models);
+        let mut engines = empty_engines(models);
         let mut planner = Planner::new(Limits::NONE);
         planner.configure(&config);
         for (n, id) in config.models.keys().enumerate() {
@@ -84,11 +84,11 @@
             let Some(engine) = engines.get_mut(&planned.server) else { continue };
             apply(engine, &planned.action);
         }
-        Placed { config, planner, engines }
+        Placement { config, planner, engines }
     }
 }
 
-fn empty(models: usize) -> BTreeMap<backend::Id, Engine> {
+fn empty_engines(models: usize) -> BTreeMap<backend::Id, Engine> {
     let engines = (0..models * 770 / 950).map(|n| Engine {
         server: format!("server-{n:05}").into(),
         group: format!("group-{}", n % GROUPS).into(),
@@ -108,31 +108,31 @@
             engine.residents.push(Resident { unit: unit.clone(), memory: *memory, state });
         }
         Action::Unload { unit } => {
-            let gone = engine.residents.iter().filter(|r| r.unit == *unit).map(|r| r.memory);
-            engine.free += gone.sum::<Mebibytes>();
+            let unloaded = engine.residents.iter().filter(|r| r.unit == *unit).map(|r| r.memory);
+            engine.free += unloaded.sum::<Mebibytes>();
             engine.residents.retain(|resident| resident.unit != *unit);
         }
         Action::Role { .. } => {}
     }
 }
 
-fn whole(config: &config::Config, engines: &BTreeMap<backend::Id, Engine>) -> usize {
+fn plan_anew(config: &config::Config, engines: &BTreeMap<backend::Id, Engine>) -> usize {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(config);
     engines.values().for_each(|engine| planner.set_engine(NOW, engine.clone()));
     planner.plan(NOW).len()
 }
 
-fn from_empty(placed: &Placed) -> f64 {
-    let engines = empty(placed.config.models.len());
-    micros(5, 2, || whole(&placed.config, &engines))
+fn from_empty(placed: &Placement) -> f64 {
+    let engines = empty_engines(placed.config.models.len());
+    micros(5, 2, || plan_anew(&placed.config, &engines))
 }
 
-fn takeover(placed: &Placed) -> f64 {
-    micros(5, 4, || whole(&placed.config, &placed.engines))
+fn takeover(placed: &Placement) -> f64 {
+    micros(5, 4, || plan_anew(&placed.config, &placed.engines))
 }
 
-fn one_engine(placed: &Placed) -> f64 {
+fn one_engine(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
     let Some(engine) = placed.engines.values().nth(placed.engines.len() / 2) else { return 0.0 };
     micros(5, 40, || {
@@ -141,24 +141,24 @@
     })
 }
 
-fn one_patch(placed: &Placed) -> f64 {
+fn one_patch(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
     let mut next = placed.config.clone();
     if let Some(model) = next.models.values_mut().nth(placed.config.models.len() / 2) {
         model.version = "2".into();
     }
-    let mut turn = 0;
+    let mut count = 0;
     micros(5, 40, || {
-        turn += 1;
-        planner.configure(if turn % 2 == 0 { &placed.config } else { &next });
+        count += 1;
+        planner.configure(if count % 2 == 0 { &placed.config } else { &next });
         planner.plan(NOW)
     })
 }
 
 /// Loads that make up for a lost zone.
-fn zone_lost(placed: &Placed) -> f64 {
+fn loads_after_zone_loss(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
-    for engine in lost(placed) {
+    for engine in lost_engines(placed) {
         planner.remove_engine(&engine.server);
     }
     let moves = planner.simulate(NOW, ROUNDS);
@@ -166,15 +166,15 @@
 }
 
 /// Models all of whose replicas stood in the lost zone.
-fn unreachable(placed: &Placed) -> f64 {
+fn unreachable(placed: &Placement) -> f64 {
     let holds = |engine: &Engine, id: &model::Id| {
         engine.residents.iter().any(|resident| resident.unit.model() == id)
     };
-    let left: Vec<&Engine> = placed.engines.values().filter(|e| &*e.zone != LOST).collect();
+    let left: Vec<&Engine> = placed.engines.values().filter(|e| &*e.zone != LOST_ZONE).collect();
     let models = placed.config.models.keys();
     models.filter(|id| !left.iter().any(|engine| holds(engine, id))).count() as f64
 }
 
-fn lost(placed: &Placed) -> impl Iterator<Item = &Engine> {
-    placed.engines.values().filter(|engine| &*engine.zone == LOST)
+fn lost_engines(placed: &Placement) -> impl Iterator<Item = &Engine> {
+    placed.engines.values().filter(|engine| &*engine.zone == LOST_ZONE)
 }
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -16,7 +16,7 @@
 const ENTRIES: [u64; 4] = [250, 500, 1_000, 2_000];
 const SUSPECTS: [u32; 4] = [250, 500, 1_000, 2_000];
 const GROUPED: [u64; 4] = [1, 8, 32, 128];
-const WALL: u64 = 1_764_700_000_000;
+const NOW_UNIX_MS: u64 = 1_764_700_000_000;
 
 pub(crate) fn rows() -> Result<Vec<Row>, serde_json::Error> {
     let mut bytes = Vec::new();
@@ -26,13 +26,13 @@
         let document = document(entries);
         bytes.push((entries as f64, serde_json::to_vec(&document)?.len() as f64 / 1024.0));
         memory.push((entries as f64, kibibytes(8, || document.clone())));
-        writes.push((entries as f64, claiming(&document, 1)));
+        writes.push((entries as f64, claim_time(&document, 1)));
     }
-    let thousand = document(1_000);
-    let grouped = GROUPED.map(|claims| (claims as f64, claiming(&thousand, claims)));
+    let thousand_keys = document(1_000);
+    let grouped = GROUPED.map(|claims| (claims as f64, claim_time(&thousand_keys, claims)));
     let mut suspects = Vec::new();
     for count in SUSPECTS {
-        let text = serde_json::to_vec(&suspected(count))?;
+        let text = serde_json::to_vec(&quarantine_document(count))?;
         suspects.push((f64::from(count), text.len() as f64 / 1024.0));
     }
     Ok(vec![
@@ -44,7 +44,7 @@
     ])
 }
 
-fn me() -> HostRun {
+fn this_host() -> HostRun {
     HostRun { host: "host-00001".into(), incarnation: 1_700_000_000_000_000 }
 }
 
@@ -57,8 +57,8 @@
     let entry = |n: u64| Entry {
         id: format!("host-00001-1700000000-{n:08}").into(),
         digest: n.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        claimant: me(),
-        at: WALL + n,
+        claimant: this_host(),
+        at: NOW_UNIX_MS + n,
         state: State::Done(Outcome {
             status: 200,
             content_type: "application/json".into(),
@@ -70,18 +70,18 @@
 }
 
 /// Time of `claims` claims on a range whose object is as given: read, step, write.
-fn claiming(document: &Document, claims: u64) -> f64 {
+fn claim_time(document: &Document, claims: u64) -> f64 {
     let settings = Arc::new(Settings::default());
     let calls = 20;
     micros(5, calls, || {
-        let mut range = Range::new(me(), settings.clone());
-        let now = Now { wall: WALL + 10_000, moment: Duration::from_secs(10) };
+        let mut range = Range::new(this_host(), settings.clone());
+        let now = Now { wall: NOW_UNIX_MS + 10_000, moment: Duration::from_secs(10) };
         for n in 0..claims {
             range.claim(Claim {
                 id: format!("claim-{n}").into(),
                 key: key(1_000_000 + n),
                 digest: n,
-                claimant: me(),
+                claimant: this_host(),
                 asked: now.moment,
             });
         }
@@ -96,15 +96,15 @@
     })
 }
 
-fn suspected(count: u32) -> quarantine::Document {
+fn quarantine_document(count: u32) -> quarantine::Document {
     let suspect = |n: u32| {
         let mut digest = [0; 32];
         digest[..4].copy_from_slice(&n.to_le_bytes());
-        let life = ServerRun { server: format!("server-{n:05}").into(), incarnation: 1 };
+        let run = ServerRun { server: format!("server-{n:05}").into(), incarnation: 1 };
         let suspect = quarantine::Suspect {
             service: "guests".into(),
-            deaths: BTreeSet::from([life]),
-            since: WALL,
+            deaths: BTreeSet::from([run]),
+            since: NOW_UNIX_MS,
             trial: None,
         };
         (Fingerprint::of_digest(&digest), suspect)
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -17,7 +17,7 @@
 
 use crate::fit::{Row, kibibytes, micros};
 
-const SIZES: [u32; 4] = [96, 192, 385, 770];
+const SERVERS: [u32; 4] = [96, 192, 385, 770];
 const TARGET: f64 = 770.0;
 const REPLICAS: u32 = 8;
 const ZONES: u32 = 8;
@@ -27,7 +27,7 @@
 
 pub(crate) fn rows() -> Vec<Row> {
     let points = |of: &dyn Fn(u32) -> f64| {
-        SIZES.iter().map(|servers| (f64::from(*servers), of(*servers))).collect::<Vec<_>>()
+        SERVERS.iter().map(|servers| (f64::from(*servers), of(*servers))).collect::<Vec<_>>()
     };
     vec![
         Row::new(
@@ -37,8 +37,8 @@
             points(&|servers| kibibytes(COPIES, || traffic(servers))),
             TARGET,
         ),
-        Row::new("decision on a request", "µs", "servers", points(&decision), TARGET),
-        Row::new("intake of a load report", "µs", "servers", points(&intake), TARGET),
+        Row::new("decision on a request", "µs", "servers", points(&decision_time), TARGET),
+        Row::new("intake of a load report", "µs", "servers", points(&report_time), TARGET),
         Row::new(
             "load report on the wire",
             "bytes",
@@ -64,48 +64,48 @@
     let distances =
         Distances { own: "z0".into(), other: Duration::from_millis(1), named: BTreeMap::new() };
     let mut traffic = Traffic::new(distances, Rules::default());
-    for at in 0..servers {
+    for number in 0..servers {
         let server = backend::Server {
-            id: name("server", at),
+            id: name("server", number),
             group: "engines".into(),
             kind: backend::Kind::Engine,
-            zone: format!("z{}", at % ZONES).into(),
+            zone: format!("z{}", number % ZONES).into(),
             address: ([127, 0, 0, 1], 1).into(),
         };
         let index = traffic.table.add(&server);
-        traffic.table.report(index, &load(servers, at), NOW);
+        traffic.table.report(index, &load(servers, number), NOW);
     }
     traffic
 }
 
-fn name(kind: &str, at: u32) -> Arc<str> {
-    format!("{kind}-{at:05}").into()
+fn name(kind: &str, number: u32) -> Arc<str> {
+    format!("{kind}-{number:05}").into()
 }
 
-fn load(servers: u32, at: u32) -> Load {
-    let holds = |model: &u32| (at + servers - model * 7 % servers) % servers < REPLICAS;
+fn load(servers: u32, number: u32) -> Load {
+    let holds = |model: &u32| (number + servers - model * 7 % servers) % servers < REPLICAS;
     let units = (0..models(servers)).filter(holds).map(unit);
-    report(at, units)
+    report(number, units)
 }
 
 fn unit(model: u32) -> Unit {
     Unit::Model { model: name("model", model), version: "1".into() }
 }
 
-fn report(at: u32, units: impl Iterator<Item = Unit>) -> Load {
+fn report(number: u32, units: impl Iterator<Item = Unit>) -> Load {
     let resident = |unit| Resident { unit, memory: 30_000, state: State::Ready };
     Load {
-        server: name("server", at),
+        server: name("server", number),
         incarnation: 1_700_000_000_000_000,
         sequence: 100_000,
         age: Duration::from_millis(50),
         leaving: false,
-        running: at % 7,
+        running: number % 7,
         waiting: 0,
         slots: 32,
         step: Duration::from_millis(8),
         prefill_rate: 2048,
-        prompt_backlog: u64::from(at % 5) * 100,
+        prompt_backlog: u64::from(number % 5) * 100,
         capacity: 640_000,
         residents: units.map(resident).collect(),
         fence: 1_000,
@@ -126,7 +126,7 @@
 }
 
 /// Admit, choose, account, for one request.
-fn decision(servers: u32) -> f64 {
+fn decision_time(servers: u32) -> f64 {
     let state = RefCell::new((traffic(servers), 0, NOW));
     micros(5, 20_000, || {
         let (traffic, ticket, now) = &mut *state.borrow_mut();
@@ -136,9 +136,9 @@
         if traffic.admit(&demand, *now, &mut Vec::new()) != Admission::Take {
             return;
         }
-        if let Some(flight) = traffic.dispatch(&demand, *now) {
-            traffic.answered(&flight, *now);
-            traffic.ended(&flight, End::Whole, *now);
+        if let Some(attempt) = traffic.dispatch(&demand, *now) {
+            traffic.answered(&attempt, *now);
+            traffic.ended(&attempt, End::Whole, *now);
         }
         drop(traffic.pump(*now));
     })
@@ -168,13 +168,13 @@
     })
 }
 
-fn intake(servers: u32) -> f64 {
-    let loads: Vec<Load> = (0..servers).map(|at| load(servers, at)).collect();
+fn report_time(servers: u32) -> f64 {
+    let loads: Vec<Load> = (0..servers).map(|number| load(servers, number)).collect();
     let mut traffic = traffic(servers);
-    let mut turn = 0;
+    let mut count = 0;
     micros(5, 20_000, || {
-        let load = &loads[turn % loads.len()];
-        turn += 1;
+        let load = &loads[count % loads.len()];
+        count += 1;
         traffic.table.index(&load.server).map(|index| traffic.table.report(index, load, NOW))
     })
 }
