--- a/crates/stage/examples/cost.rs
+++ b/crates/stage/examples/cost.rs
@@ -1,10 +1,11 @@
-//! Measures what a host spends: processor, memory and bytes, idle by fleet size, and under load.
+//! Measures the processor time, memory and traffic of a host: idle by fleet size, and under load.
 //!
-//! One host runs as a process of its own, so that its processor time and memory are its own; the
-//! other hosts run in this process, with the stand-ins, and the bytes are those that the first of
-//! them counts on its connections. Bounded in time; ends its process by itself.
+//! The measured host runs as a process of its own, so that its processor time and memory can be
+//! read from `/proc`. The other hosts and the simulated engines and platform run in this process.
+//! The bytes are those that the first of the other hosts counts on its connections to hosts. Each
+//! run has a fixed duration, and the host's process is killed at its end.
 
-#![allow(clippy::print_stdout, reason = "a measurement talks to its user")]
+#![allow(clippy::print_stdout, reason = "prints its results")]
 
 use std::{
     error::Error,
@@ -30,41 +31,42 @@
     host::{Entry, Host, List, Listed},
 };
 
-/// Clock ticks a second in which Linux counts processor time for programs.
+/// Clock ticks per second of the times in `/proc/<pid>/stat` (`USER_HZ` on Linux).
 const TICKS_PER_SECOND: f64 = 100.0;
 
 const MODELS: usize = 4;
-/// Tokens of an answer.
+/// Tokens in each answer of the load.
 const ANSWER_TOKENS: u32 = 50;
 
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Measures what a host spends, idle and under load.
+/// Measures the processor time, memory and traffic of a host, idle and under load.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// The host's program.
+    /// Path of the `cyclamenstage` program.
     #[arg(long)]
     binary: PathBuf,
-    /// Numbers of servers, each a run of its own.
+    /// Numbers of servers; one run with two hosts for each.
     #[arg(long, value_delimiter = ',', default_value = "12,24,48,96")]
     servers: Vec<usize>,
-    /// Numbers of hosts, each a run of its own with the first number of servers.
+    /// Numbers of hosts; one run with the first number of servers for each.
     #[arg(long, value_delimiter = ',', default_value = "2,4,8")]
     hosts: Vec<usize>,
-    /// Rates of tokens a second, each a run of its own with the first number of servers.
+    /// Rates of load in tokens per second; one run with two hosts and the first number of servers
+    /// for each.
     #[arg(long, value_delimiter = ',', default_value = "500,1000,2000")]
     tokens: Vec<u64>,
-    /// Seconds of each run.
+    /// Measured duration of each run, in seconds.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=60))]
     seconds: u64,
 }
 
-/// Ends its process when dropped.
+/// A child process, killed when dropped.
 struct Spawned(Child);
 
 impl Drop for Spawned {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -74,7 +76,8 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     let flags = Flags::parse();
     println!(
-        "| servers | hosts | tokens/s | processor, % of a core | resident, MiB | received, KB/s | sent, KB/s | object API calls/s |"
+        "| servers | hosts | tokens/s | processor, % of a core | resident, MiB | received, KB/s | \
+         sent, KB/s | object API calls/s |"
     );
     println!("|---|---|---|---|---|---|---|---|");
     for servers in &flags.servers {
@@ -154,7 +157,7 @@
     Ok(())
 }
 
-/// Streams answers through the host at this rate of tokens a second, for good.
+/// Requests streamed answers through the host at this rate of tokens per second, until aborted.
 async fn load(callers: SocketAddr, tokens: u64) {
     if tokens == 0 {
         return;
@@ -167,7 +170,8 @@
         ticks.tick().await;
         let client = client.clone();
         requests.spawn(async move {
-            // A refusal or a cut answer only makes the load smaller, which the host's figures show.
+            // A refused or truncated answer only reduces the load, which shows in the host's
+            // results.
             let _ = ask(&client, callers, serial).await;
         });
         while requests.try_join_next().is_some() {}
@@ -200,7 +204,7 @@
     [(Ipv4Addr::LOCALHOST, 0).into(); 3]
 }
 
-/// An address that was free a moment ago.
+/// Returns an address whose port was free when this was called; another process may take it since.
 fn free_address() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
@@ -234,7 +238,7 @@
     List { hosts: hosts.collect(), servers: servers.collect() }
 }
 
-/// Bytes received and sent by the first of these hosts.
+/// Bytes received and sent by the first of these hosts on its connections to hosts.
 fn bytes(hosts: &[Running]) -> (u64, u64) {
     let meter = hosts.first().map(|host| &host.context().control_bytes);
     meter.map_or((0, 0), |meter| (meter.received(), meter.sent()))
@@ -245,11 +249,11 @@
     calls.reads + calls.writes + calls.watches + calls.lists
 }
 
-/// Clock ticks that a process has spent.
+/// Processor time of a process in user and kernel mode, in clock ticks.
 fn cpu_ticks(child: &Spawned) -> Result<f64, Box<dyn Error>> {
     const USER: usize = 11;
     let stat = fs::read_to_string(format!("/proc/{}/stat", child.0.id()))?;
-    let (_, rest) = stat.rsplit_once(") ").ok_or("unreadable stat")?;
+    let (_, rest) = stat.rsplit_once(") ").ok_or("/proc/<pid>/stat has no process name")?;
     let fields: Vec<&str> = rest.split(' ').collect();
     Ok(fields[USER].parse::<f64>()? + fields[USER + 1].parse::<f64>()?)
 }
@@ -257,6 +261,9 @@
 /// Resident memory of a process, in MiB.
 fn resident(child: &Spawned) -> Result<f64, Box<dyn Error>> {
     let status = fs::read_to_string(format!("/proc/{}/status", child.0.id()))?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).ok_or("no VmRSS")?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .ok_or("/proc/<pid>/status has no VmRSS")?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse::<f64>()? / 1024.0)
 }
--- a/crates/stage/examples/demo.rs
+++ b/crates/stage/examples/demo.rs
@@ -1,9 +1,10 @@
-//! The main job on embedded stand-ins: one platform, engines, a plain service and several hosts.
+//! Runs several hosts with a simulated platform, two engines and a plain service, all in one
+//! process.
 //!
-//! Prints addresses and ready-to-paste `curl` lines, streams one answer, and ends on Ctrl-C. With
-//! `--routed` it shows a deployment that routes by host and path instead.
+//! Prints their addresses and `curl` commands to try, streams one answer, and ends on Ctrl-C. With
+//! `--routed` it runs a deployment that routes by host and path instead.
 
-#![allow(clippy::print_stdout, reason = "a demonstration talks to its user")]
+#![allow(clippy::print_stdout, reason = "prints its addresses")]
 
 #[path = "demo/routed.rs"]
 mod routed;
@@ -29,10 +30,10 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shows the main job on embedded stand-ins.
+/// Runs hosts with a simulated platform and servers.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// Route by host and path in place of the chat interface.
+    /// Route by host and path instead of serving the chat API.
     #[arg(long)]
     routed: bool,
 }
@@ -55,11 +56,11 @@
     wait_until_ready(&hosts).await?;
     print_commands(&platform, &hosts);
     print_answer(&hosts[0]).await?;
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     tokio::signal::ctrl_c().await?;
-    println!("\nfinishing what is in flight ...");
+    println!("\ndraining requests in flight ...");
     futures_util::future::join_all(hosts.into_iter().map(Running::drain)).await;
-    println!("ended cleanly");
+    println!("stopped");
     Ok(())
 }
 
@@ -145,7 +146,9 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| "hosts did not get ready")
+    tokio::time::timeout(READY_TIMEOUT, waiting)
+        .await
+        .map_err(|_| "the hosts were not ready within 10 s")
 }
 
 fn print_commands(platform: &Platform, hosts: &[Running]) {
@@ -166,7 +169,7 @@
     println!("cargo run --bin cyclamenctl -- --host {operators} timeline");
 }
 
-/// Streams one answer to the screen.
+/// Requests a streamed answer and prints each chunk as it arrives.
 async fn print_answer(host: &Running) -> Result<(), Box<dyn Error>> {
     use http_body_util::BodyExt;
     let callers = host.context().host().callers;
@@ -177,7 +180,7 @@
     let request = http::Request::post("/v1/chat/completions")
         .body(::backend::full_body(payload.to_string().into()))?;
     let mut body = ::backend::Client::new().send(callers, request).await?.into_body();
-    println!("\nan answer:");
+    println!("\nanswer:");
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
             print!("{}", String::from_utf8_lossy(&data));
--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -1,4 +1,4 @@
-//! A deployment that routes by host and path, on embedded stand-ins.
+//! A deployment that routes by host and path, with a simulated store and servers in this process.
 
 use std::{error::Error, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_ATTEMPTS: u32 = 100;
 
-/// Starts everything, shows it, and ends on Ctrl-C.
+/// Starts servers and hosts, sends each of the requests, prints the answers, and runs until Ctrl-C.
 pub async fn show() -> Result<(), Box<dyn Error>> {
     let engine = engine();
     let backend = Backend::start(vec![
@@ -43,11 +43,11 @@
     for request in &requests {
         print_answer(callers, request).await?;
     }
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     tokio::signal::ctrl_c().await?;
-    println!("\nfinishing what is in flight ...");
+    println!("\ndraining requests in flight ...");
     futures_util::future::join_all(hosts.into_iter().map(Running::drain)).await;
-    println!("ended cleanly");
+    println!("stopped");
     Ok(())
 }
 
@@ -55,7 +55,7 @@
     let name = format!("host-{}", index + 1);
     let store = backend.store.open(&name).await?;
     let settings: Process = serde_json::from_value(site::settings(&name, index, store, &[]))?;
-    let routed = settings.routed.clone().ok_or("the settings route nothing")?;
+    let routed = settings.routed.clone().ok_or("the settings have no routed deployment")?;
     Ok(relay::start(settings, routed, Arc::new(Platform)).await?)
 }
 
@@ -67,7 +67,7 @@
     ]
 }
 
-/// The line that asks the same from a shell.
+/// Shell command that sends the same request.
 fn curl(callers: SocketAddr, spec: &Ask) -> String {
     let request = spec.again().request();
     let headers =
@@ -80,7 +80,8 @@
     format!("curl -N -X {method} {}http://{callers}{path}{body}", headers.collect::<String>())
 }
 
-/// Asks as a caller does: what did not run is asked again after the time that it is told.
+/// Sends a request and prints the answer. Retries after 503 when its `Retry-After` has passed, or
+/// [`RETRY_DELAY`] without one.
 async fn print_answer(callers: SocketAddr, request: &Ask) -> Result<(), Box<dyn Error>> {
     let mut caller = Caller::new(callers);
     for _ in 0..MAX_ATTEMPTS {
@@ -97,7 +98,7 @@
         }
         tokio::time::sleep(answer.told.retry_after.unwrap_or(RETRY_DELAY)).await;
     }
-    Err("no answer".into())
+    Err("every attempt was refused with 503".into())
 }
 
 fn engine() -> Engine {
--- a/crates/stage/examples/latency.rs
+++ b/crates/stage/examples/latency.rs
@@ -1,12 +1,13 @@
-//! What a host adds to a request, in time and in processor time.
+//! Measures the latency and processor time that a host adds to a request.
 //!
-//! Starts the host as a process of its own, so that its processor time can be told from the load's,
-//! with stand-ins in this process. Measures a plain call straight to the service and through the
-//! host, by turns; then the host's processor time for a plain call, a streamed chat and an early
-//! refusal. Loopback only, a fixed number of requests. Build the binary first:
+//! Starts the host as a process of its own, so that its processor time is separate from the load's;
+//! the simulated platform and servers run in this process. Measures plain calls directly to the
+//! service and through the host, alternating; then the host's processor time for a plain call, a
+//! streamed chat and an early refusal. Uses loopback only and a fixed number of requests. Build the
+//! program first:
 //! `cargo build --release -p cyclamenstage --bins --examples`.
 
-#![allow(clippy::print_stdout, reason = "a measurement prints its figures")]
+#![allow(clippy::print_stdout, reason = "prints its results")]
 
 use std::{
     error::Error,
@@ -38,13 +39,13 @@
 const CHATS: usize = 300;
 const TOKENS: u32 = 32;
 const REFUSALS: usize = 3000;
-/// Clock ticks in a second of processor time, as Linux counts them for user space.
+/// Clock ticks per second of the times in `/proc/<pid>/stat` (`USER_HZ` on Linux).
 const TICKS_PER_SECOND: f64 = 100.0;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 type BoxError = Box<dyn Error>;
 
-/// The host's process; killed when dropped.
+/// The measured host's process, killed when dropped.
 struct Host {
     child: Child,
     callers: SocketAddr,
@@ -58,7 +59,7 @@
 }
 
 impl Host {
-    /// Processor time used so far.
+    /// Processor time of the process so far, in user and kernel mode.
     fn cpu_time(&self) -> Result<Duration, BoxError> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
@@ -90,7 +91,8 @@
     processor_time(&client, &host).await
 }
 
-/// Calls straight and through the host by turns, so that both meet the same machine.
+/// Calls the server directly and through the host in turn, so that load from other processes
+/// affects both alike.
 async fn added_latency(client: &Http, host: &Host, server: SocketAddr) -> Result<(), BoxError> {
     let mut direct = Histogram::<u64>::new(3)?;
     let mut via_host = Histogram::<u64>::new(3)?;
@@ -138,7 +140,8 @@
         chat(client, host, "chat", TOKENS).await?;
     }
     print_cpu_time("streamed chat of 32 tokens", CHATS, host.cpu_time()? - before);
-    // The chat in front of them takes a long time; each of these is refused at once.
+    // Long chats fill the engine's slots, so that each chat after them misses its target and is
+    // refused at once.
     let blockers =
         futures_util::future::join_all((0..5).map(|_| chat(client, host, "slow", 60_000)));
     let refused = async {
@@ -157,7 +160,7 @@
     };
     tokio::select! {
         result = refused => result,
-        _ = blockers => Err("the engine became free during the refusals".into()),
+        _ = blockers => Err("the engine had a free slot during the refusals".into()),
     }
 }
 
@@ -198,10 +201,11 @@
     let file = folder.path().join("host.json");
     std::fs::write(&file, settings.to_string())?;
     let examples = std::env::current_exe()?;
-    let binary = examples.parent().and_then(|f| f.parent()).ok_or("no folder")?;
+    let binary =
+        examples.parent().and_then(|f| f.parent()).ok_or("the program has no parent directory")?;
     let mut command = Command::new(binary.join("cyclamenstage"));
     let child = command.args(["serve", "--settings"]).arg(&file).spawn()?;
-    // The process reads its settings at once; the folder goes when it has had time to.
+    // The process reads its settings when it starts; wait before the directory is deleted.
     std::thread::sleep(Duration::from_millis(500));
     Ok(Host { child, callers })
 }
@@ -214,7 +218,7 @@
             return Ok(());
         }
     }
-    Err("the host does not get ready".into())
+    Err("the host was not ready after 100 checks".into())
 }
 
 fn free_address() -> std::io::Result<SocketAddr> {
--- a/crates/stage/examples/measure.rs
+++ b/crates/stage/examples/measure.rs
@@ -1,11 +1,13 @@
-//! Measures attainment per accelerator and moves: ours against two baselines, in the same run.
+//! Compares this project's placement and routing with two baselines: share of requests within their
+//! target per accelerator, and loads and unloads of models (moves).
 //!
-//! Real hosts on loopback serve the load of ours; the baselines get simple routers in this
-//! process, which see the true state of every engine at once and pay for no host on the way.
-//! Engines, object API and weight store are stand-ins. Time is that of the machine, but a
-//! baseline's minute is shortened to [`placement::MINUTE`]. Each run ends by itself.
+//! Real hosts on loopback serve the load for this project's strategies. The baselines use simple
+//! routers in this process, which read the current state of every engine without delay and add no
+//! host to the path of a request. Engines, object API and weight store are simulated. Runs take
+//! real time, but the minute of the last-minute baseline is shortened to [`placement::MINUTE`].
+//! Each run has a fixed duration.
 
-#![allow(clippy::print_stdout, clippy::print_stderr, reason = "a measurement talks to its user")]
+#![allow(clippy::print_stdout, clippy::print_stderr, reason = "prints its results")]
 
 #[path = "measure/demand.rs"]
 mod demand;
@@ -37,22 +39,23 @@
     site::Site,
 };
 
-/// Longest time of one run, in seconds.
+/// Maximum duration of the load in one run, in seconds.
 const MAX_SECONDS: u64 = 300;
 
-/// Measures attainment per accelerator and moves against two baselines.
+/// Compares the share of requests within their target per accelerator, and moves, with two
+/// baselines.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// Whose sizes.
+    /// Deployment whose sizes and models to simulate.
     #[arg(long, value_enum, default_value = "gulf-south")]
     deployment: Deployment,
-    /// Shape of the demand.
+    /// Demand over the time of the run.
     #[arg(long, value_enum, default_value = "steady")]
     demand: Demand,
-    /// What fails.
+    /// Fault to inject during the run.
     #[arg(long, value_enum, default_value = "none")]
     faults: Faults,
-    /// Seeds, each a run of its own.
+    /// Seeds of the arrivals; one run of each strategy for each.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
     /// Seconds of load in each run.
@@ -62,16 +65,16 @@
         value_parser = clap::value_parser!(u64).range(3..=MAX_SECONDS)
     )]
     seconds: u64,
-    /// Share of the engines' capacity that the steady demand asks for.
+    /// Steady demand as a share of the engines' capacity.
     #[arg(long, default_value_t = 0.7)]
     level: f64,
-    /// Hosts in front of the servers.
+    /// Number of hosts, for the strategies that use hosts.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=8))]
     hosts: u8,
-    /// Weights of attainment and of moves, in place of the deployment's.
+    /// Weights of attainment and of moves, instead of the deployment's.
     #[arg(long, value_delimiter = ',')]
     weights: Vec<f64>,
-    /// Ways to run; all by default.
+    /// Strategies to run; all by default.
     #[arg(
         long = "ways",
         value_name = "WAYS",
@@ -80,23 +83,23 @@
         default_values = ["ours", "hosts", "static", "last-minute"]
     )]
     strategies: Vec<Strategy>,
-    /// Folder for the plot; none is drawn by default.
+    /// Directory to write the plot to; no plot by default.
     #[arg(long)]
     plots: Option<PathBuf>,
-    /// Prints JSON lines instead of the table.
+    /// Print one line of JSON for each run instead of tables.
     #[arg(long)]
     json: bool,
 }
 
-/// What fails during a run.
+/// Fault that is injected during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Faults {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One engine dies halfway and is back, empty, three seconds later.
+    /// One engine crashes halfway through the run and restarts three seconds later without models.
     Crash,
-    /// Orders to each engine are lost or taken late, two each.
+    /// For each engine one order is lost, and one is carried out three seconds late.
     Orders,
 }
 
@@ -104,18 +107,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Strategy {
-    /// Our hosts, with their planner.
+    /// Hosts of this project with their planner.
     Ours,
-    /// Our hosts with the first placement for good: what they give without moves.
+    /// Hosts of this project with the first placement kept, to measure them without moves.
     Hosts,
-    /// The first placement for good, and round robin.
+    /// Baseline: the first placement kept, and round robin over replicas.
     Static,
-    /// Placement by last minute's demand, and the least-loaded replica.
+    /// Baseline: placement by the last minute's demand, and the replica with the fewest requests in
+    /// flight.
     LastMinute,
 }
 
 impl Strategy {
-    /// Whether requests go through our hosts.
+    /// Whether requests go through hosts instead of a baseline's router.
     fn has_hosts(self) -> bool {
         matches!(self, Strategy::Ours | Strategy::Hosts)
     }
@@ -180,7 +184,7 @@
             engine.crash();
             tokio::time::sleep(DOWNTIME).await;
             if let Err(error) = engine.restart().await {
-                eprintln!("engine can't start again: {error}");
+                eprintln!("engine can't restart: {error}");
             }
         }
         Faults::Orders => site.engines.iter().for_each(|engine| {
--- a/crates/stage/examples/measure/demand.rs
+++ b/crates/stage/examples/measure/demand.rs
@@ -1,4 +1,4 @@
-//! Shapes of demand, and the arrivals that a seed makes of them.
+//! Demand over the time of a run, and the seeded random arrivals that follow it.
 
 use std::time::Duration;
 
@@ -10,21 +10,22 @@
 
 use crate::deployment::{Sizes, TOKENS};
 
-/// Shape of the demand.
+/// Demand over the time of a run, before it is multiplied by `--level`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Demand {
-    /// The same models busy all the time.
+    /// Constant: the same models are busy all the time.
     Steady,
-    /// The urgent service's demand is five times as high in the middle third.
+    /// Steady, but five times as high for the urgent service in the middle third of the run.
     LobbyRush,
-    /// After a third, the busy models turn quiet and the quiet ones busy, more than tenfold.
+    /// After a third of the run the order of the models by demand is reversed, which changes the
+    /// demand for some by more than ten times.
     Shift,
-    /// A ramp over the whole run, from three tenths of the steady demand to 1.4 times it.
+    /// Rises over the whole run from 0.3 to 1.4 times the steady demand.
     PostOffice,
 }
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: Duration,
@@ -34,7 +35,7 @@
     pub(crate) prompt: u32,
 }
 
-/// All arrivals of a run, the same for every way.
+/// All arrivals of a run in order of time; the same for every strategy with the same seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) arrivals: Vec<Arrival>,
@@ -74,7 +75,8 @@
     }
 }
 
-/// Requests a second for the model of this rank at level 1, `at` in parts of the run.
+/// Requests per second at level 1 for the model of this rank by demand; `at` is the share of the
+/// run that has passed.
 fn rate(sizes: &Sizes, demand: Demand, rank: usize, is_urgent: bool, at: f64) -> f64 {
     let models = sizes.config.models.len();
     let weight = |rank: usize| 1.0 / (rank as f64 + 1.0);
@@ -91,7 +93,8 @@
     level * sizes.engines as f64 * sizes.engine_rate() * weight(rank) / sum
 }
 
-/// Arrival times of a Poisson process whose rate changes, by thinning.
+/// Arrival times of a Poisson process with a varying rate, by thinning: draws arrivals at the
+/// maximum rate and keeps each with the probability of the current rate over the maximum.
 fn arrival_times(
     rng: &mut ChaCha8Rng,
     duration: Duration,
--- a/crates/stage/examples/measure/deployment.rs
+++ b/crates/stage/examples/measure/deployment.rs
@@ -1,4 +1,4 @@
-//! Sizes of the two deployments, as the stand-ins play them.
+//! Sizes of the two simulated deployments.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,7 +13,7 @@
     service::{Offer, Service},
 };
 
-/// A deployment.
+/// Deployment whose sizes a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Deployment {
@@ -23,7 +23,7 @@
     CoAntioquia,
 }
 
-/// What a deployment is made of.
+/// Engines, limits and configuration of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Sizes {
     pub(crate) zones: [&'static str; 4],
@@ -38,7 +38,7 @@
     pub(crate) config: config::Config,
 }
 
-/// Tokens of an answer, in the mean.
+/// Mean number of tokens in an answer.
 pub(crate) const TOKENS: u32 = 24;
 
 const CAPACITY: Mebibytes = 80_000;
@@ -89,7 +89,7 @@
     memory: [Mebibytes; 3],
 }
 
-/// Every other model serves the urgent service, the rest the one that may wait.
+/// Offers every other model by the urgent service, and the rest by the service of normal priority.
 fn config(
     weights: config::Weights,
     group: &str,
@@ -142,12 +142,12 @@
 }
 
 impl Sizes {
-    /// Requests a second that one engine serves when it is always busy.
+    /// Requests per second that an engine with all slots in use serves.
     pub(crate) fn engine_rate(&self) -> f64 {
         f64::from(self.slots) / (self.step.as_secs_f64() * f64::from(TOKENS))
     }
 
-    /// The service that offers a model.
+    /// Finds the first service that offers a model.
     pub(crate) fn service(&self, model: &model::Id) -> Option<(&service::Id, &Service)> {
         self.config.services.iter().find(|(_, service)| match &service.offer {
             Offer::Models(models) => models.contains(model),
--- a/crates/stage/examples/measure/load.rs
+++ b/crates/stage/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Callers: an open loop of requests, each timed to its first and last token.
+//! Open-loop load: sends each request at its scheduled time, and measures its first and last token.
 
 use std::{
     collections::BTreeMap,
@@ -23,10 +23,10 @@
     site::Site,
 };
 
-/// Longest wait for an answer.
+/// Time after which a caller gives up a request.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Arrivals by model, shared with the mover of models.
+/// Number of arrivals of each model, shared with the baseline's planner.
 pub(crate) struct ArrivalCounts(BTreeMap<model::Id, AtomicU64>);
 
 impl ArrivalCounts {
@@ -36,7 +36,7 @@
         )
     }
 
-    /// Arrivals since this was last asked.
+    /// Returns the arrivals since the last call, and resets them.
     pub(crate) fn take(&self) -> BTreeMap<model::Id, u64> {
         self.0.iter().map(|(id, count)| (id.clone(), count.swap(0, Ordering::Relaxed))).collect()
     }
@@ -48,25 +48,25 @@
     }
 }
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum End {
-    /// Answered whole: time to the first token and mean time between tokens.
+    /// Answered completely: time to the first token and mean time between tokens.
     Answered { first: Duration, between: Duration },
-    /// Refused, with the cause.
+    /// Refused: the type of the problem document, the HTTP status, or `no replica`.
     Refused(String),
-    /// Cut short, broken or given up, with the cause.
+    /// Failed, truncated or timed out, with the cause.
     Failed(String),
 }
 
-/// A request with its end.
+/// A request and its result.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
     pub(crate) arrival: Arrival,
     pub(crate) end: End,
 }
 
-/// Plays a schedule and waits for every end.
+/// Sends the requests of a schedule and waits until all have ended. Sorts them by time of arrival.
 pub(crate) async fn run_schedule(
     site: &Arc<Site>,
     schedule: &Schedule,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Reads a stream of events to its end mark.
+/// Reads a stream of events to its end, and checks for an error event and the end marker.
 async fn read_stream(response: ::backend::Streamed, started: Instant) -> End {
     let mut body = response.into_body();
     let mut text = Vec::new();
@@ -152,7 +152,7 @@
     }
 }
 
-/// The type of a problem document.
+/// Returns the `type` of a problem document, or `unknown`.
 fn problem_type(text: &str) -> String {
     let problem: Value = serde_json::from_str(text.trim()).unwrap_or_default();
     problem["type"].as_str().map_or_else(|| "unknown".into(), str::to_owned)
--- a/crates/stage/examples/measure/placement.rs
+++ b/crates/stage/examples/measure/placement.rs
@@ -1,7 +1,7 @@
-//! A planner of last minute's demand, the baseline.
+//! The baseline's planner, which places models by the last minute's demand.
 //!
-//! Orders go to the engines by HTTP, as a host's planner gives them. Our own moves are made by
-//! the planner's duty of the hosts, through the ledgers.
+//! It sends orders to the engines by HTTP, as a host's planner does. For the strategies with hosts,
+//! the hosts plan and this module does nothing.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -19,13 +19,13 @@
 
 use crate::{Strategy, deployment::Sizes, load::ArrivalCounts, site::Site};
 
-/// A minute of the last-minute planner, shortened so that a run holds several.
+/// Period over which the baseline counts demand. Shorter than a minute, so that a run has several.
 pub(crate) const MINUTE: Duration = Duration::from_secs(6);
 
 const TICK: Duration = Duration::from_millis(500);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Starts the mover of models, if the way has one.
+/// Starts the baseline's planner for [`Strategy::LastMinute`]; does nothing for the others.
 pub(crate) fn spawn(
     site: &Arc<Site>,
     sizes: &Sizes,
@@ -58,7 +58,8 @@
 }
 
 impl Placer {
-    /// Reads every engine's report; one that does not answer is suspected.
+    /// Reads the load report of every engine, and marks an engine as suspected that doesn't answer
+    /// within [`REPORT_TIMEOUT`].
     async fn read_reports(&mut self) {
         let servers = self.site.servers.clone();
         let client = &self.client;
@@ -95,11 +96,11 @@
             incarnation: 1,
             action,
         };
-        // A lost order shows in the next report, and the plan made from it asks again.
+        // If an order is lost, the next report lacks its effect and the next step sends it again.
         let _ = self.client.order(server.address, &order).await;
     }
 
-    /// Each model's work in engines' worth, from arrivals counted over `period`.
+    /// Number of fully used engines that each model's arrivals over `period` amount to.
     fn work(
         &self,
         arrivals: &BTreeMap<model::Id, u64>,
@@ -125,8 +126,8 @@
     }
 }
 
-/// Each minute, gives every model replicas in proportion to the demand of the last one, as many
-/// as memory holds, and moves at once to what that asks for.
+/// After each [`MINUTE`], sets the number of replicas of each model in proportion to the demand in
+/// it, as many as fit in memory. Each tick loads and unloads towards these numbers.
 async fn last_minute(mut placer: Placer) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -146,7 +147,8 @@
     }
 }
 
-/// Replicas of each model in proportion to its work, within nine tenths of all memory.
+/// Number of replicas of each model in proportion to its work, within nine tenths of all memory.
+/// Each model has at least one.
 fn replicas(sizes: &Sizes, work: &BTreeMap<model::Id, f64>) -> BTreeMap<model::Id, usize> {
     let models = &sizes.config.models;
     let mut targets: BTreeMap<model::Id, usize> = models.keys().map(|id| (id.clone(), 1)).collect();
@@ -172,7 +174,8 @@
 }
 
 impl Placer {
-    /// One step towards this many replicas: unloads above it, loads below it where memory allows.
+    /// One step towards this many replicas: unloads one if there are more, or loads one if there
+    /// are fewer and an engine has enough memory.
     async fn scale_towards(&mut self, id: &model::Id, count: usize) {
         let Some(model) = self.sizes.config.models.get(id).cloned() else { return };
         let holders: Vec<backend::Id> = self.holders(id, |_| true);
--- a/crates/stage/examples/measure/plot.rs
+++ b/crates/stage/examples/measure/plot.rs
@@ -1,4 +1,4 @@
-//! Attainment over the time of the run, as SVG.
+//! Plots the share of requests within their target over the time of a run, as SVG.
 
 use std::{
     error::Error,
@@ -11,7 +11,7 @@
 
 const SIZE: (u32, u32) = (900, 420);
 
-/// Draws the first seed's runs into one picture, and returns where it is.
+/// Draws all runs of the first seed into one file, and returns its path.
 pub(crate) fn draw(folder: &Path, reports: &[Report]) -> Result<PathBuf, Box<dyn Error>> {
     let first = reports.first().ok_or("no run")?;
     let title = format!("{:?}, {:?}, faults {:?}", first.deployment, first.demand, first.faults);
--- a/crates/stage/examples/measure/report.rs
+++ b/crates/stage/examples/measure/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, as JSON and as tables.
+//! Results of runs, as JSON and as tables.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     load::{End, Outcome},
 };
 
-/// Figures of one run.
+/// Results of one run, as printed with `--json`.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Report {
     pub(crate) deployment: Deployment,
@@ -24,20 +24,20 @@
     pub(crate) strategy: Strategy,
     pub(crate) seed: u64,
     pub(crate) requests: usize,
-    /// Share of requests that met their target.
+    /// Share of requests that were answered within their target.
     pub(crate) attainment: f64,
-    /// The same for each accelerator.
+    /// Attainment divided by the number of engines.
     pub(crate) attainment_per_accelerator: f64,
-    /// Loads and unloads, as the engines counted them.
+    /// Loads and unloads of models, counted by the engines.
     pub(crate) moves: u64,
     pub(crate) services: BTreeMap<service::Id, Service>,
     pub(crate) refusals: BTreeMap<String, usize>,
     pub(crate) failures: BTreeMap<String, usize>,
-    /// Requests and those that met their target, in each second of the run.
+    /// Results by second of arrival.
     pub(crate) seconds: Vec<Second>,
 }
 
-/// Figures of one service.
+/// Results of one service; the times cover answered requests only.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Service {
     pub(crate) requests: usize,
@@ -47,7 +47,7 @@
     pub(crate) first_token_p99_ms: u64,
 }
 
-/// Figures of one second.
+/// Number of requests that arrived in one second, and of those that met their target.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct Second {
     pub(crate) requests: usize,
@@ -119,7 +119,7 @@
     services.collect()
 }
 
-/// First-token times of the answered, in milliseconds.
+/// Times to the first token of answered requests, in milliseconds.
 fn first_token_times(outcomes: &[&Outcome]) -> Histogram<u64> {
     const LARGEST_MS: u64 = 60_000;
     const DIGITS: u8 = 3;
@@ -163,7 +163,7 @@
     failed: String,
 }
 
-/// One line for each run.
+/// Table with a row for each run.
 pub(crate) fn table(reports: &[Report]) -> String {
     let rows = reports.iter().map(|report| Row {
         strategy: name(report.strategy),
@@ -204,7 +204,8 @@
     moves: String,
 }
 
-/// Medians, the lower of two, and ranges over the seeds.
+/// Table with the median and range over the seeds for each strategy; the median of an even number
+/// of runs is the lower of the middle two.
 pub(crate) fn summary(reports: &[Report]) -> String {
     let strategies = [Strategy::Ours, Strategy::Hosts, Strategy::Static, Strategy::LastMinute];
     let rows = strategies.into_iter().filter_map(|strategy| {
--- a/crates/stage/examples/measure/route.rs
+++ b/crates/stage/examples/measure/route.rs
@@ -1,4 +1,4 @@
-//! The way of a request: through a host, or straight to an engine by a baseline's router.
+//! Chooses the address of a request: a host, or an engine chosen by a baseline's router.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 
 use crate::{Strategy, demand::Arrival, site::Site};
 
-/// Chooses where a request goes.
+/// Chooses hosts in turn, or an engine by the baseline's rule.
 pub(crate) struct Router {
     site: Arc<Site>,
     strategy: Strategy,
@@ -20,7 +20,7 @@
     in_flight: Vec<Arc<AtomicU32>>,
 }
 
-/// A chosen way, which counts as in flight until dropped.
+/// The address chosen for a request, which counts as in flight at its engine until dropped.
 pub(crate) struct Route {
     pub(crate) address: SocketAddr,
     in_flight: Option<Arc<AtomicU32>>,
@@ -40,7 +40,8 @@
         Router { site: site.clone(), strategy, next: AtomicUsize::new(0), in_flight }
     }
 
-    /// Where this request goes; none if no engine has its model ready.
+    /// Chooses the address for a request; none if the strategy has no hosts and no engine has the
+    /// model ready.
     pub(crate) fn choose(&self, arrival: &Arrival) -> Option<Route> {
         let next = self.next.fetch_add(1, Ordering::Relaxed);
         if self.strategy.has_hosts() {
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -1,4 +1,4 @@
-//! The site of one run: platform, engines and hosts in this process, on loopback.
+//! Platform, engines and hosts of one run, in this process and on loopback.
 
 use std::{collections::BTreeMap, error::Error, net::Ipv4Addr, time::Duration};
 
@@ -24,24 +24,26 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const PLANNING_ROUNDS: usize = 64;
 
-/// Between rounds of planning.
+/// Interval of the hosts' planning.
 const PLAN_INTERVAL_MS: u64 = 500;
 
-/// Longer than any run: no round after the first, which finds nothing to do.
+/// Planning interval without moves: longer than any run, so that hosts plan only once, when the
+/// first placement needs no change.
 const NEVER_MS: u64 = 3_600_000;
 
-/// A running site.
+/// Running platform, engines and hosts.
 pub(crate) struct Site {
     pub(crate) engines: Vec<Engine>,
     pub(crate) servers: Vec<Server>,
     hosts: Mutex<Vec<Running>>,
-    /// Where callers reach the hosts.
+    /// Addresses at which the hosts take callers' requests; empty without hosts.
     pub(crate) callers: Vec<std::net::SocketAddr>,
     _platform: Platform,
 }
 
 impl Site {
-    /// Starts everything with the models placed, and waits until the hosts see it.
+    /// Starts the platform, engines with the first placement loaded, and hosts if the strategy has
+    /// them. Waits until the hosts are ready and have reports of all engines.
     pub(crate) async fn start(
         sizes: &Sizes,
         hosts: u8,
@@ -70,7 +72,9 @@
             let host = Host { id, zone, callers: any_port, peers: any_port, operators: any_port };
             let settings = json!({
                 "host": host, "platform": platform.address(), "drain": {"balancer_ms": 0},
-                "intervals": {"plan_ms": if strategy == Strategy::Ours { PLAN_INTERVAL_MS } else { NEVER_MS }},
+                "intervals": {
+                    "plan_ms": if strategy == Strategy::Ours { PLAN_INTERVAL_MS } else { NEVER_MS },
+                },
                 "planning": {
                     "loads_per_second": sizes.limits.loads_per_second,
                     "loads_at_once": sizes.limits.at_once,
@@ -84,19 +88,19 @@
         Ok(Site { engines, servers, hosts: Mutex::new(running), callers, _platform: platform })
     }
 
-    /// Loads and unloads that the engines took.
+    /// Number of loads and unloads that the engines accepted.
     pub(crate) fn moves(&self) -> u64 {
         self.engines.iter().map(|engine| engine.counts().moves).sum()
     }
 
-    /// Ends the hosts in order.
+    /// Drains and stops the hosts.
     pub(crate) async fn stop(&self) {
         let hosts: Vec<Running> = self.hosts.lock().await.drain(..).collect();
         futures_util::future::join_all(hosts.into_iter().map(Running::drain)).await;
     }
 }
 
-/// The planner's own placement of the models at no demand, as a start for every way.
+/// Placement by the hosts' planner without demand, with which every strategy starts.
 fn first_placement(sizes: &Sizes) -> BTreeMap<backend::Id, Vec<(Unit, Mebibytes)>> {
     let mut planner = Planner::new(Limits::NONE);
     planner.configure(&sizes.config);
@@ -171,5 +175,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| "hosts did not get ready")
+    tokio::time::timeout(READY_TIMEOUT, waiting)
+        .await
+        .map_err(|_| "the hosts were not ready within 20 s")
 }
--- a/crates/stage/examples/rush.rs
+++ b/crates/stage/examples/rush.rs
@@ -1,10 +1,12 @@
-//! A lobby rush: guests ask for ten times what the engines can serve, while staff chats run.
+//! Compares admission policies in an overload: guests send ten times what the engines can serve,
+//! while staff chats run.
 //!
-//! Runs the same seeded arrivals against each way to admit and limit, one after the other, and
-//! prints what became of the guests and the staff before, during and after the rush. Two hosts and
-//! two engines in this process, loopback only, about fourteen seconds for each way.
+//! Runs the same seeded arrivals with each setting of admission and concurrency limit, one after
+//! the other, and prints how many guest and staff requests met their target before, during and
+//! after the overload. Two hosts and two engines run in this process, on loopback only; each run
+//! takes about fourteen seconds.
 
-#![allow(clippy::print_stdout, reason = "a measurement prints its figures")]
+#![allow(clippy::print_stdout, reason = "prints its results")]
 
 use std::{
     error::Error,
@@ -39,25 +41,25 @@
 const SLOTS: u32 = 8;
 const STEP: Duration = Duration::from_millis(10);
 const TOKENS: u32 = 32;
-/// What the engines can serve each second.
+/// Requests per second that the engines can serve.
 const CAPACITY: f64 = 1000.0 * (ENGINES as u32 * SLOTS) as f64 / (10 * TOKENS) as f64;
 const GUEST_TARGET: Duration = Duration::from_millis(400);
 const STAFF_TARGET: Duration = Duration::from_secs(2);
-/// How long a caller stays before it gives up.
+/// Time after which a caller gives up, also sent to the host as the deadline.
 const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Parts of the run with the guests' demand as a multiple of the capacity.
+/// Phases of a run: name, the guests' demand as a multiple of [`CAPACITY`], and duration.
 const PHASES: [(&str, f64, Duration); 3] = [
     ("before", 0.5, Duration::from_secs(3)),
     ("rush", 10.0, Duration::from_secs(5)),
     ("after", 0.5, Duration::from_secs(6)),
 ];
-/// The staff's demand as a multiple of the capacity.
+/// The staff's demand as a multiple of [`CAPACITY`], in all phases.
 const STAFF_DEMAND: f64 = 0.2;
 
 #[derive(Parser)]
 struct Flags {
-    /// Seed of the arrivals.
+    /// Seed for the arrival times.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -68,7 +70,7 @@
     Staff,
 }
 
-/// What became of one request.
+/// Result of one request: its phase, and the time to the first token if it was answered.
 struct Sample {
     phase: usize,
     caller: Caller,
@@ -148,7 +150,7 @@
     Ok(samples)
 }
 
-/// Sends each request at its moment, and waits for them all.
+/// Sends each request at its scheduled time, and waits until all have ended.
 async fn arrivals(hosts: &[SocketAddr], seed: u64) -> Vec<Sample> {
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let client = Arc::new(client);
@@ -172,7 +174,8 @@
     results.into_iter().filter_map(Result::ok).collect()
 }
 
-/// Poisson arrivals of guests and staff.
+/// Poisson arrivals of guests and staff: time since the start of the run, phase and caller, by
+/// time.
 fn schedule(seed: u64) -> Vec<(Duration, usize, Caller)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
@@ -197,7 +200,8 @@
     arrivals
 }
 
-/// The answer once its first token is there, or the status of a refusal.
+/// Returns the body once the first token has arrived. Otherwise the error is the status, or none if
+/// there was no response in time.
 async fn ask(
     client: &Http,
     host: SocketAddr,
@@ -219,7 +223,7 @@
         .map_err(|_| None)?;
     let answer = tokio::time::timeout(TIMEOUT, client.request(request)).await;
     let response = answer.map_err(|_| None)?.map_err(|_| None)?;
-    // The host sends the head with the first token.
+    // The host sends the response head together with the first token.
     match response.status().as_u16() {
         200 => Ok(response.into_body()),
         status => Err(Some(status)),
--- a/crates/stage/examples/slopes.rs
+++ b/crates/stage/examples/slopes.rs
@@ -1,11 +1,12 @@
-//! Measures how state, messages and processor time grow, and reads the fits at the target's size.
+//! Measures how state, messages and processor time grow with size, and their values at the target
+//! size.
 //!
-//! Each row has at least three sizes and a line fitted to them by least squares. What grows
-//! faster than the line shows by its fit; the figure at the target is then measured, not read off,
-//! wherever the target's size is among the sizes. Memory is what the
-//! allocator counts before and after several copies were made; bytes are those of the JSON that goes over the wire.
+//! Each row has at least three sizes and a line fitted to them by least squares. The R² of the fit
+//! shows what grows faster than linearly. If the target size is among the sizes, its value is the
+//! measured one, otherwise that of the line. Memory is the difference of the allocator's count
+//! before and after several copies are made; bytes are those of the JSON sent over the network.
 
-#![allow(clippy::print_stdout, reason = "a measurement talks to its user")]
+#![allow(clippy::print_stdout, reason = "prints its results")]
 
 #[path = "slopes/control.rs"]
 mod control;
--- a/crates/stage/examples/slopes/control.rs
+++ b/crates/stage/examples/slopes/control.rs
@@ -1,4 +1,4 @@
-//! Configuration, host list, and the ring of events.
+//! Sizes and times of the configuration, host list, ring of events and page of metrics.
 
 use std::{net::Ipv4Addr, time::Duration};
 
@@ -112,7 +112,7 @@
     })
 }
 
-/// Bytes of the page when every service has seen each kind of end.
+/// Bytes of the page of metrics when every service has answered, refused and retried requests.
 fn metrics_page_bytes(services: usize) -> Result<f64, BoxError> {
     let metrics = Metrics::new()?;
     for n in 0..services {
--- a/crates/stage/examples/slopes/fit.rs
+++ b/crates/stage/examples/slopes/fit.rs
@@ -1,15 +1,15 @@
-//! Points, lines through them, and the process's memory.
+//! Rows of the table, least-squares fits, and measurement of time and allocated memory.
 
 use std::{alloc::System, hint::black_box, time::Instant};
 
 use cap::Cap;
 use tabled::Tabled;
 
-/// Counts what is allocated.
+/// Counts the bytes that the process has allocated.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// A measured growth.
+/// One measured quantity: its values by size, the fitted line, and the value at the target size.
 #[derive(Tabled)]
 pub(crate) struct Row {
     what: String,
@@ -22,11 +22,12 @@
     target: String,
 }
 
-/// One size with what was measured there.
+/// A size and the value measured at it.
 pub(crate) type Point = (f64, f64);
 
 impl Row {
-    /// Fits a line, and reads it at `target` unless that was measured.
+    /// Fits a line to the points. The value at `target` is the measured one if there is one,
+    /// otherwise that of the line.
     pub(crate) fn new(
         what: impl Into<String>,
         unit: &'static str,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Base, slope and R² of the line of least squares.
+/// Intercept, slope and R² of the least-squares line.
 fn line(points: &[Point]) -> (f64, f64, f64) {
     let count = points.len() as f64;
     let mean = |of: fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
@@ -74,7 +75,7 @@
     }
 }
 
-/// Least mean time of one call in microseconds, over several rounds.
+/// Mean time of a call in microseconds, in the fastest of several rounds.
 pub(crate) fn micros<T>(rounds: u32, calls: u32, mut call: impl FnMut() -> T) -> f64 {
     let round = |_| {
         let started = Instant::now();
@@ -84,7 +85,7 @@
     (0..rounds).map(round).fold(f64::INFINITY, f64::min)
 }
 
-/// Kibibytes of allocated memory that one of several copies takes.
+/// Mean allocated memory of one of several copies, in KiB.
 pub(crate) fn kibibytes<T>(copies: usize, make: impl Fn() -> T) -> f64 {
     let mut kept: Vec<T> = Vec::with_capacity(copies);
     let before = ALLOCATOR.allocated();
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -1,4 +1,4 @@
-//! Planning: state and time, at 950 models on 770 servers and in proportion below.
+//! Planner's memory and time at 950 models on 770 servers, and at smaller sizes in proportion.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -45,7 +45,7 @@
     ]
 }
 
-/// A configuration of this many models.
+/// Configuration of this many models with [`ADAPTERS`] adapters each, in [`GROUPS`] groups.
 pub(crate) fn config(models: usize) -> config::Config {
     let models = (0..models).map(|n| {
         let adapters = (0..ADAPTERS)
@@ -155,7 +155,7 @@
     })
 }
 
-/// Loads that make up for a lost zone.
+/// Number of loads that the planner orders when all engines of [`LOST_ZONE`] are removed.
 fn loads_after_zone_loss(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
     for engine in lost_engines(placed) {
@@ -165,7 +165,7 @@
     moves.iter().filter(|planned| planned.is_load()).count() as f64
 }
 
-/// Models all of whose replicas stood in the lost zone.
+/// Number of models that only engines in [`LOST_ZONE`] had loaded.
 fn unreachable(placed: &Placement) -> f64 {
     let holds = |engine: &Engine, id: &model::Id| {
         engine.residents.iter().any(|resident| resident.unit.model() == id)
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -1,4 +1,4 @@
-//! Claims of keys and quarantine: bytes of the objects, and the time to build one write.
+//! Objects of idempotency keys and of the quarantine: size, and time to build one write of claims.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -69,7 +69,7 @@
     Document { entries: entries.collect(), hold: None, gaps: Vec::new() }
 }
 
-/// Time of `claims` claims on a range whose object is as given: read, step, write.
+/// Time in microseconds to read an object, add this many claims of keys, and build the write.
 fn claim_time(document: &Document, claims: u64) -> f64 {
     let settings = Arc::new(Settings::default());
     let calls = 20;
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -1,4 +1,4 @@
-//! Routing state, the decision on one request, and the intake of one load report.
+//! Memory of the routing state, and time to route a request and to apply a load report.
 
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
@@ -125,7 +125,7 @@
     serde_json::to_vec(&ledger).map_or(0.0, |bytes| bytes.len() as f64)
 }
 
-/// Admit, choose, account, for one request.
+/// Time in microseconds to admit a request, choose its server, and record its answer and end.
 fn decision_time(servers: u32) -> f64 {
     let state = RefCell::new((traffic(servers), 0, NOW));
     micros(5, 20_000, || {
