--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -135,14 +135,14 @@
     let site = site(1).await;
     site.backend.script(|script| script.work = Duration::from_millis(800));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&page()).await });
+    let pending = tokio::spawn(async move { caller.ask(&page()).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     let mut declared = declaration();
     declared.version += 1;
     declared.routes.remove(0);
     site.backend.declare(&declared);
     site.seen().await;
-    let answer = asking.await.unwrap().unwrap();
+    let answer = pending.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
 }
 
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -30,9 +30,11 @@
     // A host has no retry budget until its registration is in the store.
     until("the host may retry", async || {
         let text = metrics(&site.hosts[0]).await;
-        let left =
+        let retry_budget =
             |service| value(&text, &format!("cyclamenstage_routed_budget{{service={service:?}}}"));
-        ["app", "lm"].into_iter().all(|service| left(service).is_some_and(|left| 1.0 <= left))
+        ["app", "lm"]
+            .into_iter()
+            .all(|service| retry_budget(service).is_some_and(|budget| 1.0 <= budget))
     })
     .await;
     for id in ["app-1", "lm-1"] {
@@ -214,9 +216,9 @@
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&request).await });
+    let pending = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 1).await;
-    asking.abort();
+    pending.abort();
     until("the server sees that the caller has closed the connection", async || {
         let runs = site.backend.servers.iter().flat_map(|server| server.runs());
         runs.into_iter().all(|run| run.ending == Some(Ending::Left))
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -126,8 +126,8 @@
     site.hosts[index].signal(Signal::SIGSTOP);
     wait_for_handover(&site, &site.hosts[index].name).await;
     site.hosts[index].signal(Signal::SIGCONT);
-    let before = orders(&site).len();
-    until("more orders are sent", async || before + 20 < orders(&site).len()).await;
+    let orders_before = orders(&site).len();
+    until("more orders are sent", async || orders_before + 20 < orders(&site).len()).await;
     check_orders(&site);
 }
 
@@ -142,8 +142,8 @@
     site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = Some(refusal));
     wait_for_handover(&site, &site.hosts[index].name).await;
     site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = None);
-    let before = orders(&site).len();
-    until("more orders are sent", async || before + 20 < orders(&site).len()).await;
+    let orders_before = orders(&site).len();
+    until("more orders are sent", async || orders_before + 20 < orders(&site).len()).await;
     check_orders(&site);
 }
 
@@ -159,8 +159,8 @@
     holder_index(&site).await;
     for _ in 0..3 {
         site.backend.store.everywhere(change);
-        let before = orders(&site).len();
-        until("more orders are sent", async || before + 20 < orders(&site).len()).await;
+        let orders_before = orders(&site).len();
+        until("more orders are sent", async || orders_before + 20 < orders(&site).len()).await;
     }
     check_orders(&site);
 }
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -2,10 +2,11 @@
 //!
 //! The tests guard against hosts that use an old declaration or list of servers after the store is
 //! back. All hosts watch from the same moment. The store stops answering, the watches time out and
-//! are sent again during the outage; the store then answers every other call, but these watches
-//! stay unanswered until they time out (5.8 s after they were sent, up to 4.7 s after the store
-//! is back). As the watches of all hosts are stalled alike, no host can inform another. Hosts then
-//! routed by an old declaration 3 s after the operators had the confirmation of a newer one.
+//! are sent again during the outage; the store then answers every other call within milliseconds
+//! and takes newer declarations, but these watches stay unanswered until they time out (5.8 s after
+//! they were sent, up to 4.7 s after the store is back). As the watches of all hosts are stalled
+//! alike, no host can inform another. Hosts then routed by an old declaration 3 s after the
+//! operators had the confirmation of a newer one.
 
 use std::time::Duration;
 
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -39,11 +39,11 @@
     site.backend.server("app-2").leave(None);
     site.seen().await;
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&ticket()).await });
+    let pending = tokio::spawn(async move { caller.ask(&ticket()).await });
     until("the request runs", async || server.running() == 1).await;
     server.leave(None);
     site.seen().await;
-    let answer = asking.await.unwrap().unwrap();
+    let answer = pending.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
 }
 
@@ -57,7 +57,7 @@
     site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&request).await });
+    let pending = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
 
     site.hosts[0].signal(Signal::SIGTERM);
@@ -69,7 +69,7 @@
     assert_eq!((late.status, late.whole), (StatusCode::OK, true));
     assert!(late.closes(), "a persistent connection isn't closed by a stopping host");
 
-    let answer = asking.await.unwrap().unwrap();
+    let answer = pending.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
     let ended = site.hosts[0].ended().await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
@@ -84,13 +84,13 @@
     site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&request).await });
+    let pending = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
         until("the host logs the signal", async || site.hosts[0].logged("reload asked for")).await;
     }
-    let answer = asking.await.unwrap().unwrap();
+    let answer = pending.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
     assert_eq!((idle.connections(), site.hosts[0].runs()), (1, true));
