--- a/crates/stage/examples/cost.rs
+++ b/crates/stage/examples/cost.rs
@@ -1,10 +1,11 @@
-//! Measures what a host spends: processor, memory and bytes, idle by fleet size, and under load.
+//! Measures the processor time, memory and traffic of a host: idle by fleet size, and under load.
 //!
-//! One host runs as a process of its own, so that its processor time and memory are its own; the
-//! other hosts run in this process, with the stand-ins, and the bytes are those that the first of
-//! them counts on its connections. Bounded in time; ends its process by itself.
+//! The measured host runs as a process of its own, so that its processor time and memory can be
+//! read from `/proc`. The other hosts and the simulated engines and platform run in this process.
+//! The bytes are those that the first of the other hosts counts on its connections to hosts. Each
+//! run has a fixed duration, and the host's process is killed at its end.
 
-#![allow(clippy::print_stdout, reason = "a measurement talks to its user")]
+#![allow(clippy::print_stdout, reason = "prints its results")]
 
 use std::{
     error::Error,
@@ -30,41 +31,42 @@
     host::{Entry, Host, List, Listed},
 };
 
-/// Clock ticks a second in which Linux counts processor time for programs.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second of the times in `/proc/<pid>/stat` (`USER_HZ` on Linux).
+const TICKS_PER_SECOND: f64 = 100.0;
 
 const MODELS: usize = 4;
-/// Tokens of an answer.
-const ANSWER: u32 = 50;
+/// Tokens in each answer of the load.
+const ANSWER_TOKENS: u32 = 50;
 
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Measures what a host spends, idle and under load.
+/// Measures the processor time, memory and traffic of a host, idle and under load.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// The host's program.
+    /// Path of the `cyclamenstage` program.
     #[arg(long)]
     binary: PathBuf,
-    /// Numbers of servers, each a run of its own.
+    /// Numbers of servers; one run with two hosts for each.
     #[arg(long, value_delimiter = ',', default_value = "12,24,48,96")]
     servers: Vec<usize>,
-    /// Numbers of hosts, each a run of its own with the first number of servers.
+    /// Numbers of hosts; one run with the first number of servers for each.
     #[arg(long, value_delimiter = ',', default_value = "2,4,8")]
     hosts: Vec<usize>,
-    /// Rates of tokens a second, each a run of its own with the first number of servers.
+    /// Rates of load in tokens per second; one run with two hosts and the first number of servers
+    /// for each.
     #[arg(long, value_delimiter = ',', default_value = "500,1000,2000")]
     tokens: Vec<u64>,
-    /// Seconds of each run.
+    /// Measured duration of each run, in seconds.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=60))]
     seconds: u64,
 }
 
-/// Ends its process when dropped.
+/// A child process, killed when dropped.
 struct Spawned(Child);
 
 impl Drop for Spawned {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -74,7 +76,8 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     let flags = Flags::parse();
     println!(
-        "| servers | hosts | tokens/s | processor, % of a core | resident, MiB | received, KB/s | sent, KB/s | object API calls/s |"
+        "| servers | hosts | tokens/s | processor, % of a core | resident, MiB | received, KB/s | \
+         sent, KB/s | object API calls/s |"
     );
     println!("|---|---|---|---|---|---|---|---|");
     for servers in &flags.servers {
@@ -115,9 +118,9 @@
     }
     let mut running = Vec::new();
     for n in 1..hosts {
-        running.push(stage::start(settings(n, any(), &platform)?).await?);
+        running.push(stage::start(settings(n, ephemeral_addresses(), &platform)?).await?);
     }
-    let ports = [free()?, free()?, free()?];
+    let ports = [free_address()?, free_address()?, free_address()?];
     let own = settings(0, ports, &platform)?;
     let folder = tempfile::tempdir()?;
     let file = folder.path().join("settings.json");
@@ -133,12 +136,12 @@
     let child = Spawned(child);
     platform.set_list(list(&own.host, &running, &engines));
     let load = tokio::spawn(load(own.host.callers, tokens));
-    tokio::time::sleep(SETTLE).await;
-    let (ticks, bytes, calls) = (processor(&child)?, bytes(&running), calls(&platform));
-    let length = Duration::from_secs(flags.seconds);
-    tokio::time::sleep(length).await;
-    let seconds = length.as_secs_f64();
-    let spent = (processor(&child)? - ticks) / TICKS / seconds * 100.0;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (ticks, bytes, calls) = (cpu_ticks(&child)?, bytes(&running), calls(&platform));
+    let duration = Duration::from_secs(flags.seconds);
+    tokio::time::sleep(duration).await;
+    let seconds = duration.as_secs_f64();
+    let spent = (cpu_ticks(&child)? - ticks) / TICKS_PER_SECOND / seconds * 100.0;
     let now = self::bytes(&running);
     let rate = |from: u64, to: u64| (to - from) as f64 / 1000.0 / seconds;
     println!(
@@ -154,23 +157,24 @@
     Ok(())
 }
 
-/// Streams answers through the host at this rate of tokens a second, for good.
+/// Requests streamed answers through the host at this rate of tokens per second, until aborted.
 async fn load(callers: SocketAddr, tokens: u64) {
     if tokens == 0 {
         return;
     }
     let client = ::backend::Client::new();
-    let gap = Duration::from_secs(1) * ANSWER / u32::try_from(tokens).unwrap_or(u32::MAX);
+    let gap = Duration::from_secs(1) * ANSWER_TOKENS / u32::try_from(tokens).unwrap_or(u32::MAX);
     let mut ticks = tokio::time::interval(gap);
-    let mut callers_waiting = JoinSet::new();
+    let mut requests = JoinSet::new();
     for serial in 0_usize.. {
         ticks.tick().await;
         let client = client.clone();
-        callers_waiting.spawn(async move {
-            // A refusal or a cut answer only makes the load smaller, which the host's figures show.
+        requests.spawn(async move {
+            // A refused or truncated answer only reduces the load, which shows in the host's
+            // results.
             let _ = ask(&client, callers, serial).await;
         });
-        while callers_waiting.try_join_next().is_some() {}
+        while requests.try_join_next().is_some() {}
     }
 }
 
@@ -179,12 +183,12 @@
     callers: SocketAddr,
     serial: usize,
 ) -> Result<(), Box<dyn Error + Send + Sync>> {
-    let question = json!({
-        "model": model(serial % MODELS), "stream": true, "max_tokens": ANSWER,
+    let payload = json!({
+        "model": model(serial % MODELS), "stream": true, "max_tokens": ANSWER_TOKENS,
         "messages": [{"role": "user", "content": format!("letter {serial}")}],
     });
     let request = http::Request::post("/v1/chat/completions")
-        .body(::backend::full_body(question.to_string().into()))?;
+        .body(::backend::full_body(payload.to_string().into()))?;
     let mut body = client.send(callers, request).await?.into_body();
     while let Some(frame) = body.frame().await {
         frame?;
@@ -196,12 +200,12 @@
     format!("model-{n}")
 }
 
-fn any() -> [SocketAddr; 3] {
+fn ephemeral_addresses() -> [SocketAddr; 3] {
     [(Ipv4Addr::LOCALHOST, 0).into(); 3]
 }
 
-/// An address that was free a moment ago.
-fn free() -> std::io::Result<SocketAddr> {
+/// Returns an address whose port was free when this was called; another process may take it since.
+fn free_address() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
@@ -234,7 +238,7 @@
     List { hosts: hosts.collect(), servers: servers.collect() }
 }
 
-/// Bytes received and sent by the first of these hosts.
+/// Bytes received and sent by the first of these hosts on its connections to hosts.
 fn bytes(hosts: &[Running]) -> (u64, u64) {
     let meter = hosts.first().map(|host| &host.context().control_bytes);
     meter.map_or((0, 0), |meter| (meter.received(), meter.sent()))
@@ -245,11 +249,11 @@
     calls.reads + calls.writes + calls.watches + calls.lists
 }
 
-/// Clock ticks that a process has spent.
-fn processor(child: &Spawned) -> Result<f64, Box<dyn Error>> {
+/// Processor time of a process in user and kernel mode, in clock ticks.
+fn cpu_ticks(child: &Spawned) -> Result<f64, Box<dyn Error>> {
     const USER: usize = 11;
     let stat = fs::read_to_string(format!("/proc/{}/stat", child.0.id()))?;
-    let (_, rest) = stat.rsplit_once(") ").ok_or("unreadable stat")?;
+    let (_, rest) = stat.rsplit_once(") ").ok_or("/proc/<pid>/stat has no process name")?;
     let fields: Vec<&str> = rest.split(' ').collect();
     Ok(fields[USER].parse::<f64>()? + fields[USER + 1].parse::<f64>()?)
 }
@@ -257,6 +261,9 @@
 /// Resident memory of a process, in MiB.
 fn resident(child: &Spawned) -> Result<f64, Box<dyn Error>> {
     let status = fs::read_to_string(format!("/proc/{}/status", child.0.id()))?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).ok_or("no VmRSS")?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .ok_or("/proc/<pid>/status has no VmRSS")?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse::<f64>()? / 1024.0)
 }
--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -1,4 +1,4 @@
-//! A deployment that routes by host and path, on embedded stand-ins.
+//! A deployment that routes by host and path, with a simulated store and servers in this process.
 
 use std::{error::Error, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
 use crate::HOSTS;
 
 const HOST: &str = "portal.example";
-const PAUSE: Duration = Duration::from_millis(100);
-const TRIES: u32 = 100;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u32 = 100;
 
-/// Starts everything, shows it, and ends on Ctrl-C.
+/// Starts servers and hosts, sends each of the requests, prints the answers, and runs until Ctrl-C.
 pub async fn show() -> Result<(), Box<dyn Error>> {
     let engine = engine();
     let backend = Backend::start(vec![
@@ -31,35 +31,35 @@
     .await?;
     backend.declare(&declaration(engine));
     let mut hosts = Vec::new();
-    for place in 0..HOSTS {
-        hosts.push(start(&backend, place).await?);
+    for index in 0..HOSTS {
+        hosts.push(start(&backend, index).await?);
     }
     for host in &hosts {
         println!("{} callers {}", host.host().id, host.host().callers);
     }
     let callers = hosts[0].host().callers;
-    let asks = asks();
-    asks.iter().for_each(|ask| println!("\n{}", curl(callers, ask)));
-    for ask in &asks {
-        answer(callers, ask).await?;
+    let requests = requests();
+    requests.iter().for_each(|request| println!("\n{}", curl(callers, request)));
+    for request in &requests {
+        print_answer(callers, request).await?;
     }
-    println!("\nCtrl-C ends it.");
+    println!("\nPress Ctrl-C to stop.");
     tokio::signal::ctrl_c().await?;
-    println!("\nfinishing what is in flight ...");
+    println!("\ndraining requests in flight ...");
     futures_util::future::join_all(hosts.into_iter().map(Running::drain)).await;
-    println!("ended cleanly");
+    println!("stopped");
     Ok(())
 }
 
-async fn start(backend: &Backend, place: usize) -> Result<Running, Box<dyn Error>> {
-    let name = format!("host-{}", place + 1);
+async fn start(backend: &Backend, index: usize) -> Result<Running, Box<dyn Error>> {
+    let name = format!("host-{}", index + 1);
     let store = backend.store.open(&name).await?;
-    let settings: Process = serde_json::from_value(site::settings(&name, place, store, &[]))?;
-    let routed = settings.routed.clone().ok_or("the settings route nothing")?;
+    let settings: Process = serde_json::from_value(site::settings(&name, index, store, &[]))?;
+    let routed = settings.routed.clone().ok_or("the settings have no routed deployment")?;
     Ok(relay::start(settings, routed, Arc::new(Platform)).await?)
 }
 
-fn asks() -> [Ask; 3] {
+fn requests() -> [Ask; 3] {
     [
         Ask::to(HOST, "/drafts/welcome").model("welcome"),
         Ask::to(HOST, "/login/"),
@@ -67,9 +67,9 @@
     ]
 }
 
-/// The line that asks the same from a shell.
-fn curl(callers: SocketAddr, ask: &Ask) -> String {
-    let request = ask.again().request();
+/// Shell command that sends the same request.
+fn curl(callers: SocketAddr, spec: &Ask) -> String {
+    let request = spec.again().request();
     let headers =
         request.headers().iter().filter(|(name, _)| *name != http::header::CONTENT_LENGTH);
     let headers = headers
@@ -80,23 +80,25 @@
     format!("curl -N -X {method} {}http://{callers}{path}{body}", headers.collect::<String>())
 }
 
-/// Asks as a caller does: what did not run is asked again after the time that it is told.
-async fn answer(callers: SocketAddr, ask: &Ask) -> Result<(), Box<dyn Error>> {
+/// Sends a request and prints the answer. Retries after 503 when its `Retry-After` has passed, or
+/// [`RETRY_DELAY`] without one.
+async fn print_answer(callers: SocketAddr, request: &Ask) -> Result<(), Box<dyn Error>> {
     let mut caller = Caller::new(callers);
-    for _ in 0..TRIES {
-        let answer = caller.ask(&ask.again()).await.map_err(|failure| format!("{failure:?}"))?;
+    for _ in 0..MAX_ATTEMPTS {
+        let answer =
+            caller.ask(&request.again()).await.map_err(|failure| format!("{failure:?}"))?;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             println!(
                 "\n{} {}:\n{}",
-                ask.ask.path,
+                request.ask.path,
                 answer.status,
                 String::from_utf8_lossy(&answer.body)
             );
             return Ok(());
         }
-        tokio::time::sleep(answer.told.retry_after.unwrap_or(PAUSE)).await;
+        tokio::time::sleep(answer.told.retry_after.unwrap_or(RETRY_DELAY)).await;
     }
-    Err("no answer".into())
+    Err("every attempt was refused with 503".into())
 }
 
 fn engine() -> Engine {
--- a/crates/stage/examples/measure.rs
+++ b/crates/stage/examples/measure.rs
@@ -1,11 +1,13 @@
-//! Measures attainment per accelerator and moves: ours against two baselines, in the same run.
+//! Compares this project's placement and routing with two baselines: share of requests within their
+//! target per accelerator, and loads and unloads of models (moves).
 //!
-//! Real hosts on loopback serve the load of ours; the baselines get simple routers in this
-//! process, which see the true state of every engine at once and pay for no host on the way.
-//! Engines, object API and weight store are stand-ins. Time is that of the machine, but a
-//! baseline's minute is shortened to [`placement::MINUTE`]. Each run ends by itself.
+//! Real hosts on loopback serve the load for this project's strategies. The baselines use simple
+//! routers in this process, which read the current state of every engine without delay and add no
+//! host to the path of a request. Engines, object API and weight store are simulated. Runs take
+//! real time, but the minute of the last-minute baseline is shortened to [`placement::MINUTE`].
+//! Each run has a fixed duration.
 
-#![allow(clippy::print_stdout, clippy::print_stderr, reason = "a measurement talks to its user")]
+#![allow(clippy::print_stdout, clippy::print_stderr, reason = "prints its results")]
 
 #[path = "measure/demand.rs"]
 mod demand;
@@ -33,81 +35,93 @@
 use crate::{
     demand::{Demand, Schedule},
     deployment::{Deployment, Sizes},
-    report::Figures,
+    report::Report,
     site::Site,
 };
 
-/// Longest time of one run, in seconds.
-const LONGEST: u64 = 300;
+/// Maximum duration of the load in one run, in seconds.
+const MAX_SECONDS: u64 = 300;
 
-/// Measures attainment per accelerator and moves against two baselines.
+/// Compares the share of requests within their target per accelerator, and moves, with two
+/// baselines.
 #[derive(Debug, Parser)]
 struct Flags {
-    /// Whose sizes.
+    /// Deployment whose sizes and models to simulate.
     #[arg(long, value_enum, default_value = "gulf-south")]
     deployment: Deployment,
-    /// Shape of the demand.
+    /// Demand over the time of the run.
     #[arg(long, value_enum, default_value = "steady")]
     demand: Demand,
-    /// What fails.
+    /// Fault to inject during the run.
     #[arg(long, value_enum, default_value = "none")]
     faults: Faults,
-    /// Seeds, each a run of its own.
+    /// Seeds of the arrivals; one run of each strategy for each.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
     /// Seconds of load in each run.
-    #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(3..=LONGEST))]
+    #[arg(
+        long,
+        default_value_t = 24,
+        value_parser = clap::value_parser!(u64).range(3..=MAX_SECONDS)
+    )]
     seconds: u64,
-    /// Share of the engines' capacity that the steady demand asks for.
+    /// Steady demand as a share of the engines' capacity.
     #[arg(long, default_value_t = 0.7)]
     level: f64,
-    /// Hosts in front of the servers.
+    /// Number of hosts, for the strategies that use hosts.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=8))]
     hosts: u8,
-    /// Weights of attainment and of moves, in place of the deployment's.
+    /// Weights of attainment and of moves, instead of the deployment's.
     #[arg(long, value_delimiter = ',')]
     weights: Vec<f64>,
-    /// Ways to run; all by default.
-    #[arg(long, value_enum, value_delimiter = ',', default_values = ["ours", "hosts", "static", "last-minute"])]
-    ways: Vec<Way>,
-    /// Folder for the plot; none is drawn by default.
+    /// Strategies to run; all by default.
+    #[arg(
+        long = "ways",
+        value_name = "WAYS",
+        value_enum,
+        value_delimiter = ',',
+        default_values = ["ours", "hosts", "static", "last-minute"]
+    )]
+    strategies: Vec<Strategy>,
+    /// Directory to write the plot to; no plot by default.
     #[arg(long)]
     plots: Option<PathBuf>,
-    /// Prints JSON lines instead of the table.
+    /// Print one line of JSON for each run instead of tables.
     #[arg(long)]
     json: bool,
 }
 
-/// What fails during a run.
+/// Fault that is injected during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Faults {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One engine dies halfway and is back, empty, three seconds later.
+    /// One engine crashes halfway through the run and restarts three seconds later without models.
     Crash,
-    /// Orders to each engine are lost or taken late, two each.
+    /// For each engine one order is lost, and one is carried out three seconds late.
     Orders,
 }
 
 /// How models are placed and requests routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Way {
-    /// Our hosts, with their planner.
+enum Strategy {
+    /// Hosts of this project with their planner.
     Ours,
-    /// Our hosts with the first placement for good: what they give without moves.
+    /// Hosts of this project with the first placement kept, to measure them without moves.
     Hosts,
-    /// The first placement for good, and round robin.
+    /// Baseline: the first placement kept, and round robin over replicas.
     Static,
-    /// Placement by last minute's demand, and the least-loaded replica.
+    /// Baseline: placement by the last minute's demand, and the replica with the fewest requests in
+    /// flight.
     LastMinute,
 }
 
-impl Way {
-    /// Whether requests go through our hosts.
+impl Strategy {
+    /// Whether requests go through hosts instead of a baseline's router.
     fn has_hosts(self) -> bool {
-        matches!(self, Way::Ours | Way::Hosts)
+        matches!(self, Strategy::Ours | Strategy::Hosts)
     }
 }
 
@@ -118,61 +132,66 @@
     if let [attainment, moves] = flags.weights[..] {
         sizes.config.weights = Weights { attainment, moves };
     }
-    let mut all = Vec::new();
+    let mut reports = Vec::new();
     for seed in &flags.seeds {
-        for way in &flags.ways {
-            let figures = run(&flags, &sizes, *way, *seed).await?;
+        for strategy in &flags.strategies {
+            let report = run(&flags, &sizes, *strategy, *seed).await?;
             if flags.json {
-                println!("{}", serde_json::to_string(&figures)?);
+                println!("{}", serde_json::to_string(&report)?);
             }
-            all.push(figures);
+            reports.push(report);
         }
     }
     if !flags.json {
-        println!("{}", report::table(&all));
-        println!("{}", report::summary(&all));
+        println!("{}", report::table(&reports));
+        println!("{}", report::summary(&reports));
     }
     if let Some(folder) = &flags.plots {
         std::fs::create_dir_all(folder)?;
-        let path = plot::draw(folder, &all)?;
+        let path = plot::draw(folder, &reports)?;
         println!("{}", path.display());
     }
     Ok(())
 }
 
-async fn run(flags: &Flags, sizes: &Sizes, way: Way, seed: u64) -> Result<Figures, Box<dyn Error>> {
-    let length = Duration::from_secs(flags.seconds);
-    let schedule = Schedule::new(sizes, flags.demand, flags.level, length, seed);
-    let site = Arc::new(Site::start(sizes, flags.hosts, way).await?);
-    let counts = Arc::new(load::Counts::new(sizes));
-    let director = placement::spawn(&site, sizes, way, counts.clone());
-    let faults = tokio::spawn(fail(site.clone(), flags.faults, length));
-    let outcomes = load::play(&site, &schedule, way, counts).await;
+async fn run(
+    flags: &Flags,
+    sizes: &Sizes,
+    strategy: Strategy,
+    seed: u64,
+) -> Result<Report, Box<dyn Error>> {
+    let duration = Duration::from_secs(flags.seconds);
+    let schedule = Schedule::new(sizes, flags.demand, flags.level, duration, seed);
+    let site = Arc::new(Site::start(sizes, flags.hosts, strategy).await?);
+    let counts = Arc::new(load::ArrivalCounts::new(sizes));
+    let placement_task = placement::spawn(&site, sizes, strategy, counts.clone());
+    let faults = tokio::spawn(inject_faults(site.clone(), flags.faults, duration));
+    let outcomes = load::run_schedule(&site, &schedule, strategy, counts).await;
     faults.abort();
-    director.abort();
-    let figures = Figures::new(flags, way, seed, sizes, outcomes, site.moves());
+    placement_task.abort();
+    let report = Report::new(flags, strategy, seed, sizes, outcomes, site.moves());
     site.stop().await;
-    Ok(figures)
+    Ok(report)
 }
 
-async fn fail(site: Arc<Site>, faults: Faults, length: Duration) {
-    const DOWN: Duration = Duration::from_secs(3);
+async fn inject_faults(site: Arc<Site>, faults: Faults, duration: Duration) {
+    const DOWNTIME: Duration = Duration::from_secs(3);
     match faults {
         Faults::None => {}
         Faults::Crash => {
-            tokio::time::sleep(length / 2).await;
+            tokio::time::sleep(duration / 2).await;
             let engine = &site.engines[0];
             engine.crash();
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(DOWNTIME).await;
             if let Err(error) = engine.restart().await {
-                eprintln!("engine can't start again: {error}");
+                eprintln!("engine can't restart: {error}");
             }
         }
         Faults::Orders => site.engines.iter().for_each(|engine| {
             engine.fault(|fault| {
                 fault.lost_orders = 1;
                 fault.late_orders = 1;
-                fault.lateness = DOWN;
+                fault.lateness = DOWNTIME;
             });
         }),
     }
--- a/crates/stage/examples/measure/demand.rs
+++ b/crates/stage/examples/measure/demand.rs
@@ -1,4 +1,4 @@
-//! Shapes of demand, and the arrivals that a seed makes of them.
+//! Demand over the time of a run, and the seeded random arrivals that follow it.
 
 use std::time::Duration;
 
@@ -10,21 +10,22 @@
 
 use crate::deployment::{Sizes, TOKENS};
 
-/// Shape of the demand.
+/// Demand over the time of a run, before it is multiplied by `--level`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Demand {
-    /// The same models busy all the time.
+    /// Constant: the same models are busy all the time.
     Steady,
-    /// The urgent service's demand is five times as high in the middle third.
+    /// Steady, but five times as high for the urgent service in the middle third of the run.
     LobbyRush,
-    /// After a third, the busy models turn quiet and the quiet ones busy, more than tenfold.
+    /// After a third of the run the order of the models by demand is reversed, which changes the
+    /// demand for some by more than ten times.
     Shift,
-    /// A ramp over the whole run, from three tenths of the steady demand to 1.4 times it.
+    /// Rises over the whole run from 0.3 to 1.4 times the steady demand.
     PostOffice,
 }
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: Duration,
@@ -34,11 +35,11 @@
     pub(crate) prompt: u32,
 }
 
-/// All arrivals of a run, the same for every way.
+/// All arrivals of a run in order of time; the same for every strategy with the same seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) arrivals: Vec<Arrival>,
-    pub(crate) length: Duration,
+    pub(crate) duration: Duration,
 }
 
 impl Schedule {
@@ -46,7 +47,7 @@
         sizes: &Sizes,
         demand: Demand,
         level: f64,
-        length: Duration,
+        duration: Duration,
         seed: u64,
     ) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -58,7 +59,7 @@
                 sizes.service(id).is_some_and(|(_, service)| service.priority == Priority::Urgent);
             let rate = |at: f64| level * rate(sizes, demand, *rank, is_urgent, at);
             let adapters: Vec<&adapter::Id> = model.adapters.keys().collect();
-            for at in times(&mut rng, length, rate) {
+            for at in arrival_times(&mut rng, duration, rate) {
                 let pick = rng.random_range(0..=adapters.len());
                 arrivals.push(Arrival {
                     at,
@@ -70,19 +71,20 @@
             }
         }
         arrivals.sort_by_key(|arrival| arrival.at);
-        Schedule { arrivals, length }
+        Schedule { arrivals, duration }
     }
 }
 
-/// Requests a second for the model of this rank at level 1, `at` in parts of the run.
+/// Requests per second at level 1 for the model of this rank by demand; `at` is the share of the
+/// run that has passed.
 fn rate(sizes: &Sizes, demand: Demand, rank: usize, is_urgent: bool, at: f64) -> f64 {
     let models = sizes.config.models.len();
     let weight = |rank: usize| 1.0 / (rank as f64 + 1.0);
     let sum: f64 = (0..models).map(weight).sum();
-    let middle = (1.0 / 3.0..2.0 / 3.0).contains(&at);
+    let is_middle_third = (1.0 / 3.0..2.0 / 3.0).contains(&at);
     let (rank, level) = match demand {
         Demand::Steady => (rank, 1.0),
-        Demand::LobbyRush if middle && is_urgent => (rank, 5.0),
+        Demand::LobbyRush if is_middle_third && is_urgent => (rank, 5.0),
         Demand::LobbyRush => (rank, 1.0),
         Demand::Shift if 1.0 / 3.0 <= at => (models - 1 - rank, 1.0),
         Demand::Shift => (rank, 1.0),
@@ -91,19 +93,24 @@
     level * sizes.engines as f64 * sizes.engine_rate() * weight(rank) / sum
 }
 
-/// Arrival times of a Poisson process whose rate changes, by thinning.
-fn times(rng: &mut ChaCha8Rng, length: Duration, rate: impl Fn(f64) -> f64) -> Vec<Duration> {
-    let seconds = length.as_secs_f64();
-    let most = (0..=100).map(|part| rate(f64::from(part) / 100.0)).fold(f64::EPSILON, f64::max);
-    let mut times = Vec::new();
+/// Arrival times of a Poisson process with a varying rate, by thinning: draws arrivals at the
+/// maximum rate and keeps each with the probability of the current rate over the maximum.
+fn arrival_times(
+    rng: &mut ChaCha8Rng,
+    duration: Duration,
+    rate: impl Fn(f64) -> f64,
+) -> Vec<Duration> {
+    let seconds = duration.as_secs_f64();
+    let max_rate = (0..=100).map(|part| rate(f64::from(part) / 100.0)).fold(f64::EPSILON, f64::max);
+    let mut arrival_times = Vec::new();
     let mut at = 0.0;
     loop {
-        at -= (1.0 - rng.random::<f64>()).ln() / most;
+        at -= (1.0 - rng.random::<f64>()).ln() / max_rate;
         if seconds <= at {
-            return times;
+            return arrival_times;
         }
-        if rng.random::<f64>() * most < rate(at / seconds) {
-            times.push(Duration::from_secs_f64(at));
+        if rng.random::<f64>() * max_rate < rate(at / seconds) {
+            arrival_times.push(Duration::from_secs_f64(at));
         }
     }
 }
--- a/crates/stage/examples/measure/deployment.rs
+++ b/crates/stage/examples/measure/deployment.rs
@@ -1,4 +1,4 @@
-//! Sizes of the two deployments, as the stand-ins play them.
+//! Sizes of the two simulated deployments.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,7 +13,7 @@
     service::{Offer, Service},
 };
 
-/// A deployment.
+/// Deployment whose sizes a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Deployment {
@@ -23,7 +23,7 @@
     CoAntioquia,
 }
 
-/// What a deployment is made of.
+/// Engines, limits and configuration of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Sizes {
     pub(crate) zones: [&'static str; 4],
@@ -38,11 +38,11 @@
     pub(crate) config: config::Config,
 }
 
-/// Tokens of an answer, in the mean.
+/// Mean number of tokens in an answer.
 pub(crate) const TOKENS: u32 = 24;
 
 const CAPACITY: Mebibytes = 80_000;
-const ADAPTER: Mebibytes = 200;
+const ADAPTER_MEMORY: Mebibytes = 200;
 
 impl Deployment {
     pub(crate) fn sizes(self) -> Sizes {
@@ -60,7 +60,7 @@
                     config::Weights { attainment: 3.0, moves: 1.0 },
                     "portal-lm",
                     ["guests", "staff"],
-                    Counts { models: 14, adapters: 40, memory: [12_000, 16_000, 20_000] },
+                    ModelCounts { models: 14, adapters: 40, memory: [12_000, 16_000, 20_000] },
                 ),
             },
             Deployment::CoAntioquia => Sizes {
@@ -76,30 +76,33 @@
                     config::Weights { attainment: 1.0, moves: 3.0 },
                     "lector",
                     ["deadlines", "letters"],
-                    Counts { models: 20, adapters: 63, memory: [18_000, 22_000, 25_000] },
+                    ModelCounts { models: 20, adapters: 63, memory: [18_000, 22_000, 25_000] },
                 ),
             },
         }
     }
 }
 
-struct Counts {
+struct ModelCounts {
     models: usize,
     adapters: usize,
     memory: [Mebibytes; 3],
 }
 
-/// Every other model serves the urgent service, the rest the one that may wait.
+/// Offers every other model by the urgent service, and the rest by the service of normal priority.
 fn config(
     weights: config::Weights,
     group: &str,
-    [urgent, patient]: [&str; 2],
-    counts: Counts,
+    [urgent, normal]: [&str; 2],
+    counts: ModelCounts,
 ) -> config::Config {
     let ids: Vec<model::Id> = (0..counts.models).map(|n| format!("model-{n:02}").into()).collect();
     let models = ids.iter().enumerate().map(|(n, id)| {
         let adapters = (0..counts.adapters).filter(|a| a % counts.models == n).map(|a| {
-            (format!("adapter-{a:02}").into(), Adapter { memory: ADAPTER, version: "v1".into() })
+            (
+                format!("adapter-{a:02}").into(),
+                Adapter { memory: ADAPTER_MEMORY, version: "v1".into() },
+            )
         });
         let model = Model {
             group: group.into(),
@@ -111,8 +114,8 @@
         };
         (id.clone(), model)
     });
-    let offered = |rest: usize| {
-        let ids = ids.iter().enumerate().filter(|(n, _)| n % 2 == rest);
+    let offered = |remainder: usize| {
+        let ids = ids.iter().enumerate().filter(|(n, _)| n % 2 == remainder);
         Offer::Models(ids.map(|(_, id)| id.clone()).collect())
     };
     let service = |offer, priority, first_token, between_tokens| Service {
@@ -128,7 +131,7 @@
     };
     let services = [
         (urgent.into(), service(offered(0), Priority::Urgent, 1_000, 74)),
-        (patient.into(), service(offered(1), Priority::Normal, 4_000, 200)),
+        (normal.into(), service(offered(1), Priority::Normal, 4_000, 200)),
     ];
     config::Config {
         weights,
@@ -139,12 +142,12 @@
 }
 
 impl Sizes {
-    /// Requests a second that one engine serves when it is always busy.
+    /// Requests per second that an engine with all slots in use serves.
     pub(crate) fn engine_rate(&self) -> f64 {
         f64::from(self.slots) / (self.step.as_secs_f64() * f64::from(TOKENS))
     }
 
-    /// The service that offers a model.
+    /// Finds the first service that offers a model.
     pub(crate) fn service(&self, model: &model::Id) -> Option<(&service::Id, &Service)> {
         self.config.services.iter().find(|(_, service)| match &service.offer {
             Offer::Models(models) => models.contains(model),
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -1,4 +1,4 @@
-//! Routes as they are declared, and declarations that follow each other.
+//! Matching of requests to declared routes, and changes of the declaration.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use types::routed::{Declaration, Kind};
 
 use crate::site::{
-    HOST, PAGES, backend, declaration, page, route, server_of, site, status_of, undeclared,
+    HOST, PAGES, backend, declaration, page, route, server_of, site, start_site, status_of,
 };
 
 #[rstest]
@@ -49,7 +49,7 @@
 
 #[tokio::test]
 async fn a_host_that_knows_no_declaration_refuses_as_not_run() {
-    let site = undeclared(backend().await, 1).await;
+    let site = start_site(backend().await, 1).await;
     let host = &site.hosts[0];
     assert_eq!(host.says_ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = host.caller().ask(&page()).await.unwrap();
@@ -68,18 +68,21 @@
     let mut declared = declaration();
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[("app", 3), ("other", 1)]);
     backend.declare(&declared);
-    let site = undeclared(backend, 1).await;
+    let site = start_site(backend, 1).await;
     site.ready().await;
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
         assert_eq!(caller.ask(&page()).await.unwrap().status, StatusCode::OK);
     }
     let other = site.backend.server("other-1").runs().len();
-    assert!((60..140).contains(&other), "{other} of {REQUESTS} for a quarter");
+    assert!(
+        (60..140).contains(&other),
+        "{other} of {REQUESTS} requests went to a service with a weight of 1 in 4"
+    );
 }
 
-/// The declaration with the pages at another service.
-fn moved(version: u64, service: &str) -> Declaration {
+/// The declaration with [`PAGES`] routed to another service.
+fn declaration_with_pages_at(version: u64, service: &str) -> Declaration {
     let mut declared = declaration();
     declared.version = version;
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[(service, 1)]);
@@ -93,19 +96,19 @@
 #[tokio::test]
 async fn a_new_declaration_is_in_force_and_never_goes_back() {
     let site = site(2).await;
-    site.backend.declare(&moved(7, "other"));
+    site.backend.declare(&declaration_with_pages_at(7, "other"));
     for host in &site.hosts {
         until("the new version is in force", async || goes_to(host, "other").await).await;
     }
-    // A store that forgot and was restored: what it holds now is older.
-    site.backend.declare(&moved(5, "app"));
+    // As after a restore of the store from a backup: it holds an older version.
+    site.backend.declare(&declaration_with_pages_at(5, "app"));
     site.seen().await;
     for host in &site.hosts {
         for _ in 0..10 {
-            assert!(goes_to(host, "other").await, "{} went back", host.name);
+            assert!(goes_to(host, "other").await, "{} went back to an older version", host.name);
         }
     }
-    site.backend.declare(&moved(9, "app"));
+    site.backend.declare(&declaration_with_pages_at(9, "app"));
     for host in &site.hosts {
         until("the newest version is in force", async || goes_to(host, "app").await).await;
     }
@@ -120,7 +123,7 @@
     declared.version += 4;
     declared.routes[0] = route("/new/", Kind::Idempotent, &[("other", 1)]);
     site.backend.declare(&declared);
-    until("the new route is there", async || {
+    until("the new route is in force", async || {
         status_of(&site.hosts[0], &new).await == Some(StatusCode::OK)
     })
     .await;
@@ -132,14 +135,14 @@
     let site = site(1).await;
     site.backend.script(|script| script.work = Duration::from_millis(800));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&page()).await });
+    let pending = tokio::spawn(async move { caller.ask(&page()).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     let mut declared = declaration();
     declared.version += 1;
     declared.routes.remove(0);
     site.backend.declare(&declared);
     site.seen().await;
-    let answer = asking.await.unwrap().unwrap();
+    let answer = pending.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
 }
 
@@ -153,17 +156,18 @@
     );
     site.seen().await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
-    until("the host logs it", async || site.hosts[0].logged("a declaration can't be read")).await;
+    until("the host logs the error", async || site.hosts[0].logged("a declaration can't be read"))
+        .await;
 }
 
-/// A list of servers that comes before the first declaration is planned for all the same: a model
-/// that no server holds is loaded though no registration changes.
+/// Guards against a host that plans only when a registration changes: it got the list of servers
+/// before the first declaration, and still has to load a model that no server holds.
 #[tokio::test]
 async fn servers_known_before_the_first_declaration_get_orders() {
-    let site = undeclared(backend().await, 1).await;
+    let site = start_site(backend().await, 1).await;
     site.seen().await;
     site.backend.declare(&declaration());
-    until("a model that is missing is ordered", async || {
+    until("an order to load the missing model is sent", async || {
         let mut orders = site.backend.servers.iter().flat_map(|server| server.orders());
         orders.any(|given| &*given.order.model == "notes")
     })
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -1,4 +1,4 @@
-//! Servers that refuse, fail, break off or answer wrongly.
+//! Servers that refuse requests, fail, close connections early or give wrong answers.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     stories::{metrics, value},
 };
 
-const SOON: Duration = Duration::from_secs(2);
+const DEADLINE: Duration = Duration::from_secs(2);
 
 #[rstest]
 #[case::full(StatusCode::SERVICE_UNAVAILABLE)]
@@ -24,24 +24,26 @@
 #[tokio::test]
 async fn what_a_server_did_not_run_is_tried_elsewhere(
     #[case] status: StatusCode,
-    #[values(page(), ticket(), chat())] ask: Ask,
+    #[values(page(), ticket(), chat())] request: Ask,
 ) {
     let site = site(1).await;
-    // A host has no retries of its own until its registration is in the store.
+    // A host has no retry budget until its registration is in the store.
     until("the host may retry", async || {
         let text = metrics(&site.hosts[0]).await;
-        let left =
+        let retry_budget =
             |service| value(&text, &format!("cyclamenstage_routed_budget{{service={service:?}}}"));
-        ["app", "lm"].into_iter().all(|service| left(service).is_some_and(|left| 1.0 <= left))
+        ["app", "lm"]
+            .into_iter()
+            .all(|service| retry_budget(service).is_some_and(|budget| 1.0 <= budget))
     })
     .await;
     for id in ["app-1", "lm-1"] {
         site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
     }
     for _ in 0..4 {
-        let again = ask.again();
-        assert_eq!(status_of(&site.hosts[0], &again).await, Some(StatusCode::OK));
-        assert_eq!(site.backend.runs_of(&again.id()), 1);
+        let copy = request.again();
+        assert_eq!(status_of(&site.hosts[0], &copy).await, Some(StatusCode::OK));
+        assert_eq!(site.backend.runs_of(&copy.id()), 1);
     }
 }
 
@@ -50,12 +52,12 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn what_no_server_ran_is_refused_as_not_run(#[case] ask: Ask) {
+async fn what_no_server_ran_is_refused_as_not_run(#[case] request: Ask) {
     let site = site(1).await;
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
     site.backend.script(|script| script.always = Some(full));
-    let ask = ask.deadline(Some(SOON));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = request.deadline(Some(DEADLINE));
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.told.seal, None);
     assert_eq!(site.backend.runs(), 0);
@@ -74,11 +76,15 @@
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(fault));
     for _ in 0..3 {
-        let ask = ticket();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-        let unclear = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
-        assert!(unclear.contains(&answer.status), "{} after it ran", answer.status);
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        let request = ticket();
+        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+        let unresolved = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
+        assert!(
+            unresolved.contains(&answer.status),
+            "got {} for a request that ran",
+            answer.status
+        );
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
     }
 }
 
@@ -95,12 +101,12 @@
     let site = site(1).await;
     site.backend.server("app-1").script(|script| script.always = Some(fault));
     for _ in 0..4 {
-        let ask = page();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let request = page();
+        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
         assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
         assert_eq!(answer.field("server"), "app-2");
-        assert_eq!(answer.field("request"), *ask.id());
-        assert!(site.backend.runs_of(&ask.id()) <= 2);
+        assert_eq!(answer.field("request"), *request.id());
+        assert!(site.backend.runs_of(&request.id()) <= 2);
     }
 }
 
@@ -114,11 +120,11 @@
 async fn a_wrong_answer_to_a_stream_never_passes(#[case] fault: Fault) {
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(fault));
-    let ask = chat();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = chat();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
     assert_eq!((answer.events(), answer.told.seal), (vec![], None));
-    assert_eq!(site.backend.runs_of(&ask.id()), 1);
+    assert_eq!(site.backend.runs_of(&request.id()), 1);
 }
 
 #[rstest]
@@ -131,11 +137,11 @@
     site.backend.script(|script| script.always = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..10 {
-        let ask = page();
-        let answer = caller.ask(&ask).await.unwrap();
+        let request = page();
+        let answer = caller.ask(&request).await.unwrap();
         assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-        assert_eq!(answer.told.id, Some(ask.id()));
-        assert_eq!(answer.field("request"), *ask.id());
+        assert_eq!(answer.told.id, Some(request.id()));
+        assert_eq!(answer.field("request"), *request.id());
     }
     assert_eq!(caller.connections(), 1);
 }
@@ -149,14 +155,14 @@
     site.backend.script(|script| script.always = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..20 {
-        let ask = ticket();
-        let answer = caller.ask(&ask).await.unwrap();
-        assert_eq!(site.backend.runs_of(&ask.id()), 1);
+        let request = ticket();
+        let answer = caller.ask(&request).await.unwrap();
+        assert_eq!(site.backend.runs_of(&request.id()), 1);
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.told.id, Some(ask.id()));
-            assert_eq!(answer.field("request"), *ask.id());
+            assert_eq!(answer.told.id, Some(request.id()));
+            assert_eq!(answer.field("request"), *request.id());
         } else {
-            // The answer that came in its place hides its own.
+            // The extra answer arrived in place of this request's own, which is lost.
             assert_eq!((answer.status, answer.told.seal), (StatusCode::BAD_GATEWAY, None));
         }
     }
@@ -167,13 +173,13 @@
     let site = site(1).await;
     let failed = Fault::Failed(StatusCode::INTERNAL_SERVER_ERROR);
     site.backend.script(|script| script.always = Some(failed));
-    let ask = ticket();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let request = ticket();
+    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert!(answer.told.seal.is_some());
     assert_eq!(
-        (answer.field("request"), site.backend.runs_of(&ask.id())),
-        (ask.id().as_ref().into(), 1)
+        (answer.field("request"), site.backend.runs_of(&request.id())),
+        (request.id().as_ref().into(), 1)
     );
 }
 
@@ -184,8 +190,8 @@
     site.backend.server("app-1").kill();
     site.backend.add_at(address, Settings::plain("other-2", "other")).await.unwrap();
     for _ in 0..10 {
-        let ask = ticket();
-        assert_eq!(server_of(&site.hosts[0], &ask).await.as_deref(), Some("app-2"));
+        let request = ticket();
+        assert_eq!(server_of(&site.hosts[0], &request).await.as_deref(), Some("app-2"));
     }
     assert_eq!(site.backend.server("other-2").runs().len(), 0);
 }
@@ -206,14 +212,14 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_caller_that_leaves_closes_the_servers_connection(#[case] ask: Ask) {
+async fn a_caller_that_leaves_closes_the_servers_connection(#[case] request: Ask) {
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    let pending = tokio::spawn(async move { caller.ask(&request).await });
     until("the request runs", async || site.backend.runs() == 1).await;
-    asking.abort();
-    until("the server sees the caller leave", async || {
+    pending.abort();
+    until("the server sees that the caller has closed the connection", async || {
         let runs = site.backend.servers.iter().flat_map(|server| server.runs());
         runs.into_iter().all(|run| run.ending == Some(Ending::Left))
     })
@@ -229,7 +235,8 @@
     }
     site.seen().await;
     site.backend.script(|script| script.poison = Some("poison"));
-    let poison = Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(SOON));
+    let poison =
+        Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(DEADLINE));
     for _ in 0..6 {
         let status = status_of(&site.hosts[0], &poison.again()).await;
         assert!(status.is_some_and(|status| status.is_server_error()), "{status:?}");
@@ -237,6 +244,6 @@
     let crashed = |run: &standin::routed::server::Run| run.ending == Some(Ending::Crashed);
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     let crashes = runs.into_iter().filter(crashed).count();
-    assert!(crashes <= 3, "{crashes} servers lost");
+    assert!(crashes <= 3, "the request crashed {crashes} servers");
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes the servers that run it, while hosts start anew or don't hear each other.
+//! A request that crashes each server that runs it, while hosts restart or can't reach each other.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -12,51 +12,55 @@
 };
 use tokio::time::{sleep, timeout};
 
-use crate::site::{HOST, backend, declaration, page, status_of, undeclared_with};
+use crate::site::{HOST, backend, declaration, new_site, page, status_of};
 
 const HOSTS: usize = 4;
 
-/// Servers that the request may crash; none comes back.
+/// Exclusive bound of the numbers in the ids of plain servers. The request may crash all of these
+/// servers; a crashed one doesn't restart.
 const SERVERS: usize = 40;
 
-/// Crashes after which the request is known to cause them.
-const KNOWN: usize = 3;
+/// Number of crashes after which hosts refuse the request.
+const MAX_CRASHES: usize = 3;
 
-/// Time without trouble after which a host is in touch, with some to spare.
-const CONTACT: Duration = Duration::from_millis(3_300);
+/// Time without disruption after which a host knows what its peers know, with some margin.
+const RECOVERY_TIME: Duration = Duration::from_millis(3_300);
 
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happens to the hosts once the request has crashed three servers.
+/// What happens to the hosts once the request has crashed [`MAX_CRASHES`] servers.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// Each host is killed and started in turn.
-    InTurn,
-    /// All hosts are killed at once, and started, twice.
-    AtOnce,
-    /// Each host in turn hears nothing and is not heard.
-    Deaf,
+enum Disruption {
+    /// Each host in turn is killed and restarted.
+    RollingRestart,
+    /// All hosts are killed at once and restarted, three times.
+    FullRestart,
+    /// Each host in turn is cut off from all others, in both directions.
+    Partition,
 }
 
-/// Where the caller of the request is seen to call from.
+/// Source address of the caller, as the hosts see it.
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    /// One address at all hosts.
-    One,
-    /// Another address at each host.
-    EachHost,
+    /// The same address for all hosts.
+    OneAddress,
+    /// A different address for each host.
+    AddressPerHost,
 }
 
 async fn site() -> Site {
     let mut backend = backend().await;
     for number in 3..SERVERS {
-        backend.add(Settings::plain(&format!("app-{number}"), "app")).await.expect("a server");
+        backend
+            .add(Settings::plain(&format!("app-{number}"), "app"))
+            .await
+            .expect("the server starts");
     }
     backend.script(|script| script.poison = Some("poison"));
     backend.declare(&declaration());
-    let mut site = undeclared_with(backend, Site::relay_links);
+    let mut site = new_site(backend, Site::relay_links);
     for _ in 0..HOSTS {
-        site.add(|_| {}).await.expect("a host");
+        site.add(|_| {}).await.expect("the host starts");
     }
     site.ready().await;
     sleep(Duration::from_secs(1)).await;
@@ -68,25 +72,31 @@
     runs.filter(|run| run.ending == Some(Ending::Crashed)).count()
 }
 
-/// Sends the request through each host, and an innocent one beside it.
+/// Sends the crashing request through each host, each time followed by a harmless one, which has to
+/// succeed.
 async fn send_through_all(site: &mut Site, source: Source) {
-    for place in 0..HOSTS {
-        let host = &site.hosts[place];
+    for index in 0..HOSTS {
+        let host = &site.hosts[index];
         let poison =
-            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(PATIENCE));
+            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(TIMEOUT));
         let mut caller = match source {
-            Source::One => host.caller(),
-            Source::EachHost => host.caller().from(IpAddr::from([127, 77, 0, place as u8 + 1])),
+            Source::OneAddress => host.caller(),
+            Source::AddressPerHost => {
+                host.caller().from(IpAddr::from([127, 77, 0, index as u8 + 1]))
+            }
         };
-        let _ = timeout(PATIENCE, caller.ask(&poison)).await;
-        assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK), "an innocent request");
-        forget_crashed(site);
+        let _ = timeout(TIMEOUT, caller.ask(&poison)).await;
+        assert_eq!(
+            status_of(host, &page()).await,
+            Some(StatusCode::OK),
+            "a harmless request failed"
+        );
+        deregister_crashed(site);
         sleep(Duration::from_millis(150)).await;
     }
 }
 
-/// Ends the registrations of the servers that have crashed.
-fn forget_crashed(site: &mut Site) {
+fn deregister_crashed(site: &mut Site) {
     let has_crashed =
         |server: &&Server| server.runs().iter().any(|run| run.ending == Some(Ending::Crashed));
     let crashed = site.backend.servers.iter().filter(has_crashed);
@@ -94,68 +104,69 @@
     crashed.iter().for_each(|id| site.backend.forget(id));
 }
 
-/// Lets the request crash as many servers as it may in calm.
-async fn learn(site: &mut Site, source: Source) {
+/// Sends the request, without any disruption, until it has crashed [`MAX_CRASHES`] servers, and
+/// asserts that it crashes no more.
+async fn crash_until_refused(site: &mut Site, source: Source) {
     for _ in 0..3 {
         send_through_all(site, source).await;
     }
-    assert_eq!(crashed(site), KNOWN, "servers ended in calm");
+    assert_eq!(crashed(site), MAX_CRASHES, "number of servers crashed without a disruption");
 }
 
-async fn restart(site: &mut Site, places: std::ops::Range<usize>) {
-    places.clone().for_each(|place| site.hosts[place].kill());
-    for place in places {
-        site.restart(place).await.expect("a host");
-        site.hosts[place].ready().await;
+async fn restart(site: &mut Site, indexes: std::ops::Range<usize>) {
+    indexes.clone().for_each(|index| site.hosts[index].kill());
+    for index in indexes {
+        site.restart(index).await.expect("the host starts");
+        site.hosts[index].ready().await;
     }
-    sleep(CONTACT).await;
+    sleep(RECOVERY_TIME).await;
 }
 
-/// Sets the links between a host and all others.
-fn set_links(site: &Site, place: usize, way: Way) {
-    for other in (0..HOSTS).filter(|other| *other != place) {
-        site.links().set(place, other, way);
-        site.links().set(other, place, way);
+/// Sets the delivery on the links between a host and all others, in both directions.
+fn set_links(site: &Site, index: usize, delivery: Way) {
+    for other in (0..HOSTS).filter(|other| *other != index) {
+        site.links().set(index, other, delivery);
+        site.links().set(other, index, delivery);
     }
 }
 
 #[rstest]
-#[case::hosts_start_anew_in_turn(Trouble::InTurn)]
-#[case::all_hosts_start_anew_at_once(Trouble::AtOnce)]
-#[case::hosts_hear_nothing_in_turn(Trouble::Deaf)]
+#[case::hosts_start_anew_in_turn(Disruption::RollingRestart)]
+#[case::all_hosts_start_anew_at_once(Disruption::FullRestart)]
+#[case::hosts_hear_nothing_in_turn(Disruption::Partition)]
 #[tokio::test]
-async fn a_request_known_to_crash_servers_stays_refused(#[case] trouble: Trouble) {
+async fn a_request_known_to_crash_servers_stays_refused(#[case] disruption: Disruption) {
     let mut site = site().await;
-    learn(&mut site, Source::One).await;
-    match trouble {
-        Trouble::InTurn => {
-            for place in 0..HOSTS {
-                restart(&mut site, place..place + 1).await;
-                send_through_all(&mut site, Source::One).await;
+    crash_until_refused(&mut site, Source::OneAddress).await;
+    match disruption {
+        Disruption::RollingRestart => {
+            for index in 0..HOSTS {
+                restart(&mut site, index..index + 1).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
-        Trouble::AtOnce => {
+        Disruption::FullRestart => {
             for _ in 0..3 {
                 restart(&mut site, 0..HOSTS).await;
-                send_through_all(&mut site, Source::One).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
-        Trouble::Deaf => {
-            for place in 0..HOSTS {
-                set_links(&site, place, Way::Lost);
-                sleep(CONTACT + Duration::from_secs(1)).await;
-                send_through_all(&mut site, Source::One).await;
-                set_links(&site, place, Way::Passes);
-                sleep(CONTACT).await;
-                send_through_all(&mut site, Source::One).await;
+        Disruption::Partition => {
+            for index in 0..HOSTS {
+                set_links(&site, index, Way::Lost);
+                sleep(RECOVERY_TIME + Duration::from_secs(1)).await;
+                send_through_all(&mut site, Source::OneAddress).await;
+                set_links(&site, index, Way::Passes);
+                sleep(RECOVERY_TIME).await;
+                send_through_all(&mut site, Source::OneAddress).await;
             }
         }
     }
-    assert_eq!(crashed(&site), KNOWN, "servers ended");
+    assert_eq!(crashed(&site), MAX_CRASHES, "number of servers crashed");
 }
 
 #[tokio::test]
 async fn a_request_that_crashes_servers_is_known_wherever_it_is_called_from() {
     let mut site = site().await;
-    learn(&mut site, Source::EachHost).await;
+    crash_until_refused(&mut site, Source::AddressPerHost).await;
 }
