--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -9,7 +9,7 @@
     host::Host,
     server::{Given, Server},
     site::Site,
-    store::{Mood, Refusal},
+    store::{Faults, Refusal},
     until,
 };
 use tokio::task::JoinSet;
@@ -137,26 +137,26 @@
     let site = site(3).await;
     let _asking = demand(&site);
     let place = place_of_holder(&site).await;
-    site.backend.store.at(&site.hosts[place].name, |mood| mood.refusal = Some(refusal));
+    site.backend.store.set_faults(&site.hosts[place].name, |faults| faults.refusal = Some(refusal));
     handed_over(&site, &site.hosts[place].name).await;
-    site.backend.store.at(&site.hosts[place].name, |mood| mood.refusal = None);
+    site.backend.store.set_faults(&site.hosts[place].name, |faults| faults.refusal = None);
     let before = orders(&site).len();
     until("orders go on", async || before + 20 < orders(&site).len()).await;
     check(&site);
 }
 
 #[rstest]
-#[case::lost(|mood: &mut Mood| mood.lost = 5)]
-#[case::late(|mood: &mut Mood| mood.late = Some(Duration::from_secs(4)))]
+#[case::lost(|faults: &mut Faults| faults.lost_replies = 5)]
+#[case::late(|faults: &mut Faults| faults.late_write = Some(Duration::from_secs(4)))]
 #[tokio::test]
 async fn writes_to_the_store_without_an_answer_make_no_second_holder(
-    #[case] change: fn(&mut Mood),
+    #[case] change: fn(&mut Faults),
 ) {
     let site = site(3).await;
     let _asking = demand(&site);
     place_of_holder(&site).await;
     for _ in 0..3 {
-        site.backend.store.everywhere(change);
+        site.backend.store.set_faults_everywhere(change);
         let before = orders(&site).len();
         until("orders go on", async || before + 20 < orders(&site).len()).await;
     }
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -19,7 +19,7 @@
 use standin::routed::{
     caller::Ask,
     site::{self as sites, Site},
-    store::{Mood, Refusal, Sort},
+    store::{CallKind, Faults, Refusal},
     until,
 };
 use tokio::time::{Instant, sleep};
@@ -57,17 +57,19 @@
         Silence::Long => 2,
         Silence::Short | Silence::Unseen => 1,
     };
-    store.everywhere(|mood| match silence {
-        Silence::Long | Silence::Short => mood.refusal = Some(Refusal::Silence),
-        Silence::Unseen => mood.silent = Some(Sort::Watches),
+    store.set_faults_everywhere(|faults| match silence {
+        Silence::Long | Silence::Short => faults.refusal = Some(Refusal::Silence),
+        Silence::Unseen => faults.unanswered = Some(CallKind::Watch),
     });
     for host in &site.hosts {
         for kind in [sites::declarations(), sites::servers()] {
-            until("watches are stalled", async || stalled <= store.stalled(&host.name, &kind))
-                .await;
+            until("watches are stalled", async || {
+                stalled <= store.unanswered_watches(&host.name, &kind)
+            })
+            .await;
         }
     }
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     site
 }
 
@@ -114,9 +116,9 @@
     let site = site(HOSTS).await;
     site.seen().await;
     let store = &site.backend.store;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(SILENCE).await;
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     store.expire(&sites::servers(), "other-1", AWAY);
     is_reached_throughout(&site, AWAY).await;
 }
@@ -146,10 +148,10 @@
     let store = &site.backend.store;
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(CONTACT / 4).await;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Hold));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Hold));
     sleep(CONTACT).await;
     store.expire(&sites::servers(), "other-1", AWAY);
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     is_reached_throughout(&site, AWAY).await;
 }
 
@@ -160,9 +162,9 @@
     site.seen().await;
     let store = &site.backend.store;
     let second = &site.hosts[1].name;
-    store.at(second, |mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults(second, |faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
-    store.at(second, |mood| *mood = Mood::default());
+    store.set_faults(second, |faults| *faults = Faults::default());
     site.seen().await;
     store.expire(&sites::servers(), "other-1", AWAY);
     sleep(CONTACT).await;
@@ -177,11 +179,11 @@
     let site = site(2).await;
     site.seen().await;
     let store = &site.backend.store;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     site.seen().await;
-    store.at(&site.hosts[0].name, |mood| mood.refusal = Some(Refusal::Down));
+    store.set_faults(&site.hosts[0].name, |faults| faults.refusal = Some(Refusal::Down));
     // The first host is behind from here on, and asks the second while the entry is away.
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(BEHIND).await;
@@ -201,12 +203,12 @@
     site.seen().await;
     let store = site.backend.store.clone();
     let [first, second] = [0, 1].map(|place| site.hosts[place].name.clone());
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     site.seen().await;
     // A watch that is asked now looks at the store a second later.
-    store.at(&second, |mood| mood.delay = LATER);
+    store.set_faults(&second, |faults| faults.delay = LATER);
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(LATER / 4).await;
     site.backend.forget("other-1");
@@ -215,7 +217,7 @@
         store.watched_from(&first, &sites::servers()) >= Some(gone)
     })
     .await;
-    store.at(&first, |mood| mood.refusal = Some(Refusal::Down));
+    store.set_faults(&first, |faults| faults.refusal = Some(Refusal::Down));
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 2}));
     sleep(CONTACT).await;
     let before = site.backend.server("other-1").runs().len();
@@ -251,7 +253,7 @@
         store.revision_of(&sites::leases(), "orders").is_some()
     })
     .await;
-    store.everywhere(|mood| mood.silent = Some(Sort::Lists));
+    store.set_faults_everywhere(|faults| faults.unanswered = Some(CallKind::List));
     // All watches end, and what they followed is listed anew.
     store.put(&"notes".into(), "a", serde_json::json!(1));
     store.compact();
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -44,14 +44,14 @@
 #[tokio::test]
 async fn requests_go_on_without_the_store(#[case] refusal: Refusal) {
     let site = site(2).await;
-    site.backend.store.everywhere(|mood| mood.refusal = Some(refusal));
+    site.backend.store.set_faults_everywhere(|faults| faults.refusal = Some(refusal));
     for host in &site.hosts {
         for _ in 0..5 {
             serves(host).await;
         }
         assert_eq!(host.says_ready().await, Some(StatusCode::OK));
     }
-    site.backend.store.everywhere(|mood| mood.refusal = None);
+    site.backend.store.set_faults_everywhere(|faults| faults.refusal = None);
     declares_on(&site, 11).await;
 }
 
@@ -67,11 +67,11 @@
     let site = usual_site().await;
     let host = &site.hosts[0];
     let sorts = ["store", "watch of the declaration", "watch of servers"];
-    site.backend.store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    site.backend.store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     for sort in sorts {
         until("its loss is told", async || last_said(host, sort, "lost")).await;
     }
-    site.backend.store.everywhere(|mood| mood.refusal = None);
+    site.backend.store.set_faults_everywhere(|faults| faults.refusal = None);
     for sort in sorts {
         until("its return is told", async || last_said(host, sort, "regained")).await;
     }
@@ -86,11 +86,11 @@
     backend.declare(&declaration());
     let store = backend.store.clone();
     store.open("host-0").await.unwrap();
-    store.at("host-0", |mood| mood.refusal = Some(refusal));
+    store.set_faults("host-0", |faults| faults.refusal = Some(refusal));
     let site = undeclared(backend, 1).await;
     until("the host has asked", async || 0 < store.count("host-0").refused).await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::SERVICE_UNAVAILABLE));
-    store.at("host-0", |mood| mood.refusal = None);
+    store.set_faults("host-0", |faults| faults.refusal = None);
     site.ready().await;
     serves(&site.hosts[0]).await;
 }
@@ -102,7 +102,7 @@
     let known = site.hosts[0].peers().expect("its listener for hosts");
     let store = &site.backend.store;
     store.open("host-1").await.expect("a door");
-    store.at("host-1", |mood| mood.refusal = Some(Refusal::Down));
+    store.set_faults("host-1", |faults| faults.refusal = Some(Refusal::Down));
     let change = |settings: &mut Value| {
         let callers = settings["host"]["callers"].as_str().and_then(|text| text.parse().ok());
         let own = SocketAddr::new(callers.map(|it: SocketAddr| it.ip()).unwrap(), known.port());
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn a_slow_store_delays_only_what_needs_it(#[case] delay: Duration) {
     let site = site(1).await;
-    site.backend.store.everywhere(|mood| mood.delay = delay);
+    site.backend.store.set_faults_everywhere(|faults| faults.delay = delay);
     serves(&site.hosts[0]).await;
     declares_on(&site, 11).await;
 }
@@ -175,7 +175,7 @@
 async fn a_host_that_the_store_turns_away_hears_from_its_peers(#[case] refusal: Refusal) {
     let site = site(3).await;
     let host = &site.hosts[0];
-    site.backend.store.at(&host.name, |mood| mood.refusal = Some(refusal));
+    site.backend.store.set_faults(&host.name, |faults| faults.refusal = Some(refusal));
     declares_on(&site, 11).await;
     site.backend.server("app-1").leave(None);
     until("the host hears that a server is leaving", async || {
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -24,7 +24,7 @@
     lock,
     server::{OrderFault, Server},
     site::Site,
-    store::Mood,
+    store::Faults,
 };
 
 /// What the store's delay is while it is slow.
@@ -245,13 +245,21 @@
             Fault::Stop(host) => self.site.hosts[host].signal(Signal::SIGTERM),
             Fault::Freeze(host) => self.site.hosts[host].signal(Signal::SIGSTOP),
             Fault::Reload(host) => self.reload(host)?,
-            Fault::Down(refusal) => store.everywhere(|mood| mood.refusal = Some(refusal)),
-            Fault::Slow => store.everywhere(|mood| mood.delay = SLOW),
-            Fault::Lost(answers) => store.everywhere(|mood| mood.lost = answers),
-            Fault::LateWrite => store.everywhere(|mood| mood.late = Some(LATE)),
+            Fault::Down(refusal) => {
+                store.set_faults_everywhere(|faults| faults.refusal = Some(refusal))
+            }
+            Fault::Slow => store.set_faults_everywhere(|faults| faults.delay = SLOW),
+            Fault::Lost(answers) => {
+                store.set_faults_everywhere(|faults| faults.lost_replies = answers)
+            }
+            Fault::LateWrite => {
+                store.set_faults_everywhere(|faults| faults.late_write = Some(LATE))
+            }
             Fault::Compact => store.compact(),
             Fault::TurnAway(host, refusal) => {
-                store.at(&self.site.hosts[host].name, |mood| mood.refusal = Some(refusal));
+                store.set_faults(&self.site.hosts[host].name, |faults| {
+                    faults.refusal = Some(refusal)
+                });
             }
             Fault::Crash(server) => {
                 self.faulted.insert(server);
@@ -328,13 +336,14 @@
                 last.into_iter().for_each(|trouble| trouble.span.to += apply);
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
-                store.everywhere(|mood| {
-                    let Mood { delay, lost, late, .. } = Mood::default();
-                    (mood.lost, mood.late, mood.delay) = (lost, late, delay);
+                store.set_faults_everywhere(|faults| {
+                    let Faults { delay, lost_replies, late_write, .. } = Faults::default();
+                    (faults.lost_replies, faults.late_write, faults.delay) =
+                        (lost_replies, late_write, delay);
                     if let Fault::Down(refusal) = planned.fault
-                        && mood.refusal == Some(refusal)
+                        && faults.refusal == Some(refusal)
                     {
-                        mood.refusal = None;
+                        faults.refusal = None;
                     }
                 });
                 self.ends(&Place::Store);
@@ -343,7 +352,7 @@
                 }
             }
             Fault::TurnAway(host, _) => {
-                store.at(&self.site.hosts[host].name, |mood| mood.refusal = None);
+                store.set_faults(&self.site.hosts[host].name, |faults| faults.refusal = None);
                 self.ends(&Place::Door(host));
             }
             Fault::Crash(server) | Fault::Leave(server, _) => {
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -28,27 +28,27 @@
 
 /// How the store treats the calls at a door.
 #[derive(Clone, Debug, Default)]
-pub struct Mood {
+pub struct Faults {
     /// Turns every call away.
     pub refusal: Option<Refusal>,
     /// Leaves calls of a sort without an answer, for good, and answers the others.
-    pub silent: Option<Sort>,
+    pub unanswered: Option<CallKind>,
     /// Time that each call takes.
     pub delay: Duration,
     /// Carries out this many writes and loses their answers.
-    pub lost: u32,
+    pub lost_replies: u32,
     /// Leaves the next write without an answer and carries it out after this time, if its
     /// condition still holds.
-    pub late: Option<Duration>,
+    pub late_write: Option<Duration>,
 }
 
 /// A sort of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
+pub enum CallKind {
     /// Lists of a kind.
-    Lists,
+    List,
     /// Watches of a kind.
-    Watches,
+    Watch,
 }
 
 /// How a call is turned away.
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 struct Door {
     listener: Listener,
-    mood: Mood,
+    faults: Faults,
     count: Count,
     /// Where the last watch of each kind began.
     watched: HashMap<KindId, Revision>,
@@ -113,11 +113,11 @@
     Silence,
 }
 
-impl Mood {
+impl Faults {
     /// How a call is turned away now, if it is.
-    fn refusal_of(&self, sort: Option<Sort>) -> Option<Refusal> {
-        let is_silent = sort.is_some() && self.silent == sort;
-        self.refusal.or(is_silent.then_some(Refusal::Silence))
+    fn refusal_of(&self, kind: Option<CallKind>) -> Option<Refusal> {
+        let is_unanswered = kind.is_some() && self.unanswered == kind;
+        self.refusal.or(is_unanswered.then_some(Refusal::Silence))
     }
 }
 
@@ -156,9 +156,9 @@
         })
         .await?;
         let address = listener.address;
-        let (mood, count) = (Mood::default(), Count::default());
+        let (faults, count) = (Faults::default(), Count::default());
         let opened =
-            Door { listener, mood, count, watched: HashMap::new(), stalled: HashMap::new() };
+            Door { listener, faults, count, watched: HashMap::new(), stalled: HashMap::new() };
         lock(&self.shared.doors).insert(door.to_owned(), opened);
         Ok(address)
     }
@@ -168,17 +168,17 @@
         lock(&self.shared.doors).get(door).map(|door| door.listener.address)
     }
 
-    /// Changes the mood at one door.
-    pub fn at(&self, door: &str, change: impl FnOnce(&mut Mood)) {
+    /// Changes the faults at one door.
+    pub fn set_faults(&self, door: &str, change: impl FnOnce(&mut Faults)) {
         if let Some(door) = lock(&self.shared.doors).get_mut(door) {
-            change(&mut door.mood);
+            change(&mut door.faults);
         }
         self.shared.tick();
     }
 
-    /// Changes the mood at all doors.
-    pub fn everywhere(&self, change: impl Fn(&mut Mood)) {
-        lock(&self.shared.doors).values_mut().for_each(|door| change(&mut door.mood));
+    /// Changes the faults at all doors.
+    pub fn set_faults_everywhere(&self, change: impl Fn(&mut Faults)) {
+        lock(&self.shared.doors).values_mut().for_each(|door| change(&mut door.faults));
         self.shared.tick();
     }
 
@@ -194,7 +194,7 @@
 
     /// Watches of a kind at a door that silence took so far: nothing ever comes on them, also once
     /// the store answers again.
-    pub fn stalled(&self, door: &str, kind: &KindId) -> u64 {
+    pub fn unanswered_watches(&self, door: &str, kind: &KindId) -> u64 {
         let doors = lock(&self.shared.doors);
         doors.get(door).and_then(|door| door.stalled.get(kind)).copied().unwrap_or_default()
     }
@@ -260,8 +260,8 @@
         self.ticks.send_modify(|ticks| *ticks += 1);
     }
 
-    fn mood(&self, door: &str) -> Mood {
-        lock(&self.doors).get(door).map(|door| door.mood.clone()).unwrap_or_default()
+    fn faults(&self, door: &str) -> Faults {
+        lock(&self.doors).get(door).map(|door| door.faults.clone()).unwrap_or_default()
     }
 
     fn count(&self, door: &str, add: impl FnOnce(&mut Count)) {
@@ -282,7 +282,9 @@
     /// Whether the answer to a write is to be lost now.
     fn loses(&self, door: &str) -> bool {
         let mut doors = lock(&self.doors);
-        let Some(left) = doors.get_mut(door).map(|door| &mut door.mood.lost) else { return false };
+        let Some(left) = doors.get_mut(door).map(|door| &mut door.faults.lost_replies) else {
+            return false;
+        };
         let is_left = 0 < *left;
         *left = left.saturating_sub(1);
         is_left
@@ -290,7 +292,7 @@
 
     /// The time after which a write is to be carried out unanswered.
     fn delays(&self, door: &str) -> Option<Duration> {
-        lock(&self.doors).get_mut(door)?.mood.late.take()
+        lock(&self.doors).get_mut(door)?.faults.late_write.take()
     }
 }
 
@@ -320,9 +322,9 @@
         call if call.is_write() => count.writes += 1,
         _ => count.reads += 1,
     });
-    let mood = shared.mood(door);
-    tokio::time::sleep(mood.delay).await;
-    if let Some(refusal) = shared.mood(door).refusal_of(sort(&call)) {
+    let faults = shared.faults(door);
+    tokio::time::sleep(faults.delay).await;
+    if let Some(refusal) = shared.faults(door).refusal_of(kind(&call)) {
         if let Call::Watch { kind, .. } = &call {
             shared.stall(door, refusal, kind);
         }
@@ -335,10 +337,10 @@
     }
 }
 
-fn sort(call: &Call) -> Option<Sort> {
+fn kind(call: &Call) -> Option<CallKind> {
     match call {
-        Call::List { .. } => Some(Sort::Lists),
-        Call::Watch { .. } => Some(Sort::Watches),
+        Call::List { .. } => Some(CallKind::List),
+        Call::Watch { .. } => Some(CallKind::Watch),
         _ => None,
     }
 }
@@ -382,7 +384,7 @@
     let end = Instant::now() + wait;
     let mut ticks = shared.ticks.subscribe();
     loop {
-        match shared.mood(door).refusal_of(Some(Sort::Watches)) {
+        match shared.faults(door).refusal_of(Some(CallKind::Watch)) {
             Some(Refusal::Hold) => {
                 if ticks.changed().await.is_err() {
                     return Reply::Silence;
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -22,7 +22,7 @@
     caller::{Ask, Caller},
     server::{OrderFault, Overload, Server, Settings},
     site::{self, Backend},
-    store::{Mood, Refusal, Store},
+    store::{Faults, Refusal, Store},
     until,
 };
 use tokio::{net::TcpStream, task::JoinSet};
@@ -280,7 +280,7 @@
 async fn a_caller_that_is_turned_away_changes_nothing(#[case] refusal: Refusal) {
     let (store, door) = store().await;
     let other = store.open("other").await.unwrap();
-    store.at("door", |mood| mood.refusal = Some(refusal));
+    store.set_faults("door", |faults| faults.refusal = Some(refusal));
     let refused = told(door, &create("x", &json!({}))).await;
     let says_so = matches!(refusal, Refusal::Down | Refusal::TooMany);
     assert_eq!(matches!(refused, StoreReply::Refused), says_so, "{refused:?}");
@@ -289,12 +289,12 @@
 }
 
 #[rstest]
-#[case::lost_after_its_effect(|mood: &mut Mood| mood.lost = 1)]
-#[case::carried_out_late(|mood: &mut Mood| mood.late = Some(LATE))]
+#[case::lost_after_its_effect(|faults: &mut Faults| faults.lost_replies = 1)]
+#[case::carried_out_late(|faults: &mut Faults| faults.late_write = Some(LATE))]
 #[tokio::test]
-async fn a_write_without_an_answer_takes_effect(#[case] change: fn(&mut Mood)) {
+async fn a_write_without_an_answer_takes_effect(#[case] change: fn(&mut Faults)) {
     let (store, door) = store().await;
-    store.at("door", change);
+    store.set_faults("door", change);
     assert!(matches!(told(door, &create("x", &json!({}))).await, StoreReply::Unclear));
     let kind = platform::remote::store::kind(Of::Lease);
     until("the write takes effect", async || store.object(&kind, "x").is_some()).await;
@@ -304,7 +304,7 @@
 async fn a_late_write_whose_condition_no_longer_holds_does_nothing() {
     let (store, door) = store().await;
     let StoreReply::Object(made) = told(door, &create("x", &json!(1))).await else { panic!("no") };
-    store.at("door", |mood| mood.late = Some(LATE));
+    store.set_faults("door", |faults| faults.late_write = Some(LATE));
     assert!(matches!(
         told(door, &replace("x", made.revision, &json!(2))).await,
         StoreReply::Unclear
