--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use standin::routed::{
     caller::Ask,
-    links::Way,
+    links::Delivery,
     server::{Ending, Server, Settings},
     site::Site,
 };
@@ -112,10 +112,10 @@
 }
 
 /// Sets the links between a host and all others.
-fn set_links(site: &Site, place: usize, way: Way) {
+fn set_links(site: &Site, place: usize, delivery: Delivery) {
     for other in (0..HOSTS).filter(|other| *other != place) {
-        site.links().set(place, other, way);
-        site.links().set(other, place, way);
+        site.links().set_delivery(place, other, delivery);
+        site.links().set_delivery(other, place, delivery);
     }
 }
 
@@ -142,10 +142,10 @@
         }
         Trouble::Deaf => {
             for place in 0..HOSTS {
-                set_links(&site, place, Way::Lost);
+                set_links(&site, place, Delivery::Lost);
                 sleep(CONTACT + Duration::from_secs(1)).await;
                 send_through_all(&mut site, Source::One).await;
-                set_links(&site, place, Way::Passes);
+                set_links(&site, place, Delivery::Passes);
                 sleep(CONTACT).await;
                 send_through_all(&mut site, Source::One).await;
             }
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    links::Way,
+    links::Delivery,
     server::Fault as Grey,
     soak::{
         Plan, Summary, run,
@@ -48,7 +48,7 @@
 
 /// No datagram passes between hosts for longer than they count those that are silent.
 fn deaf() -> Vec<Planned> {
-    let deaf = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
+    let deaf = planned(1, 53, Fault::Links(Pairs::All, Delivery::Lost));
     [deaf].into_iter().chain(failing(42, 54)).collect()
 }
 
@@ -73,7 +73,7 @@
     let in_turn = (0..HOSTS).map(|host| kill(7_000 + 300 * host as u64, host));
     let at_once = (0..HOSTS).map(|host| kill(17_000 + host as u64, host));
     let others =
-        [planned(2, 22, Fault::Poison), planned(12, 2, Fault::Links(Pairs::Of(1), Way::Lost))];
+        [planned(2, 22, Fault::Poison), planned(12, 2, Fault::Links(Pairs::Of(1), Delivery::Lost))];
     in_turn.chain(at_once).chain(others).collect()
 }
 
--- a/crates/standin/src/routed/links.rs
+++ b/crates/standin/src/routed/links.rs
@@ -30,7 +30,7 @@
 
 /// What becomes of datagrams from one host to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum Delivery {
     /// Datagrams pass.
     #[default]
     Passes,
@@ -54,7 +54,7 @@
     /// Where each host listens now.
     targets: Vec<Option<SocketAddr>>,
     /// Ways that don't simply pass, by sender and receiver.
-    ways: BTreeMap<(usize, usize), Way>,
+    deliveries: BTreeMap<(usize, usize), Delivery>,
 }
 
 #[derive(Debug)]
@@ -102,20 +102,20 @@
     }
 
     /// Sets where a host listens.
-    pub fn target(&self, place: usize, listens: SocketAddr) {
+    pub fn set_target(&self, place: usize, listens: SocketAddr) {
         lock(&self.shared).targets[place] = Some(listens);
         self.relays[place].calls.retarget(listens);
     }
 
     /// Sets what becomes of datagrams from one host to another.
-    pub fn set(&self, from: usize, to: usize, way: Way) {
+    pub fn set_delivery(&self, from: usize, to: usize, delivery: Delivery) {
         let mut shared = lock(&self.shared);
-        match way {
-            Way::Passes => shared.ways.remove(&(from, to)),
-            Way::Lost | Way::Late(_) => shared.ways.insert((from, to), way),
+        match delivery {
+            Delivery::Passes => shared.deliveries.remove(&(from, to)),
+            Delivery::Lost | Delivery::Late(_) => shared.deliveries.insert((from, to), delivery),
         };
         let others = (0..self.relays.len()).filter(|other| *other != to);
-        let is_cut = |other| shared.ways.get(&(other, to)) == Some(&Way::Lost);
+        let is_cut = |other| shared.deliveries.get(&(other, to)) == Some(&Delivery::Lost);
         let is_deaf = 1 < self.relays.len() && others.into_iter().all(is_cut);
         drop(shared);
         let fault = if is_deaf { fault::Fault::Hold } else { fault::Fault::Pass };
@@ -143,18 +143,18 @@
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(sender) = Network::place(from.ip()) else { continue };
-        let (from, to, way) = {
+        let (from, to, delivery) = {
             let shared = lock(&shared);
-            let way = shared.ways.get(&(sender, receiver)).copied().unwrap_or_default();
-            (shared.sockets.get(sender).cloned(), shared.targets[receiver], way)
+            let delivery = shared.deliveries.get(&(sender, receiver)).copied().unwrap_or_default();
+            (shared.sockets.get(sender).cloned(), shared.targets[receiver], delivery)
         };
         let (Some(from), Some(to)) = (from, to) else { continue };
         let bytes = buffer[..length].to_vec();
-        match way {
+        match delivery {
             // A datagram that can't be sent is lost, as on any link.
-            Way::Passes => drop(from.send_to(&bytes, to).await),
-            Way::Lost => {}
-            Way::Late(late) => drop(tokio::spawn(async move {
+            Delivery::Passes => drop(from.send_to(&bytes, to).await),
+            Delivery::Lost => {}
+            Delivery::Late(late) => drop(tokio::spawn(async move {
                 sleep(late).await;
                 let _ = from.send_to(&bytes, to).await;
             })),
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -258,7 +258,7 @@
     /// Tells a host's relay where it listens.
     fn link(&self, place: usize) {
         if let (Some(links), Some(listens)) = (&self.links, self.hosts[place].peers()) {
-            links.target(place, listens);
+            links.set_target(place, listens);
         }
     }
 
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -20,7 +20,7 @@
     site,
 };
 use crate::routed::{
-    links::Way,
+    links::Delivery,
     lock,
     server::{OrderFault, Server},
     site::Site,
@@ -233,9 +233,11 @@
     }
 
     /// Sets the links of some pairs of hosts.
-    fn link(&self, pairs: Pairs, way: Way) {
+    fn link(&self, pairs: Pairs, delivery: Delivery) {
         let links = self.site.links();
-        pairs.among(self.site.hosts.len()).for_each(|(from, to)| links.set(from, to, way));
+        pairs
+            .among(self.site.hosts.len())
+            .for_each(|(from, to)| links.set_delivery(from, to, delivery));
     }
 
     fn make(&mut self, fault: Fault) -> Result<(), Failed> {
@@ -281,7 +283,7 @@
             Fault::AllGrey(server, grey) => site::alike(server).for_each(|place| {
                 self.server(place).script(|script| script.always = Some(grey));
             }),
-            Fault::Links(pairs, way) => self.link(pairs, way),
+            Fault::Links(pairs, delivery) => self.link(pairs, delivery),
             Fault::Dull(server) => {
                 self.server(server).script(|script| (script.work, script.pace) = DULL);
             }
@@ -369,7 +371,7 @@
                     site::calm(self.server(place), self.bounds.events);
                 }
             }
-            Fault::Links(pairs, _) => self.link(pairs, Way::Passes),
+            Fault::Links(pairs, _) => self.link(pairs, Delivery::Passes),
             Fault::Burst => self.crowd.is_burst.store(false, Ordering::Relaxed),
             Fault::Poison => self.crowd.is_poisoned.store(false, Ordering::Relaxed),
             Fault::Limited(server, _) => self.limit([server], None),
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -8,7 +8,7 @@
 use serde::{Serialize, Serializer};
 
 use super::site::SERVERS;
-use crate::routed::{links::Way, server::Fault as Grey, store::Refusal};
+use crate::routed::{links::Delivery, server::Fault as Grey, store::Refusal};
 
 /// Calm before the first fault.
 const BEFORE: Duration = Duration::from_secs(4);
@@ -115,7 +115,7 @@
     /// All servers of a server's service meet a fault.
     AllGrey(usize, #[serde(serialize_with = "debug")] Grey),
     /// Datagrams between hosts are lost or late.
-    Links(Pairs, #[serde(serialize_with = "debug")] Way),
+    Links(Pairs, #[serde(serialize_with = "debug")] Delivery),
     /// Orders to a server are lost, or judged late.
     Orders(usize),
     /// A new declaration.
@@ -317,11 +317,11 @@
         3 => Pairs::From(host),
         _ => Pairs::To(host),
     };
-    let way = match random.random_range(0..3) {
-        0 => Way::Late(Duration::from_millis(random.random_range(LINKS_LATE))),
-        _ => Way::Lost,
+    let delivery = match random.random_range(0..3) {
+        0 => Delivery::Late(Duration::from_millis(random.random_range(LINKS_LATE))),
+        _ => Delivery::Lost,
     };
-    Fault::Links(pairs, way)
+    Fault::Links(pairs, delivery)
 }
 
 fn pick(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
