--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -7,7 +7,7 @@
 use relay::Running;
 use settings::process::Process;
 use standin::routed::{
-    caller::{Ask, Caller},
+    caller::{Caller, RequestSpec},
     server::Settings,
     site::{self, Backend},
 };
@@ -59,17 +59,17 @@
     Ok(relay::start(settings, routed, Arc::new(Platform)).await?)
 }
 
-fn asks() -> [Ask; 3] {
+fn asks() -> [RequestSpec; 3] {
     [
-        Ask::to(HOST, "/drafts/welcome").model("welcome"),
-        Ask::to(HOST, "/login/"),
-        Ask::to(HOST, "/tickets/rooms/12").send(Method::POST, "room 12"),
+        RequestSpec::to(HOST, "/drafts/welcome").model("welcome"),
+        RequestSpec::to(HOST, "/login/"),
+        RequestSpec::to(HOST, "/tickets/rooms/12").with_body(Method::POST, "room 12"),
     ]
 }
 
 /// The line that asks the same from a shell.
-fn curl(callers: SocketAddr, ask: &Ask) -> String {
-    let request = ask.again().request();
+fn curl(callers: SocketAddr, ask: &RequestSpec) -> String {
+    let request = ask.with_new_id().request();
     let headers =
         request.headers().iter().filter(|(name, _)| *name != http::header::CONTENT_LENGTH);
     let headers = headers
@@ -81,14 +81,15 @@
 }
 
 /// Asks as a caller does: what did not run is asked again after the time that it is told.
-async fn answer(callers: SocketAddr, ask: &Ask) -> Result<(), Box<dyn Error>> {
+async fn answer(callers: SocketAddr, ask: &RequestSpec) -> Result<(), Box<dyn Error>> {
     let mut caller = Caller::new(callers);
     for _ in 0..TRIES {
-        let answer = caller.ask(&ask.again()).await.map_err(|failure| format!("{failure:?}"))?;
+        let answer =
+            caller.ask(&ask.with_new_id()).await.map_err(|failure| format!("{failure:?}"))?;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             println!(
                 "\n{} {}:\n{}",
-                ask.ask.path,
+                ask.info.path,
                 answer.status,
                 String::from_utf8_lossy(&answer.body)
             );
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 use rstest::rstest;
-use standin::routed::{caller::Ask, host::Host, site::Site, until};
+use standin::routed::{caller::RequestSpec, host::Host, site::Site, until};
 use types::routed::{Declaration, Kind};
 
 use crate::site::{
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn the_longest_prefix_takes_a_request(#[case] path: &str, #[case] service: &str) {
     let site = site(1).await;
-    let server = server_of(&site.hosts[0], &Ask::to(HOST, path)).await.unwrap();
+    let server = server_of(&site.hosts[0], &RequestSpec::to(HOST, path)).await.unwrap();
     assert!(server.starts_with(service), "{path} went to {server}");
 }
 
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn what_no_route_takes_is_not_found(#[case] host: &str, #[case] path: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&Ask::to(host, path)).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&RequestSpec::to(host, path)).await.unwrap();
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
     assert_eq!(site.backend.runs(), 0);
 }
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn a_host_is_known_however_it_is_spelled(#[case] host: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&Ask::to(host, "/pages/x")).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&RequestSpec::to(host, "/pages/x")).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn routes_come_and_go() {
     let site = site(1).await;
-    let new = Ask::to(HOST, "/new/x");
+    let new = RequestSpec::to(HOST, "/new/x");
     assert_eq!(status_of(&site.hosts[0], &new).await, Some(StatusCode::NOT_FOUND));
     let mut declared = declaration();
     declared.version += 4;
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     server::{Ending, Fault, Settings},
     until,
 };
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn what_a_server_did_not_run_is_tried_elsewhere(
     #[case] status: StatusCode,
-    #[values(page(), ticket(), chat())] ask: Ask,
+    #[values(page(), ticket(), chat())] ask: RequestSpec,
 ) {
     let site = site(1).await;
     // A host has no retries of its own until its registration is in the store.
@@ -39,7 +39,7 @@
         site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
     }
     for _ in 0..4 {
-        let again = ask.again();
+        let again = ask.with_new_id();
         assert_eq!(status_of(&site.hosts[0], &again).await, Some(StatusCode::OK));
         assert_eq!(site.backend.runs_of(&again.id()), 1);
     }
@@ -50,7 +50,7 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn what_no_server_ran_is_refused_as_not_run(#[case] ask: Ask) {
+async fn what_no_server_ran_is_refused_as_not_run(#[case] ask: RequestSpec) {
     let site = site(1).await;
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
     site.backend.script(|script| script.always = Some(full));
@@ -206,7 +206,7 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_caller_that_leaves_closes_the_servers_connection(#[case] ask: Ask) {
+async fn a_caller_that_leaves_closes_the_servers_connection(#[case] ask: RequestSpec) {
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
@@ -229,9 +229,11 @@
     }
     site.seen().await;
     site.backend.script(|script| script.poison = Some("poison"));
-    let poison = Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(SOON));
+    let poison = RequestSpec::to(HOST, "/pages/x")
+        .with_body(http::Method::POST, "poison")
+        .deadline(Some(SOON));
     for _ in 0..6 {
-        let status = status_of(&site.hosts[0], &poison.again()).await;
+        let status = status_of(&site.hosts[0], &poison.with_new_id()).await;
         assert!(status.is_some_and(|status| status.is_server_error()), "{status:?}");
     }
     let crashed = |run: &standin::routed::server::Run| run.ending == Some(Ending::Crashed);
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use rstest::rstest;
-use standin::routed::caller::Ask;
+use standin::routed::caller::RequestSpec;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
@@ -119,7 +119,7 @@
     backend.declare(&declared);
     let site = undeclared(backend, 1).await;
     site.ready().await;
-    let ask = Ask::to(HOST, "/tickets/x").send(Method::POST, vec![b'x'; bytes]);
+    let ask = RequestSpec::to(HOST, "/tickets/x").with_body(Method::POST, vec![b'x'; bytes]);
     assert_eq!(status_of(&site.hosts[0], &ask).await, Some(status));
     assert_eq!(site.backend.runs(), usize::from(status == StatusCode::OK));
 }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::json;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     host::Host,
     server::{Fault, Server, Settings, quota},
     site::Site,
@@ -42,14 +42,14 @@
 const CALLERS: usize = 6;
 
 /// Calls hosts until a moment, each caller once at the least.
-async fn press(hosts: &[Host], ask: impl Fn() -> Ask, until: Instant) -> Vec<Answered> {
+async fn press(hosts: &[Host], ask: impl Fn() -> RequestSpec, until: Instant) -> Vec<Answered> {
     let mut callers = JoinSet::new();
     for host in hosts.iter().flat_map(|host| [host; CALLERS]) {
         let (mut caller, ask) = (host.caller(), ask());
         callers.spawn(async move {
             let mut answers = Vec::new();
             loop {
-                let (ask, from) = (ask.again().deadline(Some(DEADLINE)), Instant::now());
+                let (ask, from) = (ask.with_new_id().deadline(Some(DEADLINE)), Instant::now());
                 // A host that stands still answers nobody.
                 if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&ask)).await {
                     answers.push((answer.status, from.elapsed(), answer.told.retry_after));
@@ -128,7 +128,10 @@
 #[case::plain(page(), ["app-1", "app-2"])]
 #[case::streams(chat(), ["lm-1", "lm-2"])]
 #[tokio::test]
-async fn all_servers_of_a_service_may_name_limits(#[case] ask: Ask, #[case] ids: [&str; 2]) {
+async fn all_servers_of_a_service_may_name_limits(
+    #[case] ask: RequestSpec,
+    #[case] ids: [&str; 2],
+) {
     const LIMIT: f64 = 4.0;
     let site = site(3).await;
     ids.iter().for_each(|id| name_limit(site.backend.server(id), Some("4")));
@@ -153,7 +156,7 @@
 async fn a_host_keeps_to_a_limit_that_only_others_have_seen() {
     let site = site(3).await;
     name_limit(site.backend.server("other-1"), Some("0.5"));
-    let deep = || Ask::to(crate::site::HOST, "/pages/deep/x");
+    let deep = || RequestSpec::to(crate::site::HOST, "/pages/deep/x");
     until("the first host has an answer", async || {
         press(&site.hosts[..1], deep, Instant::now()).await;
         limited(&site.hosts[0]).await == Some(1.0)
@@ -233,7 +236,7 @@
     name_limit(server, Some(limit));
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
-        let ask = Ask::to(crate::site::HOST, "/pages/deep/x");
+        let ask = RequestSpec::to(crate::site::HOST, "/pages/deep/x");
         assert_eq!(caller.ask(&ask).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(&site.hosts[0]).await;
@@ -277,8 +280,12 @@
     for limit in [Some("2.5"), Some("4"), None] {
         name_limit(server, limit);
         until("the change is told", async || {
-            press(&site.hosts, || Ask::to(crate::site::HOST, "/pages/deep/x"), Instant::now())
-                .await;
+            press(
+                &site.hosts,
+                || RequestSpec::to(crate::site::HOST, "/pages/deep/x"),
+                Instant::now(),
+            )
+            .await;
             let log = site.hosts[0].log();
             let told = log.iter().rfind(|record| record["kind"] == "limit");
             let now = limit.and_then(|limit| limit.parse::<f64>().ok());
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use standin::{
     page::is_shown,
-    routed::{caller::Ask, server::Fault, site::Site, until},
+    routed::{caller::RequestSpec, server::Fault, site::Site, until},
 };
 
 use crate::{
@@ -59,9 +59,9 @@
 }
 
 /// Asks, and checks the page once the request's end is written.
-async fn check_request(site: &Site, id: &str, ask: Ask) {
+async fn check_request(site: &Site, id: &str, ask: RequestSpec) {
     let mut caller = site.hosts[0].caller();
-    caller.ask(&ask.named(id)).await.expect("an answer");
+    caller.ask(&ask.with_id(id)).await.expect("an answer");
     check_told(site, id).await;
 }
 
@@ -76,7 +76,7 @@
     let mut site = usual_site().await;
     site.backend.forget("other-1");
     site.seen().await;
-    let ask = Ask::to(HOST, "/pages/deep/home").deadline(Some(SOON));
+    let ask = RequestSpec::to(HOST, "/pages/deep/home").deadline(Some(SOON));
     check_request(&site, "refused-1", ask).await;
 }
 
@@ -98,7 +98,7 @@
 async fn a_late_stream_is_told_as_the_page_shows() {
     let site = usual_site().await;
     site.backend.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
-    let ask = draft().named("late-1");
+    let ask = draft().with_id("late-1");
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&ask).await.expect("a head");
     assert!(opened.event(2).await);
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode};
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     links::Delivery,
     server::{Ending, Server, Settings},
     site::Site,
@@ -72,8 +72,9 @@
 async fn send_through_all(site: &mut Site, source: Source) {
     for place in 0..HOSTS {
         let host = &site.hosts[place];
-        let poison =
-            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(PATIENCE));
+        let poison = RequestSpec::to(HOST, "/tickets/new")
+            .with_body(Method::POST, "poison")
+            .deadline(Some(PATIENCE));
         let mut caller = match source {
             Source::One => host.caller(),
             Source::EachHost => host.caller().from(IpAddr::from([127, 77, 0, place as u8 + 1])),
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -55,7 +55,7 @@
     let welcome = || chat().model("welcome");
     site.backend.restart(run(2_000, &["welcome"])).await.expect("its address");
     until("the second run is used", async || {
-        status_of(&site.hosts[0], &welcome().unread()).await;
+        status_of(&site.hosts[0], &welcome().with_new_prompt()).await;
         !site.backend.server("lm-1").runs().is_empty()
     })
     .await;
@@ -67,7 +67,7 @@
     site.seen().await;
     let before = site.backend.server("lm-1").runs().len();
     until("it is still used", async || {
-        status_of(&site.hosts[0], &welcome().unread()).await;
+        status_of(&site.hosts[0], &welcome().with_new_prompt()).await;
         before < site.backend.server("lm-1").runs().len()
     })
     .await;
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -4,17 +4,17 @@
 
 use http::{Method, StatusCode};
 use rstest::rstest;
-use standin::routed::{caller::Ask, server::Ending, until};
+use standin::routed::{caller::RequestSpec, server::Ending, until};
 
 use crate::site::{HOST, chat, draft, page, site, ticket};
 
 #[rstest]
 #[case::idempotent(page())]
 #[case::non_idempotent(ticket())]
-#[case::with_a_body(Ask::to(HOST, "/pages/form").send(Method::PUT, vec![b'x'; 100_000]))]
-#[case::method_of_its_own(Ask::to(HOST, "/pages/form").send(Method::DELETE, ""))]
+#[case::with_a_body(RequestSpec::to(HOST, "/pages/form").with_body(Method::PUT, vec![b'x'; 100_000]))]
+#[case::method_of_its_own(RequestSpec::to(HOST, "/pages/form").with_body(Method::DELETE, ""))]
 #[tokio::test]
-async fn a_plain_request_is_served(#[case] ask: Ask) {
+async fn a_plain_request_is_served(#[case] ask: RequestSpec) {
     let site = site(1).await;
     let sent = ask.request();
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
@@ -37,7 +37,7 @@
 #[case::resumable(draft(), 1)]
 #[case::resumed_by_the_caller(draft().resume(2), 3)]
 #[tokio::test]
-async fn a_stream_is_served(#[case] ask: Ask, #[case] first: u64) {
+async fn a_stream_is_served(#[case] ask: RequestSpec, #[case] first: u64) {
     let site = site(1).await;
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
@@ -61,11 +61,11 @@
 #[case::adapter(chat().adapter("a1"))]
 #[case::model(chat().model("notes"))]
 #[tokio::test]
-async fn what_no_server_holds_is_loaded(#[case] ask: Ask) {
+async fn what_no_server_holds_is_loaded(#[case] ask: RequestSpec) {
     let site = site(2).await;
     let mut caller = site.hosts[0].caller();
     until("it is served", async || {
-        let answer = caller.ask(&ask.again()).await.unwrap();
+        let answer = caller.ask(&ask.with_new_id()).await.unwrap();
         let promises = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
         assert!(promises.contains(&answer.status), "{}", answer.status);
         answer.events() == [1, 2, 3, 4, 5]
@@ -80,9 +80,9 @@
 #[case::plain(page())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn headers_that_are_the_systems_are_dropped_from_strangers(#[case] ask: Ask) {
+async fn headers_that_are_the_systems_are_dropped_from_strangers(#[case] ask: RequestSpec) {
     let site = site(1).await;
-    let ask = ask.forged();
+    let ask = ask.with_reserved_headers();
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK, "no server was found by a forged instance");
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -17,7 +17,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     site::{self as sites, Site},
     store::{CallKind, Faults, Refusal},
     until,
@@ -83,7 +83,7 @@
     let ask = declare_route(&site, 11);
     sleep(CONTACT).await;
     for host in &site.hosts {
-        let status = status_of(host, &ask.again()).await;
+        let status = status_of(host, &ask.with_new_id()).await;
         assert_eq!(status, Some(StatusCode::OK), "{} is behind", host.name);
     }
 }
@@ -125,12 +125,12 @@
 
 /// Asserts that at each moment of a span every host sends requests on to a server without a wait.
 async fn is_reached_throughout(site: &Site, span: Duration) {
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     let end = Instant::now() + span;
     while Instant::now() < end {
         for host in &site.hosts {
             let began = Instant::now();
-            let status = status_of(host, &deep.again()).await;
+            let status = status_of(host, &deep.with_new_id()).await;
             assert_eq!(status, Some(StatusCode::OK), "{} has no server", host.name);
             assert!(began.elapsed() < span / 2, "{} waited for its entry", host.name);
         }
@@ -221,7 +221,7 @@
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 2}));
     sleep(CONTACT).await;
     let before = site.backend.server("other-1").runs().len();
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     assert_ne!(status_of(&site.hosts[0], &deep).await, Some(StatusCode::OK));
     assert_eq!(site.backend.server("other-1").runs().len(), before, "it is used again");
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     host::Host,
     server::Settings,
     site::{Backend, Site},
@@ -137,38 +137,38 @@
 }
 
 /// Declares a further route, and returns what asks for it.
-pub fn declare_route(site: &Site, version: u64) -> Ask {
+pub fn declare_route(site: &Site, version: u64) -> RequestSpec {
     let prefix = format!("/pages-{version}/");
     let mut declared = declaration();
     declared.version = version;
     declared.routes.push(route(&prefix, Kind::Idempotent, &[("app", 1)]));
     site.backend.declare(&declared);
-    Ask::to(HOST, &format!("{prefix}x"))
+    RequestSpec::to(HOST, &format!("{prefix}x"))
 }
 
-pub fn page() -> Ask {
-    Ask::to(HOST, "/pages/home?lang=es")
+pub fn page() -> RequestSpec {
+    RequestSpec::to(HOST, "/pages/home?lang=es")
 }
 
-pub fn ticket() -> Ask {
-    Ask::to(HOST, "/tickets/new").send(Method::POST, "room 12")
+pub fn ticket() -> RequestSpec {
+    RequestSpec::to(HOST, "/tickets/new").with_body(Method::POST, "room 12")
 }
 
-pub fn chat() -> Ask {
-    Ask::to(HOST, "/chat/2f").model("welcome")
+pub fn chat() -> RequestSpec {
+    RequestSpec::to(HOST, "/chat/2f").model("welcome")
 }
 
-pub fn draft() -> Ask {
-    Ask::to(HOST, "/draft/2f").model("welcome")
+pub fn draft() -> RequestSpec {
+    RequestSpec::to(HOST, "/draft/2f").model("welcome")
 }
 
 /// The server that answers a request.
-pub async fn server_of(host: &Host, ask: &Ask) -> Option<String> {
+pub async fn server_of(host: &Host, ask: &RequestSpec) -> Option<String> {
     let answer = host.caller().ask(ask).await.ok()?;
     answer.field("server").as_str().map(str::to_owned)
 }
 
 /// The status that a request gets.
-pub async fn status_of(host: &Host, ask: &Ask) -> Option<StatusCode> {
+pub async fn status_of(host: &Host, ask: &RequestSpec) -> Option<StatusCode> {
     Some(host.caller().ask(ask).await.ok()?.status)
 }
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use standin::routed::{caller::Ask, until};
+use standin::routed::{caller::RequestSpec, until};
 
 use crate::site::{chat, page, site, status_of, ticket};
 
@@ -52,7 +52,7 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sigterm_cuts_nothing_and_the_process_ends(#[case] ask: Ask) {
+async fn sigterm_cuts_nothing_and_the_process_ends(#[case] ask: RequestSpec) {
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
@@ -79,7 +79,7 @@
 #[case::plain(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sighup_ends_nothing(#[case] ask: Ask) {
+async fn sighup_ends_nothing(#[case] ask: RequestSpec) {
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     host::Host,
     server::Settings,
     site::{self as sites, Site},
@@ -30,7 +30,7 @@
     let moved = declare_route(site, version);
     for host in &site.hosts {
         until("the declaration is in force", async || {
-            status_of(host, &moved.again()).await == Some(StatusCode::OK)
+            status_of(host, &moved.with_new_id()).await == Some(StatusCode::OK)
         })
         .await;
     }
@@ -137,9 +137,9 @@
     site.backend.add(Settings::plain("other-2", "other")).await.unwrap();
     site.backend.forget("other-1");
     site.backend.store.compact();
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     until("the list of servers is read anew", async || {
-        server_of(&site.hosts[0], &deep.again()).await.as_deref() == Some("other-2")
+        server_of(&site.hosts[0], &deep.with_new_id()).await.as_deref() == Some("other-2")
     })
     .await;
 }
@@ -151,7 +151,7 @@
     backend.declare(&declaration());
     let site = undeclared(backend, 1).await;
     site.ready().await;
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     for ask in [page(), ticket(), chat(), deep] {
         assert_eq!(status_of(&site.hosts[0], &ask).await, Some(StatusCode::OK));
     }
@@ -161,7 +161,7 @@
 async fn an_entry_that_expired_and_came_back_is_used_again() {
     let site = site(1).await;
     site.backend.store.expire(&sites::servers(), "other-1", Duration::from_millis(500));
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     let answer = status_of(&site.hosts[0], &deep).await;
     assert_eq!(answer, Some(StatusCode::OK), "a request can wait half a second for its server");
 }
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standin::routed::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, RequestSpec},
     host::Host,
     server::{Fault, Settings},
     site::Site,
@@ -56,7 +56,7 @@
     story.iter().filter(|line| line["kind"] == kind).collect()
 }
 
-async fn failing(fault: Fault, ask: &Ask) -> (Site, Answer) {
+async fn failing(fault: Fault, ask: &RequestSpec) -> (Site, Answer) {
     let site = usual_site().await;
     site.backend.script(|script| script.always = Some(fault));
     let answer = site.hosts[0].caller().ask(ask).await.unwrap();
@@ -84,7 +84,7 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_refusal_is_explained(#[case] ask: Ask) {
+async fn a_refusal_is_explained(#[case] ask: RequestSpec) {
     let ask = ask.deadline(Some(SOON));
     let (site, answer) = failing(FULL, &ask).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn a_request_that_no_route_takes_is_explained() {
     let site = usual_site().await;
-    let ask = Ask::to("nowhere.example", "/");
+    let ask = RequestSpec::to("nowhere.example", "/");
     site.hosts[0].caller().ask(&ask).await.unwrap();
     let story = story(&site, &ask.id()).await;
     let end = of(&story, "ended")[0];
@@ -203,7 +203,7 @@
 #[case::plain(page(), 0)]
 #[case::stream(chat(), 5)]
 #[tokio::test]
-async fn a_request_that_goes_well_is_one_line(#[case] ask: Ask, #[case] events: u64) {
+async fn a_request_that_goes_well_is_one_line(#[case] ask: RequestSpec, #[case] events: u64) {
     let site = usual_site().await;
     assert_eq!(site.hosts[0].caller().ask(&ask).await.unwrap().status, StatusCode::OK);
     story(&site, &ask.id()).await;
@@ -223,7 +223,7 @@
     let host = &site.hosts[0];
     let start = host.log().into_iter().find(|line| line["kind"] == "start").expect("its start");
     let mut settings = start["settings"].clone();
-    let steps = async |ask: &Ask| {
+    let steps = async |ask: &RequestSpec| {
         assert_eq!(host.caller().ask(ask).await.unwrap().status, StatusCode::OK);
         story(&site, &ask.id()).await.iter().filter(|line| line["kind"] == "attempt").count()
     };
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::{Answer, Ask},
+    caller::{Answer, RequestSpec},
     server::{Ending, Fault, Run},
     site::Site,
     until,
@@ -24,12 +24,12 @@
 }
 
 /// The first stream that comes to a server has a fault, until it has come to one.
-async fn once(site: &Site, fault: Fault, ask: &Ask) -> Answer {
+async fn once(site: &Site, fault: Fault, ask: &RequestSpec) -> Answer {
     let server = site.backend.server("lm-1");
     server.script(|script| script.faults = [fault].into());
     loop {
         // A prompt that the other server had read would go there each time.
-        let answer = site.hosts[0].caller().ask(&ask.unread()).await.unwrap();
+        let answer = site.hosts[0].caller().ask(&ask.with_new_prompt()).await.unwrap();
         if !server.runs().is_empty() {
             return answer;
         }
@@ -128,6 +128,6 @@
     assert_eq!(first.status, StatusCode::OK);
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
     holder.script(|script| script.always = Some(Fault::Lost));
-    let answer = site.hosts[0].caller().ask(&ask.again()).await.unwrap();
+    let answer = site.hosts[0].caller().ask(&ask.with_new_id()).await.unwrap();
     assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
 }
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -31,19 +31,19 @@
 
 /// A request under construction.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     /// What the system needs to know of it.
-    pub ask: edge::RequestInfo,
+    pub info: edge::RequestInfo,
     method: Method,
     body: Bytes,
     headers: HeaderMap,
     is_forged: bool,
 }
 
-impl Ask {
+impl RequestSpec {
     /// A `GET` of a path at a host, with an id of its own.
-    pub fn to(host: &str, path: &str) -> Ask {
-        let ask = edge::RequestInfo {
+    pub fn to(host: &str, path: &str) -> RequestSpec {
+        let info = edge::RequestInfo {
             id: next_id(),
             host: host.into(),
             path: path.into(),
@@ -56,8 +56,8 @@
             deadline: Some(Duration::from_secs(20)),
             resume: None,
         };
-        Ask {
-            ask,
+        RequestSpec {
+            info,
             method: Method::GET,
             body: Bytes::new(),
             headers: HeaderMap::new(),
@@ -66,89 +66,89 @@
     }
 
     /// The same request again, under an id of its own.
-    pub fn again(&self) -> Ask {
+    pub fn with_new_id(&self) -> RequestSpec {
         let mut again = self.clone();
-        again.ask.id = next_id();
+        again.info.id = next_id();
         again
     }
 
     /// The id.
     pub fn id(&self) -> Arc<str> {
-        self.ask.id.clone()
+        self.info.id.clone()
     }
 
     /// Under another id.
-    pub fn named(mut self, id: &str) -> Ask {
-        self.ask.id = id.into();
+    pub fn with_id(mut self, id: &str) -> RequestSpec {
+        self.info.id = id.into();
         self
     }
 
     /// With a path that no other request of the same caller has.
-    pub fn numbered(mut self, caller: u64, number: u64) -> Ask {
-        let (path, query) = match self.ask.path.split_once('?') {
+    pub fn with_number(mut self, caller: u64, number: u64) -> RequestSpec {
+        let (path, query) = match self.info.path.split_once('?') {
             Some((path, query)) => (path, format!("?{query}")),
-            None => (&*self.ask.path, String::new()),
+            None => (&*self.info.path, String::new()),
         };
-        self.ask.path = format!("{path}/{caller}-{number}{query}").into();
+        self.info.path = format!("{path}/{caller}-{number}{query}").into();
         self
     }
 
     /// With a method and a body.
-    pub fn send(mut self, method: Method, body: impl Into<Bytes>) -> Ask {
+    pub fn with_body(mut self, method: Method, body: impl Into<Bytes>) -> RequestSpec {
         (self.method, self.body) = (method, body.into());
         self
     }
 
     /// For a model.
-    pub fn model(mut self, model: &str) -> Ask {
-        self.ask.model = Some(model.into());
-        (self.ask.tokens_in, self.ask.tokens_out) = (100, 20);
-        self.ask.prompt = vec![edge::Part { id: 0x5c1e, tokens: 100 }];
-        self.send(Method::POST, "a prompt")
+    pub fn model(mut self, model: &str) -> RequestSpec {
+        self.info.model = Some(model.into());
+        (self.info.tokens_in, self.info.tokens_out) = (100, 20);
+        self.info.prompt = vec![edge::Part { id: 0x5c1e, tokens: 100 }];
+        self.with_body(Method::POST, "a prompt")
     }
 
     /// For an adapter of the model.
-    pub fn adapter(mut self, adapter: &str) -> Ask {
-        self.ask.adapter = Some(adapter.into());
+    pub fn adapter(mut self, adapter: &str) -> RequestSpec {
+        self.info.adapter = Some(adapter.into());
         self
     }
 
     /// With another deadline, or none.
-    pub fn deadline(mut self, deadline: Option<Duration>) -> Ask {
-        self.ask.deadline = deadline;
+    pub fn deadline(mut self, deadline: Option<Duration>) -> RequestSpec {
+        self.info.deadline = deadline;
         self
     }
 
     /// The same with a prompt that no server has read, under another id.
-    pub fn unread(&self) -> Ask {
-        let mut again = self.again();
-        let tokens = again.ask.tokens_in;
+    pub fn with_new_prompt(&self) -> RequestSpec {
+        let mut again = self.with_new_id();
+        let tokens = again.info.tokens_in;
         let id = NUMBER.fetch_add(1, Ordering::Relaxed);
-        again.ask.prompt = vec![edge::Part { id, tokens }];
+        again.info.prompt = vec![edge::Part { id, tokens }];
         again
     }
 
     /// Going on after an event.
-    pub fn resume(mut self, event: u64) -> Ask {
-        self.ask.resume = Some(event);
+    pub fn resume(mut self, event: u64) -> RequestSpec {
+        self.info.resume = Some(event);
         self
     }
 
     /// With a header of the caller's own.
-    pub fn header(mut self, name: &'static str, value: &'static str) -> Ask {
+    pub fn header(mut self, name: &'static str, value: &'static str) -> RequestSpec {
         self.headers.insert(name, http::HeaderValue::from_static(value));
         self
     }
 
     /// With all headers that only the system may set.
-    pub fn forged(mut self) -> Ask {
+    pub fn with_reserved_headers(mut self) -> RequestSpec {
         self.is_forged = true;
         self
     }
 
     /// The request as it is sent.
     pub fn request(&self) -> Request<Bytes> {
-        let mut request = remote::request(self.method.clone(), &self.ask, self.body.clone());
+        let mut request = remote::request(self.method.clone(), &self.info, self.body.clone());
         request.headers_mut().extend(self.headers.clone());
         if self.is_forged {
             remote::set_reserved(request.headers_mut());
@@ -254,7 +254,7 @@
     /// # Errors
     ///
     /// If no answer begins.
-    pub async fn ask(&mut self, ask: &Ask) -> Result<Answer, Failure> {
+    pub async fn ask(&mut self, ask: &RequestSpec) -> Result<Answer, Failure> {
         self.open(ask).await?.finish().await
     }
 
@@ -263,7 +263,7 @@
     /// # Errors
     ///
     /// If no answer begins.
-    pub async fn open(&mut self, ask: &Ask) -> Result<Opened, Failure> {
+    pub async fn open(&mut self, ask: &RequestSpec) -> Result<Opened, Failure> {
         self.send(ask.request()).await
     }
 
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -24,7 +24,7 @@
     site::{ADAPTERS, DEADLINE, HOST, MODELS, POISON, since},
 };
 use crate::routed::{
-    caller::{Answer, Ask, Caller, Failure},
+    caller::{Answer, Caller, Failure, RequestSpec},
     lock,
 };
 
@@ -117,7 +117,7 @@
 
 /// What one caller asks for next.
 struct Wanted {
-    ask: Ask,
+    ask: RequestSpec,
     kind: Kind,
     resumable: bool,
     body: usize,
@@ -132,9 +132,9 @@
         1 => (Kind::Idempotent, false),
         _ => (Kind::Stream, true),
     };
-    let ask = Ask::to(HOST, path).deadline(Some(DEADLINE));
+    let ask = RequestSpec::to(HOST, path).deadline(Some(DEADLINE));
     let ask = if kind == Kind::Stream { ask.model(MODELS[0]) } else { ask };
-    let ask = ask.send(Method::POST, POISON);
+    let ask = ask.with_body(Method::POST, POISON);
     let mut sending = JoinSet::new();
     for turn in 0.. {
         sleep(POISON_PAUSE).await;
@@ -148,7 +148,7 @@
         let seat = seats[turn % seats.len()];
         let source = IpAddr::from([127, 0, 0, seat.life.host as u8 + 2]);
         let body = POISON.len();
-        let wanted = Wanted { ask: ask.again(), kind, resumable, body, crashes: true };
+        let wanted = Wanted { ask: ask.with_new_id(), kind, resumable, body, crashes: true };
         let crowd = crowd.clone();
         sending.spawn(async move {
             let mut caller = Caller::new(seat.callers).from(source);
@@ -160,13 +160,13 @@
 
 fn want(random: &mut ChaCha8Rng, versions: &[Version]) -> Wanted {
     let plain = |path: &str, kind| {
-        let ask = Ask::to(HOST, path);
+        let ask = RequestSpec::to(HOST, path);
         Wanted { ask, kind, resumable: false, body: 0, crashes: false }
     };
     let stream = |path: &str, resumable, random: &mut ChaCha8Rng| {
         // Few models get most of the requests.
         let place = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
-        let mut ask = Ask::to(HOST, path).model(MODELS[place]);
+        let mut ask = RequestSpec::to(HOST, path).model(MODELS[place]);
         if random.random_bool(0.3) {
             ask = ask.adapter(&format!("a{}", random.random_range(1..=ADAPTERS)));
         }
@@ -183,7 +183,7 @@
         54..74 => {
             let body = vec![b'x'; random.random_range(1..4_000)];
             let mut ticket = plain("/tickets/new", Kind::NonIdempotent);
-            (ticket.body, ticket.ask) = (body.len(), ticket.ask.send(Method::POST, body));
+            (ticket.body, ticket.ask) = (body.len(), ticket.ask.with_body(Method::POST, body));
             ticket
         }
         74..87 => stream("/chat/2f", false, random),
@@ -204,10 +204,10 @@
         let versions = lock(&crowd.versions).clone();
         let mut wanted = want(&mut random, &versions);
         number += 1;
-        wanted.ask = wanted.ask.numbered(caller, number);
+        wanted.ask = wanted.ask.with_number(caller, number);
         // What failed beside a request that crashes servers is asked for again, as it was.
         if let Some(again) = failed.take() {
-            wanted = Wanted { ask: again.ask.again(), ..again };
+            wanted = Wanted { ask: again.ask.with_new_id(), ..again };
         }
         let Some(seat) = crowd.seat(&mut random) else { continue };
         let connection = kept.entry(seat.life).or_insert_with(|| Caller::new(seat.callers));
@@ -253,7 +253,7 @@
         id: wanted.ask.id().to_string(),
         kind: wanted.kind,
         resumable: wanted.resumable,
-        path: wanted.ask.ask.path.to_string(),
+        path: wanted.ask.info.path.to_string(),
         body: wanted.body,
         crashes: wanted.crashes,
         life: seat.life,
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -19,7 +19,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standin::routed::{
-    caller::{Ask, Caller},
+    caller::{Caller, RequestSpec},
     server::{OrderFault, Overload, Server, Settings},
     site::{self, Backend},
     store::{Faults, Refusal, Store},
@@ -406,7 +406,7 @@
     let settings = Settings { slots: 1, queue: 1, ..Settings::plain("app-1", "app") };
     let server = Server::start(settings).await.unwrap();
     server.script(|script| script.work = Duration::from_millis(300));
-    let ask = || Ask::to("a.example", "/pages/x");
+    let ask = || RequestSpec::to("a.example", "/pages/x");
     for _ in 0..2 {
         let mut callers = JoinSet::new();
         for _ in 0..5 {
