--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -95,7 +95,7 @@
             );
             return Ok(());
         }
-        tokio::time::sleep(answer.told.retry_after.unwrap_or(PAUSE)).await;
+        tokio::time::sleep(answer.metadata.retry_after.unwrap_or(PAUSE)).await;
     }
     Err("no answer".into())
 }
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -54,7 +54,7 @@
     assert_eq!(host.says_ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = host.caller().ask(&page()).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.told.retry_after.is_some());
+    assert!(answer.metadata.retry_after.is_some());
 
     site.backend.declare(&declaration());
     host.ready().await;
@@ -140,7 +140,7 @@
     site.backend.declare(&declared);
     site.seen().await;
     let answer = asking.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
 
 #[tokio::test]
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -57,7 +57,7 @@
     let ask = ask.deadline(Some(SOON));
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(answer.told.seal, None);
+    assert_eq!(answer.metadata.seal, None);
     assert_eq!(site.backend.runs(), 0);
 }
 
@@ -97,7 +97,7 @@
     for _ in 0..4 {
         let ask = page();
         let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+        assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
         assert_eq!(answer.field("server"), "app-2");
         assert_eq!(answer.field("request"), *ask.id());
         assert!(site.backend.runs_of(&ask.id()) <= 2);
@@ -117,7 +117,7 @@
     let ask = chat();
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
-    assert_eq!((answer.events(), answer.told.seal), (vec![], None));
+    assert_eq!((answer.events(), answer.metadata.seal), (vec![], None));
     assert_eq!(site.backend.runs_of(&ask.id()), 1);
 }
 
@@ -133,8 +133,8 @@
     for _ in 0..10 {
         let ask = page();
         let answer = caller.ask(&ask).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-        assert_eq!(answer.told.id, Some(ask.id()));
+        assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
+        assert_eq!(answer.metadata.id, Some(ask.id()));
         assert_eq!(answer.field("request"), *ask.id());
     }
     assert_eq!(caller.connections(), 1);
@@ -153,11 +153,11 @@
         let answer = caller.ask(&ask).await.unwrap();
         assert_eq!(site.backend.runs_of(&ask.id()), 1);
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.told.id, Some(ask.id()));
+            assert_eq!(answer.metadata.id, Some(ask.id()));
             assert_eq!(answer.field("request"), *ask.id());
         } else {
             // The answer that came in its place hides its own.
-            assert_eq!((answer.status, answer.told.seal), (StatusCode::BAD_GATEWAY, None));
+            assert_eq!((answer.status, answer.metadata.seal), (StatusCode::BAD_GATEWAY, None));
         }
     }
 }
@@ -170,7 +170,7 @@
     let ask = ticket();
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
-    assert!(answer.told.seal.is_some());
+    assert!(answer.metadata.seal.is_some());
     assert_eq!(
         (answer.field("request"), site.backend.runs_of(&ask.id())),
         (ask.id().as_ref().into(), 1)
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -52,7 +52,7 @@
                 let (ask, from) = (ask.with_new_id().deadline(Some(DEADLINE)), Instant::now());
                 // A host that stands still answers nobody.
                 if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&ask)).await {
-                    answers.push((answer.status, from.elapsed(), answer.told.retry_after));
+                    answers.push((answer.status, from.elapsed(), answer.metadata.retry_after));
                 }
                 sleep(PAUSE).await;
                 if until <= Instant::now() {
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -44,7 +44,7 @@
     // A host may be gone or frozen, and what it refuses is asked again soon enough.
     let answer = tokio::time::timeout(SOON * 2, caller.ask(&ask)).await;
     if !matches!(answer, Ok(Ok(_))) {
-        caller.leave();
+        caller.disconnect();
     }
     tokio::time::sleep(PAUSE).await;
 }
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -106,7 +106,7 @@
     site.backend.script(|script| script.always = None);
     let first = site.backend.servers.iter().find(|server| server.runs_of("late-1") == 1);
     first.expect("the server that has it").kill();
-    assert!(opened.finish().await.expect("an end").whole);
+    assert!(opened.finish().await.expect("an end").is_complete);
     check_told(&site, "late-1").await;
 }
 
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -18,11 +18,11 @@
     let site = site(1).await;
     let sent = ask.request();
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-    assert_eq!(answer.told.id, Some(ask.id()));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
+    assert_eq!(answer.metadata.id, Some(ask.id()));
     let server = answer.field("server").as_str().unwrap().to_owned();
     let seal = format!("{server}.{}", ask.id());
-    assert_eq!(answer.told.seal.as_deref(), Some(&*seal));
+    assert_eq!(answer.metadata.seal.as_deref(), Some(&*seal));
 
     let runs = site.backend.server(&server).runs();
     assert_eq!(runs.len(), 1);
@@ -40,9 +40,9 @@
 async fn a_stream_is_served(#[case] ask: RequestSpec, #[case] first: u64) {
     let site = site(1).await;
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(answer.events(), (first..=5).collect::<Vec<_>>());
-    assert!(answer.told.seal.is_some());
+    assert!(answer.metadata.seal.is_some());
     assert_eq!(site.backend.runs_of(&ask.id()), 1);
 }
 
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -44,7 +44,7 @@
     server.leave(None);
     site.seen().await;
     let answer = asking.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
 
 #[rstest]
@@ -66,11 +66,11 @@
     })
     .await;
     let late = idle.ask(&page()).await.unwrap();
-    assert_eq!((late.status, late.whole), (StatusCode::OK, true));
+    assert_eq!((late.status, late.is_complete), (StatusCode::OK, true));
     assert!(late.closes(), "a kept connection is told that it ends");
 
     let answer = asking.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     let ended = site.hosts[0].ended().await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
 }
@@ -91,7 +91,7 @@
         until("the host has the signal", async || site.hosts[0].logged("reload asked for")).await;
     }
     let answer = asking.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
     assert_eq!((idle.connections(), site.hosts[0].runs()), (1, true));
     assert_eq!(site.hosts[0].says_ready().await, Some(StatusCode::OK));
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -172,7 +172,7 @@
 async fn a_cut_stream_is_explained() {
     let ask = chat();
     let (site, answer) = failing(Fault::Broken { events: 2 }, &ask).await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.events(), [1, 2]);
     let story = story(&site, &ask.id()).await;
 
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -43,7 +43,7 @@
 async fn a_broken_stream_that_may_not_run_again_looks_broken(#[case] events: u64) {
     let site = site(1).await;
     let answer = once(&site, Fault::Broken { events }, &chat()).await;
-    assert!(!answer.whole || !answer.status.is_success(), "a cut stream looks whole");
+    assert!(!answer.is_complete || !answer.status.is_success(), "a cut stream looks whole");
     assert_eq!(answer.events(), (1..=events).collect::<Vec<_>>());
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     assert!(text.is_empty() || text.ends_with("\n\n"), "half an event came: {text:?}");
@@ -60,13 +60,13 @@
 async fn a_resumable_stream_goes_on_elsewhere(#[case] fault: Fault, #[case] after: Option<u64>) {
     let site = site(1).await;
     let answer = once(&site, fault, &draft()).await;
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(answer.events(), vec![1, 2, 3, 4, 5]);
 
     let first = site.backend.server("lm-1").runs()[0].clone();
     let id = first.asked.id.unwrap();
     let seal = format!("lm-1.{id}");
-    assert_eq!(answer.told.seal.as_deref(), Some(&*seal), "the first server's head stays");
+    assert_eq!(answer.metadata.seal.as_deref(), Some(&*seal), "the first server's head stays");
     let second = site.backend.server("lm-2").runs();
     let second = second.iter().find(|run| run.asked.id.as_ref() == Some(&id)).unwrap();
     assert_eq!(second.asked.resume, after);
@@ -111,7 +111,7 @@
     }
     let ask = chat().deadline(Some(Duration::from_millis(700)));
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
-    assert!(!answer.whole, "a stream without its end looks whole");
+    assert!(!answer.is_complete, "a stream without its end looks whole");
     assert_eq!(answer.events(), vec![1, 2]);
     until("the server is left", async || {
         runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
@@ -129,5 +129,5 @@
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
     holder.script(|script| script.always = Some(Fault::Lost));
     let answer = site.hosts[0].caller().ask(&ask.with_new_id()).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -165,11 +165,11 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// What its head says to callers.
-    pub told: remote::Answer,
+    pub metadata: remote::Answer,
     /// Its body.
     pub body: Bytes,
     /// Whether it came whole.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -263,7 +263,7 @@
     /// # Errors
     ///
     /// If no answer begins.
-    pub async fn open(&mut self, ask: &RequestSpec) -> Result<Opened, Failure> {
+    pub async fn open(&mut self, ask: &RequestSpec) -> Result<OpenAnswer, Failure> {
         self.send(ask.request()).await
     }
 
@@ -272,12 +272,12 @@
     /// # Errors
     ///
     /// If no answer begins.
-    pub async fn send(&mut self, request: Request<Bytes>) -> Result<Opened, Failure> {
+    pub async fn send(&mut self, request: Request<Bytes>) -> Result<OpenAnswer, Failure> {
         let sending = self.try_send(request.map(Full::new));
         tokio::time::timeout(PATIENCE, sending).await.map_err(|_| Failure::Silence)?
     }
 
-    async fn try_send(&mut self, request: Request<Full<Bytes>>) -> Result<Opened, Failure> {
+    async fn try_send(&mut self, request: Request<Full<Bytes>>) -> Result<OpenAnswer, Failure> {
         if self.kept.as_ref().is_none_or(|kept| kept.sender.is_closed()) {
             self.kept = Some(connect(self.source, self.address).await.ok_or(Failure::Connect)?);
             self.connections += 1;
@@ -286,11 +286,11 @@
         sender.ready().await.map_err(|_| Failure::Closed)?;
         let response = sender.send_request(request).await.map_err(|_| Failure::Closed)?;
         let (head, body) = response.into_parts();
-        Ok(Opened { head, body, text: BytesMut::new() })
+        Ok(OpenAnswer { head, body, text: BytesMut::new() })
     }
 
     /// Closes the connection, whatever is under way on it.
-    pub fn leave(&mut self) {
+    pub fn disconnect(&mut self) {
         self.kept = None;
     }
 }
@@ -315,14 +315,14 @@
 
 /// An answer whose head has come. It needs its caller: dropping that is to leave.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenAnswer {
     /// Its head.
     pub head: Parts,
     body: Incoming,
     text: BytesMut,
 }
 
-impl Opened {
+impl OpenAnswer {
     /// Waits for an event; false if the stream ends before it.
     pub async fn event(&mut self, number: u64) -> bool {
         while !events(&self.text).contains(&number) {
@@ -339,7 +339,7 @@
     ///
     /// If it never comes.
     pub async fn finish(mut self) -> Result<Answer, Failure> {
-        let whole = loop {
+        let is_complete = loop {
             match self.frame().await {
                 Ok(Some(())) => {}
                 Ok(None) => break true,
@@ -347,9 +347,9 @@
                 Err(_) => break false,
             }
         };
-        let told = remote::answer(&self.head.headers);
+        let metadata = remote::answer(&self.head.headers);
         let (status, headers) = (self.head.status, self.head.headers);
-        Ok(Answer { status, headers, told, body: self.text.freeze(), whole })
+        Ok(Answer { status, headers, metadata, body: self.text.freeze(), is_complete })
     }
 
     async fn frame(&mut self) -> Result<Option<()>, Failure> {
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -212,7 +212,7 @@
         let Some(seat) = crowd.seat(&mut random) else { continue };
         let connection = kept.entry(seat.life).or_insert_with(|| Caller::new(seat.callers));
         if random.random_bool(0.1) {
-            connection.leave();
+            connection.disconnect();
         }
         let leaves = random.random_bool(0.03);
         let stays = leaves.then(|| Duration::from_millis(random.random_range(5..300)));
@@ -244,7 +244,7 @@
     };
     let is_whole = matches!(outcome, Outcome::Answered(record::Answer { whole: true, .. }));
     if !is_whole {
-        connection.leave();
+        connection.disconnect();
     }
     let is_served =
         is_whole && matches!(&outcome, Outcome::Answered(answer) if answer.status.is_success());
@@ -265,7 +265,13 @@
 }
 
 fn answered(answer: Answer) -> record::Answer {
-    let Answer { status, told, body, whole, .. } = answer;
+    let Answer { status, metadata, body, is_complete, .. } = answer;
     let text = |text: Option<Arc<str>>| text.map(|text| text.to_string());
-    record::Answer { status, id: text(told.id), seal: text(told.seal), body, whole }
+    record::Answer {
+        status,
+        id: text(metadata.id),
+        seal: text(metadata.seal),
+        body,
+        whole: is_complete,
+    }
 }
