--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -215,7 +215,7 @@
     asking.abort();
     until("the server sees the caller leave", async || {
         let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-        runs.into_iter().all(|run| run.ending == Some(Ending::Left))
+        runs.into_iter().all(|run| run.ending == Some(Ending::CallerClosed))
     })
     .await;
     assert_eq!(site.backend.runs(), 1);
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -53,7 +53,7 @@
     for run in runs {
         let text = String::from_utf8_lossy(&run.body).into_owned();
         assert!(!text.contains("evil"), "{text:?} was passed on within a body");
-        if run.asked.id.as_deref() == Some("evil") {
+        if run.request.id.as_deref() == Some("evil") {
             let answers = answer.matches("HTTP/1.1 ").count();
             assert_eq!(answers, 2, "a smuggled request ran and nobody was told: {answer:?}");
         }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -77,7 +77,7 @@
 
 /// Part of a limit that was used in the last seconds.
 fn used(server: &Server, limit: f64, time: Duration) -> f64 {
-    let since = server.began().elapsed().saturating_sub(time);
+    let since = server.started_at().elapsed().saturating_sub(time);
     let arrivals = server.quota().arrivals;
     let lately = arrivals.iter().filter(|(_, at)| since < *at).count();
     lately as f64 / (limit * time.as_secs_f64())
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -7,7 +7,7 @@
 use standin::routed::{
     caller::Caller,
     host::Host,
-    server::{Given, Server},
+    server::{OrderRecord, Server},
     site::Site,
     store::{Faults, Refusal},
     until,
@@ -50,9 +50,10 @@
 }
 
 /// Orders to all servers, in the order in which they were judged.
-fn orders(site: &Site) -> Vec<Given> {
-    let mut orders: Vec<Given> = site.backend.servers.iter().flat_map(Server::orders).collect();
-    orders.sort_by_key(|given| given.at);
+fn orders(site: &Site) -> Vec<OrderRecord> {
+    let mut orders: Vec<OrderRecord> =
+        site.backend.servers.iter().flat_map(Server::orders).collect();
+    orders.sort_by_key(|given| given.judged_at);
     orders
 }
 
@@ -86,7 +87,7 @@
                 assert!(before.order.fence <= after.order.fence, "{context}");
             } else {
                 assert!(before.order.fence < after.order.fence, "{context}");
-                assert!(before.at + TURN <= after.at, "{context}");
+                assert!(before.judged_at + TURN <= after.judged_at, "{context}");
             }
         }
         assert_eq!(server.overload(), None, "{} got {given:?}", server.id());
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -86,10 +86,10 @@
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK, "no server was found by a forged instance");
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-    for run in runs.filter(|run| run.asked.id == Some(ask.id())) {
-        assert_eq!(run.asked.controls, Vec::<http::HeaderName>::new());
-        assert_ne!(run.asked.priority, Some(7));
-        assert_eq!(run.asked.version, None);
+    for run in runs.filter(|run| run.request.id == Some(ask.id())) {
+        assert_eq!(run.request.controls, Vec::<http::HeaderName>::new());
+        assert_ne!(run.request.priority, Some(7));
+        assert_eq!(run.request.version, None);
     }
 }
 
@@ -114,13 +114,13 @@
     let ask = page().deadline(Some(Duration::from_secs(5)));
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
     let server = answer.field("server").as_str().unwrap().to_owned();
-    let deadline = site.backend.server(&server).runs()[0].asked.deadline.unwrap();
+    let deadline = site.backend.server(&server).runs()[0].request.deadline.unwrap();
     assert!(deadline <= Duration::from_secs(5), "{deadline:?}");
 
     let answer = site.hosts[0].caller().ask(&page().deadline(None)).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-    assert!(runs.into_iter().all(|run| run.asked.deadline.is_some()), "each has a deadline");
+    assert!(runs.into_iter().all(|run| run.request.deadline.is_some()), "each has a deadline");
 }
 
 #[tokio::test]
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -96,7 +96,7 @@
 async fn a_leaving_server_is_left_alone_in_time_after_a_silence(#[case] silence: Silence) {
     let site = after(silence).await;
     let leaving = site.backend.server("app-1");
-    leaving.leave(None);
+    leaving.drain(None);
     sleep(CONTACT).await;
     let before = leaving.runs().len();
     for host in &site.hosts {
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -18,7 +18,7 @@
 async fn a_leaving_server_gets_nothing_new(#[case] says_so: bool) {
     let mut site = site(2).await;
     match says_so {
-        true => site.backend.server("app-1").leave(None),
+        true => site.backend.server("app-1").drain(None),
         false => site.backend.forget("app-1"),
     }
     site.seen().await;
@@ -36,12 +36,12 @@
     let site = site(1).await;
     let server = site.backend.server("app-1");
     server.script(|script| script.work = SLOW);
-    site.backend.server("app-2").leave(None);
+    site.backend.server("app-2").drain(None);
     site.seen().await;
     let mut caller = site.hosts[0].caller();
     let asking = tokio::spawn(async move { caller.ask(&ticket()).await });
     until("the request runs", async || server.running() == 1).await;
-    server.leave(None);
+    server.drain(None);
     site.seen().await;
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -177,7 +177,7 @@
     let host = &site.hosts[0];
     site.backend.store.set_faults(&host.name, |faults| faults.refusal = Some(refusal));
     declares_on(&site, 11).await;
-    site.backend.server("app-1").leave(None);
+    site.backend.server("app-1").drain(None);
     until("the host hears that a server is leaving", async || {
         let before = site.backend.server("app-1").runs().len();
         for _ in 0..6 {
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -19,7 +19,7 @@
 
 fn runs(site: &Site) -> Vec<Run> {
     let mut runs: Vec<Run> = model_servers(site).flat_map(|server| server.runs()).collect();
-    runs.sort_by_key(|run| run.began);
+    runs.sort_by_key(|run| run.started_at);
     runs
 }
 
@@ -48,7 +48,8 @@
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     assert!(text.is_empty() || text.ends_with("\n\n"), "half an event came: {text:?}");
     let runs = runs(&site);
-    let id = runs.iter().find(|run| run.ending == Some(Ending::Spoilt)).unwrap().asked.id.clone();
+    let id =
+        runs.iter().find(|run| run.ending == Some(Ending::Corrupted)).unwrap().request.id.clone();
     assert_eq!(site.backend.runs_of(&id.unwrap()), 1);
 }
 
@@ -64,12 +65,12 @@
     assert_eq!(answer.events(), vec![1, 2, 3, 4, 5]);
 
     let first = site.backend.server("lm-1").runs()[0].clone();
-    let id = first.asked.id.unwrap();
+    let id = first.request.id.unwrap();
     let seal = format!("lm-1.{id}");
     assert_eq!(answer.metadata.seal.as_deref(), Some(&*seal), "the first server's head stays");
     let second = site.backend.server("lm-2").runs();
-    let second = second.iter().find(|run| run.asked.id.as_ref() == Some(&id)).unwrap();
-    assert_eq!(second.asked.resume, after);
+    let second = second.iter().find(|run| run.request.id.as_ref() == Some(&id)).unwrap();
+    assert_eq!(second.request.resume, after);
     assert_eq!((second.ending, site.backend.runs_of(&id)), (Some(Ending::Answered), 2));
 }
 
@@ -85,7 +86,7 @@
         assert!(opened.event(3).await);
         drop((opened, caller));
         until("the server sees the caller leave", async || {
-            runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
+            runs(&site).iter().all(|run| run.ending == Some(Ending::CallerClosed))
         })
         .await;
         assert_eq!(site.backend.runs_of(&ask.id()), 1);
@@ -114,7 +115,7 @@
     assert!(!answer.is_complete, "a stream without its end looks whole");
     assert_eq!(answer.events(), vec![1, 2]);
     until("the server is left", async || {
-        runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
+        runs(&site).iter().all(|run| run.ending == Some(Ending::CallerClosed))
     })
     .await;
 }
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -31,7 +31,7 @@
 
 pub use self::{
     script::{Fault, OrderFault, Script},
-    stock::{Given, Overload},
+    stock::{OrderRecord, Overload},
 };
 
 /// Slots of a server unless a test sets them.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// What it asked.
-    pub asked: IncomingRequest,
+    pub request: IncomingRequest,
     /// Its method.
     pub method: Method,
     /// Its path with the query.
@@ -109,21 +109,21 @@
     /// Its body.
     pub body: Bytes,
     /// When the request came to the server.
-    pub came: Instant,
+    pub arrived_at: Instant,
     /// When it began.
-    pub began: Instant,
+    pub started_at: Instant,
     /// The fault that it met.
     pub fault: Option<Fault>,
     /// How it ended.
     pub ending: Option<Ending>,
     /// When it ended.
-    pub ended: Option<Instant>,
+    pub ended_at: Option<Instant>,
 }
 
 impl Run {
     fn end(&mut self, ending: Ending) {
         if self.ending.is_none() {
-            (self.ending, self.ended) = (Some(ending), Some(Instant::now()));
+            (self.ending, self.ended_at) = (Some(ending), Some(Instant::now()));
         }
     }
 }
@@ -143,9 +143,9 @@
     /// With its whole answer.
     Answered,
     /// The caller closed the connection while it ran.
-    Left,
+    CallerClosed,
     /// Its answer was spoilt on purpose.
-    Spoilt,
+    Corrupted,
     /// The server crashed.
     Crashed,
 }
@@ -244,7 +244,7 @@
     }
 
     /// When it started.
-    pub fn began(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.shared.began
     }
 
@@ -255,12 +255,12 @@
 
     /// How often a request ran.
     pub fn runs_of(&self, id: &str) -> usize {
-        self.runs().iter().filter(|run| run.asked.id.as_deref() == Some(id)).count()
+        self.runs().iter().filter(|run| run.request.id.as_deref() == Some(id)).count()
     }
 
     /// Orders so far, with what became of them.
-    pub fn orders(&self) -> Vec<Given> {
-        lock(&self.shared.stock).given.clone()
+    pub fn orders(&self) -> Vec<OrderRecord> {
+        lock(&self.shared.stock).orders.clone()
     }
 
     /// Whether an order asked for more than there is room for.
@@ -284,7 +284,7 @@
     }
 
     /// Begins to leave: it says so and goes on serving. `remaining` is the time that it is given.
-    pub fn leave(&self, remaining: Option<Duration>) {
+    pub fn drain(&self, remaining: Option<Duration>) {
         self.shared.registered.send_modify(|server| {
             server.state = State::Draining;
             server.remaining = remaining;
@@ -297,7 +297,7 @@
     }
 
     /// When it crashed or was killed.
-    pub fn crashed(&self) -> Option<Instant> {
+    pub fn crashed_at(&self) -> Option<Instant> {
         *lock(&self.shared.crashed)
     }
 }
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -90,17 +90,17 @@
     connection: &mut Connection,
     order: remote::Order,
 ) -> io::Result<After> {
-    let (came, fault) = (Instant::now(), lock(&shared.script).orders.pop_front());
+    let (arrived_at, fault) = (Instant::now(), lock(&shared.script).orders.pop_front());
     if let Some(OrderFault::Late(late)) = fault {
         let shared = shared.clone();
         tokio::spawn(async move {
             sleep(late).await;
-            carry_out(&shared, &order, came);
+            carry_out(&shared, &order, arrived_at);
         });
         connection.closed().await;
         return Ok(After::Close);
     }
-    let outcome = carry_out(shared, &order, came);
+    let outcome = carry_out(shared, &order, arrived_at);
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
@@ -108,8 +108,8 @@
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
-fn carry_out(shared: &Arc<Shared>, order: &remote::Order, came: Instant) -> OrderStatus {
-    let (outcome, coming) = shared.stock().order(order, came);
+fn carry_out(shared: &Arc<Shared>, order: &remote::Order, arrived_at: Instant) -> OrderStatus {
+    let (outcome, coming) = shared.stock().order(order, arrived_at);
     shared.register();
     if shared.stock().overload.is_some() {
         shared.crash();
@@ -197,11 +197,11 @@
     body: Bytes,
     stale: &mut Stale,
 ) -> io::Result<After> {
-    let came = Instant::now();
+    let arrived_at = Instant::now();
     let Some(id) = asked.id.clone() else {
         return not_run(shared, connection, &head, StatusCode::BAD_REQUEST).await;
     };
-    lock(&shared.quota).came(&id, came.duration_since(shared.began));
+    lock(&shared.quota).came(&id, arrived_at.duration_since(shared.began));
     if shared.stock().expects(asked.model.as_ref(), asked.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     }
@@ -222,7 +222,7 @@
     if let Some(stale) = stale.take() {
         connection.write_raw(&stale).await?;
     }
-    let run = begin(shared, asked, head, body, Met { came, fault });
+    let run = begin(shared, asked, head, body, Met { arrived_at, fault });
     let work = Work { shared, run, id, fault, connection };
     let (ending, after) = work.answer(stale).await;
     finish(shared, run, ending);
@@ -231,17 +231,28 @@
 
 /// What a request met before it ran.
 struct Met {
-    came: Instant,
+    arrived_at: Instant,
     fault: Option<Fault>,
 }
 
-fn begin(shared: &Shared, asked: IncomingRequest, head: Parts, body: Bytes, met: Met) -> usize {
+fn begin(shared: &Shared, request: IncomingRequest, head: Parts, body: Bytes, met: Met) -> usize {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str()).to_owned();
     let (method, headers) = (head.method, head.headers);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut runs = lock(&shared.runs);
-    let (Met { came, fault }, ending, ended) = (met, None, None);
-    runs.push(Run { asked, method, path, headers, body, came, began, fault, ending, ended });
+    let (Met { arrived_at, fault }, ending, ended_at) = (met, None, None);
+    runs.push(Run {
+        request,
+        method,
+        path,
+        headers,
+        body,
+        arrived_at,
+        started_at,
+        fault,
+        ending,
+        ended_at,
+    });
     runs.len() - 1
 }
 
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/stock.rs
@@ -18,15 +18,15 @@
 
 /// An order, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct OrderRecord {
     /// The order.
     pub order: Order,
     /// What the server made of it when it was judged.
     pub outcome: OrderStatus,
     /// When it came.
-    pub came: Instant,
+    pub arrived_at: Instant,
     /// When it was judged.
-    pub at: Instant,
+    pub judged_at: Instant,
 }
 
 /// What an order asked for beyond what there is.
@@ -52,7 +52,7 @@
     coming: Vec<Coming>,
     reports: VecDeque<(Instant, Report)>,
     pub(super) sequence: Sequence,
-    pub(super) given: Vec<Given>,
+    pub(super) orders: Vec<OrderRecord>,
     pub(super) overload: Option<Overload>,
 }
 
@@ -66,7 +66,7 @@
             coming: Vec::new(),
             reports: VecDeque::new(),
             sequence: 0,
-            given: Vec::new(),
+            orders: Vec::new(),
             overload: None,
         }
     }
@@ -97,7 +97,11 @@
     }
 
     /// Judges an order and takes it in; a load that is accepted is complete at [`Stock::finish`].
-    pub(super) fn order(&mut self, order: &Order, came: Instant) -> (OrderStatus, Option<Coming>) {
+    pub(super) fn order(
+        &mut self,
+        order: &Order,
+        arrived_at: Instant,
+    ) -> (OrderStatus, Option<Coming>) {
         let outcome = self.judge(order);
         let mut coming = None;
         if outcome == OrderStatus::Accepted {
@@ -106,7 +110,12 @@
         // An adapter is unloaded at once, which is told like what holds already.
         let is_done = outcome == OrderStatus::Accepted && coming.is_none();
         let outcome = if is_done && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
-        self.given.push(Given { order: order.clone(), outcome, came, at: Instant::now() });
+        self.orders.push(OrderRecord {
+            order: order.clone(),
+            outcome,
+            arrived_at,
+            judged_at: Instant::now(),
+        });
         (outcome, coming)
     }
 
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -42,7 +42,7 @@
         };
         tokio::select! {
             () = sleep(work) => {}
-            () = self.connection.closed() => return (Ending::Left, After::Close),
+            () = self.connection.closed() => return (Ending::CallerClosed, After::Close),
         }
         let is_model_server = self.shared.stock().is_model_server();
         if is_poison {
@@ -54,7 +54,7 @@
             return (Ending::Crashed, After::Reset);
         }
         let answered = if is_model_server { self.stream().await } else { self.whole(stale).await };
-        answered.unwrap_or((Ending::Left, After::Close))
+        answered.unwrap_or((Ending::CallerClosed, After::Close))
     }
 
     /// The head of the answer, spoilt as the fault wants it.
@@ -105,12 +105,12 @@
         let response = self.head().map(|_| self.body());
         let bytes = wire::whole(&response);
         let half = response.body().len() / 2;
-        let spoilt = |after| Ok((Ending::Spoilt, after));
+        let spoilt = |after| Ok((Ending::Corrupted, after));
         match self.fault {
             Some(Fault::Lost) => return spoilt(After::Close),
             Some(Fault::Silent) => {
                 self.connection.closed().await;
-                return Ok((Ending::Left, After::Close));
+                return Ok((Ending::CallerClosed, After::Close));
             }
             Some(Fault::Truncated) => {
                 self.connection.write_raw(&bytes[..bytes.len() - half]).await?;
@@ -148,14 +148,14 @@
 
     async fn stream(&mut self) -> io::Result<(Ending, After)> {
         match self.fault {
-            Some(Fault::Lost) => return Ok((Ending::Spoilt, After::Close)),
+            Some(Fault::Lost) => return Ok((Ending::Corrupted, After::Close)),
             Some(Fault::Silent) => {
                 self.connection.closed().await;
-                return Ok((Ending::Left, After::Close));
+                return Ok((Ending::CallerClosed, After::Close));
             }
             Some(Fault::Garbled) => {
                 self.connection.write_raw(GARBLED).await?;
-                return Ok((Ending::Spoilt, After::Close));
+                return Ok((Ending::Corrupted, After::Close));
             }
             Some(Fault::Failed(_)) => {
                 let failed = self.head().map(|_| self.body());
@@ -181,25 +181,25 @@
             let script = lock(&self.shared.script);
             (script.events, script.pace)
         };
-        let resume = lock(&self.shared.runs)[self.run].asked.resume.unwrap_or_default();
+        let resume = lock(&self.shared.runs)[self.run].request.resume.unwrap_or_default();
         for number in resume + 1..=events {
             let event = remote::event(number, &format!("token {number}"));
             let made = number - 1 - resume;
             match self.fault {
                 Some(Fault::Broken { events }) if events == made => {
                     self.connection.write_chunk(&event[..event.len() / 2]).await?;
-                    return Ok((Ending::Spoilt, After::Close));
+                    return Ok((Ending::Corrupted, After::Close));
                 }
                 Some(Fault::Stalled { events }) if events == made => {
                     self.connection.closed().await;
-                    return Ok((Ending::Left, After::Close));
+                    return Ok((Ending::CallerClosed, After::Close));
                 }
                 Some(Fault::Short { events }) if events == made => break,
                 _ => self.connection.write_chunk(&event).await?,
             }
             tokio::select! {
                 () = sleep(pace) => {}
-                () = self.connection.closed() => return Ok((Ending::Left, After::Close)),
+                () = self.connection.closed() => return Ok((Ending::CallerClosed, After::Close)),
             }
         }
         self.connection.write_raw(LAST_CHUNK).await?;
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -165,19 +165,19 @@
         let mut overloads = Vec::new();
         for server in servers {
             let mut given = server.orders();
-            given.sort_by_key(|given| given.came);
-            let last = given.last().map(|given| crowd.since(given.at)).unwrap_or_default();
+            given.sort_by_key(|given| given.arrived_at);
+            let last = given.last().map(|given| crowd.since(given.judged_at)).unwrap_or_default();
             overloads.extend(server.overload().map(|_| (server.id().to_string(), last)));
             orders.extend(given.into_iter().map(|given| Order {
                 server: server.id().to_string(),
                 holder: given.order.holder.to_string(),
                 fence: given.order.fence,
-                came: crowd.since(given.came),
+                came: crowd.since(given.arrived_at),
             }));
         }
         orders.sort_by_key(|order| order.came);
         let quota = |server: &Server| {
-            let quota = server.quota().later(crowd.since(server.began()));
+            let quota = server.quota().later(crowd.since(server.started_at()));
             (server.id().to_string(), quota)
         };
         let quotas = servers.iter().map(quota).collect();
@@ -208,18 +208,18 @@
 
 fn runs(server: &Server, crowd: &Crowd) -> Vec<Run> {
     let seen = |run: super::server::Run| Run {
-        id: run.asked.id.as_deref().unwrap_or_default().to_owned(),
+        id: run.request.id.as_deref().unwrap_or_default().to_owned(),
         server: server.id().to_string(),
         service: server.service().to_string(),
         path: run.path,
         body: run.body.len(),
-        came: crowd.since(run.came),
-        ended: run.ended.map(|ended| crowd.since(ended)),
+        came: crowd.since(run.arrived_at),
+        ended: run.ended_at.map(|ended| crowd.since(ended)),
         failed: match run.fault {
             Some(Fault::Failed(status)) => Some(status),
             _ => None,
         },
-        spoilt: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
+        spoilt: matches!(run.ending, Some(Ending::Corrupted | Ending::Crashed)),
         crashed: run.ending == Some(Ending::Crashed),
     };
     server.runs().into_iter().map(seen).collect()
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -167,7 +167,7 @@
             if self.faulted.contains(&place) || self.crashed.contains_key(&place) {
                 continue;
             }
-            if let Some(at) = self.server(place).crashed() {
+            if let Some(at) = self.server(place).crashed_at() {
                 let from = self.crowd.since(at);
                 let span = Span { from, to: from + BACK };
                 let place_of = Place::Server(self.servers[place].0.clone());
@@ -271,7 +271,7 @@
                 self.faulted.insert(server);
                 let id = self.servers[server].0.clone();
                 match notice {
-                    Notice::Told => self.server(server).leave(None),
+                    Notice::Told => self.server(server).drain(None),
                     Notice::Untold => self.site.backend.forget(&id),
                 }
                 let at = self.now();
