--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -51,13 +51,13 @@
 async fn a_host_that_knows_no_declaration_refuses_as_not_run() {
     let site = undeclared(backend().await, 1).await;
     let host = &site.hosts[0];
-    assert_eq!(host.says_ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert_eq!(host.readiness_status().await, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = host.caller().ask(&page()).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.metadata.retry_after.is_some());
 
     site.backend.declare(&declaration());
-    host.ready().await;
+    host.wait_until_ready().await;
     assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK));
 }
 
@@ -69,7 +69,7 @@
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[("app", 3), ("other", 1)]);
     backend.declare(&declared);
     let site = undeclared(backend, 1).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
         assert_eq!(caller.ask(&page()).await.unwrap().status, StatusCode::OK);
@@ -153,7 +153,8 @@
     );
     site.seen().await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
-    until("the host logs it", async || site.hosts[0].logged("a declaration can't be read")).await;
+    until("the host logs it", async || site.hosts[0].has_logged("a declaration can't be read"))
+        .await;
 }
 
 /// A list of servers that comes before the first declaration is planned for all the same: a model
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -118,7 +118,7 @@
     declared.limits.body_bytes = 10_000;
     backend.declare(&declared);
     let site = undeclared(backend, 1).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let ask = RequestSpec::to(HOST, "/tickets/x").with_body(Method::POST, vec![b'x'; bytes]);
     assert_eq!(status_of(&site.hosts[0], &ask).await, Some(status));
     assert_eq!(site.backend.runs(), usize::from(status == StatusCode::OK));
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -210,7 +210,7 @@
             Signal::SIGSTOP => site.hosts[place].signal(Signal::SIGCONT),
             _ => {
                 site.restart(place).await.expect("a host");
-                site.hosts[place].ready().await;
+                site.hosts[place].wait_until_ready().await;
             }
         }
     }
@@ -244,7 +244,7 @@
     assert_eq!(unreadable, Some(REQUESTS as f64));
     assert_eq!(limited(&site.hosts[0]).await, Some(0.0));
     let line = "the limit in a server's answer can't be read";
-    until("the log says so", async || site.hosts[0].logged(line)).await;
+    until("the log says so", async || site.hosts[0].has_logged(line)).await;
     let log = site.hosts[0].log();
     assert_eq!(log.iter().filter(|record| record["message"] == line).count(), 1);
 }
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -58,7 +58,7 @@
     for _ in 0..HOSTS {
         site.add(|_| {}).await.expect("a host");
     }
-    site.ready().await;
+    site.wait_until_ready().await;
     sleep(Duration::from_secs(1)).await;
     site
 }
@@ -107,7 +107,7 @@
     places.clone().for_each(|place| site.hosts[place].kill());
     for place in places {
         site.restart(place).await.expect("a host");
-        site.hosts[place].ready().await;
+        site.hosts[place].wait_until_ready().await;
     }
     sleep(CONTACT).await;
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -103,7 +103,7 @@
     let backend = backend().await;
     backend.declare(&declaration());
     let site = undeclared(backend, hosts).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     site
 }
 
@@ -115,7 +115,7 @@
     site.add(|settings| settings["log"] = serde_json::json!({"level": "info"}))
         .await
         .expect("a host");
-    site.ready().await;
+    site.wait_until_ready().await;
     site
 }
 
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -62,7 +62,7 @@
 
     site.hosts[0].signal(Signal::SIGTERM);
     until("the host says that it is not ready", async || {
-        site.hosts[0].says_ready().await == Some(StatusCode::SERVICE_UNAVAILABLE)
+        site.hosts[0].readiness_status().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
     let late = idle.ask(&page()).await.unwrap();
@@ -71,7 +71,7 @@
 
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
-    let ended = site.hosts[0].ended().await;
+    let ended = site.hosts[0].wait_for_exit().await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
 }
 
@@ -88,11 +88,12 @@
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
-        until("the host has the signal", async || site.hosts[0].logged("reload asked for")).await;
+        until("the host has the signal", async || site.hosts[0].has_logged("reload asked for"))
+            .await;
     }
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    assert_eq!((idle.connections(), site.hosts[0].runs()), (1, true));
-    assert_eq!(site.hosts[0].says_ready().await, Some(StatusCode::OK));
+    assert_eq!((idle.connections(), site.hosts[0].is_running()), (1, true));
+    assert_eq!(site.hosts[0].readiness_status().await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -49,7 +49,7 @@
         for _ in 0..5 {
             serves(host).await;
         }
-        assert_eq!(host.says_ready().await, Some(StatusCode::OK));
+        assert_eq!(host.readiness_status().await, Some(StatusCode::OK));
     }
     site.backend.store.set_faults_everywhere(|faults| faults.refusal = None);
     declares_on(&site, 11).await;
@@ -91,7 +91,7 @@
     until("the host has asked", async || 0 < store.count("host-0").refused).await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::SERVICE_UNAVAILABLE));
     store.set_faults("host-0", |faults| faults.refusal = None);
-    site.ready().await;
+    site.wait_until_ready().await;
     serves(&site.hosts[0]).await;
 }
 
@@ -110,7 +110,7 @@
         settings["peers"] = json!([SocketAddr::new(known.ip(), 1)]);
         settings["peers_share_port"] = json!(true);
     };
-    site.add(change).await.expect("a host").ready().await;
+    site.add(change).await.expect("a host").wait_until_ready().await;
 }
 
 /// A slow store is not one that is gone: what it answers late counts.
@@ -150,7 +150,7 @@
     backend.store.page(2);
     backend.declare(&declaration());
     let site = undeclared(backend, 1).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let deep = RequestSpec::to(HOST, "/pages/deep/x");
     for ask in [page(), ticket(), chat(), deep] {
         assert_eq!(status_of(&site.hosts[0], &ask).await, Some(StatusCode::OK));
@@ -186,5 +186,5 @@
         site.backend.server("app-1").runs().len() == before
     })
     .await;
-    assert_eq!(host.says_ready().await, Some(StatusCode::OK));
+    assert_eq!(host.readiness_status().await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -123,7 +123,7 @@
     })
     .await
     .unwrap();
-    site.ready().await;
+    site.wait_until_ready().await;
     site.backend.script(|script| script.always = Some(FULL));
     let ask = ticket().deadline(Some(SOON));
     let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
@@ -279,7 +279,7 @@
         let retry = json!({"ratio": 0.0, "extra": EXTRA, "window_s": 60});
         site.add(|settings| settings["routed"]["retry"] = retry).await.unwrap();
     }
-    site.ready().await;
+    site.wait_until_ready().await;
     let (mut asked, mut retries) = (0, 0);
     until("a host passes its share", async || {
         let ask = page().deadline(Some(Duration::from_millis(500)));
@@ -299,7 +299,7 @@
     let backend = backend().await;
     backend.declare(&declaration());
     let site = undeclared(backend, 2).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     for host in &site.hosts {
         for _ in 0..3 {
             assert_eq!(host.caller().ask(&chat()).await.unwrap().status, StatusCode::OK);
--- a/crates/standin/src/routed/host.rs
+++ b/crates/standin/src/routed/host.rs
@@ -87,7 +87,7 @@
     }
 
     /// What it answers to the balancer; nothing if it doesn't.
-    pub async fn says_ready(&self) -> Option<StatusCode> {
+    pub async fn readiness_status(&self) -> Option<StatusCode> {
         let request = Request::get(platform::remote::READY)
             .header(header::HOST, self.operators.to_string())
             .body(Bytes::new())
@@ -96,8 +96,9 @@
     }
 
     /// Waits until it is ready.
-    pub async fn ready(&self) {
-        until("the host is ready", async || self.says_ready().await == Some(StatusCode::OK)).await;
+    pub async fn wait_until_ready(&self) {
+        until("the host is ready", async || self.readiness_status().await == Some(StatusCode::OK))
+            .await;
     }
 
     /// The file of its settings.
@@ -117,7 +118,7 @@
     }
 
     /// Whether it logged a message.
-    pub fn logged(&self, message: &str) -> bool {
+    pub fn has_logged(&self, message: &str) -> bool {
         self.log().iter().any(|line| line["message"] == message)
     }
 
@@ -141,12 +142,12 @@
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
         until("the process ends", async || {
             status = self.child.try_wait().ok().flatten();
@@ -160,7 +161,7 @@
     /// can ever be given the same one.
     fn listens(&mut self) -> bool {
         let log = self.log();
-        assert!(self.runs(), "{} ended at its start: {log:#?}", self.name);
+        assert!(self.is_running(), "{} ended at its start: {log:#?}", self.name);
         let Some(line) = log.iter().find(|line| line["message"] == "host starts") else {
             return false;
         };
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -284,9 +284,9 @@
     }
 
     /// Waits until all hosts are ready.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for host in &self.hosts {
-            host.ready().await;
+            host.wait_until_ready().await;
         }
     }
 }
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -144,7 +144,7 @@
         player.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
         player.seat(place);
     }
-    player.site.ready().await;
+    player.site.wait_until_ready().await;
     // Faults and load count from here on.
     let began = Instant::now();
     let mut callers = load::start(&player.crowd, plan.seed);
@@ -188,7 +188,7 @@
         let dead = hosts
             .iter_mut()
             .enumerate()
-            .filter_map(|(place, host)| (!host.runs()).then_some(place));
+            .filter_map(|(place, host)| (!host.is_running()).then_some(place));
         Record {
             dead: dead.collect(),
             hosts: self.site.hosts.iter().map(|host| host.name.clone()).collect(),
