--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -99,7 +99,7 @@
     }
     // A store that forgot and was restored: what it holds now is older.
     site.backend.declare(&moved(5, "app"));
-    site.seen().await;
+    site.wait_until_observed().await;
     for host in &site.hosts {
         for _ in 0..10 {
             assert!(goes_to(host, "other").await, "{} went back", host.name);
@@ -138,7 +138,7 @@
     declared.version += 1;
     declared.routes.remove(0);
     site.backend.declare(&declared);
-    site.seen().await;
+    site.wait_until_observed().await;
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
@@ -151,7 +151,7 @@
         "main",
         serde_json::json!({"version": 99}),
     );
-    site.seen().await;
+    site.wait_until_observed().await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
     until("the host logs it", async || site.hosts[0].has_logged("a declaration can't be read"))
         .await;
@@ -162,7 +162,7 @@
 #[tokio::test]
 async fn servers_known_before_the_first_declaration_get_orders() {
     let site = undeclared(backend().await, 1).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     site.backend.declare(&declaration());
     until("a model that is missing is ordered", async || {
         let mut orders = site.backend.servers.iter().flat_map(|server| server.orders());
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -227,7 +227,7 @@
     for number in 3..7 {
         site.backend.add(Settings::plain(&format!("app-{number}"), "app")).await.unwrap();
     }
-    site.seen().await;
+    site.wait_until_observed().await;
     site.backend.script(|script| script.poison = Some("poison"));
     let poison = RequestSpec::to(HOST, "/pages/x")
         .with_body(http::Method::POST, "poison")
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -74,8 +74,8 @@
 #[tokio::test]
 async fn a_refused_request_is_told_as_the_page_shows() {
     let mut site = usual_site().await;
-    site.backend.forget("other-1");
-    site.seen().await;
+    site.backend.deregister("other-1");
+    site.wait_until_observed().await;
     let ask = RequestSpec::to(HOST, "/pages/deep/home").deadline(Some(SOON));
     check_request(&site, "refused-1", ask).await;
 }
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -92,7 +92,7 @@
         |server: &&Server| server.runs().iter().any(|run| run.ending == Some(Ending::Crashed));
     let crashed = site.backend.servers.iter().filter(has_crashed);
     let crashed: Vec<_> = crashed.map(|server| server.id().to_string()).collect();
-    crashed.iter().for_each(|id| site.backend.forget(id));
+    crashed.iter().for_each(|id| site.backend.deregister(id));
 }
 
 /// Lets the request crash as many servers as it may in calm.
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -62,9 +62,9 @@
     let address = site.backend.server("lm-2").address();
     let mut earlier = site.backend.server("lm-1").registration().borrow().clone();
     (earlier.born, earlier.address) = (1_000, address);
-    site.backend.silence("lm-1");
+    site.backend.stop_registering("lm-1");
     site.backend.put(&earlier);
-    site.seen().await;
+    site.wait_until_observed().await;
     let before = site.backend.server("lm-1").runs().len();
     until("it is still used", async || {
         status_of(&site.hosts[0], &welcome().with_new_prompt()).await;
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -51,7 +51,7 @@
 async fn after(silence: Silence) -> Site {
     let site = site(HOSTS).await;
     declare_route(&site, 10);
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     let stalled = match silence {
         Silence::Long => 2,
@@ -114,7 +114,7 @@
     const SILENCE: Duration = Duration::from_secs(3);
     const AWAY: Duration = Duration::from_millis(1000);
     let site = site(HOSTS).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(SILENCE).await;
@@ -142,7 +142,7 @@
 async fn entries_that_run_out_while_a_watch_waits_through_a_silence_cost_no_server() {
     const AWAY: Duration = Duration::from_millis(800);
     let site = site(FOLLOWED).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     // Until a host knows the others, it asks often.
     sleep(CONTACT).await;
     let store = &site.backend.store;
@@ -159,13 +159,13 @@
 async fn a_server_is_used_again_once_its_entry_is_back_whatever_peers_said() {
     const AWAY: Duration = Duration::from_millis(500);
     let site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     let second = &site.hosts[1].name;
     store.set_faults(second, |faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
     store.set_faults(second, |faults| *faults = Faults::default());
-    site.seen().await;
+    site.wait_until_observed().await;
     store.expire(&sites::servers(), "other-1", AWAY);
     sleep(CONTACT).await;
     is_reached_throughout(&site, AWAY).await;
@@ -177,12 +177,12 @@
     // Less than the time for which a host is behind before it asks a peer.
     const BEHIND: Duration = Duration::from_millis(550);
     let site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
     store.set_faults_everywhere(|faults| *faults = Faults::default());
-    site.seen().await;
+    site.wait_until_observed().await;
     store.set_faults(&site.hosts[0].name, |faults| faults.refusal = Some(Refusal::Down));
     // The first host is behind from here on, and asks the second while the entry is away.
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
@@ -200,18 +200,18 @@
 async fn a_server_whose_entry_went_does_not_come_back_by_a_peer() {
     const LATER: Duration = Duration::from_secs(1);
     let mut site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = site.backend.store.clone();
     let [first, second] = [0, 1].map(|place| site.hosts[place].name.clone());
     store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(CONTACT).await;
     store.set_faults_everywhere(|faults| *faults = Faults::default());
-    site.seen().await;
+    site.wait_until_observed().await;
     // A watch that is asked now looks at the store a second later.
     store.set_faults(&second, |faults| faults.delay = LATER);
     store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
     sleep(LATER / 4).await;
-    site.backend.forget("other-1");
+    site.backend.deregister("other-1");
     let gone = store.revision();
     until("the first host has seen it", async || {
         store.watched_from(&first, &sites::servers()) >= Some(gone)
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -19,9 +19,9 @@
     let mut site = site(2).await;
     match says_so {
         true => site.backend.server("app-1").drain(None),
-        false => site.backend.forget("app-1"),
+        false => site.backend.deregister("app-1"),
     }
-    site.seen().await;
+    site.wait_until_observed().await;
     let before = site.backend.server("app-1").runs().len();
     for host in &site.hosts {
         for ask in [page(), ticket(), page(), ticket()] {
@@ -37,12 +37,12 @@
     let server = site.backend.server("app-1");
     server.script(|script| script.work = SLOW);
     site.backend.server("app-2").drain(None);
-    site.seen().await;
+    site.wait_until_observed().await;
     let mut caller = site.hosts[0].caller();
     let asking = tokio::spawn(async move { caller.ask(&ticket()).await });
     until("the request runs", async || server.running() == 1).await;
     server.drain(None);
-    site.seen().await;
+    site.wait_until_observed().await;
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -135,7 +135,7 @@
         declares_on(&site, version).await;
     }
     site.backend.add(Settings::plain("other-2", "other")).await.unwrap();
-    site.backend.forget("other-1");
+    site.backend.deregister("other-1");
     site.backend.store.compact();
     let deep = RequestSpec::to(HOST, "/pages/deep/x");
     until("the list of servers is read anew", async || {
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -19,7 +19,7 @@
 };
 
 /// How long a test waits for what must come; far more than it takes on a loaded machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 const POLL: Duration = Duration::from_millis(10);
 
@@ -34,7 +34,7 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "never: {what}");
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -21,7 +21,7 @@
     task::AbortHandle,
 };
 
-use super::PATIENCE;
+use super::TIMEOUT;
 
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
@@ -274,7 +274,7 @@
     /// If no answer begins.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<OpenAnswer, Failure> {
         let sending = self.try_send(request.map(Full::new));
-        tokio::time::timeout(PATIENCE, sending).await.map_err(|_| Failure::Silence)?
+        tokio::time::timeout(TIMEOUT, sending).await.map_err(|_| Failure::Silence)?
     }
 
     async fn try_send(&mut self, request: Request<Full<Bytes>>) -> Result<OpenAnswer, Failure> {
@@ -353,7 +353,7 @@
     }
 
     async fn frame(&mut self) -> Result<Option<()>, Failure> {
-        let frame = tokio::time::timeout(PATIENCE, self.body.frame()).await;
+        let frame = tokio::time::timeout(TIMEOUT, self.body.frame()).await;
         match frame.map_err(|_| Failure::Silence)? {
             None => Ok(None),
             Some(Err(_)) => Err(Failure::Closed),
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -82,7 +82,7 @@
     /// If its address can't be bound.
     pub async fn restart(&mut self, settings: Settings) -> io::Result<&Server> {
         let address = self.server(&settings.id).address();
-        self.silence(&settings.id);
+        self.stop_registering(&settings.id);
         self.server(&settings.id).kill();
         self.add_at(address, settings).await
     }
@@ -114,7 +114,7 @@
     }
 
     /// Lets a server's registration be as it is for good.
-    pub fn silence(&self, id: &str) {
+    pub fn stop_registering(&self, id: &str) {
         let place = self.servers.iter().rposition(|server| **server.id() == *id);
         if let Some(place) = place {
             self.registering[place].abort();
@@ -122,8 +122,8 @@
     }
 
     /// Takes a server's registration away for good.
-    pub fn forget(&mut self, id: &str) {
-        self.silence(id);
+    pub fn deregister(&mut self, id: &str) {
+        self.stop_registering(id);
         self.store.remove(&remote::kind(Kind::Server), id);
     }
 
@@ -271,7 +271,7 @@
     ///
     /// A mark of its own is written among the servers; a watch that has seen it is followed by
     /// another one from there on.
-    pub async fn seen(&self) {
+    pub async fn wait_until_observed(&self) {
         let store = &self.backend.store;
         for kind in [declarations(), servers()] {
             let mark = json!({"mark": store.revision()});
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -272,7 +272,7 @@
                 let id = self.servers[server].0.clone();
                 match notice {
                     Notice::Told => self.server(server).drain(None),
-                    Notice::Untold => self.site.backend.forget(&id),
+                    Notice::Untold => self.site.backend.deregister(&id),
                 }
                 let at = self.now();
                 self.leaves.push(Leave { server: id, at });
@@ -410,7 +410,7 @@
         self.server(place).kill();
         self.ends(&Place::Server(old.clone()));
         // Nothing is heard of it, and its entry goes a little later.
-        self.site.backend.silence(&old);
+        self.site.backend.stop_registering(&old);
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
             tokio::time::sleep(STALE).await;
