--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -164,7 +164,7 @@
     .await;
     for host in &site.hosts[1..] {
         let news = until("the news", async || limited(host).await == Some(1.0));
-        timeout(quota::CONTACT, news).await.expect("in force everywhere in time");
+        timeout(quota::BINDING_DELAY, news).await.expect("in force everywhere in time");
     }
     press(&site.hosts[1..], deep, Instant::now() + JUDGED).await;
     check(&site, &["other-1"]);
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -347,7 +347,7 @@
         if let Some(limit) = &limit {
             platform::remote::server::limit(headers, limit);
         }
-        lock(&self.quota).named(limit.as_deref(), self.began.elapsed());
+        lock(&self.quota).record_limit(limit.as_deref(), self.began.elapsed());
     }
 
     /// Tells of what the stock holds now.
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -201,7 +201,7 @@
     let Some(id) = asked.id.clone() else {
         return not_run(shared, connection, &head, StatusCode::BAD_REQUEST).await;
     };
-    lock(&shared.quota).came(&id, arrived_at.duration_since(shared.began));
+    lock(&shared.quota).record_arrival(&id, arrived_at.duration_since(shared.began));
     if shared.stock().expects(asked.model.as_ref(), asked.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     }
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -177,7 +177,7 @@
         }
         orders.sort_by_key(|order| order.came);
         let quota = |server: &Server| {
-            let quota = server.quota().later(crowd.since(server.started_at()));
+            let quota = server.quota().shifted(crowd.since(server.started_at()));
             (server.id().to_string(), quota)
         };
         let quotas = servers.iter().map(quota).collect();
--- a/crates/standin/tests/quota_judge.rs
+++ b/crates/standin/tests/quota_judge.rs
@@ -12,7 +12,7 @@
 /// A server that names a limit of 2 a second from 10 s on, which allows 17 requests in 4 s.
 fn limited(arrivals: impl IntoIterator<Item = u64>) -> Quota {
     let arrivals = arrivals.into_iter().map(|at| ("r".into(), ms(at))).collect();
-    Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] }
+    Quota { arrivals, limits: vec![(ms(10_000), Some(2.0))] }
 }
 
 /// So many requests, one each 10 ms, the first of them then.
@@ -54,6 +54,6 @@
     #[case] broken: Option<u64>,
 ) {
     let named = named.iter().map(|(at, limit)| (ms(*at), *limit)).collect();
-    let quota = Quota { named, ..limited(burst(18_000, 30)) };
+    let quota = Quota { limits: named, ..limited(burst(18_000, 30)) };
     assert_eq!(quota.excess(|_, _| true).map(|excess| excess.at), broken.map(ms));
 }
--- a/crates/standin/tests/soak_judge.rs
+++ b/crates/standin/tests/soak_judge.rs
@@ -99,7 +99,7 @@
 /// A server that names a limit of 2 a second gets 18 requests of host 0 at once.
 fn press(record: &mut Record) {
     let arrivals = vec![("r1".into(), ms(15_000)); 18];
-    let quota = Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] };
+    let quota = Quota { arrivals, limits: vec![(ms(10_000), Some(2.0))] };
     record.quotas.push(("app-1".into(), quota));
 }
 
