--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -85,7 +85,7 @@
     let mut caller = Caller::new(callers);
     for _ in 0..TRIES {
         let answer =
-            caller.ask(&ask.with_new_id()).await.map_err(|failure| format!("{failure:?}"))?;
+            caller.fetch(&ask.with_new_id()).await.map_err(|failure| format!("{failure:?}"))?;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             println!(
                 "\n{} {}:\n{}",
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn what_no_route_takes_is_not_found(#[case] host: &str, #[case] path: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&RequestSpec::to(host, path)).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&RequestSpec::to(host, path)).await.unwrap();
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
     assert_eq!(site.backend.runs(), 0);
 }
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn a_host_is_known_however_it_is_spelled(#[case] host: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&RequestSpec::to(host, "/pages/x")).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&RequestSpec::to(host, "/pages/x")).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -52,7 +52,7 @@
     let site = undeclared(backend().await, 1).await;
     let host = &site.hosts[0];
     assert_eq!(host.readiness_status().await, Some(StatusCode::SERVICE_UNAVAILABLE));
-    let answer = host.caller().ask(&page()).await.unwrap();
+    let answer = host.caller().fetch(&page()).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.metadata.retry_after.is_some());
 
@@ -72,7 +72,7 @@
     site.wait_until_ready().await;
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
-        assert_eq!(caller.ask(&page()).await.unwrap().status, StatusCode::OK);
+        assert_eq!(caller.fetch(&page()).await.unwrap().status, StatusCode::OK);
     }
     let other = site.backend.server("other-1").runs().len();
     assert!((60..140).contains(&other), "{other} of {REQUESTS} for a quarter");
@@ -132,7 +132,7 @@
     let site = site(1).await;
     site.backend.script(|script| script.work = Duration::from_millis(800));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&page()).await });
+    let asking = tokio::spawn(async move { caller.fetch(&page()).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     let mut declared = declaration();
     declared.version += 1;
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -55,7 +55,7 @@
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
     site.backend.script(|script| script.always = Some(full));
     let ask = ask.deadline(Some(SOON));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.metadata.seal, None);
     assert_eq!(site.backend.runs(), 0);
@@ -75,7 +75,7 @@
     site.backend.script(|script| script.always = Some(fault));
     for _ in 0..3 {
         let ask = ticket();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
         let unclear = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
         assert!(unclear.contains(&answer.status), "{} after it ran", answer.status);
         assert_eq!(site.backend.runs_of(&ask.id()), 1);
@@ -96,7 +96,7 @@
     site.backend.server("app-1").script(|script| script.always = Some(fault));
     for _ in 0..4 {
         let ask = page();
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
         assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
         assert_eq!(answer.field("server"), "app-2");
         assert_eq!(answer.field("request"), *ask.id());
@@ -115,7 +115,7 @@
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(fault));
     let ask = chat();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
     assert_eq!((answer.events(), answer.metadata.seal), (vec![], None));
     assert_eq!(site.backend.runs_of(&ask.id()), 1);
@@ -132,7 +132,7 @@
     let mut caller = site.hosts[0].caller();
     for _ in 0..10 {
         let ask = page();
-        let answer = caller.ask(&ask).await.unwrap();
+        let answer = caller.fetch(&ask).await.unwrap();
         assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
         assert_eq!(answer.metadata.id, Some(ask.id()));
         assert_eq!(answer.field("request"), *ask.id());
@@ -150,7 +150,7 @@
     let mut caller = site.hosts[0].caller();
     for _ in 0..20 {
         let ask = ticket();
-        let answer = caller.ask(&ask).await.unwrap();
+        let answer = caller.fetch(&ask).await.unwrap();
         assert_eq!(site.backend.runs_of(&ask.id()), 1);
         if answer.status == StatusCode::OK {
             assert_eq!(answer.metadata.id, Some(ask.id()));
@@ -168,7 +168,7 @@
     let failed = Fault::Failed(StatusCode::INTERNAL_SERVER_ERROR);
     site.backend.script(|script| script.always = Some(failed));
     let ask = ticket();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert!(answer.metadata.seal.is_some());
     assert_eq!(
@@ -210,7 +210,7 @@
     let site = site(1).await;
     site.backend.script(|script| script.always = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    let asking = tokio::spawn(async move { caller.fetch(&ask).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     asking.abort();
     until("the server sees the caller leave", async || {
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -51,7 +51,7 @@
             loop {
                 let (ask, from) = (ask.with_new_id().deadline(Some(DEADLINE)), Instant::now());
                 // A host that stands still answers nobody.
-                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&ask)).await {
+                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.fetch(&ask)).await {
                     answers.push((answer.status, from.elapsed(), answer.metadata.retry_after));
                 }
                 sleep(PAUSE).await;
@@ -237,7 +237,7 @@
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
         let ask = RequestSpec::to(crate::site::HOST, "/pages/deep/x");
-        assert_eq!(caller.ask(&ask).await.unwrap().status, StatusCode::OK);
+        assert_eq!(caller.fetch(&ask).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(&site.hosts[0]).await;
     let unreadable = value(&text, "cyclamenstage_routed_unreadable_limits_total");
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -42,7 +42,7 @@
 async fn ask(caller: &mut Caller, model: &str, adapter: &str) {
     let ask = chat().model(model).adapter(adapter).deadline(Some(SOON));
     // A host may be gone or frozen, and what it refuses is asked again soon enough.
-    let answer = tokio::time::timeout(SOON * 2, caller.ask(&ask)).await;
+    let answer = tokio::time::timeout(SOON * 2, caller.fetch(&ask)).await;
     if !matches!(answer, Ok(Ok(_))) {
         caller.disconnect();
     }
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -61,7 +61,7 @@
 /// Asks, and checks the page once the request's end is written.
 async fn check_request(site: &Site, id: &str, ask: RequestSpec) {
     let mut caller = site.hosts[0].caller();
-    caller.ask(&ask.with_id(id)).await.expect("an answer");
+    caller.fetch(&ask.with_id(id)).await.expect("an answer");
     check_told(site, id).await;
 }
 
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -79,7 +79,7 @@
             Source::One => host.caller(),
             Source::EachHost => host.caller().from(IpAddr::from([127, 77, 0, place as u8 + 1])),
         };
-        let _ = timeout(PATIENCE, caller.ask(&poison)).await;
+        let _ = timeout(PATIENCE, caller.fetch(&poison)).await;
         assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK), "an innocent request");
         forget_crashed(site);
         sleep(Duration::from_millis(150)).await;
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -17,7 +17,7 @@
 async fn a_plain_request_is_served(#[case] ask: RequestSpec) {
     let site = site(1).await;
     let sent = ask.request();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(answer.metadata.id, Some(ask.id()));
     let server = answer.field("server").as_str().unwrap().to_owned();
@@ -39,7 +39,7 @@
 #[tokio::test]
 async fn a_stream_is_served(#[case] ask: RequestSpec, #[case] first: u64) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(answer.events(), (first..=5).collect::<Vec<_>>());
     assert!(answer.metadata.seal.is_some());
@@ -51,7 +51,7 @@
     let site = site(1).await;
     for _ in 0..4 {
         let ask = chat().model("desk");
-        let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(site.backend.runs_of(&ask.id()), 1);
     }
@@ -65,7 +65,7 @@
     let site = site(2).await;
     let mut caller = site.hosts[0].caller();
     until("it is served", async || {
-        let answer = caller.ask(&ask.with_new_id()).await.unwrap();
+        let answer = caller.fetch(&ask.with_new_id()).await.unwrap();
         let promises = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
         assert!(promises.contains(&answer.status), "{}", answer.status);
         answer.events() == [1, 2, 3, 4, 5]
@@ -83,7 +83,7 @@
 async fn headers_that_are_the_systems_are_dropped_from_strangers(#[case] ask: RequestSpec) {
     let site = site(1).await;
     let ask = ask.with_reserved_headers();
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK, "no server was found by a forged instance");
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     for run in runs.filter(|run| run.request.id == Some(ask.id())) {
@@ -101,7 +101,7 @@
         .header("x-mine", "1")
         .header("te", "trailers")
         .header("x-room", "12");
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     let server = answer.field("server").as_str().unwrap().to_owned();
     let headers = site.backend.server(&server).runs()[0].headers.clone();
     assert_eq!(headers["x-room"], "12");
@@ -112,12 +112,12 @@
 async fn the_deadline_passed_on_is_what_is_left() {
     let site = site(1).await;
     let ask = page().deadline(Some(Duration::from_secs(5)));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     let server = answer.field("server").as_str().unwrap().to_owned();
     let deadline = site.backend.server(&server).runs()[0].request.deadline.unwrap();
     assert!(deadline <= Duration::from_secs(5), "{deadline:?}");
 
-    let answer = site.hosts[0].caller().ask(&page().deadline(None)).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&page().deadline(None)).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
     assert!(runs.into_iter().all(|run| run.request.deadline.is_some()), "each has a deadline");
@@ -128,7 +128,7 @@
     let site = site(1).await;
     let mut caller = site.hosts[0].caller();
     for ask in [page(), ticket(), chat(), page()] {
-        assert_eq!(caller.ask(&ask).await.unwrap().status, StatusCode::OK);
+        assert_eq!(caller.fetch(&ask).await.unwrap().status, StatusCode::OK);
     }
     assert_eq!(caller.connections(), 1);
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -164,11 +164,11 @@
 
 /// The server that answers a request.
 pub async fn server_of(host: &Host, ask: &RequestSpec) -> Option<String> {
-    let answer = host.caller().ask(ask).await.ok()?;
+    let answer = host.caller().fetch(ask).await.ok()?;
     answer.field("server").as_str().map(str::to_owned)
 }
 
 /// The status that a request gets.
 pub async fn status_of(host: &Host, ask: &RequestSpec) -> Option<StatusCode> {
-    Some(host.caller().ask(ask).await.ok()?.status)
+    Some(host.caller().fetch(ask).await.ok()?.status)
 }
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -39,7 +39,7 @@
     site.backend.server("app-2").drain(None);
     site.wait_until_observed().await;
     let mut caller = site.hosts[0].caller();
-    let asking = tokio::spawn(async move { caller.ask(&ticket()).await });
+    let asking = tokio::spawn(async move { caller.fetch(&ticket()).await });
     until("the request runs", async || server.running() == 1).await;
     server.drain(None);
     site.wait_until_observed().await;
@@ -56,8 +56,8 @@
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
+    let asking = tokio::spawn(async move { caller.fetch(&ask).await });
     until("the request runs", async || site.backend.runs() == 2).await;
 
     site.hosts[0].signal(Signal::SIGTERM);
@@ -65,7 +65,7 @@
         site.hosts[0].readiness_status().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
-    let late = idle.ask(&page()).await.unwrap();
+    let late = idle.fetch(&page()).await.unwrap();
     assert_eq!((late.status, late.is_complete), (StatusCode::OK, true));
     assert!(late.closes(), "a kept connection is told that it ends");
 
@@ -83,8 +83,8 @@
     let mut site = site(1).await;
     site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let asking = tokio::spawn(async move { caller.ask(&ask).await });
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
+    let asking = tokio::spawn(async move { caller.fetch(&ask).await });
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
@@ -93,7 +93,7 @@
     }
     let answer = asking.await.unwrap().unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
     assert_eq!((idle.connections(), site.hosts[0].is_running()), (1, true));
     assert_eq!(site.hosts[0].readiness_status().await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -59,7 +59,7 @@
 async fn failing(fault: Fault, ask: &RequestSpec) -> (Site, Answer) {
     let site = usual_site().await;
     site.backend.script(|script| script.always = Some(fault));
-    let answer = site.hosts[0].caller().ask(ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(ask).await.unwrap();
     (site, answer)
 }
 
@@ -126,7 +126,7 @@
     site.wait_until_ready().await;
     site.backend.script(|script| script.always = Some(FULL));
     let ask = ticket().deadline(Some(SOON));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let story = story(&site, &ask.id()).await;
     let why = of(&story, "ended")[0]["why"].clone();
@@ -137,7 +137,7 @@
 async fn a_request_that_no_route_takes_is_explained() {
     let site = usual_site().await;
     let ask = RequestSpec::to("nowhere.example", "/");
-    site.hosts[0].caller().ask(&ask).await.unwrap();
+    site.hosts[0].caller().fetch(&ask).await.unwrap();
     let story = story(&site, &ask.id()).await;
     let end = of(&story, "ended")[0];
     assert_eq!((&end["outcome"], &end["why"]), (&json!("refused"), &json!("no-route")));
@@ -190,7 +190,7 @@
     site.backend.script(|script| script.faults = [Fault::Broken { events: 2 }].into());
     let mut caller = site.hosts[0].caller();
     let ask = draft();
-    let answer = caller.ask(&ask).await.unwrap();
+    let answer = caller.fetch(&ask).await.unwrap();
     let story = story(&site, &ask.id()).await;
     let resumed = of(&story, "resumed");
     assert_eq!(resumed[0]["after"], 2, "{story:#?}");
@@ -205,7 +205,7 @@
 #[tokio::test]
 async fn a_request_that_goes_well_is_one_line(#[case] ask: RequestSpec, #[case] events: u64) {
     let site = usual_site().await;
-    assert_eq!(site.hosts[0].caller().ask(&ask).await.unwrap().status, StatusCode::OK);
+    assert_eq!(site.hosts[0].caller().fetch(&ask).await.unwrap().status, StatusCode::OK);
     story(&site, &ask.id()).await;
     let lines: Vec<_> =
         site.hosts[0].log().into_iter().filter(|line| line["request"] == *ask.id()).collect();
@@ -224,7 +224,7 @@
     let start = host.log().into_iter().find(|line| line["kind"] == "start").expect("its start");
     let mut settings = start["settings"].clone();
     let steps = async |ask: &RequestSpec| {
-        assert_eq!(host.caller().ask(ask).await.unwrap().status, StatusCode::OK);
+        assert_eq!(host.caller().fetch(ask).await.unwrap().status, StatusCode::OK);
         story(&site, &ask.id()).await.iter().filter(|line| line["kind"] == "attempt").count()
     };
     assert_eq!(steps(&page()).await, 0);
@@ -250,7 +250,7 @@
     let site = usual_site().await;
     let host = &site.hosts[0];
     for ask in [page(), page(), chat()] {
-        assert_eq!(host.caller().ask(&ask).await.unwrap().status, StatusCode::OK);
+        assert_eq!(host.caller().fetch(&ask).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(host).await;
     let connects = r#"cyclamenstage_routed_phase_seconds_count{kind="idempotent",phase="connect"}"#;
@@ -283,7 +283,7 @@
     let (mut asked, mut retries) = (0, 0);
     until("a host passes its share", async || {
         let ask = page().deadline(Some(Duration::from_millis(500)));
-        asked += usize::from(site.hosts[0].caller().ask(&ask).await.is_ok());
+        asked += usize::from(site.hosts[0].caller().fetch(&ask).await.is_ok());
         let arrivals: usize = site.backend.servers.iter().map(|it| it.arrivals().len()).sum();
         retries = arrivals.saturating_sub(asked);
         SHARE < retries
@@ -302,7 +302,7 @@
     site.wait_until_ready().await;
     for host in &site.hosts {
         for _ in 0..3 {
-            assert_eq!(host.caller().ask(&chat()).await.unwrap().status, StatusCode::OK);
+            assert_eq!(host.caller().fetch(&chat()).await.unwrap().status, StatusCode::OK);
         }
     }
     let given = async |host: usize| {
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -29,7 +29,7 @@
     server.script(|script| script.faults = [fault].into());
     loop {
         // A prompt that the other server had read would go there each time.
-        let answer = site.hosts[0].caller().ask(&ask.with_new_prompt()).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&ask.with_new_prompt()).await.unwrap();
         if !server.runs().is_empty() {
             return answer;
         }
@@ -111,7 +111,7 @@
         server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
     }
     let ask = chat().deadline(Some(Duration::from_millis(700)));
-    let answer = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert!(!answer.is_complete, "a stream without its end looks whole");
     assert_eq!(answer.events(), vec![1, 2]);
     until("the server is left", async || {
@@ -125,10 +125,10 @@
 async fn a_stream_whose_only_holder_fails_goes_to_another_that_gets_its_adapter() {
     let site = site(1).await;
     let ask = draft().adapter("a1");
-    let first = site.hosts[0].caller().ask(&ask).await.unwrap();
+    let first = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(first.status, StatusCode::OK);
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
     holder.script(|script| script.always = Some(Fault::Lost));
-    let answer = site.hosts[0].caller().ask(&ask.with_new_id()).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&ask.with_new_id()).await.unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -254,7 +254,7 @@
     /// # Errors
     ///
     /// If no answer begins.
-    pub async fn ask(&mut self, ask: &RequestSpec) -> Result<Answer, Failure> {
+    pub async fn fetch(&mut self, ask: &RequestSpec) -> Result<Answer, Failure> {
         self.open(ask).await?.finish().await
     }
 
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -233,7 +233,7 @@
     stays: Option<Duration>,
 ) -> bool {
     let from = crowd.since(Instant::now());
-    let asked = timeout(stays.unwrap_or(DEADLINE + BEYOND), connection.ask(&wanted.ask)).await;
+    let asked = timeout(stays.unwrap_or(DEADLINE + BEYOND), connection.fetch(&wanted.ask)).await;
     let outcome = match asked {
         Ok(Ok(answer)) => Outcome::Answered(answered(answer)),
         Ok(Err(Failure::Connect)) => Outcome::Unreached,
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -411,7 +411,7 @@
         let mut callers = JoinSet::new();
         for _ in 0..5 {
             let mut caller = Caller::new(server.address());
-            callers.spawn(async move { caller.ask(&ask()).await.unwrap().status });
+            callers.spawn(async move { caller.fetch(&ask()).await.unwrap().status });
         }
         let statuses = callers.join_all().await;
         let taken = statuses.iter().filter(|status| status.is_success()).count();
