--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -1,6 +1,8 @@
-//! Stand-ins of a routed deployment: the store, its servers, callers, and a site of real hosts.
+//! Stand-ins for a routed deployment, for tests and examples: the platform's store, its servers,
+//! callers, and sites of real host processes.
 //!
-//! They speak through the remote ends' codecs, are scripted by tests, and simulate no performance.
+//! They encode and decode with `platform::remote`, the codecs of the far ends. Tests script their
+//! behaviour; performance isn't simulated.
 
 pub mod caller;
 pub mod host;
@@ -18,23 +20,25 @@
     time::Duration,
 };
 
-/// How long a test waits for what must come; far more than it takes on a loaded machine.
+/// How long [`until`] and callers wait before they fail; far more than any awaited event takes on a
+/// loaded machine.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Polls a condition.
+/// Polls `condition` until it holds.
 ///
 /// # Panics
 ///
-/// By its name, when patience ends.
+/// If it doesn't hold within [`TIMEOUT`]; the message contains `what`.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "never: {what}");
+    let outcome = tokio::time::timeout(TIMEOUT, polling).await;
+    assert!(outcome.is_ok(), "timed out waiting until {what}");
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -1,4 +1,6 @@
-//! Callers: requests with ids and deadlines over kept connections, never sent twice.
+//! Callers, which send requests with ids and deadlines over keep-alive connections.
+//!
+//! A caller never resends a request by itself.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -23,25 +25,26 @@
 
 use super::TIMEOUT;
 
+/// Part of ids, so that no two requests or prompts of a process are alike.
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
 fn next_id() -> Arc<str> {
     format!("r{:07}", NUMBER.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// A request under construction.
+/// A description of a request, from which [`RequestSpec::request`] makes the HTTP request.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// What the system needs to know of it.
+    /// What the request's head tells the system: id, target, model, prompt, deadline.
     pub info: edge::RequestInfo,
     method: Method,
     body: Bytes,
     headers: HeaderMap,
-    is_forged: bool,
+    has_reserved_headers: bool,
 }
 
 impl RequestSpec {
-    /// A `GET` of a path at a host, with an id of its own.
+    /// A `GET` of `path` at the virtual host `host`, with a new id and a deadline of 20 s.
     pub fn to(host: &str, path: &str) -> RequestSpec {
         let info = edge::RequestInfo {
             id: next_id(),
@@ -61,29 +64,30 @@
             method: Method::GET,
             body: Bytes::new(),
             headers: HeaderMap::new(),
-            is_forged: false,
+            has_reserved_headers: false,
         }
     }
 
-    /// The same request again, under an id of its own.
+    /// A copy with a new id.
     pub fn with_new_id(&self) -> RequestSpec {
-        let mut again = self.clone();
-        again.info.id = next_id();
-        again
+        let mut copy = self.clone();
+        copy.info.id = next_id();
+        copy
     }
 
-    /// The id.
+    /// The request id.
     pub fn id(&self) -> Arc<str> {
         self.info.id.clone()
     }
 
-    /// Under another id.
+    /// Sets the request id.
     pub fn with_id(mut self, id: &str) -> RequestSpec {
         self.info.id = id.into();
         self
     }
 
-    /// With a path that no other request of the same caller has.
+    /// Appends `caller` and `number` to the path, before the query, so that no other request of the
+    /// caller has the same path.
     pub fn with_number(mut self, caller: u64, number: u64) -> RequestSpec {
         let (path, query) = match self.info.path.split_once('?') {
             Some((path, query)) => (path, format!("?{query}")),
@@ -93,13 +97,14 @@
         self
     }
 
-    /// With a method and a body.
+    /// Sets the method and the body.
     pub fn with_body(mut self, method: Method, body: impl Into<Bytes>) -> RequestSpec {
         (self.method, self.body) = (method, body.into());
         self
     }
 
-    /// For a model.
+    /// Makes it a `POST` with a prompt for `model`: 100 tokens in, 20 tokens out. All these prompts
+    /// have the same prefix id, so that a server may have them cached.
     pub fn model(mut self, model: &str) -> RequestSpec {
         self.info.model = Some(model.into());
         (self.info.tokens_in, self.info.tokens_out) = (100, 20);
@@ -107,84 +112,84 @@
         self.with_body(Method::POST, "a prompt")
     }
 
-    /// For an adapter of the model.
+    /// Sets the adapter of the model.
     pub fn adapter(mut self, adapter: &str) -> RequestSpec {
         self.info.adapter = Some(adapter.into());
         self
     }
 
-    /// With another deadline, or none.
+    /// Replaces the deadline of 20 s; `None` sends no deadline.
     pub fn deadline(mut self, deadline: Option<Duration>) -> RequestSpec {
         self.info.deadline = deadline;
         self
     }
 
-    /// The same with a prompt that no server has read, under another id.
+    /// A copy with a new id and a prompt that no server can have cached.
     pub fn with_new_prompt(&self) -> RequestSpec {
-        let mut again = self.with_new_id();
-        let tokens = again.info.tokens_in;
+        let mut copy = self.with_new_id();
+        let tokens = copy.info.tokens_in;
         let id = NUMBER.fetch_add(1, Ordering::Relaxed);
-        again.info.prompt = vec![edge::Part { id, tokens }];
-        again
+        copy.info.prompt = vec![edge::Part { id, tokens }];
+        copy
     }
 
-    /// Going on after an event.
+    /// Resumes a stream after the event with this number.
     pub fn resume(mut self, event: u64) -> RequestSpec {
         self.info.resume = Some(event);
         self
     }
 
-    /// With a header of the caller's own.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: &'static str) -> RequestSpec {
         self.headers.insert(name, http::HeaderValue::from_static(value));
         self
     }
 
-    /// With all headers that only the system may set.
+    /// Adds all headers that only the system may set, as an untrusted caller might.
     pub fn with_reserved_headers(mut self) -> RequestSpec {
-        self.is_forged = true;
+        self.has_reserved_headers = true;
         self
     }
 
-    /// The request as it is sent.
+    /// The HTTP request that is sent.
     pub fn request(&self) -> Request<Bytes> {
         let mut request = remote::request(self.method.clone(), &self.info, self.body.clone());
         request.headers_mut().extend(self.headers.clone());
-        if self.is_forged {
+        if self.has_reserved_headers {
             remote::set_reserved(request.headers_mut());
         }
         request
     }
 }
 
-/// An answer, as far as it came.
+/// An answer, of which the body may be incomplete.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// All headers, as received.
     pub headers: HeaderMap,
-    /// What its head says to callers.
+    /// What the headers tell callers: request id, seal, retry delay.
     pub metadata: remote::Answer,
-    /// Its body.
+    /// The body, as far as it was received.
     pub body: Bytes,
-    /// Whether it came whole.
+    /// False if the connection ended before the body did.
     pub is_complete: bool,
 }
 
 impl Answer {
-    /// A field of a body in JSON.
+    /// A field of the JSON body; null if it is absent or the body isn't JSON.
     pub fn field(&self, name: &str) -> serde_json::Value {
         let body: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
         body[name].clone()
     }
 
-    /// Numbers of the whole events of a stream.
+    /// Numbers of the complete events of a stream, in the order received.
     pub fn events(&self) -> Vec<u64> {
         events(&self.body)
     }
 
-    /// Whether the system closes the connection after it.
+    /// Whether the answer has `Connection: close`.
     pub fn closes(&self) -> bool {
         self.headers.get(header::CONNECTION).is_some_and(|value| value == "close")
     }
@@ -192,33 +197,33 @@
 
 fn events(body: &[u8]) -> Vec<u64> {
     let text = String::from_utf8_lossy(body);
-    let (whole, _) = text.rsplit_once("\n\n").unwrap_or_default();
-    let numbers = whole.lines().filter_map(|line| line.strip_prefix("id: "));
+    let (complete, _) = text.rsplit_once("\n\n").unwrap_or_default();
+    let numbers = complete.lines().filter_map(|line| line.strip_prefix("id: "));
     numbers.filter_map(|number| number.parse().ok()).collect()
 }
 
-/// Why there is no answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection stands.
+    /// The connection couldn't be opened.
     Connect,
-    /// The connection ended without the head of an answer.
+    /// The connection ended before the head of an answer.
     Closed,
-    /// Nothing came for longer than any test waits.
+    /// Nothing was received within [`TIMEOUT`].
     Silence,
 }
 
-/// A caller with one kept connection.
+/// A caller with one keep-alive connection, which it opens anew when it is closed.
 #[derive(Debug)]
 pub struct Caller {
     address: SocketAddr,
-    /// Where it calls from, if it matters.
+    /// The local address to bind; `None` lets the system choose.
     source: Option<IpAddr>,
-    kept: Option<Connection>,
+    connection: Option<Connection>,
     connections: u32,
 }
 
-/// A connection, and the task that drives it.
+/// An HTTP/1.1 connection and the task that drives it.
 #[derive(Debug)]
 struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -226,72 +231,76 @@
 }
 
 impl Drop for Connection {
-    /// Closes the socket at once, whatever is under way on it.
+    /// Closes the socket at once, also during a request.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 impl Caller {
-    /// A caller of a host; it connects when it first asks.
+    /// A caller of `address`; it connects at its first request.
     pub fn new(address: SocketAddr) -> Caller {
-        Caller { address, source: None, kept: None, connections: 0 }
+        Caller { address, source: None, connection: None, connections: 0 }
     }
 
-    /// Lets it call from an address of its machine.
+    /// Binds its connections to the local address `source`.
     #[must_use]
     pub fn from(self, source: IpAddr) -> Caller {
         Caller { source: Some(source), ..self }
     }
 
-    /// Connections opened so far.
+    /// How many connections it has opened so far.
     pub fn connections(&self) -> u32 {
         self.connections
     }
 
-    /// Asks and waits for the answer's end.
+    /// Sends a request and waits for the end of the answer.
     ///
     /// # Errors
     ///
-    /// If no answer begins.
-    pub async fn fetch(&mut self, ask: &RequestSpec) -> Result<Answer, Failure> {
-        self.open(ask).await?.finish().await
+    /// If no head is received, or the body pauses for longer than [`TIMEOUT`]. A body that is cut
+    /// off is no error: see [`Answer::is_complete`].
+    pub async fn fetch(&mut self, spec: &RequestSpec) -> Result<Answer, Failure> {
+        self.open(spec).await?.finish().await
     }
 
-    /// Asks and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
     ///
-    /// If no answer begins.
-    pub async fn open(&mut self, ask: &RequestSpec) -> Result<OpenAnswer, Failure> {
-        self.send(ask.request()).await
+    /// If no head is received.
+    pub async fn open(&mut self, spec: &RequestSpec) -> Result<OpenAnswer, Failure> {
+        self.send(spec.request()).await
     }
 
-    /// Sends a request as it is.
+    /// Sends an HTTP request unchanged and waits for the head of the answer.
     ///
     /// # Errors
     ///
-    /// If no answer begins.
+    /// If no head is received.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<OpenAnswer, Failure> {
         let sending = self.try_send(request.map(Full::new));
         tokio::time::timeout(TIMEOUT, sending).await.map_err(|_| Failure::Silence)?
     }
 
     async fn try_send(&mut self, request: Request<Full<Bytes>>) -> Result<OpenAnswer, Failure> {
-        if self.kept.as_ref().is_none_or(|kept| kept.sender.is_closed()) {
-            self.kept = Some(connect(self.source, self.address).await.ok_or(Failure::Connect)?);
+        if self.connection.as_ref().is_none_or(|open| open.sender.is_closed()) {
+            self.connection =
+                Some(connect(self.source, self.address).await.ok_or(Failure::Connect)?);
             self.connections += 1;
         }
-        let Some(Connection { sender, .. }) = &mut self.kept else { return Err(Failure::Connect) };
+        let Some(Connection { sender, .. }) = &mut self.connection else {
+            return Err(Failure::Connect);
+        };
         sender.ready().await.map_err(|_| Failure::Closed)?;
         let response = sender.send_request(request).await.map_err(|_| Failure::Closed)?;
         let (head, body) = response.into_parts();
-        Ok(OpenAnswer { head, body, text: BytesMut::new() })
+        Ok(OpenAnswer { head, body, received: BytesMut::new() })
     }
 
-    /// Closes the connection, whatever is under way on it.
+    /// Closes the connection at once, also during a request.
     pub fn disconnect(&mut self) {
-        self.kept = None;
+        self.connection = None;
     }
 }
 
@@ -307,25 +316,25 @@
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(async move {
-        // The asking side hears of the error.
+        // The sender reports the error to its caller.
         let _ = connection.await;
     });
     Some(Connection { sender, driver: driver.abort_handle() })
 }
 
-/// An answer whose head has come. It needs its caller: dropping that is to leave.
+/// An answer whose head has been received. Dropping its [`Caller`] closes the connection.
 #[derive(Debug)]
 pub struct OpenAnswer {
-    /// Its head.
+    /// The status line and headers.
     pub head: Parts,
     body: Incoming,
-    text: BytesMut,
+    received: BytesMut,
 }
 
 impl OpenAnswer {
-    /// Waits for an event; false if the stream ends before it.
+    /// Waits for the event with this number; false if the stream ends or fails before it.
     pub async fn event(&mut self, number: u64) -> bool {
-        while !events(&self.text).contains(&number) {
+        while !events(&self.received).contains(&number) {
             if !matches!(self.frame().await, Ok(Some(()))) {
                 return false;
             }
@@ -333,11 +342,11 @@
         true
     }
 
-    /// Waits for the end.
+    /// Waits for the end of the body.
     ///
     /// # Errors
     ///
-    /// If it never comes.
+    /// If nothing is received for [`TIMEOUT`].
     pub async fn finish(mut self) -> Result<Answer, Failure> {
         let is_complete = loop {
             match self.frame().await {
@@ -349,7 +358,7 @@
         };
         let metadata = remote::answer(&self.head.headers);
         let (status, headers) = (self.head.status, self.head.headers);
-        Ok(Answer { status, headers, metadata, body: self.text.freeze(), is_complete })
+        Ok(Answer { status, headers, metadata, body: self.received.freeze(), is_complete })
     }
 
     async fn frame(&mut self) -> Result<Option<()>, Failure> {
@@ -359,7 +368,7 @@
             Some(Err(_)) => Err(Failure::Closed),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
-                    self.text.extend_from_slice(&data);
+                    self.received.extend_from_slice(&data);
                 }
                 Ok(Some(()))
             }
