--- a/crates/standin/src/routed/host.rs
+++ b/crates/standin/src/routed/host.rs
@@ -1,4 +1,4 @@
-//! A host's real process.
+//! Real host processes, started with generated settings and observed through their logs.
 
 use std::{
     fs::File,
@@ -18,10 +18,10 @@
 
 use super::{caller::Caller, until};
 
-/// A host's process; killed when dropped.
+/// A running host process; killed when dropped.
 #[derive(Debug)]
 pub struct Host {
-    /// Its name, which is also its door at the store.
+    /// The host's id, which is also the name of its endpoint at the store.
     pub name: String,
     child: Child,
     settings: PathBuf,
@@ -32,15 +32,16 @@
 }
 
 impl Host {
-    /// Starts `program` with settings of ours, and waits until it listens.
+    /// Starts `program` with `settings`, and waits until it listens. Settings and log are written
+    /// to `folder`, under the host's id and `run`.
     ///
     /// # Errors
     ///
-    /// If its settings can't be written or the process can't start.
+    /// If the settings can't be written or the process can't be started.
     ///
     /// # Panics
     ///
-    /// If it ends before it listens.
+    /// If the process ends before it listens.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -49,7 +50,8 @@
     ) -> io::Result<Host> {
         let name = settings["host"]["id"].as_str().unwrap_or_default().to_owned();
         let log = folder.join(format!("{name}-{run}.log"));
-        // Written at once, where a test doesn't ask for the queue to standard output.
+        // Logs to a file are written immediately; a test that needs the log queue to standard
+        // output sets that itself.
         if settings["log"].is_null() {
             settings["log"] = json!({"file": log, "level": "debug"});
         }
@@ -58,35 +60,35 @@
         let mut command = Command::new(program);
         let child =
             command.args(["serve", "--settings"]).arg(&file).stdout(File::create(&log)?).spawn()?;
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (callers, operators, peers) = (nowhere, nowhere, None);
+        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
+        let (callers, operators, peers) = (unknown, unknown, None);
         let settings = file;
         let mut host = Host { name, child, settings, log, callers, operators, peers };
-        until("the host listens", async || host.listens()).await;
+        until("the host listens", async || host.find_addresses()).await;
         Ok(host)
     }
 
-    /// Its listener for callers.
+    /// Address of the listener for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Its listener for the balancer.
+    /// Address of the listener for operators, which the load balancer asks for readiness.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Its listener for other hosts, if it has one.
+    /// Address of the listener for other hosts, if it has one.
     pub fn peers(&self) -> Option<SocketAddr> {
         self.peers
     }
 
-    /// A caller of it.
+    /// A new caller of the host.
     pub fn caller(&self) -> Caller {
         Caller::new(self.callers)
     }
 
-    /// What it answers to the balancer; nothing if it doesn't.
+    /// The status of its answer to the load balancer's readiness probe; `None` without an answer.
     pub async fn readiness_status(&self) -> Option<StatusCode> {
         let request = Request::get(platform::remote::READY)
             .header(header::HOST, self.operators.to_string())
@@ -95,58 +97,58 @@
         Some(Caller::new(self.operators).send(request).await.ok()?.head.status)
     }
 
-    /// Waits until it is ready.
+    /// Waits until the readiness probe succeeds.
     pub async fn wait_until_ready(&self) {
         until("the host is ready", async || self.readiness_status().await == Some(StatusCode::OK))
             .await;
     }
 
-    /// The file of its settings.
+    /// The file with the settings of this start.
     pub fn settings(&self) -> &Path {
         &self.settings
     }
 
-    /// The file of its log.
+    /// The file with the log of this start.
     pub fn log_file(&self) -> &Path {
         &self.log
     }
 
-    /// What it logged so far, a JSON object a line; a line that is half written is left out.
+    /// The records logged so far, one JSON object per line; an incomplete last line is left out.
     pub fn log(&self) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
-    /// Whether it logged a message.
+    /// Whether a record with exactly this message was logged.
     pub fn has_logged(&self, message: &str) -> bool {
         self.log().iter().any(|line| line["message"] == message)
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal; does nothing if it has ended.
     pub fn signal(&self, signal: Signal) {
         if let Ok(id) = i32::try_from(self.child.id()) {
-            // It may have ended by itself.
+            // The process may have ended by itself.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Ends it without notice.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it still runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for its end.
+    /// Waits for the end of the process.
     pub async fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
         until("the process ends", async || {
@@ -157,11 +159,11 @@
         status
     }
 
-    /// Reads from its log where it listens; the system picked the ports, so that no two processes
-    /// can ever be given the same one.
-    fn listens(&mut self) -> bool {
+    /// Reads the listeners' addresses from the log; false until they are logged. The operating
+    /// system picks the ports, so that no two processes get the same one.
+    fn find_addresses(&mut self) -> bool {
         let log = self.log();
-        assert!(self.is_running(), "{} ended at its start: {log:#?}", self.name);
+        assert!(self.is_running(), "{} ended during startup: {log:#?}", self.name);
         let Some(line) = log.iter().find(|line| line["message"] == "host starts") else {
             return false;
         };
--- a/crates/standin/src/routed/links.rs
+++ b/crates/standin/src/routed/links.rs
@@ -1,9 +1,12 @@
-//! The links between hosts: a loopback relay in front of each host's listener for peers.
+//! Links between hosts that can lose or delay traffic: a loopback relay before each host's listener
+//! for peers.
 //!
-//! A host is told to advertise its relay's address, so that all that others send it passes there. A
-//! datagram goes on from the relay of its sender, whose loopback address tells who that is, and so
-//! comes from where the sender is reached. Each direction of each pair may lose or delay datagrams;
-//! connections to a host are held while all others' datagrams to it are lost.
+//! Each host advertises the address of its relay, so that everything that other hosts send it
+//! passes through the relay. The relay identifies the sender of a datagram by its loopback address,
+//! and forwards the datagram from the socket of the sender's relay, so that the receiver sees the
+//! address at which it reaches the sender. Datagrams can be lost or delayed for each direction of
+//! each pair of hosts. Connections to a host are held while the datagrams of all other hosts to it
+//! are lost.
 
 use std::{
     collections::BTreeMap,
@@ -22,25 +25,25 @@
 use super::{lock, network::Network};
 use crate::fault::{self, Proxy};
 
-/// Ports that are tried until one is free for datagrams and connections alike.
+/// How many ports are tried to find one that is free for both TCP and UDP.
 const PORT_TRIES: usize = 16;
 
-/// Room for a datagram, with some to spare.
+/// Size of the receive buffer; larger than any datagram of the hosts.
 const BUFFER_BYTES: usize = 4_096;
 
-/// What becomes of datagrams from one host to another.
+/// How datagrams from one host to another are delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// Datagrams pass.
+    /// Datagrams are forwarded at once.
     #[default]
     Passes,
-    /// Datagrams are lost.
+    /// Datagrams are dropped.
     Lost,
-    /// Datagrams pass so much later.
+    /// Datagrams are forwarded after this time.
     Late(Duration),
 }
 
-/// The links between all hosts.
+/// The relays of a site's hosts. Hosts are named by their index, in the order of [`Links::open`].
 #[derive(Debug)]
 pub struct Links {
     network: Network,
@@ -51,16 +54,16 @@
 #[derive(Debug, Default)]
 struct Shared {
     sockets: Vec<Arc<UdpSocket>>,
-    /// Where each host listens now.
+    /// Address at which each host listens; `None` until it is set.
     targets: Vec<Option<SocketAddr>>,
-    /// Ways that don't simply pass, by sender and receiver.
+    /// Deliveries other than `Passes`, by sender and receiver.
     deliveries: BTreeMap<(usize, usize), Delivery>,
 }
 
 #[derive(Debug)]
 struct Relay {
     address: SocketAddr,
-    calls: Proxy,
+    connections: Proxy,
     datagrams: AbortHandle,
 }
 
@@ -71,12 +74,12 @@
 }
 
 impl Links {
-    /// Links between hosts of a network.
+    /// No relays yet; those to come get addresses of the hosts of `network`.
     pub fn new(network: Network) -> Links {
         Links { network, relays: Vec::new(), shared: Arc::default() }
     }
 
-    /// Opens the relay of the next host, which is to advertise the address.
+    /// Opens the relay of the next host, and returns the address that the host must advertise.
     ///
     /// # Errors
     ///
@@ -89,25 +92,34 @@
         shared.sockets.push(socket.clone());
         shared.targets.push(None);
         drop(shared);
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let calls = Proxy::on(listener, nowhere)?;
-        let datagrams = tokio::spawn(carry(socket, receiver, self.shared.clone())).abort_handle();
-        self.relays.push(Relay { address, calls, datagrams });
+        let unknown = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let connections = Proxy::on(listener, unknown)?;
+        let datagrams = tokio::spawn(forward(socket, receiver, self.shared.clone())).abort_handle();
+        self.relays.push(Relay { address, connections, datagrams });
         Ok(address)
     }
 
-    /// The relays' addresses.
+    /// The relays' addresses, by host.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.relays.iter().map(|relay| relay.address).collect()
     }
 
-    /// Sets where a host listens.
-    pub fn set_target(&self, place: usize, listens: SocketAddr) {
-        lock(&self.shared).targets[place] = Some(listens);
-        self.relays[place].calls.retarget(listens);
+    /// Sets the address to which a host's relay forwards.
+    ///
+    /// # Panics
+    ///
+    /// If the host has no relay.
+    pub fn set_target(&self, host: usize, address: SocketAddr) {
+        lock(&self.shared).targets[host] = Some(address);
+        self.relays[host].connections.retarget(address);
     }
 
-    /// Sets what becomes of datagrams from one host to another.
+    /// Sets how datagrams from one host to another are delivered. While all other hosts' datagrams
+    /// to a host are lost, connections to it are held too.
+    ///
+    /// # Panics
+    ///
+    /// If the receiver has no relay.
     pub fn set_delivery(&self, from: usize, to: usize, delivery: Delivery) {
         let mut shared = lock(&self.shared);
         match delivery {
@@ -115,15 +127,15 @@
             Delivery::Lost | Delivery::Late(_) => shared.deliveries.insert((from, to), delivery),
         };
         let others = (0..self.relays.len()).filter(|other| *other != to);
-        let is_cut = |other| shared.deliveries.get(&(other, to)) == Some(&Delivery::Lost);
-        let is_deaf = 1 < self.relays.len() && others.into_iter().all(is_cut);
+        let is_lost = |other| shared.deliveries.get(&(other, to)) == Some(&Delivery::Lost);
+        let is_isolated = 1 < self.relays.len() && others.into_iter().all(is_lost);
         drop(shared);
-        let fault = if is_deaf { fault::Fault::Hold } else { fault::Fault::Pass };
-        self.relays[to].calls.set_both(fault);
+        let fault = if is_isolated { fault::Fault::Hold } else { fault::Fault::Pass };
+        self.relays[to].connections.set_both(fault);
     }
 }
 
-/// Takes one port for connections and datagrams.
+/// Binds one port for both TCP and UDP.
 async fn bind(ip: IpAddr) -> io::Result<(TcpListener, UdpSocket, SocketAddr)> {
     let mut failure = io::ErrorKind::AddrInUse.into();
     for _ in 0..PORT_TRIES {
@@ -137,8 +149,8 @@
     Err(failure)
 }
 
-/// Carries the datagrams that come to a host's relay.
-async fn carry(socket: Arc<UdpSocket>, receiver: usize, shared: Arc<Mutex<Shared>>) {
+/// Forwards the datagrams that a host's relay receives.
+async fn forward(socket: Arc<UdpSocket>, receiver: usize, shared: Arc<Mutex<Shared>>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
@@ -151,11 +163,11 @@
         let (Some(from), Some(to)) = (from, to) else { continue };
         let bytes = buffer[..length].to_vec();
         match delivery {
-            // A datagram that can't be sent is lost, as on any link.
+            // A datagram that can't be sent is lost, as on a real network.
             Delivery::Passes => drop(from.send_to(&bytes, to).await),
             Delivery::Lost => {}
-            Delivery::Late(late) => drop(tokio::spawn(async move {
-                sleep(late).await;
+            Delivery::Late(delay) => drop(tokio::spawn(async move {
+                sleep(delay).await;
                 let _ = from.send_to(&bytes, to).await;
             })),
         }
--- a/crates/standin/src/routed/network.rs
+++ b/crates/standin/src/routed/network.rs
@@ -1,70 +1,73 @@
-//! Loopback addresses of a site's own.
+//! Loopback addresses that belong to one site alone.
 //!
-//! Sites run side by side, in several processes too, and a port that one gives up is soon given to another. With
-//! addresses of its own no host or server of a site is ever taken for one of another site.
+//! Sites run in parallel, also in several processes, and a port that one site frees is soon reused
+//! by another. With addresses of its own, no host or server of a site is mistaken for one of
+//! another site.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
     sync::atomic::{AtomicU32, Ordering},
 };
 
-/// Networks that one process uses before it comes upon those of the next one.
-const OF_A_PROCESS: u32 = 251;
+/// How many networks a process can use before they overlap with those of the next process id.
+const NETWORKS_PER_PROCESS: u32 = 251;
 
-/// Values of the second and the third byte of an address; the second is neither 0 nor 255.
-const SECONDS: u32 = 254;
-const THIRDS: u32 = 256;
+/// How many values the second and the third byte of an address take; the second is neither 0 nor
+/// 255.
+const SECOND_BYTES: u32 = 254;
+const THIRD_BYTES: u32 = 256;
 
-/// Last bytes of the addresses of a site's store, its servers, and its first host.
-const STORE: u8 = 1;
-const SERVERS: u8 = 2;
-const HOSTS: usize = 10;
+/// Last bytes of the addresses of a site's store, of its servers and of its first host.
+const STORE_BYTE: u8 = 1;
+const SERVERS_BYTE: u8 = 2;
+const FIRST_HOST_BYTE: usize = 10;
 
-/// A network of loopback addresses.
+/// The network 127.a.b.0/24; the bytes a and b are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network([u8; 2]);
 
 impl Network {
-    /// A network that no other site has.
+    /// A network that no other site of this process uses; those of other processes differ unless
+    /// their numbers, derived from the process id, wrap around to the same one.
     pub fn unused() -> Network {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let first = std::process::id().wrapping_mul(OF_A_PROCESS);
-        let number = first.wrapping_add(number) % (SECONDS * THIRDS);
+        let offset = std::process::id().wrapping_mul(NETWORKS_PER_PROCESS);
+        let number = offset.wrapping_add(number) % (SECOND_BYTES * THIRD_BYTES);
         let byte = |value: u32| u8::try_from(value).unwrap_or(u8::MAX);
-        Network([byte(1 + number / THIRDS), byte(number % THIRDS)])
+        Network([byte(1 + number / THIRD_BYTES), byte(number % THIRD_BYTES)])
     }
 
-    /// The network of an address.
+    /// The network that contains a loopback address.
     ///
     /// # Panics
     ///
-    /// If it isn't of version 4.
+    /// If the address isn't IPv4.
     pub fn of(address: IpAddr) -> Network {
         let IpAddr::V4(address) = address else { panic!("{address} is not on a loopback network") };
         let [_, second, third, _] = address.octets();
         Network([second, third])
     }
 
-    /// Where its store listens.
+    /// The address for the store's endpoints.
     pub fn store(self) -> IpAddr {
-        self.address(STORE)
+        self.address(STORE_BYTE)
     }
 
-    /// Where its servers listen.
+    /// The address that all servers share.
     pub fn servers(self) -> IpAddr {
-        self.address(SERVERS)
+        self.address(SERVERS_BYTE)
     }
 
-    /// Where a host listens.
-    pub fn host(self, place: usize) -> IpAddr {
-        self.address(u8::try_from(HOSTS + place).unwrap_or(u8::MAX))
+    /// The address of the host with this index.
+    pub fn host(self, index: usize) -> IpAddr {
+        self.address(u8::try_from(FIRST_HOST_BYTE + index).unwrap_or(u8::MAX))
     }
 
-    /// The place of the host that listens at an address.
+    /// The index of the host with this address, in any network; `None` if it isn't a host's.
     pub fn place(address: IpAddr) -> Option<usize> {
         let IpAddr::V4(address) = address else { return None };
-        usize::from(address.octets()[3]).checked_sub(HOSTS)
+        usize::from(address.octets()[3]).checked_sub(FIRST_HOST_BYTE)
     }
 
     fn address(self, last: u8) -> IpAddr {
