--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn requests_in_flight_outlive_the_route_that_took_them() {
     let site = site(1).await;
-    site.backend.script(|script| script.work = Duration::from_millis(800));
+    site.backend.script(|script| script.work_time = Duration::from_millis(800));
     let mut caller = site.hosts[0].caller();
     let asking = tokio::spawn(async move { caller.fetch(&page()).await });
     until("the request runs", async || site.backend.runs() == 1).await;
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -36,7 +36,7 @@
     })
     .await;
     for id in ["app-1", "lm-1"] {
-        site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
+        site.backend.server(id).script(|script| script.default_fault = Some(Fault::NotRun(status)));
     }
     for _ in 0..4 {
         let again = ask.with_new_id();
@@ -53,7 +53,7 @@
 async fn what_no_server_ran_is_refused_as_not_run(#[case] ask: RequestSpec) {
     let site = site(1).await;
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
-    site.backend.script(|script| script.always = Some(full));
+    site.backend.script(|script| script.default_fault = Some(full));
     let ask = ask.deadline(Some(SOON));
     let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_non_idempotent_request_never_runs_twice(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     for _ in 0..3 {
         let ask = ticket();
         let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
@@ -93,7 +93,7 @@
 #[tokio::test]
 async fn an_idempotent_request_is_tried_elsewhere(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.server("app-1").script(|script| script.always = Some(fault));
+    site.backend.server("app-1").script(|script| script.default_fault = Some(fault));
     for _ in 0..4 {
         let ask = page();
         let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
@@ -113,7 +113,7 @@
 #[tokio::test]
 async fn a_wrong_answer_to_a_stream_never_passes(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let ask = chat();
     let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
@@ -128,7 +128,7 @@
 #[tokio::test]
 async fn each_caller_gets_its_own_answer(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..10 {
         let ask = page();
@@ -146,7 +146,7 @@
 #[tokio::test]
 async fn a_second_answer_is_nobodys(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..20 {
         let ask = ticket();
@@ -166,7 +166,7 @@
 async fn a_servers_own_failure_is_handed_on() {
     let site = site(1).await;
     let failed = Fault::Failed(StatusCode::INTERNAL_SERVER_ERROR);
-    site.backend.script(|script| script.always = Some(failed));
+    site.backend.script(|script| script.default_fault = Some(failed));
     let ask = ticket();
     let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
@@ -208,7 +208,7 @@
 #[tokio::test]
 async fn a_caller_that_leaves_closes_the_servers_connection(#[case] ask: RequestSpec) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(Fault::Silent));
+    site.backend.script(|script| script.default_fault = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
     let asking = tokio::spawn(async move { caller.fetch(&ask).await });
     until("the request runs", async || site.backend.runs() == 1).await;
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -114,7 +114,7 @@
     let pressing = press(&site.hosts, page, began + JUDGED);
     let naming = async {
         sleep_until(began + Duration::from_millis(300)).await;
-        site.backend.script(|script| script.always = Some(fault));
+        site.backend.script(|script| script.default_fault = Some(fault));
         for id in ["app-1", "app-2"] {
             name_limit(site.backend.server(id), Some("0.3"));
         }
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -171,7 +171,7 @@
     for server in &site.backend.servers {
         let late = OrderFault::Late(Duration::from_millis(900));
         let faults = [OrderFault::Lost, late].into_iter().cycle().take(12);
-        server.script(|script| script.orders = faults.collect());
+        server.script(|script| script.order_faults = faults.collect());
     }
     let _asking = demand(&site);
     until("orders go on after all faults", async || 60 < orders(&site).len()).await;
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -83,27 +83,27 @@
 #[tokio::test]
 async fn an_unclear_request_is_told_as_the_page_shows() {
     let site = usual_site().await;
-    site.backend.script(|script| script.always = Some(Fault::Lost));
+    site.backend.script(|script| script.default_fault = Some(Fault::Lost));
     check_request(&site, "unclear-1", ticket()).await;
 }
 
 #[tokio::test]
 async fn a_cut_stream_is_told_as_the_page_shows() {
     let site = usual_site().await;
-    site.backend.script(|script| script.always = Some(Fault::Broken { events: 2 }));
+    site.backend.script(|script| script.default_fault = Some(Fault::Broken { events: 2 }));
     check_request(&site, "cut-1", chat()).await;
 }
 
 #[tokio::test]
 async fn a_late_stream_is_told_as_the_page_shows() {
     let site = usual_site().await;
-    site.backend.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
+    site.backend.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
     let ask = draft().with_id("late-1");
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&ask).await.expect("a head");
     assert!(opened.event(2).await);
     tokio::time::sleep(PAUSE).await;
-    site.backend.script(|script| script.always = None);
+    site.backend.script(|script| script.default_fault = None);
     let first = site.backend.servers.iter().find(|server| server.runs_of("late-1") == 1);
     first.expect("the server that has it").kill();
     assert!(opened.finish().await.expect("an end").is_complete);
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -35,7 +35,7 @@
 async fn a_leaving_server_finishes_what_it_runs() {
     let site = site(1).await;
     let server = site.backend.server("app-1");
-    server.script(|script| script.work = SLOW);
+    server.script(|script| script.work_time = SLOW);
     site.backend.server("app-2").drain(None);
     site.wait_until_observed().await;
     let mut caller = site.hosts[0].caller();
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn sigterm_cuts_nothing_and_the_process_ends(#[case] ask: RequestSpec) {
     let mut site = site(1).await;
-    site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
+    site.backend.script(|script| (script.work_time, script.event_interval) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
     let asking = tokio::spawn(async move { caller.fetch(&ask).await });
@@ -81,7 +81,7 @@
 #[tokio::test]
 async fn sighup_ends_nothing(#[case] ask: RequestSpec) {
     let mut site = site(1).await;
-    site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
+    site.backend.script(|script| (script.work_time, script.event_interval) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
     assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
     let asking = tokio::spawn(async move { caller.fetch(&ask).await });
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -58,7 +58,7 @@
 
 async fn failing(fault: Fault, ask: &RequestSpec) -> (Site, Answer) {
     let site = usual_site().await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let answer = site.hosts[0].caller().fetch(ask).await.unwrap();
     (site, answer)
 }
@@ -124,7 +124,7 @@
     .await
     .unwrap();
     site.wait_until_ready().await;
-    site.backend.script(|script| script.always = Some(FULL));
+    site.backend.script(|script| script.default_fault = Some(FULL));
     let ask = ticket().deadline(Some(SOON));
     let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -272,7 +272,7 @@
     for number in 3..=8 {
         backend.add(Settings::plain(&format!("app-{number}"), "app")).await.unwrap();
     }
-    backend.script(|script| script.always = Some(Fault::Failed(StatusCode::BAD_GATEWAY)));
+    backend.script(|script| script.default_fault = Some(Fault::Failed(StatusCode::BAD_GATEWAY)));
     backend.declare(&declaration());
     let mut site = undeclared(backend, 0).await;
     for _ in 0..2 {
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -78,7 +78,9 @@
 async fn a_caller_that_leaves_a_stream_ends_it_at_the_server() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| (script.events, script.pace) = (1000, Duration::from_millis(20)));
+        server.script(|script| {
+            (script.events, script.event_interval) = (1000, Duration::from_millis(20))
+        });
     }
     for ask in [chat(), draft()] {
         let mut caller = site.hosts[0].caller();
@@ -97,7 +99,7 @@
 async fn events_pass_as_they_come() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
+        server.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
     }
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&chat()).await.unwrap();
@@ -108,7 +110,7 @@
 async fn a_stream_ends_with_its_routes_time() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
+        server.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
     }
     let ask = chat().deadline(Some(Duration::from_millis(700)));
     let answer = site.hosts[0].caller().fetch(&ask).await.unwrap();
@@ -128,7 +130,7 @@
     let first = site.hosts[0].caller().fetch(&ask).await.unwrap();
     assert_eq!(first.status, StatusCode::OK);
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
-    holder.script(|script| script.always = Some(Fault::Lost));
+    holder.script(|script| script.default_fault = Some(Fault::Lost));
     let answer = site.hosts[0].caller().fetch(&ask.with_new_id()).await.unwrap();
     assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
--- a/crates/standin/src/routed/server/script.rs
+++ b/crates/standin/src/routed/server/script.rs
@@ -8,23 +8,23 @@
 #[derive(Clone, Debug)]
 pub struct Script {
     /// Time until the head of an answer, and until a stream's first event.
-    pub work: Duration,
+    pub work_time: Duration,
     /// Events of a stream.
     pub events: u64,
     /// Time between events.
-    pub pace: Duration,
+    pub event_interval: Duration,
     /// Faults of the next requests, one each.
     pub faults: VecDeque<Fault>,
     /// The fault of every request beyond those.
-    pub always: Option<Fault>,
+    pub default_fault: Option<Fault>,
     /// Faults of the next orders, one each.
-    pub orders: VecDeque<OrderFault>,
+    pub order_faults: VecDeque<OrderFault>,
     /// A request whose body holds this crashes the server.
     pub poison: Option<&'static str>,
     /// Age of its reports.
-    pub lag: Duration,
+    pub report_age: Duration,
     /// Time that loads take.
-    pub load: Duration,
+    pub load_time: Duration,
     /// The limit that its answers name, in whatever words.
     pub limit: Option<Arc<str>>,
 }
@@ -32,15 +32,15 @@
 impl Default for Script {
     fn default() -> Script {
         Script {
-            work: Duration::from_millis(2),
+            work_time: Duration::from_millis(2),
             events: 5,
-            pace: Duration::from_millis(5),
+            event_interval: Duration::from_millis(5),
             faults: VecDeque::new(),
-            always: None,
-            orders: VecDeque::new(),
+            default_fault: None,
+            order_faults: VecDeque::new(),
             poison: None,
-            lag: Duration::ZERO,
-            load: Duration::from_millis(50),
+            report_age: Duration::ZERO,
+            load_time: Duration::from_millis(50),
             limit: None,
         }
     }
@@ -48,7 +48,7 @@
 
 impl Script {
     pub(super) fn fault(&mut self) -> Option<Fault> {
-        self.faults.pop_front().or(self.always)
+        self.faults.pop_front().or(self.default_fault)
     }
 }
 
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -55,7 +55,7 @@
     }
     match remote::call(&head, &body) {
         Call::Report => {
-            let lag = lock(&shared.script).lag;
+            let lag = lock(&shared.script).report_age;
             let report = shared.stock().report(shared.load(), lag);
             let report = Report { born: shared.settings.born, ..report };
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
@@ -90,7 +90,7 @@
     connection: &mut Connection,
     order: remote::Order,
 ) -> io::Result<After> {
-    let (arrived_at, fault) = (Instant::now(), lock(&shared.script).orders.pop_front());
+    let (arrived_at, fault) = (Instant::now(), lock(&shared.script).order_faults.pop_front());
     if let Some(OrderFault::Late(late)) = fault {
         let shared = shared.clone();
         tokio::spawn(async move {
@@ -115,7 +115,7 @@
         shared.crash();
     }
     if let Some(coming) = coming {
-        let (shared, load) = (shared.clone(), lock(&shared.script).load);
+        let (shared, load) = (shared.clone(), lock(&shared.script).load_time);
         tokio::spawn(async move {
             sleep(load).await;
             shared.stock().finish(&coming);
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -38,7 +38,7 @@
             let script = lock(&self.shared.script);
             let body = lock(&self.shared.runs)[self.run].body.clone();
             let body = String::from_utf8_lossy(&body).into_owned();
-            (script.work, script.poison.is_some_and(|poison| body.contains(poison)))
+            (script.work_time, script.poison.is_some_and(|poison| body.contains(poison)))
         };
         tokio::select! {
             () = sleep(work) => {}
@@ -179,7 +179,7 @@
     async fn events(&mut self) -> io::Result<(Ending, After)> {
         let (events, pace) = {
             let script = lock(&self.shared.script);
-            (script.events, script.pace)
+            (script.events, script.event_interval)
         };
         let resume = lock(&self.shared.runs)[self.run].request.resume.unwrap_or_default();
         for number in resume + 1..=events {
--- a/crates/standin/src/routed/soak/play.rs
+++ b/crates/standin/src/routed/soak/play.rs
@@ -278,17 +278,18 @@
                 self.leaves.push(Leave { server: id, at });
             }
             Fault::Grey(server, grey) => {
-                self.server(server).script(|script| script.always = Some(grey));
+                self.server(server).script(|script| script.default_fault = Some(grey));
             }
             Fault::AllGrey(server, grey) => site::alike(server).for_each(|place| {
-                self.server(place).script(|script| script.always = Some(grey));
+                self.server(place).script(|script| script.default_fault = Some(grey));
             }),
             Fault::Links(pairs, delivery) => self.link(pairs, delivery),
             Fault::Dull(server) => {
-                self.server(server).script(|script| (script.work, script.pace) = DULL);
+                self.server(server)
+                    .script(|script| (script.work_time, script.event_interval) = DULL);
             }
             Fault::Orders(server) => self.server(server).script(|script| {
-                script.orders = [OrderFault::Lost, OrderFault::Late(LATE)].into();
+                script.order_faults = [OrderFault::Lost, OrderFault::Late(LATE)].into();
             }),
             Fault::Declare => {
                 let next = site::next(&self.declaration);
--- a/crates/standin/src/routed/soak/site.rs
+++ b/crates/standin/src/routed/soak/site.rs
@@ -133,10 +133,10 @@
 pub(super) fn calm(server: &Server, events: u64) {
     server.script(|script| {
         *script = Script {
-            work: Duration::from_millis(15),
+            work_time: Duration::from_millis(15),
             events,
-            pace: Duration::from_millis(20),
-            load: Duration::from_millis(300),
+            event_interval: Duration::from_millis(20),
+            load_time: Duration::from_millis(300),
             poison: Some(POISON),
             ..Script::default()
         };
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -372,7 +372,7 @@
 #[tokio::test]
 async fn an_order_without_an_answer_is_carried_out(#[case] fault: OrderFault) {
     let server = model_server().await;
-    server.script(|script| script.orders = [fault].into());
+    server.script(|script| script.order_faults = [fault].into());
     assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
     let registration = server.registration();
     until("it is carried out", async || registration.borrow().models.len() == 2).await;
@@ -382,7 +382,7 @@
 #[tokio::test]
 async fn a_late_order_after_another_does_nothing() {
     let server = model_server().await;
-    server.script(|script| script.orders = [OrderFault::Late(LATE)].into());
+    server.script(|script| script.order_faults = [OrderFault::Late(LATE)].into());
     assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
     assert_eq!(ordered(&server, &load("m3", 0)).await, OrderStatus::Accepted);
     until("the late one is judged", async || server.orders().len() == 2).await;
@@ -405,7 +405,7 @@
 async fn a_full_server_takes_as_many_as_before_once_it_has_room() {
     let settings = Settings { slots: 1, queue: 1, ..Settings::plain("app-1", "app") };
     let server = Server::start(settings).await.unwrap();
-    server.script(|script| script.work = Duration::from_millis(300));
+    server.script(|script| script.work_time = Duration::from_millis(300));
     let ask = || RequestSpec::to("a.example", "/pages/x");
     for _ in 0..2 {
         let mut callers = JoinSet::new();
