--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -147,7 +147,7 @@
 async fn a_declaration_that_cannot_be_read_changes_nothing() {
     let site: Site = site(1).await;
     site.backend.store.put(
-        &standin::routed::site::declarations(),
+        &standin::routed::site::declaration_kind(),
         "main",
         serde_json::json!({"version": 99}),
     );
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -252,7 +252,8 @@
 #[tokio::test]
 async fn a_later_run_of_a_server_begins_without_a_limit() {
     let mut site = site(1).await;
-    let run = |born| Settings { born, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
+    let run =
+        |started_at| Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
     site.backend.restart(run(1_000)).await.expect("its address");
     name_limit(site.backend.server("lm-1"), Some("0.3"));
     let desk = || chat().model("desk").deadline(Some(DEADLINE));
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -6,8 +6,8 @@
 use crate::site::{chat, engine, site, status_of};
 
 /// A run of a model server that began at a time.
-fn run(born: u64, models: &[&str]) -> Settings {
-    Settings { born, ..Settings::model("lm-1", "lm", &engine(), models) }
+fn run(started_at: u64, models: &[&str]) -> Settings {
+    Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
 
 /// What the run before held and had been ordered counts for nothing: the next one holds what it says, and
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -62,7 +62,7 @@
         Silence::Unseen => faults.unanswered = Some(CallKind::Watch),
     });
     for host in &site.hosts {
-        for kind in [sites::declarations(), sites::servers()] {
+        for kind in [sites::declaration_kind(), sites::server_kind()] {
             until("watches are stalled", async || {
                 stalled <= store.unanswered_watches(&host.name, &kind)
             })
@@ -119,7 +119,7 @@
     store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(SILENCE).await;
     store.set_faults_everywhere(|faults| *faults = Faults::default());
-    store.expire(&sites::servers(), "other-1", AWAY);
+    store.remove_temporarily(&sites::server_kind(), "other-1", AWAY);
     is_reached_throughout(&site, AWAY).await;
 }
 
@@ -146,11 +146,11 @@
     // Until a host knows the others, it asks often.
     sleep(CONTACT).await;
     let store = &site.backend.store;
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(CONTACT / 4).await;
     store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Hold));
     sleep(CONTACT).await;
-    store.expire(&sites::servers(), "other-1", AWAY);
+    store.remove_temporarily(&sites::server_kind(), "other-1", AWAY);
     store.set_faults_everywhere(|faults| *faults = Faults::default());
     is_reached_throughout(&site, AWAY).await;
 }
@@ -166,7 +166,7 @@
     sleep(CONTACT).await;
     store.set_faults(second, |faults| *faults = Faults::default());
     site.wait_until_observed().await;
-    store.expire(&sites::servers(), "other-1", AWAY);
+    store.remove_temporarily(&sites::server_kind(), "other-1", AWAY);
     sleep(CONTACT).await;
     is_reached_throughout(&site, AWAY).await;
 }
@@ -185,9 +185,9 @@
     site.wait_until_observed().await;
     store.set_faults(&site.hosts[0].name, |faults| faults.refusal = Some(Refusal::Down));
     // The first host is behind from here on, and asks the second while the entry is away.
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(BEHIND).await;
-    store.expire(&sites::servers(), "other-1", AWAY);
+    store.remove_temporarily(&sites::server_kind(), "other-1", AWAY);
     is_reached_throughout(&site, AWAY).await;
 }
 
@@ -209,16 +209,16 @@
     site.wait_until_observed().await;
     // A watch that is asked now looks at the store a second later.
     store.set_faults(&second, |faults| faults.delay = LATER);
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(LATER / 4).await;
     site.backend.deregister("other-1");
     let gone = store.revision();
     until("the first host has seen it", async || {
-        store.watched_from(&first, &sites::servers()) >= Some(gone)
+        store.watched_from(&first, &sites::server_kind()) >= Some(gone)
     })
     .await;
     store.set_faults(&first, |faults| faults.refusal = Some(Refusal::Down));
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 2}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 2}));
     sleep(CONTACT).await;
     let before = site.backend.server("other-1").runs().len();
     let deep = RequestSpec::to(HOST, "/pages/deep/x");
@@ -230,10 +230,10 @@
 async fn longest_renewal(site: &Site, span: Duration) -> Duration {
     let began = Instant::now();
     let (mut renewed, mut longest) = (began, Duration::ZERO);
-    let mut revision = site.backend.store.revision_of(&sites::leases(), "orders");
+    let mut revision = site.backend.store.revision_of(&sites::lease_kind(), "orders");
     while began.elapsed() < span {
         sleep(Duration::from_millis(20)).await;
-        let now = site.backend.store.revision_of(&sites::leases(), "orders");
+        let now = site.backend.store.revision_of(&sites::lease_kind(), "orders");
         if now != revision {
             (revision, renewed) = (now, Instant::now());
         }
@@ -250,7 +250,7 @@
     let site = site(2).await;
     let store = &site.backend.store;
     until("a host holds the lease", async || {
-        store.revision_of(&sites::leases(), "orders").is_some()
+        store.revision_of(&sites::lease_kind(), "orders").is_some()
     })
     .await;
     store.set_faults_everywhere(|faults| faults.unanswered = Some(CallKind::List));
--- a/crates/stage/tests/routed/store.rs
+++ b/crates/stage/tests/routed/store.rs
@@ -147,7 +147,7 @@
 #[tokio::test]
 async fn a_list_of_many_pages_is_read_whole() {
     let backend = backend().await;
-    backend.store.page(2);
+    backend.store.set_page_size(2);
     backend.declare(&declaration());
     let site = undeclared(backend, 1).await;
     site.wait_until_ready().await;
@@ -160,7 +160,11 @@
 #[tokio::test]
 async fn an_entry_that_expired_and_came_back_is_used_again() {
     let site = site(1).await;
-    site.backend.store.expire(&sites::servers(), "other-1", Duration::from_millis(500));
+    site.backend.store.remove_temporarily(
+        &sites::server_kind(),
+        "other-1",
+        Duration::from_millis(500),
+    );
     let deep = RequestSpec::to(HOST, "/pages/deep/x");
     let answer = status_of(&site.hosts[0], &deep).await;
     assert_eq!(answer, Some(StatusCode::OK), "a request can wait half a second for its server");
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -43,7 +43,7 @@
     /// Its name.
     pub id: backend::Id,
     /// When this run began; 0 if it doesn't say.
-    pub born: Born,
+    pub started_at: Born,
     /// The service that it belongs to.
     pub service: service::Id,
     /// Its availability zone.
@@ -67,7 +67,7 @@
     pub fn plain(id: &str, service: &str) -> Settings {
         Settings {
             id: id.into(),
-            born: 0,
+            started_at: 0,
             service: service.into(),
             zone: "mobile-hall".into(),
             slots: SLOTS,
@@ -306,9 +306,9 @@
     fn new(settings: Settings, address: SocketAddr) -> Shared {
         let stock = Stock::new(settings.engine.clone(), &settings.held);
         let registered = routed::Server {
-            id: routed::run(&settings.id, settings.born),
+            id: routed::run(&settings.id, settings.started_at),
             name: settings.id.clone(),
-            born: settings.born,
+            born: settings.started_at,
             service: settings.service.clone(),
             address,
             zone: settings.zone.clone(),
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -57,11 +57,11 @@
         Call::Report => {
             let lag = lock(&shared.script).report_age;
             let report = shared.stock().report(shared.load(), lag);
-            let report = Report { born: shared.settings.born, ..report };
+            let report = Report { born: shared.settings.started_at, ..report };
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
-            let answer = remote::ordered(OrderStatus::Invalid, shared.settings.born);
+            let answer = remote::ordered(OrderStatus::Invalid, shared.settings.started_at);
             connection.write(&answer).await.map(|()| After::Keep)
         }
         Call::Order(Some(order)) => ordered(shared, connection, order).await,
@@ -104,7 +104,7 @@
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
-    let answer = remote::ordered(outcome, shared.settings.born);
+    let answer = remote::ordered(outcome, shared.settings.started_at);
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -273,7 +273,7 @@
     /// another one from there on.
     pub async fn wait_until_observed(&self) {
         let store = &self.backend.store;
-        for kind in [declarations(), servers()] {
+        for kind in [declaration_kind(), server_kind()] {
             let mark = json!({"mark": store.revision()});
             let revision = store.put(&kind, "mark", mark);
             for host in &self.hosts {
@@ -308,16 +308,16 @@
 }
 
 /// The kind of the servers' entries.
-pub fn servers() -> remote::KindId {
+pub fn server_kind() -> remote::KindId {
     remote::kind(Kind::Server)
 }
 
 /// The kind of the declaration.
-pub fn declarations() -> remote::KindId {
+pub fn declaration_kind() -> remote::KindId {
     remote::kind(Kind::Declaration)
 }
 
 /// The kind of leases.
-pub fn leases() -> remote::KindId {
+pub fn lease_kind() -> remote::KindId {
     remote::kind(Kind::Lease)
 }
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -78,7 +78,7 @@
     /// Those of all these that were turned away.
     pub refused: u64,
     /// Writes that were judged late.
-    pub late: u64,
+    pub late_writes: u64,
 }
 
 /// A running store.
@@ -213,7 +213,7 @@
     }
 
     /// Removes an object that is back after a time.
-    pub fn expire(&self, kind: &KindId, name: &str, back: Duration) {
+    pub fn remove_temporarily(&self, kind: &KindId, name: &str, back: Duration) {
         let Some(object) = self.object(kind, name) else { return };
         self.remove(kind, name);
         let (store, kind) = (self.clone(), kind.clone());
@@ -250,7 +250,7 @@
     }
 
     /// Bounds the objects on a page.
-    pub fn page(&self, objects: usize) {
+    pub fn set_page_size(&self, objects: usize) {
         lock(&self.shared.state).page = objects;
     }
 }
@@ -361,7 +361,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(late).await;
             lock(&shared.state).apply(&call);
-            shared.count(&door, |count| count.late += 1);
+            shared.count(&door, |count| count.late_writes += 1);
             shared.tick();
         });
         return Reply::Silence;
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -236,7 +236,7 @@
 #[tokio::test]
 async fn a_list_comes_in_pages() {
     let (store, door) = store().await;
-    store.page(2);
+    store.set_page_size(2);
     for name in ["c", "a", "b"] {
         told(door, &create(name, &json!({}))).await;
     }
@@ -312,7 +312,7 @@
     let StoreReply::Object(next) = told(door, &replace("x", made.revision, &json!(3))).await else {
         panic!("not replaced")
     };
-    until("the late write is judged", async || store.count("door").late == 1).await;
+    until("the late write is judged", async || store.count("door").late_writes == 1).await;
     let kind = platform::remote::store::kind(Of::Lease);
     let held = store.object(&kind, "x").unwrap();
     assert_eq!((held.revision, held.content), (next.revision, json!(3)));
