--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -1,4 +1,4 @@
-//! A site: a store, servers that register themselves in it, and real hosts.
+//! Sites for tests: a store, servers that are registered in it, and real host processes.
 
 use std::{
     io,
@@ -22,24 +22,27 @@
     until,
 };
 
-/// Zones of the sample sites.
+/// Availability zones, assigned to hosts in turn; the first is that of all servers unless set
+/// otherwise.
 pub const ZONES: [&str; 4] = ["mobile-hall", "biloxi-hall", "gulfport-hall", "pensacola-hall"];
 
-/// Name of the declaration's object.
+/// Name of the object in the store that holds the declaration.
 const DECLARATION: &str = "main";
 
-/// The store and the servers of a site.
+/// The store and the servers of a site; the servers' registrations are kept up to date in the
+/// store.
 #[derive(Debug)]
 pub struct Backend {
-    /// The store.
+    /// The store in which the servers are registered.
     pub store: Store,
-    /// The servers.
+    /// Every server started, in that order, also those that have ended; a restarted one is there
+    /// more than once.
     pub servers: Vec<Server>,
     registering: Vec<AbortHandle>,
 }
 
 impl Backend {
-    /// Starts servers that register themselves in a new store.
+    /// Starts servers and registers them in a new store.
     ///
     /// # Errors
     ///
@@ -53,7 +56,7 @@
         Ok(backend)
     }
 
-    /// Starts another server.
+    /// Starts and registers another server, at a port that the operating system picks.
     ///
     /// # Errors
     ///
@@ -63,7 +66,7 @@
         self.add_at(address, settings).await
     }
 
-    /// Starts another server at an address.
+    /// Starts and registers another server at `address`.
     ///
     /// # Errors
     ///
@@ -75,11 +78,16 @@
         Ok(&self.servers[self.servers.len() - 1])
     }
 
-    /// Ends a server, and starts it again under its name and at its address.
+    /// Kills the server with the id of `settings`, and starts it with these settings at its old
+    /// address.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// If the address can't be bound.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such server.
     pub async fn restart(&mut self, settings: Settings) -> io::Result<&Server> {
         let address = self.server(&settings.id).address();
         self.stop_registering(&settings.id);
@@ -87,52 +95,52 @@
         self.add_at(address, settings).await
     }
 
-    /// Writes a declaration as the operator does.
+    /// Writes `declaration` to the store, as an operator would, in place of the previous one.
     pub fn declare(&self, declaration: &Declaration) {
         let content = entry::declaration(declaration);
         self.store.put(&remote::kind(Kind::Declaration), DECLARATION, content);
     }
 
-    /// A server's last run.
+    /// The server with this id; after a restart the last one started.
     ///
     /// # Panics
     ///
-    /// If there is none of that id.
+    /// If no server with this id was started.
     pub fn server(&self, id: &str) -> &Server {
         let found = self.servers.iter().rfind(|server| **server.id() == *id);
-        found.unwrap_or_else(|| panic!("no server {id}"))
+        found.unwrap_or_else(|| panic!("no server with id {id}"))
     }
 
-    /// Changes the scripts of all servers.
+    /// Changes the script of every server.
     pub fn script(&self, change: impl Fn(&mut Script)) {
         self.servers.iter().for_each(|server| server.script(&change));
     }
 
-    /// Writes a registration, whoever says it.
+    /// Writes a registration to the store as it is; the server needn't exist.
     pub fn put(&self, server: &types::routed::Server) {
         put(&self.store, server);
     }
 
-    /// Lets a server's registration be as it is for good.
+    /// Stops updating a server's registration; the entry in the store stays.
     pub fn stop_registering(&self, id: &str) {
-        let place = self.servers.iter().rposition(|server| **server.id() == *id);
-        if let Some(place) = place {
-            self.registering[place].abort();
+        let index = self.servers.iter().rposition(|server| **server.id() == *id);
+        if let Some(index) = index {
+            self.registering[index].abort();
         }
     }
 
-    /// Takes a server's registration away for good.
+    /// Stops updating a server's registration, and removes the entry from the store.
     pub fn deregister(&mut self, id: &str) {
         self.stop_registering(id);
         self.store.remove(&remote::kind(Kind::Server), id);
     }
 
-    /// How often a request ran, over all servers.
+    /// How often the request with this id ran, over all servers.
     pub fn runs_of(&self, id: &str) -> usize {
         self.servers.iter().map(|server| server.runs_of(id)).sum()
     }
 
-    /// Runs so far, over all servers.
+    /// How many requests ran so far, over all servers; one that ran twice counts twice.
     pub fn runs(&self) -> usize {
         self.servers.iter().map(|server| server.runs().len()).sum()
     }
@@ -148,79 +156,81 @@
     store.put(&remote::kind(Kind::Server), &server.name, entry::server(server));
 }
 
-/// Keeps a server's registration as the server says it.
+/// Writes a server's registration to the store, now and whenever it changes.
 fn register(store: &Store, server: &Server) -> AbortHandle {
-    let (store, mut says) = (store.clone(), server.registration());
-    put(&store, &says.borrow_and_update());
+    let (store, mut registration) = (store.clone(), server.registration());
+    put(&store, &registration.borrow_and_update());
     let registering = tokio::spawn(async move {
-        while says.changed().await.is_ok() {
-            put(&store, &says.borrow_and_update());
+        while registration.changed().await.is_ok() {
+            put(&store, &registration.borrow_and_update());
         }
     });
     registering.abort_handle()
 }
 
-/// A site with real hosts.
+/// A back end and the real host processes before it.
 #[derive(Debug)]
 pub struct Site {
-    /// The store and the servers.
+    /// The store and the servers that the hosts use.
     pub backend: Backend,
-    /// The hosts.
+    /// The hosts by index; a restarted host takes the place of its earlier process.
     pub hosts: Vec<Host>,
     program: PathBuf,
     folder: PathBuf,
-    /// Removes the folder when dropped, if it is the site's own.
-    own: Option<TempDir>,
-    runs: usize,
-    /// The links between the hosts, if they pass through relays.
+    /// Removes `folder` when dropped, if the site created it.
+    temp_dir: Option<TempDir>,
+    /// Host processes started so far, which numbers their files.
+    starts: usize,
+    /// Relays between the hosts; `None` if hosts connect directly.
     links: Option<Links>,
 }
 
 impl Site {
-    /// A site that has no hosts yet.
+    /// A site without hosts, whose settings and logs are in a temporary folder; `program` is the
+    /// host's executable.
     ///
     /// # Errors
     ///
-    /// If a folder for settings and logs can't be made.
+    /// If the folder can't be created.
     pub fn new(program: &Path, backend: Backend) -> io::Result<Site> {
-        let own = TempDir::new()?;
-        let mut site = Site::in_folder(program, backend, own.path());
-        site.own = Some(own);
+        let temp_dir = TempDir::new()?;
+        let mut site = Site::in_folder(program, backend, temp_dir.path());
+        site.temp_dir = Some(temp_dir);
         Ok(site)
     }
 
-    /// A site that has no hosts yet, and keeps its settings and logs in a folder.
+    /// A site without hosts, whose settings and logs stay in `folder`.
     pub fn in_folder(program: &Path, backend: Backend, folder: &Path) -> Site {
         let (program, folder) = (program.to_owned(), folder.to_owned());
-        Site { backend, hosts: Vec::new(), program, folder, own: None, runs: 0, links: None }
+        Site { backend, hosts: Vec::new(), program, folder, temp_dir: None, starts: 0, links: None }
     }
 
-    /// Lets the links between hosts that are added from now on pass through relays.
+    /// Puts a relay before each host that is added from now on; call it before the first one.
     pub fn relay_links(&mut self) {
         let network = self.backend.store.network();
         self.links.get_or_insert_with(|| Links::new(network));
     }
 
-    /// The links between the hosts.
+    /// The relays between the hosts.
     ///
     /// # Panics
     ///
-    /// If they don't pass through relays.
+    /// Without [`Site::relay_links`].
     pub fn links(&self) -> &Links {
-        self.links.as_ref().expect("links through relays")
+        self.links.as_ref().expect("a site with relayed links")
     }
 
-    /// Starts another host, with a door of its own at the store and settings as `change` leaves
-    /// them.
+    /// Starts another host, named `host-` and its index, with an endpoint of its own at the store.
+    /// `change` may edit the settings before the start.
     ///
     /// # Errors
     ///
-    /// If its door or its process can't start.
+    /// If the endpoint can't be opened or the process can't be started.
     pub async fn add(&mut self, change: impl FnOnce(&mut Value)) -> io::Result<&Host> {
-        let place = self.hosts.len();
-        let name = format!("host-{place}");
-        let door = match self.backend.store.address(&name) {
-            Some(door) => door,
+        let index = self.hosts.len();
+        let name = format!("host-{index}");
+        let endpoint = match self.backend.store.address(&name) {
+            Some(endpoint) => endpoint,
             None => self.backend.store.open(&name).await?,
         };
         let mut peers: Vec<SocketAddr> = self.hosts.iter().filter_map(Host::peers).collect();
@@ -229,61 +239,67 @@
             peers = links.addresses();
             advertised = Some(links.open().await?);
         }
-        let mut settings = settings(&name, place, door, &peers);
+        let mut settings = settings(&name, index, endpoint, &peers);
         settings["peers_advertised"] = json!(advertised);
         change(&mut settings);
         let host = self.start(settings).await?;
         self.hosts.push(host);
-        self.link(place);
-        Ok(&self.hosts[place])
+        self.connect_relay(index);
+        Ok(&self.hosts[index])
     }
 
-    /// Starts a host that has ended once more, with the settings of its last start.
+    /// Starts a host again with the settings of its last start; an earlier process that still runs
+    /// is killed after the new one listens.
     ///
     /// # Errors
     ///
-    /// If its settings can't be read or its process can't start.
-    pub async fn restart(&mut self, place: usize) -> io::Result<&Host> {
-        let text = std::fs::read_to_string(self.hosts[place].settings())?;
+    /// If the settings can't be read or the process can't be started.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such host.
+    pub async fn restart(&mut self, index: usize) -> io::Result<&Host> {
+        let text = std::fs::read_to_string(self.hosts[index].settings())?;
         let mut settings: Value = serde_json::from_str(&text).map_err(io::Error::other)?;
-        // Each start has a log of its own.
+        // Each start logs to a new file, which `Host::start` names.
         if !settings["log"]["file"].is_null() {
             settings["log"] = Value::Null;
         }
-        self.hosts[place] = self.start(settings).await?;
-        self.link(place);
-        Ok(&self.hosts[place])
+        self.hosts[index] = self.start(settings).await?;
+        self.connect_relay(index);
+        Ok(&self.hosts[index])
     }
 
-    /// Tells a host's relay where it listens.
-    fn link(&self, place: usize) {
-        if let (Some(links), Some(listens)) = (&self.links, self.hosts[place].peers()) {
-            links.set_target(place, listens);
+    /// Sets the address to which a host's relay forwards.
+    fn connect_relay(&self, index: usize) {
+        if let (Some(links), Some(address)) = (&self.links, self.hosts[index].peers()) {
+            links.set_target(index, address);
         }
     }
 
     async fn start(&mut self, settings: Value) -> io::Result<Host> {
-        self.runs += 1;
-        Host::start(&self.program, &self.folder, self.runs, settings).await
+        self.starts += 1;
+        Host::start(&self.program, &self.folder, self.starts, settings).await
     }
 
-    /// Waits until all hosts have seen what the store holds now.
+    /// Waits until all hosts have received the declaration and the servers that the store holds
+    /// now.
     ///
-    /// A mark of its own is written among the servers; a watch that has seen it is followed by
-    /// another one from there on.
+    /// Writes a marker object of each of these kinds. A host that has received it starts its next
+    /// watch of the kind at the marker's revision or a later one.
     pub async fn wait_until_observed(&self) {
         let store = &self.backend.store;
         for kind in [declaration_kind(), server_kind()] {
-            let mark = json!({"mark": store.revision()});
-            let revision = store.put(&kind, "mark", mark);
+            let marker = json!({"mark": store.revision()});
+            let revision = store.put(&kind, "mark", marker);
             for host in &self.hosts {
-                let seen = async || store.watched_from(&host.name, &kind) >= Some(revision);
-                until("the host has seen the store", seen).await;
+                let has_received = async || store.watched_from(&host.name, &kind) >= Some(revision);
+                until("the host has received the marker from the store", has_received).await;
             }
         }
     }
 
-    /// Waits until all hosts are ready.
+    /// Waits until the readiness probes of all hosts succeed.
     pub async fn wait_until_ready(&self) {
         for host in &self.hosts {
             host.wait_until_ready().await;
@@ -291,12 +307,16 @@
     }
 }
 
-/// Settings of a host whose ports the system picks.
-pub fn settings(name: &str, place: usize, store: SocketAddr, peers: &[SocketAddr]) -> Value {
-    let zone: availability::Id = ZONES[place % ZONES.len()].into();
-    let any = SocketAddr::new(Network::of(store.ip()).host(place), 0);
+/// Settings of the host with this index: ports that the operating system picks, the addresses of
+/// the store's endpoint and of other hosts.
+pub fn settings(name: &str, index: usize, store: SocketAddr, peers: &[SocketAddr]) -> Value {
+    let zone: availability::Id = ZONES[index % ZONES.len()].into();
+    let any_port = SocketAddr::new(Network::of(store.ip()).host(index), 0);
     json!({
-        "host": {"id": name, "zone": zone, "callers": any, "peers": any, "operators": any},
+        "host": {
+            "id": name, "zone": zone,
+            "callers": any_port, "peers": any_port, "operators": any_port,
+        },
         "platform": store,
         "peers": peers,
         "routed": {
@@ -307,17 +327,17 @@
     })
 }
 
-/// The kind of the servers' entries.
+/// Kind of the objects that hold the servers' registrations.
 pub fn server_kind() -> remote::KindId {
     remote::kind(Kind::Server)
 }
 
-/// The kind of the declaration.
+/// Kind of the object that holds the declaration.
 pub fn declaration_kind() -> remote::KindId {
     remote::kind(Kind::Declaration)
 }
 
-/// The kind of leases.
+/// Kind of the objects that hold leases.
 pub fn lease_kind() -> remote::KindId {
     remote::kind(Kind::Lease)
 }
