--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -1,6 +1,8 @@
-//! The platform's store: kinds and objects under one rising revision.
+//! A stand-in for the platform's store: objects by kind and name, with one revision that rises with
+//! each change.
 //!
-//! Each caller has a door of its own, so that the store can turn one away and serve the others.
+//! Each client uses an endpoint of its own, a listener with a name, so that faults can be injected
+//! for one client while the others are served.
 
 mod state;
 
@@ -26,62 +28,63 @@
     wire::{Connection, Listener},
 };
 
-/// How the store treats the calls at a door.
+/// Faults injected into the calls at an endpoint. The default serves all calls at once.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Turns every call away.
+    /// Refuses every call in this manner.
     pub refusal: Option<Refusal>,
-    /// Leaves calls of a sort without an answer, for good, and answers the others.
+    /// Never answers calls of this kind, not even after the fault is cleared; the others are
+    /// served.
     pub unanswered: Option<CallKind>,
-    /// Time that each call takes.
+    /// How long each call waits before it is served or refused.
     pub delay: Duration,
-    /// Carries out this many writes and loses their answers.
+    /// For how many more writes the connection is closed instead of an answer; they take effect.
     pub lost_replies: u32,
-    /// Leaves the next write without an answer and carries it out after this time, if its
-    /// condition still holds.
+    /// Never answers the next write, and applies it after this time, if its condition holds by
+    /// then. Cleared by that write.
     pub late_write: Option<Duration>,
 }
 
-/// A sort of calls.
+/// Kinds of calls that can be left unanswered apart from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Lists of a kind.
+    /// Lists of the objects of a kind.
     List,
-    /// Watches of a kind.
+    /// Watches for changes of the objects of a kind.
     Watch,
 }
 
-/// How a call is turned away.
+/// How a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The store says that it is down.
+    /// It is answered that the store is down.
     Down,
-    /// It says that there are too many calls.
+    /// It is answered that there are too many calls.
     TooMany,
-    /// The connection is reset.
+    /// The TCP connection is reset.
     Reset,
-    /// Nothing comes.
+    /// It is never answered, not even after the fault is cleared.
     Silence,
-    /// Nothing comes either, but watches that wait by then are answered once it is over.
+    /// As `Silence`, except that watches already waiting are answered after the fault is cleared.
     Hold,
 }
 
-/// Calls at a door.
+/// Numbers of calls received at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Lists and single objects.
+    /// Lists, and reads of single objects.
     pub reads: u64,
-    /// Watches.
+    /// Watches, one per request.
     pub watches: u64,
-    /// Creations, replacements and removals.
+    /// Creations, replacements and deletions.
     pub writes: u64,
-    /// Those of all these that were turned away.
+    /// Calls of all these kinds that were refused.
     pub refused: u64,
-    /// Writes that were judged late.
+    /// Writes that were applied late, or found then that their condition no longer held.
     pub late_writes: u64,
 }
 
-/// A running store.
+/// A running store. Clones share its contents and endpoints; the listeners end with the last clone.
 #[derive(Clone, Debug)]
 pub struct Store {
     network: Network,
@@ -91,30 +94,34 @@
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<State>,
-    doors: Mutex<HashMap<String, Door>>,
-    ticks: watch::Sender<u64>,
+    endpoints: Mutex<HashMap<String, Endpoint>>,
+    /// Raised whenever objects or faults change, which wakes waiting watches.
+    version: watch::Sender<u64>,
 }
 
 #[derive(Debug)]
-struct Door {
+struct Endpoint {
     listener: Listener,
     faults: Faults,
     count: Count,
-    /// Where the last watch of each kind began.
+    /// The revision at which the last watch of each kind began.
     watched: HashMap<KindId, Revision>,
-    /// Watches of each kind that silence took.
-    stalled: HashMap<KindId, u64>,
+    /// Watches of each kind that are never answered.
+    unanswered: HashMap<KindId, u64>,
 }
 
+/// What is done with the connection in reply to a call.
 enum Reply {
     Send(Response<Bytes>),
     Close,
     Reset,
+    /// Waits until the client closes the connection.
     Silence,
 }
 
 impl Faults {
-    /// How a call is turned away now, if it is.
+    /// How a call is refused, if it is; `kind` is `None` for calls that are neither lists nor
+    /// watches.
     fn refusal_of(&self, kind: Option<CallKind>) -> Option<Refusal> {
         let is_unanswered = kind.is_some() && self.unanswered == kind;
         self.refusal.or(is_unanswered.then_some(Refusal::Silence))
@@ -128,91 +135,104 @@
 }
 
 impl Store {
-    /// A store without doors.
+    /// A store without objects or endpoints, in an unused network.
     pub fn new() -> Store {
         Store { network: Network::unused(), shared: Arc::default() }
     }
 
-    /// The network of its site.
+    /// The network of the store's site, from which its endpoints get their address.
     pub fn network(&self) -> Network {
         self.network
     }
 
-    /// Opens a door; its address.
+    /// Opens the endpoint `name` and returns its address. An endpoint of that name is replaced.
     ///
     /// # Errors
     ///
     /// If no port can be bound.
-    pub async fn open(&self, door: &str) -> io::Result<SocketAddr> {
-        let (name, shared) = (door.to_owned(), Arc::downgrade(&self.shared));
+    pub async fn open(&self, name: &str) -> io::Result<SocketAddr> {
+        let (endpoint, shared) = (name.to_owned(), Arc::downgrade(&self.shared));
         let address = SocketAddr::new(self.network.store(), 0);
         let listener = Listener::start_at(address, move |connection| {
-            let (name, shared) = (name.clone(), shared.upgrade());
+            let (endpoint, shared) = (endpoint.clone(), shared.upgrade());
             async move {
                 if let Some(shared) = shared {
-                    serve(shared, &name, connection).await;
+                    serve(shared, &endpoint, connection).await;
                 }
             }
         })
         .await?;
         let address = listener.address;
         let (faults, count) = (Faults::default(), Count::default());
-        let opened =
-            Door { listener, faults, count, watched: HashMap::new(), stalled: HashMap::new() };
-        lock(&self.shared.doors).insert(door.to_owned(), opened);
+        let opened = Endpoint {
+            listener,
+            faults,
+            count,
+            watched: HashMap::new(),
+            unanswered: HashMap::new(),
+        };
+        lock(&self.shared.endpoints).insert(name.to_owned(), opened);
         Ok(address)
     }
 
-    /// Where a door is.
-    pub fn address(&self, door: &str) -> Option<SocketAddr> {
-        lock(&self.shared.doors).get(door).map(|door| door.listener.address)
+    /// The address of an endpoint, if it is open.
+    pub fn address(&self, endpoint: &str) -> Option<SocketAddr> {
+        lock(&self.shared.endpoints).get(endpoint).map(|endpoint| endpoint.listener.address)
     }
 
-    /// Changes the faults at one door.
-    pub fn set_faults(&self, door: &str, change: impl FnOnce(&mut Faults)) {
-        if let Some(door) = lock(&self.shared.doors).get_mut(door) {
-            change(&mut door.faults);
+    /// Changes the faults at one endpoint; does nothing if it isn't open.
+    pub fn set_faults(&self, endpoint: &str, change: impl FnOnce(&mut Faults)) {
+        if let Some(endpoint) = lock(&self.shared.endpoints).get_mut(endpoint) {
+            change(&mut endpoint.faults);
         }
-        self.shared.tick();
+        self.shared.wake_watches();
     }
 
-    /// Changes the faults at all doors.
+    /// Changes the faults at all open endpoints.
     pub fn set_faults_everywhere(&self, change: impl Fn(&mut Faults)) {
-        lock(&self.shared.doors).values_mut().for_each(|door| change(&mut door.faults));
-        self.shared.tick();
+        lock(&self.shared.endpoints).values_mut().for_each(|endpoint| change(&mut endpoint.faults));
+        self.shared.wake_watches();
     }
 
-    /// Calls at a door so far.
-    pub fn count(&self, door: &str) -> Count {
-        lock(&self.shared.doors).get(door).map(|door| door.count).unwrap_or_default()
+    /// Numbers of calls at an endpoint so far; zeros if it isn't open.
+    pub fn count(&self, endpoint: &str) -> Count {
+        lock(&self.shared.endpoints)
+            .get(endpoint)
+            .map(|endpoint| endpoint.count)
+            .unwrap_or_default()
     }
 
-    /// The revision that the last watch of a kind began from at a door.
-    pub fn watched_from(&self, door: &str, kind: &KindId) -> Option<Revision> {
-        lock(&self.shared.doors).get(door)?.watched.get(kind).copied()
+    /// The revision at which the last watch of `kind` at an endpoint began; `None` without a watch.
+    pub fn watched_from(&self, endpoint: &str, kind: &KindId) -> Option<Revision> {
+        lock(&self.shared.endpoints).get(endpoint)?.watched.get(kind).copied()
     }
 
-    /// Watches of a kind at a door that silence took so far: nothing ever comes on them, also once
-    /// the store answers again.
-    pub fn unanswered_watches(&self, door: &str, kind: &KindId) -> u64 {
-        let doors = lock(&self.shared.doors);
-        doors.get(door).and_then(|door| door.stalled.get(kind)).copied().unwrap_or_default()
+    /// How many watches of `kind` at an endpoint were refused by silence so far. They are never
+    /// answered, not even after the store answers other calls again.
+    pub fn unanswered_watches(&self, endpoint: &str, kind: &KindId) -> u64 {
+        let endpoints = lock(&self.shared.endpoints);
+        endpoints
+            .get(endpoint)
+            .and_then(|endpoint| endpoint.unanswered.get(kind))
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Writes an object, whatever it was.
+    /// Writes an object without a condition, and returns its revision. An object with this content
+    /// already keeps its revision.
     pub fn put(&self, kind: &KindId, name: &str, content: Value) -> Revision {
         let revision = lock(&self.shared.state).write(kind, &name.into(), content).revision;
-        self.shared.tick();
+        self.shared.wake_watches();
         revision
     }
 
-    /// Removes an object.
+    /// Removes an object without a condition; does nothing if there is none.
     pub fn remove(&self, kind: &KindId, name: &str) {
         lock(&self.shared.state).remove(kind, name);
-        self.shared.tick();
+        self.shared.wake_watches();
     }
 
-    /// Removes an object that is back after a time.
+    /// Removes an object, and writes it again with the same content after `back`.
     pub fn remove_temporarily(&self, kind: &KindId, name: &str, back: Duration) {
         let Some(object) = self.object(kind, name) else { return };
         self.remove(kind, name);
@@ -223,83 +243,89 @@
         });
     }
 
-    /// An object as it is.
+    /// The object of this kind and name, if there is one.
     pub fn object(&self, kind: &KindId, name: &str) -> Option<Object> {
         lock(&self.shared.state).object(kind, name).cloned()
     }
 
-    /// The last change of an object.
+    /// The revision of the last change of an object, if there is one.
     pub fn revision_of(&self, kind: &KindId, name: &str) -> Option<Revision> {
         Some(self.object(kind, name)?.revision)
     }
 
-    /// Names of a kind's objects.
+    /// Names of all objects of a kind, in order.
     pub fn names(&self, kind: &KindId) -> Vec<Arc<str>> {
         lock(&self.shared.state).names(kind)
     }
 
-    /// The revision of the last change.
+    /// The revision of the last change of any object.
     pub fn revision(&self) -> Revision {
         lock(&self.shared.state).revision()
     }
 
-    /// Forgets all history; watches from before must list again.
+    /// Discards the history of changes. Watches from an earlier revision fail, and their clients
+    /// must list again.
     pub fn compact(&self) {
         lock(&self.shared.state).compact();
-        self.shared.tick();
+        self.shared.wake_watches();
     }
 
-    /// Bounds the objects on a page.
+    /// Sets the greatest number of objects on a page of a list.
     pub fn set_page_size(&self, objects: usize) {
         lock(&self.shared.state).page = objects;
     }
 }
 
 impl Shared {
-    fn tick(&self) {
-        self.ticks.send_modify(|ticks| *ticks += 1);
+    fn wake_watches(&self) {
+        self.version.send_modify(|version| *version += 1);
     }
 
-    fn faults(&self, door: &str) -> Faults {
-        lock(&self.doors).get(door).map(|door| door.faults.clone()).unwrap_or_default()
+    fn faults(&self, endpoint: &str) -> Faults {
+        lock(&self.endpoints)
+            .get(endpoint)
+            .map(|endpoint| endpoint.faults.clone())
+            .unwrap_or_default()
     }
 
-    fn count(&self, door: &str, add: impl FnOnce(&mut Count)) {
-        if let Some(door) = lock(&self.doors).get_mut(door) {
-            add(&mut door.count);
+    fn count(&self, endpoint: &str, add: impl FnOnce(&mut Count)) {
+        if let Some(endpoint) = lock(&self.endpoints).get_mut(endpoint) {
+            add(&mut endpoint.count);
         }
     }
 
-    /// Counts a watch that gets no answer.
-    fn stall(&self, door: &str, refusal: Refusal, kind: &KindId) {
+    /// Counts a watch if its refusal leaves it unanswered for good.
+    fn count_unanswered(&self, endpoint: &str, refusal: Refusal, kind: &KindId) {
         if refusal == Refusal::Silence
-            && let Some(door) = lock(&self.doors).get_mut(door)
+            && let Some(endpoint) = lock(&self.endpoints).get_mut(endpoint)
         {
-            *door.stalled.entry(kind.clone()).or_default() += 1;
+            *endpoint.unanswered.entry(kind.clone()).or_default() += 1;
         }
     }
 
-    /// Whether the answer to a write is to be lost now.
-    fn loses(&self, door: &str) -> bool {
-        let mut doors = lock(&self.doors);
-        let Some(left) = doors.get_mut(door).map(|door| &mut door.faults.lost_replies) else {
+    /// Uses up one of the answers to be lost; false if there is none left.
+    fn take_lost_reply(&self, endpoint: &str) -> bool {
+        let mut endpoints = lock(&self.endpoints);
+        let Some(remaining) =
+            endpoints.get_mut(endpoint).map(|endpoint| &mut endpoint.faults.lost_replies)
+        else {
             return false;
         };
-        let is_left = 0 < *left;
-        *left = left.saturating_sub(1);
-        is_left
+        let has_taken = 0 < *remaining;
+        *remaining = remaining.saturating_sub(1);
+        has_taken
     }
 
-    /// The time after which a write is to be carried out unanswered.
-    fn delays(&self, door: &str) -> Option<Duration> {
-        lock(&self.doors).get_mut(door)?.faults.late_write.take()
+    /// Takes the delay of a late write, so that it applies to one write only.
+    fn take_late_write(&self, endpoint: &str) -> Option<Duration> {
+        lock(&self.endpoints).get_mut(endpoint)?.faults.late_write.take()
     }
 }
 
-async fn serve(shared: Arc<Shared>, door: &str, mut connection: Connection) {
+async fn serve(shared: Arc<Shared>, endpoint: &str, mut connection: Connection) {
     while let Ok(Some(request)) = connection.read().await {
         let reply = tokio::select! {
-            reply = answer(&shared, door, &request) => reply,
+            reply = answer(&shared, endpoint, &request) => reply,
             () = connection.closed() => return,
         };
         match reply {
@@ -315,24 +341,24 @@
     }
 }
 
-async fn answer(shared: &Arc<Shared>, door: &str, request: &Request<Bytes>) -> Reply {
+async fn answer(shared: &Arc<Shared>, endpoint: &str, request: &Request<Bytes>) -> Reply {
     let Some(call) = remote::call(request) else { return Reply::Send(remote::invalid()) };
-    shared.count(door, |count| match &call {
+    shared.count(endpoint, |count| match &call {
         Call::Watch { .. } => count.watches += 1,
         call if call.is_write() => count.writes += 1,
         _ => count.reads += 1,
     });
-    let faults = shared.faults(door);
+    let faults = shared.faults(endpoint);
     tokio::time::sleep(faults.delay).await;
-    if let Some(refusal) = shared.faults(door).refusal_of(kind(&call)) {
+    if let Some(refusal) = shared.faults(endpoint).refusal_of(kind(&call)) {
         if let Call::Watch { kind, .. } = &call {
-            shared.stall(door, refusal, kind);
+            shared.count_unanswered(endpoint, refusal, kind);
         }
-        return refuse(shared, door, refusal);
+        return refuse(shared, endpoint, refusal);
     }
     match call {
-        Call::Watch { kind, since, wait } => watch(shared, door, &kind, since, wait).await,
-        call if call.is_write() => write(shared, door, call),
+        Call::Watch { kind, since, wait } => watch(shared, endpoint, &kind, since, wait).await,
+        call if call.is_write() => write(shared, endpoint, call),
         call => Reply::Send(lock(&shared.state).apply(&call)),
     }
 }
@@ -345,8 +371,8 @@
     }
 }
 
-fn refuse(shared: &Shared, door: &str, refusal: Refusal) -> Reply {
-    shared.count(door, |count| count.refused += 1);
+fn refuse(shared: &Shared, endpoint: &str, refusal: Refusal) -> Reply {
+    shared.count(endpoint, |count| count.refused += 1);
     match refusal {
         Refusal::Down => Reply::Send(remote::down()),
         Refusal::TooMany => Reply::Send(remote::too_many()),
@@ -355,45 +381,45 @@
     }
 }
 
-fn write(shared: &Arc<Shared>, door: &str, call: Call) -> Reply {
-    if let Some(late) = shared.delays(door) {
-        let (shared, door) = (shared.clone(), door.to_owned());
+fn write(shared: &Arc<Shared>, endpoint: &str, call: Call) -> Reply {
+    if let Some(delay) = shared.take_late_write(endpoint) {
+        let (shared, endpoint) = (shared.clone(), endpoint.to_owned());
         tokio::spawn(async move {
-            tokio::time::sleep(late).await;
+            tokio::time::sleep(delay).await;
             lock(&shared.state).apply(&call);
-            shared.count(&door, |count| count.late_writes += 1);
-            shared.tick();
+            shared.count(&endpoint, |count| count.late_writes += 1);
+            shared.wake_watches();
         });
         return Reply::Silence;
     }
     let response = lock(&shared.state).apply(&call);
-    shared.tick();
-    if shared.loses(door) { Reply::Close } else { Reply::Send(response) }
+    shared.wake_watches();
+    if shared.take_lost_reply(endpoint) { Reply::Close } else { Reply::Send(response) }
 }
 
 async fn watch(
     shared: &Shared,
-    door: &str,
+    endpoint: &str,
     kind: &KindId,
     since: Revision,
     wait: Duration,
 ) -> Reply {
-    if let Some(door) = lock(&shared.doors).get_mut(door) {
-        door.watched.insert(kind.clone(), since);
+    if let Some(endpoint) = lock(&shared.endpoints).get_mut(endpoint) {
+        endpoint.watched.insert(kind.clone(), since);
     }
     let end = Instant::now() + wait;
-    let mut ticks = shared.ticks.subscribe();
+    let mut version = shared.version.subscribe();
     loop {
-        match shared.faults(door).refusal_of(Some(CallKind::Watch)) {
+        match shared.faults(endpoint).refusal_of(Some(CallKind::Watch)) {
             Some(Refusal::Hold) => {
-                if ticks.changed().await.is_err() {
+                if version.changed().await.is_err() {
                     return Reply::Silence;
                 }
                 continue;
             }
             Some(refusal) => {
-                shared.stall(door, refusal, kind);
-                return refuse(shared, door, refusal);
+                shared.count_unanswered(endpoint, refusal, kind);
+                return refuse(shared, endpoint, refusal);
             }
             None => {}
         }
@@ -406,7 +432,7 @@
             Watched::Seen(_) => {}
         }
         tokio::select! {
-            _ = ticks.changed() => {}
+            _ = version.changed() => {}
             () = tokio::time::sleep_until(end) => {}
         }
     }
