--- a/crates/standin/src/routed/links.rs
+++ b/crates/standin/src/routed/links.rs
@@ -154,7 +154,7 @@
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
-        let Some(sender) = Network::place(from.ip()) else { continue };
+        let Some(sender) = Network::host_index(from.ip()) else { continue };
         let (from, to, delivery) = {
             let shared = lock(&shared);
             let delivery = shared.deliveries.get(&(sender, receiver)).copied().unwrap_or_default();
--- a/crates/standin/src/routed/network.rs
+++ b/crates/standin/src/routed/network.rs
@@ -65,7 +65,7 @@
     }
 
     /// The index of the host with this address, in any network; `None` if it isn't a host's.
-    pub fn place(address: IpAddr) -> Option<usize> {
+    pub fn host_index(address: IpAddr) -> Option<usize> {
         let IpAddr::V4(address) = address else { return None };
         usize::from(address.octets()[3]).checked_sub(FIRST_HOST_BYTE)
     }
