--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -208,7 +208,7 @@
         })
         .await?;
         let shared = Arc::new(Shared::new(settings, listener.address));
-        *lock(&shared.end) = Some(listener.end());
+        *lock(&shared.end) = Some(listener.abort_handle());
         ready.send_replace(Some(shared.clone()));
         Ok(Server { shared, listener })
     }
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -103,7 +103,7 @@
 
     async fn whole(&mut self, stale: &mut Stale) -> io::Result<(Ending, After)> {
         let response = self.head().map(|_| self.body());
-        let bytes = wire::whole(&response);
+        let bytes = wire::encode(&response);
         let half = response.body().len() / 2;
         let spoilt = |after| Ok((Ending::Corrupted, after));
         match self.fault {
@@ -121,7 +121,7 @@
                 return spoilt(After::Close);
             }
             Some(fault @ (Fault::Unframed | Fault::UnframedReset)) => {
-                self.connection.write_raw(&wire::opening(&response, Framing::End)).await?;
+                self.connection.write_raw(&wire::encode_head(&response, Framing::End)).await?;
                 let (first, rest) = response.body().split_at(half);
                 self.connection.write_raw(first).await?;
                 if fault == Fault::UnframedReset {
@@ -135,7 +135,7 @@
         let extra = || {
             let mut extra = response.clone();
             remote::echo(extra.headers_mut(), "late-answer");
-            wire::whole(&extra)
+            wire::encode(&extra)
         };
         match self.fault {
             Some(Fault::Doubled) => self.connection.write_raw(&extra()).await?,
@@ -173,7 +173,7 @@
         let mut head = self.head();
         remote::streams(head.headers_mut());
         remote::version(head.headers_mut(), 1);
-        wire::opening(&head, Framing::Chunks)
+        wire::encode_head(&head, Framing::Chunks)
     }
 
     async fn events(&mut self) -> io::Result<(Ending, After)> {
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -272,7 +272,7 @@
 
     /// Sets the greatest number of objects on a page of a list.
     pub fn set_page_size(&self, objects: usize) {
-        lock(&self.shared.state).page = objects;
+        lock(&self.shared.state).page_size = objects;
     }
 }
 
@@ -426,10 +426,10 @@
         let watched = lock(&shared.state).watched(kind, since);
         match watched {
             Watched::Compacted => return Reply::Send(remote::compacted()),
-            Watched::Seen(seen) if !seen.changes.is_empty() || end <= Instant::now() => {
-                return Reply::Send(remote::seen(&seen));
+            Watched::Changes(batch) if !batch.changes.is_empty() || end <= Instant::now() => {
+                return Reply::Send(remote::seen(&batch));
             }
-            Watched::Seen(_) => {}
+            Watched::Changes(_) => {}
         }
         tokio::select! {
             _ = version.changed() => {}
--- a/crates/standin/src/routed/store/state.rs
+++ b/crates/standin/src/routed/store/state.rs
@@ -1,4 +1,4 @@
-//! What the store holds, and the changes that it still remembers.
+//! The store's objects and the history of their changes.
 
 use std::{collections::BTreeMap, ops::Bound, sync::Arc};
 
@@ -8,31 +8,31 @@
 use relay::edge::{Change, Object, Page, Revision, WatchBatch};
 use serde_json::Value;
 
-/// Objects on a page unless a test bounds them.
-const PAGE: usize = 500;
+/// Greatest number of objects on a page of a list, unless a test sets another.
+const PAGE_SIZE: usize = 500;
 
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) page: usize,
+    pub(super) page_size: usize,
     revision: Revision,
-    /// Changes up to this revision are forgotten.
-    forgotten: Revision,
+    /// Changes up to this revision are no longer in `history`.
+    compacted: Revision,
     objects: BTreeMap<(KindId, Arc<str>), Object>,
     history: Vec<(Revision, KindId, Change)>,
 }
 
 pub(super) enum Watched {
-    /// Changes, or none so far.
-    Seen(WatchBatch),
-    /// The history is gone.
+    /// The changes since the watch's revision; there may be none yet.
+    Changes(WatchBatch),
+    /// The history no longer reaches back to the watch's revision.
     Compacted,
 }
 
 impl Default for State {
-    /// Revisions start above zero.
+    /// Revisions start above zero: the first change has revision 101.
     fn default() -> State {
         let (objects, history) = (BTreeMap::new(), Vec::new());
-        State { page: PAGE, revision: 100, forgotten: 0, objects, history }
+        State { page_size: PAGE_SIZE, revision: 100, compacted: 0, objects, history }
     }
 }
 
@@ -49,10 +49,11 @@
         self.after(kind, None).map(|object| object.name.clone()).collect()
     }
 
-    /// Writes an object; one that stays the same keeps its revision.
+    /// Writes an object; if its content is unchanged it keeps its revision.
     pub(super) fn write(&mut self, kind: &KindId, name: &Arc<str>, content: Value) -> Object {
-        if let Some(held) = self.object(kind, name).filter(|held| held.content == content) {
-            return held.clone();
+        if let Some(current) = self.object(kind, name).filter(|current| current.content == content)
+        {
+            return current.clone();
         }
         self.revision += 1;
         let object = Object { name: name.clone(), revision: self.revision, content };
@@ -70,20 +71,20 @@
     }
 
     pub(super) fn compact(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
         self.history.clear();
     }
 
     pub(super) fn watched(&self, kind: &KindId, since: Revision) -> Watched {
-        if since < self.forgotten {
+        if since < self.compacted {
             return Watched::Compacted;
         }
         let changes = self.history.iter().filter(|(at, of, _)| since < *at && of == kind);
         let changes = changes.map(|(_, _, change)| change.clone()).collect();
-        Watched::Seen(WatchBatch { changes, revision: self.revision })
+        Watched::Changes(WatchBatch { changes, revision: self.revision })
     }
 
-    /// Carries out a call that does not wait.
+    /// Applies a call other than a watch; watches, which wait, are answered as invalid.
     pub(super) fn apply(&mut self, call: &Call) -> Response<Bytes> {
         match call {
             Call::List { kind, after } => remote::page(&self.list(kind, after.as_ref())),
@@ -91,23 +92,25 @@
                 self.object(kind, name).map_or_else(remote::absent, remote::object)
             }
             Call::Create { kind, name, content } => match self.object(kind, name) {
-                Some(held) => remote::conflict(held),
+                Some(current) => remote::conflict(current),
                 None => remote::object(&self.write(kind, name, content.clone())),
             },
             Call::Replace { kind, name, revision, content } => {
-                self.if_at(kind, name, *revision, |state| {
+                self.apply_if(kind, name, *revision, |state| {
                     remote::object(&state.write(kind, name, content.clone()))
                 })
             }
-            Call::Delete { kind, name, revision } => self.if_at(kind, name, *revision, |state| {
-                state.remove(kind, name);
-                remote::removed()
-            }),
+            Call::Delete { kind, name, revision } => {
+                self.apply_if(kind, name, *revision, |state| {
+                    state.remove(kind, name);
+                    remote::removed()
+                })
+            }
             Call::Watch { .. } => remote::invalid(),
         }
     }
 
-    fn if_at(
+    fn apply_if(
         &mut self,
         kind: &KindId,
         name: &str,
@@ -116,8 +119,8 @@
     ) -> Response<Bytes> {
         match self.object(kind, name) {
             None => remote::absent(),
-            Some(held) if revision.is_some_and(|revision| revision != held.revision) => {
-                remote::conflict(held)
+            Some(current) if revision.is_some_and(|revision| revision != current.revision) => {
+                remote::conflict(current)
             }
             Some(_) => change(self),
         }
@@ -125,7 +128,7 @@
 
     fn list(&self, kind: &KindId, after: Option<&Arc<str>>) -> Page {
         let mut rest = self.after(kind, after);
-        let objects: Vec<Object> = rest.by_ref().take(self.page).cloned().collect();
+        let objects: Vec<Object> = rest.by_ref().take(self.page_size).cloned().collect();
         Page { objects, more: rest.next().is_some(), revision: self.revision }
     }
 
--- a/crates/standin/src/routed/wire.rs
+++ b/crates/standin/src/routed/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 at the level of bytes, so that a stand-in can also break it.
+//! A minimal HTTP/1.1 server that works on bytes, so that stand-ins can also violate the protocol.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -11,16 +11,18 @@
     task::{AbortHandle, JoinSet},
 };
 
-/// Most header fields of a request.
-const FIELDS: usize = 128;
+/// Greatest number of header fields in a request; one with more is an error.
+const MAX_FIELDS: usize = 128;
 
-/// Longest line that gives the size of a chunk, and what ends a chunk.
+/// Ends each header line and each chunk.
 const CRLF: &[u8] = b"\r\n";
 
+/// How often an address in use is tried again; an earlier owner may still be closing its listener.
 const BIND_TRIES: u32 = 100;
+/// Pause after a failed bind or accept.
 const BIND_PAUSE: Duration = Duration::from_millis(20);
 
-/// A listener on loopback; it ends, with its connections, when dropped.
+/// A TCP listener; when dropped, it ends with all its connections.
 #[derive(Debug)]
 pub(super) struct Listener {
     pub(super) address: SocketAddr,
@@ -28,7 +30,8 @@
 }
 
 impl Listener {
-    /// Serves each connection by `serve`, waiting a little for an earlier owner of the address.
+    /// Listens at `address` and runs `serve` for each connection. If the address is still in use,
+    /// retries for about 2 s.
     pub(super) async fn start_at<F, S>(address: SocketAddr, serve: S) -> io::Result<Listener>
     where
         F: Future<Output = ()> + Send + 'static,
@@ -40,8 +43,8 @@
         Ok(Listener { address, accepting })
     }
 
-    /// A handle that ends it at once, with every connection.
-    pub(super) fn end(&self) -> AbortHandle {
+    /// A handle that ends the listener at once, with all connections.
+    pub(super) fn abort_handle(&self) -> AbortHandle {
         self.accepting.clone()
     }
 }
@@ -62,7 +65,8 @@
     TcpListener::bind(address).await
 }
 
-/// Accepts for good; connections belong to the set, so that aborting this task ends them.
+/// Accepts connections until aborted. Their tasks belong to the set, so that aborting this task
+/// ends them too.
 async fn accept<F, S>(listener: TcpListener, serve: S)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -83,29 +87,30 @@
     }
 }
 
-/// A connection that a stand-in has accepted.
+/// An accepted connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
 }
 
-/// How the end of a body is told.
+/// How the receiver recognises the end of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// By its length.
+    /// By a `Content-Length`.
     Length(usize),
-    /// In chunks.
+    /// By chunked transfer encoding.
     Chunks,
-    /// By the end of the connection.
+    /// By the end of the connection (`Connection: close`).
     End,
 }
 
 impl Connection {
-    /// Reads a request whole; nothing if the peer has closed between two.
+    /// Reads a complete request; `None` if the peer has closed the connection before its head was
+    /// complete.
     pub(super) async fn read(&mut self) -> io::Result<Option<Request<Bytes>>> {
         let head = loop {
-            if let Some((head, length)) = head(&self.buffer)? {
+            if let Some((head, length)) = parse_head(&self.buffer)? {
                 self.buffer.advance(length);
                 break head;
             }
@@ -117,18 +122,18 @@
         Ok(Some(head.map(|()| body)))
     }
 
-    /// Writes an answer whole.
+    /// Writes a complete answer, framed by its length.
     pub(super) async fn write(&mut self, response: &Response<Bytes>) -> io::Result<()> {
-        let bytes = whole(response);
+        let bytes = encode(response);
         self.write_raw(&bytes).await
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub(super) async fn write_raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Writes a chunk of a body.
+    /// Writes one chunk of a body in chunked transfer encoding.
     pub(super) async fn write_chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
         chunk.extend_from_slice(bytes);
@@ -136,20 +141,22 @@
         self.write_raw(&chunk).await
     }
 
-    /// Returns when the peer has closed; what it sends meanwhile is kept for the next read.
+    /// Waits until the peer has closed; bytes received meanwhile are kept for the next read.
     pub(super) async fn closed(&mut self) {
         while let Ok(true) = self.fill().await {}
     }
 
-    /// Ends with a reset.
+    /// Closes the connection with a TCP reset.
     pub(super) fn reset(self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
+    /// Reads more bytes into the buffer; false at the end of the connection.
     async fn fill(&mut self) -> io::Result<bool> {
         Ok(self.stream.read_buf(&mut self.buffer).await? != 0)
     }
 
+    /// As `fill`, with an error at the end of the connection.
     async fn must_fill(&mut self) -> io::Result<()> {
         if self.fill().await? { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
     }
@@ -196,9 +203,9 @@
     }
 }
 
-/// The head of a request and its length in bytes, if it has come whole.
-fn head(bytes: &[u8]) -> io::Result<Option<(Request<()>, usize)>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+/// The head of a request and its length in bytes; `None` if it is incomplete.
+fn parse_head(bytes: &[u8]) -> io::Result<Option<(Request<()>, usize)>> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let httparse::Status::Complete(length) = parsed.parse(bytes).map_err(io::Error::other)? else {
         return Ok(None);
@@ -212,32 +219,32 @@
     request.body(()).map(|head| Some((head, length))).map_err(io::Error::other)
 }
 
-/// The bytes of an answer whose length is told.
-pub(super) fn whole(response: &Response<Bytes>) -> Vec<u8> {
-    let mut bytes = opening(response, Framing::Length(response.body().len()));
+/// The bytes of a complete answer with a `Content-Length`.
+pub(super) fn encode(response: &Response<Bytes>) -> Vec<u8> {
+    let mut bytes = encode_head(response, Framing::Length(response.body().len()));
     bytes.extend_from_slice(response.body());
     bytes
 }
 
-/// The bytes of an answer's head.
-pub(super) fn opening<B>(response: &Response<B>, framing: Framing) -> Vec<u8> {
+/// The bytes of an answer's head, with the header fields of `framing` after its own.
+pub(super) fn encode_head<B>(response: &Response<B>, framing: Framing) -> Vec<u8> {
     let status = response.status();
     let reason = status.canonical_reason().unwrap_or("Unknown");
     let mut bytes = format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).into_bytes();
-    let framed = match framing {
+    let framing_field = match framing {
         Framing::Length(length) => Some((header::CONTENT_LENGTH, HeaderValue::from(length))),
         Framing::Chunks => Some((header::TRANSFER_ENCODING, HeaderValue::from_static("chunked"))),
         Framing::End => Some((header::CONNECTION, HeaderValue::from_static("close"))),
     };
     let own = response.headers().iter().map(|(name, value)| (name.clone(), value.clone()));
-    for (name, value) in own.chain(framed) {
-        field(&mut bytes, &name, &value);
+    for (name, value) in own.chain(framing_field) {
+        encode_field(&mut bytes, &name, &value);
     }
     bytes.extend_from_slice(CRLF);
     bytes
 }
 
-fn field(bytes: &mut Vec<u8>, name: &HeaderName, value: &HeaderValue) {
+fn encode_field(bytes: &mut Vec<u8>, name: &HeaderName, value: &HeaderValue) {
     bytes.extend_from_slice(name.as_str().as_bytes());
     bytes.extend_from_slice(b": ");
     bytes.extend_from_slice(value.as_bytes());
