--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -5,9 +5,9 @@
 
 pub mod quota;
 
+mod inventory;
 mod script;
 mod serving;
-mod stock;
 mod work;
 
 use std::{
@@ -26,12 +26,12 @@
     routed::{self, Born, Engine, Held, State},
 };
 
-use self::{quota::Quota, stock::Stock};
+use self::{inventory::Inventory, quota::Quota};
 use super::{lock, wire::Listener};
 
 pub use self::{
+    inventory::{OrderRecord, Overload},
     script::{Fault, OrderFault, Script},
-    stock::{OrderRecord, Overload},
 };
 
 /// Slots of a server unless a test sets them.
@@ -161,16 +161,16 @@
 struct Shared {
     settings: Settings,
     script: Mutex<Script>,
-    stock: Mutex<Stock>,
+    inventory: Mutex<Inventory>,
     runs: Mutex<Vec<Run>>,
-    began: Instant,
+    started_at: Instant,
     arrivals: Mutex<Vec<Arrival>>,
     quota: Mutex<Quota>,
     load: watch::Sender<Load>,
-    registered: watch::Sender<routed::Server>,
+    registration: watch::Sender<routed::Server>,
     connections: Mutex<u64>,
-    end: Mutex<Option<AbortHandle>>,
-    crashed: Mutex<Option<Instant>>,
+    abort: Mutex<Option<AbortHandle>>,
+    crashed_at: Mutex<Option<Instant>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -208,7 +208,7 @@
         })
         .await?;
         let shared = Arc::new(Shared::new(settings, listener.address));
-        *lock(&shared.end) = Some(listener.abort_handle());
+        *lock(&shared.abort) = Some(listener.abort_handle());
         ready.send_replace(Some(shared.clone()));
         Ok(Server { shared, listener })
     }
@@ -245,7 +245,7 @@
 
     /// When it started.
     pub fn started_at(&self) -> Instant {
-        self.shared.began
+        self.shared.started_at
     }
 
     /// Requests that came, and the limits that its answers named.
@@ -260,12 +260,12 @@
 
     /// Orders so far, with what became of them.
     pub fn orders(&self) -> Vec<OrderRecord> {
-        lock(&self.shared.stock).orders.clone()
+        lock(&self.shared.inventory).orders.clone()
     }
 
     /// Whether an order asked for more than there is room for.
     pub fn overload(&self) -> Option<Overload> {
-        lock(&self.shared.stock).overload
+        lock(&self.shared.inventory).overload
     }
 
     /// Connections accepted so far.
@@ -280,12 +280,12 @@
 
     /// What it says of itself, as it changes.
     pub fn registration(&self) -> watch::Receiver<routed::Server> {
-        self.shared.registered.subscribe()
+        self.shared.registration.subscribe()
     }
 
     /// Begins to leave: it says so and goes on serving. `remaining` is the time that it is given.
     pub fn drain(&self, remaining: Option<Duration>) {
-        self.shared.registered.send_modify(|server| {
+        self.shared.registration.send_modify(|server| {
             server.state = State::Draining;
             server.remaining = remaining;
         });
@@ -298,14 +298,14 @@
 
     /// When it crashed or was killed.
     pub fn crashed_at(&self) -> Option<Instant> {
-        *lock(&self.shared.crashed)
+        *lock(&self.shared.crashed_at)
     }
 }
 
 impl Shared {
     fn new(settings: Settings, address: SocketAddr) -> Shared {
-        let stock = Stock::new(settings.engine.clone(), &settings.held);
-        let registered = routed::Server {
+        let inventory = Inventory::new(settings.engine.clone(), &settings.held);
+        let registration = routed::Server {
             id: routed::run(&settings.id, settings.started_at),
             name: settings.id.clone(),
             born: settings.started_at,
@@ -324,39 +324,39 @@
         Shared {
             settings,
             script: Mutex::default(),
-            stock: Mutex::new(stock),
+            inventory: Mutex::new(inventory),
             runs: Mutex::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             arrivals: Mutex::default(),
             quota: Mutex::default(),
             load: watch::Sender::default(),
-            registered: watch::Sender::new(registered),
+            registration: watch::Sender::new(registration),
             connections: Mutex::default(),
-            end: Mutex::default(),
-            crashed: Mutex::default(),
+            abort: Mutex::default(),
+            crashed_at: Mutex::default(),
         }
     }
 
-    fn stock(&self) -> MutexGuard<'_, Stock> {
-        lock(&self.stock)
+    fn inventory(&self) -> MutexGuard<'_, Inventory> {
+        lock(&self.inventory)
     }
 
     /// Names the script's limit in the head of an answer.
-    fn name_limit(&self, headers: &mut http::HeaderMap) {
+    fn add_limit(&self, headers: &mut http::HeaderMap) {
         let limit = lock(&self.script).limit.clone();
         if let Some(limit) = &limit {
             platform::remote::server::limit(headers, limit);
         }
-        lock(&self.quota).record_limit(limit.as_deref(), self.began.elapsed());
+        lock(&self.quota).record_limit(limit.as_deref(), self.started_at.elapsed());
     }
 
     /// Tells of what the stock holds now.
     fn register(&self) {
         let (models, sequence) = {
-            let stock = self.stock();
-            (stock.held(), stock.sequence)
+            let inventory = self.inventory();
+            (inventory.held(), inventory.sequence)
         };
-        self.registered.send_modify(|server| {
+        self.registration.send_modify(|server| {
             server.models = models;
             server.sequence = sequence;
         });
@@ -364,10 +364,10 @@
 
     /// Ends the server, with every run.
     fn crash(&self) {
-        lock(&self.crashed).get_or_insert_with(Instant::now);
+        lock(&self.crashed_at).get_or_insert_with(Instant::now);
         lock(&self.runs).iter_mut().for_each(|run| run.end(Ending::Crashed));
-        if let Some(end) = lock(&self.end).take() {
-            end.abort();
+        if let Some(abort) = lock(&self.abort).take() {
+            abort.abort();
         }
     }
 
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -40,30 +40,30 @@
 
 /// A load that has been accepted and is not complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Coming {
+pub(super) struct PendingLoad {
     model: model::Id,
     adapter: Option<adapter::Id>,
 }
 
 #[derive(Debug)]
-pub(super) struct Stock {
+pub(super) struct Inventory {
     engine: Option<Engine>,
     held: BTreeMap<model::Id, BTreeSet<adapter::Id>>,
-    coming: Vec<Coming>,
+    loading: Vec<PendingLoad>,
     reports: VecDeque<(Instant, Report)>,
     pub(super) sequence: Sequence,
     pub(super) orders: Vec<OrderRecord>,
     pub(super) overload: Option<Overload>,
 }
 
-impl Stock {
-    pub(super) fn new(engine: Option<Engine>, held: &[Held]) -> Stock {
+impl Inventory {
+    pub(super) fn new(engine: Option<Engine>, held: &[Held]) -> Inventory {
         let held =
             held.iter().map(|held| (held.model.clone(), held.adapters.iter().cloned().collect()));
-        Stock {
+        Inventory {
             engine,
             held: held.collect(),
-            coming: Vec::new(),
+            loading: Vec::new(),
             reports: VecDeque::new(),
             sequence: 0,
             orders: Vec::new(),
@@ -82,9 +82,13 @@
     }
 
     /// Whether a load of this is under way.
-    pub(super) fn expects(&self, model: Option<&model::Id>, adapter: Option<&adapter::Id>) -> bool {
-        let is_wanted = |c: &Coming| Some(&c.model) == model && c.adapter.as_ref() == adapter;
-        self.coming.iter().any(is_wanted)
+    pub(super) fn is_loading(
+        &self,
+        model: Option<&model::Id>,
+        adapter: Option<&adapter::Id>,
+    ) -> bool {
+        let is_same = |c: &PendingLoad| Some(&c.model) == model && c.adapter.as_ref() == adapter;
+        self.loading.iter().any(is_same)
     }
 
     pub(super) fn held(&self) -> Vec<Held> {
@@ -96,19 +100,19 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Judges an order and takes it in; a load that is accepted is complete at [`Stock::finish`].
-    pub(super) fn order(
+    /// Judges an order and takes it in; a load that is accepted is complete at [`Inventory::finish_load`].
+    pub(super) fn handle_order(
         &mut self,
         order: &Order,
         arrived_at: Instant,
-    ) -> (OrderStatus, Option<Coming>) {
+    ) -> (OrderStatus, Option<PendingLoad>) {
         let outcome = self.judge(order);
-        let mut coming = None;
+        let mut pending = None;
         if outcome == OrderStatus::Accepted {
-            coming = self.accept(order);
+            pending = self.accept(order);
         }
         // An adapter is unloaded at once, which is told like what holds already.
-        let is_done = outcome == OrderStatus::Accepted && coming.is_none();
+        let is_done = outcome == OrderStatus::Accepted && pending.is_none();
         let outcome = if is_done && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
         self.orders.push(OrderRecord {
             order: order.clone(),
@@ -116,7 +120,7 @@
             arrived_at,
             judged_at: Instant::now(),
         });
-        (outcome, coming)
+        (outcome, pending)
     }
 
     fn judge(&self, order: &Order) -> OrderStatus {
@@ -143,12 +147,12 @@
         }
     }
 
-    fn accept(&mut self, order: &Order) -> Option<Coming> {
+    fn accept(&mut self, order: &Order) -> Option<PendingLoad> {
         self.sequence += 1;
-        let target = Coming { model: order.model.clone(), adapter: order.adapter.clone() };
+        let target = PendingLoad { model: order.model.clone(), adapter: order.adapter.clone() };
         match (order.operation, &order.adapter) {
             (Operation::Load, _) => {
-                self.coming.push(target.clone());
+                self.loading.push(target.clone());
                 self.overload = self.overload.or(self.excess());
                 return Some(target);
             }
@@ -165,14 +169,14 @@
     }
 
     /// A load is complete.
-    pub(super) fn finish(&mut self, coming: &Coming) {
-        self.coming.retain(|other| other != coming);
-        match &coming.adapter {
+    pub(super) fn finish_load(&mut self, pending: &PendingLoad) {
+        self.loading.retain(|other| other != pending);
+        match &pending.adapter {
             None => {
-                self.held.entry(coming.model.clone()).or_default();
+                self.held.entry(pending.model.clone()).or_default();
             }
             Some(adapter) => {
-                if let Some(adapters) = self.held.get_mut(&coming.model) {
+                if let Some(adapters) = self.held.get_mut(&pending.model) {
                     adapters.insert(adapter.clone());
                 }
             }
@@ -184,16 +188,16 @@
         let engine = self.engine.as_ref()?;
         let (mut weights, mut adapters) = (0, 0);
         let held = self.held.iter().map(|(model, adapters)| (model, true, adapters.len() as u64));
-        let coming = self.coming.iter().map(|coming| {
-            (&coming.model, coming.adapter.is_none(), u64::from(coming.adapter.is_some()))
+        let pending = self.loading.iter().map(|pending| {
+            (&pending.model, pending.adapter.is_none(), u64::from(pending.adapter.is_some()))
         });
-        for (id, has_weights, of_it) in held.chain(coming) {
+        for (id, has_weights, count) in held.chain(pending) {
             let Some(model) = engine.models.iter().find(|model| model.name == *id) else {
                 continue;
             };
-            let own = if has_weights { model.weights } else { 0 };
-            weights += own + of_it * model.adapter_weights;
-            adapters += of_it;
+            let own_weights = if has_weights { model.weights } else { 0 };
+            weights += own_weights + count * model.adapter_weights;
+            adapters += count;
         }
         if engine.weights < weights {
             return Some(Overload::Weights);
@@ -202,13 +206,13 @@
     }
 
     fn is_busy(&self) -> bool {
-        self.coming.iter().any(|coming| coming.adapter.is_none())
+        self.loading.iter().any(|pending| pending.adapter.is_none())
     }
 
     /// The report as it was `lag` ago.
     pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], lag: Duration) -> Report {
         let now = Instant::now();
-        let adapters = self.coming.iter();
+        let adapters = self.loading.iter();
         let adapters = adapters.filter_map(|c| c.adapter.clone().map(|a| (c.model.clone(), a)));
         let report = Report {
             models: self.held(),
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -21,18 +21,18 @@
 }
 
 /// An answer of another request that is due on the connection.
-pub(super) type Stale = Option<Vec<u8>>;
+pub(super) type Duplicate = Option<Vec<u8>>;
 
 pub(super) async fn serve(shared: Arc<Shared>, mut connection: Connection) {
     *lock(&shared.connections) += 1;
-    let mut stale = None;
+    let mut duplicate = None;
     loop {
         let request = match shared.settings.idle {
             Some(idle) => tokio::time::timeout(idle, connection.read()).await,
             None => Ok(connection.read().await),
         };
         let Ok(Ok(Some(request))) = request else { return };
-        let after = answer(&shared, &mut connection, request, &mut stale).await;
+        let after = handle(&shared, &mut connection, request, &mut duplicate).await;
         match after.unwrap_or(After::Close) {
             After::Keep => {}
             After::Close => return,
@@ -41,22 +41,22 @@
     }
 }
 
-async fn answer(
+async fn handle(
     shared: &Arc<Shared>,
     connection: &mut Connection,
     request: Request<Bytes>,
-    stale: &mut Stale,
+    duplicate: &mut Duplicate,
 ) -> io::Result<After> {
     let (head, body) = request.into_parts();
-    note_arrival(shared, &head, &body);
+    record_arrival(shared, &head, &body);
     let expected = remote::expected(&head.headers);
     if expected.is_some_and(|expected| *expected != *shared.settings.id) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
     match remote::call(&head, &body) {
         Call::Report => {
-            let lag = lock(&shared.script).report_age;
-            let report = shared.stock().report(shared.load(), lag);
+            let age = lock(&shared.script).report_age;
+            let report = shared.inventory().report(shared.load(), age);
             let report = Report { born: shared.settings.started_at, ..report };
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
@@ -64,43 +64,45 @@
             let answer = remote::ordered(OrderStatus::Invalid, shared.settings.started_at);
             connection.write(&answer).await.map(|()| After::Keep)
         }
-        Call::Order(Some(order)) => ordered(shared, connection, order).await,
+        Call::Order(Some(order)) => handle_order(shared, connection, order).await,
         Call::Request(_) if head.uri.path() == &*shared.settings.health => {
-            let is_ready = shared.registered.borrow().state == State::Ready;
+            let is_ready = shared.registration.borrow().state == State::Ready;
             let health = if is_ready { Health::Healthy } else { Health::Unhealthy };
             let mut response = remote::health(&shared.settings.id, health);
             remote::load(response.headers_mut(), shared.load());
             connection.write(&response).await.map(|()| After::Keep)
         }
-        Call::Request(asked) => requested(shared, connection, *asked, head, body, stale).await,
+        Call::Request(incoming) => {
+            handle_request(shared, connection, *incoming, head, body, duplicate).await
+        }
     }
 }
 
-fn note_arrival(shared: &Shared, head: &Parts, body: &[u8]) {
+fn record_arrival(shared: &Shared, head: &Parts, body: &[u8]) {
     if head.uri.path() != &*shared.settings.health
-        && let Call::Request(asked) = remote::call(head, body)
-        && let Some(id) = asked.id
+        && let Call::Request(incoming) = remote::call(head, body)
+        && let Some(id) = incoming.id
     {
         lock(&shared.arrivals).push(Arrival { id, at: Instant::now() });
     }
 }
 
-async fn ordered(
+async fn handle_order(
     shared: &Arc<Shared>,
     connection: &mut Connection,
     order: remote::Order,
 ) -> io::Result<After> {
     let (arrived_at, fault) = (Instant::now(), lock(&shared.script).order_faults.pop_front());
-    if let Some(OrderFault::Late(late)) = fault {
+    if let Some(OrderFault::Late(delay)) = fault {
         let shared = shared.clone();
         tokio::spawn(async move {
-            sleep(late).await;
-            carry_out(&shared, &order, arrived_at);
+            sleep(delay).await;
+            apply_order(&shared, &order, arrived_at);
         });
         connection.closed().await;
         return Ok(After::Close);
     }
-    let outcome = carry_out(shared, &order, arrived_at);
+    let outcome = apply_order(shared, &order, arrived_at);
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
@@ -108,17 +110,17 @@
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
-fn carry_out(shared: &Arc<Shared>, order: &remote::Order, arrived_at: Instant) -> OrderStatus {
-    let (outcome, coming) = shared.stock().order(order, arrived_at);
+fn apply_order(shared: &Arc<Shared>, order: &remote::Order, arrived_at: Instant) -> OrderStatus {
+    let (outcome, pending_load) = shared.inventory().handle_order(order, arrived_at);
     shared.register();
-    if shared.stock().overload.is_some() {
+    if shared.inventory().overload.is_some() {
         shared.crash();
     }
-    if let Some(coming) = coming {
-        let (shared, load) = (shared.clone(), lock(&shared.script).load_time);
+    if let Some(pending_load) = pending_load {
+        let (shared, load_time) = (shared.clone(), lock(&shared.script).load_time);
         tokio::spawn(async move {
-            sleep(load).await;
-            shared.stock().finish(&coming);
+            sleep(load_time).await;
+            shared.inventory().finish_load(&pending_load);
             shared.register();
         });
     }
@@ -136,9 +138,9 @@
     *response.status_mut() = status;
     remote::not_run(response.headers_mut());
     remote::load(response.headers_mut(), shared.load());
-    shared.name_limit(response.headers_mut());
-    if let Call::Request(asked) = remote::call(head, &[])
-        && let Some(id) = &asked.id
+    shared.add_limit(response.headers_mut());
+    if let Call::Request(incoming) = remote::call(head, &[])
+        && let Some(id) = &incoming.id
     {
         remote::echo(response.headers_mut(), id);
     }
@@ -146,101 +148,107 @@
 }
 
 /// A place among those that run, or that wait to.
-struct Place<'a> {
+struct Slot<'a> {
     shared: &'a Shared,
-    runs: bool,
+    is_running: bool,
 }
 
-impl<'a> Place<'a> {
+impl<'a> Slot<'a> {
     /// Takes a place, or none if the server is full.
-    fn take(shared: &'a Shared) -> Option<Place<'a>> {
+    fn enqueue(shared: &'a Shared) -> Option<Slot<'a>> {
         let settings = &shared.settings;
         let is_taken = shared.load.send_if_modified(|load| {
             let is_free = load.running < settings.slots || load.waiting < settings.queue;
             load.waiting += u32::from(is_free);
             is_free
         });
-        is_taken.then(|| Place { shared, runs: false })
+        is_taken.then(|| Slot { shared, is_running: false })
     }
 
     /// Waits for a slot.
-    async fn run(&mut self) {
+    async fn acquire(&mut self) {
         let mut changes = self.shared.load.subscribe();
-        while !self.runs {
-            self.runs = self.shared.load.send_if_modified(|load| {
+        while !self.is_running {
+            self.is_running = self.shared.load.send_if_modified(|load| {
                 let is_free = load.running < self.shared.settings.slots;
                 load.running += u32::from(is_free);
                 load.waiting -= u32::from(is_free);
                 is_free
             });
-            if !self.runs {
+            if !self.is_running {
                 let _ = changes.changed().await;
             }
         }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        self.shared.load.send_modify(|load| match self.runs {
+        self.shared.load.send_modify(|load| match self.is_running {
             true => load.running -= 1,
             false => load.waiting -= 1,
         });
     }
 }
 
-async fn requested(
+async fn handle_request(
     shared: &Arc<Shared>,
     connection: &mut Connection,
-    asked: IncomingRequest,
+    incoming: IncomingRequest,
     head: Parts,
     body: Bytes,
-    stale: &mut Stale,
+    duplicate: &mut Duplicate,
 ) -> io::Result<After> {
     let arrived_at = Instant::now();
-    let Some(id) = asked.id.clone() else {
+    let Some(id) = incoming.id.clone() else {
         return not_run(shared, connection, &head, StatusCode::BAD_REQUEST).await;
     };
-    lock(&shared.quota).record_arrival(&id, arrived_at.duration_since(shared.began));
-    if shared.stock().expects(asked.model.as_ref(), asked.adapter.as_ref()) {
+    lock(&shared.quota).record_arrival(&id, arrived_at.duration_since(shared.started_at));
+    if shared.inventory().is_loading(incoming.model.as_ref(), incoming.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     }
-    if !shared.stock().has(asked.model.as_ref(), asked.adapter.as_ref()) {
+    if !shared.inventory().has(incoming.model.as_ref(), incoming.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
     let fault = lock(&shared.script).fault();
     if let Some(Fault::NotRun(status)) = fault {
         return not_run(shared, connection, &head, status).await;
     }
-    let Some(mut place) = Place::take(shared) else {
+    let Some(mut slot) = Slot::enqueue(shared) else {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     };
     tokio::select! {
-        () = place.run() => {}
+        () = slot.acquire() => {}
         () = connection.closed() => return Ok(After::Close),
     }
-    if let Some(stale) = stale.take() {
-        connection.write_raw(&stale).await?;
+    if let Some(duplicate) = duplicate.take() {
+        connection.write_raw(&duplicate).await?;
     }
-    let run = begin(shared, asked, head, body, Met { arrived_at, fault });
+    let run = start_run(shared, incoming, head, body, Received { arrived_at, fault });
     let work = Work { shared, run, id, fault, connection };
-    let (ending, after) = work.answer(stale).await;
-    finish(shared, run, ending);
+    let (ending, after) = work.answer(duplicate).await;
+    end_run(shared, run, ending);
     Ok(after)
 }
 
 /// What a request met before it ran.
-struct Met {
+struct Received {
     arrived_at: Instant,
     fault: Option<Fault>,
 }
 
-fn begin(shared: &Shared, request: IncomingRequest, head: Parts, body: Bytes, met: Met) -> usize {
+fn start_run(
+    shared: &Shared,
+    request: IncomingRequest,
+    head: Parts,
+    body: Bytes,
+    received: Received,
+) -> usize {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str()).to_owned();
     let (method, headers) = (head.method, head.headers);
     let started_at = Instant::now();
     let mut runs = lock(&shared.runs);
-    let (Met { arrived_at, fault }, ending, ended_at) = (met, None, None);
+    let (Received { arrived_at, fault }, ending, ended_at) = (received, None, None);
     runs.push(Run {
         request,
         method,
@@ -256,6 +264,6 @@
     runs.len() - 1
 }
 
-fn finish(shared: &Shared, run: usize, ending: Ending) {
+fn end_run(shared: &Shared, run: usize, ending: Ending) {
     lock(&shared.runs)[run].end(ending);
 }
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Ending, Fault, Shared,
-    serving::{After, Stale},
+    serving::{After, Duplicate},
 };
 use crate::routed::{
     lock,
@@ -18,7 +18,7 @@
 };
 
 /// Bytes that are no answer.
-const GARBLED: &[u8] = b"\x16\x03\x01 no answer at all\r\n\r\n";
+const NOT_HTTP: &[u8] = b"\x16\x03\x01 no answer at all\r\n\r\n";
 
 /// What ends a body in chunks.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
@@ -33,7 +33,7 @@
 }
 
 impl Work<'_> {
-    pub(super) async fn answer(mut self, stale: &mut Stale) -> (Ending, After) {
+    pub(super) async fn answer(mut self, duplicate: &mut Duplicate) -> (Ending, After) {
         let (work, is_poison) = {
             let script = lock(&self.shared.script);
             let body = lock(&self.shared.runs)[self.run].body.clone();
@@ -44,17 +44,18 @@
             () = sleep(work) => {}
             () = self.connection.closed() => return (Ending::CallerClosed, After::Close),
         }
-        let is_model_server = self.shared.stock().is_model_server();
+        let is_model_server = self.shared.inventory().is_model_server();
         if is_poison {
             if is_model_server {
                 // Its caller has the head of an answer by then.
-                let _ = self.connection.write_raw(&self.opening()).await;
+                let _ = self.connection.write_raw(&self.stream_head()).await;
             }
             self.shared.crash();
             return (Ending::Crashed, After::Reset);
         }
-        let answered = if is_model_server { self.stream().await } else { self.whole(stale).await };
-        answered.unwrap_or((Ending::CallerClosed, After::Close))
+        let outcome =
+            if is_model_server { self.stream().await } else { self.plain(duplicate).await };
+        outcome.unwrap_or((Ending::CallerClosed, After::Close))
     }
 
     /// The head of the answer, spoilt as the fault wants it.
@@ -80,52 +81,52 @@
             remote::keep_alive(headers, idle);
         }
         remote::load(headers, self.shared.load());
-        if !self.is_withheld() {
-            self.shared.name_limit(headers);
+        if !self.is_head_withheld() {
+            self.shared.add_limit(headers);
         }
         response
     }
 
     /// Whether no byte of the answer's head leaves, so that it names nothing.
-    fn is_withheld(&self) -> bool {
+    fn is_head_withheld(&self) -> bool {
         matches!(self.fault, Some(Fault::Lost | Fault::Silent | Fault::Garbled))
     }
 
     fn body(&self) -> Bytes {
         let runs = lock(&self.shared.runs);
         let run = &runs[self.run];
-        let told = json!({
+        let description = json!({
             "server": self.shared.settings.id, "request": self.id, "path": run.path,
             "method": run.method.as_str(), "bytes": run.body.len(),
         });
-        Bytes::from(told.to_string())
+        Bytes::from(description.to_string())
     }
 
-    async fn whole(&mut self, stale: &mut Stale) -> io::Result<(Ending, After)> {
+    async fn plain(&mut self, duplicate: &mut Duplicate) -> io::Result<(Ending, After)> {
         let response = self.head().map(|_| self.body());
         let bytes = wire::encode(&response);
         let half = response.body().len() / 2;
-        let spoilt = |after| Ok((Ending::Corrupted, after));
+        let corrupted = |after| Ok((Ending::Corrupted, after));
         match self.fault {
-            Some(Fault::Lost) => return spoilt(After::Close),
+            Some(Fault::Lost) => return corrupted(After::Close),
             Some(Fault::Silent) => {
                 self.connection.closed().await;
                 return Ok((Ending::CallerClosed, After::Close));
             }
             Some(Fault::Truncated) => {
                 self.connection.write_raw(&bytes[..bytes.len() - half]).await?;
-                return spoilt(After::Close);
+                return corrupted(After::Close);
             }
             Some(Fault::Garbled) => {
-                self.connection.write_raw(GARBLED).await?;
-                return spoilt(After::Close);
+                self.connection.write_raw(NOT_HTTP).await?;
+                return corrupted(After::Close);
             }
             Some(fault @ (Fault::Unframed | Fault::UnframedReset)) => {
                 self.connection.write_raw(&wire::encode_head(&response, Framing::End)).await?;
                 let (first, rest) = response.body().split_at(half);
                 self.connection.write_raw(first).await?;
                 if fault == Fault::UnframedReset {
-                    return spoilt(After::Reset);
+                    return corrupted(After::Reset);
                 }
                 self.connection.write_raw(rest).await?;
                 return Ok((Ending::Answered, After::Close));
@@ -139,7 +140,7 @@
         };
         match self.fault {
             Some(Fault::Doubled) => self.connection.write_raw(&extra()).await?,
-            Some(Fault::DoubledLate) => *stale = Some(extra()),
+            Some(Fault::DoubledLate) => *duplicate = Some(extra()),
             Some(Fault::Closing) => return Ok((Ending::Answered, After::Close)),
             _ => {}
         }
@@ -154,7 +155,7 @@
                 return Ok((Ending::CallerClosed, After::Close));
             }
             Some(Fault::Garbled) => {
-                self.connection.write_raw(GARBLED).await?;
+                self.connection.write_raw(NOT_HTTP).await?;
                 return Ok((Ending::Corrupted, After::Close));
             }
             Some(Fault::Failed(_)) => {
@@ -164,12 +165,12 @@
             }
             _ => {}
         }
-        self.connection.write_raw(&self.opening()).await?;
+        self.connection.write_raw(&self.stream_head()).await?;
         self.events().await
     }
 
     /// The head of a stream.
-    fn opening(&self) -> Vec<u8> {
+    fn stream_head(&self) -> Vec<u8> {
         let mut head = self.head();
         remote::streams(head.headers_mut());
         remote::version(head.headers_mut(), 1);
@@ -184,17 +185,17 @@
         let resume = lock(&self.shared.runs)[self.run].request.resume.unwrap_or_default();
         for number in resume + 1..=events {
             let event = remote::event(number, &format!("token {number}"));
-            let made = number - 1 - resume;
+            let sent = number - 1 - resume;
             match self.fault {
-                Some(Fault::Broken { events }) if events == made => {
+                Some(Fault::Broken { events }) if events == sent => {
                     self.connection.write_chunk(&event[..event.len() / 2]).await?;
                     return Ok((Ending::Corrupted, After::Close));
                 }
-                Some(Fault::Stalled { events }) if events == made => {
+                Some(Fault::Stalled { events }) if events == sent => {
                     self.connection.closed().await;
                     return Ok((Ending::CallerClosed, After::Close));
                 }
-                Some(Fault::Short { events }) if events == made => break,
+                Some(Fault::Short { events }) if events == sent => break,
                 _ => self.connection.write_chunk(&event).await?,
             }
             tokio::select! {
