--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -1,7 +1,7 @@
-//! Servers behind the routes: a model server, or a plain one.
+//! Stand-ins for the servers behind the routes: model servers and plain ones.
 //!
-//! A server keeps the log of what truly ran; tests rest their verdicts on it. It misbehaves as its
-//! [`Script`] says.
+//! A server records every request that really ran, and tests judge by these records. Its behaviour
+//! and its faults follow its [`Script`].
 
 pub mod quota;
 
@@ -34,36 +34,36 @@
     script::{Fault, OrderFault, Script},
 };
 
-/// Slots of a server unless a test sets them.
+/// Slots and queue length of a server unless a test sets them.
 const SLOTS: u32 = 8;
 
-/// What a server is.
+/// Settings of a server that stay the same while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The server's name; a server started again has the same name and a later start time.
     pub id: backend::Id,
-    /// When this run began; 0 if it doesn't say.
+    /// Start time of this run that the server registers and reports; 0 if it gives none.
     pub started_at: Born,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: service::Id,
-    /// Its availability zone.
+    /// The availability zone that it registers.
     pub zone: availability::Id,
-    /// Requests that it runs at once.
+    /// Greatest number of requests that run at once.
     pub slots: u32,
-    /// Requests that wait at most.
+    /// Greatest number of requests that wait for a slot; further ones are answered with status 503.
     pub queue: u32,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health: Arc<str>,
-    /// Idle connections are closed after this time, which it states.
+    /// Idle connections are closed after this time, which answers announce; `None` keeps them open.
     pub idle: Option<Duration>,
-    /// What it runs, if it is a model server.
+    /// The engine of a model server; `None` for a plain server.
     pub engine: Option<Engine>,
-    /// What it holds from the start.
+    /// Models and adapters that it holds at the start.
     pub held: Vec<Held>,
 }
 
 impl Settings {
-    /// A plain server.
+    /// A plain server with 8 slots, a queue of 8 and no start time.
     pub fn plain(id: &str, service: &str) -> Settings {
         Settings {
             id: id.into(),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A model server that holds some models.
+    /// A model server with the slots of `engine`, which holds `models` from the start.
     pub fn model(id: &str, service: &str, engine: &Engine, models: &[&str]) -> Settings {
         let held = models.iter().map(|model| Held {
             model: (*model).into(),
@@ -95,28 +95,28 @@
     }
 }
 
-/// A request that ran.
+/// The record of a request that ran.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What it asked.
+    /// What its headers say to servers.
     pub request: IncomingRequest,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path with the query.
+    /// The path with the query.
     pub path: String,
-    /// Its headers.
+    /// All headers, as received.
     pub headers: http::HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// When the request came to the server.
+    /// When the server received the request.
     pub arrived_at: Instant,
-    /// When it began.
+    /// When it got a slot.
     pub started_at: Instant,
-    /// The fault that it met.
+    /// The fault that the script applied to it, if any.
     pub fault: Option<Fault>,
-    /// How it ended.
+    /// How it ended; `None` while it runs.
     pub ending: Option<Ending>,
-    /// When it ended.
+    /// When it ended; `None` while it runs.
     pub ended_at: Option<Instant>,
 }
 
@@ -128,29 +128,29 @@
     }
 }
 
-/// A request that came, whether it ran or not.
+/// The receipt of a request, whether it then ran or not; health checks aren't counted.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request.
+    /// The request's id.
     pub id: Arc<str>,
-    /// When it came.
+    /// When the server received it.
     pub at: Instant,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With its whole answer.
+    /// The complete answer was written.
     Answered,
-    /// The caller closed the connection while it ran.
+    /// The caller closed the connection before the answer was complete.
     CallerClosed,
-    /// Its answer was spoilt on purpose.
+    /// The script had the answer lost, cut off or replaced.
     Corrupted,
-    /// The server crashed.
+    /// The server crashed or was killed during the run.
     Crashed,
 }
 
-/// A running server.
+/// A running server; when dropped, it ends with all connections.
 #[derive(Debug)]
 pub struct Server {
     shared: Arc<Shared>,
@@ -180,7 +180,7 @@
 }
 
 impl Server {
-    /// Starts it at a port that the system picks.
+    /// Starts a server on 127.0.0.1, at a port that the operating system picks.
     ///
     /// # Errors
     ///
@@ -189,13 +189,14 @@
         Server::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), settings).await
     }
 
-    /// Starts it at an address, which an earlier server may just have left.
+    /// Starts a server at `address`. If the address is in use, retries for about 2 s, since an
+    /// earlier server there may just have ended.
     ///
     /// # Errors
     ///
     /// If the address can't be bound.
     pub async fn start_at(address: SocketAddr, settings: Settings) -> io::Result<Server> {
-        // Connections are taken only once the server knows its own address.
+        // Connections are served only after the server knows its own address.
         let (ready, shared) = watch::channel(None::<Arc<Shared>>);
         let listener = Listener::start_at(address, move |connection| {
             let mut shared = shared.clone();
@@ -213,77 +214,77 @@
         Ok(Server { shared, listener })
     }
 
-    /// Its name.
+    /// The server's name, the `id` of its settings.
     pub fn id(&self) -> &backend::Id {
         &self.shared.settings.id
     }
 
-    /// The service that it belongs to.
+    /// The service of its settings.
     pub fn service(&self) -> &service::Id {
         &self.shared.settings.service
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Changes its script.
+    /// Changes the script; requests that are running keep the values that they have read.
     pub fn script(&self, change: impl FnOnce(&mut Script)) {
         change(&mut lock(&self.shared.script));
     }
 
-    /// What ran so far.
+    /// Records of all requests that began to run so far, in that order.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Requests that came so far, those that it rejected among them.
+    /// Receipts of all requests so far, also of those that were rejected.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.shared.arrivals).clone()
     }
 
-    /// When it started.
+    /// When this stand-in was started, by the clock of the test.
     pub fn started_at(&self) -> Instant {
         self.shared.started_at
     }
 
-    /// Requests that came, and the limits that its answers named.
+    /// Arrivals of requests and the limits that answers named, for the check of the quota rule.
     pub fn quota(&self) -> Quota {
         lock(&self.shared.quota).clone()
     }
 
-    /// How often a request ran.
+    /// How often the request with this id ran.
     pub fn runs_of(&self, id: &str) -> usize {
         self.runs().iter().filter(|run| run.request.id.as_deref() == Some(id)).count()
     }
 
-    /// Orders so far, with what became of them.
+    /// All orders judged so far, with their outcomes, in the order of judgment.
     pub fn orders(&self) -> Vec<OrderRecord> {
         lock(&self.shared.inventory).orders.clone()
     }
 
-    /// Whether an order asked for more than there is room for.
+    /// What an accepted order exceeded, if one did; the server crashes then.
     pub fn overload(&self) -> Option<Overload> {
         lock(&self.shared.inventory).overload
     }
 
-    /// Connections accepted so far.
+    /// How many connections were accepted so far.
     pub fn connections(&self) -> u64 {
         *lock(&self.shared.connections)
     }
 
-    /// Requests that run now.
+    /// How many requests are running.
     pub fn running(&self) -> u32 {
         self.shared.load.borrow().running
     }
 
-    /// What it says of itself, as it changes.
+    /// The server's registration, and its changes.
     pub fn registration(&self) -> watch::Receiver<routed::Server> {
         self.shared.registration.subscribe()
     }
 
-    /// Begins to leave: it says so and goes on serving. `remaining` is the time that it is given.
+    /// Registers the server as draining, with the time that remains to it; it goes on serving.
     pub fn drain(&self, remaining: Option<Duration>) {
         self.shared.registration.send_modify(|server| {
             server.state = State::Draining;
@@ -291,12 +292,12 @@
         });
     }
 
-    /// Ends it at once, with every connection.
+    /// Ends the server at once, with all connections; running requests end as crashed.
     pub fn kill(&self) {
         self.shared.crash();
     }
 
-    /// When it crashed or was killed.
+    /// When it crashed or was killed, if it was.
     pub fn crashed_at(&self) -> Option<Instant> {
         *lock(&self.shared.crashed_at)
     }
@@ -341,7 +342,7 @@
         lock(&self.inventory)
     }
 
-    /// Names the script's limit in the head of an answer.
+    /// Adds the script's limit to the head of an answer, and records it.
     fn add_limit(&self, headers: &mut http::HeaderMap) {
         let limit = lock(&self.script).limit.clone();
         if let Some(limit) = &limit {
@@ -350,7 +351,7 @@
         lock(&self.quota).record_limit(limit.as_deref(), self.started_at.elapsed());
     }
 
-    /// Tells of what the stock holds now.
+    /// Updates the registration from the inventory.
     fn register(&self) {
         let (models, sequence) = {
             let inventory = self.inventory();
@@ -362,7 +363,7 @@
         });
     }
 
-    /// Ends the server, with every run.
+    /// Ends the server, with all runs and connections.
     fn crash(&self) {
         lock(&self.crashed_at).get_or_insert_with(Instant::now);
         lock(&self.runs).iter_mut().for_each(|run| run.end(Ending::Crashed));
@@ -371,6 +372,7 @@
         }
     }
 
+    /// Running requests, waiting requests and slots, in the order in which answers report them.
     fn load(&self) -> [u32; 3] {
         let load = *self.load.borrow();
         [load.running, load.waiting, self.settings.slots]
--- a/crates/standin/src/routed/server/inventory.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -1,4 +1,4 @@
-//! What a model server holds, and the orders that change it.
+//! The models and adapters that a model server holds, and the orders that change them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -13,32 +13,32 @@
     routed::{Engine, Held, Report, Sequence},
 };
 
-/// Reports kept for those who ask with a lag.
-const REPORTS: usize = 256;
+/// How many past reports are kept, to answer with a report of an earlier time.
+const MAX_REPORTS: usize = 256;
 
-/// An order, and what became of it.
+/// An order and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderRecord {
-    /// The order.
+    /// The order as received.
     pub order: Order,
-    /// What the server made of it when it was judged.
+    /// The status with which the server answers it, even if the answer is lost.
     pub outcome: OrderStatus,
-    /// When it came.
+    /// When the server received it.
     pub arrived_at: Instant,
-    /// When it was judged.
+    /// When the server judged it, which is later than its arrival for a delayed order.
     pub judged_at: Instant,
 }
 
-/// What an order asked for beyond what there is.
+/// The resource that the held and loading models and adapters exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overload {
     /// Memory for weights.
     Weights,
-    /// Places for adapters.
+    /// Slots for adapters.
     Adapters,
 }
 
-/// A load that has been accepted and is not complete.
+/// A load that has been accepted and isn't complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PendingLoad {
     model: model::Id,
@@ -81,13 +81,14 @@
         adapters.is_some_and(|held| adapter.is_none_or(|adapter| held.contains(adapter)))
     }
 
-    /// Whether a load of this is under way.
+    /// Whether this model, or adapter of it, is being loaded.
     pub(super) fn is_loading(
         &self,
         model: Option<&model::Id>,
         adapter: Option<&adapter::Id>,
     ) -> bool {
-        let is_same = |c: &PendingLoad| Some(&c.model) == model && c.adapter.as_ref() == adapter;
+        let is_same =
+            |load: &PendingLoad| Some(&load.model) == model && load.adapter.as_ref() == adapter;
         self.loading.iter().any(is_same)
     }
 
@@ -100,7 +101,8 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Judges an order and takes it in; a load that is accepted is complete at [`Inventory::finish_load`].
+    /// Judges an order, records it, and applies it if accepted. A load that was accepted is
+    /// returned, for [`Inventory::finish_load`].
     pub(super) fn handle_order(
         &mut self,
         order: &Order,
@@ -111,9 +113,10 @@
         if outcome == OrderStatus::Accepted {
             pending = self.accept(order);
         }
-        // An adapter is unloaded at once, which is told like what holds already.
-        let is_done = outcome == OrderStatus::Accepted && pending.is_none();
-        let outcome = if is_done && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
+        // An adapter is unloaded immediately, so the answer is that the wanted state already holds.
+        let is_complete = outcome == OrderStatus::Accepted && pending.is_none();
+        let outcome =
+            if is_complete && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
         self.orders.push(OrderRecord {
             order: order.clone(),
             outcome,
@@ -131,10 +134,10 @@
         if order.expected.is_some_and(|expected| expected != self.sequence) {
             return OrderStatus::Conflict;
         }
-        let is_there = self.has(Some(&order.model), order.adapter.as_ref());
+        let is_held = self.has(Some(&order.model), order.adapter.as_ref());
         let holds = match order.operation {
-            Operation::Load => is_there,
-            Operation::Unload => !is_there,
+            Operation::Load => is_held,
+            Operation::Unload => !is_held,
         };
         let is_busy = order.adapter.is_none() && self.is_busy();
         let has_base = order.adapter.is_none() || self.held.contains_key(&order.model);
@@ -153,7 +156,7 @@
         match (order.operation, &order.adapter) {
             (Operation::Load, _) => {
                 self.loading.push(target.clone());
-                self.overload = self.overload.or(self.excess());
+                self.overload = self.overload.or(self.current_overload());
                 return Some(target);
             }
             (Operation::Unload, Some(adapter)) => {
@@ -168,7 +171,8 @@
         None
     }
 
-    /// A load is complete.
+    /// Adds the loaded model or adapter; an adapter whose model has been unloaded meanwhile is
+    /// dropped.
     pub(super) fn finish_load(&mut self, pending: &PendingLoad) {
         self.loading.retain(|other| other != pending);
         match &pending.adapter {
@@ -183,8 +187,8 @@
         }
     }
 
-    /// What is held and coming beyond what there is room for.
-    fn excess(&self) -> Option<Overload> {
+    /// The resource that held and loading models and adapters exceed, if any.
+    fn current_overload(&self) -> Option<Overload> {
         let engine = self.engine.as_ref()?;
         let (mut weights, mut adapters) = (0, 0);
         let held = self.held.iter().map(|(model, adapters)| (model, true, adapters.len() as u64));
@@ -209,8 +213,9 @@
         self.loading.iter().any(|pending| pending.adapter.is_none())
     }
 
-    /// The report as it was `lag` ago.
-    pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], lag: Duration) -> Report {
+    /// The report as it was `age` ago, or the oldest one kept. Earlier reports are known only from
+    /// the times at which a report was requested.
+    pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], age: Duration) -> Report {
         let now = Instant::now();
         let adapters = self.loading.iter();
         let adapters = adapters.filter_map(|c| c.adapter.clone().map(|a| (c.model.clone(), a)));
@@ -225,10 +230,10 @@
             ..Report::default()
         };
         self.reports.push_back((now, report.clone()));
-        while REPORTS < self.reports.len() {
+        while MAX_REPORTS < self.reports.len() {
             self.reports.pop_front();
         }
-        let old_enough = |(at, _): &&(Instant, Report)| *at + lag <= now;
+        let old_enough = |(at, _): &&(Instant, Report)| *at + age <= now;
         let old = self.reports.iter().rev().find(old_enough);
         old.map_or_else(|| self.reports[0].1.clone(), |(_, report)| report.clone())
     }
--- a/crates/standin/src/routed/server/quota.rs
+++ b/crates/standin/src/routed/server/quota.rs
@@ -1,42 +1,45 @@
-//! The rule on limits, as a server sees it by its own clock: what came, against what it named.
+//! The rule on rate limits, checked by a server's own clock: the requests that it received against
+//! the limits that its answers named.
 //!
-//! From [`BINDING_DELAY`] after a server first named a limit, [`WINDOW`] holds no more than [`BURST_FACTOR`] times what
-//! the limit allows in it, and [`EXTRA_REQUESTS`] requests.
+//! From [`BINDING_DELAY`] after a server first named a limit, [`WINDOW`] holds no more than
+//! [`BURST_FACTOR`] times what the limit allows in it, and [`EXTRA_REQUESTS`] requests.
 
 use std::{sync::Arc, time::Duration};
 
-/// Time from the first naming of a limit until it binds.
+/// Time from the first answer that names a limit until the limit binds all hosts.
 pub const BINDING_DELAY: Duration = Duration::from_secs(3);
 
 /// The sliding window in which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 
-/// Times of the limit that are allowed.
+/// Multiple of the limit that is allowed in a window.
 pub const BURST_FACTOR: f64 = 1.5;
 
-/// Requests that are allowed besides.
+/// Requests that are allowed in a window in addition.
 pub const EXTRA_REQUESTS: f64 = 5.0;
 
-/// Time in which news of a limit reaches all hosts, and what they had sent arrives.
+/// Time within which all hosts learn of a changed limit, and requests that they sent before arrive.
 pub const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that came to one server, and the limits that its answers named; times are since its start.
+/// Arrivals of requests at one server, and the limits that its answers named. Times are since the
+/// server's start, unless [`Quota::shifted`].
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
-    /// Each request, whatever became of it.
+    /// Id and time of each request, also of those that were rejected.
     pub arrivals: Vec<(Arc<str>, Duration)>,
-    /// Each change of the limit, from the first answer that named it.
+    /// Each change of the limit in requests per second, from the first answer that named one;
+    /// `None` once answers name no valid limit.
     pub limits: Vec<(Duration, Option<f64>)>,
 }
 
 /// A window that holds too many requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
-    /// When the last of them came.
+    /// When the last request of the window arrived.
     pub at: Duration,
-    /// Requests in the window.
+    /// Number of requests in the window.
     pub requests: usize,
-    /// Requests that were allowed.
+    /// Greatest number of requests that the rule allows in it.
     pub allowed: usize,
 }
 
@@ -54,17 +57,17 @@
         }
     }
 
-    /// The same with all times so much later.
+    /// The same with all times moved later by `by`, to bring them to another clock.
     pub fn shifted(mut self, by: Duration) -> Quota {
         self.arrivals.iter_mut().for_each(|(_, at)| *at += by);
         self.limits.iter_mut().for_each(|(at, _)| *at += by);
         self
     }
 
-    /// The first window that holds too many of the requests that count.
+    /// The first window that holds more requests than allowed, of those for which `counts` is true.
     ///
-    /// Windows in which too many had come before the news of a limit could have reached the hosts are left
-    /// out: nothing that a host does could make them hold.
+    /// Windows are left out in which more than allowed had arrived before the hosts could learn of
+    /// the limit, because no host could have prevented that.
     pub fn excess(&self, counts: impl Fn(&str, Duration) -> bool) -> Option<Excess> {
         let arrivals: Vec<Duration> =
             self.arrivals.iter().filter(|(id, at)| counts(id, *at)).map(|(_, at)| *at).collect();
@@ -81,23 +84,23 @@
         (0..arrivals.len()).find_map(too_many)
     }
 
-    /// Requests allowed in the window that ends then, and since when a limit has been named; none if no
-    /// limit binds.
+    /// Requests allowed in the window that ends at `at`, and the time since which answers have
+    /// named a limit; `None` if no limit binds.
     fn allowed(&self, at: Duration) -> Option<(usize, Duration)> {
         let end = self.limits.partition_point(|(named, _)| *named <= at);
-        let known = &self.limits[..end];
-        let start = known.iter().rposition(|(_, limit)| limit.is_none()).map_or(0, |last| last + 1);
-        let (since, _) = known.get(start)?;
+        let named = &self.limits[..end];
+        let start = named.iter().rposition(|(_, limit)| limit.is_none()).map_or(0, |last| last + 1);
+        let (since, _) = named.get(start)?;
         if at < *since + BINDING_DELAY {
             return None;
         }
-        // A limit holds until the next is named and its news has spread.
-        let ends = known[start..]
+        // A limit stays allowed until the hosts have learnt of the next one.
+        let ends = named[start..]
             .iter()
             .skip(1)
             .map(|(next, _)| *next + PROPAGATION_TIME)
             .chain([at + WINDOW]);
-        let in_force = known[start..].iter().zip(ends).filter(|(_, end)| at < *end + WINDOW);
+        let in_force = named[start..].iter().zip(ends).filter(|(_, end)| at < *end + WINDOW);
         let limit = in_force.filter_map(|((_, limit), _)| *limit).fold(0.0, f64::max);
         Some((
             (BURST_FACTOR * limit * WINDOW.as_secs_f64() + EXTRA_REQUESTS).floor() as usize,
--- a/crates/standin/src/routed/server/script.rs
+++ b/crates/standin/src/routed/server/script.rs
@@ -1,31 +1,32 @@
-//! How a server behaves, and how it misbehaves.
+//! Scripts of the server stand-ins: their timing and their faults.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
 use http::StatusCode;
 
-/// How a server behaves.
+/// The behaviour of a server, which tests may change while it runs.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Time until the head of an answer, and until a stream's first event.
+    /// Time from the start of a run to the head of the answer; a stream's first event follows at
+    /// once.
     pub work_time: Duration,
-    /// Events of a stream.
+    /// Number of events of a complete stream.
     pub events: u64,
-    /// Time between events.
+    /// Time between the events of a stream.
     pub event_interval: Duration,
-    /// Faults of the next requests, one each.
+    /// Faults of the next requests, one per request.
     pub faults: VecDeque<Fault>,
-    /// The fault of every request beyond those.
+    /// The fault of every request after `faults` is used up; `None` serves them soundly.
     pub default_fault: Option<Fault>,
-    /// Faults of the next orders, one each.
+    /// Faults of the next orders, one per order.
     pub order_faults: VecDeque<OrderFault>,
-    /// A request whose body holds this crashes the server.
+    /// A request whose body contains this text crashes the server.
     pub poison: Option<&'static str>,
-    /// Age of its reports.
+    /// How old the state is that load reports show.
     pub report_age: Duration,
-    /// Time that loads take.
+    /// How long the load of a model or adapter takes.
     pub load_time: Duration,
-    /// The limit that its answers name, in whatever words.
+    /// Text of the rate limit that answers name, valid or not; `None` names no limit.
     pub limit: Option<Arc<str>>,
 }
 
@@ -47,64 +48,65 @@
 }
 
 impl Script {
-    pub(super) fn fault(&mut self) -> Option<Fault> {
+    /// Takes the fault of the next request.
+    pub(super) fn take_fault(&mut self) -> Option<Fault> {
         self.faults.pop_front().or(self.default_fault)
     }
 }
 
-/// How one request fares.
+/// The fault of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It does not run, and the answer says so.
+    /// It doesn't run, and the answer with this status says so.
     NotRun(StatusCode),
-    /// It runs and fails, sealed.
+    /// It runs, and is answered with this status and the server's seal.
     Failed(StatusCode),
-    /// It runs, and its answer is lost with the connection.
+    /// It runs, and the connection is closed without an answer.
     Lost,
-    /// It runs, and no answer comes.
+    /// It runs and is never answered; the connection stays open until the caller closes it.
     Silent,
-    /// Its answer has no seal.
+    /// The answer has no seal.
     Unsealed,
-    /// Its answer names another request.
+    /// The answer has the id of another request.
     OtherId,
-    /// Its answer ends before its length is reached.
+    /// The connection is closed before the announced length of the answer is sent.
     Truncated,
-    /// Its answer has no length and ends with the connection.
+    /// The answer has no length and ends with the connection.
     Unframed,
-    /// Its answer has no length, and the connection is reset in the middle.
+    /// The answer has no length, and the connection is reset halfway through it.
     UnframedReset,
-    /// Bytes come that are no answer.
+    /// Bytes are sent that aren't HTTP, and the connection is closed.
     Garbled,
-    /// A second answer follows at once.
+    /// A second answer is sent right after the first.
     Doubled,
-    /// A second answer comes when the connection's next request is due an answer.
+    /// A second answer is sent before the answer to the connection's next request.
     DoubledLate,
-    /// Its answer comes under an encoding.
+    /// The answer claims `Content-Encoding: gzip`.
     Encoded,
-    /// Its connection is closed after the answer, as the answer says.
+    /// The answer has `Connection: close`, and the connection is closed after it.
     Closing,
-    /// The stream breaks off after some events, in the middle of the next.
+    /// The connection is closed in the middle of a stream's event.
     Broken {
-        /// Whole events before the break.
+        /// Complete events before it.
         events: u64,
     },
-    /// The stream falls silent after some events.
+    /// The stream stops without an end; the connection stays open until the caller closes it.
     Stalled {
-        /// Events before the silence.
+        /// Events before the stop.
         events: u64,
     },
-    /// The stream ends as if it were complete after some events.
+    /// The stream ends early, framed as if it were complete.
     Short {
         /// Events before the end.
         events: u64,
     },
 }
 
-/// How one order fares.
+/// The fault of one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It is taken, and its answer is lost.
+    /// It is judged and applied, and the connection is closed without an answer.
     Lost,
-    /// It gets no answer, and is judged and carried out after this time.
+    /// It is never answered, and is judged and applied after this time.
     Late(Duration),
 }
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -1,4 +1,4 @@
-//! The way of a request through a server.
+//! Handling of a connection: requests, orders, reports and health checks.
 
 use std::{io, sync::Arc};
 
@@ -12,7 +12,7 @@
 use super::{Arrival, Ending, Fault, OrderFault, Run, Shared, work::Work};
 use crate::routed::{lock, wire::Connection};
 
-/// What becomes of a connection after an answer.
+/// What is done with a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum After {
     Keep,
@@ -20,7 +20,7 @@
     Reset,
 }
 
-/// An answer of another request that is due on the connection.
+/// A second answer to an earlier request of the connection, to be sent before the next answer.
 pub(super) type Duplicate = Option<Vec<u8>>;
 
 pub(super) async fn serve(shared: Arc<Shared>, mut connection: Connection) {
@@ -127,7 +127,7 @@
     outcome
 }
 
-/// Answers a request that does not run.
+/// Answers a request that isn't run.
 async fn not_run(
     shared: &Shared,
     connection: &mut Connection,
@@ -147,14 +147,14 @@
     connection.write(&response).await.map(|()| After::Keep)
 }
 
-/// A place among those that run, or that wait to.
+/// A request's place in the queue, then its slot; given up when dropped.
 struct Slot<'a> {
     shared: &'a Shared,
     is_running: bool,
 }
 
 impl<'a> Slot<'a> {
-    /// Takes a place, or none if the server is full.
+    /// Enters the queue; `None` if all slots and the queue are taken.
     fn enqueue(shared: &'a Shared) -> Option<Slot<'a>> {
         let settings = &shared.settings;
         let is_taken = shared.load.send_if_modified(|load| {
@@ -165,7 +165,7 @@
         is_taken.then(|| Slot { shared, is_running: false })
     }
 
-    /// Waits for a slot.
+    /// Waits for a free slot and takes it.
     async fn acquire(&mut self) {
         let mut changes = self.shared.load.subscribe();
         while !self.is_running {
@@ -210,7 +210,7 @@
     if !shared.inventory().has(incoming.model.as_ref(), incoming.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
-    let fault = lock(&shared.script).fault();
+    let fault = lock(&shared.script).take_fault();
     if let Some(Fault::NotRun(status)) = fault {
         return not_run(shared, connection, &head, status).await;
     }
@@ -231,7 +231,7 @@
     Ok(after)
 }
 
-/// What a request met before it ran.
+/// What is known of a request before it runs.
 struct Received {
     arrived_at: Instant,
     fault: Option<Fault>,
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -1,4 +1,4 @@
-//! A run and its answer, spoilt as the script wants it.
+//! Execution of a request, and its answer with the faults of the script.
 
 use std::{io, sync::Arc};
 
@@ -17,13 +17,13 @@
     wire::{self, Connection, Framing},
 };
 
-/// Bytes that are no answer.
+/// Bytes that aren't an HTTP answer; they begin like a TLS record.
 const NOT_HTTP: &[u8] = b"\x16\x03\x01 no answer at all\r\n\r\n";
 
-/// What ends a body in chunks.
+/// The chunk that ends a body in chunked transfer encoding.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A run and its answer.
+/// A run that is to be answered.
 pub(super) struct Work<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) run: usize,
@@ -47,7 +47,7 @@
         let is_model_server = self.shared.inventory().is_model_server();
         if is_poison {
             if is_model_server {
-                // Its caller has the head of an answer by then.
+                // The caller gets the head of an answer before the crash.
                 let _ = self.connection.write_raw(&self.stream_head()).await;
             }
             self.shared.crash();
@@ -58,7 +58,7 @@
         outcome.unwrap_or((Ending::CallerClosed, After::Close))
     }
 
-    /// The head of the answer, spoilt as the fault wants it.
+    /// The head of the answer, changed as the fault requires.
     fn head(&self) -> Response<Bytes> {
         let mut response = Response::new(Bytes::new());
         if let Some(Fault::Failed(status)) = self.fault {
@@ -87,7 +87,7 @@
         response
     }
 
-    /// Whether no byte of the answer's head leaves, so that it names nothing.
+    /// Whether no byte of the answer's head is sent, so that it can't name a limit.
     fn is_head_withheld(&self) -> bool {
         matches!(self.fault, Some(Fault::Lost | Fault::Silent | Fault::Garbled))
     }
@@ -169,7 +169,7 @@
         self.events().await
     }
 
-    /// The head of a stream.
+    /// The bytes of the head of a stream.
     fn stream_head(&self) -> Vec<u8> {
         let mut head = self.head();
         remote::streams(head.headers_mut());
