--- a/crates/standin/tests/reports.rs
+++ b/crates/standin/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports: what the reader sees stays whole although the wire leaves residents out.
+//! Load reports: the reader returns all residents although unchanged ones are left out on the wire.
 
 use ::backend::{Client, reports::Reader};
 use meter::Meter;
@@ -19,29 +19,29 @@
     }
 }
 
-fn big() -> Settings {
+fn many_residents() -> Settings {
     let settings = Settings::new("lm-1").with_model("welcome", "v1", 1_000);
     (0..20).fold(settings, |s, place| s.with_adapter("welcome", &format!("lang-{place}"), "v1", 10))
 }
 
 #[tokio::test]
 async fn known_residents_are_left_out_and_filled_in() {
-    let engine = Engine::start(big()).await.unwrap();
+    let engine = Engine::start(many_residents()).await.unwrap();
     let meter = Meter::default();
     let client = Client::metered(meter.clone());
     let mut reader = Reader::new(engine.address());
     let first = reader.read(&client).await.unwrap();
-    let whole = meter.received();
+    let full = meter.received();
     let second = reader.read(&client).await.unwrap();
-    let brief = meter.received() - whole;
+    let brief = meter.received() - full;
     assert_eq!(first.residents.len(), 21);
     assert_eq!(first.residents, second.residents);
-    assert!(brief * 3 < whole, "{brief} bytes against {whole}");
+    assert!(brief * 3 < full, "second report: {brief} bytes, first: {full} bytes");
 }
 
 #[tokio::test]
 async fn changed_residents_are_sent_again() {
-    let engine = Engine::start(big()).await.unwrap();
+    let engine = Engine::start(many_residents()).await.unwrap();
     let client = Client::new();
     let mut reader = Reader::new(engine.address());
     reader.read(&client).await.unwrap();
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of a routed deployment: both sides' codecs agree, and the store and servers keep
-//! their promises to the adapter that the product uses.
+//! The stand-ins for a routed deployment: the codecs of both ends agree, and the store and the
+//! servers behave towards the product's adapter as the platform's protocol requires.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -13,7 +13,7 @@
     remote::{entry, server},
 };
 use relay::edge::{
-    Call, Change, Dialect, Kind as Of, Object, Operation, Order, OrderStatus, StoreReply,
+    Call, Change, Dialect, Kind as ObjectKind, Object, Operation, Order, OrderStatus, StoreReply,
     WatchBatch,
 };
 use rstest::rstest;
@@ -30,13 +30,13 @@
     self, Declaration, Engine, Held, Kind, Limits, Model, Report, Route, Service, Share, State,
 };
 
-/// How long a call waits for its answer.
+/// How long a call waits for its answer before it counts as unanswered.
 const LIMIT: Duration = Duration::from_millis(400);
 
-/// When a late call is judged: well after what a test does before.
+/// Delay after which a late call is judged; far longer than what a test does before that.
 const LATE: Duration = Duration::from_secs(2);
 
-/// Sends a call as the product does; nothing if no answer comes.
+/// Sends a call as the product does; `None` if it isn't answered within [`LIMIT`].
 async fn exchange(address: SocketAddr, request: Request<Bytes>) -> Option<Response<Bytes>> {
     let sending = async {
         let stream = TcpStream::connect(address).await.ok()?;
@@ -49,7 +49,7 @@
     tokio::time::timeout(LIMIT, sending).await.ok()?
 }
 
-async fn told(address: SocketAddr, call: &Call<'_>) -> StoreReply {
+async fn store_reply(address: SocketAddr, call: &Call<'_>) -> StoreReply {
     match exchange(address, Platform.store_call(call)).await {
         Some(response) => Platform.store_reply(call, &response),
         None => StoreReply::Unclear,
@@ -58,16 +58,16 @@
 
 async fn store() -> (Store, SocketAddr) {
     let store = Store::new();
-    let address = store.open("door").await.unwrap();
+    let address = store.open("main").await.unwrap();
     (store, address)
 }
 
 fn create<'a>(name: &'a str, content: &'a Value) -> Call<'a> {
-    Call::Create { kind: Of::Lease, name, content }
+    Call::Create { kind: ObjectKind::Lease, name, content }
 }
 
 fn replace<'a>(name: &'a str, revision: u64, content: &'a Value) -> Call<'a> {
-    Call::Replace { kind: Of::Lease, name, revision, content }
+    Call::Replace { kind: ObjectKind::Lease, name, revision, content }
 }
 
 fn engine() -> Engine {
@@ -143,7 +143,7 @@
     assert_eq!(Platform.declaration(&object("main", content)), Some(declaration()));
 }
 
-/// The longest of two seconds, four latency objectives and eight pauses.
+/// A stream may be silent for the longest of two seconds, four latency objectives and eight gaps.
 #[rstest]
 #[case::least(400, 150, 2_000)]
 #[case::objective(800, 250, 3_200)]
@@ -158,7 +158,7 @@
     written.routes[0].gap = Some(Duration::from_millis(gap));
     let read = Platform.declaration(&object("main", entry::declaration(&written))).unwrap();
     assert_eq!(read.routes[0].silence, Some(Duration::from_millis(silence)));
-    assert_eq!(read.routes[1].silence, None, "its answers come whole");
+    assert_eq!(read.routes[1].silence, None, "only streams have a limit of silence");
 }
 
 #[test]
@@ -203,72 +203,88 @@
 
 #[tokio::test]
 async fn objects_change_only_under_their_condition() {
-    let (store, door) = store().await;
-    let (one, two) = (json!({"n": 1}), json!({"n": 2}));
-    let StoreReply::Object(made) = told(door, &create("x", &one)).await else {
+    let (store, endpoint) = store().await;
+    let (first, second) = (json!({"n": 1}), json!({"n": 2}));
+    let StoreReply::Object(created) = store_reply(endpoint, &create("x", &first)).await else {
         panic!("not created")
     };
     assert!(
-        matches!(told(door, &create("x", &two)).await, StoreReply::Conflict(Some(held)) if held.content == one)
+        matches!(store_reply(endpoint, &create("x", &second)).await, StoreReply::Conflict(Some(held)) if held.content == first)
     );
-    let stale = told(door, &replace("x", made.revision - 1, &two)).await;
-    assert!(matches!(stale, StoreReply::Conflict(Some(held)) if held.revision == made.revision));
-    let StoreReply::Object(same) = told(door, &replace("x", made.revision, &one)).await else {
+    let stale = store_reply(endpoint, &replace("x", created.revision - 1, &second)).await;
+    assert!(matches!(stale, StoreReply::Conflict(Some(held)) if held.revision == created.revision));
+    let StoreReply::Object(same) =
+        store_reply(endpoint, &replace("x", created.revision, &first)).await
+    else {
         panic!("not replaced")
     };
-    assert_eq!(same.revision, made.revision, "nothing has changed");
-    let StoreReply::Object(next) = told(door, &replace("x", made.revision, &two)).await else {
+    assert_eq!(same.revision, created.revision, "an unchanged object keeps its revision");
+    let StoreReply::Object(replaced) =
+        store_reply(endpoint, &replace("x", created.revision, &second)).await
+    else {
         panic!("not replaced")
     };
-    assert!(made.revision < next.revision);
-    assert!(matches!(told(door, &replace("y", 1, &two)).await, StoreReply::Absent));
+    assert!(created.revision < replaced.revision);
+    assert!(matches!(store_reply(endpoint, &replace("y", 1, &second)).await, StoreReply::Absent));
 
-    let delete = |revision| Call::Delete { kind: Of::Lease, name: "x", revision };
-    assert!(matches!(told(door, &delete(made.revision)).await, StoreReply::Conflict(_)));
-    assert!(matches!(told(door, &delete(next.revision)).await, StoreReply::Absent));
+    let delete = |revision| Call::Delete { kind: ObjectKind::Lease, name: "x", revision };
     assert!(matches!(
-        told(door, &Call::Get { kind: Of::Lease, name: "x" }).await,
+        store_reply(endpoint, &delete(created.revision)).await,
+        StoreReply::Conflict(_)
+    ));
+    assert!(matches!(store_reply(endpoint, &delete(replaced.revision)).await, StoreReply::Absent));
+    assert!(matches!(
+        store_reply(endpoint, &Call::Get { kind: ObjectKind::Lease, name: "x" }).await,
         StoreReply::Absent
     ));
-    assert_eq!((store.count("door").reads, store.count("door").writes), (1, 8));
+    assert_eq!((store.count("main").reads, store.count("main").writes), (1, 8));
 }
 
 #[tokio::test]
 async fn a_list_comes_in_pages() {
-    let (store, door) = store().await;
+    let (store, endpoint) = store().await;
     store.set_page_size(2);
     for name in ["c", "a", "b"] {
-        told(door, &create(name, &json!({}))).await;
+        store_reply(endpoint, &create(name, &json!({}))).await;
     }
-    let list = |after| Call::List { kind: Of::Lease, after };
-    let StoreReply::Page(first) = told(door, &list(None)).await else { panic!("no page") };
+    let list = |after| Call::List { kind: ObjectKind::Lease, after };
+    let StoreReply::Page(first) = store_reply(endpoint, &list(None)).await else {
+        panic!("no page")
+    };
     let names: Vec<&str> = first.objects.iter().map(|object| &*object.name).collect();
     assert_eq!((names, first.more, first.revision), (vec!["a", "b"], true, store.revision()));
-    let StoreReply::Page(second) = told(door, &list(Some("b"))).await else { panic!("no page") };
+    let StoreReply::Page(second) = store_reply(endpoint, &list(Some("b"))).await else {
+        panic!("no page")
+    };
     assert_eq!((second.objects.len(), second.more), (1, false));
 }
 
 #[tokio::test]
 async fn a_watch_sees_each_change_once_until_history_is_gone() {
-    let (store, door) = store().await;
-    let watch = |since| Call::Watch { kind: Of::Lease, since, wait: Duration::from_millis(200) };
-    let began = store.revision();
-    let waiting = tokio::spawn(async move { told(door, &watch(began)).await });
-    until("the watch waits", async || store.count("door").watches == 1).await;
-    told(door, &create("x", &json!({}))).await;
+    let (store, endpoint) = store().await;
+    let watch =
+        |since| Call::Watch { kind: ObjectKind::Lease, since, wait: Duration::from_millis(200) };
+    let since = store.revision();
+    let waiting = tokio::spawn(async move { store_reply(endpoint, &watch(since)).await });
+    until("the watch is waiting", async || store.count("main").watches == 1).await;
+    store_reply(endpoint, &create("x", &json!({}))).await;
     let StoreReply::Seen(WatchBatch { changes, revision }) = waiting.await.unwrap() else {
-        panic!("unseen")
+        panic!("no batch of changes")
     };
     assert!(matches!(&changes[..], [Change::Written(object)] if &*object.name == "x"));
-    let StoreReply::Seen(none) = told(door, &watch(revision)).await else { panic!("unseen") };
+    let StoreReply::Seen(none) = store_reply(endpoint, &watch(revision)).await else {
+        panic!("no batch of changes")
+    };
     assert!(none.changes.is_empty());
 
-    store.remove(&platform::remote::store::kind(Of::Lease), "x");
-    let StoreReply::Seen(seen) = told(door, &watch(revision)).await else { panic!("unseen") };
+    store.remove(&platform::remote::store::kind(ObjectKind::Lease), "x");
+    let StoreReply::Seen(seen) = store_reply(endpoint, &watch(revision)).await else {
+        panic!("no batch of changes")
+    };
     assert!(matches!(&seen.changes[..], [Change::Removed { name, .. }] if &**name == "x"));
     store.compact();
-    assert!(matches!(told(door, &watch(revision)).await, StoreReply::Compacted));
-    assert!(matches!(told(door, &watch(store.revision())).await, StoreReply::Seen(_)));
+    assert!(matches!(store_reply(endpoint, &watch(revision)).await, StoreReply::Compacted));
+    assert!(matches!(store_reply(endpoint, &watch(store.revision())).await, StoreReply::Seen(_)));
 }
 
 #[rstest]
@@ -278,14 +294,14 @@
 #[case::silence(Refusal::Silence)]
 #[tokio::test]
 async fn a_caller_that_is_turned_away_changes_nothing(#[case] refusal: Refusal) {
-    let (store, door) = store().await;
+    let (store, endpoint) = store().await;
     let other = store.open("other").await.unwrap();
-    store.set_faults("door", |faults| faults.refusal = Some(refusal));
-    let refused = told(door, &create("x", &json!({}))).await;
-    let says_so = matches!(refusal, Refusal::Down | Refusal::TooMany);
-    assert_eq!(matches!(refused, StoreReply::Refused), says_so, "{refused:?}");
-    assert!(matches!(told(other, &create("x", &json!({}))).await, StoreReply::Object(_)));
-    assert_eq!((store.count("door").refused, store.count("other").refused), (1, 0));
+    store.set_faults("main", |faults| faults.refusal = Some(refusal));
+    let refused = store_reply(endpoint, &create("x", &json!({}))).await;
+    let is_answered = matches!(refusal, Refusal::Down | Refusal::TooMany);
+    assert_eq!(matches!(refused, StoreReply::Refused), is_answered, "{refused:?}");
+    assert!(matches!(store_reply(other, &create("x", &json!({}))).await, StoreReply::Object(_)));
+    assert_eq!((store.count("main").refused, store.count("other").refused), (1, 0));
 }
 
 #[rstest]
@@ -293,29 +309,33 @@
 #[case::carried_out_late(|faults: &mut Faults| faults.late_write = Some(LATE))]
 #[tokio::test]
 async fn a_write_without_an_answer_takes_effect(#[case] change: fn(&mut Faults)) {
-    let (store, door) = store().await;
-    store.set_faults("door", change);
-    assert!(matches!(told(door, &create("x", &json!({}))).await, StoreReply::Unclear));
-    let kind = platform::remote::store::kind(Of::Lease);
+    let (store, endpoint) = store().await;
+    store.set_faults("main", change);
+    assert!(matches!(store_reply(endpoint, &create("x", &json!({}))).await, StoreReply::Unclear));
+    let kind = platform::remote::store::kind(ObjectKind::Lease);
     until("the write takes effect", async || store.object(&kind, "x").is_some()).await;
 }
 
 #[tokio::test]
 async fn a_late_write_whose_condition_no_longer_holds_does_nothing() {
-    let (store, door) = store().await;
-    let StoreReply::Object(made) = told(door, &create("x", &json!(1))).await else { panic!("no") };
-    store.set_faults("door", |faults| faults.late_write = Some(LATE));
+    let (store, endpoint) = store().await;
+    let StoreReply::Object(created) = store_reply(endpoint, &create("x", &json!(1))).await else {
+        panic!("not created")
+    };
+    store.set_faults("main", |faults| faults.late_write = Some(LATE));
     assert!(matches!(
-        told(door, &replace("x", made.revision, &json!(2))).await,
+        store_reply(endpoint, &replace("x", created.revision, &json!(2))).await,
         StoreReply::Unclear
     ));
-    let StoreReply::Object(next) = told(door, &replace("x", made.revision, &json!(3))).await else {
+    let StoreReply::Object(replaced) =
+        store_reply(endpoint, &replace("x", created.revision, &json!(3))).await
+    else {
         panic!("not replaced")
     };
-    until("the late write is judged", async || store.count("door").late_writes == 1).await;
-    let kind = platform::remote::store::kind(Of::Lease);
+    until("the late write has been judged", async || store.count("main").late_writes == 1).await;
+    let kind = platform::remote::store::kind(ObjectKind::Lease);
     let held = store.object(&kind, "x").unwrap();
-    assert_eq!((held.revision, held.content), (next.revision, json!(3)));
+    assert_eq!((held.revision, held.content), (replaced.revision, json!(3)));
 }
 
 fn order(operation: Operation, model: &str, adapter: Option<&str>, expected: u64) -> Order {
@@ -330,7 +350,7 @@
     }
 }
 
-async fn ordered(server: &Server, order: &Order) -> OrderStatus {
+async fn order_status(server: &Server, order: &Order) -> OrderStatus {
     let response = exchange(server.address(), Platform.order_call(order)).await;
     response.map_or(OrderStatus::Unknown, |response| Platform.order_reply(&response).status)
 }
@@ -346,23 +366,27 @@
 #[tokio::test]
 async fn orders_are_judged_by_what_is_expected() {
     let server = model_server().await;
-    assert_eq!(ordered(&server, &load("m1", 0)).await, OrderStatus::Holds);
-    assert_eq!(ordered(&server, &load("m2", 1)).await, OrderStatus::Conflict);
-    assert_eq!(ordered(&server, &load("m9", 0)).await, OrderStatus::Invalid);
-    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Accepted);
-    assert_eq!(ordered(&server, &load("m3", 1)).await, OrderStatus::Conflict, "it is busy");
+    assert_eq!(order_status(&server, &load("m1", 0)).await, OrderStatus::Holds);
+    assert_eq!(order_status(&server, &load("m2", 1)).await, OrderStatus::Conflict);
+    assert_eq!(order_status(&server, &load("m9", 0)).await, OrderStatus::Invalid);
+    assert_eq!(order_status(&server, &load("m2", 0)).await, OrderStatus::Accepted);
+    assert_eq!(
+        order_status(&server, &load("m3", 1)).await,
+        OrderStatus::Conflict,
+        "the server is loading another model"
+    );
     let adapter = |operation, expected| order(operation, "m1", Some("a1"), expected);
-    assert_eq!(ordered(&server, &adapter(Operation::Load, 1)).await, OrderStatus::Accepted);
+    assert_eq!(order_status(&server, &adapter(Operation::Load, 1)).await, OrderStatus::Accepted);
     let registration = server.registration();
-    until("both are held", async || {
+    until("the model and the adapter are held", async || {
         let held = registration.borrow().models.clone();
         held.len() == 2 && held[0].adapters.len() == 1
     })
     .await;
-    assert_eq!(ordered(&server, &adapter(Operation::Unload, 2)).await, OrderStatus::Holds);
+    assert_eq!(order_status(&server, &adapter(Operation::Unload, 2)).await, OrderStatus::Holds);
     assert_eq!(registration.borrow().sequence, 3);
     let elsewhere = Order { server: "lm-2".into(), ..load("m3", 3) };
-    assert_eq!(ordered(&server, &elsewhere).await, OrderStatus::NotThere);
+    assert_eq!(order_status(&server, &elsewhere).await, OrderStatus::NotThere);
     assert_eq!(server.overload(), None);
 }
 
@@ -373,9 +397,9 @@
 async fn an_order_without_an_answer_is_carried_out(#[case] fault: OrderFault) {
     let server = model_server().await;
     server.script(|script| script.order_faults = [fault].into());
-    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
+    assert_eq!(order_status(&server, &load("m2", 0)).await, OrderStatus::Unknown);
     let registration = server.registration();
-    until("it is carried out", async || registration.borrow().models.len() == 2).await;
+    until("the order is applied", async || registration.borrow().models.len() == 2).await;
     assert_eq!(registration.borrow().sequence, 1);
 }
 
@@ -383,52 +407,52 @@
 async fn a_late_order_after_another_does_nothing() {
     let server = model_server().await;
     server.script(|script| script.order_faults = [OrderFault::Late(LATE)].into());
-    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Unknown);
-    assert_eq!(ordered(&server, &load("m3", 0)).await, OrderStatus::Accepted);
-    until("the late one is judged", async || server.orders().len() == 2).await;
+    assert_eq!(order_status(&server, &load("m2", 0)).await, OrderStatus::Unknown);
+    assert_eq!(order_status(&server, &load("m3", 0)).await, OrderStatus::Accepted);
+    until("the late order has been judged", async || server.orders().len() == 2).await;
     assert_eq!(server.orders()[1].outcome, OrderStatus::Conflict);
 }
 
 #[tokio::test]
 async fn a_server_that_is_ordered_too_much_ends() {
     let server = model_server().await;
-    assert_eq!(ordered(&server, &load("m2", 0)).await, OrderStatus::Accepted);
+    assert_eq!(order_status(&server, &load("m2", 0)).await, OrderStatus::Accepted);
     let registration = server.registration();
-    until("it is held", async || registration.borrow().models.len() == 2).await;
-    ordered(&server, &load("m3", 1)).await;
+    until("the model is held", async || registration.borrow().models.len() == 2).await;
+    order_status(&server, &load("m3", 1)).await;
     assert_eq!(server.overload(), Some(Overload::Weights));
-    assert_eq!(ordered(&server, &load("m1", 1)).await, OrderStatus::Unknown);
+    assert_eq!(order_status(&server, &load("m1", 1)).await, OrderStatus::Unknown);
 }
 
-/// Requests that a full server turns away leave its count of those that wait as it was.
+/// Requests that a full server rejects must not change its count of waiting requests.
 #[tokio::test]
 async fn a_full_server_takes_as_many_as_before_once_it_has_room() {
     let settings = Settings { slots: 1, queue: 1, ..Settings::plain("app-1", "app") };
     let server = Server::start(settings).await.unwrap();
     server.script(|script| script.work_time = Duration::from_millis(300));
-    let ask = || RequestSpec::to("a.example", "/pages/x");
+    let request = || RequestSpec::to("a.example", "/pages/x");
     for _ in 0..2 {
         let mut callers = JoinSet::new();
         for _ in 0..5 {
             let mut caller = Caller::new(server.address());
-            callers.spawn(async move { caller.fetch(&ask()).await.unwrap().status });
+            callers.spawn(async move { caller.fetch(&request()).await.unwrap().status });
         }
         let statuses = callers.join_all().await;
         let taken = statuses.iter().filter(|status| status.is_success()).count();
-        assert_eq!(taken, 2, "one runs and one waits: {statuses:?}");
+        assert_eq!(taken, 2, "one request runs and one waits: {statuses:?}");
     }
 }
 
-/// Else a host or a server would be taken for one of another site that had its port before.
+/// Guards against a host or server being mistaken for one of another site that had its port before.
 #[tokio::test]
 async fn sites_side_by_side_have_addresses_of_their_own() {
     let mut addresses = BTreeSet::new();
     for _ in 0..3 {
         let backend = Backend::start(vec![Settings::plain("app-1", "app")]).await.unwrap();
-        let door = backend.store.open("host-0").await.unwrap();
-        let settings = site::settings("host-0", 0, door, &[]);
+        let endpoint = backend.store.open("host-0").await.unwrap();
+        let settings = site::settings("host-0", 0, endpoint, &[]);
         let host: SocketAddr = settings["host"]["peers"].as_str().unwrap().parse().unwrap();
         let server = backend.server("app-1").address();
-        assert!([door, host, server].into_iter().all(|address| addresses.insert(address.ip())));
+        assert!([endpoint, host, server].into_iter().all(|address| addresses.insert(address.ip())));
     }
 }
