--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -7,7 +7,7 @@
 use relay::Running;
 use settings::process::Process;
 use standin::routed::{
-    caller::{Ask, Caller},
+    caller::{Caller, RequestSpec},
     server::Settings,
     site::{self, Backend},
 };
@@ -59,17 +59,17 @@
     Ok(relay::start(settings, routed, Arc::new(Platform)).await?)
 }
 
-fn requests() -> [Ask; 3] {
+fn requests() -> [RequestSpec; 3] {
     [
-        Ask::to(HOST, "/drafts/welcome").model("welcome"),
-        Ask::to(HOST, "/login/"),
-        Ask::to(HOST, "/tickets/rooms/12").send(Method::POST, "room 12"),
+        RequestSpec::to(HOST, "/drafts/welcome").model("welcome"),
+        RequestSpec::to(HOST, "/login/"),
+        RequestSpec::to(HOST, "/tickets/rooms/12").with_body(Method::POST, "room 12"),
     ]
 }
 
 /// Shell command that sends the same request.
-fn curl(callers: SocketAddr, spec: &Ask) -> String {
-    let request = spec.again().request();
+fn curl(callers: SocketAddr, spec: &RequestSpec) -> String {
+    let request = spec.with_new_id().request();
     let headers =
         request.headers().iter().filter(|(name, _)| *name != http::header::CONTENT_LENGTH);
     let headers = headers
@@ -82,21 +82,21 @@
 
 /// Sends a request and prints the answer. Retries after 503 when its `Retry-After` has passed, or
 /// [`RETRY_DELAY`] without one.
-async fn print_answer(callers: SocketAddr, request: &Ask) -> Result<(), Box<dyn Error>> {
+async fn print_answer(callers: SocketAddr, request: &RequestSpec) -> Result<(), Box<dyn Error>> {
     let mut caller = Caller::new(callers);
     for _ in 0..MAX_ATTEMPTS {
         let answer =
-            caller.ask(&request.again()).await.map_err(|failure| format!("{failure:?}"))?;
+            caller.fetch(&request.with_new_id()).await.map_err(|failure| format!("{failure:?}"))?;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             println!(
                 "\n{} {}:\n{}",
-                request.ask.path,
+                request.info.path,
                 answer.status,
                 String::from_utf8_lossy(&answer.body)
             );
             return Ok(());
         }
-        tokio::time::sleep(answer.told.retry_after.unwrap_or(RETRY_DELAY)).await;
+        tokio::time::sleep(answer.metadata.retry_after.unwrap_or(RETRY_DELAY)).await;
     }
     Err("every attempt was refused with 503".into())
 }
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 use rstest::rstest;
-use standin::routed::{caller::Ask, host::Host, site::Site, until};
+use standin::routed::{caller::RequestSpec, host::Host, site::Site, until};
 use types::routed::{Declaration, Kind};
 
 use crate::site::{
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn the_longest_prefix_takes_a_request(#[case] path: &str, #[case] service: &str) {
     let site = site(1).await;
-    let server = server_of(&site.hosts[0], &Ask::to(HOST, path)).await.unwrap();
+    let server = server_of(&site.hosts[0], &RequestSpec::to(HOST, path)).await.unwrap();
     assert!(server.starts_with(service), "{path} went to {server}");
 }
 
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn what_no_route_takes_is_not_found(#[case] host: &str, #[case] path: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&Ask::to(host, path)).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&RequestSpec::to(host, path)).await.unwrap();
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
     assert_eq!(site.backend.runs(), 0);
 }
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn a_host_is_known_however_it_is_spelled(#[case] host: &str) {
     let site = site(1).await;
-    let answer = site.hosts[0].caller().ask(&Ask::to(host, "/pages/x")).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&RequestSpec::to(host, "/pages/x")).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
 }
 
@@ -51,13 +51,13 @@
 async fn a_host_that_knows_no_declaration_refuses_as_not_run() {
     let site = start_site(backend().await, 1).await;
     let host = &site.hosts[0];
-    assert_eq!(host.says_ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
-    let answer = host.caller().ask(&page()).await.unwrap();
+    assert_eq!(host.readiness_status().await, Some(StatusCode::SERVICE_UNAVAILABLE));
+    let answer = host.caller().fetch(&page()).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.told.retry_after.is_some());
+    assert!(answer.metadata.retry_after.is_some());
 
     site.backend.declare(&declaration());
-    host.ready().await;
+    host.wait_until_ready().await;
     assert_eq!(status_of(host, &page()).await, Some(StatusCode::OK));
 }
 
@@ -69,10 +69,10 @@
     declared.routes[0] = route(PAGES, Kind::Idempotent, &[("app", 3), ("other", 1)]);
     backend.declare(&declared);
     let site = start_site(backend, 1).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
-        assert_eq!(caller.ask(&page()).await.unwrap().status, StatusCode::OK);
+        assert_eq!(caller.fetch(&page()).await.unwrap().status, StatusCode::OK);
     }
     let other = site.backend.server("other-1").runs().len();
     assert!(
@@ -102,7 +102,7 @@
     }
     // As after a restore of the store from a backup: it holds an older version.
     site.backend.declare(&declaration_with_pages_at(5, "app"));
-    site.seen().await;
+    site.wait_until_observed().await;
     for host in &site.hosts {
         for _ in 0..10 {
             assert!(goes_to(host, "other").await, "{} went back to an older version", host.name);
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn routes_come_and_go() {
     let site = site(1).await;
-    let new = Ask::to(HOST, "/new/x");
+    let new = RequestSpec::to(HOST, "/new/x");
     assert_eq!(status_of(&site.hosts[0], &new).await, Some(StatusCode::NOT_FOUND));
     let mut declared = declaration();
     declared.version += 4;
@@ -133,31 +133,33 @@
 #[tokio::test]
 async fn requests_in_flight_outlive_the_route_that_took_them() {
     let site = site(1).await;
-    site.backend.script(|script| script.work = Duration::from_millis(800));
+    site.backend.script(|script| script.work_time = Duration::from_millis(800));
     let mut caller = site.hosts[0].caller();
-    let pending = tokio::spawn(async move { caller.ask(&page()).await });
+    let pending = tokio::spawn(async move { caller.fetch(&page()).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     let mut declared = declaration();
     declared.version += 1;
     declared.routes.remove(0);
     site.backend.declare(&declared);
-    site.seen().await;
+    site.wait_until_observed().await;
     let answer = pending.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
 
 #[tokio::test]
 async fn a_declaration_that_cannot_be_read_changes_nothing() {
     let site: Site = site(1).await;
     site.backend.store.put(
-        &standin::routed::site::declarations(),
+        &standin::routed::site::declaration_kind(),
         "main",
         serde_json::json!({"version": 99}),
     );
-    site.seen().await;
+    site.wait_until_observed().await;
     assert_eq!(status_of(&site.hosts[0], &page()).await, Some(StatusCode::OK));
-    until("the host logs the error", async || site.hosts[0].logged("a declaration can't be read"))
-        .await;
+    until("the host logs the error", async || {
+        site.hosts[0].has_logged("a declaration can't be read")
+    })
+    .await;
 }
 
 /// Guards against a host that plans only when a registration changes: it got the list of servers
@@ -165,7 +167,7 @@
 #[tokio::test]
 async fn servers_known_before_the_first_declaration_get_orders() {
     let site = start_site(backend().await, 1).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     site.backend.declare(&declaration());
     until("an order to load the missing model is sent", async || {
         let mut orders = site.backend.servers.iter().flat_map(|server| server.orders());
--- a/crates/stage/tests/routed/faults.rs
+++ b/crates/stage/tests/routed/faults.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     server::{Ending, Fault, Settings},
     until,
 };
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn what_a_server_did_not_run_is_tried_elsewhere(
     #[case] status: StatusCode,
-    #[values(page(), ticket(), chat())] request: Ask,
+    #[values(page(), ticket(), chat())] request: RequestSpec,
 ) {
     let site = site(1).await;
     // A host has no retry budget until its registration is in the store.
@@ -38,10 +38,10 @@
     })
     .await;
     for id in ["app-1", "lm-1"] {
-        site.backend.server(id).script(|script| script.always = Some(Fault::NotRun(status)));
+        site.backend.server(id).script(|script| script.default_fault = Some(Fault::NotRun(status)));
     }
     for _ in 0..4 {
-        let copy = request.again();
+        let copy = request.with_new_id();
         assert_eq!(status_of(&site.hosts[0], &copy).await, Some(StatusCode::OK));
         assert_eq!(site.backend.runs_of(&copy.id()), 1);
     }
@@ -52,14 +52,14 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn what_no_server_ran_is_refused_as_not_run(#[case] request: Ask) {
+async fn what_no_server_ran_is_refused_as_not_run(#[case] request: RequestSpec) {
     let site = site(1).await;
     let full = Fault::NotRun(StatusCode::SERVICE_UNAVAILABLE);
-    site.backend.script(|script| script.always = Some(full));
+    site.backend.script(|script| script.default_fault = Some(full));
     let request = request.deadline(Some(DEADLINE));
-    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(answer.told.seal, None);
+    assert_eq!(answer.metadata.seal, None);
     assert_eq!(site.backend.runs(), 0);
 }
 
@@ -74,10 +74,10 @@
 #[tokio::test]
 async fn a_non_idempotent_request_never_runs_twice(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     for _ in 0..3 {
         let request = ticket();
-        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
         let unresolved = [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT];
         assert!(
             unresolved.contains(&answer.status),
@@ -99,11 +99,11 @@
 #[tokio::test]
 async fn an_idempotent_request_is_tried_elsewhere(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.server("app-1").script(|script| script.always = Some(fault));
+    site.backend.server("app-1").script(|script| script.default_fault = Some(fault));
     for _ in 0..4 {
         let request = page();
-        let answer = site.hosts[0].caller().ask(&request).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+        let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
+        assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
         assert_eq!(answer.field("server"), "app-2");
         assert_eq!(answer.field("request"), *request.id());
         assert!(site.backend.runs_of(&request.id()) <= 2);
@@ -119,11 +119,11 @@
 #[tokio::test]
 async fn a_wrong_answer_to_a_stream_never_passes(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let request = chat();
-    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
     assert!(answer.status.is_server_error(), "{}", answer.status);
-    assert_eq!((answer.events(), answer.told.seal), (vec![], None));
+    assert_eq!((answer.events(), answer.metadata.seal), (vec![], None));
     assert_eq!(site.backend.runs_of(&request.id()), 1);
 }
 
@@ -134,13 +134,13 @@
 #[tokio::test]
 async fn each_caller_gets_its_own_answer(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..10 {
         let request = page();
-        let answer = caller.ask(&request).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-        assert_eq!(answer.told.id, Some(request.id()));
+        let answer = caller.fetch(&request).await.unwrap();
+        assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
+        assert_eq!(answer.metadata.id, Some(request.id()));
         assert_eq!(answer.field("request"), *request.id());
     }
     assert_eq!(caller.connections(), 1);
@@ -152,18 +152,18 @@
 #[tokio::test]
 async fn a_second_answer_is_nobodys(#[case] fault: Fault) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(fault));
+    site.backend.script(|script| script.default_fault = Some(fault));
     let mut caller = site.hosts[0].caller();
     for _ in 0..20 {
         let request = ticket();
-        let answer = caller.ask(&request).await.unwrap();
+        let answer = caller.fetch(&request).await.unwrap();
         assert_eq!(site.backend.runs_of(&request.id()), 1);
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.told.id, Some(request.id()));
+            assert_eq!(answer.metadata.id, Some(request.id()));
             assert_eq!(answer.field("request"), *request.id());
         } else {
             // The extra answer arrived in place of this request's own, which is lost.
-            assert_eq!((answer.status, answer.told.seal), (StatusCode::BAD_GATEWAY, None));
+            assert_eq!((answer.status, answer.metadata.seal), (StatusCode::BAD_GATEWAY, None));
         }
     }
 }
@@ -172,11 +172,11 @@
 async fn a_servers_own_failure_is_handed_on() {
     let site = site(1).await;
     let failed = Fault::Failed(StatusCode::INTERNAL_SERVER_ERROR);
-    site.backend.script(|script| script.always = Some(failed));
+    site.backend.script(|script| script.default_fault = Some(failed));
     let request = ticket();
-    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
-    assert!(answer.told.seal.is_some());
+    assert!(answer.metadata.seal.is_some());
     assert_eq!(
         (answer.field("request"), site.backend.runs_of(&request.id())),
         (request.id().as_ref().into(), 1)
@@ -212,16 +212,16 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_caller_that_leaves_closes_the_servers_connection(#[case] request: Ask) {
+async fn a_caller_that_leaves_closes_the_servers_connection(#[case] request: RequestSpec) {
     let site = site(1).await;
-    site.backend.script(|script| script.always = Some(Fault::Silent));
+    site.backend.script(|script| script.default_fault = Some(Fault::Silent));
     let mut caller = site.hosts[0].caller();
-    let pending = tokio::spawn(async move { caller.ask(&request).await });
+    let pending = tokio::spawn(async move { caller.fetch(&request).await });
     until("the request runs", async || site.backend.runs() == 1).await;
     pending.abort();
     until("the server sees that the caller has closed the connection", async || {
         let runs = site.backend.servers.iter().flat_map(|server| server.runs());
-        runs.into_iter().all(|run| run.ending == Some(Ending::Left))
+        runs.into_iter().all(|run| run.ending == Some(Ending::CallerClosed))
     })
     .await;
     assert_eq!(site.backend.runs(), 1);
@@ -233,12 +233,13 @@
     for number in 3..7 {
         site.backend.add(Settings::plain(&format!("app-{number}"), "app")).await.unwrap();
     }
-    site.seen().await;
+    site.wait_until_observed().await;
     site.backend.script(|script| script.poison = Some("poison"));
-    let poison =
-        Ask::to(HOST, "/pages/x").send(http::Method::POST, "poison").deadline(Some(DEADLINE));
+    let poison = RequestSpec::to(HOST, "/pages/x")
+        .with_body(http::Method::POST, "poison")
+        .deadline(Some(DEADLINE));
     for _ in 0..6 {
-        let status = status_of(&site.hosts[0], &poison.again()).await;
+        let status = status_of(&site.hosts[0], &poison.with_new_id()).await;
         assert!(status.is_some_and(|status| status.is_server_error()), "{status:?}");
     }
     let crashed = |run: &standin::routed::server::Run| run.ending == Some(Ending::Crashed);
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use rstest::rstest;
-use standin::routed::caller::Ask;
+use standin::routed::caller::RequestSpec;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
@@ -56,7 +56,7 @@
             !text.contains("evil"),
             "the smuggled request was forwarded as part of a body: {text:?}"
         );
-        if run.asked.id.as_deref() == Some("evil") {
+        if run.request.id.as_deref() == Some("evil") {
             let answers = answer.matches("HTTP/1.1 ").count();
             assert_eq!(answers, 2, "the smuggled request ran without an answer to it: {answer:?}");
         }
@@ -123,8 +123,8 @@
     declared.limits.body_bytes = 10_000;
     backend.declare(&declared);
     let site = start_site(backend, 1).await;
-    site.ready().await;
-    let request = Ask::to(HOST, "/tickets/x").send(Method::POST, vec![b'x'; bytes]);
+    site.wait_until_ready().await;
+    let request = RequestSpec::to(HOST, "/tickets/x").with_body(Method::POST, vec![b'x'; bytes]);
     assert_eq!(status_of(&site.hosts[0], &request).await, Some(status));
     assert_eq!(site.backend.runs(), usize::from(status == StatusCode::OK));
 }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::json;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     host::Host,
     server::{Fault, Server, Settings, quota},
     site::Site,
@@ -45,17 +45,22 @@
 const CALLERS: usize = 6;
 
 /// Sends requests to hosts until a moment; each caller sends at least one.
-async fn send_load(hosts: &[Host], request: impl Fn() -> Ask, until: Instant) -> Vec<TimedAnswer> {
+async fn send_load(
+    hosts: &[Host],
+    request: impl Fn() -> RequestSpec,
+    until: Instant,
+) -> Vec<TimedAnswer> {
     let mut callers = JoinSet::new();
     for host in hosts.iter().flat_map(|host| [host; CALLERS]) {
         let (mut caller, request) = (host.caller(), request());
         callers.spawn(async move {
             let mut answers = Vec::new();
             loop {
-                let (request, from) = (request.again().deadline(Some(DEADLINE)), Instant::now());
+                let (request, from) =
+                    (request.with_new_id().deadline(Some(DEADLINE)), Instant::now());
                 // A stopped or killed host gives no answer.
-                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.ask(&request)).await {
-                    answers.push((answer.status, from.elapsed(), answer.told.retry_after));
+                if let Ok(Ok(answer)) = timeout(DEADLINE, caller.fetch(&request)).await {
+                    answers.push((answer.status, from.elapsed(), answer.metadata.retry_after));
                 }
                 sleep(REQUEST_INTERVAL).await;
                 if until <= Instant::now() {
@@ -80,7 +85,7 @@
 
 /// Share of a limit that was used in the last `time` of the server's run.
 fn utilization(server: &Server, limit: f64, time: Duration) -> f64 {
-    let since = server.began().elapsed().saturating_sub(time);
+    let since = server.started_at().elapsed().saturating_sub(time);
     let arrivals = server.quota().arrivals;
     let recent = arrivals.iter().filter(|(_, at)| since < *at).count();
     recent as f64 / (limit * time.as_secs_f64())
@@ -117,7 +122,7 @@
     let load = send_load(&site.hosts, page, began + OBSERVATION_TIME);
     let limit_changes = async {
         sleep_until(began + Duration::from_millis(300)).await;
-        site.backend.script(|script| script.always = Some(fault));
+        site.backend.script(|script| script.default_fault = Some(fault));
         for id in ["app-1", "app-2"] {
             set_limit(site.backend.server(id), Some("0.3"));
         }
@@ -131,7 +136,10 @@
 #[case::plain(page(), ["app-1", "app-2"])]
 #[case::streams(chat(), ["lm-1", "lm-2"])]
 #[tokio::test]
-async fn all_servers_of_a_service_may_name_limits(#[case] request: Ask, #[case] ids: [&str; 2]) {
+async fn all_servers_of_a_service_may_name_limits(
+    #[case] request: RequestSpec,
+    #[case] ids: [&str; 2],
+) {
     const LIMIT: f64 = 4.0;
     let site = site(3).await;
     ids.iter().for_each(|id| set_limit(site.backend.server(id), Some("4")));
@@ -159,7 +167,7 @@
 async fn a_host_keeps_to_a_limit_that_only_others_have_seen() {
     let site = site(3).await;
     set_limit(site.backend.server("other-1"), Some("0.5"));
-    let deep = || Ask::to(crate::site::HOST, "/pages/deep/x");
+    let deep = || RequestSpec::to(crate::site::HOST, "/pages/deep/x");
     until("the first host knows the limit", async || {
         send_load(&site.hosts[..1], deep, Instant::now()).await;
         limited_servers(&site.hosts[0]).await == Some(1.0)
@@ -169,7 +177,9 @@
         let learned = until("the limit is known to the other host", async || {
             limited_servers(host).await == Some(1.0)
         });
-        timeout(quota::CONTACT, learned).await.expect("every host knows the limit before it binds");
+        timeout(quota::BINDING_DELAY, learned)
+            .await
+            .expect("every host knows the limit before it binds");
     }
     send_load(&site.hosts[1..], deep, Instant::now() + OBSERVATION_TIME).await;
     check_quotas(&site, &["other-1"]);
@@ -215,7 +225,7 @@
             Signal::SIGSTOP => site.hosts[index].signal(Signal::SIGCONT),
             _ => {
                 site.restart(index).await.expect("the host starts");
-                site.hosts[index].ready().await;
+                site.hosts[index].wait_until_ready().await;
             }
         }
     }
@@ -241,15 +251,15 @@
     set_limit(server, Some(limit));
     let mut caller = site.hosts[0].caller();
     for _ in 0..REQUESTS {
-        let request = Ask::to(crate::site::HOST, "/pages/deep/x");
-        assert_eq!(caller.ask(&request).await.unwrap().status, StatusCode::OK);
+        let request = RequestSpec::to(crate::site::HOST, "/pages/deep/x");
+        assert_eq!(caller.fetch(&request).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(&site.hosts[0]).await;
     let unreadable = value(&text, "cyclamenstage_routed_unreadable_limits_total");
     assert_eq!(unreadable, Some(REQUESTS as f64));
     assert_eq!(limited_servers(&site.hosts[0]).await, Some(0.0));
     let line = "the limit in a server's answer can't be read";
-    until("the host logs the error", async || site.hosts[0].logged(line)).await;
+    until("the host logs the error", async || site.hosts[0].has_logged(line)).await;
     let log = site.hosts[0].log();
     assert_eq!(log.iter().filter(|record| record["message"] == line).count(), 1);
 }
@@ -257,7 +267,8 @@
 #[tokio::test]
 async fn a_later_run_of_a_server_begins_without_a_limit() {
     let mut site = site(1).await;
-    let run = |born| Settings { born, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
+    let run =
+        |started_at| Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), &["desk"]) };
     site.backend.restart(run(1_000)).await.expect("the address is free again");
     set_limit(site.backend.server("lm-1"), Some("0.3"));
     let desk = || chat().model("desk").deadline(Some(DEADLINE));
@@ -285,8 +296,12 @@
     for limit in [Some("2.5"), Some("4"), None] {
         set_limit(server, limit);
         until("the change of the limit is logged", async || {
-            send_load(&site.hosts, || Ask::to(crate::site::HOST, "/pages/deep/x"), Instant::now())
-                .await;
+            send_load(
+                &site.hosts,
+                || RequestSpec::to(crate::site::HOST, "/pages/deep/x"),
+                Instant::now(),
+            )
+            .await;
             let log = site.hosts[0].log();
             let last = log.iter().rfind(|record| record["kind"] == "limit");
             let now = limit.and_then(|limit| limit.parse::<f64>().ok());
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -7,9 +7,9 @@
 use standin::routed::{
     caller::Caller,
     host::Host,
-    server::{Given, Server},
+    server::{OrderRecord, Server},
     site::Site,
-    store::{Mood, Refusal},
+    store::{Faults, Refusal},
     until,
 };
 use tokio::task::JoinSet;
@@ -43,17 +43,18 @@
 async fn ask(caller: &mut Caller, model: &str, adapter: &str) {
     let request = chat().model(model).adapter(adapter).deadline(Some(DEADLINE));
     // The host may be stopped; what it refuses is requested again in the next round.
-    let answer = tokio::time::timeout(DEADLINE * 2, caller.ask(&request)).await;
+    let answer = tokio::time::timeout(DEADLINE * 2, caller.fetch(&request)).await;
     if !matches!(answer, Ok(Ok(_))) {
-        caller.leave();
+        caller.disconnect();
     }
     tokio::time::sleep(REQUEST_INTERVAL).await;
 }
 
 /// Orders that all servers got, by the time at which the server accepted or refused each.
-fn orders(site: &Site) -> Vec<Given> {
-    let mut orders: Vec<Given> = site.backend.servers.iter().flat_map(Server::orders).collect();
-    orders.sort_by_key(|record| record.at);
+fn orders(site: &Site) -> Vec<OrderRecord> {
+    let mut orders: Vec<OrderRecord> =
+        site.backend.servers.iter().flat_map(Server::orders).collect();
+    orders.sort_by_key(|record| record.judged_at);
     orders
 }
 
@@ -88,7 +89,7 @@
                 assert!(before.order.fence <= after.order.fence, "{context}");
             } else {
                 assert!(before.order.fence < after.order.fence, "{context}");
-                assert!(before.at + HANDOVER_GAP <= after.at, "{context}");
+                assert!(before.judged_at + HANDOVER_GAP <= after.judged_at, "{context}");
             }
         }
         assert_eq!(server.overload(), None, "{} got {records:?}", server.id());
@@ -139,26 +140,26 @@
     let site = site(3).await;
     let _demand = spawn_demand(&site);
     let index = holder_index(&site).await;
-    site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = Some(refusal));
+    site.backend.store.set_faults(&site.hosts[index].name, |faults| faults.refusal = Some(refusal));
     wait_for_handover(&site, &site.hosts[index].name).await;
-    site.backend.store.at(&site.hosts[index].name, |mood| mood.refusal = None);
+    site.backend.store.set_faults(&site.hosts[index].name, |faults| faults.refusal = None);
     let orders_before = orders(&site).len();
     until("more orders are sent", async || orders_before + 20 < orders(&site).len()).await;
     check_orders(&site);
 }
 
 #[rstest]
-#[case::lost(|mood: &mut Mood| mood.lost = 5)]
-#[case::late(|mood: &mut Mood| mood.late = Some(Duration::from_secs(4)))]
+#[case::lost(|faults: &mut Faults| faults.lost_replies = 5)]
+#[case::late(|faults: &mut Faults| faults.late_write = Some(Duration::from_secs(4)))]
 #[tokio::test]
 async fn writes_to_the_store_without_an_answer_make_no_second_holder(
-    #[case] change: fn(&mut Mood),
+    #[case] change: fn(&mut Faults),
 ) {
     let site = site(3).await;
     let _demand = spawn_demand(&site);
     holder_index(&site).await;
     for _ in 0..3 {
-        site.backend.store.everywhere(change);
+        site.backend.store.set_faults_everywhere(change);
         let orders_before = orders(&site).len();
         until("more orders are sent", async || orders_before + 20 < orders(&site).len()).await;
     }
@@ -172,7 +173,7 @@
     for server in &site.backend.servers {
         let late = OrderFault::Late(Duration::from_millis(900));
         let faults = [OrderFault::Lost, late].into_iter().cycle().take(12);
-        server.script(|script| script.orders = faults.collect());
+        server.script(|script| script.order_faults = faults.collect());
     }
     let _demand = spawn_demand(&site);
     until("orders are sent after all faults", async || 60 < orders(&site).len()).await;
--- a/crates/stage/tests/routed/pages.rs
+++ b/crates/stage/tests/routed/pages.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use standin::{
     page::is_shown,
-    routed::{caller::Ask, server::Fault, site::Site, until},
+    routed::{caller::RequestSpec, server::Fault, site::Site, until},
 };
 
 use crate::{
@@ -59,9 +59,9 @@
 }
 
 /// Sends a request under this id, and checks the page once the end of the request is logged.
-async fn check_request(site: &Site, id: &str, request: Ask) {
+async fn check_request(site: &Site, id: &str, request: RequestSpec) {
     let mut caller = site.hosts[0].caller();
-    caller.ask(&request.named(id)).await.expect("the request is answered");
+    caller.fetch(&request.with_id(id)).await.expect("the request is answered");
     check_finished(site, id).await;
 }
 
@@ -75,39 +75,39 @@
 #[tokio::test]
 async fn a_refused_request_is_told_as_the_page_shows() {
     let mut site = site_with_info_log().await;
-    site.backend.forget("other-1");
-    site.seen().await;
-    let request = Ask::to(HOST, "/pages/deep/home").deadline(Some(DEADLINE));
+    site.backend.deregister("other-1");
+    site.wait_until_observed().await;
+    let request = RequestSpec::to(HOST, "/pages/deep/home").deadline(Some(DEADLINE));
     check_request(&site, "refused-1", request).await;
 }
 
 #[tokio::test]
 async fn an_unclear_request_is_told_as_the_page_shows() {
     let site = site_with_info_log().await;
-    site.backend.script(|script| script.always = Some(Fault::Lost));
+    site.backend.script(|script| script.default_fault = Some(Fault::Lost));
     check_request(&site, "unclear-1", ticket()).await;
 }
 
 #[tokio::test]
 async fn a_cut_stream_is_told_as_the_page_shows() {
     let site = site_with_info_log().await;
-    site.backend.script(|script| script.always = Some(Fault::Broken { events: 2 }));
+    site.backend.script(|script| script.default_fault = Some(Fault::Broken { events: 2 }));
     check_request(&site, "cut-1", chat()).await;
 }
 
 #[tokio::test]
 async fn a_late_stream_is_told_as_the_page_shows() {
     let site = site_with_info_log().await;
-    site.backend.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
-    let request = draft().named("late-1");
+    site.backend.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
+    let request = draft().with_id("late-1");
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&request).await.expect("the answer starts");
     assert!(opened.event(2).await);
     tokio::time::sleep(EVENT_GAP).await;
-    site.backend.script(|script| script.always = None);
+    site.backend.script(|script| script.default_fault = None);
     let first = site.backend.servers.iter().find(|server| server.runs_of("late-1") == 1);
     first.expect("a server has the request").kill();
-    assert!(opened.finish().await.expect("the answer ends").whole);
+    assert!(opened.finish().await.expect("the answer ends").is_complete);
     check_finished(&site, "late-1").await;
 }
 
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -5,8 +5,8 @@
 use http::{Method, StatusCode};
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
-    links::Way,
+    caller::RequestSpec,
+    links::Delivery,
     server::{Ending, Server, Settings},
     site::Site,
 };
@@ -62,7 +62,7 @@
     for _ in 0..HOSTS {
         site.add(|_| {}).await.expect("the host starts");
     }
-    site.ready().await;
+    site.wait_until_ready().await;
     sleep(Duration::from_secs(1)).await;
     site
 }
@@ -77,15 +77,16 @@
 async fn send_through_all(site: &mut Site, source: Source) {
     for index in 0..HOSTS {
         let host = &site.hosts[index];
-        let poison =
-            Ask::to(HOST, "/tickets/new").send(Method::POST, "poison").deadline(Some(TIMEOUT));
+        let poison = RequestSpec::to(HOST, "/tickets/new")
+            .with_body(Method::POST, "poison")
+            .deadline(Some(TIMEOUT));
         let mut caller = match source {
             Source::OneAddress => host.caller(),
             Source::AddressPerHost => {
                 host.caller().from(IpAddr::from([127, 77, 0, index as u8 + 1]))
             }
         };
-        let _ = timeout(TIMEOUT, caller.ask(&poison)).await;
+        let _ = timeout(TIMEOUT, caller.fetch(&poison)).await;
         assert_eq!(
             status_of(host, &page()).await,
             Some(StatusCode::OK),
@@ -101,7 +102,7 @@
         |server: &&Server| server.runs().iter().any(|run| run.ending == Some(Ending::Crashed));
     let crashed = site.backend.servers.iter().filter(has_crashed);
     let crashed: Vec<_> = crashed.map(|server| server.id().to_string()).collect();
-    crashed.iter().for_each(|id| site.backend.forget(id));
+    crashed.iter().for_each(|id| site.backend.deregister(id));
 }
 
 /// Sends the request, without any disruption, until it has crashed [`MAX_CRASHES`] servers, and
@@ -117,16 +118,16 @@
     indexes.clone().for_each(|index| site.hosts[index].kill());
     for index in indexes {
         site.restart(index).await.expect("the host starts");
-        site.hosts[index].ready().await;
+        site.hosts[index].wait_until_ready().await;
     }
     sleep(RECOVERY_TIME).await;
 }
 
 /// Sets the delivery on the links between a host and all others, in both directions.
-fn set_links(site: &Site, index: usize, delivery: Way) {
+fn set_links(site: &Site, index: usize, delivery: Delivery) {
     for other in (0..HOSTS).filter(|other| *other != index) {
-        site.links().set(index, other, delivery);
-        site.links().set(other, index, delivery);
+        site.links().set_delivery(index, other, delivery);
+        site.links().set_delivery(other, index, delivery);
     }
 }
 
@@ -153,10 +154,10 @@
         }
         Disruption::Partition => {
             for index in 0..HOSTS {
-                set_links(&site, index, Way::Lost);
+                set_links(&site, index, Delivery::Lost);
                 sleep(RECOVERY_TIME + Duration::from_secs(1)).await;
                 send_through_all(&mut site, Source::OneAddress).await;
-                set_links(&site, index, Way::Passes);
+                set_links(&site, index, Delivery::Passes);
                 sleep(RECOVERY_TIME).await;
                 send_through_all(&mut site, Source::OneAddress).await;
             }
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -6,8 +6,8 @@
 use crate::site::{chat, engine, site, status_of};
 
 /// Settings for a run of the first model server that starts at `born`, in Unix milliseconds.
-fn run_settings(born: u64, models: &[&str]) -> Settings {
-    Settings { born, ..Settings::model("lm-1", "lm", &engine(), models) }
+fn run_settings(started_at: u64, models: &[&str]) -> Settings {
+    Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
 
 /// Models and orders of the previous run don't count for the next one: it holds the models that it
@@ -61,19 +61,19 @@
         .await
         .expect("the address is free again");
     until("the second run is used", async || {
-        status_of(&site.hosts[0], &welcome().unread()).await;
+        status_of(&site.hosts[0], &welcome().with_new_prompt()).await;
         !site.backend.server("lm-1").runs().is_empty()
     })
     .await;
     let address = site.backend.server("lm-2").address();
     let mut earlier = site.backend.server("lm-1").registration().borrow().clone();
     (earlier.born, earlier.address) = (1_000, address);
-    site.backend.silence("lm-1");
+    site.backend.stop_registering("lm-1");
     site.backend.put(&earlier);
-    site.seen().await;
+    site.wait_until_observed().await;
     let runs_before = site.backend.server("lm-1").runs().len();
     until("the second run is still used", async || {
-        status_of(&site.hosts[0], &welcome().unread()).await;
+        status_of(&site.hosts[0], &welcome().with_new_prompt()).await;
         runs_before < site.backend.server("lm-1").runs().len()
     })
     .await;
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -13,9 +13,9 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     site::{self as sites, Site},
-    store::{Mood, Refusal, Sort},
+    store::{CallKind, Faults, Refusal},
     until,
 };
 use tokio::time::{Instant, sleep};
@@ -48,23 +48,25 @@
 async fn site_after(outage: Outage) -> Site {
     let site = site(HOSTS).await;
     declare_route(&site, 10);
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     let stalled = match outage {
         Outage::Long => 2,
         Outage::Short | Outage::WatchesOnly => 1,
     };
-    store.everywhere(|mood| match outage {
-        Outage::Long | Outage::Short => mood.refusal = Some(Refusal::Silence),
-        Outage::WatchesOnly => mood.silent = Some(Sort::Watches),
+    store.set_faults_everywhere(|faults| match outage {
+        Outage::Long | Outage::Short => faults.refusal = Some(Refusal::Silence),
+        Outage::WatchesOnly => faults.unanswered = Some(CallKind::Watch),
     });
     for host in &site.hosts {
-        for kind in [sites::declarations(), sites::servers()] {
-            until("watches are stalled", async || stalled <= store.stalled(&host.name, &kind))
-                .await;
+        for kind in [sites::declaration_kind(), sites::server_kind()] {
+            until("watches are stalled", async || {
+                stalled <= store.unanswered_watches(&host.name, &kind)
+            })
+            .await;
         }
     }
-    store.everywhere(|mood| *mood = Mood::default());
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     site
 }
 
@@ -78,7 +80,7 @@
     let request = declare_route(&site, 11);
     sleep(RECOVERY_TIME).await;
     for host in &site.hosts {
-        let status = status_of(host, &request.again()).await;
+        let status = status_of(host, &request.with_new_id()).await;
         assert_eq!(status, Some(StatusCode::OK), "{} does not use the declaration", host.name);
     }
 }
@@ -91,7 +93,7 @@
 async fn a_leaving_server_is_left_alone_in_time_after_a_silence(#[case] outage: Outage) {
     let site = site_after(outage).await;
     let leaving = site.backend.server("app-1");
-    leaving.leave(None);
+    leaving.drain(None);
     sleep(RECOVERY_TIME).await;
     let runs_before = leaving.runs().len();
     for host in &site.hosts {
@@ -114,23 +116,23 @@
     const OUTAGE: Duration = Duration::from_secs(3);
     const ABSENCE: Duration = Duration::from_millis(1000);
     let site = site(HOSTS).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(OUTAGE).await;
-    store.everywhere(|mood| *mood = Mood::default());
-    store.expire(&sites::servers(), "other-1", ABSENCE);
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
+    store.remove_temporarily(&sites::server_kind(), "other-1", ABSENCE);
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
 /// Asserts that during a span every host forwards requests to a server without waiting for one.
 async fn assert_reachable_throughout(site: &Site, span: Duration) {
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     let end = Instant::now() + span;
     while Instant::now() < end {
         for host in &site.hosts {
             let began = Instant::now();
-            let status = status_of(host, &deep.again()).await;
+            let status = status_of(host, &deep.with_new_id()).await;
             assert_eq!(status, Some(StatusCode::OK), "{} found no server", host.name);
             assert!(
                 began.elapsed() < span / 2,
@@ -146,16 +148,16 @@
 async fn entries_that_run_out_while_a_watch_waits_through_a_silence_cost_no_server() {
     const ABSENCE: Duration = Duration::from_millis(800);
     let site = site(HOSTS_WITH_FOLLOWERS).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     // Hosts call the store often until they know each other.
     sleep(RECOVERY_TIME).await;
     let store = &site.backend.store;
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(RECOVERY_TIME / 4).await;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Hold));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Hold));
     sleep(RECOVERY_TIME).await;
-    store.expire(&sites::servers(), "other-1", ABSENCE);
-    store.everywhere(|mood| *mood = Mood::default());
+    store.remove_temporarily(&sites::server_kind(), "other-1", ABSENCE);
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
@@ -163,14 +165,14 @@
 async fn a_server_is_used_again_once_its_entry_is_back_whatever_peers_said() {
     const ABSENCE: Duration = Duration::from_millis(500);
     let site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
     let second = &site.hosts[1].name;
-    store.at(second, |mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults(second, |faults| faults.refusal = Some(Refusal::Silence));
     sleep(RECOVERY_TIME).await;
-    store.at(second, |mood| *mood = Mood::default());
-    site.seen().await;
-    store.expire(&sites::servers(), "other-1", ABSENCE);
+    store.set_faults(second, |faults| *faults = Faults::default());
+    site.wait_until_observed().await;
+    store.remove_temporarily(&sites::server_kind(), "other-1", ABSENCE);
     sleep(RECOVERY_TIME).await;
     assert_reachable_throughout(&site, ABSENCE).await;
 }
@@ -181,18 +183,18 @@
     // Less than the time for which a host lags behind before it asks a peer.
     const LAG: Duration = Duration::from_millis(550);
     let site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = &site.backend.store;
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(RECOVERY_TIME).await;
-    store.everywhere(|mood| *mood = Mood::default());
-    site.seen().await;
-    store.at(&site.hosts[0].name, |mood| mood.refusal = Some(Refusal::Down));
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
+    site.wait_until_observed().await;
+    store.set_faults(&site.hosts[0].name, |faults| faults.refusal = Some(Refusal::Down));
     // The first host lags behind from here on, and asks the second while the registration is
     // absent.
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(LAG).await;
-    store.expire(&sites::servers(), "other-1", ABSENCE);
+    store.remove_temporarily(&sites::server_kind(), "other-1", ABSENCE);
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
@@ -206,28 +208,28 @@
 async fn a_server_whose_entry_went_does_not_come_back_by_a_peer() {
     const STORE_DELAY: Duration = Duration::from_secs(1);
     let mut site = site(2).await;
-    site.seen().await;
+    site.wait_until_observed().await;
     let store = site.backend.store.clone();
     let [first, second] = [0, 1].map(|index| site.hosts[index].name.clone());
-    store.everywhere(|mood| mood.refusal = Some(Refusal::Silence));
+    store.set_faults_everywhere(|faults| faults.refusal = Some(Refusal::Silence));
     sleep(RECOVERY_TIME).await;
-    store.everywhere(|mood| *mood = Mood::default());
-    site.seen().await;
+    store.set_faults_everywhere(|faults| *faults = Faults::default());
+    site.wait_until_observed().await;
     // The store evaluates a watch that is sent now a second later.
-    store.at(&second, |mood| mood.delay = STORE_DELAY);
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 1}));
+    store.set_faults(&second, |faults| faults.delay = STORE_DELAY);
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 1}));
     sleep(STORE_DELAY / 4).await;
-    site.backend.forget("other-1");
+    site.backend.deregister("other-1");
     let removal = store.revision();
     until("the first host has seen the removal", async || {
-        store.watched_from(&first, &sites::servers()) >= Some(removal)
+        store.watched_from(&first, &sites::server_kind()) >= Some(removal)
     })
     .await;
-    store.at(&first, |mood| mood.refusal = Some(Refusal::Down));
-    store.put(&sites::servers(), "mark", serde_json::json!({"mark": 2}));
+    store.set_faults(&first, |faults| faults.refusal = Some(Refusal::Down));
+    store.put(&sites::server_kind(), "mark", serde_json::json!({"mark": 2}));
     sleep(RECOVERY_TIME).await;
     let runs_before = site.backend.server("other-1").runs().len();
-    let deep = Ask::to(HOST, "/pages/deep/x");
+    let deep = RequestSpec::to(HOST, "/pages/deep/x");
     assert_ne!(status_of(&site.hosts[0], &deep).await, Some(StatusCode::OK));
     assert_eq!(
         site.backend.server("other-1").runs().len(),
@@ -240,10 +242,10 @@
 async fn longest_renewal_gap(site: &Site, span: Duration) -> Duration {
     let began = Instant::now();
     let (mut renewed, mut longest) = (began, Duration::ZERO);
-    let mut revision = site.backend.store.revision_of(&sites::leases(), "orders");
+    let mut revision = site.backend.store.revision_of(&sites::lease_kind(), "orders");
     while began.elapsed() < span {
         sleep(Duration::from_millis(20)).await;
-        let now = site.backend.store.revision_of(&sites::leases(), "orders");
+        let now = site.backend.store.revision_of(&sites::lease_kind(), "orders");
         if now != revision {
             (revision, renewed) = (now, Instant::now());
         }
@@ -260,10 +262,10 @@
     let site = site(2).await;
     let store = &site.backend.store;
     until("a host holds the lease", async || {
-        store.revision_of(&sites::leases(), "orders").is_some()
+        store.revision_of(&sites::lease_kind(), "orders").is_some()
     })
     .await;
-    store.everywhere(|mood| mood.silent = Some(Sort::Lists));
+    store.set_faults_everywhere(|faults| faults.unanswered = Some(CallKind::List));
     // Ends all watches, after which hosts list the objects again.
     store.put(&"notes".into(), "a", serde_json::json!(1));
     store.compact();
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use standin::routed::{
-    caller::Ask,
+    caller::RequestSpec,
     host::Host,
     server::Settings,
     site::{Backend, Site},
@@ -104,7 +104,7 @@
     let backend = backend().await;
     backend.declare(&declaration());
     let site = start_site(backend, hosts).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     site
 }
 
@@ -116,7 +116,7 @@
     site.add(|settings| settings["log"] = serde_json::json!({"level": "info"}))
         .await
         .expect("the host starts");
-    site.ready().await;
+    site.wait_until_ready().await;
     site
 }
 
@@ -138,38 +138,38 @@
 }
 
 /// Declares one more route as this version, and returns a request that only the new route takes.
-pub fn declare_route(site: &Site, version: u64) -> Ask {
+pub fn declare_route(site: &Site, version: u64) -> RequestSpec {
     let prefix = format!("/pages-{version}/");
     let mut declared = declaration();
     declared.version = version;
     declared.routes.push(route(&prefix, Kind::Idempotent, &[("app", 1)]));
     site.backend.declare(&declared);
-    Ask::to(HOST, &format!("{prefix}x"))
+    RequestSpec::to(HOST, &format!("{prefix}x"))
 }
 
-pub fn page() -> Ask {
-    Ask::to(HOST, "/pages/home?lang=es")
+pub fn page() -> RequestSpec {
+    RequestSpec::to(HOST, "/pages/home?lang=es")
 }
 
-pub fn ticket() -> Ask {
-    Ask::to(HOST, "/tickets/new").send(Method::POST, "room 12")
+pub fn ticket() -> RequestSpec {
+    RequestSpec::to(HOST, "/tickets/new").with_body(Method::POST, "room 12")
 }
 
-pub fn chat() -> Ask {
-    Ask::to(HOST, "/chat/2f").model("welcome")
+pub fn chat() -> RequestSpec {
+    RequestSpec::to(HOST, "/chat/2f").model("welcome")
 }
 
-pub fn draft() -> Ask {
-    Ask::to(HOST, "/draft/2f").model("welcome")
+pub fn draft() -> RequestSpec {
+    RequestSpec::to(HOST, "/draft/2f").model("welcome")
 }
 
 /// Sends a request and returns the id of the server that answered it.
-pub async fn server_of(host: &Host, request: &Ask) -> Option<String> {
-    let answer = host.caller().ask(request).await.ok()?;
+pub async fn server_of(host: &Host, request: &RequestSpec) -> Option<String> {
+    let answer = host.caller().fetch(request).await.ok()?;
     answer.field("server").as_str().map(str::to_owned)
 }
 
 /// Sends a request and returns the status of its answer, or none if there was no answer.
-pub async fn status_of(host: &Host, request: &Ask) -> Option<StatusCode> {
-    Some(host.caller().ask(request).await.ok()?.status)
+pub async fn status_of(host: &Host, request: &RequestSpec) -> Option<StatusCode> {
+    Some(host.caller().fetch(request).await.ok()?.status)
 }
--- a/crates/stage/tests/routed/stops.rs
+++ b/crates/stage/tests/routed/stops.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use standin::routed::{caller::Ask, until};
+use standin::routed::{caller::RequestSpec, until};
 
 use crate::site::{chat, page, site, status_of, ticket};
 
@@ -18,10 +18,10 @@
 async fn a_leaving_server_gets_nothing_new(#[case] is_announced: bool) {
     let mut site = site(2).await;
     match is_announced {
-        true => site.backend.server("app-1").leave(None),
-        false => site.backend.forget("app-1"),
+        true => site.backend.server("app-1").drain(None),
+        false => site.backend.deregister("app-1"),
     }
-    site.seen().await;
+    site.wait_until_observed().await;
     let runs_before = site.backend.server("app-1").runs().len();
     for host in &site.hosts {
         for request in [page(), ticket(), page(), ticket()] {
@@ -35,16 +35,16 @@
 async fn a_leaving_server_finishes_what_it_runs() {
     let site = site(1).await;
     let server = site.backend.server("app-1");
-    server.script(|script| script.work = SLOW);
-    site.backend.server("app-2").leave(None);
-    site.seen().await;
+    server.script(|script| script.work_time = SLOW);
+    site.backend.server("app-2").drain(None);
+    site.wait_until_observed().await;
     let mut caller = site.hosts[0].caller();
-    let pending = tokio::spawn(async move { caller.ask(&ticket()).await });
+    let pending = tokio::spawn(async move { caller.fetch(&ticket()).await });
     until("the request runs", async || server.running() == 1).await;
-    server.leave(None);
-    site.seen().await;
+    server.drain(None);
+    site.wait_until_observed().await;
     let answer = pending.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
 
 #[rstest]
@@ -52,26 +52,26 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sigterm_cuts_nothing_and_the_process_ends(#[case] request: Ask) {
+async fn sigterm_cuts_nothing_and_the_process_ends(#[case] request: RequestSpec) {
     let mut site = site(1).await;
-    site.backend.script(|script| (script.work, script.pace) = (SLOW, SLOW / 3));
+    site.backend.script(|script| (script.work_time, script.event_interval) = (SLOW, SLOW / 3));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let pending = tokio::spawn(async move { caller.ask(&request).await });
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
+    let pending = tokio::spawn(async move { caller.fetch(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
 
     site.hosts[0].signal(Signal::SIGTERM);
     until("the host reports that it is not ready", async || {
-        site.hosts[0].says_ready().await == Some(StatusCode::SERVICE_UNAVAILABLE)
+        site.hosts[0].readiness_status().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
-    let late = idle.ask(&page()).await.unwrap();
-    assert_eq!((late.status, late.whole), (StatusCode::OK, true));
+    let late = idle.fetch(&page()).await.unwrap();
+    assert_eq!((late.status, late.is_complete), (StatusCode::OK, true));
     assert!(late.closes(), "a persistent connection isn't closed by a stopping host");
 
     let answer = pending.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-    let ended = site.hosts[0].ended().await;
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
+    let ended = site.hosts[0].wait_for_exit().await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
 }
 
@@ -79,20 +79,21 @@
 #[case::plain(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn sighup_ends_nothing(#[case] request: Ask) {
+async fn sighup_ends_nothing(#[case] request: RequestSpec) {
     let mut site = site(1).await;
-    site.backend.script(|script| (script.work, script.pace) = (SLOW / 2, SLOW / 6));
+    site.backend.script(|script| (script.work_time, script.event_interval) = (SLOW / 2, SLOW / 6));
     let (mut caller, mut idle) = (site.hosts[0].caller(), site.hosts[0].caller());
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    let pending = tokio::spawn(async move { caller.ask(&request).await });
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
+    let pending = tokio::spawn(async move { caller.fetch(&request).await });
     until("the request runs", async || site.backend.runs() == 2).await;
     for _ in 0..2 {
         site.hosts[0].signal(Signal::SIGHUP);
-        until("the host logs the signal", async || site.hosts[0].logged("reload asked for")).await;
+        until("the host logs the signal", async || site.hosts[0].has_logged("reload asked for"))
+            .await;
     }
     let answer = pending.await.unwrap().unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
-    assert_eq!(idle.ask(&page()).await.unwrap().status, StatusCode::OK);
-    assert_eq!((idle.connections(), site.hosts[0].runs()), (1, true));
-    assert_eq!(site.hosts[0].says_ready().await, Some(StatusCode::OK));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
+    assert_eq!(idle.fetch(&page()).await.unwrap().status, StatusCode::OK);
+    assert_eq!((idle.connections(), site.hosts[0].is_running()), (1, true));
+    assert_eq!(site.hosts[0].readiness_status().await, Some(StatusCode::OK));
 }
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standin::routed::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, RequestSpec},
     host::Host,
     server::{Fault, Settings},
     site::Site,
@@ -60,10 +60,10 @@
     lines.iter().filter(|line| line["kind"] == kind).collect()
 }
 
-async fn ask_with_fault(fault: Fault, request: &Ask) -> (Site, Answer) {
+async fn ask_with_fault(fault: Fault, request: &RequestSpec) -> (Site, Answer) {
     let site = site_with_info_log().await;
-    site.backend.script(|script| script.always = Some(fault));
-    let answer = site.hosts[0].caller().ask(request).await.unwrap();
+    site.backend.script(|script| script.default_fault = Some(fault));
+    let answer = site.hosts[0].caller().fetch(request).await.unwrap();
     (site, answer)
 }
 
@@ -88,7 +88,7 @@
 #[case::non_idempotent(ticket())]
 #[case::stream(chat())]
 #[tokio::test]
-async fn a_refusal_is_explained(#[case] request: Ask) {
+async fn a_refusal_is_explained(#[case] request: RequestSpec) {
     let request = request.deadline(Some(DEADLINE));
     let (site, answer) = ask_with_fault(FULL, &request).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -131,10 +131,10 @@
     })
     .await
     .unwrap();
-    site.ready().await;
-    site.backend.script(|script| script.always = Some(FULL));
+    site.wait_until_ready().await;
+    site.backend.script(|script| script.default_fault = Some(FULL));
     let request = ticket().deadline(Some(DEADLINE));
-    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
+    let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let lines = finished_lines(&site, &request.id()).await;
     let why = of_kind(&lines, "ended")[0]["why"].clone();
@@ -144,8 +144,8 @@
 #[tokio::test]
 async fn a_request_that_no_route_takes_is_explained() {
     let site = site_with_info_log().await;
-    let request = Ask::to("nowhere.example", "/");
-    site.hosts[0].caller().ask(&request).await.unwrap();
+    let request = RequestSpec::to("nowhere.example", "/");
+    site.hosts[0].caller().fetch(&request).await.unwrap();
     let lines = finished_lines(&site, &request.id()).await;
     let end = of_kind(&lines, "ended")[0];
     assert_eq!((&end["outcome"], &end["why"]), (&json!("refused"), &json!("no-route")));
@@ -183,7 +183,7 @@
 async fn a_cut_stream_is_explained() {
     let request = chat();
     let (site, answer) = ask_with_fault(Fault::Broken { events: 2 }, &request).await;
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.events(), [1, 2]);
     let lines = finished_lines(&site, &request.id()).await;
 
@@ -201,7 +201,7 @@
     site.backend.script(|script| script.faults = [Fault::Broken { events: 2 }].into());
     let mut caller = site.hosts[0].caller();
     let request = draft();
-    let answer = caller.ask(&request).await.unwrap();
+    let answer = caller.fetch(&request).await.unwrap();
     let lines = finished_lines(&site, &request.id()).await;
     let resumed = of_kind(&lines, "resumed");
     assert_eq!(resumed[0]["after"], 2, "{lines:#?}");
@@ -214,9 +214,9 @@
 #[case::plain(page(), 0)]
 #[case::stream(chat(), 5)]
 #[tokio::test]
-async fn a_request_that_goes_well_is_one_line(#[case] request: Ask, #[case] events: u64) {
+async fn a_request_that_goes_well_is_one_line(#[case] request: RequestSpec, #[case] events: u64) {
     let site = site_with_info_log().await;
-    assert_eq!(site.hosts[0].caller().ask(&request).await.unwrap().status, StatusCode::OK);
+    assert_eq!(site.hosts[0].caller().fetch(&request).await.unwrap().status, StatusCode::OK);
     finished_lines(&site, &request.id()).await;
     let lines: Vec<_> =
         site.hosts[0].log().into_iter().filter(|line| line["request"] == *request.id()).collect();
@@ -238,8 +238,8 @@
         .find(|line| line["kind"] == "start")
         .expect("the host logs its start");
     let mut settings = start["settings"].clone();
-    let logged_attempts = async |request: &Ask| {
-        assert_eq!(host.caller().ask(request).await.unwrap().status, StatusCode::OK);
+    let logged_attempts = async |request: &RequestSpec| {
+        assert_eq!(host.caller().fetch(request).await.unwrap().status, StatusCode::OK);
         finished_lines(&site, &request.id())
             .await
             .iter()
@@ -275,7 +275,7 @@
     let site = site_with_info_log().await;
     let host = &site.hosts[0];
     for request in [page(), page(), chat()] {
-        assert_eq!(host.caller().ask(&request).await.unwrap().status, StatusCode::OK);
+        assert_eq!(host.caller().fetch(&request).await.unwrap().status, StatusCode::OK);
     }
     let text = metrics(host).await;
     let connects = r#"cyclamenstage_routed_phase_seconds_count{kind="idempotent",phase="connect"}"#;
@@ -298,18 +298,18 @@
     for number in 3..=8 {
         backend.add(Settings::plain(&format!("app-{number}"), "app")).await.unwrap();
     }
-    backend.script(|script| script.always = Some(Fault::Failed(StatusCode::BAD_GATEWAY)));
+    backend.script(|script| script.default_fault = Some(Fault::Failed(StatusCode::BAD_GATEWAY)));
     backend.declare(&declaration());
     let mut site = start_site(backend, 0).await;
     for _ in 0..2 {
         let retry = json!({"ratio": 0.0, "extra": EXTRA, "window_s": 60});
         site.add(|settings| settings["routed"]["retry"] = retry).await.unwrap();
     }
-    site.ready().await;
+    site.wait_until_ready().await;
     let (mut answered, mut retries) = (0, 0);
     until("the host exceeds its own share of retries", async || {
         let request = page().deadline(Some(Duration::from_millis(500)));
-        answered += usize::from(site.hosts[0].caller().ask(&request).await.is_ok());
+        answered += usize::from(site.hosts[0].caller().fetch(&request).await.is_ok());
         let arrivals: usize = site.backend.servers.iter().map(|it| it.arrivals().len()).sum();
         retries = arrivals.saturating_sub(answered);
         SHARE < retries
@@ -326,10 +326,10 @@
     let backend = backend().await;
     backend.declare(&declaration());
     let site = start_site(backend, 2).await;
-    site.ready().await;
+    site.wait_until_ready().await;
     for host in &site.hosts {
         for _ in 0..3 {
-            assert_eq!(host.caller().ask(&chat()).await.unwrap().status, StatusCode::OK);
+            assert_eq!(host.caller().fetch(&chat()).await.unwrap().status, StatusCode::OK);
         }
     }
     let demand_of = async |host: usize| {
--- a/crates/stage/tests/routed/streams.rs
+++ b/crates/stage/tests/routed/streams.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    caller::{Answer, Ask},
+    caller::{Answer, RequestSpec},
     server::{Ending, Fault, Run},
     site::Site,
     until,
@@ -19,18 +19,18 @@
 
 fn runs(site: &Site) -> Vec<Run> {
     let mut runs: Vec<Run> = model_servers(site).flat_map(|server| server.runs()).collect();
-    runs.sort_by_key(|run| run.began);
+    runs.sort_by_key(|run| run.started_at);
     runs
 }
 
 /// Makes the first stream at server `lm-1` fail, and sends requests until that server gets one.
 /// Returns the answer to that request.
-async fn ask_until_fault(site: &Site, fault: Fault, request: &Ask) -> Answer {
+async fn ask_until_fault(site: &Site, fault: Fault, request: &RequestSpec) -> Answer {
     let server = site.backend.server("lm-1");
     server.script(|script| script.faults = [fault].into());
     loop {
         // A new prompt each time, as a host prefers the server that has a prompt's prefix cached.
-        let answer = site.hosts[0].caller().ask(&request.unread()).await.unwrap();
+        let answer = site.hosts[0].caller().fetch(&request.with_new_prompt()).await.unwrap();
         if !server.runs().is_empty() {
             return answer;
         }
@@ -44,12 +44,13 @@
 async fn a_broken_stream_that_may_not_run_again_looks_broken(#[case] events: u64) {
     let site = site(1).await;
     let answer = ask_until_fault(&site, Fault::Broken { events }, &chat()).await;
-    assert!(!answer.whole || !answer.status.is_success(), "a broken stream looks complete");
+    assert!(!answer.is_complete || !answer.status.is_success(), "a broken stream looks complete");
     assert_eq!(answer.events(), (1..=events).collect::<Vec<_>>());
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     assert!(text.is_empty() || text.ends_with("\n\n"), "the caller got a partial event: {text:?}");
     let runs = runs(&site);
-    let id = runs.iter().find(|run| run.ending == Some(Ending::Spoilt)).unwrap().asked.id.clone();
+    let id =
+        runs.iter().find(|run| run.ending == Some(Ending::Corrupted)).unwrap().request.id.clone();
     assert_eq!(site.backend.runs_of(&id.unwrap()), 1);
 }
 
@@ -61,20 +62,20 @@
 async fn a_resumable_stream_goes_on_elsewhere(#[case] fault: Fault, #[case] after: Option<u64>) {
     let site = site(1).await;
     let answer = ask_until_fault(&site, fault, &draft()).await;
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
     assert_eq!(answer.events(), vec![1, 2, 3, 4, 5]);
 
     let first = site.backend.server("lm-1").runs()[0].clone();
-    let id = first.asked.id.unwrap();
+    let id = first.request.id.unwrap();
     let seal = format!("lm-1.{id}");
     assert_eq!(
-        answer.told.seal.as_deref(),
+        answer.metadata.seal.as_deref(),
         Some(&*seal),
         "the head of the answer is not the first server's"
     );
     let second = site.backend.server("lm-2").runs();
-    let second = second.iter().find(|run| run.asked.id.as_ref() == Some(&id)).unwrap();
-    assert_eq!(second.asked.resume, after);
+    let second = second.iter().find(|run| run.request.id.as_ref() == Some(&id)).unwrap();
+    assert_eq!(second.request.resume, after);
     assert_eq!((second.ending, site.backend.runs_of(&id)), (Some(Ending::Answered), 2));
 }
 
@@ -82,7 +83,9 @@
 async fn a_caller_that_leaves_a_stream_ends_it_at_the_server() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| (script.events, script.pace) = (1000, Duration::from_millis(20)));
+        server.script(|script| {
+            (script.events, script.event_interval) = (1000, Duration::from_millis(20))
+        });
     }
     for request in [chat(), draft()] {
         let mut caller = site.hosts[0].caller();
@@ -90,7 +93,7 @@
         assert!(opened.event(3).await);
         drop((opened, caller));
         until("the server sees that the caller has closed the connection", async || {
-            runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
+            runs(&site).iter().all(|run| run.ending == Some(Ending::CallerClosed))
         })
         .await;
         assert_eq!(site.backend.runs_of(&request.id()), 1);
@@ -101,7 +104,7 @@
 async fn events_pass_as_they_come() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
+        server.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
     }
     let mut caller = site.hosts[0].caller();
     let mut opened = caller.open(&chat()).await.unwrap();
@@ -112,14 +115,14 @@
 async fn a_stream_ends_with_its_routes_time() {
     let site = site(1).await;
     for server in model_servers(&site) {
-        server.script(|script| script.always = Some(Fault::Stalled { events: 2 }));
+        server.script(|script| script.default_fault = Some(Fault::Stalled { events: 2 }));
     }
     let request = chat().deadline(Some(Duration::from_millis(700)));
-    let answer = site.hosts[0].caller().ask(&request).await.unwrap();
-    assert!(!answer.whole, "a stream without its end looks complete");
+    let answer = site.hosts[0].caller().fetch(&request).await.unwrap();
+    assert!(!answer.is_complete, "a stream without its end looks complete");
     assert_eq!(answer.events(), vec![1, 2]);
     until("the host closes the connection to the server", async || {
-        runs(&site).iter().all(|run| run.ending == Some(Ending::Left))
+        runs(&site).iter().all(|run| run.ending == Some(Ending::CallerClosed))
     })
     .await;
 }
@@ -130,10 +133,10 @@
 async fn a_stream_whose_only_holder_fails_goes_to_another_that_gets_its_adapter() {
     let site = site(1).await;
     let request = draft().adapter("a1");
-    let first = site.hosts[0].caller().ask(&request).await.unwrap();
+    let first = site.hosts[0].caller().fetch(&request).await.unwrap();
     assert_eq!(first.status, StatusCode::OK);
     let holder = model_servers(&site).find(|server| !server.runs().is_empty()).unwrap();
-    holder.script(|script| script.always = Some(Fault::Lost));
-    let answer = site.hosts[0].caller().ask(&request.again()).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (StatusCode::OK, true));
+    holder.script(|script| script.default_fault = Some(Fault::Lost));
+    let answer = site.hosts[0].caller().fetch(&request.with_new_id()).await.unwrap();
+    assert_eq!((answer.status, answer.is_complete), (StatusCode::OK, true));
 }
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use rstest::rstest;
 use standin::routed::{
-    links::Way,
+    links::Delivery,
     server::Fault as ServerFault,
     soak::{
         Plan, Summary, run,
@@ -50,7 +50,7 @@
 
 /// All datagrams between hosts are lost for longer than a host counts silent hosts as present.
 fn partition_schedule() -> Vec<PlannedFault> {
-    let lost_datagrams = planned(1, 53, Fault::Links(Pairs::All, Way::Lost));
+    let lost_datagrams = planned(1, 53, Fault::Links(Pairs::All, Delivery::Lost));
     [lost_datagrams].into_iter().chain(failing(42, 54)).collect()
 }
 
@@ -75,7 +75,7 @@
     let in_turn = (0..HOSTS).map(|host| kill(7_000 + 300 * host as u64, host));
     let at_once = (0..HOSTS).map(|host| kill(17_000 + host as u64, host));
     let others =
-        [planned(2, 22, Fault::Poison), planned(12, 2, Fault::Links(Pairs::Of(1), Way::Lost))];
+        [planned(2, 22, Fault::Poison), planned(12, 2, Fault::Links(Pairs::Of(1), Delivery::Lost))];
     in_turn.chain(at_once).chain(others).collect()
 }
 
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -1,13 +1,13 @@
-//! Servers behind the routes: a model server, or a plain one.
+//! Stand-ins for the servers behind the routes: model servers and plain ones.
 //!
-//! A server keeps the log of what truly ran; tests rest their verdicts on it. It misbehaves as its
-//! [`Script`] says.
+//! A server records every request that really ran, and tests judge by these records. Its behaviour
+//! and its faults follow its [`Script`].
 
 pub mod quota;
 
+mod inventory;
 mod script;
 mod serving;
-mod stock;
 mod work;
 
 use std::{
@@ -26,48 +26,48 @@
     routed::{self, Born, Engine, Held, State},
 };
 
-use self::{quota::Quota, stock::Stock};
+use self::{inventory::Inventory, quota::Quota};
 use super::{lock, wire::Listener};
 
 pub use self::{
+    inventory::{OrderRecord, Overload},
     script::{Fault, OrderFault, Script},
-    stock::{Given, Overload},
 };
 
-/// Slots of a server unless a test sets them.
+/// Slots and queue length of a server unless a test sets them.
 const SLOTS: u32 = 8;
 
-/// What a server is.
+/// Settings of a server that stay the same while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The server's name; a server started again has the same name and a later start time.
     pub id: backend::Id,
-    /// When this run began; 0 if it doesn't say.
-    pub born: Born,
-    /// The service that it belongs to.
+    /// Start time of this run that the server registers and reports; 0 if it gives none.
+    pub started_at: Born,
+    /// The service that the server belongs to.
     pub service: service::Id,
-    /// Its availability zone.
+    /// The availability zone that it registers.
     pub zone: availability::Id,
-    /// Requests that it runs at once.
+    /// Greatest number of requests that run at once.
     pub slots: u32,
-    /// Requests that wait at most.
+    /// Greatest number of requests that wait for a slot; further ones are answered with status 503.
     pub queue: u32,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health: Arc<str>,
-    /// Idle connections are closed after this time, which it states.
+    /// Idle connections are closed after this time, which answers announce; `None` keeps them open.
     pub idle: Option<Duration>,
-    /// What it runs, if it is a model server.
+    /// The engine of a model server; `None` for a plain server.
     pub engine: Option<Engine>,
-    /// What it holds from the start.
+    /// Models and adapters that it holds at the start.
     pub held: Vec<Held>,
 }
 
 impl Settings {
-    /// A plain server.
+    /// A plain server with 8 slots, a queue of 8 and no start time.
     pub fn plain(id: &str, service: &str) -> Settings {
         Settings {
             id: id.into(),
-            born: 0,
+            started_at: 0,
             service: service.into(),
             zone: "mobile-hall".into(),
             slots: SLOTS,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A model server that holds some models.
+    /// A model server with the slots of `engine`, which holds `models` from the start.
     pub fn model(id: &str, service: &str, engine: &Engine, models: &[&str]) -> Settings {
         let held = models.iter().map(|model| Held {
             model: (*model).into(),
@@ -95,62 +95,62 @@
     }
 }
 
-/// A request that ran.
+/// The record of a request that ran.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What it asked.
-    pub asked: IncomingRequest,
-    /// Its method.
+    /// What its headers say to servers.
+    pub request: IncomingRequest,
+    /// The HTTP method.
     pub method: Method,
-    /// Its path with the query.
+    /// The path with the query.
     pub path: String,
-    /// Its headers.
+    /// All headers, as received.
     pub headers: http::HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// When the request came to the server.
-    pub came: Instant,
-    /// When it began.
-    pub began: Instant,
-    /// The fault that it met.
+    /// When the server received the request.
+    pub arrived_at: Instant,
+    /// When it got a slot.
+    pub started_at: Instant,
+    /// The fault that the script applied to it, if any.
     pub fault: Option<Fault>,
-    /// How it ended.
+    /// How it ended; `None` while it runs.
     pub ending: Option<Ending>,
-    /// When it ended.
-    pub ended: Option<Instant>,
+    /// When it ended; `None` while it runs.
+    pub ended_at: Option<Instant>,
 }
 
 impl Run {
     fn end(&mut self, ending: Ending) {
         if self.ending.is_none() {
-            (self.ending, self.ended) = (Some(ending), Some(Instant::now()));
+            (self.ending, self.ended_at) = (Some(ending), Some(Instant::now()));
         }
     }
 }
 
-/// A request that came, whether it ran or not.
+/// The receipt of a request, whether it then ran or not; health checks aren't counted.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request.
+    /// The request's id.
     pub id: Arc<str>,
-    /// When it came.
+    /// When the server received it.
     pub at: Instant,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With its whole answer.
+    /// The complete answer was written.
     Answered,
-    /// The caller closed the connection while it ran.
-    Left,
-    /// Its answer was spoilt on purpose.
-    Spoilt,
-    /// The server crashed.
+    /// The caller closed the connection before the answer was complete.
+    CallerClosed,
+    /// The script had the answer lost, cut off or replaced.
+    Corrupted,
+    /// The server crashed or was killed during the run.
     Crashed,
 }
 
-/// A running server.
+/// A running server; when dropped, it ends with all connections.
 #[derive(Debug)]
 pub struct Server {
     shared: Arc<Shared>,
@@ -161,16 +161,16 @@
 struct Shared {
     settings: Settings,
     script: Mutex<Script>,
-    stock: Mutex<Stock>,
+    inventory: Mutex<Inventory>,
     runs: Mutex<Vec<Run>>,
-    began: Instant,
+    started_at: Instant,
     arrivals: Mutex<Vec<Arrival>>,
     quota: Mutex<Quota>,
     load: watch::Sender<Load>,
-    registered: watch::Sender<routed::Server>,
+    registration: watch::Sender<routed::Server>,
     connections: Mutex<u64>,
-    end: Mutex<Option<AbortHandle>>,
-    crashed: Mutex<Option<Instant>>,
+    abort: Mutex<Option<AbortHandle>>,
+    crashed_at: Mutex<Option<Instant>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -180,7 +180,7 @@
 }
 
 impl Server {
-    /// Starts it at a port that the system picks.
+    /// Starts a server on 127.0.0.1, at a port that the operating system picks.
     ///
     /// # Errors
     ///
@@ -189,13 +189,14 @@
         Server::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), settings).await
     }
 
-    /// Starts it at an address, which an earlier server may just have left.
+    /// Starts a server at `address`. If the address is in use, retries for about 2 s, since an
+    /// earlier server there may just have ended.
     ///
     /// # Errors
     ///
     /// If the address can't be bound.
     pub async fn start_at(address: SocketAddr, settings: Settings) -> io::Result<Server> {
-        // Connections are taken only once the server knows its own address.
+        // Connections are served only after the server knows its own address.
         let (ready, shared) = watch::channel(None::<Arc<Shared>>);
         let listener = Listener::start_at(address, move |connection| {
             let mut shared = shared.clone();
@@ -208,107 +209,107 @@
         })
         .await?;
         let shared = Arc::new(Shared::new(settings, listener.address));
-        *lock(&shared.end) = Some(listener.end());
+        *lock(&shared.abort) = Some(listener.abort_handle());
         ready.send_replace(Some(shared.clone()));
         Ok(Server { shared, listener })
     }
 
-    /// Its name.
+    /// The server's name, the `id` of its settings.
     pub fn id(&self) -> &backend::Id {
         &self.shared.settings.id
     }
 
-    /// The service that it belongs to.
+    /// The service of its settings.
     pub fn service(&self) -> &service::Id {
         &self.shared.settings.service
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Changes its script.
+    /// Changes the script; requests that are running keep the values that they have read.
     pub fn script(&self, change: impl FnOnce(&mut Script)) {
         change(&mut lock(&self.shared.script));
     }
 
-    /// What ran so far.
+    /// Records of all requests that began to run so far, in that order.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Requests that came so far, those that it rejected among them.
+    /// Receipts of all requests so far, also of those that were rejected.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.shared.arrivals).clone()
     }
 
-    /// When it started.
-    pub fn began(&self) -> Instant {
-        self.shared.began
+    /// When this stand-in was started, by the clock of the test.
+    pub fn started_at(&self) -> Instant {
+        self.shared.started_at
     }
 
-    /// Requests that came, and the limits that its answers named.
+    /// Arrivals of requests and the limits that answers named, for the check of the quota rule.
     pub fn quota(&self) -> Quota {
         lock(&self.shared.quota).clone()
     }
 
-    /// How often a request ran.
+    /// How often the request with this id ran.
     pub fn runs_of(&self, id: &str) -> usize {
-        self.runs().iter().filter(|run| run.asked.id.as_deref() == Some(id)).count()
+        self.runs().iter().filter(|run| run.request.id.as_deref() == Some(id)).count()
     }
 
-    /// Orders so far, with what became of them.
-    pub fn orders(&self) -> Vec<Given> {
-        lock(&self.shared.stock).given.clone()
+    /// All orders judged so far, with their outcomes, in the order of judgment.
+    pub fn orders(&self) -> Vec<OrderRecord> {
+        lock(&self.shared.inventory).orders.clone()
     }
 
-    /// Whether an order asked for more than there is room for.
+    /// What an accepted order exceeded, if one did; the server crashes then.
     pub fn overload(&self) -> Option<Overload> {
-        lock(&self.shared.stock).overload
+        lock(&self.shared.inventory).overload
     }
 
-    /// Connections accepted so far.
+    /// How many connections were accepted so far.
     pub fn connections(&self) -> u64 {
         *lock(&self.shared.connections)
     }
 
-    /// Requests that run now.
+    /// How many requests are running.
     pub fn running(&self) -> u32 {
         self.shared.load.borrow().running
     }
 
-    /// What it says of itself, as it changes.
+    /// The server's registration, and its changes.
     pub fn registration(&self) -> watch::Receiver<routed::Server> {
-        self.shared.registered.subscribe()
+        self.shared.registration.subscribe()
     }
 
-    /// Begins to leave: it says so and goes on serving. `remaining` is the time that it is given.
-    pub fn leave(&self, remaining: Option<Duration>) {
-        self.shared.registered.send_modify(|server| {
+    /// Registers the server as draining, with the time that remains to it; it goes on serving.
+    pub fn drain(&self, remaining: Option<Duration>) {
+        self.shared.registration.send_modify(|server| {
             server.state = State::Draining;
             server.remaining = remaining;
         });
     }
 
-    /// Ends it at once, with every connection.
+    /// Ends the server at once, with all connections; running requests end as crashed.
     pub fn kill(&self) {
         self.shared.crash();
     }
 
-    /// When it crashed or was killed.
-    pub fn crashed(&self) -> Option<Instant> {
-        *lock(&self.shared.crashed)
+    /// When it crashed or was killed, if it was.
+    pub fn crashed_at(&self) -> Option<Instant> {
+        *lock(&self.shared.crashed_at)
     }
 }
 
 impl Shared {
     fn new(settings: Settings, address: SocketAddr) -> Shared {
-        let stock = Stock::new(settings.engine.clone(), &settings.held);
-        let registered = routed::Server {
-            id: routed::run(&settings.id, settings.born),
+        let inventory = Inventory::new(settings.engine.clone(), &settings.held);
+        let registration = routed::Server {
+            id: routed::run(&settings.id, settings.started_at),
             name: settings.id.clone(),
-            born: settings.born,
+            born: settings.started_at,
             service: settings.service.clone(),
             address,
             zone: settings.zone.clone(),
@@ -324,53 +325,54 @@
         Shared {
             settings,
             script: Mutex::default(),
-            stock: Mutex::new(stock),
+            inventory: Mutex::new(inventory),
             runs: Mutex::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             arrivals: Mutex::default(),
             quota: Mutex::default(),
             load: watch::Sender::default(),
-            registered: watch::Sender::new(registered),
+            registration: watch::Sender::new(registration),
             connections: Mutex::default(),
-            end: Mutex::default(),
-            crashed: Mutex::default(),
+            abort: Mutex::default(),
+            crashed_at: Mutex::default(),
         }
     }
 
-    fn stock(&self) -> MutexGuard<'_, Stock> {
-        lock(&self.stock)
+    fn inventory(&self) -> MutexGuard<'_, Inventory> {
+        lock(&self.inventory)
     }
 
-    /// Names the script's limit in the head of an answer.
-    fn name_limit(&self, headers: &mut http::HeaderMap) {
+    /// Adds the script's limit to the head of an answer, and records it.
+    fn add_limit(&self, headers: &mut http::HeaderMap) {
         let limit = lock(&self.script).limit.clone();
         if let Some(limit) = &limit {
             platform::remote::server::limit(headers, limit);
         }
-        lock(&self.quota).named(limit.as_deref(), self.began.elapsed());
+        lock(&self.quota).record_limit(limit.as_deref(), self.started_at.elapsed());
     }
 
-    /// Tells of what the stock holds now.
+    /// Updates the registration from the inventory.
     fn register(&self) {
         let (models, sequence) = {
-            let stock = self.stock();
-            (stock.held(), stock.sequence)
+            let inventory = self.inventory();
+            (inventory.held(), inventory.sequence)
         };
-        self.registered.send_modify(|server| {
+        self.registration.send_modify(|server| {
             server.models = models;
             server.sequence = sequence;
         });
     }
 
-    /// Ends the server, with every run.
+    /// Ends the server, with all runs and connections.
     fn crash(&self) {
-        lock(&self.crashed).get_or_insert_with(Instant::now);
+        lock(&self.crashed_at).get_or_insert_with(Instant::now);
         lock(&self.runs).iter_mut().for_each(|run| run.end(Ending::Crashed));
-        if let Some(end) = lock(&self.end).take() {
-            end.abort();
+        if let Some(abort) = lock(&self.abort).take() {
+            abort.abort();
         }
     }
 
+    /// Running requests, waiting requests and slots, in the order in which answers report them.
     fn load(&self) -> [u32; 3] {
         let load = *self.load.borrow();
         [load.running, load.waiting, self.settings.slots]
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -1,4 +1,4 @@
-//! What a model server holds, and the orders that change it.
+//! The models and adapters that a model server holds, and the orders that change them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -13,60 +13,60 @@
     routed::{Engine, Held, Report, Sequence},
 };
 
-/// Reports kept for those who ask with a lag.
-const REPORTS: usize = 256;
+/// How many past reports are kept, to answer with a report of an earlier time.
+const MAX_REPORTS: usize = 256;
 
-/// An order, and what became of it.
+/// An order and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
-    /// The order.
+pub struct OrderRecord {
+    /// The order as received.
     pub order: Order,
-    /// What the server made of it when it was judged.
+    /// The status with which the server answers it, even if the answer is lost.
     pub outcome: OrderStatus,
-    /// When it came.
-    pub came: Instant,
-    /// When it was judged.
-    pub at: Instant,
+    /// When the server received it.
+    pub arrived_at: Instant,
+    /// When the server judged it, which is later than its arrival for a delayed order.
+    pub judged_at: Instant,
 }
 
-/// What an order asked for beyond what there is.
+/// The resource that the held and loading models and adapters exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overload {
     /// Memory for weights.
     Weights,
-    /// Places for adapters.
+    /// Slots for adapters.
     Adapters,
 }
 
-/// A load that has been accepted and is not complete.
+/// A load that has been accepted and isn't complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Coming {
+pub(super) struct PendingLoad {
     model: model::Id,
     adapter: Option<adapter::Id>,
 }
 
 #[derive(Debug)]
-pub(super) struct Stock {
+pub(super) struct Inventory {
     engine: Option<Engine>,
     held: BTreeMap<model::Id, BTreeSet<adapter::Id>>,
-    coming: Vec<Coming>,
+    loading: Vec<PendingLoad>,
     reports: VecDeque<(Instant, Report)>,
     pub(super) sequence: Sequence,
-    pub(super) given: Vec<Given>,
+    pub(super) orders: Vec<OrderRecord>,
     pub(super) overload: Option<Overload>,
 }
 
-impl Stock {
-    pub(super) fn new(engine: Option<Engine>, held: &[Held]) -> Stock {
+impl Inventory {
+    pub(super) fn new(engine: Option<Engine>, held: &[Held]) -> Inventory {
         let held =
             held.iter().map(|held| (held.model.clone(), held.adapters.iter().cloned().collect()));
-        Stock {
+        Inventory {
             engine,
             held: held.collect(),
-            coming: Vec::new(),
+            loading: Vec::new(),
             reports: VecDeque::new(),
             sequence: 0,
-            given: Vec::new(),
+            orders: Vec::new(),
             overload: None,
         }
     }
@@ -81,10 +81,15 @@
         adapters.is_some_and(|held| adapter.is_none_or(|adapter| held.contains(adapter)))
     }
 
-    /// Whether a load of this is under way.
-    pub(super) fn expects(&self, model: Option<&model::Id>, adapter: Option<&adapter::Id>) -> bool {
-        let is_wanted = |c: &Coming| Some(&c.model) == model && c.adapter.as_ref() == adapter;
-        self.coming.iter().any(is_wanted)
+    /// Whether this model, or adapter of it, is being loaded.
+    pub(super) fn is_loading(
+        &self,
+        model: Option<&model::Id>,
+        adapter: Option<&adapter::Id>,
+    ) -> bool {
+        let is_same =
+            |load: &PendingLoad| Some(&load.model) == model && load.adapter.as_ref() == adapter;
+        self.loading.iter().any(is_same)
     }
 
     pub(super) fn held(&self) -> Vec<Held> {
@@ -96,18 +101,29 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Judges an order and takes it in; a load that is accepted is complete at [`Stock::finish`].
-    pub(super) fn order(&mut self, order: &Order, came: Instant) -> (OrderStatus, Option<Coming>) {
+    /// Judges an order, records it, and applies it if accepted. A load that was accepted is
+    /// returned, for [`Inventory::finish_load`].
+    pub(super) fn handle_order(
+        &mut self,
+        order: &Order,
+        arrived_at: Instant,
+    ) -> (OrderStatus, Option<PendingLoad>) {
         let outcome = self.judge(order);
-        let mut coming = None;
+        let mut pending = None;
         if outcome == OrderStatus::Accepted {
-            coming = self.accept(order);
+            pending = self.accept(order);
         }
-        // An adapter is unloaded at once, which is told like what holds already.
-        let is_done = outcome == OrderStatus::Accepted && coming.is_none();
-        let outcome = if is_done && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
-        self.given.push(Given { order: order.clone(), outcome, came, at: Instant::now() });
-        (outcome, coming)
+        // An adapter is unloaded immediately, so the answer is that the wanted state already holds.
+        let is_complete = outcome == OrderStatus::Accepted && pending.is_none();
+        let outcome =
+            if is_complete && order.adapter.is_some() { OrderStatus::Holds } else { outcome };
+        self.orders.push(OrderRecord {
+            order: order.clone(),
+            outcome,
+            arrived_at,
+            judged_at: Instant::now(),
+        });
+        (outcome, pending)
     }
 
     fn judge(&self, order: &Order) -> OrderStatus {
@@ -118,10 +134,10 @@
         if order.expected.is_some_and(|expected| expected != self.sequence) {
             return OrderStatus::Conflict;
         }
-        let is_there = self.has(Some(&order.model), order.adapter.as_ref());
+        let is_held = self.has(Some(&order.model), order.adapter.as_ref());
         let holds = match order.operation {
-            Operation::Load => is_there,
-            Operation::Unload => !is_there,
+            Operation::Load => is_held,
+            Operation::Unload => !is_held,
         };
         let is_busy = order.adapter.is_none() && self.is_busy();
         let has_base = order.adapter.is_none() || self.held.contains_key(&order.model);
@@ -134,13 +150,13 @@
         }
     }
 
-    fn accept(&mut self, order: &Order) -> Option<Coming> {
+    fn accept(&mut self, order: &Order) -> Option<PendingLoad> {
         self.sequence += 1;
-        let target = Coming { model: order.model.clone(), adapter: order.adapter.clone() };
+        let target = PendingLoad { model: order.model.clone(), adapter: order.adapter.clone() };
         match (order.operation, &order.adapter) {
             (Operation::Load, _) => {
-                self.coming.push(target.clone());
-                self.overload = self.overload.or(self.excess());
+                self.loading.push(target.clone());
+                self.overload = self.overload.or(self.current_overload());
                 return Some(target);
             }
             (Operation::Unload, Some(adapter)) => {
@@ -155,36 +171,37 @@
         None
     }
 
-    /// A load is complete.
-    pub(super) fn finish(&mut self, coming: &Coming) {
-        self.coming.retain(|other| other != coming);
-        match &coming.adapter {
+    /// Adds the loaded model or adapter; an adapter whose model has been unloaded meanwhile is
+    /// dropped.
+    pub(super) fn finish_load(&mut self, pending: &PendingLoad) {
+        self.loading.retain(|other| other != pending);
+        match &pending.adapter {
             None => {
-                self.held.entry(coming.model.clone()).or_default();
+                self.held.entry(pending.model.clone()).or_default();
             }
             Some(adapter) => {
-                if let Some(adapters) = self.held.get_mut(&coming.model) {
+                if let Some(adapters) = self.held.get_mut(&pending.model) {
                     adapters.insert(adapter.clone());
                 }
             }
         }
     }
 
-    /// What is held and coming beyond what there is room for.
-    fn excess(&self) -> Option<Overload> {
+    /// The resource that held and loading models and adapters exceed, if any.
+    fn current_overload(&self) -> Option<Overload> {
         let engine = self.engine.as_ref()?;
         let (mut weights, mut adapters) = (0, 0);
         let held = self.held.iter().map(|(model, adapters)| (model, true, adapters.len() as u64));
-        let coming = self.coming.iter().map(|coming| {
-            (&coming.model, coming.adapter.is_none(), u64::from(coming.adapter.is_some()))
+        let pending = self.loading.iter().map(|pending| {
+            (&pending.model, pending.adapter.is_none(), u64::from(pending.adapter.is_some()))
         });
-        for (id, has_weights, of_it) in held.chain(coming) {
+        for (id, has_weights, count) in held.chain(pending) {
             let Some(model) = engine.models.iter().find(|model| model.name == *id) else {
                 continue;
             };
-            let own = if has_weights { model.weights } else { 0 };
-            weights += own + of_it * model.adapter_weights;
-            adapters += of_it;
+            let own_weights = if has_weights { model.weights } else { 0 };
+            weights += own_weights + count * model.adapter_weights;
+            adapters += count;
         }
         if engine.weights < weights {
             return Some(Overload::Weights);
@@ -193,13 +210,14 @@
     }
 
     fn is_busy(&self) -> bool {
-        self.coming.iter().any(|coming| coming.adapter.is_none())
+        self.loading.iter().any(|pending| pending.adapter.is_none())
     }
 
-    /// The report as it was `lag` ago.
-    pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], lag: Duration) -> Report {
+    /// The report as it was `age` ago, or the oldest one kept. Earlier reports are known only from
+    /// the times at which a report was requested.
+    pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], age: Duration) -> Report {
         let now = Instant::now();
-        let adapters = self.coming.iter();
+        let adapters = self.loading.iter();
         let adapters = adapters.filter_map(|c| c.adapter.clone().map(|a| (c.model.clone(), a)));
         let report = Report {
             models: self.held(),
@@ -212,10 +230,10 @@
             ..Report::default()
         };
         self.reports.push_back((now, report.clone()));
-        while REPORTS < self.reports.len() {
+        while MAX_REPORTS < self.reports.len() {
             self.reports.pop_front();
         }
-        let old_enough = |(at, _): &&(Instant, Report)| *at + lag <= now;
+        let old_enough = |(at, _): &&(Instant, Report)| *at + age <= now;
         let old = self.reports.iter().rev().find(old_enough);
         old.map_or_else(|| self.reports[0].1.clone(), |(_, report)| report.clone())
     }
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -1,4 +1,4 @@
-//! The way of a request through a server.
+//! Handling of a connection: requests, orders, reports and health checks.
 
 use std::{io, sync::Arc};
 
@@ -12,7 +12,7 @@
 use super::{Arrival, Ending, Fault, OrderFault, Run, Shared, work::Work};
 use crate::routed::{lock, wire::Connection};
 
-/// What becomes of a connection after an answer.
+/// What is done with a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum After {
     Keep,
@@ -20,19 +20,19 @@
     Reset,
 }
 
-/// An answer of another request that is due on the connection.
-pub(super) type Stale = Option<Vec<u8>>;
+/// A second answer to an earlier request of the connection, to be sent before the next answer.
+pub(super) type Duplicate = Option<Vec<u8>>;
 
 pub(super) async fn serve(shared: Arc<Shared>, mut connection: Connection) {
     *lock(&shared.connections) += 1;
-    let mut stale = None;
+    let mut duplicate = None;
     loop {
         let request = match shared.settings.idle {
             Some(idle) => tokio::time::timeout(idle, connection.read()).await,
             None => Ok(connection.read().await),
         };
         let Ok(Ok(Some(request))) = request else { return };
-        let after = answer(&shared, &mut connection, request, &mut stale).await;
+        let after = handle(&shared, &mut connection, request, &mut duplicate).await;
         match after.unwrap_or(After::Close) {
             After::Keep => {}
             After::Close => return,
@@ -41,91 +41,93 @@
     }
 }
 
-async fn answer(
+async fn handle(
     shared: &Arc<Shared>,
     connection: &mut Connection,
     request: Request<Bytes>,
-    stale: &mut Stale,
+    duplicate: &mut Duplicate,
 ) -> io::Result<After> {
     let (head, body) = request.into_parts();
-    note_arrival(shared, &head, &body);
+    record_arrival(shared, &head, &body);
     let expected = remote::expected(&head.headers);
     if expected.is_some_and(|expected| *expected != *shared.settings.id) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
     match remote::call(&head, &body) {
         Call::Report => {
-            let lag = lock(&shared.script).lag;
-            let report = shared.stock().report(shared.load(), lag);
-            let report = Report { born: shared.settings.born, ..report };
+            let age = lock(&shared.script).report_age;
+            let report = shared.inventory().report(shared.load(), age);
+            let report = Report { born: shared.settings.started_at, ..report };
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
-            let answer = remote::ordered(OrderStatus::Invalid, shared.settings.born);
+            let answer = remote::ordered(OrderStatus::Invalid, shared.settings.started_at);
             connection.write(&answer).await.map(|()| After::Keep)
         }
-        Call::Order(Some(order)) => ordered(shared, connection, order).await,
+        Call::Order(Some(order)) => handle_order(shared, connection, order).await,
         Call::Request(_) if head.uri.path() == &*shared.settings.health => {
-            let is_ready = shared.registered.borrow().state == State::Ready;
+            let is_ready = shared.registration.borrow().state == State::Ready;
             let health = if is_ready { Health::Healthy } else { Health::Unhealthy };
             let mut response = remote::health(&shared.settings.id, health);
             remote::load(response.headers_mut(), shared.load());
             connection.write(&response).await.map(|()| After::Keep)
         }
-        Call::Request(asked) => requested(shared, connection, *asked, head, body, stale).await,
+        Call::Request(incoming) => {
+            handle_request(shared, connection, *incoming, head, body, duplicate).await
+        }
     }
 }
 
-fn note_arrival(shared: &Shared, head: &Parts, body: &[u8]) {
+fn record_arrival(shared: &Shared, head: &Parts, body: &[u8]) {
     if head.uri.path() != &*shared.settings.health
-        && let Call::Request(asked) = remote::call(head, body)
-        && let Some(id) = asked.id
+        && let Call::Request(incoming) = remote::call(head, body)
+        && let Some(id) = incoming.id
     {
         lock(&shared.arrivals).push(Arrival { id, at: Instant::now() });
     }
 }
 
-async fn ordered(
+async fn handle_order(
     shared: &Arc<Shared>,
     connection: &mut Connection,
     order: remote::Order,
 ) -> io::Result<After> {
-    let (came, fault) = (Instant::now(), lock(&shared.script).orders.pop_front());
-    if let Some(OrderFault::Late(late)) = fault {
+    let (arrived_at, fault) = (Instant::now(), lock(&shared.script).order_faults.pop_front());
+    if let Some(OrderFault::Late(delay)) = fault {
         let shared = shared.clone();
         tokio::spawn(async move {
-            sleep(late).await;
-            carry_out(&shared, &order, came);
+            sleep(delay).await;
+            apply_order(&shared, &order, arrived_at);
         });
         connection.closed().await;
         return Ok(After::Close);
     }
-    let outcome = carry_out(shared, &order, came);
+    let outcome = apply_order(shared, &order, arrived_at);
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
-    let answer = remote::ordered(outcome, shared.settings.born);
+    let answer = remote::ordered(outcome, shared.settings.started_at);
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
-fn carry_out(shared: &Arc<Shared>, order: &remote::Order, came: Instant) -> OrderStatus {
-    let (outcome, coming) = shared.stock().order(order, came);
+fn apply_order(shared: &Arc<Shared>, order: &remote::Order, arrived_at: Instant) -> OrderStatus {
+    let (outcome, pending_load) = shared.inventory().handle_order(order, arrived_at);
     shared.register();
-    if shared.stock().overload.is_some() {
+    if shared.inventory().overload.is_some() {
         shared.crash();
     }
-    if let Some(coming) = coming {
-        let (shared, load) = (shared.clone(), lock(&shared.script).load);
+    if let Some(pending_load) = pending_load {
+        let (shared, load_time) = (shared.clone(), lock(&shared.script).load_time);
         tokio::spawn(async move {
-            sleep(load).await;
-            shared.stock().finish(&coming);
+            sleep(load_time).await;
+            shared.inventory().finish_load(&pending_load);
             shared.register();
         });
     }
     outcome
 }
 
-/// Answers a request that does not run.
+/// Answers a request that isn't run.
 async fn not_run(
     shared: &Shared,
     connection: &mut Connection,
@@ -136,115 +138,132 @@
     *response.status_mut() = status;
     remote::not_run(response.headers_mut());
     remote::load(response.headers_mut(), shared.load());
-    shared.name_limit(response.headers_mut());
-    if let Call::Request(asked) = remote::call(head, &[])
-        && let Some(id) = &asked.id
+    shared.add_limit(response.headers_mut());
+    if let Call::Request(incoming) = remote::call(head, &[])
+        && let Some(id) = &incoming.id
     {
         remote::echo(response.headers_mut(), id);
     }
     connection.write(&response).await.map(|()| After::Keep)
 }
 
-/// A place among those that run, or that wait to.
-struct Place<'a> {
+/// A request's place in the queue, then its slot; given up when dropped.
+struct Slot<'a> {
     shared: &'a Shared,
-    runs: bool,
+    is_running: bool,
 }
 
-impl<'a> Place<'a> {
-    /// Takes a place, or none if the server is full.
-    fn take(shared: &'a Shared) -> Option<Place<'a>> {
+impl<'a> Slot<'a> {
+    /// Enters the queue; `None` if all slots and the queue are taken.
+    fn enqueue(shared: &'a Shared) -> Option<Slot<'a>> {
         let settings = &shared.settings;
         let is_taken = shared.load.send_if_modified(|load| {
             let is_free = load.running < settings.slots || load.waiting < settings.queue;
             load.waiting += u32::from(is_free);
             is_free
         });
-        is_taken.then(|| Place { shared, runs: false })
+        is_taken.then(|| Slot { shared, is_running: false })
     }
 
-    /// Waits for a slot.
-    async fn run(&mut self) {
+    /// Waits for a free slot and takes it.
+    async fn acquire(&mut self) {
         let mut changes = self.shared.load.subscribe();
-        while !self.runs {
-            self.runs = self.shared.load.send_if_modified(|load| {
+        while !self.is_running {
+            self.is_running = self.shared.load.send_if_modified(|load| {
                 let is_free = load.running < self.shared.settings.slots;
                 load.running += u32::from(is_free);
                 load.waiting -= u32::from(is_free);
                 is_free
             });
-            if !self.runs {
+            if !self.is_running {
                 let _ = changes.changed().await;
             }
         }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        self.shared.load.send_modify(|load| match self.runs {
+        self.shared.load.send_modify(|load| match self.is_running {
             true => load.running -= 1,
             false => load.waiting -= 1,
         });
     }
 }
 
-async fn requested(
+async fn handle_request(
     shared: &Arc<Shared>,
     connection: &mut Connection,
-    asked: IncomingRequest,
+    incoming: IncomingRequest,
     head: Parts,
     body: Bytes,
-    stale: &mut Stale,
+    duplicate: &mut Duplicate,
 ) -> io::Result<After> {
-    let came = Instant::now();
-    let Some(id) = asked.id.clone() else {
+    let arrived_at = Instant::now();
+    let Some(id) = incoming.id.clone() else {
         return not_run(shared, connection, &head, StatusCode::BAD_REQUEST).await;
     };
-    lock(&shared.quota).came(&id, came.duration_since(shared.began));
-    if shared.stock().expects(asked.model.as_ref(), asked.adapter.as_ref()) {
+    lock(&shared.quota).record_arrival(&id, arrived_at.duration_since(shared.started_at));
+    if shared.inventory().is_loading(incoming.model.as_ref(), incoming.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     }
-    if !shared.stock().has(asked.model.as_ref(), asked.adapter.as_ref()) {
+    if !shared.inventory().has(incoming.model.as_ref(), incoming.adapter.as_ref()) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
-    let fault = lock(&shared.script).fault();
+    let fault = lock(&shared.script).take_fault();
     if let Some(Fault::NotRun(status)) = fault {
         return not_run(shared, connection, &head, status).await;
     }
-    let Some(mut place) = Place::take(shared) else {
+    let Some(mut slot) = Slot::enqueue(shared) else {
         return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     };
     tokio::select! {
-        () = place.run() => {}
+        () = slot.acquire() => {}
         () = connection.closed() => return Ok(After::Close),
     }
-    if let Some(stale) = stale.take() {
-        connection.write_raw(&stale).await?;
+    if let Some(duplicate) = duplicate.take() {
+        connection.write_raw(&duplicate).await?;
     }
-    let run = begin(shared, asked, head, body, Met { came, fault });
+    let run = start_run(shared, incoming, head, body, Received { arrived_at, fault });
     let work = Work { shared, run, id, fault, connection };
-    let (ending, after) = work.answer(stale).await;
-    finish(shared, run, ending);
+    let (ending, after) = work.answer(duplicate).await;
+    end_run(shared, run, ending);
     Ok(after)
 }
 
-/// What a request met before it ran.
-struct Met {
-    came: Instant,
+/// What is known of a request before it runs.
+struct Received {
+    arrived_at: Instant,
     fault: Option<Fault>,
 }
 
-fn begin(shared: &Shared, asked: IncomingRequest, head: Parts, body: Bytes, met: Met) -> usize {
+fn start_run(
+    shared: &Shared,
+    request: IncomingRequest,
+    head: Parts,
+    body: Bytes,
+    received: Received,
+) -> usize {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str()).to_owned();
     let (method, headers) = (head.method, head.headers);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut runs = lock(&shared.runs);
-    let (Met { came, fault }, ending, ended) = (met, None, None);
-    runs.push(Run { asked, method, path, headers, body, came, began, fault, ending, ended });
+    let (Received { arrived_at, fault }, ending, ended_at) = (received, None, None);
+    runs.push(Run {
+        request,
+        method,
+        path,
+        headers,
+        body,
+        arrived_at,
+        started_at,
+        fault,
+        ending,
+        ended_at,
+    });
     runs.len() - 1
 }
 
-fn finish(shared: &Shared, run: usize, ending: Ending) {
+fn end_run(shared: &Shared, run: usize, ending: Ending) {
     lock(&shared.runs)[run].end(ending);
 }
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -145,7 +145,7 @@
         injector.site.add(|settings| settings["log"] = json!({"level": "debug"})).await?;
         injector.register_host(index);
     }
-    injector.site.ready().await;
+    injector.site.wait_until_ready().await;
     // Times of faults and of the load are relative to this moment.
     let began = Instant::now();
     let mut callers = load::start(&injector.load, plan.seed);
@@ -167,19 +167,19 @@
         let mut overloads = Vec::new();
         for server in servers {
             let mut given = server.orders();
-            given.sort_by_key(|given| given.came);
-            let last = given.last().map(|given| load.since(given.at)).unwrap_or_default();
+            given.sort_by_key(|given| given.arrived_at);
+            let last = given.last().map(|given| load.since(given.judged_at)).unwrap_or_default();
             overloads.extend(server.overload().map(|_| (server.id().to_string(), last)));
             orders.extend(given.into_iter().map(|given| Order {
                 server: server.id().to_string(),
                 holder: given.order.holder.to_string(),
                 fence: given.order.fence,
-                arrived_at: load.since(given.came),
+                arrived_at: load.since(given.arrived_at),
             }));
         }
         orders.sort_by_key(|order| order.arrived_at);
         let quota = |server: &Server| {
-            let quota = server.quota().later(load.since(server.began()));
+            let quota = server.quota().shifted(load.since(server.started_at()));
             (server.id().to_string(), quota)
         };
         let quotas = servers.iter().map(quota).collect();
@@ -190,7 +190,7 @@
         let exited = hosts
             .iter_mut()
             .enumerate()
-            .filter_map(|(index, host)| (!host.runs()).then_some(index));
+            .filter_map(|(index, host)| (!host.is_running()).then_some(index));
         Record {
             exited: exited.collect(),
             hosts: self.site.hosts.iter().map(|host| host.name.clone()).collect(),
@@ -210,18 +210,18 @@
 
 fn runs(server: &Server, load: &State) -> Vec<Run> {
     let to_record = |run: super::server::Run| Run {
-        id: run.asked.id.as_deref().unwrap_or_default().to_owned(),
+        id: run.request.id.as_deref().unwrap_or_default().to_owned(),
         server: server.id().to_string(),
         service: server.service().to_string(),
         path: run.path,
         body_bytes: run.body.len(),
-        arrived_at: load.since(run.came),
-        ended_at: run.ended.map(|ended| load.since(ended)),
+        arrived_at: load.since(run.arrived_at),
+        ended_at: run.ended_at.map(|ended| load.since(ended)),
         failure: match run.fault {
             Some(Fault::Failed(status)) => Some(status),
             _ => None,
         },
-        is_corrupted: matches!(run.ending, Some(Ending::Spoilt | Ending::Crashed)),
+        is_corrupted: matches!(run.ending, Some(Ending::Corrupted | Ending::Crashed)),
         is_server_crash: run.ending == Some(Ending::Crashed),
     };
     server.runs().into_iter().map(to_record).collect()
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -20,11 +20,11 @@
     site,
 };
 use crate::routed::{
-    links::Way,
+    links::Delivery,
     lock,
     server::{OrderFault, Server},
     site::Site,
-    store::Mood,
+    store::Faults,
 };
 
 /// Delay of the store's answers under [`Fault::Slow`].
@@ -169,7 +169,7 @@
             if self.faulted.contains(&index) || self.crashed.contains_key(&index) {
                 continue;
             }
-            if let Some(at) = self.server(index).crashed() {
+            if let Some(at) = self.server(index).crashed_at() {
                 let from = self.load.since(at);
                 let span = Span { from, to: from + RESTART_DELAY };
                 let component = Component::Server(self.servers[index].0.clone());
@@ -235,9 +235,11 @@
     }
 
     /// Sets how datagrams are delivered between some pairs of hosts.
-    fn set_links(&self, pairs: Pairs, way: Way) {
+    fn set_links(&self, pairs: Pairs, delivery: Delivery) {
         let links = self.site.links();
-        pairs.among(self.site.hosts.len()).for_each(|(from, to)| links.set(from, to, way));
+        pairs
+            .among(self.site.hosts.len())
+            .for_each(|(from, to)| links.set_delivery(from, to, delivery));
     }
 
     fn apply(&mut self, fault: Fault) -> Result<(), BoxError> {
@@ -247,13 +249,21 @@
             Fault::Stop(host) => self.site.hosts[host].signal(Signal::SIGTERM),
             Fault::Freeze(host) => self.site.hosts[host].signal(Signal::SIGSTOP),
             Fault::Reload(host) => self.reload(host)?,
-            Fault::Down(refusal) => store.everywhere(|mood| mood.refusal = Some(refusal)),
-            Fault::Slow => store.everywhere(|mood| mood.delay = STORE_DELAY),
-            Fault::Lost(answers) => store.everywhere(|mood| mood.lost = answers),
-            Fault::LateWrite => store.everywhere(|mood| mood.late = Some(LATENESS)),
+            Fault::Down(refusal) => {
+                store.set_faults_everywhere(|faults| faults.refusal = Some(refusal))
+            }
+            Fault::Slow => store.set_faults_everywhere(|faults| faults.delay = STORE_DELAY),
+            Fault::Lost(answers) => {
+                store.set_faults_everywhere(|faults| faults.lost_replies = answers)
+            }
+            Fault::LateWrite => {
+                store.set_faults_everywhere(|faults| faults.late_write = Some(LATENESS))
+            }
             Fault::Compact => store.compact(),
             Fault::TurnAway(host, refusal) => {
-                store.at(&self.site.hosts[host].name, |mood| mood.refusal = Some(refusal));
+                store.set_faults(&self.site.hosts[host].name, |faults| {
+                    faults.refusal = Some(refusal)
+                });
             }
             Fault::Crash(server) => {
                 self.faulted.insert(server);
@@ -263,24 +273,25 @@
                 self.faulted.insert(server);
                 let id = self.servers[server].0.clone();
                 match notice {
-                    Notice::Told => self.server(server).leave(None),
-                    Notice::Untold => self.site.backend.forget(&id),
+                    Notice::Told => self.server(server).drain(None),
+                    Notice::Untold => self.site.backend.deregister(&id),
                 }
                 let at = self.now();
                 self.leaves.push(Leave { server: id, at });
             }
             Fault::Grey(server, server_fault) => {
-                self.server(server).script(|script| script.always = Some(server_fault));
+                self.server(server).script(|script| script.default_fault = Some(server_fault));
             }
             Fault::AllGrey(server, server_fault) => site::same_service(server).for_each(|index| {
-                self.server(index).script(|script| script.always = Some(server_fault));
+                self.server(index).script(|script| script.default_fault = Some(server_fault));
             }),
-            Fault::Links(pairs, way) => self.set_links(pairs, way),
+            Fault::Links(pairs, delivery) => self.set_links(pairs, delivery),
             Fault::Dull(server) => {
-                self.server(server).script(|script| (script.work, script.pace) = SLOW_SERVER);
+                self.server(server)
+                    .script(|script| (script.work_time, script.event_interval) = SLOW_SERVER);
             }
             Fault::Orders(server) => self.server(server).script(|script| {
-                script.orders = [OrderFault::Lost, OrderFault::Late(LATENESS)].into();
+                script.order_faults = [OrderFault::Lost, OrderFault::Late(LATENESS)].into();
             }),
             Fault::Declare => {
                 let next = site::next_declaration(&self.declaration);
@@ -335,13 +346,14 @@
                 last.into_iter().for_each(|disruption| disruption.span.to += apply);
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
-                store.everywhere(|mood| {
-                    let Mood { delay, lost, late, .. } = Mood::default();
-                    (mood.lost, mood.late, mood.delay) = (lost, late, delay);
+                store.set_faults_everywhere(|faults| {
+                    let Faults { delay, lost_replies, late_write, .. } = Faults::default();
+                    (faults.lost_replies, faults.late_write, faults.delay) =
+                        (lost_replies, late_write, delay);
                     if let Fault::Down(refusal) = planned.fault
-                        && mood.refusal == Some(refusal)
+                        && faults.refusal == Some(refusal)
                     {
-                        mood.refusal = None;
+                        faults.refusal = None;
                     }
                 });
                 self.end_disruption(&Component::Store);
@@ -350,7 +362,7 @@
                 }
             }
             Fault::TurnAway(host, _) => {
-                store.at(&self.site.hosts[host].name, |mood| mood.refusal = None);
+                store.set_faults(&self.site.hosts[host].name, |faults| faults.refusal = None);
                 self.end_disruption(&Component::StoreEndpoint(host));
             }
             Fault::Crash(server) | Fault::Leave(server, _) => {
@@ -367,7 +379,7 @@
                     site::reset_script(self.server(index), self.bounds.stream_events);
                 }
             }
-            Fault::Links(pairs, _) => self.set_links(pairs, Way::Passes),
+            Fault::Links(pairs, _) => self.set_links(pairs, Delivery::Passes),
             Fault::Burst => self.load.is_burst.store(false, Ordering::Relaxed),
             Fault::Poison => self.load.is_poisoned.store(false, Ordering::Relaxed),
             Fault::Limited(server, _) => self.set_limit([server], None),
@@ -412,7 +424,7 @@
         self.end_disruption(&Component::Server(old.clone()));
         // The old server stops registering at once; its entry is removed from the store a little
         // later.
-        self.site.backend.silence(&old);
+        self.site.backend.stop_registering(&old);
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
             tokio::time::sleep(STALE_ENTRY_TIME).await;
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -27,7 +27,7 @@
     site::{ADAPTERS, DEADLINE, HOST, MODELS, POISON, added_route},
 };
 use crate::routed::{
-    caller::{Answer, Ask, Caller, Failure},
+    caller::{Answer, Caller, Failure, RequestSpec},
     lock,
 };
 
@@ -129,7 +129,7 @@
 
 /// The next request of a caller.
 struct NextRequest {
-    ask: Ask,
+    ask: RequestSpec,
     kind: Kind,
     resumable: bool,
     body_bytes: usize,
@@ -144,9 +144,9 @@
         1 => (Kind::Idempotent, false),
         _ => (Kind::Stream, true),
     };
-    let ask = Ask::to(HOST, path).deadline(Some(DEADLINE));
+    let ask = RequestSpec::to(HOST, path).deadline(Some(DEADLINE));
     let ask = if kind == Kind::Stream { ask.model(MODELS[0]) } else { ask };
-    let ask = ask.send(Method::POST, POISON);
+    let ask = ask.with_body(Method::POST, POISON);
     let mut sending = JoinSet::new();
     for turn in 0.. {
         sleep(POISON_INTERVAL).await;
@@ -160,8 +160,13 @@
         let entry = hosts[turn % hosts.len()];
         let source = IpAddr::from([127, 0, 0, entry.host_run.host as u8 + 2]);
         let body_bytes = POISON.len();
-        let next =
-            NextRequest { ask: ask.again(), kind, resumable, body_bytes, crashes_servers: true };
+        let next = NextRequest {
+            ask: ask.with_new_id(),
+            kind,
+            resumable,
+            body_bytes,
+            crashes_servers: true,
+        };
         let state = state.clone();
         sending.spawn(async move {
             let mut caller = Caller::new(entry.callers).from(source);
@@ -173,13 +178,13 @@
 
 fn draw_request(random: &mut ChaCha8Rng, versions: &[Version]) -> NextRequest {
     let plain = |path: &str, kind| {
-        let ask = Ask::to(HOST, path);
+        let ask = RequestSpec::to(HOST, path);
         NextRequest { ask, kind, resumable: false, body_bytes: 0, crashes_servers: false }
     };
     let stream = |path: &str, resumable, random: &mut ChaCha8Rng| {
         // The minimum of two draws skews the load towards few models.
         let index = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
-        let mut ask = Ask::to(HOST, path).model(MODELS[index]);
+        let mut ask = RequestSpec::to(HOST, path).model(MODELS[index]);
         if random.random_bool(0.3) {
             ask = ask.adapter(&format!("a{}", random.random_range(1..=ADAPTERS)));
         }
@@ -196,7 +201,8 @@
         54..74 => {
             let body = vec![b'x'; random.random_range(1..4_000)];
             let mut ticket = plain("/tickets/new", Kind::NonIdempotent);
-            (ticket.body_bytes, ticket.ask) = (body.len(), ticket.ask.send(Method::POST, body));
+            (ticket.body_bytes, ticket.ask) =
+                (body.len(), ticket.ask.with_body(Method::POST, body));
             ticket
         }
         74..87 => stream("/chat/2f", false, random),
@@ -217,16 +223,16 @@
         let versions = lock(&state.versions).clone();
         let mut next = draw_request(&mut random, &versions);
         number += 1;
-        next.ask = next.ask.numbered(caller, number);
+        next.ask = next.ask.with_number(caller, number);
         // A request that failed while poison was sent is retried unchanged by its caller.
         if let Some(again) = failed.take() {
-            next = NextRequest { ask: again.ask.again(), ..again };
+            next = NextRequest { ask: again.ask.with_new_id(), ..again };
         }
         let Some(entry) = state.choose_host(&mut random) else { continue };
         let connection =
             connections.entry(entry.host_run).or_insert_with(|| Caller::new(entry.callers));
         if random.random_bool(0.1) {
-            connection.leave();
+            connection.disconnect();
         }
         let closes_early = random.random_bool(0.03);
         let close_after = closes_early.then(|| Duration::from_millis(random.random_range(5..300)));
@@ -250,7 +256,8 @@
 ) -> bool {
     let from = state.since(Instant::now());
     let result =
-        timeout(close_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN), connection.ask(&next.ask)).await;
+        timeout(close_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN), connection.fetch(&next.ask))
+            .await;
     let outcome = match result {
         Ok(Ok(answer)) => Outcome::Answered(to_record(answer)),
         Ok(Err(Failure::Connect)) => Outcome::Unreached,
@@ -262,7 +269,7 @@
     let is_complete =
         matches!(outcome, Outcome::Answered(record::Answer { is_complete: true, .. }));
     if !is_complete {
-        connection.leave();
+        connection.disconnect();
     }
     let is_served =
         is_complete && matches!(&outcome, Outcome::Answered(answer) if answer.status.is_success());
@@ -271,7 +278,7 @@
         id: next.ask.id().to_string(),
         kind: next.kind,
         resumable: next.resumable,
-        path: next.ask.ask.path.to_string(),
+        path: next.ask.info.path.to_string(),
         body_bytes: next.body_bytes,
         crashes_servers: next.crashes_servers,
         host_run: entry.host_run,
@@ -283,7 +290,7 @@
 }
 
 fn to_record(answer: Answer) -> record::Answer {
-    let Answer { status, told, body, whole, .. } = answer;
+    let Answer { status, metadata, body, is_complete, .. } = answer;
     let text = |text: Option<Arc<str>>| text.map(|text| text.to_string());
-    record::Answer { status, id: text(told.id), seal: text(told.seal), body, is_complete: whole }
+    record::Answer { status, id: text(metadata.id), seal: text(metadata.seal), body, is_complete }
 }
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -8,7 +8,7 @@
 use serde::{Serialize, Serializer};
 
 use super::site::SERVERS;
-use crate::routed::{links::Way, server::Fault as ServerFault, store::Refusal};
+use crate::routed::{links::Delivery, server::Fault as ServerFault, store::Refusal};
 
 /// Time before the first fault, if the soak is long enough. Limits and faults that cause retries may
 /// start earlier.
@@ -127,7 +127,7 @@
     /// All requests to all servers of the service of a server meet a fault.
     AllGrey(usize, #[serde(serialize_with = "debug")] ServerFault),
     /// Datagrams between hosts are lost or delayed.
-    Links(Pairs, #[serde(serialize_with = "debug")] Way),
+    Links(Pairs, #[serde(serialize_with = "debug")] Delivery),
     /// A server loses its answer to one order, and executes the next one late.
     Orders(usize),
     /// A new declaration is written to the store.
@@ -335,11 +335,11 @@
         3 => Pairs::From(host),
         _ => Pairs::To(host),
     };
-    let way = match random.random_range(0..3) {
-        0 => Way::Late(Duration::from_millis(random.random_range(LINK_DELAY_MS))),
-        _ => Way::Lost,
+    let delivery = match random.random_range(0..3) {
+        0 => Delivery::Late(Duration::from_millis(random.random_range(LINK_DELAY_MS))),
+        _ => Delivery::Lost,
     };
-    Fault::Links(pairs, way)
+    Fault::Links(pairs, delivery)
 }
 
 fn draw_fault(random: &mut ChaCha8Rng, hosts: usize) -> Fault {
--- a/crates/standin/src/routed/soak/site.rs
+++ b/crates/standin/src/routed/soak/site.rs
@@ -134,10 +134,10 @@
 pub(super) fn reset_script(server: &Server, events: u64) {
     server.script(|script| {
         *script = Script {
-            work: Duration::from_millis(15),
+            work_time: Duration::from_millis(15),
             events,
-            pace: Duration::from_millis(20),
-            load: Duration::from_millis(300),
+            event_interval: Duration::from_millis(20),
+            load_time: Duration::from_millis(300),
             poison: Some(POISON),
             ..Script::default()
         };
--- a/crates/standin/tests/soak_judge.rs
+++ b/crates/standin/tests/soak_judge.rs
@@ -100,7 +100,7 @@
 /// Adds a server that states a limit of 2 requests per second and receives 18 at once from host 0.
 fn exceed_limit(record: &mut Record) {
     let arrivals = vec![("r1".into(), ms(15_000)); 18];
-    let quota = Quota { arrivals, named: vec![(ms(10_000), Some(2.0))] };
+    let quota = Quota { arrivals, limits: vec![(ms(10_000), Some(2.0))] };
     record.quotas.push(("app-1".into(), quota));
 }
 
