--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -27,14 +27,14 @@
 
 impl Rate {
     /// The highest rate, which bounds nothing in practice.
-    pub const MOST: Rate = Rate(1_000_000_000_000_000);
+    pub const MAX: Rate = Rate(1_000_000_000_000_000);
 
     const PART: f64 = 1e-6;
 
-    /// The rate of a number of requests a second, [`Rate::MOST`] at the most; none if the number is
+    /// The rate of a number of requests a second, [`Rate::MAX`] at the most; none if the number is
     /// negative or not a number.
     pub fn per_second(requests: f64) -> Option<Rate> {
-        (0.0 <= requests).then(|| Rate(((requests / Rate::PART).round() as u64).min(Rate::MOST.0)))
+        (0.0 <= requests).then(|| Rate(((requests / Rate::PART).round() as u64).min(Rate::MAX.0)))
     }
 
     /// Requests a second.
