--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -81,7 +81,7 @@
     Server {
         id: id.into(),
         name: id.into(),
-        born: 0,
+        started_at: 0,
         service: "chat".into(),
         address: SocketAddr::from(([10, 0, 0, 9], 8_000)),
         zone: "med-a".into(),
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -80,7 +80,7 @@
     Server {
         id: id.into(),
         name: id.into(),
-        born: 0,
+        started_at: 0,
         service: "app".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: zone.into(),
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -6,7 +6,7 @@
 use policy::place::{Operation, Order, Outcome};
 use types::{
     prelude::*,
-    routed::{self, Born, Engine, Held, Model, Report, Server, State},
+    routed::{self, Engine, Held, Model, Report, Server, StartTime, State},
 };
 
 pub type AdapterKey = (model::Id, adapter::Id);
@@ -51,21 +51,21 @@
         let delayed = std::mem::take(&mut self.delayed);
         Machine {
             delayed,
-            ..Machine::named(&self.server.name, run as Born, number, zone, self.disk())
+            ..Machine::named(&self.server.name, run as StartTime, number, zone, self.disk())
         }
     }
 
     fn named(
         name: &str,
-        born: Born,
+        started_at: StartTime,
         number: usize,
         zone: usize,
         on_disk: Vec<model::Id>,
     ) -> Machine {
         let server = Server {
-            id: routed::run(name, born),
+            id: routed::run(name, started_at),
             name: name.into(),
-            born,
+            started_at,
             service: "lm".into(),
             address: ([127, 0, 0, 1], 9000 + number as u16).into(),
             zone: format!("z{zone}").into(),
@@ -269,7 +269,7 @@
         }
         let report = Report {
             models: self.models(),
-            born: self.server.born,
+            started_at: self.server.started_at,
             busy: self.current.is_some(),
             sequence: self.sequence,
             coming: self.coming.iter().map(|(adapter_key, _)| adapter_key.clone()).collect(),
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -85,7 +85,7 @@
 
     /// Returns whether a later run of a server is known.
     pub fn is_superseded(&self, server: &Server) -> bool {
-        self.by_name(&server.name).is_some_and(|known| server.born < known.born)
+        self.by_name(&server.name).is_some_and(|known| server.started_at < known.started_at)
     }
 
     /// Returns the revision at which a server's entry was written.
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Request, Response, StatusCode, request::Parts};
 use types::{
     prelude::*,
-    routed::{Born, Declaration, Rate, Report, Sequence, Server},
+    routed::{Declaration, Rate, Report, Sequence, Server, StartTime},
 };
 
 /// Number that the store gives to a change; it grows with every change of any object.
@@ -180,7 +180,7 @@
     /// Outcome of the order.
     pub status: OrderStatus,
     /// Start time of the responding server's run; 0 if not stated.
-    pub born: Born,
+    pub born: StartTime,
 }
 
 /// Kind of an object in the store.
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -77,7 +77,7 @@
 async fn report(shared: Arc<Shared>, server: Arc<Server>) {
     let Some(report) = shared.control.report(&*shared.dialect, &server).await else { return };
     let now = shared.now();
-    let Some(server) = shared.current_run(&server, report.born) else { return };
+    let Some(server) = shared.current_run(&server, report.started_at) else { return };
     shared.planner().report(&server.id, &report, now);
     shared.apply_report(&server, &report);
     shared.plan_wakeup.notify_one();
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -19,7 +19,7 @@
 };
 use types::{
     prelude::*,
-    routed::{self, Born, Declaration, Held, Report, Server, State},
+    routed::{self, Declaration, Held, Report, Server, StartTime, State},
 };
 
 use crate::{
@@ -47,18 +47,22 @@
     /// Returns the run of a server that has responded, by the start time in the response; `None` if
     /// that run is over. An unknown later run counts as a start from nothing: it holds what it will
     /// report, and keeps its address and its disk.
-    pub(crate) fn current_run(&self, server: &Arc<Server>, born: Born) -> Option<Arc<Server>> {
-        if born == 0 || born == server.born {
+    pub(crate) fn current_run(
+        &self,
+        server: &Arc<Server>,
+        started_at: StartTime,
+    ) -> Option<Arc<Server>> {
+        if started_at == 0 || started_at == server.started_at {
             return Some(server.clone());
         }
-        let id = routed::run(&server.name, born);
+        let id = routed::run(&server.name, started_at);
         let known = self.directory().by_name(&server.name).cloned()?;
         // A server whose entry was removed from the store is restored only by the store.
-        if known.born < born && !self.directory().is_suspect(&known.id) {
+        if known.started_at < started_at && !self.directory().is_suspect(&known.id) {
             let written = self.directory().written(&known.id)?;
             let run = Server {
                 id: id.clone(),
-                born,
+                started_at,
                 models: Vec::new(),
                 resident: Vec::new(),
                 sequence: 0,
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -139,7 +139,7 @@
     types::routed::Server {
         id: server.id.clone(),
         name: server.id.clone(),
-        born: 0,
+        started_at: 0,
         service: SERVICE.into(),
         address: server.address,
         zone: "z".into(),
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -15,7 +15,7 @@
     Server {
         id: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_at: 0,
         service: "lm".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "a".into(),
@@ -107,9 +107,9 @@
     assert_eq!(directory.servers().count(), 0);
 }
 
-/// Returns the run of the server that started at `born`.
-fn server_run(born: u64) -> Server {
-    Server { id: routed::run("s1", born), born, ..server(&["m1"]) }
+/// Returns the run of the server that started at `started_at`.
+fn server_run(started_at: u64) -> Server {
+    Server { id: routed::run("s1", started_at), started_at, ..server(&["m1"]) }
 }
 
 #[rstest]
@@ -119,7 +119,7 @@
     directory.put(server_run(2_000), 6);
     let ids: Vec<_> = directory.servers().map(|server| server.id.to_string()).collect();
     assert_eq!(ids, ["s1@2000"]);
-    assert_eq!(directory.by_name("s1").map(|server| server.born), Some(2_000));
+    assert_eq!(directory.by_name("s1").map(|server| server.started_at), Some(2_000));
     directory.remove(&"s1@1000".into());
     assert!(
         directory.by_name("s1").is_some(),
@@ -138,7 +138,7 @@
     let mut directory = Directory::default();
     directory.put(server_run(2_000), 6);
     assert!(directory.put(server_run(1_000), written).is_none());
-    assert_eq!(directory.by_name("s1").map(|server| server.born), Some(2_000));
+    assert_eq!(directory.by_name("s1").map(|server| server.started_at), Some(2_000));
 }
 
 /// Returns a directory that is complete as of `revision`; if `written` is given, it has one server,
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -61,7 +61,7 @@
     .await;
     let address = site.backend.server("lm-2").address();
     let mut earlier = site.backend.server("lm-1").registration().borrow().clone();
-    (earlier.born, earlier.address) = (1_000, address);
+    (earlier.started_at, earlier.address) = (1_000, address);
     site.backend.silence("lm-1");
     site.backend.put(&earlier);
     site.seen().await;
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, task::AbortHandle, time::Instant};
 use types::{
     prelude::*,
-    routed::{self, Born, Engine, Held, State},
+    routed::{self, Engine, Held, StartTime, State},
 };
 
 use self::{quota::Quota, stock::Stock};
@@ -43,7 +43,7 @@
     /// Its name.
     pub id: backend::Id,
     /// When this run began; 0 if it doesn't say.
-    pub born: Born,
+    pub born: StartTime,
     /// The service that it belongs to.
     pub service: service::Id,
     /// Its availability zone.
@@ -308,7 +308,7 @@
         let registered = routed::Server {
             id: routed::run(&settings.id, settings.born),
             name: settings.id.clone(),
-            born: settings.born,
+            started_at: settings.born,
             service: settings.service.clone(),
             address,
             zone: settings.zone.clone(),
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -57,7 +57,7 @@
         Call::Report => {
             let lag = lock(&shared.script).lag;
             let report = shared.stock().report(shared.load(), lag);
-            let report = Report { born: shared.settings.born, ..report };
+            let report = Report { started_at: shared.settings.born, ..report };
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -166,7 +166,7 @@
     let registered = routed::Server {
         id: routed::run("lm-1", 1_785_971_202_000),
         name: "lm-1".into(),
-        born: 1_785_971_202_000,
+        started_at: 1_785_971_202_000,
         service: "lm".into(),
         address: "127.0.0.1:4000".parse().unwrap(),
         zone: "mobile-hall".into(),
@@ -187,7 +187,7 @@
 fn a_report_is_read_as_it_was_written() {
     let report = Report {
         models: vec![Held { model: "m1".into(), version: 2, adapters: vec!["a1".into()] }],
-        born: 1_785_971_202_000,
+        started_at: 1_785_971_202_000,
         busy: true,
         sequence: 5,
         queued: 2,
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -44,14 +44,14 @@
 }
 
 /// When a run of a server began, in Unix milliseconds; 0 where servers don't say.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// The id of a run of a server: its name, and when the run began where servers say that. A server that
 /// starts again under its name is another one to all who knew it by its id.
-pub fn run(name: &str, born: Born) -> backend::Id {
-    match born {
+pub fn run(name: &str, started_at: StartTime) -> backend::Id {
+    match started_at {
         0 => name.into(),
-        born => format!("{name}@{born}").into(),
+        started_at => format!("{name}@{started_at}").into(),
     }
 }
 
@@ -230,7 +230,8 @@
     /// What it is registered and called by; a later run may have the same.
     pub name: Arc<str>,
     /// When this run began.
-    pub born: Born,
+    #[serde(rename = "born")]
+    pub started_at: StartTime,
     /// The service that it belongs to.
     pub service: service::Id,
     /// Where it listens.
@@ -261,7 +262,8 @@
     /// What it holds.
     pub models: Vec<Held>,
     /// When the run that says this began.
-    pub born: Born,
+    #[serde(rename = "born")]
+    pub started_at: StartTime,
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Orders accepted.
