--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -77,7 +77,7 @@
         let since = |adapter_key: &AdapterKey| {
             (adapter_key.clone(), self.adapters_loading.get(adapter_key).copied().unwrap_or(now))
         };
-        self.adapters_loading = report.coming.iter().map(since).collect();
+        self.adapters_loading = report.adapters_loading.iter().map(since).collect();
         self.set_copies(&report.resident, &report.on_disk);
         self.is_certain = true;
         self.unanswered = 0;
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -272,7 +272,11 @@
             started_at: self.server.started_at,
             busy: self.current.is_some(),
             sequence: self.sequence,
-            coming: self.coming.iter().map(|(adapter_key, _)| adapter_key.clone()).collect(),
+            adapters_loading: self
+                .coming
+                .iter()
+                .map(|(adapter_key, _)| adapter_key.clone())
+                .collect(),
             resident: self.resident.clone(),
             on_disk: self.on_disk.clone(),
             ..Report::default()
--- a/crates/standin/src/routed/server/stock.rs
+++ b/crates/standin/src/routed/server/stock.rs
@@ -208,7 +208,7 @@
             queued,
             running,
             kv_total: self.engine.as_ref().map_or(0, |engine| engine.kv_tokens),
-            coming: adapters.collect(),
+            adapters_loading: adapters.collect(),
             ..Report::default()
         };
         self.reports.push_back((now, report.clone()));
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -194,7 +194,7 @@
         running: 7,
         kv_used: 800,
         kv_total: 50_000,
-        coming: vec![("m1".into(), "a2".into())],
+        adapters_loading: vec![("m1".into(), "a2".into())],
         resident: vec!["m2".into()],
         on_disk: vec!["m1".into()],
     };
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -277,7 +277,8 @@
     /// KV memory, in tokens.
     pub kv_total: u64,
     /// Adapters on their way to the server.
-    pub coming: Vec<(model::Id, adapter::Id)>,
+    #[serde(rename = "coming")]
+    pub adapters_loading: Vec<(model::Id, adapter::Id)>,
     /// Models of which its memory has a copy.
     pub resident: Vec<model::Id>,
     /// Models of which its disk has a copy.
