--- a/crates/ctl/src/commands/residents.rs
+++ b/crates/ctl/src/commands/residents.rs
@@ -4,7 +4,7 @@
 use types::{
     host::Listed,
     resident::{Resident, State, Unit},
-    status::Seen,
+    status::Server,
 };
 
 use crate::{
@@ -15,8 +15,8 @@
 
 /// A line for each unit of the model on each server; fails when no server holds it.
 pub(crate) async fn run(client: &Client, model: &str) -> Result<Report, Error> {
-    let seen: Vec<Seen> = client.get("/servers").await?;
-    let held: Vec<(&Seen, &Resident)> = seen
+    let seen: Vec<Server> = client.get("/servers").await?;
+    let held: Vec<(&Server, &Resident)> = seen
         .iter()
         .filter_map(|seen| Some((seen, seen.load.as_ref()?)))
         .flat_map(|(seen, load)| load.residents.iter().map(move |resident| (seen, resident)))
@@ -38,11 +38,11 @@
     Ok(Report::done(table(names, held.iter().map(|(seen, resident)| row(seen, resident))), json))
 }
 
-fn is_leaving(seen: &Seen) -> bool {
+fn is_leaving(seen: &Server) -> bool {
     seen.entry.state == Listed::Leaving || seen.load.as_ref().is_some_and(|load| load.leaving)
 }
 
-fn row(seen: &Seen, resident: &Resident) -> [String; 7] {
+fn row(seen: &Server, resident: &Resident) -> [String; 7] {
     let server = &seen.entry.server;
     let (unit, version) = match &resident.unit {
         Unit::Model { model, version } => (model.to_string(), version),
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -72,7 +72,7 @@
         Ok(status) => [
             state(status).to_owned(),
             status.configuration.to_string(),
-            status.heard.to_string(),
+            status.newest_number.to_string(),
             format!("{}/{}", status.reporting, status.servers),
         ],
         Err(_) => ["no answer", "", "", ""].map(String::from),
--- a/crates/stage/src/operators.rs
+++ b/crates/stage/src/operators.rs
@@ -19,7 +19,7 @@
 use types::{
     backend,
     host::List,
-    status::{Seen, Status},
+    status::{self, Status},
 };
 
 use crate::{
@@ -64,14 +64,14 @@
         ready: context.is_ready(),
         draining: context.is_draining(),
         configuration: context.config().number,
-        heard: context.declared.newest_number(),
+        newest_number: context.declared.newest_number(),
         servers: context.fleet.list().servers.len(),
         reporting: context.fleet.reporting(),
     })
 }
 
-async fn servers(State(context): State<Arc<Context>>) -> Json<Vec<Seen>> {
-    let seen = |entry: &backend::Entry| Seen {
+async fn servers(State(context): State<Arc<Context>>) -> Json<Vec<status::Server>> {
+    let seen = |entry: &backend::Entry| status::Server {
         entry: entry.clone(),
         load: context.fleet.reading(&entry.server.id).map(|reading| reading.load.clone()),
     };
--- a/crates/types/src/status.rs
+++ b/crates/types/src/status.rs
@@ -18,7 +18,8 @@
     /// Number of the configuration in force; zero before the first.
     pub configuration: config::Number,
     /// The highest number heard of.
-    pub heard: config::Number,
+    #[serde(rename = "heard")]
+    pub newest_number: config::Number,
     /// Backend servers on the platform's list.
     pub servers: usize,
     /// Backend servers whose load reports it reads.
@@ -27,7 +28,7 @@
 
 /// A backend server as one host sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Server {
     /// What the platform's list says.
     #[serde(flatten)]
     pub entry: backend::Entry,
