--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -16,7 +16,7 @@
     Clock,
     story::{
         Answer, Arrival, Attempt, Belief, Candidate, DependencyState, End, Heard, Input,
-        LeaseState, Outcome, ServerStanding, Step, Teller, Words,
+        LeaseState, Logger, Outcome, Output, ServerStanding, Step,
     },
 };
 use tempfile::TempDir;
@@ -38,8 +38,8 @@
     pub fn write() -> Logs {
         let clock = Clock::system();
         let (page_a, page_b) = (Page::default(), Page::default());
-        let a = teller("front-a-1", 101, &clock, &page_a);
-        let b = teller("front-b-1", 102, &clock, &page_b);
+        let a = logger("front-a-1", 101, &clock, &page_a);
+        let b = logger("front-b-1", 102, &clock, &page_b);
         play(&a, &b);
         let folder = tempfile::tempdir().unwrap();
         let mut text = page_a.0.lock().unwrap().clone();
@@ -58,7 +58,7 @@
     }
 }
 
-fn play(a: &Teller, b: &Teller) {
+fn play(a: &Logger, b: &Logger) {
     begin(a, Heard::Store);
     begin(b, Heard::Peer("front-a-1".into()));
     place(b);
@@ -83,24 +83,24 @@
     });
 }
 
-fn begin(teller: &Teller, from: Heard) {
+fn begin(logger: &Logger, from: Heard) {
     let settings = serde_json::json!({"log": {"level": "info"}});
-    teller.belief(Belief::Start { program: "0.1.0".into(), settings });
-    teller.belief(Belief::Declaration { version: 11, from });
-    server(teller, LEAVER, ServerStanding::Seen, Heard::Store, "registered");
-    server(teller, STAYER, ServerStanding::Seen, Heard::Store, "registered");
-    server(teller, TICKETS, ServerStanding::Seen, Heard::Store, "registered");
+    logger.belief(Belief::Start { program: "0.1.0".into(), settings });
+    logger.belief(Belief::Declaration { version: 11, from });
+    server(logger, LEAVER, ServerStanding::Seen, Heard::Store, "registered");
+    server(logger, STAYER, ServerStanding::Seen, Heard::Store, "registered");
+    server(logger, TICKETS, ServerStanding::Seen, Heard::Store, "registered");
 }
 
-fn place(teller: &Teller) {
-    teller.belief(Belief::Lease {
+fn place(logger: &Logger) {
+    logger.belief(Belief::Lease {
         duty: "placement".into(),
         state: LeaseState::Gained,
         fence: 41,
         left: Some(ms(2400)),
         why: "the one before lapsed".into(),
     });
-    teller.belief(Belief::Placement {
+    logger.belief(Belief::Placement {
         server: STAYER.into(),
         action: "load".into(),
         model: MODEL.into(),
@@ -109,7 +109,7 @@
         replicas: 1,
         why: "demand".into(),
     });
-    teller.belief(Belief::Order {
+    logger.belief(Belief::Order {
         server: STAYER.into(),
         action: "load".into(),
         model: MODEL.into(),
@@ -121,14 +121,14 @@
     });
 }
 
-fn well(a: &Teller) {
+fn well(a: &Logger) {
     let mut story = a.request("well-1".into());
     story.note(Step::Arrived(arrival("pages", Kind::Idempotent, None, ms(1000))));
     story.note(Step::Attempt(attempt(1, TICKETS, "request", "least")));
     story.end(end(Outcome::Answered, Some(200), None, Some(ms(31)), 0, ms(32)));
 }
 
-fn unclear(a: &Teller) {
+fn unclear(a: &Logger) {
     let mut story = a.request("unclear-1".into());
     story.note(Step::Arrived(arrival("tickets", Kind::NonIdempotent, None, ms(1000))));
     story.note(Step::Attempt(attempt(1, TICKETS, "request", "least")));
@@ -143,7 +143,7 @@
     story.end(end(Outcome::Unclear, Some(502), Some("reset"), None, 0, ms(118)));
 }
 
-fn late(a: &Teller, b: &Teller) {
+fn late(a: &Logger, b: &Logger) {
     let mut story = b.request("late-1".into());
     story.note(Step::Arrived(arrival("letters", Kind::Stream, Some(MODEL), ms(12_000))));
     let candidates = vec![candidate(LEAVER, 40, 210), candidate(STAYER, 95, 180)];
@@ -162,7 +162,7 @@
     b.belief(Belief::Dropped { full: 0, ceiling: 3, plans: 0 });
 }
 
-fn refused(a: &Teller, b: &Teller) {
+fn refused(a: &Logger, b: &Logger) {
     b.belief(Belief::Wish {
         model: MODEL.into(),
         adapter: None,
@@ -184,9 +184,9 @@
     story.end(end(Outcome::Refused, Some(503), Some("goal-out-of-reach"), None, 0, ms(2)));
 }
 
-fn server(teller: &Teller, id: &str, standing: ServerStanding, from: Heard, why: &'static str) {
+fn server(logger: &Logger, id: &str, standing: ServerStanding, from: Heard, why: &'static str) {
     let (server, why) = (id.into(), why.into());
-    teller.belief(Belief::Server { server, standing, from, service: None, address: None, why });
+    logger.belief(Belief::Server { server, standing, from, service: None, address: None, why });
 }
 
 fn arrival(route: &str, repeat: Kind, model: Option<&str>, deadline: Duration) -> Arrival {
@@ -226,9 +226,9 @@
     Duration::from_millis(time)
 }
 
-fn teller(host: &str, run: u64, clock: &Clock, page: &Page) -> Teller {
-    let words = Words::Own(Arc::new(page.clone()), LevelFilter::Info);
-    Teller::new(host.into(), run, clock.clone(), words)
+fn logger(host: &str, run: u64, clock: &Clock, page: &Page) -> Logger {
+    let output = Output::Custom(Arc::new(page.clone()), LevelFilter::Info);
+    Logger::new(host.into(), run, clock.clone(), output)
 }
 
 /// Lines in memory; a clone shows the same.
--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -9,7 +9,7 @@
 use observe::{
     Clock,
     log::{Bounds, Ceiling, Lines},
-    story::{Arrival, Attempt, Belief, End, Heard, Outcome, Step, Teller, Words},
+    story::{Arrival, Attempt, Belief, End, Heard, Logger, Outcome, Output, Step},
 };
 use types::{request::Ran, routed::Kind};
 
@@ -19,8 +19,8 @@
     pause: Duration::from_millis(1),
 };
 
-fn request(teller: &Teller, outcome: Outcome) {
-    let mut story = teller.request("5b0e1c9a77d2f064".into());
+fn request(logger: &Logger, outcome: Outcome) {
+    let mut story = logger.request("5b0e1c9a77d2f064".into());
     story.note(Step::Arrived(Arrival {
         route: "letters".into(),
         version: 12,
@@ -71,12 +71,12 @@
 
 fn bench(criterion: &mut Criterion) {
     let lines = Lines::start(BOUNDS, io::sink()).expect("a thread");
-    let teller = |level| {
-        let words = Words::Own(Arc::new(lines.clone()), level);
-        Teller::new("front-a-1".into(), 7, Clock::system(), words)
+    let logger = |level| {
+        let output = Output::Custom(Arc::new(lines.clone()), level);
+        Logger::new("front-a-1".into(), 7, Clock::system(), output)
     };
     let (off, info, debug) =
-        (teller(LevelFilter::Off), teller(LevelFilter::Info), teller(LevelFilter::Debug));
+        (logger(LevelFilter::Off), logger(LevelFilter::Info), logger(LevelFilter::Debug));
     criterion.bench_function("request, log off", |b| b.iter(|| request(&off, Outcome::Answered)));
     criterion.bench_function("request that went well, info", |b| {
         b.iter(|| request(&info, Outcome::Answered));
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -9,16 +9,16 @@
 //! lines only if it is refused, fails, is late, is cut or is tried again; at level `debug` they are
 //! written as they come. Repeated requests of a route that go well are [sampled](sample).
 //!
-//! A [`Teller`] tells for one host. A process that is one host installs its own with [`install`],
+//! A [`Logger`] tells for one host. A process that is one host installs its own with [`install`],
 //! and calls [`belief`] and [`Request::new`].
 
 mod belief;
 mod line;
+mod logger;
 mod request;
 pub mod sample;
 mod step;
 pub mod tale;
-mod teller;
 mod text;
 
 use std::sync::OnceLock;
@@ -29,9 +29,9 @@
         ServerStanding,
     },
     line::{Line, Skipped, Time, What, read},
+    logger::{Logger, Output},
     request::{End, Request},
     step::{Arrival, Attempt, Candidate, Ended, Input, Outcome, Step},
-    teller::{Teller, Words},
 };
 pub use crate::event::Word;
 use crate::log::Dropped;
@@ -45,26 +45,26 @@
 /// Target of lines about what decides all others.
 pub const PLAN: &str = "story::plan";
 
-static TELLER: OnceLock<Teller> = OnceLock::new();
+static LOGGER: OnceLock<Logger> = OnceLock::new();
 
-/// Makes this the process's teller; the first one stays.
-pub fn install(teller: Teller) {
+/// Makes this the process's logger; the first one stays.
+pub fn install(logger: Logger) {
     // Later ones are of further hosts in one process, which tests have; they tell by themselves.
-    let _ = TELLER.set(teller);
+    let _ = LOGGER.set(logger);
 }
 
-/// The process's teller; names no host before one is installed.
-pub fn teller() -> Teller {
-    TELLER.get().cloned().unwrap_or_default()
+/// The process's logger; names no host before one is installed.
+pub fn logger() -> Logger {
+    LOGGER.get().cloned().unwrap_or_default()
 }
 
 /// Tells what the process now believes.
 pub fn belief(belief: Belief) {
-    teller().belief(belief);
+    logger().belief(belief);
 }
 
 /// The line that tells what was left out.
 pub(crate) fn dropped(dropped: Dropped) -> String {
     let Dropped { full, ceiling, plans } = dropped;
-    teller().text(&Belief::Dropped { full, ceiling, plans })
+    logger().text(&Belief::Dropped { full, ceiling, plans })
 }
--- a/crates/observe/src/story/teller.rs
+++ b/crates/observe/src/story/logger.rs
@@ -22,33 +22,33 @@
 };
 use crate::clock::Clock;
 
-/// Where a teller's lines go.
+/// Where a logger's lines go.
 #[derive(Clone)]
-pub enum Words {
+pub enum Output {
     /// To the process's log, at its level.
     Process,
-    /// To a log of the teller's own, at this level.
-    Own(Arc<dyn Log>, LevelFilter),
+    /// To a log of the logger's own, at this level.
+    Custom(Arc<dyn Log>, LevelFilter),
 }
 
 /// Tells the lines of one host; a clone tells for the same.
 #[derive(Clone)]
-pub struct Teller(Arc<Inner>);
+pub struct Logger(Arc<Inner>);
 
 struct Inner {
     host: host::Id,
     run: host::Incarnation,
     clock: Clock,
     origin: Instant,
-    words: Words,
+    output: Output,
     sample: Mutex<Sample>,
 }
 
-impl Teller {
+impl Logger {
     /// Tells for this run of a host. The clock is the one that peers' stamps are shown to.
-    pub fn new(host: host::Id, run: host::Incarnation, clock: Clock, words: Words) -> Teller {
+    pub fn new(host: host::Id, run: host::Incarnation, clock: Clock, output: Output) -> Logger {
         let sample = Mutex::default();
-        Teller(Arc::new(Inner { host, run, clock, origin: Instant::now(), words, sample }))
+        Logger(Arc::new(Inner { host, run, clock, origin: Instant::now(), output, sample }))
     }
 
     /// Begins a request's story.
@@ -66,9 +66,9 @@
     }
 
     pub(super) fn wants(&self, level: Level) -> bool {
-        match &self.0.words {
-            Words::Process => level <= log::max_level(),
-            Words::Own(_, filter) => level <= *filter,
+        match &self.0.output {
+            Output::Process => level <= log::max_level(),
+            Output::Custom(_, filter) => level <= *filter,
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Tells some steps of a request as one record: all of them are written, or none.
     pub(super) fn steps(&self, level: Level, id: &request::Id, steps: &[(Time, Step)]) {
-        self.tell(level, REQUEST, &Steps { teller: self, id, steps });
+        self.tell(level, REQUEST, &Steps { logger: self, id, steps });
     }
 
     /// The text of a line about now.
@@ -99,9 +99,9 @@
 
     /// The log asks for the text only if it has room for it.
     fn tell(&self, level: Level, target: &str, text: &dyn fmt::Display) {
-        let logger = match &self.0.words {
-            Words::Process => log::logger(),
-            Words::Own(own, _) => &**own,
+        let logger = match &self.0.output {
+            Output::Process => log::logger(),
+            Output::Custom(own, _) => &**own,
         };
         logger.log(
             &Record::builder().level(level).target(target).args(format_args!("{text}")).build(),
@@ -109,13 +109,13 @@
     }
 }
 
-impl Default for Teller {
-    fn default() -> Teller {
-        Teller::new("".into(), 0, Clock::system(), Words::Process)
+impl Default for Logger {
+    fn default() -> Logger {
+        Logger::new("".into(), 0, Clock::system(), Output::Process)
     }
 }
 
-impl fmt::Debug for Teller {
+impl fmt::Debug for Logger {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Teller").field("host", &self.0.host).finish_non_exhaustive()
     }
@@ -128,7 +128,7 @@
 }
 
 struct Steps<'a> {
-    teller: &'a Teller,
+    logger: &'a Logger,
     id: &'a request::Id,
     steps: &'a [(Time, Step)],
 }
@@ -139,7 +139,7 @@
             if 0 < place {
                 f.write_str("\n")?;
             }
-            self.teller.line(time, Some(self.id), step).fmt(f)?;
+            self.logger.line(time, Some(self.id), step).fmt(f)?;
         }
         Ok(())
     }
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -7,8 +7,8 @@
 
 use super::{
     line::Time,
+    logger::Logger,
     step::{Arrival, Ended, Outcome, Step},
-    teller::Teller,
 };
 use crate::event::Word;
 
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 #[must_use = "a story that is dropped at once tells that the caller went away"]
 pub struct Request {
-    teller: Teller,
+    logger: Logger,
     id: request::Id,
     began: Duration,
     steps: Vec<(Time, Step)>,
@@ -57,15 +57,15 @@
 }
 
 impl Request {
-    /// Begins a request's story, to be told by the process's teller.
+    /// Begins a request's story, to be told by the process's logger.
     pub fn new(id: request::Id) -> Request {
-        super::teller().request(id)
+        super::logger().request(id)
     }
 
-    pub(super) fn of(teller: Teller, id: request::Id) -> Request {
-        let began = teller.now().up;
+    pub(super) fn of(logger: Logger, id: request::Id) -> Request {
+        let began = logger.now().up;
         Request {
-            teller,
+            logger,
             id,
             began,
             steps: Vec::new(),
@@ -84,7 +84,7 @@
 
     /// Adds a step.
     pub fn note(&mut self, step: Step) {
-        if !self.teller.wants(Level::Warn) {
+        if !self.logger.wants(Level::Warn) {
             return;
         }
         match &step {
@@ -102,9 +102,9 @@
             | Step::AttemptEnded { .. }
             | Step::Ended(_) => {}
         }
-        let step = (self.teller.now(), step);
-        if self.teller.wants(Level::Debug) {
-            self.teller.steps(Level::Debug, &self.id, &[step]);
+        let step = (self.logger.now(), step);
+        if self.logger.wants(Level::Debug) {
+            self.logger.steps(Level::Debug, &self.id, &[step]);
         } else {
             self.keep(step);
         }
@@ -133,10 +133,10 @@
         self.state = State::Ended;
         if self.went_well(&end) {
             self.well(end);
-        } else if self.teller.wants(Level::Warn) {
-            let last = (self.teller.now(), Step::Ended(self.ended(end, 1)));
+        } else if self.logger.wants(Level::Warn) {
+            let last = (self.logger.now(), Step::Ended(self.ended(end, 1)));
             self.steps.push(last);
-            self.teller.steps(Level::Warn, &self.id, &self.steps);
+            self.logger.steps(Level::Warn, &self.id, &self.steps);
         }
     }
 
@@ -145,17 +145,17 @@
     }
 
     fn well(&mut self, end: End) {
-        if !self.teller.wants(Level::Info) {
+        if !self.logger.wants(Level::Info) {
             return;
         }
         let route = self.arrival.as_ref().map_or("", |arrival| &*arrival.route);
         let Some(of) = self.weight(route) else { return };
-        let last = (self.teller.now(), Step::Ended(self.ended(end, of)));
-        self.teller.steps(Level::Info, &self.id, &[last]);
+        let last = (self.logger.now(), Step::Ended(self.ended(end, of)));
+        self.logger.steps(Level::Info, &self.id, &[last]);
     }
 
     fn weight(&self, route: &str) -> Option<u32> {
-        if self.teller.wants(Level::Debug) { Some(1) } else { self.teller.sample(route) }
+        if self.logger.wants(Level::Debug) { Some(1) } else { self.logger.sample(route) }
     }
 
     fn ended(&mut self, end: End, of: u32) -> Ended {
@@ -187,7 +187,7 @@
 
 impl Drop for Request {
     fn drop(&mut self) {
-        let whole = self.teller.now().up.saturating_sub(self.began);
+        let whole = self.logger.now().up.saturating_sub(self.began);
         let why = Some(Word::Borrowed("caller-left"));
         let outcome = Outcome::Left;
         self.finish(End { outcome, status: None, why, first: None, events: 0, whole });
--- a/crates/observe/tests/common/mod.rs
+++ b/crates/observe/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use observe::{
     Clock,
-    story::{Arrival, Attempt, End, Outcome, Teller, Words},
+    story::{Arrival, Attempt, End, Logger, Outcome, Output},
 };
 use types::routed::Kind;
 
@@ -37,9 +37,9 @@
     fn flush(&self) {}
 }
 
-pub fn teller(page: &Page, level: LevelFilter) -> Teller {
-    let words = Words::Own(Arc::new(page.clone()), level);
-    Teller::new("host-0".into(), 7, Clock::system(), words)
+pub fn logger(page: &Page, level: LevelFilter) -> Logger {
+    let output = Output::Custom(Arc::new(page.clone()), level);
+    Logger::new("host-0".into(), 7, Clock::system(), output)
 }
 
 pub fn arrival(route: &str) -> Arrival {
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -6,7 +6,7 @@
 use observe::{
     Clock,
     log::{Bounds, Log, Sink, flush, set_level},
-    story::{self, Belief, Skipped, Step, Teller, What, Words, read},
+    story::{self, Belief, Logger, Output, Skipped, Step, What, read},
 };
 
 const ASKED: &str = "TELL_ON_STANDARD_OUTPUT";
@@ -18,8 +18,8 @@
         return;
     }
     Log::new().sink(Sink::StandardOutput(Bounds::default())).start().unwrap();
-    story::install(Teller::new("host-0".into(), 7, Clock::system(), Words::Process));
-    story::install(Teller::new("host-1".into(), 7, Clock::system(), Words::Process));
+    story::install(Logger::new("host-0".into(), 7, Clock::system(), Output::Process));
+    story::install(Logger::new("host-1".into(), 7, Clock::system(), Output::Process));
     story::belief(Belief::Stop { why: "first".into() });
     set_level(LevelFilter::Warn);
     story::belief(Belief::Stop { why: "below the level".into() });
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/story.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Page, arrival, attempt, end, teller};
+use common::{Page, arrival, attempt, end, logger};
 use log::LevelFilter::{self, Debug, Error, Info, Warn};
 use observe::story::{
     Belief, Candidate, DependencyState, Heard, Input, Outcome, Skipped, Step, What, read,
@@ -37,7 +37,7 @@
     #[case] expected: Vec<&str>,
 ) {
     let page = Page::default();
-    let mut story = teller(&page, level).request("r-1".into());
+    let mut story = logger(&page, level).request("r-1".into());
     story.note(Step::Arrived(arrival("chat")));
     (1..=attempts).for_each(|number| story.note(Step::Attempt(attempt(number, "s-1"))));
     story.end(end(outcome));
@@ -48,7 +48,7 @@
 #[test]
 fn each_line_names_host_run_time_and_request_and_reads_back() {
     let page = Page::default();
-    let mut story = teller(&page, Info).request("r-1".into());
+    let mut story = logger(&page, Info).request("r-1".into());
     let mut sent = attempt(1, "s-2");
     sent.candidates = vec![Candidate {
         server: "s-2".into(),
@@ -93,7 +93,7 @@
 #[test]
 fn a_story_that_is_dropped_tells_that_the_caller_left() {
     let page = Page::default();
-    let mut story = teller(&page, Info).request("r-1".into());
+    let mut story = logger(&page, Info).request("r-1".into());
     story.note(Step::Arrived(arrival("chat")));
     drop(story);
 
@@ -104,7 +104,7 @@
 #[test]
 fn steps_beyond_the_bound_are_counted() {
     let page = Page::default();
-    let mut story = teller(&page, Info).request("r-1".into());
+    let mut story = logger(&page, Info).request("r-1".into());
     (0..70).for_each(|_| story.note(Step::Queued { why: "full".into(), inputs: vec![] }));
     story.end(end(Outcome::Refused));
 
@@ -135,9 +135,9 @@
 ) {
     let page = Page::default();
     let below = if level == Info { Warn } else { Error };
-    teller(&page, below).belief(belief.clone());
+    logger(&page, below).belief(belief.clone());
     assert_eq!(page.text(), "");
-    teller(&page, level).belief(belief.clone());
+    logger(&page, level).belief(belief.clone());
 
     let line = read(page.text().trim_end()).unwrap();
     assert_eq!((line.what, line.request), (What::Belief(belief), None));
@@ -155,7 +155,7 @@
 #[test]
 fn what_stands_before_the_object_is_passed_over() {
     let page = Page::default();
-    teller(&page, Info).belief(Belief::Stop { why: "asked".into() });
+    logger(&page, Info).belief(Belief::Stop { why: "asked".into() });
     let prefixed = format!("front-a-1 12.345 {}", page.text());
 
     assert_eq!(read(&prefixed), read(&page.text()));
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -13,7 +13,7 @@
 use observe::{
     Metrics,
     metrics::routed::{Queue, Routed as Meters},
-    story::{Belief, Heard, Teller, Words},
+    story::{Belief, Heard, Logger, Output},
 };
 use policy::{
     dispatch::{self, Change, Dispatcher, RetryBudgetConfig, Ticket, Verdict},
@@ -49,7 +49,7 @@
     /// Notified when the clock has jumped, as after a suspension of the machine.
     pub(crate) clock_jumped: Arc<Notify>,
     /// Writes the structured log of the host's beliefs and of requests.
-    pub(crate) teller: Teller,
+    pub(crate) logger: Logger,
     pub(crate) metrics: Metrics,
     /// Metrics of the request path.
     pub(crate) meters: Meters,
@@ -118,17 +118,17 @@
         let adapter_loads_total = settings.planning.adapters_at_once;
         let rules = place::Rules { adapter_loads_total, ..place::Rules::default() };
         let stamps = observe::Clock::system();
-        let teller = Teller::new(settings.host.id.clone(), incarnation, stamps, Words::Process);
+        let logger = Logger::new(settings.host.id.clone(), incarnation, stamps, Output::Process);
         let meters = metrics.routed();
         Shared {
             store: Store::new(
                 dialect.clone(),
                 settings.platform,
-                teller.clone(),
+                logger.clone(),
                 meters.clone(),
                 clock,
             ),
-            teller,
+            logger,
             metrics,
             meters,
             declaration_confirmed: Mutex::default(),
@@ -181,7 +181,7 @@
             return;
         }
         let version = declaration.version;
-        self.teller.belief(Belief::Declaration { version, from });
+        self.logger.belief(Belief::Declaration { version, from });
         self.confirm_declaration();
         planning::declare(&mut self.planner(), &declaration, self.now());
         self.dispatcher().declare(&declaration);
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -42,10 +42,10 @@
             true => (LeaseState::Released, "the host is about to stop"),
             false => (LeaseState::Lost, "it was not renewed in time"),
         };
-        shared.teller.belief(belief(state, fence, why));
+        shared.logger.belief(belief(state, fence, why));
     }
     if let Some(fence) = held {
-        shared.teller.belief(belief(LeaseState::Gained, fence, "a write was carried out"));
+        shared.logger.belief(belief(LeaseState::Gained, fence, "a write was carried out"));
     }
     held
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -149,7 +149,7 @@
         let peer = &status.member.id;
         if before.get(peer) != Some(&standing) {
             before.insert(peer.clone(), standing);
-            shared.teller.belief(Belief::Peer { peer: peer.clone(), standing });
+            shared.logger.belief(Belief::Peer { peer: peer.clone(), standing });
         }
     }
 }
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -84,7 +84,7 @@
 }
 
 async fn carry_out(shared: Arc<Shared>, order: place::Order) {
-    shared.teller.belief(placement(&shared, &order));
+    shared.logger.belief(placement(&shared, &order));
     let outcome = match shared.server(&order.server) {
         Some(server) => send(&shared, &server, &order).await,
         None => Outcome::NotThere,
@@ -157,7 +157,7 @@
         OrderStatus::Unknown => Answer::None,
     };
     shared.meters.order(answer);
-    shared.teller.belief(Belief::Order {
+    shared.logger.belief(Belief::Order {
         server: order.server.clone(),
         action: action(order.operation),
         model: order.model.clone(),
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -175,7 +175,7 @@
             Standing::Poison => PoisonState::Confirmed,
         };
         let last = crashes.iter().min_by_key(|crash| crash.age);
-        shared.teller.belief(Belief::Poison {
+        shared.logger.belief(Belief::Poison {
             fingerprint: Word::Owned(name(request)),
             state,
             crashes: u32::try_from(crashes.len()).unwrap_or(u32::MAX),
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -92,7 +92,7 @@
     }
 
     fn report_limit(&self, server: &backend::Id, change: Change, from: Heard) {
-        self.teller.belief(Belief::Limit {
+        self.logger.belief(Belief::Limit {
             server: server.clone(),
             before: change.previous.map(Rate::as_f64),
             now: change.current.rate.map(Rate::as_f64),
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -101,8 +101,8 @@
     metrics.watch_log();
     let start = start_belief(&settings);
     let shared = Arc::new(Shared::new(settings, routed, dialect, metrics, clock));
-    story::install(shared.teller.clone());
-    shared.teller.belief(start);
+    story::install(shared.logger.clone());
+    shared.logger.belief(start);
     let exchange = join(&shared, seeds, advertised).await?;
     log::info!(
         host = &*shared.host.id,
@@ -163,7 +163,7 @@
         let began = self.shared.now();
         let grace = self.shared.routed.grace.mul_f64(FINISH_FRACTION);
         log::info!(host = &*self.shared.host.id; "drain begins");
-        self.shared.teller.belief(Belief::Stop { why: Word::Borrowed("it was asked for") });
+        self.shared.logger.belief(Belief::Stop { why: Word::Borrowed("it was asked for") });
         self.shared.leave();
         self.shared.term().stop();
         sleep(BALANCER_DELAY).await;
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -310,7 +310,7 @@
         from: &Heard,
         why: &'static str,
     ) {
-        self.teller.belief(Belief::Server {
+        self.logger.belief(Belief::Server {
             server: server.id.clone(),
             standing,
             from: from.clone(),
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -18,7 +18,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use observe::{
     metrics::routed::{Call as Called, Called as Answered, Routed as Meters},
-    story::{Belief, DependencyState, Teller, Word},
+    story::{Belief, DependencyState, Logger, Word},
 };
 use tokio::{
     sync::{Mutex, watch},
@@ -54,7 +54,7 @@
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
     slot: Mutex<Option<Connection>>,
-    teller: Teller,
+    logger: Logger,
     meters: Meters,
     calls: CallHealth,
     declaration: CallHealth,
@@ -88,7 +88,7 @@
     pub(crate) fn new(
         dialect: Arc<dyn Dialect>,
         address: SocketAddr,
-        teller: Teller,
+        logger: Logger,
         meters: Meters,
         clock: Clock,
     ) -> Store {
@@ -96,7 +96,7 @@
             dialect,
             address,
             slot: Mutex::new(None),
-            teller,
+            logger,
             meters,
             calls: CallHealth::new("store"),
             declaration: CallHealth::new("watch of the declaration"),
@@ -112,7 +112,7 @@
         if !self.is_degraded() {
             let name = Word::Borrowed("registrations");
             let why = Word::Borrowed("the store failed, so that entries of sound servers may go");
-            self.teller.belief(Belief::Dependency { name, state: DependencyState::Lost, why });
+            self.logger.belief(Belief::Dependency { name, state: DependencyState::Lost, why });
         }
         *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
     }
@@ -250,7 +250,7 @@
                 DependencyState::Regained => format!("an answer after {took} ms"),
             };
             let (name, why) = (Word::Borrowed(health.name), Word::Owned(why));
-            self.teller.belief(Belief::Dependency { name, state, why });
+            self.logger.belief(Belief::Dependency { name, state, why });
         }
         has_changed
     }
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -57,7 +57,7 @@
     /// Starts the trace of a request.
     pub(crate) fn begin(shared: &Shared, id: &request::Id, received: Moment) -> Trace {
         Trace(Mutex::new(Notes {
-            story: Some(shared.teller.request(id.clone())),
+            story: Some(shared.logger.request(id.clone())),
             meters: shared.meters.clone(),
             clock: shared.clock,
             received,
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -25,7 +25,7 @@
         }
         self.is_counted = true;
         for (entry, lasted) in self.limiter.due(&unplaced, now) {
-            shared.teller.belief(Belief::Wish {
+            shared.logger.belief(Belief::Wish {
                 model: entry.model,
                 adapter: entry.adapter,
                 replicas: u32::try_from(entry.replicas).unwrap_or(u32::MAX),
@@ -47,7 +47,7 @@
 
 /// Reports an order that was decided but not sent.
 pub(crate) fn report_unsent(shared: &Shared, order: &Order, why: &'static str) {
-    shared.teller.belief(Belief::Wish {
+    shared.logger.belief(Belief::Wish {
         model: order.model.clone(),
         adapter: order.adapter.clone(),
         replicas: planning::replicas(shared, &order.model),
