--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -1,7 +1,7 @@
 //! Events: what a host did or learnt that others may want to see in order.
 //!
 //! [`Kind`] is a closed set. Where the set of causes or states belongs to another package, the
-//! event carries that package's own stable word as text ([`Word`]), so that this package depends
+//! event carries that package's own stable word as text ([`Text`]), so that this package depends
 //! on none of them.
 
 use std::borrow::Cow;
@@ -17,7 +17,7 @@
 use crate::clock::Stamp;
 
 /// A stable word of another package's closed set, such as the cause of a refusal.
-pub type Word = Cow<'static, str>;
+pub type Text = Cow<'static, str>;
 
 /// What happened, and what it is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
         /// Which try it was.
         attempt: request::Attempt,
         /// Why.
-        cause: Word,
+        cause: Text,
     },
     /// A stream was taken up again elsewhere.
     Resume {
@@ -100,7 +100,7 @@
     /// A request was refused.
     Refusal {
         /// Why.
-        cause: Word,
+        cause: Text,
         /// What is known of its run.
         ran: Ran,
     },
@@ -109,14 +109,14 @@
         /// The caller's key.
         key: request::Key,
         /// What was decided.
-        claim: Word,
+        claim: Text,
     },
     /// A fingerprint's standing in the quarantine changed.
     Quarantine {
         /// The fingerprint.
-        fingerprint: Word,
+        fingerprint: Text,
         /// Its new standing.
-        standing: Word,
+        standing: Text,
     },
     /// An order to an engine was reserved and sent.
     Order {
@@ -127,7 +127,7 @@
         /// What the engine is told.
         action: Action,
         /// Why the plan wants it.
-        cause: Word,
+        cause: Text,
     },
     /// An engine answered an order.
     Acknowledgement {
@@ -141,16 +141,16 @@
         /// The order.
         order: order::Id,
         /// What proved it.
-        evidence: Word,
+        evidence: Text,
     },
     /// A patch to the configuration was decided.
     Patch {
         /// The patch.
-        patch: Word,
+        patch: Text,
         /// Number of the configuration after the decision.
         number: config::Number,
         /// What was decided.
-        verdict: Word,
+        verdict: Text,
     },
     /// A configuration came into force on this host.
     Configuration {
@@ -160,7 +160,7 @@
     /// A duty's lease changed hands as this host sees it.
     Lease {
         /// The duty.
-        duty: Word,
+        duty: Text,
         /// What became of the lease.
         lease: LeaseState,
     },
@@ -171,12 +171,12 @@
         /// Its run.
         member_incarnation: host::Incarnation,
         /// Its new standing.
-        standing: Word,
+        standing: Text,
     },
     /// A backend server's standing changed as this host sees it.
     Server {
         /// Its new standing.
-        standing: Word,
+        standing: Text,
     },
     /// The platform's object API answers or fails to.
     Platform {
--- a/crates/observe/src/merge.rs
+++ b/crates/observe/src/merge.rs
@@ -185,7 +185,7 @@
         .collect()
 }
 
-/// Word of a patch's verdict that makes a new number.
+/// Text of a patch's verdict that makes a new number.
 pub const ACCEPTED: &str = "accepted";
 
 /// Each accepted patch before its number is in force anywhere.
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -33,7 +33,7 @@
     request::{End, Request},
     step::{Arrival, Attempt, Candidate, Ended, Input, Outcome, Step},
 };
-pub use crate::event::Word;
+pub use crate::event::Text;
 use crate::log::Dropped;
 
 /// Target of lines about one request.
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -11,7 +11,7 @@
 };
 
 use super::text::{maybe, millis};
-use crate::event::Word;
+use crate::event::Text;
 
 /// A change of what the process holds for true.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// The process runs.
     Start {
         /// The program's version.
-        program: Word,
+        program: Text,
         /// The settings in force, without secrets.
         settings: serde_json::Value,
     },
@@ -32,7 +32,7 @@
     /// The process is about to end.
     Stop {
         /// Why.
-        why: Word,
+        why: Text,
     },
     /// A declaration is in force here.
     Declaration {
@@ -56,7 +56,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         address: Option<SocketAddr>,
         /// What spoke for it.
-        why: Word,
+        why: Text,
     },
     /// Another host's standing changed.
     Peer {
@@ -68,7 +68,7 @@
     /// What became of a lease.
     Lease {
         /// What it is for.
-        duty: Word,
+        duty: Text,
         /// What became of it.
         state: LeaseState,
         /// Its fencing number: its term.
@@ -77,7 +77,7 @@
         #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
         left: Option<Duration>,
         /// Why.
-        why: Word,
+        why: Text,
     },
     /// What the planner wants and can't order yet.
     Wish {
@@ -92,14 +92,14 @@
         #[serde(with = "millis")]
         since: Duration,
         /// What it waits for: a stable word.
-        why: Word,
+        why: Text,
     },
     /// What the planner wants, and why.
     Placement {
         /// Where.
         server: backend::Id,
         /// What: a stable word.
-        action: Word,
+        action: Text,
         /// Which model.
         model: model::Id,
         /// Which adapter of it.
@@ -111,14 +111,14 @@
         /// Servers that hold it now.
         replicas: u32,
         /// Why: a stable word.
-        why: Word,
+        why: Text,
     },
     /// An order was sent to a server and answered, or not.
     Order {
         /// Where.
         server: backend::Id,
         /// What: a stable word.
-        action: Word,
+        action: Text,
         /// Which model.
         model: model::Id,
         /// Which adapter of it.
@@ -151,7 +151,7 @@
     /// What is thought of a request that was at servers which crashed.
     Poison {
         /// The fingerprint of such requests.
-        fingerprint: Word,
+        fingerprint: Text,
         /// How sure that is.
         state: PoisonState,
         /// Servers that crashed.
@@ -166,11 +166,11 @@
     /// Something that the process relies on was lost or is back.
     Dependency {
         /// What: a stable word.
-        name: Word,
+        name: Text,
         /// What became of it.
         state: DependencyState,
         /// Why, in words.
-        why: Word,
+        why: Text,
     },
     /// Records were left out of the log since the last such line.
     Dropped {
@@ -323,7 +323,7 @@
     /// The host that saw it.
     pub witness: host::Id,
     /// Whether other requests were there too: a stable word.
-    pub role: Word,
+    pub role: Text,
     /// Whether it counts: not if the server answered later, or the request ended whole.
     pub counts: bool,
     /// Time since it was seen.
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -10,7 +10,7 @@
     logger::Logger,
     step::{Arrival, Ended, Outcome, Step},
 };
-use crate::event::Word;
+use crate::event::Text;
 
 /// Steps that are kept of one request; further ones are counted.
 const MOST_STEPS: usize = 64;
@@ -47,7 +47,7 @@
     /// The status that the caller got.
     pub status: Option<u16>,
     /// Why: a stable word; needed unless it went well.
-    pub why: Option<Word>,
+    pub why: Option<Text>,
     /// Time to the first event, or to the answer's head.
     pub first: Option<Duration>,
     /// Events that the caller got.
@@ -188,7 +188,7 @@
 impl Drop for Request {
     fn drop(&mut self) {
         let whole = self.logger.now().up.saturating_sub(self.began);
-        let why = Some(Word::Borrowed("caller-left"));
+        let why = Some(Text::Borrowed("caller-left"));
         let outcome = Outcome::Left;
         self.finish(End { outcome, status: None, why, first: None, events: 0, whole });
     }
--- a/crates/observe/src/story/step.rs
+++ b/crates/observe/src/story/step.rs
@@ -10,7 +10,7 @@
 };
 
 use super::text::{maybe, millis};
-use crate::event::Word;
+use crate::event::Text;
 
 /// What was decided about a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,14 +21,14 @@
     /// It waits.
     Queued {
         /// For what.
-        why: Word,
+        why: Text,
         /// What decided it.
         inputs: Vec<Input>,
     },
     /// It is refused; no byte of it can have reached a server.
     Refused {
         /// Why.
-        why: Word,
+        why: Text,
         /// What decided it.
         inputs: Vec<Input>,
         /// When the caller is told to come back.
@@ -44,7 +44,7 @@
         /// Where it was sent.
         server: backend::Id,
         /// How it ended: a stable word.
-        outcome: Word,
+        outcome: Text,
         /// The server's status, if it gave one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         status: Option<u16>,
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Input {
     /// What it is.
-    pub name: Word,
+    pub name: Text,
     /// Its value.
     pub value: f64,
     /// How old it is; none if it is this host's own.
@@ -126,7 +126,7 @@
 impl Input {
     /// A value that is this host's own.
     pub fn own(name: &'static str, value: f64) -> Input {
-        Input { name: Word::Borrowed(name), value, age: None }
+        Input { name: Text::Borrowed(name), value, age: None }
     }
 
     /// A value that was heard so long ago.
@@ -158,9 +158,9 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What is sent: a stable word.
-    pub sent: Word,
+    pub sent: Text,
     /// Why this server: a stable word.
-    pub why: Word,
+    pub why: Text,
     /// Expected time to the first event, or to the answer; none if nobody says.
     #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
     pub estimate: Option<Duration>,
@@ -202,7 +202,7 @@
     pub status: Option<u16>,
     /// Why: a stable word.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Word>,
+    pub why: Option<Text>,
     /// Its route, if that was found.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub route: Option<RouteId>,
--- a/crates/observe/src/story/tale.rs
+++ b/crates/observe/src/story/tale.rs
@@ -16,7 +16,7 @@
     line::{Line, Skipped, What, read},
     step::Step,
 };
-use crate::{clock::Stamp, event::Word};
+use crate::{clock::Stamp, event::Text};
 
 /// How long after a story's end lines that were left out are still told of: batches are written
 /// late. Stamps count seconds in their upper half.
@@ -148,8 +148,8 @@
     Declaration(Run),
     Server(Run, backend::Id),
     Limit(Run, backend::Id),
-    Dependency(Run, Word),
-    Poison(Run, Word),
+    Dependency(Run, Text),
+    Poison(Run, Text),
     Placement(backend::Id, model::Id),
     Order(backend::Id),
     Lease(Fence),
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use observe::story::{Belief, LeaseState, Word};
+use observe::story::{Belief, LeaseState, Text};
 use policy::term::{Lease, Outcome, Step, Stored};
 use tokio::time::sleep;
 use types::order::Fence;
@@ -51,7 +51,7 @@
 }
 
 fn belief(state: LeaseState, fence: Fence, why: &'static str) -> Belief {
-    let (duty, why) = (Word::Borrowed(LEASE_NAME), Word::Borrowed(why));
+    let (duty, why) = (Text::Borrowed(LEASE_NAME), Text::Borrowed(why));
     Belief::Lease { duty, state, fence, left: None, why }
 }
 
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use observe::story::{Answer, Belief, Word};
+use observe::story::{Answer, Belief, Text};
 use policy::place::{self, Outcome, Planner};
 use tokio::{
     select,
@@ -183,7 +183,7 @@
         adapter: order.adapter.clone(),
         demand: None,
         replicas: replicas(shared, &order.model),
-        why: Word::Borrowed(why),
+        why: Text::Borrowed(why),
     }
 }
 
@@ -194,8 +194,8 @@
     u32::try_from(directory.servers().filter(holds).count()).unwrap_or(u32::MAX)
 }
 
-fn action(operation: place::Operation) -> Word {
-    Word::Borrowed(match operation {
+fn action(operation: place::Operation) -> Text {
+    Text::Borrowed(match operation {
         place::Operation::Load => "load",
         place::Operation::Unload => "unload",
     })
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -12,7 +12,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use observe::story::{Belief, CrashSeen, PoisonState, Word};
+use observe::story::{Belief, CrashSeen, PoisonState, Text};
 use policy::dispatch::{
     Fingerprint,
     poison::{Crash, CrashState, Isolation, Standing, StandingChange},
@@ -176,7 +176,7 @@
         };
         let last = crashes.iter().min_by_key(|crash| crash.age);
         shared.logger.belief(Belief::Poison {
-            fingerprint: Word::Owned(name(request)),
+            fingerprint: Text::Owned(name(request)),
             state,
             crashes: u32::try_from(crashes.len()).unwrap_or(u32::MAX),
             server: last.map(|crash| crash.server.clone()),
@@ -194,7 +194,7 @@
     CrashSeen {
         server: crash.server.clone(),
         witness: crash.witness.clone(),
-        role: Word::Borrowed(role),
+        role: Text::Borrowed(role),
         counts: crash.state == CrashState::Counted,
         age: crash.age,
     }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -5,7 +5,7 @@
 use exchange::{Config, Exchange};
 use observe::{
     Metrics,
-    story::{self, Belief, Word},
+    story::{self, Belief, Text},
 };
 use settings::process::{Process, Routed};
 use tokio::{net::TcpListener, select, task::JoinHandle, time::sleep};
@@ -132,7 +132,7 @@
 
 fn start_belief(settings: &Process) -> Belief {
     Belief::Start {
-        program: Word::Borrowed(env!("CARGO_PKG_VERSION")),
+        program: Text::Borrowed(env!("CARGO_PKG_VERSION")),
         settings: settings_json(settings),
     }
 }
@@ -163,7 +163,7 @@
         let began = self.shared.now();
         let grace = self.shared.routed.grace.mul_f64(FINISH_FRACTION);
         log::info!(host = &*self.shared.host.id; "drain begins");
-        self.shared.logger.belief(Belief::Stop { why: Word::Borrowed("it was asked for") });
+        self.shared.logger.belief(Belief::Stop { why: Text::Borrowed("it was asked for") });
         self.shared.leave();
         self.shared.term().stop();
         sleep(BALANCER_DELAY).await;
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -11,7 +11,7 @@
     Registered,
     fleet::{Departure, Notice, Recipients},
 };
-use observe::story::{Belief, Heard, ServerStanding, Word};
+use observe::story::{Belief, Heard, ServerStanding, Text};
 use policy::{
     demand::Subject,
     follow,
@@ -316,7 +316,7 @@
             from: from.clone(),
             service: Some(server.service.clone()),
             address: Some(server.address),
-            why: Word::Borrowed(why),
+            why: Text::Borrowed(why),
         });
     }
 
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -18,7 +18,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use observe::{
     metrics::routed::{Call as Called, Called as Answered, Routed as Meters},
-    story::{Belief, DependencyState, Logger, Word},
+    story::{Belief, DependencyState, Logger, Text},
 };
 use tokio::{
     sync::{Mutex, watch},
@@ -110,8 +110,8 @@
     /// Records a failure of the store.
     pub(crate) fn record_failure(&self) {
         if !self.is_degraded() {
-            let name = Word::Borrowed("registrations");
-            let why = Word::Borrowed("the store failed, so that entries of sound servers may go");
+            let name = Text::Borrowed("registrations");
+            let why = Text::Borrowed("the store failed, so that entries of sound servers may go");
             self.logger.belief(Belief::Dependency { name, state: DependencyState::Lost, why });
         }
         *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
@@ -249,7 +249,7 @@
                 DependencyState::Lost => format!("no answer that can be read in {took} ms"),
                 DependencyState::Regained => format!("an answer after {took} ms"),
             };
-            let (name, why) = (Word::Borrowed(health.name), Word::Owned(why));
+            let (name, why) = (Text::Borrowed(health.name), Text::Owned(why));
             self.logger.belief(Belief::Dependency { name, state, why });
         }
         has_changed
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 use observe::{
     metrics::routed::{Again, Attempted, Phase, Refusal, Routed as Meters},
-    story::{self, Arrival, End, Input, Outcome, Step, Word},
+    story::{self, Arrival, End, Input, Outcome, Step, Text},
 };
 use policy::dispatch::{Cause, NotRun, Unclear, Unreachable};
 use types::{
@@ -83,14 +83,14 @@
     /// Records that the request is queued.
     pub(crate) fn queued(&self, why: &'static str, left: Duration) {
         let inputs = vec![left_input(left)];
-        self.notes().note(Step::Queued { why: Word::Borrowed(why), inputs });
+        self.notes().note(Step::Queued { why: Text::Borrowed(why), inputs });
     }
 
     /// Records that the request is refused.
     pub(crate) fn refused(&self, cause: Refusal, left: Duration, again: Option<Duration>) {
         let mut notes = self.notes();
         notes.refusal = Some(cause);
-        let (why, inputs) = (Word::Borrowed(cause.as_str()), vec![left_input(left)]);
+        let (why, inputs) = (Text::Borrowed(cause.as_str()), vec![left_input(left)]);
         notes.note(Step::Refused { why, inputs, again });
     }
 
@@ -111,8 +111,8 @@
             attempt,
             server: id.clone(),
             address: server.address,
-            sent: Word::Borrowed(if after.is_some() { "rest" } else { "whole" }),
-            why: Word::Borrowed("chosen"),
+            sent: Text::Borrowed(if after.is_some() { "rest" } else { "whole" }),
+            why: Text::Borrowed("chosen"),
             estimate: None,
             left,
             candidates: Vec::new(),
@@ -218,7 +218,7 @@
         let Some(server) = self.open.take() else { return };
         let attempted = attempted(end);
         self.meters.attempt(attempted);
-        let outcome = Word::Borrowed(attempted.as_str());
+        let outcome = Text::Borrowed(attempted.as_str());
         let status = status.map(|status| status.as_u16());
         let attempt = self.attempts;
         self.note(Step::AttemptEnded { attempt, server, outcome, status, ran: ran(end) });
@@ -260,7 +260,7 @@
         }
         self.phase(Phase::Whole, whole);
         let (first, events) = (self.first, self.events);
-        story.end(End { outcome, status, why: why.map(Word::Borrowed), first, events, whole });
+        story.end(End { outcome, status, why: why.map(Text::Borrowed), first, events, whole });
     }
 }
 
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use observe::story::{Belief, Word};
+use observe::story::{Belief, Text};
 use policy::place::{Obstacle, Order, ReportLimiter};
 use types::prelude::*;
 
@@ -30,7 +30,7 @@
                 adapter: entry.adapter,
                 replicas: u32::try_from(entry.replicas).unwrap_or(u32::MAX),
                 since: lasted,
-                why: Word::Borrowed(entry.obstacle.word()),
+                why: Text::Borrowed(entry.obstacle.word()),
             });
         }
     }
@@ -52,6 +52,6 @@
         adapter: order.adapter.clone(),
         replicas: planning::replicas(shared, &order.model),
         since: Duration::ZERO,
-        why: Word::Borrowed(why),
+        why: Text::Borrowed(why),
     });
 }
