--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -15,8 +15,8 @@
 use observe::{
     Clock,
     story::{
-        Answer, Arrival, Attempt, Belief, Candidate, DependencyState, End, Heard, Input,
-        LeaseState, Logger, Outcome, Output, ServerStanding, Step,
+        Answer, Arrival, Attempt, Belief, Candidate, DependencyState, End, Input, LeaseState,
+        Logger, Outcome, Output, ServerStanding, Source, Step,
     },
 };
 use tempfile::TempDir;
@@ -59,11 +59,11 @@
 }
 
 fn play(a: &Logger, b: &Logger) {
-    begin(a, Heard::Store);
-    begin(b, Heard::Peer("front-a-1".into()));
+    begin(a, Source::Store);
+    begin(b, Source::Peer("front-a-1".into()));
     place(b);
-    a.belief(Belief::Declaration { version: 12, from: Heard::Store });
-    b.belief(Belief::Declaration { version: 12, from: Heard::Peer("front-a-1".into()) });
+    a.belief(Belief::Declaration { version: 12, from: Source::Store });
+    b.belief(Belief::Declaration { version: 12, from: Source::Peer("front-a-1".into()) });
     well(a);
     unclear(a);
     a.belief(Belief::Dependency {
@@ -83,13 +83,13 @@
     });
 }
 
-fn begin(logger: &Logger, from: Heard) {
+fn begin(logger: &Logger, from: Source) {
     let settings = serde_json::json!({"log": {"level": "info"}});
     logger.belief(Belief::Start { program: "0.1.0".into(), settings });
     logger.belief(Belief::Declaration { version: 11, from });
-    server(logger, LEAVER, ServerStanding::Seen, Heard::Store, "registered");
-    server(logger, STAYER, ServerStanding::Seen, Heard::Store, "registered");
-    server(logger, TICKETS, ServerStanding::Seen, Heard::Store, "registered");
+    server(logger, LEAVER, ServerStanding::Seen, Source::Store, "registered");
+    server(logger, STAYER, ServerStanding::Seen, Source::Store, "registered");
+    server(logger, TICKETS, ServerStanding::Seen, Source::Store, "registered");
 }
 
 fn place(logger: &Logger) {
@@ -132,7 +132,7 @@
     let mut story = a.request("unclear-1".into());
     story.note(Step::Arrived(arrival("tickets", Kind::NonIdempotent, None, ms(1000))));
     story.note(Step::Attempt(attempt(1, TICKETS, "request", "least")));
-    server(a, TICKETS, ServerStanding::Suspected, Heard::Itself, "connection reset");
+    server(a, TICKETS, ServerStanding::Suspected, Source::Itself, "connection reset");
     story.note(Step::AttemptEnded {
         attempt: 1,
         server: TICKETS.into(),
@@ -148,8 +148,8 @@
     story.note(Step::Arrived(arrival("letters", Kind::Stream, Some(MODEL), ms(12_000))));
     let candidates = vec![candidate(LEAVER, 40, 210), candidate(STAYER, 95, 180)];
     story.note(Step::Attempt(Attempt { candidates, ..attempt(1, LEAVER, "request", "least") }));
-    server(b, LEAVER, ServerStanding::Gone, Heard::Itself, "connection reset");
-    server(a, LEAVER, ServerStanding::Leaving, Heard::Peer("front-b-1".into()), "told");
+    server(b, LEAVER, ServerStanding::Gone, Source::Itself, "connection reset");
+    server(a, LEAVER, ServerStanding::Leaving, Source::Peer("front-b-1".into()), "told");
     story.note(Step::AttemptEnded {
         attempt: 1,
         server: LEAVER.into(),
@@ -184,7 +184,7 @@
     story.end(end(Outcome::Refused, Some(503), Some("goal-out-of-reach"), None, 0, ms(2)));
 }
 
-fn server(logger: &Logger, id: &str, standing: ServerStanding, from: Heard, why: &'static str) {
+fn server(logger: &Logger, id: &str, standing: ServerStanding, from: Source, why: &'static str) {
     let (server, why) = (id.into(), why.into());
     logger.belief(Belief::Server { server, standing, from, service: None, address: None, why });
 }
--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -9,7 +9,7 @@
 use observe::{
     Clock,
     log::{Bounds, Ceiling, Lines},
-    story::{Arrival, Attempt, Belief, End, Heard, Logger, Outcome, Output, Step},
+    story::{Arrival, Attempt, Belief, End, Logger, Outcome, Output, Source, Step},
 };
 use types::{request::Ran, routed::Kind};
 
@@ -87,7 +87,7 @@
     criterion.bench_function("request that went well, debug: 4 lines", |b| {
         b.iter(|| request(&debug, Outcome::Answered));
     });
-    let declaration = Belief::Declaration { version: 12, from: Heard::Store };
+    let declaration = Belief::Declaration { version: 12, from: Source::Store };
     criterion.bench_function("belief: a line of JSON as the message", |b| {
         b.iter(|| info.belief(black_box(declaration.clone())));
     });
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -25,8 +25,8 @@
 
 pub use self::{
     belief::{
-        Answer, Belief, CrashSeen, DependencyState, Heard, LeaseState, PeerStanding, PoisonState,
-        ServerStanding,
+        Answer, Belief, DependencyState, LeaseState, ObservedCrash, PeerStanding, PoisonState,
+        ServerStanding, Source,
     },
     line::{Line, Skipped, Time, What, read},
     logger::{Logger, Output},
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -39,7 +39,7 @@
         /// Its number.
         version: Version,
         /// From where it was heard.
-        from: Heard,
+        from: Source,
     },
     /// A server's standing changed.
     Server {
@@ -48,7 +48,7 @@
         /// Its new standing.
         standing: ServerStanding,
         /// From where that was heard.
-        from: Heard,
+        from: Source,
         /// Its service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         service: Option<service::Id>,
@@ -146,7 +146,7 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         now: Option<f64>,
         /// Whose news it is.
-        from: Heard,
+        from: Source,
     },
     /// What is thought of a request that was at servers which crashed.
     Poison {
@@ -161,7 +161,7 @@
         server: Option<backend::Id>,
         /// What is known of each crash.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        evidence: Vec<CrashSeen>,
+        evidence: Vec<ObservedCrash>,
     },
     /// Something that the process relies on was lost or is back.
     Dependency {
@@ -234,7 +234,7 @@
 /// From where something was heard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Heard {
+pub enum Source {
     /// The object store.
     Store,
     /// Another host.
@@ -317,7 +317,7 @@
 
 /// A crash of a server that a request was at.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CrashSeen {
+pub struct ObservedCrash {
     /// The run of the server.
     pub server: backend::Id,
     /// The host that saw it.
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/story.rs
@@ -7,7 +7,7 @@
 use common::{Page, arrival, attempt, end, logger};
 use log::LevelFilter::{self, Debug, Error, Info, Warn};
 use observe::story::{
-    Belief, Candidate, DependencyState, Heard, Input, Outcome, Skipped, Step, What, read,
+    Belief, Candidate, DependencyState, Input, Outcome, Skipped, Source, Step, What, read,
     sample::{EVERY, WHOLE},
 };
 use rstest::rstest;
@@ -126,7 +126,7 @@
 }
 
 #[rstest]
-#[case(Belief::Declaration { version: 12, from: Heard::Peer("host-2".into()) }, Info)]
+#[case(Belief::Declaration { version: 12, from: Source::Peer("host-2".into()) }, Info)]
 #[case(Belief::Dependency { name: "store".into(), state: DependencyState::Lost, why: "503".into() }, Warn)]
 #[case(Belief::Start { program: "0.1.0".into(), settings: serde_json::json!({"log": {"level": "info"}}) }, Info)]
 fn beliefs_are_told_at_their_level_and_read_back(
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -13,7 +13,7 @@
 use observe::{
     Metrics,
     metrics::routed::{Queue, Routed as Meters},
-    story::{Belief, Heard, Logger, Output},
+    story::{Belief, Logger, Output, Source},
 };
 use policy::{
     dispatch::{self, Change, Dispatcher, RetryBudgetConfig, Ticket, Verdict},
@@ -175,7 +175,7 @@
     }
 
     /// Puts a declaration in force, unless the present one has the same or a later version.
-    pub(crate) fn declare(&self, declaration: Declaration, from: Heard) {
+    pub(crate) fn declare(&self, declaration: Declaration, from: Source) {
         let before = self.declaration();
         if before.as_ref().is_some_and(|held| declaration.version <= held.version) {
             return;
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -289,7 +289,7 @@
 ) {
     match exchange.fetch_declaration(from, above).await {
         Ok(Some(declaration)) => {
-            shared.declare((*declaration).clone(), story::Heard::Peer(peer.clone()));
+            shared.declare((*declaration).clone(), story::Source::Peer(peer.clone()));
         }
         Ok(None) => {}
         Err(error) => log::debug!(from:% = from; "a declaration can't be fetched: {error}"),
@@ -330,7 +330,7 @@
             }
             Notice::ServerLeaving { server, departure, revision } => {
                 let origin = received.origin.unwrap_or_else(|| received.via.to_string().into());
-                let from = story::Heard::Peer(origin);
+                let from = story::Source::Peer(origin);
                 shared.apply_departure(&server, departure, revision, &from);
             }
             Notice::DeclarationInForce { version } => {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -12,7 +12,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use observe::story::{Belief, CrashSeen, PoisonState, Text};
+use observe::story::{Belief, ObservedCrash, PoisonState, Text};
 use policy::dispatch::{
     Fingerprint,
     poison::{Crash, CrashState, Isolation, Standing, StandingChange},
@@ -186,12 +186,12 @@
 }
 
 /// Converts a crash to its log entry.
-fn seen(crash: &Crash) -> CrashSeen {
+fn seen(crash: &Crash) -> ObservedCrash {
     let role = match crash.isolation {
         Isolation::Shared => "beside others",
         Isolation::Isolated => "apart",
     };
-    CrashSeen {
+    ObservedCrash {
         server: crash.server.clone(),
         witness: crash.witness.clone(),
         role: Text::Borrowed(role),
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -4,7 +4,7 @@
 use exchange::fleet::{FleetSnapshot, Notice};
 use observe::{
     metrics::routed::Permits,
-    story::{Belief, Heard},
+    story::{Belief, Source},
 };
 use policy::{
     fleet::Liveness,
@@ -24,7 +24,7 @@
         };
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
-            self.report_limit(server, change, Heard::Itself);
+            self.report_limit(server, change, Source::Itself);
             self.notify(Notice::LimitChanged { server: server.clone(), news: change.current });
         }
     }
@@ -38,7 +38,7 @@
     ) {
         let change = self.dispatcher().limit_received(server, limit, self.now());
         if let Some(change) = change {
-            self.report_limit(server, change, Heard::Peer(from.clone()));
+            self.report_limit(server, change, Source::Peer(from.clone()));
         }
     }
 
@@ -46,7 +46,7 @@
     pub(crate) fn quota_received(&self, from: &host::Id, message: &Message) {
         let changes = self.dispatcher().quota_received(from, message, self.now());
         for (server, change) in changes {
-            self.report_limit(&server, change, Heard::Peer(from.clone()));
+            self.report_limit(&server, change, Source::Peer(from.clone()));
         }
         self.dispatch_wakeup.notify_one();
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn report_limit(&self, server: &backend::Id, change: Change, from: Heard) {
+    fn report_limit(&self, server: &backend::Id, change: Change, from: Source) {
         self.logger.belief(Belief::Limit {
             server: server.clone(),
             before: change.previous.map(Rate::as_f64),
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -11,7 +11,7 @@
     Registered,
     fleet::{Departure, Notice, Recipients},
 };
-use observe::story::{Belief, Heard, ServerStanding, Text};
+use observe::story::{Belief, ServerStanding, Source, Text};
 use policy::{
     demand::Subject,
     follow,
@@ -68,7 +68,7 @@
                 sequence: 0,
                 ..(*known).clone()
             };
-            self.apply_registration(run, written, &Heard::Itself);
+            self.apply_registration(run, written, &Source::Itself);
         }
         self.server(&id)
     }
@@ -89,7 +89,7 @@
         let list = Registered { revision: page.revision, ids, servers, ..Registered::default() };
         self.confirm_servers(Duration::ZERO);
         let delta = self.directory().diff_store_list(list);
-        self.apply(delta, page.revision, &Heard::Store);
+        self.apply(delta, page.revision, &Source::Store);
     }
 
     /// Notes that the known servers were confirmed by the store this long ago.
@@ -109,7 +109,7 @@
     pub(crate) fn take_servers(self: &Arc<Self>, list: Registered, peer: &host::Id) {
         let revision = list.revision;
         let delta = self.directory().diff_peer_list(list);
-        self.apply(delta, revision, &Heard::Peer(peer.clone()));
+        self.apply(delta, revision, &Source::Peer(peer.clone()));
     }
 
     /// Parses a registration. Each failure is counted; log messages about failures are rate
@@ -125,7 +125,7 @@
         server
     }
 
-    fn apply(self: &Arc<Self>, delta: Delta, revision: Revision, from: &Heard) {
+    fn apply(self: &Arc<Self>, delta: Delta, revision: Revision, from: &Source) {
         delta.deleted.iter().for_each(|id| self.apply_removal(id, revision, from));
         delta.suspected.iter().for_each(|suspect| self.suspect(&suspect.id, suspect.left, from));
         delta
@@ -143,11 +143,13 @@
             Change::Written(object) => {
                 self.directory().advance(object.revision);
                 match self.registration(object) {
-                    Some(server) => self.apply_registration(server, object.revision, &Heard::Store),
+                    Some(server) => {
+                        self.apply_registration(server, object.revision, &Source::Store)
+                    }
                     None => {
                         let id = self.id_by_name(&object.name);
                         id.iter().for_each(|id| {
-                            self.remove_server(id, &Heard::Store, "its entry can't be read")
+                            self.remove_server(id, &Source::Store, "its entry can't be read")
                         });
                     }
                 }
@@ -159,14 +161,14 @@
                 // All entries written up to the directory's revision are known, also if the removal
                 // has no revision of its own.
                 let removed = self.revision();
-                id.iter().for_each(|id| self.apply_removal(id, removed, &Heard::Store));
+                id.iter().for_each(|id| self.apply_removal(id, removed, &Source::Store));
             }
         }
         self.plan_wakeup.notify_one();
         self.dispatch_wakeup.notify_one();
     }
 
-    fn apply_registration(&self, server: Server, revision: Revision, from: &Heard) {
+    fn apply_registration(&self, server: Server, revision: Revision, from: &Source) {
         let before = self.server(&server.id).map(|server| server.state);
         let earlier = self.directory().by_name(&server.name).cloned();
         let earlier = earlier.filter(|earlier| earlier.id != server.id);
@@ -195,7 +197,7 @@
             self.report_standing(&server, standing, from, "it is registered so");
         }
         // What a peer has reported is not passed on.
-        let is_first_hand = was_used && *from == Heard::Store;
+        let is_first_hand = was_used && *from == Source::Store;
         if before == Some(State::Ready) && is_first_hand && server.state == State::Draining {
             let (server, departure) = (server.id.clone(), Departure::Leaving);
             self.notify(Notice::ServerLeaving { server, departure, revision });
@@ -205,10 +207,10 @@
     /// Applies the removal of a server's entry. While the store is degraded, entries of healthy
     /// servers are removed and written again; such a server stays in use for part of the time that
     /// a leaving one may.
-    fn apply_removal(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Heard) {
+    fn apply_removal(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Source) {
         let is_ready = self.server(id).is_some_and(|server| server.state == State::Ready);
         // A peer's list states which of the servers that it lacks may come back.
-        let is_from_peer = matches!(from, Heard::Peer(_));
+        let is_from_peer = matches!(from, Source::Peer(_));
         if is_ready && !is_from_peer {
             if self.store.is_degraded() {
                 return self.suspect(id, self.removal_grace(), from);
@@ -228,7 +230,7 @@
     }
 
     /// Keeps a server in use for a time in which its entry may be written again.
-    fn suspect(self: &Arc<Self>, id: &backend::Id, left: Duration, from: &Heard) {
+    fn suspect(self: &Arc<Self>, id: &backend::Id, left: Duration, from: &Source) {
         let Some(server) = self.server(id).filter(|_| !self.directory().is_suspect(id)) else {
             return;
         };
@@ -260,7 +262,7 @@
         id: &backend::Id,
         departure: Departure,
         revision: Revision,
-        from: &Heard,
+        from: &Source,
     ) {
         if self.directory().is_newer(id, revision) {
             return;
@@ -278,7 +280,7 @@
     }
 
     /// Sends no new requests to a server until its entry is written after this revision.
-    fn stop_sending(&self, id: &backend::Id, revision: Revision, from: &Heard) {
+    fn stop_sending(&self, id: &backend::Id, revision: Revision, from: &Source) {
         if self.dispatcher().is_ready(id)
             && let Some(server) = self.server(id)
         {
@@ -307,7 +309,7 @@
         &self,
         server: &Server,
         standing: ServerStanding,
-        from: &Heard,
+        from: &Source,
         why: &'static str,
     ) {
         self.logger.belief(Belief::Server {
@@ -320,7 +322,7 @@
         });
     }
 
-    fn remove_server(&self, id: &backend::Id, from: &Heard, why: &'static str) {
+    fn remove_server(&self, id: &backend::Id, from: &Source, why: &'static str) {
         if let Some(server) = self.server(id) {
             self.report_standing(&server, ServerStanding::Gone, from, why);
         }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -8,7 +8,7 @@
     Exchange,
     fleet::{Member, Tier},
 };
-use observe::story::Heard;
+use observe::story::Source;
 use policy::{
     fleet::{FleetSnapshot, Liveness},
     follow::{self, Role},
@@ -67,7 +67,7 @@
         return;
     }
     match shared.dialect.declaration(object) {
-        Some(declaration) => shared.declare(declaration, Heard::Store),
+        Some(declaration) => shared.declare(declaration, Source::Store),
         None => log::error!(revision = object.revision; "a declaration can't be read"),
     }
 }
