--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -123,17 +123,17 @@
 
 fn well(a: &Logger) {
     let mut story = a.request("well-1".into());
-    story.note(Step::Arrived(arrival("pages", Kind::Idempotent, None, ms(1000))));
-    story.note(Step::Attempt(attempt(1, TICKETS, "request", "least")));
+    story.record(Step::Arrived(arrival("pages", Kind::Idempotent, None, ms(1000))));
+    story.record(Step::Attempt(attempt(1, TICKETS, "request", "least")));
     story.end(end(Outcome::Answered, Some(200), None, Some(ms(31)), 0, ms(32)));
 }
 
 fn unclear(a: &Logger) {
     let mut story = a.request("unclear-1".into());
-    story.note(Step::Arrived(arrival("tickets", Kind::NonIdempotent, None, ms(1000))));
-    story.note(Step::Attempt(attempt(1, TICKETS, "request", "least")));
+    story.record(Step::Arrived(arrival("tickets", Kind::NonIdempotent, None, ms(1000))));
+    story.record(Step::Attempt(attempt(1, TICKETS, "request", "least")));
     server(a, TICKETS, ServerStanding::Suspected, Source::Itself, "connection reset");
-    story.note(Step::AttemptEnded {
+    story.record(Step::AttemptEnded {
         attempt: 1,
         server: TICKETS.into(),
         outcome: "reset".into(),
@@ -145,19 +145,19 @@
 
 fn late(a: &Logger, b: &Logger) {
     let mut story = b.request("late-1".into());
-    story.note(Step::Arrived(arrival("letters", Kind::Stream, Some(MODEL), ms(12_000))));
+    story.record(Step::Arrived(arrival("letters", Kind::Stream, Some(MODEL), ms(12_000))));
     let candidates = vec![candidate(LEAVER, 40, 210), candidate(STAYER, 95, 180)];
-    story.note(Step::Attempt(Attempt { candidates, ..attempt(1, LEAVER, "request", "least") }));
+    story.record(Step::Attempt(Attempt { candidates, ..attempt(1, LEAVER, "request", "least") }));
     server(b, LEAVER, ServerStanding::Gone, Source::Itself, "connection reset");
     server(a, LEAVER, ServerStanding::Leaving, Source::Peer("front-b-1".into()), "told");
-    story.note(Step::AttemptEnded {
+    story.record(Step::AttemptEnded {
         attempt: 1,
         server: LEAVER.into(),
         outcome: "reset-midway".into(),
         status: Some(200),
         ran: Ran::Ran,
     });
-    story.note(Step::Resumed { attempt: 2, server: STAYER.into(), after: 12 });
+    story.record(Step::Resumed { attempt: 2, server: STAYER.into(), after: 12 });
     story.end(end(Outcome::Late, Some(200), Some("pause"), Some(ms(52)), 47, ms(2210)));
     b.belief(Belief::Dropped { full: 0, ceiling: 3, plans: 0 });
 }
@@ -171,12 +171,12 @@
         why: "no-room".into(),
     });
     let mut story = a.request("refused-1".into());
-    story.note(Step::Arrived(arrival("notes", Kind::Stream, Some(MODEL), ms(4000))));
-    story.note(Step::Queued {
+    story.record(Step::Arrived(arrival("notes", Kind::Stream, Some(MODEL), ms(4000))));
+    story.record(Step::Queued {
         why: "servers-full".into(),
         inputs: vec![Input::own("waiting", 3.0), Input::heard("running", 64.0, ms(210))],
     });
-    story.note(Step::Refused {
+    story.record(Step::Refused {
         why: "goal-out-of-reach".into(),
         inputs: vec![Input::own("estimate_ms", 870.0), Input::own("goal_ms", 400.0)],
         again: Some(ms(600)),
--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -21,7 +21,7 @@
 
 fn request(logger: &Logger, outcome: Outcome) {
     let mut story = logger.request("5b0e1c9a77d2f064".into());
-    story.note(Step::Arrived(Arrival {
+    story.record(Step::Arrived(Arrival {
         route: "letters".into(),
         version: 12,
         model: Some("carta".into()),
@@ -29,7 +29,7 @@
         repeat: Kind::Stream,
         deadline: Duration::from_secs(12),
     }));
-    story.note(Step::Attempt(Attempt {
+    story.record(Step::Attempt(Attempt {
         attempt: 1,
         server: "lector-3.9f02".into(),
         address: "10.1.0.11:8000".parse().expect("an address"),
@@ -39,7 +39,7 @@
         left: Duration::from_millis(11_990),
         candidates: vec![],
     }));
-    story.note(Step::AttemptEnded {
+    story.record(Step::AttemptEnded {
         attempt: 1,
         server: "lector-3.9f02".into(),
         outcome: "whole".into(),
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -28,7 +28,7 @@
         Answer, Belief, DependencyState, LeaseState, ObservedCrash, PeerStanding, PoisonState,
         ServerStanding, Source,
     },
-    line::{Line, Skipped, Time, What, read},
+    line::{Content, Line, Skipped, Time, read},
     logger::{Logger, Output},
     request::{End, Request},
     step::{Arrival, Attempt, Candidate, Ended, Input, Outcome, Step},
--- a/crates/observe/src/story/line.rs
+++ b/crates/observe/src/story/line.rs
@@ -35,7 +35,7 @@
 /// What a line says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum What {
+pub enum Content {
     /// Of a request.
     Step(Step),
     /// Of what the process believes.
@@ -57,7 +57,7 @@
     pub request: Option<request::Id>,
     /// What it says.
     #[serde(flatten)]
-    pub what: What,
+    pub content: Content,
 }
 
 /// A line as it is written: the same fields, borrowed.
@@ -73,7 +73,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) request: Option<&'a str>,
     #[serde(flatten)]
-    pub(crate) what: &'a T,
+    pub(crate) content: &'a T,
 }
 
 /// Why a line is no story's.
--- a/crates/observe/src/story/logger.rs
+++ b/crates/observe/src/story/logger.rs
@@ -92,9 +92,9 @@
         self.line(&self.now(), None, belief).to_string()
     }
 
-    fn line<'a, T>(&'a self, time: &Time, request: Option<&'a str>, what: &'a T) -> Told<'a, T> {
+    fn line<'a, T>(&'a self, time: &Time, request: Option<&'a str>, content: &'a T) -> Told<'a, T> {
         let Time { at, up, wall } = *time;
-        Told { at, up, wall, host: &self.0.host, run: self.0.run, request, what }
+        Told { at, up, wall, host: &self.0.host, run: self.0.run, request, content }
     }
 
     /// The log asks for the text only if it has room for it.
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -83,7 +83,7 @@
     }
 
     /// Adds a step.
-    pub fn note(&mut self, step: Step) {
+    pub fn record(&mut self, step: Step) {
         if !self.logger.wants(Level::Warn) {
             return;
         }
--- a/crates/observe/src/story/tale.rs
+++ b/crates/observe/src/story/tale.rs
@@ -13,7 +13,7 @@
 
 use super::{
     belief::{Belief, DependencyState, LeaseState, PoisonState},
-    line::{Line, Skipped, What, read},
+    line::{Content, Line, Skipped, read},
     step::Step,
 };
 use crate::{clock::Stamp, event::Text};
@@ -110,7 +110,7 @@
 
     /// Beliefs are few and any of them may matter; steps are many.
     fn may_tell(&mut self, line: &Line) -> bool {
-        let What::Step(step) = &line.what else { return true };
+        let Content::Step(step) = &line.content else { return true };
         match &self.ask {
             Ask::Version(version) => {
                 // One request of each run shows that the declaration was used there.
@@ -128,16 +128,16 @@
 }
 
 fn is_asked(ask: &Ask, line: &Line) -> bool {
-    match (ask, &line.what) {
+    match (ask, &line.content) {
         (Ask::Request(id), _) => line.request.as_ref() == Some(id),
-        (Ask::Server(id), What::Step(step)) => step.names(id),
-        (Ask::Server(id), What::Belief(belief)) => belief.server() == Some(id),
-        (Ask::Version(version), What::Step(step)) => step.version() == Some(*version),
-        (Ask::Version(version), What::Belief(Belief::Declaration { version: told, .. })) => {
+        (Ask::Server(id), Content::Step(step)) => step.names(id),
+        (Ask::Server(id), Content::Belief(belief)) => belief.server() == Some(id),
+        (Ask::Version(version), Content::Step(step)) => step.version() == Some(*version),
+        (Ask::Version(version), Content::Belief(Belief::Declaration { version: told, .. })) => {
             version == told
         }
-        (Ask::Term(fence), What::Belief(belief)) => belief.fence() == Some(*fence),
-        (Ask::Version(_), What::Belief(_)) | (Ask::Term(_), What::Step(_)) => false,
+        (Ask::Term(fence), Content::Belief(belief)) => belief.fence() == Some(*fence),
+        (Ask::Version(_), Content::Belief(_)) | (Ask::Term(_), Content::Step(_)) => false,
     }
 }
 
@@ -183,12 +183,12 @@
         if is_asked(ask, line) {
             self.asked.insert(index);
         }
-        match &line.what {
-            What::Step(step) => {
+        match &line.content {
+            Content::Step(step) => {
                 self.decided(&run, step);
                 self.wished(step, line.time.at);
             }
-            What::Belief(belief) => {
+            Content::Belief(belief) => {
                 if let Belief::Wish { model, adapter, .. } = belief {
                     let key = Key::Wish(model.clone(), adapter.clone());
                     self.wishes.insert(key, line.time.at);
@@ -344,7 +344,7 @@
             spans.entry(run).or_insert((at, at)).1 = at;
         }
         for (index, line) in lines.iter().enumerate() {
-            if !matches!(line.what, What::Belief(Belief::Dropped { .. })) {
+            if !matches!(line.content, Content::Belief(Belief::Dropped { .. })) {
                 continue;
             }
             let span = spans.get(&(line.host.clone(), line.run));
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -6,7 +6,7 @@
 use observe::{
     Clock,
     log::{Bounds, Log, Sink, flush, set_level},
-    story::{self, Belief, Logger, Output, Skipped, Step, What, read},
+    story::{self, Belief, Content, Logger, Output, Skipped, Step, read},
 };
 
 const ASKED: &str = "TELL_ON_STANDARD_OUTPUT";
@@ -25,7 +25,7 @@
     story::belief(Belief::Stop { why: "below the level".into() });
     log::warn!("in words");
     let mut request = story::Request::new("r-1".into());
-    request.note(Step::Queued { why: "full".into(), inputs: vec![] });
+    request.record(Step::Queued { why: "full".into(), inputs: vec![] });
     drop(request);
     set_level(LevelFilter::Info);
     story::belief(Belief::Stop { why: "last".into() });
@@ -40,11 +40,11 @@
     let lines: Vec<_> = text.lines().filter(|line| line.starts_with('{')).map(read).collect();
 
     let told = |at: usize| lines[at].clone().unwrap();
-    let stop = |why: &'static str| What::Belief(Belief::Stop { why: why.into() });
+    let stop = |why: &'static str| Content::Belief(Belief::Stop { why: why.into() });
     assert_eq!(lines.len(), 5, "{text}");
-    assert_eq!((&*told(0).host, told(0).what), ("host-0", stop("first")));
+    assert_eq!((&*told(0).host, told(0).content), ("host-0", stop("first")));
     assert_eq!(lines[1], Err(Skipped::Other));
-    assert!(matches!(told(2).what, What::Step(Step::Queued { .. })));
-    assert!(matches!(told(3).what, What::Step(Step::Ended(_))));
-    assert_eq!(told(4).what, stop("last"));
+    assert!(matches!(told(2).content, Content::Step(Step::Queued { .. })));
+    assert!(matches!(told(3).content, Content::Step(Step::Ended(_))));
+    assert_eq!(told(4).content, stop("last"));
 }
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/story.rs
@@ -7,7 +7,7 @@
 use common::{Page, arrival, attempt, end, logger};
 use log::LevelFilter::{self, Debug, Error, Info, Warn};
 use observe::story::{
-    Belief, Candidate, DependencyState, Input, Outcome, Skipped, Source, Step, What, read,
+    Belief, Candidate, Content, DependencyState, Input, Outcome, Skipped, Source, Step, read,
     sample::{EVERY, WHOLE},
 };
 use rstest::rstest;
@@ -38,8 +38,8 @@
 ) {
     let page = Page::default();
     let mut story = logger(&page, level).request("r-1".into());
-    story.note(Step::Arrived(arrival("chat")));
-    (1..=attempts).for_each(|number| story.note(Step::Attempt(attempt(number, "s-1"))));
+    story.record(Step::Arrived(arrival("chat")));
+    (1..=attempts).for_each(|number| story.record(Step::Attempt(attempt(number, "s-1"))));
     story.end(end(outcome));
 
     assert_eq!(kinds(&page), expected);
@@ -73,13 +73,13 @@
             ran: Ran::MayHaveRun,
         },
     ];
-    steps.iter().for_each(|step| story.note(step.clone()));
+    steps.iter().for_each(|step| story.record(step.clone()));
     story.end(end(Outcome::Unclear));
 
     let lines: Vec<_> = page.text().lines().map(|line| read(line).unwrap()).collect();
-    let told: Vec<_> = lines.iter().map(|line| line.what.clone()).collect();
-    assert_eq!(told[..4], steps.map(What::Step));
-    let What::Step(Step::Ended(ended)) = &told[4] else { panic!("{:?}", told[4]) };
+    let told: Vec<_> = lines.iter().map(|line| line.content.clone()).collect();
+    assert_eq!(told[..4], steps.map(Content::Step));
+    let Content::Step(Step::Ended(ended)) = &told[4] else { panic!("{:?}", told[4]) };
     assert_eq!((&*ended.server.clone().unwrap(), ended.attempts), ("s-2", 1));
     assert_eq!(ended.route.as_deref(), Some("chat"));
     for (line, next) in lines.iter().zip(&lines[1..]) {
@@ -94,7 +94,7 @@
 fn a_story_that_is_dropped_tells_that_the_caller_left() {
     let page = Page::default();
     let mut story = logger(&page, Info).request("r-1".into());
-    story.note(Step::Arrived(arrival("chat")));
+    story.record(Step::Arrived(arrival("chat")));
     drop(story);
 
     assert_eq!(kinds(&page), ["arrived", "ended"]);
@@ -105,7 +105,7 @@
 fn steps_beyond_the_bound_are_counted() {
     let page = Page::default();
     let mut story = logger(&page, Info).request("r-1".into());
-    (0..70).for_each(|_| story.note(Step::Queued { why: "full".into(), inputs: vec![] }));
+    (0..70).for_each(|_| story.record(Step::Queued { why: "full".into(), inputs: vec![] }));
     story.end(end(Outcome::Refused));
 
     assert_eq!(page.text().lines().count(), 65);
@@ -140,7 +140,7 @@
     logger(&page, level).belief(belief.clone());
 
     let line = read(page.text().trim_end()).unwrap();
-    assert_eq!((line.what, line.request), (What::Belief(belief), None));
+    assert_eq!((line.content, line.request), (Content::Belief(belief), None));
 }
 
 #[rstest]
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -204,7 +204,7 @@
 impl Notes {
     fn note(&mut self, step: Step) {
         if let Some(story) = &mut self.story {
-            story.note(step);
+            story.record(step);
         }
     }
 
