--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -12,7 +12,7 @@
 
 use observe::story::{
     Line,
-    tale::{Ask, Entry, Part, Tale},
+    explanation::{Entry, Explanation, Query, Reason},
 };
 use serde_json::{Map, Value, json};
 
@@ -27,56 +27,57 @@
 
 /// Reads the logs and tells what is asked for.
 pub(crate) fn run(asked: &Explain) -> Result<Report, Error> {
-    let mut tale = Tale::of(ask(asked)?);
+    let mut explanation = Explanation::of(query(asked)?);
     for file in &asked.logs {
-        read(&mut tale, file).map_err(|cause| Error::File { file: file.clone(), cause })?;
+        read(&mut explanation, file).map_err(|cause| Error::File { file: file.clone(), cause })?;
     }
-    let (bad, other) = (tale.bad, tale.other);
-    let entries = tale.tell();
+    let (bad, other) = (explanation.bad, explanation.other);
+    let entries = explanation.entries();
     let json = json!({"lines": entries, "bad": bad, "other": other});
     let skipped = format!("{bad} lines could not be read, {other} are of another sort\n");
-    if !entries.iter().any(|entry| entry.part == Part::Asked) {
+    if !entries.iter().any(|entry| entry.reason == Reason::Queried) {
         let text = format!("no line is about it\n{skipped}");
         return Ok(Report::done(text, json).code(Code::Failed));
     }
     Ok(Report::done(shown(&entries) + &skipped, json))
 }
 
-fn ask(asked: &Explain) -> Result<Ask, Error> {
+fn query(asked: &Explain) -> Result<Query, Error> {
     let Explain { request, server, version, term, .. } = asked;
-    let request = request.as_deref().map(|id| Ask::Request(id.into()));
-    let server = server.as_deref().map(|id| Ask::Server(id.into()));
-    let one = request.or(server).or(version.map(Ask::Version)).or(term.map(Ask::Term));
+    let request = request.as_deref().map(|id| Query::Request(id.into()));
+    let server = server.as_deref().map(|id| Query::Server(id.into()));
+    let one = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
     one.ok_or(Error::NoQuestion)
 }
 
-fn read(tale: &mut Tale, file: &Path) -> io::Result<()> {
+fn read(explanation: &mut Explanation, file: &Path) -> io::Result<()> {
     if file == Path::new("-") {
-        return add(tale, io::stdin().lock());
+        return add(explanation, io::stdin().lock());
     }
-    add(tale, BufReader::new(File::open(file)?))
+    add(explanation, BufReader::new(File::open(file)?))
 }
 
-fn add(tale: &mut Tale, mut log: impl BufRead) -> io::Result<()> {
+fn add(explanation: &mut Explanation, mut log: impl BufRead) -> io::Result<()> {
     let mut line = Vec::new();
     while log.read_until(b'\n', &mut line)? != 0 {
-        tale.add(&String::from_utf8_lossy(&line));
+        explanation.add(&String::from_utf8_lossy(&line));
         line.clear();
     }
     Ok(())
 }
 
 fn shown(entries: &[Entry]) -> String {
-    let first = entries.iter().find(|entry| entry.part == Part::Asked).map(|entry| &entry.line);
+    let first =
+        entries.iter().find(|entry| entry.reason == Reason::Queried).map(|entry| &entry.line);
     entries.iter().map(|entry| text(entry, first)).collect()
 }
 
 fn text(entry: &Entry, first: Option<&Line>) -> String {
     let line = &entry.line;
     let after = first.map_or_else(String::new, |first| after(line, first));
-    let mark = match entry.part {
-        Part::Asked => '-',
-        Part::Believed => '~',
+    let mark = match entry.reason {
+        Reason::Queried => '-',
+        Reason::Context => '~',
     };
     let (kind, fields) = described(line);
     format!("{} {after:>9} {:<12} {mark} {kind:<13}{fields}\n", line.time.at, line.host)
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -13,12 +13,12 @@
 //! and calls [`belief`] and [`Request::new`].
 
 mod belief;
+pub mod explanation;
 mod line;
 mod logger;
 mod request;
 pub mod sample;
 mod step;
-pub mod tale;
 mod text;
 
 use std::sync::OnceLock;
--- a/crates/observe/src/story/tale.rs
+++ b/crates/observe/src/story/explanation.rs
@@ -27,7 +27,7 @@
 
 /// What is asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Query {
     /// A request.
     Request(request::Id),
     /// A run of a server.
@@ -41,18 +41,21 @@
 /// Why a line is part of the tale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Part {
+pub enum Reason {
     /// It is about what is asked for.
-    Asked,
+    #[serde(rename = "asked")]
+    Queried,
     /// A decision rested on it.
-    Believed,
+    #[serde(rename = "believed")]
+    Context,
 }
 
 /// A line of the tale.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
     /// Why it is here.
-    pub part: Part,
+    #[serde(rename = "part")]
+    pub reason: Reason,
     /// The line.
     #[serde(flatten)]
     pub line: Line,
@@ -60,8 +63,8 @@
 
 /// Lines that may be told.
 #[derive(Debug)]
-pub struct Tale {
-    ask: Ask,
+pub struct Explanation {
+    query: Query,
     lines: Vec<Line>,
     versions: HashSet<Run>,
     /// Lines that could not be read.
@@ -72,10 +75,10 @@
 
 type Run = (host::Id, host::Incarnation);
 
-impl Tale {
+impl Explanation {
     /// A tale of this, without lines yet.
-    pub fn of(ask: Ask) -> Tale {
-        Tale { ask, lines: Vec::new(), versions: HashSet::new(), bad: 0, other: 0 }
+    pub fn of(query: Query) -> Explanation {
+        Explanation { query, lines: Vec::new(), versions: HashSet::new(), bad: 0, other: 0 }
     }
 
     /// Adds a line of a host's log, in any order.
@@ -84,7 +87,7 @@
             return;
         }
         match read(text) {
-            Ok(line) if self.may_tell(&line) => self.lines.push(line),
+            Ok(line) if self.is_relevant(&line) => self.lines.push(line),
             Ok(_) => {}
             Err(Skipped::Bad) => self.bad += 1,
             Err(Skipped::Other) => self.other += 1,
@@ -92,32 +95,32 @@
     }
 
     /// The tale, in order; each line once.
-    pub fn tell(mut self) -> Vec<Entry> {
+    pub fn entries(mut self) -> Vec<Entry> {
         self.lines.sort_by(|a, b| place(a).cmp(&place(b)));
         self.lines.dedup();
         let mut told = Told::default();
-        self.lines.iter().enumerate().for_each(|(index, line)| told.take(&self.ask, index, line));
+        self.lines.iter().enumerate().for_each(|(index, line)| told.take(&self.query, index, line));
         told.left_out(&self.lines);
         let Told { asked, believed, .. } = told;
-        let part = |index| match (asked.contains(&index), believed.contains(&index)) {
-            (true, _) => Some(Part::Asked),
-            (false, true) => Some(Part::Believed),
+        let reason = |index| match (asked.contains(&index), believed.contains(&index)) {
+            (true, _) => Some(Reason::Queried),
+            (false, true) => Some(Reason::Context),
             (false, false) => None,
         };
         let lines = self.lines.into_iter().enumerate();
-        lines.filter_map(|(index, line)| Some(Entry { part: part(index)?, line })).collect()
+        lines.filter_map(|(index, line)| Some(Entry { reason: reason(index)?, line })).collect()
     }
 
     /// Beliefs are few and any of them may matter; steps are many.
-    fn may_tell(&mut self, line: &Line) -> bool {
+    fn is_relevant(&mut self, line: &Line) -> bool {
         let Content::Step(step) = &line.content else { return true };
-        match &self.ask {
-            Ask::Version(version) => {
+        match &self.query {
+            Query::Version(version) => {
                 // One request of each run shows that the declaration was used there.
                 step.version() == Some(*version)
                     && self.versions.insert((line.host.clone(), line.run))
             }
-            ask => is_asked(ask, line),
+            query => is_queried(query, line),
         }
     }
 }
@@ -127,17 +130,17 @@
     (line.time.at, &line.host, line.run)
 }
 
-fn is_asked(ask: &Ask, line: &Line) -> bool {
-    match (ask, &line.content) {
-        (Ask::Request(id), _) => line.request.as_ref() == Some(id),
-        (Ask::Server(id), Content::Step(step)) => step.names(id),
-        (Ask::Server(id), Content::Belief(belief)) => belief.server() == Some(id),
-        (Ask::Version(version), Content::Step(step)) => step.version() == Some(*version),
-        (Ask::Version(version), Content::Belief(Belief::Declaration { version: told, .. })) => {
+fn is_queried(query: &Query, line: &Line) -> bool {
+    match (query, &line.content) {
+        (Query::Request(id), _) => line.request.as_ref() == Some(id),
+        (Query::Server(id), Content::Step(step)) => step.names(id),
+        (Query::Server(id), Content::Belief(belief)) => belief.server() == Some(id),
+        (Query::Version(version), Content::Step(step)) => step.version() == Some(*version),
+        (Query::Version(version), Content::Belief(Belief::Declaration { version: told, .. })) => {
             version == told
         }
-        (Ask::Term(fence), Content::Belief(belief)) => belief.fence() == Some(*fence),
-        (Ask::Version(_), Content::Belief(_)) | (Ask::Term(_), Content::Step(_)) => false,
+        (Query::Term(fence), Content::Belief(belief)) => belief.fence() == Some(*fence),
+        (Query::Version(_), Content::Belief(_)) | (Query::Term(_), Content::Step(_)) => false,
     }
 }
 
@@ -178,9 +181,9 @@
 }
 
 impl Told {
-    fn take(&mut self, ask: &Ask, index: usize, line: &Line) {
+    fn take(&mut self, query: &Query, index: usize, line: &Line) {
         let run = (line.host.clone(), line.run);
-        if is_asked(ask, line) {
+        if is_queried(query, line) {
             self.asked.insert(index);
         }
         match &line.content {
@@ -193,7 +196,7 @@
                     let key = Key::Wish(model.clone(), adapter.clone());
                     self.wishes.insert(key, line.time.at);
                 }
-                self.believed(ask, index, run, belief);
+                self.believed(query, index, run, belief);
             }
         }
     }
@@ -255,7 +258,7 @@
         }
     }
 
-    fn believed(&mut self, ask: &Ask, index: usize, run: Run, belief: &Belief) {
+    fn believed(&mut self, query: &Query, index: usize, run: Run, belief: &Belief) {
         if belief.server().is_some_and(|server| self.having.contains(server)) {
             // What became of a server while it had the request.
             self.believed.insert(index);
@@ -311,7 +314,7 @@
                 self.set(Key::Order(server.clone()), index);
             }
             Belief::Lease { state, fence, .. } => {
-                self.held(ask, run, *state, *fence);
+                self.held(query, run, *state, *fence);
                 self.set(Key::Lease(*fence), index);
             }
             Belief::Reload { .. }
@@ -321,8 +324,8 @@
         }
     }
 
-    fn held(&mut self, ask: &Ask, run: Run, state: LeaseState, fence: Fence) {
-        if *ask != Ask::Term(fence) {
+    fn held(&mut self, query: &Query, run: Run, state: LeaseState, fence: Fence) {
+        if *query != Query::Term(fence) {
             return;
         }
         self.holder = match state {
