--- a/crates/observe/benches/metrics.rs
+++ b/crates/observe/benches/metrics.rs
@@ -6,7 +6,7 @@
 use observe::{
     Metrics,
     event::Outcome,
-    metrics::routed::{Attempted, Phase},
+    metrics::routed::{AttemptOutcome, Phase},
     story,
 };
 use types::routed::Kind;
@@ -33,7 +33,7 @@
             let phases = [Phase::Wait, Phase::Connect, Phase::First, Phase::Gap, Phase::Whole];
             phases.into_iter().for_each(|phase| routed.phase(Kind::Stream, phase, time));
             routed.report_age(time);
-            routed.attempt(Attempted::Whole);
+            routed.attempt(AttemptOutcome::Whole);
             routed.request(Kind::Stream, story::Outcome::Answered);
         });
     });
--- a/crates/observe/src/metrics/routed.rs
+++ b/crates/observe/src/metrics/routed.rs
@@ -18,7 +18,9 @@
 };
 
 use self::labels::Label;
-pub use self::labels::{Again, Attempted, Call, Called, Origin, Permits, Phase, Queue, Refusal};
+pub use self::labels::{
+    AttemptOutcome, Call, CallResult, Origin, Permits, Phase, Queue, Refusal, Resend,
+};
 use super::build::{counter, gauge, seconds};
 use crate::story::{Answer, Outcome};
 
@@ -38,7 +40,7 @@
     requests: Box<[Box<[BoundCounter<u64>]>]>,
     refusals: Box<[BoundCounter<u64>]>,
     attempts: Box<[BoundCounter<u64>]>,
-    again: Box<[BoundCounter<u64>]>,
+    resends: Box<[BoundCounter<u64>]>,
     phases: Box<[Box<[BoundHistogram<f64>]>]>,
     report_age: BoundHistogram<f64>,
     declaration_age: BoundGauge<f64>,
@@ -66,7 +68,7 @@
             counter(meter, "routed_requests", "Requests that ended, by kind and outcome");
         let refusals = counter(meter, "routed_refusals", "Requests refused as not run, by cause");
         let attempts = counter(meter, "routed_attempts", "Attempts at servers, by how they ended");
-        let again = counter(meter, "routed_again", "Requests sent to a further server, by how");
+        let resends = counter(meter, "routed_again", "Requests sent to a further server, by how");
         let calls = counter(meter, "routed_store_calls", "Calls to the store, by call and result");
         let orders = counter(meter, "routed_orders", "Orders to servers, by answer");
         let demand = counter(
@@ -105,8 +107,8 @@
                 each(|outcome: Outcome| requests.bind(&[kind.pair(), outcome.pair()]))
             }),
             refusals: each(|cause: Refusal| refusals.bind(&[cause.pair()])),
-            attempts: each(|end: Attempted| attempts.bind(&[end.pair()])),
-            again: each(|how: Again| again.bind(&[how.pair()])),
+            attempts: each(|end: AttemptOutcome| attempts.bind(&[end.pair()])),
+            resends: each(|how: Resend| resends.bind(&[how.pair()])),
             phases: each(|kind: Kind| {
                 each(|phase: Phase| phases.bind(&[kind.pair(), phase.pair()]))
             }),
@@ -115,7 +117,7 @@
             declaration: declaration.bind(&[]),
             queues: each(|queue: Queue| queues.bind(&[queue.pair()])),
             calls: each(|call: Call| {
-                each(|called: Called| calls.bind(&[call.pair(), called.pair()]))
+                each(|result: CallResult| calls.bind(&[call.pair(), result.pair()]))
             }),
             orders: each(|answer: Answer| orders.bind(&[answer.pair()])),
             lease: gauge(meter, "routed_lease", "1 while this host holds a lease, else 0, by duty"),
@@ -148,13 +150,13 @@
     }
 
     /// An attempt ended.
-    pub fn attempt(&self, end: Attempted) {
+    pub fn attempt(&self, end: AttemptOutcome) {
         self.0.attempts[end.place()].add(1);
     }
 
     /// A request goes to a further server.
-    pub fn again(&self, how: Again) {
-        self.0.again[how.place()].add(1);
+    pub fn resend(&self, how: Resend) {
+        self.0.resends[how.place()].add(1);
     }
 
     /// A request was so long in a phase.
@@ -179,8 +181,8 @@
     }
 
     /// The store was called.
-    pub fn call(&self, call: Call, called: Called) {
-        self.0.calls[call.place()][called.place()].add(1);
+    pub fn call(&self, call: Call, result: CallResult) {
+        self.0.calls[call.place()][result.place()].add(1);
     }
 
     /// A server answered an order.
--- a/crates/observe/src/metrics/routed/labels.rs
+++ b/crates/observe/src/metrics/routed/labels.rs
@@ -84,7 +84,7 @@
 
 /// How an attempt at a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Attempted {
+pub enum AttemptOutcome {
     /// With the whole answer.
     Whole,
     /// With the server's own failure; it ran.
@@ -113,7 +113,7 @@
 
 /// How a request goes to a further server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Again {
+pub enum Resend {
     /// From its beginning.
     Retry,
     /// A stream, after the last event that the caller had.
@@ -176,7 +176,7 @@
 
 /// What came of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Called {
+pub enum CallResult {
     /// Done.
     Done,
     /// There is no such object.
@@ -211,7 +211,7 @@
     Others = "others",
 });
 
-label!(Attempted as "end" {
+label!(AttemptOutcome as "end" {
     Whole = "whole",
     ServerError = "server-error",
     Full = "full",
@@ -226,7 +226,7 @@
     Left = "left",
 });
 
-label!(Again as "how" {
+label!(Resend as "how" {
     Retry = "retry",
     Resume = "resume",
 });
@@ -260,7 +260,7 @@
     Delete = "delete",
 });
 
-label!(Called as "result" {
+label!(CallResult as "result" {
     Done = "done",
     Absent = "absent",
     Conflict = "conflict",
@@ -302,7 +302,7 @@
     }
 }
 
-impl Attempted {
+impl AttemptOutcome {
     /// Its stable word.
     pub fn as_str(self) -> &'static str {
         self.word()
--- a/crates/observe/tests/routed.rs
+++ b/crates/observe/tests/routed.rs
@@ -4,7 +4,7 @@
 
 use observe::{
     Metrics,
-    metrics::routed::{Again, Attempted, Call, Called, Phase, Queue, Refusal, Routed},
+    metrics::routed::{AttemptOutcome, Call, CallResult, Phase, Queue, Refusal, Resend, Routed},
     story::{Answer, Outcome},
 };
 use rstest::rstest;
@@ -20,13 +20,13 @@
     routed.request(Kind::Stream, Outcome::Late);
     routed.request(Kind::NonIdempotent, Outcome::Unclear);
     routed.refusal(Refusal::TooLate);
-    routed.attempt(Attempted::Garbled);
-    routed.again(Again::Resume);
+    routed.attempt(AttemptOutcome::Garbled);
+    routed.resend(Resend::Resume);
     routed.phase(Kind::Stream, Phase::First, Duration::from_millis(350));
     routed.report_age(Duration::from_millis(210));
     routed.declaration(12, Duration::from_millis(1500));
     routed.queue(Queue::Waiting, 7);
-    routed.call(Call::Replace, Called::Conflict);
+    routed.call(Call::Replace, CallResult::Conflict);
     routed.order(Answer::None);
     routed.lease("placement", Some(41));
     routed.lease("placement", None);
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -17,7 +17,7 @@
 use http::{HeaderValue, Response, header};
 use http_body_util::{BodyExt, Full, Limited};
 use observe::{
-    metrics::routed::{Call as Called, Called as Answered, Routed as Meters},
+    metrics::routed::{Call as Called, CallResult as Answered, Routed as Meters},
     story::{Belief, DependencyState, Logger, Text},
 };
 use tokio::{
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -11,7 +11,7 @@
 
 use http::StatusCode;
 use observe::{
-    metrics::routed::{Again, Attempted, Phase, Refusal, Routed as Meters},
+    metrics::routed::{AttemptOutcome, Phase, Refusal, Resend, Routed as Meters},
     story::{self, Arrival, End, Input, Outcome, Step, Text},
 };
 use policy::dispatch::{Cause, NotRun, Unclear, Unreachable};
@@ -101,8 +101,8 @@
         let now = notes.clock.now();
         match (notes.attempts, after) {
             (0, _) => notes.phase(Phase::Wait, now.saturating_sub(notes.received)),
-            (_, None) => notes.meters.again(Again::Retry),
-            (_, Some(_)) => notes.meters.again(Again::Resume),
+            (_, None) => notes.meters.resend(Resend::Retry),
+            (_, Some(_)) => notes.meters.resend(Resend::Resume),
         }
         notes.attempts += 1;
         notes.open = Some(server.id.clone());
@@ -278,20 +278,20 @@
     Input::own("left_ms", left.as_secs_f64() * 1000.0)
 }
 
-fn attempted(end: AttemptEnd) -> Attempted {
+fn attempted(end: AttemptEnd) -> AttemptOutcome {
     match end {
-        AttemptEnd::Completed => Attempted::Whole,
-        AttemptEnd::ServerError => Attempted::ServerError,
-        AttemptEnd::NotRun(NotRun::Full) => Attempted::Full,
-        AttemptEnd::NotRun(NotRun::NotHeld) => Attempted::NotHeld,
-        AttemptEnd::NotRun(NotRun::Instance) => Attempted::OtherRun,
-        AttemptEnd::Unreachable(Unreachable::Refused) => Attempted::Refused,
-        AttemptEnd::Unreachable(Unreachable::Timeout) => Attempted::ConnectTimeout,
-        AttemptEnd::Unreachable(Unreachable::Closed) => Attempted::Closed,
-        AttemptEnd::Unclear(Unclear::Cut) => Attempted::Cut,
-        AttemptEnd::Unclear(Unclear::Silent) => Attempted::Silent,
-        AttemptEnd::Unclear(Unclear::Garbled) => Attempted::Garbled,
-        AttemptEnd::Cancelled => Attempted::Left,
+        AttemptEnd::Completed => AttemptOutcome::Whole,
+        AttemptEnd::ServerError => AttemptOutcome::ServerError,
+        AttemptEnd::NotRun(NotRun::Full) => AttemptOutcome::Full,
+        AttemptEnd::NotRun(NotRun::NotHeld) => AttemptOutcome::NotHeld,
+        AttemptEnd::NotRun(NotRun::Instance) => AttemptOutcome::OtherRun,
+        AttemptEnd::Unreachable(Unreachable::Refused) => AttemptOutcome::Refused,
+        AttemptEnd::Unreachable(Unreachable::Timeout) => AttemptOutcome::ConnectTimeout,
+        AttemptEnd::Unreachable(Unreachable::Closed) => AttemptOutcome::Closed,
+        AttemptEnd::Unclear(Unclear::Cut) => AttemptOutcome::Cut,
+        AttemptEnd::Unclear(Unclear::Silent) => AttemptOutcome::Silent,
+        AttemptEnd::Unclear(Unclear::Garbled) => AttemptOutcome::Garbled,
+        AttemptEnd::Cancelled => AttemptOutcome::Left,
     }
 }
 
