--- a/crates/observe/src/clock.rs
+++ b/crates/observe/src/clock.rs
@@ -3,7 +3,7 @@
 //! Hosts' clocks may be seconds apart, so wall time alone can't order their events. A hybrid
 //! logical clock stays near wall time, always moves forward, and passes every stamp that it has
 //! seen: each message between hosts carries its sender's stamp, the receiver calls
-//! [`Clock::see`], and whatever the receiver does next is stamped later than what the sender did
+//! [`Clock::observe`], and whatever the receiver does next is stamped later than what the sender did
 //! before. The price is that one host with a fast clock drags the stamps of all others ahead of
 //! wall time; a host more than [`LARGEST_LEAD`] ahead is therefore not followed.
 //!
@@ -57,11 +57,11 @@
 impl Clock {
     /// A clock over the system's wall time.
     pub fn system() -> Clock {
-        Clock::over(uhlc::system_time_clock)
+        Clock::with_wall_time(uhlc::system_time_clock)
     }
 
     /// A clock over another wall time.
-    pub fn over(wall: fn() -> NTP64) -> Clock {
+    pub fn with_wall_time(wall: fn() -> NTP64) -> Clock {
         let hlc = HLCBuilder::new().with_clock(wall).with_max_delta(LARGEST_LEAD).build();
         Clock { hlc: Arc::new(hlc) }
     }
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// The stamp lies more than [`LARGEST_LEAD`] ahead of wall time; the clock is left as it was.
-    pub fn see(&self, stamp: Stamp) -> Result<(), Lead> {
+    pub fn observe(&self, stamp: Stamp) -> Result<(), Lead> {
         let remote = Timestamp::new(NTP64(stamp.0), *self.hlc.get_id());
         self.hlc.update_with_timestamp(&remote).map_err(|_| Lead { stamp })
     }
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -40,7 +40,7 @@
 /// Three hosts: on time, five seconds fast, seven seconds slow.
 fn hosts() -> [Ring; 3] {
     [("a", on_time as fn() -> NTP64), ("b", fast), ("c", slow)]
-        .map(|(name, wall)| Ring::new(name.into(), 1, Clock::over(wall)))
+        .map(|(name, wall)| Ring::new(name.into(), 1, Clock::with_wall_time(wall)))
 }
 
 fn attempt(attempt: u32) -> Event {
@@ -76,7 +76,7 @@
 
     let stamp = hosts[sender].record(attempt(1));
     pass(SECOND / 1000);
-    hosts[receiver].clock().see(stamp).unwrap();
+    hosts[receiver].clock().observe(stamp).unwrap();
     hosts[receiver].record(attempt(2));
 
     let records = all(&hosts);
@@ -124,11 +124,11 @@
 
 #[test]
 fn a_stamp_from_far_ahead_is_not_followed() {
-    let clock = Clock::over(on_time);
+    let clock = Clock::with_wall_time(on_time);
     let before = clock.stamp();
     let far = Stamp(WALL.get() + (LARGEST_LEAD.as_secs() + 10) * SECOND);
 
-    assert_eq!(clock.see(far).unwrap_err().stamp, far);
+    assert_eq!(clock.observe(far).unwrap_err().stamp, far);
 
     let after = clock.stamp();
     assert!(before < after && after < far);
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_clock_set_back_still_moves_forward() {
-    let clock = Clock::over(on_time);
+    let clock = Clock::with_wall_time(on_time);
     let before = clock.stamp();
     WALL.set(WALL.get() - 100 * SECOND);
 
@@ -145,7 +145,8 @@
 
 #[test]
 fn a_rush_of_requests_leaves_the_control_events() {
-    let ring = Ring::new("a".into(), 1, Clock::over(on_time)).capacity(Class::Request, 10);
+    let ring =
+        Ring::new("a".into(), 1, Clock::with_wall_time(on_time)).capacity(Class::Request, 10);
 
     ring.record(order("o-1"));
     (0..1000).for_each(|number| {
@@ -180,7 +181,7 @@
 
 #[test]
 fn filters_by_time_take_the_start_and_leave_the_end() {
-    let ring = Ring::new("a".into(), 1, Clock::over(on_time));
+    let ring = Ring::new("a".into(), 1, Clock::with_wall_time(on_time));
     let stamps: Vec<Stamp> = (0..3)
         .map(|number| {
             pass(SECOND);
@@ -201,7 +202,7 @@
 
 #[test]
 fn lines_hold_what_a_reader_looks_for() {
-    let ring = Ring::new("host-1".into(), 1, Clock::over(on_time));
+    let ring = Ring::new("host-1".into(), 1, Clock::with_wall_time(on_time));
     ring.record(order("o-1").server(&"s-1".into()));
     let record = &ring.records()[0];
 
@@ -267,7 +268,7 @@
                 }
                 Step::Send(from, to) => {
                     let (cause, stamp) = record(from, &mut pairs);
-                    hosts[to].clock().see(stamp).unwrap();
+                    hosts[to].clock().observe(stamp).unwrap();
                     let (effect, _) = record(to, &mut pairs);
                     pairs.push((cause, effect));
                 }
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -127,7 +127,7 @@
     if heartbeat.stamp == 0 {
         return;
     }
-    if let Err(error) = context.events.clock().see(Stamp(heartbeat.stamp)) {
+    if let Err(error) = context.events.clock().observe(Stamp(heartbeat.stamp)) {
         log::warn!(peer = &*heartbeat.from.id; "{error}");
     }
 }
