--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -8,14 +8,14 @@
 use log::{Level, LevelFilter, Log, Record, kv};
 use observe::{
     Clock,
-    log::{Bounds, Ceiling, Lines},
+    log::{Bounds, Lines, RateLimit},
     story::{Arrival, Attempt, Belief, End, Logger, Outcome, Output, Source, Step},
 };
 use types::{request::Ran, routed::Kind};
 
 const BOUNDS: Bounds = Bounds {
     waiting: 256 * 1024 * 1024,
-    ceiling: Ceiling { lines: usize::MAX / 2, bytes: usize::MAX / 2 },
+    rate_limit: RateLimit { lines: usize::MAX / 2, bytes: usize::MAX / 2 },
     pause: Duration::from_millis(1),
 };
 
--- a/crates/observe/src/log.rs
+++ b/crates/observe/src/log.rs
@@ -7,8 +7,8 @@
 //! [queue](Lines) of fixed size to a writer of its own, so that no caller ever waits for a reader,
 //! and what is left out is counted. The other sinks write at once.
 
-mod ceiling;
 mod queue;
+mod rate_limit;
 
 use std::{io, path::PathBuf, sync::OnceLock};
 
@@ -24,8 +24,8 @@
 };
 
 pub use self::{
-    ceiling::{Ceiling, Class, Over, Window},
     queue::{Bounds, Dropped, Lines},
+    rate_limit::{Class, Over, RateLimit, Window},
 };
 
 /// The queue of the process's log, if it has one.
--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -17,7 +17,7 @@
 use log::{Log, Metadata, Record};
 use log4rs::encode::{Encode, json::JsonEncoder, writer::simple::SimpleWriter};
 
-use super::ceiling::{Ceiling, Class, Over, Window};
+use super::rate_limit::{Class, Over, RateLimit, Window};
 use crate::story;
 
 /// Longest that [`Lines::flush`] waits for a writer that is stuck.
@@ -29,7 +29,7 @@
     /// Bytes that wait to be written, at most.
     pub waiting: usize,
     /// Most that is written in a second.
-    pub ceiling: Ceiling,
+    pub rate_limit: RateLimit,
     /// Shortest time from one write to the next.
     pub pause: Duration,
 }
@@ -38,7 +38,7 @@
     fn default() -> Bounds {
         Bounds {
             waiting: 256 * 1024,
-            ceiling: Ceiling::default(),
+            rate_limit: RateLimit::default(),
             pause: Duration::from_millis(100),
         }
     }
@@ -72,7 +72,7 @@
     fn count(&mut self, class: Class, cause: Cause) {
         match cause {
             Cause::Full => self.full += 1,
-            Cause::Ceiling => self.ceiling += 1,
+            Cause::RateLimit => self.ceiling += 1,
         }
         self.plans += u64::from(class == Class::Plan);
     }
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
     Full,
-    Ceiling,
+    RateLimit,
 }
 
 /// The end of the queue that lines are put into; `log4rs` takes it as an appender.
@@ -126,7 +126,7 @@
             bounds,
             state: Mutex::new(State {
                 waiting: String::with_capacity(bounds.waiting),
-                window: Window::new(bounds.ceiling),
+                window: Window::new(bounds.rate_limit),
                 dropped: Dropped::default(),
                 told: Dropped::default(),
                 writer: Writer::Asleep,
@@ -201,7 +201,7 @@
         let mut state = self.lock();
         let state = &mut *state;
         if state.window.open(self.origin.elapsed(), class).is_err() {
-            return state.dropped.count(class, Cause::Ceiling);
+            return state.dropped.count(class, Cause::RateLimit);
         }
         // Whoever doesn't read loses requests first.
         let most = class.part(self.bounds.waiting);
@@ -215,7 +215,7 @@
         let (lines, bytes) = (made.iter().filter(|byte| **byte == b'\n').count(), made.len());
         let cause = match most < state.waiting.len() {
             true => Some(Cause::Full),
-            false => state.window.spend(class, lines, bytes).err().map(|Over| Cause::Ceiling),
+            false => state.window.spend(class, lines, bytes).err().map(|Over| Cause::RateLimit),
         };
         if let Some(cause) = cause {
             state.waiting.truncate(start);
--- a/crates/observe/src/log/ceiling.rs
+++ b/crates/observe/src/log/rate_limit.rs
@@ -19,16 +19,16 @@
 
 /// Most that is written in a second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ceiling {
+pub struct RateLimit {
     /// Lines.
     pub lines: usize,
     /// Bytes.
     pub bytes: usize,
 }
 
-impl Default for Ceiling {
-    fn default() -> Ceiling {
-        Ceiling { lines: 1000, bytes: 256 * 1024 }
+impl Default for RateLimit {
+    fn default() -> RateLimit {
+        RateLimit { lines: 1000, bytes: 256 * 1024 }
     }
 }
 
@@ -43,9 +43,9 @@
     Plan,
 }
 
-impl Ceiling {
-    fn part(self, class: Class) -> Ceiling {
-        Ceiling { lines: class.part(self.lines), bytes: class.part(self.bytes) }
+impl RateLimit {
+    fn part(self, class: Class) -> RateLimit {
+        RateLimit { lines: class.part(self.lines), bytes: class.part(self.bytes) }
     }
 }
 
@@ -63,7 +63,7 @@
 /// What was used of the ceiling in the second that runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    ceiling: Ceiling,
+    rate_limit: RateLimit,
     second: u64,
     lines: usize,
     bytes: usize,
@@ -71,21 +71,21 @@
 
 impl Window {
     /// Nothing used yet.
-    pub fn new(ceiling: Ceiling) -> Window {
-        Window { ceiling, second: 0, lines: 0, bytes: 0 }
+    pub fn new(rate_limit: RateLimit) -> Window {
+        Window { rate_limit, second: 0, lines: 0, bytes: 0 }
     }
 
     /// Whether anything may still be written; asked before a line is made.
     pub fn open(&mut self, now: Moment, class: Class) -> Result<(), Over> {
         self.turn(now);
-        let part = self.ceiling.part(class);
+        let part = self.rate_limit.part(class);
         let open = self.lines < part.lines && self.bytes < part.bytes;
         if open { Ok(()) } else { Err(Over) }
     }
 
     /// Uses so much of it, all or nothing.
     pub fn spend(&mut self, class: Class, lines: usize, bytes: usize) -> Result<(), Over> {
-        let part = self.ceiling.part(class);
+        let part = self.rate_limit.part(class);
         if part.lines < self.lines + lines || part.bytes < self.bytes + bytes {
             return Err(Over);
         }
@@ -96,7 +96,7 @@
 
     fn turn(&mut self, now: Moment) {
         if now.as_secs() != self.second {
-            *self = Window { second: now.as_secs(), ..Window::new(self.ceiling) };
+            *self = Window { second: now.as_secs(), ..Window::new(self.rate_limit) };
         }
     }
 }
--- a/crates/observe/tests/queue.rs
+++ b/crates/observe/tests/queue.rs
@@ -11,7 +11,7 @@
 };
 
 use log::Log;
-use observe::log::{Bounds, Ceiling, Class, Dropped, Lines, Over, Window};
+use observe::log::{Bounds, Class, Dropped, Lines, Over, RateLimit, Window};
 
 const PAUSE: Duration = Duration::from_millis(1);
 
@@ -41,11 +41,11 @@
 }
 
 impl Held {
-    fn new(waiting: usize, ceiling: Ceiling) -> Held {
+    fn new(waiting: usize, rate_limit: RateLimit) -> Held {
         let (go, held) = mpsc::channel();
         let batches = Arc::default();
         let sink = Slow { go: held, batches: Arc::clone(&batches) };
-        let lines = Lines::start(Bounds { waiting, ceiling, pause: PAUSE }, sink).unwrap();
+        let lines = Lines::start(Bounds { waiting, rate_limit, pause: PAUSE }, sink).unwrap();
         Held { lines, go, batches }
     }
 
@@ -57,7 +57,7 @@
     }
 }
 
-const WIDE: Ceiling = Ceiling { lines: 100_000, bytes: 100_000_000 };
+const WIDE: RateLimit = RateLimit { lines: 100_000, bytes: 100_000_000 };
 
 #[test]
 fn a_batch_is_one_write_and_a_stuck_reader_blocks_nobody() {
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_line_that_has_no_room_is_never_made() {
-    let held = Held::new(10_000, Ceiling { lines: 0, bytes: 0 });
+    let held = Held::new(10_000, RateLimit { lines: 0, bytes: 0 });
     let made = Cell::new(0);
     held.lines.put(Class::Belief, &Counted(&made));
 
@@ -104,7 +104,7 @@
 
 #[test]
 fn each_class_leaves_a_part_of_the_ceiling_to_those_above() {
-    let mut window = Window::new(Ceiling { lines: 8, bytes: 8000 });
+    let mut window = Window::new(RateLimit { lines: 8, bytes: 8000 });
     let now = Duration::from_millis(1500);
     for (class, most) in [(Class::Request, 5), (Class::Belief, 1), (Class::Plan, 2)] {
         for _ in 0..most {
@@ -123,7 +123,7 @@
 /// A rush of requests, and of news of servers, beside a planner at work.
 #[test]
 fn a_rush_pushes_out_no_plan() {
-    let held = Held::new(WIDE.bytes, Ceiling { lines: 1000, bytes: 1_000_000 });
+    let held = Held::new(WIDE.bytes, RateLimit { lines: 1000, bytes: 1_000_000 });
     for _ in 0..900 {
         held.lines.put(Class::Request, &"request");
         held.lines.put(Class::Belief, &"server");
