--- a/crates/types/src/availability.rs
+++ b/crates/types/src/availability.rs
@@ -1,4 +1,4 @@
-//! Availability zones and the regions that hold them.
+//! Availability zones and the regions that they belong to.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 /// Name of a region.
 pub type Region = Arc<str>;
 
-/// An availability zone: hosts that fail together.
+/// An availability zone: hosts and servers that share a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Zone {
-    /// Its name.
+    /// The zone's name.
     pub id: Id,
-    /// The region it lies in.
+    /// The region that the zone belongs to.
     pub region: Region,
 }
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers, which run the work.
+//! Backend servers, which execute requests.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,10 +9,10 @@
 /// Name of a backend server.
 pub type Id = Arc<str>;
 
-/// Name of a group of like backend servers, such as `portal-lm`.
+/// Name of a group of interchangeable backend servers, such as `portal-lm`.
 pub type Group = Arc<str>;
 
-/// Number of one run of a server's process; greater after each start.
+/// Number of one run of a server's process; it increases with each start.
 pub type Incarnation = u64;
 
 /// What a backend server runs.
@@ -21,31 +21,31 @@
 pub enum Kind {
     /// A model engine on accelerators.
     Engine,
-    /// A plain service.
+    /// A service without models.
     Plain,
 }
 
-/// A backend server.
+/// A backend server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name.
+    /// The server's name.
     pub id: Id,
-    /// The group it belongs to.
+    /// The group that it belongs to.
     pub group: Group,
-    /// What it runs.
+    /// Whether it runs models.
     pub kind: Kind,
-    /// The availability zone it stands in.
+    /// The availability zone that it runs in.
     pub zone: availability::Id,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// One line of the platform's list of backend servers.
+/// One entry of the platform's list of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The server.
+    /// The listed server.
     #[serde(flatten)]
     pub server: Server,
-    /// What the platform says of it.
+    /// Whether the platform keeps it in service.
     pub state: Listed,
 }
--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -1,4 +1,4 @@
-//! The declared configuration, which operators keep in version control.
+//! The configuration that operators declare and keep in version control.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
     service::{self, Service},
 };
 
-/// Number of a configuration; each accepted patch makes the next.
+/// Number of a configuration; each accepted patch increases it by one.
 pub type Number = u64;
 
-/// How much attainment and moves weigh in placement.
+/// Weights of the two terms that placement trades off: met latency targets and model moves.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Weight of attainment; not negative.
+    /// Weight of attainment, the share of requests that meet their latency target; not negative.
     pub attainment: f64,
-    /// Weight of a move; not negative.
+    /// Weight of the cost of a move, which loads or unloads a model; not negative.
     pub moves: f64,
 }
 
@@ -29,29 +29,29 @@
     }
 }
 
-/// Everything that operators declare.
+/// The whole of what operators declare.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Weights of the two measures.
+    /// Weights that placement uses.
     #[serde(default)]
     pub weights: Weights,
-    /// Customers by name.
+    /// Declared customers, by name.
     #[serde(default)]
     pub customers: BTreeMap<customer::Id, Customer>,
-    /// Models by name.
+    /// Declared models, by name.
     #[serde(default)]
     pub models: BTreeMap<model::Id, Model>,
-    /// Services by name.
+    /// Declared services, by name.
     #[serde(default)]
     pub services: BTreeMap<service::Id, Service>,
 }
 
-/// A configuration with its number.
+/// A configuration together with its number.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Numbered {
-    /// Its number.
+    /// The number of this configuration.
     pub number: Number,
-    /// What is declared.
+    /// The declared content.
     pub config: Config,
 }
--- a/crates/types/src/customer.rs
+++ b/crates/types/src/customer.rs
@@ -7,11 +7,11 @@
 /// Name of a customer.
 pub type Id = Arc<str>;
 
-/// A customer as declared.
+/// A customer as operators declare it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// Weight among customers when work must wait; positive.
+    /// Weight relative to other customers while requests queue; positive.
     #[serde(default = "one")]
     pub share: u32,
 }
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,6 +1,7 @@
-//! Errors as text.
+//! Formatting of errors as text.
 
-/// An error with its sources, since many libraries' own text names none.
+/// Returns the text of an error followed by that of its sources, separated by `: `. Many libraries
+/// leave the source out of their own text.
 pub fn chain(error: &dyn std::error::Error) -> String {
     std::iter::successors(Some(error), |e| e.source())
         .map(ToString::to_string)
--- a/crates/types/src/host.rs
+++ b/crates/types/src/host.rs
@@ -1,4 +1,4 @@
-//! Entry hosts of the system's own.
+//! Entry hosts: the processes of this system that accept callers' requests.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,51 +9,51 @@
 /// Name of a host.
 pub type Id = Arc<str>;
 
-/// Number of one run of a host's process; greater after each start.
+/// Number of one run of a host's process; it increases with each start.
 pub type Incarnation = u64;
 
 /// An entry host and its three listeners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// The host's name.
     pub id: Id,
-    /// The availability zone it stands in.
+    /// The availability zone that it runs in.
     pub zone: availability::Id,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Listener for other hosts.
+    /// Address of the listener for other hosts.
     pub peers: SocketAddr,
-    /// Listener for operators.
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
 }
 
-/// What the platform's list says of a machine.
+/// State of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Listed {
     /// In service.
     Live,
-    /// About to go; to get nothing new.
+    /// About to be removed; no new work may be sent to it.
     Leaving,
 }
 
-/// One line of the platform's list of entry hosts.
+/// One entry of the platform's list of entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The host.
+    /// The listed host.
     #[serde(flatten)]
     pub host: Host,
-    /// What the platform says of it.
+    /// Whether the platform keeps it in service.
     pub state: Listed,
 }
 
-/// The platform's list; it lags.
+/// The platform's list of machines, which may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Entry hosts.
+    /// Listed entry hosts.
     #[serde(default)]
     pub hosts: Vec<Entry>,
-    /// Backend servers.
+    /// Listed backend servers.
     #[serde(default)]
     pub servers: Vec<crate::backend::Entry>,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Words that every package shares.
+//! Data types that all packages share.
 //!
-//! Plain data with serde shapes and no behaviour beyond what the shapes need: ids, hosts, zones,
-//! backend servers, the declared configuration, orders and load reports. Ids are type aliases for
-//! cheap-to-clone strings; the module name says whose id it is (`model::Id`).
+//! Plain data with serde formats, and no behavior beyond what these formats need: ids, hosts,
+//! zones, backend servers, the declared configuration, orders and load reports. Ids are type
+//! aliases for strings that are cheap to clone; the module gives the kind of id (`model::Id`).
 
 pub mod adapter;
 pub mod availability;
--- a/crates/types/src/memory.rs
+++ b/crates/types/src/memory.rs
@@ -1,4 +1,4 @@
-//! Accelerator memory.
+//! The unit of accelerator memory.
 
-/// Accelerator memory in MiB.
+/// An amount of accelerator memory, in MiB.
 pub type Mebibytes = u64;
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -16,29 +16,29 @@
 /// Name of a version of a model or an adapter.
 pub type Version = Arc<str>;
 
-/// A model as declared.
+/// A model as operators declare it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The group of engines that holds it.
+    /// The group of engines that serve it.
     pub group: backend::Group,
-    /// The version in force.
+    /// The version that engines are to serve.
     pub version: Version,
     /// Accelerator memory of its weights, in MiB.
     pub memory: Mebibytes,
-    /// Accelerator memory kept for its KV cache on each replica, in MiB.
+    /// Accelerator memory reserved for its KV cache on each replica, in MiB.
     #[serde(default)]
     pub kv: Mebibytes,
-    /// Replicas wanted at the least; at least one.
+    /// Minimum number of replicas; at least one.
     #[serde(default = "one")]
     pub replicas: u32,
-    /// Adapters on top of it.
+    /// Adapters of this model, by name.
     #[serde(default)]
     pub adapters: BTreeMap<adapter::Id, Adapter>,
 }
 
 impl Model {
-    /// What one replica takes without adapters, in MiB.
+    /// Returns the memory that one replica takes without adapters, in MiB.
     pub fn footprint(&self) -> Mebibytes {
         self.memory + self.kv
     }
@@ -48,17 +48,17 @@
     1
 }
 
-/// What a caller names: a model, or an adapter on it, as `model` or `model:adapter`.
+/// A model, or an adapter of one, as a caller names it: `model` or `model:adapter`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Name {
     /// The base model.
     pub model: Id,
-    /// The adapter, if one is named.
+    /// The adapter; `None` if the base model itself is named.
     pub adapter: Option<adapter::Id>,
 }
 
 impl Name {
-    /// Reads `model` or `model:adapter`.
+    /// Parses `model` or `model:adapter`; the model's name ends at the first colon.
     pub fn parse(text: &str) -> Name {
         match text.split_once(':') {
             Some((model, adapter)) => Name { model: model.into(), adapter: Some(adapter.into()) },
--- a/crates/types/src/order.rs
+++ b/crates/types/src/order.rs
@@ -6,50 +6,50 @@
 
 use crate::{backend, host, memory::Mebibytes, resident::Unit};
 
-/// Name of an order, unique for all time.
+/// Id of an order; never reused.
 pub type Id = Arc<str>;
 
-/// Fencing number: greater for each later order to the same server.
+/// Fencing number; each later order to the same server has a greater one.
 pub type Fence = u64;
 
-/// Role of an engine.
+/// Role of an engine: which phases of generation it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Reads prompts and generates.
+    /// Runs both phases, prefill and decode.
     #[default]
     Whole,
-    /// Reads prompts and exports the KV cache.
+    /// Runs prefill only and exports the KV cache.
     Prefill,
-    /// Imports KV caches and generates.
+    /// Imports KV caches and runs decode only.
     Decode,
 }
 
-/// What an engine is told to do.
+/// The operation that an order asks of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Load a unit into memory.
+    /// Load a unit into accelerator memory.
     Load {
-        /// What to load.
+        /// The unit to load.
         unit: Unit,
-        /// Memory it will take, in MiB.
+        /// Memory that the unit will take, in MiB.
         memory: Mebibytes,
     },
     /// Free a unit's memory.
     Unload {
-        /// What to unload.
+        /// The unit to unload.
         unit: Unit,
     },
-    /// Take another role.
+    /// Change the engine's role.
     Role {
-        /// The role.
+        /// The role to change to.
         role: Role,
     },
 }
 
 impl Action {
-    /// What is loaded or unloaded; none for a change of role.
+    /// Returns the unit that is loaded or unloaded; `None` for a change of role.
     pub fn unit(&self) -> Option<&Unit> {
         match self {
             Action::Load { unit, .. } | Action::Unload { unit } => Some(unit),
@@ -61,17 +61,17 @@
 /// An order to one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Its name.
+    /// The order's id.
     pub id: Id,
-    /// The server it is for.
+    /// The server that the order is sent to.
     pub server: backend::Id,
-    /// Its fencing number.
+    /// The order's fencing number.
     pub fence: Fence,
     /// The host that sends it.
     pub sender: host::Id,
-    /// The run of that host's process.
+    /// The run of the sender's process.
     pub incarnation: host::Incarnation,
-    /// What to do.
+    /// The requested operation.
     pub action: Action,
 }
 
@@ -79,16 +79,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ack {
-    /// Taken; the next reports show its progress.
+    /// Accepted; the next load reports show the progress.
     Accepted,
-    /// Refused, since a higher fencing number was seen.
+    /// Refused, because the engine has seen a higher fencing number.
     Stale {
-        /// The highest number seen.
+        /// The highest number that the engine has seen.
         highest: Fence,
     },
-    /// Refused for another cause.
+    /// Refused for another reason.
     Refused {
-        /// The engine's words.
+        /// The reason, in the engine's words.
         reason: String,
     },
 }
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Common types, for a glob import.
+//! Commonly used types, for a glob import.
 
 pub use std::{sync::Arc, time::Duration};
 
--- a/crates/types/src/priority.rs
+++ b/crates/types/src/priority.rs
@@ -2,22 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Priority, least first, so that `max` is the most urgent.
+/// Priority of requests in ascending order, so that `max` is the most urgent.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Runs in what is left over.
+    /// Runs on capacity that other requests leave unused.
     Batch,
-    /// May wait.
+    /// May be queued behind urgent requests.
     #[default]
     Normal,
-    /// Must meet its target first.
+    /// Is served before all others to meet its latency target.
     Urgent,
 }
 
 impl Priority {
-    /// Every priority, least first.
+    /// All priorities in ascending order.
     pub const ALL: [Priority; 3] = [Priority::Batch, Priority::Normal, Priority::Urgent];
 }
--- a/crates/types/src/report.rs
+++ b/crates/types/src/report.rs
@@ -1,4 +1,4 @@
-//! Load reports of backend servers; they lag.
+//! Load reports of backend servers.
 
 use std::time::Duration;
 
@@ -6,44 +6,44 @@
 
 use crate::{backend, memory::Mebibytes, order, resident::Resident};
 
-/// What a backend server says of itself.
+/// Load report of a backend server, which may be out of date by its [`age`](Load::age).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// The server.
+    /// The server that reports.
     pub server: backend::Id,
-    /// The run of its process.
+    /// The run of the server's process.
     pub incarnation: backend::Incarnation,
-    /// Number of this report within the run; rises.
+    /// Sequence number of the report, increasing within the run.
     pub sequence: u64,
-    /// How old the figures are when the report is read; milliseconds in JSON.
+    /// Age of the values when the report is read; milliseconds in JSON.
     #[serde(rename = "age_ms", with = "crate::time::millis")]
     pub age: Duration,
-    /// Whether it is leaving and wants nothing new.
+    /// Whether the server is about to stop and must not be sent new work.
     pub leaving: bool,
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a place in the batch.
+    /// Requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// Most requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Time of one step of the batch; milliseconds in JSON.
+    /// Duration of one step of the batch; milliseconds in JSON.
     #[serde(rename = "step_ms", with = "crate::time::millis")]
     pub step: Duration,
-    /// Prompt tokens read in one step.
+    /// Prompt tokens that one step prefills.
     pub prefill_rate: u32,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that have not been prefilled yet.
     pub prompt_backlog: u64,
-    /// Accelerator memory, in MiB; zero for a plain server.
+    /// Total accelerator memory, in MiB; zero for a plain server.
     pub capacity: Mebibytes,
-    /// What is in that memory; left out on the wire when the reader named the same list.
+    /// Contents of that memory; omitted on the wire if the reader's request named the same list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub residents: Vec<Resident>,
-    /// Highest fencing number seen.
+    /// Highest fencing number that the server has seen.
     pub fence: order::Fence,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the server refuses orders with a lower fencing number.
     pub fenced: bool,
-    /// Orders that it took in this run, the latest last; bounded.
+    /// Orders accepted in this run, the latest last; the length is bounded.
     pub orders: Vec<order::Id>,
-    /// Role it plays.
+    /// The engine's current role.
     pub role: order::Role,
 }
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as the decisions see it.
+//! Callers' requests, as the policies see them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,66 +6,66 @@
 
 use crate::{model, priority::Priority, service, target::Target};
 
-/// Name of a request, unique for all time.
+/// Id of a request; never reused.
 pub type Id = Arc<str>;
 
-/// A caller's `Idempotency-Key`.
+/// Value of a caller's `Idempotency-Key` header.
 pub type Key = Arc<str>;
 
-/// Digest of what a request asks, the same for each re-send.
+/// Digest of a request's content, the same for each time that the caller sends it.
 pub type Digest = [u8; 32];
 
-/// Number of one try at a request, from zero.
+/// Number of an attempt to run a request, counted from zero.
 pub type Attempt = u32;
 
-/// How often a request may run.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// May run again; the effect is the same.
+    /// May be executed again, with the same effect.
     Idempotent,
-    /// At most once.
+    /// May be executed at most once.
     Once,
 }
 
-/// What is known of a request's run when it is refused, so that `max` is the most that can have
-/// happened.
+/// Whether a refused request was executed. The variants are ordered so that `max` gives the most
+/// that can have happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
     /// No byte of it can have reached a backend server.
     DidNotRun,
-    /// A backend server may have run it.
+    /// A backend server may have executed it.
     MayHaveRun,
-    /// A backend server ran it.
+    /// A backend server executed it.
     Ran,
 }
 
-/// A request that has been identified.
+/// A request whose service, and model if any, have been identified.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its name.
+    /// The request's id.
     pub id: Id,
-    /// The service it calls.
+    /// The service that is called.
     pub service: service::Id,
-    /// The model or adapter, for calls to models.
+    /// The model or adapter; `None` for a plain service.
     pub model: Option<model::Name>,
-    /// Its priority.
+    /// Priority in queues.
     pub priority: Priority,
-    /// Its latency target, tightened by the caller's deadline.
+    /// The service's latency target, tightened by the caller's deadline.
     pub target: Target,
-    /// How often it may run.
+    /// Whether it may be executed more than once.
     pub repeat: Repeat,
-    /// The caller's key.
+    /// The caller's idempotency key, if one was sent.
     pub key: Option<Key>,
-    /// Digest of what it asks.
+    /// Digest of the content, which tells whether a key is reused for another request.
     pub digest: Digest,
-    /// Digests of the prompt's prefixes, a block at a time, the shortest first.
+    /// Digests of the prompt's prefixes, one for each block, the shortest first.
     pub prefix: Vec<u64>,
-    /// Prompt length, in tokens (estimated).
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Time allowed for the whole of it.
+    /// Time allowed for the whole request.
     pub deadline: Duration,
 }
--- a/crates/types/src/resident.rs
+++ b/crates/types/src/resident.rs
@@ -1,10 +1,10 @@
-//! What may occupy accelerator memory on an engine.
+//! Models and adapters in an engine's accelerator memory.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{adapter, memory::Mebibytes, model};
 
-/// One thing that an engine loads or unloads.
+/// A model or adapter of one version: what an engine loads and unloads as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
@@ -12,7 +12,7 @@
     Model {
         /// The model.
         model: model::Id,
-        /// Its version.
+        /// The model's version.
         version: model::Version,
     },
     /// A version of an adapter.
@@ -27,7 +27,7 @@
 }
 
 impl Unit {
-    /// The model that it is or belongs to.
+    /// Returns the model, or the base model of an adapter.
     pub fn model(&self) -> &model::Id {
         match self {
             Unit::Model { model, .. } | Unit::Adapter { model, .. } => model,
@@ -35,25 +35,25 @@
     }
 }
 
-/// How far a unit is on its engine.
+/// Load state of a unit on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Being loaded; memory already taken.
+    /// Being loaded; its memory is already taken.
     Loading,
-    /// Answers requests.
+    /// Loaded and able to serve requests.
     Ready,
-    /// Being unloaded; memory still taken.
+    /// Being unloaded; its memory is still taken.
     Unloading,
 }
 
-/// A unit on an engine, as the engine reports it.
+/// A unit in an engine's memory, as the engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resident {
-    /// What it is.
+    /// The model or adapter.
     pub unit: Unit,
-    /// Memory it takes, in MiB.
+    /// Memory that it takes, in MiB.
     pub memory: Mebibytes,
-    /// How far it is.
+    /// How far loading or unloading has progressed.
     pub state: State,
 }
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -1,8 +1,8 @@
-//! Routed services: what operators declare, and what the servers behind them say of themselves.
+//! Routed services: what operators declare, and what backend servers report about themselves.
 //!
 //! A deployment that routes by host and path declares its routes, services and engines in one
-//! numbered [`Declaration`]; its servers register themselves. `routed` names only what both sides
-//! mean; how it is spelled on the wire is the concern of the edge that reads it.
+//! numbered [`Declaration`]; its servers register themselves. These types don't define the wire
+//! format, which belongs to the code that parses it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,44 +10,44 @@
 
 use crate::{adapter, availability, backend, memory::Mebibytes, model, service};
 
-/// Number of a declaration; later ones have higher numbers.
+/// Number of a declaration; a later declaration has a higher one.
 pub type Version = u64;
 
 /// Name of a route.
 pub type RouteId = Arc<str>;
 
-/// Number of orders that a server has accepted since it started.
+/// Number of orders that a server has accepted since its start.
 pub type Sequence = u64;
 
-/// Requests a second, in millionths.
+/// Rate in requests per second, stored in millionths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Rate(u64);
 
 impl Rate {
-    /// The highest rate, which bounds nothing in practice.
+    /// The highest rate, 10^9 requests per second, which limits nothing in practice.
     pub const MAX: Rate = Rate(1_000_000_000_000_000);
 
     const PART: f64 = 1e-6;
 
-    /// The rate of a number of requests a second, [`Rate::MAX`] at the most; none if the number is
-    /// negative or not a number.
+    /// Returns the rate of a number of requests per second, capped at [`Rate::MAX`]; `None` if the
+    /// number is negative or NaN.
     pub fn per_second(requests: f64) -> Option<Rate> {
         (0.0 <= requests).then(|| Rate(((requests / Rate::PART).round() as u64).min(Rate::MAX.0)))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn as_f64(self) -> f64 {
         self.0 as f64 * Rate::PART
     }
 }
 
-/// When a run of a server began, in Unix milliseconds; 0 where servers don't say.
+/// Start time of a server's run, in Unix milliseconds; 0 if servers don't report it.
 pub type StartTime = u64;
 
-/// The id of a run of a server: its name, and when the run began where servers say that. A server that
-/// starts again under its name is another one to all who knew it by its id.
+/// Returns the id of a server's run: its name, with the start time if servers report one. A server
+/// that restarts under the same name thereby gets another id, and counts as another server.
 pub fn run(name: &str, started_at: StartTime) -> backend::Id {
     match started_at {
         0 => name.into(),
@@ -55,29 +55,29 @@
     }
 }
 
-/// Everything that operators declare, under one number.
+/// The whole of what operators declare for routed services, under one number.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declaration {
-    /// Its number.
+    /// Number of this declaration.
     pub version: Version,
-    /// Routes, in no particular order.
+    /// Declared routes, in no particular order.
     pub routes: Vec<Route>,
-    /// Services that the routes lead to.
+    /// Services that the routes send requests to.
     pub services: Vec<Service>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Longest time for a head.
+    /// Maximum time to receive a request's head.
     pub head_time: Duration,
-    /// Longest time that a caller's connection is left idle.
+    /// Time after which an idle connection of a caller is closed.
     pub idle: Duration,
 }
 
@@ -92,103 +92,105 @@
     }
 }
 
-/// What may be done with a request of a route.
+/// How often requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs once at most.
+    /// Executed at most once.
     NonIdempotent,
-    /// A stream of numbered events; runs once at most unless it may be resumed.
+    /// Answered with a stream of numbered events; executed at most once unless the route is
+    /// resumable.
     Stream,
 }
 
-/// A route: which requests it takes, and how they are served.
+/// A route: which requests it matches, and how they are served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: RouteId,
-    /// The host that requests name.
+    /// Host name that requests must have.
     pub host: Arc<str>,
-    /// Start of the path, from slash to slash.
+    /// Path prefix that requests must have, in whole segments.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may be executed more than once.
     pub kind: Kind,
-    /// Whether a stream may go on at another server.
+    /// Whether a broken stream may be resumed on another server.
     pub resumable: bool,
-    /// Whether requests of one prompt gain by going to one server.
+    /// Whether requests with the same prompt profit from going to the same server.
     pub sticky: bool,
-    /// Longest time that operators want a request kept waiting.
+    /// Maximum time that operators want a request to wait.
     pub timeout: Duration,
-    /// Latency objective: until the whole answer, or until a stream's first event.
+    /// Latency objective: time to the complete response, or to a stream's first event.
     pub goal: Duration,
-    /// Longest pause between events that is still on time.
+    /// Maximum time between two events of a stream that still counts as on time.
     pub gap: Option<Duration>,
-    /// Silence after which a stream's caller leaves, also before the first event, if that is known.
+    /// Time without an event after which a stream's caller disconnects, also before the first
+    /// event; `None` if unknown.
     pub silence: Option<Duration>,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers that one request may be sent to.
     pub attempts: u32,
-    /// Rank; 0 goes first.
+    /// Priority of its requests; 0 is served first.
     pub priority: u8,
-    /// Services that take its requests, by weight.
+    /// Services that share its requests, by weight.
     pub split: Vec<Share>,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service.
+    /// The service that receives the share.
     pub service: service::Id,
-    /// Its weight among the others.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
-/// A service.
+/// A service that routes send requests to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: service::Id,
-    /// Path of its health check.
+    /// Path of its servers' health check.
     pub health: Arc<str>,
-    /// Most connections that a server takes from all hosts together.
+    /// Maximum number of connections that one server accepts from all hosts together.
     pub connections: u32,
-    /// What its servers run, if they are model servers.
+    /// Properties of its servers' engines; `None` if they are no model servers.
     pub engine: Option<Engine>,
 }
 
-/// What the model servers of a service are like.
+/// Properties of the model servers of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that a server runs concurrently.
     pub slots: u32,
-    /// Tokens that a server's KV cache holds.
+    /// Capacity of a server's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Memory for weights and adapters.
+    /// Accelerator memory for weights and adapters, in MiB.
     pub weights: Mebibytes,
-    /// Places for adapters.
+    /// Maximum number of loaded adapters.
     pub adapter_slots: u32,
-    /// Loads a second from the weight store, over all servers.
+    /// Rate limit of loads from the weight store per second, over all servers.
     pub loads_per_s: f64,
-    /// Memory for copies of weights that are not being served.
+    /// Host memory for copies of weights that are not being served, in MiB.
     pub host_memory: Mebibytes,
-    /// Disk for copies of weights.
+    /// Disk space for copies of weights, in MiB.
     pub disk: Mebibytes,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub stride: u32,
-    /// Whether a run's memory can be sent along to a second server as it grows.
+    /// Whether a request's KV cache can be replicated to a second server while it grows.
     pub backups: bool,
-    /// Whether a run's memory can be moved.
+    /// Whether a request's KV cache can be moved to another server.
     pub moves: bool,
-    /// The models that must stay reachable.
+    /// Models that must stay reachable.
     pub models: Vec<Model>,
 }
 
-/// A model that must stay reachable.
+/// A model that must stay reachable, with its sizes and load times.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// The model's name.
     pub name: model::Id,
-    /// Memory of its weights.
+    /// Memory that its weights take, in MiB.
     pub weights: Mebibytes,
     /// Time to load it from the weight store.
     pub load: Duration,
@@ -198,89 +200,90 @@
     pub disk: Duration,
     /// Number of its adapters, named `a1`, `a2` and so on.
     pub adapters: u32,
-    /// Memory of an adapter.
+    /// Memory that one adapter takes, in MiB.
     pub adapter_weights: Mebibytes,
 }
 
-/// What a server says of its service.
+/// Whether a server accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes work.
+    /// Accepts work.
     Ready,
-    /// It is leaving; nothing new is to be sent.
+    /// About to stop; no new work may be sent to it.
     Draining,
 }
 
-/// A model that a server holds.
+/// A model that is loaded on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// The model.
+    /// The model's name.
     pub model: model::Id,
     /// Version of its weights.
     pub version: u64,
-    /// Adapters of it that are loaded.
+    /// Loaded adapters of this model.
     pub adapters: Vec<adapter::Id>,
 }
 
 /// A server as it registers itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// This run of the server's process; a restart has another. See [`run`].
+    /// Id of this run of the server's process, as returned by [`run`]; a restart changes it.
     pub id: backend::Id,
-    /// What it is registered and called by; a later run may have the same.
+    /// Name that the server is registered under, which a later run may reuse.
     pub name: Arc<str>,
-    /// When this run began.
+    /// Start time of this run.
     #[serde(rename = "born")]
     pub started_at: StartTime,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: service::Id,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: availability::Id,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: State,
-    /// Time until it is gone whatever it runs, if it is taken away at short notice.
+    /// Time until the server is removed, whatever it is running; `None` unless it is being
+    /// reclaimed at short notice.
     pub remaining: Option<Duration>,
-    /// How much longer it is slow after its start.
+    /// Time for which it remains slow after its start.
     pub cold: Duration,
-    /// What it holds.
+    /// Loaded models.
     pub models: Vec<Held>,
-    /// Models of which its memory has a copy.
+    /// Models whose weights are cached in its host memory.
     pub resident: Vec<model::Id>,
-    /// Models of which its disk has a copy.
+    /// Models whose weights are cached on its disk.
     pub on_disk: Vec<model::Id>,
-    /// Orders accepted when it said this.
+    /// Number of orders that it had accepted at the time of this registration.
     pub sequence: Sequence,
 }
 
-/// A server's report on its engine; some hundred milliseconds old.
+/// A server's report on its engine, typically a few hundred milliseconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// What it holds.
+    /// Loaded models.
     pub models: Vec<Held>,
-    /// When the run that says this began.
+    /// Start time of the run that reports.
     #[serde(rename = "born")]
     pub started_at: StartTime,
-    /// Whether an order is being carried out.
+    /// Whether the server is executing an order.
     pub busy: bool,
-    /// Orders accepted.
+    /// Number of orders accepted so far.
     pub sequence: Sequence,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// KV memory that can't yield, in tokens.
+    /// KV cache that can't be evicted, in tokens.
     pub kv_used: u64,
-    /// KV memory, in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_total: u64,
-    /// Adapters on their way to the server.
+    /// Adapters being loaded.
     #[serde(rename = "coming")]
     pub adapters_loading: Vec<(model::Id, adapter::Id)>,
-    /// Models of which its memory has a copy.
+    /// Models whose weights are cached in its host memory.
     pub resident: Vec<model::Id>,
-    /// Models of which its disk has a copy.
+    /// Models whose weights are cached on its disk.
     pub on_disk: Vec<model::Id>,
 }
--- a/crates/types/src/service.rs
+++ b/crates/types/src/service.rs
@@ -1,4 +1,4 @@
-//! Services that callers use.
+//! Services that callers send requests to.
 
 use std::sync::Arc;
 
@@ -9,39 +9,39 @@
 /// Name of a service.
 pub type Id = Arc<str>;
 
-/// What a service offers.
+/// The kind of backend that a service gives access to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Offer {
-    /// Calls to models, on the engines that hold them.
+    /// Calls to these models, on engines that have them loaded.
     Models(Vec<model::Id>),
-    /// Calls passed on to plain backend servers of this group.
+    /// Calls forwarded to plain backend servers of this group.
     Plain(backend::Group),
 }
 
-/// A service as declared.
+/// A service as operators declare it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The customer on whose behalf it runs.
     pub customer: customer::Id,
-    /// What it offers.
+    /// The models or the group of servers that it gives access to.
     pub offer: Offer,
     /// Priority of its requests.
     #[serde(default)]
     pub priority: Priority,
     /// Latency target of its requests.
     pub target: Target,
-    /// Methods whose requests run at most once, such as `POST`.
+    /// HTTP methods whose requests are executed at most once, such as `POST`.
     #[serde(default)]
     pub non_idempotent: Vec<Arc<str>>,
-    /// Weight among services of the same priority; positive.
+    /// Weight relative to other services of the same priority; positive.
     #[serde(default = "one")]
     pub share: u32,
 }
 
 impl Service {
-    /// Whether this method's requests run at most once.
+    /// Returns whether requests with this HTTP method are executed at most once.
     pub fn is_non_idempotent(&self, method: &str) -> bool {
         self.non_idempotent.iter().any(|m| &**m == method)
     }
--- a/crates/types/src/status.rs
+++ b/crates/types/src/status.rs
@@ -1,37 +1,37 @@
-//! What a host tells operators of itself and of what it sees.
+//! State that a host reports to operators: its own, and what it knows of backend servers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{backend, config, host, report};
 
-/// A host's own standing.
+/// A host's own state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host.
+    /// The host that reports.
     pub host: host::Host,
-    /// The run of its process.
+    /// The run of the host's process.
     pub incarnation: host::Incarnation,
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub ready: bool,
-    /// Whether a planned stop has begun.
+    /// Whether a planned stop is in progress.
     pub draining: bool,
-    /// Number of the configuration in force; zero before the first.
+    /// Number of the configuration in force; zero before the first one.
     pub configuration: config::Number,
-    /// The highest number heard of.
+    /// Highest configuration number that the host knows of, in force or not.
     #[serde(rename = "heard")]
     pub newest_number: config::Number,
-    /// Backend servers on the platform's list.
+    /// Number of backend servers on the platform's list.
     pub servers: usize,
-    /// Backend servers whose load reports it reads.
+    /// Number of backend servers whose load reports the host can read.
     pub reporting: usize,
 }
 
 /// A backend server as one host sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// What the platform's list says.
+    /// The server's entry in the platform's list.
     #[serde(flatten)]
     pub entry: backend::Entry,
-    /// Its last load report; none while it doesn't answer.
+    /// The latest load report; `None` while the server does not respond.
     pub load: Option<report::Load>,
 }
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Latency target of a service.
+/// Latency target for the requests of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Time to the first token, or to the answer's head for a plain service; milliseconds in JSON.
+    /// Time to the first token, or to the head of a plain service's response; milliseconds in JSON.
     #[serde(rename = "first_token_ms", with = "crate::time::millis")]
     pub first_token: Duration,
     /// Mean time between tokens after the first; milliseconds in JSON.
