--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -1,8 +1,8 @@
-//! Events: what a host did or learnt that others may want to see in order.
+//! Events: actions and observations of a host that operators view in order over all hosts.
 //!
-//! [`Kind`] is a closed set. Where the set of causes or states belongs to another package, the
-//! event carries that package's own stable word as text ([`Text`]), so that this package depends
-//! on none of them.
+//! [`Kind`] is a closed set. A cause or state whose set of values is defined by another package is
+//! carried as that package's stable identifier ([`Text`]), so that this package depends on none of
+//! them.
 
 use std::borrow::Cow;
 
@@ -16,47 +16,47 @@
 
 use crate::clock::Stamp;
 
-/// A stable word of another package's closed set, such as the cause of a refusal.
+/// Text of a field, usually a stable identifier of another package, such as the cause of a refusal.
 pub type Text = Cow<'static, str>;
 
-/// What happened, and what it is about.
+/// An event and the ids that it can be filtered by.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// What happened.
+    /// The kind of event, with its own fields.
     #[serde(flatten)]
     pub kind: Kind,
-    /// The request it belongs to.
+    /// The request that the event belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<request::Id>,
-    /// The model it concerns.
+    /// The model that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<model::Id>,
-    /// The backend server it concerns.
+    /// The backend server that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub server: Option<backend::Id>,
 }
 
 impl Event {
-    /// An event that is about nothing in particular yet.
+    /// Returns an event without a request, model or server.
     pub fn new(kind: Kind) -> Event {
         Event { kind, request: None, model: None, server: None }
     }
 
-    /// Names the request it belongs to.
+    /// Sets the request that the event belongs to.
     #[must_use]
     pub fn request(mut self, id: &request::Id) -> Event {
         self.request = Some(id.clone());
         self
     }
 
-    /// Names the model it concerns.
+    /// Sets the model that the event concerns.
     #[must_use]
     pub fn model(mut self, id: &model::Id) -> Event {
         self.model = Some(id.clone());
         self
     }
 
-    /// Names the backend server it concerns.
+    /// Sets the backend server that the event concerns.
     #[must_use]
     pub fn server(mut self, id: &backend::Id) -> Event {
         self.server = Some(id.clone());
@@ -64,128 +64,128 @@
     }
 }
 
-/// What happened.
+/// The kinds of events, each with its fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Kind {
     /// A caller's request was identified.
     Request {
-        /// The service it calls.
+        /// The service that it calls.
         service: service::Id,
     },
     /// A request was sent to a backend server.
     Attempt {
-        /// Which try it is.
+        /// Number of the attempt.
         attempt: request::Attempt,
     },
-    /// A try ended without an answer.
+    /// An attempt ended without a response.
     AttemptFailed {
-        /// Which try it was.
+        /// Number of the attempt.
         attempt: request::Attempt,
-        /// Why.
+        /// Cause of the failure.
         cause: Text,
     },
-    /// A stream was taken up again elsewhere.
+    /// A stream was resumed on another server.
     Resume {
-        /// Which try takes it up.
+        /// Number of the attempt that resumes it.
         attempt: request::Attempt,
-        /// The token offset it goes on from.
+        /// Token offset from which the stream continues.
         offset: u64,
     },
     /// A request ended.
     Answer {
-        /// How.
+        /// How the request ended.
         outcome: Outcome,
     },
     /// A request was refused.
     Refusal {
-        /// Why.
+        /// Cause of the refusal.
         cause: Text,
-        /// What is known of its run.
+        /// Whether it may have been executed.
         ran: Ran,
     },
-    /// A claim to run a non-idempotent request was decided.
+    /// A claim to execute a non-idempotent request was decided.
     Claim {
-        /// The caller's key.
+        /// The caller's idempotency key.
         key: request::Key,
-        /// What was decided.
+        /// The decision.
         claim: Text,
     },
-    /// A fingerprint's standing in the quarantine changed.
+    /// The state of a fingerprint in the quarantine changed.
     Quarantine {
-        /// The fingerprint.
+        /// Fingerprint of the requests.
         fingerprint: Text,
-        /// Its new standing.
+        /// The new state.
         standing: Text,
     },
     /// An order to an engine was reserved and sent.
     Order {
-        /// The order.
+        /// Id of the order.
         order: order::Id,
-        /// Its fencing number.
+        /// Fencing number of the order.
         fence: order::Fence,
-        /// What the engine is told.
+        /// The operation that the engine is to carry out.
         action: Action,
-        /// Why the plan wants it.
+        /// The planner's reason.
         cause: Text,
     },
-    /// An engine answered an order.
+    /// An engine responded to an order.
     Acknowledgement {
-        /// The order.
+        /// Id of the order.
         order: order::Id,
-        /// The answer.
+        /// The engine's response.
         ack: Ack,
     },
-    /// An order's reservation was settled.
+    /// The memory reservation of an order was settled.
     Settlement {
-        /// The order.
+        /// Id of the order.
         order: order::Id,
-        /// What proved it.
+        /// Evidence that the order took effect or never will.
         evidence: Text,
     },
     /// A patch to the configuration was decided.
     Patch {
-        /// The patch.
+        /// Id of the patch.
         patch: Text,
         /// Number of the configuration after the decision.
         number: config::Number,
-        /// What was decided.
+        /// The decision.
         verdict: Text,
     },
     /// A configuration came into force on this host.
     Configuration {
-        /// Its number.
+        /// Number of the configuration.
         number: config::Number,
     },
-    /// A duty's lease changed hands as this host sees it.
+    /// The lease of a duty was acquired or given up, as seen by this host.
     Lease {
-        /// The duty.
+        /// Name of the duty.
         duty: Text,
-        /// What became of the lease.
+        /// New state of the lease.
         lease: LeaseState,
     },
-    /// A host's standing changed as this host sees it.
+    /// The state of a host changed, as seen by this host.
     Member {
-        /// The host.
+        /// The host whose state changed.
         member: host::Id,
-        /// Its run.
+        /// The run of that host's process.
         member_incarnation: host::Incarnation,
-        /// Its new standing.
+        /// The new state.
         standing: Text,
     },
-    /// A backend server's standing changed as this host sees it.
+    /// The state of a backend server changed, as seen by this host.
     Server {
-        /// Its new standing.
+        /// The new state.
         standing: Text,
     },
-    /// The platform's object API answers or fails to.
+    /// The platform's object API became available or unavailable.
     Platform {
-        /// What this host sees.
+        /// The new state, as seen by this host.
         platform: PlatformState,
     },
     /// A step of this host's planned stop.
     Drain {
-        /// The step.
+        /// The step that was reached.
         drain: DrainStep,
     },
     /// This host's process started.
@@ -193,7 +193,7 @@
 }
 
 impl Kind {
-    /// The class that decides which events may push it out of a full ring.
+    /// Returns the class whose queue in the ring holds the event.
     pub fn class(&self) -> Class {
         match self {
             Kind::Request { .. }
@@ -219,12 +219,13 @@
     }
 }
 
-/// Which events push which out: a rush of requests must not push out the rare rest.
+/// Class of events with a queue of its own in the ring, so that a burst of requests does not evict
+/// the less frequent control events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// Of one request; as many as requests.
+    /// Events of a single request; their rate grows with that of requests.
     Request,
-    /// Of the system's own work; few.
+    /// Events of the system's own operation, at a low rate.
     Control,
 }
 
@@ -232,18 +233,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was handed over.
+    /// The complete response was sent to the caller.
     Answered,
     /// Refused with a problem document.
     Refused,
-    /// Failed after it may have run, with a clear error.
+    /// Failed with an error, after it may have been executed.
     Failed,
-    /// The caller went away.
+    /// The caller closed the connection.
     Cancelled,
 }
 
 impl Outcome {
-    /// Its stable word.
+    /// Returns the stable identifier, which is also the label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -254,25 +255,25 @@
     }
 }
 
-/// What became of a lease.
+/// State of a lease, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseState {
-    /// This host took it.
+    /// This host acquired the lease.
     Taken,
-    /// This host gave it back.
+    /// This host released the lease.
     Released,
-    /// It lapsed or another host took it.
+    /// The lease expired, or another host acquired it.
     Lost,
 }
 
-/// What a host sees of the platform's object API.
+/// Availability of the platform's object API, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformState {
-    /// It answers.
+    /// Calls are answered.
     Up,
-    /// It doesn't answer, or refuses.
+    /// Calls are refused or not answered.
     Down,
 }
 
@@ -280,26 +281,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainStep {
-    /// Says not ready; still takes requests.
+    /// Reports not ready, but still accepts requests.
     NotReady,
-    /// Takes no new requests; finishes those in flight.
+    /// Accepts no new requests, and finishes those in flight.
     Closed,
-    /// Nothing is in flight.
+    /// No requests are in flight.
     Idle,
 }
 
-/// An event in its place in the order of one host.
+/// An event as recorded by a host, with its position in that host's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the hybrid logical clock.
+    /// Time of recording, by the hybrid logical clock.
     pub at: Stamp,
-    /// The host that recorded it.
+    /// The host that recorded the event.
     pub host: host::Id,
     /// The run of that host's process.
     pub incarnation: host::Incarnation,
-    /// Its number within the run; rises by one.
+    /// Sequence number within the run, increasing by one.
     pub sequence: u64,
-    /// What happened.
+    /// The recorded event.
     #[serde(flatten)]
     pub event: Event,
 }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,10 +1,9 @@
-//! What is seen of a host: its log, its metrics and its events.
+//! Observability of a host: its log, its metrics and its events.
 //!
-//! Three views for three questions. The log says what went wrong: in words, and as the [`story`] of
-//! each request with the beliefs that decided it. The metrics say how often and how much. The
-//! events say what came before what, over all hosts, for one request, one order or one server. None
-//! of them may slow or stop the path of a request, so all three are bounded in memory, and what is
-//! dropped is counted.
+//! The log explains failures: as messages, and as the [`story`] of each request with the state that
+//! its decisions were based on. The metrics give rates and quantities. The events give the order of
+//! what happened over all hosts, for one request, one order or one server. None of them may slow
+//! down or block a request, so all three are bounded in memory, and what is dropped is counted.
 
 pub mod clock;
 pub mod event;
--- a/crates/observe/src/log.rs
+++ b/crates/observe/src/log.rs
@@ -1,11 +1,11 @@
-//! The log: JSON lines through `log4rs`.
+//! The process's log: JSON lines written by `log4rs`.
 //!
-//! Each line holds the time, level, target, message and, under `attributes`, the fields given
-//! through `log`'s key-value syntax. Standard error is the usual place, since hosts have no disks.
+//! Each line holds the time, level, target, message and, under `attributes`, the fields given with
+//! the key-value syntax of `log`. The default is standard error, since hosts have no disks.
 //!
-//! [`Sink::StandardOutput`] is for hosts that tell [stories](crate::story): their lines go through a
-//! [queue](Lines) of fixed size to a writer of its own, so that no caller ever waits for a reader,
-//! and what is left out is counted. The other sinks write at once.
+//! [`Sink::StandardOutput`] is for hosts that log [stories](crate::story): their lines go through a
+//! [queue](Lines) of fixed size to a writer thread, so that no caller ever waits for a slow reader,
+//! and dropped records are counted. The other sinks write synchronously.
 
 mod queue;
 mod rate_limit;
@@ -28,22 +28,22 @@
     rate_limit::{Class, Exceeded, RateLimit, Window},
 };
 
-/// The queue of the process's log, if it has one.
+/// The queue of the process's log; set if the sink is standard output.
 static LINES: OnceLock<Lines> = OnceLock::new();
 
-/// Where the log's lines go.
+/// Destination of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Sink {
     /// Standard error.
     #[default]
     StandardError,
-    /// A file; lines are added at its end.
+    /// A file, which is appended to.
     File(PathBuf),
     /// Standard output, through a queue of fixed size.
     StandardOutput(Bounds),
 }
 
-/// A log that is not yet running.
+/// Configuration of the process's log, before it is started.
 #[derive(Clone, Debug)]
 pub struct Log {
     sink: Sink,
@@ -51,30 +51,30 @@
 }
 
 impl Log {
-    /// A log of level `info` to standard error.
+    /// Returns a log of level `info` to standard error.
     pub fn new() -> Log {
         Log { sink: Sink::StandardError, level: LevelFilter::Info }
     }
 
-    /// Writes there.
+    /// Sets the destination.
     #[must_use]
     pub fn sink(mut self, sink: Sink) -> Log {
         self.sink = sink;
         self
     }
 
-    /// Writes lines of this level and above.
+    /// Sets the level; records below it are not written.
     #[must_use]
     pub fn level(mut self, level: LevelFilter) -> Log {
         self.level = level;
         self
     }
 
-    /// Starts the process's log; it runs until the process ends.
+    /// Installs this as the process's log, until the process ends.
     ///
     /// # Errors
     ///
-    /// The file can't be opened, or a log is running already.
+    /// The file can't be opened, the writer thread can't be started, or a log is already installed.
     pub fn start(self) -> Result<(), Error> {
         const NAME: &str = "lines";
         let appender = Appender::builder().build(NAME, appender(self.sink)?);
@@ -87,17 +87,17 @@
     }
 }
 
-/// Writes lines of this level and above from now on.
+/// Changes the level of the running log.
 pub fn set_level(level: LevelFilter) {
     ::log::set_max_level(level);
 }
 
-/// Records that the process's log has left out.
+/// Returns the number of records that the process's log has dropped.
 pub fn dropped() -> Dropped {
     LINES.get().map(Lines::dropped).unwrap_or_default()
 }
 
-/// Waits until what was logged is written, a second at most; for the end of a process.
+/// Waits until all logged lines are written, for at most one second. Called when a process ends.
 pub fn flush() {
     ::log::logger().flush();
 }
@@ -108,25 +108,25 @@
     }
 }
 
-/// Why the log could not be started.
+/// Error from starting the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file can't be opened.
+    /// The log file can't be opened.
     #[error("log file {}: {cause}", file.display())]
     File {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Error from opening it.
         #[source]
         cause: io::Error,
     },
-    /// The log is set up wrongly.
+    /// The configuration of `log4rs` is invalid.
     #[error("log set-up: {0}")]
     Config(#[from] ConfigErrors),
-    /// The writer's thread can't be started.
+    /// The writer thread can't be started.
     #[error("log writer: {0}")]
     Writer(io::Error),
-    /// A log is running already.
+    /// A log is already installed.
     #[error("log: {0}")]
     Running(#[from] SetLoggerError),
 }
--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -1,10 +1,10 @@
-//! The queue of fixed size in front of the writer.
+//! Queue of fixed size between the log and its writer thread.
 //!
-//! Lines are made straight into one buffer, under a lock that is held for no I/O. A thread takes
-//! the whole buffer at most once each [`Bounds::pause`], and writes it with one call; it sleeps
-//! while there is nothing to write. When the buffer is full, because whoever reads standard output
-//! has stopped, or when the ceiling is reached, a record is left out as a whole, and counted. The
-//! next batch tells how many.
+//! Lines are formatted directly into one buffer, under a lock that is never held during I/O. The
+//! writer thread takes the whole buffer at most once per [`Bounds::pause`], and writes it with one
+//! call; it sleeps while the buffer is empty. When the buffer is full, because the reader of
+//! standard output has stopped, or when the rate limit is reached, whole records are dropped and
+//! counted. The next batch ends with a line that gives their number.
 
 use std::{
     fmt::{self, Write as _},
@@ -20,17 +20,17 @@
 use super::rate_limit::{Class, Exceeded, RateLimit, Window};
 use crate::story;
 
-/// Longest that [`Lines::flush`] waits for a writer that is stuck.
+/// Maximum time that [`Lines::flush`] waits for a blocked writer.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bounds of the queue.
+/// Limits of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Bytes that wait to be written, at most.
+    /// Maximum number of buffered bytes.
     pub waiting: usize,
-    /// Most that is written in a second.
+    /// Maximum output per second.
     pub rate_limit: RateLimit,
-    /// Shortest time from one write to the next.
+    /// Minimum time between two writes.
     pub pause: Duration,
 }
 
@@ -44,19 +44,19 @@
     }
 }
 
-/// Records that were left out; one request's story is one record.
+/// Numbers of dropped records; all lines that a request logs at once are one record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Because the queue was full.
+    /// Records dropped because the queue was full.
     pub full: u64,
-    /// Because the ceiling was reached.
+    /// Records dropped because the rate limit was reached.
     pub ceiling: u64,
-    /// Those of all these that told of plans.
+    /// Records of [`Class::Plan`] among all of these.
     pub plans: u64,
 }
 
 impl Dropped {
-    /// All of them.
+    /// Returns the number of dropped records for both causes.
     pub fn total(self) -> u64 {
         self.full + self.ceiling
     }
@@ -78,14 +78,14 @@
     }
 }
 
-/// Why a record is left out.
+/// Cause for which a record is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
     Full,
     RateLimit,
 }
 
-/// The end of the queue that lines are put into; `log4rs` takes it as an appender.
+/// Producer end of the queue, which is also an appender of `log4rs`.
 #[derive(Clone)]
 pub struct Lines(Arc<Queue>);
 
@@ -106,20 +106,20 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Writer {
-    /// Waits for lines.
+    /// The writer thread waits for lines.
     Idle,
-    /// Gathers or writes a batch.
+    /// The writer thread collects or writes a batch.
     Batching,
-    /// Is to write what waits at once.
+    /// The writer thread is asked to write without waiting for more lines.
     Flushing,
 }
 
 impl Lines {
-    /// Starts a writer to `sink`.
+    /// Starts a thread that writes to `sink`.
     ///
     /// # Errors
     ///
-    /// The writer's thread can't be started.
+    /// The thread can't be started.
     pub fn start(bounds: Bounds, sink: impl Write + Send + 'static) -> std::io::Result<Lines> {
         let queue = Arc::new(Queue {
             origin: Instant::now(),
@@ -138,17 +138,17 @@
         Ok(Lines(queue))
     }
 
-    /// Records that were left out since the start.
+    /// Returns the number of records dropped since the start.
     pub fn dropped(&self) -> Dropped {
         self.0.lock().dropped
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that the writer has not taken yet.
     pub fn waiting(&self) -> usize {
         self.0.lock().waiting.len()
     }
 
-    /// Puts in one record of whole lines, or leaves it out. It is made only if there is room.
+    /// Appends one record of whole lines, or drops it. It is formatted only if there is room.
     pub fn put(&self, class: Class, record: &dyn fmt::Display) {
         self.0.put(class, |waiting| writeln!(waiting, "{record}"));
     }
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Waits until what waits now is written, a second at most.
+    /// Waits until the buffered lines are written, for at most one second.
     fn flush(&self) {
         let mut state = self.0.lock();
         if state.waiting.is_empty() && state.writer == Writer::Idle {
@@ -193,7 +193,7 @@
 
 impl Queue {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic while a line is made leaves part of a line, which readers pass over.
+        // A panic while a line is formatted leaves an incomplete line, which readers skip.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -203,13 +203,13 @@
         if state.window.check(self.origin.elapsed(), class).is_err() {
             return state.dropped.count(class, Cause::RateLimit);
         }
-        // Whoever doesn't read loses requests first.
+        // If the reader falls behind, records of requests are dropped first.
         let limit = class.part(self.bounds.waiting);
         if limit <= state.waiting.len() {
             return state.dropped.count(class, Cause::Full);
         }
         let start = state.waiting.len();
-        // Display fails only if what it shows does; the line is then left as far as it got.
+        // Formatting fails only if the record's own `Display` does; the line is then incomplete.
         let _ = append(&mut state.waiting);
         let written = &state.waiting.as_bytes()[start..];
         let (lines, bytes) = (written.iter().filter(|byte| **byte == b'\n').count(), written.len());
@@ -229,19 +229,19 @@
         }
     }
 
-    /// What the writer's thread does, as long as the process runs.
+    /// Loop of the writer thread, until the process ends.
     fn run_writer(&self, mut sink: impl Write) {
         let mut batch = String::with_capacity(self.bounds.waiting);
         loop {
             self.take_batch(&mut batch);
-            // Nobody can be told that standard output is gone.
+            // A failure to write to standard output can't be reported anywhere.
             let _ = sink.write_all(batch.as_bytes()).and_then(|()| sink.flush());
             batch.clear();
             self.finish_batch();
         }
     }
 
-    /// Waits until there is a batch, and takes it.
+    /// Waits for lines, collects more for [`Bounds::pause`], and swaps them into `batch`.
     fn take_batch(&self, batch: &mut String) {
         let state = self.lock();
         let state = self
--- a/crates/observe/src/log/rate_limit.rs
+++ b/crates/observe/src/log/rate_limit.rs
@@ -1,28 +1,28 @@
-//! The ceiling of lines and bytes a second.
+//! Rate limit on the lines and bytes that are logged per second.
 //!
-//! Lines that tell what the process believes are few, and explain all others; requests are many.
-//! So requests may use only [`REQUEST_PARTS`] of [`PARTS`] of the ceiling, and a rush of them
-//! can't push out the line that explains it. What is heard of servers and hosts comes in rushes too,
-//! in large deployments: beliefs may use [`BELIEF_PARTS`], and what a planner wants, orders and may
-//! do always has the rest.
+//! Lines about the state of the process are few and explain all others, while lines about requests
+//! are many. Requests may therefore use only [`REQUEST_PARTS`] of [`PARTS`] of the limit, so that a
+//! burst of them can't displace the line that explains it. In large deployments, changes of servers
+//! and hosts come in bursts too: beliefs may use [`BELIEF_PARTS`], and the rest is reserved for the
+//! plans, orders and leases of planners.
 
 use types::time::Moment;
 
-/// Parts of the ceiling that requests may use, of [`PARTS`].
+/// Parts of the limit that requests may use, of [`PARTS`].
 pub const REQUEST_PARTS: usize = 5;
 
-/// Parts of the ceiling that requests and beliefs may use, of [`PARTS`].
+/// Parts of the limit that requests and beliefs together may use, of [`PARTS`].
 pub const BELIEF_PARTS: usize = 6;
 
-/// Parts of a ceiling.
+/// Number of equal parts that a limit is divided into.
 pub const PARTS: usize = 8;
 
-/// Most that is written in a second.
+/// Maximum output per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// Lines.
+    /// Lines per second.
     pub lines: usize,
-    /// Bytes.
+    /// Bytes per second.
     pub bytes: usize,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// Who may use which part.
+/// Class of lines, which determines how much of the limit they may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Lines about one request.
+    /// Lines about a single request.
     Request,
-    /// What is believed, but for plans.
+    /// Lines about the state of the process, except plans.
     Belief,
-    /// What decides all others: starts, declarations, the lease, what is wanted and ordered.
+    /// Lines that explain all others, such as starts, declarations, leases, placements and orders.
     Plan,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Class {
-    /// The part of a whole that it may use.
+    /// Returns the part of a total that this class may use.
     pub fn part(self, total: usize) -> usize {
         match self {
             Class::Plan => total,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What was used of the ceiling in the second that runs.
+/// Usage of the limit in the current second.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     rate_limit: RateLimit,
@@ -70,12 +70,12 @@
 }
 
 impl Window {
-    /// Nothing used yet.
+    /// Returns a window without usage.
     pub fn new(rate_limit: RateLimit) -> Window {
         Window { rate_limit, second: 0, lines: 0, bytes: 0 }
     }
 
-    /// Whether anything may still be written; asked before a line is made.
+    /// Returns whether the class has any of its part left. Called before a line is formatted.
     pub fn check(&mut self, now: Moment, class: Class) -> Result<(), Exceeded> {
         self.advance(now);
         let part = self.rate_limit.part(class);
@@ -83,7 +83,7 @@
         if has_room { Ok(()) } else { Err(Exceeded) }
     }
 
-    /// Uses so much of it, all or nothing.
+    /// Adds to the usage if all of it fits into the part of the class.
     pub fn consume(&mut self, class: Class, lines: usize, bytes: usize) -> Result<(), Exceeded> {
         let part = self.rate_limit.part(class);
         if part.lines < self.lines + lines || part.bytes < self.bytes + bytes {
@@ -101,6 +101,6 @@
     }
 }
 
-/// The ceiling is reached.
+/// Error: the class has used its part of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exceeded;
--- a/crates/observe/src/merge.rs
+++ b/crates/observe/src/merge.rs
@@ -1,10 +1,10 @@
-//! Several hosts' records, merged into one causal order.
+//! Merging of several hosts' records into one causal order.
 //!
-//! Stamps give the order wherever a message carried one from host to host. Some causes travel by
-//! another way: what a host reads from the platform's object API carries no stamp. For these the
-//! records themselves say what came first (an order before its acknowledgement and settlement, a
-//! patch before its number is in force), and the merge puts the cause first even when the clocks
-//! disagree. Records that nothing connects are ordered by stamp, then by host.
+//! Stamps give the order wherever a message carried one from host to host. Data that a host reads
+//! from the platform's object API carries no stamp. In these cases the records themselves determine
+//! the order (an order before its acknowledgement and settlement, a patch before its number is in
+//! force), and the merge puts the cause first even if the clocks disagree. Records without a causal
+//! relation are ordered by stamp, then by host.
 
 use std::{
     cmp::Reverse,
@@ -18,7 +18,7 @@
     event::{Event, Kind, Record},
 };
 
-/// Puts records into one causal order, each once.
+/// Sorts records into one causal order and removes duplicates.
 pub fn merge(records: impl IntoIterator<Item = Record>) -> Vec<Record> {
     let mut sorted: Vec<Record> = records.into_iter().collect();
     sorted.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
@@ -29,7 +29,7 @@
     order.into_iter().filter_map(|index| slots[index].take()).collect()
 }
 
-/// Which records to show; all unless narrowed.
+/// Filter on records; the default matches all.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
     request: Option<request::Id>,
@@ -41,49 +41,49 @@
 }
 
 impl Filter {
-    /// Only what belongs to one request.
+    /// Restricts the filter to records of one request.
     #[must_use]
     pub fn request(mut self, id: request::Id) -> Filter {
         self.request = Some(id);
         self
     }
 
-    /// Only what concerns one model.
+    /// Restricts the filter to records that concern one model.
     #[must_use]
     pub fn model(mut self, id: model::Id) -> Filter {
         self.model = Some(id);
         self
     }
 
-    /// Only what concerns one backend server.
+    /// Restricts the filter to records that concern one backend server.
     #[must_use]
     pub fn server(mut self, id: backend::Id) -> Filter {
         self.server = Some(id);
         self
     }
 
-    /// Only what one host recorded.
+    /// Restricts the filter to records of one host.
     #[must_use]
     pub fn host(mut self, id: host::Id) -> Filter {
         self.host = Some(id);
         self
     }
 
-    /// Only what is stamped at or after this.
+    /// Restricts the filter to records at or after this stamp.
     #[must_use]
     pub fn from(mut self, stamp: Stamp) -> Filter {
         self.from = Some(stamp);
         self
     }
 
-    /// Only what is stamped before this.
+    /// Restricts the filter to records before this stamp.
     #[must_use]
     pub fn until(mut self, stamp: Stamp) -> Filter {
         self.until = Some(stamp);
         self
     }
 
-    /// Whether a record is to be shown.
+    /// Returns whether a record passes the filter.
     pub fn keeps(&self, record: &Record) -> bool {
         let event = &record.event;
         matches(&self.request, event.request.as_ref())
@@ -95,17 +95,17 @@
     }
 }
 
-/// One line of text for people: stamp, host, what happened, what about.
+/// Formats a record as one line of text: stamp, host, kind of event, and its fields.
 pub fn line(record: &Record) -> String {
     let (name, details) = describe(&record.event);
     format!("{} {:<12} {name:<16}{details}", record.at, record.host)
 }
 
-/// One line of JSON, with the wall time near the stamp as `time`.
+/// Formats a record as one line of JSON, with the stamp as RFC 3339 text under `time`.
 ///
 /// # Errors
 ///
-/// As `serde_json`'s.
+/// The record can't be serialized.
 pub fn json_line(record: &Record) -> Result<String, serde_json::Error> {
     let mut value = serde_json::to_value(record)?;
     if let Some(object) = value.as_object_mut() {
@@ -114,7 +114,7 @@
     serde_json::to_string(&value)
 }
 
-/// An event's kind, and everything else about it as ` name=value`.
+/// Returns an event's kind, and its other fields as ` name=value`.
 pub(crate) fn describe(event: &Event) -> (String, String) {
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(event) else {
         return (String::new(), String::new());
@@ -136,12 +136,12 @@
     wanted.as_ref().is_none_or(|wanted| found == Some(wanted))
 }
 
-/// A record's place when nothing but stamps orders it; unique for each record.
+/// Key for the order by stamp; unique for each record.
 fn sort_key(record: &Record) -> (Stamp, &host::Id, host::Incarnation, u64) {
     (record.at, &record.host, record.incarnation, record.sequence)
 }
 
-/// Pairs of (cause, effect), by index.
+/// Returns the pairs of (cause, effect), as indexes into `records`.
 fn edges(records: &[Record]) -> Vec<(usize, usize)> {
     let mut edges = program_order(records);
     edges.extend(orders(records));
@@ -149,7 +149,7 @@
     edges
 }
 
-/// Each record of one run before the next of that run.
+/// Returns an edge from each record to the next one of the same run.
 fn program_order(records: &[Record]) -> Vec<(usize, usize)> {
     let mut runs: BTreeMap<(&host::Id, host::Incarnation), Vec<(u64, usize)>> = BTreeMap::new();
     for (index, record) in records.iter().enumerate() {
@@ -164,12 +164,12 @@
         .collect()
 }
 
-/// Each order before its acknowledgement and its settlement.
+/// Returns the edges from each order to its acknowledgements and its settlement.
 fn orders(records: &[Record]) -> Vec<(usize, usize)> {
     let mut sent: HashMap<&order::Id, usize> = HashMap::new();
     for (index, record) in records.iter().enumerate() {
         if let Kind::Order { order, .. } = &record.event.kind {
-            // An order sent again keeps its first place as the cause.
+            // If an order is sent repeatedly, the first time is the cause.
             sent.entry(order).or_insert(index);
         }
     }
@@ -185,10 +185,10 @@
         .collect()
 }
 
-/// Text of a patch's verdict that makes a new number.
+/// Verdict of a patch that creates a new configuration number.
 pub const ACCEPTED: &str = "accepted";
 
-/// Each accepted patch before its number is in force anywhere.
+/// Returns the edges from each accepted patch to the records of its number coming into force.
 fn configurations(records: &[Record]) -> Vec<(usize, usize)> {
     let mut accepted: HashMap<config::Number, usize> = HashMap::new();
     for (index, record) in records.iter().enumerate() {
@@ -208,10 +208,10 @@
         .collect()
 }
 
-/// An order of `0..count` that keeps every edge and is otherwise as near to rising as can be.
+/// Returns a topological order of `0..count` that prefers the lowest index available at each step.
 ///
-/// Records that claim to cause each other, which only a lying or broken host writes, are left in
-/// rising order rather than lost.
+/// Records on a cycle of edges, which only a faulty host can produce, are appended in ascending
+/// order rather than lost.
 fn topological(count: usize, edges: &[(usize, usize)]) -> Vec<usize> {
     let mut pending_causes = vec![0_usize; count];
     let mut effects: Vec<Vec<usize>> = vec![Vec::new(); count];
--- a/crates/observe/src/page.rs
+++ b/crates/observe/src/page.rs
@@ -1,7 +1,7 @@
-//! A time line as one self-contained page: no scripts or styles from elsewhere.
+//! Time line as one self-contained HTML page, without external scripts or styles.
 //!
-//! One column for each host, one row for each record, in the merged order, with a box that narrows
-//! the rows by text. Ids come from callers and servers, so everything is escaped.
+//! The page has one column for each host and one row for each record, in the merged order, with a
+//! text field that filters the rows. Ids come from callers and servers, so all text is escaped.
 
 use std::{collections::BTreeSet, fmt::Write};
 
@@ -33,7 +33,7 @@
 </script></body></html>
 "#;
 
-/// The page of these records, which are in order already.
+/// Renders records, which must be in the order of the rows, as an HTML page.
 pub fn render(records: &[Record]) -> String {
     let hosts: BTreeSet<&host::Id> = records.iter().map(|record| &record.host).collect();
     let mut page = String::from(HEAD);
--- a/crates/observe/src/ring.rs
+++ b/crates/observe/src/ring.rs
@@ -1,7 +1,7 @@
-//! The bounded ring that holds a host's last events.
+//! Bounded buffer of a host's latest events.
 //!
-//! Two queues, one for each [`Class`], so that a rush of requests can't push out the order or the
-//! lease that explains it. Sequence numbers run over both, so a gap shows what was dropped.
+//! Each [`Class`] has a queue of its own, so that a burst of requests can't evict the order or the
+//! lease that explains it. Sequence numbers are shared by both, so a gap shows what was dropped.
 
 use std::{
     collections::VecDeque,
@@ -15,13 +15,13 @@
     event::{Class, Event, Record},
 };
 
-/// Events of requests that a ring holds unless told otherwise.
+/// Default capacity for events of requests.
 pub const REQUEST_EVENTS: usize = 16 * 1024;
 
-/// Events of the system's own work that a ring holds unless told otherwise.
+/// Default capacity for control events.
 pub const CONTROL_EVENTS: usize = 8 * 1024;
 
-/// A host's last events.
+/// Bounded buffer of a host's latest events.
 #[derive(Debug)]
 pub struct Ring {
     host: host::Id,
@@ -41,7 +41,7 @@
 }
 
 impl Ring {
-    /// A ring of the usual size.
+    /// Returns a ring of the default capacity for one run of a host.
     pub fn new(host: host::Id, incarnation: host::Incarnation, clock: Clock) -> Ring {
         Ring {
             host,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Holds this many events of one class, at least one.
+    /// Sets the capacity for events of one class; at least one.
     #[must_use]
     pub fn capacity(mut self, class: Class, events: usize) -> Ring {
         match class {
@@ -63,12 +63,12 @@
         self
     }
 
-    /// The clock that stamps its events.
+    /// Returns the clock that stamps the events.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Stamps an event and keeps it, in place of the oldest of its class when that is full.
+    /// Stamps and stores an event. If the queue of its class is full, the oldest event is dropped.
     pub fn record(&self, event: Event) -> Stamp {
         let class = event.kind.class();
         let mut queues = self.lock();
@@ -86,7 +86,7 @@
         at
     }
 
-    /// The events that it holds, in order.
+    /// Returns the stored events in order of their sequence numbers.
     pub fn records(&self) -> Vec<Record> {
         let queues = self.lock();
         let mut records: Vec<Record> =
@@ -96,18 +96,18 @@
         records
     }
 
-    /// How many events were dropped to make room.
+    /// Returns the number of events dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.lock().dropped
     }
 
     fn lock(&self) -> MutexGuard<'_, Queues> {
-        // A panic elsewhere can't leave a queue half changed.
+        // A panic while the lock is held can't leave a queue in an inconsistent state.
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Adds a record and returns how many were dropped for it.
+/// Appends a record and returns how many were dropped to make room: 0 or 1.
 fn push(queue: &mut VecDeque<Record>, record: Record, capacity: usize) -> u64 {
     let full = capacity <= queue.len();
     if full {
