--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -1,16 +1,17 @@
-//! What a host decided and believed, as lines that explain a failure afterwards.
+//! Log lines that record a host's decisions and its state, so that failures can be explained later.
 //!
-//! Two sorts of lines. A [`Step`] belongs to one request: what decided it, how old that was, what
-//! came of it. A [`Belief`] is what the process holds for true: the declaration in force, a
-//! server's standing, a lease. Each line names its host, its run and its time, so that the lines of
-//! all hosts can be joined by a request's id alone.
+//! There are two kinds of lines. A [`Step`] belongs to one request: a decision, the values that it
+//! was based on with their ages, or its result. A [`Belief`] is a change in what the host takes to
+//! be true: the declaration in force, the state of a server, a lease. Each line names its host, the
+//! run of that host and the time, so that the lines of all hosts can be joined by a request's id
+//! alone.
 //!
-//! A request that goes well costs one line. Its steps are kept in its [`Request`] and made into
-//! lines only if it is refused, fails, is late, is cut or is tried again; at level `debug` they are
-//! written as they come. Repeated requests of a route that go well are [sampled](sample).
+//! A successful request costs one line. Its steps are buffered in its [`Request`] and written only
+//! if it is refused, fails, is late, is truncated or needs a further attempt; at level `debug` they
+//! are written immediately. Successful requests of a route are [sampled](sample) if there are many.
 //!
-//! A [`Logger`] tells for one host. A process that is one host installs its own with [`install`],
-//! and calls [`belief`] and [`Request::new`].
+//! A [`Logger`] writes the lines of one host. A process that runs a single host installs its logger
+//! with [`install`], and calls [`belief`] and [`Request::new`].
 
 mod belief;
 pub mod explanation;
@@ -36,34 +37,34 @@
 pub use crate::event::Text;
 use crate::log::Dropped;
 
-/// Target of lines about one request.
+/// Log target of lines about a single request.
 pub const REQUEST: &str = "story::request";
 
-/// Target of lines about what is believed, but for plans.
+/// Log target of beliefs, except plans.
 pub const BELIEF: &str = "story::belief";
 
-/// Target of lines about what decides all others.
+/// Log target of plans: beliefs for which [`Belief::is_plan`] holds.
 pub const PLAN: &str = "story::plan";
 
 static LOGGER: OnceLock<Logger> = OnceLock::new();
 
-/// Makes this the process's logger; the first one stays.
+/// Installs the process's logger. Later calls have no effect.
 pub fn install(logger: Logger) {
-    // Later ones are of further hosts in one process, which tests have; they tell by themselves.
+    // Later loggers belong to further hosts in one process, as in tests, which use them directly.
     let _ = LOGGER.set(logger);
 }
 
-/// The process's logger; names no host before one is installed.
+/// Returns the process's logger; until one is installed, a logger without a host's name.
 pub fn logger() -> Logger {
     LOGGER.get().cloned().unwrap_or_default()
 }
 
-/// Tells what the process now believes.
+/// Logs a belief with the process's logger.
 pub fn belief(belief: Belief) {
     logger().belief(belief);
 }
 
-/// The line that tells what was left out.
+/// Formats the line about dropped records.
 pub(crate) fn dropped(dropped: Dropped) -> String {
     let Dropped { full, ceiling, plans } = dropped;
     logger().text(&Belief::Dropped { full, ceiling, plans })
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -1,4 +1,4 @@
-//! What a process holds for true.
+//! Beliefs: what a process takes to be true about itself and the system.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,179 +13,180 @@
 use super::text::{maybe, millis};
 use crate::event::Text;
 
-/// A change of what the process holds for true.
+/// A change in what the process takes to be true, with the reason for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Belief {
-    /// The process runs.
+    /// The process has started.
     Start {
         /// The program's version.
         program: Text,
         /// The settings in force, without secrets.
         settings: serde_json::Value,
     },
-    /// The settings were read anew.
+    /// The settings were reloaded.
     Reload {
         /// The settings in force, without secrets.
         settings: serde_json::Value,
     },
-    /// The process is about to end.
+    /// The process is about to stop.
     Stop {
-        /// Why.
+        /// Reason for the stop.
         why: Text,
     },
-    /// A declaration is in force here.
+    /// A declaration has come into force on this host.
     Declaration {
-        /// Its number.
+        /// Number of the declaration.
         version: Version,
-        /// From where it was heard.
+        /// Where the declaration was received from.
         from: Source,
     },
-    /// A server's standing changed.
+    /// The state of a server changed.
     Server {
-        /// This run of the server's process.
+        /// The run of the server's process.
         server: backend::Id,
-        /// Its new standing.
+        /// The new state.
         standing: ServerStanding,
-        /// From where that was heard.
+        /// Where the information was received from.
         from: Source,
-        /// Its service.
+        /// The server's service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         service: Option<service::Id>,
-        /// Where it listens.
+        /// The address that the server listens on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         address: Option<SocketAddr>,
-        /// What spoke for it.
+        /// Evidence for the new state.
         why: Text,
     },
-    /// Another host's standing changed.
+    /// The state of another host changed.
     Peer {
-        /// The host.
+        /// The other host.
         peer: host::Id,
-        /// Its new standing.
+        /// The new state.
         standing: PeerStanding,
     },
-    /// What became of a lease.
+    /// The state of a lease changed.
     Lease {
-        /// What it is for.
+        /// Name of the duty that the lease is for.
         duty: Text,
-        /// What became of it.
+        /// The new state.
         state: LeaseState,
-        /// Its fencing number: its term.
+        /// Term of the lease, which is its fencing number.
         fence: Fence,
-        /// How long this host may still act under it.
+        /// Time for which this host may still act under the lease.
         #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
         left: Option<Duration>,
-        /// Why.
+        /// Reason for the change.
         why: Text,
     },
-    /// What the planner wants and can't order yet.
+    /// A model or adapter that the planner wants to load but can't order yet.
     Wish {
-        /// Which model.
+        /// The wanted model, or the base model of the adapter.
         model: model::Id,
-        /// Which adapter of it.
+        /// The wanted adapter.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<adapter::Id>,
-        /// Servers that hold it now.
+        /// Number of servers on which it is loaded.
         replicas: u32,
-        /// For how long it has been wanted.
+        /// Time for which it has been wanted.
         #[serde(with = "millis")]
         since: Duration,
-        /// What it waits for: a stable word.
+        /// Stable identifier of the obstacle.
         why: Text,
     },
-    /// What the planner wants, and why.
+    /// An order that the planner has decided on.
     Placement {
-        /// Where.
+        /// The server that the order is for.
         server: backend::Id,
-        /// What: a stable word.
+        /// Stable identifier of the action.
         action: Text,
-        /// Which model.
+        /// The model, or the base model of the adapter.
         model: model::Id,
-        /// Which adapter of it.
+        /// The adapter, if the order is for one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<adapter::Id>,
-        /// Demand for it, in requests a second; none if the planner doesn't say.
+        /// Demand in requests per second; `None` if the planner does not report it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         demand: Option<f64>,
-        /// Servers that hold it now.
+        /// Number of servers on which it is loaded.
         replicas: u32,
-        /// Why: a stable word.
+        /// Stable identifier of the reason.
         why: Text,
     },
-    /// An order was sent to a server and answered, or not.
+    /// An order was sent to a server, and was answered or timed out.
     Order {
-        /// Where.
+        /// The server that the order was sent to.
         server: backend::Id,
-        /// What: a stable word.
+        /// Stable identifier of the action.
         action: Text,
-        /// Which model.
+        /// The model, or the base model of the adapter.
         model: model::Id,
-        /// Which adapter of it.
+        /// The adapter, if the order is for one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<adapter::Id>,
-        /// The sender's term.
+        /// Term of the lease that the order was sent under.
         fence: Fence,
-        /// Orders that the server was expected to have accepted.
+        /// Number of orders that the server was expected to have accepted before.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         expected: Option<Sequence>,
-        /// What it answered.
+        /// The server's response.
         answer: Answer,
-        /// How long the answer took.
+        /// Time until the response.
         #[serde(with = "millis")]
         took: Duration,
     },
-    /// The rate at which a server takes requests from all hosts together changed.
+    /// A server's limit on the rate of requests from all hosts together changed.
     Limit {
-        /// The server that names it.
+        /// The server that states the limit.
         server: backend::Id,
-        /// Requests a second until now; none without a limit.
+        /// Previous limit in requests per second; `None` for no limit.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         before: Option<f64>,
-        /// Requests a second from now on; none without a limit.
+        /// New limit in requests per second; `None` for no limit.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         now: Option<f64>,
-        /// Whose news it is.
+        /// Where the information was received from.
         from: Source,
     },
-    /// What is thought of a request that was at servers which crashed.
+    /// The state of a request fingerprint in the quarantine for requests that crash servers
+    /// changed.
     Poison {
-        /// The fingerprint of such requests.
+        /// Fingerprint of the requests.
         fingerprint: Text,
-        /// How sure that is.
+        /// The new state.
         state: PoisonState,
-        /// Servers that crashed.
+        /// Number of observed crashes.
         crashes: u32,
         /// The server that crashed last.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         server: Option<backend::Id>,
-        /// What is known of each crash.
+        /// The observed crashes.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         evidence: Vec<ObservedCrash>,
     },
-    /// Something that the process relies on was lost or is back.
+    /// A dependency of the process became unavailable or available again.
     Dependency {
-        /// What: a stable word.
+        /// Stable name of the dependency.
         name: Text,
-        /// What became of it.
+        /// The new state.
         state: DependencyState,
-        /// Why, in words.
+        /// Description of the cause.
         why: Text,
     },
-    /// Records were left out of the log since the last such line.
+    /// Records were dropped from the log since the last line of this kind.
     Dropped {
-        /// Because the queue was full.
+        /// Number of records dropped because the queue was full.
         full: u64,
-        /// Because the ceiling was reached.
+        /// Number of records dropped because the rate limit was reached.
         ceiling: u64,
-        /// Those of all these that told of plans.
+        /// Number of dropped records that were about plans.
         #[serde(default, skip_serializing_if = "is_none")]
         plans: u64,
     },
 }
 
 impl Belief {
-    /// The server that it is about.
+    /// Returns the server that the belief is about, if any.
     pub fn server(&self) -> Option<&backend::Id> {
         match self {
             Belief::Server { server, .. }
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Whether it is about what decides all others: it goes before the rest.
+    /// Returns whether the belief is a plan. Plans explain all other lines, and are the last to be
+    /// dropped from the log.
     pub fn is_plan(&self) -> bool {
         match self {
             Belief::Start { .. }
@@ -217,7 +219,7 @@
         }
     }
 
-    /// The term that it belongs to.
+    /// Returns the term of the lease that the belief belongs to, if any.
     pub fn fence(&self) -> Option<Fence> {
         match self {
             Belief::Lease { fence, .. } | Belief::Order { fence, .. } => Some(*fence),
@@ -231,7 +233,7 @@
     *count == 0
 }
 
-/// From where something was heard.
+/// Where a piece of information was received from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
@@ -239,104 +241,105 @@
     Store,
     /// Another host.
     Peer(host::Id),
-    /// What it is about itself, in an answer or by its silence.
+    /// The subject itself, by a response or by the lack of one.
     Itself,
 }
 
-/// What a server is taken for.
+/// State of a server, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerStanding {
-    /// New, and takes work.
+    /// Newly registered, and accepts work.
     Seen,
     /// About to stop.
     Leaving,
-    /// No longer there.
+    /// Removed.
     Gone,
-    /// Not trusted for now.
+    /// Suspected to have failed.
     Suspected,
-    /// Trusted again.
+    /// No longer suspected.
     Back,
 }
 
-/// What another host is taken for.
+/// State of another host, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerStanding {
-    /// It talks.
+    /// Messages from it are received.
     Seen,
-    /// It doesn't.
+    /// No messages from it are received.
     Silent,
 }
 
-/// What became of a lease.
+/// State of a lease, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseState {
-    /// This host holds it.
+    /// This host has acquired the lease.
     Gained,
     /// Renewed, but later than planned.
     RenewedLate,
-    /// It lapsed, or another host holds it.
+    /// The lease expired, or another host acquired it.
     Lost,
-    /// Given back.
+    /// This host has released the lease.
     Released,
 }
 
-/// What a server answered to an order.
+/// Response of a server to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// It holds already.
+    /// The requested state holds already.
     Holds,
-    /// Another order is under way, or more were accepted than expected.
+    /// Another order is in progress, or the server has accepted more orders than expected.
     Conflict,
-    /// A higher term was seen.
+    /// The server has seen a higher term.
     Stale,
-    /// Another run of the server.
+    /// The order reached another run of the server.
     OtherRun,
-    /// It can't be carried out.
+    /// The order can't be carried out.
     Rejected,
-    /// None came: it may be carried out, also later.
+    /// No response was received; the order may have been carried out, or may still be.
     None,
 }
 
-/// How sure it is that requests crash servers.
+/// State of a request fingerprint in the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoisonState {
-    /// One was running when a server crashed.
+    /// Such a request was running when a server crashed.
     Suspected,
-    /// So often that it is refused.
+    /// So many crashes count that such requests are refused.
     Confirmed,
-    /// Too few of the crashes still count for a doubt.
+    /// Too few crashes count any longer to suspect such requests.
     Cleared,
 }
 
-/// A crash of a server that a request was at.
+/// A crash of a server while it was running a request of the fingerprint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedCrash {
-    /// The run of the server.
+    /// The run of the server that crashed.
     pub server: backend::Id,
-    /// The host that saw it.
+    /// The host that observed the crash.
     pub witness: host::Id,
-    /// Whether other requests were there too: a stable word.
+    /// Stable identifier for whether other requests were running there too.
     pub role: Text,
-    /// Whether it counts: not if the server answered later, or the request ended whole.
+    /// Whether the crash counts. It does not if the server responded later, or if the request was
+    /// completed.
     pub counts: bool,
-    /// Time since it was seen.
+    /// Time since it was observed.
     #[serde(rename = "age_ms", with = "types::time::millis")]
     pub age: Duration,
 }
 
-/// What became of something that the process relies on.
+/// Availability of a dependency of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DependencyState {
-    /// It doesn't answer.
+    /// The dependency does not respond.
     Lost,
-    /// It answers again.
+    /// The dependency responds again.
     Regained,
 }
--- a/crates/observe/src/story/explanation.rs
+++ b/crates/observe/src/story/explanation.rs
@@ -1,10 +1,10 @@
-//! What is told of one request, server, declaration or term, out of all hosts' lines.
+//! Explanation of one request, server, declaration or term, selected from all hosts' lines.
 //!
-//! Lines of all hosts are put in the order of their stamps. Those that are about what is asked for
-//! are taken, and before each decision among them the lines that say what its host believed then:
-//! the declaration in force, the server's standing and limits, the last order to it and the lease
-//! that the order was sent under, what was out of reach. So a reader sees what a decision rested
-//! on, not only what it was.
+//! The lines of all hosts are sorted by their stamps. Selected are the lines about the subject of
+//! the query and, for each decision among them, the lines with the beliefs that its host held at
+//! that time: the declaration in force, the state and the limits of the server, the last order to
+//! it and the lease that the order was sent under, and unavailable dependencies. Readers thus see
+//! what a decision was based on as well as the decision itself.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -18,70 +18,70 @@
 };
 use crate::{clock::Stamp, event::Text};
 
-/// How long after a story's end lines that were left out are still told of: batches are written
-/// late. Stamps count seconds in their upper half.
+/// Time after the last queried line of a run in which lines about dropped records are included,
+/// since they are written at the end of a later batch. Stamps count seconds in their upper 32 bits.
 const DROPPED_REPORT_DELAY: u64 = 2 << 32;
 
-/// How long a planner's wish explains a refusal; it is told again sooner.
+/// Time for which a planner's wish explains a refusal; a persisting wish is logged again sooner.
 const WISH_VALIDITY: u64 = 3 << 32;
 
-/// What is asked for.
+/// Subject of an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// A request.
+    /// A request, by its id.
     Request(request::Id),
-    /// A run of a server.
+    /// A run of a server, by its id.
     Server(backend::Id),
-    /// A declaration.
+    /// A declaration, by its number.
     Version(Version),
-    /// A term of a lease.
+    /// A term of a lease, by its fencing number.
     Term(Fence),
 }
 
-/// Why a line is part of the tale.
+/// Reason for which a line is part of an explanation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// It is about what is asked for.
+    /// The line is about the subject of the query.
     #[serde(rename = "asked")]
     Queried,
-    /// A decision rested on it.
+    /// A decision was based on what the line states.
     #[serde(rename = "believed")]
     Context,
 }
 
-/// A line of the tale.
+/// A line of an explanation.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
-    /// Why it is here.
+    /// Reason for which the line was selected.
     #[serde(rename = "part")]
     pub reason: Reason,
-    /// The line.
+    /// The line as logged by its host.
     #[serde(flatten)]
     pub line: Line,
 }
 
-/// Lines that may be told.
+/// Builder of an explanation, which collects the lines that may be part of it.
 #[derive(Debug)]
 pub struct Explanation {
     query: Query,
     lines: Vec<Line>,
     seen_runs: HashSet<Run>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub bad: u64,
-    /// Lines of another sort, such as messages in words.
+    /// Number of lines of another kind, such as log messages.
     pub other: u64,
 }
 
 type Run = (host::Id, host::Incarnation);
 
 impl Explanation {
-    /// A tale of this, without lines yet.
+    /// Returns an explanation without lines.
     pub fn of(query: Query) -> Explanation {
         Explanation { query, lines: Vec::new(), seen_runs: HashSet::new(), bad: 0, other: 0 }
     }
 
-    /// Adds a line of a host's log, in any order.
+    /// Adds a line of a host's log. Lines may be added in any order.
     pub fn add(&mut self, text: &str) {
         if text.trim().is_empty() {
             return;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The tale, in order; each line once.
+    /// Returns the selected lines in order, without duplicates.
     pub fn entries(mut self) -> Vec<Entry> {
         self.lines.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
         self.lines.dedup();
@@ -114,12 +114,13 @@
         lines.filter_map(|(index, line)| Some(Entry { reason: reason(index)?, line })).collect()
     }
 
-    /// Beliefs are few and any of them may matter; steps are many.
+    /// Returns whether a line may become part of the explanation. All beliefs are kept, since they
+    /// are few and any may be the context of a decision; of the many steps, only those queried are.
     fn is_relevant(&mut self, line: &Line) -> bool {
         let Content::Step(step) = &line.content else { return true };
         match &self.query {
             Query::Version(version) => {
-                // One request of each run shows that the declaration was used there.
+                // One request per run suffices to show that the declaration was used there.
                 step.version() == Some(*version)
                     && self.seen_runs.insert((line.host.clone(), line.run))
             }
@@ -128,7 +129,7 @@
     }
 }
 
-/// What the order of lines is by.
+/// Key for the order of lines.
 fn sort_key(line: &Line) -> (Stamp, &host::Id, host::Incarnation) {
     (line.time.at, &line.host, line.run)
 }
@@ -148,7 +149,7 @@
     }
 }
 
-/// What a later line of the same key takes the place of.
+/// Subject of a belief; a later line with the same key replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Key {
     Start(Run),
@@ -168,19 +169,19 @@
     queried: BTreeSet<usize>,
     context: BTreeSet<usize>,
     last: HashMap<Key, usize>,
-    /// Fences of the orders that were seen, by line.
+    /// Fencing numbers of orders, by the index of the order's line.
     fences: HashMap<usize, Fence>,
-    /// What is out of reach, by run.
+    /// Dependencies that are unavailable and fingerprints under suspicion, by run.
     unavailable: HashSet<Key>,
-    /// Servers that name a limit, by run.
+    /// Servers with a limit, by run.
     limited: HashSet<Key>,
-    /// Servers that have the request now.
+    /// Servers that the request has been sent to.
     in_use: HashSet<backend::Id>,
-    /// Who holds the term that is asked for.
+    /// The run that holds the queried term.
     holder: Option<Run>,
-    /// When each wish was told last.
+    /// Stamp of the latest line about each wish.
     wishes: HashMap<Key, Stamp>,
-    /// What the request asks for.
+    /// The wish for the model and adapter that the request needs.
     wanted_wish: Option<Key>,
 }
 
@@ -205,7 +206,7 @@
         }
     }
 
-    /// A decision of the tale: what it rested on is told too.
+    /// Includes the lines that a selected decision was based on.
     fn include_basis(&mut self, run: &Run, step: &Step) {
         self.include(&Key::Start(run.clone()));
         self.include(&Key::Declaration(run.clone()));
@@ -235,8 +236,8 @@
         keys.iter().for_each(|key| self.include(key));
     }
 
-    /// A request that found no place: what the planner wanted for it and couldn't give, on
-    /// whichever host it ran.
+    /// Includes the planner's wish for the model if the request was queued or refused, whichever
+    /// host the planner ran on.
     fn update_wish(&mut self, step: &Step, at: Stamp) {
         match step {
             Step::Arrived(arrival) => {
@@ -267,7 +268,7 @@
 
     fn apply_belief(&mut self, query: &Query, index: usize, run: Run, belief: &Belief) {
         if belief.server().is_some_and(|server| self.in_use.contains(server)) {
-            // What became of a server while it had the request.
+            // A change of a server's state while the request was at that server.
             self.context.insert(index);
         }
         match belief {
@@ -345,7 +346,7 @@
         self.last.insert(key, index);
     }
 
-    /// Tells that lines may be missing from the tale.
+    /// Includes the lines about dropped records, which show that the explanation may be incomplete.
     fn include_dropped(&mut self, lines: &[Line]) {
         let mut spans: HashMap<Run, (u64, u64)> = HashMap::new();
         for line in self.queried.iter().map(|&index| &lines[index]) {
--- a/crates/observe/src/story/line.rs
+++ b/crates/observe/src/story/line.rs
@@ -1,4 +1,4 @@
-//! One line of a story, written and read.
+//! Format of one line of a story.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,59 +8,59 @@
 use super::{belief::Belief, step::Step, text::millis};
 use crate::clock::Stamp;
 
-/// When something was told.
+/// Time of a line by three clocks.
 ///
-/// The stamp orders lines of all hosts, also while a time of day jumps; the steady time measures
-/// pauses on one host; the time of day is what people compare with.
+/// The stamp orders the lines of all hosts, even if a wall clock jumps. The monotonic time measures
+/// intervals on one host. The wall time is for comparison with other sources.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Time {
-    /// By the hybrid logical clock.
+    /// Stamp of the hybrid logical clock.
     pub at: Stamp,
-    /// By the steady clock, since the run began.
+    /// Monotonic time since the start of the run.
     #[serde(with = "millis")]
     pub up: Moment,
-    /// By the time of day, since 1970.
+    /// Wall time since 1970.
     #[serde(with = "millis")]
     pub wall: Duration,
 }
 
 impl Time {
-    /// The time of day now, with the stamp and the steady time given.
+    /// Returns the given stamp and monotonic time with the current wall time.
     pub fn now(at: Stamp, up: Moment) -> Time {
         let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Time { at, up, wall }
     }
 }
 
-/// What a line says.
+/// Content of a line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Content {
-    /// Of a request.
+    /// A step of a request.
     Step(Step),
-    /// Of what the process believes.
+    /// A belief of the process.
     Belief(Belief),
 }
 
-/// A line as it is read.
+/// A parsed line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When.
+    /// Time at which the line was logged; for the steps of a request, the time of the step.
     #[serde(flatten)]
     pub time: Time,
-    /// The host that tells it.
+    /// The host that logged the line.
     pub host: host::Id,
     /// The run of that host's process.
     pub run: host::Incarnation,
-    /// The request that it is about.
+    /// The request that a step belongs to; `None` for a belief.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<request::Id>,
-    /// What it says.
+    /// The step or belief.
     #[serde(flatten)]
     pub content: Content,
 }
 
-/// A line as it is written: the same fields, borrowed.
+/// A line to be written: the fields of [`Line`], borrowed.
 #[derive(Serialize)]
 pub(crate) struct LineRef<'a, T> {
     pub(crate) at: Stamp,
@@ -76,21 +76,21 @@
     pub(crate) content: &'a T,
 }
 
-/// Why a line is no story's.
+/// Reason for which a line of the log is not a line of a story.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Skipped {
-    /// It can't be read, or is cut.
+    /// It can't be parsed, for example because it is truncated.
     Bad,
-    /// It is an object of another sort, such as a message in words.
+    /// It is a JSON object of another kind, such as a log message.
     Other,
 }
 
-/// Reads a line. What stands before the object, such as a name and a time that a collector puts
-/// there, is passed over.
+/// Parses a line. Text before the JSON object, such as a name and a time added by a log collector,
+/// is skipped.
 ///
 /// # Errors
 ///
-/// The line is no story's.
+/// The line is not a line of a story.
 pub fn read(line: &str) -> Result<Line, Skipped> {
     let start = line.find('{').ok_or(Skipped::Bad)?;
     let text = line[start..].trim_end();
@@ -100,7 +100,7 @@
     })
 }
 
-/// An object of any sort.
+/// Any JSON object; lines of stories have a `kind`.
 #[derive(Deserialize)]
 struct Other {
     kind: Option<String>,
--- a/crates/observe/src/story/logger.rs
+++ b/crates/observe/src/story/logger.rs
@@ -1,4 +1,4 @@
-//! Tells one host's lines to a log.
+//! Logger of one host's lines.
 
 use std::{
     fmt,
@@ -22,16 +22,16 @@
 };
 use crate::clock::Clock;
 
-/// Where a logger's lines go.
+/// Destination of a logger's lines.
 #[derive(Clone)]
 pub enum Output {
-    /// To the process's log, at its level.
+    /// The process's log, with its level.
     Process,
-    /// To a log of the logger's own, at this level.
+    /// Another log, with this level.
     Custom(Arc<dyn Log>, LevelFilter),
 }
 
-/// Tells the lines of one host; a clone tells for the same.
+/// Logs the lines of one run of a host; clones share the clock and the sampling.
 #[derive(Clone)]
 pub struct Logger(Arc<Inner>);
 
@@ -45,18 +45,19 @@
 }
 
 impl Logger {
-    /// Tells for this run of a host. The clock is the one that peers' stamps are shown to.
+    /// Returns a logger for one run of a host. The clock must be the one that observes peers'
+    /// stamps.
     pub fn new(host: host::Id, run: host::Incarnation, clock: Clock, output: Output) -> Logger {
         let sampler = Mutex::default();
         Logger(Arc::new(Inner { host, run, clock, origin: Instant::now(), output, sampler }))
     }
 
-    /// Begins a request's story.
+    /// Begins the story of a request.
     pub fn request(&self, id: request::Id) -> Request {
         Request::with_logger(self.clone(), id)
     }
 
-    /// Tells what the host now believes.
+    /// Logs a belief of the host.
     pub fn belief(&self, belief: Belief) {
         let level = level(&belief);
         if self.wants(level) {
@@ -76,18 +77,19 @@
         Time::now(self.0.clock.stamp(), self.0.origin.elapsed())
     }
 
-    /// How many requests that went well one line of this route stands for, if there is to be one.
+    /// Counts a successful request of a route. Returns the number of requests that its line stands
+    /// for; `None` if it gets no line.
     pub(super) fn sample(&self, route: &str) -> Option<u32> {
         let mut sampler = self.0.sampler.lock().unwrap_or_else(PoisonError::into_inner);
         sampler.weigh(self.0.origin.elapsed(), route)
     }
 
-    /// Tells some steps of a request as one record: all of them are written, or none.
+    /// Logs steps of a request as one record: either all of them are written or none.
     pub(super) fn steps(&self, level: Level, id: &request::Id, steps: &[(Time, Step)]) {
         self.write(level, REQUEST, &Steps { logger: self, id, steps });
     }
 
-    /// The text of a line about now.
+    /// Formats a line with the current time.
     pub(crate) fn text(&self, belief: &Belief) -> String {
         self.line(&self.now(), None, belief).to_string()
     }
@@ -102,7 +104,8 @@
         LineRef { at, up, wall, host: &self.0.host, run: self.0.run, request, content }
     }
 
-    /// The log asks for the text only if it has room for it.
+    /// Passes the text to the log unformatted, so that it is formatted only if there is room for
+    /// it.
     fn write(&self, level: Level, target: &str, text: &dyn fmt::Display) {
         let logger = match &self.0.output {
             Output::Process => log::logger(),
@@ -150,7 +153,8 @@
     }
 }
 
-/// What on-call should look at stands above what goes as planned.
+/// Returns the level of a belief: `warn` for what operators on call should look at, `info` for
+/// normal operation.
 fn level(belief: &Belief) -> Level {
     match belief {
         Belief::Start { .. }
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -1,4 +1,4 @@
-//! One request's story, kept until it is known whether anybody will ask for it.
+//! Story of one request, buffered until its outcome decides whether it is logged.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
 };
 use crate::event::Text;
 
-/// Steps that are kept of one request; further ones are counted.
+/// Maximum number of buffered steps of one request; further steps are only counted.
 const MAX_STEPS: usize = 64;
 
-/// Steps that most requests have.
+/// Initial capacity for steps, which is enough for most requests.
 const INITIAL_CAPACITY: usize = 4;
 
-/// A request's story. One that is dropped before its end tells that the caller went away.
+/// Story of a request. If it is dropped before [`Request::end`], the request is logged as closed by
+/// the caller.
 #[derive(Debug)]
-#[must_use = "a story that is dropped at once tells that the caller went away"]
+#[must_use = "a story that is dropped at once is logged as closed by the caller"]
 pub struct Request {
     logger: Logger,
     id: request::Id,
@@ -39,25 +40,25 @@
     Ended,
 }
 
-/// How a request ended, as its caller saw it.
+/// End of a request, as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// How.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The status that the caller got.
+    /// HTTP status that the caller received.
     pub status: Option<u16>,
-    /// Why: a stable word; needed unless it went well.
+    /// Stable identifier of the reason; required unless the request was successful.
     pub why: Option<Text>,
-    /// Time to the first event, or to the answer's head.
+    /// Time to the first event, or to the head of the response.
     pub first: Option<Duration>,
-    /// Events that the caller got.
+    /// Number of events that the caller received.
     pub events: u32,
-    /// Time from the first byte to the last.
+    /// Time from the receipt of the request to the last byte of the response.
     pub whole: Duration,
 }
 
 impl Request {
-    /// Begins a request's story, to be told by the process's logger.
+    /// Begins the story of a request with the process's logger.
     pub fn new(id: request::Id) -> Request {
         super::logger().request(id)
     }
@@ -77,12 +78,12 @@
         }
     }
 
-    /// The request's id.
+    /// Returns the request's id.
     pub fn id(&self) -> &request::Id {
         &self.id
     }
 
-    /// Adds a step.
+    /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise.
     pub fn record(&mut self, step: Step) {
         if !self.logger.wants(Level::Warn) {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Ends the story.
+    /// Ends the story and logs it, unless the request was successful and is not sampled.
     pub fn end(mut self, end: End) {
         self.finish(end);
     }
--- a/crates/observe/src/story/sample.rs
+++ b/crates/observe/src/story/sample.rs
@@ -1,21 +1,22 @@
-//! Which requests that went well get a line.
+//! Sampling of the lines of successful requests.
 //!
-//! The first [`WHOLE`] of a route in a second get one each, of the others every [`EVERY`]th, which
-//! says how many it stands for. Routes that share a slot share its count, so that memory is fixed.
+//! In each second, the first [`UNSAMPLED`] requests of a route get a line each. After these every
+//! [`INTERVAL`]th gets one, which states how many requests it stands for. Routes whose hashes fall
+//! into the same slot share its count, so that memory is fixed.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use types::time::Moment;
 
-/// Requests of a route that get a line each, in a second.
+/// Number of requests of a route per second that get a line each.
 pub const UNSAMPLED: u32 = 10;
 
-/// Of the others, each how manyth gets one.
+/// Number of further requests that one line stands for.
 pub const INTERVAL: u32 = 16;
 
 const SLOTS: usize = 64;
 
-/// What was seen in the second that runs.
+/// Counts of successful requests in the current second, by slot.
 #[derive(Clone, Debug)]
 pub struct Sampler {
     second: u64,
@@ -23,7 +24,8 @@
 }
 
 impl Sampler {
-    /// How many requests the line of this one is to stand for, if it gets a line.
+    /// Counts a request. Returns the number of requests that its line stands for; `None` if it gets
+    /// no line.
     pub fn weigh(&mut self, now: Moment, route: &str) -> Option<u32> {
         if now.as_secs() != self.second {
             *self = Sampler { second: now.as_secs(), ..Sampler::default() };
--- a/crates/observe/src/story/step.rs
+++ b/crates/observe/src/story/step.rs
@@ -1,4 +1,4 @@
-//! The steps of one request.
+//! Steps in the handling of one request.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,60 +12,60 @@
 use super::text::{maybe, millis};
 use crate::event::Text;
 
-/// What was decided about a request.
+/// A step in the handling of a request: a decision or its result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Step {
-    /// It was read and its route found.
+    /// The request was received and its route found.
     Arrived(Arrival),
-    /// It waits.
+    /// The request was queued.
     Queued {
-        /// For what.
+        /// Stable identifier of what it waits for.
         why: Text,
-        /// What decided it.
+        /// Values that the decision was based on.
         inputs: Vec<Input>,
     },
-    /// It is refused; no byte of it can have reached a server.
+    /// The request was refused; no byte of it can have reached a server.
     Refused {
-        /// Why.
+        /// Stable identifier of the cause.
         why: Text,
-        /// What decided it.
+        /// Values that the decision was based on.
         inputs: Vec<Input>,
-        /// When the caller is told to come back.
+        /// Time after which the caller is asked to retry.
         #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
         again: Option<Duration>,
     },
-    /// It is sent to a server.
+    /// The request is sent to a server.
     Attempt(Attempt),
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded {
-        /// Which.
+        /// Number of the attempt, from one.
         attempt: u32,
-        /// Where it was sent.
+        /// The server that the request was sent to.
         server: backend::Id,
-        /// How it ended: a stable word.
+        /// Stable identifier of the outcome.
         outcome: Text,
-        /// The server's status, if it gave one.
+        /// HTTP status of the server's response, if there was one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         status: Option<u16>,
-        /// Whether it ran there.
+        /// Whether the server may have executed the request.
         ran: Ran,
     },
-    /// A stream goes on at another server.
+    /// A stream is resumed on another server.
     Resumed {
-        /// The attempt that goes on.
+        /// Number of the attempt that resumes it, from one.
         attempt: u32,
-        /// Where.
+        /// The server that resumes it.
         server: backend::Id,
-        /// Last event that the caller had.
+        /// Number of the last event that the caller has received.
         after: u64,
     },
-    /// It is over.
+    /// The request ended.
     Ended(Ended),
 }
 
 impl Step {
-    /// The declaration that was in force.
+    /// Returns the number of the declaration in force, if the step states it.
     pub fn version(&self) -> Option<Version> {
         match self {
             Step::Arrived(arrival) => Some(arrival.version),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether it is about this server, or weighed it.
+    /// Returns whether the step is about this server, or considered it as a candidate.
     pub fn mentions(&self, id: &backend::Id) -> bool {
         match self {
             Step::Attempt(attempt) => {
@@ -91,147 +91,148 @@
     }
 }
 
-/// A request as it was read.
+/// A request as it was received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its route.
+    /// The request's route.
     pub route: RouteId,
-    /// The declaration in force.
+    /// Number of the declaration in force.
     pub version: Version,
-    /// The model that it asks for.
+    /// The requested model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<model::Id>,
-    /// The adapter that it asks for.
+    /// The requested adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<adapter::Id>,
-    /// What may be repeated.
+    /// Whether the request may be executed more than once.
     pub repeat: Kind,
-    /// Time left to it.
+    /// Time until the request's deadline.
     #[serde(with = "millis")]
     pub deadline: Duration,
 }
 
-/// A value that a decision rests on.
+/// A value that a decision was based on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Input {
-    /// What it is.
+    /// Stable name of the value.
     pub name: Text,
-    /// Its value.
+    /// The value at the time of the decision.
     pub value: f64,
-    /// How old it is; none if it is this host's own.
+    /// Age of the value; `None` if it is this host's own.
     #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
     pub age: Option<Duration>,
 }
 
 impl Input {
-    /// A value that is this host's own.
+    /// Returns a value of this host's own.
     pub fn own(name: &'static str, value: f64) -> Input {
         Input { name: Text::Borrowed(name), value, age: None }
     }
 
-    /// A value that was heard so long ago.
+    /// Returns a value that was received from elsewhere and has this age.
     pub fn received(name: &'static str, value: f64, age: Duration) -> Input {
         Input { age: Some(age), ..Input::own(name, value) }
     }
 }
 
-/// A server that a request could go to.
+/// A server that was considered for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The server.
+    /// The run of the server's process.
     pub server: backend::Id,
-    /// Expected time to the first event, or to the answer.
+    /// Estimated time to the first event, or to the response.
     #[serde(with = "millis")]
     pub estimate: Duration,
-    /// Age of the report that the estimate rests on; none if there was no report.
+    /// Age of the report that the estimate is based on; `None` if there was no report.
     #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
     pub age: Option<Duration>,
 }
 
-/// A request on its way to a server.
+/// An attempt to run a request on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Which it is, from one.
+    /// Number of the attempt, from one.
     pub attempt: u32,
-    /// This run of the server's process.
+    /// The run of the server's process.
     pub server: backend::Id,
-    /// Where it listens.
+    /// The address that the request is sent to.
     pub address: SocketAddr,
-    /// What is sent: a stable word.
+    /// Stable identifier of what is sent.
     pub sent: Text,
-    /// Why this server: a stable word.
+    /// Stable identifier of the reason for choosing the server.
     pub why: Text,
-    /// Expected time to the first event, or to the answer; none if nobody says.
+    /// Estimated time to the first event, or to the response; `None` if there is no estimate.
     #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
     pub estimate: Option<Duration>,
-    /// Time left, as the server is told.
+    /// Time until the deadline, as stated to the server.
     #[serde(with = "millis")]
     pub left: Duration,
-    /// The servers that it was chosen from.
+    /// The servers that were considered.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub candidates: Vec<Candidate>,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Whole and in time.
+    /// Answered completely and in time.
     Answered,
-    /// Whole, but past its goal or with too long a pause.
+    /// Answered completely, but past the latency objective or with too long a gap between events.
     Late,
-    /// Refused; it has not run.
+    /// Refused without being executed.
     Refused,
-    /// Failed, with a clear answer of a server.
+    /// Failed with an error response of a server.
     Failed,
-    /// It may have run; nobody knows.
+    /// Failed, and it is unknown whether it was executed.
     Unclear,
-    /// A stream that broke off midway.
+    /// A stream that ended before it was complete.
     Cut,
-    /// The caller went away.
+    /// The caller closed the connection.
     Left,
 }
 
-/// The one line of a request that went well, and the last of one that did not.
+/// Summary of a request: the only line of a successful request, and the last line of any other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// How.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The status that the caller got.
+    /// HTTP status that the caller received.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Why: a stable word.
+    /// Stable identifier of the reason, unless the request was successful.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub why: Option<Text>,
-    /// Its route, if that was found.
+    /// The request's route, if one was found.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub route: Option<RouteId>,
-    /// The declaration in force when it came.
+    /// Number of the declaration in force when the request was received.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
-    /// The model that it asked for.
+    /// The requested model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<model::Id>,
-    /// The adapter that it asked for.
+    /// The requested adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<adapter::Id>,
-    /// The last server that had it.
+    /// The last server that it was sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub server: Option<backend::Id>,
-    /// How often it was sent.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Time to the first event, or to the answer's head.
+    /// Time to the first event, or to the head of the response.
     #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
     pub first: Option<Duration>,
-    /// Events that the caller got.
+    /// Number of events that the caller received.
     pub events: u32,
-    /// Time from the first byte to the last.
+    /// Time from the receipt of the request to the last byte of the response.
     #[serde(with = "millis")]
     pub whole: Duration,
-    /// Steps that were too many to keep.
+    /// Number of steps that exceeded the buffer and were dropped.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lost: u32,
-    /// How many requests that went well the line stands for.
+    /// Number of successful requests that the line stands for, because of
+    /// [sampling](super::sample).
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub of: u32,
 }
--- a/crates/observe/src/story/text.rs
+++ b/crates/observe/src/story/text.rs
@@ -1,8 +1,8 @@
-//! How times stand in lines: whole milliseconds.
+//! Format of durations in lines: whole milliseconds.
 
 pub use types::time::millis;
 
-/// A time that may be missing.
+/// Serde format of an optional duration as whole milliseconds.
 pub mod maybe {
     use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
     use super::millis;
 
-    /// Writes whole milliseconds.
+    /// Serializes whole milliseconds, rounded down.
     pub fn serialize<S: Serializer>(value: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
         match value {
             Some(time) => millis::serialize(time, to),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Reads whole milliseconds.
+    /// Deserializes whole milliseconds.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Duration>, D::Error> {
         Ok(Option::<u64>::deserialize(from)?.map(Duration::from_millis))
     }
