--- a/crates/observe/tests/common/mod.rs
+++ b/crates/observe/tests/common/mod.rs
@@ -17,15 +17,15 @@
 
 /// Lines in memory; a clone shows the same.
 #[derive(Clone, Debug, Default)]
-pub struct Page(Arc<Mutex<String>>);
+pub struct MemoryLog(Arc<Mutex<String>>);
 
-impl Page {
+impl MemoryLog {
     pub fn text(&self) -> String {
         self.0.lock().unwrap().clone()
     }
 }
 
-impl Log for Page {
+impl Log for MemoryLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -37,8 +37,8 @@
     fn flush(&self) {}
 }
 
-pub fn logger(page: &Page, level: LevelFilter) -> Logger {
-    let output = Output::Custom(Arc::new(page.clone()), level);
+pub fn logger(log: &MemoryLog, level: LevelFilter) -> Logger {
+    let output = Output::Custom(Arc::new(log.clone()), level);
     Logger::new("host-0".into(), 7, Clock::system(), output)
 }
 
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -9,12 +9,12 @@
     story::{self, Belief, Content, Logger, Output, Skipped, Step, read},
 };
 
-const ASKED: &str = "TELL_ON_STANDARD_OUTPUT";
+const CHILD_VARIABLE: &str = "TELL_ON_STANDARD_OUTPUT";
 
 /// Tells, if the test below asks for it; nothing else runs in that process.
 #[test]
 fn tell() {
-    if std::env::var_os(ASKED).is_none() {
+    if std::env::var_os(CHILD_VARIABLE).is_none() {
         return;
     }
     Log::new().sink(Sink::StandardOutput(Bounds::default())).start().unwrap();
@@ -34,17 +34,18 @@
 
 #[test]
 fn lines_of_a_process_come_out_whole_in_order_and_at_the_level_of_the_moment() {
-    let mut again = Command::new(std::env::current_exe().unwrap());
-    let output = again.args(["--exact", "tell", "--nocapture"]).env(ASKED, "1").output().unwrap();
+    let mut command = Command::new(std::env::current_exe().unwrap());
+    let output =
+        command.args(["--exact", "tell", "--nocapture"]).env(CHILD_VARIABLE, "1").output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<_> = text.lines().filter(|line| line.starts_with('{')).map(read).collect();
 
-    let told = |at: usize| lines[at].clone().unwrap();
+    let line = |at: usize| lines[at].clone().unwrap();
     let stop = |why: &'static str| Content::Belief(Belief::Stop { why: why.into() });
     assert_eq!(lines.len(), 5, "{text}");
-    assert_eq!((&*told(0).host, told(0).content), ("host-0", stop("first")));
+    assert_eq!((&*line(0).host, line(0).content), ("host-0", stop("first")));
     assert_eq!(lines[1], Err(Skipped::Other));
-    assert!(matches!(told(2).content, Content::Step(Step::Queued { .. })));
-    assert!(matches!(told(3).content, Content::Step(Step::Ended(_))));
-    assert_eq!(told(4).content, stop("last"));
+    assert!(matches!(line(2).content, Content::Step(Step::Queued { .. })));
+    assert!(matches!(line(3).content, Content::Step(Step::Ended(_))));
+    assert_eq!(line(4).content, stop("last"));
 }
--- a/crates/observe/tests/routed.rs
+++ b/crates/observe/tests/routed.rs
@@ -15,7 +15,7 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-fn play(routed: &Routed) {
+fn record_all(routed: &Routed) {
     routed.request(Kind::Stream, Outcome::Late);
     routed.request(Kind::Stream, Outcome::Late);
     routed.request(Kind::NonIdempotent, Outcome::Unclear);
@@ -56,7 +56,7 @@
 #[case("budget_hosts", 6.0)]
 fn each_is_shown_by_its_labels(#[case] series: &str, #[case] expected: f64) {
     let metrics = Metrics::new().unwrap();
-    play(&metrics.routed());
+    record_all(&metrics.routed());
 
     let text = metrics.text().unwrap();
     assert_eq!(value(&text, &format!("cyclamenstage_routed_{series}")), Some(expected), "{text}");
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/story.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Page, arrival, attempt, end, logger};
+use common::{MemoryLog, arrival, attempt, end, logger};
 use log::LevelFilter::{self, Debug, Error, Info, Warn};
 use observe::story::{
     Belief, Candidate, Content, DependencyState, Input, Outcome, Skipped, Source, Step, read,
@@ -13,12 +13,12 @@
 use rstest::rstest;
 use types::request::Ran;
 
-fn kinds(page: &Page) -> Vec<String> {
+fn kinds(log: &MemoryLog) -> Vec<String> {
     let kind = |line: &str| {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
         value["kind"].as_str().unwrap().to_owned()
     };
-    page.text().lines().map(kind).collect()
+    log.text().lines().map(kind).collect()
 }
 
 #[rstest]
@@ -36,19 +36,19 @@
     #[case] attempts: u32,
     #[case] expected: Vec<&str>,
 ) {
-    let page = Page::default();
-    let mut story = logger(&page, level).request("r-1".into());
+    let log = MemoryLog::default();
+    let mut story = logger(&log, level).request("r-1".into());
     story.record(Step::Arrived(arrival("chat")));
     (1..=attempts).for_each(|number| story.record(Step::Attempt(attempt(number, "s-1"))));
     story.end(end(outcome));
 
-    assert_eq!(kinds(&page), expected);
+    assert_eq!(kinds(&log), expected);
 }
 
 #[test]
 fn each_line_names_host_run_time_and_request_and_reads_back() {
-    let page = Page::default();
-    let mut story = logger(&page, Info).request("r-1".into());
+    let log = MemoryLog::default();
+    let mut story = logger(&log, Info).request("r-1".into());
     let mut sent = attempt(1, "s-2");
     sent.candidates = vec![Candidate {
         server: "s-2".into(),
@@ -76,10 +76,10 @@
     steps.iter().for_each(|step| story.record(step.clone()));
     story.end(end(Outcome::Unclear));
 
-    let lines: Vec<_> = page.text().lines().map(|line| read(line).unwrap()).collect();
-    let told: Vec<_> = lines.iter().map(|line| line.content.clone()).collect();
-    assert_eq!(told[..4], steps.map(Content::Step));
-    let Content::Step(Step::Ended(ended)) = &told[4] else { panic!("{:?}", told[4]) };
+    let lines: Vec<_> = log.text().lines().map(|line| read(line).unwrap()).collect();
+    let contents: Vec<_> = lines.iter().map(|line| line.content.clone()).collect();
+    assert_eq!(contents[..4], steps.map(Content::Step));
+    let Content::Step(Step::Ended(ended)) = &contents[4] else { panic!("{:?}", contents[4]) };
     assert_eq!((&*ended.server.clone().unwrap(), ended.attempts), ("s-2", 1));
     assert_eq!(ended.route.as_deref(), Some("chat"));
     for (line, next) in lines.iter().zip(&lines[1..]) {
@@ -92,37 +92,37 @@
 
 #[test]
 fn a_story_that_is_dropped_tells_that_the_caller_left() {
-    let page = Page::default();
-    let mut story = logger(&page, Info).request("r-1".into());
+    let log = MemoryLog::default();
+    let mut story = logger(&log, Info).request("r-1".into());
     story.record(Step::Arrived(arrival("chat")));
     drop(story);
 
-    assert_eq!(kinds(&page), ["arrived", "ended"]);
-    assert!(page.text().contains(r#""outcome":"left""#), "{}", page.text());
+    assert_eq!(kinds(&log), ["arrived", "ended"]);
+    assert!(log.text().contains(r#""outcome":"left""#), "{}", log.text());
 }
 
 #[test]
 fn steps_beyond_the_bound_are_counted() {
-    let page = Page::default();
-    let mut story = logger(&page, Info).request("r-1".into());
+    let log = MemoryLog::default();
+    let mut story = logger(&log, Info).request("r-1".into());
     (0..70).for_each(|_| story.record(Step::Queued { why: "full".into(), inputs: vec![] }));
     story.end(end(Outcome::Refused));
 
-    assert_eq!(page.text().lines().count(), 65);
-    assert!(page.text().contains(r#""lost":6"#), "{}", page.text());
+    assert_eq!(log.text().lines().count(), 65);
+    assert!(log.text().contains(r#""lost":6"#), "{}", log.text());
 }
 
 #[test]
 fn requests_that_go_well_are_sampled_by_route_and_the_lines_say_for_how_many_they_stand() {
-    let mut sample = observe::story::sample::Sampler::default();
+    let mut sampler = observe::story::sample::Sampler::default();
     let second = Duration::from_secs(5);
-    let asked = UNSAMPLED + 10 * INTERVAL;
-    let taken: Vec<u32> = (0..asked).filter_map(|_| sample.weigh(second, "chat")).collect();
+    let requests = UNSAMPLED + 10 * INTERVAL;
+    let weights: Vec<u32> = (0..requests).filter_map(|_| sampler.weigh(second, "chat")).collect();
 
-    assert_eq!(taken.len() as u32, UNSAMPLED + 10);
-    assert_eq!(taken.iter().sum::<u32>(), asked);
-    assert_eq!(sample.weigh(second, "notes"), Some(1));
-    assert_eq!(sample.weigh(second * 2, "chat"), Some(1));
+    assert_eq!(weights.len() as u32, UNSAMPLED + 10);
+    assert_eq!(weights.iter().sum::<u32>(), requests);
+    assert_eq!(sampler.weigh(second, "notes"), Some(1));
+    assert_eq!(sampler.weigh(second * 2, "chat"), Some(1));
 }
 
 #[rstest]
@@ -133,13 +133,13 @@
     #[case] belief: Belief,
     #[case] level: LevelFilter,
 ) {
-    let page = Page::default();
+    let log = MemoryLog::default();
     let below = if level == Info { Warn } else { Error };
-    logger(&page, below).belief(belief.clone());
-    assert_eq!(page.text(), "");
-    logger(&page, level).belief(belief.clone());
+    logger(&log, below).belief(belief.clone());
+    assert_eq!(log.text(), "");
+    logger(&log, level).belief(belief.clone());
 
-    let line = read(page.text().trim_end()).unwrap();
+    let line = read(log.text().trim_end()).unwrap();
     assert_eq!((line.content, line.request), (Content::Belief(belief), None));
 }
 
@@ -154,10 +154,10 @@
 
 #[test]
 fn what_stands_before_the_object_is_passed_over() {
-    let page = Page::default();
-    logger(&page, Info).belief(Belief::Stop { why: "asked".into() });
-    let prefixed = format!("front-a-1 12.345 {}", page.text());
+    let log = MemoryLog::default();
+    logger(&log, Info).belief(Belief::Stop { why: "asked".into() });
+    let prefixed = format!("front-a-1 12.345 {}", log.text());
 
-    assert_eq!(read(&prefixed), read(&page.text()));
+    assert_eq!(read(&prefixed), read(&log.text()));
     assert!(read(&prefixed).is_ok());
 }
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -33,7 +33,7 @@
     NTP64(WALL.get() - 7 * SECOND)
 }
 
-fn pass(units: u64) {
+fn advance(units: u64) {
     WALL.set(WALL.get() + units);
 }
 
@@ -60,7 +60,7 @@
     records.iter().position(|record| record.event == *event).expect("the event is in the time line")
 }
 
-fn all(hosts: &[Ring]) -> Vec<Record> {
+fn merge_all(hosts: &[Ring]) -> Vec<Record> {
     merge::merge(hosts.iter().flat_map(Ring::records))
 }
 
@@ -75,11 +75,11 @@
     let hosts = hosts();
 
     let stamp = hosts[sender].record(attempt(1));
-    pass(SECOND / 1000);
+    advance(SECOND / 1000);
     hosts[receiver].clock().observe(stamp).unwrap();
     hosts[receiver].record(attempt(2));
 
-    let records = all(&hosts);
+    let records = merge_all(&hosts);
     assert!(position(&records, &attempt(1)) < position(&records, &attempt(2)));
 }
 
@@ -88,12 +88,12 @@
     let hosts = hosts();
 
     hosts[1].record(order("o-1"));
-    pass(SECOND);
+    advance(SECOND);
     // No message from the sender: host c read the ledger and settles with a slow clock.
     hosts[2].record(settlement("o-1"));
     hosts[2].record(attempt(9));
 
-    let records = all(&hosts);
+    let records = merge_all(&hosts);
     assert!(position(&records, &order("o-1")) < position(&records, &settlement("o-1")));
     assert!(position(&records, &settlement("o-1")) < position(&records, &attempt(9)));
 }
@@ -108,7 +108,7 @@
     hosts[1].record(patch.clone());
     hosts[2].record(in_force.clone());
 
-    let records = all(&hosts);
+    let records = merge_all(&hosts);
     assert!(position(&records, &patch) < position(&records, &in_force));
 }
 
@@ -119,7 +119,7 @@
     hosts[0].record(settlement("o-1"));
     hosts[0].record(order("o-1"));
 
-    assert_eq!(all(&hosts).len(), 2);
+    assert_eq!(merge_all(&hosts).len(), 2);
 }
 
 #[test]
@@ -174,7 +174,7 @@
     hosts[1].record(attempt(0).request(&"r-2".into()).model(&model).server(&second));
     hosts[2].record(Event::new(Kind::Start));
 
-    let kept = all(&hosts).iter().filter(|record| filter.keeps(record)).count();
+    let kept = merge_all(&hosts).iter().filter(|record| filter.keeps(record)).count();
 
     assert_eq!(kept, expected);
 }
@@ -184,7 +184,7 @@
     let ring = Ring::new("a".into(), 1, Clock::with_wall_time(on_time));
     let stamps: Vec<Stamp> = (0..3)
         .map(|number| {
-            pass(SECOND);
+            advance(SECOND);
             ring.record(attempt(number))
         })
         .collect();
@@ -220,7 +220,7 @@
     hosts[0].record(attempt(0).request(&"<script>alert(1)</script>".into()));
     hosts[2].record(Event::new(Kind::Start));
 
-    let page = page::render(&all(&hosts));
+    let page = page::render(&merge_all(&hosts));
 
     assert!(page.contains("<th>a</th>") && page.contains("<th>c</th>"));
     assert!(page.contains("&lt;script&gt;alert(1)"));
@@ -233,14 +233,14 @@
 enum Step {
     Record(usize),
     Send(usize, usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..3_usize).prop_map(Step::Record),
         (0..3_usize, 0..3_usize).prop_map(|(from, to)| Step::Send(from, to)),
-        (0..SECOND).prop_map(Step::Pass),
+        (0..SECOND).prop_map(Step::Advance),
     ]
 }
 
@@ -254,12 +254,12 @@
         let mut pairs = Vec::new();
         let mut last: [Option<u32>; 3] = [None; 3];
         let mut record = |host: usize, causes: &mut Vec<(u32, u32)>| {
-            let mine = number;
+            let own = number;
             number += 1;
-            let stamp = hosts[host].record(attempt(mine));
-            causes.extend(last[host].map(|before| (before, mine)));
-            last[host] = Some(mine);
-            (mine, stamp)
+            let stamp = hosts[host].record(attempt(own));
+            causes.extend(last[host].map(|before| (before, own)));
+            last[host] = Some(own);
+            (own, stamp)
         };
         for step in steps {
             match step {
@@ -272,10 +272,10 @@
                     let (effect, _) = record(to, &mut pairs);
                     pairs.push((cause, effect));
                 }
-                Step::Pass(units) => pass(units),
+                Step::Advance(units) => advance(units),
             }
         }
-        let records = all(&hosts);
+        let records = merge_all(&hosts);
         prop_assert_eq!(records.len() as u32, number);
         for (cause, effect) in pairs {
             prop_assert!(position(&records, &attempt(cause)) < position(&records, &attempt(effect)));
@@ -287,9 +287,9 @@
         let hosts = hosts();
         for number in 0..30_u32 {
             hosts[number as usize % 3].record(attempt(number));
-            pass(SECOND / 7);
+            advance(SECOND / 7);
         }
-        let sorted = all(&hosts);
+        let sorted = merge_all(&hosts);
         let shuffled: Vec<Record> = shuffle.iter().map(|&index| sorted[index as usize].clone()).collect();
 
         let merged = merge::merge(shuffled.into_iter().chain(sorted.clone()));
