--- a/crates/observe/benches/metrics.rs
+++ b/crates/observe/benches/metrics.rs
@@ -1,4 +1,4 @@
-//! What a request's metrics cost, with their labels resolved and without.
+//! Cost of a request's metrics, with resolved labels and with labels that are looked up.
 
 use std::{hint::black_box, time::Duration};
 
@@ -12,7 +12,7 @@
 use types::routed::Kind;
 
 fn bench(criterion: &mut Criterion) {
-    let metrics = Metrics::new().expect("instruments");
+    let metrics = Metrics::new().expect("the exporter can be registered");
     let routed = metrics.routed();
     let time = Duration::from_millis(52);
     criterion.bench_function("counter, resolved", |b| {
--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -1,6 +1,7 @@
-//! What a request's story costs, and what the same line costs as key-value pairs of `log`.
+//! Cost of a request's story, and of the same line as key-value pairs of `log`.
 //!
-//! The queue is wide and its writer writes nowhere, so that only the path of the caller counts.
+//! The queue has very high limits and its writer discards the lines, so that only the cost for the
+//! caller is measured.
 
 use std::{hint::black_box, io, sync::Arc, time::Duration};
 
@@ -32,7 +33,7 @@
     story.record(Step::Attempt(Attempt {
         attempt: 1,
         server: "lector-3.9f02".into(),
-        address: "10.1.0.11:8000".parse().expect("an address"),
+        address: "10.1.0.11:8000".parse().expect("a valid address"),
         sent: "request".into(),
         why: "least".into(),
         estimate: Some(Duration::from_millis(40)),
@@ -70,7 +71,7 @@
 }
 
 fn bench(criterion: &mut Criterion) {
-    let lines = Lines::start(BOUNDS, io::sink()).expect("a thread");
+    let lines = Lines::start(BOUNDS, io::sink()).expect("the writer thread can be started");
     let logger = |level| {
         let output = Output::Custom(Arc::new(lines.clone()), level);
         Logger::new("front-a-1".into(), 7, Clock::system(), output)
@@ -92,7 +93,7 @@
         b.iter(|| info.belief(black_box(declaration.clone())));
     });
     criterion.bench_function("belief: key-value pairs", |b| b.iter(|| pairs(black_box(&lines))));
-    assert_eq!(lines.dropped().total(), 0, "the figures are of lines that were left out");
+    assert_eq!(lines.dropped().total(), 0, "some of the measured lines were dropped");
 }
 
 criterion_group!(benches, bench);
--- a/crates/observe/tests/common/mod.rs
+++ b/crates/observe/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A log that is kept in memory, and requests as they often are.
+//! A log in memory, and typical steps of a request.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -15,7 +15,7 @@
 };
 use types::routed::Kind;
 
-/// Lines in memory; a clone shows the same.
+/// A log that keeps its lines in memory; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryLog(Arc<Mutex<String>>);
 
--- a/crates/observe/tests/log.rs
+++ b/crates/observe/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log's lines, as programs read them. One test: a process has one log.
+//! Format of the log's lines. There is only one test, since a process has a single log.
 
 use log::{LevelFilter, debug, info};
 use observe::log::{Error, Log, Sink};
--- a/crates/observe/tests/metrics.rs
+++ b/crates/observe/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators read from `/metrics`.
+//! The host's metrics as Prometheus text.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -1,4 +1,5 @@
-//! The process's own log on standard output: a process of its own, since a process has one log.
+//! The process's log on standard output. It is written by a child process, since a process has a
+//! single log.
 
 use std::process::Command;
 
@@ -9,9 +10,10 @@
     story::{self, Belief, Content, Logger, Output, Skipped, Step, read},
 };
 
-const CHILD_VARIABLE: &str = "TELL_ON_STANDARD_OUTPUT";
+/// Environment variable that is set for the child process.
+const CHILD_VARIABLE: &str = "LOG_TO_STANDARD_OUTPUT";
 
-/// Tells, if the test below asks for it; nothing else runs in that process.
+/// Logs to standard output, if started as the child process of the test below.
 #[test]
 fn tell() {
     if std::env::var_os(CHILD_VARIABLE).is_none() {
--- a/crates/observe/tests/queue.rs
+++ b/crates/observe/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue in front of the log's writer.
+//! The queue between the log and its writer thread.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 const PAUSE: Duration = Duration::from_millis(1);
 
-/// Writes that are let through one by one.
+/// Sink whose writes wait for one permit each.
 struct GatedWriter {
     permits: mpsc::Receiver<()>,
     batches: Arc<Mutex<Vec<String>>>,
@@ -23,7 +23,7 @@
 
 impl Write for GatedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // No more permits: all goes through.
+        // Once the sender is dropped, writes no longer wait.
         let _ = self.permits.recv();
         self.batches.lock().unwrap().push(String::from_utf8(bytes.to_vec()).unwrap());
         Ok(bytes.len())
@@ -49,7 +49,7 @@
         Fixture { lines, permits, batches }
     }
 
-    /// Lets all writes through and gives what was written.
+    /// Lets all writes pass and returns the written batches.
     fn written(self) -> Vec<String> {
         drop(self.permits);
         self.lines.flush();
@@ -66,7 +66,7 @@
     while fixture.lines.waiting() != 0 {
         std::thread::yield_now();
     }
-    // The writer is stuck with the first; of these, 20 lines of 50 bytes fit.
+    // The writer is blocked on the first line; of the following, 20 lines of 50 bytes fit.
     let line = "x".repeat(49);
     (0..25).for_each(|_| fixture.lines.put(Class::Plan, &line));
     assert_eq!(fixture.lines.dropped(), Dropped { full: 5, ceiling: 0, plans: 5 });
@@ -83,7 +83,7 @@
     );
 }
 
-/// Text that counts how often it is made.
+/// Text that counts how often it is formatted.
 struct CountingText<'a>(&'a Cell<u32>);
 
 impl fmt::Display for CountingText<'_> {
@@ -120,7 +120,8 @@
     }
 }
 
-/// A rush of requests, and of news of servers, beside a planner at work.
+/// Guards against the loss of plans in a burst of requests and changes of servers, which may use up
+/// only their own parts of the rate limit.
 #[test]
 fn a_rush_pushes_out_no_plan() {
     let fixture = Fixture::new(HIGH_LIMIT.bytes, RateLimit { lines: 1000, bytes: 1_000_000 });
--- a/crates/observe/tests/routed.rs
+++ b/crates/observe/tests/routed.rs
@@ -1,4 +1,4 @@
-//! The routed path's metrics, as a collector reads them.
+//! The routed path's metrics as Prometheus text.
 
 use std::time::Duration;
 
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/story.rs
@@ -1,4 +1,4 @@
-//! Stories: what is told of a request and of what a host believes, and what is left out.
+//! Stories: which lines are logged for requests and beliefs, and which are omitted.
 
 mod common;
 
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -17,7 +17,7 @@
 const SECOND: u64 = 1 << 32;
 
 thread_local! {
-    /// Wall time, in the clock's units; each test thread has its own.
+    /// Wall time in units of the clock, 2^-32 seconds; each test thread has its own.
     static WALL: Cell<u64> = const { Cell::new(1_000 * SECOND) };
 }
 
@@ -37,7 +37,7 @@
     WALL.set(WALL.get() + units);
 }
 
-/// Three hosts: on time, five seconds fast, seven seconds slow.
+/// Returns three hosts, whose clocks are on time, five seconds fast and seven seconds slow.
 fn hosts() -> [Ring; 3] {
     [("a", on_time as fn() -> NTP64), ("b", fast), ("c", slow)]
         .map(|(name, wall)| Ring::new(name.into(), 1, Clock::with_wall_time(wall)))
@@ -57,7 +57,10 @@
 }
 
 fn position(records: &[Record], event: &Event) -> usize {
-    records.iter().position(|record| record.event == *event).expect("the event is in the time line")
+    records
+        .iter()
+        .position(|record| record.event == *event)
+        .expect("the event is in the merged records")
 }
 
 fn merge_all(hosts: &[Ring]) -> Vec<Record> {
@@ -89,7 +92,7 @@
 
     hosts[1].record(order("o-1"));
     advance(SECOND);
-    // No message from the sender: host c read the ledger and settles with a slow clock.
+    // Host c reads the ledger instead of receiving a message, and settles with a slow clock.
     hosts[2].record(settlement("o-1"));
     hosts[2].record(attempt(9));
 
@@ -115,7 +118,7 @@
 #[test]
 fn records_that_claim_to_cause_each_other_are_all_kept() {
     let hosts = hosts();
-    // Settled before it was sent, on the same host: impossible, yet to be seen.
+    // Settled before it was sent, on the same host, which only a faulty host can record.
     hosts[0].record(settlement("o-1"));
     hosts[0].record(order("o-1"));
 
@@ -228,7 +231,8 @@
     assert!(!page.contains("http"));
 }
 
-/// A step of a run: a host records, or sends its stamp to another that then records.
+/// Step of a generated run: a host records an event, a host sends its stamp to another that records
+/// an event, or wall time advances.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Record(usize),
