--- a/crates/observe/tests/common/mod.rs
+++ b/crates/observe/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A log that is kept in memory, and requests as they often are.
+//! A log in memory, and typical steps of a request.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -15,17 +15,17 @@
 };
 use types::routed::Kind;
 
-/// Lines in memory; a clone shows the same.
+/// A log that keeps its lines in memory; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Page(Arc<Mutex<String>>);
+pub struct MemoryLog(Arc<Mutex<String>>);
 
-impl Page {
+impl MemoryLog {
     pub fn text(&self) -> String {
         self.0.lock().unwrap().clone()
     }
 }
 
-impl Log for Page {
+impl Log for MemoryLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -37,8 +37,8 @@
     fn flush(&self) {}
 }
 
-pub fn logger(page: &Page, level: LevelFilter) -> Logger {
-    let output = Output::Custom(Arc::new(page.clone()), level);
+pub fn logger(log: &MemoryLog, level: LevelFilter) -> Logger {
+    let output = Output::Custom(Arc::new(log.clone()), level);
     Logger::new("host-0".into(), 7, Clock::system(), output)
 }
 
