--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -159,7 +159,7 @@
     });
     story.record(Step::Resumed { attempt: 2, server: STAYER.into(), after: 12 });
     story.end(end(Outcome::Late, Some(200), Some("pause"), Some(ms(52)), 47, ms(2210)));
-    b.belief(Belief::Dropped { full: 0, ceiling: 3, plans: 0 });
+    b.belief(Belief::Dropped { full: 0, rate_limited: 3, plans: 0 });
 }
 
 fn refused(a: &Logger, b: &Logger) {
@@ -179,7 +179,7 @@
     story.record(Step::Refused {
         why: "goal-out-of-reach".into(),
         inputs: vec![Input::own("estimate_ms", 870.0), Input::own("goal_ms", 400.0)],
-        again: Some(ms(600)),
+        retry_after: Some(ms(600)),
     });
     story.end(end(Outcome::Refused, Some(503), Some("goal-out-of-reach"), None, 0, ms(2)));
 }
@@ -217,9 +217,9 @@
     why: Option<&'static str>,
     first: Option<Duration>,
     events: u32,
-    whole: Duration,
+    duration: Duration,
 ) -> End {
-    End { outcome, status, why: why.map(Into::into), first, events, whole }
+    End { outcome, status, why: why.map(Into::into), first, events, duration }
 }
 
 fn ms(time: u64) -> Duration {
--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -53,7 +53,7 @@
         why: None,
         first: Some(Duration::from_millis(52)),
         events: 47,
-        whole: Duration::from_millis(900),
+        duration: Duration::from_millis(900),
     });
 }
 
--- a/crates/observe/src/clock.rs
+++ b/crates/observe/src/clock.rs
@@ -5,7 +5,7 @@
 //! that it observes: each message between hosts carries its sender's stamp, the receiver calls
 //! [`Clock::observe`], and all later stamps of the receiver are greater than the sender's. One
 //! host with a fast clock therefore advances the stamps of all others ahead of wall time, so stamps
-//! more than [`LARGEST_LEAD`] ahead are rejected.
+//! more than [`MAX_LEAD`] ahead are rejected.
 //!
 //! The implementation is that of `uhlc`. Its clock identifiers are not used, since each record
 //! names its host.
@@ -20,7 +20,7 @@
 use uhlc::{HLC, HLCBuilder, NTP64, Timestamp};
 
 /// Maximum lead of an observed stamp over wall time; a stamp further ahead is rejected.
-pub const LARGEST_LEAD: Duration = Duration::from_secs(24 * 3600);
+pub const MAX_LEAD: Duration = Duration::from_secs(24 * 3600);
 
 /// A timestamp of a hybrid logical clock: seconds since 1970 in the upper 32 bits, and fractions of
 /// a second with a counter in the lower 32 bits.
@@ -63,7 +63,7 @@
 
     /// Returns a clock based on another source of wall time.
     pub fn with_wall_time(wall: fn() -> NTP64) -> Clock {
-        let hlc = HLCBuilder::new().with_clock(wall).with_max_delta(LARGEST_LEAD).build();
+        let hlc = HLCBuilder::new().with_clock(wall).with_max_delta(MAX_LEAD).build();
         Clock { hlc: Arc::new(hlc) }
     }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// The stamp is more than [`LARGEST_LEAD`] ahead of wall time; the clock is not changed.
+    /// The stamp is more than [`MAX_LEAD`] ahead of wall time; the clock is not changed.
     pub fn observe(&self, stamp: Stamp) -> Result<(), Lead> {
         let remote = Timestamp::new(NTP64(stamp.0), *self.hlc.get_id());
         self.hlc.update_with_timestamp(&remote).map_err(|_| Lead { stamp })
@@ -97,7 +97,7 @@
 
 /// Error for a stamp that is too far ahead of wall time to be observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("stamp {stamp} lies more than {LARGEST_LEAD:?} ahead of this host's wall time")]
+#[error("stamp {stamp} lies more than {MAX_LEAD:?} ahead of this host's wall time")]
 pub struct Lead {
     /// The rejected stamp.
     pub stamp: Stamp,
--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -50,7 +50,7 @@
     /// Records dropped because the queue was full.
     pub full: u64,
     /// Records dropped because the rate limit was reached.
-    pub ceiling: u64,
+    pub rate_limited: u64,
     /// Records of [`Class::Plan`] among all of these.
     pub plans: u64,
 }
@@ -58,13 +58,13 @@
 impl Dropped {
     /// Returns the number of dropped records for both causes.
     pub fn total(self) -> u64 {
-        self.full + self.ceiling
+        self.full + self.rate_limited
     }
 
     fn since(self, before: Dropped) -> Dropped {
         Dropped {
             full: self.full - before.full,
-            ceiling: self.ceiling - before.ceiling,
+            rate_limited: self.rate_limited - before.rate_limited,
             plans: self.plans - before.plans,
         }
     }
@@ -72,7 +72,7 @@
     fn count(&mut self, class: Class, cause: Cause) {
         match cause {
             Cause::Full => self.full += 1,
-            Cause::RateLimit => self.ceiling += 1,
+            Cause::RateLimit => self.rate_limited += 1,
         }
         self.plans += u64::from(class == Class::Plan);
     }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -150,9 +150,9 @@
             .u64_observable_counter("log_dropped")
             .with_description("Records left out of the log, by cause")
             .with_callback(|observer| {
-                let log::Dropped { full, ceiling, .. } = log::dropped();
+                let log::Dropped { full, rate_limited, .. } = log::dropped();
                 observer.observe(full, &[KeyValue::new("cause", "full")]);
-                observer.observe(ceiling, &[KeyValue::new("cause", "ceiling")]);
+                observer.observe(rate_limited, &[KeyValue::new("cause", "ceiling")]);
             })
             .build();
         let _registered = meter
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -66,6 +66,6 @@
 
 /// Formats the line about dropped records.
 pub(crate) fn dropped(dropped: Dropped) -> String {
-    let Dropped { full, ceiling, plans } = dropped;
-    logger().text(&Belief::Dropped { full, ceiling, plans })
+    let Dropped { full, rate_limited, plans } = dropped;
+    logger().text(&Belief::Dropped { full, rate_limited, plans })
 }
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -178,7 +178,8 @@
         /// Number of records dropped because the queue was full.
         full: u64,
         /// Number of records dropped because the rate limit was reached.
-        ceiling: u64,
+        #[serde(rename = "ceiling")]
+        rate_limited: u64,
         /// Number of dropped records that were about plans.
         #[serde(default, skip_serializing_if = "is_none")]
         plans: u64,
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -54,7 +54,7 @@
     /// Number of events that the caller received.
     pub events: u32,
     /// Time from the receipt of the request to the last byte of the response.
-    pub whole: Duration,
+    pub duration: Duration,
 }
 
 impl Request {
@@ -150,8 +150,8 @@
             return;
         }
         let route = self.arrival.as_ref().map_or("", |arrival| &*arrival.route);
-        let Some(of) = self.sample_weight(route) else { return };
-        let last = (self.logger.now(), Step::Ended(self.ended(end, of)));
+        let Some(weight) = self.sample_weight(route) else { return };
+        let last = (self.logger.now(), Step::Ended(self.ended(end, weight)));
         self.logger.steps(Level::Info, &self.id, &[last]);
     }
 
@@ -159,14 +159,14 @@
         if self.logger.wants(Level::Debug) { Some(1) } else { self.logger.sample(route) }
     }
 
-    fn ended(&mut self, end: End, of: u32) -> Ended {
-        let End { outcome, status, why, first, events, whole } = end;
+    fn ended(&mut self, end: End, weight: u32) -> Ended {
+        let End { outcome, status, why, first, events, duration } = end;
         let (route, version, model, adapter) = match self.arrival.take() {
             Some(a) => (Some(a.route), Some(a.version), a.model, a.adapter),
             None => (None, None, None, None),
         };
         let server = self.server.take();
-        let (attempts, lost) = (self.attempts, self.dropped_steps);
+        let (attempts, dropped_steps) = (self.attempts, self.dropped_steps);
         Ended {
             outcome,
             status,
@@ -179,18 +179,18 @@
             attempts,
             first,
             events,
-            whole,
-            lost,
-            of,
+            duration,
+            dropped_steps,
+            weight,
         }
     }
 }
 
 impl Drop for Request {
     fn drop(&mut self) {
-        let whole = self.logger.now().up.saturating_sub(self.started_at);
+        let duration = self.logger.now().up.saturating_sub(self.started_at);
         let why = Some(Text::Borrowed("caller-left"));
         let outcome = Outcome::Left;
-        self.finish(End { outcome, status: None, why, first: None, events: 0, whole });
+        self.finish(End { outcome, status: None, why, first: None, events: 0, duration });
     }
 }
--- a/crates/observe/src/story/step.rs
+++ b/crates/observe/src/story/step.rs
@@ -32,8 +32,13 @@
         /// Values that the decision was based on.
         inputs: Vec<Input>,
         /// Time after which the caller is asked to retry.
-        #[serde(default, with = "maybe", skip_serializing_if = "Option::is_none")]
-        again: Option<Duration>,
+        #[serde(
+            rename = "again",
+            default,
+            with = "maybe",
+            skip_serializing_if = "Option::is_none"
+        )]
+        retry_after: Option<Duration>,
     },
     /// The request is sent to a server.
     Attempt(Attempt),
@@ -226,15 +231,15 @@
     /// Number of events that the caller received.
     pub events: u32,
     /// Time from the receipt of the request to the last byte of the response.
-    #[serde(with = "millis")]
-    pub whole: Duration,
+    #[serde(rename = "whole", with = "millis")]
+    pub duration: Duration,
     /// Number of steps that exceeded the buffer and were dropped.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub lost: u32,
+    #[serde(rename = "lost", default, skip_serializing_if = "is_zero")]
+    pub dropped_steps: u32,
     /// Number of successful requests that the line stands for, because of
     /// [sampling](super::sample).
-    #[serde(default = "one", skip_serializing_if = "is_one")]
-    pub of: u32,
+    #[serde(rename = "of", default = "one", skip_serializing_if = "is_one")]
+    pub weight: u32,
 }
 
 fn is_zero(value: &u32) -> bool {
--- a/crates/observe/tests/common/mod.rs
+++ b/crates/observe/tests/common/mod.rs
@@ -73,6 +73,6 @@
         why: None,
         first: Some(Duration::from_millis(52)),
         events: 47,
-        whole: Duration::from_millis(900),
+        duration: Duration::from_millis(900),
     }
 }
--- a/crates/observe/tests/queue.rs
+++ b/crates/observe/tests/queue.rs
@@ -69,7 +69,7 @@
     // The writer is blocked on the first line; of the following, 20 lines of 50 bytes fit.
     let line = "x".repeat(49);
     (0..25).for_each(|_| fixture.lines.put(Class::Plan, &line));
-    assert_eq!(fixture.lines.dropped(), Dropped { full: 5, ceiling: 0, plans: 5 });
+    assert_eq!(fixture.lines.dropped(), Dropped { full: 5, rate_limited: 0, plans: 5 });
 
     let batches = fixture.written();
     assert_eq!(batches[0], "first\n");
@@ -99,7 +99,7 @@
     let formatted = Cell::new(0);
     fixture.lines.put(Class::Belief, &CountingText(&formatted));
 
-    assert_eq!((formatted.get(), fixture.lines.dropped().ceiling), (0, 1));
+    assert_eq!((formatted.get(), fixture.lines.dropped().rate_limited), (0, 1));
 }
 
 #[test]
@@ -132,7 +132,7 @@
     (0..250).for_each(|_| fixture.lines.put(Class::Plan, &"order"));
     let dropped = fixture.lines.dropped();
     assert_eq!((dropped.plans, dropped.full), (0, 0));
-    assert_eq!(dropped.ceiling, 900 + 900 - 750);
+    assert_eq!(dropped.rate_limited, 900 + 900 - 750);
     fixture.lines.put(Class::Plan, &"order");
     assert_eq!(fixture.lines.dropped().plans, 1);
 }
@@ -146,10 +146,10 @@
     }
     let line = "x".repeat(49);
     (0..20).for_each(|_| fixture.lines.put(Class::Request, &line));
-    assert_eq!(fixture.lines.dropped(), Dropped { full: 10, ceiling: 0, plans: 0 });
+    assert_eq!(fixture.lines.dropped(), Dropped { full: 10, rate_limited: 0, plans: 0 });
     (0..2).for_each(|_| fixture.lines.put(Class::Belief, &line));
     (0..4).for_each(|_| fixture.lines.put(Class::Plan, &line));
-    assert_eq!(fixture.lines.dropped(), Dropped { full: 10, ceiling: 0, plans: 0 });
+    assert_eq!(fixture.lines.dropped(), Dropped { full: 10, rate_limited: 0, plans: 0 });
     fixture.lines.put(Class::Plan, &line);
-    assert_eq!(fixture.lines.dropped(), Dropped { full: 11, ceiling: 0, plans: 1 });
+    assert_eq!(fixture.lines.dropped(), Dropped { full: 11, rate_limited: 0, plans: 1 });
 }
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -4,7 +4,7 @@
 
 use observe::{
     Clock, Event, Ring,
-    clock::{LARGEST_LEAD, Stamp},
+    clock::{MAX_LEAD, Stamp},
     event::{Class, Kind, Record},
     merge::{self, Filter},
     page,
@@ -129,7 +129,7 @@
 fn a_stamp_from_far_ahead_is_not_followed() {
     let clock = Clock::with_wall_time(on_time);
     let before = clock.stamp();
-    let far = Stamp(WALL.get() + (LARGEST_LEAD.as_secs() + 10) * SECOND);
+    let far = Stamp(WALL.get() + (MAX_LEAD.as_secs() + 10) * SECOND);
 
     assert_eq!(clock.observe(far).unwrap_err().stamp, far);
 
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -91,7 +91,7 @@
         let mut notes = self.notes();
         notes.refusal = Some(cause);
         let (why, inputs) = (Text::Borrowed(cause.as_str()), vec![left_input(left)]);
-        notes.note(Step::Refused { why, inputs, again });
+        notes.note(Step::Refused { why, inputs, retry_after: again });
     }
 
     /// Records that the request is sent to a server; `after` is the last event that the caller has,
@@ -260,7 +260,14 @@
         }
         self.phase(Phase::Whole, whole);
         let (first, events) = (self.first, self.events);
-        story.end(End { outcome, status, why: why.map(Text::Borrowed), first, events, whole });
+        story.end(End {
+            outcome,
+            status,
+            why: why.map(Text::Borrowed),
+            first,
+            events,
+            duration: whole,
+        });
     }
 }
 
