--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -27,7 +27,7 @@
 
 /// A guard that a variant of the system lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
+pub enum Omission {
     /// All guards are there.
     Nothing,
     /// The object API writes whatever the version is.
@@ -42,13 +42,13 @@
 
 /// Bounds of the exploration, and what is varied.
 #[derive(Clone, Copy, Debug)]
-pub struct Numbers {
+pub struct Updates {
     /// Answers that are lost after their write.
     pub losses: u8,
     /// Starts of a host after the first.
-    pub starts: u8,
+    pub restarts: u8,
     /// The guard that is switched off.
-    pub lacks: Lacks,
+    pub omission: Omission,
 }
 
 /// A root as the object API holds it, in JSON.
@@ -62,15 +62,15 @@
     patches: Vec<Progress>,
     hosts: Vec<Host>,
     losses: u8,
-    starts: u8,
-    fault: Option<String>,
+    restarts: u8,
+    violation: Option<String>,
 }
 
 /// How far a patch is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Progress {
     /// To be decided on the root as it is read next.
-    Asked,
+    Requested,
     /// Decided on this version.
     Read(usize),
     /// Accepted as this number.
@@ -82,7 +82,7 @@
 /// What a host has heard in this run, in order; the rest follows from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Host {
-    heard: Vec<Text>,
+    received: Vec<Text>,
 }
 
 /// A step.
@@ -95,9 +95,9 @@
     /// The same, and the answer is lost; the operator asks again.
     LoseAnswer(usize),
     /// A host hears a root, the last or an old one.
-    Hear(usize, usize),
+    Receive(usize, usize),
     /// A host starts again with nothing.
-    Start(usize),
+    Restart(usize),
 }
 
 impl Display for Step {
@@ -111,15 +111,15 @@
                     "patch {patch} is decided and written, its answer is lost, it is asked again"
                 )
             }
-            Step::Hear(host, version) => {
+            Step::Receive(host, version) => {
                 write!(f, "host {host} hears version {version} of the root")
             }
-            Step::Start(host) => write!(f, "host {host} starts again"),
+            Step::Restart(host) => write!(f, "host {host} starts again"),
         }
     }
 }
 
-impl Numbers {
+impl Updates {
     fn patch(number: usize) -> Patch {
         let changes = match number {
             0 => json!({"weights": {"attainment": 2.0}}),
@@ -130,20 +130,20 @@
 
     fn write(&self, state: &State, number: usize, version: usize) -> State {
         let mut next = state.clone();
-        let mut patch = Numbers::patch(number);
+        let mut patch = Updates::patch(number);
         let current = current(&state.written[version]);
-        if self.lacks == Lacks::Against {
+        if self.omission == Omission::Against {
             patch.against = current.root.number;
         }
         next.patches[number] = match decide(&current, &patch, &[]) {
             Decision::Accept(draft) => {
-                let holds = version + 1 == state.written.len();
-                if !holds && self.lacks != Lacks::ConditionalWrite {
-                    next.patches[number] = Progress::Asked;
+                let is_current = version + 1 == state.written.len();
+                if !is_current && self.omission != Omission::ConditionalWrite {
+                    next.patches[number] = Progress::Requested;
                     return next;
                 }
                 let mut root = draft.root;
-                if self.lacks == Lacks::KeptPatches {
+                if self.omission == Omission::KeptPatches {
                     root.patches.clear();
                 }
                 let accepted = root.number;
@@ -153,20 +153,20 @@
             Decision::Repeated(accepted) => Progress::Accepted(accepted),
             Decision::Stale(_) => Progress::Stale,
             other => {
-                next.fault = Some(format!("patch {number}: {other:?}"));
+                next.violation = Some(format!("patch {number}: {other:?}"));
                 Progress::Stale
             }
         };
         next
     }
 
-    fn hear(&self, state: &State, host: usize, version: usize) -> State {
-        let before = self.in_force(&state.hosts[host]);
+    fn receive(&self, state: &State, host: usize, version: usize) -> State {
+        let before = self.current_number(&state.hosts[host]);
         let mut next = state.clone();
-        next.hosts[host].heard.push(state.written[version].clone());
-        let after = self.in_force(&next.hosts[host]);
+        next.hosts[host].received.push(state.written[version].clone());
+        let after = self.current_number(&next.hosts[host]);
         if after < before {
-            next.fault = Some(format!("host {host} goes from number {before} to {after}"));
+            next.violation = Some(format!("host {host} goes from number {before} to {after}"));
         }
         // What changes nothing need not be remembered.
         if after == before {
@@ -175,12 +175,12 @@
         next
     }
 
-    fn in_force(&self, host: &Host) -> Number {
-        if self.lacks == Lacks::OnlyUp {
-            return host.heard.last().map_or(0, |text| root(text).number);
+    fn current_number(&self, host: &Host) -> Number {
+        if self.omission == Omission::OnlyUp {
+            return host.received.last().map_or(0, |text| root(text).number);
         }
         let mut holder = Holder::default();
-        for text in &host.heard {
+        for text in &host.received {
             // A root that holds the whole needs no parts and can't fail.
             let _ = holder.observe_root(root(text));
         }
@@ -192,19 +192,19 @@
     }
 }
 
-impl System for Numbers {
+impl System for Updates {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let first = Root { number: 1, ..Root::default() };
         State {
             written: vec![text(&first)],
-            patches: vec![Progress::Asked; 2],
+            patches: vec![Progress::Requested; 2],
             hosts: vec![Host::default(); 2],
             losses: 0,
-            starts: 0,
-            fault: None,
+            restarts: 0,
+            violation: None,
         }
     }
 
@@ -212,7 +212,7 @@
         let mut steps = Vec::new();
         for (number, progress) in state.patches.iter().enumerate() {
             match progress {
-                Progress::Asked => {
+                Progress::Requested => {
                     let mut next = state.clone();
                     next.patches[number] = Progress::Read(state.written.len() - 1);
                     steps.push((Step::Read(number), next));
@@ -222,7 +222,7 @@
                     if state.losses < self.losses {
                         let mut lost = next.clone();
                         lost.losses += 1;
-                        lost.patches[number] = Progress::Asked;
+                        lost.patches[number] = Progress::Requested;
                         steps.push((Step::LoseAnswer(number), lost));
                     }
                     steps.push((Step::Write(number), next));
@@ -232,57 +232,57 @@
         }
         for host in 0..state.hosts.len() {
             for version in 0..state.written.len() {
-                steps.push((Step::Hear(host, version), self.hear(state, host, version)));
+                steps.push((Step::Receive(host, version), self.receive(state, host, version)));
             }
-            if state.starts < self.starts {
+            if state.restarts < self.restarts {
                 let mut next = state.clone();
-                next.starts += 1;
+                next.restarts += 1;
                 next.hosts[host] = Host::default();
-                steps.push((Step::Start(host), next));
+                steps.push((Step::Restart(host), next));
             }
         }
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        if let Some(fault) = &state.fault {
-            return Some(fault.clone());
+    fn violation(&self, state: &State) -> Option<String> {
+        if let Some(violation) = &state.violation {
+            return Some(violation.clone());
         }
         let roots: Vec<Root> = state.written.iter().map(root).collect();
         if let Some(pair) = roots.windows(2).find(|pair| pair[1].number != pair[0].number + 1) {
             return Some(format!("number {} is followed by {}", pair[0].number, pair[1].number));
         }
         for (number, progress) in state.patches.iter().enumerate() {
-            let holding = roots.iter().filter(|root| holds(root, number)).count();
-            let last_holds = roots.last().is_some_and(|root| holds(root, number));
+            let containing = roots.iter().filter(|root| contains(root, number)).count();
+            let last_contains = roots.last().is_some_and(|root| contains(root, number));
             match progress {
-                Progress::Stale if 0 < holding => {
+                Progress::Stale if 0 < containing => {
                     return Some(format!("patch {number} is told stale and was accepted"));
                 }
-                Progress::Accepted(_) if !last_holds => {
+                Progress::Accepted(_) if !last_contains => {
                     return Some(format!("patch {number} was accepted and is gone"));
                 }
                 _ => {}
             }
         }
-        let both = (0..state.patches.len()).all(|n| roots.iter().any(|root| holds(root, n)));
+        let both = (0..state.patches.len()).all(|n| roots.iter().any(|root| contains(root, n)));
         both.then(|| "two patches against one number were both accepted".into())
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        matches!(step, Step::Read(_) | Step::Write(_) | Step::Hear(..))
+    fn is_progress(&self, step: &Step) -> bool {
+        matches!(step, Step::Read(_) | Step::Write(_) | Step::Receive(..))
     }
 
     fn is_settled(&self, state: &State) -> bool {
-        let decided = |p: &Progress| matches!(p, Progress::Accepted(_) | Progress::Stale);
-        let last = Numbers::last_number(state);
-        state.patches.iter().all(decided)
-            && state.hosts.iter().all(|host| self.in_force(host) == last)
+        let has_outcome = |p: &Progress| matches!(p, Progress::Accepted(_) | Progress::Stale);
+        let last = Updates::last_number(state);
+        state.patches.iter().all(has_outcome)
+            && state.hosts.iter().all(|host| self.current_number(host) == last)
     }
 }
 
 /// Whether a root has what a patch asks for.
-fn holds(root: &Root, patch: usize) -> bool {
+fn contains(root: &Root, patch: usize) -> bool {
     let weights = current_config(root).weights;
     match patch {
         0 => weights.attainment == 2.0,
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -23,16 +23,16 @@
     type Step: Display;
 
     /// The state it starts in.
-    fn start(&self) -> Self::State;
+    fn initial(&self) -> Self::State;
 
     /// Every step from this state, faults among them, with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
     /// The rule that this state breaks, in words.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    fn violation(&self, state: &Self::State) -> Option<String>;
 
     /// Whether the step happens by itself once all faults have stopped.
-    fn is_quiet(&self, step: &Self::Step) -> bool;
+    fn is_progress(&self, step: &Self::Step) -> bool;
 
     /// Whether nothing is left to be done in this state.
     fn is_settled(&self, state: &Self::State) -> bool;
@@ -44,7 +44,7 @@
     /// No reachable state breaks the rule, and each can still settle.
     Holds,
     /// A state breaks the rule.
-    Broken(Trace),
+    Violated(Trace),
     /// A state can't get to a settled one by quiet steps.
     Stuck(Trace),
     /// The bound on states was met first, and nothing was found until then.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Trace {
     /// What is wrong there.
-    pub fault: String,
+    pub violation: String,
     /// The steps that lead there, in order.
     pub steps: Vec<String>,
 }
@@ -70,7 +70,7 @@
     /// Steps between them.
     pub steps: usize,
     /// Time that it took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 impl Report {
@@ -80,9 +80,9 @@
     }
 
     /// The trace to a state that breaks the rule.
-    pub fn broken(&self) -> Option<&Trace> {
+    pub fn violation(&self) -> Option<&Trace> {
         match &self.finding {
-            Finding::Broken(trace) => Some(trace),
+            Finding::Violated(trace) => Some(trace),
             Finding::Holds | Finding::Stuck(_) | Finding::Unfinished => None,
         }
     }
@@ -91,7 +91,7 @@
     pub fn stuck(&self) -> Option<&Trace> {
         match &self.finding {
             Finding::Stuck(trace) => Some(trace),
-            Finding::Holds | Finding::Broken(_) | Finding::Unfinished => None,
+            Finding::Holds | Finding::Violated(_) | Finding::Unfinished => None,
         }
     }
 }
@@ -101,17 +101,17 @@
         for (index, step) in self.steps.iter().enumerate() {
             writeln!(f, "{:>3}. {step}", index + 1)?;
         }
-        write!(f, "  => {}", self.fault)
+        write!(f, "  => {}", self.violation)
     }
 }
 
 impl Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = self.took.as_secs_f64();
+        let seconds = self.elapsed.as_secs_f64();
         writeln!(f, "{} states, {} steps, {seconds:.2} s", self.states, self.steps)?;
         match &self.finding {
             Finding::Holds => write!(f, "holds"),
-            Finding::Broken(trace) => write!(f, "broken:\n{trace}"),
+            Finding::Violated(trace) => write!(f, "broken:\n{trace}"),
             Finding::Stuck(trace) => write!(f, "stuck:\n{trace}"),
             Finding::Unfinished => write!(f, "unfinished: the bound on states was met"),
         }
@@ -119,24 +119,24 @@
 }
 
 /// Explores `system` up to `most_states` states.
-pub fn explore<S: System>(system: &S, most_states: usize) -> Report {
+pub fn explore<S: System>(system: &S, max_states: usize) -> Report {
     let started = Instant::now();
     let mut steps = 0;
     let report =
-        |finding, states, steps| Report { finding, states, steps, took: started.elapsed() };
+        |finding, states, steps| Report { finding, states, steps, elapsed: started.elapsed() };
 
     let mut states = Vec::new();
-    let walk = bfs_reach(system.start(), |state| {
+    let walk = bfs_reach(system.initial(), |state| {
         let next = system.steps(state);
         steps += next.len();
         next.into_iter().map(|(_, state)| state)
     });
     for state in walk {
-        if let Some(fault) = system.broken(&state) {
-            let trace = trace(system, fault, &state);
-            return report(Finding::Broken(trace), states.len() + 1, steps);
+        if let Some(violation) = system.violation(&state) {
+            let trace = trace(system, violation, &state);
+            return report(Finding::Violated(trace), states.len() + 1, steps);
         }
-        if states.len() == most_states {
+        if states.len() == max_states {
             return report(Finding::Unfinished, states.len(), steps);
         }
         states.push(state);
@@ -154,31 +154,31 @@
         return None;
     }
     let index: HashMap<&S::State, usize> = states.iter().zip(0..).collect();
-    let mut before = vec![Vec::new(); states.len()];
+    let mut predecessors = vec![Vec::new(); states.len()];
     for (from, state) in states.iter().enumerate() {
-        let quiet = system.steps(state).into_iter().filter(|(step, _)| system.is_quiet(step));
-        for (_, next) in quiet {
-            before[index[&next]].push(from);
+        let progress = system.steps(state).into_iter().filter(|(step, _)| system.is_progress(step));
+        for (_, next) in progress {
+            predecessors[index[&next]].push(from);
         }
     }
 
-    let mut settles: Vec<bool> = states.iter().map(|state| system.is_settled(state)).collect();
-    let mut open: Vec<usize> = (0..states.len()).filter(|&i| settles[i]).collect();
-    while let Some(state) = open.pop() {
-        for &earlier in &before[state] {
-            if !settles[earlier] {
-                settles[earlier] = true;
-                open.push(earlier);
+    let mut can_settle: Vec<bool> = states.iter().map(|state| system.is_settled(state)).collect();
+    let mut pending: Vec<usize> = (0..states.len()).filter(|&i| can_settle[i]).collect();
+    while let Some(state) = pending.pop() {
+        for &predecessor in &predecessors[state] {
+            if !can_settle[predecessor] {
+                can_settle[predecessor] = true;
+                pending.push(predecessor);
             }
         }
     }
-    settles.iter().position(|settles| !settles).map(|i| &states[i])
+    can_settle.iter().position(|can_settle| !can_settle).map(|i| &states[i])
 }
 
 /// A shortest way to `found`, step by step.
-fn trace<S: System>(system: &S, fault: String, found: &S::State) -> Trace {
+fn trace<S: System>(system: &S, violation: String, found: &S::State) -> Trace {
     let next = |state: &S::State| system.steps(state).into_iter().map(|(_, state)| state);
-    let path = bfs(&system.start(), next, |state| state == found).unwrap_or_default();
+    let path = bfs(&system.initial(), next, |state| state == found).unwrap_or_default();
     let steps = path
         .windows(2)
         .filter_map(|pair| {
@@ -187,5 +187,5 @@
         })
         .map(|(step, _)| step.to_string())
         .collect();
-    Trace { fault, steps }
+    Trace { violation, steps }
 }
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -113,7 +113,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let engine = state::Engine::start(self.bounds.residents);
         let mut ledger = Ledger::new(&words::load(&engine, &self.bounds));
         ledger.fenced |= self.is_off(Guard::Unfenced);
@@ -132,15 +132,15 @@
         next
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let taken = state.engine.memory();
         let capacity = words::capacity(&self.bounds);
         (capacity < taken)
             .then(|| format!("engine memory overcommitted: {taken} MiB taken of {capacity}"))
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        step.is_quiet()
+    fn is_progress(&self, step: &Step) -> bool {
+        step.is_progress()
     }
 
     fn is_settled(&self, state: &State) -> bool {
--- a/crates/spec/src/ledger/step.rs
+++ b/crates/spec/src/ledger/step.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether it happens by itself once faults have stopped and nobody plans anew.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_progress(&self) -> bool {
         match self {
             Step::WriteAgain(_)
             | Step::WriteArrives(_)
--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -27,7 +27,7 @@
 
 /// A guard that a variant of the system lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
+pub enum Omission {
     /// All guards are there.
     Nothing,
     /// The object API writes whatever the version is.
@@ -64,7 +64,7 @@
     /// What is done in an outage.
     pub outage: Outage,
     /// The guard that is switched off.
-    pub lacks: Lacks,
+    pub omission: Omission,
 }
 
 impl Claims {
@@ -92,7 +92,7 @@
 
     fn key(&self) -> TimedKey {
         let key = Key::new(&"customer".into(), &"service".into(), &"key".into());
-        let stamp = (self.lacks != Lacks::KeyTime).then_some(ORIGIN);
+        let stamp = (self.omission != Omission::KeyTime).then_some(ORIGIN);
         TimedKey { key, stamp }
     }
 }
@@ -101,7 +101,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             version: 0,
             stored: None,
@@ -158,14 +158,14 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         if 1 < state.runs {
             return Some(format!("the key ran {} times", state.runs));
         }
         state.false_word.then(|| "a send after a run was told that it did not run".into())
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
+    fn is_progress(&self, step: &Step) -> bool {
         matches!(
             step,
             Step::Decide(_)
--- a/crates/spec/src/once/calls.rs
+++ b/crates/spec/src/once/calls.rs
@@ -3,7 +3,7 @@
 use policy::once::{Call, Document, HostRun, Read, State as Progress, Written};
 
 use super::{
-    Claims, Lacks,
+    Claims, Omission,
     state::{Leg, State, Transit},
 };
 
@@ -33,7 +33,7 @@
     }
 
     fn write(&self, state: &mut State, holds: bool, document: &Document) -> Written {
-        if !holds && self.lacks != Lacks::ConditionalWrite {
+        if !holds && self.omission != Omission::ConditionalWrite {
             return Written::Conflict;
         }
         state.stored = Some(document.clone());
@@ -44,12 +44,12 @@
     /// The object as a host reads it, without what a missing guard would have shown.
     fn seen(&self, state: &State, document: &Document) -> Document {
         let mut document = document.clone();
-        match self.lacks {
-            Lacks::Gap => {
+        match self.omission {
+            Omission::Gap => {
                 document.gaps.clear();
                 document.hold = None;
             }
-            Lacks::ClaimsOutliveClaimants => {
+            Omission::ClaimsOutliveClaimants => {
                 let runs: Vec<&HostRun> = state.hosts.iter().map(|host| &host.run).collect();
                 document.entries.retain(|_, entry| {
                     entry.state != Progress::Claimed || runs.contains(&&entry.claimant)
@@ -70,8 +70,8 @@
         let answers = match leg {
             Leg::Out(Call::Read) | Leg::Read(_) if failed => range.read(now, Read::Failed),
             Leg::Out(_) | Leg::Written(_) if failed => {
-                let written = match self.lacks {
-                    Lacks::ReadBack => Written::Done(state.version + 1),
+                let written = match self.omission {
+                    Omission::ReadBack => Written::Done(state.version + 1),
                     _ => Written::Failed,
                 };
                 range.wrote(now, written)
--- a/crates/spec/src/once/faults.rs
+++ b/crates/spec/src/once/faults.rs
@@ -2,7 +2,7 @@
 
 use policy::once::End;
 
-use super::{Claims, Lacks, State, Step, state::Leg};
+use super::{Claims, Omission, State, Step, state::Leg};
 
 impl Claims {
     pub(super) fn faults(&self, state: &State, steps: &mut Vec<(Step, State)>) {
@@ -25,8 +25,8 @@
                 }
             }
             for host in 0..state.hosts.len() {
-                let end = match self.lacks {
-                    Lacks::ReleaseOnlyUnsent => End::Released,
+                let end = match self.omission {
+                    Omission::ReleaseOnlyUnsent => End::Released,
                     _ => End::Lost,
                 };
                 let next = self.finish(state, host, end);
--- a/crates/spec/src/once/hosts.rs
+++ b/crates/spec/src/once/hosts.rs
@@ -9,7 +9,7 @@
 use types::request::{self, Ran};
 
 use super::{
-    Claims, Lacks, ORIGIN,
+    Claims, ORIGIN, Omission,
     state::{Host, Leg, Send, State, Transit},
 };
 
@@ -29,7 +29,7 @@
         next.sent.push(Send { host, after_run: 0 < state.runs, answered: false });
         let now = self.now(state);
         let target = &mut next.hosts[host];
-        if self.lacks == Lacks::ClaimFirst {
+        if self.omission == Omission::ClaimFirst {
             target.granted.insert(id.clone(), now.moment + self.jump);
         }
         target.range.claim(Claim {
@@ -62,8 +62,8 @@
                     state.hosts[host].granted.insert(id, until);
                 }
                 Verdict::Refused(refusal) => {
-                    let not_run = match self.lacks {
-                        Lacks::Look if refusal == Refusal::Unread => true,
+                    let not_run = match self.omission {
+                        Omission::Look if refusal == Refusal::Unread => true,
                         _ => refusal.ran() == Ran::DidNotRun,
                     };
                     state.false_word |= not_run && state.sent[number].after_run;
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -18,7 +18,7 @@
 mod state;
 mod step;
 
-pub use guard::Lacks;
+pub use guard::Omission;
 use state::{Body, Call, Host, Order};
 pub use state::{Fault, State, Tick};
 pub use step::Step;
@@ -51,17 +51,17 @@
     /// more, but either host may be gone for good; not asked if none.
     pub recovery: Option<Tick>,
     /// The guard that is switched off.
-    pub lacks: Lacks,
+    pub omission: Omission,
 }
 
 impl Holders {
     fn settings(&self) -> Settings {
-        let zero = |lacks, ticks| if self.lacks == lacks { 0 } else { ticks };
+        let zero = |omission, ticks| if self.omission == omission { 0 } else { ticks };
         Settings {
             term: span(2),
             renew: span(1),
-            turn: span(zero(Lacks::TurnWait, TURN)),
-            flight: span(zero(Lacks::Flight, FLIGHT)),
+            turn: span(zero(Omission::TurnWait, TURN)),
+            flight: span(zero(Omission::Flight, FLIGHT)),
             fresh: span(0),
             poll: span(Tick::MAX),
             delay: span(0),
@@ -70,7 +70,7 @@
     }
 
     fn host(&self, number: usize, incarnation: host::Incarnation) -> Host {
-        let named = if self.lacks == Lacks::Incarnation { 1 } else { incarnation };
+        let named = if self.omission == Omission::Incarnation { 1 } else { incarnation };
         let term = OrderLease::new(name(number), named, self.settings());
         Host { incarnation, term, hand: None, told: None, suspended: 0, fences: BTreeSet::new() }
     }
@@ -84,9 +84,9 @@
     fn told(&self, to: usize, mut stored: Stored) -> Stored {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
-            lease.claim = match (self.lacks, lease.claim) {
-                (Lacks::TermWait, Claim::Held(_)) => Claim::Held(Duration::ZERO),
-                (Lacks::Rest, Claim::Released(_)) => Claim::Released(Duration::ZERO),
+            lease.claim = match (self.omission, lease.claim) {
+                (Omission::TermWait, Claim::Held(_)) => Claim::Held(Duration::ZERO),
+                (Omission::Rest, Claim::Released(_)) => Claim::Released(Duration::ZERO),
                 (_, claim) => claim,
             };
         }
@@ -100,7 +100,7 @@
     /// Carries a write out, and says what came of it.
     fn carry_out(&self, state: &mut State, host: usize, on: Option<u64>, lease: Lease) -> Outcome {
         let revision = state.stored.as_ref().map(|(revision, _)| *revision);
-        if revision != on && self.lacks != Lacks::ConditionalWrite {
+        if revision != on && self.omission != Omission::ConditionalWrite {
             // A store may say no more of an object that is to be created than that it is there.
             return Outcome::Conflict(on.and_then(|_| self.read(state, host)));
         }
@@ -113,7 +113,7 @@
     fn asks(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
-        let before = (self.lacks == Lacks::SentTime).then(|| state.hosts[host].term.clone());
+        let before = (self.omission == Omission::SentTime).then(|| state.hosts[host].term.clone());
         let (step, slowly, body) = match next.hosts[host].term.step(now) {
             Ask::Idle => return self.watches(state, host).into_iter().collect(),
             Ask::Read => {
@@ -169,7 +169,7 @@
             }
             Body::Outcome(outcome) => {
                 let term = &mut next.hosts[host].term;
-                if self.lacks == Lacks::SentTime && matches!(outcome, Outcome::Done(_)) {
+                if self.omission == Omission::SentTime && matches!(outcome, Outcome::Done(_)) {
                     *term = before.unwrap_or(term.clone());
                     term.step(now);
                 }
@@ -201,8 +201,8 @@
             Body::Write(..) => next.calls[number].awaited = false,
             Body::Outcome(_) | Body::Read(_) => drop(next.calls.remove(number)),
         }
-        let outcome = match (self.lacks, &state.stored) {
-            (Lacks::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
+        let outcome = match (self.omission, &state.stored) {
+            (Omission::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
             _ => Outcome::Unclear,
         };
         next.hosts[host].term.write_finished(now, outcome);
@@ -212,14 +212,14 @@
     /// Whether each host sends an order whenever it may. To the server more orders are worse, and
     /// to the lease they make no difference, unless the host releases it by the time of its last.
     fn is_eager(&self) -> bool {
-        self.stops == 0 && !matches!(self.lacks, Lacks::Look | Lacks::Drop)
+        self.stops == 0 && !matches!(self.omission, Omission::Look | Omission::Drop)
     }
 
     fn sends(&self, state: &mut State, host: usize, fence: Fence) {
         let this = &mut state.hosts[host];
         this.hand = None;
-        let fence = match self.lacks {
-            Lacks::RevisionFence => {
+        let fence = match self.omission {
+            Omission::RevisionFence => {
                 this.fences.insert(fence);
                 this.fences.len() as u64
             }
@@ -244,13 +244,13 @@
         let mut next = state.clone();
         let this = &mut next.hosts[host];
         let present = this.term.may_order(now);
-        let fence = match (self.lacks, this.hand) {
-            (Lacks::Look | Lacks::Drop, None) => {
+        let fence = match (self.omission, this.hand) {
+            (Omission::Look | Omission::Drop, None) => {
                 this.hand = Some(present?);
                 return Some((Step::Prepare(host), next));
             }
-            (Lacks::Drop, Some(hand)) => present.and(Some(hand))?,
-            (Lacks::Look, Some(hand)) => hand,
+            (Omission::Drop, Some(hand)) => present.and(Some(hand))?,
+            (Omission::Look, Some(hand)) => hand,
             _ => present?,
         };
         self.sends(&mut next, host, fence);
@@ -291,7 +291,7 @@
         next.now += 1;
         next.server.forget(next.now, TURN);
         let mut steps = vec![(Step::Tick, next.clone())];
-        if self.lacks == Lacks::SuspensionClock {
+        if self.omission == Omission::SuspensionClock {
             steps.extend((0..HOSTS).map(|host| {
                 let mut next = next.clone();
                 next.hosts[host].suspended += 1;
@@ -306,7 +306,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let mut state = State {
             now: 0,
             stored: None,
@@ -344,7 +344,7 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         if let Some(fault) = state.server.fault {
             return Some(fault.to_string());
         }
@@ -353,7 +353,7 @@
             .then(|| format!("nobody holds the lease {within} quiet ticks later"))
     }
 
-    fn is_quiet(&self, _: &Step) -> bool {
+    fn is_progress(&self, _: &Step) -> bool {
         false
     }
 
--- a/crates/spec/src/order/holder/guard.rs
+++ b/crates/spec/src/order/holder/guard.rs
@@ -2,7 +2,7 @@
 
 /// The guard that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
+pub enum Omission {
     /// All guards are there.
     Nothing,
     /// The store writes whatever the revision is.
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -59,7 +59,7 @@
 
 /// The guard that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
+pub enum Omission {
     /// All guards are there.
     Nothing,
     /// Orders name no sequence number.
@@ -104,14 +104,14 @@
     /// What it is called then.
     pub name: Name,
     /// The guard that is switched off.
-    pub lacks: Lacks,
+    pub omission: Omission,
 }
 
 impl Memory {
     fn reads(&self, state: &State, planner: usize) -> State {
         let mut next = state.clone();
         let mut report = state.server.report();
-        if let (Lacks::Snapshot, Some(old)) = (self.lacks, &state.views[planner]) {
+        if let (Omission::Snapshot, Some(old)) = (self.omission, &state.views[planner]) {
             report = Report { sequence: report.sequence, ..old.clone() };
         }
         next.views[planner] = Some(report);
@@ -129,14 +129,14 @@
     /// Orders that a planner may work out from its last report.
     fn sends(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
         let Some(view) = &state.views[planner] else { return Vec::new() };
-        if view.is_busy && self.lacks != Lacks::Busy {
+        if view.is_busy && self.omission != Omission::Busy {
             return Vec::new();
         }
-        let mut used: BTreeSet<Unit> = match self.lacks {
-            Lacks::Pending => view.held.clone(),
+        let mut used: BTreeSet<Unit> = match self.omission {
+            Omission::Pending => view.held.clone(),
             _ => view.held.union(&view.pending).copied().collect(),
         };
-        if self.lacks != Lacks::Late {
+        if self.omission != Omission::Late {
             used.extend(late_loads(state, planner, view));
         }
         let loads = UNITS
@@ -167,9 +167,9 @@
             next.newest = next.newest.max(order.fence);
             return next;
         }
-        let is_one_name = self.name == Name::Kept || self.lacks == Lacks::Instance;
+        let is_one_name = self.name == Name::Kept || self.omission == Omission::Instance;
         let is_meant = order.instance == server.instance || is_one_name;
-        let is_due = order.sequence == server.sequence || self.lacks == Lacks::Sequence;
+        let is_due = order.sequence == server.sequence || self.omission == Omission::Sequence;
         if !is_meant || !is_due || (self.kind == Kind::Model && server.is_busy()) {
             return next;
         }
@@ -208,7 +208,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             server: state::Server::new(self.kind),
             views: [const { None }; PLANNERS],
@@ -245,11 +245,11 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         state.fault.map(|fault| fault.to_string())
     }
 
-    fn is_quiet(&self, _: &Step) -> bool {
+    fn is_progress(&self, _: &Step) -> bool {
         false
     }
 
--- a/crates/spec/src/quota.rs
+++ b/crates/spec/src/quota.rs
@@ -21,7 +21,7 @@
 const OWN_LEASE: Moment = Duration::from_secs(1);
 
 /// How far the hosts' clocks are ahead of the time.
-const AHEAD: [u64; HOSTS] = [3, 0, 7];
+const CLOCK_OFFSETS: [u64; HOSTS] = [3, 0, 7];
 
 /// A guard that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     restarted: Option<u64>,
     share: Share,
     /// The last clock of each borrower that the lender has read, and when by its own clock.
-    read: [Option<(Moment, Moment)>; HOSTS],
+    readings: [Option<(Moment, Moment)>; HOSTS],
     pools: [Pool; HOSTS],
     messages: BTreeSet<Message>,
 }
@@ -71,13 +71,13 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// A second passes.
-    Pass,
+    Tick,
     /// A borrower tells its clock.
-    Tell(usize),
+    SendClock(usize),
     /// The lender reads a borrower's clock.
-    Read,
+    ReceiveClock,
     /// A borrower takes a lease in.
-    Borrow,
+    ReceiveLease,
     /// The lender lends its share to a host.
     Lend(usize),
     /// The lender starts again.
@@ -87,10 +87,10 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Pass => write!(f, "a second passes"),
-            Step::Tell(host) => write!(f, "host {host} tells its clock"),
-            Step::Read => write!(f, "a clock arrives"),
-            Step::Borrow => write!(f, "a lease arrives"),
+            Step::Tick => write!(f, "a second passes"),
+            Step::SendClock(host) => write!(f, "host {host} tells its clock"),
+            Step::ReceiveClock => write!(f, "a clock arrives"),
+            Step::ReceiveLease => write!(f, "a lease arrives"),
             Step::Lend(LENDER) => write!(f, "the lender counts its share itself"),
             Step::Lend(host) => write!(f, "the lender lends to host {host}"),
             Step::Restart => write!(f, "the lender starts again"),
@@ -102,12 +102,12 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             time: 0,
             restarted: None,
             share: Share::free_from(Duration::ZERO),
-            read: [None; HOSTS],
+            readings: [None; HOSTS],
             pools: Default::default(),
             messages: BTreeSet::new(),
         }
@@ -116,15 +116,15 @@
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         if state.time < self.length {
-            steps.push((Step::Pass, state.later()));
+            steps.push((Step::Tick, state.next_second()));
         }
         for host in LENDER + 1..HOSTS {
             let mut next = state.clone();
             next.messages.insert(Message::Clock(host, state.clock(host)));
-            steps.push((Step::Tell(host), next));
+            steps.push((Step::SendClock(host), next));
         }
         for message in &state.messages {
-            steps.push(self.arrive(state, *message));
+            steps.push(self.deliver(state, *message));
         }
         for host in LENDER..HOSTS {
             steps.extend(self.lend(state, host).map(|next| (Step::Lend(host), next)));
@@ -135,15 +135,15 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let lender = name(LENDER);
         let counts = |host: &usize| state.pools[*host].has(&lender, state.clock(*host));
-        let counting: Vec<usize> = (0..HOSTS).filter(counts).collect();
-        (1 < counting.len()).then(|| format!("the share counts at hosts {counting:?}"))
+        let holders: Vec<usize> = (0..HOSTS).filter(counts).collect();
+        (1 < holders.len()).then(|| format!("the share counts at hosts {holders:?}"))
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        matches!(step, Step::Pass)
+    fn is_progress(&self, step: &Step) -> bool {
+        matches!(step, Step::Tick)
     }
 
     fn is_settled(&self, state: &State) -> bool {
@@ -152,21 +152,21 @@
 }
 
 impl Quota {
-    fn arrive(&self, state: &State, message: Message) -> (Step, State) {
+    fn deliver(&self, state: &State, message: Message) -> (Step, State) {
         let mut next = state.clone();
         match message {
             Message::Clock(host, clock) => {
-                let is_newer = state.read[host].is_none_or(|(read, _)| read < clock);
+                let is_newer = state.readings[host].is_none_or(|(read, _)| read < clock);
                 if is_newer {
-                    next.read[host] = Some((clock, state.clock(LENDER)));
+                    next.readings[host] = Some((clock, state.clock(LENDER)));
                 }
-                (Step::Read, next)
+                (Step::ReceiveClock, next)
             }
             Message::Lease(host, read) => {
                 let now = state.clock(host);
                 let read = if self.guard == Guard::NoReading { now } else { read };
                 next.pools[host].borrow(&name(LENDER), read, LEASE, HOSTS as u32, now);
-                (Step::Borrow, next)
+                (Step::ReceiveLease, next)
             }
         }
     }
@@ -181,7 +181,7 @@
             next.share.lend(&name(LENDER), now, OWN_LEASE, now).then_some(())?;
             next.pools[LENDER].borrow(&name(LENDER), now, OWN_LEASE, HOSTS as u32, now);
         } else {
-            let (clock, read) = state.read[host]?;
+            let (clock, read) = state.readings[host]?;
             next.share.lend(&name(host), read, LEASE, now).then_some(())?;
             next.messages.insert(Message::Lease(host, clock));
         }
@@ -193,7 +193,7 @@
         let wait = if self.guard == Guard::NoWait { Duration::ZERO } else { LEASE };
         let mut next = State { restarted: Some(state.time), ..state.clone() };
         next.share = Share::free_from(state.clock(LENDER) + wait);
-        next.read = [None; HOSTS];
+        next.readings = [None; HOSTS];
         next.pools[LENDER] = Pool::default();
         next
     }
@@ -201,23 +201,23 @@
 
 impl State {
     /// A second later, without what can have no effect any more.
-    fn later(&self) -> State {
+    fn next_second(&self) -> State {
         let mut next = State { time: self.time + 1, ..self.clone() };
         for host in 0..HOSTS {
             let now = next.clock(host);
             next.pools[host].expire(now);
         }
         let clocks = (0..HOSTS).map(|host| next.clock(host)).collect::<Vec<_>>();
-        let is_over = |host: usize, read: Moment| read + LEASE <= clocks[host];
+        let is_expired = |host: usize, read: Moment| read + LEASE <= clocks[host];
         next.messages.retain(|message| match message {
-            Message::Clock(host, clock) => !is_over(*host, *clock),
-            Message::Lease(host, read) => !is_over(*host, *read),
+            Message::Clock(host, clock) => !is_expired(*host, *clock),
+            Message::Lease(host, read) => !is_expired(*host, *read),
         });
         next
     }
 
     fn clock(&self, host: usize) -> Moment {
-        Duration::from_secs(self.time + AHEAD[host])
+        Duration::from_secs(self.time + CLOCK_OFFSETS[host])
     }
 }
 
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -20,7 +20,7 @@
 const SERVERS: usize = 2;
 
 /// Unloads that each planner may try.
-const TRIES: u8 = 2;
+const MAX_ATTEMPTS: u8 = 2;
 
 /// When a planner looks whether the other replica is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,15 +49,15 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Planner {
-    tries: u8,
-    doing: Doing,
+    attempts: u8,
+    phase: Phase,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Doing {
+enum Phase {
     Idle,
     /// It looked before it wrote, and found a keeper.
-    Looked,
+    Checked,
     /// Its unload stands in the ledger and has not been sent.
     Written,
     /// Its unload is on its way.
@@ -68,12 +68,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     planner: usize,
-    what: What,
+    kind: Kind,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum What {
-    Look,
+enum Kind {
+    Check,
     Write,
     Send,
     Withdraw,
@@ -82,13 +82,13 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Step { planner, what } = self;
-        match what {
-            What::Look => write!(f, "planner {planner} finds the other replica kept"),
-            What::Write => write!(f, "planner {planner} writes the unload into its ledger"),
-            What::Send => write!(f, "planner {planner} sends the unload"),
-            What::Withdraw => write!(f, "planner {planner} withdraws the unload, never sent"),
-            What::Arrive => write!(f, "server {planner} unloads, and reports it"),
+        let Step { planner, kind } = self;
+        match kind {
+            Kind::Check => write!(f, "planner {planner} finds the other replica kept"),
+            Kind::Write => write!(f, "planner {planner} writes the unload into its ledger"),
+            Kind::Send => write!(f, "planner {planner} sends the unload"),
+            Kind::Withdraw => write!(f, "planner {planner} withdraws the unload, never sent"),
+            Kind::Arrive => write!(f, "server {planner} unloads, and reports it"),
         }
     }
 }
@@ -97,12 +97,12 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             ledgers: [0, 1].map(|server| Ledger::new(&report(server, 1, true, Vec::new()))),
             ready: [true; SERVERS],
             sequence: [1; SERVERS],
-            planners: [Planner { tries: 0, doing: Doing::Idle }; SERVERS],
+            planners: [Planner { attempts: 0, phase: Phase::Idle }; SERVERS],
         }
     }
 
@@ -110,12 +110,12 @@
         (0..SERVERS).flat_map(|planner| self.planner(state, planner)).collect()
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         (state.ready == [false; SERVERS]).then(|| "no replica of the model answers".into())
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        matches!(step.what, What::Send | What::Withdraw | What::Arrive)
+    fn is_progress(&self, step: &Step) -> bool {
+        matches!(step.kind, Kind::Send | Kind::Withdraw | Kind::Arrive)
     }
 
     fn is_settled(&self, state: &State) -> bool {
@@ -125,28 +125,30 @@
 
 impl Replicas {
     fn planner(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
-        let now = state.planners[planner];
+        let current = state.planners[planner];
         let other = &state.ledgers[1 - planner];
-        let is_kept = may_unload(&unit(), [other]);
-        match (now.doing, self.check) {
-            (Doing::Idle, _) if now.tries == TRIES || !state.ready[planner] => Vec::new(),
-            (Doing::Idle, Check::BeforeWrite) if is_kept => {
-                vec![state.step(planner, What::Look, Doing::Looked)]
+        let other_remains = may_unload(&unit(), [other]);
+        match (current.phase, self.check) {
+            (Phase::Idle, _) if current.attempts == MAX_ATTEMPTS || !state.ready[planner] => {
+                Vec::new()
             }
-            (Doing::Idle, Check::BeforeWrite) => Vec::new(),
-            (Doing::Idle, Check::AfterWrite) | (Doing::Looked, _) => state.write(planner),
-            (Doing::Written, Check::AfterWrite) if !is_kept => vec![state.withdraw(planner)],
-            (Doing::Written, _) => vec![state.step(planner, What::Send, Doing::Sent)],
-            (Doing::Sent, _) => vec![state.arrive(planner)],
+            (Phase::Idle, Check::BeforeWrite) if other_remains => {
+                vec![state.step(planner, Kind::Check, Phase::Checked)]
+            }
+            (Phase::Idle, Check::BeforeWrite) => Vec::new(),
+            (Phase::Idle, Check::AfterWrite) | (Phase::Checked, _) => state.write(planner),
+            (Phase::Written, Check::AfterWrite) if !other_remains => vec![state.withdraw(planner)],
+            (Phase::Written, _) => vec![state.step(planner, Kind::Send, Phase::Sent)],
+            (Phase::Sent, _) => vec![state.arrive(planner)],
         }
     }
 }
 
 impl State {
-    fn step(&self, planner: usize, what: What, doing: Doing) -> (Step, State) {
+    fn step(&self, planner: usize, kind: Kind, phase: Phase) -> (Step, State) {
         let mut next = self.clone();
-        next.planners[planner].doing = doing;
-        (Step { planner, what }, next)
+        next.planners[planner].phase = phase;
+        (Step { planner, kind }, next)
     }
 
     fn write(&self, planner: usize) -> Vec<(Step, State)> {
@@ -158,7 +160,7 @@
         };
         let reserved = self.ledgers[planner].reserve(claim, Action::Unload { unit: unit() });
         let written = reserved.ok().map(|(ledger, _)| {
-            let (step, mut next) = self.step(planner, What::Write, Doing::Written);
+            let (step, mut next) = self.step(planner, Kind::Write, Phase::Written);
             next.ledgers[planner] = ledger;
             (step, next)
         });
@@ -166,15 +168,15 @@
     }
 
     fn withdraw(&self, planner: usize) -> (Step, State) {
-        let (step, mut next) = self.step(planner, What::Withdraw, Doing::Idle);
-        let never = Evidence::NeverTaken { order: self.order(planner) };
-        next.ledgers[planner] = self.ledgers[planner].settle(&[never]).ledger;
-        next.planners[planner].tries += 1;
+        let (step, mut next) = self.step(planner, Kind::Withdraw, Phase::Idle);
+        let evidence = Evidence::NeverTaken { order: self.order(planner) };
+        next.ledgers[planner] = self.ledgers[planner].settle(&[evidence]).ledger;
+        next.planners[planner].attempts += 1;
         (step, next)
     }
 
     fn arrive(&self, planner: usize) -> (Step, State) {
-        let (step, mut next) = self.step(planner, What::Arrive, Doing::Idle);
+        let (step, mut next) = self.step(planner, Kind::Arrive, Phase::Idle);
         next.ready[planner] = false;
         next.sequence[planner] += 1;
         let taken = vec![self.order(planner)];
@@ -184,7 +186,7 @@
     }
 
     fn order(&self, planner: usize) -> order::Id {
-        format!("order-{planner}-{}", self.planners[planner].tries).into()
+        format!("order-{planner}-{}", self.planners[planner].attempts).into()
     }
 }
 
--- a/crates/spec/tests/explore.rs
+++ b/crates/spec/tests/explore.rs
@@ -13,7 +13,7 @@
     type State = u32;
     type Step = &'static str;
 
-    fn start(&self) -> u32 {
+    fn initial(&self) -> u32 {
         0
     }
 
@@ -24,11 +24,11 @@
         up.chain(down).collect()
     }
 
-    fn broken(&self, state: &u32) -> Option<String> {
+    fn violation(&self, state: &u32) -> Option<String> {
         (Some(*state) == self.forbidden).then(|| format!("{state} is forbidden"))
     }
 
-    fn is_quiet(&self, step: &&'static str) -> bool {
+    fn is_progress(&self, step: &&'static str) -> bool {
         *step == "down"
     }
 
@@ -47,9 +47,9 @@
 #[test]
 fn forbidden_state_is_found_by_a_shortest_way() {
     let report = explore(&Counter { top: 9, forbidden: Some(6), trap: None }, 100);
-    let trace = report.broken().expect("the forbidden state is reachable");
+    let trace = report.violation().expect("the forbidden state is reachable");
     assert_eq!(trace.steps, ["two up", "two up", "two up"]);
-    assert!(trace.fault.contains('6'));
+    assert!(trace.violation.contains('6'));
 }
 
 #[test]
--- a/crates/spec/tests/ledger.rs
+++ b/crates/spec/tests/ledger.rs
@@ -9,7 +9,7 @@
 };
 
 /// Bound on the states of one search, far above what any of them meets.
-const MOST_STATES: usize = 30_000_000;
+const MAX_STATES: usize = 30_000_000;
 
 /// No fault but that every order and report may be late, and every order and answer lost.
 const ORDERS_ONLY: Bounds = Bounds {
@@ -34,7 +34,7 @@
 const EMPTY: Bounds = Bounds { residents: 0, orders: 2, ..ORDERS_ONLY };
 
 fn search(bounds: Bounds) -> Report {
-    let report = explore(&Memory::new(bounds), MOST_STATES);
+    let report = explore(&Memory::new(bounds), MAX_STATES);
     eprintln!("{bounds:?}: {report}");
     report
 }
@@ -88,7 +88,7 @@
 #[case(Guard::PauseIsNotDeath, EMPTY)]
 #[case(Guard::DeadLinger, Bounds { deaths: 1, ..EMPTY })]
 fn without_a_guard_a_counterexample_is_found(#[case] guard: Guard, #[case] bounds: Bounds) {
-    let report = explore(&Memory::without(guard, bounds), MOST_STATES);
+    let report = explore(&Memory::without(guard, bounds), MAX_STATES);
     eprintln!("without \"{guard}\", {bounds:?}: {report}");
-    assert!(report.broken().is_some(), "no counterexample without \"{guard}\": {report}");
+    assert!(report.violation().is_some(), "no counterexample without \"{guard}\": {report}");
 }
--- a/crates/spec/tests/quota.rs
+++ b/crates/spec/tests/quota.rs
@@ -8,11 +8,11 @@
     quota::{Guard, Quota},
 };
 
-const MOST_STATES: usize = 2_000_000;
+const MAX_STATES: usize = 2_000_000;
 
 #[test]
 fn a_share_counts_at_one_host_at_a_time() {
-    let report = explore(&Quota { guard: Guard::All, length: 5 }, MOST_STATES);
+    let report = explore(&Quota { guard: Guard::All, length: 5 }, MAX_STATES);
     eprintln!("shares of a quota: {report}");
     assert!(report.holds(), "{report}");
 }
@@ -22,7 +22,7 @@
 #[case::the_reading_of_the_clock(Guard::NoReading)]
 #[case::the_wait_after_a_restart(Guard::NoWait)]
 fn a_share_counts_twice_without(#[case] guard: Guard) {
-    let report = explore(&Quota { guard, length: 5 }, MOST_STATES);
+    let report = explore(&Quota { guard, length: 5 }, MAX_STATES);
     eprintln!("without {guard:?}: {report}");
-    assert!(report.broken().is_some(), "{report}");
+    assert!(report.violation().is_some(), "{report}");
 }
--- a/crates/spec/tests/replica.rs
+++ b/crates/spec/tests/replica.rs
@@ -7,18 +7,18 @@
     replica::{Check, Replicas},
 };
 
-const MOST_STATES: usize = 100_000;
+const MAX_STATES: usize = 100_000;
 
 #[test]
 fn some_replica_always_answers_and_every_unload_can_settle() {
-    let report = explore(&Replicas { check: Check::AfterWrite }, MOST_STATES);
+    let report = explore(&Replicas { check: Check::AfterWrite }, MAX_STATES);
     eprintln!("make before break: {report}");
     assert!(report.holds(), "{report}");
 }
 
 #[test]
 fn planners_that_look_before_they_write_unload_both_replicas() {
-    let report = explore(&Replicas { check: Check::BeforeWrite }, MOST_STATES);
+    let report = explore(&Replicas { check: Check::BeforeWrite }, MAX_STATES);
     eprintln!("without \"look after the write\": {report}");
-    assert!(report.broken().is_some(), "{report}");
+    assert!(report.violation().is_some(), "{report}");
 }
