--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,13 +1,14 @@
-//! Configuration numbers with patches that race, lost answers, old reads and hosts that start.
+//! Model of configuration updates: racing patches, lost answers, stale reads and host restarts.
 //!
-//! Two operators' patches are against the same number; each is decided by [`policy::config::decide`]
-//! on what was last read and written on condition. Hosts hear roots in any order, also old ones, and
-//! keep what [`Holder`] says; one that starts again begins with nothing. Configurations stand in the
-//! root itself; those in parts are left to the tests of `policy`.
+//! Two operators submit patches against the same configuration number. [`policy::config::decide`]
+//! decides each patch on the root that was read last, and the result is written conditionally on
+//! the version of that root. Hosts receive roots in any order, also old ones, and apply them by
+//! [`Holder`]; a restarted host begins with no root. All roots here contain the whole
+//! configuration; the tests of `policy` cover configurations in parts.
 //!
-//! Safety: each number is made once; an accepted patch is in every later number; who is told "stale"
-//! was not accepted; the number in force in one run of a host never falls. Liveness: every patch gets
-//! its outcome and every host gets to the last number.
+//! Safety: each number is assigned once; an accepted patch is contained in every later number; a
+//! patch that is answered "stale" was not accepted; the number in force never decreases within one
+//! run of a host. Liveness: every patch gets an outcome, and every host reaches the last number.
 
 use std::{
     fmt::{self, Display},
@@ -25,39 +26,39 @@
 
 use crate::explore::System;
 
-/// A guard that a variant of the system lacks.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Omission {
-    /// All guards are there.
+    /// All guards are active.
     Nothing,
-    /// The object API writes whatever the version is.
+    /// The object API ignores the expected version of a write.
     ConditionalWrite,
-    /// The root does not keep patches, so a retry is not recognised.
+    /// The root does not record accepted patches, so a retry is not recognised.
     KeptPatches,
-    /// The number that a patch is against is not looked at.
+    /// The number that a patch is based on is not compared with the current one.
     Against,
-    /// A host takes whatever root it hears.
+    /// A host applies every root that it receives, also one with a lower number.
     OnlyUp,
 }
 
-/// Bounds of the exploration, and what is varied.
+/// The model: two patches and two hosts, with bounds on the faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Updates {
-    /// Answers that are lost after their write.
+    /// Maximum number of answers lost after the patch was decided and written.
     pub losses: u8,
-    /// Starts of a host after the first.
+    /// Maximum number of host restarts, over both hosts.
     pub restarts: u8,
-    /// The guard that is switched off.
+    /// The disabled guard.
     pub omission: Omission,
 }
 
 /// A root as the object API holds it, in JSON.
 type Text = Arc<str>;
 
-/// Everything that decides what may happen next.
+/// A state of the object API, the patches and the hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Every root that was written; the last one stands, its place is its version.
+    /// Every root that was written. The last one is current; a root's index is its version.
     written: Vec<Text>,
     patches: Vec<Progress>,
     hosts: Vec<Host>,
@@ -66,37 +67,38 @@
     violation: Option<String>,
 }
 
-/// How far a patch is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Progress {
-    /// To be decided on the root as it is read next.
+    /// Submitted; the root has to be read.
     Requested,
-    /// Decided on this version.
+    /// The root was read at this version.
     Read(usize),
-    /// Accepted as this number.
+    /// Accepted as the configuration with this number.
     Accepted(Number),
-    /// Told that its number is past.
+    /// Answered that the number that it is based on is no longer current.
     Stale,
 }
 
-/// What a host has heard in this run, in order; the rest follows from it.
+/// The roots that a host received in this run and that changed its number, in order.
+///
+/// The rest of its state follows from them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Host {
     received: Vec<Text>,
 }
 
-/// A step.
+/// A step of an operator or a host, with the indices of the patch, host or version.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// The root is read for a patch.
     Read(usize),
-    /// A patch is decided and written.
+    /// A patch is decided, and written if it is accepted.
     Write(usize),
-    /// The same, and the answer is lost; the operator asks again.
+    /// As [`Step::Write`], but the answer is lost, so the operator submits the patch again.
     LoseAnswer(usize),
-    /// A host hears a root, the last or an old one.
+    /// A host receives a root, the current or an old one.
     Receive(usize, usize),
-    /// A host starts again with nothing.
+    /// A host restarts, and has no root.
     Restart(usize),
 }
 
@@ -106,15 +108,12 @@
             Step::Read(patch) => write!(f, "the root is read for patch {patch}"),
             Step::Write(patch) => write!(f, "patch {patch} is decided and written"),
             Step::LoseAnswer(patch) => {
-                write!(
-                    f,
-                    "patch {patch} is decided and written, its answer is lost, it is asked again"
-                )
+                write!(f, "patch {patch} is decided and written, its answer is lost")
             }
             Step::Receive(host, version) => {
-                write!(f, "host {host} hears version {version} of the root")
+                write!(f, "host {host} receives version {version} of the root")
             }
-            Step::Restart(host) => write!(f, "host {host} starts again"),
+            Step::Restart(host) => write!(f, "host {host} restarts"),
         }
     }
 }
@@ -153,7 +152,8 @@
             Decision::Repeated(accepted) => Progress::Accepted(accepted),
             Decision::Stale(_) => Progress::Stale,
             other => {
-                next.violation = Some(format!("patch {number}: {other:?}"));
+                next.violation =
+                    Some(format!("patch {number} got an unexpected decision: {other:?}"));
                 Progress::Stale
             }
         };
@@ -166,9 +166,9 @@
         next.hosts[host].received.push(state.written[version].clone());
         let after = self.current_number(&next.hosts[host]);
         if after < before {
-            next.violation = Some(format!("host {host} goes from number {before} to {after}"));
+            next.violation = Some(format!("host {host} goes back from number {before} to {after}"));
         }
-        // What changes nothing need not be remembered.
+        // Roots without effect are not recorded, which keeps the state space finite.
         if after == before {
             next.hosts[host] = state.hosts[host].clone();
         }
@@ -181,7 +181,7 @@
         }
         let mut holder = Holder::default();
         for text in &host.received {
-            // A root that holds the whole needs no parts and can't fail.
+            // A root that contains the whole configuration needs no parts, so this can't fail.
             let _ = holder.observe_root(root(text));
         }
         holder.number()
@@ -257,16 +257,18 @@
             let last_contains = roots.last().is_some_and(|root| contains(root, number));
             match progress {
                 Progress::Stale if 0 < containing => {
-                    return Some(format!("patch {number} is told stale and was accepted"));
+                    return Some(format!("patch {number} was answered \"stale\" but was accepted"));
                 }
                 Progress::Accepted(_) if !last_contains => {
-                    return Some(format!("patch {number} was accepted and is gone"));
+                    return Some(format!(
+                        "patch {number} was accepted, but the last root lacks it"
+                    ));
                 }
                 _ => {}
             }
         }
         let both = (0..state.patches.len()).all(|n| roots.iter().any(|root| contains(root, n)));
-        both.then(|| "two patches against one number were both accepted".into())
+        both.then(|| "two patches against the same number were both accepted".into())
     }
 
     fn is_progress(&self, step: &Step) -> bool {
@@ -281,7 +283,7 @@
     }
 }
 
-/// Whether a root has what a patch asks for.
+/// Whether the configuration of a root has the value that this patch sets.
 fn contains(root: &Root, patch: usize) -> bool {
     let weights = current_config(root).weights;
     match patch {
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -1,10 +1,10 @@
-//! Exhaustive exploration of a small system.
+//! Explicit-state model checking of a finite transition system.
 //!
-//! Breadth first, by the library's search, so that a trace that breaks a rule is a shortest one.
-//! Two questions are asked. Safety: does any reachable state break the rule? Liveness, in the
-//! form that a finite walk allows: can every reachable state still get to a settled one by quiet
-//! steps alone, that is, once the faults stop? The second is answered by walking the quiet steps
-//! backwards from the settled states; a state that is never met is stuck.
+//! The search is breadth first (`pathfinding`), so a counterexample is as short as possible. It
+//! checks two properties. Safety: no reachable state violates the invariant. Liveness, as far as a
+//! finite exploration can show it: from every reachable state a settled state can be reached by
+//! progress steps alone, that is, without further faults. The second is checked by following the
+//! progress steps backwards from the settled states; a state that this does not reach is stuck.
 
 use std::{
     collections::HashMap,
@@ -15,71 +15,73 @@
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// A system of states and steps.
+/// A transition system: an initial state, and the steps between states.
 pub trait System {
-    /// Everything that decides what may happen next.
+    /// Must hold everything that decides which steps are enabled.
     type State: Clone + Eq + Hash;
-    /// Name of a step, for traces.
+    /// Label of a transition; its `Display` text is printed in traces.
     type Step: Display;
 
-    /// The state it starts in.
+    /// The single state at which the exploration begins.
     fn initial(&self) -> Self::State;
 
-    /// Every step from this state, faults among them, with the state that it leads to.
+    /// Every step that is enabled in this state, faults included, with its successor state.
+    ///
+    /// The order decides which of several shortest traces is reported.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// The rule that this state breaks, in words.
+    /// Describes how this state violates the invariant; `None` if it does not.
     fn violation(&self, state: &Self::State) -> Option<String>;
 
-    /// Whether the step happens by itself once all faults have stopped.
+    /// Whether the step still happens once faults have stopped; liveness relies on these steps.
     fn is_progress(&self, step: &Self::Step) -> bool;
 
-    /// Whether nothing is left to be done in this state.
+    /// Whether the protocol has no unfinished work in this state.
     fn is_settled(&self, state: &Self::State) -> bool;
 }
 
-/// What an exploration found.
+/// Outcome of an exploration.
 #[derive(Clone, Debug)]
 pub enum Finding {
-    /// No reachable state breaks the rule, and each can still settle.
+    /// The state space was explored in full; safety and liveness both hold.
     Holds,
-    /// A state breaks the rule.
+    /// A reachable state violates the invariant.
     Violated(Trace),
-    /// A state can't get to a settled one by quiet steps.
+    /// From a reachable state, no settled state can be reached by progress steps.
     Stuck(Trace),
-    /// The bound on states was met first, and nothing was found until then.
+    /// The limit on states was reached before a violation was found.
     Unfinished,
 }
 
-/// A shortest way from the start to a state that was found.
+/// A shortest trace from the initial state to a violating or stuck state.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// What is wrong there.
+    /// Describes the property that the last state violates.
     pub violation: String,
-    /// The steps that lead there, in order.
+    /// Texts of the steps, in order; empty if the initial state is the one found.
     pub steps: Vec<String>,
 }
 
-/// An exploration's result.
+/// Outcome of an exploration, with its size and run time.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What it found.
+    /// The first violation found, or why there is none.
     pub finding: Finding,
-    /// States met.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps between them.
+    /// Number of transitions generated, including those to states already visited.
     pub steps: usize,
-    /// Time that it took.
+    /// Wall-clock time of the exploration.
     pub elapsed: Duration,
 }
 
 impl Report {
-    /// Whether the rule holds in every state, and every state can settle.
+    /// Whether the whole state space was explored, and safety and liveness hold.
     pub fn holds(&self) -> bool {
         matches!(self.finding, Finding::Holds)
     }
 
-    /// The trace to a state that breaks the rule.
+    /// The counterexample to safety, if one was found.
     pub fn violation(&self) -> Option<&Trace> {
         match &self.finding {
             Finding::Violated(trace) => Some(trace),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The trace to a state that can't settle.
+    /// The counterexample to liveness, if one was found.
     pub fn stuck(&self) -> Option<&Trace> {
         match &self.finding {
             Finding::Stuck(trace) => Some(trace),
@@ -111,14 +113,16 @@
         writeln!(f, "{} states, {} steps, {seconds:.2} s", self.states, self.steps)?;
         match &self.finding {
             Finding::Holds => write!(f, "holds"),
-            Finding::Violated(trace) => write!(f, "broken:\n{trace}"),
+            Finding::Violated(trace) => write!(f, "invariant violated:\n{trace}"),
             Finding::Stuck(trace) => write!(f, "stuck:\n{trace}"),
-            Finding::Unfinished => write!(f, "unfinished: the bound on states was met"),
+            Finding::Unfinished => write!(f, "unfinished: the limit on states was reached"),
         }
     }
 }
 
-/// Explores `system` up to `most_states` states.
+/// Explores `system`, and stops once more than `max_states` states are reachable.
+///
+/// Safety is checked during the search, liveness only once the whole state space is known.
 pub fn explore<S: System>(system: &S, max_states: usize) -> Report {
     let started = Instant::now();
     let mut steps = 0;
@@ -142,13 +146,17 @@
         states.push(state);
     }
     let finding = match first_stuck(system, &states) {
-        Some(state) => Finding::Stuck(trace(system, "can't settle from here".into(), state)),
+        Some(state) => Finding::Stuck(trace(
+            system,
+            "no settled state can be reached by progress steps".into(),
+            state,
+        )),
         None => Finding::Holds,
     };
     report(finding, states.len(), steps)
 }
 
-/// The state, nearest to the start, from which quiet steps lead to no settled state.
+/// The state nearest to the initial one from which progress steps reach no settled state.
 fn first_stuck<'a, S: System>(system: &S, states: &'a [S::State]) -> Option<&'a S::State> {
     if states.iter().all(|state| system.is_settled(state)) {
         return None;
@@ -175,7 +183,7 @@
     can_settle.iter().position(|can_settle| !can_settle).map(|i| &states[i])
 }
 
-/// A shortest way to `found`, step by step.
+/// Searches again for a shortest path to `found`, since the exploration keeps no parents.
 fn trace<S: System>(system: &S, violation: String, found: &S::State) -> Trace {
     let next = |state: &S::State| system.steps(state).into_iter().map(|(_, state)| state);
     let path = bfs(&system.initial(), next, |state| state == found).unwrap_or_default();
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,10 +1,9 @@
-//! The small specification and its exhaustive exploration.
+//! Models of the protocols, and a model checker that explores them exhaustively.
 //!
-//! Each module states one protocol as a system of states and steps, with the faults as steps of
-//! their own, and calls `policy` for every decision, so that what is checked is the code that
-//! runs. [`explore`] walks every reachable state. Each guard of a protocol can be switched off;
-//! the walk must then find a trace that breaks the rule, which shows that it looks where it
-//! should.
+//! Each module models one protocol as a transition system. Faults are steps of their own. Every
+//! decision is made by `policy`, so the checked code is the code in production. [`explore`] visits
+//! every reachable state. Each guard of a protocol can be disabled; the exploration must then find
+//! a counterexample, which shows that the model can reach the failure that the guard prevents.
 
 pub mod config;
 pub mod explore;
--- a/crates/spec/src/quota.rs
+++ b/crates/spec/src/quota.rs
@@ -1,8 +1,10 @@
-//! One share of a quota: the host that it belongs to, and two hosts that it may be lent to.
+//! Model of the lease of one share of a quota: the host that owns it, and two borrowers.
 //!
-//! Borrowers tell their clocks, the lender lends from what it has read of them. Messages are late, lost
-//! or come twice, the lender starts again with nothing known, and it turns from one borrower to the other
-//! whenever it likes. The clocks of the three differ. `policy::quota::lease` decides at both ends.
+//! Borrowers send readings of their clocks, and a lease is counted from such a reading. Messages
+//! may be late, lost or duplicated; the lender may restart without its state, and may switch from
+//! one borrower to the other at any time. The clocks of the three hosts differ.
+//! `policy::quota::lease` decides on both sides. Safety: at most one host counts the share at any
+//! time.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -13,87 +15,89 @@
 
 const HOSTS: usize = 3;
 
-/// The host whose share it is.
+/// The host that owns the share.
 const LENDER: usize = 0;
 
-/// Length of a lease, and that of the lender on its own share.
+/// Length of a lease to a borrower.
 const LEASE: Moment = Duration::from_secs(2);
+
+/// Length of the lease that the lender takes on its own share.
 const OWN_LEASE: Moment = Duration::from_secs(1);
 
-/// How far the hosts' clocks are ahead of the time.
+/// Seconds by which each host's clock is ahead of the model's time.
 const CLOCK_OFFSETS: [u64; HOSTS] = [3, 0, 7];
 
-/// A guard that can be switched off.
+/// Which guards are active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// All hold.
+    /// All guards are active.
     All,
-    /// The lender lends what another host may still count.
+    /// The lender lends a share that another host may still count.
     NoExclusion,
-    /// Borrowers count a lease from when its message came.
+    /// Borrowers count a lease from the arrival of its message, not from their clock reading.
     NoReading,
-    /// A lender that starts again lends at once.
+    /// A restarted lender lends at once, while a lease of its former run may still be valid.
     NoWait,
 }
 
-/// The system.
+/// The model, with its guards and the bound on time.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
-    /// What holds.
+    /// [`Guard::All`], or the guard that is disabled.
     pub guard: Guard,
-    /// Length of the walk, in seconds.
+    /// Seconds after which time stops.
     pub length: u64,
 }
 
-/// A state of the three hosts and of the messages on their way.
+/// A state of the three hosts and of the messages in transit.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct State {
     time: u64,
-    /// When the lender started again, if it did.
+    /// When the lender restarted, if it did; it restarts at most once.
     restarted: Option<u64>,
     share: Share,
-    /// The last clock of each borrower that the lender has read, and when by its own clock.
+    /// The newest clock reading of each borrower, and the lender's own clock when it arrived.
     readings: [Option<(Moment, Moment)>; HOSTS],
     pools: [Pool; HOSTS],
     messages: BTreeSet<Message>,
 }
 
-/// A message; one that stays may come again.
+/// A message in transit. Delivery does not remove it, so it may be delivered again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// A borrower's clock.
+    /// A reading of this borrower's clock.
     Clock(usize, Moment),
-    /// The share is lent from this reading of the borrower's clock.
+    /// A lease to this borrower, counted from this reading of its clock.
     Lease(usize, Moment),
 }
 
-/// A step.
+/// A step of time, of a borrower or of the lender.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A second passes.
+    /// One second passes.
     Tick,
-    /// A borrower tells its clock.
+    /// A borrower sends a reading of its clock.
     SendClock(usize),
-    /// The lender reads a borrower's clock.
+    /// A borrower's clock reading arrives at the lender.
     ReceiveClock,
-    /// A borrower takes a lease in.
+    /// A lease arrives at its borrower.
     ReceiveLease,
-    /// The lender lends its share to a host.
+    /// The lender leases the share to a host; to itself if the index is its own.
     Lend(usize),
-    /// The lender starts again.
+    /// The lender restarts without its state.
     Restart,
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Tick => write!(f, "a second passes"),
-            Step::SendClock(host) => write!(f, "host {host} tells its clock"),
-            Step::ReceiveClock => write!(f, "a clock arrives"),
-            Step::ReceiveLease => write!(f, "a lease arrives"),
-            Step::Lend(LENDER) => write!(f, "the lender counts its share itself"),
-            Step::Lend(host) => write!(f, "the lender lends to host {host}"),
-            Step::Restart => write!(f, "the lender starts again"),
+            Step::Tick => write!(f, "one second passes"),
+            Step::SendClock(host) => write!(f, "host {host} sends its clock reading"),
+            Step::ReceiveClock => write!(f, "a clock reading arrives at the lender"),
+            Step::ReceiveLease => write!(f, "a lease arrives at its borrower"),
+            Step::Lend(LENDER) => write!(f, "the lender leases the share to itself"),
+            Step::Lend(host) => write!(f, "the lender leases the share to host {host}"),
+            Step::Restart => write!(f, "the lender restarts"),
         }
     }
 }
@@ -139,7 +143,7 @@
         let lender = name(LENDER);
         let counts = |host: &usize| state.pools[*host].has(&lender, state.clock(*host));
         let holders: Vec<usize> = (0..HOSTS).filter(counts).collect();
-        (1 < holders.len()).then(|| format!("the share counts at hosts {holders:?}"))
+        (1 < holders.len()).then(|| format!("the share is counted by several hosts: {holders:?}"))
     }
 
     fn is_progress(&self, step: &Step) -> bool {
@@ -188,7 +192,8 @@
         Some(next)
     }
 
-    /// The lender's clock goes on here, so its share is free a lease after its clock of now.
+    /// The lender's clock continues over a restart, so the share is free one lease length after its
+    /// current reading.
     fn restart(&self, state: &State) -> State {
         let wait = if self.guard == Guard::NoWait { Duration::ZERO } else { LEASE };
         let mut next = State { restarted: Some(state.time), ..state.clone() };
@@ -200,7 +205,7 @@
 }
 
 impl State {
-    /// A second later, without what can have no effect any more.
+    /// The state one second later, without expired leases and messages that can have no effect.
     fn next_second(&self) -> State {
         let mut next = State { time: self.time + 1, ..self.clone() };
         for host in 0..HOSTS {
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -1,9 +1,9 @@
-//! Make before break: two planners, two replicas of one model, a ledger for each.
+//! Model of make-before-break: two planners, and two replicas of one model, each with a ledger.
 //!
-//! Each planner wants to unload the model on the server of its own number and relies on the other
-//! server's replica. No single conditional update covers both ledgers; `policy::ledger::replica`
-//! is asked after the unload was written, never before. Planners rest as long as they like
-//! between any two steps.
+//! Each planner wants to unload the model from the server with its own index, and relies on the
+//! replica on the other server. No single conditional update covers both ledgers, so a planner
+//! must consult `policy::ledger::replica` after it has written its unload, not before. Planners may
+//! pause for any time between two steps.
 
 use std::fmt;
 
@@ -19,26 +19,25 @@
 
 const SERVERS: usize = 2;
 
-/// Unloads that each planner may try.
 const MAX_ATTEMPTS: u8 = 2;
 
-/// When a planner looks whether the other replica is kept.
+/// When a planner checks that the other replica remains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// After its own unload is written; so the rule has it.
+    /// After its own unload is written to the ledger, as the protocol requires.
     AfterWrite,
-    /// Before it writes.
+    /// Before it writes its unload: the guard is disabled.
     BeforeWrite,
 }
 
-/// The system.
+/// The model, with the guard on or off.
 #[derive(Clone, Copy, Debug)]
 pub struct Replicas {
-    /// When planners look.
+    /// When both planners check the other replica; [`Check::BeforeWrite`] disables the guard.
     pub check: Check,
 }
 
-/// A state of both servers and both planners.
+/// A state of both servers, their ledgers and both planners.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct State {
     ledgers: [Ledger; SERVERS],
@@ -56,11 +55,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    /// It looked before it wrote, and found a keeper.
+    /// It found, before its write, that the other replica remains.
     Checked,
-    /// Its unload stands in the ledger and has not been sent.
+    /// Its unload is in the ledger and has not been sent.
     Written,
-    /// Its unload is on its way.
+    /// Its unload was sent and has not arrived.
     Sent,
 }
 
@@ -84,11 +83,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Step { planner, kind } = self;
         match kind {
-            Kind::Check => write!(f, "planner {planner} finds the other replica kept"),
+            Kind::Check => write!(f, "planner {planner} finds that the other replica remains"),
             Kind::Write => write!(f, "planner {planner} writes the unload into its ledger"),
             Kind::Send => write!(f, "planner {planner} sends the unload"),
-            Kind::Withdraw => write!(f, "planner {planner} withdraws the unload, never sent"),
-            Kind::Arrive => write!(f, "server {planner} unloads, and reports it"),
+            Kind::Withdraw => write!(f, "planner {planner} withdraws the unload before sending it"),
+            Kind::Arrive => write!(f, "server {planner} unloads the model and reports it"),
         }
     }
 }
@@ -111,7 +110,7 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        (state.ready == [false; SERVERS]).then(|| "no replica of the model answers".into())
+        (state.ready == [false; SERVERS]).then(|| "no replica of the model is ready".into())
     }
 
     fn is_progress(&self, step: &Step) -> bool {
--- a/crates/spec/tests/config.rs
+++ b/crates/spec/tests/config.rs
@@ -1,6 +1,9 @@
-//! Exhaustive walk of configuration numbers, with every guard and with each one off.
+//! Explores the model of configuration updates with every guard, and with each guard disabled.
 
-#![allow(clippy::print_stdout, reason = "counts and traces of a walk")]
+#![allow(
+    clippy::print_stdout,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use rstest::rstest;
 use spec::{
--- a/crates/spec/tests/explore.rs
+++ b/crates/spec/tests/explore.rs
@@ -1,8 +1,9 @@
-//! The explorer itself: it finds what is there, by a shortest way, and says when it stopped early.
+//! Tests of the explorer: it finds violations by a shortest trace, and reports a search that
+//! stopped at its limit.
 
 use spec::explore::{Finding, System, explore};
 
-/// A counter that goes up by one or two, and down only where that is allowed.
+/// A counter that goes up by one or two as far as `top`, and down by one except from `trap`.
 struct Counter {
     top: u32,
     forbidden: Option<u32>,
@@ -47,7 +48,7 @@
 #[test]
 fn forbidden_state_is_found_by_a_shortest_way() {
     let report = explore(&Counter { top: 9, forbidden: Some(6), trap: None }, 100);
-    let trace = report.violation().expect("the forbidden state is reachable");
+    let trace = report.violation().expect("the forbidden state is reachable and must be found");
     assert_eq!(trace.steps, ["two up", "two up", "two up"]);
     assert!(trace.violation.contains('6'));
 }
@@ -55,7 +56,7 @@
 #[test]
 fn state_that_cannot_settle_is_found() {
     let report = explore(&Counter { top: 9, forbidden: None, trap: Some(3) }, 100);
-    let trace = report.stuck().expect("nothing leads down from the trap");
+    let trace = report.stuck().expect("the trap state has no step down and must be found");
     assert_eq!(trace.steps, ["one up", "two up"]);
 }
 
--- a/crates/spec/tests/quota.rs
+++ b/crates/spec/tests/quota.rs
@@ -1,6 +1,9 @@
-//! One share of a quota never counts at two hosts, and does without each of the guards.
+//! No two hosts count one share of a quota at a time; without any one of the guards two do.
 
-#![allow(clippy::print_stderr, reason = "state counts and traces are the output of the search")]
+#![allow(
+    clippy::print_stderr,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use rstest::rstest;
 use spec::{
@@ -13,7 +16,7 @@
 #[test]
 fn a_share_counts_at_one_host_at_a_time() {
     let report = explore(&Quota { guard: Guard::All, length: 5 }, MAX_STATES);
-    eprintln!("shares of a quota: {report}");
+    eprintln!("lease of a quota share: {report}");
     assert!(report.holds(), "{report}");
 }
 
--- a/crates/spec/tests/replica.rs
+++ b/crates/spec/tests/replica.rs
@@ -1,6 +1,9 @@
-//! Make before break between two planners: it holds, and fails when they look too early.
+//! Make-before-break between two planners holds, and fails if they check before they write.
 
-#![allow(clippy::print_stderr, reason = "state counts and traces are the output of the search")]
+#![allow(
+    clippy::print_stderr,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use spec::{
     explore::explore,
@@ -19,6 +22,6 @@
 #[test]
 fn planners_that_look_before_they_write_unload_both_replicas() {
     let report = explore(&Replicas { check: Check::BeforeWrite }, MAX_STATES);
-    eprintln!("without \"look after the write\": {report}");
+    eprintln!("check before the write: {report}");
     assert!(report.violation().is_some(), "{report}");
 }
