--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -18,11 +18,11 @@
 
 use crate::explore::System;
 
+mod convert;
 pub mod guard;
-mod moves;
 mod state;
 mod step;
-mod words;
+mod transitions;
 
 pub use guard::Guard;
 pub use state::State;
@@ -52,8 +52,8 @@
     bounds: Bounds,
     off: Option<Guard>,
     ledgers: RefCell<Ledgers>,
-    reserved: RefCell<HashMap<moves::Asked, Option<u32>>>,
-    settled: RefCell<HashMap<moves::Known, u32>>,
+    reservations: RefCell<HashMap<transitions::Reservation, Option<u32>>>,
+    settlements: RefCell<HashMap<transitions::Settlement, u32>>,
 }
 
 /// Ledgers met so far, each stored once, so that states stay small.
@@ -62,7 +62,7 @@
     numbers: HashMap<Arc<Ledger>, u32>,
     all: Vec<Arc<Ledger>>,
     /// Orders that stand in each, a bit each.
-    standing: Vec<u8>,
+    open_orders: Vec<u8>,
 }
 
 impl Memory {
@@ -72,8 +72,8 @@
             bounds,
             off: None,
             ledgers: RefCell::default(),
-            reserved: RefCell::default(),
-            settled: RefCell::default(),
+            reservations: RefCell::default(),
+            settlements: RefCell::default(),
         }
     }
 
@@ -91,18 +91,18 @@
     }
 
     /// Orders that stand in a ledger, a bit each.
-    fn standing(&self, number: u32) -> u8 {
-        self.ledgers.borrow().standing[number as usize]
+    fn open_orders(&self, number: u32) -> u8 {
+        self.ledgers.borrow().open_orders[number as usize]
     }
 
-    fn number(&self, ledger: Ledger) -> u32 {
+    fn intern(&self, ledger: Ledger) -> u32 {
         let mut ledgers = self.ledgers.borrow_mut();
         if let Some(number) = ledgers.numbers.get(&ledger) {
             return *number;
         }
         let number = u32::try_from(ledgers.all.len()).expect("fewer ledgers than states");
         let ledger = Arc::new(ledger);
-        ledgers.standing.push(words::standing(&ledger));
+        ledgers.open_orders.push(convert::open_orders(&ledger));
         ledgers.all.push(ledger.clone());
         ledgers.numbers.insert(ledger, number);
         number
@@ -115,9 +115,9 @@
 
     fn initial(&self) -> State {
         let engine = state::Engine::start(self.bounds.residents);
-        let mut ledger = Ledger::new(&words::load(&engine, &self.bounds));
+        let mut ledger = Ledger::new(&convert::load(&engine, &self.bounds));
         ledger.fenced |= self.is_off(Guard::Unfenced);
-        State::start(engine, self.number(ledger))
+        State::start(engine, self.intern(ledger))
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
@@ -134,7 +134,7 @@
 
     fn violation(&self, state: &State) -> Option<String> {
         let taken = state.engine.memory();
-        let capacity = words::capacity(&self.bounds);
+        let capacity = convert::capacity(&self.bounds);
         (capacity < taken)
             .then(|| format!("engine memory overcommitted: {taken} MiB taken of {capacity}"))
     }
@@ -146,7 +146,7 @@
     fn is_settled(&self, state: &State) -> bool {
         let ledger = self.ledger(state.ledger);
         ledger.orders.is_empty()
-            && ledger.residents == words::residents(&state.engine)
+            && ledger.residents == convert::residents(&state.engine)
             && state.is_idle()
     }
 }
--- a/crates/spec/src/ledger/words.rs
+++ b/crates/spec/src/ledger/convert.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Bounds,
-    state::{Action, Engine, MOST_ORDERS},
+    state::{Action, Engine, MAX_ORDERS},
 };
 
 /// Accelerator memory of the engine, in MiB.
@@ -42,16 +42,16 @@
 
 /// Ids of the orders whose bits are set.
 pub(super) fn orders(bits: u8) -> impl Iterator<Item = order::Id> {
-    (0..MOST_ORDERS).filter(move |number| bits & (1 << number) != 0).map(order_id)
+    (0..MAX_ORDERS).filter(move |number| bits & (1 << number) != 0).map(order_id)
 }
 
 /// Orders that stand in a ledger, a bit each.
-pub(super) fn standing(ledger: &Ledger) -> u8 {
-    let stands = |number: &usize| {
+pub(super) fn open_orders(ledger: &Ledger) -> u8 {
+    let is_open = |number: &usize| {
         let id = order_id(*number);
         ledger.orders.iter().any(|entry| entry.order.id == id)
     };
-    (0..MOST_ORDERS).filter(stands).fold(0, |bits, number| bits | 1 << number)
+    (0..MAX_ORDERS).filter(is_open).fold(0, |bits, number| bits | 1 << number)
 }
 
 pub(super) fn claim(number: usize, planner: usize, incarnation: u8) -> Claim {
--- a/crates/spec/src/ledger/state.rs
+++ b/crates/spec/src/ledger/state.rs
@@ -1,12 +1,12 @@
 //! States of the system, small enough to keep millions of them.
 
-use super::words::MEMORY;
+use super::convert::MEMORY;
 
 /// Planners.
 pub(super) const PLANNERS: usize = 2;
 
 /// Room for orders.
-pub(super) const MOST_ORDERS: usize = 4;
+pub(super) const MAX_ORDERS: usize = 4;
 
 /// A state of the whole system.
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -14,7 +14,7 @@
     /// The ledger in the object API, by number.
     pub(super) ledger: u32,
     pub(super) planners: [Planner; PLANNERS],
-    pub(super) orders: Vec<Sent>,
+    pub(super) orders: Vec<Order>,
     pub(super) engine: Engine,
     /// A report that was read and not taken in yet, and by whom.
     pub(super) report: Option<(u8, Report)>,
@@ -26,17 +26,17 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Planner {
     pub(super) incarnation: u8,
-    pub(super) doing: Doing,
+    pub(super) activity: Activity,
     /// A write that may still take effect although its writer has no answer.
-    pub(super) late: Option<Write>,
+    pub(super) delayed: Option<Write>,
 }
 
 /// What a planner is in the middle of.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Doing {
+pub(super) enum Activity {
     Idle,
     /// It wrote, and the answer was lost.
-    Unsure(Write),
+    Unconfirmed(Write),
 }
 
 /// A conditional update that reserves for an order.
@@ -52,14 +52,14 @@
 pub(super) struct Report {
     pub(super) engine: Engine,
     /// Orders of its own that were quiet before it asked, a bit each.
-    pub(super) quiet: u8,
+    pub(super) not_in_flight: u8,
     /// Last run of each planner that was gone before it asked.
     pub(super) gone: [u8; PLANNERS],
 }
 
 /// An order.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Sent {
+pub(super) struct Order {
     pub(super) planner: u8,
     pub(super) incarnation: u8,
     pub(super) fence: u8,
@@ -78,20 +78,20 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     /// Its reservation was written, without an answer.
-    Draft,
+    Unconfirmed,
     /// Reserved, and in its sender's hand.
-    Hand,
+    Reserved,
     /// On its way.
-    Flight,
+    InFlight,
     /// Taken or refused; the answer is on its way.
-    Landed { taken: bool },
+    Received { taken: bool },
     /// Nothing of it is in flight: its sender has the answer that it was taken, or closed the
     /// connection and the linger time has passed, or its sender died and nothing is on its way.
-    Quiet,
+    NotInFlight,
     /// It was never sent or was refused, and its sender knows.
-    Never,
+    NeverTaken,
     /// Quiet or never, and settled: nothing is left of it.
-    Over,
+    Settled,
 }
 
 /// The engine, in truth.
@@ -121,7 +121,7 @@
 
 impl State {
     pub(super) fn start(engine: Engine, ledger: u32) -> State {
-        let planner = Planner { incarnation: 1, doing: Doing::Idle, late: None };
+        let planner = Planner { incarnation: 1, activity: Activity::Idle, delayed: None };
         State {
             ledger,
             planners: [planner; PLANNERS],
@@ -135,33 +135,34 @@
 
     /// Whether nobody is in the middle of anything.
     pub(super) fn is_idle(&self) -> bool {
-        let rests = |planner: &Planner| planner.doing == Doing::Idle && planner.late.is_none();
+        let is_idle =
+            |planner: &Planner| planner.activity == Activity::Idle && planner.delayed.is_none();
         self.report.is_none()
-            && self.planners.iter().all(rests)
-            && self.orders.iter().all(|order| order.phase == Phase::Over)
+            && self.planners.iter().all(is_idle)
+            && self.orders.iter().all(|order| order.phase == Phase::Settled)
     }
 
     /// Whether the process that planned this order still runs.
-    pub(super) fn is_alive(&self, order: &Sent) -> bool {
+    pub(super) fn is_alive(&self, order: &Order) -> bool {
         self.planners[usize::from(order.planner)].incarnation == order.incarnation
     }
 }
 
-impl Sent {
+impl Order {
     /// An order of which nothing is left.
-    pub(super) const OVER: Sent = Sent {
+    pub(super) const SETTLED: Order = Order {
         planner: 0,
         incarnation: 0,
         fence: 0,
         action: Action::Unload(0),
-        phase: Phase::Over,
+        phase: Phase::Settled,
     };
 }
 
 impl Phase {
     /// Whether nothing of the order is anywhere on its way.
-    pub(super) fn is_quiet(self) -> bool {
-        matches!(self, Phase::Quiet | Phase::Never | Phase::Over)
+    pub(super) fn has_no_messages(self) -> bool {
+        matches!(self, Phase::NotInFlight | Phase::NeverTaken | Phase::Settled)
     }
 }
 
@@ -178,7 +179,7 @@
     }
 
     /// Takes or refuses an order; whether it was taken.
-    pub(super) fn receive(&mut self, fencing: Fencing, number: usize, order: &Sent) -> bool {
+    pub(super) fn receive(&mut self, fencing: Fencing, number: usize, order: &Order) -> bool {
         match fencing {
             Fencing::Refuses if order.fence < self.fence => return false,
             Fencing::Refuses | Fencing::Reports => self.fence = self.fence.max(order.fence),
--- a/crates/spec/src/ledger/step.rs
+++ b/crates/spec/src/ledger/step.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{state::Action, words};
+use super::{convert, state::Action};
 
 /// A step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
         match *self {
             Step::Reserve { planner, order, loads, unit, write } => {
                 let verb = if loads { "load" } else { "unload" };
-                let unit = words::NAMES[usize::from(unit)];
+                let unit = convert::NAMES[usize::from(unit)];
                 write!(f, "planner {planner} reserves for order {order}, {verb} {unit}: {write}")
             }
             Step::WriteAgain(planner) => write!(f, "planner {planner} writes again"),
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -3,16 +3,16 @@
 use policy::ledger::{Ledger, ReportPosition, settle::Evidence};
 
 use super::{
-    Guard, Memory, Step,
-    state::{Action, Doing, Engine, Fencing, PLANNERS, Phase, Report, Sent, State, Write},
-    step, words,
+    Guard, Memory, Step, convert,
+    state::{Action, Activity, Engine, Fencing, Order, PLANNERS, Phase, Report, State, Write},
+    step,
 };
 
 type Next = Vec<(Step, State)>;
 
 /// What a reservation depends on; the same question is put to `policy` once.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Asked {
+pub(super) struct Reservation {
     ledger: u32,
     order: usize,
     planner: usize,
@@ -22,28 +22,28 @@
 
 /// What a settlement depends on; the same question is put to `policy` once.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Known {
+pub(super) struct Settlement {
     ledger: u32,
     engine: Engine,
     gone: [u8; PLANNERS],
     /// Orders that the planner says were never taken, a bit each.
-    never: u8,
+    never_taken: u8,
     /// Orders that the planner says are quiet, a bit each.
-    quiet: u8,
+    not_in_flight: u8,
 }
 
 impl Memory {
     /// Steps of one planner.
     pub(super) fn planner_steps(&self, state: &State, planner: usize, next: &mut Next) {
-        let now = state.planners[planner];
-        match now.doing {
-            Doing::Idle => self.plan(state, planner, next),
-            Doing::Unsure(write) => self.read_back(state, planner, write, next),
+        let current = state.planners[planner];
+        match current.activity {
+            Activity::Idle => self.plan(state, planner, next),
+            Activity::Unconfirmed(write) => self.read_back(state, planner, write, next),
         }
-        if let Some(write) = now.late {
+        if let Some(write) = current.delayed {
             let mut arrived = state.clone();
-            arrived.planners[planner].late = None;
-            self.put(&mut arrived, write);
+            arrived.planners[planner].delayed = None;
+            self.apply_write(&mut arrived, write);
             next.push((Step::WriteArrives(planner), arrived));
         }
         let fresh = self.report(state, planner);
@@ -75,25 +75,25 @@
             next
         };
         match order.phase {
-            Phase::Hand => {
-                next.push((Step::Send(number), with(Phase::Flight)));
-                next.push((Step::Withdraw(number), with(Phase::Never)));
+            Phase::Reserved => {
+                next.push((Step::Send(number), with(Phase::InFlight)));
+                next.push((Step::Withdraw(number), with(Phase::NeverTaken)));
             }
-            Phase::Flight => {
+            Phase::InFlight => {
                 let mut arrived = state.clone();
                 let taken = arrived.engine.receive(self.fencing(), number, &order);
-                arrived.orders[number].phase = Phase::Landed { taken };
+                arrived.orders[number].phase = Phase::Received { taken };
                 next.push((Step::Arrive { order: number, taken }, arrived));
-                next.push((Step::Expire(number), with(Phase::Quiet)));
+                next.push((Step::Expire(number), with(Phase::NotInFlight)));
             }
-            Phase::Landed { taken } => {
+            Phase::Received { taken } => {
                 if state.is_alive(&order) {
-                    let known = if taken { Phase::Quiet } else { Phase::Never };
-                    next.push((Step::Answer(number), with(known)));
+                    let phase = if taken { Phase::NotInFlight } else { Phase::NeverTaken };
+                    next.push((Step::Answer(number), with(phase)));
                 }
-                next.push((Step::Expire(number), with(Phase::Quiet)));
+                next.push((Step::Expire(number), with(Phase::NotInFlight)));
             }
-            Phase::Draft | Phase::Quiet | Phase::Never | Phase::Over => {}
+            Phase::Unconfirmed | Phase::NotInFlight | Phase::NeverTaken | Phase::Settled => {}
         }
     }
 
@@ -120,19 +120,20 @@
         if number == self.bounds.orders {
             return;
         }
-        let units = words::units(&self.bounds);
+        let units = convert::units(&self.bounds);
         let actions = units.flat_map(|unit| [Action::Load(unit), Action::Unload(unit)]);
         for action in actions {
             let incarnation = state.planners[planner].incarnation;
-            let asked = Asked { ledger: state.ledger, order: number, planner, incarnation, action };
-            let Some(reserved) = self.reserve(asked) else { continue };
+            let reservation =
+                Reservation { ledger: state.ledger, order: number, planner, incarnation, action };
+            let Some(reserved) = self.reserve(reservation) else { continue };
             let mut planned = state.clone();
-            planned.orders.push(Sent {
+            planned.orders.push(Order {
                 planner: u8::try_from(planner).expect("few planners"),
                 incarnation,
                 fence: u8::try_from(self.ledger(reserved).fence).expect("few orders"),
                 action,
-                phase: Phase::Draft,
+                phase: Phase::Unconfirmed,
             });
             let order = u8::try_from(number).expect("few orders");
             let write = Write { base: state.ledger, next: reserved, order };
@@ -147,72 +148,74 @@
     /// One that has changed is refused, and the planner is where it was before it read.
     fn outcomes(&self, planned: &State, planner: usize, write: Write) -> Vec<(step::Write, State)> {
         let mut answered = planned.clone();
-        self.put(&mut answered, write);
-        hand_over(&mut answered, planner, write);
+        self.apply_write(&mut answered, write);
+        confirm(&mut answered, planner, write);
         let mut outcomes = vec![(step::Write::Answered, answered)];
         if planned.lost_answers == self.bounds.lost_answers {
             return outcomes;
         }
         let mut lost = planned.clone();
         lost.lost_answers += 1;
-        lost.planners[planner].doing = Doing::Unsure(write);
+        lost.planners[planner].activity = Activity::Unconfirmed(write);
         let mut effect = lost.clone();
-        self.put(&mut effect, write);
+        self.apply_write(&mut effect, write);
         outcomes.push((step::Write::AnswerLost, effect));
-        if lost.planners[planner].late.is_none() {
-            lost.planners[planner].late = Some(write);
+        if lost.planners[planner].delayed.is_none() {
+            lost.planners[planner].delayed = Some(write);
             outcomes.push((step::Write::Delayed, lost));
         }
         outcomes
     }
 
-    fn reserve(&self, asked: Asked) -> Option<u32> {
-        if let Some(known) = self.reserved.borrow().get(&asked) {
-            return *known;
+    fn reserve(&self, reservation: Reservation) -> Option<u32> {
+        if let Some(cached) = self.reservations.borrow().get(&reservation) {
+            return *cached;
         }
-        let answer = self.ask(asked).map(|ledger| self.number(ledger));
-        self.reserved.borrow_mut().insert(asked, answer);
+        let answer = self.compute_reservation(reservation).map(|ledger| self.intern(ledger));
+        self.reservations.borrow_mut().insert(reservation, answer);
         answer
     }
 
-    fn ask(&self, asked: Asked) -> Option<Ledger> {
-        let ledger = self.ledger(asked.ledger);
-        let claim = words::claim(asked.order, asked.planner, asked.incarnation);
+    fn compute_reservation(&self, reservation: Reservation) -> Option<Ledger> {
+        let ledger = self.ledger(reservation.ledger);
+        let claim = convert::claim(reservation.order, reservation.planner, reservation.incarnation);
         let mut base = (*ledger).clone();
         if self.is_off(Guard::RestartSum) {
             base.orders.retain(|entry| !ledger.is_superseded(entry));
         }
-        let (mut next, _) = base.reserve(claim, words::action(asked.action)).ok()?;
+        let (mut next, _) = base.reserve(claim, convert::action(reservation.action)).ok()?;
         if self.is_off(Guard::RestartSum) {
             let last = next.orders.pop()?;
             next.orders = ledger.orders.iter().cloned().chain([last]).collect();
         }
-        if let (true, Action::Unload(unit)) = (self.is_off(Guard::UnloadByReport), asked.action) {
-            next.residents.retain(|resident| resident.unit != words::unit(unit));
+        if let (true, Action::Unload(unit)) =
+            (self.is_off(Guard::UnloadByReport), reservation.action)
+        {
+            next.residents.retain(|resident| resident.unit != convert::unit(unit));
         }
         Some(next)
     }
 
     /// The object API takes the write if the ledger has not changed.
-    fn put(&self, state: &mut State, write: Write) {
+    fn apply_write(&self, state: &mut State, write: Write) {
         if state.ledger == write.base || self.is_off(Guard::ConditionalUpdate) {
             state.ledger = write.next;
         }
     }
 
     fn read_back(&self, state: &State, planner: usize, write: Write, next: &mut Next) {
-        let stands = self.standing(state.ledger) & (1 << write.order) != 0;
+        let is_open = self.open_orders(state.ledger) & (1 << write.order) != 0;
         let mut read = state.clone();
-        if stands || self.is_off(Guard::ReadBack) {
-            hand_over(&mut read, planner, write);
+        if is_open || self.is_off(Guard::ReadBack) {
+            confirm(&mut read, planner, write);
             next.push((Step::ReadBack(planner), read));
         } else if state.ledger == write.base {
-            self.put(&mut read, write);
-            hand_over(&mut read, planner, write);
+            self.apply_write(&mut read, write);
+            confirm(&mut read, planner, write);
             next.push((Step::WriteAgain(planner), read));
         } else {
-            read.planners[planner].doing = Doing::Idle;
-            read.orders[usize::from(write.order)].phase = Phase::Never;
+            read.planners[planner].activity = Activity::Idle;
+            read.orders[usize::from(write.order)].phase = Phase::NeverTaken;
             next.push((Step::ReadBack(planner), read));
         }
     }
@@ -221,73 +224,77 @@
     fn report(&self, state: &State, planner: usize) -> Report {
         Report {
             engine: state.engine,
-            quiet: self.quiet(state, planner),
+            not_in_flight: self.not_in_flight(state, planner),
             gone: self.gone(state, planner),
         }
     }
 
     /// The planner's own orders of which nothing is in flight.
-    fn quiet(&self, state: &State, planner: usize) -> u8 {
-        let own = |order: &Sent| usize::from(order.planner) == planner && state.is_alive(order);
-        let quiet = |order: &Sent| match order.phase {
-            Phase::Quiet => true,
-            Phase::Flight | Phase::Landed { .. } => self.is_off(Guard::Linger),
-            Phase::Draft | Phase::Hand | Phase::Never | Phase::Over => false,
+    fn not_in_flight(&self, state: &State, planner: usize) -> u8 {
+        let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
+        let not_in_flight = |order: &Order| match order.phase {
+            Phase::NotInFlight => true,
+            Phase::InFlight | Phase::Received { .. } => self.is_off(Guard::Linger),
+            Phase::Unconfirmed | Phase::Reserved | Phase::NeverTaken | Phase::Settled => false,
         };
         let orders = state.orders.iter().enumerate();
         orders
-            .filter(|(_, order)| own(order) && quiet(order))
+            .filter(|(_, order)| own(order) && not_in_flight(order))
             .fold(0, |bits, (number, _)| bits | 1 << number)
     }
 
     /// For each planner, the last run of which nothing is left.
-    fn gone(&self, state: &State, asker: usize) -> [u8; PLANNERS] {
+    fn gone(&self, state: &State, reader: usize) -> [u8; PLANNERS] {
         std::array::from_fn(|planner| {
-            if self.is_off(Guard::PauseIsNotDeath) && planner != asker {
+            if self.is_off(Guard::PauseIsNotDeath) && planner != reader {
                 return state.planners[planner].incarnation;
             }
-            let dead = state.planners[planner].incarnation - 1;
-            let left = state.orders.iter().any(|order| {
+            let last_ended = state.planners[planner].incarnation - 1;
+            let has_in_flight = state.orders.iter().any(|order| {
                 usize::from(order.planner) == planner
-                    && order.incarnation <= dead
-                    && !order.phase.is_quiet()
+                    && order.incarnation <= last_ended
+                    && !order.phase.has_no_messages()
             });
-            if left && !self.is_off(Guard::DeadLinger) { 0 } else { dead }
+            if has_in_flight && !self.is_off(Guard::DeadLinger) { 0 } else { last_ended }
         })
     }
 
     fn settle(&self, state: &State, planner: usize, report: Report) -> State {
-        let (never, quiet) = self.own_words(state, planner, &report);
+        let (never_taken, not_in_flight) = self.own_evidence(state, planner, &report);
         let Report { engine, gone, .. } = report;
-        let known = Known { ledger: state.ledger, engine, gone, never, quiet };
-        let cached = self.settled.borrow().get(&known).copied();
+        let settlement =
+            Settlement { ledger: state.ledger, engine, gone, never_taken, not_in_flight };
+        let cached = self.settlements.borrow().get(&settlement).copied();
         let ledger = cached.unwrap_or_else(|| {
-            let ledger = self.number(self.evidence(&known));
-            self.settled.borrow_mut().insert(known, ledger);
+            let ledger = self.intern(self.compute_settlement(&settlement));
+            self.settlements.borrow_mut().insert(settlement, ledger);
             ledger
         });
         let mut settled = State { ledger, ..state.clone() };
-        self.forget(&mut settled);
+        self.clear_settled(&mut settled);
         settled
     }
 
-    fn evidence(&self, known: &Known) -> Ledger {
-        let mut load = words::load(&known.engine, &self.bounds);
+    fn compute_settlement(&self, settlement: &Settlement) -> Ledger {
+        let mut load = convert::load(&settlement.engine, &self.bounds);
         load.fenced |= self.is_off(Guard::Unfenced);
         let after = ReportPosition::of(&load);
-        let mut ledger = (*self.ledger(known.ledger)).clone();
+        let mut ledger = (*self.ledger(settlement.ledger)).clone();
         if self.is_off(Guard::ReportOrder) {
             ledger.mark = ReportPosition::default();
         }
-        let never = words::orders(known.never).map(|order| Evidence::NeverTaken { order });
-        let quiet = words::orders(known.quiet).map(|order| Evidence::NotInFlight { order, after });
+        let never_taken =
+            convert::orders(settlement.never_taken).map(|order| Evidence::NeverTaken { order });
+        let not_in_flight = convert::orders(settlement.not_in_flight)
+            .map(|order| Evidence::NotInFlight { order, after });
         let gone = (0..PLANNERS).map(|planner| Evidence::SenderGone {
-            sender: words::host(planner),
-            incarnation: known.gone[planner].into(),
+            sender: convert::host(planner),
+            incarnation: settlement.gone[planner].into(),
             after,
         });
         let report = std::iter::once(Evidence::Report(&load));
-        let evidence: Vec<Evidence<'_>> = report.chain(never).chain(quiet).chain(gone).collect();
+        let evidence: Vec<Evidence<'_>> =
+            report.chain(never_taken).chain(not_in_flight).chain(gone).collect();
         let outcome = ledger.settle(&evidence);
         let mut settled = if outcome.affects_planning(&ledger) { outcome.ledger } else { ledger };
         if self.is_off(Guard::AbsenceIsNoEvidence) {
@@ -303,62 +310,65 @@
 
     /// Forgets what is left of orders that are quiet and settled, so that states that differ in
     /// nothing else are one.
-    fn forget(&self, state: &mut State) {
-        let standing = self.standing(state.ledger);
-        let late = state.planners.map(|planner| planner.late.map(|write| usize::from(write.order)));
+    fn clear_settled(&self, state: &mut State) {
+        let open_orders = self.open_orders(state.ledger);
+        let delayed =
+            state.planners.map(|planner| planner.delayed.map(|write| usize::from(write.order)));
         for (number, order) in state.orders.iter_mut().enumerate() {
-            let stands = standing & (1 << number) != 0;
-            if stands || !order.phase.is_quiet() || late.contains(&Some(number)) {
+            let is_open = open_orders & (1 << number) != 0;
+            if is_open || !order.phase.has_no_messages() || delayed.contains(&Some(number)) {
                 continue;
             }
-            *order = Sent::OVER;
+            *order = Order::SETTLED;
             state.engine.taken &= !(1 << number);
             if let Some((_, report)) = &mut state.report {
                 report.engine.taken &= !(1 << number);
-                report.quiet &= !(1 << number);
+                report.not_in_flight &= !(1 << number);
             }
         }
     }
 
     /// What a planner says of its own orders: never taken, and quiet.
-    fn own_words(&self, state: &State, planner: usize, report: &Report) -> (u8, u8) {
-        let own = |order: &Sent| usize::from(order.planner) == planner && state.is_alive(order);
-        let never = |order: &Sent| match order.phase {
-            Phase::Never => true,
-            Phase::Quiet => self.is_off(Guard::EffectByReport),
-            Phase::Draft | Phase::Hand | Phase::Flight | Phase::Landed { .. } | Phase::Over => {
-                false
-            }
+    fn own_evidence(&self, state: &State, planner: usize, report: &Report) -> (u8, u8) {
+        let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
+        let never_taken = |order: &Order| match order.phase {
+            Phase::NeverTaken => true,
+            Phase::NotInFlight => self.is_off(Guard::EffectByReport),
+            Phase::Unconfirmed
+            | Phase::Reserved
+            | Phase::InFlight
+            | Phase::Received { .. }
+            | Phase::Settled => false,
         };
         let orders = state.orders.iter().enumerate();
-        let never = orders
-            .filter(|(_, order)| own(order) && never(order))
+        let never_taken = orders
+            .filter(|(_, order)| own(order) && never_taken(order))
             .fold(0, |bits, (number, _)| bits | 1 << number);
-        let quiet = match self.is_off(Guard::FreshReport) {
-            true => self.quiet(state, planner),
-            false => report.quiet,
+        let not_in_flight = match self.is_off(Guard::FreshReport) {
+            true => self.not_in_flight(state, planner),
+            false => report.not_in_flight,
         };
-        (never, quiet)
+        (never_taken, not_in_flight)
     }
 }
 
 /// The planner now knows that its reservation stands.
-fn hand_over(state: &mut State, planner: usize, write: Write) {
-    state.planners[planner].doing = Doing::Idle;
-    state.orders[usize::from(write.order)].phase = Phase::Hand;
+fn confirm(state: &mut State, planner: usize, write: Write) {
+    state.planners[planner].activity = Activity::Idle;
+    state.orders[usize::from(write.order)].phase = Phase::Reserved;
 }
 
 /// The process ends at once: what it had in hand is never sent, what it sent goes on.
 fn die(state: &State, planner: usize) -> State {
     let mut next = state.clone();
     next.deaths += 1;
-    let now = &mut next.planners[planner];
-    now.incarnation += 1;
-    now.doing = Doing::Idle;
-    let mine = next.orders.iter_mut().filter(|order| usize::from(order.planner) == planner);
-    for order in mine {
-        if matches!(order.phase, Phase::Draft | Phase::Hand | Phase::Never) {
-            order.phase = Phase::Quiet;
+    let current = &mut next.planners[planner];
+    current.incarnation += 1;
+    current.activity = Activity::Idle;
+    let own = next.orders.iter_mut().filter(|order| usize::from(order.planner) == planner);
+    for order in own {
+        if matches!(order.phase, Phase::Unconfirmed | Phase::Reserved | Phase::NeverTaken) {
+            order.phase = Phase::NotInFlight;
         }
     }
     next.report = next.report.filter(|(reader, _)| usize::from(*reader) != planner);
