--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,16 +1,20 @@
-//! Accelerator memory of one engine under two planners.
+//! Model of the ledger: the accelerator memory of one engine, ordered by two planners.
 //!
-//! Every decision is `policy::ledger`'s. What is stated here is the world around it: the object
-//! API with its conditional update, whose answer may be lost before or after the effect or whose
-//! effect may come late; planners that may rest between any two steps (a paused one is one that
-//! takes none), die and start again; orders that are lost or arrive late, and acknowledgements
-//! that are lost; an engine that honours fencing numbers or ignores them, and restarts with empty
-//! memory and no fencing number; reports that lag and are taken in out of order. No lease is
-//! modelled: both planners may always plan, which is more than any lease would allow.
+//! `policy::ledger` makes every decision. This module models its environment:
 //!
-//! Two things are taken as true of the world, and stated in `docs/design/ledger.md`: a message
-//! is gone once its connection has been closed for the linger time ([`Step::Expire`]), and a
-//! process whose successor has started never acts again.
+//! - the object API with conditional updates: an answer may be lost with or without the update
+//!   taking effect, or the update may take effect late;
+//! - planners, which die and restart; a paused planner is one that takes no step;
+//! - orders that are lost or arrive late, and acknowledgements that are lost;
+//! - an engine that honours fencing numbers or ignores them, and restarts with empty memory and
+//!   without its fencing number;
+//! - reports that are stale and are applied out of order.
+//!
+//! No lease is modelled: both planners may always plan, which is more than any lease allows.
+//!
+//! Two assumptions are made, both stated in `docs/design/ledger.md`: no message is left in transit
+//! once its connection has been closed for the linger time ([`Step::Expire`]), and a process whose
+//! successor has started never acts again.
 
 use std::{cell::RefCell, collections::HashMap, sync::Arc};
 
@@ -28,26 +32,26 @@
 pub use state::State;
 pub use step::Step;
 
-/// Bounds of an exploration, and what the engine does.
+/// Bounds of an exploration, and the engine's handling of fencing numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine refuses an order with a fencing number below the highest it received.
     pub fenced: bool,
-    /// Units that fit in the engine's memory, of one more that there are; two at the most.
+    /// Units that fit in the engine's memory, at most two; one more unit than fits exists.
     pub capacity: u8,
-    /// Units in memory at the start, the first ones of all.
+    /// Number of units in memory in the initial state, counted from the first unit.
     pub residents: u8,
-    /// Most orders in all, four at the most.
+    /// Maximum number of orders over both planners, at most four.
     pub orders: usize,
-    /// Most deaths of planners in all.
+    /// Maximum number of planner deaths over both planners.
     pub deaths: u8,
-    /// Most restarts of the engine.
+    /// Maximum number of engine restarts.
     pub restarts: u8,
-    /// Most writes whose answer is lost.
+    /// Maximum number of ledger writes whose answer is lost, whether or not they take effect.
     pub lost_answers: u8,
 }
 
-/// The system, with at most one guard off.
+/// The model, with at most one guard disabled.
 pub struct Memory {
     bounds: Bounds,
     off: Option<Guard>,
@@ -56,17 +60,17 @@
     settlements: RefCell<HashMap<transitions::Settlement, u32>>,
 }
 
-/// Ledgers met so far, each stored once, so that states stay small.
+/// Interned ledgers: each distinct one is stored once, and states refer to it by number.
 #[derive(Default)]
 struct Ledgers {
     numbers: HashMap<Arc<Ledger>, u32>,
     all: Vec<Arc<Ledger>>,
-    /// Orders that stand in each, a bit each.
+    /// For each ledger, a bit set of the numbers of the orders in it.
     open_orders: Vec<u8>,
 }
 
 impl Memory {
-    /// The system with every guard on.
+    /// A model with all guards active.
     pub fn new(bounds: Bounds) -> Memory {
         Memory {
             bounds,
@@ -77,7 +81,7 @@
         }
     }
 
-    /// The system with one guard off.
+    /// A model with one guard disabled; its exploration should find a counterexample.
     pub fn without(guard: Guard, bounds: Bounds) -> Memory {
         Memory { off: Some(guard), ..Memory::new(bounds) }
     }
@@ -90,7 +94,7 @@
         self.ledgers.borrow().all[number as usize].clone()
     }
 
-    /// Orders that stand in a ledger, a bit each.
+    /// Bit set of the numbers of the orders in a ledger.
     fn open_orders(&self, number: u32) -> u8 {
         self.ledgers.borrow().open_orders[number as usize]
     }
@@ -100,7 +104,8 @@
         if let Some(number) = ledgers.numbers.get(&ledger) {
             return *number;
         }
-        let number = u32::try_from(ledgers.all.len()).expect("fewer ledgers than states");
+        let number = u32::try_from(ledgers.all.len())
+            .expect("the number of distinct ledgers must fit in a u32");
         let ledger = Arc::new(ledger);
         ledgers.open_orders.push(convert::open_orders(&ledger));
         ledgers.all.push(ledger.clone());
@@ -136,7 +141,7 @@
         let taken = state.engine.memory();
         let capacity = convert::capacity(&self.bounds);
         (capacity < taken)
-            .then(|| format!("engine memory overcommitted: {taken} MiB taken of {capacity}"))
+            .then(|| format!("engine memory overcommitted: {taken} MiB used of {capacity} MiB"))
     }
 
     fn is_progress(&self, step: &Step) -> bool {
--- a/crates/spec/src/ledger/convert.rs
+++ b/crates/spec/src/ledger/convert.rs
@@ -1,4 +1,4 @@
-//! Between the small states and the types that `policy` works on.
+//! Conversion of the compact states into the types of `policy`.
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
@@ -14,20 +14,20 @@
     state::{Action, Engine, MAX_ORDERS},
 };
 
-/// Accelerator memory of the engine, in MiB.
+/// Accelerator memory of the engine, in MiB: as much as [`Bounds::capacity`] units take.
 pub(super) fn capacity(bounds: &Bounds) -> u64 {
     u64::from(bounds.capacity) * MEMORY
 }
 
-/// Units that may be loaded: one more than fit.
+/// Numbers of the units that exist: one more than fit in memory.
 pub(super) fn units(bounds: &Bounds) -> Range<u8> {
     0..bounds.capacity + 1
 }
 
-/// Memory of each unit, in MiB.
+/// Memory that each unit takes, in MiB.
 pub(super) const MEMORY: u64 = 1;
 
-/// Names of the units.
+/// Model names of the units, by number.
 pub(super) const NAMES: [&str; 3] = ["A", "B", "C"];
 
 const SERVER: &str = "engine";
@@ -45,7 +45,7 @@
     (0..MAX_ORDERS).filter(move |number| bits & (1 << number) != 0).map(order_id)
 }
 
-/// Orders that stand in a ledger, a bit each.
+/// Bit set of the numbers of the orders in a ledger.
 pub(super) fn open_orders(ledger: &Ledger) -> u8 {
     let is_open = |number: &usize| {
         let id = order_id(*number);
@@ -82,7 +82,7 @@
         .collect()
 }
 
-/// The report that the engine gives now.
+/// The report of the engine's current state.
 pub(super) fn load(engine: &Engine, bounds: &Bounds) -> Load {
     Load {
         server: SERVER.into(),
--- a/crates/spec/src/ledger/guard.rs
+++ b/crates/spec/src/ledger/guard.rs
@@ -1,33 +1,33 @@
-//! Guards of the ledger, each of which can be switched off to show what it is for.
+//! Guards of the ledger, each of which can be disabled to show which failure it prevents.
 
 use std::fmt;
 
-/// A guard of the ledger.
+/// A rule of the ledger protocol without which memory is overcommitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
     /// A ledger is written only if it has not changed since it was read.
     ConditionalUpdate,
-    /// An order is sent only once its reservation is known to stand.
+    /// After a lost answer, an order is sent only if its reservation is found in the ledger.
     ReadBack,
-    /// An engine that ignores fencing numbers is known as such.
+    /// The ledger does not rely on fencing by an engine that ignores fencing numbers.
     Unfenced,
-    /// Orders that fencing has put out of date still count for a restarted engine.
+    /// Orders that fencing has superseded still count, since a restarted engine may accept them.
     RestartSum,
-    /// An unload frees memory when a report shows it, not when it is ordered.
+    /// An unload frees memory once a report shows its effect, not when it is ordered.
     UnloadByReport,
-    /// An acknowledgement does not settle an order before a report shows the effect.
+    /// An acknowledgement does not settle an order; a report that shows the effect does.
     EffectByReport,
-    /// A unit that a report lacks does not settle the order to load it.
+    /// The absence of a unit from a report does not settle the order to load it.
     AbsenceIsNoEvidence,
-    /// A report older than the last one applied is dropped.
+    /// A report older than the last applied one is ignored.
     ReportOrder,
-    /// A sender's time-out does not settle its order while a message may be on its way.
+    /// A time-out at the sender does not settle an order while its message may be in transit.
     Linger,
-    /// A sender names a report that was taken after its word, not one taken before.
+    /// A sender combines its evidence only with a report that was read after it had the evidence.
     FreshReport,
-    /// A planner that is silent is not taken for gone.
+    /// A silent planner is not treated as dead.
     PauseIsNotDeath,
-    /// The messages of a dead planner are waited for.
+    /// A dead planner counts as gone only once none of its messages can be in transit.
     DeadLinger,
 }
 
@@ -35,17 +35,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Guard::ConditionalUpdate => "conditional update",
-            Guard::ReadBack => "reservation read back before the order is sent",
-            Guard::Unfenced => "engine known to ignore fencing numbers",
+            Guard::ReadBack => "reservation read back before order is sent",
+            Guard::Unfenced => "no reliance on an engine that ignores fencing numbers",
             Guard::RestartSum => "superseded orders counted for a restarted engine",
-            Guard::UnloadByReport => "unload frees by report",
+            Guard::UnloadByReport => "unload frees memory by report, not by order",
             Guard::EffectByReport => "order settled by report, not by acknowledgement",
             Guard::AbsenceIsNoEvidence => "absence from a report is no evidence",
-            Guard::ReportOrder => "older reports dropped",
+            Guard::ReportOrder => "older reports ignored",
             Guard::Linger => "time-out is no evidence",
-            Guard::FreshReport => "report taken after the word",
-            Guard::PauseIsNotDeath => "a silent planner is not gone",
-            Guard::DeadLinger => "messages of the dead waited for",
+            Guard::FreshReport => "report read after the sender's evidence",
+            Guard::PauseIsNotDeath => "silence is no evidence of death",
+            Guard::DeadLinger => "linger time of a dead planner's messages",
         })
     }
 }
--- a/crates/spec/src/ledger/state.rs
+++ b/crates/spec/src/ledger/state.rs
@@ -1,45 +1,42 @@
-//! States of the system, small enough to keep millions of them.
+//! States of the ledger model, kept small since an exploration stores millions of them.
 
 use super::convert::MEMORY;
 
-/// Planners.
 pub(super) const PLANNERS: usize = 2;
 
-/// Room for orders.
+/// Highest [`Bounds::orders`](super::Bounds::orders); a bit set of orders is a `u8`.
 pub(super) const MAX_ORDERS: usize = 4;
 
-/// A state of the whole system.
+/// A state of the ledger, the planners, the orders and the engine.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The ledger in the object API, by number.
+    /// Number of the interned ledger that the object API holds.
     pub(super) ledger: u32,
     pub(super) planners: [Planner; PLANNERS],
     pub(super) orders: Vec<Order>,
     pub(super) engine: Engine,
-    /// A report that was read and not taken in yet, and by whom.
+    /// A report that was read and not applied yet, with the planner that read it.
     pub(super) report: Option<(u8, Report)>,
     pub(super) deaths: u8,
     pub(super) lost_answers: u8,
 }
 
-/// A planner's process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Planner {
     pub(super) incarnation: u8,
     pub(super) activity: Activity,
-    /// A write that may still take effect although its writer has no answer.
+    /// A write without an answer that may still take effect.
     pub(super) delayed: Option<Write>,
 }
 
-/// What a planner is in the middle of.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Activity {
     Idle,
-    /// It wrote, and the answer was lost.
+    /// The answer to this write was lost.
     Unconfirmed(Write),
 }
 
-/// A conditional update that reserves for an order.
+/// A conditional update of the ledger that reserves memory for an order.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Write {
     pub(super) base: u32,
@@ -47,17 +44,17 @@
     pub(super) order: u8,
 }
 
-/// What a planner knew when it read a report, and the report.
+/// A report of the engine, with the evidence that its reader had before it asked for it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Report {
     pub(super) engine: Engine,
-    /// Orders of its own that were quiet before it asked, a bit each.
+    /// Bit set of the reader's own orders of which no message was in transit.
     pub(super) not_in_flight: u8,
-    /// Last run of each planner that was gone before it asked.
+    /// For each planner, its last run that had ended with no message left in transit.
     pub(super) gone: [u8; PLANNERS],
 }
 
-/// An order.
+/// An order that a planner has written to the ledger, or tried to.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Order {
     pub(super) planner: u8,
@@ -67,55 +64,55 @@
     pub(super) phase: Phase,
 }
 
-/// What an order tells the engine.
+/// Loads or unloads the unit with this number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Action {
     Load(u8),
     Unload(u8),
 }
 
-/// Where an order is, in truth.
+/// Actual progress of an order, of which planners may know less.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// Its reservation was written, without an answer.
+    /// Its reservation was written, but not confirmed by an answer.
     Unconfirmed,
-    /// Reserved, and in its sender's hand.
+    /// Its sender knows of the reservation and has not sent it yet.
     Reserved,
-    /// On its way.
+    /// Sent and not received yet.
     InFlight,
-    /// Taken or refused; the answer is on its way.
+    /// Accepted or refused by the engine; the answer is in transit.
     Received { taken: bool },
-    /// Nothing of it is in flight: its sender has the answer that it was taken, or closed the
-    /// connection and the linger time has passed, or its sender died and nothing is on its way.
+    /// No message of it is in transit: its sender was told that it was accepted, or closed the
+    /// connection and waited for the linger time, or died before sending it.
     NotInFlight,
-    /// It was never sent or was refused, and its sender knows.
+    /// It was never sent or was refused, and its sender knows so.
     NeverTaken,
-    /// Quiet or never, and settled: nothing is left of it.
+    /// It is not in the ledger any more, and no message of it is in transit.
     Settled,
 }
 
-/// The engine, in truth.
+/// Actual state of the engine.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Engine {
     pub(super) incarnation: u8,
-    /// Changes in this run.
+    /// Sequence number of its report, raised with each order accepted in this run.
     pub(super) sequence: u8,
-    /// Highest fencing number seen in this run.
+    /// Highest fencing number received in this run.
     pub(super) fence: u8,
-    /// Orders taken in this run, a bit each.
+    /// Bit set of the orders accepted in this run.
     pub(super) taken: u8,
-    /// Units in memory, a bit each.
+    /// Bit set of the units in memory.
     pub(super) residents: u8,
 }
 
-/// What the engine does with fencing numbers.
+/// The engine's handling of fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fencing {
-    /// Refuses an old one.
+    /// Refuses an order with a lower number than the highest received.
     Refuses,
-    /// Takes any, and reports the highest.
+    /// Accepts any number, and reports the highest received.
     Reports,
-    /// Takes any, and reports none.
+    /// Accepts any number, and reports zero.
     Ignores,
 }
 
@@ -133,7 +130,7 @@
         }
     }
 
-    /// Whether nobody is in the middle of anything.
+    /// Whether no planner has unfinished work and every order is settled.
     pub(super) fn is_idle(&self) -> bool {
         let is_idle =
             |planner: &Planner| planner.activity == Activity::Idle && planner.delayed.is_none();
@@ -142,14 +139,14 @@
             && self.orders.iter().all(|order| order.phase == Phase::Settled)
     }
 
-    /// Whether the process that planned this order still runs.
+    /// Whether the run of the planner that planned this order has not ended.
     pub(super) fn is_alive(&self, order: &Order) -> bool {
         self.planners[usize::from(order.planner)].incarnation == order.incarnation
     }
 }
 
 impl Order {
-    /// An order of which nothing is left.
+    /// Placeholder for a settled order, the same for all, which merges equivalent states.
     pub(super) const SETTLED: Order = Order {
         planner: 0,
         incarnation: 0,
@@ -160,25 +157,25 @@
 }
 
 impl Phase {
-    /// Whether nothing of the order is anywhere on its way.
+    /// Whether no message of the order is in transit or will be sent.
     pub(super) fn has_no_messages(self) -> bool {
         matches!(self, Phase::NotInFlight | Phase::NeverTaken | Phase::Settled)
     }
 }
 
 impl Engine {
-    /// An engine with this many units in memory.
+    /// An engine in its first run, with this many units in memory.
     pub(super) fn start(residents: u8) -> Engine {
         let residents = (1 << residents) - 1;
         Engine { incarnation: 1, sequence: 1, fence: 0, taken: 0, residents }
     }
 
-    /// Memory that is taken, in MiB.
+    /// Memory in use, in MiB.
     pub(super) fn memory(&self) -> u64 {
         u64::from(self.residents.count_ones()) * MEMORY
     }
 
-    /// Takes or refuses an order; whether it was taken.
+    /// Accepts or refuses an order; returns whether it was accepted.
     pub(super) fn receive(&mut self, fencing: Fencing, number: usize, order: &Order) -> bool {
         match fencing {
             Fencing::Refuses if order.fence < self.fence => return false,
@@ -194,7 +191,7 @@
         true
     }
 
-    /// Starts again with empty memory, and without the fencing number.
+    /// Begins a new run with empty memory and without the fencing number.
     pub(super) fn restart(&mut self) {
         let incarnation = self.incarnation + 1;
         *self = Engine { incarnation, sequence: 1, fence: 0, taken: 0, residents: 0 };
--- a/crates/spec/src/ledger/step.rs
+++ b/crates/spec/src/ledger/step.rs
@@ -1,66 +1,66 @@
-//! Steps of the system, in the words of a trace.
+//! Steps of the ledger model, and their texts in traces.
 
 use std::fmt;
 
 use super::{convert, state::Action};
 
-/// A step.
+/// A step of a planner, an order or the engine, with its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A planner reads the ledger, plans an order and reserves for it by conditional update.
+    /// A planner reads the ledger, plans an order and reserves memory for it by conditional update.
     Reserve {
-        /// The planner.
+        /// Index of the planner.
         planner: usize,
         /// Number of the order.
         order: usize,
-        /// Whether it loads, rather than unloads.
+        /// Whether the order loads the unit; otherwise it unloads it.
         loads: bool,
-        /// The unit.
+        /// Number of the unit.
         unit: u8,
-        /// What becomes of the write.
+        /// Outcome of the write to the ledger.
         write: Write,
     },
-    /// A planner that had no answer writes the same again.
+    /// A planner that got no answer finds the ledger unchanged, and repeats its write.
     WriteAgain(usize),
-    /// A delayed write takes effect.
+    /// A delayed write reaches the object API, and takes effect if its condition holds.
     WriteArrives(usize),
-    /// A planner that had no answer reads the ledger back.
+    /// A planner that got no answer reads the ledger to find out whether its write took effect.
     ReadBack(usize),
-    /// An order is sent.
+    /// A planner sends an order whose reservation is confirmed.
     Send(usize),
-    /// A planner decides not to send an order.
+    /// A planner decides not to send an order whose reservation is confirmed.
     Withdraw(usize),
     /// An order arrives at the engine.
     Arrive {
         /// Number of the order.
         order: usize,
-        /// Whether the engine took it.
+        /// Whether the engine accepted it.
         taken: bool,
     },
     /// The sender gets the engine's answer.
     Answer(usize),
-    /// The connection has been closed for the linger time: what was on its way is gone.
+    /// The connection has been closed for the linger time, so no message is left in transit.
     Expire(usize),
     /// A planner reads a report.
     Read(usize),
-    /// A planner settles by the report that it read.
+    /// A planner settles orders by the report that it read before.
     Settle(usize),
-    /// A planner reads a report and settles by it at once.
+    /// A planner reads a report and settles orders by it in the same step.
     ReadAndSettle(usize),
-    /// A planner dies, and starts again.
+    /// A planner dies and restarts with the next incarnation number.
     Die(usize),
-    /// The engine restarts with empty memory.
+    /// The engine restarts with empty memory and without its fencing number.
     Restart,
 }
 
-/// What becomes of a write to the object API.
+/// Outcome of a write to the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// It takes effect and is answered.
+    /// The write takes effect and the answer arrives.
     Answered,
-    /// It takes effect; the answer is lost.
+    /// The write takes effect, but the answer is lost.
     AnswerLost,
-    /// It has no effect yet; the answer is lost.
+    /// The write may take effect later, and no answer arrives.
     Delayed,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether it happens by itself once faults have stopped and nobody plans anew.
+    /// Whether the step still happens once faults have stopped and no new order is planned.
     pub(super) fn is_progress(&self) -> bool {
         match self {
             Step::WriteAgain(_)
@@ -109,25 +109,28 @@
             Step::Reserve { planner, order, loads, unit, write } => {
                 let verb = if loads { "load" } else { "unload" };
                 let unit = convert::NAMES[usize::from(unit)];
-                write!(f, "planner {planner} reserves for order {order}, {verb} {unit}: {write}")
+                write!(
+                    f,
+                    "planner {planner} reserves memory for order {order}, {verb} {unit}: {write}"
+                )
             }
-            Step::WriteAgain(planner) => write!(f, "planner {planner} writes again"),
+            Step::WriteAgain(planner) => write!(f, "planner {planner} repeats its write"),
             Step::WriteArrives(planner) => write!(f, "planner {planner}'s delayed write arrives"),
             Step::ReadBack(planner) => write!(f, "planner {planner} reads the ledger back"),
             Step::Send(order) => write!(f, "order {order} is sent"),
-            Step::Withdraw(order) => write!(f, "order {order} is withdrawn, never sent"),
-            Step::Arrive { order, taken: true } => write!(f, "order {order} arrives, is taken"),
+            Step::Withdraw(order) => write!(f, "order {order} is withdrawn before it is sent"),
+            Step::Arrive { order, taken: true } => write!(f, "order {order} arrives, is accepted"),
             Step::Arrive { order, taken: false } => write!(f, "order {order} arrives, is refused"),
             Step::Answer(order) => write!(f, "order {order}'s sender gets the answer"),
             Step::Expire(order) => {
                 write!(f, "order {order}'s connection is closed, the linger time passes")
             }
             Step::Read(planner) => write!(f, "planner {planner} reads a report"),
-            Step::Settle(planner) => write!(f, "planner {planner} settles by its report"),
+            Step::Settle(planner) => write!(f, "planner {planner} settles orders by its report"),
             Step::ReadAndSettle(planner) => {
-                write!(f, "planner {planner} reads a report and settles by it")
+                write!(f, "planner {planner} reads a report and settles orders by it")
             }
-            Step::Die(planner) => write!(f, "planner {planner} dies and starts again"),
+            Step::Die(planner) => write!(f, "planner {planner} dies and restarts"),
             Step::Restart => write!(f, "the engine restarts with empty memory"),
         }
     }
--- a/crates/spec/src/ledger/transitions.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -1,4 +1,4 @@
-//! What may happen next, with `policy::ledger` deciding.
+//! Transitions of the ledger model; `policy::ledger` makes the decisions.
 
 use policy::ledger::{Ledger, ReportPosition, settle::Evidence};
 
@@ -10,7 +10,7 @@
 
 type Next = Vec<(Step, State)>;
 
-/// What a reservation depends on; the same question is put to `policy` once.
+/// Inputs of a reservation, the key under which its result is cached.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Reservation {
     ledger: u32,
@@ -20,20 +20,20 @@
     action: Action,
 }
 
-/// What a settlement depends on; the same question is put to `policy` once.
+/// Inputs of a settlement, the key under which its result is cached.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Settlement {
     ledger: u32,
     engine: Engine,
     gone: [u8; PLANNERS],
-    /// Orders that the planner says were never taken, a bit each.
+    /// Bit set of the orders that the planner knows were never accepted.
     never_taken: u8,
-    /// Orders that the planner says are quiet, a bit each.
+    /// Bit set of the orders of which the planner knows that no message is in transit.
     not_in_flight: u8,
 }
 
 impl Memory {
-    /// Steps of one planner.
+    /// Appends the steps that a planner can take.
     pub(super) fn planner_steps(&self, state: &State, planner: usize, next: &mut Next) {
         let current = state.planners[planner];
         match current.activity {
@@ -50,7 +50,7 @@
         next.push((Step::ReadAndSettle(planner), self.settle(state, planner, fresh)));
         match state.report {
             None => {
-                let reader = u8::try_from(planner).expect("few planners");
+                let reader = u8::try_from(planner).expect("a planner index must fit in a u8");
                 let read = State { report: Some((reader, fresh)), ..state.clone() };
                 next.push((Step::Read(planner), read));
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Steps of one order.
+    /// Appends the steps of an order: sending, delivery, answer and expiry.
     pub(super) fn order_steps(&self, state: &State, number: usize, next: &mut Next) {
         let order = state.orders[number];
         let with = |phase| {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Steps of the engine by itself.
+    /// Appends the steps that the engine takes without an order: restarts.
     pub(super) fn engine_steps(&self, state: &State, next: &mut Next) {
         if state.engine.incarnation <= self.bounds.restarts {
             let mut restarted = state.clone();
@@ -106,7 +106,8 @@
         }
     }
 
-    /// An engine that ignores fencing numbers may still report them; the ledger must not look.
+    /// With [`Guard::Unfenced`] disabled, an engine that does not check fencing numbers still
+    /// reports them, and the ledger wrongly relies on them.
     fn fencing(&self) -> Fencing {
         match (self.bounds.fenced, self.off) {
             (true, _) => Fencing::Refuses,
@@ -129,13 +130,14 @@
             let Some(reserved) = self.reserve(reservation) else { continue };
             let mut planned = state.clone();
             planned.orders.push(Order {
-                planner: u8::try_from(planner).expect("few planners"),
+                planner: u8::try_from(planner).expect("a planner index must fit in a u8"),
                 incarnation,
-                fence: u8::try_from(self.ledger(reserved).fence).expect("few orders"),
+                fence: u8::try_from(self.ledger(reserved).fence)
+                    .expect("a fencing number must fit in a u8"),
                 action,
                 phase: Phase::Unconfirmed,
             });
-            let order = u8::try_from(number).expect("few orders");
+            let order = u8::try_from(number).expect("an order number must fit in a u8");
             let write = Write { base: state.ledger, next: reserved, order };
             for (outcome, state) in self.outcomes(&planned, planner, write) {
                 next.push((Step::reserve(planner, number, action, outcome), state));
@@ -143,9 +145,10 @@
         }
     }
 
-    /// What may become of a write whose ledger has not changed since it was read.
+    /// The possible outcomes of a write whose ledger has not changed since it was read.
     ///
-    /// One that has changed is refused, and the planner is where it was before it read.
+    /// A write to a changed ledger is not modelled: it is refused, which leaves the planner as it
+    /// was before it read.
     fn outcomes(&self, planned: &State, planner: usize, write: Write) -> Vec<(step::Write, State)> {
         let mut answered = planned.clone();
         self.apply_write(&mut answered, write);
@@ -196,7 +199,7 @@
         Some(next)
     }
 
-    /// The object API takes the write if the ledger has not changed.
+    /// Applies a write in the object API if the ledger has not changed since it was read.
     fn apply_write(&self, state: &mut State, write: Write) {
         if state.ledger == write.base || self.is_off(Guard::ConditionalUpdate) {
             state.ledger = write.next;
@@ -220,7 +223,7 @@
         }
     }
 
-    /// A report as it is now, with what the planner knew before it asked.
+    /// The engine's current report, with the evidence that the planner had before it asked.
     fn report(&self, state: &State, planner: usize) -> Report {
         Report {
             engine: state.engine,
@@ -229,7 +232,7 @@
         }
     }
 
-    /// The planner's own orders of which nothing is in flight.
+    /// Bit set of the planner's own orders of which it knows that no message is in transit.
     fn not_in_flight(&self, state: &State, planner: usize) -> u8 {
         let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
         let not_in_flight = |order: &Order| match order.phase {
@@ -243,7 +246,7 @@
             .fold(0, |bits, (number, _)| bits | 1 << number)
     }
 
-    /// For each planner, the last run of which nothing is left.
+    /// For each planner, its last ended run, or 0 if a message of an ended run may be in transit.
     fn gone(&self, state: &State, reader: usize) -> [u8; PLANNERS] {
         std::array::from_fn(|planner| {
             if self.is_off(Guard::PauseIsNotDeath) && planner != reader {
@@ -308,8 +311,8 @@
         settled
     }
 
-    /// Forgets what is left of orders that are quiet and settled, so that states that differ in
-    /// nothing else are one.
+    /// Replaces settled orders of which no message is in transit by a placeholder, so that states
+    /// that differ in nothing else are merged.
     fn clear_settled(&self, state: &mut State) {
         let open_orders = self.open_orders(state.ledger);
         let delayed =
@@ -328,7 +331,8 @@
         }
     }
 
-    /// What a planner says of its own orders: never taken, and quiet.
+    /// Bit sets of the planner's own orders that were never accepted, and of those without a
+    /// message in transit.
     fn own_evidence(&self, state: &State, planner: usize, report: &Report) -> (u8, u8) {
         let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
         let never_taken = |order: &Order| match order.phase {
@@ -352,13 +356,13 @@
     }
 }
 
-/// The planner now knows that its reservation stands.
+/// The planner learns that its reservation is in the ledger.
 fn confirm(state: &mut State, planner: usize, write: Write) {
     state.planners[planner].activity = Activity::Idle;
     state.orders[usize::from(write.order)].phase = Phase::Reserved;
 }
 
-/// The process ends at once: what it had in hand is never sent, what it sent goes on.
+/// The process ends: its unsent orders are never sent, those in transit may still arrive.
 fn die(state: &State, planner: usize) -> State {
     let mut next = state.clone();
     next.deaths += 1;
--- a/crates/spec/tests/ledger.rs
+++ b/crates/spec/tests/ledger.rs
@@ -1,6 +1,10 @@
-//! The ledger's rule, exhaustively: it holds within the bounds, and fails without each guard.
+//! Explores the ledger model: the invariant holds within the bounds, and is violated without any
+//! one of the guards.
 
-#![allow(clippy::print_stderr, reason = "state counts and traces are the output of the search")]
+#![allow(
+    clippy::print_stderr,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use rstest::rstest;
 use spec::{
@@ -8,10 +12,10 @@
     ledger::{Bounds, Guard, Memory},
 };
 
-/// Bound on the states of one search, far above what any of them meets.
+/// Limit on the states of one exploration, far above the number that any of them reaches.
 const MAX_STATES: usize = 30_000_000;
 
-/// No fault but that every order and report may be late, and every order and answer lost.
+/// The only faults are late orders and reports, and lost orders and answers to them.
 const ORDERS_ONLY: Bounds = Bounds {
     fenced: false,
     capacity: 1,
@@ -26,11 +30,11 @@
 const RESTART: Bounds = Bounds { restarts: 1, ..ORDERS_ONLY };
 const LOST_ANSWER: Bounds = Bounds { lost_answers: 1, ..ORDERS_ONLY };
 
-/// Every fault together, with fewer orders.
+/// All kinds of faults together, with fewer orders.
 const ALL_FAULTS: Bounds =
     Bounds { orders: 2, deaths: 1, restarts: 1, lost_answers: 1, ..ORDERS_ONLY };
 
-/// Two orders to an empty engine, which is enough for most counterexamples.
+/// Two orders to an empty engine, enough for most counterexamples.
 const EMPTY: Bounds = Bounds { residents: 0, orders: 2, ..ORDERS_ONLY };
 
 fn search(bounds: Bounds) -> Report {
