--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -18,7 +18,7 @@
 
 use policy::once::{Body, End, Key, Now, Outage, Outcome, Settings, TimedKey};
 
-use self::state::Leg;
+use self::state::Message;
 pub use self::{state::State, step::Step};
 use crate::explore::System;
 
@@ -106,10 +106,10 @@
             version: 0,
             stored: None,
             hosts: (0..2).map(|number| self.host(number, 1)).collect(),
-            transit: Vec::new(),
-            sent: Vec::new(),
+            calls: Vec::new(),
+            sends: Vec::new(),
             runs: 0,
-            false_word: false,
+            has_false_answer: false,
             crashes: 0,
             losses: 0,
             jumps: 0,
@@ -119,7 +119,7 @@
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         for host in 0..state.hosts.len() {
-            if state.sent.len() < self.sends {
+            if state.sends.len() < self.sends {
                 steps.push((Step::Send(host), self.send(state, host)));
             }
             let decided = self.decide(state, host);
@@ -133,18 +133,18 @@
             let finished = self.finish(state, host, End::Ran(outcome));
             steps.extend(finished.map(|next| (Step::Finish(host), next)));
         }
-        for number in 0..state.transit.len() {
-            match &state.transit[number].leg {
-                Leg::Out(_) => {
+        for number in 0..state.calls.len() {
+            match &state.calls[number].message {
+                Message::Call(_) => {
                     let arrived = self.arrive(state, number);
                     steps.extend(
-                        arrived.map(|next| (Step::Arrive(state.transit[number].to_string()), next)),
+                        arrived.map(|next| (Step::Arrive(state.calls[number].to_string()), next)),
                     );
                 }
-                Leg::Read(_) | Leg::Written(_) => {
+                Message::Read(_) | Message::Written(_) => {
                     steps.push((
-                        Step::Return(state.transit[number].to_string()),
-                        self.tell(state, number, false),
+                        Step::Return(state.calls[number].to_string()),
+                        self.return_answer(state, number, false),
                     ));
                 }
             }
@@ -162,7 +162,7 @@
         if 1 < state.runs {
             return Some(format!("the key ran {} times", state.runs));
         }
-        state.false_word.then(|| "a send after a run was told that it did not run".into())
+        state.has_false_answer.then(|| "a send after a run was told that it did not run".into())
     }
 
     fn is_progress(&self, step: &Step) -> bool {
@@ -177,7 +177,7 @@
     }
 
     fn is_settled(&self, state: &State) -> bool {
-        state.sent.iter().all(|send| send.answered)
+        state.sends.iter().all(|send| send.is_answered)
             && state.hosts.iter().all(|host| host.granted.is_empty() && host.dispatched.is_empty())
     }
 }
--- a/crates/spec/src/once/calls.rs
+++ b/crates/spec/src/once/calls.rs
@@ -4,36 +4,38 @@
 
 use super::{
     Claims, Omission,
-    state::{Leg, State, Transit},
+    state::{Message, PendingCall, State},
 };
 
 impl Claims {
     pub(super) fn arrive(&self, state: &State, number: usize) -> Option<State> {
-        let Leg::Out(call) = &state.transit[number].leg else { return None };
+        let Message::Call(call) = &state.calls[number].message else { return None };
         let mut next = state.clone();
-        let leg = match call {
-            Call::Read => Leg::Read(match &state.stored {
-                Some(document) => Read::Found(state.version, self.seen(state, document)),
+        let message = match call {
+            Call::Read => Message::Read(match &state.stored {
+                Some(document) => {
+                    Read::Found(state.version, self.visible_document(state, document))
+                }
                 None => Read::Absent,
             }),
             Call::Create(document) => {
-                Leg::Written(self.write(&mut next, state.stored.is_none(), document))
+                Message::Written(self.write(&mut next, state.stored.is_none(), document))
             }
             Call::Update(version, document) => {
-                Leg::Written(self.write(&mut next, *version == state.version, document))
+                Message::Written(self.write(&mut next, *version == state.version, document))
             }
         };
-        match next.transit[number].awaited {
-            true => next.transit[number].leg = leg,
+        match next.calls[number].is_awaited {
+            true => next.calls[number].message = message,
             false => {
-                next.transit.remove(number);
+                next.calls.remove(number);
             }
         }
         Some(next)
     }
 
-    fn write(&self, state: &mut State, holds: bool, document: &Document) -> Written {
-        if !holds && self.omission != Omission::ConditionalWrite {
+    fn write(&self, state: &mut State, is_match: bool, document: &Document) -> Written {
+        if !is_match && self.omission != Omission::ConditionalWrite {
             return Written::Conflict;
         }
         state.stored = Some(document.clone());
@@ -42,7 +44,7 @@
     }
 
     /// The object as a host reads it, without what a missing guard would have shown.
-    fn seen(&self, state: &State, document: &Document) -> Document {
+    fn visible_document(&self, state: &State, document: &Document) -> Document {
         let mut document = document.clone();
         match self.omission {
             Omission::Gap => {
@@ -60,35 +62,35 @@
         document
     }
 
-    pub(super) fn tell(&self, state: &State, number: usize, failed: bool) -> State {
+    pub(super) fn return_answer(&self, state: &State, number: usize, failed: bool) -> State {
         let mut next = state.clone();
-        let Transit { run, leg, awaited } = next.transit.remove(number);
+        let PendingCall { run, message, is_awaited } = next.calls.remove(number);
         let found = next.hosts.iter().position(|host| host.run == run);
-        let Some(host) = found.filter(|_| awaited) else { return next };
+        let Some(host) = found.filter(|_| is_awaited) else { return next };
         let now = self.now(state);
         let range = &mut next.hosts[host].range;
-        let answers = match leg {
-            Leg::Out(Call::Read) | Leg::Read(_) if failed => range.read(now, Read::Failed),
-            Leg::Out(_) | Leg::Written(_) if failed => {
+        let answers = match message {
+            Message::Call(Call::Read) | Message::Read(_) if failed => range.read(now, Read::Failed),
+            Message::Call(_) | Message::Written(_) if failed => {
                 let written = match self.omission {
                     Omission::ReadBack => Written::Done(state.version + 1),
                     _ => Written::Failed,
                 };
                 range.wrote(now, written)
             }
-            Leg::Read(read) => range.read(now, read),
-            Leg::Written(written) => range.wrote(now, written),
-            Leg::Out(_) => Vec::new(),
+            Message::Read(read) => range.read(now, read),
+            Message::Written(written) => range.wrote(now, written),
+            Message::Call(_) => Vec::new(),
         };
-        self.take(&mut next, host, answers);
+        self.apply_answers(&mut next, host, answers);
         next
     }
 
     /// The call goes on without anybody who waits for it.
     pub(super) fn time_out(&self, state: &State, number: usize) -> State {
-        let late = Transit { awaited: false, ..state.transit[number].clone() };
-        let mut next = self.tell(state, number, true);
-        next.transit.push(late);
+        let late = PendingCall { is_awaited: false, ..state.calls[number].clone() };
+        let mut next = self.return_answer(state, number, true);
+        next.calls.push(late);
         next
     }
 }
--- a/crates/spec/src/once/faults.rs
+++ b/crates/spec/src/once/faults.rs
@@ -2,7 +2,7 @@
 
 use policy::once::End;
 
-use super::{Claims, Omission, State, Step, state::Leg};
+use super::{Claims, Omission, State, Step, state::Message};
 
 impl Claims {
     pub(super) fn faults(&self, state: &State, steps: &mut Vec<(Step, State)>) {
@@ -11,15 +11,15 @@
                 next.losses += 1;
                 next
             };
-            for number in 0..state.transit.len() {
+            for number in 0..state.calls.len() {
                 steps.push((
-                    Step::Lose(state.transit[number].to_string()),
-                    lost(self.tell(state, number, true)),
+                    Step::Lose(state.calls[number].to_string()),
+                    lost(self.return_answer(state, number, true)),
                 ));
-                let transit = &state.transit[number];
-                if transit.awaited && matches!(transit.leg, Leg::Out(_)) {
+                let call = &state.calls[number];
+                if call.is_awaited && matches!(call.message, Message::Call(_)) {
                     steps.push((
-                        Step::TimeOut(state.transit[number].to_string()),
+                        Step::TimeOut(state.calls[number].to_string()),
                         lost(self.time_out(state, number)),
                     ));
                 }
--- a/crates/spec/src/once/hosts.rs
+++ b/crates/spec/src/once/hosts.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Claims, ORIGIN, Omission,
-    state::{Host, Leg, Send, State, Transit},
+    state::{Host, Message, PendingCall, Send, State},
 };
 
 impl Claims {
@@ -25,8 +25,8 @@
 
     pub(super) fn send(&self, state: &State, host: usize) -> State {
         let mut next = state.clone();
-        let id: request::Id = format!("send-{}", state.sent.len()).into();
-        next.sent.push(Send { host, after_run: 0 < state.runs, answered: false });
+        let id: request::Id = format!("send-{}", state.sends.len()).into();
+        next.sends.push(Send { host, after_run: 0 < state.runs, is_answered: false });
         let now = self.now(state);
         let target = &mut next.hosts[host];
         if self.omission == Omission::ClaimFirst {
@@ -45,18 +45,18 @@
     pub(super) fn decide(&self, state: &State, host: usize) -> State {
         let mut next = state.clone();
         let step = next.hosts[host].range.step(self.now(state));
-        self.take(&mut next, host, step.answers);
+        self.apply_answers(&mut next, host, step.answers);
         if let Some(call) = step.call {
             let run = next.hosts[host].run.clone();
-            next.transit.push(Transit { run, leg: Leg::Out(call), awaited: true });
+            next.calls.push(PendingCall { run, message: Message::Call(call), is_awaited: true });
         }
         next
     }
 
-    pub(super) fn take(&self, state: &mut State, host: usize, answers: Vec<Answer>) {
+    pub(super) fn apply_answers(&self, state: &mut State, host: usize, answers: Vec<Answer>) {
         for Answer { id, verdict, .. } in answers {
             let number: usize = id.trim_start_matches("send-").parse().unwrap_or_default();
-            state.sent[number].answered = true;
+            state.sends[number].is_answered = true;
             match verdict {
                 Verdict::Granted { until } => {
                     state.hosts[host].granted.insert(id, until);
@@ -66,7 +66,7 @@
                         Omission::Look if refusal == Refusal::Unread => true,
                         _ => refusal.ran() == Ran::DidNotRun,
                     };
-                    state.false_word |= not_run && state.sent[number].after_run;
+                    state.has_false_answer |= not_run && state.sends[number].after_run;
                 }
                 Verdict::Claimed { .. } | Verdict::Done(_) => {}
             }
@@ -107,9 +107,15 @@
         let old = next.hosts[host].run.clone();
         next.hosts[host] = self.host(host, old.incarnation + 1);
         // The callers of that run lost their connections.
-        next.sent.iter_mut().filter(|send| send.host == host).for_each(|send| send.answered = true);
-        next.transit.iter_mut().filter(|t| t.run == old).for_each(|t| t.awaited = false);
-        next.transit.retain(|transit| transit.awaited || matches!(transit.leg, Leg::Out(_)));
+        next.sends
+            .iter_mut()
+            .filter(|send| send.host == host)
+            .for_each(|send| send.is_answered = true);
+        next.calls
+            .iter_mut()
+            .filter(|call| call.run == old)
+            .for_each(|call| call.is_awaited = false);
+        next.calls.retain(|call| call.is_awaited || matches!(call.message, Message::Call(_)));
         next
     }
 }
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -15,10 +15,10 @@
     pub(super) version: u64,
     pub(super) stored: Option<Document>,
     pub(super) hosts: Vec<Host>,
-    pub(super) transit: Vec<Transit>,
-    pub(super) sent: Vec<Send>,
+    pub(super) calls: Vec<PendingCall>,
+    pub(super) sends: Vec<Send>,
     pub(super) runs: u8,
-    pub(super) false_word: bool,
+    pub(super) has_false_answer: bool,
     pub(super) crashes: u8,
     pub(super) losses: u8,
     pub(super) jumps: u8,
@@ -34,27 +34,27 @@
 
 /// A call under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Transit {
+pub(super) struct PendingCall {
     pub(super) run: HostRun,
-    pub(super) leg: Leg,
+    pub(super) message: Message,
     /// Whether the host still waits for the answer.
-    pub(super) awaited: bool,
+    pub(super) is_awaited: bool,
 }
 
-impl Display for Transit {
+impl Display for PendingCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let call = match &self.leg {
-            Leg::Out(Call::Read) | Leg::Read(_) => "read",
-            Leg::Out(Call::Create(_) | Call::Update(..)) | Leg::Written(_) => "write",
+        let call = match &self.message {
+            Message::Call(Call::Read) | Message::Read(_) => "read",
+            Message::Call(Call::Create(_) | Call::Update(..)) | Message::Written(_) => "write",
         };
-        let late = if self.awaited { "" } else { "late " };
+        let late = if self.is_awaited { "" } else { "late " };
         write!(f, "the {late}{call} of {} run {}", self.run.host, self.run.incarnation)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Leg {
-    Out(Call),
+pub(super) enum Message {
+    Call(Call),
     Read(Read),
     Written(Written),
 }
@@ -63,5 +63,5 @@
 pub(super) struct Send {
     pub(super) host: usize,
     pub(super) after_run: bool,
-    pub(super) answered: bool,
+    pub(super) is_answered: bool,
 }
