--- a/crates/spec/src/once.rs
+++ b/crates/spec/src/once.rs
@@ -1,12 +1,12 @@
-//! Claims of one key by hosts that race, crash, pause and lose calls and answers.
+//! Model of claims on one idempotency key by hosts that race, crash, pause, and lose calls.
 //!
-//! Each host runs the very [`Range`] that a process runs. The rest is the smallest world around it:
-//! one object with conditional writes, calls under way in both directions, callers that send the
-//! same key through any host, and time that jumps. A pause needs no step of its own: any host may
-//! take none while all others go on.
+//! Each host runs the same [`Range`](policy::once::Range) as in production. Its environment is kept
+//! minimal: one object with conditional writes, messages in transit in both directions, callers
+//! that send the same key through any host, and time that advances in jumps. A pause needs no step
+//! of its own: any host may take no step while all others go on.
 //!
-//! Safety: the key runs once at most, and "did not run" is not told to a send that came after a
-//! run. Liveness: once the faults stop, every send is answered.
+//! Safety: the key runs at most once, and no send that came after a run is answered "did not run".
+//! Liveness: once the faults stop, every send is answered.
 
 mod calls;
 mod faults;
@@ -22,48 +22,48 @@
 pub use self::{state::State, step::Step};
 use crate::explore::System;
 
-/// Wall clock at the start.
+/// Wall-clock time of the initial state, in Unix milliseconds.
 const ORIGIN: u64 = 1_000_000;
 
-/// A guard that a variant of the system lacks.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Omission {
-    /// All guards are there.
+    /// All guards are active.
     Nothing,
-    /// The object API writes whatever the version is.
+    /// The object API ignores the expected version of a write.
     ConditionalWrite,
     /// A host dispatches before its claim is written.
     ClaimFirst,
-    /// A write without an answer counts as done.
+    /// A write without an answer is treated as done.
     ReadBack,
-    /// A claim of a host that crashed counts as free.
+    /// A claim of a host run that has crashed is treated as free.
     ClaimsOutliveClaimants,
-    /// A request whose answer was lost is released.
+    /// A dispatched request whose answer was lost is released, as if it had not been sent.
     ReleaseOnlyUnsent,
-    /// "Did not run" is told without a look at the object.
+    /// A host that has not read the object answers "did not run".
     Look,
-    /// A holder's successor does not mind the gap.
+    /// The successor of a range's holder ignores the gaps and the hold recorded in the object.
     Gap,
-    /// A key's own time is not checked.
+    /// Keys carry no time stamp, so the age of a key is not checked.
     KeyTime,
 }
 
-/// Bounds of the exploration, and what is varied.
+/// The model: two hosts and one key, with bounds on the sends and faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Claims {
-    /// Sends of the key.
+    /// Maximum number of requests that callers send with the key.
     pub sends: usize,
-    /// Crashes.
+    /// Maximum number of host crashes, over both hosts.
     pub crashes: u8,
-    /// Calls or answers that are lost or come late.
+    /// Maximum number of calls and answers that are lost or late.
     pub losses: u8,
-    /// Jumps of time.
+    /// Maximum number of times that time advances.
     pub jumps: u8,
-    /// Length of a jump.
+    /// Time that one jump takes; the time limits in the settings are as long or zero.
     pub jump: Duration,
-    /// What is done in an outage.
+    /// Policy of the hosts while the object API does not answer.
     pub outage: Outage,
-    /// The guard that is switched off.
+    /// The disabled guard.
     pub omission: Omission,
 }
 
@@ -162,7 +162,9 @@
         if 1 < state.runs {
             return Some(format!("the key ran {} times", state.runs));
         }
-        state.has_false_answer.then(|| "a send after a run was told that it did not run".into())
+        state
+            .has_false_answer
+            .then(|| "a send that came after a run was answered \"did not run\"".into())
     }
 
     fn is_progress(&self, step: &Step) -> bool {
--- a/crates/spec/src/once/calls.rs
+++ b/crates/spec/src/once/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the object API, and their answers, on time, late or lost.
+//! Calls to the object API and their answers, which may be late or lost.
 
 use policy::once::{Call, Document, HostRun, Read, State as Progress, Written};
 
@@ -43,7 +43,7 @@
         Written::Done(state.version)
     }
 
-    /// The object as a host reads it, without what a missing guard would have shown.
+    /// The object as a host reads it, without the fields that a disabled guard would check.
     fn visible_document(&self, state: &State, document: &Document) -> Document {
         let mut document = document.clone();
         match self.omission {
@@ -86,7 +86,7 @@
         next
     }
 
-    /// The call goes on without anybody who waits for it.
+    /// The host treats the call as failed, while the call stays in transit.
     pub(super) fn time_out(&self, state: &State, number: usize) -> State {
         let late = PendingCall { is_awaited: false, ..state.calls[number].clone() };
         let mut next = self.return_answer(state, number, true);
--- a/crates/spec/src/once/faults.rs
+++ b/crates/spec/src/once/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that may come next, within their bounds.
+//! The faults that are enabled in a state, within the bounds.
 
 use policy::once::End;
 
--- a/crates/spec/src/once/hosts.rs
+++ b/crates/spec/src/once/hosts.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a host, and what a host does on its own side.
+//! Requests of callers to a host, and the steps that a host takes by itself.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -106,7 +106,7 @@
         next.crashes += 1;
         let old = next.hosts[host].run.clone();
         next.hosts[host] = self.host(host, old.incarnation + 1);
-        // The callers of that run lost their connections.
+        // The crash closes the connections of this run's callers, so they expect no answer.
         next.sends
             .iter_mut()
             .filter(|send| send.host == host)
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -1,4 +1,4 @@
-//! What the world holds: the object, the hosts, the calls under way, and the sends.
+//! State of the claim model: the object, the hosts, the pending calls and the sends.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,7 +9,7 @@
 use policy::once::{Call, Document, HostRun, Range, Read, Written};
 use types::request;
 
-/// Everything that decides what may happen next.
+/// A state of the object, the hosts, the pending calls and the sends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) version: u64,
@@ -17,7 +17,9 @@
     pub(super) hosts: Vec<Host>,
     pub(super) calls: Vec<PendingCall>,
     pub(super) sends: Vec<Send>,
+    /// Number of times that a host has dispatched the key.
     pub(super) runs: u8,
+    /// Whether a send that came after a run was answered "did not run".
     pub(super) has_false_answer: bool,
     pub(super) crashes: u8,
     pub(super) losses: u8,
@@ -32,12 +34,12 @@
     pub(super) dispatched: BTreeSet<request::Id>,
 }
 
-/// A call under way.
+/// A call to the object API of which a message is in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingCall {
     pub(super) run: HostRun,
     pub(super) message: Message,
-    /// Whether the host still waits for the answer.
+    /// Whether the host still waits for the answer; it stops at a time-out or a crash.
     pub(super) is_awaited: bool,
 }
 
@@ -62,6 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Send {
     pub(super) host: usize,
+    /// Whether the key had been dispatched before this send.
     pub(super) after_run: bool,
     pub(super) is_answered: bool,
 }
--- a/crates/spec/tests/once.rs
+++ b/crates/spec/tests/once.rs
@@ -1,6 +1,9 @@
-//! Exhaustive walk of claims, with every guard and with each one off.
+//! Explores the model of claims with every guard, and with each guard disabled.
 
-#![allow(clippy::print_stdout, reason = "counts and traces of a walk")]
+#![allow(
+    clippy::print_stdout,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use std::time::Duration;
 
@@ -11,7 +14,7 @@
     once::{Claims, Omission},
 };
 
-/// Bound on memory: a state takes a few kilobytes.
+/// Limits the memory of an exploration: a state takes a few kilobytes.
 const MAX_STATES: usize = 1_000_000;
 
 const SMALL: Claims = Claims {
