--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -8,19 +8,21 @@
 
 use std::collections::BTreeSet;
 
-use policy::term::{Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Ask, Stored};
+use policy::term::{
+    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Action, Stored,
+};
 use types::{order::Fence, prelude::*};
 
 use crate::explore::System;
 
 mod guard;
-mod probe;
+mod recovery;
 mod state;
 mod step;
 
 pub use guard::Omission;
 use state::{Body, Call, Host, Order};
-pub use state::{Fault, State, Tick};
+pub use state::{State, Tick, Violation};
 pub use step::Step;
 
 pub(super) const HOSTS: usize = 2;
@@ -72,7 +74,14 @@
     fn host(&self, number: usize, incarnation: host::Incarnation) -> Host {
         let named = if self.omission == Omission::Incarnation { 1 } else { incarnation };
         let term = OrderLease::new(name(number), named, self.settings());
-        Host { incarnation, term, hand: None, told: None, suspended: 0, fences: BTreeSet::new() }
+        Host {
+            incarnation,
+            term,
+            prepared: None,
+            watched: None,
+            suspended: 0,
+            fences: BTreeSet::new(),
+        }
     }
 
     /// What a host's clock says.
@@ -81,7 +90,7 @@
     }
 
     /// The lease as it is told to a host.
-    fn told(&self, to: usize, mut stored: Stored) -> Stored {
+    fn visible_lease(&self, to: usize, mut stored: Stored) -> Stored {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
             lease.claim = match (self.omission, lease.claim) {
@@ -94,11 +103,17 @@
     }
 
     fn read(&self, state: &State, host: usize) -> Option<Stored> {
-        state.stored.clone().map(|stored| self.told(host, stored))
+        state.stored.clone().map(|stored| self.visible_lease(host, stored))
     }
 
     /// Carries a write out, and says what came of it.
-    fn carry_out(&self, state: &mut State, host: usize, on: Option<u64>, lease: Lease) -> Outcome {
+    fn apply_write(
+        &self,
+        state: &mut State,
+        host: usize,
+        on: Option<u64>,
+        lease: Lease,
+    ) -> Outcome {
         let revision = state.stored.as_ref().map(|(revision, _)| *revision);
         if revision != on && self.omission != Omission::ConditionalWrite {
             // A store may say no more of an object that is to be created than that it is there.
@@ -110,29 +125,30 @@
     }
 
     /// What a host asks of the store: answered at once or slowly.
-    fn asks(&self, state: &State, host: usize) -> Vec<(Step, State)> {
+    fn store_steps(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
-        let before = (self.omission == Omission::SentTime).then(|| state.hosts[host].term.clone());
+        let term_before =
+            (self.omission == Omission::SentTime).then(|| state.hosts[host].term.clone());
         let (step, slowly, body) = match next.hosts[host].term.step(now) {
-            Ask::Idle => return self.watches(state, host).into_iter().collect(),
-            Ask::Read => {
+            Action::Idle => return self.watch_step(state, host).into_iter().collect(),
+            Action::Read => {
                 let body = Body::Read(self.read(state, host));
                 (Step::Read(host), Step::ReadSlowly(host), body)
             }
-            Ask::Create(lease) => {
+            Action::Create(lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(None, lease))
             }
-            Ask::Replace(revision, lease) => {
+            Action::Replace(revision, lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(Some(revision), lease))
             }
         };
         let may_be_slow = state.slow < self.slow && !state.is_reading(host);
-        next.call(host, body, before);
+        next.call(host, body, term_before);
         let mut slow = next.clone();
         slow.slow += 1;
         while next.calls.len() != state.calls.len() {
-            next = self.goes(&next, state.calls.len()).1;
+            next = self.advance_call(&next, state.calls.len()).1;
         }
         let mut steps = vec![(step, next)];
         steps.extend(may_be_slow.then_some((slowly, slow)));
@@ -140,44 +156,45 @@
     }
 
     /// A host's watch tells it of a change.
-    fn watches(&self, state: &State, host: usize) -> Option<(Step, State)> {
+    fn watch_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let (revision, _) = state.stored.as_ref()?;
-        if state.hosts[host].told == Some(*revision) {
+        if state.hosts[host].watched == Some(*revision) {
             return None;
         }
         let mut next = state.clone();
-        next.hosts[host].told = Some(*revision);
+        next.hosts[host].watched = Some(*revision);
         let read = self.read(state, host);
         next.hosts[host].term.observe(self.clock(state, host), read);
         Some((Step::Watch(host), next))
     }
 
     /// A call goes one leg further.
-    fn goes(&self, state: &State, number: usize) -> (Step, State) {
+    fn advance_call(&self, state: &State, number: usize) -> (Step, State) {
         let mut next = state.clone();
-        let Call { host, incarnation, body, awaited, before } = next.calls.remove(number);
-        let heard = awaited && next.hosts[host].incarnation == incarnation;
+        let Call { host, incarnation, body, is_awaited, term_before } = next.calls.remove(number);
+        let is_delivered = is_awaited && next.hosts[host].incarnation == incarnation;
         let now = self.clock(state, host);
         match body {
             Body::Write(on, lease) => {
-                let outcome = self.carry_out(&mut next, host, on, lease);
-                if heard {
+                let outcome = self.apply_write(&mut next, host, on, lease);
+                if is_delivered {
                     let body = Body::Outcome(outcome);
-                    next.calls.insert(number, Call { host, incarnation, body, awaited, before });
+                    next.calls
+                        .insert(number, Call { host, incarnation, body, is_awaited, term_before });
                 }
                 (Step::CarryOut(host, incarnation), next)
             }
             Body::Outcome(outcome) => {
                 let term = &mut next.hosts[host].term;
                 if self.omission == Omission::SentTime && matches!(outcome, Outcome::Done(_)) {
-                    *term = before.unwrap_or(term.clone());
+                    *term = term_before.unwrap_or(term.clone());
                     term.step(now);
                 }
                 term.write_finished(now, outcome);
                 (Step::Answer(host), next)
             }
             Body::Read(read) => {
-                if heard {
+                if is_delivered {
                     next.hosts[host].term.observe(now, read);
                 }
                 (Step::Answer(host), next)
@@ -186,10 +203,10 @@
     }
 
     /// A host stops waiting for a write.
-    fn gives_up(&self, state: &State, number: usize) -> Option<(Step, State)> {
+    fn give_up(&self, state: &State, number: usize) -> Option<(Step, State)> {
         let call = &state.calls[number];
         let is_write = matches!(call.body, Body::Write(..) | Body::Outcome(_));
-        if !is_write || !call.awaited {
+        if !is_write || !call.is_awaited {
             return None;
         }
         let (host, now) = (call.host, self.clock(state, call.host));
@@ -198,7 +215,7 @@
         }
         let mut next = state.clone();
         match next.calls[number].body {
-            Body::Write(..) => next.calls[number].awaited = false,
+            Body::Write(..) => next.calls[number].is_awaited = false,
             Body::Outcome(_) | Body::Read(_) => drop(next.calls.remove(number)),
         }
         let outcome = match (self.omission, &state.stored) {
@@ -215,9 +232,9 @@
         self.stops == 0 && !matches!(self.omission, Omission::Look | Omission::Drop)
     }
 
-    fn sends(&self, state: &mut State, host: usize, fence: Fence) {
+    fn send_order(&self, state: &mut State, host: usize, fence: Fence) {
         let this = &mut state.hosts[host];
-        this.hand = None;
+        this.prepared = None;
         let fence = match self.omission {
             Omission::RevisionFence => {
                 this.fences.insert(fence);
@@ -225,13 +242,13 @@
             }
             _ => fence,
         };
-        state.server.may_get(state.now, Order { host, fence, until: state.now + FLIGHT }, TURN);
+        state.server.record_sent(state.now, Order { host, fence, until: state.now + FLIGHT }, TURN);
     }
 
-    fn sends_eagerly(&self, state: &mut State) {
+    fn send_eagerly(&self, state: &mut State) {
         for host in 0..HOSTS {
             if let Some(fence) = state.hosts[host].term.fence(self.clock(state, host)) {
-                self.sends(state, host, fence);
+                self.send_order(state, host, fence);
             }
         }
     }
@@ -239,40 +256,40 @@
     /// A host sends an order: one that it prepares right now, or, where that guard is off, one
     /// that it had in hand. With the guards on, only an order under the present fence leaves, so
     /// that it makes no difference when it was prepared.
-    fn orders(&self, state: &State, host: usize) -> Option<(Step, State)> {
+    fn order_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
         let this = &mut next.hosts[host];
         let present = this.term.may_order(now);
-        let fence = match (self.omission, this.hand) {
+        let fence = match (self.omission, this.prepared) {
             (Omission::Look | Omission::Drop, None) => {
-                this.hand = Some(present?);
+                this.prepared = Some(present?);
                 return Some((Step::Prepare(host), next));
             }
-            (Omission::Drop, Some(hand)) => present.and(Some(hand))?,
-            (Omission::Look, Some(hand)) => hand,
+            (Omission::Drop, Some(prepared)) => present.and(Some(prepared))?,
+            (Omission::Look, Some(prepared)) => prepared,
             _ => present?,
         };
-        self.sends(&mut next, host, fence);
+        self.send_order(&mut next, host, fence);
         Some((Step::Send(host, fence), next))
     }
 
-    fn restarts(&self, state: &State, host: usize) -> State {
+    fn restart(&self, state: &State, host: usize) -> State {
         let mut next = state.clone();
         let suspended = next.hosts[host].suspended;
         next.hosts[host] = Host { suspended, ..self.host(host, next.hosts[host].incarnation + 1) };
         next
     }
 
-    fn ends(&self, state: &State, host: usize) -> Vec<(Step, State)> {
+    fn end_steps(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         if state.crashes < self.crashes {
-            let mut next = self.restarts(state, host);
+            let mut next = self.restart(state, host);
             next.crashes += 1;
             steps.push((Step::Crash(host), next));
         }
         if state.hosts[host].term.is_released() {
-            steps.push((Step::Leave(host), self.restarts(state, host)));
+            steps.push((Step::Leave(host), self.restart(state, host)));
         }
         if state.stops < self.stops {
             let mut next = state.clone();
@@ -283,13 +300,13 @@
         steps
     }
 
-    fn ticks(&self, state: &State) -> Vec<(Step, State)> {
+    fn tick_steps(&self, state: &State) -> Vec<(Step, State)> {
         if state.now == self.ticks {
             return Vec::new();
         }
         let mut next = state.clone();
         next.now += 1;
-        next.server.forget(next.now, TURN);
+        next.server.prune(next.now, TURN);
         let mut steps = vec![(Step::Tick, next.clone())];
         if self.omission == Omission::SuspensionClock {
             steps.extend((0..HOSTS).map(|host| {
@@ -320,33 +337,33 @@
         // The first host holds the lease, unless the walk asks how the first holding begins.
         if self.begin == Begin::Held {
             for _ in ["read", "write"] {
-                state = self.asks(&state, 0).swap_remove(0).1;
+                state = self.store_steps(&state, 0).swap_remove(0).1;
             }
         }
         state
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let mut steps = self.ticks(state);
+        let mut steps = self.tick_steps(state);
         for host in 0..HOSTS {
-            steps.extend(self.asks(state, host));
-            steps.extend(self.ends(state, host));
+            steps.extend(self.store_steps(state, host));
+            steps.extend(self.end_steps(state, host));
         }
         for number in 0..state.calls.len() {
-            steps.push(self.goes(state, number));
-            steps.extend(self.gives_up(state, number));
+            steps.push(self.advance_call(state, number));
+            steps.extend(self.give_up(state, number));
         }
         if self.is_eager() {
-            steps.iter_mut().for_each(|(_, next)| self.sends_eagerly(next));
+            steps.iter_mut().for_each(|(_, next)| self.send_eagerly(next));
         } else {
-            steps.extend((0..HOSTS).filter_map(|host| self.orders(state, host)));
+            steps.extend((0..HOSTS).filter_map(|host| self.order_step(state, host)));
         }
         steps
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        if let Some(fault) = state.server.fault {
-            return Some(fault.to_string());
+        if let Some(violation) = state.server.violation {
+            return Some(violation.to_string());
         }
         let within = self.recovery?;
         (!self.recovers(state, within))
--- a/crates/spec/src/order/holder/probe.rs
+++ b/crates/spec/src/order/holder/recovery.rs
@@ -15,31 +15,32 @@
     }
 
     fn recovers_with(&self, hosts: &[usize], mut state: State, within: Tick) -> bool {
-        let quiet = Holders { ticks: Tick::MAX, ..*self };
+        let unbounded = Holders { ticks: Tick::MAX, ..*self };
         for _ in 0..=within {
-            state = quiet.calm(hosts, state);
-            let may_order =
-                |host: &usize| state.hosts[*host].term.fence(quiet.clock(&state, *host)).is_some();
+            state = unbounded.run_to_tick(hosts, state);
+            let may_order = |host: &usize| {
+                state.hosts[*host].term.fence(unbounded.clock(&state, *host)).is_some()
+            };
             if hosts.iter().any(may_order) {
                 return true;
             }
-            let ticked = quiet.ticks(&state).into_iter().next();
+            let ticked = unbounded.tick_steps(&state).into_iter().next();
             state = ticked.map_or(state, |(_, next)| next);
         }
         false
     }
 
     /// Everybody who is left does all there is to do before time passes.
-    fn calm(&self, hosts: &[usize], mut state: State) -> State {
+    fn run_to_tick(&self, hosts: &[usize], mut state: State) -> State {
         for _ in 0..ROUNDS {
             while !state.calls.is_empty() {
-                state = self.goes(&state, 0).1;
+                state = self.advance_call(&state, 0).1;
             }
             for &host in hosts {
                 if state.hosts[host].term.is_released() {
-                    state = self.restarts(&state, host);
+                    state = self.restart(&state, host);
                 }
-                if let Some((_, next)) = self.asks(&state, host).into_iter().next() {
+                if let Some((_, next)) = self.store_steps(&state, host).into_iter().next() {
                     state = next;
                 }
             }
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -22,9 +22,9 @@
 }
 
 impl State {
-    pub(super) fn call(&mut self, host: usize, body: Body, before: Option<OrderLease>) {
+    pub(super) fn call(&mut self, host: usize, body: Body, term_before: Option<OrderLease>) {
         let incarnation = self.hosts[host].incarnation;
-        self.calls.push(Call { host, incarnation, body, awaited: true, before });
+        self.calls.push(Call { host, incarnation, body, is_awaited: true, term_before });
     }
 
     pub(super) fn is_reading(&self, host: usize) -> bool {
@@ -37,9 +37,9 @@
     pub(super) incarnation: host::Incarnation,
     pub(super) term: OrderLease,
     /// Fence under which an order was prepared.
-    pub(super) hand: Option<Fence>,
+    pub(super) prepared: Option<Fence>,
     /// Revision that its watch told last.
-    pub(super) told: Option<Revision>,
+    pub(super) watched: Option<Revision>,
     /// Ticks that its clock did not count.
     pub(super) suspended: Tick,
     /// Fences that it used, where it counts them itself.
@@ -52,9 +52,9 @@
     pub(super) host: usize,
     pub(super) incarnation: host::Incarnation,
     pub(super) body: Body,
-    pub(super) awaited: bool,
+    pub(super) is_awaited: bool,
     /// The host's term before the call, where the answer's time counts.
-    pub(super) before: Option<OrderLease>,
+    pub(super) term_before: Option<OrderLease>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -78,20 +78,20 @@
 pub(super) struct Server {
     /// The last order of each fence that still counts.
     pub(super) orders: Vec<Order>,
-    pub(super) fault: Option<Fault>,
+    pub(super) violation: Option<Violation>,
 }
 
 impl Server {
     /// Takes in an order that is sent now, and may arrive from now on.
-    pub(super) fn may_get(&mut self, now: Tick, order: Order, turn: Tick) {
-        let faults = self.orders.iter().find_map(|earlier| earlier.fault(now, &order, turn));
-        self.fault = self.fault.or(faults);
+    pub(super) fn record_sent(&mut self, now: Tick, order: Order, turn: Tick) {
+        let violation = self.orders.iter().find_map(|earlier| earlier.violation(now, &order, turn));
+        self.violation = self.violation.or(violation);
         self.orders.retain(|earlier| earlier.fence != order.fence);
         self.orders.push(order);
     }
 
     /// Forgets orders that can break no rule any more.
-    pub(super) fn forget(&mut self, now: Tick, turn: Tick) {
+    pub(super) fn prune(&mut self, now: Tick, turn: Tick) {
         let highest = self.orders.iter().map(|order| order.fence).max();
         self.orders.retain(|order| now < order.until + turn || Some(order.fence) == highest);
         for order in &mut self.orders {
@@ -101,36 +101,36 @@
 }
 
 impl Order {
-    fn fault(&self, now: Tick, later: &Order, turn: Tick) -> Option<Fault> {
+    fn violation(&self, now: Tick, later: &Order, turn: Tick) -> Option<Violation> {
         let is_other = self.host != later.host;
         if is_other && now < self.until + turn {
-            return Some(Fault::Turns);
+            return Some(Violation::TooClose);
         }
         if is_other && self.fence == later.fence {
-            return Some(Fault::Shared);
+            return Some(Violation::SharedFence);
         }
         let overtakes = self.fence < later.fence && now <= self.until;
-        (later.fence < self.fence || overtakes).then_some(Fault::Falls)
+        (later.fence < self.fence || overtakes).then_some(Violation::FenceFell)
     }
 }
 
 /// The rule that an order may break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fault {
+pub enum Violation {
     /// Orders of two hosts lie less than a turn apart.
-    Turns,
+    TooClose,
     /// The fence falls.
-    Falls,
+    FenceFell,
     /// Two hosts share a fence.
-    Shared,
+    SharedFence,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Turns => "orders of two hosts may reach the server within a turn",
-            Fault::Falls => "a lower fence may reach the server after a higher one",
-            Fault::Shared => "two hosts' orders bore one fence",
+            Violation::TooClose => "orders of two hosts may reach the server within a turn",
+            Violation::FenceFell => "a lower fence may reach the server after a higher one",
+            Violation::SharedFence => "two hosts' orders bore one fence",
         })
     }
 }
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -16,14 +16,14 @@
 mod state;
 
 use state::{Action, Order, Report};
-pub use state::{Fault, State, Step};
+pub use state::{State, Step, Violation};
 
 /// A model or adapter; each takes one place.
 pub type Unit = u8;
 
 /// Units that there are, and places for them.
 const UNITS: [Unit; 2] = [0, 1];
-const PLACES: usize = 1;
+const CAPACITY: usize = 1;
 
 pub(super) const PLANNERS: usize = 2;
 
@@ -96,7 +96,7 @@
     /// What counts as a newer order.
     pub barrier: Barrier,
     /// Faults that are looked for.
-    pub judged: &'static [Fault],
+    pub checked: &'static [Violation],
     /// Different orders sent.
     pub orders: usize,
     /// Restarts of the server.
@@ -108,13 +108,13 @@
 }
 
 impl Memory {
-    fn reads(&self, state: &State, planner: usize) -> State {
+    fn read_report(&self, state: &State, planner: usize) -> State {
         let mut next = state.clone();
         let mut report = state.server.report();
-        if let (Omission::Snapshot, Some(old)) = (self.omission, &state.views[planner]) {
+        if let (Omission::Snapshot, Some(old)) = (self.omission, &state.reports[planner]) {
             report = Report { sequence: report.sequence, ..old.clone() };
         }
-        next.views[planner] = Some(report);
+        next.reports[planner] = Some(report);
         next
     }
 
@@ -127,27 +127,27 @@
     }
 
     /// Orders that a planner may work out from its last report.
-    fn sends(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
-        let Some(view) = &state.views[planner] else { return Vec::new() };
-        if view.is_busy && self.omission != Omission::Busy {
+    fn send_steps(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
+        let Some(report) = &state.reports[planner] else { return Vec::new() };
+        if report.is_busy && self.omission != Omission::Busy {
             return Vec::new();
         }
         let mut used: BTreeSet<Unit> = match self.omission {
-            Omission::Pending => view.held.clone(),
-            _ => view.held.union(&view.pending).copied().collect(),
+            Omission::Pending => report.loaded.clone(),
+            _ => report.loaded.union(&report.pending).copied().collect(),
         };
         if self.omission != Omission::Late {
-            used.extend(late_loads(state, planner, view));
+            used.extend(late_loads(state, planner, report));
         }
         let loads = UNITS
             .into_iter()
-            .filter(|unit| used.len() < PLACES && !used.contains(unit))
+            .filter(|unit| used.len() < CAPACITY && !used.contains(unit))
             .map(Action::Load);
-        let unloads = view.held.iter().copied().map(Action::Unload);
+        let unloads = report.loaded.iter().copied().map(Action::Unload);
         loads
             .chain(unloads)
             .map(|action| {
-                let (instance, sequence) = (view.instance, view.sequence);
+                let (instance, sequence) = (report.instance, report.sequence);
                 Order { fence: planner as u64, instance, sequence, action }
             })
             .filter(|order| !state.sent.contains(order))
@@ -160,44 +160,48 @@
     }
 
     /// The server gets an order, for the first time or again.
-    fn arrives(&self, state: &State, order: Order) -> State {
+    fn deliver(&self, state: &State, order: Order) -> State {
         let mut next = state.clone();
         let server = &mut next.server;
-        if self.barrier == Barrier::Answered && server.already_holds(&order) {
-            next.newest = next.newest.max(order.fence);
+        if self.barrier == Barrier::Answered && server.is_without_effect(&order) {
+            next.newest_fence = next.newest_fence.max(order.fence);
             return next;
         }
-        let is_one_name = self.name == Name::Kept || self.omission == Omission::Instance;
-        let is_meant = order.instance == server.instance || is_one_name;
-        let is_due = order.sequence == server.sequence || self.omission == Omission::Sequence;
-        if !is_meant || !is_due || (self.kind == Kind::Model && server.is_busy()) {
+        let ignores_instance = self.name == Name::Kept || self.omission == Omission::Instance;
+        let instance_matches = order.instance == server.instance || ignores_instance;
+        let sequence_matches =
+            order.sequence == server.sequence || self.omission == Omission::Sequence;
+        if !instance_matches || !sequence_matches || (self.kind == Kind::Model && server.is_busy())
+        {
             return next;
         }
         let accepted = server.accept(order.action);
-        let overtaken = self.acting == Acting::InTurn && order.fence < next.newest;
-        let overcommitted = PLACES < server.used();
-        next.fault =
-            [(Fault::Overcommitted, overcommitted), (Fault::Overtaken, accepted && overtaken)]
-                .into_iter()
-                .find_map(|(fault, is_there)| {
-                    (is_there && self.judged.contains(&fault)).then_some(fault)
-                });
+        let overtaken = self.acting == Acting::InTurn && order.fence < next.newest_fence;
+        let overcommitted = CAPACITY < server.used();
+        next.violation = [
+            (Violation::Overcommitted, overcommitted),
+            (Violation::Overtaken, accepted && overtaken),
+        ]
+        .into_iter()
+        .find_map(|(violation, is_violated)| {
+            (is_violated && self.checked.contains(&violation)).then_some(violation)
+        });
         if accepted {
-            next.newest = next.newest.max(order.fence);
+            next.newest_fence = next.newest_fence.max(order.fence);
         }
         if accepted && self.name == Name::Kept {
-            next.over.insert(order);
+            next.consumed.insert(order);
         }
         next
     }
 }
 
 /// What a planner's orders to earlier instances may yet load.
-fn late_loads(state: &State, planner: usize, view: &Report) -> impl Iterator<Item = Unit> {
-    let open = state.sent.difference(&state.over);
-    let own = open.filter(move |order| order.fence == planner as u64);
+fn late_loads(state: &State, planner: usize, report: &Report) -> impl Iterator<Item = Unit> {
+    let unconsumed = state.sent.difference(&state.consumed);
+    let own = unconsumed.filter(move |order| order.fence == planner as u64);
     let late =
-        own.filter(|order| order.instance < view.instance && view.sequence <= order.sequence);
+        own.filter(|order| order.instance < report.instance && report.sequence <= order.sequence);
     late.filter_map(|order| match order.action {
         Action::Load(unit) => Some(unit),
         Action::Unload(_) => None,
@@ -211,28 +215,28 @@
     fn initial(&self) -> State {
         State {
             server: state::Server::new(self.kind),
-            views: [const { None }; PLANNERS],
+            reports: [const { None }; PLANNERS],
             sent: BTreeSet::new(),
-            over: BTreeSet::new(),
+            consumed: BTreeSet::new(),
             handed_over: false,
-            newest: 0,
+            newest_fence: 0,
             restarts: 0,
-            fault: None,
+            violation: None,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         for planner in 0..PLANNERS {
-            steps.push((Step::Read(planner), self.reads(state, planner)));
+            steps.push((Step::Read(planner), self.read_report(state, planner)));
             if state.sent.len() < self.orders && self.may_act(state, planner) {
-                steps.extend(self.sends(state, planner));
+                steps.extend(self.send_steps(state, planner));
             }
         }
-        for order in state.sent.difference(&state.over) {
-            steps.push((Step::Arrive(*order), self.arrives(state, *order)));
+        for order in state.sent.difference(&state.consumed) {
+            steps.push((Step::Arrive(*order), self.deliver(state, *order)));
         }
-        for (unit, server) in state.server.finishes() {
+        for (unit, server) in state.server.completions() {
             steps.push((Step::Finish(unit), State { server, ..state.clone() }));
         }
         if state.restarts < self.restarts {
@@ -246,7 +250,7 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        state.fault.map(|fault| fault.to_string())
+        state.violation.map(|violation| violation.to_string())
     }
 
     fn is_progress(&self, _: &Step) -> bool {
--- a/crates/spec/src/order/memory/state.rs
+++ b/crates/spec/src/order/memory/state.rs
@@ -11,32 +11,32 @@
 pub struct State {
     pub(super) server: Server,
     /// The last report that each planner has.
-    pub(super) views: [Option<Report>; PLANNERS],
+    pub(super) reports: [Option<Report>; PLANNERS],
     /// Orders that were sent; each may still arrive.
     pub(super) sent: BTreeSet<Order>,
     /// Those that have taken effect and do so no more.
-    pub(super) over: BTreeSet<Order>,
+    pub(super) consumed: BTreeSet<Order>,
     pub(super) handed_over: bool,
     /// Highest fence that counts as a barrier.
-    pub(super) newest: Fence,
+    pub(super) newest_fence: Fence,
     pub(super) restarts: u8,
-    pub(super) fault: Option<Fault>,
+    pub(super) violation: Option<Violation>,
 }
 
 /// The rule that an order broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fault {
+pub enum Violation {
     /// More was to be loaded than there is room for.
     Overcommitted,
     /// An order of the first planner took effect after a newer one.
     Overtaken,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Overcommitted => "the server was ordered to load more than it holds",
-            Fault::Overtaken => "an order of the first planner took effect after a newer one",
+            Violation::Overcommitted => "the server was ordered to load more than it holds",
+            Violation::Overtaken => "an order of the first planner took effect after a newer one",
         })
     }
 }
@@ -62,7 +62,7 @@
 pub(super) struct Report {
     pub(super) instance: u8,
     pub(super) sequence: Sequence,
-    pub(super) held: BTreeSet<Unit>,
+    pub(super) loaded: BTreeSet<Unit>,
     pub(super) pending: BTreeSet<Unit>,
     pub(super) is_busy: bool,
 }
@@ -72,7 +72,7 @@
     lists_pending: bool,
     pub(super) instance: u8,
     pub(super) sequence: Sequence,
-    held: BTreeSet<Unit>,
+    loaded: BTreeSet<Unit>,
     /// Units that are being loaded, and that are held but being unloaded.
     loading: BTreeSet<Unit>,
     unloading: BTreeSet<Unit>,
@@ -85,7 +85,7 @@
             lists_pending: kind == Kind::Adapter,
             instance: 0,
             sequence: 0,
-            held: BTreeSet::from([0]),
+            loaded: BTreeSet::from([0]),
             loading: BTreeSet::new(),
             unloading: BTreeSet::new(),
         }
@@ -97,7 +97,7 @@
             lists_pending: self.lists_pending,
             instance: self.instance + 1,
             sequence: 0,
-            held: BTreeSet::new(),
+            loaded: BTreeSet::new(),
             loading: BTreeSet::new(),
             unloading: BTreeSet::new(),
         }
@@ -108,7 +108,7 @@
         Report {
             instance: self.instance,
             sequence: self.sequence,
-            held: self.held.clone(),
+            loaded: self.loaded.clone(),
             pending,
             is_busy: !self.lists_pending && self.is_busy(),
         }
@@ -119,40 +119,40 @@
     }
 
     pub(super) fn used(&self) -> usize {
-        self.held.len() + self.loading.len()
+        self.loaded.len() + self.loading.len()
     }
 
     /// Whether an order for this instance would change nothing.
-    pub(super) fn already_holds(&self, order: &Order) -> bool {
-        let holds = match order.action {
-            Action::Load(unit) => self.held.contains(&unit) && !self.unloading.contains(&unit),
-            Action::Unload(unit) => !self.held.contains(&unit) && !self.loading.contains(&unit),
+    pub(super) fn is_without_effect(&self, order: &Order) -> bool {
+        let is_satisfied = match order.action {
+            Action::Load(unit) => self.loaded.contains(&unit) && !self.unloading.contains(&unit),
+            Action::Unload(unit) => !self.loaded.contains(&unit) && !self.loading.contains(&unit),
         };
-        order.instance == self.instance && holds
+        order.instance == self.instance && is_satisfied
     }
 
     /// Begins to carry an order out, unless it changes nothing.
     pub(super) fn accept(&mut self, action: Action) -> bool {
         let accepted = match action {
-            Action::Load(unit) => !self.held.contains(&unit) && self.loading.insert(unit),
-            Action::Unload(unit) => self.held.contains(&unit) && self.unloading.insert(unit),
+            Action::Load(unit) => !self.loaded.contains(&unit) && self.loading.insert(unit),
+            Action::Unload(unit) => self.loaded.contains(&unit) && self.unloading.insert(unit),
         };
         self.sequence += Sequence::from(accepted);
         accepted
     }
 
     /// What it may finish, and how it is then.
-    pub(super) fn finishes(&self) -> Vec<(Unit, Server)> {
+    pub(super) fn completions(&self) -> Vec<(Unit, Server)> {
         let loads = self.loading.iter().map(|unit| {
             let mut next = self.clone();
             next.loading.remove(unit);
-            next.held.insert(*unit);
+            next.loaded.insert(*unit);
             (*unit, next)
         });
         let unloads = self.unloading.iter().map(|unit| {
             let mut next = self.clone();
             next.unloading.remove(unit);
-            next.held.remove(unit);
+            next.loaded.remove(unit);
             (*unit, next)
         });
         loads.chain(unloads).collect()
--- a/crates/spec/tests/order.rs
+++ b/crates/spec/tests/order.rs
@@ -7,7 +7,7 @@
     explore::explore,
     order::{
         holder::{self, Begin, Holders, Omission},
-        memory::{self, Acting, Barrier, Fault, Kind, Memory, Name},
+        memory::{self, Acting, Barrier, Kind, Memory, Name, Violation},
     },
 };
 
@@ -31,7 +31,7 @@
     kind: Kind::Model,
     acting: Acting::Together,
     barrier: Barrier::Accepted,
-    judged: &[Fault::Overcommitted, Fault::Overtaken],
+    checked: &[Violation::Overcommitted, Violation::Overtaken],
     orders: 3,
     restarts: 1,
     name: memory::Name::New,
@@ -83,28 +83,32 @@
 }
 
 #[rstest]
-#[case::conditional_write(Omission::ConditionalWrite, holder::Fault::Turns, SMALL)]
-#[case::term_wait(Omission::TermWait, holder::Fault::Turns, SMALL)]
-#[case::turn_wait(Omission::TurnWait, holder::Fault::Turns, SMALL)]
-#[case::flight(Omission::Flight, holder::Fault::Falls, SMALL)]
-#[case::sent_time(Omission::SentTime, holder::Fault::Falls, Holders { slow: 1, ..SMALL })]
-#[case::suspension_clock(Omission::SuspensionClock, holder::Fault::Turns, SMALL)]
-#[case::read_back(Omission::ReadBack, holder::Fault::Turns, Holders { slow: 1, ..SMALL })]
-#[case::incarnation(Omission::Incarnation, holder::Fault::Falls, Holders { crashes: 1, ..SMALL })]
-#[case::revision_fence(Omission::RevisionFence, holder::Fault::Shared, SMALL)]
-#[case::drop(Omission::Drop, holder::Fault::Falls, SMALL)]
-#[case::look(Omission::Look, holder::Fault::Falls, SMALL)]
-#[case::rest(Omission::Rest, holder::Fault::Turns, Holders { stops: 1, ..SMALL })]
+#[case::conditional_write(Omission::ConditionalWrite, holder::Violation::TooClose, SMALL)]
+#[case::term_wait(Omission::TermWait, holder::Violation::TooClose, SMALL)]
+#[case::turn_wait(Omission::TurnWait, holder::Violation::TooClose, SMALL)]
+#[case::flight(Omission::Flight, holder::Violation::FenceFell, SMALL)]
+#[case::sent_time(Omission::SentTime, holder::Violation::FenceFell, Holders { slow: 1, ..SMALL })]
+#[case::suspension_clock(Omission::SuspensionClock, holder::Violation::TooClose, SMALL)]
+#[case::read_back(Omission::ReadBack, holder::Violation::TooClose, Holders { slow: 1, ..SMALL })]
+#[case::incarnation(
+    Omission::Incarnation,
+    holder::Violation::FenceFell,
+    Holders { crashes: 1, ..SMALL }
+)]
+#[case::revision_fence(Omission::RevisionFence, holder::Violation::SharedFence, SMALL)]
+#[case::drop(Omission::Drop, holder::Violation::FenceFell, SMALL)]
+#[case::look(Omission::Look, holder::Violation::FenceFell, SMALL)]
+#[case::rest(Omission::Rest, holder::Violation::TooClose, Holders { stops: 1, ..SMALL })]
 fn without_a_guard_a_trace_breaks_the_rule(
     #[case] omission: Omission,
-    #[case] fault: holder::Fault,
+    #[case] violation: holder::Violation,
     #[case] holders: Holders,
 ) {
     let report = explore(&Holders { omission, ..holders }, MAX_STATES);
     println!("without {omission:?}: {report}");
     assert_eq!(
         report.violation().map(|trace| &*trace.violation),
-        Some(&*fault.to_string()),
+        Some(&*violation.to_string()),
         "{report}"
     );
 }
@@ -138,8 +142,8 @@
     let omission = memory::Omission::Late;
     let report = explore(&Memory { kind, omission, orders: 4, ..ONE_NAME }, MAX_STATES);
     println!("{kind:?}s without {omission:?}: {report}");
-    let fault = Fault::Overcommitted.to_string();
-    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*fault), "{report}");
+    let violation = Violation::Overcommitted.to_string();
+    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*violation), "{report}");
 }
 
 #[rstest]
@@ -155,8 +159,8 @@
 ) {
     let report = explore(&Memory { omission, kind, ..TWO_PLANNERS }, MAX_STATES);
     println!("without {omission:?}: {report}");
-    let fault = Fault::Overcommitted.to_string();
-    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*fault), "{report}");
+    let violation = Violation::Overcommitted.to_string();
+    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*violation), "{report}");
 }
 
 #[rstest]
@@ -164,9 +168,9 @@
 #[case::instance(Memory { omission: memory::Omission::Instance, ..IN_TURN })]
 #[case::order_that_changed_nothing(Memory { barrier: Barrier::Answered, ..IN_TURN })]
 fn without_a_guard_an_older_order_takes_effect_after_a_newer_one(#[case] memory: Memory) {
-    let memory = Memory { judged: &[Fault::Overtaken], ..memory };
+    let memory = Memory { checked: &[Violation::Overtaken], ..memory };
     let report = explore(&memory, MAX_STATES);
     println!("{memory:?}: {report}");
-    let fault = Fault::Overtaken.to_string();
-    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*fault), "{report}");
+    let violation = Violation::Overtaken.to_string();
+    assert_eq!(report.violation().map(|trace| &*trace.violation), Some(&*violation), "{report}");
 }
