--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -6,8 +6,8 @@
 //!   taking effect, or the update may take effect late;
 //! - planners, which die and restart; a paused planner is one that takes no step;
 //! - orders that are lost or arrive late, and acknowledgements that are lost;
-//! - an engine that honours fencing numbers or ignores them, and restarts with empty memory and
-//!   without its fencing number;
+//! - an engine that honours fencing tokens or ignores them, and restarts with empty memory and
+//!   without its fencing token;
 //! - reports that are stale and are applied out of order.
 //!
 //! No lease is modelled: both planners may always plan, which is more than any lease allows.
@@ -32,10 +32,10 @@
 pub use state::State;
 pub use step::Step;
 
-/// Bounds of an exploration, and the engine's handling of fencing numbers.
+/// Bounds of an exploration, and the engine's handling of fencing tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the engine refuses an order with a fencing number below the highest it received.
+    /// Whether the engine refuses an order with a fencing token below the highest it received.
     pub fenced: bool,
     /// Units that fit in the engine's memory, at most two; one more unit than fits exists.
     pub capacity: u8,
--- a/crates/spec/src/ledger/guard.rs
+++ b/crates/spec/src/ledger/guard.rs
@@ -9,7 +9,7 @@
     ConditionalUpdate,
     /// After a lost answer, an order is sent only if its reservation is found in the ledger.
     ReadBack,
-    /// The ledger does not rely on fencing by an engine that ignores fencing numbers.
+    /// The ledger does not rely on fencing by an engine that ignores fencing tokens.
     Unfenced,
     /// Orders that fencing has superseded still count, since a restarted engine may accept them.
     RestartSum,
@@ -36,7 +36,7 @@
         f.write_str(match self {
             Guard::ConditionalUpdate => "conditional update",
             Guard::ReadBack => "reservation read back before order is sent",
-            Guard::Unfenced => "no reliance on an engine that ignores fencing numbers",
+            Guard::Unfenced => "no reliance on an engine that ignores fencing tokens",
             Guard::RestartSum => "superseded orders counted for a restarted engine",
             Guard::UnloadByReport => "unload frees memory by report, not by order",
             Guard::EffectByReport => "order settled by report, not by acknowledgement",
--- a/crates/spec/src/ledger/state.rs
+++ b/crates/spec/src/ledger/state.rs
@@ -97,7 +97,7 @@
     pub(super) incarnation: u8,
     /// Sequence number of its report, raised with each order accepted in this run.
     pub(super) sequence: u8,
-    /// Highest fencing number received in this run.
+    /// Highest fencing token received in this run.
     pub(super) fence: u8,
     /// Bit set of the orders accepted in this run.
     pub(super) taken: u8,
@@ -105,7 +105,7 @@
     pub(super) residents: u8,
 }
 
-/// The engine's handling of fencing numbers.
+/// The engine's handling of fencing tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fencing {
     /// Refuses an order with a lower number than the highest received.
@@ -191,7 +191,7 @@
         true
     }
 
-    /// Begins a new run with empty memory and without the fencing number.
+    /// Begins a new run with empty memory and without the fencing token.
     pub(super) fn restart(&mut self) {
         let incarnation = self.incarnation + 1;
         *self = Engine { incarnation, sequence: 1, fence: 0, taken: 0, residents: 0 };
--- a/crates/spec/src/ledger/step.rs
+++ b/crates/spec/src/ledger/step.rs
@@ -49,7 +49,7 @@
     ReadAndSettle(usize),
     /// A planner dies and restarts with the next incarnation number.
     Die(usize),
-    /// The engine restarts with empty memory and without its fencing number.
+    /// The engine restarts with empty memory and without its fencing token.
     Restart,
 }
 
--- a/crates/spec/src/ledger/transitions.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// With [`Guard::Unfenced`] disabled, an engine that does not check fencing numbers still
+    /// With [`Guard::Unfenced`] disabled, an engine that does not check fencing tokens still
     /// reports them, and the ledger wrongly relies on them.
     fn fencing(&self) -> Fencing {
         match (self.bounds.fenced, self.off) {
@@ -133,7 +133,7 @@
                 planner: u8::try_from(planner).expect("a planner index must fit in a u8"),
                 incarnation,
                 fence: u8::try_from(self.ledger(reserved).fence)
-                    .expect("a fencing number must fit in a u8"),
+                    .expect("a fencing token must fit in a u8"),
                 action,
                 phase: Phase::Unconfirmed,
             });
--- a/crates/spec/src/order.rs
+++ b/crates/spec/src/order.rs
@@ -1,11 +1,13 @@
-//! Orders to a server that checks no fences, and to one that counts the orders it accepts.
+//! Models of orders to a server that checks no fencing tokens, and to one that counts the orders
+//! that it accepts.
 //!
-//! Two questions, each with its own small system. [`holder`]: with the lease of `policy::term`,
-//! do two hosts' orders ever reach a server within a turn, or do fences fall or coincide there?
-//! Time counts in it, and the store is late, lossy or out of reach. [`memory`]: if each order
-//! names the instance and the sequence number that it was worked out from, is a server's memory
-//! ever overcommitted, though no ledger stands in the store? Time does not count in it, planners
-//! need no lease for it, and a late order may be carried out at any later moment.
+//! - [`holder`] checks the lease of `policy::term`: orders of two hosts never reach a server within
+//!   a turn of each other, and the fencing tokens that reach it neither fall nor coincide. Time is
+//!   modelled; the store may be slow, lose calls or be unreachable.
+//! - [`memory`] checks that a server's memory is never overcommitted if each order names the
+//!   instance and the sequence number of the report that it is based on, although the store holds
+//!   no ledger. Time is not modelled, planners need no lease, and a late order may be carried out
+//!   at any later moment.
 
 pub mod holder;
 pub mod memory;
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -1,10 +1,10 @@
-//! Two hosts, one lease, one server: whose orders reach it, and when.
+//! Model of the lease on orders: two hosts, one lease and one server.
 //!
-//! Time goes by in ticks, and nobody needs to do anything at a tick: a host that does nothing is
-//! frozen, slow or out of the processor; a call that stays under way is slow or its link is cut; a
-//! store that takes no call of a host is down for it. Only one thing is bound: an order arrives
-//! within its flight, once, more often or never. When it does is not walked through: each order
-//! is judged against the others by the earliest and the latest moment that it may arrive at.
+//! Time passes in ticks, and no step is forced at a tick: a host that takes none is suspended or
+//! slow, a call that stays pending is slow or its connection is cut, and a store that accepts no
+//! call of a host is unreachable for it. The only time limit is that an order arrives within its
+//! flight time, once, more than once or never. Its arrival is not a step: orders are compared with
+//! each other by the earliest and the latest time at which each may arrive.
 
 use std::collections::BTreeSet;
 
@@ -27,32 +27,33 @@
 
 pub(super) const HOSTS: usize = 2;
 
-/// How the walk begins.
+/// State of the lease at which the exploration begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// There is no lease.
+    /// The lease object does not exist.
     Empty,
-    /// A host has just taken it.
+    /// The first host has just acquired the lease.
     Held,
 }
 
-/// Bounds of the exploration.
+/// The model, with bounds on time and faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Holders {
-    /// How the walk begins.
+    /// State of the lease at which the exploration begins.
     pub begin: Begin,
-    /// Ticks.
+    /// Tick after which time stops.
     pub ticks: Tick,
-    /// Processes that crash.
+    /// Maximum number of crashes, over both hosts.
     pub crashes: u8,
-    /// Calls that take time, and may be given up meanwhile; the others are answered at once.
+    /// Maximum number of calls that take time, during which the host may stop waiting for a write;
+    /// all other calls are answered in the step that sends them.
     pub slow: u8,
-    /// Planned stops.
+    /// Maximum number of planned stops, over both hosts.
     pub stops: u8,
-    /// Ticks within which someone must hold the lease, from each state, if nothing fails any
-    /// more, but either host may be gone for good; not asked if none.
+    /// Number of ticks within which, from each state, a host must hold the lease if no further
+    /// fault happens, even if either host never returns. Not checked if `None`.
     pub recovery: Option<Tick>,
-    /// The guard that is switched off.
+    /// The disabled guard.
     pub omission: Omission,
 }
 
@@ -84,12 +85,12 @@
         }
     }
 
-    /// What a host's clock says.
+    /// The host's clock: the time without the ticks that it missed while suspended.
     fn clock(&self, state: &State, host: usize) -> Moment {
         span(state.now - state.hosts[host].suspended)
     }
 
-    /// The lease as it is told to a host.
+    /// The lease as a host reads it, changed by the disabled guard, if it concerns reads.
     fn visible_lease(&self, to: usize, mut stored: Stored) -> Stored {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
@@ -106,7 +107,7 @@
         state.stored.clone().map(|stored| self.visible_lease(host, stored))
     }
 
-    /// Carries a write out, and says what came of it.
+    /// Carries out a write in the store if its revision matches, and returns the outcome.
     fn apply_write(
         &self,
         state: &mut State,
@@ -116,7 +117,7 @@
     ) -> Outcome {
         let revision = state.stored.as_ref().map(|(revision, _)| *revision);
         if revision != on && self.omission != Omission::ConditionalWrite {
-            // A store may say no more of an object that is to be created than that it is there.
+            // If an object to be created exists, a store may report only that, without its content.
             return Outcome::Conflict(on.and_then(|_| self.read(state, host)));
         }
         let revision = revision.unwrap_or(0) + 1;
@@ -124,7 +125,7 @@
         Outcome::Done(revision)
     }
 
-    /// What a host asks of the store: answered at once or slowly.
+    /// The steps by which a host calls the store, with an immediate or a slow answer.
     fn store_steps(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
@@ -155,7 +156,7 @@
         steps
     }
 
-    /// A host's watch tells it of a change.
+    /// A host's watch reports the current lease, unless it has reported this revision before.
     fn watch_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let (revision, _) = state.stored.as_ref()?;
         if state.hosts[host].watched == Some(*revision) {
@@ -168,7 +169,7 @@
         Some((Step::Watch(host), next))
     }
 
-    /// A call goes one leg further.
+    /// Advances a call: the store carries out a write, or an answer reaches its host.
     fn advance_call(&self, state: &State, number: usize) -> (Step, State) {
         let mut next = state.clone();
         let Call { host, incarnation, body, is_awaited, term_before } = next.calls.remove(number);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// A host stops waiting for a write.
+    /// A host stops waiting for a write, whose outcome is then unclear to it.
     fn give_up(&self, state: &State, number: usize) -> Option<(Step, State)> {
         let call = &state.calls[number];
         let is_write = matches!(call.body, Body::Write(..) | Body::Outcome(_));
@@ -226,8 +227,10 @@
         Some((Step::GiveUp(host), next))
     }
 
-    /// Whether each host sends an order whenever it may. To the server more orders are worse, and
-    /// to the lease they make no difference, unless the host releases it by the time of its last.
+    /// Whether each host sends an order in every state in which it may, which leaves fewer states.
+    ///
+    /// This hides no violation: more orders can only add violations at the server, and they do not
+    /// affect the lease, except that a stopping host releases it by the time of its last order.
     fn is_eager(&self) -> bool {
         self.stops == 0 && !matches!(self.omission, Omission::Look | Omission::Drop)
     }
@@ -253,9 +256,11 @@
         }
     }
 
-    /// A host sends an order: one that it prepares right now, or, where that guard is off, one
-    /// that it had in hand. With the guards on, only an order under the present fence leaves, so
-    /// that it makes no difference when it was prepared.
+    /// A host sends an order that it prepares now, or, if the guard against it is disabled, one
+    /// that it prepared before.
+    ///
+    /// With the guards active, only an order under the current fencing token is sent, so the time
+    /// of its preparation makes no difference.
     fn order_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
@@ -334,7 +339,7 @@
             slow: 0,
             stops: 0,
         };
-        // The first host holds the lease, unless the walk asks how the first holding begins.
+        // The first host acquires the lease by a read and a write, without a fault.
         if self.begin == Begin::Held {
             for _ in ["read", "write"] {
                 state = self.store_steps(&state, 0).swap_remove(0).1;
@@ -366,24 +371,26 @@
             return Some(violation.to_string());
         }
         let within = self.recovery?;
-        (!self.recovers(state, within))
-            .then(|| format!("nobody holds the lease {within} quiet ticks later"))
+        (!self.recovers(state, within)).then(|| {
+            format!("no host holds the lease {within} ticks later, although no fault happened")
+        })
     }
 
     fn is_progress(&self, _: &Step) -> bool {
         false
     }
 
-    /// Time ends the walk; `recovery` asks what others ask of settled states.
+    /// Every state counts as settled: the exploration ends with the last tick, so
+    /// [`Holders::recovery`] replaces the liveness check.
     fn is_settled(&self, _: &State) -> bool {
         true
     }
 }
 
-/// Ticks that must lie between orders of different hosts.
+/// Minimum number of ticks between orders of different hosts.
 const TURN: Tick = 2;
 
-/// Ticks within which an order arrives.
+/// Maximum number of ticks between the sending of an order and its arrival.
 const FLIGHT: Tick = 1;
 
 fn span(ticks: Tick) -> Duration {
--- a/crates/spec/src/order/holder/guard.rs
+++ b/crates/spec/src/order/holder/guard.rs
@@ -1,32 +1,33 @@
-//! The guards, each of which can be switched off.
+//! The guards of the lease on orders, each of which can be disabled.
 
-/// The guard that is switched off.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Omission {
-    /// All guards are there.
+    /// All guards are active.
     Nothing,
-    /// The store writes whatever the revision is.
+    /// The store ignores the expected revision of a write.
     ConditionalWrite,
-    /// A contender waits no term.
+    /// A contender does not wait for the term of the holder to end.
     TermWait,
-    /// A contender waits no turn.
+    /// A contender does not wait for a turn after the term of the holder.
     TurnWait,
-    /// An order may leave at the very end of the term.
+    /// An order may be sent up to the end of the term, without regard to its flight time.
     Flight,
-    /// A term counts from the answer.
+    /// A term is counted from the answer to a write, not from its sending.
     SentTime,
-    /// The clock stands still while its host is suspended.
+    /// The clock of a host does not advance while the host is suspended.
     SuspensionClock,
-    /// A write without an answer counts as done.
+    /// A write without an answer is treated as done.
     ReadBack,
-    /// A run of a host takes the writes of an earlier one for its own.
+    /// All runs of a host have one incarnation number, so a run takes the writes of an earlier one
+    /// for its own.
     Incarnation,
-    /// The fence is a count that each host keeps.
+    /// The fencing token is a count kept by each host, not the revision of the lease.
     RevisionFence,
-    /// An order in hand leaves under a later fence than it was prepared under.
+    /// A prepared order is sent although the fencing token has changed since its preparation.
     Drop,
-    /// An order in hand leaves without a look at the term.
+    /// A prepared order is sent without a check that the term still runs.
     Look,
-    /// A released lease may be taken at once.
+    /// A released lease may be acquired without the wait that the release asks for.
     Rest,
 }
--- a/crates/spec/src/order/holder/recovery.rs
+++ b/crates/spec/src/order/holder/recovery.rs
@@ -1,15 +1,15 @@
-//! What comes of a state once nothing fails any more, but one host may be gone for good.
+//! Recovery from a state without further faults, while one host may never return.
 
 use super::{Holders, State, Tick};
 
-/// Rounds of calls within one tick; a write that meets a conflict is followed by another.
+/// Rounds of calls within one tick, since a write that fails by a conflict is followed by another.
 const ROUNDS: usize = 6;
 
-/// Hosts that are left.
+/// The sets of hosts that may be left; recovery must succeed with each.
 const SURVIVORS: [&[usize]; 3] = [&[0], &[1], &[0, 1]];
 
 impl Holders {
-    /// Whether a host may send orders within some quiet ticks, whoever is left.
+    /// Whether some host may send orders within this many ticks, for each set of hosts left.
     pub(super) fn recovers(&self, state: &State, within: Tick) -> bool {
         SURVIVORS.into_iter().all(|hosts| self.recovers_with(hosts, state.clone(), within))
     }
@@ -30,7 +30,7 @@
         false
     }
 
-    /// Everybody who is left does all there is to do before time passes.
+    /// Every remaining host takes the steps that it can take within the current tick.
     fn run_to_tick(&self, hosts: &[usize], mut state: State) -> State {
         for _ in 0..ROUNDS {
             while !state.calls.is_empty() {
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -1,14 +1,14 @@
-//! What the world holds: the lease, the hosts, the calls and orders under way, and the server.
+//! State of the model: the lease, the hosts, the pending calls, the orders and the server.
 
 use std::{collections::BTreeSet, fmt};
 
 use policy::term::{Lease, OrderLease, Outcome, Revision, Stored};
 use types::{host, order::Fence};
 
-/// A point in time.
+/// A point in time, or a time span, in ticks; one tick is one second for `policy::term`.
 pub type Tick = u8;
 
-/// Everything that decides what may happen next.
+/// A state of the store, the hosts, the pending calls and the server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Tick,
@@ -36,24 +36,24 @@
 pub(super) struct Host {
     pub(super) incarnation: host::Incarnation,
     pub(super) term: OrderLease,
-    /// Fence under which an order was prepared.
+    /// Fencing token under which an order was prepared that has not been sent.
     pub(super) prepared: Option<Fence>,
-    /// Revision that its watch told last.
+    /// Revision that its watch reported last.
     pub(super) watched: Option<Revision>,
-    /// Ticks that its clock did not count.
+    /// Number of ticks that its clock missed while it was suspended.
     pub(super) suspended: Tick,
-    /// Fences that it used, where it counts them itself.
+    /// Fencing tokens that it used; their number is its token if it counts them itself.
     pub(super) fences: BTreeSet<Fence>,
 }
 
-/// A call to the store, under way.
+/// A call to the store of which the request or the answer is in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Call {
     pub(super) host: usize,
     pub(super) incarnation: host::Incarnation,
     pub(super) body: Body,
     pub(super) is_awaited: bool,
-    /// The host's term before the call, where the answer's time counts.
+    /// The lease as the host saw it before the call, if a term is counted from the answer.
     pub(super) term_before: Option<OrderLease>,
 }
 
@@ -64,25 +64,26 @@
     Read(Option<Stored>),
 }
 
-/// An order that has been sent.
+/// An order that was sent and may have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Order {
     pub(super) host: usize,
     pub(super) fence: Fence,
-    /// When it may arrive at the latest.
+    /// Latest tick at which it may arrive.
     pub(super) until: Tick,
 }
 
-/// What the server may have seen, or may be about to see.
+/// The orders that the server may have received, or may receive yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Server {
-    /// The last order of each fence that still counts.
+    /// The last order of each fencing token by which a later order may still be in violation.
     pub(super) orders: Vec<Order>,
     pub(super) violation: Option<Violation>,
 }
 
 impl Server {
-    /// Takes in an order that is sent now, and may arrive from now on.
+    /// Records an order that is sent now and may arrive from now on, and compares it with the
+    /// others.
     pub(super) fn record_sent(&mut self, now: Tick, order: Order, turn: Tick) {
         let violation = self.orders.iter().find_map(|earlier| earlier.violation(now, &order, turn));
         self.violation = self.violation.or(violation);
@@ -90,7 +91,8 @@
         self.orders.push(order);
     }
 
-    /// Forgets orders that can break no rule any more.
+    /// Removes orders by which no later order can be in violation, and merges states that differ
+    /// only in arrival times too far in the past to matter.
     pub(super) fn prune(&mut self, now: Tick, turn: Tick) {
         let highest = self.orders.iter().map(|order| order.fence).max();
         self.orders.retain(|order| now < order.until + turn || Some(order.fence) == highest);
@@ -114,14 +116,14 @@
     }
 }
 
-/// The rule that an order may break.
+/// How an order violates the invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
-    /// Orders of two hosts lie less than a turn apart.
+    /// Orders of two hosts may arrive less than a turn apart.
     TooClose,
-    /// The fence falls.
+    /// An order may arrive after one with a higher fencing token.
     FenceFell,
-    /// Two hosts share a fence.
+    /// Orders of two hosts carry the same fencing token.
     SharedFence,
 }
 
@@ -129,8 +131,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Violation::TooClose => "orders of two hosts may reach the server within a turn",
-            Violation::FenceFell => "a lower fence may reach the server after a higher one",
-            Violation::SharedFence => "two hosts' orders bore one fence",
+            Violation::FenceFell => "a lower fencing token may reach the server after a higher one",
+            Violation::SharedFence => "orders of two hosts carry the same fencing token",
         })
     }
 }
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -1,13 +1,13 @@
-//! A server's memory, and planners whose orders name what they were worked out from.
+//! Model of a server's memory, and of planners whose orders name the report they are based on.
 //!
-//! A planner reads a report whenever it likes, and works orders out from the last one that it has,
-//! however old. An order names the instance and the sequence number of that report; the server
-//! carries it out only if both are still its own. Orders may arrive at any later moment, more than
-//! once, in any order or never. The server restarts, with nothing in memory and its count at zero.
+//! A planner reads a report at any time, and derives orders from the last one that it read, however
+//! old. An order names the instance and the sequence number of that report; the server carries it
+//! out only if both are still its own. Orders may arrive at any later moment, more than once, in
+//! any order or never. The server may restart, with empty memory and sequence number zero.
 //!
-//! Planners act together, so no lease is needed for memory; or the second acts once the first has
-//! stopped, as with a lease, and then no order of the first may take effect after one of the
-//! second did.
+//! Planners may act at the same time, which shows that memory needs no lease. Or the second acts
+//! only once the first has stopped, as with a lease; then no order of the first may take effect
+//! after an order of the second did.
 
 use std::collections::BTreeSet;
 
@@ -18,92 +18,95 @@
 use state::{Action, Order, Report};
 pub use state::{State, Step, Violation};
 
-/// A model or adapter; each takes one place.
+/// Number of a model or adapter; each takes one unit of memory.
 pub type Unit = u8;
 
-/// Units that there are, and places for them.
+/// The models or adapters that exist.
 const UNITS: [Unit; 2] = [0, 1];
+
+/// Number of them that fit in memory.
 const CAPACITY: usize = 1;
 
 pub(super) const PLANNERS: usize = 2;
 
-/// What is loaded.
+/// Kind of unit that orders load and unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// One order at a time is carried out; the server says that it is busy.
+    /// The server carries out one order at a time, and reports that it is busy meanwhile.
     Model,
-    /// Orders are carried out side by side; the server lists what is on its way.
+    /// The server carries out orders concurrently, and reports the units being loaded.
     Adapter,
 }
 
-/// When planners act.
+/// Which planners may send orders, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acting {
-    /// At any time.
+    /// Both planners, at any time.
     Together,
-    /// The second once the first has stopped.
+    /// The first planner, and the second once the first has stopped.
     InTurn,
-    /// The first alone.
+    /// Only the first planner.
     Alone,
 }
 
-/// What the second planner takes as a sign that no order of the first takes effect any more.
+/// The event by which the second planner knows that no order of the first takes effect any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Barrier {
-    /// An order of its own that the server accepted.
+    /// The server accepted an order of the second planner.
     Accepted,
-    /// An order of its own that the server answered, also one that it found to hold already, by a
-    /// look at what it has before the one at the sequence number.
+    /// The server answered an order of the second planner, even one without effect, which it finds
+    /// out from its memory before it checks the sequence number.
     Answered,
 }
 
-/// The guard that is switched off.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Omission {
-    /// All guards are there.
+    /// All guards are active.
     Nothing,
-    /// Orders name no sequence number.
+    /// The server ignores the sequence number that an order names.
     Sequence,
-    /// Orders name no instance.
+    /// The server ignores the instance that an order names.
     Instance,
-    /// Planners order while a report says that the server is busy.
+    /// Planners send orders although the report says that the server is busy.
     Busy,
-    /// Planners leave out what is on its way to a server.
+    /// Planners do not count units that the report lists as being loaded.
     Pending,
-    /// A report's count is newer than what it lists.
+    /// A report's sequence number is newer than the units that it lists.
     Snapshot,
-    /// Planners leave out what they sent to an earlier instance of a server that keeps its name.
+    /// Planners do not count what their late orders to an earlier instance may still load, if the
+    /// server keeps its name.
     Late,
 }
 
-/// What a server that starts again is called.
+/// Name of a server after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Name {
-    /// Something else: orders to the instance before don't reach it.
+    /// A new name, so orders to an earlier instance do not reach it.
     New,
-    /// The same as before: it can't tell orders to the instance before from others. Each order takes
-    /// effect once at the most then; no planner could guard against more.
+    /// The same name, so it can't distinguish orders to an earlier instance from others. Each order
+    /// then takes effect at most once, since no planner could guard against more.
     Kept,
 }
 
-/// Bounds of the exploration.
+/// The model, with bounds on the orders and restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct Memory {
-    /// What is loaded.
+    /// Kind of unit that orders load and unload.
     pub kind: Kind,
-    /// When planners act.
+    /// Which planners may send orders, and when.
     pub acting: Acting,
-    /// What counts as a newer order.
+    /// The event after which orders of the first planner must not take effect.
     pub barrier: Barrier,
-    /// Faults that are looked for.
+    /// The violations that are reported; others are ignored.
     pub checked: &'static [Violation],
-    /// Different orders sent.
+    /// Maximum number of different orders sent, over both planners.
     pub orders: usize,
-    /// Restarts of the server.
+    /// Maximum number of server restarts.
     pub restarts: u8,
-    /// What it is called then.
+    /// Name of the server after a restart.
     pub name: Name,
-    /// The guard that is switched off.
+    /// The disabled guard.
     pub omission: Omission,
 }
 
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Orders that a planner may work out from its last report.
+    /// The steps by which a planner sends an order derived from its last report.
     fn send_steps(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
         let Some(report) = &state.reports[planner] else { return Vec::new() };
         if report.is_busy && self.omission != Omission::Busy {
@@ -159,7 +162,7 @@
             .collect()
     }
 
-    /// The server gets an order, for the first time or again.
+    /// An order arrives at the server, for the first time or again.
     fn deliver(&self, state: &State, order: Order) -> State {
         let mut next = state.clone();
         let server = &mut next.server;
@@ -196,7 +199,7 @@
     }
 }
 
-/// What a planner's orders to earlier instances may yet load.
+/// Units that a planner's orders to earlier instances may still load.
 fn late_loads(state: &State, planner: usize, report: &Report) -> impl Iterator<Item = Unit> {
     let unconsumed = state.sent.difference(&state.consumed);
     let own = unconsumed.filter(move |order| order.fence == planner as u64);
@@ -257,7 +260,7 @@
         false
     }
 
-    /// Only safety is asked.
+    /// Every state counts as settled, since only safety is checked.
     fn is_settled(&self, _: &State) -> bool {
         true
     }
--- a/crates/spec/src/order/memory/state.rs
+++ b/crates/spec/src/order/memory/state.rs
@@ -1,4 +1,4 @@
-//! What the world holds: the server, the planners' reports of it, and the orders.
+//! State of the memory model: the server, the planners' reports of it, and the orders.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -6,49 +6,53 @@
 
 use super::{Kind, PLANNERS, Unit};
 
-/// Everything that decides what may happen next.
+/// A state of the server, the planners and the orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) server: Server,
-    /// The last report that each planner has.
+    /// The last report that each planner has read.
     pub(super) reports: [Option<Report>; PLANNERS],
-    /// Orders that were sent; each may still arrive.
+    /// Orders that were sent; each may still arrive, unless it is consumed.
     pub(super) sent: BTreeSet<Order>,
-    /// Those that have taken effect and do so no more.
+    /// Orders that took effect and can't do so again.
     pub(super) consumed: BTreeSet<Order>,
     pub(super) handed_over: bool,
-    /// Highest fence that counts as a barrier.
+    /// Highest fencing token, which is the planner's index, of an order that counts as a barrier.
     pub(super) newest_fence: Fence,
     pub(super) restarts: u8,
     pub(super) violation: Option<Violation>,
 }
 
-/// The rule that an order broke.
+/// How an order violates the invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
-    /// More was to be loaded than there is room for.
+    /// The units loaded and being loaded exceed the memory.
     Overcommitted,
-    /// An order of the first planner took effect after a newer one.
+    /// An order of the first planner took effect after an order of the second passed the barrier.
     Overtaken,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Violation::Overcommitted => "the server was ordered to load more than it holds",
-            Violation::Overtaken => "an order of the first planner took effect after a newer one",
+            Violation::Overcommitted => {
+                "the server was ordered to load more than fits in its memory"
+            }
+            Violation::Overtaken => {
+                "an order of the first planner took effect after the barrier of the second"
+            }
         })
     }
 }
 
-/// What an order asks for.
+/// Loads or unloads the unit with this number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Action {
     Load(Unit),
     Unload(Unit),
 }
 
-/// An order, with what it was worked out from.
+/// An order, with the instance and sequence number of the report that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Order {
     pub(super) fence: Fence,
@@ -57,7 +61,7 @@
     pub(super) action: Action,
 }
 
-/// What a server says of itself.
+/// Report of a server on its current state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Report {
     pub(super) instance: u8,
@@ -73,13 +77,14 @@
     pub(super) instance: u8,
     pub(super) sequence: Sequence,
     loaded: BTreeSet<Unit>,
-    /// Units that are being loaded, and that are held but being unloaded.
+    /// Units that are being loaded; they are not in `loaded` yet.
     loading: BTreeSet<Unit>,
+    /// Units that are being unloaded; they are still in `loaded`.
     unloading: BTreeSet<Unit>,
 }
 
 impl Server {
-    /// A first instance, which holds what was placed before its start.
+    /// The first instance, with the unit 0 in memory.
     pub(super) fn new(kind: Kind) -> Server {
         Server {
             lists_pending: kind == Kind::Adapter,
@@ -91,7 +96,7 @@
         }
     }
 
-    /// The next instance, which holds nothing.
+    /// The next instance, with empty memory.
     pub(super) fn restarted(&self) -> Server {
         Server {
             lists_pending: self.lists_pending,
@@ -131,7 +136,7 @@
         order.instance == self.instance && is_satisfied
     }
 
-    /// Begins to carry an order out, unless it changes nothing.
+    /// Begins to carry out an order, unless it has no effect; returns whether it begins.
     pub(super) fn accept(&mut self, action: Action) -> bool {
         let accepted = match action {
             Action::Load(unit) => !self.loaded.contains(&unit) && self.loading.insert(unit),
@@ -141,7 +146,7 @@
         accepted
     }
 
-    /// What it may finish, and how it is then.
+    /// The loads and unloads that may complete, each with the server afterwards.
     pub(super) fn completions(&self) -> Vec<(Unit, Server)> {
         let loads = self.loading.iter().map(|unit| {
             let mut next = self.clone();
@@ -159,20 +164,20 @@
     }
 }
 
-/// A step.
+/// A step of a planner, an order or the server.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A planner reads the server's report.
+    /// A planner reads the server's current report.
     Read(usize),
     /// A planner sends an order.
     Send(Order),
-    /// An order reaches the server.
+    /// An order reaches the server, which may refuse it.
     Arrive(Order),
-    /// The server is done with an order.
+    /// The server completes the load or unload of this unit.
     Finish(Unit),
-    /// The server restarts.
+    /// The server restarts as a new instance with empty memory.
     Restart,
-    /// The first planner stops, and the second begins.
+    /// The first planner stops, after which the second may send orders.
     HandOver,
 }
 
@@ -183,7 +188,7 @@
             Action::Load(unit) => write!(f, "load {unit}")?,
             Action::Unload(unit) => write!(f, "unload {unit}")?,
         }
-        write!(f, " of planner {fence}, for instance {instance} at {sequence}")
+        write!(f, " of planner {fence}, for instance {instance} at sequence number {sequence}")
     }
 }
 
@@ -191,11 +196,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Step::Read(planner) => write!(f, "planner {planner} reads the report"),
-            Step::Send(order) => write!(f, "sent: {order}"),
-            Step::Arrive(order) => write!(f, "reaches the server: {order}"),
-            Step::Finish(unit) => write!(f, "the server is done with {unit}"),
+            Step::Send(order) => write!(f, "order sent: {order}"),
+            Step::Arrive(order) => write!(f, "order reaches the server: {order}"),
+            Step::Finish(unit) => write!(f, "the server completes its order on unit {unit}"),
             Step::Restart => write!(f, "the server restarts"),
-            Step::HandOver => write!(f, "planner 0 stops, and planner 1 begins"),
+            Step::HandOver => write!(f, "planner 0 stops, and planner 1 takes over"),
         }
     }
 }
--- a/crates/spec/tests/order.rs
+++ b/crates/spec/tests/order.rs
@@ -1,6 +1,9 @@
-//! Exhaustive walk of orders, with every guard and with each one off.
+//! Explores the models of orders with every guard, and with each guard disabled.
 
-#![allow(clippy::print_stdout, reason = "counts and traces of a walk")]
+#![allow(
+    clippy::print_stdout,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use rstest::rstest;
 use spec::{
@@ -11,7 +14,7 @@
     },
 };
 
-/// Bound on memory: a state takes about a kilobyte.
+/// Limits the memory of an exploration: a state takes about a kilobyte.
 const MAX_STATES: usize = 2_000_000;
 
 const SMALL: Holders = Holders {
@@ -24,7 +27,7 @@
     omission: Omission::Nothing,
 };
 
-/// Ticks of a term and a turn in this walk.
+/// Ticks of a term (2) and a turn (2) in the model.
 const TERM_AND_TURN: u8 = 4;
 
 const TWO_PLANNERS: Memory = Memory {
@@ -123,7 +126,7 @@
     assert!(report.holds(), "{report}");
 }
 
-/// A planner that knows what it sent to the run before.
+/// A single planner, which knows what it sent to earlier instances of a server that keeps its name.
 const ONE_NAME: Memory = Memory { acting: Acting::Alone, name: Name::Kept, ..TWO_PLANNERS };
 
 #[rstest]
