--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -130,12 +130,12 @@
         |finding, states, steps| Report { finding, states, steps, elapsed: started.elapsed() };
 
     let mut states = Vec::new();
-    let walk = bfs_reach(system.initial(), |state| {
+    let reachable = bfs_reach(system.initial(), |state| {
         let next = system.steps(state);
         steps += next.len();
         next.into_iter().map(|(_, state)| state)
     });
-    for state in walk {
+    for state in reachable {
         if let Some(violation) = system.violation(&state) {
             let trace = trace(system, violation, &state);
             return report(Finding::Violated(trace), states.len() + 1, steps);
--- a/crates/spec/src/ledger/state.rs
+++ b/crates/spec/src/ledger/state.rs
@@ -82,8 +82,8 @@
     InFlight,
     /// Accepted or refused by the engine; the answer is in transit.
     Received { taken: bool },
-    /// No message of it is in transit: its sender was told that it was accepted, or closed the
-    /// connection and waited for the linger time, or died before sending it.
+    /// No message of it is in transit: its sender has the answer that it was accepted, or closed
+    /// the connection and waited for the linger time, or died and no message is left.
     NotInFlight,
     /// It was never sent or was refused, and its sender knows so.
     NeverTaken,
