--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,13 +1,14 @@
-//! Configuration numbers with patches that race, lost answers, old reads and hosts that start.
+//! Model of configuration updates: racing patches, lost answers, stale reads and host restarts.
 //!
-//! Two operators' patches are against the same number; each is decided by [`policy::config::decide`]
-//! on what was last read and written on condition. Hosts hear roots in any order, also old ones, and
-//! keep what [`Holder`] says; one that starts again begins with nothing. Configurations stand in the
-//! root itself; those in parts are left to the tests of `policy`.
+//! Two operators submit patches against the same configuration number. [`policy::config::decide`]
+//! decides each patch on the root that was read last, and the result is written conditionally on
+//! the version of that root. Hosts receive roots in any order, also old ones, and apply them by
+//! [`Holder`]; a restarted host begins with no root. All roots here contain the whole
+//! configuration; the tests of `policy` cover configurations in parts.
 //!
-//! Safety: each number is made once; an accepted patch is in every later number; who is told "stale"
-//! was not accepted; the number in force in one run of a host never falls. Liveness: every patch gets
-//! its outcome and every host gets to the last number.
+//! Safety: each number is assigned once; an accepted patch is contained in every later number; a
+//! patch that is answered "stale" was not accepted; the number in force never decreases within one
+//! run of a host. Liveness: every patch gets an outcome, and every host reaches the last number.
 
 use std::{
     fmt::{self, Display},
@@ -25,79 +26,80 @@
 
 use crate::explore::System;
 
-/// A guard that a variant of the system lacks.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
-    /// All guards are there.
+pub enum Omission {
+    /// All guards are active.
     Nothing,
-    /// The object API writes whatever the version is.
+    /// The object API ignores the expected version of a write.
     ConditionalWrite,
-    /// The root does not keep patches, so a retry is not recognised.
+    /// The root does not record accepted patches, so a retry is not recognised.
     KeptPatches,
-    /// The number that a patch is against is not looked at.
+    /// The number that a patch is based on is not compared with the current one.
     Against,
-    /// A host takes whatever root it hears.
+    /// A host applies every root that it receives, also one with a lower number.
     OnlyUp,
 }
 
-/// Bounds of the exploration, and what is varied.
+/// The model: two patches and two hosts, with bounds on the faults.
 #[derive(Clone, Copy, Debug)]
-pub struct Numbers {
-    /// Answers that are lost after their write.
+pub struct Updates {
+    /// Maximum number of answers lost after the patch was decided and written.
     pub losses: u8,
-    /// Starts of a host after the first.
-    pub starts: u8,
-    /// The guard that is switched off.
-    pub lacks: Lacks,
+    /// Maximum number of host restarts, over both hosts.
+    pub restarts: u8,
+    /// The disabled guard.
+    pub omission: Omission,
 }
 
 /// A root as the object API holds it, in JSON.
 type Text = Arc<str>;
 
-/// Everything that decides what may happen next.
+/// A state of the object API, the patches and the hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Every root that was written; the last one stands, its place is its version.
+    /// Every root that was written. The last one is current; a root's index is its version.
     written: Vec<Text>,
     patches: Vec<Progress>,
     hosts: Vec<Host>,
     losses: u8,
-    starts: u8,
-    fault: Option<String>,
+    restarts: u8,
+    violation: Option<String>,
 }
 
-/// How far a patch is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Progress {
-    /// To be decided on the root as it is read next.
-    Asked,
-    /// Decided on this version.
+    /// Submitted; the root has to be read.
+    Requested,
+    /// The root was read at this version.
     Read(usize),
-    /// Accepted as this number.
+    /// Accepted as the configuration with this number.
     Accepted(Number),
-    /// Told that its number is past.
+    /// Answered that the number that it is based on is no longer current.
     Stale,
 }
 
-/// What a host has heard in this run, in order; the rest follows from it.
+/// The roots that a host received in this run and that changed its number, in order.
+///
+/// The rest of its state follows from them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Host {
-    heard: Vec<Text>,
+    received: Vec<Text>,
 }
 
-/// A step.
+/// A step of an operator or a host, with the indices of the patch, host or version.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// The root is read for a patch.
     Read(usize),
-    /// A patch is decided and written.
+    /// A patch is decided, and written if it is accepted.
     Write(usize),
-    /// The same, and the answer is lost; the operator asks again.
+    /// As [`Step::Write`], but the answer is lost, so the operator submits the patch again.
     LoseAnswer(usize),
-    /// A host hears a root, the last or an old one.
-    Hear(usize, usize),
-    /// A host starts again with nothing.
-    Start(usize),
+    /// A host receives a root, the current or an old one.
+    Receive(usize, usize),
+    /// A host restarts, and has no root.
+    Restart(usize),
 }
 
 impl Display for Step {
@@ -106,20 +108,17 @@
             Step::Read(patch) => write!(f, "the root is read for patch {patch}"),
             Step::Write(patch) => write!(f, "patch {patch} is decided and written"),
             Step::LoseAnswer(patch) => {
-                write!(
-                    f,
-                    "patch {patch} is decided and written, its answer is lost, it is asked again"
-                )
+                write!(f, "patch {patch} is decided and written, its answer is lost")
             }
-            Step::Hear(host, version) => {
-                write!(f, "host {host} hears version {version} of the root")
+            Step::Receive(host, version) => {
+                write!(f, "host {host} receives version {version} of the root")
             }
-            Step::Start(host) => write!(f, "host {host} starts again"),
+            Step::Restart(host) => write!(f, "host {host} restarts"),
         }
     }
 }
 
-impl Numbers {
+impl Updates {
     fn patch(number: usize) -> Patch {
         let changes = match number {
             0 => json!({"weights": {"attainment": 2.0}}),
@@ -130,20 +129,20 @@
 
     fn write(&self, state: &State, number: usize, version: usize) -> State {
         let mut next = state.clone();
-        let mut patch = Numbers::patch(number);
+        let mut patch = Updates::patch(number);
         let current = current(&state.written[version]);
-        if self.lacks == Lacks::Against {
+        if self.omission == Omission::Against {
             patch.against = current.root.number;
         }
         next.patches[number] = match decide(&current, &patch, &[]) {
             Decision::Accept(draft) => {
-                let holds = version + 1 == state.written.len();
-                if !holds && self.lacks != Lacks::ConditionalWrite {
-                    next.patches[number] = Progress::Asked;
+                let is_current = version + 1 == state.written.len();
+                if !is_current && self.omission != Omission::ConditionalWrite {
+                    next.patches[number] = Progress::Requested;
                     return next;
                 }
                 let mut root = draft.root;
-                if self.lacks == Lacks::KeptPatches {
+                if self.omission == Omission::KeptPatches {
                     root.patches.clear();
                 }
                 let accepted = root.number;
@@ -153,35 +152,36 @@
             Decision::Repeated(accepted) => Progress::Accepted(accepted),
             Decision::Stale(_) => Progress::Stale,
             other => {
-                next.fault = Some(format!("patch {number}: {other:?}"));
+                next.violation =
+                    Some(format!("patch {number} got an unexpected decision: {other:?}"));
                 Progress::Stale
             }
         };
         next
     }
 
-    fn hear(&self, state: &State, host: usize, version: usize) -> State {
-        let before = self.in_force(&state.hosts[host]);
+    fn receive(&self, state: &State, host: usize, version: usize) -> State {
+        let before = self.current_number(&state.hosts[host]);
         let mut next = state.clone();
-        next.hosts[host].heard.push(state.written[version].clone());
-        let after = self.in_force(&next.hosts[host]);
+        next.hosts[host].received.push(state.written[version].clone());
+        let after = self.current_number(&next.hosts[host]);
         if after < before {
-            next.fault = Some(format!("host {host} goes from number {before} to {after}"));
+            next.violation = Some(format!("host {host} goes back from number {before} to {after}"));
         }
-        // What changes nothing need not be remembered.
+        // Roots without effect are not recorded, which keeps the state space finite.
         if after == before {
             next.hosts[host] = state.hosts[host].clone();
         }
         next
     }
 
-    fn in_force(&self, host: &Host) -> Number {
-        if self.lacks == Lacks::OnlyUp {
-            return host.heard.last().map_or(0, |text| root(text).number);
+    fn current_number(&self, host: &Host) -> Number {
+        if self.omission == Omission::OnlyUp {
+            return host.received.last().map_or(0, |text| root(text).number);
         }
         let mut holder = Holder::default();
-        for text in &host.heard {
-            // A root that holds the whole needs no parts and can't fail.
+        for text in &host.received {
+            // A root that contains the whole configuration needs no parts, so this can't fail.
             let _ = holder.observe_root(root(text));
         }
         holder.number()
@@ -192,19 +192,19 @@
     }
 }
 
-impl System for Numbers {
+impl System for Updates {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let first = Root { number: 1, ..Root::default() };
         State {
             written: vec![text(&first)],
-            patches: vec![Progress::Asked; 2],
+            patches: vec![Progress::Requested; 2],
             hosts: vec![Host::default(); 2],
             losses: 0,
-            starts: 0,
-            fault: None,
+            restarts: 0,
+            violation: None,
         }
     }
 
@@ -212,7 +212,7 @@
         let mut steps = Vec::new();
         for (number, progress) in state.patches.iter().enumerate() {
             match progress {
-                Progress::Asked => {
+                Progress::Requested => {
                     let mut next = state.clone();
                     next.patches[number] = Progress::Read(state.written.len() - 1);
                     steps.push((Step::Read(number), next));
@@ -222,7 +222,7 @@
                     if state.losses < self.losses {
                         let mut lost = next.clone();
                         lost.losses += 1;
-                        lost.patches[number] = Progress::Asked;
+                        lost.patches[number] = Progress::Requested;
                         steps.push((Step::LoseAnswer(number), lost));
                     }
                     steps.push((Step::Write(number), next));
@@ -232,57 +232,59 @@
         }
         for host in 0..state.hosts.len() {
             for version in 0..state.written.len() {
-                steps.push((Step::Hear(host, version), self.hear(state, host, version)));
+                steps.push((Step::Receive(host, version), self.receive(state, host, version)));
             }
-            if state.starts < self.starts {
+            if state.restarts < self.restarts {
                 let mut next = state.clone();
-                next.starts += 1;
+                next.restarts += 1;
                 next.hosts[host] = Host::default();
-                steps.push((Step::Start(host), next));
+                steps.push((Step::Restart(host), next));
             }
         }
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        if let Some(fault) = &state.fault {
-            return Some(fault.clone());
+    fn violation(&self, state: &State) -> Option<String> {
+        if let Some(violation) = &state.violation {
+            return Some(violation.clone());
         }
         let roots: Vec<Root> = state.written.iter().map(root).collect();
         if let Some(pair) = roots.windows(2).find(|pair| pair[1].number != pair[0].number + 1) {
             return Some(format!("number {} is followed by {}", pair[0].number, pair[1].number));
         }
         for (number, progress) in state.patches.iter().enumerate() {
-            let holding = roots.iter().filter(|root| holds(root, number)).count();
-            let last_holds = roots.last().is_some_and(|root| holds(root, number));
+            let containing = roots.iter().filter(|root| contains(root, number)).count();
+            let last_contains = roots.last().is_some_and(|root| contains(root, number));
             match progress {
-                Progress::Stale if 0 < holding => {
-                    return Some(format!("patch {number} is told stale and was accepted"));
+                Progress::Stale if 0 < containing => {
+                    return Some(format!("patch {number} was answered \"stale\" but was accepted"));
                 }
-                Progress::Accepted(_) if !last_holds => {
-                    return Some(format!("patch {number} was accepted and is gone"));
+                Progress::Accepted(_) if !last_contains => {
+                    return Some(format!(
+                        "patch {number} was accepted, but the last root lacks it"
+                    ));
                 }
                 _ => {}
             }
         }
-        let both = (0..state.patches.len()).all(|n| roots.iter().any(|root| holds(root, n)));
-        both.then(|| "two patches against one number were both accepted".into())
+        let both = (0..state.patches.len()).all(|n| roots.iter().any(|root| contains(root, n)));
+        both.then(|| "two patches against the same number were both accepted".into())
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        matches!(step, Step::Read(_) | Step::Write(_) | Step::Hear(..))
+    fn is_progress(&self, step: &Step) -> bool {
+        matches!(step, Step::Read(_) | Step::Write(_) | Step::Receive(..))
     }
 
     fn is_settled(&self, state: &State) -> bool {
-        let decided = |p: &Progress| matches!(p, Progress::Accepted(_) | Progress::Stale);
-        let last = Numbers::last_number(state);
-        state.patches.iter().all(decided)
-            && state.hosts.iter().all(|host| self.in_force(host) == last)
+        let has_outcome = |p: &Progress| matches!(p, Progress::Accepted(_) | Progress::Stale);
+        let last = Updates::last_number(state);
+        state.patches.iter().all(has_outcome)
+            && state.hosts.iter().all(|host| self.current_number(host) == last)
     }
 }
 
-/// Whether a root has what a patch asks for.
-fn holds(root: &Root, patch: usize) -> bool {
+/// Whether the configuration of a root has the value that this patch sets.
+fn contains(root: &Root, patch: usize) -> bool {
     let weights = current_config(root).weights;
     match patch {
         0 => weights.attainment == 2.0,
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,16 +1,20 @@
-//! Accelerator memory of one engine under two planners.
+//! Model of the ledger: the accelerator memory of one engine, ordered by two planners.
 //!
-//! Every decision is `policy::ledger`'s. What is stated here is the world around it: the object
-//! API with its conditional update, whose answer may be lost before or after the effect or whose
-//! effect may come late; planners that may rest between any two steps (a paused one is one that
-//! takes none), die and start again; orders that are lost or arrive late, and acknowledgements
-//! that are lost; an engine that honours fencing numbers or ignores them, and restarts with empty
-//! memory and no fencing number; reports that lag and are taken in out of order. No lease is
-//! modelled: both planners may always plan, which is more than any lease would allow.
+//! `policy::ledger` makes every decision. This module models its environment:
 //!
-//! Two things are taken as true of the world, and stated in `docs/design/ledger.md`: a message
-//! is gone once its connection has been closed for the linger time ([`Step::Expire`]), and a
-//! process whose successor has started never acts again.
+//! - the object API with conditional updates: an answer may be lost with or without the update
+//!   taking effect, or the update may take effect late;
+//! - planners, which die and restart; a paused planner is one that takes no step;
+//! - orders that are lost or arrive late, and acknowledgements that are lost;
+//! - an engine that honours fencing tokens or ignores them, and restarts with empty memory and
+//!   without its fencing token;
+//! - reports that are stale and are applied out of order.
+//!
+//! No lease is modelled: both planners may always plan, which is more than any lease allows.
+//!
+//! Two assumptions are made, both stated in `docs/design/ledger.md`: no message is left in transit
+//! once its connection has been closed for the linger time ([`Step::Expire`]), and a process whose
+//! successor has started never acts again.
 
 use std::{cell::RefCell, collections::HashMap, sync::Arc};
 
@@ -18,66 +22,66 @@
 
 use crate::explore::System;
 
+mod convert;
 pub mod guard;
-mod moves;
 mod state;
 mod step;
-mod words;
+mod transitions;
 
 pub use guard::Guard;
 pub use state::State;
 pub use step::Step;
 
-/// Bounds of an exploration, and what the engine does.
+/// Bounds of an exploration, and the engine's handling of fencing tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine refuses an order with a fencing token below the highest it received.
     pub fenced: bool,
-    /// Units that fit in the engine's memory, of one more that there are; two at the most.
+    /// Units that fit in the engine's memory, at most two; one more unit than fits exists.
     pub capacity: u8,
-    /// Units in memory at the start, the first ones of all.
+    /// Number of units in memory in the initial state, counted from the first unit.
     pub residents: u8,
-    /// Most orders in all, four at the most.
+    /// Maximum number of orders over both planners, at most four.
     pub orders: usize,
-    /// Most deaths of planners in all.
+    /// Maximum number of planner deaths over both planners.
     pub deaths: u8,
-    /// Most restarts of the engine.
+    /// Maximum number of engine restarts.
     pub restarts: u8,
-    /// Most writes whose answer is lost.
+    /// Maximum number of ledger writes whose answer is lost, whether or not they take effect.
     pub lost_answers: u8,
 }
 
-/// The system, with at most one guard off.
+/// The model, with at most one guard disabled.
 pub struct Memory {
     bounds: Bounds,
     off: Option<Guard>,
     ledgers: RefCell<Ledgers>,
-    reserved: RefCell<HashMap<moves::Asked, Option<u32>>>,
-    settled: RefCell<HashMap<moves::Known, u32>>,
+    reservations: RefCell<HashMap<transitions::Reservation, Option<u32>>>,
+    settlements: RefCell<HashMap<transitions::Settlement, u32>>,
 }
 
-/// Ledgers met so far, each stored once, so that states stay small.
+/// Interned ledgers: each distinct one is stored once, and states refer to it by number.
 #[derive(Default)]
 struct Ledgers {
     numbers: HashMap<Arc<Ledger>, u32>,
     all: Vec<Arc<Ledger>>,
-    /// Orders that stand in each, a bit each.
-    standing: Vec<u8>,
+    /// For each ledger, a bit set of the numbers of the orders in it.
+    open_orders: Vec<u8>,
 }
 
 impl Memory {
-    /// The system with every guard on.
+    /// A model with all guards active.
     pub fn new(bounds: Bounds) -> Memory {
         Memory {
             bounds,
             off: None,
             ledgers: RefCell::default(),
-            reserved: RefCell::default(),
-            settled: RefCell::default(),
+            reservations: RefCell::default(),
+            settlements: RefCell::default(),
         }
     }
 
-    /// The system with one guard off.
+    /// A model with one guard disabled; its exploration should find a counterexample.
     pub fn without(guard: Guard, bounds: Bounds) -> Memory {
         Memory { off: Some(guard), ..Memory::new(bounds) }
     }
@@ -90,19 +94,20 @@
         self.ledgers.borrow().all[number as usize].clone()
     }
 
-    /// Orders that stand in a ledger, a bit each.
-    fn standing(&self, number: u32) -> u8 {
-        self.ledgers.borrow().standing[number as usize]
+    /// Bit set of the numbers of the orders in a ledger.
+    fn open_orders(&self, number: u32) -> u8 {
+        self.ledgers.borrow().open_orders[number as usize]
     }
 
-    fn number(&self, ledger: Ledger) -> u32 {
+    fn intern(&self, ledger: Ledger) -> u32 {
         let mut ledgers = self.ledgers.borrow_mut();
         if let Some(number) = ledgers.numbers.get(&ledger) {
             return *number;
         }
-        let number = u32::try_from(ledgers.all.len()).expect("fewer ledgers than states");
+        let number = u32::try_from(ledgers.all.len())
+            .expect("the number of distinct ledgers must fit in a u32");
         let ledger = Arc::new(ledger);
-        ledgers.standing.push(words::standing(&ledger));
+        ledgers.open_orders.push(convert::open_orders(&ledger));
         ledgers.all.push(ledger.clone());
         ledgers.numbers.insert(ledger, number);
         number
@@ -113,11 +118,11 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let engine = state::Engine::start(self.bounds.residents);
-        let mut ledger = Ledger::new(&words::load(&engine, &self.bounds));
+        let mut ledger = Ledger::new(&convert::load(&engine, &self.bounds));
         ledger.fenced |= self.is_off(Guard::Unfenced);
-        State::start(engine, self.number(ledger))
+        State::start(engine, self.intern(ledger))
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
@@ -132,21 +137,21 @@
         next
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let taken = state.engine.memory();
-        let capacity = words::capacity(&self.bounds);
+        let capacity = convert::capacity(&self.bounds);
         (capacity < taken)
-            .then(|| format!("engine memory overcommitted: {taken} MiB taken of {capacity}"))
+            .then(|| format!("engine memory overcommitted: {taken} MiB used of {capacity} MiB"))
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        step.is_quiet()
+    fn is_progress(&self, step: &Step) -> bool {
+        step.is_progress()
     }
 
     fn is_settled(&self, state: &State) -> bool {
         let ledger = self.ledger(state.ledger);
         ledger.orders.is_empty()
-            && ledger.residents == words::residents(&state.engine)
+            && ledger.residents == convert::residents(&state.engine)
             && state.is_idle()
     }
 }
--- a/crates/spec/src/once/faults.rs
+++ b/crates/spec/src/once/faults.rs
@@ -1,8 +1,8 @@
-//! The faults that may come next, within their bounds.
+//! The faults that are enabled in a state, within the bounds.
 
 use policy::once::End;
 
-use super::{Claims, Lacks, State, Step, state::Leg};
+use super::{Claims, Omission, State, Step, state::Message};
 
 impl Claims {
     pub(super) fn faults(&self, state: &State, steps: &mut Vec<(Step, State)>) {
@@ -11,22 +11,22 @@
                 next.losses += 1;
                 next
             };
-            for number in 0..state.transit.len() {
+            for number in 0..state.calls.len() {
                 steps.push((
-                    Step::Lose(state.transit[number].to_string()),
-                    lost(self.tell(state, number, true)),
+                    Step::Lose(state.calls[number].to_string()),
+                    lost(self.return_answer(state, number, true)),
                 ));
-                let transit = &state.transit[number];
-                if transit.awaited && matches!(transit.leg, Leg::Out(_)) {
+                let call = &state.calls[number];
+                if call.is_awaited && matches!(call.message, Message::Call(_)) {
                     steps.push((
-                        Step::TimeOut(state.transit[number].to_string()),
+                        Step::TimeOut(state.calls[number].to_string()),
                         lost(self.time_out(state, number)),
                     ));
                 }
             }
             for host in 0..state.hosts.len() {
-                let end = match self.lacks {
-                    Lacks::ReleaseOnlyUnsent => End::Released,
+                let end = match self.omission {
+                    Omission::ReleaseOnlyUnsent => End::Released,
                     _ => End::Lost,
                 };
                 let next = self.finish(state, host, end);
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -1,4 +1,4 @@
-//! What the world holds: the object, the hosts, the calls under way, and the sends.
+//! State of the claim model: the object, the hosts, the pending calls and the sends.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,16 +9,18 @@
 use policy::once::{Call, Document, HostRun, Range, Read, Written};
 use types::request;
 
-/// Everything that decides what may happen next.
+/// A state of the object, the hosts, the pending calls and the sends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) version: u64,
     pub(super) stored: Option<Document>,
     pub(super) hosts: Vec<Host>,
-    pub(super) transit: Vec<Transit>,
-    pub(super) sent: Vec<Send>,
+    pub(super) calls: Vec<PendingCall>,
+    pub(super) sends: Vec<Send>,
+    /// Number of times that a host has dispatched the key.
     pub(super) runs: u8,
-    pub(super) false_word: bool,
+    /// Whether a send that came after a run was answered "did not run".
+    pub(super) has_false_answer: bool,
     pub(super) crashes: u8,
     pub(super) losses: u8,
     pub(super) jumps: u8,
@@ -32,29 +34,29 @@
     pub(super) dispatched: BTreeSet<request::Id>,
 }
 
-/// A call under way.
+/// A call to the object API of which a message is in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Transit {
+pub(super) struct PendingCall {
     pub(super) run: HostRun,
-    pub(super) leg: Leg,
-    /// Whether the host still waits for the answer.
-    pub(super) awaited: bool,
+    pub(super) message: Message,
+    /// Whether the host still waits for the answer; it stops at a time-out or a crash.
+    pub(super) is_awaited: bool,
 }
 
-impl Display for Transit {
+impl Display for PendingCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let call = match &self.leg {
-            Leg::Out(Call::Read) | Leg::Read(_) => "read",
-            Leg::Out(Call::Create(_) | Call::Update(..)) | Leg::Written(_) => "write",
+        let call = match &self.message {
+            Message::Call(Call::Read) | Message::Read(_) => "read",
+            Message::Call(Call::Create(_) | Call::Update(..)) | Message::Written(_) => "write",
         };
-        let late = if self.awaited { "" } else { "late " };
+        let late = if self.is_awaited { "" } else { "late " };
         write!(f, "the {late}{call} of {} run {}", self.run.host, self.run.incarnation)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Leg {
-    Out(Call),
+pub(super) enum Message {
+    Call(Call),
     Read(Read),
     Written(Written),
 }
@@ -62,6 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Send {
     pub(super) host: usize,
+    /// Whether the key had been dispatched before this send.
     pub(super) after_run: bool,
-    pub(super) answered: bool,
+    pub(super) is_answered: bool,
 }
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -1,67 +1,70 @@
-//! Two hosts, one lease, one server: whose orders reach it, and when.
+//! Model of the lease on orders: two hosts, one lease and one server.
 //!
-//! Time goes by in ticks, and nobody needs to do anything at a tick: a host that does nothing is
-//! frozen, slow or out of the processor; a call that stays under way is slow or its link is cut; a
-//! store that takes no call of a host is down for it. Only one thing is bound: an order arrives
-//! within its flight, once, more often or never. When it does is not walked through: each order
-//! is judged against the others by the earliest and the latest moment that it may arrive at.
+//! Time passes in ticks, and no step is forced at a tick: a host that takes none is suspended or
+//! slow, a call that stays pending is slow or its connection is cut, and a store that accepts no
+//! call of a host is unreachable for it. The only time limit is that an order arrives within its
+//! flight time, once, more than once or never. Its arrival is not a step: orders are compared with
+//! each other by the earliest and the latest time at which each may arrive.
 
 use std::collections::BTreeSet;
 
-use policy::term::{Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Ask, Stored};
+use policy::term::{
+    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Action, Stored,
+};
 use types::{order::Fence, prelude::*};
 
 use crate::explore::System;
 
 mod guard;
-mod probe;
+mod recovery;
 mod state;
 mod step;
 
-pub use guard::Lacks;
+pub use guard::Omission;
 use state::{Body, Call, Host, Order};
-pub use state::{Fault, State, Tick};
+pub use state::{State, Tick, Violation};
 pub use step::Step;
 
 pub(super) const HOSTS: usize = 2;
 
-/// How the walk begins.
+/// State of the lease at which the exploration begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// There is no lease.
+    /// The lease object does not exist.
     Empty,
-    /// A host has just taken it.
+    /// The first host has just acquired the lease.
     Held,
 }
 
-/// Bounds of the exploration.
+/// The model, with bounds on time and faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Holders {
-    /// How the walk begins.
+    /// State of the lease at which the exploration begins.
     pub begin: Begin,
-    /// Ticks.
+    /// Tick after which time stops.
     pub ticks: Tick,
-    /// Processes that crash.
+    /// Maximum number of crashes, over both hosts.
     pub crashes: u8,
-    /// Calls that take time, and may be given up meanwhile; the others are answered at once.
+    /// Maximum number of calls that take time, during which the host may stop waiting for a write;
+    /// all other calls are answered in the step that sends them.
     pub slow: u8,
-    /// Planned stops.
+    /// Maximum number of planned stops, over both hosts.
     pub stops: u8,
-    /// Ticks within which someone must hold the lease, from each state, if nothing fails any
-    /// more, but either host may be gone for good; not asked if none.
+    /// Number of ticks within which, from each state, a host must hold the lease if no further
+    /// fault happens, even if either host never returns. Not checked if `None`.
     pub recovery: Option<Tick>,
-    /// The guard that is switched off.
-    pub lacks: Lacks,
+    /// The disabled guard.
+    pub omission: Omission,
 }
 
 impl Holders {
     fn settings(&self) -> Settings {
-        let zero = |lacks, ticks| if self.lacks == lacks { 0 } else { ticks };
+        let zero = |omission, ticks| if self.omission == omission { 0 } else { ticks };
         Settings {
             term: span(2),
             renew: span(1),
-            turn: span(zero(Lacks::TurnWait, TURN)),
-            flight: span(zero(Lacks::Flight, FLIGHT)),
+            turn: span(zero(Omission::TurnWait, TURN)),
+            flight: span(zero(Omission::Flight, FLIGHT)),
             fresh: span(0),
             poll: span(Tick::MAX),
             delay: span(0),
@@ -70,23 +73,30 @@
     }
 
     fn host(&self, number: usize, incarnation: host::Incarnation) -> Host {
-        let named = if self.lacks == Lacks::Incarnation { 1 } else { incarnation };
+        let named = if self.omission == Omission::Incarnation { 1 } else { incarnation };
         let term = OrderLease::new(name(number), named, self.settings());
-        Host { incarnation, term, hand: None, told: None, suspended: 0, fences: BTreeSet::new() }
+        Host {
+            incarnation,
+            term,
+            prepared: None,
+            watched: None,
+            suspended: 0,
+            fences: BTreeSet::new(),
+        }
     }
 
-    /// What a host's clock says.
+    /// The host's clock: the time without the ticks that it missed while suspended.
     fn clock(&self, state: &State, host: usize) -> Moment {
         span(state.now - state.hosts[host].suspended)
     }
 
-    /// The lease as it is told to a host.
-    fn told(&self, to: usize, mut stored: Stored) -> Stored {
+    /// The lease as a host reads it, changed by the disabled guard, if it concerns reads.
+    fn visible_lease(&self, to: usize, mut stored: Stored) -> Stored {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
-            lease.claim = match (self.lacks, lease.claim) {
-                (Lacks::TermWait, Claim::Held(_)) => Claim::Held(Duration::ZERO),
-                (Lacks::Rest, Claim::Released(_)) => Claim::Released(Duration::ZERO),
+            lease.claim = match (self.omission, lease.claim) {
+                (Omission::TermWait, Claim::Held(_)) => Claim::Held(Duration::ZERO),
+                (Omission::Rest, Claim::Released(_)) => Claim::Released(Duration::ZERO),
                 (_, claim) => claim,
             };
         }
@@ -94,14 +104,20 @@
     }
 
     fn read(&self, state: &State, host: usize) -> Option<Stored> {
-        state.stored.clone().map(|stored| self.told(host, stored))
+        state.stored.clone().map(|stored| self.visible_lease(host, stored))
     }
 
-    /// Carries a write out, and says what came of it.
-    fn carry_out(&self, state: &mut State, host: usize, on: Option<u64>, lease: Lease) -> Outcome {
+    /// Carries out a write in the store if its revision matches, and returns the outcome.
+    fn apply_write(
+        &self,
+        state: &mut State,
+        host: usize,
+        on: Option<u64>,
+        lease: Lease,
+    ) -> Outcome {
         let revision = state.stored.as_ref().map(|(revision, _)| *revision);
-        if revision != on && self.lacks != Lacks::ConditionalWrite {
-            // A store may say no more of an object that is to be created than that it is there.
+        if revision != on && self.omission != Omission::ConditionalWrite {
+            // If an object to be created exists, a store may report only that, without its content.
             return Outcome::Conflict(on.and_then(|_| self.read(state, host)));
         }
         let revision = revision.unwrap_or(0) + 1;
@@ -109,75 +125,77 @@
         Outcome::Done(revision)
     }
 
-    /// What a host asks of the store: answered at once or slowly.
-    fn asks(&self, state: &State, host: usize) -> Vec<(Step, State)> {
+    /// The steps by which a host calls the store, with an immediate or a slow answer.
+    fn store_steps(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
-        let before = (self.lacks == Lacks::SentTime).then(|| state.hosts[host].term.clone());
+        let term_before =
+            (self.omission == Omission::SentTime).then(|| state.hosts[host].term.clone());
         let (step, slowly, body) = match next.hosts[host].term.step(now) {
-            Ask::Idle => return self.watches(state, host).into_iter().collect(),
-            Ask::Read => {
+            Action::Idle => return self.watch_step(state, host).into_iter().collect(),
+            Action::Read => {
                 let body = Body::Read(self.read(state, host));
                 (Step::Read(host), Step::ReadSlowly(host), body)
             }
-            Ask::Create(lease) => {
+            Action::Create(lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(None, lease))
             }
-            Ask::Replace(revision, lease) => {
+            Action::Replace(revision, lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(Some(revision), lease))
             }
         };
         let may_be_slow = state.slow < self.slow && !state.is_reading(host);
-        next.call(host, body, before);
+        next.call(host, body, term_before);
         let mut slow = next.clone();
         slow.slow += 1;
         while next.calls.len() != state.calls.len() {
-            next = self.goes(&next, state.calls.len()).1;
+            next = self.advance_call(&next, state.calls.len()).1;
         }
         let mut steps = vec![(step, next)];
         steps.extend(may_be_slow.then_some((slowly, slow)));
         steps
     }
 
-    /// A host's watch tells it of a change.
-    fn watches(&self, state: &State, host: usize) -> Option<(Step, State)> {
+    /// A host's watch reports the current lease, unless it has reported this revision before.
+    fn watch_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let (revision, _) = state.stored.as_ref()?;
-        if state.hosts[host].told == Some(*revision) {
+        if state.hosts[host].watched == Some(*revision) {
             return None;
         }
         let mut next = state.clone();
-        next.hosts[host].told = Some(*revision);
+        next.hosts[host].watched = Some(*revision);
         let read = self.read(state, host);
         next.hosts[host].term.observe(self.clock(state, host), read);
         Some((Step::Watch(host), next))
     }
 
-    /// A call goes one leg further.
-    fn goes(&self, state: &State, number: usize) -> (Step, State) {
+    /// Advances a call: the store carries out a write, or an answer reaches its host.
+    fn advance_call(&self, state: &State, number: usize) -> (Step, State) {
         let mut next = state.clone();
-        let Call { host, incarnation, body, awaited, before } = next.calls.remove(number);
-        let heard = awaited && next.hosts[host].incarnation == incarnation;
+        let Call { host, incarnation, body, is_awaited, term_before } = next.calls.remove(number);
+        let is_delivered = is_awaited && next.hosts[host].incarnation == incarnation;
         let now = self.clock(state, host);
         match body {
             Body::Write(on, lease) => {
-                let outcome = self.carry_out(&mut next, host, on, lease);
-                if heard {
+                let outcome = self.apply_write(&mut next, host, on, lease);
+                if is_delivered {
                     let body = Body::Outcome(outcome);
-                    next.calls.insert(number, Call { host, incarnation, body, awaited, before });
+                    next.calls
+                        .insert(number, Call { host, incarnation, body, is_awaited, term_before });
                 }
                 (Step::CarryOut(host, incarnation), next)
             }
             Body::Outcome(outcome) => {
                 let term = &mut next.hosts[host].term;
-                if self.lacks == Lacks::SentTime && matches!(outcome, Outcome::Done(_)) {
-                    *term = before.unwrap_or(term.clone());
+                if self.omission == Omission::SentTime && matches!(outcome, Outcome::Done(_)) {
+                    *term = term_before.unwrap_or(term.clone());
                     term.step(now);
                 }
                 term.write_finished(now, outcome);
                 (Step::Answer(host), next)
             }
             Body::Read(read) => {
-                if heard {
+                if is_delivered {
                     next.hosts[host].term.observe(now, read);
                 }
                 (Step::Answer(host), next)
@@ -185,11 +203,11 @@
         }
     }
 
-    /// A host stops waiting for a write.
-    fn gives_up(&self, state: &State, number: usize) -> Option<(Step, State)> {
+    /// A host stops waiting for a write, whose outcome is then unclear to it.
+    fn give_up(&self, state: &State, number: usize) -> Option<(Step, State)> {
         let call = &state.calls[number];
         let is_write = matches!(call.body, Body::Write(..) | Body::Outcome(_));
-        if !is_write || !call.awaited {
+        if !is_write || !call.is_awaited {
             return None;
         }
         let (host, now) = (call.host, self.clock(state, call.host));
@@ -198,81 +216,85 @@
         }
         let mut next = state.clone();
         match next.calls[number].body {
-            Body::Write(..) => next.calls[number].awaited = false,
+            Body::Write(..) => next.calls[number].is_awaited = false,
             Body::Outcome(_) | Body::Read(_) => drop(next.calls.remove(number)),
         }
-        let outcome = match (self.lacks, &state.stored) {
-            (Lacks::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
+        let outcome = match (self.omission, &state.stored) {
+            (Omission::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
             _ => Outcome::Unclear,
         };
         next.hosts[host].term.write_finished(now, outcome);
         Some((Step::GiveUp(host), next))
     }
 
-    /// Whether each host sends an order whenever it may. To the server more orders are worse, and
-    /// to the lease they make no difference, unless the host releases it by the time of its last.
+    /// Whether each host sends an order in every state in which it may, which leaves fewer states.
+    ///
+    /// This hides no violation: more orders can only add violations at the server, and they do not
+    /// affect the lease, except that a stopping host releases it by the time of its last order.
     fn is_eager(&self) -> bool {
-        self.stops == 0 && !matches!(self.lacks, Lacks::Look | Lacks::Drop)
+        self.stops == 0 && !matches!(self.omission, Omission::Look | Omission::Drop)
     }
 
-    fn sends(&self, state: &mut State, host: usize, fence: Fence) {
+    fn send_order(&self, state: &mut State, host: usize, fence: Fence) {
         let this = &mut state.hosts[host];
-        this.hand = None;
-        let fence = match self.lacks {
-            Lacks::RevisionFence => {
+        this.prepared = None;
+        let fence = match self.omission {
+            Omission::RevisionFence => {
                 this.fences.insert(fence);
                 this.fences.len() as u64
             }
             _ => fence,
         };
-        state.server.may_get(state.now, Order { host, fence, until: state.now + FLIGHT }, TURN);
+        state.server.record_sent(state.now, Order { host, fence, until: state.now + FLIGHT }, TURN);
     }
 
-    fn sends_eagerly(&self, state: &mut State) {
+    fn send_eagerly(&self, state: &mut State) {
         for host in 0..HOSTS {
             if let Some(fence) = state.hosts[host].term.fence(self.clock(state, host)) {
-                self.sends(state, host, fence);
+                self.send_order(state, host, fence);
             }
         }
     }
 
-    /// A host sends an order: one that it prepares right now, or, where that guard is off, one
-    /// that it had in hand. With the guards on, only an order under the present fence leaves, so
-    /// that it makes no difference when it was prepared.
-    fn orders(&self, state: &State, host: usize) -> Option<(Step, State)> {
+    /// A host sends an order that it prepares now, or, if the guard against it is disabled, one
+    /// that it prepared before.
+    ///
+    /// With the guards active, only an order under the current fencing token is sent, so the time
+    /// of its preparation makes no difference.
+    fn order_step(&self, state: &State, host: usize) -> Option<(Step, State)> {
         let now = self.clock(state, host);
         let mut next = state.clone();
         let this = &mut next.hosts[host];
         let present = this.term.may_order(now);
-        let fence = match (self.lacks, this.hand) {
-            (Lacks::Look | Lacks::Drop, None) => {
-                this.hand = Some(present?);
+        let fence = match (self.omission, this.prepared) {
+            (Omission::Look | Omission::Drop, None) => {
+                this.prepared = Some(present?);
                 return Some((Step::Prepare(host), next));
             }
-            (Lacks::Drop, Some(hand)) => present.and(Some(hand))?,
-            (Lacks::Look, Some(hand)) => hand,
+            (Omission::Drop, Some(prepared)) => present.and(Some(prepared))?,
+            (Omission::Look, Some(prepared)) => prepared,
             _ => present?,
         };
-        self.sends(&mut next, host, fence);
+        self.send_order(&mut next, host, fence);
         Some((Step::Send(host, fence), next))
     }
 
-    fn restarts(&self, state: &State, host: usize) -> State {
+    fn restart(&self, state: &State, host: usize) -> State {
         let mut next = state.clone();
         let suspended = next.hosts[host].suspended;
         next.hosts[host] = Host { suspended, ..self.host(host, next.hosts[host].incarnation + 1) };
         next
     }
 
-    fn ends(&self, state: &State, host: usize) -> Vec<(Step, State)> {
+    fn end_steps(&self, state: &State, host: usize) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         if state.crashes < self.crashes {
-            let mut next = self.restarts(state, host);
+            let mut next = self.restart(state, host);
             next.crashes += 1;
             steps.push((Step::Crash(host), next));
         }
         if state.hosts[host].term.is_released() {
-            steps.push((Step::Leave(host), self.restarts(state, host)));
+            steps.push((Step::Leave(host), self.restart(state, host)));
         }
         if state.stops < self.stops {
             let mut next = state.clone();
@@ -283,15 +305,15 @@
         steps
     }
 
-    fn ticks(&self, state: &State) -> Vec<(Step, State)> {
+    fn tick_steps(&self, state: &State) -> Vec<(Step, State)> {
         if state.now == self.ticks {
             return Vec::new();
         }
         let mut next = state.clone();
         next.now += 1;
-        next.server.forget(next.now, TURN);
+        next.server.prune(next.now, TURN);
         let mut steps = vec![(Step::Tick, next.clone())];
-        if self.lacks == Lacks::SuspensionClock {
+        if self.omission == Omission::SuspensionClock {
             steps.extend((0..HOSTS).map(|host| {
                 let mut next = next.clone();
                 next.hosts[host].suspended += 1;
@@ -306,7 +328,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         let mut state = State {
             now: 0,
             stored: None,
@@ -317,56 +339,58 @@
             slow: 0,
             stops: 0,
         };
-        // The first host holds the lease, unless the walk asks how the first holding begins.
+        // The first host acquires the lease by a read and a write, without a fault.
         if self.begin == Begin::Held {
             for _ in ["read", "write"] {
-                state = self.asks(&state, 0).swap_remove(0).1;
+                state = self.store_steps(&state, 0).swap_remove(0).1;
             }
         }
         state
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let mut steps = self.ticks(state);
+        let mut steps = self.tick_steps(state);
         for host in 0..HOSTS {
-            steps.extend(self.asks(state, host));
-            steps.extend(self.ends(state, host));
+            steps.extend(self.store_steps(state, host));
+            steps.extend(self.end_steps(state, host));
         }
         for number in 0..state.calls.len() {
-            steps.push(self.goes(state, number));
-            steps.extend(self.gives_up(state, number));
+            steps.push(self.advance_call(state, number));
+            steps.extend(self.give_up(state, number));
         }
         if self.is_eager() {
-            steps.iter_mut().for_each(|(_, next)| self.sends_eagerly(next));
+            steps.iter_mut().for_each(|(_, next)| self.send_eagerly(next));
         } else {
-            steps.extend((0..HOSTS).filter_map(|host| self.orders(state, host)));
+            steps.extend((0..HOSTS).filter_map(|host| self.order_step(state, host)));
         }
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        if let Some(fault) = state.server.fault {
-            return Some(fault.to_string());
+    fn violation(&self, state: &State) -> Option<String> {
+        if let Some(violation) = state.server.violation {
+            return Some(violation.to_string());
         }
         let within = self.recovery?;
-        (!self.recovers(state, within))
-            .then(|| format!("nobody holds the lease {within} quiet ticks later"))
+        (!self.recovers(state, within)).then(|| {
+            format!("no host holds the lease {within} ticks later, although no fault happened")
+        })
     }
 
-    fn is_quiet(&self, _: &Step) -> bool {
+    fn is_progress(&self, _: &Step) -> bool {
         false
     }
 
-    /// Time ends the walk; `recovery` asks what others ask of settled states.
+    /// Every state counts as settled: the exploration ends with the last tick, so
+    /// [`Holders::recovery`] replaces the liveness check.
     fn is_settled(&self, _: &State) -> bool {
         true
     }
 }
 
-/// Ticks that must lie between orders of different hosts.
+/// Minimum number of ticks between orders of different hosts.
 const TURN: Tick = 2;
 
-/// Ticks within which an order arrives.
+/// Maximum number of ticks between the sending of an order and its arrival.
 const FLIGHT: Tick = 1;
 
 fn span(ticks: Tick) -> Duration {
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -1,14 +1,14 @@
-//! What the world holds: the lease, the hosts, the calls and orders under way, and the server.
+//! State of the model: the lease, the hosts, the pending calls, the orders and the server.
 
 use std::{collections::BTreeSet, fmt};
 
 use policy::term::{Lease, OrderLease, Outcome, Revision, Stored};
 use types::{host, order::Fence};
 
-/// A point in time.
+/// A point in time, or a time span, in ticks; one tick is one second for `policy::term`.
 pub type Tick = u8;
 
-/// Everything that decides what may happen next.
+/// A state of the store, the hosts, the pending calls and the server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Tick,
@@ -22,9 +22,9 @@
 }
 
 impl State {
-    pub(super) fn call(&mut self, host: usize, body: Body, before: Option<OrderLease>) {
+    pub(super) fn call(&mut self, host: usize, body: Body, term_before: Option<OrderLease>) {
         let incarnation = self.hosts[host].incarnation;
-        self.calls.push(Call { host, incarnation, body, awaited: true, before });
+        self.calls.push(Call { host, incarnation, body, is_awaited: true, term_before });
     }
 
     pub(super) fn is_reading(&self, host: usize) -> bool {
@@ -36,25 +36,25 @@
 pub(super) struct Host {
     pub(super) incarnation: host::Incarnation,
     pub(super) term: OrderLease,
-    /// Fence under which an order was prepared.
-    pub(super) hand: Option<Fence>,
-    /// Revision that its watch told last.
-    pub(super) told: Option<Revision>,
-    /// Ticks that its clock did not count.
+    /// Fencing token under which an order was prepared that has not been sent.
+    pub(super) prepared: Option<Fence>,
+    /// Revision that its watch reported last.
+    pub(super) watched: Option<Revision>,
+    /// Number of ticks that its clock missed while it was suspended.
     pub(super) suspended: Tick,
-    /// Fences that it used, where it counts them itself.
+    /// Fencing tokens that it used; their number is its token if it counts them itself.
     pub(super) fences: BTreeSet<Fence>,
 }
 
-/// A call to the store, under way.
+/// A call to the store of which the request or the answer is in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Call {
     pub(super) host: usize,
     pub(super) incarnation: host::Incarnation,
     pub(super) body: Body,
-    pub(super) awaited: bool,
-    /// The host's term before the call, where the answer's time counts.
-    pub(super) before: Option<OrderLease>,
+    pub(super) is_awaited: bool,
+    /// The lease as the host saw it before the call, if a term is counted from the answer.
+    pub(super) term_before: Option<OrderLease>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -64,34 +64,36 @@
     Read(Option<Stored>),
 }
 
-/// An order that has been sent.
+/// An order that was sent and may have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Order {
     pub(super) host: usize,
     pub(super) fence: Fence,
-    /// When it may arrive at the latest.
+    /// Latest tick at which it may arrive.
     pub(super) until: Tick,
 }
 
-/// What the server may have seen, or may be about to see.
+/// The orders that the server may have received, or may receive yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Server {
-    /// The last order of each fence that still counts.
+    /// The last order of each fencing token by which a later order may still be in violation.
     pub(super) orders: Vec<Order>,
-    pub(super) fault: Option<Fault>,
+    pub(super) violation: Option<Violation>,
 }
 
 impl Server {
-    /// Takes in an order that is sent now, and may arrive from now on.
-    pub(super) fn may_get(&mut self, now: Tick, order: Order, turn: Tick) {
-        let faults = self.orders.iter().find_map(|earlier| earlier.fault(now, &order, turn));
-        self.fault = self.fault.or(faults);
+    /// Records an order that is sent now and may arrive from now on, and compares it with the
+    /// others.
+    pub(super) fn record_sent(&mut self, now: Tick, order: Order, turn: Tick) {
+        let violation = self.orders.iter().find_map(|earlier| earlier.violation(now, &order, turn));
+        self.violation = self.violation.or(violation);
         self.orders.retain(|earlier| earlier.fence != order.fence);
         self.orders.push(order);
     }
 
-    /// Forgets orders that can break no rule any more.
-    pub(super) fn forget(&mut self, now: Tick, turn: Tick) {
+    /// Removes orders by which no later order can be in violation, and merges states that differ
+    /// only in arrival times too far in the past to matter.
+    pub(super) fn prune(&mut self, now: Tick, turn: Tick) {
         let highest = self.orders.iter().map(|order| order.fence).max();
         self.orders.retain(|order| now < order.until + turn || Some(order.fence) == highest);
         for order in &mut self.orders {
@@ -101,36 +103,36 @@
 }
 
 impl Order {
-    fn fault(&self, now: Tick, later: &Order, turn: Tick) -> Option<Fault> {
+    fn violation(&self, now: Tick, later: &Order, turn: Tick) -> Option<Violation> {
         let is_other = self.host != later.host;
         if is_other && now < self.until + turn {
-            return Some(Fault::Turns);
+            return Some(Violation::TooClose);
         }
         if is_other && self.fence == later.fence {
-            return Some(Fault::Shared);
+            return Some(Violation::SharedFence);
         }
         let overtakes = self.fence < later.fence && now <= self.until;
-        (later.fence < self.fence || overtakes).then_some(Fault::Falls)
+        (later.fence < self.fence || overtakes).then_some(Violation::FenceFell)
     }
 }
 
-/// The rule that an order may break.
+/// How an order violates the invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fault {
-    /// Orders of two hosts lie less than a turn apart.
-    Turns,
-    /// The fence falls.
-    Falls,
-    /// Two hosts share a fence.
-    Shared,
+pub enum Violation {
+    /// Orders of two hosts may arrive less than a turn apart.
+    TooClose,
+    /// An order may arrive after one with a higher fencing token.
+    FenceFell,
+    /// Orders of two hosts carry the same fencing token.
+    SharedFence,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Turns => "orders of two hosts may reach the server within a turn",
-            Fault::Falls => "a lower fence may reach the server after a higher one",
-            Fault::Shared => "two hosts' orders bore one fence",
+            Violation::TooClose => "orders of two hosts may reach the server within a turn",
+            Violation::FenceFell => "a lower fencing token may reach the server after a higher one",
+            Violation::SharedFence => "orders of two hosts carry the same fencing token",
         })
     }
 }
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -1,13 +1,13 @@
-//! A server's memory, and planners whose orders name what they were worked out from.
+//! Model of a server's memory, and of planners whose orders name the report they are based on.
 //!
-//! A planner reads a report whenever it likes, and works orders out from the last one that it has,
-//! however old. An order names the instance and the sequence number of that report; the server
-//! carries it out only if both are still its own. Orders may arrive at any later moment, more than
-//! once, in any order or never. The server restarts, with nothing in memory and its count at zero.
+//! A planner reads a report at any time, and derives orders from the last one that it read, however
+//! old. An order names the instance and the sequence number of that report; the server carries it
+//! out only if both are still its own. Orders may arrive at any later moment, more than once, in
+//! any order or never. The server may restart, with empty memory and sequence number zero.
 //!
-//! Planners act together, so no lease is needed for memory; or the second acts once the first has
-//! stopped, as with a lease, and then no order of the first may take effect after one of the
-//! second did.
+//! Planners may act at the same time, which shows that memory needs no lease. Or the second acts
+//! only once the first has stopped, as with a lease; then no order of the first may take effect
+//! after an order of the second did.
 
 use std::collections::BTreeSet;
 
@@ -16,105 +16,108 @@
 mod state;
 
 use state::{Action, Order, Report};
-pub use state::{Fault, State, Step};
+pub use state::{State, Step, Violation};
 
-/// A model or adapter; each takes one place.
+/// Number of a model or adapter; each takes one unit of memory.
 pub type Unit = u8;
 
-/// Units that there are, and places for them.
+/// The models or adapters that exist.
 const UNITS: [Unit; 2] = [0, 1];
-const PLACES: usize = 1;
+
+/// Number of them that fit in memory.
+const CAPACITY: usize = 1;
 
 pub(super) const PLANNERS: usize = 2;
 
-/// What is loaded.
+/// Kind of unit that orders load and unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// One order at a time is carried out; the server says that it is busy.
+    /// The server carries out one order at a time, and reports that it is busy meanwhile.
     Model,
-    /// Orders are carried out side by side; the server lists what is on its way.
+    /// The server carries out orders concurrently, and reports the units being loaded.
     Adapter,
 }
 
-/// When planners act.
+/// Which planners may send orders, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acting {
-    /// At any time.
+    /// Both planners, at any time.
     Together,
-    /// The second once the first has stopped.
+    /// The first planner, and the second once the first has stopped.
     InTurn,
-    /// The first alone.
+    /// Only the first planner.
     Alone,
 }
 
-/// What the second planner takes as a sign that no order of the first takes effect any more.
+/// The event by which the second planner knows that no order of the first takes effect any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Barrier {
-    /// An order of its own that the server accepted.
+    /// The server accepted an order of the second planner.
     Accepted,
-    /// An order of its own that the server answered, also one that it found to hold already, by a
-    /// look at what it has before the one at the sequence number.
+    /// The server answered an order of the second planner, even one without effect, which it finds
+    /// out from its memory before it checks the sequence number.
     Answered,
 }
 
-/// The guard that is switched off.
+/// The guard that is disabled in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacks {
-    /// All guards are there.
+pub enum Omission {
+    /// All guards are active.
     Nothing,
-    /// Orders name no sequence number.
+    /// The server ignores the sequence number that an order names.
     Sequence,
-    /// Orders name no instance.
+    /// The server ignores the instance that an order names.
     Instance,
-    /// Planners order while a report says that the server is busy.
+    /// Planners send orders although the report says that the server is busy.
     Busy,
-    /// Planners leave out what is on its way to a server.
+    /// Planners do not count units that the report lists as being loaded.
     Pending,
-    /// A report's count is newer than what it lists.
+    /// A report's sequence number is newer than the units that it lists.
     Snapshot,
-    /// Planners leave out what they sent to an earlier instance of a server that keeps its name.
+    /// Planners do not count what their late orders to an earlier instance may still load, if the
+    /// server keeps its name.
     Late,
 }
 
-/// What a server that starts again is called.
+/// Name of a server after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Name {
-    /// Something else: orders to the instance before don't reach it.
+    /// A new name, so orders to an earlier instance do not reach it.
     New,
-    /// The same as before: it can't tell orders to the instance before from others. Each order takes
-    /// effect once at the most then; no planner could guard against more.
+    /// The same name, so it can't distinguish orders to an earlier instance from others. Each order
+    /// then takes effect at most once, since no planner could guard against more.
     Kept,
 }
 
-/// Bounds of the exploration.
+/// The model, with bounds on the orders and restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct Memory {
-    /// What is loaded.
+    /// Kind of unit that orders load and unload.
     pub kind: Kind,
-    /// When planners act.
+    /// Which planners may send orders, and when.
     pub acting: Acting,
-    /// What counts as a newer order.
+    /// The event after which orders of the first planner must not take effect.
     pub barrier: Barrier,
-    /// Faults that are looked for.
-    pub judged: &'static [Fault],
-    /// Different orders sent.
+    /// The violations that are reported; others are ignored.
+    pub checked: &'static [Violation],
+    /// Maximum number of different orders sent, over both planners.
     pub orders: usize,
-    /// Restarts of the server.
+    /// Maximum number of server restarts.
     pub restarts: u8,
-    /// What it is called then.
+    /// Name of the server after a restart.
     pub name: Name,
-    /// The guard that is switched off.
-    pub lacks: Lacks,
+    /// The disabled guard.
+    pub omission: Omission,
 }
 
 impl Memory {
-    fn reads(&self, state: &State, planner: usize) -> State {
+    fn read_report(&self, state: &State, planner: usize) -> State {
         let mut next = state.clone();
         let mut report = state.server.report();
-        if let (Lacks::Snapshot, Some(old)) = (self.lacks, &state.views[planner]) {
+        if let (Omission::Snapshot, Some(old)) = (self.omission, &state.reports[planner]) {
             report = Report { sequence: report.sequence, ..old.clone() };
         }
-        next.views[planner] = Some(report);
+        next.reports[planner] = Some(report);
         next
     }
 
@@ -126,28 +129,28 @@
         }
     }
 
-    /// Orders that a planner may work out from its last report.
-    fn sends(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
-        let Some(view) = &state.views[planner] else { return Vec::new() };
-        if view.is_busy && self.lacks != Lacks::Busy {
+    /// The steps by which a planner sends an order derived from its last report.
+    fn send_steps(&self, state: &State, planner: usize) -> Vec<(Step, State)> {
+        let Some(report) = &state.reports[planner] else { return Vec::new() };
+        if report.is_busy && self.omission != Omission::Busy {
             return Vec::new();
         }
-        let mut used: BTreeSet<Unit> = match self.lacks {
-            Lacks::Pending => view.held.clone(),
-            _ => view.held.union(&view.pending).copied().collect(),
+        let mut used: BTreeSet<Unit> = match self.omission {
+            Omission::Pending => report.loaded.clone(),
+            _ => report.loaded.union(&report.pending).copied().collect(),
         };
-        if self.lacks != Lacks::Late {
-            used.extend(late_loads(state, planner, view));
+        if self.omission != Omission::Late {
+            used.extend(late_loads(state, planner, report));
         }
         let loads = UNITS
             .into_iter()
-            .filter(|unit| used.len() < PLACES && !used.contains(unit))
+            .filter(|unit| used.len() < CAPACITY && !used.contains(unit))
             .map(Action::Load);
-        let unloads = view.held.iter().copied().map(Action::Unload);
+        let unloads = report.loaded.iter().copied().map(Action::Unload);
         loads
             .chain(unloads)
             .map(|action| {
-                let (instance, sequence) = (view.instance, view.sequence);
+                let (instance, sequence) = (report.instance, report.sequence);
                 Order { fence: planner as u64, instance, sequence, action }
             })
             .filter(|order| !state.sent.contains(order))
@@ -159,45 +162,49 @@
             .collect()
     }
 
-    /// The server gets an order, for the first time or again.
-    fn arrives(&self, state: &State, order: Order) -> State {
+    /// An order arrives at the server, for the first time or again.
+    fn deliver(&self, state: &State, order: Order) -> State {
         let mut next = state.clone();
         let server = &mut next.server;
-        if self.barrier == Barrier::Answered && server.already_holds(&order) {
-            next.newest = next.newest.max(order.fence);
+        if self.barrier == Barrier::Answered && server.is_without_effect(&order) {
+            next.newest_fence = next.newest_fence.max(order.fence);
             return next;
         }
-        let is_one_name = self.name == Name::Kept || self.lacks == Lacks::Instance;
-        let is_meant = order.instance == server.instance || is_one_name;
-        let is_due = order.sequence == server.sequence || self.lacks == Lacks::Sequence;
-        if !is_meant || !is_due || (self.kind == Kind::Model && server.is_busy()) {
+        let ignores_instance = self.name == Name::Kept || self.omission == Omission::Instance;
+        let instance_matches = order.instance == server.instance || ignores_instance;
+        let sequence_matches =
+            order.sequence == server.sequence || self.omission == Omission::Sequence;
+        if !instance_matches || !sequence_matches || (self.kind == Kind::Model && server.is_busy())
+        {
             return next;
         }
         let accepted = server.accept(order.action);
-        let overtaken = self.acting == Acting::InTurn && order.fence < next.newest;
-        let overcommitted = PLACES < server.used();
-        next.fault =
-            [(Fault::Overcommitted, overcommitted), (Fault::Overtaken, accepted && overtaken)]
-                .into_iter()
-                .find_map(|(fault, is_there)| {
-                    (is_there && self.judged.contains(&fault)).then_some(fault)
-                });
+        let overtaken = self.acting == Acting::InTurn && order.fence < next.newest_fence;
+        let overcommitted = CAPACITY < server.used();
+        next.violation = [
+            (Violation::Overcommitted, overcommitted),
+            (Violation::Overtaken, accepted && overtaken),
+        ]
+        .into_iter()
+        .find_map(|(violation, is_violated)| {
+            (is_violated && self.checked.contains(&violation)).then_some(violation)
+        });
         if accepted {
-            next.newest = next.newest.max(order.fence);
+            next.newest_fence = next.newest_fence.max(order.fence);
         }
         if accepted && self.name == Name::Kept {
-            next.over.insert(order);
+            next.consumed.insert(order);
         }
         next
     }
 }
 
-/// What a planner's orders to earlier instances may yet load.
-fn late_loads(state: &State, planner: usize, view: &Report) -> impl Iterator<Item = Unit> {
-    let open = state.sent.difference(&state.over);
-    let own = open.filter(move |order| order.fence == planner as u64);
+/// Units that a planner's orders to earlier instances may still load.
+fn late_loads(state: &State, planner: usize, report: &Report) -> impl Iterator<Item = Unit> {
+    let unconsumed = state.sent.difference(&state.consumed);
+    let own = unconsumed.filter(move |order| order.fence == planner as u64);
     let late =
-        own.filter(|order| order.instance < view.instance && view.sequence <= order.sequence);
+        own.filter(|order| order.instance < report.instance && report.sequence <= order.sequence);
     late.filter_map(|order| match order.action {
         Action::Load(unit) => Some(unit),
         Action::Unload(_) => None,
@@ -208,31 +215,31 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             server: state::Server::new(self.kind),
-            views: [const { None }; PLANNERS],
+            reports: [const { None }; PLANNERS],
             sent: BTreeSet::new(),
-            over: BTreeSet::new(),
+            consumed: BTreeSet::new(),
             handed_over: false,
-            newest: 0,
+            newest_fence: 0,
             restarts: 0,
-            fault: None,
+            violation: None,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         for planner in 0..PLANNERS {
-            steps.push((Step::Read(planner), self.reads(state, planner)));
+            steps.push((Step::Read(planner), self.read_report(state, planner)));
             if state.sent.len() < self.orders && self.may_act(state, planner) {
-                steps.extend(self.sends(state, planner));
+                steps.extend(self.send_steps(state, planner));
             }
         }
-        for order in state.sent.difference(&state.over) {
-            steps.push((Step::Arrive(*order), self.arrives(state, *order)));
+        for order in state.sent.difference(&state.consumed) {
+            steps.push((Step::Arrive(*order), self.deliver(state, *order)));
         }
-        for (unit, server) in state.server.finishes() {
+        for (unit, server) in state.server.completions() {
             steps.push((Step::Finish(unit), State { server, ..state.clone() }));
         }
         if state.restarts < self.restarts {
@@ -245,15 +252,15 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        state.fault.map(|fault| fault.to_string())
+    fn violation(&self, state: &State) -> Option<String> {
+        state.violation.map(|violation| violation.to_string())
     }
 
-    fn is_quiet(&self, _: &Step) -> bool {
+    fn is_progress(&self, _: &Step) -> bool {
         false
     }
 
-    /// Only safety is asked.
+    /// Every state counts as settled, since only safety is checked.
     fn is_settled(&self, _: &State) -> bool {
         true
     }
--- a/crates/spec/src/quota.rs
+++ b/crates/spec/src/quota.rs
@@ -1,8 +1,10 @@
-//! One share of a quota: the host that it belongs to, and two hosts that it may be lent to.
+//! Model of the lease of one share of a quota: the host that owns it, and two borrowers.
 //!
-//! Borrowers tell their clocks, the lender lends from what it has read of them. Messages are late, lost
-//! or come twice, the lender starts again with nothing known, and it turns from one borrower to the other
-//! whenever it likes. The clocks of the three differ. `policy::quota::lease` decides at both ends.
+//! Borrowers send readings of their clocks, and a lease is counted from such a reading. Messages
+//! may be late, lost or duplicated; the lender may restart without its state, and may switch from
+//! one borrower to the other at any time. The clocks of the three hosts differ.
+//! `policy::quota::lease` decides on both sides. Safety: at most one host counts the share at any
+//! time.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -13,87 +15,89 @@
 
 const HOSTS: usize = 3;
 
-/// The host whose share it is.
+/// The host that owns the share.
 const LENDER: usize = 0;
 
-/// Length of a lease, and that of the lender on its own share.
+/// Length of a lease to a borrower.
 const LEASE: Moment = Duration::from_secs(2);
+
+/// Length of the lease that the lender takes on its own share.
 const OWN_LEASE: Moment = Duration::from_secs(1);
 
-/// How far the hosts' clocks are ahead of the time.
-const AHEAD: [u64; HOSTS] = [3, 0, 7];
+/// Seconds by which each host's clock is ahead of the model's time.
+const CLOCK_OFFSETS: [u64; HOSTS] = [3, 0, 7];
 
-/// A guard that can be switched off.
+/// Which guards are active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// All hold.
+    /// All guards are active.
     All,
-    /// The lender lends what another host may still count.
+    /// The lender lends a share that another host may still count.
     NoExclusion,
-    /// Borrowers count a lease from when its message came.
+    /// Borrowers count a lease from the arrival of its message, not from their clock reading.
     NoReading,
-    /// A lender that starts again lends at once.
+    /// A restarted lender lends at once, while a lease of its former run may still be valid.
     NoWait,
 }
 
-/// The system.
+/// The model, with its guards and the bound on time.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
-    /// What holds.
+    /// [`Guard::All`], or the guard that is disabled.
     pub guard: Guard,
-    /// Length of the walk, in seconds.
+    /// Seconds after which time stops.
     pub length: u64,
 }
 
-/// A state of the three hosts and of the messages on their way.
+/// A state of the three hosts and of the messages in transit.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct State {
     time: u64,
-    /// When the lender started again, if it did.
+    /// When the lender restarted, if it did; it restarts at most once.
     restarted: Option<u64>,
     share: Share,
-    /// The last clock of each borrower that the lender has read, and when by its own clock.
-    read: [Option<(Moment, Moment)>; HOSTS],
+    /// The newest clock reading of each borrower, and the lender's own clock when it arrived.
+    readings: [Option<(Moment, Moment)>; HOSTS],
     pools: [Pool; HOSTS],
     messages: BTreeSet<Message>,
 }
 
-/// A message; one that stays may come again.
+/// A message in transit. Delivery does not remove it, so it may be delivered again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// A borrower's clock.
+    /// A reading of this borrower's clock.
     Clock(usize, Moment),
-    /// The share is lent from this reading of the borrower's clock.
+    /// A lease to this borrower, counted from this reading of its clock.
     Lease(usize, Moment),
 }
 
-/// A step.
+/// A step of time, of a borrower or of the lender.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A second passes.
-    Pass,
-    /// A borrower tells its clock.
-    Tell(usize),
-    /// The lender reads a borrower's clock.
-    Read,
-    /// A borrower takes a lease in.
-    Borrow,
-    /// The lender lends its share to a host.
+    /// One second passes.
+    Tick,
+    /// A borrower sends a reading of its clock.
+    SendClock(usize),
+    /// A borrower's clock reading arrives at the lender.
+    ReceiveClock,
+    /// A lease arrives at its borrower.
+    ReceiveLease,
+    /// The lender leases the share to a host; to itself if the index is its own.
     Lend(usize),
-    /// The lender starts again.
+    /// The lender restarts without its state.
     Restart,
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Pass => write!(f, "a second passes"),
-            Step::Tell(host) => write!(f, "host {host} tells its clock"),
-            Step::Read => write!(f, "a clock arrives"),
-            Step::Borrow => write!(f, "a lease arrives"),
-            Step::Lend(LENDER) => write!(f, "the lender counts its share itself"),
-            Step::Lend(host) => write!(f, "the lender lends to host {host}"),
-            Step::Restart => write!(f, "the lender starts again"),
+            Step::Tick => write!(f, "one second passes"),
+            Step::SendClock(host) => write!(f, "host {host} sends its clock reading"),
+            Step::ReceiveClock => write!(f, "a clock reading arrives at the lender"),
+            Step::ReceiveLease => write!(f, "a lease arrives at its borrower"),
+            Step::Lend(LENDER) => write!(f, "the lender leases the share to itself"),
+            Step::Lend(host) => write!(f, "the lender leases the share to host {host}"),
+            Step::Restart => write!(f, "the lender restarts"),
         }
     }
 }
@@ -102,12 +106,12 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial(&self) -> State {
         State {
             time: 0,
             restarted: None,
             share: Share::free_from(Duration::ZERO),
-            read: [None; HOSTS],
+            readings: [None; HOSTS],
             pools: Default::default(),
             messages: BTreeSet::new(),
         }
@@ -116,15 +120,15 @@
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
         if state.time < self.length {
-            steps.push((Step::Pass, state.later()));
+            steps.push((Step::Tick, state.next_second()));
         }
         for host in LENDER + 1..HOSTS {
             let mut next = state.clone();
             next.messages.insert(Message::Clock(host, state.clock(host)));
-            steps.push((Step::Tell(host), next));
+            steps.push((Step::SendClock(host), next));
         }
         for message in &state.messages {
-            steps.push(self.arrive(state, *message));
+            steps.push(self.deliver(state, *message));
         }
         for host in LENDER..HOSTS {
             steps.extend(self.lend(state, host).map(|next| (Step::Lend(host), next)));
@@ -135,15 +139,15 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let lender = name(LENDER);
         let counts = |host: &usize| state.pools[*host].has(&lender, state.clock(*host));
-        let counting: Vec<usize> = (0..HOSTS).filter(counts).collect();
-        (1 < counting.len()).then(|| format!("the share counts at hosts {counting:?}"))
+        let holders: Vec<usize> = (0..HOSTS).filter(counts).collect();
+        (1 < holders.len()).then(|| format!("the share is counted by several hosts: {holders:?}"))
     }
 
-    fn is_quiet(&self, step: &Step) -> bool {
-        matches!(step, Step::Pass)
+    fn is_progress(&self, step: &Step) -> bool {
+        matches!(step, Step::Tick)
     }
 
     fn is_settled(&self, state: &State) -> bool {
@@ -152,21 +156,21 @@
 }
 
 impl Quota {
-    fn arrive(&self, state: &State, message: Message) -> (Step, State) {
+    fn deliver(&self, state: &State, message: Message) -> (Step, State) {
         let mut next = state.clone();
         match message {
             Message::Clock(host, clock) => {
-                let is_newer = state.read[host].is_none_or(|(read, _)| read < clock);
+                let is_newer = state.readings[host].is_none_or(|(read, _)| read < clock);
                 if is_newer {
-                    next.read[host] = Some((clock, state.clock(LENDER)));
+                    next.readings[host] = Some((clock, state.clock(LENDER)));
                 }
-                (Step::Read, next)
+                (Step::ReceiveClock, next)
             }
             Message::Lease(host, read) => {
                 let now = state.clock(host);
                 let read = if self.guard == Guard::NoReading { now } else { read };
                 next.pools[host].borrow(&name(LENDER), read, LEASE, HOSTS as u32, now);
-                (Step::Borrow, next)
+                (Step::ReceiveLease, next)
             }
         }
     }
@@ -181,43 +185,44 @@
             next.share.lend(&name(LENDER), now, OWN_LEASE, now).then_some(())?;
             next.pools[LENDER].borrow(&name(LENDER), now, OWN_LEASE, HOSTS as u32, now);
         } else {
-            let (clock, read) = state.read[host]?;
+            let (clock, read) = state.readings[host]?;
             next.share.lend(&name(host), read, LEASE, now).then_some(())?;
             next.messages.insert(Message::Lease(host, clock));
         }
         Some(next)
     }
 
-    /// The lender's clock goes on here, so its share is free a lease after its clock of now.
+    /// The lender's clock continues over a restart, so the share is free one lease length after its
+    /// current reading.
     fn restart(&self, state: &State) -> State {
         let wait = if self.guard == Guard::NoWait { Duration::ZERO } else { LEASE };
         let mut next = State { restarted: Some(state.time), ..state.clone() };
         next.share = Share::free_from(state.clock(LENDER) + wait);
-        next.read = [None; HOSTS];
+        next.readings = [None; HOSTS];
         next.pools[LENDER] = Pool::default();
         next
     }
 }
 
 impl State {
-    /// A second later, without what can have no effect any more.
-    fn later(&self) -> State {
+    /// The state one second later, without expired leases and messages that can have no effect.
+    fn next_second(&self) -> State {
         let mut next = State { time: self.time + 1, ..self.clone() };
         for host in 0..HOSTS {
             let now = next.clock(host);
             next.pools[host].expire(now);
         }
         let clocks = (0..HOSTS).map(|host| next.clock(host)).collect::<Vec<_>>();
-        let is_over = |host: usize, read: Moment| read + LEASE <= clocks[host];
+        let is_expired = |host: usize, read: Moment| read + LEASE <= clocks[host];
         next.messages.retain(|message| match message {
-            Message::Clock(host, clock) => !is_over(*host, *clock),
-            Message::Lease(host, read) => !is_over(*host, *read),
+            Message::Clock(host, clock) => !is_expired(*host, *clock),
+            Message::Lease(host, read) => !is_expired(*host, *read),
         });
         next
     }
 
     fn clock(&self, host: usize) -> Moment {
-        Duration::from_secs(self.time + AHEAD[host])
+        Duration::from_secs(self.time + CLOCK_OFFSETS[host])
     }
 }
 
--- a/crates/spec/tests/quota.rs
+++ b/crates/spec/tests/quota.rs
@@ -1,6 +1,9 @@
-//! One share of a quota never counts at two hosts, and does without each of the guards.
+//! No two hosts count one share of a quota at a time; without any one of the guards two do.
 
-#![allow(clippy::print_stderr, reason = "state counts and traces are the output of the search")]
+#![allow(
+    clippy::print_stderr,
+    reason = "state counts and traces are the output of the exploration"
+)]
 
 use rstest::rstest;
 use spec::{
@@ -8,12 +11,12 @@
     quota::{Guard, Quota},
 };
 
-const MOST_STATES: usize = 2_000_000;
+const MAX_STATES: usize = 2_000_000;
 
 #[test]
 fn a_share_counts_at_one_host_at_a_time() {
-    let report = explore(&Quota { guard: Guard::All, length: 5 }, MOST_STATES);
-    eprintln!("shares of a quota: {report}");
+    let report = explore(&Quota { guard: Guard::All, length: 5 }, MAX_STATES);
+    eprintln!("lease of a quota share: {report}");
     assert!(report.holds(), "{report}");
 }
 
@@ -22,7 +25,7 @@
 #[case::the_reading_of_the_clock(Guard::NoReading)]
 #[case::the_wait_after_a_restart(Guard::NoWait)]
 fn a_share_counts_twice_without(#[case] guard: Guard) {
-    let report = explore(&Quota { guard, length: 5 }, MOST_STATES);
+    let report = explore(&Quota { guard, length: 5 }, MAX_STATES);
     eprintln!("without {guard:?}: {report}");
-    assert!(report.broken().is_some(), "{report}");
+    assert!(report.violation().is_some(), "{report}");
 }
