--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -36,21 +36,23 @@
     for file in &files {
         match read_bytes(file).and_then(|bytes| Node::parse(file, &bytes)) {
             Ok(node) => nodes.push(node),
-            Err(mut more) => findings.0.append(&mut more.0),
+            Err(mut file_findings) => findings.0.append(&mut file_findings.0),
         }
     }
-    let is_whole = nodes.len() == files.len();
+    let all_parsed = nodes.len() == files.len();
     findings.0.extend(nodes.iter().flat_map(Node::duplicates));
     let root = merge(path, nodes, &mut findings);
     let reading = shape::read::<Config>(&root);
     // A file that could not be parsed would make every name in it dangle.
-    if let Some(config) = reading.value.as_ref().filter(|_| is_whole) {
+    if let Some(config) = reading.value.as_ref().filter(|_| all_parsed) {
         let problems = check::problems(config).into_iter();
-        let is_moot = |path: &str| reading.is_placeholder(path);
-        findings.0.extend(problems.filter(|problem| !is_moot(&problem.path)).map(|problem| {
-            let place = root.place_of(&problem.path).clone();
-            Finding { place, path: problem.path, message: problem.message }
-        }));
+        let is_unreadable = |path: &str| reading.is_placeholder(path);
+        findings.0.extend(problems.filter(|problem| !is_unreadable(&problem.path)).map(
+            |problem| {
+                let place = root.place_of(&problem.path).clone();
+                Finding { place, path: problem.path, message: problem.message }
+            },
+        ));
     }
     findings.0.extend(reading.findings);
     match reading.value {
@@ -83,7 +85,7 @@
 /// One object out of the files' objects, section by section.
 fn merge(path: &Path, nodes: Vec<Node>, findings: &mut Findings) -> Node {
     let mut nodes = nodes.into_iter();
-    let place = Place::whole(path);
+    let place = Place::of_file(path);
     let mut root = match nodes.len() {
         1 => return nodes.next().unwrap_or(Node { place, value: Value::Null }),
         _ => Node { place, value: Value::Object(Vec::new()) },
@@ -96,14 +98,14 @@
             continue;
         };
         for member in members {
-            absorb(&mut root, member, &mut declared, findings);
+            merge_member(&mut root, member, &mut declared, findings);
         }
     }
     root
 }
 
 /// Adds a member of one file's object to the whole.
-fn absorb(
+fn merge_member(
     root: &mut Node,
     member: Member,
     declared: &mut HashMap<String, Place>,
@@ -111,34 +113,34 @@
 ) {
     let Value::Object(sections) = &mut root.value else { return };
     let section = join("", &member.name);
-    let spreads = SECTIONS.contains(&member.name.as_str());
-    let known = sections.iter_mut().find(|known| known.name == member.name);
-    match (known, &member.node.value) {
+    let is_spreadable = SECTIONS.contains(&member.name.as_str());
+    let existing = sections.iter_mut().find(|existing| existing.name == member.name);
+    match (existing, &member.node.value) {
         (None, _) => {
-            declared.extend(places(&section, &member));
+            declared.extend(entry_places(&section, &member));
             sections.push(member);
         }
-        (Some(known), Value::Object(entries)) if spreads => {
+        (Some(existing), Value::Object(entries)) if is_spreadable => {
             for entry in entries {
                 let path = join(&section, &entry.name);
                 if let Some(first) = declared.get(&path) {
-                    findings.0.push(twice(entry, path, first));
+                    findings.0.push(duplicate(entry, path, first));
                     continue;
                 }
                 declared.insert(path, entry.place.clone());
-                known.node.push(entry.clone());
+                existing.node.push(entry.clone());
             }
         }
-        (Some(known), _) => findings.0.push(twice(&member, section, &known.place)),
+        (Some(existing), _) => findings.0.push(duplicate(&member, section, &existing.place)),
     }
 }
 
-fn places(section: &str, member: &Member) -> Vec<(String, Place)> {
+fn entry_places(section: &str, member: &Member) -> Vec<(String, Place)> {
     let Value::Object(entries) = &member.node.value else { return Vec::new() };
     entries.iter().map(|entry| (join(section, &entry.name), entry.place.clone())).collect()
 }
 
-fn twice(member: &Member, path: String, first: &Place) -> Finding {
+fn duplicate(member: &Member, path: String, first: &Place) -> Finding {
     let message = format!("given twice, first at {first}");
     Finding { place: member.place.clone(), path, message }
 }
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -21,7 +21,7 @@
 
 impl Place {
     /// The file as a whole.
-    pub fn whole(file: &Path) -> Place {
+    pub fn of_file(file: &Path) -> Place {
         Place { file: file.into(), line: 0, column: 0 }
     }
 }
@@ -64,7 +64,7 @@
 impl Findings {
     /// One finding about a file as a whole, such as one that can't be read.
     pub fn of_file(file: &Path, message: impl fmt::Display) -> Findings {
-        let place = Place::whole(file);
+        let place = Place::of_file(file);
         Findings(vec![Finding { place, path: String::new(), message: message.to_string() }])
     }
 
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -38,13 +38,15 @@
     let mut findings = Findings(node.duplicates());
     let reading = shape::read::<Process>(&node);
     if let Some(process) = &reading.value {
-        let is_moot = |paths: &[&str]| paths.iter().any(|path| reading.is_placeholder(path));
+        let is_unreadable = |paths: &[&str]| paths.iter().any(|path| reading.is_placeholder(path));
         let problems = check::problems(process).into_iter();
-        findings.0.extend(problems.filter(|problem| !is_moot(&problem.paths)).map(|problem| {
-            let path = problem.paths[0];
-            let place = node.place_of(path).clone();
-            Finding { place, path: path.into(), message: problem.message }
-        }));
+        findings.0.extend(problems.filter(|problem| !is_unreadable(&problem.paths)).map(
+            |problem| {
+                let path = problem.paths[0];
+                let place = node.place_of(path).clone();
+                Finding { place, path: path.into(), message: problem.message }
+            },
+        ));
     }
     findings.0.extend(reading.findings);
     match reading.value {
--- a/crates/settings/src/process/check.rs
+++ b/crates/settings/src/process/check.rs
@@ -8,7 +8,7 @@
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
 /// Shortest token that is worth comparing, in characters.
-const SHORTEST_TOKEN: usize = 16;
+const MIN_TOKEN_LENGTH: usize = 16;
 
 /// Something wrong with a value, or with several together.
 pub(super) struct Problem {
@@ -23,7 +23,7 @@
         Problem { paths: vec![path], message: message.into() }
     }
 
-    fn beside(mut self, path: &'static str) -> Problem {
+    fn with_path(mut self, path: &'static str) -> Problem {
         self.paths.push(path);
         self
     }
@@ -72,10 +72,10 @@
         }
     }
     for (index, (path, address)) in listeners.iter().enumerate() {
-        let taken = listeners[..index].iter().find(|(_, other)| other == address);
-        if let Some((other, _)) = taken.filter(|_| address.port() != 0) {
+        let earlier = listeners[..index].iter().find(|(_, other)| other == address);
+        if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
             let message = format!("{address} is taken by {other}");
-            problems.push(Problem::new(path, message).beside(other));
+            problems.push(Problem::new(path, message).with_path(other));
         }
     }
     if process.platform.port() == 0 {
@@ -85,14 +85,14 @@
 
 fn tokens(process: &Process, problems: &mut Vec<Problem>) {
     let [_, peers, operators] = listeners(process);
-    let guarded = [
+    let tokens = [
         ("/operators_token", &process.operators_token, operators),
         ("/peers_token", &process.peers_token, peers),
     ];
-    for (path, token, (listener, address)) in guarded {
+    for (path, token, (listener, address)) in tokens {
         match token {
-            Some(token) if token.chars().count() < SHORTEST_TOKEN => {
-                let message = format!("shorter than {SHORTEST_TOKEN} characters");
+            Some(token) if token.chars().count() < MIN_TOKEN_LENGTH => {
+                let message = format!("shorter than {MIN_TOKEN_LENGTH} characters");
                 problems.push(Problem::new(path, message));
             }
             Some(token) if !token.chars().all(|c| c.is_ascii_graphic()) => {
@@ -101,7 +101,7 @@
             }
             None if !address.ip().is_loopback() => {
                 let message = format!("missing, though {address} isn't loopback");
-                problems.push(Problem::new(path, message).beside(listener));
+                problems.push(Problem::new(path, message).with_path(listener));
             }
             _ => {}
         }
@@ -116,7 +116,7 @@
     problems.extend(zeros.map(|(path, _)| Problem::new(path, "must be positive")));
     if bounds.request < bounds.idle {
         let problem = Problem::new("/bounds/idle_ms", "longer than the time for a whole request");
-        problems.push(problem.beside("/bounds/request_ms"));
+        problems.push(problem.with_path("/bounds/request_ms"));
     }
 }
 
@@ -153,7 +153,7 @@
     if planning.list_lag <= process.intervals.list {
         let message = "must be longer than the time between two reads of the list";
         let problem = Problem::new("/planning/list_lag_ms", message);
-        problems.push(problem.beside("/intervals/list_ms"));
+        problems.push(problem.with_path("/intervals/list_ms"));
     }
 }
 
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -17,7 +17,7 @@
 };
 
 /// Most findings that one reading collects; enough to show that the file is of another kind.
-pub const MOST_FINDINGS: usize = 200;
+pub const MAX_FINDINGS: usize = 200;
 
 /// What a reading gave.
 #[derive(Debug)]
@@ -39,16 +39,16 @@
 
 /// Reads a type from a tree and collects every finding.
 pub fn read<T: DeserializeOwned>(node: &Node) -> Reading<T> {
-    let mut spoiled = BTreeSet::new();
+    let mut faulty = BTreeSet::new();
     let mut findings = Vec::new();
-    while findings.len() < MOST_FINDINGS {
-        let reader = reader::Reader::new(node, String::new(), &spoiled);
+    while findings.len() < MAX_FINDINGS {
+        let reader = reader::Reader::new(node, String::new(), &faulty);
         let fault = match T::deserialize(reader) {
             Ok(value) => return Reading { value: Some(value), findings },
             Err(fault) => fault,
         };
         let finding = fault.into_finding(node);
-        let is_new = spoiled.insert(finding.path.clone());
+        let is_new = faulty.insert(finding.path.clone());
         findings.push(finding);
         if !is_new {
             break;
@@ -61,24 +61,24 @@
 #[derive(Debug)]
 pub(crate) struct Fault {
     message: String,
-    missing: Option<&'static str>,
-    at: Option<(String, Place)>,
+    missing_field: Option<&'static str>,
+    location: Option<(String, Place)>,
 }
 
 impl Fault {
-    fn at(mut self, path: &str, place: &Place) -> Fault {
-        if self.at.is_none() {
-            let path = match self.missing {
+    fn with_location(mut self, path: &str, place: &Place) -> Fault {
+        if self.location.is_none() {
+            let path = match self.missing_field {
                 Some(field) => crate::node::join(path, field),
                 None => path.to_owned(),
             };
-            self.at = Some((path, place.clone()));
+            self.location = Some((path, place.clone()));
         }
         self
     }
 
     fn into_finding(self, root: &Node) -> Finding {
-        let (path, place) = self.at.unwrap_or_else(|| (String::new(), root.place.clone()));
+        let (path, place) = self.location.unwrap_or_else(|| (String::new(), root.place.clone()));
         Finding { place, path, message: self.message }
     }
 }
@@ -93,10 +93,10 @@
 
 impl serde::de::Error for Fault {
     fn custom<T: fmt::Display>(message: T) -> Fault {
-        Fault { message: message.to_string(), missing: None, at: None }
+        Fault { message: message.to_string(), missing_field: None, location: None }
     }
 
     fn missing_field(field: &'static str) -> Fault {
-        Fault { message: "missing".into(), missing: Some(field), at: None }
+        Fault { message: "missing".into(), missing_field: Some(field), location: None }
     }
 }
--- a/crates/settings/src/shape/placeholder.rs
+++ b/crates/settings/src/shape/placeholder.rs
@@ -123,7 +123,7 @@
         variants: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        visitor.visit_enum(First(variants.first().copied().unwrap_or_default()))
+        visitor.visit_enum(FirstVariant(variants.first().copied().unwrap_or_default()))
     }
 }
 
@@ -167,9 +167,9 @@
 }
 
 /// The first variant of an enum, with placeholders inside.
-struct First(&'static str);
+struct FirstVariant(&'static str);
 
-impl<'de> EnumAccess<'de> for First {
+impl<'de> EnumAccess<'de> for FirstVariant {
     type Error = Fault;
     type Variant = Placeholder;
 
--- a/crates/settings/src/shape/reader.rs
+++ b/crates/settings/src/shape/reader.rs
@@ -14,30 +14,30 @@
 use crate::node::{Member, Node, Value, join};
 
 /// JSON pointers of the places known to be faulty.
-type Spoiled = BTreeSet<String>;
+type FaultyPaths = BTreeSet<String>;
 
 /// Reads one value of a tree.
 #[derive(Clone)]
 pub(super) struct Reader<'a> {
     node: &'a Node,
     path: String,
-    spoiled: &'a Spoiled,
+    faulty: &'a FaultyPaths,
 }
 
 impl<'a> Reader<'a> {
-    pub(super) fn new(node: &'a Node, path: String, spoiled: &'a Spoiled) -> Reader<'a> {
-        Reader { node, path, spoiled }
+    pub(super) fn new(node: &'a Node, path: String, faulty: &'a FaultyPaths) -> Reader<'a> {
+        Reader { node, path, faulty }
     }
 
-    fn is_spoiled(&self) -> bool {
-        self.spoiled.contains(&self.path)
+    fn is_faulty(&self) -> bool {
+        self.faulty.contains(&self.path)
     }
 
-    fn located<T>(&self, result: Result<T, Fault>) -> Result<T, Fault> {
-        result.map_err(|fault| fault.at(&self.path, &self.node.place))
+    fn with_location<T>(&self, result: Result<T, Fault>) -> Result<T, Fault> {
+        result.map_err(|fault| fault.with_location(&self.path, &self.node.place))
     }
 
-    fn any<'de, V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn visit<'de, V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
         let result = match &self.node.value {
             Value::Null => visitor.visit_unit(),
             Value::Bool(value) => visitor.visit_bool(*value),
@@ -50,30 +50,30 @@
             Value::Array(nodes) => visitor.visit_seq(Elements::new(&self, nodes)),
             Value::Object(members) => visitor.visit_map(Members::new(&self, members, &[])),
         };
-        self.located(result)
+        self.with_location(result)
     }
 
     fn child(&self, name: &str, node: &'a Node) -> Reader<'a> {
-        Reader::new(node, join(&self.path, name), self.spoiled)
+        Reader::new(node, join(&self.path, name), self.faulty)
     }
 
     fn unknown_field(&self, members: &[Member], fields: &'static [&'static str]) -> Option<Fault> {
         let unknown = members.iter().find(|member| {
             !fields.contains(&member.name.as_str())
-                && !self.spoiled.contains(&join(&self.path, &member.name))
+                && !self.faulty.contains(&join(&self.path, &member.name))
         })?;
         let fault = Fault::unknown_field(&unknown.name, fields);
-        Some(fault.at(&join(&self.path, &unknown.name), &unknown.place))
+        Some(fault.with_location(&join(&self.path, &unknown.name), &unknown.place))
     }
 }
 
-macro_rules! plain {
+macro_rules! visitor_methods {
     ($($method:ident)*) => {
         $(fn $method<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
-            if self.is_spoiled() {
+            if self.is_faulty() {
                 return Placeholder.$method(visitor);
             }
-            self.any(visitor)
+            self.visit(visitor)
         })*
     };
 }
@@ -81,7 +81,7 @@
 impl<'de> Deserializer<'de> for Reader<'_> {
     type Error = Fault;
 
-    plain! {
+    visitor_methods! {
         deserialize_any deserialize_bool deserialize_char deserialize_str deserialize_string
         deserialize_i8 deserialize_i16 deserialize_i32 deserialize_i64
         deserialize_u8 deserialize_u16 deserialize_u32 deserialize_u64
@@ -92,7 +92,7 @@
 
     fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
         match self.node.value {
-            _ if self.is_spoiled() => visitor.visit_none(),
+            _ if self.is_faulty() => visitor.visit_none(),
             Value::Null => visitor.visit_none(),
             _ => visitor.visit_some(self),
         }
@@ -103,10 +103,10 @@
         name: &'static str,
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        if self.is_spoiled() {
+        if self.is_faulty() {
             return Placeholder.deserialize_unit_struct(name, visitor);
         }
-        self.any(visitor)
+        self.visit(visitor)
     }
 
     fn deserialize_newtype_struct<V: Visitor<'de>>(
@@ -118,10 +118,10 @@
     }
 
     fn deserialize_tuple<V: Visitor<'de>>(self, len: usize, visitor: V) -> Result<V::Value, Fault> {
-        if self.is_spoiled() {
+        if self.is_faulty() {
             return Placeholder.deserialize_tuple(len, visitor);
         }
-        self.any(visitor)
+        self.visit(visitor)
     }
 
     fn deserialize_tuple_struct<V: Visitor<'de>>(
@@ -139,19 +139,19 @@
         fields: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        if self.is_spoiled() {
+        if self.is_faulty() {
             return Placeholder.deserialize_struct(name, fields, visitor);
         }
         // A derived visitor takes an array as its fields in order; no file of ours is written so.
         let Value::Object(members) = &self.node.value else {
             let fault = Fault::invalid_type(unexpected(&self.node.value), &"an object");
-            return self.located(Err(fault));
+            return self.with_location(Err(fault));
         };
         if let Some(fault) = self.unknown_field(members, fields) {
             return Err(fault);
         }
         let result = visitor.visit_map(Members::new(&self, members, fields));
-        self.located(result)
+        self.with_location(result)
     }
 
     fn deserialize_enum<V: Visitor<'de>>(
@@ -160,15 +160,15 @@
         variants: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        if self.is_spoiled() {
+        if self.is_faulty() {
             return Placeholder.deserialize_enum(name, variants, visitor);
         }
         let result = match &self.node.value {
-            Value::String(variant) => visitor.visit_enum(Choice { variant, content: None }),
+            Value::String(variant) => visitor.visit_enum(EnumValue { variant, content: None }),
             Value::Object(members) => match members.as_slice() {
                 [member] => {
                     let content = Some(self.child(&member.name, &member.node));
-                    visitor.visit_enum(Choice { variant: &member.name, content })
+                    visitor.visit_enum(EnumValue { variant: &member.name, content })
                 }
                 _ => Err(Fault::custom(format!(
                     "an object with {} members, expected exactly one of {}",
@@ -181,7 +181,7 @@
                 &format!("one of {}", quoted(variants)).as_str(),
             )),
         };
-        self.located(result)
+        self.with_location(result)
     }
 }
 
@@ -237,7 +237,7 @@
         members: &'a [Member],
         fields: &'static [&'static str],
     ) -> Members<'a> {
-        let is_spoiled = |name: &str| parent.spoiled.contains(&join(&parent.path, name));
+        let is_faulty = |name: &str| parent.faulty.contains(&join(&parent.path, name));
         let is_unknown = |name: &str| !fields.is_empty() && !fields.contains(&name);
         let mut seen = BTreeSet::new();
         let mut list: Vec<(&str, Option<&Node>)> = members
@@ -245,7 +245,7 @@
             .filter(|member| !is_unknown(&member.name) && seen.insert(member.name.as_str()))
             .map(|member| (member.name.as_str(), Some(&member.node)))
             .collect();
-        let absent = fields.iter().filter(|field| !seen.contains(*field) && is_spoiled(field));
+        let absent = fields.iter().filter(|field| !seen.contains(*field) && is_faulty(field));
         list.extend(absent.map(|field| (*field, None)));
         Members { parent: parent.clone(), members: list.into_iter(), value: None }
     }
@@ -274,39 +274,39 @@
 }
 
 /// The variant that a value names, and what stands inside it.
-struct Choice<'a> {
+struct EnumValue<'a> {
     variant: &'a str,
     content: Option<Reader<'a>>,
 }
 
-impl<'a, 'de> EnumAccess<'de> for Choice<'a> {
+impl<'a, 'de> EnumAccess<'de> for EnumValue<'a> {
     type Error = Fault;
-    type Variant = Content<'a>;
+    type Variant = VariantContent<'a>;
 
     fn variant_seed<S: DeserializeSeed<'de>>(
         self,
         seed: S,
-    ) -> Result<(S::Value, Content<'a>), Fault> {
+    ) -> Result<(S::Value, VariantContent<'a>), Fault> {
         let name: StrDeserializer<'_, Fault> = self.variant.into_deserializer();
-        let content = Content { variant: self.variant, reader: self.content };
+        let content = VariantContent { variant: self.variant, reader: self.content };
         Ok((seed.deserialize(name)?, content))
     }
 }
 
 /// What stands inside a variant.
-struct Content<'a> {
+struct VariantContent<'a> {
     variant: &'a str,
     reader: Option<Reader<'a>>,
 }
 
-impl<'a> Content<'a> {
+impl<'a> VariantContent<'a> {
     fn required(self) -> Result<Reader<'a>, Fault> {
         let message = format!("`{}` needs a value: {{\"{0}\": ...}}", self.variant);
         self.reader.ok_or_else(|| Fault::custom(message))
     }
 }
 
-impl<'de> VariantAccess<'de> for Content<'_> {
+impl<'de> VariantAccess<'de> for VariantContent<'_> {
     type Error = Fault;
 
     fn unit_variant(self) -> Result<(), Fault> {
