--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -1,9 +1,9 @@
-//! The declared configuration as files: one JSON file, or a directory of them kept in version
-//! control.
+//! Reads and writes the declared configuration: one JSON file, or a directory of them kept in
+//! version control.
 //!
-//! Each file of a directory holds a part of the whole in the same form, so that customers, models
-//! and services can stand in files of their own, or each model in one. A name that two files
-//! declare is a finding; nothing overrides anything.
+//! Each file of a directory holds a part of the configuration in the same format, so that
+//! customers, models and services, or each single model, can have a file of their own. A name that
+//! two files declare is a finding; no file overrides another.
 
 use std::{collections::HashMap, path::Path};
 
@@ -16,16 +16,16 @@
     shape,
 };
 
-/// Sections whose entries may be spread over files.
+/// Sections whose entries may be spread over several files.
 const SECTIONS: [&str; 3] = ["customers", "models", "services"];
 
-/// Reads the declared configuration from a file, or from the JSON files of a directory and those
-/// below it.
+/// Reads the declared configuration from a file, or from the JSON files of a directory and its
+/// subdirectories.
 ///
 /// # Errors
 ///
-/// Every finding in every file: text that isn't JSON, shapes that don't fit, names declared twice,
-/// names that dangle, zero shares.
+/// Every finding in every file: invalid JSON, values of the wrong type, names declared twice,
+/// references to undeclared names, zero shares.
 pub fn read_config(path: &Path) -> Result<Config, Findings> {
     let files = json_files(path)?;
     if files.is_empty() {
@@ -43,7 +43,7 @@
     findings.0.extend(nodes.iter().flat_map(Node::duplicates));
     let root = merge(path, nodes, &mut findings);
     let reading = shape::read::<Config>(&root);
-    // A file that could not be parsed would make every name in it dangle.
+    // Names declared in a file that could not be parsed would be reported as undeclared.
     if let Some(config) = reading.value.as_ref().filter(|_| all_parsed) {
         let problems = check::problems(config).into_iter();
         let is_unreadable = |path: &str| reading.is_placeholder(path);
@@ -61,8 +61,8 @@
     }
 }
 
-/// Writes the declared configuration to a file, sorted by name, so that reading it back gives the
-/// same and a line-by-line comparison says what changed.
+/// Writes the declared configuration to a file, sorted by name, so that a line-by-line diff of two
+/// versions shows what changed. Reading the file back gives an equal configuration.
 ///
 /// # Errors
 ///
@@ -71,18 +71,19 @@
     std::fs::write(path, to_text(config)?)
 }
 
-/// The text that [`write_config`] writes.
+/// Formats the configuration as the JSON that [`write_config`] writes.
 ///
 /// # Errors
 ///
-/// A weight that JSON can't hold.
+/// A weight is a number that JSON can't represent.
 pub fn to_text(config: &Config) -> std::io::Result<String> {
     let mut text = serde_json::to_string_pretty(config)?;
     text.push('\n');
     Ok(text)
 }
 
-/// One object out of the files' objects, section by section.
+/// Merges the top-level objects of all files into one, section by section. A single file is
+/// returned as it is.
 fn merge(path: &Path, nodes: Vec<Node>, findings: &mut Findings) -> Node {
     let mut nodes = nodes.into_iter();
     let place = Place::of_file(path);
@@ -104,7 +105,7 @@
     root
 }
 
-/// Adds a member of one file's object to the whole.
+/// Adds one section of a file to `root`; `declared` maps the path of each entry to its first place.
 fn merge_member(
     root: &mut Node,
     member: Member,
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file, and where.
+//! Errors found in a file, each with its location.
 
 use std::{
     fmt,
@@ -8,19 +8,19 @@
 
 use serde::Serialize;
 
-/// Where something stands in a file.
+/// A location in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Place {
-    /// The file.
+    /// Path of the file, as given by the caller or found in the directory.
     pub file: Arc<Path>,
-    /// Line, from one; zero for the file as a whole.
+    /// Line, counted from one; zero if the location is the whole file.
     pub line: usize,
-    /// Column in characters, from one; zero for the file as a whole.
+    /// Column in characters, counted from one; zero if the location is the whole file.
     pub column: usize,
 }
 
 impl Place {
-    /// The file as a whole.
+    /// The location of a finding about the whole file.
     pub fn of_file(file: &Path) -> Place {
         Place { file: file.into(), line: 0, column: 0 }
     }
@@ -35,15 +35,15 @@
     }
 }
 
-/// One thing that is wrong.
+/// One error found in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Finding {
-    /// Where it stands.
+    /// Location of the value at fault, or of the nearest enclosing value that exists.
     #[serde(flatten)]
     pub place: Place,
-    /// JSON pointer (RFC 6901) of the value at fault; empty for the whole.
+    /// JSON pointer (RFC 6901) of the value at fault; empty for the whole file.
     pub path: String,
-    /// What is wrong with it.
+    /// Explanation for the operator, without path and location.
     pub message: String,
 }
 
@@ -56,26 +56,27 @@
     }
 }
 
-/// Everything that is wrong, in the order of files and lines; a line for each when printed.
+/// All errors found; as an error of the readers, sorted by file and line. `Display` prints one line
+/// for each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// One finding about a file as a whole, such as one that can't be read.
+    /// A single finding about a whole file, such as that it can't be read.
     pub fn of_file(file: &Path, message: impl fmt::Display) -> Findings {
         let place = Place::of_file(file);
         Findings(vec![Finding { place, path: String::new(), message: message.to_string() }])
     }
 
-    /// In the order of files and lines, without doubles.
+    /// Sorts by file and line and removes duplicates.
     pub(crate) fn sorted(mut self) -> Findings {
         self.0.sort();
         self.0.dedup();
         self
     }
 
-    /// The value when nothing was found, else the findings.
+    /// Returns the value if there are no findings, else the sorted findings.
     pub(crate) fn or_value<T>(self, value: T) -> Result<T, Findings> {
         if self.0.is_empty() { Ok(value) } else { Err(self.sorted()) }
     }
@@ -95,13 +96,13 @@
 
 impl std::error::Error for Findings {}
 
-/// Reads a file, or says why it can't be read.
+/// Reads a file; an I/O error becomes a finding about the whole file.
 pub(crate) fn read_bytes(file: &Path) -> Result<Vec<u8>, Findings> {
     std::fs::read(file).map_err(|error| Findings::of_file(file, format!("can't be read: {error}")))
 }
 
-/// The JSON files of a directory and of those below it, in the order of their names; the path
-/// itself when it is a file. Names that start with a dot are passed over.
+/// Lists the JSON files of a directory and its subdirectories, sorted by name, or only the path
+/// itself if it isn't a directory. Files and directories whose name starts with a dot are skipped.
 pub(crate) fn json_files(path: &Path) -> Result<Vec<PathBuf>, Findings> {
     if !path.is_dir() {
         return Ok(vec![path.to_path_buf()]);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,13 @@
-//! Process settings and declared configuration, read from JSON with every finding in its place.
+//! Process settings and declared configuration, read from JSON with a file, line and column for
+//! every finding.
 //!
-//! A reader that stops at the first fault makes its user start it once for each fault. Here the
-//! text is first parsed into a [`node::Node`] tree that knows its lines, then the types' own serde
-//! shapes are tried against it again and again, each time with the places found faulty so far
-//! replaced by placeholders ([`shape`]). So the shapes are declared once, in the types, and all
-//! findings are still reported together. What no shape can say (names that dangle, zero shares) is
-//! checked on the typed value and looked up in the tree for its place.
+//! A reader that stops at the first error has to be run once for each error. Here the text is
+//! first parsed into a [`node::Node`] tree that records line and column of each value. The tree is
+//! then deserialized into the typed value repeatedly, each time with the values found faulty so
+//! far replaced by placeholders ([`shape`]). So the schema is declared once, by the types' serde
+//! implementations, and all findings are still reported together. Constraints that serde can't
+//! express (references to undeclared names, zero shares) are checked on the typed value, and the
+//! tree gives their location.
 
 pub mod config;
 pub mod finding;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,7 +1,7 @@
-//! JSON values that know their file, line and column.
+//! JSON values that record their file, line and column.
 //!
-//! Members of an object are kept as a list, so that a name given twice is a finding with both its
-//! places instead of a parse error that hides everything after it.
+//! Members of an object are kept as a list, so that a duplicate name is a finding with both of its
+//! locations instead of a parse error that hides everything after it.
 
 use std::path::Path;
 
@@ -14,45 +14,49 @@
 
 use crate::finding::{Finding, Findings, Place};
 
-/// A value and its place.
+/// A JSON value and its location.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it starts.
+    /// Location of the first character of the value.
     pub place: Place,
-    /// What it is.
+    /// The parsed value.
     pub value: Value,
 }
 
-/// A JSON value.
+/// A JSON value whose children keep their locations.
 #[derive(Clone, Debug)]
 pub enum Value {
     /// `null`.
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A number.
+    /// A number, not yet converted to a Rust type.
     Number(serde_json::Number),
-    /// A string.
+    /// A string, with its escapes resolved.
     String(String),
-    /// An array.
+    /// An array, in the order of the file.
     Array(Vec<Node>),
-    /// An object, its members as written.
+    /// An object: its members in the order of the file, duplicate names included.
     Object(Vec<Member>),
 }
 
 /// A member of an object.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// Name, with its escapes resolved.
     pub name: String,
-    /// Where the name stands.
+    /// Location of the name.
     pub place: Place,
-    /// Its value.
+    /// Value of the member.
     pub node: Node,
 }
 
 impl Node {
-    /// Parses a file's bytes.
+    /// Parses the bytes of a file; `file` is only used in locations.
+    ///
+    /// # Errors
+    ///
+    /// One finding, at the first byte that isn't UTF-8 or at the first JSON syntax error.
     pub fn parse(file: &Path, bytes: &[u8]) -> Result<Node, Findings> {
         let text = std::str::from_utf8(bytes).map_err(|error| {
             let before = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
@@ -64,14 +68,15 @@
         Ok(Lines::new(file, text).node(tree))
     }
 
-    /// Findings for names that an object of the tree gives more than once.
+    /// Finds names that an object of the tree contains more than once.
     pub fn duplicates(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         self.collect_duplicates("", &mut findings);
         findings
     }
 
-    /// Place of the value at a JSON pointer, or of the nearest one above it that exists.
+    /// Location of the value at a JSON pointer, or of the nearest enclosing value that exists. A
+    /// member of an object is located by its name.
     pub fn place_of(&self, path: &str) -> &Place {
         let mut node = self;
         let mut place = &self.place;
@@ -92,7 +97,7 @@
         place
     }
 
-    /// Adds a member to an object; nothing else takes one.
+    /// Appends a member to an object; does nothing if the value isn't an object.
     pub(crate) fn push(&mut self, member: Member) {
         if let Value::Object(members) = &mut self.value {
             members.push(member);
@@ -125,7 +130,7 @@
     }
 }
 
-/// A JSON pointer one step longer.
+/// Extends a JSON pointer by one name, which is escaped as RFC 6901 requires.
 pub fn join(path: &str, name: &str) -> String {
     format!("{path}{}", pointer(&[name]))
 }
@@ -137,7 +142,7 @@
     Findings(vec![Finding { place, path: String::new(), message: format!("not JSON: {message}") }])
 }
 
-/// Where each line of a text starts.
+/// Index of the line starts of a text, which converts byte offsets into lines and columns.
 struct Lines<'a> {
     file: std::sync::Arc<Path>,
     text: &'a str,
@@ -184,7 +189,7 @@
     }
 }
 
-/// A JSON value as the span library reads it.
+/// A JSON value as `json_spanned_value` parses it, with byte offsets.
 enum Tree {
     Null,
     Bool(bool),
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,7 +1,7 @@
-//! Settings of one host's process.
+//! Settings of one host's process, read from a file when it starts.
 //!
-//! A process learns its name, addresses and availability zone from here and nowhere else.
-//! Everything that operators change while it runs is in the declared configuration instead.
+//! They are the only source of the host's name, addresses and availability zone. Everything that
+//! operators change while the process runs is in the declared configuration instead.
 
 mod check;
 mod planning;
@@ -31,8 +31,8 @@
 ///
 /// # Errors
 ///
-/// Every finding: a file that can't be read or parsed, shapes that don't fit, settings that
-/// contradict each other or let strangers in.
+/// Every finding: a file that can't be read or parsed, values of the wrong type, settings that
+/// contradict each other or allow unauthenticated access.
 pub fn read_process(file: &Path) -> Result<Process, Findings> {
     let node = Node::parse(file, &read_bytes(file)?)?;
     let mut findings = Findings(node.duplicates());
@@ -55,72 +55,74 @@
     }
 }
 
-/// Settings of one host's process.
+/// Settings of one host's process. Unknown keys are findings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Process {
-    /// Who and where this host is.
+    /// Name, availability zone and listener addresses of this host.
     pub host: Host,
-    /// Where the platform's object API and host list listen.
+    /// Address of the platform, which serves the object API and the list of hosts.
     pub platform: SocketAddr,
-    /// Peers' listeners of some other hosts, asked when a host starts while the platform is down.
+    /// Peer listeners of some other hosts, queried if the platform is down when this host starts.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Whether those hosts listen for others at this host's port, whatever port they are named with.
+    /// Whether the hosts in `peers` use the port of this host's own peer listener; the ports given
+    /// in `peers` are then ignored.
     #[serde(default)]
     pub peers_share_port: bool,
-    /// Where other hosts reach this host's listener for them, if addresses are translated between them.
+    /// Address at which other hosts reach this host's peer listener, if network address translation
+    /// makes it differ from the address it listens on.
     #[serde(default)]
     pub peers_advertised: Option<SocketAddr>,
-    /// Token that operators must show; none lets in loopback only.
+    /// Token that operators must send. Without one, the operators' listener must be on loopback.
     #[serde(default)]
     pub operators_token: Option<String>,
-    /// Token that hosts show each other; none lets in loopback only.
+    /// Token that hosts send to each other. Without one, the peer listener must be on loopback.
     #[serde(default)]
     pub peers_token: Option<String>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Times of a planned stop.
+    /// Time limits of a planned stop.
     #[serde(default)]
     pub drain: Drain,
-    /// How often things are asked for.
+    /// Intervals of periodic work.
     #[serde(default)]
     pub intervals: Intervals,
-    /// Planning of moves.
+    /// Planning of model loads and unloads.
     #[serde(default)]
     pub planning: Planning,
-    /// How requests are admitted and limited.
+    /// Admission control and concurrency limits.
     #[serde(default)]
     pub traffic: Traffic,
-    /// Where logs go.
+    /// Destination and level of the log.
     #[serde(default)]
     pub log: Log,
-    /// Routes by host and path in place of the chat interface, if it is set.
+    /// If set, the process routes requests by host and path instead of serving the chat interface.
     #[serde(default)]
     pub routed: Option<Routed>,
 }
 
 impl Process {
-    /// The settings without what only their readers may know; for the log.
+    /// A copy without the tokens, for the log.
     #[must_use]
     pub fn without_secrets(&self) -> Process {
         Process { operators_token: None, peers_token: None, ..self.clone() }
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a call to a model, in bytes.
+    /// Maximum size of the body of a request to a model, in bytes.
     pub body_bytes: usize,
-    /// Longest silence on a connection within a request; milliseconds in JSON.
+    /// Idle timeout of a connection within a request; milliseconds in JSON.
     #[serde(rename = "idle_ms", with = "millis")]
     pub idle: Duration,
-    /// Longest time for a whole request; milliseconds in JSON.
+    /// Timeout of a whole request; milliseconds in JSON.
     #[serde(rename = "request_ms", with = "millis")]
     pub request: Duration,
 }
@@ -136,49 +138,50 @@
     }
 }
 
-/// How requests are admitted and limited.
+/// Admission control and concurrency limits.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// What is admitted.
+    /// Which requests are admitted.
     pub admission: Admission,
-    /// How the limit on work in flight for each server and model is set.
+    /// Algorithm that sets the limit on requests in flight for each server and model.
     pub limit: Limit,
 }
 
-/// What is admitted.
+/// Policy that decides which requests are admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admission {
-    /// What can meet its target, within the limits; the rest is refused early.
+    /// Requests that are expected to meet their target, within the concurrency limits; others are
+    /// refused early.
     #[default]
     Judged,
-    /// Everything at once.
+    /// Every request, immediately.
     Open,
 }
 
-/// How a limit is set.
+/// Algorithm that sets a concurrency limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Limit {
-    /// After the gradient of the first-token time.
+    /// Follows the gradient of the time to first token.
     #[default]
     Gradient,
     /// Additive increase, multiplicative decrease.
     Aimd,
-    /// Always this many.
+    /// A constant number of requests in flight.
     Fixed(std::num::NonZeroU32),
 }
 
-/// Times of a planned stop.
+/// Time limits of a planned stop.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// How long the host says not ready before it stops listening, so that the balancer notices;
-    /// milliseconds in JSON.
+    /// How long the host reports that it isn't ready before it stops listening, so that the load
+    /// balancer stops sending to it; milliseconds in JSON.
     #[serde(rename = "balancer_ms", with = "millis")]
     pub balancer: Duration,
-    /// Longest wait for requests in flight; milliseconds in JSON.
+    /// Maximum wait for requests in flight to complete; milliseconds in JSON.
     #[serde(rename = "finish_ms", with = "millis")]
     pub finish: Duration,
 }
@@ -189,20 +192,20 @@
     }
 }
 
-/// How often things are asked for.
+/// Intervals of periodic work.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Intervals {
-    /// Between reads of the platform's host list; milliseconds in JSON.
+    /// Time between reads of the platform's list of hosts; milliseconds in JSON.
     #[serde(rename = "list_ms", with = "millis")]
     pub list: Duration,
-    /// Between load reports of one backend server; milliseconds in JSON.
+    /// Time between load reports of one backend server; milliseconds in JSON.
     #[serde(rename = "report_ms", with = "millis")]
     pub report: Duration,
-    /// Between heartbeats to other hosts; milliseconds in JSON.
+    /// Time between heartbeats to other hosts; milliseconds in JSON.
     #[serde(rename = "heartbeat_ms", with = "millis")]
     pub heartbeat: Duration,
-    /// Between rounds of planning; milliseconds in JSON.
+    /// Time between planning rounds; milliseconds in JSON.
     #[serde(rename = "plan_ms", with = "millis")]
     pub plan: Duration,
 }
@@ -218,13 +221,13 @@
     }
 }
 
-/// Where logs go.
+/// Destination and level of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// File for the JSON lines; standard error if there is none.
+    /// File to which JSON lines are written; standard error if none.
     pub file: Option<PathBuf>,
-    /// Least level that is written: error, warn, info, debug or trace.
+    /// Least severe level that is written: error, warn, info, debug or trace.
     pub level: String,
 }
 
--- a/crates/settings/src/process/check.rs
+++ b/crates/settings/src/process/check.rs
@@ -1,20 +1,18 @@
-//! What the shape of a process's settings can't say.
+//! Checks of process settings that deserialization can't express.
 
 use std::{net::SocketAddr, time::Duration};
 
 use super::{Process, Routed};
 
-/// Levels that the log knows.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Shortest token that is worth comparing, in characters.
+/// Minimum length of a token, in characters; a shorter one could be guessed.
 const MIN_TOKEN_LENGTH: usize = 16;
 
-/// Something wrong with a value, or with several together.
+/// An error in one value, or in the combination of several.
 pub(super) struct Problem {
-    /// JSON pointers of the values that it rests on, the one at fault first.
+    /// JSON pointers of the values that were compared, the one at fault first.
     pub(super) paths: Vec<&'static str>,
-    /// What is wrong.
     pub(super) message: String,
 }
 
@@ -29,13 +27,14 @@
     }
 }
 
-/// Everything wrong with the settings.
+/// Checks all settings. The caller drops problems that involve a value that could not be read.
 pub(super) fn problems(process: &Process) -> Vec<Problem> {
     let mut problems = Vec::new();
     names(process, &mut problems);
     addresses(process, &mut problems);
     match &process.routed {
-        // A routed deployment takes no patches through its hosts, and its network is its own.
+        // The hosts of a routed deployment accept no configuration patches, and its network is
+        // private, so it needs no tokens.
         Some(routed) => routed_bounds(routed, &mut problems),
         None => tokens(process, &mut problems),
     }
--- a/crates/settings/src/process/planning.rs
+++ b/crates/settings/src/process/planning.rs
@@ -1,32 +1,34 @@
-//! Settings of planning: which models stand where, and the orders that move them.
+//! Settings of planning: which server holds which models, and the orders that load and unload them.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use types::time::millis;
 
-/// Settings of planning.
+/// Leases, time limits and rates of planning.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Planning {
-    /// How long the planning lease lasts without a renewal; milliseconds in JSON.
+    /// Time after which a planning lease expires unless it is renewed; milliseconds in JSON.
     #[serde(rename = "lease_ms", with = "millis")]
     pub lease: Duration,
-    /// Longest wait for an engine's answer to an order; milliseconds in JSON.
+    /// Timeout of an engine's answer to an order; milliseconds in JSON.
     #[serde(rename = "order_ms", with = "millis")]
     pub order: Duration,
-    /// Longest time that anything sent may still arrive after its connection was closed;
-    /// milliseconds in JSON. Memory in doubt is held for at least as long.
+    /// Maximum time after which data may still arrive once its connection was closed; milliseconds
+    /// in JSON. Memory whose order has an unknown outcome stays reserved for at least this long.
     #[serde(rename = "linger_ms", with = "millis")]
     pub linger: Duration,
-    /// Longer than the platform's list of hosts ever lags; milliseconds in JSON.
+    /// Upper bound on the staleness of the platform's list of hosts; milliseconds in JSON. It must
+    /// be longer than the interval between two reads of the list.
     #[serde(rename = "list_lag_ms", with = "millis")]
     pub list_lag: Duration,
-    /// Loads that the weight store serves in each second.
+    /// Rate of loads that the weight store serves, per second.
     pub loads_per_second: f64,
-    /// Loads that run at once at full speed.
+    /// Maximum number of concurrent loads that all run at full speed.
     pub loads_at_once: usize,
-    /// Adapters that come from the weight store at once at full speed, over all servers.
+    /// Maximum number of adapters, over all servers, that the weight store delivers concurrently at
+    /// full speed.
     pub adapters_at_once: usize,
 }
 
--- a/crates/settings/src/process/routed.rs
+++ b/crates/settings/src/process/routed.rs
@@ -5,47 +5,49 @@
 use serde::{Deserialize, Serialize};
 use types::time::{millis, seconds};
 
-/// Settings of a routed deployment; its routes, services and engines are declared, not set here.
+/// Settings of a routed deployment. Its routes, services and engines are in the declared
+/// configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Routed {
-    /// What callers, servers and the store speak.
+    /// Protocol of callers, servers and the store.
     pub dialect: Dialect,
-    /// Time after which a declaration must be in force; milliseconds in JSON.
+    /// Time within which a new declaration must be in force; milliseconds in JSON.
     #[serde(rename = "apply_ms", with = "millis")]
     pub apply: Duration,
-    /// Time after which a leaving server must get nothing new; milliseconds in JSON.
+    /// Time after which a leaving server must not be sent new requests; milliseconds in JSON.
     #[serde(rename = "drain_ms", with = "millis")]
     pub drain: Duration,
-    /// Time between SIGTERM and the end of the process; seconds in JSON.
+    /// Time from SIGTERM until the process is ended; seconds in JSON.
     #[serde(rename = "grace_s", with = "seconds")]
     pub grace: Duration,
-    /// Time that must pass between the orders of two hosts to one server; milliseconds in JSON.
+    /// Minimum time between the orders of two different hosts to one server; milliseconds in JSON.
     #[serde(rename = "turn_ms", with = "millis")]
     pub turn: Duration,
-    /// Retries of all hosts together.
+    /// Retry budget, shared by all hosts.
     pub retry: Retry,
-    /// A port for the metrics besides the operators' listener, at the same address. Without it they are
-    /// served there alone.
+    /// Additional port for the metrics, at the IP address of the operators' listener. Without it
+    /// they are served by the operators' listener only.
     #[serde(default)]
     pub metrics_port: Option<u16>,
 }
 
-/// What callers, servers and the store speak.
+/// Protocol of callers, servers and the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dialect {
-    /// That of the users' platform.
+    /// The protocol of the users' platform.
     Platform,
 }
 
-/// Retries of all hosts together: `ratio` of the requests in a window, and `extra`.
+/// Retry budget of all hosts together: `ratio` times the requests in a sliding window, plus
+/// `extra`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
-    /// Share of a service's requests.
+    /// Allowed retries, as a fraction of a service's requests in the window.
     pub ratio: f64,
-    /// Retries on top, for all hosts together.
+    /// Additional retries per window, for all hosts together.
     pub extra: f64,
     /// Length of the sliding window; seconds in JSON.
     #[serde(rename = "window_s", with = "seconds")]
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,8 +1,8 @@
-//! A type's serde shape tried against a tree, with every finding.
+//! Deserializes a type from a tree and collects every error.
 //!
-//! Serde stops at the first fault. Here a fault's place is noted, and the type is read again with
-//! a [`placeholder::Placeholder`] standing there, until a pass finds nothing new. One pass for
-//! each finding is dear in theory and nothing in practice: files are small and faults are few.
+//! Serde stops at the first error. Here the path of an error is recorded, and the type is
+//! deserialized again with a [`placeholder::Placeholder`] at that path, until a pass succeeds.
+//! The cost of a pass for each finding is negligible in practice: files are small and errors few.
 
 mod placeholder;
 mod reader;
@@ -16,28 +16,30 @@
     node::Node,
 };
 
-/// Most findings that one reading collects; enough to show that the file is of another kind.
+/// Maximum number of findings that one read collects. A file with this many is most likely not of
+/// the expected kind at all.
 pub const MAX_FINDINGS: usize = 200;
 
-/// What a reading gave.
+/// Result of deserializing a type from a tree.
 #[derive(Debug)]
 pub struct Reading<T> {
-    /// The value, with placeholders where findings stand; none when it could not be completed.
+    /// The value, with a placeholder for each value that has a finding; none if no complete value
+    /// could be built.
     pub value: Option<T>,
-    /// What is wrong.
+    /// Errors, in the order in which the passes found them.
     pub findings: Vec<Finding>,
 }
 
 impl<T> Reading<T> {
-    /// Whether a placeholder stands at a JSON pointer or above it, so that nothing more can be
-    /// said of that place.
+    /// Whether the value at a JSON pointer, or one that encloses it, is a placeholder, so that
+    /// further checks of it would be meaningless.
     pub fn is_placeholder(&self, path: &str) -> bool {
         let covers = |rest: &str| rest.is_empty() || rest.starts_with('/');
         self.findings.iter().any(|finding| path.strip_prefix(&finding.path).is_some_and(covers))
     }
 }
 
-/// Reads a type from a tree and collects every finding.
+/// Deserializes a type from a tree and collects every finding, up to [`MAX_FINDINGS`].
 pub fn read<T: DeserializeOwned>(node: &Node) -> Reading<T> {
     let mut faulty = BTreeSet::new();
     let mut findings = Vec::new();
@@ -57,7 +59,8 @@
     Reading { value: None, findings }
 }
 
-/// A fault as serde reports it; its place is known to the innermost reader that it passes.
+/// A deserialization error. Serde creates it without a location; the innermost reader that returns
+/// it adds the location.
 #[derive(Debug)]
 pub(crate) struct Fault {
     message: String,
--- a/crates/settings/src/shape/placeholder.rs
+++ b/crates/settings/src/shape/placeholder.rs
@@ -1,4 +1,4 @@
-//! A value of whatever kind is asked for, to stand where a finding is.
+//! A deserializer that produces a value of any requested type, in place of a faulty value.
 
 use serde::{
     Deserializer,
@@ -10,10 +10,10 @@
 
 use super::Fault;
 
-/// Reads as a number, a name, an address: whatever a text may have to be parsed into.
+/// A valid name and a valid socket address, since string fields may be parsed into either.
 const TEXT: &str = "127.0.0.1:1";
 
-/// Gives any type a value that its shape accepts.
+/// Gives each type a value that its `Deserialize` implementation accepts.
 pub(super) struct Placeholder;
 
 macro_rules! numbers {
@@ -127,7 +127,7 @@
     }
 }
 
-/// So many placeholders in a row.
+/// A sequence of this many placeholders.
 struct Elements(usize);
 
 impl<'de> SeqAccess<'de> for Elements {
@@ -145,7 +145,7 @@
     }
 }
 
-/// A placeholder for each field.
+/// A map with a placeholder for each of the named fields.
 struct Fields(&'static [&'static str]);
 
 impl<'de> MapAccess<'de> for Fields {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The first variant of an enum, with placeholders inside.
+/// The first variant of an enum, with placeholders as its content.
 struct FirstVariant(&'static str);
 
 impl<'de> EnumAccess<'de> for FirstVariant {
--- a/crates/settings/src/shape/reader.rs
+++ b/crates/settings/src/shape/reader.rs
@@ -1,4 +1,4 @@
-//! Serde's view of a tree, with placeholders where a place is known to be faulty.
+//! A serde deserializer over a tree, with placeholders for the values known to be faulty.
 
 use std::collections::BTreeSet;
 
@@ -13,10 +13,10 @@
 use super::{Fault, placeholder::Placeholder};
 use crate::node::{Member, Node, Value, join};
 
-/// JSON pointers of the places known to be faulty.
+/// JSON pointers of the values known to be faulty.
 type FaultyPaths = BTreeSet<String>;
 
-/// Reads one value of a tree.
+/// Deserializes the value at one path of a tree.
 #[derive(Clone)]
 pub(super) struct Reader<'a> {
     node: &'a Node,
@@ -142,7 +142,8 @@
         if self.is_faulty() {
             return Placeholder.deserialize_struct(name, fields, visitor);
         }
-        // A derived visitor takes an array as its fields in order; no file of ours is written so.
+        // A derived visitor also accepts an array of its fields in order. The format of these files
+        // does not include that, so it is a finding.
         let Value::Object(members) = &self.node.value else {
             let fault = Fault::invalid_type(unexpected(&self.node.value), &"an object");
             return self.with_location(Err(fault));
@@ -200,7 +201,7 @@
     }
 }
 
-/// The elements of an array.
+/// Sequence access to the elements of an array.
 struct Elements<'a> {
     parent: Reader<'a>,
     nodes: std::iter::Enumerate<std::slice::Iter<'a, Node>>,
@@ -224,7 +225,8 @@
     }
 }
 
-/// The members of an object, each name once, and a placeholder for each field known to be missing.
+/// Map access to the members of an object: each name once, unknown names left out, and a
+/// placeholder for each field known to be missing.
 struct Members<'a> {
     parent: Reader<'a>,
     members: std::vec::IntoIter<(&'a str, Option<&'a Node>)>,
@@ -268,12 +270,12 @@
         match self.value.take() {
             Some((name, Some(node))) => seed.deserialize(self.parent.child(name, node)),
             Some((_, None)) => seed.deserialize(Placeholder),
-            None => Err(Fault::custom("a value was asked for before its name")),
+            None => Err(Fault::custom("map value requested before its key")),
         }
     }
 }
 
-/// The variant that a value names, and what stands inside it.
+/// An enum value: the name of the variant, and its content if the value is an object.
 struct EnumValue<'a> {
     variant: &'a str,
     content: Option<Reader<'a>>,
@@ -293,7 +295,7 @@
     }
 }
 
-/// What stands inside a variant.
+/// Content of an enum variant; no reader if the value is only the name of the variant.
 struct VariantContent<'a> {
     variant: &'a str,
     reader: Option<Reader<'a>>,
--- a/crates/settings/tests/config.rs
+++ b/crates/settings/tests/config.rs
@@ -1,4 +1,4 @@
-//! The declared configuration: one file, or a directory of parts.
+//! Tests of reading and writing the declared configuration, as one file or as a directory.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use settings::{Findings, config::to_text, read_config, write_config};
 use types::config::Config;
 
-/// A directory with these files in it.
+/// Creates a temporary directory that contains these files.
 fn directory(files: &[(&str, &str)]) -> tempfile::TempDir {
     let directory = tempfile::tempdir().unwrap();
     for (name, text) in files {
@@ -21,7 +21,7 @@
     read_config(directory(files).path())
 }
 
-/// Findings as `file:line path message`.
+/// Reads the files and returns the findings as `file:line path message`.
 fn found(files: &[(&str, &str)]) -> Vec<String> {
     let findings = read(files).unwrap_err();
     findings
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -1,4 +1,5 @@
-//! Process settings: every finding, in its place, all together.
+//! Tests that reading process settings reports all findings together, each with path, line and
+//! column.
 
 use std::path::Path;
 
@@ -16,7 +17,7 @@
   "platform": "127.0.0.1:7070"
 }"#;
 
-/// Lines of findings without the name of the file.
+/// Reads settings and returns a line for each finding, without the name of the file.
 fn findings(text: &str) -> Vec<String> {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), text).unwrap();
@@ -147,7 +148,7 @@
 fn good_routed_settings_have_no_findings() {
     assert_eq!(findings(ROUTED), Vec::<String>::new());
     let open = ROUTED.replace("127.0.0.1:708", "10.0.0.1:708");
-    assert_eq!(findings(&open), Vec::<String>::new(), "a routed host's network is its own");
+    assert_eq!(findings(&open), Vec::<String>::new(), "a routed host needs no tokens off loopback");
 }
 
 #[test]
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -1,6 +1,6 @@
-//! The reader against arbitrary and against damaged input: it never panics, and it takes what
-//! serde itself takes and nothing else, but for objects written as arrays of their values, which
-//! serde takes and no file should hold.
+//! Properties of the reader with arbitrary and damaged input: it never panics, and it accepts
+//! exactly what serde itself accepts, except for objects written as arrays of their values. Serde
+//! accepts those, but the file format does not include them.
 
 use std::path::Path;
 
@@ -45,7 +45,7 @@
     })
 }
 
-/// JSON pointers of every value below a value.
+/// Appends the JSON pointers of a value and of all values nested in it to `all`.
 fn pointers(value: &Value, path: String, all: &mut Vec<String>) {
     match value {
         Value::Object(members) => members.iter().for_each(|(name, value)| {
@@ -82,7 +82,7 @@
 
 const ARRAY_FOR_OBJECT: &str = "invalid type: sequence, expected an object";
 
-/// Reads as the files are read and compares the verdict with serde's own.
+/// Checks that the reader accepts a text and its value exactly if serde does.
 fn agrees_with_serde(text: &str) -> Result<(), TestCaseError> {
     let node = Node::parse(Path::new("test.json"), text.as_bytes()).unwrap();
     let reading = shape::read::<Config>(&node);
