--- a/crates/settings/tests/config.rs
+++ b/crates/settings/tests/config.rs
@@ -49,8 +49,8 @@
     let config = read(&parts).unwrap();
     assert_eq!((config.customers.len(), config.models.len(), config.services.len()), (1, 1, 1));
 
-    let noise = [("notes.txt", "not JSON"), (".hidden.json", "not JSON")];
-    assert_eq!(read(&[&parts[..], &noise[..]].concat()).unwrap(), config);
+    let ignored = [("notes.txt", "not JSON"), (".hidden.json", "not JSON")];
+    assert_eq!(read(&[&parts[..], &ignored[..]].concat()).unwrap(), config);
 }
 
 #[test]
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -108,10 +108,10 @@
     assert_eq!(findings(&open).len(), 1);
     assert!(findings(&open)[0].contains(&format!("/{token}: missing")));
 
-    let guarded = |text: &str| open.replacen('{', &format!("{{ \"{token}\": \"{text}\","), 1);
-    assert_eq!(findings(&guarded("a-token-of-32-letters-and-digits")), Vec::<String>::new());
-    assert!(findings(&guarded("short"))[0].contains("shorter than 16 characters"));
-    assert!(findings(&guarded("a token with spaces inside it"))[0].contains("visible ASCII"));
+    let with_token = |text: &str| open.replacen('{', &format!("{{ \"{token}\": \"{text}\","), 1);
+    assert_eq!(findings(&with_token("a-token-of-32-letters-and-digits")), Vec::<String>::new());
+    assert!(findings(&with_token("short"))[0].contains("shorter than 16 characters"));
+    assert!(findings(&with_token("a token with spaces inside it"))[0].contains("visible ASCII"));
 }
 
 #[test]
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -113,11 +113,11 @@
     #[test]
     fn a_damaged_text_is_parsed_or_found_faulty(
         at in any::<prop::sample::Index>(),
-        put in any::<char>(),
+        replacement in any::<char>(),
     ) {
         let mut text: Vec<char> = serde_json::to_string_pretty(&sample()).unwrap().chars().collect();
         let at = at.index(text.len());
-        text[at] = put;
+        text[at] = replacement;
         let text: String = text.into_iter().collect();
         match Node::parse(Path::new("test.json"), text.as_bytes()) {
             Ok(node) => {
@@ -138,10 +138,10 @@
         picks in prop::collection::vec((any::<prop::sample::Index>(), any_json()), 1..4),
     ) {
         let mut value = sample();
-        for (pick, put) in picks {
+        for (pick, replacement) in picks {
             let mut all = Vec::new();
             pointers(&value, String::new(), &mut all);
-            *value.pointer_mut(&all[pick.index(all.len())]).unwrap() = put;
+            *value.pointer_mut(&all[pick.index(all.len())]).unwrap() = replacement;
         }
         agrees_with_serde(&value.to_string())?;
     }
@@ -159,8 +159,8 @@
         let chosen: Vec<_> =
             faults.iter().enumerate().filter(|(i, _)| mask & (1 << i) != 0).map(|(_, f)| f).collect();
         let mut value = sample();
-        for (path, put) in &chosen {
-            *value.pointer_mut(path).unwrap() = put.clone();
+        for (path, replacement) in &chosen {
+            *value.pointer_mut(path).unwrap() = replacement.clone();
         }
         let node = Node::parse(Path::new("t.json"), value.to_string().as_bytes()).unwrap();
         let mut found: Vec<_> =
