--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -14,7 +14,7 @@
 use crate::error::Error;
 
 /// Longest wait for one answer.
-const TIMEOUT: Duration = Duration::from_secs(15);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -29,7 +29,7 @@
 
 /// An answer read whole.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Who gave it.
     pub address: SocketAddr,
     /// What was asked for.
@@ -40,14 +40,14 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// Reads the body, whatever the status.
     ///
     /// # Errors
     ///
     /// The body has another shape.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
-        serde_json::from_slice(&self.body).map_err(|error| Error::Answer {
+        serde_json::from_slice(&self.body).map_err(|error| Error::Response {
             address: self.address,
             path: self.path.clone(),
             cause: error.to_string(),
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Another status.
-    pub fn success(self) -> Result<Answer, Error> {
+    pub fn success(self) -> Result<Response, Error> {
         if self.status.is_success() {
             return Ok(self);
         }
@@ -82,7 +82,7 @@
     ///
     /// No host answers, or the one that does refuses.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.first(Method::GET, path, Bytes::new()).await?.success()?.json()
+        self.first_response(Method::GET, path, Bytes::new()).await?.success()?.json()
     }
 
     /// Sends to the first host that answers.
@@ -90,9 +90,9 @@
     /// # Errors
     ///
     /// No host answers.
-    pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<Answer, Error> {
+    pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<Response, Error> {
         let body = serde_json::to_vec(body).unwrap_or_default().into();
-        self.first(Method::POST, path, body).await
+        self.first_response(Method::POST, path, body).await
     }
 
     /// Calls one host.
@@ -106,19 +106,24 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, String> {
+    ) -> Result<Response, String> {
         let exchange = self.exchange(address, method, path, body);
-        match tokio::time::timeout(TIMEOUT, exchange).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await {
             Ok(result) => result.map_err(|cause| format!("{address}: {cause}")),
-            Err(_) => Err(format!("{address}: no answer within {TIMEOUT:?}")),
+            Err(_) => Err(format!("{address}: no answer within {RESPONSE_TIMEOUT:?}")),
         }
     }
 
-    async fn first(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, Error> {
+    async fn first_response(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<Response, Error> {
         let mut causes = Vec::new();
         for address in &self.hosts {
             match self.call(*address, method.clone(), path, body.clone()).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(cause) => causes.push(cause),
             }
         }
@@ -131,7 +136,7 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, String> {
+    ) -> Result<Response, String> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -143,6 +148,6 @@
         let response = self.http.request(request).await.map_err(|e| types::error::chain(&e))?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.map_err(|e| types::error::chain(&e))?.to_bytes();
-        Ok(Answer { address, path: path.into(), status: parts.status, body })
+        Ok(Response { address, path: path.into(), status: parts.status, body })
     }
 }
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -19,7 +19,7 @@
 const ATTEMPTS: u32 = 6;
 
 /// Pause before the first repetition; it doubles.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Sends the difference to what is in force as one patch; waits for it when told how long.
 pub(crate) async fn run(
@@ -29,9 +29,9 @@
     wait: Option<Duration>,
 ) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
-    let kept = base::read(path)?;
+    let stored = base::read(path)?;
     let current: Numbered = client.get("/config").await?;
-    let against = match (against, kept) {
+    let against = match (against, stored) {
         (Some(Base::Current), _) => current.number,
         (Some(Base::Number(number)), _) | (None, Some(number)) => number,
         (None, None) => return Err(Error::NoBase),
@@ -43,61 +43,61 @@
         false => send(client, &patch).await?,
     };
     let Some(number) = outcome.number() else {
-        let text = format!("based on number {against}: {}", diff::verdict(&outcome));
+        let text = format!("based on number {against}: {}", diff::describe(&outcome));
         return Ok(Report::done(text, json!(outcome)).code(diff::code(&outcome)));
     };
-    if kept.is_some() {
+    if stored.is_some() {
         base::write(path, number)?;
     }
-    let report = Report::done(diff::verdict(&outcome), json!(outcome));
+    let report = Report::done(diff::describe(&outcome), json!(outcome));
     match wait {
-        Some(limit) => wait_for(client, number, limit, report).await,
+        Some(limit) => wait_until_in_force(client, number, limit, report).await,
         None => Ok(report),
     }
 }
 
 /// Sends a patch until its outcome is known.
 async fn send(client: &Client, patch: &Patch) -> Result<Outcome, Error> {
-    let mut pause = PAUSE;
+    let mut delay = RETRY_INTERVAL;
     let mut attempt = 1;
     loop {
-        let answer = match client.post("/config/patches", patch).await {
-            Ok(answer) => answer.json::<Outcome>().map_err(|_| answer.success().err()),
+        let response = match client.post("/config/patches", patch).await {
+            Ok(response) => response.json::<Outcome>().map_err(|_| response.success().err()),
             Err(error) => Err(Some(error)),
         };
-        match answer {
+        match response {
             Ok(Outcome::Unavailable { .. }) | Err(Some(Error::NoHost(_))) if attempt < ATTEMPTS => {
             }
             Ok(outcome) => return Ok(outcome),
             Err(error) => return Err(error.unwrap_or(Error::NoHost(Vec::new()))),
         }
         attempt += 1;
-        tokio::time::sleep(pause).await;
-        pause *= 2;
+        tokio::time::sleep(delay).await;
+        delay *= 2;
     }
 }
 
 /// Waits until every live host has a number in force, and names those that lack it.
-async fn wait_for(
+async fn wait_until_in_force(
     client: &Client,
     number: Number,
     limit: Duration,
     report: Report,
 ) -> Result<Report, Error> {
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     loop {
         let lacking = status::lacking(client, number).await?;
         if lacking.is_empty() {
             let text = format!("{}\nin force on every live host", report.text);
             return Ok(Report { text, json: with_lacking(report.json, &lacking), ..report });
         }
-        if limit <= began.elapsed() {
+        if limit <= started_at.elapsed() {
             let names: String = lacking.iter().map(|name| format!("\n  {name}")).collect();
             let text = format!("{}\nnot in force after {limit:?} on{names}", report.text);
             let json = with_lacking(report.json, &lacking);
             return Ok(Report { text, json, code: Code::NotInForce });
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
--- a/crates/ctl/src/commands/base.rs
+++ b/crates/ctl/src/commands/base.rs
@@ -9,11 +9,11 @@
 
 use crate::error::Error;
 
-const NAME: &str = ".number";
+const FILE_NAME: &str = ".number";
 
 /// The number kept beside files, if there is one.
 pub(super) fn read(path: &Path) -> Result<Option<Number>, Error> {
-    let file = place(path);
+    let file = number_file(path);
     match std::fs::read_to_string(&file) {
         Ok(text) => text.trim().parse().map(Some).map_err(|_| Error::NoBase),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -23,15 +23,15 @@
 
 /// Keeps a number beside files.
 pub(super) fn write(path: &Path, number: Number) -> Result<(), Error> {
-    let file = place(path);
+    let file = number_file(path);
     std::fs::write(&file, format!("{number}\n")).map_err(|cause| Error::File { file, cause })
 }
 
-fn place(path: &Path) -> PathBuf {
+fn number_file(path: &Path) -> PathBuf {
     if path.is_dir() {
-        return path.join(NAME);
+        return path.join(FILE_NAME);
     }
     let mut name = path.as_os_str().to_owned();
-    name.push(NAME);
+    name.push(FILE_NAME);
     name.into()
 }
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -27,8 +27,8 @@
         return Ok(Report::done(text, json!({"number": current.number, "changes": {}})));
     }
     let outcome: Outcome = client.post("/config/check", &patch).await?.json()?;
-    let lines = difference(&current, &wanted)?;
-    let text = format!("{lines}\nagainst number {}: {}", current.number, verdict(&outcome));
+    let lines = unified_diff(&current, &wanted)?;
+    let text = format!("{lines}\nagainst number {}: {}", current.number, describe(&outcome));
     let json = json!({"number": current.number, "changes": patch.changes, "check": outcome});
     Ok(Report::done(text, json).code(code(&outcome)))
 }
@@ -49,7 +49,7 @@
 }
 
 /// What an outcome means, for people.
-pub(super) fn verdict(outcome: &Outcome) -> String {
+pub(super) fn describe(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Accepted { number } => format!("accepted as number {number}"),
         Outcome::Repeated { number } => format!("accepted before as number {number}"),
@@ -63,9 +63,9 @@
         }
         Outcome::Reused => "refused: another patch has this name".into(),
         Outcome::Invalid { problems } => {
-            let said =
+            let messages =
                 problems.iter().map(|problem| format!("{}: {}", problem.path, problem.message));
-            format!("refused: not a configuration{}", lines(said))
+            format!("refused: not a configuration{}", lines(messages))
         }
         Outcome::Short { shortages } => format!("refused: memory is short{}", lines(shortages)),
         Outcome::Unavailable { cause } => format!("failed: {cause}"),
@@ -88,7 +88,7 @@
     items.into_iter().map(|item| format!("\n  {item}")).collect()
 }
 
-fn difference(current: &Numbered, wanted: &Config) -> Result<String, Error> {
+fn unified_diff(current: &Numbered, wanted: &Config) -> Result<String, Error> {
     let text = |config: &Config| {
         settings::config::to_text(config)
             .map_err(|cause| Error::File { file: "configuration".into(), cause })
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -11,7 +11,7 @@
     let list: List = client.get("/hosts").await?;
     let entry = list.hosts.iter().find(|entry| &*entry.host.id == host);
     let address = entry.ok_or_else(|| Error::UnknownHost(host.into()))?.host.operators;
-    let answer = client.call(address, Method::POST, "/drain", Default::default()).await;
-    answer.map_err(|cause| Error::NoHost(vec![cause]))?.success()?;
+    let response = client.call(address, Method::POST, "/drain", Default::default()).await;
+    response.map_err(|cause| Error::NoHost(vec![cause]))?.success()?;
     Ok(Report::done(format!("{host} drains"), json!({"host": host, "draining": true})))
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -26,9 +26,9 @@
 const COLUMNS: [&str; 8] = ["at", "up", "wall", "host", "run", "request", "kind", "part"];
 
 /// Reads the logs and tells what is asked for.
-pub(crate) fn run(asked: &Explain) -> Result<Report, Error> {
-    let mut explanation = Explanation::of(query(asked)?);
-    for file in &asked.logs {
+pub(crate) fn run(options: &Explain) -> Result<Report, Error> {
+    let mut explanation = Explanation::of(query(options)?);
+    for file in &options.logs {
         read(&mut explanation, file).map_err(|cause| Error::File { file: file.clone(), cause })?;
     }
     let (bad, other) = (explanation.bad, explanation.other);
@@ -39,15 +39,15 @@
         let text = format!("no line is about it\n{skipped}");
         return Ok(Report::done(text, json).code(Code::Failed));
     }
-    Ok(Report::done(shown(&entries) + &skipped, json))
+    Ok(Report::done(format_entries(&entries) + &skipped, json))
 }
 
-fn query(asked: &Explain) -> Result<Query, Error> {
-    let Explain { request, server, version, term, .. } = asked;
+fn query(options: &Explain) -> Result<Query, Error> {
+    let Explain { request, server, version, term, .. } = options;
     let request = request.as_deref().map(|id| Query::Request(id.into()));
     let server = server.as_deref().map(|id| Query::Server(id.into()));
     let one = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
-    one.ok_or(Error::NoQuestion)
+    one.ok_or(Error::NoQuery)
 }
 
 fn read(explanation: &mut Explanation, file: &Path) -> io::Result<()> {
@@ -66,43 +66,43 @@
     Ok(())
 }
 
-fn shown(entries: &[Entry]) -> String {
+fn format_entries(entries: &[Entry]) -> String {
     let first =
         entries.iter().find(|entry| entry.reason == Reason::Queried).map(|entry| &entry.line);
-    entries.iter().map(|entry| text(entry, first)).collect()
+    entries.iter().map(|entry| format_entry(entry, first)).collect()
 }
 
-fn text(entry: &Entry, first: Option<&Line>) -> String {
+fn format_entry(entry: &Entry, first: Option<&Line>) -> String {
     let line = &entry.line;
-    let after = first.map_or_else(String::new, |first| after(line, first));
+    let offset = first.map_or_else(String::new, |first| offset(line, first));
     let mark = match entry.reason {
         Reason::Queried => '-',
         Reason::Context => '~',
     };
-    let (kind, fields) = described(line);
-    format!("{} {after:>9} {:<12} {mark} {kind:<13}{fields}\n", line.time.at, line.host)
+    let (kind, fields) = kind_and_fields(line);
+    format!("{} {offset:>9} {:<12} {mark} {kind:<13}{fields}\n", line.time.at, line.host)
 }
 
 /// Time since the first line, where one steady clock tells it.
-fn after(line: &Line, first: &Line) -> String {
+fn offset(line: &Line, first: &Line) -> String {
     if (&line.host, line.run) != (&first.host, first.run) {
         return String::new();
     }
     match line.time.up.checked_sub(first.time.up) {
-        Some(after) => format!("+{} ms", after.as_millis()),
+        Some(offset) => format!("+{} ms", offset.as_millis()),
         None => format!("-{} ms", (first.time.up - line.time.up).as_millis()),
     }
 }
 
 /// A line's kind, and the rest of what it says as ` name=value`.
-fn described(line: &Line) -> (String, String) {
+fn kind_and_fields(line: &Line) -> (String, String) {
     let Ok(Value::Object(fields)) = serde_json::to_value(line) else { return Default::default() };
-    let kind = fields.get("kind").map(plain).unwrap_or_default();
+    let kind = fields.get("kind").map(format_value).unwrap_or_default();
     let rest = fields.iter().filter(|(name, _)| !COLUMNS.contains(&name.as_str()));
-    (kind, rest.map(|(name, value)| format!(" {name}={}", plain(value))).collect())
+    (kind, rest.map(|(name, value)| format!(" {name}={}", format_value(value))).collect())
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         // Names may come from callers; nothing of them may steer a terminal.
         Value::String(text) if text.chars().any(char::is_control) => format!("{text:?}"),
@@ -110,24 +110,24 @@
         Value::Number(number) => {
             number.as_f64().map_or_else(|| number.to_string(), |n| n.to_string())
         }
-        Value::Array(list) => list.iter().map(plain).collect::<Vec<_>>().join(","),
-        Value::Object(fields) => {
-            weighed(fields).or_else(|| sole(fields)).unwrap_or_else(|| value.to_string())
-        }
+        Value::Array(list) => list.iter().map(format_value).collect::<Vec<_>>().join(","),
+        Value::Object(fields) => format_measurement(fields)
+            .or_else(|| format_single_field(fields))
+            .unwrap_or_else(|| value.to_string()),
         other => other.to_string(),
     }
 }
 
 /// An input or a candidate: what it is, its value, its age.
-fn weighed(fields: &Map<String, Value>) -> Option<String> {
+fn format_measurement(fields: &Map<String, Value>) -> Option<String> {
     let name = fields.get("name").or(fields.get("server"))?;
     let value = fields.get("value").or(fields.get("estimate"))?;
-    let age = fields.get("age").map(|age| format!("({} ms old)", plain(age)));
-    Some(format!("{}:{}{}", plain(name), plain(value), age.unwrap_or_default()))
+    let age = fields.get("age").map(|age| format!("({} ms old)", format_value(age)));
+    Some(format!("{}:{}{}", format_value(name), format_value(value), age.unwrap_or_default()))
 }
 
 /// A word with one thing that belongs to it, such as the peer that told something.
-fn sole(fields: &Map<String, Value>) -> Option<String> {
+fn format_single_field(fields: &Map<String, Value>) -> Option<String> {
     match fields.iter().collect::<Vec<_>>()[..] {
         [(name, Value::String(text))] => Some(format!("{name}:{text}")),
         _ => None,
--- a/crates/ctl/src/commands/moves.rs
+++ b/crates/ctl/src/commands/moves.rs
@@ -19,7 +19,7 @@
 
 /// What one host tells of moves.
 #[derive(Debug, Deserialize)]
-struct Told {
+struct Moves {
     current: bool,
     open: Vec<Open>,
     settled: Vec<Settled>,
@@ -64,10 +64,10 @@
 
 /// Tables of open and settled moves and of memory.
 pub(crate) async fn run(client: &Client) -> Result<Report, Error> {
-    let told: Told = client.get("/status/moves").await?;
+    let moves: Moves = client.get("/status/moves").await?;
     let settled = settled(client).await?;
-    let text = text(&told, &settled);
-    let Told { current, open, memory, .. } = told;
+    let text = text(&moves, &settled);
+    let Moves { current, open, memory, .. } = moves;
     let json = json!({"current": current, "open": open, "settled": settled, "memory": memory});
     Ok(Report::done(text, json))
 }
@@ -79,11 +79,11 @@
         let address = entry.host.operators;
         let path = "/status/moves";
         let answer = client.call(address, Method::GET, path, Default::default()).await.ok()?;
-        answer.success().ok()?.json::<Told>().ok()
+        answer.success().ok()?.json::<Moves>().ok()
     });
-    let told = join_all(answers).await.into_iter().flatten();
-    let by_order: BTreeMap<order::Id, Settled> = told
-        .flat_map(|told| told.settled)
+    let all_moves = join_all(answers).await.into_iter().flatten();
+    let by_order: BTreeMap<order::Id, Settled> = all_moves
+        .flat_map(|moves| moves.settled)
         .map(|settled| (settled.order.clone(), settled))
         .collect();
     let mut settled: Vec<Settled> = by_order.into_values().collect();
@@ -91,12 +91,12 @@
     Ok(settled)
 }
 
-fn text(told: &Told, settled: &[Settled]) -> String {
+fn text(moves: &Moves, settled: &[Settled]) -> String {
     let mut text = String::new();
-    if !told.current {
+    if !moves.current {
         text.push_str("the object API does not answer: open moves are as last known\n\n");
     }
-    text.push_str(&open(&told.open));
+    text.push_str(&open(&moves.open));
     text.push('\n');
     if settled.is_empty() {
         text.push_str("no settled moves\n");
@@ -106,7 +106,7 @@
     }
     text.push('\n');
     let names = ["MEMORY MIB", "CAPACITY", "PROMISED", "IN DOUBT", "FREE"];
-    text + &table(names, told.memory.iter().map(memory_row))
+    text + &table(names, moves.memory.iter().map(memory_row))
 }
 
 fn open(open: &[Open]) -> String {
@@ -117,7 +117,7 @@
     let mut text = table(names, open.iter().map(open_row));
     for open in open {
         text.push_str(&format!("\n{} is settled when\n", open.order));
-        open.settled_by.iter().for_each(|way| text.push_str(&format!("  {way}\n")));
+        open.settled_by.iter().for_each(|condition| text.push_str(&format!("  {condition}\n")));
     }
     text
 }
--- a/crates/ctl/src/commands/residents.rs
+++ b/crates/ctl/src/commands/residents.rs
@@ -15,18 +15,18 @@
 
 /// A line for each unit of the model on each server; fails when no server holds it.
 pub(crate) async fn run(client: &Client, model: &str) -> Result<Report, Error> {
-    let seen: Vec<Server> = client.get("/servers").await?;
-    let held: Vec<(&Server, &Resident)> = seen
+    let servers: Vec<Server> = client.get("/servers").await?;
+    let held: Vec<(&Server, &Resident)> = servers
         .iter()
-        .filter_map(|seen| Some((seen, seen.load.as_ref()?)))
-        .flat_map(|(seen, load)| load.residents.iter().map(move |resident| (seen, resident)))
+        .filter_map(|status| Some((status, status.load.as_ref()?)))
+        .flat_map(|(status, load)| load.residents.iter().map(move |resident| (status, resident)))
         .filter(|(_, resident)| &**resident.unit.model() == model)
         .collect();
-    let json = held.iter().map(|(seen, resident)| {
-        let server = &seen.entry.server;
+    let json = held.iter().map(|(status, resident)| {
+        let server = &status.entry.server;
         json!({
             "server": server.id, "group": server.group, "zone": server.zone,
-            "leaving": is_leaving(seen), "resident": resident
+            "leaving": is_leaving(status), "resident": resident
         })
     });
     let json = json!({"model": model, "held": json.collect::<Vec<_>>()});
@@ -35,15 +35,18 @@
         return Ok(Report::done(text, json).code(Code::Failed));
     }
     let names = ["SERVER", "GROUP", "ZONE", "UNIT", "VERSION", "STATE", "MIB"];
-    Ok(Report::done(table(names, held.iter().map(|(seen, resident)| row(seen, resident))), json))
+    Ok(Report::done(
+        table(names, held.iter().map(|(status, resident)| row(status, resident))),
+        json,
+    ))
 }
 
-fn is_leaving(seen: &Server) -> bool {
-    seen.entry.state == Listed::Leaving || seen.load.as_ref().is_some_and(|load| load.leaving)
+fn is_leaving(status: &Server) -> bool {
+    status.entry.state == Listed::Leaving || status.load.as_ref().is_some_and(|load| load.leaving)
 }
 
-fn row(seen: &Server, resident: &Resident) -> [String; 7] {
-    let server = &seen.entry.server;
+fn row(status: &Server, resident: &Resident) -> [String; 7] {
+    let server = &status.entry.server;
     let (unit, version) = match &resident.unit {
         Unit::Model { model, version } => (model.to_string(), version),
         Unit::Adapter { model, adapter, version } => (format!("{model}:{adapter}"), version),
@@ -54,7 +57,7 @@
         State::Unloading => "unloading",
     }
     .to_owned();
-    if is_leaving(seen) {
+    if is_leaving(status) {
         state.push_str(", leaving");
     }
     [
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -23,7 +23,7 @@
 }
 
 /// The exit codes, for `--help`.
-pub const CODES: &str = "\
+pub const EXIT_CODES: &str = "\
 Exit codes:
   0  done
   1  failed: no host answers, a file can't be written, the object API is down
@@ -42,7 +42,7 @@
     #[error("no host answers:\n{}", .0.join("\n"))]
     NoHost(Vec<String>),
     /// A host refused a request.
-    #[error("{address}{path}: {status}{}", detail(.body))]
+    #[error("{address}{path}: {status}{}", body_suffix(.body))]
     Status {
         /// The host's operators' listener.
         address: SocketAddr,
@@ -55,7 +55,7 @@
     },
     /// An answer can't be understood.
     #[error("{address}{path}: the answer can't be understood: {cause}")]
-    Answer {
+    Response {
         /// The host's operators' listener.
         address: SocketAddr,
         /// What was asked for.
@@ -79,13 +79,13 @@
     NoBase,
     /// A time can't be read.
     #[error("`{0}` is no time in RFC 3339 form")]
-    Time(String),
+    InvalidTime(String),
     /// No host's address was given.
     #[error("which host? say --host ADDRESS, or set CYCLAMENCTL_HOSTS")]
     NoAddress,
     /// Nothing was asked for.
     #[error("explain what? name a request, or say --server, --version or --term")]
-    NoQuestion,
+    NoQuery,
     /// No host of this name is on the platform's list.
     #[error("no host `{0}` is on the platform's list")]
     UnknownHost(String),
@@ -96,13 +96,15 @@
     pub fn code(&self) -> Code {
         match self {
             Error::Findings(_) => Code::Refused,
-            Error::NoBase | Error::NoAddress | Error::NoQuestion | Error::Time(_) => Code::Usage,
+            Error::NoBase | Error::NoAddress | Error::NoQuery | Error::InvalidTime(_) => {
+                Code::Usage
+            }
             _ => Code::Failed,
         }
     }
 }
 
-fn detail(body: &str) -> String {
+fn body_suffix(body: &str) -> String {
     match body.trim() {
         "" => String::new(),
         text => format!(": {text}"),
--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -8,16 +8,16 @@
 use crate::{
     client::Client,
     commands,
-    error::{CODES, Code, Error},
-    report::{Form, Report},
+    error::{Code, EXIT_CODES, Error},
+    report::{Format, Report},
 };
 
 /// Declares models and services, and shows what the hosts make of them.
 #[derive(Debug, Parser)]
-#[command(name = "cyclamenctl", version, about, long_about = None, after_help = CODES)]
+#[command(name = "cyclamenctl", version, about, long_about = None, after_help = EXIT_CODES)]
 pub struct Flags {
     #[command(flatten)]
-    reach: Reach,
+    access: Access,
     /// Print JSON in place of tables.
     #[arg(long, global = true)]
     json: bool,
@@ -27,7 +27,7 @@
 
 /// How hosts are reached.
 #[derive(Debug, Args)]
-struct Reach {
+struct Access {
     /// A host's listener for operators; several are tried in order.
     #[arg(
         long = "host",
@@ -174,14 +174,14 @@
 impl Flags {
     /// Runs the command and prints what it found.
     pub fn run(self) -> ExitCode {
-        let form = if self.json { Form::Json } else { Form::Text };
+        let format = if self.json { Format::Json } else { Format::Text };
         let code = match self.report() {
             Ok(report) => {
-                report.print(form);
+                report.print(format);
                 report.code
             }
             Err(error) => {
-                complain(&error, form);
+                print_error(&error, format);
                 error.code()
             }
         };
@@ -198,11 +198,11 @@
             .enable_all()
             .build()
             .map_err(|cause| Error::File { file: "runtime".into(), cause })?;
-        runtime.block_on(run(&self.reach, self.command))
+        runtime.block_on(run(&self.access, self.command))
     }
 }
 
-impl Reach {
+impl Access {
     fn client(&self) -> Result<Client, Error> {
         let token = match &self.token_file {
             None => None,
@@ -219,8 +219,8 @@
     }
 }
 
-async fn run(reach: &Reach, command: Command) -> Result<Report, Error> {
-    let client = || reach.client();
+async fn run(access: &Access, command: Command) -> Result<Report, Error> {
+    let client = || access.client();
     match command {
         Command::Check { path } => commands::check::run(&path),
         Command::Diff { path } => commands::diff::run(&client()?, &path).await,
@@ -232,19 +232,19 @@
         Command::Status => commands::status::run(&client()?).await,
         Command::Where { model } => commands::residents::run(&client()?, &model).await,
         Command::Moves => commands::moves::run(&client()?).await,
-        Command::Timeline(asked) => commands::timeline::run(&client()?, &asked).await,
-        Command::Explain(asked) => commands::explain::run(&asked),
+        Command::Timeline(options) => commands::timeline::run(&client()?, &options).await,
+        Command::Explain(options) => commands::explain::run(&options),
         Command::Drain { host } => commands::drain::run(&client()?, &host).await,
     }
 }
 
 #[allow(clippy::print_stderr, clippy::print_stdout, reason = "the user is to see it")]
-fn complain(error: &Error, form: Form) {
-    match (error, form) {
-        (Error::Findings(findings), Form::Json) => {
+fn print_error(error: &Error, format: Format) {
+    match (error, format) {
+        (Error::Findings(findings), Format::Json) => {
             println!("{:#}", serde_json::json!({"findings": findings}));
         }
-        (Error::Findings(findings), Form::Text) => println!("{findings}"),
+        (Error::Findings(findings), Format::Text) => println!("{findings}"),
         _ if error.code() == Code::Usage => eprintln!("cyclamenctl: {error}\n\nSee --help."),
         _ => eprintln!("cyclamenctl: {error}"),
     }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -7,7 +7,7 @@
 
 /// How reports are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// For people.
     Text,
     /// For programs.
@@ -39,11 +39,11 @@
 
     /// Prints it on standard output.
     #[allow(clippy::print_stdout, reason = "a report is what was asked for")]
-    pub fn print(&self, form: Form) {
-        match form {
-            Form::Text if self.text.is_empty() => {}
-            Form::Text => println!("{}", self.text.trim_end()),
-            Form::Json => println!("{:#}", self.json),
+    pub fn print(&self, format: Format) {
+        match format {
+            Format::Text if self.text.is_empty() => {}
+            Format::Text => println!("{}", self.text.trim_end()),
+            Format::Json => println!("{:#}", self.json),
         }
     }
 }
