--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to hosts' listeners for operators.
+//! HTTP client for hosts' operators' listeners.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,13 +13,12 @@
 
 use crate::error::Error;
 
-/// Longest wait for one answer.
+/// Timeout of one request, including the response body.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls hosts, and shows them the token.
+/// Sends requests to hosts, with the operators' token if there is one.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: Http<HttpConnector, Full<Bytes>>,
@@ -27,25 +26,25 @@
     token: Option<String>,
 }
 
-/// An answer read whole.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Who gave it.
+    /// The responding host's operators' listener.
     pub address: SocketAddr,
-    /// What was asked for.
+    /// Path and query of the request.
     pub path: String,
-    /// Its status.
+    /// HTTP status, whether of success or not.
     pub status: StatusCode,
-    /// Its body.
+    /// Complete body, not yet parsed.
     pub body: Bytes,
 }
 
 impl Response {
-    /// Reads the body, whatever the status.
+    /// Parses the body as JSON, whatever the status.
     ///
     /// # Errors
     ///
-    /// The body has another shape.
+    /// The body is not JSON of this type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|error| Error::Response {
             address: self.address,
@@ -54,11 +53,11 @@
         })
     }
 
-    /// The answer, if its status is a success.
+    /// Returns the response if its status is 2xx.
     ///
     /// # Errors
     ///
-    /// Another status.
+    /// Any other status, with the body as explanation.
     pub fn success(self) -> Result<Response, Error> {
         if self.status.is_success() {
             return Ok(self);
@@ -69,37 +68,37 @@
 }
 
 impl Client {
-    /// A client of these hosts, tried in order.
+    /// Creates a client of these operators' listeners, which are tried in order.
     pub fn new(hosts: Vec<SocketAddr>, token: Option<String>) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         Client { http: Http::builder(TokioExecutor::new()).build(connector), hosts, token }
     }
 
-    /// Reads from the first host that answers.
+    /// Sends a GET request to the first host that responds, and parses the body.
     ///
     /// # Errors
     ///
-    /// No host answers, or the one that does refuses.
+    /// No host responds, or the first that does responds with an error status or an invalid body.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.first_response(Method::GET, path, Bytes::new()).await?.success()?.json()
     }
 
-    /// Sends to the first host that answers.
+    /// Sends a POST request with a JSON body to the first host that responds.
     ///
     /// # Errors
     ///
-    /// No host answers.
+    /// No host responds.
     pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<Response, Error> {
         let body = serde_json::to_vec(body).unwrap_or_default().into();
         self.first_response(Method::POST, path, body).await
     }
 
-    /// Calls one host.
+    /// Sends a request to one host.
     ///
     /// # Errors
     ///
-    /// It doesn't answer; said in words that name it.
+    /// The host doesn't respond within 15 s or the connection fails; the text names its address.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the command line can do, a module for each thing.
+//! The commands, one module for each.
 
 pub(crate) mod apply;
 mod base;
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! Makes files the declared configuration.
+//! `apply`: makes the declared configuration equal to files.
 
 use std::{path::Path, time::Duration};
 
@@ -14,14 +14,16 @@
     report::Report,
 };
 
-/// Times that a patch is sent. It keeps its name, so that one whose answer was lost gets its first
-/// outcome.
+/// Maximum number of times that a patch is sent. It keeps its ID, so that if a response was lost,
+/// the repetition returns the first outcome.
 const ATTEMPTS: u32 = 6;
 
-/// Pause before the first repetition; it doubles.
+/// Delay before the first repetition of a patch, doubled for each further one. Also the interval at
+/// which hosts are polled for the number in force.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sends the difference to what is in force as one patch; waits for it when told how long.
+/// Sends the difference between the files and the configuration in force as one patch. With
+/// `wait`, then waits at most this long until it is in force on every live host.
 pub(crate) async fn run(
     client: &Client,
     path: &Path,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Sends a patch until its outcome is known.
+/// Sends a patch, repeatedly if hosts do not respond or the object API is unavailable.
 async fn send(client: &Client, patch: &Patch) -> Result<Outcome, Error> {
     let mut delay = RETRY_INTERVAL;
     let mut attempt = 1;
@@ -77,7 +79,8 @@
     }
 }
 
-/// Waits until every live host has a number in force, and names those that lack it.
+/// Waits until a number is in force on every live host; at the timeout, the report lists the hosts
+/// that lack it.
 async fn wait_until_in_force(
     client: &Client,
     number: Number,
--- a/crates/ctl/src/commands/base.rs
+++ b/crates/ctl/src/commands/base.rs
@@ -1,7 +1,8 @@
-//! The number that files are based on, kept beside them.
+//! Storage of the number that configuration files are based on.
 //!
-//! For a directory it stands in a hidden file inside, for a file in one next to it; neither is read
-//! as a part of the configuration. It can go into version control with the files.
+//! For a directory it is in the hidden file `.number` inside it; for a file, in a file next to it
+//! with `.number` appended to the name. Neither is read as a part of the configuration. It can be
+//! kept in version control with the files.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +12,7 @@
 
 const FILE_NAME: &str = ".number";
 
-/// The number kept beside files, if there is one.
+/// Reads the number stored beside files, if there is one.
 pub(super) fn read(path: &Path) -> Result<Option<Number>, Error> {
     let file = number_file(path);
     match std::fs::read_to_string(&file) {
@@ -21,7 +22,7 @@
     }
 }
 
-/// Keeps a number beside files.
+/// Stores a number beside files.
 pub(super) fn write(path: &Path, number: Number) -> Result<(), Error> {
     let file = number_file(path);
     std::fs::write(&file, format!("{number}\n")).map_err(|cause| Error::File { file, cause })
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! Checks files without asking a host.
+//! `check`: checks files without contacting a host.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use crate::{error::Error, report::Report};
 
-/// Reads files and counts what they declare; every finding is the error.
+/// Reads files and counts what they declare. If there are findings, the error contains all of them.
 pub(crate) fn run(path: &Path) -> Result<Report, Error> {
     let config = settings::read_config(path)?;
     let adapters: usize = config.models.values().map(|model| model.adapters.len()).sum();
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! Shows what applying files would change.
+//! `diff`: shows what applying files would change.
 
 use std::path::Path;
 
@@ -14,10 +14,11 @@
     report::Report,
 };
 
-/// Lines that are shown around a change.
+/// Number of unchanged lines shown before and after a change.
 const CONTEXT_LINES: usize = 3;
 
-/// Compares files with what is in force and asks a host whether it would take the change.
+/// Compares files with the configuration in force and asks a host whether it would accept the
+/// change.
 pub(crate) async fn run(client: &Client, path: &Path) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
     let current: Numbered = client.get("/config").await?;
@@ -33,12 +34,12 @@
     Ok(Report::done(text, json).code(code(&outcome)))
 }
 
-/// A patch with a new name that turns what is in force into what is wanted.
+/// Creates a patch, with a new ID, that turns the configuration in force into the wanted one.
 pub(super) fn patch(current: &Numbered, wanted: &Config) -> Patch {
     Patch {
         id: Uuid::new_v4().to_string().into(),
         against: current.number,
-        // Weights are checked to be finite before, so JSON can hold all of it.
+        // The weights were checked to be finite, so JSON can represent the whole configuration.
         changes: merge::changes(&current.config, wanted).unwrap_or_default(),
     }
 }
@@ -48,7 +49,7 @@
     patch.changes.as_object().is_some_and(|changes| changes.is_empty())
 }
 
-/// What an outcome means, for people.
+/// Describes an outcome for people.
 pub(super) fn describe(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Accepted { number } => format!("accepted as number {number}"),
@@ -72,7 +73,7 @@
     }
 }
 
-/// The exit code that an outcome stands for.
+/// Maps an outcome to an exit code.
 pub(super) fn code(outcome: &Outcome) -> Code {
     match outcome {
         Outcome::Accepted { .. } | Outcome::Repeated { .. } | Outcome::Unchanged { .. } => {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! Asks a host for a planned stop.
+//! `drain`: starts a planned stop of a host.
 
 use http::Method;
 use serde_json::json;
@@ -6,7 +6,8 @@
 
 use crate::{client::Client, error::Error, report::Report};
 
-/// Asks the host of this name; it goes on until what is in flight has ended.
+/// Tells the host of this name to drain, and doesn't wait: the host runs on until its requests in
+/// flight have ended.
 pub(crate) async fn run(client: &Client, host: &str) -> Result<Report, Error> {
     let list: List = client.get("/hosts").await?;
     let entry = list.hosts.iter().find(|entry| &*entry.host.id == host);
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,8 +1,8 @@
-//! Tells from the hosts' logs why a request ended as it did.
+//! `explain`: explains from the hosts' logs why a request ended as it did.
 //!
-//! One line of text for each line that is told: the time, how long after the first one about the
-//! request by that host's steady clock, the host, whether it is a step (`-`) or what was believed
-//! (`~`), and what it says.
+//! Each log line shown becomes one line of text with: the time; the offset from the first line that
+//! matches the query, by the host's monotonic clock; the host; whether the line matches the query
+//! (`-`) or records what the host knew then (`~`); and the other fields.
 
 use std::{
     fs::File,
@@ -22,10 +22,10 @@
     report::Report,
 };
 
-/// Fields that each line has, and that its first columns show.
+/// Fields that every line has. They are in the first columns or left out, not repeated as fields.
 const COLUMNS: [&str; 8] = ["at", "up", "wall", "host", "run", "request", "kind", "part"];
 
-/// Reads the logs and tells what is asked for.
+/// Reads the logs and reports the lines that answer the query.
 pub(crate) fn run(options: &Explain) -> Result<Report, Error> {
     let mut explanation = Explanation::of(query(options)?);
     for file in &options.logs {
@@ -83,7 +83,8 @@
     format!("{} {offset:>9} {:<12} {mark} {kind:<13}{fields}\n", line.time.at, line.host)
 }
 
-/// Time since the first line, where one steady clock tells it.
+/// Formats the time since the first line. It is empty unless both lines are from the same run of
+/// the same host, since monotonic clocks of different runs can't be compared.
 fn offset(line: &Line, first: &Line) -> String {
     if (&line.host, line.run) != (&first.host, first.run) {
         return String::new();
@@ -94,7 +95,7 @@
     }
 }
 
-/// A line's kind, and the rest of what it says as ` name=value`.
+/// Returns a line's kind, and its remaining fields as ` name=value`.
 fn kind_and_fields(line: &Line) -> (String, String) {
     let Ok(Value::Object(fields)) = serde_json::to_value(line) else { return Default::default() };
     let kind = fields.get("kind").map(format_value).unwrap_or_default();
@@ -104,7 +105,8 @@
 
 fn format_value(value: &Value) -> String {
     match value {
-        // Names may come from callers; nothing of them may steer a terminal.
+        // Strings may come from callers, so control characters are escaped: they could otherwise
+        // send escape sequences to the terminal.
         Value::String(text) if text.chars().any(char::is_control) => format!("{text:?}"),
         Value::String(text) => text.clone(),
         Value::Number(number) => {
@@ -118,7 +120,7 @@
     }
 }
 
-/// An input or a candidate: what it is, its value, its age.
+/// Formats an input of a decision or a candidate server as name, value and age.
 fn format_measurement(fields: &Map<String, Value>) -> Option<String> {
     let name = fields.get("name").or(fields.get("server"))?;
     let value = fields.get("value").or(fields.get("estimate"))?;
@@ -126,7 +128,7 @@
     Some(format!("{}:{}{}", format_value(name), format_value(value), age.unwrap_or_default()))
 }
 
-/// A word with one thing that belongs to it, such as the peer that told something.
+/// Formats an object with a single string field, such as `{"peer": "host-1"}`, as `name:value`.
 fn format_single_field(fields: &Map<String, Value>) -> Option<String> {
     match fields.iter().collect::<Vec<_>>()[..] {
         [(name, Value::String(text))] => Some(format!("{name}:{text}")),
--- a/crates/ctl/src/commands/get.rs
+++ b/crates/ctl/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! Prints the declared configuration in force, or writes it to files.
+//! `get`: prints the declared configuration in force, or writes it to files.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::base;
 use crate::{client::Client, error::Error, report::Report};
 
-/// Reads the configuration; with a path, writes it there with its number beside it.
+/// Prints the configuration in force. With a path, writes it there and stores its number beside it.
 pub(crate) async fn run(client: &Client, to: Option<&Path>) -> Result<Report, Error> {
     let current: Numbered = client.get("/config").await?;
     let Some(path) = to else {
@@ -29,7 +29,7 @@
         .map_err(|cause| Error::File { file: "standard output".into(), cause })
 }
 
-/// Writes a file for each section.
+/// Writes a file for each section of the configuration into a directory.
 fn write_sections(directory: &Path, config: &Config) -> Result<(), Error> {
     let Value::Object(sections) = json!(config) else { return Ok(()) };
     for (name, section) in sections {
--- a/crates/ctl/src/commands/moves.rs
+++ b/crates/ctl/src/commands/moves.rs
@@ -1,7 +1,7 @@
-//! Shows loads and unloads: what is open and why, what was settled, whose memory is whose.
+//! `moves`: shows loads and unloads, open and settled, with their causes and the servers' memory.
 //!
-//! What is open stands in the ledgers, which any host reads. What was settled is known to the host
-//! that settled it, so all hosts are asked.
+//! Open moves are in the ledgers, which any host reads. Only the host that settled a move knows of
+//! it afterwards, so all hosts are queried.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,7 +17,7 @@
     report::{Report, table},
 };
 
-/// What one host tells of moves.
+/// A host's response to `/status/moves`.
 #[derive(Debug, Deserialize)]
 struct Moves {
     current: bool,
@@ -26,7 +26,7 @@
     memory: Vec<Memory>,
 }
 
-/// An order that is not settled.
+/// An order whose outcome is not yet known.
 #[derive(Debug, Serialize, Deserialize)]
 struct Open {
     order: order::Id,
@@ -40,7 +40,7 @@
     known_for: Duration,
 }
 
-/// An order that was settled.
+/// An order whose outcome is known, with the evidence for it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Settled {
     order: order::Id,
@@ -62,7 +62,7 @@
     free: Mebibytes,
 }
 
-/// Tables of open and settled moves and of memory.
+/// Reports tables of open moves, settled moves and memory.
 pub(crate) async fn run(client: &Client) -> Result<Report, Error> {
     let moves: Moves = client.get("/status/moves").await?;
     let settled = settled(client).await?;
@@ -72,7 +72,8 @@
     Ok(Report::done(text, json))
 }
 
-/// What each listed host has settled, each order once, the latest last.
+/// Collects the orders that the listed hosts have settled: each order once, the latest last. Hosts
+/// that do not respond are left out.
 async fn settled(client: &Client) -> Result<Vec<Settled>, Error> {
     let list: List = client.get("/hosts").await?;
     let answers = list.hosts.iter().map(async |entry| {
@@ -170,7 +171,7 @@
     }
 }
 
-/// Seconds with one decimal.
+/// Formats a time as seconds with one decimal.
 fn time(time: Duration) -> String {
     format!("{:.1} s", time.as_secs_f64())
 }
--- a/crates/ctl/src/commands/residents.rs
+++ b/crates/ctl/src/commands/residents.rs
@@ -1,4 +1,4 @@
-//! Shows the servers that hold a model.
+//! `where`: shows the servers that hold a model.
 
 use serde_json::json;
 use types::{
@@ -13,7 +13,8 @@
     report::{Report, table},
 };
 
-/// A line for each unit of the model on each server; fails when no server holds it.
+/// Reports a line for each unit (the model or one of its adapters) on each server. The exit code is
+/// [`Code::Failed`] if no server holds any.
 pub(crate) async fn run(client: &Client, model: &str) -> Result<Report, Error> {
     let servers: Vec<Server> = client.get("/servers").await?;
     let held: Vec<(&Server, &Resident)> = servers
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! Shows every host.
+//! `status`: shows every host.
 
 use futures_util::future::join_all;
 use http::Method;
@@ -15,13 +15,13 @@
     report::{Report, table},
 };
 
-/// A host on the platform's list, and what it says of itself.
+/// A host on the platform's list, and its response to `/status` or why there is none.
 pub(super) struct Reply {
     pub(super) entry: Entry,
     pub(super) answer: Result<Status, String>,
 }
 
-/// Asks every listed host for its status; in the order of their names.
+/// Requests the status of every listed host; the result is sorted by name.
 pub(super) async fn fetch(client: &Client) -> Result<Vec<Reply>, Error> {
     let mut list: List = client.get("/hosts").await?;
     list.hosts.sort_by(|one, other| one.host.id.cmp(&other.host.id));
@@ -36,7 +36,8 @@
     Ok(join_all(replies).await)
 }
 
-/// Live hosts that don't have a number in force yet, with what they have.
+/// Describes each live host on which this or a later number is not yet in force: the number it has,
+/// or why it does not respond.
 pub(super) async fn lacking(client: &Client, number: Number) -> Result<Vec<String>, Error> {
     let lacks = |reply: &Reply| match &reply.answer {
         Ok(status) if number <= status.configuration => None,
@@ -48,7 +49,7 @@
     Ok(live.filter_map(lacks).collect())
 }
 
-/// A line for each host on the platform's list.
+/// Reports a line for each host on the platform's list.
 pub(crate) async fn run(client: &Client) -> Result<Report, Error> {
     let replies = fetch(client).await?;
     let names = ["HOST", "ZONE", "LISTED", "STATE", "NUMBER", "HEARD", "REPORTING"];
--- a/crates/ctl/src/commands/timeline.rs
+++ b/crates/ctl/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! Shows the events of all hosts in causal order.
+//! `timeline`: shows the events of all hosts in causal order.
 
 use futures_util::future::join_all;
 use http::Method;
@@ -13,7 +13,8 @@
 
 use crate::{client::Client, error::Error, flags::Timeline, report::Report};
 
-/// Asks every listed host for its events and merges them. Hosts that don't answer are named.
+/// Requests the events of every listed host and merges them. Hosts that don't respond are listed at
+/// the end.
 pub(crate) async fn run(client: &Client, options: &Timeline) -> Result<Report, Error> {
     let filter = filter(options)?;
     let list: List = client.get("/hosts").await?;
@@ -33,7 +34,8 @@
             Err(cause) => unanswered.push(format!("{host}: no answer from {cause}")),
         }
     }
-    // Merged before it is filtered: what connects two events may be one that isn't shown.
+    // Merged before filtering, since the causal order of two events may depend on an event that the
+    // filter removes.
     let merged = merge::merge(records).into_iter().filter(|record| filter.keeps(record));
     report(options, &merged.collect::<Vec<_>>(), &unanswered)
 }
@@ -50,7 +52,7 @@
     Ok(Report::done(lines.map(|line| line + "\n").collect::<String>(), json))
 }
 
-/// Records of JSON lines; a line that is none is from a newer host and passed over.
+/// Parses JSON lines. A line that is not a known record comes from a newer host and is skipped.
 fn parse_records(body: &[u8]) -> Vec<Record> {
     body.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect()
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,28 +1,28 @@
-//! What can go wrong, and the exit code that says so.
+//! Errors of commands, and the exit codes of the process.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
 use settings::Findings;
 
-/// What the process ends with, for scripts.
+/// Exit code of the process, for scripts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
     /// Failed: no host answers, a file can't be written, the object API is down.
     Failed = 1,
-    /// The command line can't be understood.
+    /// The command line is invalid or incomplete.
     Usage = 2,
-    /// The patch is against a number that is past.
+    /// The patch is based on an outdated number, or its name was already used by another patch.
     Stale = 3,
-    /// The number is accepted, but not in force everywhere in time.
+    /// The change was accepted, but was not in force on every live host in time.
     NotInForce = 4,
-    /// Files have findings, or the configuration can't be made.
+    /// Files have findings, or hosts refuse the configuration as invalid or for lack of memory.
     Refused = 5,
 }
 
-/// The exit codes, for `--help`.
+/// List of the exit codes that `--help` prints.
 pub const EXIT_CODES: &str = "\
 Exit codes:
   0  done
@@ -32,67 +32,68 @@
   4  accepted, but not in force on every live host in time
   5  refused: the files have findings, or memory can't hold the change";
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Files have findings.
+    /// Files of the configuration have findings.
     #[error("{0}")]
     Findings(#[from] Findings),
-    /// No host gave an answer.
+    /// No host responded; a cause for each.
     #[error("no host answers:\n{}", .0.join("\n"))]
     NoHost(Vec<String>),
-    /// A host refused a request.
+    /// A host responded with an error status.
     #[error("{address}{path}: {status}{}", body_suffix(.body))]
     Status {
         /// The host's operators' listener.
         address: SocketAddr,
-        /// What was asked for.
+        /// Path and query of the request.
         path: String,
-        /// Its answer.
+        /// HTTP status, other than 2xx.
         status: http::StatusCode,
-        /// What it says.
+        /// Text of the response, which explains the status; may be empty.
         body: String,
     },
-    /// An answer can't be understood.
-    #[error("{address}{path}: the answer can't be understood: {cause}")]
+    /// The body of a response could not be parsed.
+    #[error("{address}{path}: invalid response: {cause}")]
     Response {
         /// The host's operators' listener.
         address: SocketAddr,
-        /// What was asked for.
+        /// Path and query of the request.
         path: String,
-        /// What the parser says.
+        /// Message of the JSON parser.
         cause: String,
     },
     /// A file can't be read or written.
     #[error("{}: {cause}", file.display())]
     File {
-        /// The file.
+        /// Path, or a description such as `standard output` if it is no file.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system, or of writing JSON.
         cause: io::Error,
     },
-    /// The number that the files are based on is not known.
+    /// The number that the files are based on is neither given nor stored beside them.
     #[error(
-        "which number are the files based on? `get --to` keeps it beside them; else say --against \
-         NUMBER, or --against current to undo what others have changed since"
+        "the number that the files are based on is unknown: `get --to` stores it beside them; \
+         otherwise use --against NUMBER, or --against current to undo what others have changed \
+         since"
     )]
     NoBase,
-    /// A time can't be read.
-    #[error("`{0}` is no time in RFC 3339 form")]
+    /// A time on the command line is not in RFC 3339 format.
+    #[error("`{0}` is not a time in RFC 3339 format")]
     InvalidTime(String),
     /// No host's address was given.
-    #[error("which host? say --host ADDRESS, or set CYCLAMENCTL_HOSTS")]
+    #[error("no host given: use --host ADDRESS or set CYCLAMENCTL_HOSTS")]
     NoAddress,
-    /// Nothing was asked for.
-    #[error("explain what? name a request, or say --server, --version or --term")]
+    /// `explain` was called without a request, server, version or term.
+    #[error("nothing to explain: give a request ID, or use --server, --version or --term")]
     NoQuery,
-    /// No host of this name is on the platform's list.
+    /// The platform's list has no host of this name.
     #[error("no host `{0}` is on the platform's list")]
     UnknownHost(String),
 }
 
 impl Error {
-    /// The exit code for it.
+    /// Exit code of a process that ends with this error.
     pub fn code(&self) -> Code {
         match self {
             Error::Findings(_) => Code::Refused,
--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Flags and subcommands.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -12,23 +12,23 @@
     report::{Format, Report},
 };
 
-/// Declares models and services, and shows what the hosts make of them.
+/// Declares models and services, and shows the state of the hosts and servers that run them.
 #[derive(Debug, Parser)]
 #[command(name = "cyclamenctl", version, about, long_about = None, after_help = EXIT_CODES)]
 pub struct Flags {
     #[command(flatten)]
     access: Access,
-    /// Print JSON in place of tables.
+    /// Print JSON instead of tables.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
     command: Command,
 }
 
-/// How hosts are reached.
+/// Addresses of hosts, and the token that they require.
 #[derive(Debug, Args)]
 struct Access {
-    /// A host's listener for operators; several are tried in order.
+    /// Address of a host's operators' listener; if several are given, they are tried in order.
     #[arg(
         long = "host",
         value_name = "ADDRESS",
@@ -37,14 +37,14 @@
         global = true
     )]
     hosts: Vec<SocketAddr>,
-    /// File that holds the operators' token.
+    /// File that contains the operators' token.
     #[arg(long, value_name = "FILE", env = "CYCLAMENCTL_TOKEN_FILE", global = true)]
     token_file: Option<PathBuf>,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check files of a declared configuration, and print every finding with its place.
+    /// Check files of a declared configuration, and print every finding with its location.
     Check {
         /// A JSON file, or a directory of them.
         path: PathBuf,
@@ -54,97 +54,98 @@
         /// A JSON file, or a directory of them.
         path: PathBuf,
     },
-    /// Make files the declared configuration, as one patch.
+    /// Make the declared configuration equal to files, as one patch.
     Apply {
         /// A JSON file, or a directory of them.
         path: PathBuf,
-        /// Number that the files are based on, or `current`; else the one kept beside them.
+        /// Number that the files are based on, or `current`; by default the one stored beside them.
         #[arg(long, value_name = "NUMBER")]
         against: Option<Base>,
         /// Wait until every live host has the number in force.
         #[arg(long)]
         wait: bool,
-        /// Longest wait, in seconds.
+        /// Timeout of the wait, in seconds.
         #[arg(long, value_name = "SECONDS", default_value = "10", requires = "wait")]
         within: Seconds,
     },
     /// Print the declared configuration in force, or write it to files.
     Get {
-        /// A file, or a directory for a file for each section. The number is kept beside it.
+        /// A file, or an existing directory, which gets a file for each section. The number is
+        /// stored beside it.
         #[arg(long, value_name = "PATH")]
         to: Option<PathBuf>,
     },
-    /// Show every host: whether it is ready, and the number in force there.
+    /// Show every host: whether it is ready, and the number in force on it.
     Status,
     /// Show the servers that hold a model.
     Where {
-        /// The model.
+        /// Name of the model.
         model: String,
     },
-    /// Show loads and unloads: what, why, settled or open, and for how long.
+    /// Show loads and unloads: what and why, whether settled or open, and for how long.
     Moves,
     /// Show the events of all hosts in causal order.
     Timeline(Timeline),
-    /// Tell from the hosts' logs why a request ended as it did, with what was believed then.
+    /// Explain from the hosts' logs why a request ended as it did, and what was known then.
     Explain(Explain),
-    /// Ask a host for a planned stop: it finishes what is in flight and ends.
+    /// Start a planned stop of a host: it completes requests in flight and exits.
     Drain {
         /// Name of the host.
         host: String,
     },
 }
 
-/// Which events to show, and how.
+/// Arguments of `timeline`.
 #[derive(Debug, Args)]
 pub struct Timeline {
-    /// Only what belongs to this request.
+    /// Only events of this request.
     #[arg(long, value_name = "ID")]
     pub request: Option<String>,
-    /// Only what concerns this model.
+    /// Only events of this model.
     #[arg(long)]
     pub model: Option<String>,
-    /// Only what concerns this backend server.
+    /// Only events of this backend server.
     #[arg(long)]
     pub server: Option<String>,
-    /// Only from this time on, in RFC 3339 form.
+    /// Only events from this time on, in RFC 3339 format.
     #[arg(long, value_name = "TIME")]
     pub from: Option<String>,
-    /// Only up to this time, in RFC 3339 form.
+    /// Only events up to this time, in RFC 3339 format.
     #[arg(long, value_name = "TIME")]
     pub until: Option<String>,
-    /// Write a self-contained page to look at.
+    /// Write a self-contained HTML page instead of printing the events.
     #[arg(long, value_name = "FILE")]
     pub page: Option<PathBuf>,
 }
 
-/// What to explain, and from which logs.
+/// Arguments of `explain`.
 #[derive(Debug, Args)]
 #[command(group(ArgGroup::new("ask").required(true).args(["request", "server", "version", "term"])))]
 pub struct Explain {
-    /// The request's id.
+    /// ID of the request.
     #[arg(value_name = "REQUEST-ID")]
     pub request: Option<String>,
-    /// A run of a server's process, in place of a request.
+    /// A run of a server's process, instead of a request.
     #[arg(long, value_name = "ID")]
     pub server: Option<String>,
-    /// A declaration.
+    /// Number of a declaration, instead of a request.
     #[arg(long, value_name = "NUMBER")]
     pub version: Option<routed::Version>,
-    /// A term of a lease, by its fencing number.
+    /// Fencing number of a term of a lease, instead of a request.
     #[arg(long, value_name = "FENCE")]
     pub term: Option<order::Fence>,
-    /// Logs of all hosts, in any order; `-` is standard input. What stands before a line's first
-    /// `{` is passed over.
+    /// Logs of all hosts, in any order; `-` is standard input. Text before the first `{` of a line
+    /// is ignored.
     #[arg(long, value_name = "FILE", num_args = 1.., required = true)]
     pub logs: Vec<PathBuf>,
 }
 
-/// The number that files are based on.
+/// Value of `--against`: the number that files are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Base {
-    /// Whatever is in force.
+    /// The number in force when the command runs.
     Current,
-    /// This one.
+    /// A given number.
     Number(Number),
 }
 
@@ -159,7 +160,7 @@
     }
 }
 
-/// A time limit.
+/// A duration that is given as a whole number of seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Seconds(pub Duration);
 
@@ -172,7 +173,7 @@
 }
 
 impl Flags {
-    /// Runs the command and prints what it found.
+    /// Runs the command, prints its report or error, and returns the exit code.
     pub fn run(self) -> ExitCode {
         let format = if self.json { Format::Json } else { Format::Text };
         let code = match self.report() {
@@ -188,11 +189,11 @@
         ExitCode::from(code as u8)
     }
 
-    /// Runs the command.
+    /// Runs the command without printing anything.
     ///
     /// # Errors
     ///
-    /// Why it could not be run.
+    /// The command failed; a report with an exit code other than zero is not an error.
     pub fn report(self) -> Result<Report, Error> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -238,7 +239,7 @@
     }
 }
 
-#[allow(clippy::print_stderr, clippy::print_stdout, reason = "the user is to see it")]
+#[allow(clippy::print_stderr, clippy::print_stdout, reason = "errors are printed for the user")]
 fn print_error(error: &Error, format: Format) {
     match (error, format) {
         (Error::Findings(findings), Format::Json) => {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' command line.
+//! The command line for operators, `cyclamenctl`.
 //!
-//! [`flags`] says what can be asked for, one module of `commands` does each thing over
-//! [`client::Client`], and gives a [`report::Report`] that is printed as tables or as JSON. It
-//! asks hosts and decides nothing; a library so that tests can call it.
+//! [`flags`] parses the arguments. Each command has a module in `commands`, which queries hosts
+//! through [`client::Client`] and returns a [`report::Report`] that is printed as tables or as
+//! JSON. All decisions are the hosts'. This is a library so that tests can call it.
 
 pub mod client;
 mod commands;
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,44 +1,44 @@
-//! What a command found, as tables for people or as JSON for programs.
+//! Output of a command, as tables for people or as JSON for programs.
 
 use serde_json::Value;
 use tabled::{builder::Builder, settings::Style};
 
 use crate::error::Code;
 
-/// How reports are printed.
+/// Output format of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Tables and lines, for people.
     Text,
-    /// For programs.
+    /// One indented JSON value, for programs.
     Json,
 }
 
-/// What a command found.
+/// Output and exit code of a command that ran.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// For people.
+    /// Output in the text format; may be empty.
     pub text: String,
-    /// For programs.
+    /// Output in the JSON format.
     pub json: Value,
-    /// What the process ends with.
+    /// Exit code of the process.
     pub code: Code,
 }
 
 impl Report {
-    /// A report of something done.
+    /// Creates a report with [`Code::Done`].
     pub fn done(text: impl Into<String>, json: Value) -> Report {
         Report { text: text.into(), json, code: Code::Done }
     }
 
-    /// Ends the process with another code.
+    /// Sets the exit code of the process.
     pub fn code(mut self, code: Code) -> Report {
         self.code = code;
         self
     }
 
-    /// Prints it on standard output.
-    #[allow(clippy::print_stdout, reason = "a report is what was asked for")]
+    /// Prints the report on standard output; nothing if the text is empty.
+    #[allow(clippy::print_stdout, reason = "the report is the output of the command")]
     pub fn print(&self, format: Format) {
         match format {
             Format::Text if self.text.is_empty() => {}
@@ -48,7 +48,7 @@
     }
 }
 
-/// A table with a line of names above it.
+/// Formats a table with a header of column names and without trailing spaces.
 pub fn table<const N: usize>(
     names: [&str; N],
     rows: impl IntoIterator<Item = [String; N]>,
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -160,7 +160,7 @@
     let file = site.write("a.json", &moves(7), None);
     let run = site.ctl(&["apply", &file]).await;
     assert_eq!(run.code, 2);
-    assert!(run.err.contains("which number are the files based on?"), "{}", run.err);
+    assert!(run.err.contains("the number that the files are based on is unknown"), "{}", run.err);
     assert_eq!(site.ctl(&["apply", &file, "--against", "1"]).await.code, 0);
     site.end().await;
 }
