--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -20,8 +20,8 @@
     host::{Entry, List, Listed},
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The operators' token of every host.
 pub const TOKEN: &str = "a-token-of-more-than-16-characters";
@@ -56,8 +56,8 @@
             Engine::start(settings.with_adapter("carta", "notaria", "1", 100)).await.unwrap();
         platform.poke("config/root", json!({"number": 1, "config": config()}));
         let mut running = Vec::new();
-        for place in 0..hosts {
-            running.push(stage::start(host(place, platform.address())).await.unwrap());
+        for index in 0..hosts {
+            running.push(stage::start(host(index, platform.address())).await.unwrap());
         }
         let files = tempfile::tempdir().unwrap();
         std::fs::write(files.path().join("token"), TOKEN).unwrap();
@@ -119,7 +119,7 @@
         text(&path)
     }
 
-    pub async fn end(self) {
+    pub async fn stop(self) {
         futures_util::future::join_all(self.hosts.into_iter().map(Running::drain)).await;
     }
 }
@@ -141,12 +141,12 @@
     Run { code, out: text(output.stdout), err: text(output.stderr) }
 }
 
-fn host(place: usize, platform: SocketAddr) -> settings::process::Process {
-    let any: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
+fn host(index: usize, platform: SocketAddr) -> settings::process::Process {
+    let any_port: SocketAddr = (Ipv4Addr::LOCALHOST, 0).into();
     serde_json::from_value(json!({
         "host": {
-            "id": format!("host-{place}"), "zone": "med-a",
-            "callers": any, "peers": any, "operators": any
+            "id": format!("host-{index}"), "zone": "med-a",
+            "callers": any_port, "peers": any_port, "operators": any_port
         },
         "platform": platform,
         "operators_token": TOKEN,
@@ -178,8 +178,8 @@
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let waiting = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "never: {what}");
 }
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -11,7 +11,7 @@
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
 
 /// The configuration with another weight of moves.
-fn moves(weight: u64) -> Value {
+fn with_moves_weight(weight: u64) -> Value {
     let mut config = config();
     config["weights"] = json!({"attainment": 1, "moves": weight});
     config
@@ -60,13 +60,13 @@
     let names = ["customers.json", "models.json", "services.json", "weights.json"];
     assert!(names.iter().all(|name| std::path::Path::new(&directory).join(name).exists()));
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn diff_shows_lines_and_the_verdict_and_changes_nothing() {
     let site = Site::start(1).await;
-    let file = site.write("a.json", &moves(7), None);
+    let file = site.write("a.json", &with_moves_weight(7), None);
     let run = site.ctl(&["diff", &file]).await;
     assert_eq!(run.code, 0, "{run:?}");
     for line in
@@ -88,32 +88,32 @@
         run.out
     );
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn apply_waits_until_every_live_host_has_the_number() {
     let site = Site::start(3).await;
-    let file = site.write("a.json", &moves(7), Some(1));
+    let file = site.write("a.json", &with_moves_weight(7), Some(1));
     let run = site.ctl(&["apply", &file, "--wait"]).await;
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.out, "accepted as number 2\nin force on every live host\n");
     assert!(site.hosts.iter().all(|host| host.context().config().number == 2));
     // The number beside the file has moved on, so the next change can go on top.
-    std::fs::write(&file, moves(8).to_string()).unwrap();
+    std::fs::write(&file, with_moves_weight(8).to_string()).unwrap();
     assert_eq!(site.ctl(&["apply", &file]).await.out, "accepted as number 3\n");
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn apply_names_the_live_hosts_that_lack_the_number() {
     let site = Site::start(2).await;
     let mut list = site.list();
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for (name, state) in [("silent", Listed::Live), ("left", Listed::Leaving)] {
         let mut entry = list.hosts[0].clone();
         entry.host.id = name.into();
-        entry.host.operators = silent;
+        entry.host.operators = unresponsive;
         entry.state = state;
         list.hosts.push(entry);
     }
@@ -121,7 +121,7 @@
     for host in &site.hosts {
         until("the list is read", async || host.context().fleet.list().hosts.len() == 4).await;
     }
-    let file = site.write("a.json", &moves(7), Some(1));
+    let file = site.write("a.json", &with_moves_weight(7), Some(1));
     let arguments = ["apply", &file, "--wait", "--within", "1", "--json"];
     let run = site.ctl(&arguments).await;
     assert_eq!(run.code, 4, "{run:?}");
@@ -130,14 +130,14 @@
     let lacking = json["lacking"].as_array().unwrap();
     assert_eq!(lacking.len(), 1, "{lacking:?}");
     assert!(lacking[0].as_str().unwrap().starts_with("silent: no answer from 127.0.0.1:"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn files_based_on_a_past_number_are_refused_with_what_clashes() {
     let site = Site::start(1).await;
-    let mine = site.write("mine.json", &moves(7), Some(1));
-    let theirs = site.write("theirs.json", &moves(8), Some(1));
+    let mine = site.write("mine.json", &with_moves_weight(7), Some(1));
+    let theirs = site.write("theirs.json", &with_moves_weight(8), Some(1));
     assert_eq!(site.ctl(&["apply", &theirs]).await.code, 0);
 
     let run = site.ctl(&["apply", &mine]).await;
@@ -151,18 +151,18 @@
 
     let forced = site.ctl(&["apply", &mine, "--against", "current"]).await;
     assert_eq!((forced.code, forced.out.as_str()), (0, "accepted as number 3\n"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn files_without_a_number_are_not_applied() {
     let site = Site::start(1).await;
-    let file = site.write("a.json", &moves(7), None);
+    let file = site.write("a.json", &with_moves_weight(7), None);
     let run = site.ctl(&["apply", &file]).await;
     assert_eq!(run.code, 2);
     assert!(run.err.contains("the number that the files are based on is unknown"), "{}", run.err);
     assert_eq!(site.ctl(&["apply", &file, "--against", "1"]).await.code, 0);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -170,13 +170,13 @@
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
     let trap = proxy.trap("POST /config/patches", Strike::LoseAnswer);
-    let file = site.write("a.json", &moves(7), Some(1));
+    let file = site.write("a.json", &with_moves_weight(7), Some(1));
     let run = site.ctl_at(proxy.address(), &["apply", &file]).await;
     assert!(trap.has_sprung());
     assert_eq!((run.code, run.out.as_str()), (0, "accepted before as number 2\n"), "{run:?}");
     let (_, root) = site.platform.peek("config/root").unwrap();
     assert_eq!((&root["number"], root["patches"].as_array().unwrap().len()), (&json!(2), 1));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -184,7 +184,7 @@
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
     let trap = proxy.trap("POST /config/patches", Strike::HoldAnswer);
-    let file = site.write("a.json", &moves(7), Some(1));
+    let file = site.write("a.json", &with_moves_weight(7), Some(1));
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
@@ -195,7 +195,7 @@
     });
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -203,7 +203,7 @@
     const RACERS: u64 = 5;
     let site = Site::start(2).await;
     let racers = (0..RACERS).map(async |racer| {
-        let file = site.write(&format!("{racer}.json"), &moves(100 + racer), Some(1));
+        let file = site.write(&format!("{racer}.json"), &with_moves_weight(100 + racer), Some(1));
         let host = site.operators(racer as usize % 2);
         site.ctl_at(host, &["apply", &file]).await.code
     });
@@ -211,5 +211,5 @@
     codes.sort();
     assert_eq!(codes, [0, 3, 3, 3, 3]);
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
-    site.end().await;
+    site.stop().await;
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -9,17 +9,17 @@
 use serde_json::Value;
 use standin::page::is_shown;
 
-const TOLD: &str = include_str!("incident/told.md");
+const EXPECTED: &str = include_str!("incident/expected.md");
 
-async fn explained(logs: &Logs, question: &[&str]) -> common::Run {
+async fn explain(logs: &Logs, query: &[&str]) -> common::Run {
     let files = [text(&logs.file("front-a-1.log")), text(&logs.file("front-b-1.log"))];
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
-    ctl(&[&["explain"], question, &["--logs"], &files[..]].concat()).await
+    ctl(&[&["explain"], query, &["--logs"], &files[..]].concat()).await
 }
 
 /// Part, kind and host of each line that is told.
-async fn told(logs: &Logs, question: &[&str]) -> Vec<(String, String, String)> {
-    let run = explained(logs, &[question, &["--json"]].concat()).await;
+async fn explained_lines(logs: &Logs, query: &[&str]) -> Vec<(String, String, String)> {
+    let run = explain(logs, &[query, &["--json"]].concat()).await;
     assert_eq!(run.code, 0, "{run:?}");
     let field = |line: &Value, name: &str| line[name].as_str().unwrap().to_owned();
     let lines = run.json()["lines"].as_array().unwrap().clone();
@@ -59,25 +59,25 @@
 ])]
 #[tokio::test]
 async fn a_tale_has_its_lines_of_all_hosts_and_what_was_believed_then(
-    #[case] question: &[&str],
+    #[case] query: &[&str],
     #[case] expected: &[&str],
 ) {
     let logs = Logs::write();
-    assert_eq!(told(&logs, question).await, lines(expected));
+    assert_eq!(explained_lines(&logs, query).await, lines(expected));
 }
 
 #[tokio::test]
 async fn lines_that_cannot_be_read_are_counted_and_an_unknown_id_is_told() {
     let logs = Logs::write();
-    let run = explained(&logs, &["nobody-1"]).await;
-    let counted = "2 lines could not be read, 1 are of another sort\n";
-    assert_eq!((run.code, run.out), (1, format!("no line is about it\n{counted}")));
+    let run = explain(&logs, &["nobody-1"]).await;
+    let skipped = "2 lines could not be read, 1 are of another sort\n";
+    assert_eq!((run.code, run.out), (1, format!("no line is about it\n{skipped}")));
 }
 
 #[tokio::test]
 async fn what_callers_sent_does_not_steer_a_terminal() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("log");
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("log");
     let line = r#"{"at":1,"up":1,"wall":1,"host":"h","run":1,"request":"r-1","kind":"queued","why":"a\u001b[2Jb","inputs":[]}"#;
     std::fs::write(&file, line).unwrap();
     let run = ctl(&["explain", "r-1", "--logs", &text(&file)]).await;
@@ -103,7 +103,7 @@
 #[tokio::test]
 async fn commands_print_what_is_told_of_the_incident() {
     let logs = Logs::write();
-    let blocks: Vec<&str> = TOLD.split("```console\n").skip(1).collect();
+    let blocks: Vec<&str> = EXPECTED.split("```console\n").skip(1).collect();
     assert_eq!(blocks.len(), 4);
     for block in blocks {
         let block = block.split("```").next().unwrap();
--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -22,9 +22,9 @@
 use tempfile::TempDir;
 use types::{request::Ran, routed::Kind};
 
-const LEAVER: &str = "lector-3.9f02";
-const STAYER: &str = "lector-5.117c";
-const TICKETS: &str = "tickets-1.c0de";
+const LEAVING_SERVER: &str = "lector-3.9f02";
+const REMAINING_SERVER: &str = "lector-5.117c";
+const TICKET_SERVER: &str = "tickets-1.c0de";
 const MODEL: &str = "carta";
 
 /// Files with the logs of `front-a-1` and `front-b-1`.
@@ -37,42 +37,42 @@
 
     pub fn write() -> Logs {
         let clock = Clock::system();
-        let (page_a, page_b) = (Page::default(), Page::default());
-        let a = logger("front-a-1", 101, &clock, &page_a);
-        let b = logger("front-b-1", 102, &clock, &page_b);
-        play(&a, &b);
-        let folder = tempfile::tempdir().unwrap();
-        let mut text = page_a.0.lock().unwrap().clone();
+        let (buffer_a, buffer_b) = (Buffer::default(), Buffer::default());
+        let a = logger("front-a-1", 101, &clock, &buffer_a);
+        let b = logger("front-b-1", 102, &clock, &buffer_b);
+        log_incident(&a, &b);
+        let directory = tempfile::tempdir().unwrap();
+        let mut text = buffer_a.0.lock().unwrap().clone();
         text.push_str(
             "{\"time\":\"2026-01-01T00:00:00Z\",\"level\":\"WARN\",\"message\":\"words\"}\n",
         );
-        std::fs::write(folder.path().join("front-a-1.log"), text).unwrap();
+        std::fs::write(directory.path().join("front-a-1.log"), text).unwrap();
         // As a collector gives it: with a name and a time before each line; the last one is cut.
-        let prefixed = page_b.0.lock().unwrap().lines().fold(String::new(), |mut text, line| {
+        let prefixed = buffer_b.0.lock().unwrap().lines().fold(String::new(), |mut text, line| {
             writeln!(text, "front-b-1 12.345 {line}").unwrap();
             text
         });
         let text = prefixed + "front-b-1 no line\nfront-b-1 12.4 {\"at\":1,\"up\":1,\"wa";
-        std::fs::write(folder.path().join("front-b-1.log"), text).unwrap();
-        Logs(folder)
+        std::fs::write(directory.path().join("front-b-1.log"), text).unwrap();
+        Logs(directory)
     }
 }
 
-fn play(a: &Logger, b: &Logger) {
-    begin(a, Source::Store);
-    begin(b, Source::Peer("front-a-1".into()));
-    place(b);
+fn log_incident(a: &Logger, b: &Logger) {
+    log_start(a, Source::Store);
+    log_start(b, Source::Peer("front-a-1".into()));
+    log_placement(b);
     a.belief(Belief::Declaration { version: 12, from: Source::Store });
     b.belief(Belief::Declaration { version: 12, from: Source::Peer("front-a-1".into()) });
-    well(a);
-    unclear(a);
+    log_answered(a);
+    log_unclear(a);
     a.belief(Belief::Dependency {
         name: "store".into(),
         state: DependencyState::Lost,
         why: "no answer for 2 s".into(),
     });
-    late(a, b);
-    refused(a, b);
+    log_late(a, b);
+    log_refused(a, b);
     let why = "asked to stop".into();
     b.belief(Belief::Lease {
         duty: "placement".into(),
@@ -83,16 +83,16 @@
     });
 }
 
-fn begin(logger: &Logger, from: Source) {
+fn log_start(logger: &Logger, from: Source) {
     let settings = serde_json::json!({"log": {"level": "info"}});
     logger.belief(Belief::Start { program: "0.1.0".into(), settings });
     logger.belief(Belief::Declaration { version: 11, from });
-    server(logger, LEAVER, ServerStanding::Seen, Source::Store, "registered");
-    server(logger, STAYER, ServerStanding::Seen, Source::Store, "registered");
-    server(logger, TICKETS, ServerStanding::Seen, Source::Store, "registered");
+    log_server(logger, LEAVING_SERVER, ServerStanding::Seen, Source::Store, "registered");
+    log_server(logger, REMAINING_SERVER, ServerStanding::Seen, Source::Store, "registered");
+    log_server(logger, TICKET_SERVER, ServerStanding::Seen, Source::Store, "registered");
 }
 
-fn place(logger: &Logger) {
+fn log_placement(logger: &Logger) {
     logger.belief(Belief::Lease {
         duty: "placement".into(),
         state: LeaseState::Gained,
@@ -101,7 +101,7 @@
         why: "the one before lapsed".into(),
     });
     logger.belief(Belief::Placement {
-        server: STAYER.into(),
+        server: REMAINING_SERVER.into(),
         action: "load".into(),
         model: MODEL.into(),
         adapter: None,
@@ -110,7 +110,7 @@
         why: "demand".into(),
     });
     logger.belief(Belief::Order {
-        server: STAYER.into(),
+        server: REMAINING_SERVER.into(),
         action: "load".into(),
         model: MODEL.into(),
         adapter: None,
@@ -121,21 +121,21 @@
     });
 }
 
-fn well(a: &Logger) {
+fn log_answered(a: &Logger) {
     let mut story = a.request("well-1".into());
     story.record(Step::Arrived(arrival("pages", Kind::Idempotent, None, ms(1000))));
-    story.record(Step::Attempt(attempt(1, TICKETS, "request", "least")));
+    story.record(Step::Attempt(attempt(1, TICKET_SERVER, "request", "least")));
     story.end(end(Outcome::Answered, Some(200), None, Some(ms(31)), 0, ms(32)));
 }
 
-fn unclear(a: &Logger) {
+fn log_unclear(a: &Logger) {
     let mut story = a.request("unclear-1".into());
     story.record(Step::Arrived(arrival("tickets", Kind::NonIdempotent, None, ms(1000))));
-    story.record(Step::Attempt(attempt(1, TICKETS, "request", "least")));
-    server(a, TICKETS, ServerStanding::Suspected, Source::Itself, "connection reset");
+    story.record(Step::Attempt(attempt(1, TICKET_SERVER, "request", "least")));
+    log_server(a, TICKET_SERVER, ServerStanding::Suspected, Source::Itself, "connection reset");
     story.record(Step::AttemptEnded {
         attempt: 1,
-        server: TICKETS.into(),
+        server: TICKET_SERVER.into(),
         outcome: "reset".into(),
         status: None,
         ran: Ran::MayHaveRun,
@@ -143,26 +143,35 @@
     story.end(end(Outcome::Unclear, Some(502), Some("reset"), None, 0, ms(118)));
 }
 
-fn late(a: &Logger, b: &Logger) {
+fn log_late(a: &Logger, b: &Logger) {
     let mut story = b.request("late-1".into());
     story.record(Step::Arrived(arrival("letters", Kind::Stream, Some(MODEL), ms(12_000))));
-    let candidates = vec![candidate(LEAVER, 40, 210), candidate(STAYER, 95, 180)];
-    story.record(Step::Attempt(Attempt { candidates, ..attempt(1, LEAVER, "request", "least") }));
-    server(b, LEAVER, ServerStanding::Gone, Source::Itself, "connection reset");
-    server(a, LEAVER, ServerStanding::Leaving, Source::Peer("front-b-1".into()), "told");
+    let candidates = vec![candidate(LEAVING_SERVER, 40, 210), candidate(REMAINING_SERVER, 95, 180)];
+    story.record(Step::Attempt(Attempt {
+        candidates,
+        ..attempt(1, LEAVING_SERVER, "request", "least")
+    }));
+    log_server(b, LEAVING_SERVER, ServerStanding::Gone, Source::Itself, "connection reset");
+    log_server(
+        a,
+        LEAVING_SERVER,
+        ServerStanding::Leaving,
+        Source::Peer("front-b-1".into()),
+        "told",
+    );
     story.record(Step::AttemptEnded {
         attempt: 1,
-        server: LEAVER.into(),
+        server: LEAVING_SERVER.into(),
         outcome: "reset-midway".into(),
         status: Some(200),
         ran: Ran::Ran,
     });
-    story.record(Step::Resumed { attempt: 2, server: STAYER.into(), after: 12 });
+    story.record(Step::Resumed { attempt: 2, server: REMAINING_SERVER.into(), after: 12 });
     story.end(end(Outcome::Late, Some(200), Some("pause"), Some(ms(52)), 47, ms(2210)));
     b.belief(Belief::Dropped { full: 0, ceiling: 3, plans: 0 });
 }
 
-fn refused(a: &Logger, b: &Logger) {
+fn log_refused(a: &Logger, b: &Logger) {
     b.belief(Belief::Wish {
         model: MODEL.into(),
         adapter: None,
@@ -184,7 +193,13 @@
     story.end(end(Outcome::Refused, Some(503), Some("goal-out-of-reach"), None, 0, ms(2)));
 }
 
-fn server(logger: &Logger, id: &str, standing: ServerStanding, from: Source, why: &'static str) {
+fn log_server(
+    logger: &Logger,
+    id: &str,
+    standing: ServerStanding,
+    from: Source,
+    why: &'static str,
+) {
     let (server, why) = (id.into(), why.into());
     logger.belief(Belief::Server { server, standing, from, service: None, address: None, why });
 }
@@ -226,16 +241,16 @@
     Duration::from_millis(time)
 }
 
-fn logger(host: &str, run: u64, clock: &Clock, page: &Page) -> Logger {
-    let output = Output::Custom(Arc::new(page.clone()), LevelFilter::Info);
+fn logger(host: &str, run: u64, clock: &Clock, buffer: &Buffer) -> Logger {
+    let output = Output::Custom(Arc::new(buffer.clone()), LevelFilter::Info);
     Logger::new(host.into(), run, clock.clone(), output)
 }
 
 /// Lines in memory; a clone shows the same.
 #[derive(Clone, Debug, Default)]
-struct Page(Arc<Mutex<String>>);
+struct Buffer(Arc<Mutex<String>>);
 
-impl Log for Page {
+impl Log for Buffer {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -68,5 +68,5 @@
             assert!(is_there, "{}: no {shown:?} in order in\n{out}", step.command);
         }
     }
-    site.end().await;
+    site.stop().await;
 }
--- a/crates/ctl/tests/views.rs
+++ b/crates/ctl/tests/views.rs
@@ -9,10 +9,10 @@
 async fn status_has_a_line_for_each_host_also_for_one_that_does_not_answer() {
     let site = Site::start(2).await;
     let mut list = site.list();
-    let mut silent = list.hosts[0].clone();
-    silent.host.id = "silent".into();
-    silent.host.operators = "127.0.0.1:1".parse().unwrap();
-    list.hosts.push(silent);
+    let mut unresponsive = list.hosts[0].clone();
+    unresponsive.host.id = "silent".into();
+    unresponsive.host.operators = "127.0.0.1:1".parse().unwrap();
+    list.hosts.push(unresponsive);
     site.platform.set_list(list);
     common::until("the list is read", async || {
         site.hosts[0].context().fleet.list().hosts.len() == 3
@@ -28,7 +28,7 @@
     let json = site.json(&["status"]).await;
     assert_eq!(json["hosts"][1]["status"]["configuration"], 1);
     assert!(json["hosts"][2]["no_answer"].is_string());
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -50,7 +50,7 @@
 
     let none = site.ctl(&["where", "nobody"]).await;
     assert_eq!((none.code, none.out.as_str()), (1, "no server reports nobody\n"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -58,12 +58,12 @@
     let site = Site::start(2).await;
     let run = site.ctl(&["drain", "host-1"]).await;
     assert_eq!((run.code, run.out.as_str()), (0, "host-1 drains\n"));
-    let asked = |host: usize| site.hosts[host].context().stop_asked.is_cancelled();
-    assert_eq!((asked(0), asked(1)), (false, true));
+    let is_stopping = |host: usize| site.hosts[host].context().stop_asked.is_cancelled();
+    assert_eq!((is_stopping(0), is_stopping(1)), (false, true));
     let unknown = site.ctl(&["drain", "host-9"]).await;
     assert_eq!(unknown.code, 1);
     assert!(unknown.err.contains("no host `host-9`"), "{}", unknown.err);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -74,7 +74,7 @@
     let run = site.ctl(&["status"]).await;
     assert_eq!(run.code, 1);
     assert!(run.err.contains("/hosts: 401 Unauthorized"), "{}", run.err);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -83,7 +83,7 @@
     let live = site.operators(0).to_string();
     let run = site.ctl(&["where", "carta", "--host", "127.0.0.1:1", "--host", &live]).await;
     assert_eq!(run.code, 0, "{run:?}");
-    site.end().await;
+    site.stop().await;
 }
 
 #[rstest]
@@ -96,11 +96,11 @@
 async fn what_cannot_be_done_ends_with_its_code(
     #[case] arguments: &[&str],
     #[case] code: i32,
-    #[case] words: &str,
+    #[case] expected: &str,
 ) {
     let run = ctl(arguments).await;
     assert_eq!(run.code, code, "{run:?}");
-    assert!(run.err.contains(words), "{}", run.err);
+    assert!(run.err.contains(expected), "{}", run.err);
 }
 
 #[tokio::test]
@@ -132,13 +132,13 @@
 
     let run = site.ctl(&["timeline"]).await;
     assert_eq!(run.code, 0, "{run:?}");
-    let place = |words: &[&str]| {
-        let is_it = |line: &str| words.iter().all(|word| line.contains(word));
-        run.out.lines().position(is_it).unwrap_or_else(|| panic!("no {words:?} in {}", run.out))
+    let position = |expected: &[&str]| {
+        let is_it = |line: &str| expected.iter().all(|word| line.contains(word));
+        run.out.lines().position(is_it).unwrap_or_else(|| panic!("no {expected:?} in {}", run.out))
     };
-    let patch = place(&["host-0", " patch ", "verdict=accepted"]);
-    let first = place(&["host-0", " configuration ", "number=2"]);
-    let second = place(&["host-1", " configuration ", "number=2"]);
+    let patch = position(&["host-0", " patch ", "verdict=accepted"]);
+    let first = position(&["host-0", " configuration ", "number=2"]);
+    let second = position(&["host-1", " configuration ", "number=2"]);
     assert!(patch < first && patch < second, "{}", run.out);
 
     let json = site.json(&["timeline", "--model", "nobody"]).await;
@@ -146,7 +146,7 @@
     let page = text(&site.files.path().join("page.html"));
     assert_eq!(site.ctl(&["timeline", "--page", &page]).await.code, 0);
     assert!(std::fs::read_to_string(&page).unwrap().contains("<html"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -157,24 +157,24 @@
     let file = site.write("a.json", &changed, Some(1));
     assert_eq!(site.ctl(&["apply", &file, "--wait"]).await.code, 0);
 
-    let moved = |json: &serde_json::Value, action: &str| {
+    let is_settled = |json: &serde_json::Value, action: &str| {
         let settled = json["settled"].as_array().unwrap();
         settled.iter().any(|one| one["action"][action]["unit"]["model"]["version"].is_string())
     };
     common::until("the old version is gone", async || {
         let json = site.json(&["moves"]).await;
-        moved(&json, "load")
-            && moved(&json, "unload")
+        is_settled(&json, "load")
+            && is_settled(&json, "unload")
             && json["open"].as_array().unwrap().is_empty()
     })
     .await;
     let run = site.ctl(&["moves"]).await;
     assert_eq!(run.code, 0, "{run:?}");
-    for words in ["no open moves", "load carta 2", "unload carta 1", "lector-1", "IN DOUBT"] {
-        assert!(run.out.contains(words), "no {words:?} in {}", run.out);
+    for expected in ["no open moves", "load carta 2", "unload carta 1", "lector-1", "IN DOUBT"] {
+        assert!(run.out.contains(expected), "no {expected:?} in {}", run.out);
     }
-    let held = site.ctl(&["where", "carta"]).await.out;
+    let residents = site.ctl(&["where", "carta"]).await.out;
     let old = |line: &str| line.split_whitespace().collect::<Vec<_>>()[3..5] == ["carta", "1"];
-    assert!(!held.lines().any(old), "{held}");
-    site.end().await;
+    assert!(!residents.lines().any(old), "{residents}");
+    site.stop().await;
 }
