--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -120,7 +120,9 @@
 
 /// Arguments of `explain`.
 #[derive(Debug, Args)]
-#[command(group(ArgGroup::new("ask").required(true).args(["request", "server", "version", "term"])))]
+#[command(group(
+    ArgGroup::new("query").required(true).args(["request", "server", "version", "term"])
+))]
 pub struct Explain {
     /// ID of the request.
     #[arg(value_name = "REQUEST-ID")]
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Hosts in this process, the command line as a process of its own.
+//! Starts hosts in the test process, and runs `cyclamenctl` as a child process.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -23,10 +23,10 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The operators' token of every host.
+/// Operators' token of all hosts.
 pub const TOKEN: &str = "a-token-of-more-than-16-characters";
 
-/// What a command gave.
+/// Exit code and output of a command.
 #[derive(Debug)]
 pub struct Run {
     pub code: i32,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A platform, an engine that holds model `m`, and hosts.
+/// A platform, an engine that holds model `carta` with adapter `notaria`, and hosts.
 pub struct Site {
     pub platform: Platform,
     pub hosts: Vec<Running>,
@@ -65,7 +65,7 @@
         site.platform.set_list(site.list());
         for host in &site.hosts {
             let context = host.context();
-            until("the host is ready", async || {
+            until("the host is ready and the engine reports", async || {
                 context.is_ready() && context.fleet.reporting() == 1
             })
             .await;
@@ -73,7 +73,7 @@
         site
     }
 
-    /// The platform's list, to be changed.
+    /// The platform's list of these hosts and the engine; a test may change it and set it.
     pub fn list(&self) -> List {
         let live = |host| Entry { host, state: Listed::Live };
         let hosts = self.hosts.iter().map(|host| live(host.context().host().clone())).collect();
@@ -96,7 +96,7 @@
         self.ctl_at(self.operators(0), arguments).await
     }
 
-    /// Runs `cyclamenctl` against some address.
+    /// Runs `cyclamenctl` against the operators' listener, or a proxy of it, at this address.
     pub async fn ctl_at(&self, address: SocketAddr, arguments: &[&str]) -> Run {
         let token = self.files.path().join("token");
         let mut command = command();
@@ -109,7 +109,7 @@
         self.ctl(&[arguments, &["--json"]].concat()).await.json()
     }
 
-    /// Writes a file of configuration, with the number that it is based on.
+    /// Writes a configuration file and, if given, the number that it is based on. Returns the path.
     pub fn write(&self, name: &str, config: &Value, number: Option<u64>) -> String {
         let path = self.files.path().join(name);
         std::fs::write(&path, config.to_string()).unwrap();
@@ -174,12 +174,12 @@
     path.to_str().unwrap().to_owned()
 }
 
-/// Polls a condition, and fails by name when patience ends.
+/// Polls a condition until it holds; panics with `what` after 30 s.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let waiting = async {
         while !condition().await {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "never: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "timed out waiting until {what}");
 }
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -1,4 +1,4 @@
-//! The declared configuration from the command line: check, diff, apply, get.
+//! Tests of the commands that read or change the declared configuration: check, diff, apply, get.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
 
-/// The configuration with another weight of moves.
+/// The test configuration with this weight of moves.
 fn with_moves_weight(weight: u64) -> Value {
     let mut config = config();
     config["weights"] = json!({"attainment": 1, "moves": weight});
@@ -99,7 +99,7 @@
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.out, "accepted as number 2\nin force on every live host\n");
     assert!(site.hosts.iter().all(|host| host.context().config().number == 2));
-    // The number beside the file has moved on, so the next change can go on top.
+    // The number stored beside the file was updated, so a further change is based on it.
     std::fs::write(&file, with_moves_weight(8).to_string()).unwrap();
     assert_eq!(site.ctl(&["apply", &file]).await.out, "accepted as number 3\n");
     site.stop().await;
@@ -144,7 +144,8 @@
     assert_eq!(run.code, 3, "{run:?}");
     let text = "based on number 1: refused: the number is 2 by now, and others changed\n  /weights/moves\n";
     assert_eq!(run.out, text);
-    // Files that would undo what others did are told so too, although they say nothing of it.
+    // A file that equals the configuration at number 1, its own base, is refused as well: it would
+    // undo the change of others.
     let old = site.write("old.json", &config(), Some(1));
     let run = site.ctl(&["apply", &old, "--json"]).await;
     assert_eq!((run.code, &run.json()["clashes"]), (3, &json!(["/weights/moves"])));
@@ -188,7 +189,7 @@
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
-        // The host has said that it could not.
+        // The host has responded that the object API is unavailable; the proxy holds the response.
         trap.sprung().await;
         site.platform.fault(|fault| fault.down = false);
         trap.release();
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What the command line tells out of hosts' logs.
+//! Tests of `explain` on the logs of two hosts.
 
 mod common;
 mod incident;
@@ -17,7 +17,7 @@
     ctl(&[&["explain"], query, &["--logs"], &files[..]].concat()).await
 }
 
-/// Part, kind and host of each line that is told.
+/// Runs `explain` and returns part, kind and host of each line of its report.
 async fn explained_lines(logs: &Logs, query: &[&str]) -> Vec<(String, String, String)> {
     let run = explain(logs, &[query, &["--json"]].concat()).await;
     assert_eq!(run.code, 0, "{run:?}");
--- a/crates/ctl/tests/incident/mod.rs
+++ b/crates/ctl/tests/incident/mod.rs
@@ -1,8 +1,8 @@
-//! Two hosts' logs of an incident, written by the hosts' own tellers.
+//! Two hosts' logs of an incident, written by the loggers that the hosts themselves use.
 //!
-//! A server that holds a model is leaving while the store is out of reach for one host. Four
-//! requests: one is refused, one is lost with a server's connection, one stream goes on elsewhere
-//! and is late, one goes well.
+//! A server that holds a model is leaving while one host can't reach the store. There are four
+//! requests: one is refused; one has an unknown outcome, since the connection to its server was
+//! reset; one stream is resumed on another server and is late; one is answered.
 
 use std::{
     fmt::Write,
@@ -27,7 +27,7 @@
 const TICKET_SERVER: &str = "tickets-1.c0de";
 const MODEL: &str = "carta";
 
-/// Files with the logs of `front-a-1` and `front-b-1`.
+/// Directory with the log files of `front-a-1` and `front-b-1`.
 pub struct Logs(TempDir);
 
 impl Logs {
@@ -47,7 +47,7 @@
             "{\"time\":\"2026-01-01T00:00:00Z\",\"level\":\"WARN\",\"message\":\"words\"}\n",
         );
         std::fs::write(directory.path().join("front-a-1.log"), text).unwrap();
-        // As a collector gives it: with a name and a time before each line; the last one is cut.
+        // As a log collector writes it: host and time before each line, the last line truncated.
         let prefixed = buffer_b.0.lock().unwrap().lines().fold(String::new(), |mut text, line| {
             writeln!(text, "front-b-1 12.345 {line}").unwrap();
             text
@@ -246,7 +246,7 @@
     Logger::new(host.into(), run, clock.clone(), output)
 }
 
-/// Lines in memory; a clone shows the same.
+/// A log in memory; clones share it.
 #[derive(Clone, Debug, Default)]
 struct Buffer(Arc<Mutex<String>>);
 
--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -1,4 +1,5 @@
-//! The page for operators: its commands are run, and what they print is what it shows.
+//! Runs the commands of the operators' page on configuration and compares their output with the
+//! output that the page shows.
 
 mod common;
 
@@ -10,15 +11,15 @@
 const PAGE: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/configuration.md"));
 
-/// A command of the page and the lines that it shows below.
+/// A command of the page, its expected exit code, and the output lines that the page shows.
 struct Step {
     command: String,
     code: i32,
     shown: Vec<String>,
 }
 
-/// Steps of the blocks marked as console, but for those of the other program, whose own tests run
-/// them.
+/// Collects the steps of all `console` blocks, except for commands of `cyclamenstage`, which its
+/// own tests run.
 fn steps() -> Vec<Step> {
     let blocks = PAGE.split("```console\n").skip(1);
     let lines = blocks.flat_map(|rest| rest.split("```").next().unwrap_or_default().lines());
--- a/crates/ctl/tests/views.rs
+++ b/crates/ctl/tests/views.rs
@@ -1,4 +1,4 @@
-//! What the command line shows of hosts, servers and events, and how it ends.
+//! Tests of the commands that show hosts, servers, events and moves, and of exit codes.
 
 mod common;
 
