--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -11,7 +11,7 @@
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
 
 /// The test configuration with this weight of moves.
-fn with_moves_weight(weight: u64) -> Value {
+fn moves(weight: u64) -> Value {
     let mut config = config();
     config["weights"] = json!({"attainment": 1, "moves": weight});
     config
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn diff_shows_lines_and_the_verdict_and_changes_nothing() {
     let site = Site::start(1).await;
-    let file = site.write("a.json", &with_moves_weight(7), None);
+    let file = site.write("a.json", &moves(7), None);
     let run = site.ctl(&["diff", &file]).await;
     assert_eq!(run.code, 0, "{run:?}");
     for line in
@@ -94,13 +94,13 @@
 #[tokio::test]
 async fn apply_waits_until_every_live_host_has_the_number() {
     let site = Site::start(3).await;
-    let file = site.write("a.json", &with_moves_weight(7), Some(1));
+    let file = site.write("a.json", &moves(7), Some(1));
     let run = site.ctl(&["apply", &file, "--wait"]).await;
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.out, "accepted as number 2\nin force on every live host\n");
     assert!(site.hosts.iter().all(|host| host.context().config().number == 2));
     // The number stored beside the file was updated, so a further change is based on it.
-    std::fs::write(&file, with_moves_weight(8).to_string()).unwrap();
+    std::fs::write(&file, moves(8).to_string()).unwrap();
     assert_eq!(site.ctl(&["apply", &file]).await.out, "accepted as number 3\n");
     site.stop().await;
 }
@@ -121,7 +121,7 @@
     for host in &site.hosts {
         until("the list is read", async || host.context().fleet.list().hosts.len() == 4).await;
     }
-    let file = site.write("a.json", &with_moves_weight(7), Some(1));
+    let file = site.write("a.json", &moves(7), Some(1));
     let arguments = ["apply", &file, "--wait", "--within", "1", "--json"];
     let run = site.ctl(&arguments).await;
     assert_eq!(run.code, 4, "{run:?}");
@@ -136,8 +136,8 @@
 #[tokio::test]
 async fn files_based_on_a_past_number_are_refused_with_what_clashes() {
     let site = Site::start(1).await;
-    let mine = site.write("mine.json", &with_moves_weight(7), Some(1));
-    let theirs = site.write("theirs.json", &with_moves_weight(8), Some(1));
+    let mine = site.write("mine.json", &moves(7), Some(1));
+    let theirs = site.write("theirs.json", &moves(8), Some(1));
     assert_eq!(site.ctl(&["apply", &theirs]).await.code, 0);
 
     let run = site.ctl(&["apply", &mine]).await;
@@ -158,7 +158,7 @@
 #[tokio::test]
 async fn files_without_a_number_are_not_applied() {
     let site = Site::start(1).await;
-    let file = site.write("a.json", &with_moves_weight(7), None);
+    let file = site.write("a.json", &moves(7), None);
     let run = site.ctl(&["apply", &file]).await;
     assert_eq!(run.code, 2);
     assert!(run.err.contains("the number that the files are based on is unknown"), "{}", run.err);
@@ -171,7 +171,7 @@
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
     let trap = proxy.trap("POST /config/patches", Strike::LoseAnswer);
-    let file = site.write("a.json", &with_moves_weight(7), Some(1));
+    let file = site.write("a.json", &moves(7), Some(1));
     let run = site.ctl_at(proxy.address(), &["apply", &file]).await;
     assert!(trap.has_sprung());
     assert_eq!((run.code, run.out.as_str()), (0, "accepted before as number 2\n"), "{run:?}");
@@ -185,7 +185,7 @@
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
     let trap = proxy.trap("POST /config/patches", Strike::HoldAnswer);
-    let file = site.write("a.json", &with_moves_weight(7), Some(1));
+    let file = site.write("a.json", &moves(7), Some(1));
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
@@ -204,7 +204,7 @@
     const RACERS: u64 = 5;
     let site = Site::start(2).await;
     let racers = (0..RACERS).map(async |racer| {
-        let file = site.write(&format!("{racer}.json"), &with_moves_weight(100 + racer), Some(1));
+        let file = site.write(&format!("{racer}.json"), &moves(100 + racer), Some(1));
         let host = site.operators(racer as usize % 2);
         site.ctl_at(host, &["apply", &file]).await.code
     });
