--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -121,7 +121,7 @@
 /// Arguments of `explain`.
 #[derive(Debug, Args)]
 #[command(group(
-    ArgGroup::new("query").required(true).args(["request", "server", "version", "term"])
+    ArgGroup::new("ask").required(true).args(["request", "server", "version", "term"])
 ))]
 pub struct Explain {
     /// ID of the request.
