--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! Shows what applying files would change.
+//! `diff`: shows what applying files would change.
 
 use std::path::Path;
 
@@ -14,10 +14,11 @@
     report::Report,
 };
 
-/// Lines that are shown around a change.
+/// Number of unchanged lines shown before and after a change.
 const CONTEXT_LINES: usize = 3;
 
-/// Compares files with what is in force and asks a host whether it would take the change.
+/// Compares files with the configuration in force and asks a host whether it would accept the
+/// change.
 pub(crate) async fn run(client: &Client, path: &Path) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
     let current: Numbered = client.get("/config").await?;
@@ -27,18 +28,18 @@
         return Ok(Report::done(text, json!({"number": current.number, "changes": {}})));
     }
     let outcome: Outcome = client.post("/config/check", &patch).await?.json()?;
-    let lines = difference(&current, &wanted)?;
-    let text = format!("{lines}\nagainst number {}: {}", current.number, verdict(&outcome));
+    let lines = unified_diff(&current, &wanted)?;
+    let text = format!("{lines}\nagainst number {}: {}", current.number, describe(&outcome));
     let json = json!({"number": current.number, "changes": patch.changes, "check": outcome});
     Ok(Report::done(text, json).code(code(&outcome)))
 }
 
-/// A patch with a new name that turns what is in force into what is wanted.
+/// Creates a patch, with a new ID, that turns the configuration in force into the wanted one.
 pub(super) fn patch(current: &Numbered, wanted: &Config) -> Patch {
     Patch {
         id: Uuid::new_v4().to_string().into(),
         against: current.number,
-        // Weights are checked to be finite before, so JSON can hold all of it.
+        // The weights were checked to be finite, so JSON can represent the whole configuration.
         changes: merge::changes(&current.config, wanted).unwrap_or_default(),
     }
 }
@@ -48,8 +49,8 @@
     patch.changes.as_object().is_some_and(|changes| changes.is_empty())
 }
 
-/// What an outcome means, for people.
-pub(super) fn verdict(outcome: &Outcome) -> String {
+/// Describes an outcome for people.
+pub(super) fn describe(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Accepted { number } => format!("accepted as number {number}"),
         Outcome::Repeated { number } => format!("accepted before as number {number}"),
@@ -63,16 +64,16 @@
         }
         Outcome::Reused => "refused: another patch has this name".into(),
         Outcome::Invalid { problems } => {
-            let said =
+            let messages =
                 problems.iter().map(|problem| format!("{}: {}", problem.path, problem.message));
-            format!("refused: not a configuration{}", lines(said))
+            format!("refused: not a configuration{}", lines(messages))
         }
         Outcome::Short { shortages } => format!("refused: memory is short{}", lines(shortages)),
         Outcome::Unavailable { cause } => format!("failed: {cause}"),
     }
 }
 
-/// The exit code that an outcome stands for.
+/// Maps an outcome to an exit code.
 pub(super) fn code(outcome: &Outcome) -> Code {
     match outcome {
         Outcome::Accepted { .. } | Outcome::Repeated { .. } | Outcome::Unchanged { .. } => {
@@ -88,7 +89,7 @@
     items.into_iter().map(|item| format!("\n  {item}")).collect()
 }
 
-fn difference(current: &Numbered, wanted: &Config) -> Result<String, Error> {
+fn unified_diff(current: &Numbered, wanted: &Config) -> Result<String, Error> {
     let text = |config: &Config| {
         settings::config::to_text(config)
             .map_err(|cause| Error::File { file: "configuration".into(), cause })
--- a/crates/ctl/src/commands/moves.rs
+++ b/crates/ctl/src/commands/moves.rs
@@ -1,7 +1,7 @@
-//! Shows loads and unloads: what is open and why, what was settled, whose memory is whose.
+//! `moves`: shows loads and unloads, open and settled, with their causes and the servers' memory.
 //!
-//! What is open stands in the ledgers, which any host reads. What was settled is known to the host
-//! that settled it, so all hosts are asked.
+//! Open moves are in the ledgers, which any host reads. Only the host that settled a move knows of
+//! it afterwards, so all hosts are queried.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,16 +17,16 @@
     report::{Report, table},
 };
 
-/// What one host tells of moves.
+/// A host's response to `/status/moves`.
 #[derive(Debug, Deserialize)]
-struct Told {
+struct Moves {
     current: bool,
     open: Vec<Open>,
     settled: Vec<Settled>,
     memory: Vec<Memory>,
 }
 
-/// An order that is not settled.
+/// An order whose outcome is not yet known.
 #[derive(Debug, Serialize, Deserialize)]
 struct Open {
     order: order::Id,
@@ -40,7 +40,7 @@
     known_for: Duration,
 }
 
-/// An order that was settled.
+/// An order whose outcome is known, with the evidence for it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Settled {
     order: order::Id,
@@ -62,28 +62,29 @@
     free: Mebibytes,
 }
 
-/// Tables of open and settled moves and of memory.
+/// Reports tables of open moves, settled moves and memory.
 pub(crate) async fn run(client: &Client) -> Result<Report, Error> {
-    let told: Told = client.get("/status/moves").await?;
+    let moves: Moves = client.get("/status/moves").await?;
     let settled = settled(client).await?;
-    let text = text(&told, &settled);
-    let Told { current, open, memory, .. } = told;
+    let text = text(&moves, &settled);
+    let Moves { current, open, memory, .. } = moves;
     let json = json!({"current": current, "open": open, "settled": settled, "memory": memory});
     Ok(Report::done(text, json))
 }
 
-/// What each listed host has settled, each order once, the latest last.
+/// Collects the orders that the listed hosts have settled: each order once, the latest last. Hosts
+/// that do not respond are left out.
 async fn settled(client: &Client) -> Result<Vec<Settled>, Error> {
     let list: List = client.get("/hosts").await?;
     let answers = list.hosts.iter().map(async |entry| {
         let address = entry.host.operators;
         let path = "/status/moves";
         let answer = client.call(address, Method::GET, path, Default::default()).await.ok()?;
-        answer.success().ok()?.json::<Told>().ok()
+        answer.success().ok()?.json::<Moves>().ok()
     });
-    let told = join_all(answers).await.into_iter().flatten();
-    let by_order: BTreeMap<order::Id, Settled> = told
-        .flat_map(|told| told.settled)
+    let all_moves = join_all(answers).await.into_iter().flatten();
+    let by_order: BTreeMap<order::Id, Settled> = all_moves
+        .flat_map(|moves| moves.settled)
         .map(|settled| (settled.order.clone(), settled))
         .collect();
     let mut settled: Vec<Settled> = by_order.into_values().collect();
@@ -91,12 +92,12 @@
     Ok(settled)
 }
 
-fn text(told: &Told, settled: &[Settled]) -> String {
+fn text(moves: &Moves, settled: &[Settled]) -> String {
     let mut text = String::new();
-    if !told.current {
+    if !moves.current {
         text.push_str("the object API does not answer: open moves are as last known\n\n");
     }
-    text.push_str(&open(&told.open));
+    text.push_str(&open(&moves.open));
     text.push('\n');
     if settled.is_empty() {
         text.push_str("no settled moves\n");
@@ -106,7 +107,7 @@
     }
     text.push('\n');
     let names = ["MEMORY MIB", "CAPACITY", "PROMISED", "IN DOUBT", "FREE"];
-    text + &table(names, told.memory.iter().map(memory_row))
+    text + &table(names, moves.memory.iter().map(memory_row))
 }
 
 fn open(open: &[Open]) -> String {
@@ -117,7 +118,7 @@
     let mut text = table(names, open.iter().map(open_row));
     for open in open {
         text.push_str(&format!("\n{} is settled when\n", open.order));
-        open.settled_by.iter().for_each(|way| text.push_str(&format!("  {way}\n")));
+        open.settled_by.iter().for_each(|condition| text.push_str(&format!("  {condition}\n")));
     }
     text
 }
@@ -170,7 +171,7 @@
     }
 }
 
-/// Seconds with one decimal.
+/// Formats a time as seconds with one decimal.
 fn time(time: Duration) -> String {
     format!("{:.1} s", time.as_secs_f64())
 }
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -1,4 +1,4 @@
-//! The declared configuration from the command line: check, diff, apply, get.
+//! Tests of the commands that read or change the declared configuration: check, diff, apply, get.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
 
-/// The configuration with another weight of moves.
+/// The test configuration with this weight of moves.
 fn moves(weight: u64) -> Value {
     let mut config = config();
     config["weights"] = json!({"attainment": 1, "moves": weight});
@@ -60,7 +60,7 @@
     let names = ["customers.json", "models.json", "services.json", "weights.json"];
     assert!(names.iter().all(|name| std::path::Path::new(&directory).join(name).exists()));
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -88,7 +88,7 @@
         run.out
     );
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 1);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -99,21 +99,21 @@
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(run.out, "accepted as number 2\nin force on every live host\n");
     assert!(site.hosts.iter().all(|host| host.context().config().number == 2));
-    // The number beside the file has moved on, so the next change can go on top.
+    // The number stored beside the file was updated, so a further change is based on it.
     std::fs::write(&file, moves(8).to_string()).unwrap();
     assert_eq!(site.ctl(&["apply", &file]).await.out, "accepted as number 3\n");
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
 async fn apply_names_the_live_hosts_that_lack_the_number() {
     let site = Site::start(2).await;
     let mut list = site.list();
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for (name, state) in [("silent", Listed::Live), ("left", Listed::Leaving)] {
         let mut entry = list.hosts[0].clone();
         entry.host.id = name.into();
-        entry.host.operators = silent;
+        entry.host.operators = unresponsive;
         entry.state = state;
         list.hosts.push(entry);
     }
@@ -130,7 +130,7 @@
     let lacking = json["lacking"].as_array().unwrap();
     assert_eq!(lacking.len(), 1, "{lacking:?}");
     assert!(lacking[0].as_str().unwrap().starts_with("silent: no answer from 127.0.0.1:"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -144,14 +144,15 @@
     assert_eq!(run.code, 3, "{run:?}");
     let text = "based on number 1: refused: the number is 2 by now, and others changed\n  /weights/moves\n";
     assert_eq!(run.out, text);
-    // Files that would undo what others did are told so too, although they say nothing of it.
+    // A file that equals the configuration at number 1, its own base, is refused as well: it would
+    // undo the change of others.
     let old = site.write("old.json", &config(), Some(1));
     let run = site.ctl(&["apply", &old, "--json"]).await;
     assert_eq!((run.code, &run.json()["clashes"]), (3, &json!(["/weights/moves"])));
 
     let forced = site.ctl(&["apply", &mine, "--against", "current"]).await;
     assert_eq!((forced.code, forced.out.as_str()), (0, "accepted as number 3\n"));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -160,9 +161,9 @@
     let file = site.write("a.json", &moves(7), None);
     let run = site.ctl(&["apply", &file]).await;
     assert_eq!(run.code, 2);
-    assert!(run.err.contains("which number are the files based on?"), "{}", run.err);
+    assert!(run.err.contains("the number that the files are based on is unknown"), "{}", run.err);
     assert_eq!(site.ctl(&["apply", &file, "--against", "1"]).await.code, 0);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -176,7 +177,7 @@
     assert_eq!((run.code, run.out.as_str()), (0, "accepted before as number 2\n"), "{run:?}");
     let (_, root) = site.platform.peek("config/root").unwrap();
     assert_eq!((&root["number"], root["patches"].as_array().unwrap().len()), (&json!(2), 1));
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -188,14 +189,14 @@
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
-        // The host has said that it could not.
+        // The host has responded that the object API is unavailable; the proxy holds the response.
         trap.triggered().await;
         site.platform.fault(|fault| fault.down = false);
         trap.release();
     });
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
-    site.end().await;
+    site.stop().await;
 }
 
 #[tokio::test]
@@ -211,5 +212,5 @@
     codes.sort();
     assert_eq!(codes, [0, 3, 3, 3, 3]);
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
-    site.end().await;
+    site.stop().await;
 }
--- a/crates/settings/src/process/check.rs
+++ b/crates/settings/src/process/check.rs
@@ -1,20 +1,18 @@
-//! What the shape of a process's settings can't say.
+//! Checks of process settings that deserialization can't express.
 
 use std::{net::SocketAddr, time::Duration};
 
 use super::{Process, Routed};
 
-/// Levels that the log knows.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Shortest token that is worth comparing, in characters.
-const SHORTEST_TOKEN: usize = 16;
+/// Minimum length of a token, in characters; a shorter one could be guessed.
+const MIN_TOKEN_LENGTH: usize = 16;
 
-/// Something wrong with a value, or with several together.
+/// An error in one value, or in the combination of several.
 pub(super) struct Problem {
-    /// JSON pointers of the values that it rests on, the one at fault first.
+    /// JSON pointers of the values that were compared, the one at fault first.
     pub(super) paths: Vec<&'static str>,
-    /// What is wrong.
     pub(super) message: String,
 }
 
@@ -23,19 +21,20 @@
         Problem { paths: vec![path], message: message.into() }
     }
 
-    fn beside(mut self, path: &'static str) -> Problem {
+    fn with_path(mut self, path: &'static str) -> Problem {
         self.paths.push(path);
         self
     }
 }
 
-/// Everything wrong with the settings.
+/// Checks all settings. The caller drops problems that involve a value that could not be read.
 pub(super) fn problems(process: &Process) -> Vec<Problem> {
     let mut problems = Vec::new();
     names(process, &mut problems);
     addresses(process, &mut problems);
     match &process.routed {
-        // A routed deployment takes no patches through its hosts, and its network is its own.
+        // The hosts of a routed deployment accept no configuration patches, and its network is
+        // private, so it needs no tokens.
         Some(routed) => routed_bounds(routed, &mut problems),
         None => tokens(process, &mut problems),
     }
@@ -72,10 +71,10 @@
         }
     }
     for (index, (path, address)) in listeners.iter().enumerate() {
-        let taken = listeners[..index].iter().find(|(_, other)| other == address);
-        if let Some((other, _)) = taken.filter(|_| address.port() != 0) {
+        let earlier = listeners[..index].iter().find(|(_, other)| other == address);
+        if let Some((other, _)) = earlier.filter(|_| address.port() != 0) {
             let message = format!("{address} is taken by {other}");
-            problems.push(Problem::new(path, message).beside(other));
+            problems.push(Problem::new(path, message).with_path(other));
         }
     }
     if process.platform.port() == 0 {
@@ -85,14 +84,14 @@
 
 fn tokens(process: &Process, problems: &mut Vec<Problem>) {
     let [_, peers, operators] = listeners(process);
-    let guarded = [
+    let tokens = [
         ("/operators_token", &process.operators_token, operators),
         ("/peers_token", &process.peers_token, peers),
     ];
-    for (path, token, (listener, address)) in guarded {
+    for (path, token, (listener, address)) in tokens {
         match token {
-            Some(token) if token.chars().count() < SHORTEST_TOKEN => {
-                let message = format!("shorter than {SHORTEST_TOKEN} characters");
+            Some(token) if token.chars().count() < MIN_TOKEN_LENGTH => {
+                let message = format!("shorter than {MIN_TOKEN_LENGTH} characters");
                 problems.push(Problem::new(path, message));
             }
             Some(token) if !token.chars().all(|c| c.is_ascii_graphic()) => {
@@ -101,7 +100,7 @@
             }
             None if !address.ip().is_loopback() => {
                 let message = format!("missing, though {address} isn't loopback");
-                problems.push(Problem::new(path, message).beside(listener));
+                problems.push(Problem::new(path, message).with_path(listener));
             }
             _ => {}
         }
@@ -116,7 +115,7 @@
     problems.extend(zeros.map(|(path, _)| Problem::new(path, "must be positive")));
     if bounds.request < bounds.idle {
         let problem = Problem::new("/bounds/idle_ms", "longer than the time for a whole request");
-        problems.push(problem.beside("/bounds/request_ms"));
+        problems.push(problem.with_path("/bounds/request_ms"));
     }
 }
 
@@ -153,7 +152,7 @@
     if planning.list_lag <= process.intervals.list {
         let message = "must be longer than the time between two reads of the list";
         let problem = Problem::new("/planning/list_lag_ms", message);
-        problems.push(problem.beside("/intervals/list_ms"));
+        problems.push(problem.with_path("/intervals/list_ms"));
     }
 }
 
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,8 +1,8 @@
-//! A type's serde shape tried against a tree, with every finding.
+//! Deserializes a type from a tree and collects every error.
 //!
-//! Serde stops at the first fault. Here a fault's place is noted, and the type is read again with
-//! a [`placeholder::Placeholder`] standing there, until a pass finds nothing new. One pass for
-//! each finding is dear in theory and nothing in practice: files are small and faults are few.
+//! Serde stops at the first error. Here the path of an error is recorded, and the type is
+//! deserialized again with a [`placeholder::Placeholder`] at that path, until a pass succeeds.
+//! The cost of a pass for each finding is negligible in practice: files are small and errors few.
 
 mod placeholder;
 mod reader;
@@ -16,39 +16,41 @@
     node::Node,
 };
 
-/// Most findings that one reading collects; enough to show that the file is of another kind.
-pub const MOST_FINDINGS: usize = 200;
+/// Maximum number of findings that one read collects. A file with this many is most likely not of
+/// the expected kind at all.
+pub const MAX_FINDINGS: usize = 200;
 
-/// What a reading gave.
+/// Result of deserializing a type from a tree.
 #[derive(Debug)]
 pub struct Reading<T> {
-    /// The value, with placeholders where findings stand; none when it could not be completed.
+    /// The value, with a placeholder for each value that has a finding; none if no complete value
+    /// could be built.
     pub value: Option<T>,
-    /// What is wrong.
+    /// Errors, in the order in which the passes found them.
     pub findings: Vec<Finding>,
 }
 
 impl<T> Reading<T> {
-    /// Whether a placeholder stands at a JSON pointer or above it, so that nothing more can be
-    /// said of that place.
+    /// Whether the value at a JSON pointer, or one that encloses it, is a placeholder, so that
+    /// further checks of it would be meaningless.
     pub fn is_placeholder(&self, path: &str) -> bool {
         let covers = |rest: &str| rest.is_empty() || rest.starts_with('/');
         self.findings.iter().any(|finding| path.strip_prefix(&finding.path).is_some_and(covers))
     }
 }
 
-/// Reads a type from a tree and collects every finding.
+/// Deserializes a type from a tree and collects every finding, up to [`MAX_FINDINGS`].
 pub fn read<T: DeserializeOwned>(node: &Node) -> Reading<T> {
-    let mut spoiled = BTreeSet::new();
+    let mut faulty = BTreeSet::new();
     let mut findings = Vec::new();
-    while findings.len() < MOST_FINDINGS {
-        let reader = reader::Reader::new(node, String::new(), &spoiled);
+    while findings.len() < MAX_FINDINGS {
+        let reader = reader::Reader::new(node, String::new(), &faulty);
         let fault = match T::deserialize(reader) {
             Ok(value) => return Reading { value: Some(value), findings },
             Err(fault) => fault,
         };
         let finding = fault.into_finding(node);
-        let is_new = spoiled.insert(finding.path.clone());
+        let is_new = faulty.insert(finding.path.clone());
         findings.push(finding);
         if !is_new {
             break;
@@ -57,28 +59,29 @@
     Reading { value: None, findings }
 }
 
-/// A fault as serde reports it; its place is known to the innermost reader that it passes.
+/// A deserialization error. Serde creates it without a location; the innermost reader that returns
+/// it adds the location.
 #[derive(Debug)]
 pub(crate) struct Fault {
     message: String,
-    missing: Option<&'static str>,
-    at: Option<(String, Place)>,
+    missing_field: Option<&'static str>,
+    location: Option<(String, Place)>,
 }
 
 impl Fault {
-    fn at(mut self, path: &str, place: &Place) -> Fault {
-        if self.at.is_none() {
-            let path = match self.missing {
+    fn with_location(mut self, path: &str, place: &Place) -> Fault {
+        if self.location.is_none() {
+            let path = match self.missing_field {
                 Some(field) => crate::node::join(path, field),
                 None => path.to_owned(),
             };
-            self.at = Some((path, place.clone()));
+            self.location = Some((path, place.clone()));
         }
         self
     }
 
     fn into_finding(self, root: &Node) -> Finding {
-        let (path, place) = self.at.unwrap_or_else(|| (String::new(), root.place.clone()));
+        let (path, place) = self.location.unwrap_or_else(|| (String::new(), root.place.clone()));
         Finding { place, path, message: self.message }
     }
 }
@@ -93,10 +96,10 @@
 
 impl serde::de::Error for Fault {
     fn custom<T: fmt::Display>(message: T) -> Fault {
-        Fault { message: message.to_string(), missing: None, at: None }
+        Fault { message: message.to_string(), missing_field: None, location: None }
     }
 
     fn missing_field(field: &'static str) -> Fault {
-        Fault { message: "missing".into(), missing: Some(field), at: None }
+        Fault { message: "missing".into(), missing_field: Some(field), location: None }
     }
 }
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -1,6 +1,6 @@
-//! The reader against arbitrary and against damaged input: it never panics, and it takes what
-//! serde itself takes and nothing else, but for objects written as arrays of their values, which
-//! serde takes and no file should hold.
+//! Properties of the reader with arbitrary and damaged input: it never panics, and it accepts
+//! exactly what serde itself accepts, except for objects written as arrays of their values. Serde
+//! accepts those, but the file format does not include them.
 
 use std::path::Path;
 
@@ -45,7 +45,7 @@
     })
 }
 
-/// JSON pointers of every value below a value.
+/// Appends the JSON pointers of a value and of all values nested in it to `all`.
 fn pointers(value: &Value, path: String, all: &mut Vec<String>) {
     match value {
         Value::Object(members) => members.iter().for_each(|(name, value)| {
@@ -82,7 +82,7 @@
 
 const ARRAY_FOR_OBJECT: &str = "invalid type: sequence, expected an object";
 
-/// Reads as the files are read and compares the verdict with serde's own.
+/// Checks that the reader accepts a text and its value exactly if serde does.
 fn agrees_with_serde(text: &str) -> Result<(), TestCaseError> {
     let node = Node::parse(Path::new("test.json"), text.as_bytes()).unwrap();
     let reading = shape::read::<Config>(&node);
@@ -113,11 +113,11 @@
     #[test]
     fn a_damaged_text_is_parsed_or_found_faulty(
         at in any::<prop::sample::Index>(),
-        put in any::<char>(),
+        replacement in any::<char>(),
     ) {
         let mut text: Vec<char> = serde_json::to_string_pretty(&sample()).unwrap().chars().collect();
         let at = at.index(text.len());
-        text[at] = put;
+        text[at] = replacement;
         let text: String = text.into_iter().collect();
         match Node::parse(Path::new("test.json"), text.as_bytes()) {
             Ok(node) => {
@@ -138,10 +138,10 @@
         picks in prop::collection::vec((any::<prop::sample::Index>(), any_json()), 1..4),
     ) {
         let mut value = sample();
-        for (pick, put) in picks {
+        for (pick, replacement) in picks {
             let mut all = Vec::new();
             pointers(&value, String::new(), &mut all);
-            *value.pointer_mut(&all[pick.index(all.len())]).unwrap() = put;
+            *value.pointer_mut(&all[pick.index(all.len())]).unwrap() = replacement;
         }
         agrees_with_serde(&value.to_string())?;
     }
@@ -159,8 +159,8 @@
         let chosen: Vec<_> =
             faults.iter().enumerate().filter(|(i, _)| mask & (1 << i) != 0).map(|(_, f)| f).collect();
         let mut value = sample();
-        for (path, put) in &chosen {
-            *value.pointer_mut(path).unwrap() = put.clone();
+        for (path, replacement) in &chosen {
+            *value.pointer_mut(path).unwrap() = replacement.clone();
         }
         let node = Node::parse(Path::new("t.json"), value.to_string().as_bytes()).unwrap();
         let mut found: Vec<_> =
