--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/account.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records that the head of the server's response was received, whatever becomes of the rest.
-    pub fn answers(&mut self, ticket: Ticket, now: Moment) {
+    pub fn response_started(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
             self.poison.answered(&attempt.id, attempt.sent, now);
         }
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -28,7 +28,7 @@
 use types::prelude::*;
 
 use self::{
-    loan::{LENT, Loans},
+    loan::{ARRIVAL_LIMIT, Loans},
     series::Series,
 };
 
@@ -128,7 +128,7 @@
     /// Hosts that share the extra equally.
     pub hosts: u32,
     /// From when on this run of the host has its share; `None` while the run isn't registered.
-    pub from: Option<Moment>,
+    pub available_from: Option<Moment>,
 }
 
 /// One service's retry budget on one host.
@@ -230,7 +230,7 @@
         let spare = self.own_left(Need::Normal, extra, now).max(0.0) * LEND_PART;
         let lent = wanted.min(spare as u32);
         self.lent.expire(now);
-        self.lent.add(lent, now + LENT + self.config.window);
+        self.lent.add(lent, now + ARRIVAL_LIMIT + self.config.window);
         lent
     }
 
@@ -283,7 +283,7 @@
     fn share(&self, extra: Extra, now: Moment) -> f64 {
         let steady = STEADY_PART * self.least_requests(now) as f64;
         let recent = RECENT_PART * self.requests.last(now) as f64;
-        let is_due = extra.from.is_some_and(|from| from <= now);
+        let is_due = extra.available_from.is_some_and(|from| from <= now);
         let part = self.config.extra * EXTRA_MARGIN / f64::from(extra.hosts.max(1));
         self.config.ratio * (steady + recent) + if is_due { part } else { 0.0 }
     }
--- a/crates/policy/src/dispatch/budget/loan.rs
+++ b/crates/policy/src/dispatch/budget/loan.rs
@@ -11,11 +11,11 @@
 use types::prelude::*;
 
 /// How long after its request a borrower may pay with the loan.
-pub const USABLE: Duration = Duration::from_millis(500);
+pub const VALIDITY: Duration = Duration::from_millis(500);
 
-/// Time after which nothing paid with a loan can arrive any more: [`USABLE`] plus the time to
+/// Time after which nothing paid with a loan can arrive any more: [`VALIDITY`] plus the time to
 /// establish a connection.
-pub const LENT: Duration = Duration::from_millis(2_000);
+pub const ARRIVAL_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// Retries requested at once.
 pub const PORTION: u32 = 8;
@@ -26,7 +26,8 @@
     /// The service whose budget the message is about.
     pub service: service::Id,
     /// When the borrower sent its request, on its own clock. The answer repeats the value.
-    pub asked: Duration,
+    #[serde(rename = "asked")]
+    pub requested_at: Duration,
     /// Request or answer.
     pub content: Content,
 }
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Dispatcher, Map,
-    budget::loan::{Content, Message, PORTION, USABLE},
+    budget::loan::{Content, Message, PORTION, VALIDITY},
 };
 use crate::route::Index;
 
@@ -64,13 +64,13 @@
                 let answer = Message { content: Content::Grant(lent), ..message.clone() };
                 self.loans.outgoing.push((from.clone(), answer));
             }
-            Content::Grant(lent) => self.granted(service, lent, message.asked, now),
+            Content::Grant(lent) => self.granted(service, lent, message.requested_at, now),
         }
     }
 
-    fn granted(&mut self, service: Index, lent: u32, asked: Moment, now: Moment) {
+    fn granted(&mut self, service: Index, lent: u32, requested_at: Moment, now: Moment) {
         let Some(request) = self.loans.requests.get_mut(&service) else { return };
-        if request.open != Some(asked) {
+        if request.open != Some(requested_at) {
             return;
         }
         request.open = None;
@@ -78,7 +78,7 @@
         if request.denials == MAX_DENIALS {
             (request.denials, request.next) = (0, now + DENIAL_PAUSE);
         }
-        self.registry.services[service as usize].budget.borrow(lent, asked + USABLE, now);
+        self.registry.services[service as usize].budget.borrow(lent, requested_at + VALIDITY, now);
     }
 
     /// Requests a loan from the next host for each service that is short of retries.
@@ -98,7 +98,7 @@
             request.open = Some(now);
             request.next = now + REQUEST_INTERVAL;
             let content = Content::Request(PORTION);
-            outgoing.push((lender, Message { service, asked: now, content }));
+            outgoing.push((lender, Message { service, requested_at: now, content }));
             self.loans.turn += 1;
         }
     }
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -18,7 +18,7 @@
     /// Length of the budgets' window.
     window: Duration,
     /// From when on this run has a share of the extra retries.
-    from: Option<Moment>,
+    available_from: Option<Moment>,
     /// Hosts that the store lists.
     listed: u32,
     /// Decreasing numbers of hosts, and when each was last seen.
@@ -28,7 +28,12 @@
 impl Sharers {
     /// Starts with a number that holds until others have been seen for a while.
     pub(super) fn new(count: u32, window: Duration) -> Sharers {
-        Sharers { window, from: None, listed: 0, counts: [(Duration::ZERO, count.max(1))].into() }
+        Sharers {
+            window,
+            available_from: None,
+            listed: 0,
+            counts: [(Duration::ZERO, count.max(1))].into(),
+        }
     }
 
     /// Sets how many hosts the store lists, whether or not they run.
@@ -52,7 +57,7 @@
     /// Gives this run its share: a first start at once, a restart when what the run before has
     /// spent is out of the window.
     pub(super) fn start(&mut self, start: HostStart) {
-        self.from.get_or_insert(match start {
+        self.available_from.get_or_insert(match start {
             HostStart::First => Duration::ZERO,
             HostStart::Restart => self.window,
         });
@@ -61,6 +66,6 @@
     /// This host's share of the extra retries.
     pub(super) fn extra(&self) -> Extra {
         let hosts = self.counts.front().map_or(1, |(_, count)| *count);
-        Extra { hosts, from: self.from }
+        Extra { hosts, available_from: self.available_from }
     }
 }
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -4,7 +4,7 @@
     RetryBudgetConfig,
     budget::{
         Budget, Extra, Need,
-        loan::{PORTION, USABLE},
+        loan::{PORTION, VALIDITY},
     },
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -18,7 +18,7 @@
 
 /// The share of a run that has it from its start on.
 fn part(hosts: u32) -> Extra {
-    Extra { hosts, from: Some(at(0)) }
+    Extra { hosts, available_from: Some(at(0)) }
 }
 
 /// Pays for a retry that arrives at once.
@@ -62,7 +62,7 @@
     #[case] from: Option<u64>,
     #[case] now: u64,
 ) {
-    let part = Extra { hosts: 1, from: from.map(at) };
+    let part = Extra { hosts: 1, available_from: from.map(at) };
     let mut budget = Budget::new(CONFIG);
     assert_eq!(pay(&mut budget, Need::High, part, at(now)), None);
     (0..100).for_each(|_| budget.request(at(now)));
@@ -99,7 +99,7 @@
         .map(|turn| {
             let now = at(turn * 10);
             for lender in &mut lenders {
-                borrower.borrow(lender.lend(PORTION, part(4), now), now + USABLE, now);
+                borrower.borrow(lender.lend(PORTION, part(4), now), now + VALIDITY, now);
             }
             spend(&mut borrower, 4, now)
         })
@@ -126,7 +126,7 @@
 #[case(500, 0)]
 fn a_loan_is_used_soon_or_never(#[case] later: u64, #[case] used: u32) {
     let mut borrower = Budget::new(RetryBudgetConfig { extra: 0.0, ..CONFIG });
-    borrower.borrow(3, at(0) + USABLE, at(0));
+    borrower.borrow(3, at(0) + VALIDITY, at(0));
     assert_eq!(spend(&mut borrower, 1, at(later)), used);
 }
 
@@ -199,7 +199,7 @@
             {
                 let lent = budgets[lender].lend(PORTION, part(all), now);
                 if !lost[(step + host) % lost.len()] {
-                    budgets[host].borrow(lent, now + USABLE, now);
+                    budgets[host].borrow(lent, now + VALIDITY, now);
                 }
             }
             let budget = &mut budgets[host];
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -100,7 +100,8 @@
 #[rstest]
 fn a_host_lends_what_it_does_not_need_and_says_so() {
     let mut host = plain(&["s1"]);
-    let request = Message { service: "app".into(), asked: at(7), content: Content::Request(8) };
+    let request =
+        Message { service: "app".into(), requested_at: at(7), content: Content::Request(8) };
     host.loan_received(&"b".into(), &request, at(0));
     assert_eq!(host.loans_outgoing(), [("b".into(), grant(&request, 8))]);
 }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -460,7 +460,7 @@
         |ticket, now| RequestSpec { fingerprint: 7, ..request(ticket, Kind::Idempotent, now) };
     sent(host.arrive(same(1, at(0)), at(0)));
     for now in [5, 10, 15] {
-        host.answers(1, at(now));
+        host.response_started(1, at(now));
         host.attempt_failed(1, CUT, at(now));
     }
     assert_eq!(host.poison().standing(7), Standing::Poison);
@@ -469,7 +469,7 @@
         let other = RequestSpec { fingerprint: ticket, ..request(ticket, Kind::Idempotent, now) };
         sent(host.arrive(other, now));
         host.sent(ticket, now);
-        host.answers(ticket, now + at(5));
+        host.response_started(ticket, now + at(5));
         host.ended(ticket, CUT, now + at(6));
     }
     assert_eq!(host.poison().standing(7), Standing::Clear);
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -140,7 +140,7 @@
     }
     let validated = validate(&buffered.info, server, &head, &answer);
     if is_genuine(&validated) {
-        shared.dispatcher().answers(buffered.ticket, shared.now());
+        shared.dispatcher().response_started(buffered.ticket, shared.now());
         shared.observe_limit(&server.id, answer.limit, sent_at);
     }
     validated?;
