--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -11,9 +11,9 @@
 //! failed attempt, [`attempt_failed`](Dispatcher::attempt_failed). The reasons behind the constants
 //! are in `docs/design/dispatch.md`.
 
-mod account;
 mod arrive;
 mod choose;
+mod events;
 mod list;
 mod load;
 mod loaded;
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -26,7 +26,7 @@
 
 /// Part of its patience that a request waits while no server has its model: a load takes seconds,
 /// and a model that is rarely requested is never loaded if its requests are refused.
-const UNHELD_WAIT: f64 = 0.35;
+const NOT_LOADED_WAIT: f64 = 0.35;
 
 /// The same once the model is being loaded.
 const LOADING_WAIT: f64 = 0.7;
@@ -61,7 +61,7 @@
         }
         let mut task = Task::new(spec, service, model, now);
         let ahead = self.ahead(&task);
-        self.note_missed(&task, now);
+        self.record_missing_permits(&task, now);
         match self.choose(&task, now) {
             Outcome::Send(choice) if ahead == 0 => Verdict::Send(self.send(task, choice, now)),
             Outcome::NoServer => self.wait_for_load(task, now),
@@ -97,7 +97,7 @@
             let after = retry_delay(&task, 0.0);
             return RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Late, after });
         };
-        self.settle(&mut task, &attempt, end, now);
+        self.attempt_ended(&mut task, &attempt, end, now);
         task.record_attempt(&attempt.id, end);
         let outcome = self.choose(&task, now);
         if let Err(cause) = self.pay_for_retry(&mut task, end, &outcome, now) {
@@ -137,7 +137,7 @@
     fn wait_for_another(&mut self, task: Task, now: Moment) -> RetryDecision {
         let ready = self.loaded_at(&task);
         let (model, adapter) = (task.spec.model.clone(), task.spec.adapter.clone());
-        let until = unheld_until(&task, ready);
+        let until = load_wait_until(&task, ready);
         self.requeue(task, until, now);
         let missing = model.filter(|_| ready.is_none());
         missing.map_or(RetryDecision::Wait, |model| RetryDecision::Missing { model, adapter })
@@ -240,7 +240,7 @@
             let after = ready.saturating_sub(now).min(most);
             return Verdict::Refuse { cause: Cause::NoServer, after };
         }
-        let give_up = unheld_until(&task, ready);
+        let give_up = load_wait_until(&task, ready);
         let missing = task.spec.model.clone().filter(|_| ready.is_none());
         let adapter = task.spec.adapter.clone();
         self.enqueue(&mut task, Class::OnTime, give_up, now);
@@ -268,11 +268,11 @@
 
     pub(super) fn enqueue(&mut self, task: &mut Task, class: Class, give_up: Moment, now: Moment) {
         let serve = duration(self.stats(task).base()) + task.spec.goal.mul_f64(ON_TIME_SLACK);
-        let due = match class {
+        let send_by = match class {
             Class::Retried => now,
             Class::OnTime | Class::Late => task.due.saturating_sub(serve),
         };
-        let key = Key { priority: task.spec.priority, class, due, ticket: task.spec.ticket };
+        let key = Key { priority: task.spec.priority, class, send_by, ticket: task.spec.ticket };
         task.state = State::Waiting(key, give_up);
         self.registry.services[task.service as usize].queue.add(key, task.model, give_up);
     }
@@ -289,7 +289,7 @@
         let mut limited = None;
         for index in self.list(task).sample(task.seed()) {
             let Some(server) = self.registry.get(index) else { continue };
-            if !self.is_able(task, server) {
+            if !self.is_capable(task, server) {
                 continue;
             }
             match self.own_rate(server, now) {
@@ -323,7 +323,7 @@
     ) -> Option<Duration> {
         let start = now + duration(estimate.wait);
         let served = start + duration(estimate.serve);
-        let most = task.due.max(now) + task.patience() / MAX_WAIT_DIVISOR;
+        let most = task.due.max(now) + task.caller_timeout() / MAX_WAIT_DIVISOR;
         let is_lost = task.caller_leaves_at() < served || most < start;
         is_lost.then(|| retry_delay(task, estimate.wait))
     }
@@ -344,7 +344,7 @@
 
     /// The refusal of a request that has waited in vain.
     pub(super) fn refusal(&self, task: &Task, now: Moment) -> Verdict {
-        let cause = if self.has_able_server(task) { Cause::Full } else { Cause::NoServer };
+        let cause = if self.has_capable_server(task) { Cause::Full } else { Cause::NoServer };
         Verdict::Refuse { cause, after: self.retry_after(task, now) }
     }
 
@@ -356,7 +356,7 @@
     /// Until when a request waits that is late from now on; `None` if it is not worth waiting.
     pub(super) fn late_until(&self, task: &Task, now: Moment) -> Option<Moment> {
         let estimate = self.estimate_wait(task, now);
-        let max_wait = task.patience() / MAX_WAIT_DIVISOR;
+        let max_wait = task.caller_timeout() / MAX_WAIT_DIVISOR;
         (duration(estimate.wait) < max_wait).then(|| give_up_at(task, Class::Late, &estimate, now))
     }
 }
@@ -376,27 +376,27 @@
     match class {
         Class::OnTime => last,
         Class::Retried | Class::Late => {
-            last.min(now.max(task.due) + task.patience() / MAX_WAIT_DIVISOR)
+            last.min(now.max(task.due) + task.caller_timeout() / MAX_WAIT_DIVISOR)
         }
     }
 }
 
 /// Until when a request waits that no server could run.
-fn unheld_until(task: &Task, ready: Option<Moment>) -> Moment {
-    let until = |part| task.arrived + task.patience().mul_f64(part);
+fn load_wait_until(task: &Task, ready: Option<Moment>) -> Moment {
+    let until = |part| task.arrived + task.caller_timeout().mul_f64(part);
     match ready {
-        Some(ready) => (ready + task.patience() / MAX_WAIT_DIVISOR)
-            .max(until(UNHELD_WAIT))
+        Some(ready) => (ready + task.caller_timeout() / MAX_WAIT_DIVISOR)
+            .max(until(NOT_LOADED_WAIT))
             .min(until(LOADING_WAIT)),
-        None => until(UNHELD_WAIT),
+        None => until(NOT_LOADED_WAIT),
     }
 }
 
 /// Delay before a retry: about the time until the requests ahead are through, and up to half as
 /// long again, so that requests refused together do not return together.
 fn retry_delay(task: &Task, wait: f64) -> Duration {
-    let patience = task.patience();
+    let caller_timeout = task.caller_timeout();
     let base = duration(wait)
-        .clamp(patience / RETRY_AFTER_MIN_DIVISOR, patience / RETRY_AFTER_MAX_DIVISOR);
+        .clamp(caller_timeout / RETRY_AFTER_MIN_DIVISOR, caller_timeout / RETRY_AFTER_MAX_DIVISOR);
     base + base / 2 * (task.seed() % 256) as u32 / 256
 }
--- a/crates/policy/src/dispatch/breaker.rs
+++ b/crates/policy/src/dispatch/breaker.rs
@@ -31,7 +31,7 @@
 
 impl Cause {
     /// First and longest time for which the breaker stays open.
-    fn times(self) -> (Duration, Duration) {
+    fn open_times(self) -> (Duration, Duration) {
         let (first, most) = match self {
             Cause::Disconnected => (150, 2_000),
             Cause::Refused => (500, 4_000),
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Trip {
     cause: Cause,
-    times: u32,
+    doublings: u32,
     until: Moment,
     trial: Option<Ticket>,
 }
@@ -92,14 +92,14 @@
     /// Records a failure. A request that fails while the breaker is open was sent before, and
     /// changes nothing.
     pub fn trip(&mut self, cause: Cause, now: Moment) {
-        let times = match self.trip {
+        let doublings = match self.trip {
             Some(trip) if now < trip.until => return,
-            Some(trip) => (trip.times + 1).min(MAX_DOUBLINGS),
+            Some(trip) => (trip.doublings + 1).min(MAX_DOUBLINGS),
             None => 0,
         };
-        let (first, most) = cause.times();
-        let until = now + (first * (1 << times)).min(most);
-        self.trip = Some(Trip { cause, times, until, trial: None });
+        let (first, most) = cause.open_times();
+        let until = now + (first * (1 << doublings)).min(most);
+        self.trip = Some(Trip { cause, doublings, until, trial: None });
     }
 
     /// Records that a request is sent to the server.
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -144,7 +144,7 @@
     /// Retries refused since the host's start.
     refused: u64,
     /// When a retry was last requested.
-    wanted: Option<Moment>,
+    last_requested: Option<Moment>,
     /// Loans from other hosts.
     borrowed: Loans,
     /// Loans to other hosts, until they no longer count.
@@ -163,7 +163,7 @@
             open: 0,
             totals: RetryTotals::default(),
             refused: 0,
-            wanted: None,
+            last_requested: None,
             borrowed: Loans::default(),
             lent: Loans::default(),
         }
@@ -180,17 +180,17 @@
     pub fn pay(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let own = self.take_own(need, extra, now);
         let payment = own.or_else(|| self.borrowed.take(now).map(|()| Payment::Borrowed));
-        self.note(payment)
+        self.count_retry(payment)
     }
 
     /// Pays for a retry that waits, from this host's own share only.
     pub fn reserve(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let payment = self.take_own(need, extra, now);
-        self.note(payment)
+        self.count_retry(payment)
     }
 
     /// Counts a retry that was paid or refused.
-    fn note(&mut self, payment: Option<Payment>) -> Option<Payment> {
+    fn count_retry(&mut self, payment: Option<Payment>) -> Option<Payment> {
         match payment {
             Some(_) => self.totals.retries += 1,
             None => self.refused += 1,
@@ -199,7 +199,7 @@
     }
 
     fn take_own(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
-        self.wanted = Some(now);
+        self.last_requested = Some(now);
         let has_left = 1.0 <= self.own_left(need, extra, now);
         self.open += u64::from(has_left);
         has_left.then_some(Payment::Own)
@@ -242,7 +242,7 @@
 
     /// Whether retries were requested lately and few are left.
     pub fn is_short(&self, extra: Extra, now: Moment) -> bool {
-        let is_wanted = self.wanted.is_some_and(|at| now < at + DEMAND_MEMORY);
+        let is_wanted = self.last_requested.is_some_and(|at| now < at + DEMAND_MEMORY);
         is_wanted && self.left(Need::Normal, extra, now) < LOW_RETRIES
     }
 
--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -84,7 +84,7 @@
     /// Whether a server with a closed breaker and a permit left could run the request.
     has_usable: bool,
     /// Whether any server could run the request.
-    has_able: bool,
+    has_capable: bool,
 }
 
 impl Dispatcher {
@@ -93,17 +93,17 @@
         if self.is_suspect(task) && self.poison.must_wait(task.spec.fingerprint, now) {
             return Outcome::Full;
         }
-        let owners = self.owners(task, now);
+        let holders = self.holders(task, now);
         let list = self.list(task);
-        let sampled = list.sample(task.seed()).chain(owners.iter().map(|owner| owner.server));
-        let mut found = self.search(task, &owners, sampled, now);
+        let sampled = list.sample(task.seed()).chain(holders.iter().map(|holder| holder.server));
+        let mut found = self.search(task, &holders, sampled, now);
         if found.best.is_none() && MAX_SAMPLE < list.all().len() {
-            found = self.search(task, &owners, list.all().iter().copied(), now);
+            found = self.search(task, &holders, list.all().iter().copied(), now);
         }
         match found {
             Candidates { best: Some(choice), .. } => Outcome::Send(choice),
             Candidates { tripped: Some(choice), has_usable: false, .. } => Outcome::Send(choice),
-            Candidates { has_able: true, .. } => Outcome::Full,
+            Candidates { has_capable: true, .. } => Outcome::Full,
             Candidates { .. } => Outcome::NoServer,
         }
     }
@@ -125,16 +125,16 @@
     }
 
     /// Whether a server could run the request, regardless of its state, breaker and load.
-    pub(super) fn is_able(&self, task: &Task, server: &Server) -> bool {
+    pub(super) fn is_capable(&self, task: &Task, server: &Server) -> bool {
         let adapter = task.spec.adapter.as_ref();
-        let holds = task.model.is_none_or(|model| server.models.holds(model, adapter));
-        holds && !task.spec.avoid.contains(&server.id)
+        let is_loaded = task.model.is_none_or(|model| server.models.is_loaded(model, adapter));
+        is_loaded && !task.spec.avoid.contains(&server.id)
     }
 
     /// Whether any server could run the request.
-    pub(super) fn has_able_server(&self, task: &Task) -> bool {
+    pub(super) fn has_capable_server(&self, task: &Task) -> bool {
         let servers = self.list(task).all().iter().filter_map(|at| self.registry.get(*at));
-        servers.into_iter().any(|server| self.is_able(task, server))
+        servers.into_iter().any(|server| self.is_capable(task, server))
     }
 
     pub(super) fn is_suspect(&self, task: &Task) -> bool {
@@ -144,7 +144,7 @@
     fn search(
         &self,
         task: &Task,
-        owners: &[Holder],
+        holders: &[Holder],
         servers: impl Iterator<Item = Index>,
         now: Moment,
     ) -> Candidates {
@@ -153,13 +153,13 @@
         for index in servers {
             let Some(server) = self.registry.get(index) else { continue };
             if is_suspect && self.poison.runs_suspect(&server.id, now) {
-                found.has_able = true;
+                found.has_capable = true;
                 continue;
             }
-            if server.state == types::routed::State::Draining || !self.is_able(task, server) {
+            if server.state == types::routed::State::Draining || !self.is_capable(task, server) {
                 continue;
             }
-            found.has_able = true;
+            found.has_capable = true;
             let state = server.breaker.state(now);
             let is_usable = match state {
                 State::Closed | State::HalfOpenAny => true,
@@ -168,7 +168,7 @@
             };
             // A server with a tripped breaker is better than one that takes no more requests.
             found.has_usable |= state == State::Closed && self.has_permit(server, now);
-            let prefill = task.input() - cached_tokens(task, owners, index);
+            let prefill = task.input() - cached_tokens(task, holders, index);
             if !self.has_place(task, index, server, now)
                 || !keeps_stream_pauses(task, server, prefill)
             {
@@ -192,18 +192,18 @@
         let memory = server.load.memory_used(task.memory());
         let has_memory = memory.is_none_or(|used| used < MEMORY_HARD) || in_flight < 1.0;
         let free = slots + more - in_flight;
-        let is_turn = || server.is_limited || self.is_turn(task, index, free);
+        let wins_draw = || server.is_limited || self.wins_draw(task, index, free);
         let is_free = !server.load.is_full(now) && 1.0 <= free && has_memory;
-        is_free && self.has_permit(server, now) && is_turn()
+        is_free && self.has_permit(server, now) && wins_draw()
     }
 
     /// Whether this request may take one of the server's free places, which all contending hosts
     /// see. Each request draws a new lot whenever new digests of peers have arrived.
-    fn is_turn(&self, task: &Task, index: Index, free: f64) -> bool {
+    fn wins_draw(&self, task: &Task, index: Index, free: f64) -> bool {
         let contenders = self.registry.get(index).map_or(1.0, |server| server.load.contenders());
         let round = self.registry.peers_at().map_or(0, |at| at.as_millis() as u64);
-        let lot = mixed(mixed(task.seed() ^ round) ^ u64::from(index)) % 1024;
-        contenders <= free || (lot as f64) * contenders < free * 1024.0
+        let draw = mixed(mixed(task.seed() ^ round) ^ u64::from(index)) % 1024;
+        contenders <= free || (draw as f64) * contenders < free * 1024.0
     }
 
     /// Estimates the times and the cost of a request at a server.
@@ -221,32 +221,33 @@
         let slots = f64::from(server.slots);
         let in_flight = server.load.in_flight(self.registry.peers_at(), now);
 
-        let reading = (server.load.prefill() as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
+        let prefill_ms =
+            (server.load.prefill() as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
         let queue_ms = (in_flight + 1.0 - slots).max(0.0) / slots * stats.hold();
-        let work_ms = if task.model.is_some() { reading + queue_ms } else { queue_ms };
+        let work_ms = if task.model.is_some() { prefill_ms + queue_ms } else { queue_ms };
         let baseline_ms = stats.base() + work_ms;
         let expected_ms =
             baseline_ms * server.pace.slowness(median, now) * server.cold_start_slowdown(now);
 
-        let waste =
+        let repeat_ms =
             if task.model.is_some() { f64::from(prefill) / PREFILL_TOKENS_PER_MS } else { 0.0 };
-        let failing = server.pace.excess(median, now) * goal;
+        let failing_ms = server.pace.excess(median, now) * goal;
         let memory = server.load.memory_used(task.memory()).unwrap_or(0.0);
-        let stake = if self.is_suspect(task) { SUSPECT_COST_MS * in_flight } else { 0.0 };
-        let chance = (mixed(task.seed() ^ u64::from(index)) % 1024) as f64 / 1024.0;
+        let crash_risk_ms = if self.is_suspect(task) { SUSPECT_COST_MS * in_flight } else { 0.0 };
+        let jitter = (mixed(task.seed() ^ u64::from(index)) % 1024) as f64 / 1024.0;
         let cost_ms = expected_ms
-            + waste * (PREFILL_REPEAT_FACTOR - 1.0)
-            + failing
+            + repeat_ms * (PREFILL_REPEAT_FACTOR - 1.0)
+            + failing_ms
             + (memory - MEMORY_SOFT).max(0.0) * MEMORY_COST_MS
             + (in_flight / slots).powi(2) * goal * FULL_SERVER_COST
             + zone_cost(task.spec.kind, server.locality)
-            + chance * (goal * JITTER).min(MAX_JITTER_MS)
-            + stake;
+            + jitter * (goal * JITTER).min(MAX_JITTER_MS)
+            + crash_risk_ms;
         Choice { server: index, baseline_ms, work_ms, queue_ms, expected_ms, prefill, cost_ms }
     }
 
     /// Servers assumed to have prefixes of the prompt in their cache.
-    fn owners(&self, task: &Task, now: Moment) -> Vec<Holder> {
+    fn holders(&self, task: &Task, now: Moment) -> Vec<Holder> {
         if task.prefixes.is_empty() {
             return Vec::new();
         }
@@ -259,14 +260,15 @@
 /// long pauses.
 fn keeps_stream_pauses(task: &Task, server: &Server, prefill: u32) -> bool {
     let waiting = server.load.prefill();
-    let reading = (waiting as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
+    let prefill_ms = (waiting as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
     let pause = task.spec.pause.filter(|_| task.model.is_some());
-    waiting == 0 || pause.is_none_or(|pause| reading <= millis(pause) * PREFILL_IN_PAUSE)
+    waiting == 0 || pause.is_none_or(|pause| prefill_ms <= millis(pause) * PREFILL_IN_PAUSE)
 }
 
 /// Tokens of the prompt that a server is assumed to have in its cache. The hints count in parts.
-fn cached_tokens(task: &Task, owners: &[Holder], server: Index) -> u32 {
-    let parts = owners.iter().find(|owner| owner.server == server).map_or(0, |owner| owner.tokens);
+fn cached_tokens(task: &Task, holders: &[Holder], server: Index) -> u32 {
+    let parts =
+        holders.iter().find(|holder| holder.server == server).map_or(0, |holder| holder.tokens);
     let cached = (parts as usize).checked_sub(1).and_then(|last| task.prefixes.get(last));
     cached.map_or(0, |(_, tokens)| *tokens).min(task.input())
 }
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/events.rs
@@ -76,7 +76,7 @@
                 let queue = &mut self.registry.services[task.service as usize].queue;
                 queue.remove(key, task.model, give_up);
             }
-            State::InFlight(attempt) => self.settle(&mut task, &attempt, end, now),
+            State::InFlight(attempt) => self.attempt_ended(&mut task, &attempt, end, now),
         }
         self.refund(&mut task);
     }
@@ -90,13 +90,19 @@
     }
 
     /// Records that an attempt is over.
-    pub(super) fn settle(&mut self, task: &mut Task, attempt: &Attempt, end: End, now: Moment) {
+    pub(super) fn attempt_ended(
+        &mut self,
+        task: &mut Task,
+        attempt: &Attempt,
+        end: End,
+        now: Moment,
+    ) {
         if !matches!(end, End::Unreachable(_)) {
             self.reached(task, now);
         }
-        self.poison_settled(task, attempt, end, now);
-        let is_new = attempt.phase != Phase::Responding;
-        if is_new && matches!(end, End::Completed) {
+        self.update_poison(task, attempt, end, now);
+        let is_first_byte = attempt.phase != Phase::Responding;
+        if is_first_byte && matches!(end, End::Completed) {
             self.record_first_byte(task, attempt, now);
         }
         let median = self.registry.services[task.service as usize].median;
@@ -109,22 +115,22 @@
             };
             stats.record_hold(millis(now.saturating_sub(attempt.sent)) - attempt.queue_ms);
         }
-        self.server_settled(task, attempt, end, now);
+        self.update_server(task, attempt, end, now);
         self.trip_outlier(attempt.server, task.service, now);
     }
 
-    fn poison_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+    fn update_poison(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let fingerprint = task.spec.fingerprint;
         let ticket = task.spec.ticket;
         // A draining server ends on its own.
-        let is_leaving =
+        let is_draining =
             self.registry.index(&attempt.id).is_some_and(|index| self.registry.is_draining(index));
         match end {
             End::Completed => self.poison.completed(fingerprint, now),
-            End::Unclear(Unclear::Cut) if !is_leaving => {
+            End::Unclear(Unclear::Cut) if !is_draining => {
                 self.poison.crashed(ticket, fingerprint, &attempt.id, now);
             }
-            End::Unclear(Unclear::Silent) | End::Cancelled if !is_leaving => {
+            End::Unclear(Unclear::Silent) | End::Cancelled if !is_draining => {
                 self.poison.unclear(ticket, fingerprint, &attempt.id, now);
             }
             End::ServerError
@@ -136,7 +142,7 @@
         self.poison.ended(ticket, now);
     }
 
-    fn server_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+    fn update_server(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let peers_at = self.registry.peers_at();
         let median = self.registry.services[task.service as usize].median;
         let ticket = task.spec.ticket;
--- a/crates/policy/src/dispatch/loaded.rs
+++ b/crates/policy/src/dispatch/loaded.rs
@@ -70,14 +70,14 @@
 
 impl LoadedModels {
     /// Whether the model is loaded, and the adapter if one is named.
-    pub fn holds(&self, model: Index, adapter: Option<&adapter::Id>) -> bool {
-        let holding = self.models.iter().find(|h| h.model == model);
-        holding.is_some_and(|h| adapter.is_none_or(|adapter| h.adapters.contains(adapter)))
+    pub fn is_loaded(&self, model: Index, adapter: Option<&adapter::Id>) -> bool {
+        let loaded = self.models.iter().find(|entry| entry.model == model);
+        loaded.is_some_and(|entry| adapter.is_none_or(|adapter| entry.adapters.contains(adapter)))
     }
 
     /// Models that are loaded.
     pub fn indexes(&self) -> impl Iterator<Item = Index> {
-        self.models.iter().map(|h| h.model)
+        self.models.iter().map(|entry| entry.model)
     }
 
     /// Whether something newer than this sequence number is known of the model, or of the adapter
@@ -88,10 +88,10 @@
         adapter: Option<&adapter::Id>,
         sequence: routed::Sequence,
     ) -> bool {
-        let is_about = |l: &&Override| {
-            l.model == model && (l.adapter.is_none() || l.adapter.as_ref() == adapter)
+        let is_about = |entry: &&Override| {
+            entry.model == model && (entry.adapter.is_none() || entry.adapter.as_ref() == adapter)
         };
-        let mut known = self.overrides.iter().filter(is_about).filter_map(|l| l.sequence);
+        let mut known = self.overrides.iter().filter(is_about).filter_map(|entry| entry.sequence);
         sequence < self.sequence || known.any(|known| sequence < known)
     }
 
@@ -104,7 +104,8 @@
         now: Moment,
     ) {
         self.remove_override(model, adapter);
-        self.overrides.retain(|l| l.model != model || l.adapter.is_some() || l.is_present());
+        self.overrides
+            .retain(|entry| entry.model != model || entry.adapter.is_some() || entry.is_present());
         self.push_override(
             model,
             adapter,
@@ -161,7 +162,7 @@
         }
         let has_ordered = self.sequence < sequence;
         self.sequence = sequence;
-        self.overrides.retain(|l| now < l.until && !(has_ordered && l.is_refused()));
+        self.overrides.retain(|entry| now < entry.until && !(has_ordered && entry.is_refused()));
         self.models = models.map(|(model, adapters)| LoadedModel { model, adapters }).collect();
         let mut overrides = std::mem::take(&mut self.overrides);
         for Override { model, adapter, presence, .. } in &mut overrides {
@@ -192,16 +193,16 @@
         }
         // Overrides that last longer still apply.
         let absent = self.overrides.iter().filter(|entry| !entry.is_present());
-        let absent: Vec<_> = absent.map(|l| (l.model, l.adapter.clone())).collect();
+        let absent: Vec<_> = absent.map(|entry| (entry.model, entry.adapter.clone())).collect();
         absent.iter().for_each(|(model, adapter)| self.remove(*model, adapter.as_ref()));
     }
 
     /// The part of a model's entry in the report that an absence overrides.
     fn listed(&self, model: Index, adapter: Option<&adapter::Id>) -> Option<LoadedModel> {
-        let holding = self.models.iter().find(|h| h.model == model)?;
+        let loaded = self.models.iter().find(|entry| entry.model == model)?;
         match adapter {
-            None => Some(holding.clone()),
-            Some(adapter) if holding.adapters.contains(adapter) => {
+            None => Some(loaded.clone()),
+            Some(adapter) if loaded.adapters.contains(adapter) => {
                 Some(LoadedModel { model, adapters: vec![adapter.clone()] })
             }
             Some(_) => None,
@@ -226,11 +227,11 @@
     }
 
     fn remove_override(&mut self, model: Index, adapter: Option<&adapter::Id>) {
-        self.overrides.retain(|l| l.model != model || l.adapter.as_ref() != adapter);
+        self.overrides.retain(|entry| entry.model != model || entry.adapter.as_ref() != adapter);
     }
 
     fn add(&mut self, model: Index, adapter: Option<&adapter::Id>) {
-        let at = self.models.iter().position(|h| h.model == model).unwrap_or_else(|| {
+        let at = self.models.iter().position(|entry| entry.model == model).unwrap_or_else(|| {
             self.models.push(LoadedModel { model, adapters: Vec::new() });
             self.models.len() - 1
         });
@@ -244,10 +245,10 @@
 
     fn remove(&mut self, model: Index, adapter: Option<&adapter::Id>) {
         match adapter {
-            None => self.models.retain(|h| h.model != model),
+            None => self.models.retain(|entry| entry.model != model),
             Some(adapter) => {
-                let of_model = self.models.iter_mut().filter(|h| h.model == model);
-                of_model.for_each(|h| h.adapters.retain(|other| other != adapter));
+                let of_model = self.models.iter_mut().filter(|entry| entry.model == model);
+                of_model.for_each(|entry| entry.adapters.retain(|other| other != adapter));
             }
         }
     }
--- a/crates/policy/src/dispatch/pace.rs
+++ b/crates/policy/src/dispatch/pace.rs
@@ -9,14 +9,14 @@
 use types::prelude::*;
 
 /// Divisor of the weight of a new time sample.
-const TIME_WEIGHT: f64 = 4.0;
+const TIME_DIVISOR: f64 = 4.0;
 
 /// Age at which the last time sample says little, and the divisor of a new one's weight then.
 const STALE_AFTER: Duration = Duration::from_millis(500);
-const STALE_TIME_WEIGHT: f64 = 2.0;
+const STALE_TIME_DIVISOR: f64 = 2.0;
 
 /// Divisor of the weight of a new outcome.
-const OUTCOME_WEIGHT: f64 = 6.0;
+const OUTCOME_DIVISOR: f64 = 6.0;
 
 /// Samples before a server is judged.
 const MIN_SAMPLES: u32 = 3;
@@ -41,26 +41,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     log_ratio: f64,
-    times: u32,
-    timed: Moment,
-    failing: f64,
-    outcomes: u32,
-    seen: Moment,
+    time_samples: u32,
+    timed_at: Moment,
+    failure_rate: f64,
+    outcome_samples: u32,
+    outcome_at: Moment,
 }
 
 /// Median speed and failure rate of a service's servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Median {
     log_ratio: f64,
-    failing: f64,
+    failure_rate: f64,
 }
 
 impl Median {
     /// Computes the medians of these servers.
     pub fn of<'a>(paces: impl Iterator<Item = &'a Pace> + Clone) -> Median {
-        let log_ratio = paces.clone().filter(|p| MIN_SAMPLES <= p.times).map(|p| p.log_ratio);
-        let failing = paces.filter(|p| MIN_SAMPLES <= p.outcomes).map(|p| p.failing);
-        Median { log_ratio: median(log_ratio), failing: median(failing) }
+        let log_ratio =
+            paces.clone().filter(|p| MIN_SAMPLES <= p.time_samples).map(|p| p.log_ratio);
+        let failure_rate =
+            paces.filter(|p| MIN_SAMPLES <= p.outcome_samples).map(|p| p.failure_rate);
+        Median { log_ratio: median(log_ratio), failure_rate: median(failure_rate) }
     }
 }
 
@@ -68,13 +70,13 @@
     /// Records that a response took `ratio` times the expected time.
     pub fn record_ratio(&mut self, ratio: f64, median: &Median, now: Moment) {
         let sample = ratio.max(0.01).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
-        let is_stale = self.times == 0 || self.timed + STALE_AFTER < now;
-        let weight = if is_stale { STALE_TIME_WEIGHT } else { TIME_WEIGHT };
+        let is_stale = self.time_samples == 0 || self.timed_at + STALE_AFTER < now;
+        let divisor = if is_stale { STALE_TIME_DIVISOR } else { TIME_DIVISOR };
         let before = median.log_ratio
-            + (self.log_ratio - median.log_ratio) * remaining_weight(self.timed, now);
-        self.log_ratio = before + (sample - before) / weight;
-        self.times = self.times.saturating_add(1);
-        self.timed = now;
+            + (self.log_ratio - median.log_ratio) * remaining_weight(self.timed_at, now);
+        self.log_ratio = before + (sample - before) / divisor;
+        self.time_samples = self.time_samples.saturating_add(1);
+        self.timed_at = now;
     }
 
     /// Records a failed request.
@@ -89,31 +91,31 @@
 
     /// Estimated time relative to the median; 2 is twice as slow.
     pub fn slowness(&self, median: &Median, now: Moment) -> f64 {
-        ((self.log_ratio - median.log_ratio) * remaining_weight(self.timed, now)).exp()
+        ((self.log_ratio - median.log_ratio) * remaining_weight(self.timed_at, now)).exp()
     }
 
     /// Share of failures above the median, less what is attributed to chance.
     pub fn excess(&self, median: &Median, now: Moment) -> f64 {
-        ((self.failing - median.failing) * remaining_weight(self.seen, now)
+        ((self.failure_rate - median.failure_rate) * remaining_weight(self.outcome_at, now)
             - TOLERATED_FAILURE_EXCESS)
             .max(0.0)
     }
 
     /// Whether the server is so much worse than the others that its breaker is to be tripped.
     pub fn is_outlier(&self, median: &Median) -> bool {
-        let log_ratio =
-            MIN_SAMPLES <= self.times && OUTLIER_LOG_RATIO < self.log_ratio - median.log_ratio;
-        let failing =
-            MIN_SAMPLES <= self.outcomes && OUTLIER_FAILURE_EXCESS < self.failing - median.failing;
-        log_ratio || failing
+        let log_ratio = MIN_SAMPLES <= self.time_samples
+            && OUTLIER_LOG_RATIO < self.log_ratio - median.log_ratio;
+        let failure_rate = MIN_SAMPLES <= self.outcome_samples
+            && OUTLIER_FAILURE_EXCESS < self.failure_rate - median.failure_rate;
+        log_ratio || failure_rate
     }
 
     fn outcome(&mut self, failed: f64, median: &Median, now: Moment) {
-        let before =
-            median.failing + (self.failing - median.failing) * remaining_weight(self.seen, now);
-        self.failing = before + (failed - before) / OUTCOME_WEIGHT;
-        self.outcomes = self.outcomes.saturating_add(1);
-        self.seen = now;
+        let before = median.failure_rate
+            + (self.failure_rate - median.failure_rate) * remaining_weight(self.outcome_at, now);
+        self.failure_rate = before + (failed - before) / OUTCOME_DIVISOR;
+        self.outcome_samples = self.outcome_samples.saturating_add(1);
+        self.outcome_at = now;
     }
 }
 
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -367,7 +367,7 @@
     pub fn gone(&mut self, server: &backend::Id, now: Moment) {
         let (of_server, others) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.server == *server);
+            .partition(|attempt| attempt.server == *server);
         self.unresolved = others;
         let of_server: VecDeque<UnresolvedAttempt> = of_server;
         for UnresolvedAttempt { request, isolation, at, .. } in of_server {
@@ -388,10 +388,14 @@
     /// before.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
         let is_resolved =
-            |unclear: &UnresolvedAttempt| unclear.server == *server && unclear.at < sent;
-        let resolved: Vec<Fingerprint> =
-            self.unresolved.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
-        self.unresolved.retain(|unclear| !is_resolved(unclear));
+            |attempt: &UnresolvedAttempt| attempt.server == *server && attempt.at < sent;
+        let resolved: Vec<Fingerprint> = self
+            .unresolved
+            .iter()
+            .filter(|attempt| is_resolved(attempt))
+            .map(|attempt| attempt.request)
+            .collect();
+        self.unresolved.retain(|attempt| !is_resolved(attempt));
         for request in resolved {
             self.void(request, now, |at, record| {
                 at == server && record.state == CrashState::Running
@@ -413,8 +417,8 @@
     /// Records that an attempt is over, whatever its outcome.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
-        let is_same = |unclear: &UnresolvedAttempt| {
-            unclear.request == trial.request && unclear.server == trial.server
+        let is_same = |attempt: &UnresolvedAttempt| {
+            attempt.request == trial.request && attempt.server == trial.server
         };
         if !self.unresolved.iter().any(is_same) {
             let is_running = |record: &CrashRecord| record.state == CrashState::Running;
@@ -497,7 +501,7 @@
     pub fn expire(&mut self, now: Moment) {
         let (old, recent): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.at + UNRESOLVED_LIFE <= now);
+            .partition(|attempt| attempt.at + UNRESOLVED_LIFE <= now);
         self.unresolved = recent;
         for UnresolvedAttempt { request, server, .. } in old {
             self.void(request, now, |at, record| {
@@ -634,11 +638,11 @@
         &mut self,
         request: Fingerprint,
         now: Moment,
-        is_meant: impl Fn(&backend::Id, &CrashRecord) -> bool,
+        is_affected: impl Fn(&backend::Id, &CrashRecord) -> bool,
     ) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         for ((server, _), record) in &mut entry.crashes {
-            if record.state < CrashState::Void && is_meant(server, record) {
+            if record.state < CrashState::Void && is_affected(server, record) {
                 record.state = CrashState::Void;
                 record.voided_at = Some(now);
                 self.changed.insert(request);
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -97,7 +97,7 @@
             };
             match (missing.iter_mut().find(is_same), &task.spec.model) {
                 (Some(other), _) => other.3 += 1,
-                (None, Some(model)) if !self.has_able_server(task) => {
+                (None, Some(model)) if !self.has_capable_server(task) => {
                     let spec = &task.spec;
                     missing.push((spec.service.clone(), model.clone(), spec.adapter.clone(), 1));
                 }
@@ -125,7 +125,7 @@
             while let Some(key) = self.registry.services[service].queue.next_missed(priority, now) {
                 let Some(mut task) = self.take(service, key) else { break };
                 let State::Waiting(_, before) = task.state else { continue };
-                let is_missing = !self.has_able_server(&task);
+                let is_missing = !self.has_capable_server(&task);
                 let until = match self.late_until(&task, now) {
                     _ if is_missing => before,
                     Some(until) => until.min(before),
--- a/crates/policy/src/dispatch/queue.rs
+++ b/crates/policy/src/dispatch/queue.rs
@@ -35,7 +35,7 @@
     pub priority: u8,
     pub class: Class,
     /// When the request must be sent to be in time.
-    pub due: Moment,
+    pub send_by: Moment,
     pub ticket: Ticket,
 }
 
@@ -94,10 +94,10 @@
 
     /// Returns the first on-time request of this priority if it can't be in time any more.
     pub fn next_missed(&self, priority: u8, now: Moment) -> Option<Key> {
-        let first = Key { priority, class: Class::OnTime, due: Duration::ZERO, ticket: 0 };
+        let first = Key { priority, class: Class::OnTime, send_by: Duration::ZERO, ticket: 0 };
         let key = self.order.range(first..).next()?;
         let is_on_time = key.priority == priority && key.class == Class::OnTime;
-        (is_on_time && key.due < now).then_some(*key)
+        (is_on_time && key.send_by < now).then_some(*key)
     }
 
     /// Requests in the order of service.
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -118,13 +118,13 @@
     }
 
     /// Records the limited servers that could have run the request if a permit had been left.
-    pub(super) fn note_missed(&mut self, task: &Task, now: Moment) {
+    pub(super) fn record_missing_permits(&mut self, task: &Task, now: Moment) {
         if self.quotas.is_idle() {
             return;
         }
         let missed: Vec<backend::Id> = self
             .limited()
-            .filter(|(_, server)| self.is_able(task, server) && !self.has_permit(server, now))
+            .filter(|(_, server)| self.is_capable(task, server) && !self.has_permit(server, now))
             .map(|(id, _)| id.clone())
             .collect();
         missed.iter().for_each(|id| self.quotas.permit_missing(id, now));
@@ -135,8 +135,8 @@
         if !self.quotas.is_idle() && self.limits_checked + CHECK_INTERVAL <= now {
             self.limits_checked = now;
             self.refuse_limited(now, changes);
-            let wants = self.wants();
-            wants.iter().for_each(|(id, want)| self.quotas.set_demand(id, *want));
+            let demands = self.demands();
+            demands.iter().for_each(|(id, demand)| self.quotas.set_demand(id, *demand));
         }
         self.quotas.tick(now);
     }
@@ -150,22 +150,22 @@
     }
 
     /// Permits that waiting requests need, by limited server.
-    fn wants(&self) -> BTreeMap<backend::Id, quota::Demand> {
+    fn demands(&self) -> BTreeMap<backend::Id, quota::Demand> {
         let none = quota::Demand { permits: 0, urgency: LEAST_URGENT };
-        let mut wants: BTreeMap<_, _> =
+        let mut demands: BTreeMap<_, _> =
             self.quotas.limited().map(|id| (id.clone(), none)).collect();
         for (id, server) in self.limited() {
-            let Some(want) = wants.get_mut(id) else { continue };
+            let Some(demand) = demands.get_mut(id) else { continue };
             let queue = &self.registry.services[server.service as usize].queue;
             let tasks = queue.iter().take(SCAN_LIMIT);
             for task in tasks.filter_map(|key| self.tasks.get(&key.ticket)) {
-                if self.is_able(task, server) {
-                    want.permits += 1;
-                    want.urgency = want.urgency.min(task.spec.priority);
+                if self.is_capable(task, server) {
+                    demand.permits += 1;
+                    demand.urgency = demand.urgency.min(task.spec.priority);
                 }
             }
         }
-        wants
+        demands
     }
 
     /// Requests of this host that start at a server each millisecond, if the server is limited.
@@ -180,7 +180,7 @@
         let mut rate = None;
         for index in self.list(task).all() {
             let Some(server) = self.registry.get(*index) else { continue };
-            if !self.is_able(task, server) {
+            if !self.is_capable(task, server) {
                 continue;
             }
             *rate.get_or_insert(0.0) += self.own_rate(server, now)?;
@@ -196,15 +196,15 @@
             let mut ahead: BTreeMap<Option<Index>, u32> = BTreeMap::new();
             for key in known.queue.iter().take(SCAN_LIMIT) {
                 let Some(task) = self.tasks.get(&key.ticket) else { continue };
-                let place = ahead.entry(task.model).or_default();
+                let position = ahead.entry(task.model).or_default();
                 let Some(rate) = self.limited_rate(task, now) else { continue };
                 // Hosts with the same number of requests take turns.
                 let turn = (task.seed() % 1024) as f64 / 1024.0;
                 let after =
-                    self.retry_after_if_futile_at(task, f64::from(*place) + turn, rate, now);
+                    self.retry_after_if_futile_at(task, f64::from(*position) + turn, rate, now);
                 match after.filter(|_| key.class != Class::Retried) {
                     Some(after) => refused.push((service, key, after)),
-                    None => *place += 1,
+                    None => *position += 1,
                 }
             }
         }
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -125,7 +125,7 @@
     }
 
     /// Time that the caller gives the request, from its arrival.
-    pub fn patience(&self) -> Duration {
+    pub fn caller_timeout(&self) -> Duration {
         self.caller_leaves_at().saturating_sub(self.arrived)
     }
 
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -49,10 +49,10 @@
     /// Checks for overdue responses, and for requests that are to be moved from their server.
     pub(super) fn check_overdue(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut overdue: Vec<(Ticket, Attempt, Index)> = Vec::new();
-        let mut left: Vec<Ticket> = Vec::new();
+        let mut leaving: Vec<Ticket> = Vec::new();
         for (ticket, task) in &mut self.tasks {
             if should_leave(task, &mut self.registry, now) {
-                left.push(*ticket);
+                leaving.push(*ticket);
             }
             let State::InFlight(attempt) = &mut task.state else { continue };
             let allowed =
@@ -65,10 +65,10 @@
         }
         overdue.sort_unstable_by_key(|(ticket, ..)| *ticket);
         for (_, attempt, service) in overdue {
-            self.note_overdue(&attempt, service, now);
+            self.record_overdue(&attempt, service, now);
         }
-        left.sort_unstable();
-        for ticket in left {
+        leaving.sort_unstable();
+        for ticket in leaving {
             let is_possible = self.find_other_server(ticket, now).is_some();
             self.set_leaving(
                 ticket,
@@ -113,13 +113,13 @@
         task.payment = Some(budget.pay(task.need(), extra, now)?);
         let mut before = self.tasks.remove(&ticket)?;
         if let State::InFlight(attempt) = before.state.clone() {
-            self.settle(&mut before, &attempt, SILENCE, now);
+            self.attempt_ended(&mut before, &attempt, SILENCE, now);
         }
         task.has_arrived = true;
         Some(self.send(task, choice, now))
     }
 
-    fn note_overdue(&mut self, attempt: &Attempt, service: Index, now: Moment) {
+    fn record_overdue(&mut self, attempt: &Attempt, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
         let ratio = millis(now.saturating_sub(attempt.sent)) / attempt.baseline_ms;
@@ -135,12 +135,12 @@
 /// Whether a request is to be moved from its server.
 fn should_leave(task: &Task, registry: &mut super::registry::Registry, now: Moment) -> bool {
     let State::InFlight(attempt) = &task.state else { return false };
-    let is_known = match attempt.leaving {
+    let is_handled = match attempt.leaving {
         Leaving::No => false,
         Leaving::Seeking(at) => now < at + SEEK_INTERVAL,
         Leaving::Requested => true,
     };
-    if is_known || !task.spec.is_repeatable() || !task.has_another_try() {
+    if is_handled || !task.spec.is_repeatable() || !task.has_another_try() {
         return false;
     }
     let Some(server) = registry.get_same(attempt.server, &attempt.id) else { return false };
--- a/crates/policy/src/quarantine/view.rs
+++ b/crates/policy/src/quarantine/view.rs
@@ -26,14 +26,14 @@
     document: Document,
     /// Version of the document as last read.
     version: Option<Version>,
-    in_flight: BTreeMap<request::Id, Flight>,
+    in_flight: BTreeMap<request::Id, SentRequest>,
     /// Deaths that this host has seen and the object does not show yet, with the requests that were
     /// in flight.
     unwritten: BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>,
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct SentRequest {
     fingerprint: Fingerprint,
     service: service::Id,
     run: ServerRun,
@@ -81,7 +81,7 @@
         service: service::Id,
         run: ServerRun,
     ) {
-        self.in_flight.insert(id, Flight { fingerprint, service, run });
+        self.in_flight.insert(id, SentRequest { fingerprint, service, run });
     }
 
     /// Records that a request is no longer in flight, with its server alive.
@@ -104,7 +104,7 @@
             mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.run == *run);
         self.in_flight = remaining;
         let suspects: BTreeMap<Fingerprint, service::Id> =
-            lost.into_values().map(|flight| (flight.fingerprint, flight.service)).collect();
+            lost.into_values().map(|request| (request.fingerprint, request.service)).collect();
         if suspects.is_empty() {
             return false;
         }
--- a/crates/policy/tests/dispatch/breaker.rs
+++ b/crates/policy/tests/dispatch/breaker.rs
@@ -93,8 +93,8 @@
 fn a_kept_connection_that_ended_says_nothing_of_its_server() {
     let mut host = plain(&["s1"]);
     sent(host.arrive(request(1, Kind::NonIdempotent, at(0)), at(0)));
-    let again = host.attempt_failed(1, End::Unreachable(Unreachable::Closed), at(1));
-    assert_eq!(again, RetryDecision::Send("s1".into()));
+    let decision = host.attempt_failed(1, End::Unreachable(Unreachable::Closed), at(1));
+    assert_eq!(decision, RetryDecision::Send("s1".into()));
 }
 
 #[rstest]
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -17,19 +17,19 @@
     RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
 
 /// The share of a run that has it from its start on.
-fn part(hosts: u32) -> Extra {
+fn extra(hosts: u32) -> Extra {
     Extra { hosts, available_from: Some(at(0)) }
 }
 
 /// Pays for a retry that arrives at once.
-fn pay(budget: &mut Budget, need: Need, part: Extra, now: Moment) -> Option<()> {
-    let payment = budget.pay(need, part, now)?;
+fn pay(budget: &mut Budget, need: Need, extra: Extra, now: Moment) -> Option<()> {
+    let payment = budget.pay(need, extra, now)?;
     budget.arrived(payment, now);
     Some(())
 }
 
 fn spend(budget: &mut Budget, hosts: u32, now: Moment) -> u32 {
-    (0..1000).take_while(|_| pay(budget, Need::High, part(hosts), now).is_some()).count() as u32
+    (0..1000).take_while(|_| pay(budget, Need::High, extra(hosts), now).is_some()).count() as u32
 }
 
 #[rstest]
@@ -41,9 +41,9 @@
 #[rstest]
 fn a_part_is_kept_for_what_would_be_lost() {
     let mut budget = Budget::new(CONFIG);
-    let withdraw = |budget: &mut Budget| pay(budget, Need::Normal, part(1), at(0));
-    let usual = (0..1000).take_while(|_| withdraw(&mut budget).is_some()).count();
-    assert!(0 < usual && 0 < spend(&mut budget, 1, at(0)));
+    let withdraw = |budget: &mut Budget| pay(budget, Need::Normal, extra(1), at(0));
+    let normal = (0..1000).take_while(|_| withdraw(&mut budget).is_some()).count();
+    assert!(0 < normal && 0 < spend(&mut budget, 1, at(0)));
 }
 
 #[rstest]
@@ -62,31 +62,31 @@
     #[case] from: Option<u64>,
     #[case] now: u64,
 ) {
-    let part = Extra { hosts: 1, available_from: from.map(at) };
+    let extra = Extra { hosts: 1, available_from: from.map(at) };
     let mut budget = Budget::new(CONFIG);
-    assert_eq!(pay(&mut budget, Need::High, part, at(now)), None);
+    assert_eq!(pay(&mut budget, Need::High, extra, at(now)), None);
     (0..100).for_each(|_| budget.request(at(now)));
-    assert!(pay(&mut budget, Need::High, part, at(now)).is_some());
+    assert!(pay(&mut budget, Need::High, extra, at(now)).is_some());
 }
 
 #[rstest]
 fn a_retry_counts_until_a_window_after_its_arrival() {
     let mut budget = Budget::new(CONFIG);
-    let whole = spend(&mut Budget::new(CONFIG), 1, at(0));
-    let payment = budget.reserve(Need::High, part(1), at(0)).unwrap();
-    assert_eq!(budget.left(Need::High, part(1), at(15_000)), f64::from(whole - 1));
+    let full = spend(&mut Budget::new(CONFIG), 1, at(0));
+    let payment = budget.reserve(Need::High, extra(1), at(0)).unwrap();
+    assert_eq!(budget.left(Need::High, extra(1), at(15_000)), f64::from(full - 1));
     budget.arrived(payment, at(15_000));
-    assert_eq!(budget.left(Need::High, part(1), at(25_000)), f64::from(whole - 1));
-    assert_eq!(budget.left(Need::High, part(1), at(25_001)), f64::from(whole));
+    assert_eq!(budget.left(Need::High, extra(1), at(25_000)), f64::from(full - 1));
+    assert_eq!(budget.left(Need::High, extra(1), at(25_001)), f64::from(full));
 }
 
 #[rstest]
 fn a_retry_that_never_leaves_is_given_back() {
     let mut budget = Budget::new(CONFIG);
-    let whole = budget.left(Need::High, part(1), at(0));
-    let payment = budget.reserve(Need::High, part(1), at(0)).unwrap();
+    let full = budget.left(Need::High, extra(1), at(0));
+    let payment = budget.reserve(Need::High, extra(1), at(0)).unwrap();
     budget.refund(payment);
-    assert_eq!(budget.left(Need::High, part(1), at(0)), whole);
+    assert_eq!(budget.left(Need::High, extra(1), at(0)), full);
 }
 
 /// Three idle hosts lend to a fourth, which asks each in turn.
@@ -99,7 +99,7 @@
         .map(|turn| {
             let now = at(turn * 10);
             for lender in &mut lenders {
-                borrower.borrow(lender.lend(PORTION, part(4), now), now + VALIDITY, now);
+                borrower.borrow(lender.lend(PORTION, extra(4), now), now + VALIDITY, now);
             }
             spend(&mut borrower, 4, now)
         })
@@ -114,10 +114,10 @@
 #[case(12_001, true)]
 fn what_is_lent_is_not_used_by_the_lender(#[case] later: u64, #[case] is_back: bool) {
     let mut lender = Budget::new(CONFIG);
-    let lent: u32 = (0..100).map(|_| lender.lend(PORTION, part(1), at(0))).sum();
+    let lent: u32 = (0..100).map(|_| lender.lend(PORTION, extra(1), at(0))).sum();
     assert!(0 < lent);
-    let whole = spend(&mut Budget::new(CONFIG), 1, at(0));
-    let expected = if is_back { whole } else { whole - lent };
+    let full = spend(&mut Budget::new(CONFIG), 1, at(0));
+    let expected = if is_back { full } else { full - lent };
     assert_eq!(spend(&mut lender, 1, at(later)), expected);
 }
 
@@ -134,7 +134,7 @@
 fn a_host_that_is_short_lends_nothing() {
     let mut budget = Budget::new(CONFIG);
     spend(&mut budget, 4, at(0));
-    assert_eq!(budget.lend(PORTION, part(4), at(0)), 0);
+    assert_eq!(budget.lend(PORTION, extra(4), at(0)), 0);
 }
 
 /// Arriving requests and wanted retries, by host, at steps of 50 ms.
@@ -174,11 +174,11 @@
 /// its requests: both spend within one window.
 #[rstest]
 fn hosts_asked_one_after_the_other_keep_the_budget() {
-    let quiet = |steps: usize| vec![(0, 0); steps];
-    let asked = |steps: usize| vec![(11, 0); steps];
+    let idle = |steps: usize| vec![(0, 0); steps];
+    let busy = |steps: usize| vec![(11, 0); steps];
     let failing = |steps: usize| vec![(0, 11); steps];
-    let early = [asked(199), failing(60)].concat();
-    let late = [quiet(199), asked(140), failing(60)].concat();
+    let early = [busy(199), failing(60)].concat();
+    let late = [idle(199), busy(140), failing(60)].concat();
     assert_eq!(overdrawn(&[early, late], None), None);
 }
 
@@ -195,9 +195,9 @@
             let lender = (host + 1 + step % demand_len) % demand_len;
             if let Some(lost) = lost
                 && lender != host
-                && budgets[host].is_short(part(all), now)
+                && budgets[host].is_short(extra(all), now)
             {
-                let lent = budgets[lender].lend(PORTION, part(all), now);
+                let lent = budgets[lender].lend(PORTION, extra(all), now);
                 if !lost[(step + host) % lost.len()] {
                     budgets[host].borrow(lent, now + VALIDITY, now);
                 }
@@ -206,7 +206,8 @@
             let (arrived, wanted) = demand.get(step).copied().unwrap_or_default();
             (0..arrived).for_each(|_| budget.request(now));
             requests[step] += arrived;
-            let granted = (0..wanted).filter(|_| pay(budget, Need::High, part(all), now).is_some());
+            let granted =
+                (0..wanted).filter(|_| pay(budget, Need::High, extra(all), now).is_some());
             retries[step] += granted.count() as u32;
         }
     }
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -24,7 +24,7 @@
 /// Requests that a server queues in addition to those that it runs.
 const QUEUE: usize = 8;
 const GOAL: Duration = Duration::from_millis(400);
-const PATIENCE: Duration = Duration::from_secs(4);
+const TIMEOUT: Duration = Duration::from_secs(4);
 const MEAN_WORK: f64 = 0.8;
 const DIGEST: Duration = Duration::from_millis(60);
 /// Digests after which a host has received another's.
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Sum {
+struct Totals {
     arrived: u32,
     done: u32,
     rejections: u32,
@@ -63,7 +63,7 @@
     nodes: Vec<Node>,
     /// Each host's requests in flight at the last digests, the newest first.
     digests: VecDeque<Vec<BTreeMap<backend::Id, u32>>>,
-    sum: Sum,
+    totals: Totals,
 }
 
 fn id(server: usize) -> backend::Id {
@@ -89,7 +89,7 @@
             hosts: (0..HOSTS).map(|_| host()).collect(),
             nodes: (0..SERVERS).map(|_| Node::default()).collect(),
             digests: VecDeque::new(),
-            sum: Sum::default(),
+            totals: Totals::default(),
         };
         for event in [Event::Arrive, Event::Pump, Event::Digest] {
             world.after(at(1), event);
@@ -106,7 +106,7 @@
         Duration::from_secs_f64(-uniform.ln() * mean)
     }
 
-    fn play(mut self) -> Sum {
+    fn play(mut self) -> Totals {
         while let Some(Reverse((now, event))) = self.events.pop().filter(|e| e.0.0 < SPAN) {
             self.now = now;
             match event {
@@ -120,16 +120,16 @@
                 Event::Digest => self.digest(),
             }
         }
-        self.sum
+        self.totals
     }
 
     fn arrive(&mut self) {
         let gap = self.exponential(1.0 / self.rate);
         self.after(gap, Event::Arrive);
-        let ticket = u64::from(self.sum.arrived);
-        self.sum.arrived += 1;
+        let ticket = u64::from(self.totals.arrived);
+        self.totals.arrived += 1;
         let asked = request(ticket, Kind::NonIdempotent, self.now);
-        let request = RequestSpec { goal: GOAL, deadline: self.now + PATIENCE, ..asked };
+        let request = RequestSpec { goal: GOAL, deadline: self.now + TIMEOUT, ..asked };
         let verdict = self.hosts[host_of(ticket)].arrive(request, self.now);
         self.carry_out(ticket, &verdict);
     }
@@ -152,11 +152,11 @@
         if self.nodes[server].queue.len() < QUEUE {
             return self.nodes[server].queue.push_back((ticket, self.now));
         }
-        self.sum.rejections += 1;
+        self.totals.rejections += 1;
         self.report_load(server, host_of(ticket));
-        let again =
+        let decision =
             self.hosts[host_of(ticket)].attempt_failed(ticket, End::NotRun(NotRun::Full), self.now);
-        if let RetryDecision::Send(server) = again {
+        if let RetryDecision::Send(server) = decision {
             self.send(&server, ticket);
         }
     }
@@ -170,10 +170,10 @@
     fn done(&mut self, server: usize, ticket: Ticket) {
         self.nodes[server].running -= 1;
         if let Some((next, since)) = self.nodes[server].queue.pop_front() {
-            self.sum.waited += self.now - since;
+            self.totals.waited += self.now - since;
             self.start(server, next);
         }
-        self.sum.done += 1;
+        self.totals.done += 1;
         let host = host_of(ticket);
         self.report_load(server, host);
         self.hosts[host].ended(ticket, End::Completed, self.now);
@@ -214,11 +214,11 @@
 fn hosts_that_know_each_others_work_late_do_not_crowd_servers(
     #[values(0.8, 1.0, 1.3, 2.0)] load: f64,
 ) {
-    let sum = World::new(load).play();
+    let totals = World::new(load).play();
     let capacity = (SERVERS * SLOTS) as f64 / MEAN_WORK * SPAN.as_secs_f64();
-    let share = f64::from(sum.done) / (capacity * load.min(1.0));
-    let waited = sum.waited / sum.done.max(1);
-    assert!(0.84 < share, "{share}: {sum:?}");
-    assert!(waited < GOAL / 4, "{waited:?}: {sum:?}");
-    assert!(sum.rejections * 10 < sum.arrived, "{sum:?}");
+    let share = f64::from(totals.done) / (capacity * load.min(1.0));
+    let waited = totals.waited / totals.done.max(1);
+    assert!(0.84 < share, "{share}: {totals:?}");
+    assert!(waited < GOAL / 4, "{waited:?}: {totals:?}");
+    assert!(totals.rejections * 10 < totals.arrived, "{totals:?}");
 }
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -9,7 +9,7 @@
 };
 
 pub const GOAL: Duration = Duration::from_millis(400);
-pub const PATIENCE: Duration = Duration::from_secs(4);
+pub const TIMEOUT: Duration = Duration::from_secs(4);
 
 pub fn at(millis: u64) -> Moment {
     Duration::from_millis(millis)
@@ -51,7 +51,7 @@
         kind,
         resumable: false,
         sticky: false,
-        timeout: PATIENCE,
+        timeout: TIMEOUT,
         goal: GOAL,
         gap: None,
         silence: None,
@@ -62,7 +62,7 @@
 }
 
 pub fn request(ticket: Ticket, kind: Kind, now: Moment) -> RequestSpec {
-    let request = RequestSpec::new(ticket, &route(kind), &"app".into(), now + PATIENCE);
+    let request = RequestSpec::new(ticket, &route(kind), &"app".into(), now + TIMEOUT);
     RequestSpec { fingerprint: ticket, ..request }
 }
 
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -7,7 +7,7 @@
     routed::{Kind, Rate},
 };
 
-use crate::fixture::{PATIENCE, at, plain, request, sent};
+use crate::fixture::{TIMEOUT, at, plain, request, sent};
 
 /// Time in milliseconds at which servers name their limits. A host lends no share of its own right
 /// after its start.
@@ -40,11 +40,11 @@
 fn play(host: &mut Dispatcher, every: u64, until: u64) -> Played {
     let mut played = Played::default();
     let mut in_flight: Vec<(u64, Ticket)> = Vec::new();
-    let mut came = std::collections::BTreeMap::new();
+    let mut arrived_at = std::collections::BTreeMap::new();
     for now in (NAMED..until).step_by(5) {
         let mut verdicts = Vec::new();
         if (now - NAMED).is_multiple_of(every) {
-            came.insert(now, now);
+            arrived_at.insert(now, now);
             verdicts.push((now, host.arrive(page(now, now), at(now))));
         }
         in_flight.retain(|(end, ticket)| {
@@ -63,7 +63,7 @@
                     in_flight.push((now + 30, ticket));
                 }
                 Verdict::Refuse { cause, after } => {
-                    played.refused.push((at(now - came[&ticket]), cause, after));
+                    played.refused.push((at(now - arrived_at[&ticket]), cause, after));
                 }
                 _ => {}
             }
@@ -95,13 +95,13 @@
 fn what_no_limited_server_can_serve_in_time_is_refused_at_once() {
     let mut host = limited(&["s1"], &[("s1", 1.0)]);
     let played = play(&mut host, 50, NAMED + 10_000);
-    let late = played.refused.iter().filter(|(waited, ..)| PATIENCE / 4 < *waited).count();
+    let late = played.refused.iter().filter(|(waited, ..)| TIMEOUT / 4 < *waited).count();
     assert_eq!(late, 0, "{:?}", played.refused);
     let at_once = played.refused.iter().filter(|(waited, ..)| *waited <= at(20)).count();
     // Those that wait a little are the few that could still have got a permit.
     assert!(played.refused.len() * 8 / 10 <= at_once, "{at_once} of {}", played.refused.len());
     assert!(played.refused.iter().all(|(_, cause, after)| {
-        *cause == Cause::Limit && PATIENCE / 12 <= *after && *after <= PATIENCE / 3
+        *cause == Cause::Limit && TIMEOUT / 12 <= *after && *after <= TIMEOUT / 3
     }));
 }
 
@@ -156,9 +156,10 @@
         *sent(verdict) == *"s1"
     });
     let before = host.quotas().counts().used;
-    let again = host.attempt_failed(first.expect("a request at s1"), end, at(NAMED + 3_010));
-    let is_sent = matches!(again, policy::dispatch::RetryDecision::Send(ref id) if **id == *"s2");
-    assert_eq!(host.quotas().counts().used - before, u64::from(is_sent), "{again:?}");
+    let decision = host.attempt_failed(first.expect("a request at s1"), end, at(NAMED + 3_010));
+    let is_sent =
+        matches!(decision, policy::dispatch::RetryDecision::Send(ref id) if **id == *"s2");
+    assert_eq!(host.quotas().counts().used - before, u64::from(is_sent), "{decision:?}");
 }
 
 /// A limited server that rejects all requests gets as many as its limit allows, to the end.
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -29,9 +29,9 @@
 fn retry(host: &mut Dispatcher, now: Moment) -> bool {
     let ticket = next_ticket(host);
     sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
-    let again = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
+    let decision = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
     host.ended(ticket, End::Cancelled, now);
-    matches!(again, RetryDecision::Send(_))
+    matches!(decision, RetryDecision::Send(_))
 }
 
 /// A number that no earlier request of the host has.
@@ -122,10 +122,10 @@
     for id in servers() {
         host.gone(&id.as_str().into(), at(0));
     }
-    let again = host.attempt_failed(ticket, REFUSED, at(40));
+    let decision = host.attempt_failed(ticket, REFUSED, at(40));
     assert!(
-        matches!(again, RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
-        "{again:?}"
+        matches!(decision, RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
+        "{decision:?}"
     );
 }
 
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -33,7 +33,7 @@
 const SLOTS: usize = 6;
 const QUEUE: usize = 24;
 const GOAL: Duration = Duration::from_millis(150);
-const PATIENCE: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -46,7 +46,7 @@
 
 /// Outcomes of the requests.
 #[derive(Debug, Default)]
-struct Sum {
+struct Totals {
     arrived: u32,
     in_time: u32,
     late: u32,
@@ -71,7 +71,7 @@
     hosts: Vec<Dispatcher>,
     nodes: Vec<Node>,
     in_flight: BTreeMap<Ticket, Moment>,
-    sum: Sum,
+    totals: Totals,
 }
 
 fn id(server: usize) -> backend::Id {
@@ -109,7 +109,7 @@
             hosts: (0..scenario.hosts).map(host).collect(),
             nodes: (0..scenario.servers).map(|_| Node::default()).collect(),
             in_flight: BTreeMap::new(),
-            sum: Sum::default(),
+            totals: Totals::default(),
         };
         world.after(Duration::ZERO, Event::Arrive);
         world.after(Duration::ZERO, Event::Pump);
@@ -132,7 +132,7 @@
         ticket as usize % self.scenario.hosts
     }
 
-    fn play(mut self, time: Duration) -> Sum {
+    fn play(mut self, time: Duration) -> Totals {
         while let Some(Reverse((now, event))) = self.events.pop() {
             if time < now {
                 break;
@@ -149,17 +149,17 @@
                 Event::Digest(host) => self.digest(host),
             }
         }
-        self.sum
+        self.totals
     }
 
     fn arrive(&mut self) {
         let gap = self.exponential(1000.0 / self.scenario.rate);
         self.after(gap, Event::Arrive);
-        let ticket = u64::from(self.sum.arrived);
-        self.sum.arrived += 1;
+        let ticket = u64::from(self.totals.arrived);
+        self.totals.arrived += 1;
         let request = RequestSpec {
             goal: GOAL,
-            deadline: self.now + PATIENCE,
+            deadline: self.now + TIMEOUT,
             ..request(ticket, Kind::NonIdempotent, self.now)
         };
         self.in_flight.insert(ticket, self.now);
@@ -179,14 +179,14 @@
     }
 
     fn refused(&mut self, ticket: Ticket) {
-        self.sum.refused += 1;
+        self.totals.refused += 1;
         let held = self.now - self.in_flight[&ticket];
-        self.sum.refused_late += u32::from(GOAL < held);
+        self.totals.refused_late += u32::from(GOAL < held);
     }
 
     fn send(&mut self, server: &backend::Id, ticket: Ticket) {
         let server: usize = server[1..].parse().unwrap();
-        self.sum.other_zone += u32::from(server % 4 != self.host_of(ticket) % 4);
+        self.totals.other_zone += u32::from(server % 4 != self.host_of(ticket) % 4);
         self.after(at(1), Event::Reach(server, ticket));
     }
 
@@ -197,7 +197,7 @@
         if self.nodes[server].queue.len() < QUEUE {
             return self.nodes[server].queue.push_back(ticket);
         }
-        self.sum.rejections += 1;
+        self.totals.rejections += 1;
         let (host, now) = (self.host_of(ticket), self.now);
         self.report_load(server, host);
         match self.hosts[host].attempt_failed(ticket, End::NotRun(NotRun::Full), now) {
@@ -223,8 +223,8 @@
         self.report_load(server, host);
         self.hosts[host].ended(ticket, End::Completed, now);
         match now - self.in_flight[&ticket] {
-            time if time <= GOAL => self.sum.in_time += 1,
-            time if time <= PATIENCE => self.sum.late += 1,
+            time if time <= GOAL => self.totals.in_time += 1,
+            time if time <= TIMEOUT => self.totals.late += 1,
             _ => {}
         }
         self.pump(host);
@@ -239,7 +239,7 @@
     fn pump(&mut self, host: usize) {
         let changes = self.hosts[host].pump(self.now);
         changes.into_iter().for_each(|change| self.carry_out(change.ticket, change.verdict));
-        self.sum.most_waiting = self.sum.most_waiting.max(self.hosts[host].waiting());
+        self.totals.most_waiting = self.totals.most_waiting.max(self.hosts[host].waiting());
     }
 
     fn digest(&mut self, host: usize) {
@@ -268,14 +268,14 @@
     let scenario = Scenario { hosts: 6, servers: 4, rate: 0.0, slow };
     let capacity = capacity(&scenario, time);
     let scenario = Scenario { rate: load * capacity / time.as_secs_f64(), ..scenario };
-    let sum = World::new(scenario).play(time);
-    let best = capacity.min(f64::from(sum.arrived));
+    let totals = World::new(scenario).play(time);
+    let best = capacity.min(f64::from(totals.arrived));
     let share = |count: u32| f64::from(count) / best;
     let least = if load < 1.0 { 0.97 } else { 0.9 };
-    assert!(least < share(sum.in_time), "{} in time: {sum:?}", share(sum.in_time));
-    assert!(least < share(sum.in_time + sum.late), "{sum:?}");
+    assert!(least < share(totals.in_time), "{} in time: {totals:?}", share(totals.in_time));
+    assert!(least < share(totals.in_time + totals.late), "{totals:?}");
     // Hosts queue, so servers need not reject, and refusals come early.
-    assert!(sum.rejections < 20, "{sum:?}");
-    assert!(sum.refused_late * 12 < sum.arrived, "{sum:?}");
-    assert!(0.6 < load || sum.refused == 0, "{sum:?}");
+    assert!(totals.rejections < 20, "{totals:?}");
+    assert!(totals.refused_late * 12 < totals.arrived, "{totals:?}");
+    assert!(0.6 < load || totals.refused == 0, "{totals:?}");
 }
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -376,8 +376,8 @@
 }
 
 #[track_caller]
-fn sent_again(again: RetryDecision) {
-    assert!(matches!(again, RetryDecision::Send(_)), "{again:?}");
+fn sent_again(decision: RetryDecision) {
+    assert!(matches!(decision, RetryDecision::Send(_)), "{decision:?}");
 }
 
 /// A request that crashes every server costs three servers however often it is repeated, and the
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -7,7 +7,7 @@
     routed::{Kind, Server},
 };
 
-use crate::fixture::{GOAL, PATIENCE, at, generation, host, plain, request, sent, server};
+use crate::fixture::{GOAL, TIMEOUT, at, generation, host, plain, request, sent, server};
 
 /// Fills all places of one server with requests 0, 1, ..; returns the first number that waits.
 fn fill(host: &mut Dispatcher, now: Moment) -> u64 {
@@ -72,7 +72,7 @@
     };
     assert_eq!(refused.ticket, waiting);
     assert!(matches!(refused.verdict, Verdict::Refuse { cause: Cause::Full, .. }));
-    assert!(GOAL <= now && now < PATIENCE / 4, "{now:?}");
+    assert!(GOAL <= now && now < TIMEOUT / 4, "{now:?}");
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
     afters.sort();
     afters.dedup();
     assert!(50 < afters.len());
-    assert!(afters.iter().all(|after| at(100) < *after && *after < PATIENCE / 3));
+    assert!(afters.iter().all(|after| at(100) < *after && *after < TIMEOUT / 3));
 }
 
 #[rstest]
@@ -105,7 +105,7 @@
     host.server(&server("s1", "a", &[]), at(0));
     host.arrive(generation(1, "m1", at(0)), at(0));
     assert_eq!(host.pump(at(1_000)), []);
-    let changes = host.pump(PATIENCE / 2);
+    let changes = host.pump(TIMEOUT / 2);
     let refused = changes.iter().map(|change| &change.verdict).collect::<Vec<_>>();
     assert!(matches!(refused[..], [Verdict::Refuse { cause: Cause::NoServer, .. }]), "{refused:?}");
 }
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -71,8 +71,8 @@
 }
 
 /// Why a request that did not run is given up.
-fn cause(again: RetryDecision) -> Option<Cause> {
-    match again {
+fn cause(decision: RetryDecision) -> Option<Cause> {
+    match decision {
         RetryDecision::GiveUp(Answer::NotRun { cause, .. }) => Some(cause),
         _ => None,
     }
@@ -83,9 +83,9 @@
     let mut host = servers();
     let mut refused = (0..1_000).map(|ticket| {
         sent(host.arrive(request(ticket, Kind::NonIdempotent, at(0)), at(0)));
-        let again = host.attempt_failed(ticket, OTHER_MODEL, at(1));
+        let decision = host.attempt_failed(ticket, OTHER_MODEL, at(1));
         host.ended(ticket, End::Cancelled, at(1));
-        again
+        decision
     });
     assert_eq!(refused.find_map(cause), Some(Cause::Budget));
 }
@@ -121,9 +121,9 @@
     let mut one = |end| {
         let ticket = tickets.next().unwrap();
         host.arrive(request(ticket, Kind::Idempotent, at(0)), at(0));
-        let again = host.attempt_failed(ticket, end, at(1));
+        let decision = host.attempt_failed(ticket, end, at(1));
         host.ended(ticket, End::Cancelled, at(1));
-        again
+        decision
     };
     assert!((0..100).any(|_| matches!(one(End::ServerError), RetryDecision::GiveUp(_))));
     assert!(matches!(one(REFUSED), RetryDecision::Send(_)));
@@ -162,9 +162,9 @@
     let now = at(seconds * 1_000);
     let granted = (0..60).filter(|ticket| {
         sent(host.arrive(request(*ticket, Kind::Idempotent, now), now));
-        let again = host.attempt_failed(*ticket, End::NotRun(NotRun::NotHeld), now);
+        let decision = host.attempt_failed(*ticket, End::NotRun(NotRun::NotHeld), now);
         host.ended(*ticket, End::Cancelled, now);
-        matches!(again, RetryDecision::Send(_))
+        matches!(decision, RetryDecision::Send(_))
     });
     granted.count()
 }
@@ -224,8 +224,8 @@
     let request =
         RequestSpec { adapter: Some("x".into()), resumable: true, ..generation(1, "m1", at(0)) };
     assert_eq!(&*sent(host.arrive(request, at(0))), "s1");
-    let again = host.attempt_failed(1, CUT, at(10));
-    assert_eq!(again, RetryDecision::Missing { model: "m1".into(), adapter: Some("x".into()) });
+    let decision = host.attempt_failed(1, CUT, at(10));
+    assert_eq!(decision, RetryDecision::Missing { model: "m1".into(), adapter: Some("x".into()) });
     host
 }
 
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -27,7 +27,7 @@
 const SLOTS: u32 = 10_000;
 
 /// Time from the arrival of a request to its deadline.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What happens in one second of a play.
 #[derive(Clone, Copy, Debug, Default)]
@@ -71,13 +71,13 @@
 
 struct Host {
     dispatcher: Dispatcher,
-    born: Moment,
+    started_at: Moment,
     /// Requests at servers, by the step at which they are answered.
     in_flight: BTreeMap<usize, Vec<Ticket>>,
 }
 
 impl Host {
-    fn start(place: usize, hosts: usize, born: Moment, start: HostStart) -> Host {
+    fn start(place: usize, hosts: usize, started_at: Moment, start: HostStart) -> Host {
         let mut dispatcher = Dispatcher::new(Settings {
             host: name(place),
             run: 1,
@@ -87,7 +87,7 @@
         });
         dispatcher.share_listed(hosts as u32);
         dispatcher.registered(start);
-        Host { dispatcher, born, in_flight: BTreeMap::new() }
+        Host { dispatcher, started_at, in_flight: BTreeMap::new() }
     }
 }
 
@@ -134,7 +134,7 @@
 
     /// A host's own time, from its start.
     fn time(&self, host: usize) -> Moment {
-        self.now() - self.hosts[host].born
+        self.now() - self.hosts[host].started_at
     }
 
     fn play(mut self) -> World {
@@ -264,7 +264,7 @@
         self.requests.push(self.now());
         let resume = self.plan.is_resumed.then_some(1);
         let asked = RequestSpec {
-            deadline: now + PATIENCE,
+            deadline: now + TIMEOUT,
             attempts: 4,
             resume,
             ..request(ticket, Kind::Idempotent, now)
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -20,8 +20,8 @@
 
 /// When each request is asked to leave its server, with a pump every 20 ms for 3 s.
 fn moved_requests(host: &mut Dispatcher, from: Moment) -> Vec<(Ticket, Moment)> {
-    let looks = (1..150).map(|n| from + at(n * 20));
-    let changes = looks.flat_map(|now| host.pump(now).into_iter().map(move |it| (it, now)));
+    let pumps = (1..150).map(|n| from + at(n * 20));
+    let changes = pumps.flat_map(|now| host.pump(now).into_iter().map(move |it| (it, now)));
     let leaving = changes.filter(|(change, _)| change.verdict == Verdict::Leave);
     leaving.map(|(change, now)| (change.ticket, now)).collect()
 }
@@ -32,8 +32,8 @@
     let moved = moved_requests(&mut host, at(0));
     assert_eq!(moved.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [0, 1]);
     assert!(moved.iter().all(|(_, now)| at(500) < *now && *now < at(1_000)), "{moved:?}");
-    let again = host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_000));
-    assert_eq!(again, RetryDecision::Send("s2".into()));
+    let decision = host.attempt_failed(0, End::Unclear(Unclear::Silent), at(3_000));
+    assert_eq!(decision, RetryDecision::Send("s2".into()));
     assert_eq!(&*sent(host.arrive(request(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
 }
 
