--- a/crates/policy/src/attempt_timeout.rs
+++ b/crates/policy/src/attempt_timeout.rs
@@ -1,8 +1,8 @@
-//! Time-outs of attempts: how long one server is waited for before another is tried.
+//! Time-outs of attempts: how long a host waits for one server before it tries another.
 //!
 //! Only a request that may run more than once is sent to another server while the first one may
-//! still work on it; for all others the silence of a server is no reason to end the attempt before
-//! the deadline of the request. So these time-outs apply to repeatable requests.
+//! still work on it; for all others an attempt lasts until the deadline of the request, even if the
+//! server is silent. So these time-outs apply to repeatable requests.
 
 use std::time::Duration;
 
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -82,10 +82,12 @@
 /// How long a server is assumed to keep a prompt prefix in its cache.
 const PREFIX_HINT_LIFE: Duration = Duration::from_secs(60);
 
-/// How long a lower number of hosts must be seen before it takes effect.
+/// How long the number of hosts must stay lower before the lower number takes effect.
 const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
-/// Most hosts that exchange their requests in flight fast enough not to overload a server together.
+/// Largest number of hosts whose digests of requests in flight arrive often enough that they do not
+/// overload a server together. With more hosts, the number that contend for each server is
+/// estimated.
 const MAX_UNCONTENDED_HOSTS: u32 = 16;
 
 /// Settings of a host's dispatcher, fixed for the life of the process.
@@ -103,7 +105,7 @@
     pub retries: RetryBudgetConfig,
 }
 
-/// Whether the host's name was registered in the store before this start.
+/// Whether the store already knew the host's name when this run registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStart {
     /// The first start under this name.
@@ -112,12 +114,12 @@
     Restart,
 }
 
-/// All decisions about routed requests on one host.
+/// Dispatch state of one host. It makes all decisions on the requests that the host routes.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
-    /// Hosts that share the servers.
+    /// Number of hosts that share the servers.
     hosts: u32,
-    /// Hosts that share the retry budgets.
+    /// Number of hosts that share the retry budgets, and this run's share of the extra retries.
     sharers: Sharers,
     /// The highest of the numbers below [`hosts`](Self::hosts) observed lately, and since when.
     lower_count: Option<(u32, Moment)>,
@@ -230,8 +232,8 @@
         }
     }
 
-    /// Records that a server takes requests again: its registration was written after the message
-    /// that it leaves.
+    /// Records that a server takes requests again, because its registration was written after the
+    /// notice that it drains.
     pub fn resume(&mut self, id: &backend::Id) {
         if let Some(index) = self.registry.index(id) {
             self.registry.resume(index);
@@ -365,8 +367,8 @@
         }
     }
 
-    /// Records that a server was ordered to load a model, or an adapter on it, with the expected
-    /// time of completion.
+    /// Records that a server was ordered to load a model, or an adapter on it. `ready` is the
+    /// expected time of completion.
     pub fn model_loading(
         &mut self,
         id: &backend::Id,
@@ -384,7 +386,8 @@
         &self.poison
     }
 
-    /// Requests that crash servers, for merging what other hosts and the store know.
+    /// Mutable access to the requests that crash servers, to merge the records of other hosts and
+    /// of the store.
     pub fn poison_mut(&mut self) -> &mut Poison {
         &mut self.poison
     }
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -13,33 +13,35 @@
     task::{Attempt, Leaving, Phase, State, Task},
 };
 
-/// A request may expect to wait one part in this many of its patience, in time or beyond its due
-/// time. Holding a request costs what it could have earned if refused at once, up to all of it at
-/// three quarters of its patience, while a late response earns three tenths. At one eighth a
-/// response that is likely to be late is still worth the risk.
+/// A request is queued only if its expected wait, or the wait beyond its due time, is at most one
+/// part in this many of its caller's timeout. A request that is refused at once can still be
+/// retried in time; the longer it is held first, the less a retry is worth, down to nothing at
+/// three quarters of the timeout. A late response is worth three tenths of one in time. At one
+/// eighth, a response that is likely to be late is still worth the risk.
 const MAX_WAIT_DIVISOR: u32 = 8;
 
-/// Part of its goal that a request must have left, in addition to its own time, to go before those
-/// that are late. Without this slack, an overloaded host serves each request when it is just too
-/// late.
+/// Part of its goal that a request must have left, in addition to its expected service time, to be
+/// served before late requests. Without this slack, an overloaded host serves each request when it
+/// has just become late.
 const ON_TIME_SLACK: f64 = 0.33;
 
-/// Part of its patience that a request waits while no server has its model: a load takes seconds,
-/// and a model that is rarely requested is never loaded if its requests are refused.
+/// Part of its caller's timeout that a request waits while no server has its model loaded and no
+/// load was ordered. A load takes seconds, and a model that is rarely requested would never be
+/// loaded if its requests were refused.
 const NOT_LOADED_WAIT: f64 = 0.35;
 
-/// The same once the model is being loaded.
+/// Part of its caller's timeout that a request waits once its model is being loaded.
 const LOADING_WAIT: f64 = 0.7;
 
-/// Divisors of a request's patience that bound the delay after which a refused request may be
-/// retried. Callers wait at most a third of the time they have left.
+/// Divisors of the caller's timeout that give the shortest and the longest delay after which a
+/// refused request may be retried. Callers wait at most a third of the time they have left.
 const RETRY_AFTER_MIN_DIVISOR: u32 = 12;
 const RETRY_AFTER_MAX_DIVISOR: u32 = 5;
 
 /// Callers wait at most one part in this many of the time they have left before they retry.
 const CALLER_WAIT_DIVISOR: u32 = 3;
 
-/// Lower bound of the rate at which requests are assumed to start.
+/// Lower bound of the estimated rate at which requests start, so that estimated waits stay finite.
 const MIN_STARTS_PER_MS: f64 = 1e-7;
 
 /// Expected times of a request, in milliseconds.
@@ -51,7 +53,7 @@
 }
 
 impl Dispatcher {
-    /// Decides on a request that has arrived.
+    /// Decides whether a request that has arrived is sent to a server, queued or refused.
     pub fn arrive(&mut self, spec: RequestSpec, now: Moment) -> Verdict {
         let service = self.registry.service(&spec.service);
         let model = spec.model.as_ref().map(|model| self.registry.model(service, model));
@@ -121,9 +123,10 @@
         }
     }
 
-    /// Queues a request that was tried until another server has a place for it. A request that may
-    /// have run waits as long as its time allows, since all that it could still earn is lost
-    /// otherwise; one that did not run waits no longer than a late request, or until `until`.
+    /// Queues a request after a failed attempt, until another server has a place for it. A request
+    /// that may have run waits as long as its time allows, since it can no longer be refused as not
+    /// run; one that did not run waits as long as a late request, or until `until` if that is
+    /// later.
     fn requeue(&mut self, mut task: Task, until: Moment, now: Moment) {
         let estimate = self.estimate_wait(&task, now);
         let give_up = match task.runs {
@@ -153,9 +156,10 @@
         now: Moment,
     ) -> Result<(), Cause> {
         self.check_retry(task, end, now)?;
-        // A loan pays only for a request that is sent at once, and the time for that is over.
+        // A loan is valid only for a retry that is sent at once, so a loan left from an attempt
+        // that reached no server is dropped.
         task.payment = task.payment.filter(|payment| *payment == Payment::Own);
-        // A request that has reached no server so far arrives for the first time.
+        // The first arrival of a request at a server needs no payment.
         if !task.has_arrived || task.payment.is_some() {
             return Ok(());
         }
@@ -199,7 +203,8 @@
         }
     }
 
-    /// Reserves a place at the chosen server.
+    /// Assigns the request to the chosen server, reserves its place there, and returns the server's
+    /// id.
     pub(super) fn send(&mut self, mut task: Task, choice: Choice, now: Moment) -> backend::Id {
         let ticket = task.spec.ticket;
         let suspect = self.is_suspect(&task);
@@ -248,12 +253,14 @@
         missing.map_or(Verdict::Wait, |model| Verdict::Missing { model, adapter })
     }
 
-    /// Whether the caller will have left when the load is done; loads take seconds.
+    /// Whether the caller will have left before a load that is done at `ready` lets the request be
+    /// served.
     fn is_too_late(&self, task: &Task, ready: Moment) -> bool {
         task.caller_leaves_at() < ready + duration(self.stats(task).base())
     }
 
-    /// When a load that the request waits for is expected to be done.
+    /// Earliest expected completion of a load that lets the request run on a server that it need
+    /// not avoid.
     fn loaded_at(&self, task: &Task) -> Option<Moment> {
         let loading = &self.registry.models[task.model? as usize].loading;
         let is_other = |index| {
@@ -314,7 +321,8 @@
         self.stats(task).base() + reading
     }
 
-    /// Returns the delay before a retry if it is of no use to wait here.
+    /// Returns the delay after which the caller should retry, if the request can't be served in
+    /// time by waiting on this host.
     fn retry_after_if_futile(
         &self,
         task: &Task,
@@ -328,8 +336,8 @@
         is_lost.then(|| retry_delay(task, estimate.wait))
     }
 
-    /// Returns the delay before a retry if it is of no use to wait behind `ahead` requests for
-    /// servers at which `rate` requests start each millisecond.
+    /// Returns the delay after which the caller should retry, if the request can't be served in
+    /// time behind `ahead` requests, for servers at which `rate` requests start each millisecond.
     pub(super) fn retry_after_if_futile_at(
         &self,
         task: &Task,
@@ -342,7 +350,7 @@
         self.retry_after_if_futile(task, &estimate, now)
     }
 
-    /// The refusal of a request that has waited in vain.
+    /// The refusal of a request that got no server before the end of its wait.
     pub(super) fn refusal(&self, task: &Task, now: Moment) -> Verdict {
         let cause = if self.has_capable_server(task) { Cause::Full } else { Cause::NoServer };
         Verdict::Refuse { cause, after: self.retry_after(task, now) }
@@ -353,7 +361,8 @@
         retry_delay(task, self.estimate_wait(task, now).wait)
     }
 
-    /// Until when a request waits that is late from now on; `None` if it is not worth waiting.
+    /// Until when a request that has just become late waits; `None` if its expected wait is too
+    /// long.
     pub(super) fn late_until(&self, task: &Task, now: Moment) -> Option<Moment> {
         let estimate = self.estimate_wait(task, now);
         let max_wait = task.caller_timeout() / MAX_WAIT_DIVISOR;
@@ -365,12 +374,12 @@
     if now + duration(estimate.serve) < task.due { Class::OnTime } else { Class::Late }
 }
 
-/// The last moment at which it is of use to send a request.
+/// The last moment at which a request can start and be answered before its caller leaves.
 fn latest_start(task: &Task, estimate: &Estimate) -> Moment {
     task.caller_leaves_at().saturating_sub(duration(estimate.serve))
 }
 
-/// Until when a request waits.
+/// Until when a request of this class waits for a place at a server.
 fn give_up_at(task: &Task, class: Class, estimate: &Estimate, now: Moment) -> Moment {
     let last = latest_start(task, estimate);
     match class {
@@ -381,7 +390,8 @@
     }
 }
 
-/// Until when a request waits that no server could run.
+/// Until when a request waits for its model or adapter to be loaded. `ready` is the expected time
+/// of a load that was ordered.
 fn load_wait_until(task: &Task, ready: Option<Moment>) -> Moment {
     let until = |part| task.arrived + task.caller_timeout().mul_f64(part);
     match ready {
@@ -392,8 +402,9 @@
     }
 }
 
-/// Delay before a retry: about the time until the requests ahead are through, and up to half as
-/// long again, so that requests refused together do not return together.
+/// Delay after which a refused request may be retried: about the time until the requests ahead have
+/// started, plus a random part of up to half of it, so that requests refused together are not
+/// retried together.
 fn retry_delay(task: &Task, wait: f64) -> Duration {
     let caller_timeout = task.caller_timeout();
     let base = duration(wait)
--- a/crates/policy/src/dispatch/breaker.rs
+++ b/crates/policy/src/dispatch/breaker.rs
@@ -1,10 +1,10 @@
 //! Circuit breakers of servers.
 //!
-//! A server whose breaker is open gets no requests until a time is over. Then one request at a time
-//! may try it, and a complete response in time closes the breaker. Each further failure doubles the
-//! time. A refused connection usually means a crash: the restarted server registers under a new id,
-//! so trying the old one again soon costs little. A server that is an outlier costs its callers
-//! much, so its times are longer.
+//! A server whose breaker is open gets no requests for a while. Then one request at a time is sent
+//! as a trial, and a complete response closes the breaker. Each further failure doubles the time
+//! for which the breaker stays open. A refused connection usually means a crash: the restarted
+//! server registers under a new id, so trying the old one again soon costs little. Requests to an
+//! outlier are costly for their callers, so its breaker stays open longer.
 
 use types::prelude::*;
 
@@ -13,7 +13,7 @@
 /// Most doublings of the open time.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// How long a trial is reserved for a request that may be repeated.
+/// How long after its open time a breaker admits only a repeatable request as its trial.
 const IDEMPOTENT_TRIAL_WAIT: Duration = Duration::from_secs(1);
 
 /// Why a breaker was tripped.
@@ -42,7 +42,7 @@
     }
 }
 
-/// Which requests the server may get.
+/// State of a breaker: which requests the server may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// All requests.
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether the breaker was tripped because nothing was answered, rather than slowly or badly.
+    /// Whether the breaker was tripped by missing responses, rather than by slow or failed ones.
     pub fn is_unreachable(&self) -> bool {
         self.trip.is_some_and(|trip| match trip.cause {
             Cause::Disconnected | Cause::Refused | Cause::Timeout => true,
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Records a failure. A request that fails while the breaker is open was sent before, and
-    /// changes nothing.
+    /// Records a failure. A request that fails while the breaker is open was sent before the
+    /// breaker was tripped, and changes nothing.
     pub fn trip(&mut self, cause: Cause, now: Moment) {
         let doublings = match self.trip {
             Some(trip) if now < trip.until => return,
@@ -102,7 +102,8 @@
         self.trip = Some(Trip { cause, doublings, until, trial: None });
     }
 
-    /// Records that a request is sent to the server.
+    /// Records that a request is sent to the server. If the open time of the breaker is over, the
+    /// request is its trial.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(trip) = &mut self.trip
             && trip.until <= now
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Records that a request at the server is over.
+    /// Records that a request at the server has ended, which allows another trial if it was the
+    /// trial.
     pub fn ended(&mut self, ticket: Ticket) {
         if let Some(trip) = &mut self.trip
             && trip.trial == Some(ticket)
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Records a complete response. A breaker that was tripped by an outlier closes only if the
-    /// response is that of its trial.
+    /// Records a complete response, which closes the breaker. A breaker with [`Cause::Outlier`]
+    /// closes only by the response to its trial.
     pub fn succeeded(&mut self, ticket: Ticket) {
         let Some(trip) = self.trip else { return };
         let is_cleared = match trip.cause {
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -36,25 +36,25 @@
 /// later.
 const EXTRA_MARGIN: f64 = 0.8;
 
-/// Part of the ratio that a host uses of its smallest window.
+/// Share of the ratio that a host takes for the requests in its smallest window.
 const STEADY_PART: f64 = 0.45;
 
-/// Part of the ratio that a host uses of its last window.
+/// Share of the ratio that a host takes for the requests in its last window.
 const RECENT_PART: f64 = 0.25;
 
-/// Part of the share that is reserved for requests whose work is lost without a retry.
+/// Part of the share that is reserved for retries with [`Need::High`].
 const RESERVED_PART: f64 = 0.25;
 
-/// Parts of a window in which requests are counted.
+/// Number of parts into which a window is divided to count requests.
 const WINDOW_PARTS: u32 = 100;
 
 /// Number of retries left below which a host borrows more.
 const LOW_RETRIES: f64 = 3.0;
 
-/// How long after the last request for a retry a host borrows.
+/// How long after a retry was last requested a host still borrows.
 const DEMAND_MEMORY: Duration = Duration::from_millis(250);
 
-/// Part of what is left that a host lends at once.
+/// Part of the retries left to a host that it lends in one loan.
 const LEND_PART: f64 = 0.5;
 
 /// Part of a window by which the smallest one is shortened: callers sent a request up to this long
@@ -127,7 +127,8 @@
 pub struct Extra {
     /// Hosts that share the extra equally.
     pub hosts: u32,
-    /// From when on this run of the host has its share; `None` while the run isn't registered.
+    /// From when on this run of the host has its share, on the host's clock; `None` while the run
+    /// isn't registered.
     pub available_from: Option<Moment>,
 }
 
@@ -234,13 +235,13 @@
         lent
     }
 
-    /// Adds what another host lends until `until`.
+    /// Adds a loan of another host, which is valid until `until`.
     pub fn borrow(&mut self, count: u32, until: Moment, now: Moment) {
         self.borrowed.expire(now);
         self.borrowed.add(count, until);
     }
 
-    /// Whether retries were requested lately and few are left.
+    /// Whether a retry was requested lately and few are left, so that the host should borrow.
     pub fn is_short(&self, extra: Extra, now: Moment) -> bool {
         let is_wanted = self.last_requested.is_some_and(|at| now < at + DEMAND_MEMORY);
         is_wanted && self.left(Need::Normal, extra, now) < LOW_RETRIES
--- a/crates/policy/src/dispatch/budget/loan.rs
+++ b/crates/policy/src/dispatch/budget/loan.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 use types::prelude::*;
 
-/// How long after its request a borrower may pay with the loan.
+/// How long after sending its request a borrower may pay with the loan.
 pub const VALIDITY: Duration = Duration::from_millis(500);
 
-/// Time after which nothing paid with a loan can arrive any more: [`VALIDITY`] plus the time to
+/// Time after which no retry paid with a loan can arrive any more: [`VALIDITY`] plus the time to
 /// establish a connection.
 pub const ARRIVAL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// Retries requested at once.
+/// Number of retries that a host requests in one message.
 pub const PORTION: u32 = 8;
 
 /// A message between two hosts, which may be lost, late or duplicated.
@@ -41,7 +41,7 @@
     Grant(u32),
 }
 
-/// Numbers of retries, each valid until a time.
+/// Loans, each with its number of retries and the time until which it is valid.
 #[derive(Clone, Debug, Default)]
 pub struct Loans(VecDeque<(Moment, u32)>);
 
--- a/crates/policy/src/dispatch/budget/series.rs
+++ b/crates/policy/src/dispatch/budget/series.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub struct Series {
     window: Duration,
-    /// Events within this time of an entry are counted in it.
+    /// Events within this time after an entry's start are counted in that entry.
     resolution: Duration,
-    /// Times and the number of events up to the end of each entry, the oldest first.
+    /// Entries, the oldest first: the start of each, and the number of all events up to its end.
     sums: VecDeque<(Moment, u64)>,
     /// Number of events before the oldest entry.
     evicted: u64,
--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -1,5 +1,5 @@
-//! Choice of a server: the one with the lowest cost, which is the expected time to the first byte
-//! plus other criteria expressed as time.
+//! Chooses the server with the lowest cost: the expected time to the first byte, plus other
+//! criteria converted to milliseconds.
 
 use types::{prelude::*, routed::Kind};
 
@@ -18,20 +18,20 @@
 /// expected time.
 pub const PREFILL_TOKENS_PER_MS: f64 = 30.0;
 
-/// Cost of a prompt token that the chosen server must prefill, relative to its time: prefilling
-/// what another server may have cached is waste.
+/// Factor of the cost of prefilling the prompt over the time that it takes: a token that another
+/// server may have cached should not be prefilled again.
 const PREFILL_REPEAT_FACTOR: f64 = 2.0;
 
-/// Gain in milliseconds that a server in another zone must offer: plain responses are small,
-/// streams long.
+/// Cost in milliseconds of a server in another zone: low for plain responses, which are small, and
+/// higher for streams, which are long.
 const OTHER_ZONE_PLAIN_MS: f64 = 3.0;
 const OTHER_ZONE_STREAM_MS: f64 = 10.0;
 
-/// Part of the goal that a full server costs more than an empty one.
+/// Cost of a full server over an empty one, as a part of the goal.
 const FULL_SERVER_COST: f64 = 0.1;
 
-/// Part of the goal within which the choice is random, and its upper bound in milliseconds, which
-/// is less than the cost of another zone.
+/// Bound of the random part of the cost, as a part of the goal and in milliseconds. It is less than
+/// the cost of another zone.
 const JITTER: f64 = 0.01;
 const MAX_JITTER_MS: f64 = 2.0;
 
@@ -39,8 +39,9 @@
 /// between the end of a request there and the arrival of the next from this host.
 const OVERFILL: f64 = 0.125;
 
-/// Part of the KV memory above which preemption becomes likely; the cost in milliseconds per unit
-/// of that part above it; and the part above which nothing more is sent.
+/// Part of the KV memory in use above which preemption becomes likely; the factor by which the
+/// excess over that part becomes a cost in milliseconds; and the part from which on no request is
+/// sent.
 const MEMORY_SOFT: f64 = 0.85;
 const MEMORY_COST_MS: f64 = 2000.0;
 const MEMORY_HARD: f64 = 0.97;
@@ -49,8 +50,8 @@
 /// Each piece of a prompt is prefilled between the tokens of all streams on the server.
 const PREFILL_IN_PAUSE: f64 = 0.5;
 
-/// Cost in milliseconds of each request in flight on a server that gets a suspect, as the server
-/// may crash.
+/// Cost in milliseconds of each request in flight on a server, if the request to be sent is
+/// suspected to crash servers.
 const SUSPECT_COST_MS: f64 = 10_000.0;
 
 /// The chosen server, with the expected times and their parts as in
@@ -69,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Outcome {
     Send(Choice),
-    /// Servers could run the request, and none has a place for it.
+    /// Some servers could run the request, but none has a place for it now.
     Full,
     /// No server could run the request.
     NoServer,
@@ -166,7 +167,8 @@
                 State::HalfOpen => task.spec.is_repeatable(),
                 State::Open => false,
             };
-            // A server with a tripped breaker is better than one that takes no more requests.
+            // Only a server with a closed breaker and a permit left is worth waiting for; without
+            // one, a server with an open breaker is chosen.
             found.has_usable |= state == State::Closed && self.has_permit(server, now);
             let prefill = task.input() - cached_tokens(task, holders, index);
             if !self.has_place(task, index, server, now)
@@ -198,7 +200,9 @@
     }
 
     /// Whether this request may take one of the server's free places, which all contending hosts
-    /// see. Each request draws a new lot whenever new digests of peers have arrived.
+    /// see at the same time. If there are more contenders than free places, a random draw decides,
+    /// with their ratio as the probability. Each request draws anew when new digests of peers have
+    /// arrived.
     fn wins_draw(&self, task: &Task, index: Index, free: f64) -> bool {
         let contenders = self.registry.get(index).map_or(1.0, |server| server.load.contenders());
         let round = self.registry.peers_at().map_or(0, |at| at.as_millis() as u64);
@@ -246,7 +250,7 @@
         Choice { server: index, baseline_ms, work_ms, queue_ms, expected_ms, prefill, cost_ms }
     }
 
-    /// Servers assumed to have prefixes of the prompt in their cache.
+    /// Returns the servers that are assumed to have prefixes of the prompt in their cache.
     fn holders(&self, task: &Task, now: Moment) -> Vec<Holder> {
         if task.prefixes.is_empty() {
             return Vec::new();
@@ -256,8 +260,8 @@
     }
 }
 
-/// Whether a server that also prefills this prompt still emits the events of its streams without
-/// long pauses.
+/// Whether a server that also prefills this prompt can still emit the events of its streams without
+/// too long a pause.
 fn keeps_stream_pauses(task: &Task, server: &Server, prefill: u32) -> bool {
     let waiting = server.load.prefill();
     let prefill_ms = (waiting as f64 + f64::from(prefill)) / PREFILL_TOKENS_PER_MS;
@@ -265,7 +269,8 @@
     waiting == 0 || pause.is_none_or(|pause| prefill_ms <= millis(pause) * PREFILL_IN_PAUSE)
 }
 
-/// Tokens of the prompt that a server is assumed to have in its cache. The hints count in parts.
+/// Returns the number of prompt tokens that a server is assumed to have in its cache. The hints
+/// count parts of the prompt instead of tokens.
 fn cached_tokens(task: &Task, holders: &[Holder], server: Index) -> u32 {
     let parts =
         holders.iter().find(|holder| holder.server == server).map_or(0, |holder| holder.tokens);
--- a/crates/policy/src/dispatch/events.rs
+++ b/crates/policy/src/dispatch/events.rs
@@ -14,18 +14,20 @@
 };
 use crate::route::Index;
 
-/// How long a server that refused a request as full gets none.
+/// How long a server gets no requests after it refused one as full.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// Part of its slots below which a server that refuses requests as full counts as failing.
+/// Share of its slots in use below which a server's refusal of a request as full counts as a
+/// failure.
 const EARLY_REFUSAL_FILL: f64 = 0.5;
 
-/// Slowness above which a server's times are excluded from the statistics of its service.
+/// Slowness relative to the median above which a server's times are excluded from the statistics of
+/// its service or model.
 const EXCLUDED_SLOWNESS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Records that the first byte of the request is sent; until then it was waiting for a
-    /// connection.
+    /// Records that the first byte of the request is sent, which starts the time of the attempt:
+    /// until then the request was waiting for a connection.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get_mut(&ticket) {
             attempt.sent = now;
@@ -33,7 +35,8 @@
         self.poison.sent(ticket, now);
     }
 
-    /// Records that the head of the server's response was received, whatever becomes of the rest.
+    /// Records that the head of the server's response was received, whether or not the body
+    /// follows.
     pub fn response_started(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
             self.poison.answered(&attempt.id, attempt.sent, now);
@@ -67,7 +70,8 @@
         }
     }
 
-    /// Records that the request is over, at a server or in the queue.
+    /// Records that the request has ended, at a server or in the queue, and gives back an unused
+    /// payment for a retry.
     pub fn ended(&mut self, ticket: Ticket, end: End, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
         match std::mem::replace(&mut task.state, State::Idle) {
@@ -89,7 +93,8 @@
         }
     }
 
-    /// Records that an attempt is over.
+    /// Records the end of an attempt in the retry budget, in the statistics, and in the state of
+    /// its server.
     pub(super) fn attempt_ended(
         &mut self,
         task: &mut Task,
@@ -122,7 +127,7 @@
     fn update_poison(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let fingerprint = task.spec.fingerprint;
         let ticket = task.spec.ticket;
-        // A draining server ends on its own.
+        // A draining server exits on its own, so a broken connection does not indicate a crash.
         let is_draining =
             self.registry.index(&attempt.id).is_some_and(|index| self.registry.is_draining(index));
         match end {
@@ -201,7 +206,8 @@
         }
     }
 
-    /// Updates the statistics with the time to the first byte.
+    /// Updates the server's pace, and the statistics of its model or service, with the time to the
+    /// first byte.
     fn record_first_byte(&mut self, task: &Task, attempt: &Attempt, now: Moment) {
         let took = millis(now.saturating_sub(attempt.sent)).max(0.1);
         let median = self.registry.services[task.service as usize].median;
@@ -221,12 +227,13 @@
             Some(model) => &mut self.registry.models[model as usize].stats,
             None => &mut self.registry.services[task.service as usize].stats,
         };
-        // Not divided by the server's pace: each of the two estimates would then follow the other.
+        // Not divided by the server's pace: the pace is derived from these statistics, so the two
+        // estimates would feed back into each other.
         stats.record_first_byte(took - attempt.work_ms);
         self.trip_outlier(attempt.server, task.service, now);
     }
 
-    /// Trips the breaker of a server that is much worse than the others.
+    /// Trips the breaker of a server that is an outlier among the servers of its service.
     pub(super) fn trip_outlier(&mut self, server: Index, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         if let Some(server) = self.registry.get_mut(server)
@@ -237,7 +244,7 @@
     }
 }
 
-/// Whether a server is so slow that its times say nothing about its service.
+/// Whether a server is so slow that its times would distort the statistics of its service.
 fn is_excluded(server: &Server, median: &Median, now: Moment) -> bool {
     EXCLUDED_SLOWNESS < server.pace.slowness(median, now)
 }
--- a/crates/policy/src/dispatch/list.rs
+++ b/crates/policy/src/dispatch/list.rs
@@ -2,7 +2,7 @@
 
 use crate::route::Index;
 
-/// Most servers examined for one request, unless none of these has a place.
+/// Largest number of servers examined for one request, unless none of these has a place.
 pub const MAX_SAMPLE: usize = 24;
 
 /// Servers by index; the first [`same_zone`](Self::same_zone) of them are in the host's own zone.
@@ -47,8 +47,8 @@
         &self.servers
     }
 
-    /// Returns up to [`MAX_SAMPLE`] servers, chosen by the seed: half of them from the own zone
-    /// where it has so many, and all servers if there are no more.
+    /// Returns up to [`MAX_SAMPLE`] servers, chosen by the seed: half of them from the host's own
+    /// zone and half from others. If one side has fewer, the other side makes up for them.
     pub fn sample(&self, seed: u64) -> impl Iterator<Item = Index> {
         let (same, other) = self.servers.split_at(self.same_zone);
         let from_same = same.len().min(MAX_SAMPLE - other.len().min(MAX_SAMPLE / 2));
@@ -59,7 +59,7 @@
     }
 }
 
-/// Iterates over the whole slice, starting at a place that the seed gives and wrapping around.
+/// Iterates over the whole slice, starting at a position given by the seed and wrapping around.
 fn rotated(servers: &[Index], seed: u64) -> impl Iterator<Item = Index> {
     let start = (seed % servers.len().max(1) as u64) as usize;
     servers[start..].iter().chain(&servers[..start]).copied()
--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -10,7 +10,7 @@
 
 use super::request::Ticket;
 
-/// Age of a server's report when it arrives.
+/// Assumed age of a server's report when it arrives.
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
 
 /// How long a host remembers the times at which it sent requests to a server.
@@ -140,8 +140,9 @@
         self.peers_prefill = (self.peers_prefill + more.1).saturating_sub(less.1);
     }
 
-    /// Estimates anew, from what peers have sent, how many hosts contend for the server. They see
-    /// the same free slot at the same moment, and see each other's requests only later.
+    /// Updates the estimated number of hosts that contend for the server, after new digests of
+    /// peers. Contending hosts see the same free slot at the same moment, and each other's requests
+    /// only later.
     pub fn update_contenders(&mut self, slots: u32, hosts: u32) {
         let all = self.own() + self.peers;
         if slots < all {
--- a/crates/policy/src/dispatch/loaded.rs
+++ b/crates/policy/src/dispatch/loaded.rs
@@ -1,7 +1,7 @@
 //! Which models and adapters a server has loaded.
 //!
-//! Reports are late. First-hand knowledge, that an order is done or that the server refused a
-//! request for want of the model, overrides what is reported within [`FIRST_HAND_PRECEDENCE`]. An
+//! Reports are late. First-hand knowledge, namely that an order is done or that the server refused
+//! a request because the model is not loaded, overrides reports for [`FIRST_HAND_PRECEDENCE`]. An
 //! order to unload a model is carried out only when the model's requests have ended, so it
 //! overrides reports for [`UNLOAD_PRECEDENCE`]. Registrations are sent only when something changes,
 //! so what one lists in the meantime is stored and applied after that time. It is applied at once
@@ -34,7 +34,7 @@
     model: Index,
     adapter: Option<adapter::Id>,
     presence: Presence,
-    /// Sequence number of the server's orders at that time, if known.
+    /// Sequence number of the server's orders as of this knowledge, if known.
     sequence: Option<routed::Sequence>,
     /// Until when reports are overridden.
     until: Moment,
@@ -46,7 +46,8 @@
     Present,
     Absent {
         why: Absence,
-        /// What the latest report lists in spite of the absence, with the model's adapters.
+        /// Entry of the model, or of the adapter on it, in the latest report, which lists it in
+        /// spite of the absence.
         listed: Option<LoadedModel>,
     },
 }
@@ -54,9 +55,9 @@
 /// Why a model or adapter is not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// The server was ordered to unload it, by the order of this sequence number.
+    /// The server was ordered to unload the model or adapter, by the order of this sequence number.
     Ordered(routed::Sequence),
-    /// The server refused a request for want of it.
+    /// The server refused a request because it does not have the model or adapter loaded.
     Refused,
 }
 
@@ -122,8 +123,8 @@
         self.overrides.retain(|entry| entry.model != model);
     }
 
-    /// Records that the adapter, or without one the model with its adapters, is not loaded,
-    /// whatever reports list for a while.
+    /// Records that the adapter, or without one the model with its adapters, is not loaded, which
+    /// overrides reports for a while.
     pub fn mark_absent(
         &mut self,
         model: Index,
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -1,4 +1,4 @@
-//! Requests for loans of retries: which host is asked, and when.
+//! Requests for loans of retries: to which host they are sent, and when.
 
 use types::prelude::*;
 
@@ -14,7 +14,7 @@
 /// Minimum time between two requests for one service.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Consecutive denials after which no host is asked for [`DENIAL_PAUSE`].
+/// Consecutive denials after which no loan is requested for [`DENIAL_PAUSE`].
 const MAX_DENIALS: u32 = 4;
 
 const DENIAL_PAUSE: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
 /// Loan requests for one service.
 #[derive(Clone, Debug, Default)]
 struct LoanRequests {
-    /// When the last request was sent, while it has no answer.
+    /// When the last request was sent; `None` once it is answered.
     open: Option<Moment>,
     /// When the next request may be sent.
     next: Moment,
--- a/crates/policy/src/dispatch/pace.rs
+++ b/crates/policy/src/dispatch/pace.rs
@@ -3,25 +3,25 @@
 //! Both figures are exponentially weighted means, compared with the median of the service, so that
 //! what all servers have in common, such as a slow model or a kind of request that often fails,
 //! counts against none. Slowness is stored as a logarithm: twice as slow weighs as much as twice as
-//! fast. Without new samples a server's figures return to the median, so the server is tried again
-//! in time.
+//! fast. Without new samples a server's figures return to the median, so that the server is
+//! eventually tried again.
 
 use types::prelude::*;
 
-/// Divisor of the weight of a new time sample.
+/// Divisor of the difference that a new time sample adds to the mean.
 const TIME_DIVISOR: f64 = 4.0;
 
-/// Age at which the last time sample says little, and the divisor of a new one's weight then.
+/// Age from which on the last time sample is stale, and the divisor for a new sample then.
 const STALE_AFTER: Duration = Duration::from_millis(500);
 const STALE_TIME_DIVISOR: f64 = 2.0;
 
-/// Divisor of the weight of a new outcome.
+/// Divisor of the difference that a new outcome adds to the mean.
 const OUTCOME_DIVISOR: f64 = 6.0;
 
-/// Samples before a server is judged.
+/// Number of samples required before a server enters the median or counts as an outlier.
 const MIN_SAMPLES: u32 = 3;
 
-/// Bound of one sample's time ratio, as a logarithm.
+/// Bound of the logarithm of one sample's time ratio.
 const MAX_LOG_RATIO: f64 = 2.5;
 
 /// Slowness relative to the median, as a logarithm, above which a server is an outlier: three
@@ -84,7 +84,7 @@
         self.outcome(1.0, median, now);
     }
 
-    /// Records a request that was answered well.
+    /// Records a request with a complete response.
     pub fn record_success(&mut self, median: &Median, now: Moment) {
         self.outcome(0.0, median, now);
     }
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -3,16 +3,16 @@
 //! A [`Crash`] states that a request was at a run of a server when that run ended. Each host stores
 //! the crashes that it knows and sends them to others, including those that it only received. Sets
 //! of crashes are merged in any order and any number of times, so no crash counts twice, a
-//! restarted host gets them from any other, and a host that fails takes no information with it.
+//! restarted host gets them from any other host, and nothing is lost when a host fails.
 //!
 //! A crash stops counting when it is void: the server's run answered something that was sent to it
 //! later, or the request completed somewhere. It also doesn't count while another request explains
 //! it: one that ran isolated on that server, or one that has crashed more servers and is refused.
 //!
 //! From the second crash on a request is a suspect and runs isolated from other suspects: one at a
-//! time on a host, on the server with the least to lose. Hosts advertise such runs like crashes, so
-//! that no other host sends the same request, or another suspect to the same server, in the
-//! meantime. After the third crash the request is refused by all hosts.
+//! time on a host, preferably on the server with the fewest requests in flight. Hosts advertise
+//! such runs like crashes, so that no other host sends the same request, or another suspect to the
+//! same server, in the meantime. After the third crash the request is refused by all hosts.
 
 use std::{
     cmp::Ordering,
@@ -36,7 +36,8 @@
 /// How long a request is remembered after its last crash, if it ran isolated in one of its crashes.
 pub const LIFE: Duration = Duration::from_secs(3600);
 
-/// How long a request is remembered that shared the server with others in each of its crashes.
+/// How long a request is remembered after its last crash, if it shared the server with other
+/// requests in all of its crashes.
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
 /// Remaining life below which a received crash is not added again.
@@ -48,14 +49,15 @@
 /// Most crashes sent to other hosts; those of requests with the most crashes are sent first.
 const MAX_SENT: usize = 128;
 
-/// How long a void crash of a request that is not a suspect is sent.
+/// How long a host sends a crash to others after it found the crash void.
 const VOID_SEND_TIME: Duration = Duration::from_secs(10);
 
 /// Time between the end of an attempt and the end of its server's registration within which the
 /// attempt may have crashed the server.
 const UNRESOLVED_LIFE: Duration = Duration::from_secs(8);
 
-/// How long at least a completed request is assumed to crash no server.
+/// Length of a generation of completed requests. A completed request is assumed to crash no server
+/// for at most two generations.
 const COMPLETED_LIFE: Duration = Duration::from_secs(10);
 
 /// Most completed requests remembered in each of two generations.
@@ -271,7 +273,7 @@
 }
 
 impl Poison {
-    /// Creates a record of this host without crashes.
+    /// Creates an empty record for this host.
     pub fn new(host: host::Id) -> Poison {
         Poison {
             host,
@@ -334,15 +336,15 @@
         now: Moment,
     ) {
         self.record(request, server, Isolation::Shared, CrashState::Counted, now);
-        // Whichever connection is found broken first, the suspect explains the crash.
+        // The suspect explains the crash regardless of which broken connection is found first.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
             self.record(suspect, server, Isolation::Isolated, CrashState::Counted, now);
         }
     }
 
-    /// Records that a request's attempt ended without a response. The server may crash by it all
-    /// the same.
+    /// Records that a request's attempt ended without a response. The request may nevertheless
+    /// crash the server.
     pub fn unclear(
         &mut self,
         ticket: Ticket,
@@ -384,8 +386,8 @@
         }
     }
 
-    /// Records that a server answered what was sent to it at `sent`, so that it did not crash
-    /// before.
+    /// Records that a server answered a request that was sent to it at `sent`, so that it had not
+    /// crashed before then.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
         let is_resolved =
             |attempt: &UnresolvedAttempt| attempt.server == *server && attempt.at < sent;
@@ -414,7 +416,8 @@
         self.void(request, now, |_, _| true);
     }
 
-    /// Records that an attempt is over, whatever its outcome.
+    /// Records that an attempt has ended, with any outcome. It ends the request's trial, and voids
+    /// the trial's record unless the attempt is unresolved.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
         let is_same = |attempt: &UnresolvedAttempt| {
@@ -426,8 +429,8 @@
         }
     }
 
-    /// Crashes to be sent to other hosts: those of suspects, what this host saw of other requests,
-    /// and void ones for a while.
+    /// Returns the crashes to be sent to other hosts: those of suspects and refused requests, those
+    /// of other requests that this host witnessed, and void ones for [`VOID_SEND_TIME`].
     pub fn crashes(&self, now: Moment) -> Vec<Crash> {
         let mut sent = Vec::new();
         for (request, entry) in &self.entries {
@@ -451,8 +454,8 @@
         sent.into_iter().take(MAX_SENT).map(|(_, crash)| crash).collect()
     }
 
-    /// All crashes of each request that is refused, and whether this host is the witness of one of
-    /// these.
+    /// Returns all crashes of each request that is refused, and whether this host is the witness of
+    /// one of them.
     pub fn refused(&self, now: Moment) -> Vec<(Vec<Crash>, bool)> {
         let refused =
             self.entries.iter().filter(|(request, _)| self.standing(**request) == Standing::Poison);
@@ -463,7 +466,7 @@
         refused.map(crashes).collect()
     }
 
-    /// Merges crashes that other hosts or the store know.
+    /// Merges crashes received from other hosts or read from the store.
     pub fn merge(&mut self, crashes: &[Crash], now: Moment) {
         for crash in crashes {
             let Some(left) = LIFE.checked_sub(crash.age) else { continue };
@@ -586,7 +589,7 @@
             true => CrashState::Void,
             false => crash.state,
         };
-        // A crash that only this host knows to be void is sent again.
+        // If only this host knows that the crash is void, it sends that to others.
         let voided_at = (state != crash.state).then_some(now);
         let new = CrashRecord {
             turn: crash.turn,
@@ -628,7 +631,7 @@
         }
         let there = self.at_servers.entry(crash.server.clone()).or_default();
         there.insert(crash.request);
-        // The requests that this crash explains change with it.
+        // The standings of requests whose crashes this one explains change too.
         if 1 < there.len() && self.changed.contains(&crash.request) {
             self.changed.extend(there.iter().copied());
         }
@@ -662,7 +665,8 @@
         }
     }
 
-    /// Evicts the requests with the fewest crashes, the oldest of them first.
+    /// Evicts requests beyond [`MAX_REQUESTS`]: those with the fewest crashes first, and of these
+    /// the oldest first.
     fn keep_within_bounds(&mut self) {
         let excess = self.entries.len().saturating_sub(MAX_REQUESTS);
         if excess == 0 {
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -1,4 +1,4 @@
-//! The queues: which request is sent next, and which is given up.
+//! Processing of the queues: which request is sent next, and which is given up.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +16,14 @@
 };
 use crate::route::Index;
 
-/// Interval of the work on what changes slowly.
+/// Interval at which expired digests, orders and crashes are removed and the medians are
+/// recomputed.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Interval of the checks for overdue responses.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Most waiting requests examined in one call, for each service.
+/// Largest number of waiting requests examined in one call, for each service.
 pub(super) const SCAN_LIMIT: usize = 256;
 
 /// A model and adapter for which no server has a place.
@@ -33,8 +34,8 @@
 pub type Missing = (service::Id, model::Id, Option<adapter::Id>, u32);
 
 impl Dispatcher {
-    /// Advances the queues. To be called after any change, including an arrival that has to wait,
-    /// and every few milliseconds.
+    /// Advances the queues, and returns the new verdicts on requests. To be called after any
+    /// change, including an arrival that has to wait, and every few milliseconds.
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         self.registry.apply_deferred(now);
@@ -64,8 +65,8 @@
         self.registry.services.iter().map(|service| service.queue.len()).sum()
     }
 
-    /// This host's requests in flight, for peers: by server and model, with the prompt tokens of
-    /// those whose response has not begun.
+    /// Returns this host's requests in flight for its digest to peers, by server and model, with
+    /// the prompt tokens of those whose response has not begun.
     pub fn work(&self) -> Vec<Work> {
         let mut work: BTreeMap<(&backend::Id, &Option<model::Id>), (u32, u64)> = BTreeMap::new();
         for Task { spec, state, .. } in self.tasks.values() {
@@ -119,7 +120,8 @@
             .collect()
     }
 
-    /// Moves requests that can't be in time any more behind those that can, or gives them up.
+    /// Moves requests that can no longer be on time behind those that can. A request whose expected
+    /// wait is too long expires at once.
     fn demote_late(&mut self, service: usize, now: Moment) {
         for priority in 0..=LEAST_URGENT {
             while let Some(key) = self.registry.services[service].queue.next_missed(priority, now) {
@@ -148,7 +150,7 @@
             if blocked.iter().any(|(model, adapter)| (*model, adapter) == wants) {
                 continue;
             }
-            // A request without time left is about to be given up.
+            // A request with too little time left is not sent; it is given up when it expires.
             if task.spec.deadline <= now + duration(self.stats(task).base()) {
                 continue;
             }
@@ -198,7 +200,8 @@
         }
     }
 
-    /// Whether the payment for a request's next arrival is still within the budget.
+    /// Whether a request's next arrival needs no payment, or its payment is still within the
+    /// budget.
     fn is_covered(&self, task: &Task, now: Moment) -> bool {
         let budget = &self.registry.services[task.service as usize].budget;
         task.payment.is_none() || budget.is_covered(self.sharers.extra(), now)
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Gives up a waiting request.
+    /// Removes a waiting request, and gives back its payment for a retry.
     pub(super) fn drop_waiting(&mut self, service: usize, key: Key) {
         if let Some(mut task) = self.take(service, key) {
             self.refund(&mut task);
--- a/crates/policy/src/dispatch/queue.rs
+++ b/crates/policy/src/dispatch/queue.rs
@@ -1,8 +1,9 @@
 //! Requests of one service that wait on this host.
 //!
-//! The order is by priority; then requests that can still earn their full value, the earliest due
-//! first; then those that are late. Serving late requests in their turn instead would, under
-//! overload, make each request behind them late too.
+//! The order is by priority, and within a priority by [`Class`]: requests that were sent to a
+//! server before, then those that can still be on time, the one that must be sent earliest first,
+//! then late ones. If late requests kept their position instead, they would, under overload, make
+//! each request behind them late too.
 
 use std::collections::BTreeSet;
 
@@ -17,24 +18,25 @@
 /// Number of priorities.
 const PRIORITIES: usize = LEAST_URGENT as usize + 1;
 
-/// What a waiting request can still earn, in the order of service.
+/// Class of a waiting request within its priority, in the order of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// The request was sent to a server before.
     Retried,
-    /// The request can still earn its full value.
+    /// The request can still be on time.
     OnTime,
-    /// The request can earn a part of its value.
+    /// The request is late; its response is worth only a part of one on time.
     Late,
 }
 
-/// A place in the queue.
+/// Position of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// Priority; 0 is served first.
     pub priority: u8,
     pub class: Class,
-    /// When the request must be sent to be in time.
+    /// When the request must be sent to be on time; for [`Class::Retried`] the time at which it was
+    /// queued.
     pub send_by: Moment,
     pub ticket: Ticket,
 }
@@ -92,7 +94,8 @@
         self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, ticket)| *ticket)
     }
 
-    /// Returns the first on-time request of this priority if it can't be in time any more.
+    /// Returns the first request of this priority in [`Class::OnTime`] if it can no longer be on
+    /// time.
     pub fn next_missed(&self, priority: u8, now: Moment) -> Option<Key> {
         let first = Key { priority, class: Class::OnTime, send_by: Duration::ZERO, ticket: 0 };
         let key = self.order.range(first..).next()?;
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -27,7 +27,8 @@
         &self.quotas
     }
 
-    /// Applies the limit that a server names in the response to a request sent at `sent`.
+    /// Applies the limit that a server names in the response to a request sent at `sent`; `None` if
+    /// it names none. Returns the change, if there is one.
     pub fn limit_named(
         &mut self,
         id: &backend::Id,
@@ -41,7 +42,7 @@
         Some(change)
     }
 
-    /// Applies a server's limit as another host knows it.
+    /// Applies a server's limit as another host knows it, and returns the change, if there is one.
     pub fn limit_received(
         &mut self,
         id: &backend::Id,
@@ -84,7 +85,8 @@
         self.sharers.observe(self.quotas.sharers(), now);
     }
 
-    /// Sets how many hosts the store lists, whether or not they run.
+    /// Sets how many hosts the store lists, running or not. Hosts that were never connected are
+    /// counted by it.
     pub fn share_listed(&mut self, hosts: u32) {
         self.quotas.set_listed(hosts);
         self.sharers.set_listed(hosts);
@@ -130,7 +132,8 @@
         missed.iter().for_each(|id| self.quotas.permit_missing(id, now));
     }
 
-    /// Refuses what can't be served in time by limited servers alone, and requests permits.
+    /// Refuses requests that limited servers can't serve in time, and requests permits for the
+    /// others.
     pub(super) fn tick_quotas(&mut self, now: Moment, changes: &mut Vec<Change>) {
         if !self.quotas.is_idle() && self.limits_checked + CHECK_INTERVAL <= now {
             self.limits_checked = now;
@@ -149,7 +152,7 @@
         })
     }
 
-    /// Permits that waiting requests need, by limited server.
+    /// Returns the permits that waiting requests need, by limited server.
     fn demands(&self) -> BTreeMap<backend::Id, quota::Demand> {
         let none = quota::Demand { permits: 0, urgency: LEAST_URGENT };
         let mut demands: BTreeMap<_, _> =
@@ -188,8 +191,8 @@
         rate
     }
 
-    /// Refuses requests that wait for limited servers alone and can't be served in time by their
-    /// place among all waiting requests, over all hosts.
+    /// Refuses requests that only limited servers could run and that can't be served in time, by
+    /// their position in this host's queue and this host's share of the limits.
     fn refuse_limited(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut refused: Vec<(usize, Key, Duration)> = Vec::new();
         for (service, known) in self.registry.services.iter().enumerate() {
@@ -198,7 +201,8 @@
                 let Some(task) = self.tasks.get(&key.ticket) else { continue };
                 let position = ahead.entry(task.model).or_default();
                 let Some(rate) = self.limited_rate(task, now) else { continue };
-                // Hosts with the same number of requests take turns.
+                // The random fraction spreads the estimates of hosts that have the same number of
+                // requests.
                 let turn = (task.seed() % 1024) as f64 / 1024.0;
                 let after =
                     self.retry_after_if_futile_at(task, f64::from(*position) + turn, rate, now);
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -1,8 +1,8 @@
 //! All servers, by id, service and model.
 //!
-//! Names are mapped to dense indexes when they are first seen, so that a choice walks vectors. The
-//! index of a removed server is reused, so what is stored with an index for long also stores the
-//! server's id.
+//! Names are mapped to dense indexes when they are first seen, so that choosing a server iterates
+//! over vectors. The index of a removed server is reused, so whatever outlives a call and refers to
+//! a server by index also stores its id.
 
 use std::collections::BTreeMap;
 
@@ -244,8 +244,8 @@
         self.models[model as usize].loading.push((index, adapter.cloned(), ready));
     }
 
-    /// Records that a server does not have a model, or an adapter on it, whatever it reports for a
-    /// while.
+    /// Records that a server does not have a model, or an adapter on it, which overrides its
+    /// reports for a while.
     pub fn mark_absent(
         &mut self,
         index: Index,
@@ -298,7 +298,8 @@
         self.update_peers_at();
     }
 
-    /// Estimates the hosts that contend for each server, among `hosts` that share the servers.
+    /// Updates the estimated number of hosts that contend for each server; `hosts` is the number of
+    /// hosts that share the servers.
     pub fn update_contenders(&mut self, hosts: u32) {
         for server in self.servers.iter_mut().flatten() {
             server.load.update_contenders(server.slots, hosts);
--- a/crates/policy/src/dispatch/request.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -31,7 +31,7 @@
     pub prompt: Vec<Part>,
     /// Length of the prompt in tokens.
     pub input: u32,
-    /// Most tokens that the response may have.
+    /// Largest number of tokens that the response may have.
     pub output: u32,
     /// Priority from the route; 0 is served first, [`LEAST_URGENT`] last.
     pub priority: u8,
@@ -39,16 +39,15 @@
     pub kind: Kind,
     /// Whether a stream may be resumed at another server.
     pub resumable: bool,
-    /// Most servers that may run the request.
+    /// Largest number of servers that may run the request.
     pub attempts: u32,
-    /// Time to the first byte within which the request earns its full value.
+    /// Time to the first byte within which the response is on time; a late response is worth less.
     pub goal: Duration,
-    /// Longest pause between two events of a stream with which the request still earns its full
-    /// value.
+    /// Longest pause between two events with which a stream is still on time, if one is declared.
     pub pause: Option<Duration>,
-    /// Time without a byte after which the caller leaves, if known.
+    /// Time without a byte from the server after which the caller leaves, if known.
     pub silence: Option<Duration>,
-    /// When the caller's time is over.
+    /// When the caller's timeout for the whole request expires.
     pub deadline: Moment,
     /// Servers that must not get the request.
     pub avoid: Vec<backend::Id>,
@@ -122,7 +121,7 @@
     /// The request is to leave its unresponsive server, if [`leave`](super::Dispatcher::leave)
     /// finds another one.
     Leave,
-    /// The request is over after an attempt that may have run.
+    /// The request has ended after an attempt that may have run.
     Unclear,
 }
 
@@ -135,7 +134,7 @@
     Full,
     /// The servers that could run the request are rate limited, and it can't be served in time.
     Limit,
-    /// The request's time is over.
+    /// Too little time is left until the request's deadline.
     Late,
     /// No further attempt is allowed.
     Attempts,
@@ -145,7 +144,7 @@
     Poison,
 }
 
-/// What became of a request that waited.
+/// A new verdict on a request that waits or is at a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The request's number on this host.
@@ -218,22 +217,22 @@
         /// The adapter.
         adapter: Option<adapter::Id>,
     },
-    /// The request is over.
+    /// The request has ended with this answer.
     GiveUp(Answer),
 }
 
-/// What the caller is answered at the end.
+/// Final answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The response of the server.
+    /// The server's response is passed on.
     Server,
-    /// That the request did not run and is not going to.
+    /// The caller is told that the request did not run and is not going to.
     NotRun {
         /// Why it did not run.
         cause: Cause,
         /// Delay after which the caller may retry.
         after: Duration,
     },
-    /// That the request may have run.
+    /// The caller is told that the request may have run.
     Unclear,
 }
--- a/crates/policy/src/dispatch/server.rs
+++ b/crates/policy/src/dispatch/server.rs
@@ -7,11 +7,11 @@
 use super::{breaker::Breaker, list::Locality, load::Load, loaded::LoadedModels, pace::Pace};
 use crate::route::Index;
 
-/// How many times slower a server is assumed to be for a while after its start.
+/// Factor by which a server is assumed to be slower for a while after its start.
 const COLD_START_SLOWDOWN: f64 = 1.6;
 
-/// Silence of a server with a tripped breaker after which it is taken for lost until it answers
-/// again. Its registration lasts for seconds longer.
+/// Silence of a server with a tripped breaker after which it counts as unresponsive until it
+/// answers again. Its registration expires only seconds later.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
 
 /// One run of a server.
@@ -22,7 +22,7 @@
     pub service: Index,
     pub address: SocketAddr,
     pub locality: Locality,
-    /// Requests that the server runs at once.
+    /// Number of requests that the server runs at the same time.
     pub slots: u32,
     /// Whether the server takes new requests.
     pub state: routed::State,
@@ -83,18 +83,18 @@
         self.unanswered = 0;
     }
 
-    /// Whether the breaker is tripped for want of answers and nothing was received for
+    /// Whether the breaker was tripped by missing responses and nothing was received for
     /// [`UNRESPONSIVE_AFTER`].
     pub fn is_unresponsive(&self, now: Moment) -> bool {
         self.breaker.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
     }
 
-    /// Whether the server has just started and is slow therefore.
+    /// Whether the server has just started and is still slow because of that.
     pub fn is_cold(&self, now: Moment) -> bool {
         now < self.cold_until
     }
 
-    /// How many times slower the server is assumed to be because it has just started.
+    /// Factor by which the server is assumed to be slower because it has just started.
     pub fn cold_start_slowdown(&self, now: Moment) -> f64 {
         if self.is_cold(now) { COLD_START_SLOWDOWN } else { 1.0 }
     }
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -1,7 +1,7 @@
 //! How many hosts share the retry budgets.
 //!
 //! A higher number takes effect at once, a lower one only after a while: a host that has left may
-//! have spent its share just before, and that still counts in the windows to come.
+//! have spent its share just before, which still counts in the next windows.
 
 use std::collections::VecDeque;
 
@@ -9,10 +9,10 @@
 
 use super::{HostStart, budget::Extra};
 
-/// How long a lower number of hosts must be seen before it takes effect.
+/// How long the number of hosts must stay lower before the lower number takes effect.
 const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
-/// The highest number of hosts seen lately, and this run's share of the extra retries.
+/// Number of hosts that share the budgets, and the start of this run's share of the extra retries.
 #[derive(Clone, Debug)]
 pub(super) struct Sharers {
     /// Length of the budgets' window.
@@ -26,7 +26,8 @@
 }
 
 impl Sharers {
-    /// Starts with a number that holds until others have been seen for a while.
+    /// Creates the state with an initial number of hosts, which a lower number replaces only after
+    /// [`SHRINK_DELAY`].
     pub(super) fn new(count: u32, window: Duration) -> Sharers {
         Sharers {
             window,
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Gives this run its share: a first start at once, a restart when what the run before has
-    /// spent is out of the window.
+    /// Gives this run its share of the extra retries: at once after a first start, after a restart
+    /// once the retries of the previous run are out of the window.
     pub(super) fn start(&mut self, start: HostStart) {
         self.available_from.get_or_insert(match start {
             HostStart::First => Duration::ZERO,
--- a/crates/policy/src/dispatch/stats.rs
+++ b/crates/policy/src/dispatch/stats.rs
@@ -1,19 +1,19 @@
-//! How long requests of one model, or of one service without models, take, measured on those that
-//! have ended.
+//! Measured times of the requests of one model, or of one service without models.
 
 use types::prelude::*;
 
-/// Weight of a new sample: one in the number of samples so far, at most this many.
+/// Bound of the number of samples in a mean: a new sample has the weight of one in that number.
 const MAX_SAMPLES: f64 = 16.0;
 
-/// Smallest part of the current mean that a sample counts as: what was subtracted from the sample
-/// is an estimate.
+/// Lower bound of a sample, as a part of the current mean. The time subtracted from a sample is an
+/// estimate and may be too long.
 const MIN_SAMPLE_PART: f64 = 0.25;
 
 /// Base and hold time assumed for a model before any request has ended, in milliseconds.
 const MODEL_DEFAULTS_MS: (f64, f64) = (60.0, 1_000.0);
 
-/// The same for a service without models.
+/// Base and hold time assumed for a service without models before any request has ended, in
+/// milliseconds.
 const PLAIN_DEFAULTS_MS: (f64, f64) = (30.0, 30.0);
 
 /// Times of one model, or of one service without models, in milliseconds.
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -1,4 +1,4 @@
-//! A request of this host, from its arrival to its end.
+//! State of a request of this host, from its arrival to its end.
 
 use types::prelude::*;
 
@@ -10,8 +10,8 @@
 };
 use crate::route::Index;
 
-/// Tries beyond the attempts of the route that a request may make where servers report that they
-/// did not run it.
+/// Number of attempts beyond the limit of the route that a request may make if servers did not run
+/// it.
 const EXTRA_TRIES: u32 = 3;
 
 /// Where a request is.
@@ -41,7 +41,7 @@
     pub queue_ms: f64,
     /// Expected time to the first byte at this server, in milliseconds.
     pub expected_ms: f64,
-    /// Whether the server had just started.
+    /// Whether the server had just started when the request was sent.
     pub is_cold: bool,
     pub phase: Phase,
     pub leaving: Leaving,
@@ -84,9 +84,9 @@
     pub has_arrived: bool,
     /// How the next arrival at a server was paid, if it was.
     pub payment: Option<Payment>,
-    /// Servers that may have run the request.
+    /// Number of ended attempts in which a server may have run the request.
     pub runs: u32,
-    /// Servers that the request was sent to.
+    /// Number of ended attempts, including those that reached no server.
     pub tries: u32,
     pub state: State,
 }
@@ -124,16 +124,16 @@
         }
     }
 
-    /// Time that the caller gives the request, from its arrival.
+    /// Time from the arrival of the request until its caller leaves.
     pub fn caller_timeout(&self) -> Duration {
         self.caller_leaves_at().saturating_sub(self.arrived)
     }
 
-    /// When the caller leaves if nothing is received. Callers of streams bear a silence that is
-    /// much shorter than their deadline: what waits beyond it is answered to nobody, while a
-    /// refusal in time brings the caller back. With waits bounded by the deadline alone, 78 of a
-    /// busy minute's 9,117 requests, at nine hosts with 21 servers, waited until their callers had
-    /// left; with this bound 1 did.
+    /// When the caller leaves if it receives nothing. Callers of streams tolerate a silence that is
+    /// much shorter than their deadline: a request that waits longer is answered after its caller
+    /// has left, while a refusal before then lets the caller retry. With waits bounded by the
+    /// deadline alone, 78 of a busy minute's 9,117 requests, at nine hosts with 21 servers, waited
+    /// until their callers had left; with this bound 1 did.
     pub fn caller_leaves_at(&self) -> Moment {
         let silence = self.spec.silence.filter(|_| self.spec.resume.is_none());
         let leaves_at = silence.map_or(self.spec.deadline, |silence| self.arrived + silence);
@@ -167,7 +167,7 @@
         if self.spec.resume.is_some() { Need::High } else { Need::Normal }
     }
 
-    /// A number by which similar requests differ, the same at each call.
+    /// A pseudo-random number of the request, the same at each call.
     pub fn seed(&self) -> u64 {
         mixed(self.spec.ticket ^ self.spec.fingerprint.rotate_left(17))
     }
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -22,7 +22,8 @@
 const OVERDUE_TIMES: f64 = 4.0;
 const OVERDUE_GOAL: f64 = 0.5;
 
-/// Overdue responses, without any response in between, after which the server's breaker is tripped.
+/// Number of overdue responses, without any response in between, after which the server's breaker
+/// is tripped.
 const MAX_UNANSWERED: u32 = 2;
 
 /// Silence of a server after which a request without a response is moved: at least this long, and
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Returns the request in its state after leaving its silent server, with the server that takes
-    /// it, if one does now.
+    /// Returns the request in its state after leaving its silent server, with the choice of another
+    /// server; `None` if no other server has a place or no retry is left.
     fn find_other_server(&self, ticket: Ticket, now: Moment) -> Option<(Task, Choice)> {
         let before = self.tasks.get(&ticket)?;
         let State::InFlight(attempt) = &before.state else { return None };
@@ -100,9 +101,9 @@
     }
 
     /// Moves a request from a silent server to another one, which is returned. Nothing changes if
-    /// no other server has a place or no retry is left: a slow server is better than none, and a
-    /// request that left its server first ended without a response though the server was at work on
-    /// it.
+    /// no other server has a place or no retry is left, since a slow server is better than none: a
+    /// request that left its server before another was found would get no response, even if the
+    /// first server were still working on it.
     pub fn leave(&mut self, ticket: Ticket, now: Moment) -> Option<backend::Id> {
         let Some((mut task, choice)) = self.find_other_server(ticket, now) else {
             self.set_leaving(ticket, Leaving::Seeking(now));
@@ -150,7 +151,7 @@
     }
 }
 
-/// Whether a response that has not begun can be taken for lost.
+/// Whether a response that has not begun is considered lost.
 fn is_lost(task: &Task, attempt: &Attempt, server: &Server, now: Moment) -> bool {
     let after = |goal: f64, times: f64| {
         task.spec.goal.mul_f64(goal).max(duration(attempt.expected_ms * times))
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
 //! A request that was in flight on a server when that server died is a suspect. All suspects of a
-//! deployment are recorded in one object, [`Document`], which is changed by conditional writes, so
-//! that two hosts can't try the same suspect, or two suspects on the same server, at once.
+//! deployment are recorded in one [`Document`], which is changed by conditional writes, so that two
+//! hosts can't try the same suspect, or two suspects on the same server, at the same time.
 //!
 //! - A suspect runs again only in a trial, which is written before the dispatch. A server runs one
 //!   trial at a time, so that a death during a trial has one suspect as its cause.
@@ -12,13 +12,14 @@
 //! - Copies of one request that run at the same time are restricted to the same two servers, see
 //!   [`assigned_servers`]. When both die, the one fingerprint that the deaths share is refused;
 //!   where they share several, each is tried alone.
-//! - A trial begins only once every host has had time to read of the suspect.
+//! - A trial begins only once every host has had time to read the record of the suspect.
 //!
-//! So a poison request costs two servers: both assigned servers at once, or one and then the one of
-//! its trial. An entry expires, and an operator can lift it; after either, the request counts as
-//! unknown.
+//! So a poison request crashes two servers: both assigned servers at once, or one of them and then
+//! the one of its trial. An entry expires, and an operator can lift it; after either, the request
+//! counts as unknown.
 //!
-//! Every change of the object is idempotent, so a change whose answer was lost is made again.
+//! Every change of the document is idempotent, so a change whose response was lost can be made
+//! again.
 
 mod assignment;
 mod view;
@@ -98,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Time in which every host reads of a new suspect; milliseconds in JSON.
+    /// Time within which every host has read the record of a new suspect; milliseconds in JSON.
     #[serde(rename = "spread_ms", with = "types::time::millis")]
     pub propagation: Duration,
     /// Time for which a suspect is kept after it was recorded, or after its open trial began;
@@ -180,9 +181,9 @@
     Unknown,
     /// The request is refused.
     Refused,
-    /// Some hosts may not have read of the suspect yet.
+    /// Some hosts may not have read the record of the suspect yet.
     Propagating {
-        /// When every host has had time to read of the suspect.
+        /// When every host has had time to read the record of the suspect.
         until: UnixMillis,
     },
     /// A trial of the suspect is open already.
@@ -222,8 +223,8 @@
     ///
     /// # Errors
     ///
-    /// Returns why the trial can't begin now. A trial that this very host recorded before is no
-    /// error.
+    /// Returns why the trial can't begin now. A trial on this server that this host has already
+    /// begun is no error.
     pub fn begin(
         &mut self,
         settings: &Settings,
@@ -261,7 +262,8 @@
         }
     }
 
-    /// Records that a server that died had answered the request completely before.
+    /// Records that a server had answered the request completely before it died, which removes that
+    /// death from the suspect.
     pub fn clear_death(&mut self, fingerprint: Fingerprint, run: &ServerRun) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
         suspect.deaths.remove(run);
@@ -337,8 +339,8 @@
         }
     }
 
-    /// Refuses the suspect that is the only one shared by [`MAX_DEATHS`] deaths, of which this is
-    /// one.
+    /// Refuses a suspect with at least [`MAX_DEATHS`] deaths including this one, if it is the only
+    /// such suspect.
     fn refuse_sole_suspect(&mut self, settings: &Settings, wall: UnixMillis, run: &ServerRun) {
         let mut shared = self
             .suspects
--- a/crates/policy/src/quarantine/view.rs
+++ b/crates/policy/src/quarantine/view.rs
@@ -1,5 +1,5 @@
-//! One host's view of the quarantine: the object as last read, and deaths that the host has seen
-//! itself.
+//! One host's view of the quarantine: the [`Document`] as last read, and the server deaths that the
+//! host has observed itself.
 
 use std::{collections::BTreeMap, mem};
 
@@ -27,8 +27,8 @@
     /// Version of the document as last read.
     version: Option<Version>,
     in_flight: BTreeMap<request::Id, SentRequest>,
-    /// Deaths that this host has seen and the object does not show yet, with the requests that were
-    /// in flight.
+    /// Deaths that this host has observed and not yet written to the document, with the requests
+    /// that were in flight.
     unwritten: BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>,
 }
 
@@ -40,18 +40,18 @@
 }
 
 impl HostView {
-    /// Returns a view in which nothing was read.
+    /// Returns a view without requests, in which no document was read yet.
     pub fn new(settings: Settings) -> HostView {
         HostView { settings, ..HostView::default() }
     }
 
-    /// Object as last read.
+    /// Document as last read.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Applies the object as read, or as written by this host; older versions are ignored, since
-    /// reads and writes may end in any order.
+    /// Applies the document as read, or as written by this host. Older versions are ignored, since
+    /// reads and writes may complete in any order.
     pub fn read(&mut self, version: Version, document: Document) {
         if self.version.is_some_and(|known| version < known) {
             return;
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Records that a server died. Requests in flight on it must be written, see
-    /// [`HostView::unwritten`]. Returns whether there were any.
+    /// Records that a server died. The requests in flight on it must be written to the document,
+    /// see [`HostView::unwritten`]. Returns whether there were any.
     pub fn died(&mut self, run: &ServerRun) -> bool {
         let (lost, remaining): (BTreeMap<_, _>, BTreeMap<_, _>) =
             mem::take(&mut self.in_flight).into_iter().partition(|(_, f)| f.run == *run);
@@ -112,12 +112,12 @@
         true
     }
 
-    /// Deaths that the object does not show yet, with the requests that were in flight.
+    /// Deaths that are not yet written to the document, with the requests that were in flight.
     pub fn unwritten(&self) -> &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>> {
         &self.unwritten
     }
 
-    /// Adds the unwritten deaths to the object; they are dropped by [`HostView::written`].
+    /// Adds the unwritten deaths to a document. They stay unwritten until [`HostView::written`].
     pub fn record_death(&self, wall: crate::once::UnixMillis, document: &mut Document) {
         for (run, suspects) in &self.unwritten {
             let in_flight = suspects.iter().map(|(fingerprint, service)| (*fingerprint, service));
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Drops deaths that were written to the object.
+    /// Drops deaths that were written to the document.
     pub fn written(&mut self, deaths: &BTreeMap<ServerRun, BTreeMap<Fingerprint, service::Id>>) {
         for (run, written) in deaths {
             let Some(suspects) = self.unwritten.get_mut(run) else { continue };
--- a/crates/policy/tests/attempt_timeout.rs
+++ b/crates/policy/tests/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! Time-outs of attempts.
+//! Tests of the time-outs of attempts.
 
 use std::time::Duration;
 
--- a/crates/policy/tests/dispatch/breaker.rs
+++ b/crates/policy/tests/dispatch/breaker.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, hang or are slow.
+//! Tests of servers that fail, hang or are slow: their breakers, and how many requests they get.
 
 use policy::dispatch::{Dispatcher, End, NotRun, RetryDecision, Unclear, Unreachable};
 use rstest::rstest;
@@ -8,8 +8,8 @@
 
 const IDS: [&str; 4] = ["s1", "s2", "s3", "s4"];
 
-/// Plays requests one after the other, where `s1` behaves as given; returns how many of them `s1`
-/// got.
+/// Simulates requests one after the other, where `s1` behaves as given; returns how many of them
+/// `s1` got.
 fn play(
     host: &mut Dispatcher,
     from: u64,
@@ -45,7 +45,7 @@
     let mut host = plain(&IDS);
     play(&mut host, 0, 40, |_| (End::Completed, 30));
     let got = play(&mut host, 40, 100, s1_behavior);
-    assert!(got <= most, "{got} of 100");
+    assert!(got <= most, "s1 got {got} of 100 requests");
 }
 
 #[rstest]
@@ -54,7 +54,7 @@
     play(&mut host, 0, 40, |_| (End::Completed, 30));
     play(&mut host, 40, 30, |_| (End::ServerError, 10));
     let got = play(&mut host, 70, 160, |_| (End::Completed, 30));
-    assert!(20 < got, "{got} of 160");
+    assert!(20 < got, "s1 got {got} of 160 requests");
 }
 
 #[rstest]
@@ -82,7 +82,7 @@
         assert_eq!(&*sent(host.arrive(request(n, Kind::Idempotent, at(400)), at(400))), "s2");
         host.ended(n, End::Completed, at(430));
     }
-    // One request tries the server, and no other until it has ended.
+    // One request is sent to the server as a trial, and no other until it has ended.
     assert_eq!(&*sent(host.arrive(request(4, Kind::Idempotent, at(600)), at(600))), "s1");
     assert_eq!(&*sent(host.arrive(request(5, Kind::Idempotent, at(600)), at(600))), "s2");
     host.ended(4, End::Unreachable(Unreachable::Refused), at(601));
--- a/crates/policy/tests/dispatch/budget.rs
+++ b/crates/policy/tests/dispatch/budget.rs
@@ -16,7 +16,7 @@
 const CONFIG: RetryBudgetConfig =
     RetryBudgetConfig { ratio: 0.2, extra: 50.0, window: Duration::from_secs(10) };
 
-/// The share of a run that has it from its start on.
+/// The share of the extra of a run that has it from its start.
 fn extra(hosts: u32) -> Extra {
     Extra { hosts, available_from: Some(at(0)) }
 }
@@ -35,7 +35,7 @@
 #[rstest]
 fn a_host_without_requests_has_its_part_of_the_extra() {
     let spent = spend(&mut Budget::new(CONFIG), 5, at(0));
-    assert!((5..=10).contains(&spent), "{spent}");
+    assert!((5..=10).contains(&spent), "{spent} retries spent");
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
     assert_eq!(budget.left(Need::High, extra(1), at(0)), full);
 }
 
-/// Three idle hosts lend to a fourth, which asks each in turn.
+/// Three idle hosts lend to a fourth, which requests a loan from each in turn.
 #[rstest]
 fn a_host_may_pass_its_share_while_others_lend_theirs() {
     let share = spend(&mut Budget::new(CONFIG), 4, at(0));
@@ -104,7 +104,7 @@
             spend(&mut borrower, 4, now)
         })
         .sum();
-    assert!(share * 2 < spent, "{spent}, {share} alone");
+    assert!(share * 2 < spent, "{spent} retries spent, the host's own share is {share}");
 }
 
 /// A loan counts until nothing that it paid for can arrive any more, and for a window from then on.
@@ -160,7 +160,8 @@
         prop_assert_eq!(overdrawn(&demand, None), None);
     }
 
-    /// The same where hosts that are short borrow from others, and some messages are lost.
+    /// No window has more retries than the config allows if hosts that are short borrow from
+    /// others, and some messages are lost.
     #[test]
     fn no_window_is_overdrawn_by_hosts_that_lend_each_other(
         demand in demand(),
@@ -170,8 +171,8 @@
     }
 }
 
-/// Two hosts get requests, the second when the first gets no more, each with failures at the end of
-/// its requests: both spend within one window.
+/// Two hosts get requests one after the other, and the requests of each fail at the end, so that
+/// both spend their shares within one window.
 #[rstest]
 fn hosts_asked_one_after_the_other_keep_the_budget() {
     let idle = |steps: usize| vec![(0, 0); steps];
@@ -183,7 +184,7 @@
 }
 
 /// Returns the last step of the first window with more retries than the config allows. With `lost`,
-/// hosts lend to each other, and `lost` tells which loans are lost on their way.
+/// hosts lend to each other, and `lost` says which of the messages with a loan are lost.
 fn overdrawn(demand: &[Vec<(u32, u32)>], lost: Option<&[bool]>) -> Option<isize> {
     let steps = demand.iter().map(Vec::len).max().unwrap_or(0);
     let mut budgets = vec![Budget::new(CONFIG); demand.len()];
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Tests of which server a request goes to.
 
 use policy::dispatch::{Change, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -68,7 +68,7 @@
     assert_eq!(host.arrive(generation(2, "m1", at(5)), at(5)), Verdict::Wait);
     assert_eq!(host.pump(at(800)), []);
     host.model_loaded(&"s1".into(), &"m1".into(), None, 1, at(900));
-    // A report from before the load was done does not remove the model.
+    // A report from before the end of the load does not remove the model.
     host.report(&"s1".into(), &report(0, &[]), at(950));
     let changes = host.pump(at(950));
     assert_eq!(changes.len(), 2);
@@ -141,7 +141,7 @@
     assert!(matches!(next, Verdict::Missing { .. }));
     assert_eq!(host.missing(), [("app".into(), "m1".into(), None, 1)]);
     assert_eq!(&*sent(host.arrive(generation(2, "m2", at(1_500)), at(1_500))), "s1");
-    // Unless the server is ordered to load it again.
+    // An order to load the model again ends the override.
     host.model_loading(&"s1".into(), &"m1".into(), None, at(1_900));
     host.report(&"s1".into(), &report(0, &[("m1", &[]), ("m2", &[])]), at(1_900));
     assert_eq!(host.pump(at(1_900)).len(), 1);
@@ -168,7 +168,8 @@
         host.first_byte(ticket, now + at(60));
         host.ended(ticket, End::Completed, now + at(90));
     }
-    // The same part after another one is another prefix, and so it is on another model.
+    // The same part after a different one belongs to a different prefix, so these requests spread
+    // over the servers.
     let used: Vec<_> = (20..40)
         .map(|ticket| {
             let now = at(2_000 + ticket * 200);
@@ -240,7 +241,7 @@
     }
 }
 
-/// Hosts that know the same do not all choose the same server.
+/// Hosts with the same information do not all choose the same server.
 #[rstest]
 fn ties_are_broken_by_the_request() {
     let ids: Vec<String> = (0..40).map(|n| format!("s{n}")).collect();
@@ -250,7 +251,7 @@
         .collect();
     used.sort();
     used.dedup();
-    assert!(15 < used.len(), "{}", used.len());
+    assert!(15 < used.len(), "{} servers used", used.len());
 }
 
 /// What a host receives about a model on a server, with the sequence number of the server's orders.
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -1,4 +1,5 @@
-//! Many hosts in front of few servers, whose load each host knows a little late.
+//! Simulation of many hosts in front of few servers. Each host learns the servers' load with a
+//! delay.
 
 use std::{
     cmp::Reverse,
@@ -27,7 +28,7 @@
 const TIMEOUT: Duration = Duration::from_secs(4);
 const MEAN_WORK: f64 = 0.8;
 const DIGEST: Duration = Duration::from_millis(60);
-/// Digests after which a host has received another's.
+/// Number of digest intervals until a host receives another host's digest.
 const DIGESTS_LATE: usize = 2;
 const SPAN: Duration = Duration::from_secs(20);
 
@@ -141,7 +142,7 @@
     }
 
     fn send(&mut self, server: &backend::Id, ticket: Ticket) {
-        let server: usize = server[1..].parse().expect("a number");
+        let server: usize = server[1..].parse().expect("server id ends with a number");
         self.after(at(1), Event::Reach(server, ticket));
     }
 
@@ -191,13 +192,14 @@
         changes.iter().for_each(|change| self.carry_out(change.ticket, &change.verdict));
     }
 
-    /// Sends each host the sums of the other hosts' requests as of some digests ago.
+    /// Sends each host the number of the other hosts' requests at each server, as of the oldest
+    /// digest that is stored.
     fn digest(&mut self) {
         let work =
             |host: &Dispatcher| host.work().into_iter().map(|(id, _, n, _)| (id, n)).collect();
         self.digests.push_front(self.hosts.iter().map(work).collect());
         self.digests.truncate(DIGESTS_LATE + 1);
-        let late = self.digests.back().expect("a digest was just added");
+        let late = self.digests.back().expect("at least one digest was added");
         let mut all: BTreeMap<&backend::Id, u32> = BTreeMap::new();
         late.iter().flatten().for_each(|(id, n)| *all.entry(id).or_default() += n);
         for (host, own) in self.hosts.iter_mut().zip(late) {
@@ -209,7 +211,7 @@
     }
 }
 
-/// Excess requests wait at the hosts, not at the servers, and few slots stay empty because of that.
+/// Excess requests wait at the hosts, not at the servers, which leaves few slots empty.
 #[rstest]
 fn hosts_that_know_each_others_work_late_do_not_crowd_servers(
     #[values(0.8, 1.0, 1.3, 2.0)] load: f64,
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -27,7 +27,7 @@
     host
 }
 
-/// One of `hosts` hosts that are all connected, with these servers.
+/// A dispatcher that is one of `hosts` connected hosts and knows these servers.
 pub fn among(hosts: usize, servers: impl Iterator<Item = Server>) -> Dispatcher {
     let hosts = hosts as u32;
     let mut host = Dispatcher::new(Settings {
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name a rate limit: where requests are sent, wait and are refused.
+//! Tests of servers that name a rate limit: which requests they get, and which wait or are refused.
 
 use policy::dispatch::{Cause, Dispatcher, End, NotRun, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -18,7 +18,8 @@
     let mut host = plain(ids);
     for (id, limit) in limits {
         let limit = Rate::per_second(*limit);
-        host.limit_named(&(*id).into(), limit, at(NAMED - 10), at(NAMED)).expect("a change");
+        host.limit_named(&(*id).into(), limit, at(NAMED - 10), at(NAMED))
+            .expect("the limit changes");
     }
     host.pump(at(NAMED));
     host
@@ -36,7 +37,7 @@
     refused: Vec<(Duration, Cause, Duration)>,
 }
 
-/// Plays requests that arrive evenly until a moment and end 30 ms after they are sent.
+/// Simulates requests that arrive every `every` ms until `until` and end 30 ms after they are sent.
 fn play(host: &mut Dispatcher, every: u64, until: u64) -> Played {
     let mut played = Played::default();
     let mut in_flight: Vec<(u64, Ticket)> = Vec::new();
@@ -88,7 +89,7 @@
     let played = play(&mut host, 50, NAMED + 12_000);
     let since = |from: u64| played.sent.iter().filter(|(at, _)| from < *at).count() as f64;
     let used = since(NAMED + 2_000) / (10.0 * 8.0);
-    assert!((0.9..=1.0).contains(&used), "{used} of the limits used");
+    assert!((0.9..=1.0).contains(&used), "{used} of the permits used");
 }
 
 #[test]
@@ -98,7 +99,7 @@
     let late = played.refused.iter().filter(|(waited, ..)| TIMEOUT / 4 < *waited).count();
     assert_eq!(late, 0, "{:?}", played.refused);
     let at_once = played.refused.iter().filter(|(waited, ..)| *waited <= at(20)).count();
-    // Those that wait a little are the few that could still have got a permit.
+    // The few requests that are refused later could still have got a permit when they arrived.
     assert!(played.refused.len() * 8 / 10 <= at_once, "{at_once} of {}", played.refused.len());
     assert!(played.refused.iter().all(|(_, cause, after)| {
         *cause == Cause::Limit && TIMEOUT / 12 <= *after && *after <= TIMEOUT / 3
@@ -117,7 +118,10 @@
     let changes = (NAMED + 20..NAMED + 200).step_by(10).flat_map(|now| host.pump(at(now)));
     let refused = changes
         .filter(|change| matches!(change.verdict, Verdict::Refuse { cause: Cause::Limit, .. }));
-    assert!(5 <= refused.count(), "five of six can't start within their goal");
+    assert!(
+        5 <= refused.count(),
+        "at least five of six requests can't start within their goal and must be refused"
+    );
 }
 
 #[test]
@@ -156,13 +160,15 @@
         *sent(verdict) == *"s1"
     });
     let before = host.quotas().counts().used;
-    let decision = host.attempt_failed(first.expect("a request at s1"), end, at(NAMED + 3_010));
+    let decision =
+        host.attempt_failed(first.expect("some request is sent to s1"), end, at(NAMED + 3_010));
     let is_sent =
         matches!(decision, policy::dispatch::RetryDecision::Send(ref id) if **id == *"s2");
     assert_eq!(host.quotas().counts().used - before, u64::from(is_sent), "{decision:?}");
 }
 
-/// A limited server that rejects all requests gets as many as its limit allows, to the end.
+/// A limited server that rejects all requests still gets as many as its limit allows in the last 10
+/// s.
 #[test]
 fn rejections_of_a_limited_server_put_it_in_no_doubt() {
     let mut host = limited(&["s1", "s2"], &[("s1", 5.0)]);
@@ -220,7 +226,7 @@
 #[test]
 fn orders_take_permits() {
     let mut host = limited(&["s1"], &[("s1", 2.0)]);
-    assert!(host.take_permit(&"s2".into(), at(NAMED)), "no limit, no permit");
+    assert!(host.take_permit(&"s2".into(), at(NAMED)), "a server without a limit needs no permit");
     let mut taken = 0;
     for now in (NAMED..NAMED + 10_000).step_by(5) {
         taken += u32::from(host.take_permit(&"s1".into(), at(now)));
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -1,4 +1,4 @@
-//! Which host lends retries to which, and what a loan pays for.
+//! Tests of loans of retries between hosts, and of what a loan pays for.
 
 use policy::dispatch::{
     Answer, Cause, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Ticket, Unclear,
@@ -34,7 +34,7 @@
     matches!(decision, RetryDecision::Send(_))
 }
 
-/// A number that no earlier request of the host has.
+/// A ticket that no earlier request of the host has.
 fn next_ticket(host: &Dispatcher) -> Ticket {
     host.retry_totals().iter().map(|(_, used)| used.requests).sum::<u64>() + 1
 }
@@ -129,7 +129,7 @@
     );
 }
 
-/// The requests pay for more retries when they arrive than are covered a window later.
+/// The arriving requests pay for retries that the host's share no longer covers a window later.
 #[rstest]
 fn what_waits_is_given_up_at_once_when_the_share_has_shrunk() {
     let mut host = plain(&["s1"]);
@@ -150,7 +150,10 @@
     host.server(&types::routed::Server { slots: 1_000, ..server("s2", "a", &[]) }, at(11_000));
     let changes = host.pump(at(11_000));
     let left = changes.iter().filter(|change| matches!(change.verdict, Verdict::Send(_))).count();
-    assert!(0 < left && left < waiting, "{left} of {waiting}");
-    assert!(left <= 40, "{left} arrive where requests pay for none");
-    assert_eq!(changes.len(), waiting, "the others have their final answer");
+    assert!(0 < left && left < waiting, "{left} of {waiting} waiting requests sent");
+    assert!(
+        left <= 40,
+        "{left} retries sent although the requests of the last window pay for none"
+    );
+    assert_eq!(changes.len(), waiting, "some waiting requests got no final verdict");
 }
--- a/crates/policy/tests/dispatch/main.rs
+++ b/crates/policy/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Dispatch of routed requests.
+//! Tests of the dispatcher of routed requests.
 
 mod breaker;
 mod budget;
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -1,4 +1,5 @@
-//! A few hosts and servers in virtual time, to check the combined effect of the decisions.
+//! Simulation of a few hosts and servers in virtual time, to check the combined effect of the
+//! decisions.
 
 use std::{
     cmp::Reverse,
@@ -258,7 +259,8 @@
     servers * SLOTS as f64 * 1000.0 / WORK * time.as_secs_f64()
 }
 
-/// Nothing is lost while there is capacity, and an overload costs no more than the excess.
+/// While there is capacity nearly all requests are served in time, and an overload costs little
+/// more than the excess requests.
 #[rstest]
 fn what_the_servers_can_do_is_done_in_time(
     #[values(0.5, 0.9, 1.3, 2.0, 4.0)] load: f64,
@@ -274,7 +276,7 @@
     let least = if load < 1.0 { 0.97 } else { 0.9 };
     assert!(least < share(totals.in_time), "{} in time: {totals:?}", share(totals.in_time));
     assert!(least < share(totals.in_time + totals.late), "{totals:?}");
-    // Hosts queue, so servers need not reject, and refusals come early.
+    // Requests wait at the hosts, so servers reject few of them, and most refusals are early.
     assert!(totals.rejections < 20, "{totals:?}");
     assert!(totals.refused_late * 12 < totals.arrived, "{totals:?}");
     assert!(0.6 < load || totals.refused == 0, "{totals:?}");
--- a/crates/policy/tests/dispatch/poison.rs
+++ b/crates/policy/tests/dispatch/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers that run them.
+//! Tests of requests that crash the servers that run them.
 
 use policy::dispatch::{
     Answer, Change, End, Poison, RequestSpec, RetryDecision, Unclear, Verdict,
@@ -21,7 +21,7 @@
     }
 }
 
-/// The records of several hosts without crashes.
+/// Empty records of `N` hosts.
 fn hosts<const N: usize>() -> [Poison; N] {
     std::array::from_fn(|place| Poison::new(format!("host-{place}").as_str().into()))
 }
@@ -91,7 +91,7 @@
     assert_eq!(poison.standing(7), Standing::Clear);
     poison.crashed(1, 7, &"s4".into(), at(20_000));
     poison.crashed(2, 7, &"s5".into(), at(20_000));
-    assert_eq!(poison.standing(7), Standing::Suspect, "it was long ago");
+    assert_eq!(poison.standing(7), Standing::Suspect, "completed long ago");
 }
 
 #[rstest]
@@ -101,7 +101,7 @@
     crash(&mut poison, 8, &["s1"]);
     poison.start_trial(7, 7, &"s3".into());
     poison.sent(7, at(0));
-    // The order in which the broken connections are found does not matter.
+    // The broken connection of the other request is found first, which must not matter.
     crash(&mut poison, 8, &["s3"]);
     crash(&mut poison, 7, &["s3"]);
     poison.ended(7, at(0));
@@ -113,7 +113,7 @@
     assert_eq!(poison.standing(10), Standing::Clear);
 }
 
-/// The suspect completes, so that the crash of a request beside it on the server counts again.
+/// The suspect completes, so that the crash of a request that shared its server counts again.
 #[rstest]
 fn a_suspect_that_ends_whole_explains_nothing() {
     let mut poison = poison();
@@ -223,7 +223,7 @@
     let mut poison = poison();
     crash(&mut poison, 7, &["s1", "s2", "s3"]);
     poison.answered(&"s1".into(), at(0), at(5));
-    assert_eq!(poison.standing(7), Standing::Poison, "it was sent before");
+    assert_eq!(poison.standing(7), Standing::Poison, "answered one sent before");
     poison.answered(&"s1".into(), at(3), at(5));
     assert_eq!(poison.standing(7), Standing::Suspect);
     let mut peers = [poison, Poison::new("b".into())];
@@ -231,7 +231,7 @@
     exchange(&mut peers, at(6));
     assert!(
         peers.iter().all(|poison| poison.standing(7) == Standing::Poison),
-        "another host saw it"
+        "the crash recorded by the other host counts"
     );
     peers[0].answered(&"s1".into(), at(7), at(8));
     exchange(&mut peers, at(9));
@@ -278,7 +278,7 @@
     for request in [7, 8] {
         assert!(poisons.iter().all(|poison| poison.standing(request) == Standing::Suspect));
     }
-    // The next run shows which of the two it is.
+    // The next trial shows which of the two crashes servers.
     poisons[0].start_trial(2, 7, &"s4".into());
     poisons[0].sent(2, at(10));
     poisons[0].crashed(2, 7, &"s4".into(), at(11));
@@ -303,7 +303,8 @@
     assert!(!poisons[1].runs_suspect(&"s3".into(), at(5)));
 }
 
-/// The earlier runs on the same server were void.
+/// The first host's run of the request on the same server ended without a crash, so its record is
+/// void.
 #[rstest]
 fn a_crash_counts_on_a_server_that_a_request_ran_on_before() {
     let mut poisons = hosts::<2>();
@@ -322,7 +323,8 @@
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// A host without the report of the crash sends the request to the server that is gone.
+/// A host that has not received the crash sends the request to the server that is gone; the end of
+/// that attempt must not void the crash.
 #[rstest]
 fn a_run_that_reached_nobody_voids_no_crash() {
     let mut poisons = hosts::<2>();
@@ -335,7 +337,7 @@
     assert!(poisons.iter().all(|poison| poison.standing(7) == Standing::Poison));
 }
 
-/// No host reports the end of the run.
+/// The host of the trial reports no end of it; another host finds that the server is gone.
 #[rstest]
 fn a_suspect_whose_host_ended_with_its_server_is_refused() {
     let mut poisons = hosts::<2>();
@@ -416,7 +418,7 @@
     assert_eq!(host.arrive(poison, at(20_000)), Verdict::Quarantined);
 }
 
-/// The crash shows as silence, or not at all since the caller has left.
+/// The crash appears as a silent server, or is not observed because the caller has left.
 #[rstest]
 fn a_poison_request_whose_crashes_are_not_seen_as_cuts_costs_three_servers(
     #[values(End::Unclear(Unclear::Silent), End::Cancelled)] end: End,
@@ -436,7 +438,7 @@
     assert_eq!(ended, POISON);
 }
 
-/// The end of the server is known only seconds later.
+/// The host learns only seconds later that the server is gone.
 #[rstest]
 fn a_suspect_whose_run_ended_unclear_waits_until_that_is_clear() {
     let mut host = plain(&["s1", "s2"]);
@@ -452,7 +454,7 @@
     assert!(changes.iter().any(|change| change.verdict == Verdict::Quarantined), "{changes:?}");
 }
 
-/// All connections are cut in the middle of responses, and no server has crashed.
+/// All servers cut their connections in the middle of responses without crashing.
 #[rstest]
 fn servers_that_cut_all_their_answers_quarantine_nothing_for_long() {
     let mut host = plain(&["s1", "s2", "s3"]);
--- a/crates/policy/tests/dispatch/queue.rs
+++ b/crates/policy/tests/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! Which requests wait, in which order, and which are refused.
+//! Tests of which requests wait, in which order, and which are refused.
 
 use policy::dispatch::{Cause, Change, Dispatcher, End, RequestSpec, Ticket, Verdict};
 use rstest::rstest;
@@ -29,7 +29,7 @@
 fn servers_are_not_overfilled() {
     let mut host = plain(&["s1"]);
     let taken = fill(&mut host, at(0));
-    assert!((2..=3).contains(&taken), "{taken} places of 2");
+    assert!((2..=3).contains(&taken), "{taken} requests sent to 2 slots");
     assert_eq!(host.waiting(), 1);
 }
 
@@ -110,8 +110,8 @@
     assert!(matches!(refused[..], [Verdict::Refuse { cause: Cause::NoServer, .. }]), "{refused:?}");
 }
 
-/// The caller of a stream leaves long before its deadline, and retries only if it is refused
-/// before.
+/// The caller of a stream leaves long before its deadline, and retries only if the request is
+/// refused before then.
 #[rstest]
 #[case::for_a_load("m2")]
 #[case::for_a_place("m1")]
@@ -129,8 +129,8 @@
     assert_eq!(host.waiting(), 0);
 }
 
-/// The refusal says when the model will be loaded, instead of holding the request until its caller
-/// leaves.
+/// The request is refused with the time at which the model will be loaded, instead of being held
+/// until its caller leaves.
 #[rstest]
 fn a_request_whose_load_comes_too_late_is_refused_at_once() {
     let mut host = host();
@@ -145,7 +145,8 @@
     assert_eq!(host.arrive(brief(2, 2_000), at(0)), Verdict::Wait);
 }
 
-/// A request whose adapter waits to be loaded does not hold up a request that has a server.
+/// A request that waits for its adapter to be loaded does not block a later request that a server
+/// can run.
 #[rstest]
 fn a_missing_adapter_holds_nobody_up() {
     let mut host = host();
--- a/crates/policy/tests/dispatch/reading.rs
+++ b/crates/policy/tests/dispatch/reading.rs
@@ -1,4 +1,5 @@
-//! Several hosts in front of servers that prefill prompts between the tokens of running streams.
+//! Simulation of several hosts in front of servers that prefill prompts between the tokens of
+//! running streams.
 
 use std::collections::VecDeque;
 
@@ -17,8 +18,8 @@
 const PAUSE: Duration = Duration::from_millis(250);
 /// Prompt tokens that a server prefills in a millisecond.
 const PREFILL_TOKENS_PER_MS: u64 = 26;
-/// Prompt tokens above which the prefill makes too long a pause, together with the tokens of the
-/// streams in between.
+/// Prompt tokens above which the prefill, together with the tokens of the streams in between, makes
+/// too long a pause.
 const MAX_PREFILL_TOKENS: u64 = 200 * PREFILL_TOKENS_PER_MS;
 const MEAN_PROMPT: f64 = 1_200.0;
 const REQUESTS_PER_MS: f64 = 0.05;
@@ -98,8 +99,8 @@
     }
 }
 
-/// Plays hosts that send each other their work every `digest` ms; each digest arrives that much
-/// later.
+/// Simulates hosts that send each other their requests in flight every `digest` ms; each digest
+/// arrives `digest` ms later.
 fn play(digest: u64) -> World {
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let (hosts, nodes) = ((0..HOSTS).map(|_| host()).collect(), Vec::new());
@@ -143,8 +144,8 @@
     world
 }
 
-/// Of 1,486 prompts 110 made too long a pause where hosts received each other's work 60 to 120 ms
-/// late, and 7 at 5 to 10 ms.
+/// Of 1,486 prompts 110 made too long a pause if hosts received each other's digests 60 to 120 ms
+/// late, and 7 if they received them 5 to 10 ms late.
 #[rstest]
 #[case::told_at_once(5, 0.0, 0.01)]
 #[case::told_late(60, 0.05, 1.0)]
--- a/crates/policy/tests/dispatch/repeat.rs
+++ b/crates/policy/tests/dispatch/repeat.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt.
+//! Tests of what follows a failed attempt: a retry, a wait or a final answer.
 
 use policy::dispatch::{
     Answer, Cause, Change, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Unclear,
@@ -104,7 +104,11 @@
     let last = (1..20)
         .map(|n| host.attempt_failed(1, FULL, at(n)))
         .find(|a| !matches!(a, RetryDecision::Send(_)));
-    assert_eq!(last.and_then(cause), Some(Cause::Attempts), "answered as not run, with its cause");
+    assert_eq!(
+        last.and_then(cause),
+        Some(Cause::Attempts),
+        "the final answer is not-run with the cause"
+    );
 }
 
 #[rstest]
@@ -129,18 +133,19 @@
     assert!(matches!(one(REFUSED), RetryDecision::Send(_)));
 }
 
-/// What a host knows of the four others in each second.
+/// State of the four other hosts, as a host observes it in each second.
 #[derive(Clone, Copy)]
 enum Others {
-    /// This many are connected, and the others are silent.
+    /// This many are connected, and nothing is received from the rest.
     Connected(usize),
-    /// This many are connected, and the others are known only from the store's list.
+    /// This many are connected, and the rest are known only from the store's list.
     Listed(usize),
-    /// All have announced that they leave.
+    /// All have announced that they shut down.
     Left,
 }
 
-/// Retries that are granted at once, after `seconds` in which the others were as given.
+/// Returns how many retries are granted at the same moment, after `seconds` in which the other
+/// hosts were in this state.
 fn granted_after(seconds: u64, others: Others) -> usize {
     let mut host = servers();
     let names: Vec<host::Id> = (1..5).map(|number| format!("h{number}").into()).collect();
@@ -233,7 +238,7 @@
 fn a_stream_whose_only_holder_failed_waits_for_another_while_it_has_time() {
     let mut host = cut_by_the_only_holder();
     for now in (20..3_000).step_by(20) {
-        assert_eq!(host.pump(at(now)), [], "given up at {now}");
+        assert_eq!(host.pump(at(now)), [], "the request must still wait at {now} ms");
     }
     assert_eq!(host.missing(), [("app".into(), "m1".into(), Some("x".into()), 1)]);
     host.model_loaded(&"s2".into(), &"m1".into(), Some(&"x".into()), 1, at(3_000));
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -1,6 +1,7 @@
-//! The retry budget over hosts that are partitioned, restarted, delayed, and left without servers.
+//! Tests of the retry budget over hosts that are partitioned, restarted, delayed, and left without
+//! servers.
 //!
-//! Checked is what arrives at servers, and when; see [`rule`](crate::rule).
+//! They check which requests arrive at servers, and when, by [`rule`](crate::rule).
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
     rule::{Excess, overdrawn},
 };
 
-/// Time between two steps of a play.
+/// Time between two steps of a simulation.
 const STEP: Moment = Duration::from_millis(50);
 
 const STEPS_A_SECOND: usize = 20;
@@ -29,12 +30,12 @@
 /// Time from the arrival of a request to its deadline.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What happens in one second of a play.
+/// Conditions in one second of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
     /// New requests at each host, in a step that has any.
     requests: usize,
-    /// Steps between two steps with new requests.
+    /// Number of steps without new requests between two steps that have some.
     pause: usize,
     /// Whether servers fail what they run.
     fails: bool,
@@ -44,18 +45,18 @@
     is_partitioned: bool,
 }
 
-/// Everything that happens to the hosts of a play.
+/// Input of a simulation.
 #[derive(Clone, Debug)]
 struct Plan {
     hosts: usize,
     seconds: Vec<Second>,
-    /// Steps at which a host is killed and restarted at once.
+    /// Steps at which a host is killed and immediately restarted, with the host's index.
     restarts: Vec<(usize, usize)>,
-    /// Steps that a message takes from one host to another.
+    /// Number of steps that a message takes from one host to another.
     late: usize,
-    /// Steps until a server has answered.
+    /// Number of steps until a server has answered.
     work: usize,
-    /// Whether requests are streams that resume after an event.
+    /// Whether requests resume a stream after an event, so that their retries have a high need.
     is_resumed: bool,
 }
 
@@ -132,7 +133,7 @@
         STEP * self.step as u32
     }
 
-    /// A host's own time, from its start.
+    /// Time on a host's own clock, which starts with the host.
     fn time(&self, host: usize) -> Moment {
         self.now() - self.hosts[host].started_at
     }
@@ -182,7 +183,7 @@
         (0..self.plan.hosts).for_each(|host| self.update_servers(host));
     }
 
-    /// Tells a host which servers there are.
+    /// Adds all servers to a host, or removes them.
     fn update_servers(&mut self, host: usize) {
         let (now, is_without_servers) = (self.time(host), self.is_without_servers);
         let dispatcher = &mut self.hosts[host].dispatcher;
@@ -314,7 +315,7 @@
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Hosts know of each other only by the store's list.
+/// Hosts know each other only from the store's list.
 #[rstest]
 fn hosts_that_have_never_heard_each_other_keep_the_budget_together() {
     let partitioned = Second { is_partitioned: true, ..CALM };
@@ -363,8 +364,7 @@
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Seconds of a play: requests, whether they fail, whether there are servers, whether hosts are
-/// partitioned.
+/// Generates the seconds of a simulation in phases of 1 to 34 s with the same conditions.
 fn seconds_strategy() -> impl Strategy<Value = Vec<Second>> {
     let requests = (0..4_usize, prop_oneof![Just(0_usize), 3..20_usize]);
     let phase = (requests, any::<bool>(), prop::bool::weighted(0.2), any::<bool>(), 1..35_usize);
@@ -400,8 +400,8 @@
     }
 }
 
-/// Hosts whose requests all fail, long after their start. A quarter is reserved for resumed
-/// streams.
+/// Requests on all hosts fail long after the hosts' start. The hosts use less than the config
+/// allows, as a quarter of the budget is reserved for resumed streams.
 #[rstest]
 fn a_steady_fleet_uses_most_of_what_the_terms_allow(#[values(1, 6, 16)] hosts: usize) {
     let calm = Second { requests: 2, ..CALM };
@@ -413,5 +413,5 @@
     let requests = (2 * hosts * STEPS_A_SECOND) as f64 * config.window.as_secs_f64();
     let allowed = config.ratio * requests + config.extra;
     let used = world.retries.len() as f64;
-    assert!(0 < world.refused && 0.4 * allowed < used, "{used} of {allowed}");
+    assert!(0 < world.refused && 0.4 * allowed < used, "{used} of {allowed} allowed retries used");
 }
--- a/crates/policy/tests/dispatch/routes.rs
+++ b/crates/policy/tests/dispatch/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host name and path, and weighted splits.
+//! Tests of routes by host name and path, and of weighted splits.
 
 use rstest::rstest;
 use types::routed::{Declaration, Kind, Route, Share};
--- a/crates/policy/tests/dispatch/rule.rs
+++ b/crates/policy/tests/dispatch/rule.rs
@@ -1,4 +1,4 @@
-//! The limit on retries, checked on what arrived at the servers of one service from all hosts.
+//! Checks the limit on retries against the arrivals at the servers of one service from all hosts.
 
 use policy::dispatch::RetryBudgetConfig;
 use types::prelude::*;
--- a/crates/policy/tests/dispatch/watch.rs
+++ b/crates/policy/tests/dispatch/watch.rs
@@ -1,4 +1,4 @@
-//! Requests are moved from servers that stop responding.
+//! Tests of requests that are moved from servers that stop responding.
 
 use policy::dispatch::{
     Change, Dispatcher, End, RequestSpec, RetryDecision, Ticket, Unclear, Verdict,
@@ -8,7 +8,8 @@
 
 use crate::fixture::{at, plain, request, sent};
 
-/// Two requests at one server, which sends nothing afterwards, and a second server.
+/// A host with two requests at a server that sends nothing, and a second server that is added
+/// later.
 fn unresponsive(kind: Kind, resumable: bool) -> Dispatcher {
     let mut host = plain(&["s1"]);
     for ticket in 0..2 {
@@ -18,7 +19,7 @@
     host
 }
 
-/// When each request is asked to leave its server, with a pump every 20 ms for 3 s.
+/// Returns when each request gets the verdict to leave its server, with a pump every 20 ms for 3 s.
 fn moved_requests(host: &mut Dispatcher, from: Moment) -> Vec<(Ticket, Moment)> {
     let pumps = (1..150).map(|n| from + at(n * 20));
     let changes = pumps.flat_map(|now| host.pump(now).into_iter().map(move |it| (it, now)));
@@ -37,8 +38,8 @@
     assert_eq!(&*sent(host.arrive(request(5, Kind::NonIdempotent, at(3_000)), at(3_000))), "s2");
 }
 
-/// A request leaves its server only for another one that takes it: a request that left and then
-/// found no other server was lost, though its server was at work on it.
+/// A request leaves its server only if another one takes it. Otherwise a request that finds no
+/// other server would be lost, although its first server is still working on it.
 #[rstest]
 fn a_server_is_kept_until_another_has_a_place() {
     let mut host = unresponsive(Kind::Idempotent, false);
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine: which requests are refused or cleared, and how many servers a poison request costs.
+//! Tests of the quarantine: which requests become suspects, and which are refused or cleared.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     let mut document = after_death(&[1], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
     assert_eq!(begin(&mut document, 1, "s3", "b"), Err(TrialError::OnTrial));
-    assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()), "the answer was lost");
+    assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()), "the same trial may be written again");
 }
 
 #[test]
@@ -43,7 +43,7 @@
     assert!(document.suspects.is_empty(), "both deaths are explained");
 }
 
-/// Another host writes its own requests in flight after the cause of the death is known.
+/// Another host records its requests in flight at a death after the death is explained.
 #[test]
 fn late_accusation_of_an_explained_death_makes_no_suspect() {
     let mut document = after_death(&[1], "s1");
@@ -59,7 +59,10 @@
     let mut document = after_death(&[1, 2], "s1");
     assert_eq!(begin(&mut document, 1, "s2", "a"), Ok(()));
     document.complete(fingerprint(1), &run("b"));
-    assert!(document.suspects.contains_key(&fingerprint(1)), "not the trial of that host");
+    assert!(
+        document.suspects.contains_key(&fingerprint(1)),
+        "only the host that makes the trial can complete it"
+    );
     document.complete(fingerprint(1), &run("a"));
     assert_eq!(document.suspects.keys().copied().collect::<Vec<_>>(), [fingerprint(2)]);
 }
@@ -92,10 +95,11 @@
     };
     assert_eq!(once, twice);
     record_death(&mut once, &[1], "s1");
-    assert!(once.refused.is_empty(), "one death is one death");
+    assert!(once.refused.is_empty(), "the same death counts once");
 }
 
-/// The host that made a trial dies with it; whether the server survived decides.
+/// The host that made a trial is gone. If its server is alive, the trial is aborted; else the
+/// suspect is refused.
 #[rstest]
 #[case::server_alive(true, 0)]
 #[case::server_dead(false, 1)]
@@ -171,7 +175,8 @@
     assert_eq!(view.admit(fingerprint(1)), Verdict::Suspect);
 }
 
-/// The request's answer and the report of the death cross: nobody would try the request again.
+/// The host processes the request's complete response after the death. The caller has its answer
+/// and would not send the request again, so no trial could clear it.
 #[test]
 fn request_answered_by_a_server_that_died_is_no_suspect() {
     let mut document = after_death(&[1, 2], "s1");
@@ -204,7 +209,10 @@
         chosen.into_iter().for_each(|server| *used.entry(server).or_insert(0) += 1);
     }
     assert_eq!(used.len(), 9);
-    assert!(used.values().all(|uses| 20 < *uses), "spread over all: {used:?}");
+    assert!(
+        used.values().all(|uses| 20 < *uses),
+        "requests are not spread over all servers: {used:?}"
+    );
 }
 
 fn settings() -> Settings {
--- a/crates/policy/tests/quarantine_deployment.rs
+++ b/crates/policy/tests/quarantine_deployment.rs
@@ -1,8 +1,9 @@
-//! A poison request sent through every host among innocent requests: servers lost, innocent
-//! requests refused.
+//! Simulation of a poison request that is sent through every host among innocent requests: counts
+//! the servers that crash and the innocent requests that are refused.
 //!
-//! Simulation under virtual time: hosts with a [`HostView`] each, one document, and servers that
-//! run requests for a while. It models no network beyond the age of what a host has read.
+//! It runs in virtual time, with a [`HostView`] for each host, one document, and servers that run
+//! requests for a while. Of the network it models only the age of the document that a host has
+//! read.
 
 #![allow(clippy::print_stdout, reason = "the figures of a run")]
 
@@ -40,7 +41,7 @@
 enum Poison {
     /// Through every host within a moment, and again after each refusal.
     EveryHostAtOnce,
-    /// Through a random host, again and again, whatever became of the earlier sends.
+    /// Through a random host, again and again, regardless of the outcome of earlier sends.
     Steady,
     /// Through the next host as soon as the last send has ended.
     HostAfterHost,
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Each host reads at a phase of its own, so that some know less than others.
+    /// Lets each host read the document at a different phase, so that some hosts know less than
+    /// others.
     fn read(&mut self) {
         for (index, view) in self.views.iter_mut().enumerate() {
             if (self.time + 37 * index as u64) % READ_INTERVAL_MS < ROUND_MS {
@@ -205,7 +207,8 @@
         }
     }
 
-    /// Returns the assigned servers that are up, in random order, as load would have it.
+    /// Returns the assigned servers that are up, in random order, which stands for a choice by
+    /// load.
     fn up(&mut self, assigned_servers: &[backend::Id]) -> Vec<usize> {
         let mut up: Vec<usize> = (0..self.servers.len())
             .filter(|&n| {
