--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -131,10 +131,10 @@
     poison: Poison,
     quotas: Quotas,
     loans: Borrowing,
-    ticked: Moment,
-    overdue_checked: Moment,
+    ticked_at: Moment,
+    overdue_checked_at: Moment,
     /// When the requests that wait for limited servers were last checked.
-    limits_checked: Moment,
+    limits_checked_at: Moment,
 }
 
 impl Dispatcher {
@@ -154,9 +154,9 @@
             poison: Poison::new(settings.host.clone()),
             quotas: Quotas::new(settings.host, settings.run),
             loans: Borrowing::default(),
-            ticked: Duration::ZERO,
-            overdue_checked: Duration::ZERO,
-            limits_checked: Duration::ZERO,
+            ticked_at: Duration::ZERO,
+            overdue_checked_at: Duration::ZERO,
+            limits_checked_at: Duration::ZERO,
         }
     }
 
@@ -189,11 +189,11 @@
         self.lower_count = match self.lower_count {
             _ if self.hosts <= count => None,
             Some((other, since)) => Some((other.max(count), since)),
-            None => Some((count, self.ticked)),
+            None => Some((count, self.ticked_at)),
         };
         match self.lower_count {
             None => self.hosts = count,
-            Some((lower, since)) if since + SHRINK_DELAY <= self.ticked => {
+            Some((lower, since)) if since + SHRINK_DELAY <= self.ticked_at => {
                 self.hosts = lower;
                 self.lower_count = None;
             }
--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -225,7 +225,7 @@
         task.state = State::InFlight(Attempt {
             server: choice.server,
             id: id.clone(),
-            sent: now,
+            sent_at: now,
             baseline_ms: choice.baseline_ms,
             work_ms: choice.work_ms,
             queue_ms: choice.queue_ms,
@@ -393,7 +393,7 @@
 /// Until when a request waits for its model or adapter to be loaded. `ready` is the expected time
 /// of a load that was ordered.
 fn load_wait_until(task: &Task, ready: Option<Moment>) -> Moment {
-    let until = |part| task.arrived + task.caller_timeout().mul_f64(part);
+    let until = |part| task.arrived_at + task.caller_timeout().mul_f64(part);
     match ready {
         Some(ready) => (ready + task.caller_timeout() / MAX_WAIT_DIVISOR)
             .max(until(NOT_LOADED_WAIT))
--- a/crates/policy/src/dispatch/breaker.rs
+++ b/crates/policy/src/dispatch/breaker.rs
@@ -60,7 +60,7 @@
 struct Trip {
     cause: Cause,
     doublings: u32,
-    until: Moment,
+    open_until: Moment,
     trial: Option<Ticket>,
 }
 
@@ -75,8 +75,8 @@
     pub fn state(&self, now: Moment) -> State {
         match self.trip {
             None => State::Closed,
-            Some(trip) if trip.trial.is_some() || now < trip.until => State::Open,
-            Some(trip) if now < trip.until + IDEMPOTENT_TRIAL_WAIT => State::HalfOpen,
+            Some(trip) if trip.trial.is_some() || now < trip.open_until => State::Open,
+            Some(trip) if now < trip.open_until + IDEMPOTENT_TRIAL_WAIT => State::HalfOpen,
             Some(_) => State::HalfOpenAny,
         }
     }
@@ -93,20 +93,20 @@
     /// breaker was tripped, and changes nothing.
     pub fn trip(&mut self, cause: Cause, now: Moment) {
         let doublings = match self.trip {
-            Some(trip) if now < trip.until => return,
+            Some(trip) if now < trip.open_until => return,
             Some(trip) => (trip.doublings + 1).min(MAX_DOUBLINGS),
             None => 0,
         };
         let (first, most) = cause.open_times();
-        let until = now + (first * (1 << doublings)).min(most);
-        self.trip = Some(Trip { cause, doublings, until, trial: None });
+        let open_until = now + (first * (1 << doublings)).min(most);
+        self.trip = Some(Trip { cause, doublings, open_until, trial: None });
     }
 
     /// Records that a request is sent to the server. If the open time of the breaker is over, the
     /// request is its trial.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(trip) = &mut self.trip
-            && trip.until <= now
+            && trip.open_until <= now
         {
             trip.trial = Some(ticket);
         }
--- a/crates/policy/src/dispatch/choose.rs
+++ b/crates/policy/src/dispatch/choose.rs
@@ -189,11 +189,11 @@
     fn has_place(&self, task: &Task, index: Index, server: &Server, now: Moment) -> bool {
         let slots = f64::from(server.slots);
         let wait = millis(task.spec.goal) * OVERFILL;
-        let more = (wait * slots / self.stats(task).hold()).clamp(1.0, (slots / 2.0).max(1.0));
+        let overfill = (wait * slots / self.stats(task).hold()).clamp(1.0, (slots / 2.0).max(1.0));
         let in_flight = server.load.in_flight(self.registry.peers_at(), now);
         let memory = server.load.memory_used(task.memory());
         let has_memory = memory.is_none_or(|used| used < MEMORY_HARD) || in_flight < 1.0;
-        let free = slots + more - in_flight;
+        let free = slots + overfill - in_flight;
         let wins_draw = || server.is_limited || self.wins_draw(task, index, free);
         let is_free = !server.load.is_full(now) && 1.0 <= free && has_memory;
         is_free && self.has_permit(server, now) && wins_draw()
--- a/crates/policy/src/dispatch/events.rs
+++ b/crates/policy/src/dispatch/events.rs
@@ -30,7 +30,7 @@
     /// until then the request was waiting for a connection.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get_mut(&ticket) {
-            attempt.sent = now;
+            attempt.sent_at = now;
         }
         self.poison.sent(ticket, now);
     }
@@ -39,7 +39,7 @@
     /// follows.
     pub fn response_started(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
-            self.poison.answered(&attempt.id, attempt.sent, now);
+            self.poison.answered(&attempt.id, attempt.sent_at, now);
         }
     }
 
@@ -118,7 +118,7 @@
                 Some(model) => &mut self.registry.models[model as usize].stats,
                 None => &mut self.registry.services[task.service as usize].stats,
             };
-            stats.record_hold(millis(now.saturating_sub(attempt.sent)) - attempt.queue_ms);
+            stats.record_hold(millis(now.saturating_sub(attempt.sent_at)) - attempt.queue_ms);
         }
         self.update_server(task, attempt, end, now);
         self.trip_outlier(attempt.server, task.service, now);
@@ -194,7 +194,7 @@
             }
             End::Unclear(Unclear::Silent) => {
                 server.pace.record_failure(&median, now);
-                if server.answered < attempt.sent {
+                if server.answered_at < attempt.sent_at {
                     server.breaker.trip(Cause::Timeout, now);
                 }
             }
@@ -209,7 +209,7 @@
     /// Updates the server's pace, and the statistics of its model or service, with the time to the
     /// first byte.
     fn record_first_byte(&mut self, task: &Task, attempt: &Attempt, now: Moment) {
-        let took = millis(now.saturating_sub(attempt.sent)).max(0.1);
+        let took = millis(now.saturating_sub(attempt.sent_at)).max(0.1);
         let median = self.registry.services[task.service as usize].median;
         let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
         server.mark_answered(now);
--- a/crates/policy/src/dispatch/load.rs
+++ b/crates/policy/src/dispatch/load.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 struct OwnRequest {
     ticket: Ticket,
-    sent: Moment,
+    sent_at: Moment,
     prefill: u32,
     memory: u32,
 }
@@ -84,7 +84,7 @@
     /// Adds a request that is sent, with the prompt tokens to prefill and the KV memory to fill, in
     /// tokens.
     pub fn sent(&mut self, ticket: Ticket, prefill: u32, memory: u32, now: Moment) {
-        self.own.push(OwnRequest { ticket, sent: now, prefill, memory });
+        self.own.push(OwnRequest { ticket, sent_at: now, prefill, memory });
         self.recent_sends.push_back(now);
         self.expire_recent_sends(now);
     }
@@ -135,9 +135,9 @@
     }
 
     /// Adds to and subtracts from the requests and prefill tokens of peers.
-    pub fn peers(&mut self, more: (u32, u64), less: (u32, u64)) {
-        self.peers = (self.peers + more.0).saturating_sub(less.0);
-        self.peers_prefill = (self.peers_prefill + more.1).saturating_sub(less.1);
+    pub fn peers(&mut self, added: (u32, u64), removed: (u32, u64)) {
+        self.peers = (self.peers + added.0).saturating_sub(removed.0);
+        self.peers_prefill = (self.peers_prefill + added.1).saturating_sub(removed.1);
     }
 
     /// Updates the estimated number of hosts that contend for the server, after new digests of
@@ -178,13 +178,13 @@
         self.own.iter().map(|own| u64::from(own.prefill)).sum()
     }
 
-    /// Part of the KV memory that is in use once `more` tokens are added; `None` if the server
+    /// Part of the KV memory that is in use once `added` tokens are added; `None` if the server
     /// doesn't report it.
-    pub fn memory_used(&self, more: u32) -> Option<f64> {
+    pub fn memory_used(&self, added: u32) -> Option<f64> {
         let memory = self.memory.filter(|memory| 0 < memory.total)?;
-        let since = self.own.iter().filter(|own| memory.at < own.sent);
+        let since = self.own.iter().filter(|own| memory.at < own.sent_at);
         let since: u64 = since.map(|own| u64::from(own.memory)).sum();
-        Some((memory.used + since + u64::from(more)) as f64 / memory.total as f64)
+        Some((memory.used + since + u64::from(added)) as f64 / memory.total as f64)
     }
 
     /// Whether the server has refused a request as full a short time ago.
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, Default)]
 struct LoanRequests {
     /// When the last request was sent; `None` once it is answered.
-    open: Option<Moment>,
+    pending_since: Option<Moment>,
     /// When the next request may be sent.
-    next: Moment,
+    next_at: Moment,
     /// Consecutive answers that lent nothing.
     denials: u32,
 }
@@ -42,8 +42,8 @@
 impl LoanRequests {
     /// Whether the next request may be sent.
     fn is_due(&self, now: Moment) -> bool {
-        let is_open = self.open.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
-        !is_open && self.next <= now
+        let is_pending = self.pending_since.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
+        !is_pending && self.next_at <= now
     }
 }
 
@@ -70,13 +70,13 @@
 
     fn granted(&mut self, service: Index, lent: u32, requested_at: Moment, now: Moment) {
         let Some(request) = self.loans.requests.get_mut(&service) else { return };
-        if request.open != Some(requested_at) {
+        if request.pending_since != Some(requested_at) {
             return;
         }
-        request.open = None;
+        request.pending_since = None;
         request.denials = if lent == 0 { request.denials + 1 } else { 0 };
         if request.denials == MAX_DENIALS {
-            (request.denials, request.next) = (0, now + DENIAL_PAUSE);
+            (request.denials, request.next_at) = (0, now + DENIAL_PAUSE);
         }
         self.registry.services[service as usize].budget.borrow(lent, requested_at + VALIDITY, now);
     }
@@ -95,8 +95,8 @@
             let Some(lender) = self.next_lender() else { return };
             let Borrowing { requests, outgoing, .. } = &mut self.loans;
             let request = requests.entry(index).or_default();
-            request.open = Some(now);
-            request.next = now + REQUEST_INTERVAL;
+            request.pending_since = Some(now);
+            request.next_at = now + REQUEST_INTERVAL;
             let content = Content::Request(PORTION);
             outgoing.push((lender, Message { service, requested_at: now, content }));
             self.loans.turn += 1;
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -164,7 +164,7 @@
     isolation: Isolation,
     state: CrashState,
     /// When the crash expires at the latest.
-    until: Moment,
+    expires_at: Moment,
     /// When this host added the record, or when the run of a suspect was first recorded as a crash.
     seen_at: Moment,
     /// When this host last found the crash void, from which on it sends that to others.
@@ -173,7 +173,7 @@
 
 impl CrashRecord {
     fn age(&self, now: Moment) -> Duration {
-        LIFE.saturating_sub(self.until.saturating_sub(now))
+        LIFE.saturating_sub(self.expires_at.saturating_sub(now))
     }
 
     fn is_counted(&self) -> bool {
@@ -196,8 +196,8 @@
 
 impl Entry {
     /// Records of the request at a server, by all hosts.
-    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
-        let there = self.crashes.iter().filter(move |((at, _), _)| at == server);
+    fn records_at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
+        let there = self.crashes.iter().filter(move |((other, _), _)| other == server);
         there.map(|(_, record)| record)
     }
 
@@ -209,8 +209,9 @@
 
     /// When the request is forgotten, which depends on its newest crash and on whether it ran
     /// isolated in any.
-    fn until(&self) -> Moment {
-        let youngest = self.crashes.values().map(|record| record.until).max().unwrap_or_default();
+    fn expires_at(&self) -> Moment {
+        let youngest =
+            self.crashes.values().map(|record| record.expires_at).max().unwrap_or_default();
         let was_isolated =
             self.crashes.values().any(|record| record.isolation == Isolation::Isolated);
         if was_isolated { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
@@ -231,30 +232,30 @@
     request: Fingerprint,
     server: backend::Id,
     isolation: Isolation,
-    at: Moment,
+    ended_at: Moment,
 }
 
 /// Requests that completed lately. The older generation is dropped when the younger one is full or
 /// old.
 #[derive(Clone, Debug, Default)]
 struct CompletedRequests {
-    young: BTreeSet<Fingerprint>,
-    old: BTreeSet<Fingerprint>,
+    current: BTreeSet<Fingerprint>,
+    previous: BTreeSet<Fingerprint>,
     since: Moment,
 }
 
 impl CompletedRequests {
     fn add(&mut self, request: Fingerprint, now: Moment) {
-        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.young.len() {
-            self.old = std::mem::take(&mut self.young);
+        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.current.len() {
+            self.previous = std::mem::take(&mut self.current);
             self.since = now;
         }
-        self.young.insert(request);
+        self.current.insert(request);
     }
 
     fn has(&self, request: Fingerprint, now: Moment) -> bool {
         let is_recent = now < self.since + COMPLETED_LIFE;
-        is_recent && (self.young.contains(&request) || self.old.contains(&request))
+        is_recent && (self.current.contains(&request) || self.previous.contains(&request))
     }
 }
 
@@ -311,7 +312,7 @@
     pub fn runs_suspect(&self, server: &backend::Id, now: Moment) -> bool {
         let there = self.at_servers.get(server).into_iter().flatten();
         let mut there = there.filter_map(|request| self.entries.get(request));
-        there.any(|entry| entry.at(server).any(|record| record.is_running(now)))
+        there.any(|entry| entry.records_at(server).any(|record| record.is_running(now)))
     }
 
     /// Records that a suspect is assigned to a server.
@@ -361,7 +362,7 @@
             request,
             server: server.clone(),
             isolation,
-            at: now,
+            ended_at: now,
         });
     }
 
@@ -372,15 +373,17 @@
             .partition(|attempt| attempt.server == *server);
         self.unresolved = others;
         let of_server: VecDeque<UnresolvedAttempt> = of_server;
-        for UnresolvedAttempt { request, isolation, at, .. } in of_server {
-            if now < at + UNRESOLVED_LIFE {
+        for UnresolvedAttempt { request, isolation, ended_at, .. } in of_server {
+            if now < ended_at + UNRESOLVED_LIFE {
                 self.record(request, server, isolation, CrashState::Counted, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
-            if entry.is_some_and(|entry| entry.at(server).any(|record| record.is_running(now))) {
+            if entry
+                .is_some_and(|entry| entry.records_at(server).any(|record| record.is_running(now)))
+            {
                 self.record(request, server, Isolation::Isolated, CrashState::Counted, now);
             }
         }
@@ -390,7 +393,7 @@
     /// crashed before then.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
         let is_resolved =
-            |attempt: &UnresolvedAttempt| attempt.server == *server && attempt.at < sent;
+            |attempt: &UnresolvedAttempt| attempt.server == *server && attempt.ended_at < sent;
         let resolved: Vec<Fingerprint> = self
             .unresolved
             .iter()
@@ -399,14 +402,14 @@
             .collect();
         self.unresolved.retain(|attempt| !is_resolved(attempt));
         for request in resolved {
-            self.void(request, now, |at, record| {
-                at == server && record.state == CrashState::Running
+            self.void(request, now, |other, record| {
+                other == server && record.state == CrashState::Running
             });
         }
         let Some(requests) = self.at_servers.get(server) else { return };
         for request in requests.clone() {
             let is_before = |record: &CrashRecord| record.is_counted() && record.seen_at < sent;
-            self.void(request, now, |at, record| at == server && is_before(record));
+            self.void(request, now, |other, record| other == server && is_before(record));
         }
     }
 
@@ -425,7 +428,9 @@
         };
         if !self.unresolved.iter().any(is_same) {
             let is_running = |record: &CrashRecord| record.state == CrashState::Running;
-            self.void(trial.request, now, |at, record| *at == trial.server && is_running(record));
+            self.void(trial.request, now, |other, record| {
+                *other == trial.server && is_running(record)
+            });
         }
     }
 
@@ -445,7 +450,8 @@
                     }
                 };
                 if is_sent {
-                    let rank = (standing, record.state != CrashState::Void, record.until, *request);
+                    let rank =
+                        (standing, record.state != CrashState::Void, record.expires_at, *request);
                     sent.push((rank, crash(*request, key, record, now)));
                 }
             }
@@ -461,7 +467,7 @@
             self.entries.iter().filter(|(request, _)| self.standing(**request) == Standing::Poison);
         let crashes = |(request, entry): (&Fingerprint, &Entry)| {
             let is_own = entry.crashes.keys().any(|(_, witness)| *witness == self.host);
-            (list(*request, entry, now), is_own)
+            (crashes_of(*request, entry, now), is_own)
         };
         refused.map(crashes).collect()
     }
@@ -493,7 +499,7 @@
             let Some(entry) = self.entries.get_mut(&request) else { continue };
             let before = entry.reported.replace(standing).unwrap_or(Standing::Clear);
             if before != standing {
-                let crashes = list(request, entry, now);
+                let crashes = crashes_of(request, entry, now);
                 changes.push(StandingChange { request, standing, crashes });
             }
         }
@@ -504,14 +510,14 @@
     pub fn expire(&mut self, now: Moment) {
         let (old, recent): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|attempt| attempt.at + UNRESOLVED_LIFE <= now);
+            .partition(|attempt| attempt.ended_at + UNRESOLVED_LIFE <= now);
         self.unresolved = recent;
         for UnresolvedAttempt { request, server, .. } in old {
-            self.void(request, now, |at, record| {
-                *at == server && record.state == CrashState::Running
+            self.void(request, now, |other, record| {
+                *other == server && record.state == CrashState::Running
             });
         }
-        let old = self.entries.iter().filter(|(_, entry)| entry.until() <= now);
+        let old = self.entries.iter().filter(|(_, entry)| entry.expires_at() <= now);
         let old: Vec<Fingerprint> = old.map(|(request, _)| *request).collect();
         old.into_iter().for_each(|request| self.forget(request));
     }
@@ -528,7 +534,7 @@
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
         let ran_isolated = |server: &backend::Id, other: &Entry| {
             other
-                .at(server)
+                .records_at(server)
                 .any(|record| record.isolation == Isolation::Isolated && record.is_counted())
         };
         let other_ran_isolated = |server: &backend::Id| {
@@ -541,7 +547,7 @@
     /// servers to be refused, and more than this request, which has crashed `own`.
     fn is_explained(&self, request: Fingerprint, server: &backend::Id, own: usize) -> bool {
         self.others(request, server).any(|(fingerprint, other)| {
-            let is_there = other.at(server).any(CrashRecord::is_counted);
+            let is_there = other.records_at(server).any(CrashRecord::is_counted);
             is_there && own.max(POISON - 1) < self.counted(fingerprint, other).len()
         })
     }
@@ -583,7 +589,7 @@
         self.keep_within_bounds();
     }
 
-    fn join(&mut self, crash: &Crash, until: Moment, now: Moment) {
+    fn join(&mut self, crash: &Crash, expires_at: Moment, now: Moment) {
         let entry = self.entries.entry(crash.request).or_default();
         let state = match self.completed.has(crash.request, now) {
             true => CrashState::Void,
@@ -595,7 +601,7 @@
             turn: crash.turn,
             isolation: crash.isolation,
             state,
-            until,
+            expires_at,
             seen_at: now,
             voided_at,
         };
@@ -624,7 +630,7 @@
                     }
                     record.isolation = record.isolation.max(crash.isolation);
                     record.state = record.state.max(state);
-                    record.until = record.until.min(until);
+                    record.expires_at = record.expires_at.min(expires_at);
                 }
                 Ordering::Greater => return,
             },
@@ -673,7 +679,7 @@
             return;
         }
         let rank = |(request, entry): (&Fingerprint, &Entry)| {
-            (entry.counted().len(), entry.until(), *request)
+            (entry.counted().len(), entry.expires_at(), *request)
         };
         let mut ranked: Vec<_> = self.entries.iter().map(rank).collect();
         ranked.sort_unstable();
@@ -685,7 +691,7 @@
     (crash.server.clone(), crash.witness.clone())
 }
 
-fn list(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
+fn crashes_of(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
     entry.crashes.iter().map(|(key, record)| crash(request, key, record, now)).collect()
 }
 
--- a/crates/policy/src/dispatch/pump.rs
+++ b/crates/policy/src/dispatch/pump.rs
@@ -39,13 +39,13 @@
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
         self.registry.apply_deferred(now);
-        if self.ticked + TICK_INTERVAL <= now {
-            self.ticked = now;
+        if self.ticked_at + TICK_INTERVAL <= now {
+            self.ticked_at = now;
             self.registry.tick(now);
             self.poison.expire(now);
         }
-        if self.overdue_checked + OVERDUE_CHECK_INTERVAL <= now {
-            self.overdue_checked = now;
+        if self.overdue_checked_at + OVERDUE_CHECK_INTERVAL <= now {
+            self.overdue_checked_at = now;
             self.check_overdue(now, &mut changes);
         }
         for service in 0..self.registry.services.len() {
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -135,8 +135,8 @@
     /// Refuses requests that limited servers can't serve in time, and requests permits for the
     /// others.
     pub(super) fn tick_quotas(&mut self, now: Moment, changes: &mut Vec<Change>) {
-        if !self.quotas.is_idle() && self.limits_checked + CHECK_INTERVAL <= now {
-            self.limits_checked = now;
+        if !self.quotas.is_idle() && self.limits_checked_at + CHECK_INTERVAL <= now {
+            self.limits_checked_at = now;
             self.refuse_limited(now, changes);
             let demands = self.demands();
             demands.iter().for_each(|(id, demand)| self.quotas.set_demand(id, *demand));
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -63,7 +63,7 @@
     zone: availability::Id,
     config: RetryBudgetConfig,
     servers: Vec<Option<Server>>,
-    free: Vec<Index>,
+    free_indexes: Vec<Index>,
     ids: Map<backend::Id, Index>,
     /// Services by index.
     pub services: Vec<Service>,
@@ -85,7 +85,7 @@
             zone,
             config,
             servers: Vec::new(),
-            free: Vec::new(),
+            free_indexes: Vec::new(),
             ids: Map::default(),
             services: Vec::new(),
             service_ids: Map::default(),
@@ -182,24 +182,24 @@
     pub fn drain(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Draining;
-        self.unlist(index);
+        self.remove_from_lists(index);
     }
 
     /// Lists a server again as one that takes new requests.
     pub fn resume(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Ready;
-        self.list(index);
+        self.add_to_lists(index);
     }
 
     pub fn remove(&mut self, index: Index) {
-        self.unlist(index);
+        self.remove_from_lists(index);
         for peer in self.peers.values_mut() {
             peer.work.retain(|(server, ..)| *server != index);
         }
         if let Some(server) = self.servers[index as usize].take() {
             self.ids.remove(&server.id);
-            self.free.push(index);
+            self.free_indexes.push(index);
         }
     }
 
@@ -228,7 +228,7 @@
         server.models.mark_loaded(model, adapter, sequence, now);
         let loading = &mut self.models[model as usize].loading;
         loading.retain(|(at, wanted, _)| *at != index || wanted.as_ref() != adapter);
-        self.list(index);
+        self.add_to_lists(index);
     }
 
     /// Records an order to load, with the expected time of completion.
@@ -275,7 +275,7 @@
             let Some(server) = self.get_mut(index) else { continue };
             if server.models.next_deferred().is_some_and(|at| at <= now) {
                 server.models.apply_deferred(now);
-                self.list(index);
+                self.add_to_lists(index);
             }
         }
         let servers = self.servers.iter().flatten();
@@ -344,7 +344,7 @@
         let locality =
             if registration.zone == self.zone { Locality::SameZone } else { Locality::OtherZone };
         let server = Some(Server::new(registration, service, locality, now));
-        let index = match self.free.pop() {
+        let index = match self.free_indexes.pop() {
             Some(index) => {
                 self.servers[index as usize] = server;
                 index
@@ -370,17 +370,17 @@
             .iter()
             .map(|loaded| (self.model(service, &loaded.model), loaded.adapters.clone()))
             .collect();
-        self.unlist(index);
+        self.remove_from_lists(index);
         if let Some(server) = self.get_mut(index) {
             server.models.apply_report(models.into_iter(), sequence, now);
             let next = server.models.next_deferred();
             self.deferred_at = self.deferred_at.into_iter().chain(next).min();
         }
-        self.list(index);
+        self.add_to_lists(index);
     }
 
     /// Adds a server that takes new requests to the lists of its service and models.
-    fn list(&mut self, index: Index) {
+    fn add_to_lists(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         if server.state == routed::State::Draining {
@@ -392,7 +392,7 @@
         }
     }
 
-    fn unlist(&mut self, index: Index) {
+    fn remove_from_lists(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         services[server.service as usize].list.remove(index);
--- a/crates/policy/src/dispatch/server.rs
+++ b/crates/policy/src/dispatch/server.rs
@@ -37,8 +37,8 @@
     /// Circuit breaker of this host for the server.
     pub breaker: Breaker,
     /// When the server last sent any response to this host.
-    pub answered: Moment,
-    /// Requests whose response has become overdue since [`answered`](Self::answered).
+    pub answered_at: Moment,
+    /// Requests whose response has become overdue since [`answered_at`](Self::answered_at).
     pub unanswered: u32,
     cold_until: Moment,
 }
@@ -62,7 +62,7 @@
             pace: Pace::default(),
             is_limited: false,
             breaker: Breaker::default(),
-            answered: now,
+            answered_at: now,
             unanswered: 0,
             cold_until: now + registration.cold,
         }
@@ -79,14 +79,14 @@
 
     /// Records that any response was received from the server.
     pub fn mark_answered(&mut self, now: Moment) {
-        self.answered = now;
+        self.answered_at = now;
         self.unanswered = 0;
     }
 
     /// Whether the breaker was tripped by missing responses and nothing was received for
     /// [`UNRESPONSIVE_AFTER`].
     pub fn is_unresponsive(&self, now: Moment) -> bool {
-        self.breaker.is_unreachable() && self.answered + UNRESPONSIVE_AFTER <= now
+        self.breaker.is_unreachable() && self.answered_at + UNRESPONSIVE_AFTER <= now
     }
 
     /// Whether the server has just started and is still slow because of that.
--- a/crates/policy/src/dispatch/task.rs
+++ b/crates/policy/src/dispatch/task.rs
@@ -32,7 +32,7 @@
     pub server: Index,
     pub id: backend::Id,
     /// When the request was sent.
-    pub sent: Moment,
+    pub sent_at: Moment,
     /// Expected time to the first byte at a server of median speed, in milliseconds.
     pub baseline_ms: f64,
     /// The part of `baseline_ms` that other requests and the prompt cause.
@@ -75,7 +75,7 @@
     pub spec: RequestSpec,
     pub service: Index,
     pub model: Option<Index>,
-    pub arrived: Moment,
+    pub arrived_at: Moment,
     /// When the request becomes late.
     pub due: Moment,
     /// Digests of the prefixes of the prompt, with their length in tokens.
@@ -100,7 +100,7 @@
             spec,
             service,
             model,
-            arrived: now,
+            arrived_at: now,
             due,
             prefixes,
             has_arrived: false,
@@ -126,7 +126,7 @@
 
     /// Time from the arrival of the request until its caller leaves.
     pub fn caller_timeout(&self) -> Duration {
-        self.caller_leaves_at().saturating_sub(self.arrived)
+        self.caller_leaves_at().saturating_sub(self.arrived_at)
     }
 
     /// When the caller leaves if it receives nothing. Callers of streams tolerate a silence that is
@@ -136,7 +136,7 @@
     /// until their callers had left; with this bound 1 did.
     pub fn caller_leaves_at(&self) -> Moment {
         let silence = self.spec.silence.filter(|_| self.spec.resume.is_none());
-        let leaves_at = silence.map_or(self.spec.deadline, |silence| self.arrived + silence);
+        let leaves_at = silence.map_or(self.spec.deadline, |silence| self.arrived_at + silence);
         leaves_at.min(self.spec.deadline)
     }
 
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -58,7 +58,8 @@
             let State::InFlight(attempt) = &mut task.state else { continue };
             let allowed =
                 attempt.expected_ms * OVERDUE_TIMES + millis(task.spec.goal) * OVERDUE_GOAL;
-            if attempt.phase == Phase::Pending && allowed < millis(now.saturating_sub(attempt.sent))
+            if attempt.phase == Phase::Pending
+                && allowed < millis(now.saturating_sub(attempt.sent_at))
             {
                 attempt.phase = Phase::Overdue;
                 overdue.push((*ticket, attempt.clone(), task.service));
@@ -123,7 +124,7 @@
     fn record_overdue(&mut self, attempt: &Attempt, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
-        let ratio = millis(now.saturating_sub(attempt.sent)) / attempt.baseline_ms;
+        let ratio = millis(now.saturating_sub(attempt.sent_at)) / attempt.baseline_ms;
         server.pace.record_ratio(ratio, &median, now);
         server.unanswered += 1;
         if MAX_UNANSWERED <= server.unanswered {
@@ -146,7 +147,7 @@
     }
     let Some(server) = registry.get_same(attempt.server, &attempt.id) else { return false };
     match attempt.phase {
-        Phase::Responding => task.spec.kind == Kind::Stream && server.answered + STALLED < now,
+        Phase::Responding => task.spec.kind == Kind::Stream && server.answered_at + STALLED < now,
         Phase::Pending | Phase::Overdue => is_lost(task, attempt, server, now),
     }
 }
@@ -158,8 +159,8 @@
     };
     let silent = after(SILENT_GOAL, SILENT_TIMES).max(MIN_SILENCE);
     let hung = after(HUNG_GOAL, HUNG_TIMES);
-    let is_silent = attempt.sent.max(server.answered) + silent < now;
+    let is_silent = attempt.sent_at.max(server.answered_at) + silent < now;
     let answers_others =
-        attempt.sent + duration(attempt.expected_ms * OVERDUE_TIMES) < server.answered;
-    is_silent || (attempt.sent + hung < now && answers_others)
+        attempt.sent_at + duration(attempt.expected_ms * OVERDUE_TIMES) < server.answered_at;
+    is_silent || (attempt.sent_at + hung < now && answers_others)
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -105,10 +105,10 @@
     /// Time for which a suspect is kept after it was recorded, or after its open trial began;
     /// milliseconds in JSON.
     #[serde(rename = "suspect_ms", with = "types::time::millis")]
-    pub suspect: Duration,
+    pub suspect_retention: Duration,
     /// Time for which a refusal lasts; milliseconds in JSON.
     #[serde(rename = "refuse_ms", with = "types::time::millis")]
-    pub refuse: Duration,
+    pub refusal_duration: Duration,
     /// Largest number of suspects, and of refusals; the oldest are dropped first.
     pub entries: usize,
 }
@@ -117,8 +117,8 @@
     fn default() -> Settings {
         Settings {
             propagation: Duration::from_millis(500),
-            suspect: Duration::from_secs(600),
-            refuse: Duration::from_secs(3600),
+            suspect_retention: Duration::from_secs(600),
+            refusal_duration: Duration::from_secs(3600),
             entries: 2000,
         }
     }
@@ -314,7 +314,7 @@
 
     /// Drops expired refusals and suspects.
     pub fn expire(&mut self, settings: &Settings, wall: UnixMillis) {
-        let retention = millis(settings.suspect);
+        let retention = millis(settings.suspect_retention);
         self.refused.retain(|_, refused| wall < refused.until);
         self.suspects.retain(|_, suspect| {
             let last = suspect.trial.as_ref().map_or(suspect.since, |trial| trial.since);
@@ -370,7 +370,7 @@
             service: suspect.service,
             deaths: suspect.deaths,
             since: wall,
-            until: wall + millis(settings.refuse),
+            until: wall + millis(settings.refusal_duration),
         };
         self.refused.insert(fingerprint, refused);
     }
--- a/crates/policy/tests/dispatch/crowd.rs
+++ b/crates/policy/tests/dispatch/crowd.rs
@@ -129,8 +129,8 @@
         self.after(gap, Event::Arrive);
         let ticket = u64::from(self.totals.arrived);
         self.totals.arrived += 1;
-        let asked = request(ticket, Kind::NonIdempotent, self.now);
-        let request = RequestSpec { goal: GOAL, deadline: self.now + TIMEOUT, ..asked };
+        let spec = request(ticket, Kind::NonIdempotent, self.now);
+        let request = RequestSpec { goal: GOAL, deadline: self.now + TIMEOUT, ..spec };
         let verdict = self.hosts[host_of(ticket)].arrive(request, self.now);
         self.carry_out(ticket, &verdict);
     }
--- a/crates/policy/tests/dispatch/play.rs
+++ b/crates/policy/tests/dispatch/play.rs
@@ -181,8 +181,8 @@
 
     fn refused(&mut self, ticket: Ticket) {
         self.totals.refused += 1;
-        let held = self.now - self.in_flight[&ticket];
-        self.totals.refused_late += u32::from(GOAL < held);
+        let waited = self.now - self.in_flight[&ticket];
+        self.totals.refused_late += u32::from(GOAL < waited);
     }
 
     fn send(&mut self, server: &backend::Id, ticket: Ticket) {
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -36,7 +36,7 @@
     /// New requests at each host, in a step that has any.
     requests: usize,
     /// Number of steps without new requests between two steps that have some.
-    pause: usize,
+    idle_steps: usize,
     /// Whether servers fail what they run.
     fails: bool,
     /// Whether there are no servers.
@@ -53,16 +53,23 @@
     /// Steps at which a host is killed and immediately restarted, with the host's index.
     restarts: Vec<(usize, usize)>,
     /// Number of steps that a message takes from one host to another.
-    late: usize,
+    message_delay: usize,
     /// Number of steps until a server has answered.
-    work: usize,
+    work_steps: usize,
     /// Whether requests resume a stream after an event, so that their retries have a high need.
     is_resumed: bool,
 }
 
 impl Plan {
     fn new(hosts: usize, seconds: Vec<Second>) -> Plan {
-        Plan { hosts, seconds, restarts: Vec::new(), late: 2, work: 1, is_resumed: false }
+        Plan {
+            hosts,
+            seconds,
+            restarts: Vec::new(),
+            message_delay: 2,
+            work_steps: 1,
+            is_resumed: false,
+        }
     }
 }
 
@@ -164,7 +171,7 @@
         for host in 0..self.plan.hosts {
             self.receive(host, second.is_partitioned);
             self.answer(host, second);
-            if self.step.is_multiple_of(second.pause + 1) {
+            if self.step.is_multiple_of(second.idle_steps + 1) {
                 (0..second.requests).for_each(|_| self.request(host));
             }
             let now = self.time(host);
@@ -227,7 +234,7 @@
     fn send_loan_messages(&mut self, host: usize) {
         for (to, message) in self.hosts[host].dispatcher.loans_outgoing() {
             let to = (0..self.plan.hosts).find(|other| name(*other) == to).unwrap();
-            let at = (self.step + self.plan.late, to);
+            let at = (self.step + self.plan.message_delay, to);
             self.messages.entry(at).or_default().push((host, message));
         }
     }
@@ -264,13 +271,13 @@
         self.tickets += 1;
         self.requests.push(self.now());
         let resume = self.plan.is_resumed.then_some(1);
-        let asked = RequestSpec {
+        let spec = RequestSpec {
             deadline: now + TIMEOUT,
             attempts: 4,
             resume,
             ..request(ticket, Kind::Idempotent, now)
         };
-        if let Verdict::Send(_) = self.hosts[host].dispatcher.arrive(asked, now) {
+        if let Verdict::Send(_) = self.hosts[host].dispatcher.arrive(spec, now) {
             self.arrive(host, ticket);
         }
     }
@@ -282,7 +289,7 @@
             self.retries.push(STEP * self.step as u32);
         }
         *before += 1;
-        let done = self.step + self.plan.work;
+        let done = self.step + self.plan.work_steps;
         self.hosts[host].in_flight.entry(done).or_default().push(ticket);
     }
 }
@@ -294,14 +301,14 @@
 
 const CALM: Second = Second {
     requests: 0,
-    pause: 0,
+    idle_steps: 0,
     fails: false,
     is_without_servers: false,
     is_partitioned: false,
 };
 
 /// A service with few requests, all of which fail.
-const FAILING: Second = Second { requests: 1, pause: 9, fails: true, ..CALM };
+const FAILING: Second = Second { requests: 1, idle_steps: 9, fails: true, ..CALM };
 
 #[rstest]
 #[case::for_15_s(15)]
@@ -353,14 +360,17 @@
         seconds(1, Second { fails: true, ..busy }),
         seconds(9, failing),
     ];
-    let plan = Plan { work: 30, is_resumed: true, ..Plan::new(1, phases.concat()) };
+    let plan = Plan { work_steps: 30, is_resumed: true, ..Plan::new(1, phases.concat()) };
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
 #[rstest]
 fn hosts_keep_the_budget_while_what_they_tell_each_other_is_late(#[values(5, 20, 60)] late: usize) {
-    let failing = Second { requests: 2, pause: 0, ..FAILING };
-    let plan = Plan { late, ..Plan::new(6, [seconds(25, CALM), seconds(15, failing)].concat()) };
+    let failing = Second { requests: 2, idle_steps: 0, ..FAILING };
+    let plan = Plan {
+        message_delay: late,
+        ..Plan::new(6, [seconds(25, CALM), seconds(15, failing)].concat())
+    };
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
@@ -370,9 +380,13 @@
     let phase = (requests, any::<bool>(), prop::bool::weighted(0.2), any::<bool>(), 1..35_usize);
     let phases = prop::collection::vec(phase, 2..7);
     phases.prop_map(|phases| {
-        let phase = |((requests, pause), fails, is_without_servers, is_partitioned, length)| {
-            seconds(length, Second { requests, pause, fails, is_without_servers, is_partitioned })
-        };
+        let phase =
+            |((requests, idle_steps), fails, is_without_servers, is_partitioned, length)| {
+                seconds(
+                    length,
+                    Second { requests, idle_steps, fails, is_without_servers, is_partitioned },
+                )
+            };
         phases.into_iter().flat_map(phase).collect()
     })
 }
@@ -380,9 +394,9 @@
 fn plan() -> impl Strategy<Value = Plan> {
     let restarts = prop::collection::vec((0..2_000_usize, 0..6_usize), 0..24);
     (1..=6_usize, seconds_strategy(), restarts, 1..30_usize, 1..40_usize, any::<bool>()).prop_map(
-        |(hosts, seconds, restarts, late, work, is_resumed)| {
+        |(hosts, seconds, restarts, message_delay, work_steps, is_resumed)| {
             let restarts = restarts.into_iter().map(|(step, host)| (step, host % hosts)).collect();
-            Plan { hosts, seconds, restarts, late, work, is_resumed }
+            Plan { hosts, seconds, restarts, message_delay, work_steps, is_resumed }
         },
     )
 }
