--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -2,12 +2,12 @@
 //!
 //! In any span of one window, the arrivals at a service's servers beyond the first of each request
 //! stay under `ratio` times its requests plus `extra`, over all hosts. Each host keeps to a share
-//! that is based on what it knows by itself, so that the sum holds regardless of which messages
-//! hosts receive from each other.
+//! that it computes from its own requests and the number of hosts that it knows, so that the sum
+//! holds regardless of which messages hosts receive from each other.
 //!
 //! Requests pay for retries in the window in which a retry is counted, or in the one before it. A
 //! host's share of the ratio has two parts. The steady part is based on the smallest of its windows
-//! that ended within the last one: whatever window a retry is counted in, the one before it has at
+//! that ended within the last one: the window before the one in which a retry is counted has at
 //! least as many requests. The recent part is based on its last window, which may overlap both of
 //! these windows, so it counts twice. With the sum of the steady part and twice the recent part at
 //! one or less, the hosts' shares add up to no more than the ratio, also where the requests reach
@@ -101,7 +101,7 @@
 pub struct RetryBudgetStatus {
     /// Requests that have arrived at the host.
     pub requests: u64,
-    /// Retries that have arrived at a server, or can't any more.
+    /// Retries that have arrived at a server, or can no longer arrive.
     pub retries: u64,
     /// Retries that were paid and may still arrive.
     pub open: u64,
@@ -137,7 +137,7 @@
 pub struct Budget {
     config: RetryBudgetConfig,
     requests: Series,
-    /// Retries that have arrived, or can't any more.
+    /// Retries that have arrived, or can no longer arrive.
     retries: Series,
     /// Retries that were paid and may still arrive.
     open: u64,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Counts a request that has arrived, whatever becomes of it.
+    /// Counts a request that has arrived, whether or not it is served.
     pub fn request(&mut self, now: Moment) {
         self.totals.requests += 1;
         self.requests.add(1, now);
@@ -206,7 +206,7 @@
         has_left.then_some(Payment::Own)
     }
 
-    /// Records that a paid retry has arrived, or can't any more.
+    /// Records that a paid retry has arrived, or can no longer arrive.
     pub fn arrived(&mut self, payment: Payment, now: Moment) {
         if payment == Payment::Own {
             self.open = self.open.saturating_sub(1);
--- a/crates/policy/src/dispatch/loaded.rs
+++ b/crates/policy/src/dispatch/loaded.rs
@@ -4,12 +4,13 @@
 //! a request because the model is not loaded, overrides reports for [`FIRST_HAND_PRECEDENCE`]. An
 //! order to unload a model is carried out only when the model's requests have ended, so it
 //! overrides reports for [`UNLOAD_PRECEDENCE`]. Registrations are sent only when something changes,
-//! so what one lists in the meantime is stored and applied after that time. It is applied at once
-//! if the server has taken an order since the refusal, as the server may have loaded again what it
-//! refused.
+//! so an entry that an override suppresses is stored and applied when the override ends. After a
+//! refusal, it is applied at once if the server has taken an order since, as the server may have
+//! loaded the model again.
 //!
 //! Notices of other hosts may arrive late and in any order. Each carries the sequence number of the
-//! server's orders, and a notice older than what is known of the same model changes nothing.
+//! server's orders, and a notice that is older than the known state of the same model changes
+//! nothing.
 
 use types::{prelude::*, routed};
 
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -167,7 +167,8 @@
     expires_at: Moment,
     /// When this host added the record, or when the run of a suspect was first recorded as a crash.
     seen_at: Moment,
-    /// When this host last found the crash void, from which on it sends that to others.
+    /// When this host last found the crash void; it sends the void crash to others for
+    /// [`VOID_SEND_TIME`] from then on.
     voided_at: Option<Moment>,
 }
 
@@ -235,8 +236,8 @@
     ended_at: Moment,
 }
 
-/// Requests that completed lately. The older generation is dropped when the younger one is full or
-/// old.
+/// Requests that completed lately, in two generations. The previous one is dropped when the current
+/// one is full or [`COMPLETED_LIFE`] old.
 #[derive(Clone, Debug, Default)]
 struct CompletedRequests {
     current: BTreeSet<Fingerprint>,
@@ -264,7 +265,7 @@
 pub struct Poison {
     host: host::Id,
     entries: Map<Fingerprint, Entry>,
-    /// Requests by the servers that they were at.
+    /// Requests by the servers in their crashes.
     at_servers: BTreeMap<backend::Id, BTreeSet<Fingerprint>>,
     trial: Option<Trial>,
     unresolved: VecDeque<UnresolvedAttempt>,
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -379,7 +379,7 @@
         self.add_to_lists(index);
     }
 
-    /// Adds a server that takes new requests to the lists of its service and models.
+    /// Adds a server to the lists of its service and models, unless it is draining.
     fn add_to_lists(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
--- a/crates/policy/tests/dispatch/choice.rs
+++ b/crates/policy/tests/dispatch/choice.rs
@@ -92,7 +92,7 @@
     RequestSpec { adapter: Some("x".into()), ..generation(ticket, "m1", now) }
 }
 
-/// A host whose only server has just refused a request for want of its adapter.
+/// A host whose only server has just refused a request because the adapter is not loaded.
 fn refused() -> Dispatcher {
     let mut host = host();
     host.server(&server("s1", "a", &[("m1", &["x"])]), at(0));
--- a/crates/policy/tests/dispatch/limits.rs
+++ b/crates/policy/tests/dispatch/limits.rs
@@ -149,7 +149,7 @@
     assert_eq!(order.first(), Some(&2), "{order:?}");
 }
 
-/// Each attempt takes a permit, whatever the request did before.
+/// Each attempt takes a permit, regardless of earlier attempts of the request.
 #[rstest]
 #[case::rejected(End::NotRun(NotRun::Full))]
 #[case::cut(End::Unclear(policy::dispatch::Unclear::Cut))]
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -106,7 +106,7 @@
     assert_eq!(host.loans_outgoing(), [("b".into(), grant(&request, 8))]);
 }
 
-/// A loan pays only for what is sent at once: a retry that waits may arrive when the lender no
+/// A loan pays only for a retry that is sent at once: one that waits may arrive when the lender no
 /// longer counts the loan.
 #[rstest]
 fn a_loan_does_not_pay_for_what_waits() {
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -109,7 +109,7 @@
     arrivals: BTreeMap<Ticket, usize>,
     requests: Vec<Moment>,
     retries: Vec<Moment>,
-    /// Retries that were refused for want of budget.
+    /// Number of retries that were refused because the budget was used up.
     refused: usize,
     /// Messages on loans that are on their way, by the step at which they arrive and the receiver.
     messages: BTreeMap<(usize, usize), Vec<(usize, Message)>>,
