--- a/crates/policy/src/dispatch/arrive.rs
+++ b/crates/policy/src/dispatch/arrive.rs
@@ -13,33 +13,35 @@
     task::{Attempt, Leaving, Phase, State, Task},
 };
 
-/// A request may expect to wait one part in this many of its patience, in time or beyond its due
-/// time. Holding a request costs what it could have earned if refused at once, up to all of it at
-/// three quarters of its patience, while a late response earns three tenths. At one eighth a
-/// response that is likely to be late is still worth the risk.
+/// A request is queued only if its expected wait, or the wait beyond its due time, is at most one
+/// part in this many of its caller's timeout. A request that is refused at once can still be
+/// retried in time; the longer it is held first, the less a retry is worth, down to nothing at
+/// three quarters of the timeout. A late response is worth three tenths of one in time. At one
+/// eighth, a response that is likely to be late is still worth the risk.
 const MAX_WAIT_DIVISOR: u32 = 8;
 
-/// Part of its goal that a request must have left, in addition to its own time, to go before those
-/// that are late. Without this slack, an overloaded host serves each request when it is just too
-/// late.
+/// Part of its goal that a request must have left, in addition to its expected service time, to be
+/// served before late requests. Without this slack, an overloaded host serves each request when it
+/// has just become late.
 const ON_TIME_SLACK: f64 = 0.33;
 
-/// Part of its patience that a request waits while no server has its model: a load takes seconds,
-/// and a model that is rarely requested is never loaded if its requests are refused.
-const UNHELD_WAIT: f64 = 0.35;
+/// Part of its caller's timeout that a request waits while no server has its model loaded and no
+/// load was ordered. A load takes seconds, and a model that is rarely requested would never be
+/// loaded if its requests were refused.
+const NOT_LOADED_WAIT: f64 = 0.35;
 
-/// The same once the model is being loaded.
+/// Part of its caller's timeout that a request waits once its model is being loaded.
 const LOADING_WAIT: f64 = 0.7;
 
-/// Divisors of a request's patience that bound the delay after which a refused request may be
-/// retried. Callers wait at most a third of the time they have left.
+/// Divisors of the caller's timeout that give the shortest and the longest delay after which a
+/// refused request may be retried. Callers wait at most a third of the time they have left.
 const RETRY_AFTER_MIN_DIVISOR: u32 = 12;
 const RETRY_AFTER_MAX_DIVISOR: u32 = 5;
 
 /// Callers wait at most one part in this many of the time they have left before they retry.
 const CALLER_WAIT_DIVISOR: u32 = 3;
 
-/// Lower bound of the rate at which requests are assumed to start.
+/// Lower bound of the estimated rate at which requests start, so that estimated waits stay finite.
 const MIN_STARTS_PER_MS: f64 = 1e-7;
 
 /// Expected times of a request, in milliseconds.
@@ -51,7 +53,7 @@
 }
 
 impl Dispatcher {
-    /// Decides on a request that has arrived.
+    /// Decides whether a request that has arrived is sent to a server, queued or refused.
     pub fn arrive(&mut self, spec: RequestSpec, now: Moment) -> Verdict {
         let service = self.registry.service(&spec.service);
         let model = spec.model.as_ref().map(|model| self.registry.model(service, model));
@@ -61,7 +63,7 @@
         }
         let mut task = Task::new(spec, service, model, now);
         let ahead = self.ahead(&task);
-        self.note_missed(&task, now);
+        self.record_missing_permits(&task, now);
         match self.choose(&task, now) {
             Outcome::Send(choice) if ahead == 0 => Verdict::Send(self.send(task, choice, now)),
             Outcome::NoServer => self.wait_for_load(task, now),
@@ -97,7 +99,7 @@
             let after = retry_delay(&task, 0.0);
             return RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Late, after });
         };
-        self.settle(&mut task, &attempt, end, now);
+        self.attempt_ended(&mut task, &attempt, end, now);
         task.record_attempt(&attempt.id, end);
         let outcome = self.choose(&task, now);
         if let Err(cause) = self.pay_for_retry(&mut task, end, &outcome, now) {
@@ -121,9 +123,10 @@
         }
     }
 
-    /// Queues a request that was tried until another server has a place for it. A request that may
-    /// have run waits as long as its time allows, since all that it could still earn is lost
-    /// otherwise; one that did not run waits no longer than a late request, or until `until`.
+    /// Queues a request after a failed attempt, until another server has a place for it. A request
+    /// that may have run waits as long as its time allows, since it can no longer be refused as not
+    /// run; one that did not run waits as long as a late request, or until `until` if that is
+    /// later.
     fn requeue(&mut self, mut task: Task, until: Moment, now: Moment) {
         let estimate = self.estimate_wait(&task, now);
         let give_up = match task.runs {
@@ -137,7 +140,7 @@
     fn wait_for_another(&mut self, task: Task, now: Moment) -> RetryDecision {
         let ready = self.loaded_at(&task);
         let (model, adapter) = (task.spec.model.clone(), task.spec.adapter.clone());
-        let until = unheld_until(&task, ready);
+        let until = load_wait_until(&task, ready);
         self.requeue(task, until, now);
         let missing = model.filter(|_| ready.is_none());
         missing.map_or(RetryDecision::Wait, |model| RetryDecision::Missing { model, adapter })
@@ -153,9 +156,10 @@
         now: Moment,
     ) -> Result<(), Cause> {
         self.check_retry(task, end, now)?;
-        // A loan pays only for a request that is sent at once, and the time for that is over.
+        // A loan is valid only for a retry that is sent at once, so a loan left from an attempt
+        // that reached no server is dropped.
         task.payment = task.payment.filter(|payment| *payment == Payment::Own);
-        // A request that has reached no server so far arrives for the first time.
+        // The first arrival of a request at a server needs no payment.
         if !task.has_arrived || task.payment.is_some() {
             return Ok(());
         }
@@ -199,7 +203,8 @@
         }
     }
 
-    /// Reserves a place at the chosen server.
+    /// Assigns the request to the chosen server, reserves its place there, and returns the server's
+    /// id.
     pub(super) fn send(&mut self, mut task: Task, choice: Choice, now: Moment) -> backend::Id {
         let ticket = task.spec.ticket;
         let suspect = self.is_suspect(&task);
@@ -220,7 +225,7 @@
         task.state = State::InFlight(Attempt {
             server: choice.server,
             id: id.clone(),
-            sent: now,
+            sent_at: now,
             baseline_ms: choice.baseline_ms,
             work_ms: choice.work_ms,
             queue_ms: choice.queue_ms,
@@ -240,7 +245,7 @@
             let after = ready.saturating_sub(now).min(most);
             return Verdict::Refuse { cause: Cause::NoServer, after };
         }
-        let give_up = unheld_until(&task, ready);
+        let give_up = load_wait_until(&task, ready);
         let missing = task.spec.model.clone().filter(|_| ready.is_none());
         let adapter = task.spec.adapter.clone();
         self.enqueue(&mut task, Class::OnTime, give_up, now);
@@ -248,12 +253,14 @@
         missing.map_or(Verdict::Wait, |model| Verdict::Missing { model, adapter })
     }
 
-    /// Whether the caller will have left when the load is done; loads take seconds.
+    /// Whether the caller will have left before a load that is done at `ready` lets the request be
+    /// served.
     fn is_too_late(&self, task: &Task, ready: Moment) -> bool {
         task.caller_leaves_at() < ready + duration(self.stats(task).base())
     }
 
-    /// When a load that the request waits for is expected to be done.
+    /// Earliest expected completion of a load that lets the request run on a server that it need
+    /// not avoid.
     fn loaded_at(&self, task: &Task) -> Option<Moment> {
         let loading = &self.registry.models[task.model? as usize].loading;
         let is_other = |index| {
@@ -268,11 +275,11 @@
 
     pub(super) fn enqueue(&mut self, task: &mut Task, class: Class, give_up: Moment, now: Moment) {
         let serve = duration(self.stats(task).base()) + task.spec.goal.mul_f64(ON_TIME_SLACK);
-        let due = match class {
+        let send_by = match class {
             Class::Retried => now,
             Class::OnTime | Class::Late => task.due.saturating_sub(serve),
         };
-        let key = Key { priority: task.spec.priority, class, due, ticket: task.spec.ticket };
+        let key = Key { priority: task.spec.priority, class, send_by, ticket: task.spec.ticket };
         task.state = State::Waiting(key, give_up);
         self.registry.services[task.service as usize].queue.add(key, task.model, give_up);
     }
@@ -289,7 +296,7 @@
         let mut limited = None;
         for index in self.list(task).sample(task.seed()) {
             let Some(server) = self.registry.get(index) else { continue };
-            if !self.is_able(task, server) {
+            if !self.is_capable(task, server) {
                 continue;
             }
             match self.own_rate(server, now) {
@@ -314,7 +321,8 @@
         self.stats(task).base() + reading
     }
 
-    /// Returns the delay before a retry if it is of no use to wait here.
+    /// Returns the delay after which the caller should retry, if the request can't be served in
+    /// time by waiting on this host.
     fn retry_after_if_futile(
         &self,
         task: &Task,
@@ -323,13 +331,13 @@
     ) -> Option<Duration> {
         let start = now + duration(estimate.wait);
         let served = start + duration(estimate.serve);
-        let most = task.due.max(now) + task.patience() / MAX_WAIT_DIVISOR;
+        let most = task.due.max(now) + task.caller_timeout() / MAX_WAIT_DIVISOR;
         let is_lost = task.caller_leaves_at() < served || most < start;
         is_lost.then(|| retry_delay(task, estimate.wait))
     }
 
-    /// Returns the delay before a retry if it is of no use to wait behind `ahead` requests for
-    /// servers at which `rate` requests start each millisecond.
+    /// Returns the delay after which the caller should retry, if the request can't be served in
+    /// time behind `ahead` requests, for servers at which `rate` requests start each millisecond.
     pub(super) fn retry_after_if_futile_at(
         &self,
         task: &Task,
@@ -342,9 +350,9 @@
         self.retry_after_if_futile(task, &estimate, now)
     }
 
-    /// The refusal of a request that has waited in vain.
+    /// The refusal of a request that got no server before the end of its wait.
     pub(super) fn refusal(&self, task: &Task, now: Moment) -> Verdict {
-        let cause = if self.has_able_server(task) { Cause::Full } else { Cause::NoServer };
+        let cause = if self.has_capable_server(task) { Cause::Full } else { Cause::NoServer };
         Verdict::Refuse { cause, after: self.retry_after(task, now) }
     }
 
@@ -353,10 +361,11 @@
         retry_delay(task, self.estimate_wait(task, now).wait)
     }
 
-    /// Until when a request waits that is late from now on; `None` if it is not worth waiting.
+    /// Until when a request that has just become late waits; `None` if its expected wait is too
+    /// long.
     pub(super) fn late_until(&self, task: &Task, now: Moment) -> Option<Moment> {
         let estimate = self.estimate_wait(task, now);
-        let max_wait = task.patience() / MAX_WAIT_DIVISOR;
+        let max_wait = task.caller_timeout() / MAX_WAIT_DIVISOR;
         (duration(estimate.wait) < max_wait).then(|| give_up_at(task, Class::Late, &estimate, now))
     }
 }
@@ -365,38 +374,40 @@
     if now + duration(estimate.serve) < task.due { Class::OnTime } else { Class::Late }
 }
 
-/// The last moment at which it is of use to send a request.
+/// The last moment at which a request can start and be answered before its caller leaves.
 fn latest_start(task: &Task, estimate: &Estimate) -> Moment {
     task.caller_leaves_at().saturating_sub(duration(estimate.serve))
 }
 
-/// Until when a request waits.
+/// Until when a request of this class waits for a place at a server.
 fn give_up_at(task: &Task, class: Class, estimate: &Estimate, now: Moment) -> Moment {
     let last = latest_start(task, estimate);
     match class {
         Class::OnTime => last,
         Class::Retried | Class::Late => {
-            last.min(now.max(task.due) + task.patience() / MAX_WAIT_DIVISOR)
+            last.min(now.max(task.due) + task.caller_timeout() / MAX_WAIT_DIVISOR)
         }
     }
 }
 
-/// Until when a request waits that no server could run.
-fn unheld_until(task: &Task, ready: Option<Moment>) -> Moment {
-    let until = |part| task.arrived + task.patience().mul_f64(part);
+/// Until when a request waits for its model or adapter to be loaded. `ready` is the expected time
+/// of a load that was ordered.
+fn load_wait_until(task: &Task, ready: Option<Moment>) -> Moment {
+    let until = |part| task.arrived_at + task.caller_timeout().mul_f64(part);
     match ready {
-        Some(ready) => (ready + task.patience() / MAX_WAIT_DIVISOR)
-            .max(until(UNHELD_WAIT))
+        Some(ready) => (ready + task.caller_timeout() / MAX_WAIT_DIVISOR)
+            .max(until(NOT_LOADED_WAIT))
             .min(until(LOADING_WAIT)),
-        None => until(UNHELD_WAIT),
+        None => until(NOT_LOADED_WAIT),
     }
 }
 
-/// Delay before a retry: about the time until the requests ahead are through, and up to half as
-/// long again, so that requests refused together do not return together.
+/// Delay after which a refused request may be retried: about the time until the requests ahead have
+/// started, plus a random part of up to half of it, so that requests refused together are not
+/// retried together.
 fn retry_delay(task: &Task, wait: f64) -> Duration {
-    let patience = task.patience();
+    let caller_timeout = task.caller_timeout();
     let base = duration(wait)
-        .clamp(patience / RETRY_AFTER_MIN_DIVISOR, patience / RETRY_AFTER_MAX_DIVISOR);
+        .clamp(caller_timeout / RETRY_AFTER_MIN_DIVISOR, caller_timeout / RETRY_AFTER_MAX_DIVISOR);
     base + base / 2 * (task.seed() % 256) as u32 / 256
 }
--- a/crates/policy/src/dispatch/budget.rs
+++ b/crates/policy/src/dispatch/budget.rs
@@ -2,12 +2,12 @@
 //!
 //! In any span of one window, the arrivals at a service's servers beyond the first of each request
 //! stay under `ratio` times its requests plus `extra`, over all hosts. Each host keeps to a share
-//! that is based on what it knows by itself, so that the sum holds regardless of which messages
-//! hosts receive from each other.
+//! that it computes from its own requests and the number of hosts that it knows, so that the sum
+//! holds regardless of which messages hosts receive from each other.
 //!
 //! Requests pay for retries in the window in which a retry is counted, or in the one before it. A
 //! host's share of the ratio has two parts. The steady part is based on the smallest of its windows
-//! that ended within the last one: whatever window a retry is counted in, the one before it has at
+//! that ended within the last one: the window before the one in which a retry is counted has at
 //! least as many requests. The recent part is based on its last window, which may overlap both of
 //! these windows, so it counts twice. With the sum of the steady part and twice the recent part at
 //! one or less, the hosts' shares add up to no more than the ratio, also where the requests reach
@@ -28,7 +28,7 @@
 use types::prelude::*;
 
 use self::{
-    loan::{LENT, Loans},
+    loan::{ARRIVAL_LIMIT, Loans},
     series::Series,
 };
 
@@ -36,25 +36,25 @@
 /// later.
 const EXTRA_MARGIN: f64 = 0.8;
 
-/// Part of the ratio that a host uses of its smallest window.
+/// Share of the ratio that a host takes for the requests in its smallest window.
 const STEADY_PART: f64 = 0.45;
 
-/// Part of the ratio that a host uses of its last window.
+/// Share of the ratio that a host takes for the requests in its last window.
 const RECENT_PART: f64 = 0.25;
 
-/// Part of the share that is reserved for requests whose work is lost without a retry.
+/// Part of the share that is reserved for retries with [`Need::High`].
 const RESERVED_PART: f64 = 0.25;
 
-/// Parts of a window in which requests are counted.
+/// Number of parts into which a window is divided to count requests.
 const WINDOW_PARTS: u32 = 100;
 
 /// Number of retries left below which a host borrows more.
 const LOW_RETRIES: f64 = 3.0;
 
-/// How long after the last request for a retry a host borrows.
+/// How long after a retry was last requested a host still borrows.
 const DEMAND_MEMORY: Duration = Duration::from_millis(250);
 
-/// Part of what is left that a host lends at once.
+/// Part of the retries left to a host that it lends in one loan.
 const LEND_PART: f64 = 0.5;
 
 /// Part of a window by which the smallest one is shortened: callers sent a request up to this long
@@ -101,7 +101,7 @@
 pub struct RetryBudgetStatus {
     /// Requests that have arrived at the host.
     pub requests: u64,
-    /// Retries that have arrived at a server, or can't any more.
+    /// Retries that have arrived at a server, or can no longer arrive.
     pub retries: u64,
     /// Retries that were paid and may still arrive.
     pub open: u64,
@@ -127,8 +127,9 @@
 pub struct Extra {
     /// Hosts that share the extra equally.
     pub hosts: u32,
-    /// From when on this run of the host has its share; `None` while the run isn't registered.
-    pub from: Option<Moment>,
+    /// From when on this run of the host has its share, on the host's clock; `None` while the run
+    /// isn't registered.
+    pub available_from: Option<Moment>,
 }
 
 /// One service's retry budget on one host.
@@ -136,7 +137,7 @@
 pub struct Budget {
     config: RetryBudgetConfig,
     requests: Series,
-    /// Retries that have arrived, or can't any more.
+    /// Retries that have arrived, or can no longer arrive.
     retries: Series,
     /// Retries that were paid and may still arrive.
     open: u64,
@@ -144,7 +145,7 @@
     /// Retries refused since the host's start.
     refused: u64,
     /// When a retry was last requested.
-    wanted: Option<Moment>,
+    last_requested: Option<Moment>,
     /// Loans from other hosts.
     borrowed: Loans,
     /// Loans to other hosts, until they no longer count.
@@ -163,13 +164,13 @@
             open: 0,
             totals: RetryTotals::default(),
             refused: 0,
-            wanted: None,
+            last_requested: None,
             borrowed: Loans::default(),
             lent: Loans::default(),
         }
     }
 
-    /// Counts a request that has arrived, whatever becomes of it.
+    /// Counts a request that has arrived, whether or not it is served.
     pub fn request(&mut self, now: Moment) {
         self.totals.requests += 1;
         self.requests.add(1, now);
@@ -180,17 +181,17 @@
     pub fn pay(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let own = self.take_own(need, extra, now);
         let payment = own.or_else(|| self.borrowed.take(now).map(|()| Payment::Borrowed));
-        self.note(payment)
+        self.count_retry(payment)
     }
 
     /// Pays for a retry that waits, from this host's own share only.
     pub fn reserve(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
         let payment = self.take_own(need, extra, now);
-        self.note(payment)
+        self.count_retry(payment)
     }
 
     /// Counts a retry that was paid or refused.
-    fn note(&mut self, payment: Option<Payment>) -> Option<Payment> {
+    fn count_retry(&mut self, payment: Option<Payment>) -> Option<Payment> {
         match payment {
             Some(_) => self.totals.retries += 1,
             None => self.refused += 1,
@@ -199,13 +200,13 @@
     }
 
     fn take_own(&mut self, need: Need, extra: Extra, now: Moment) -> Option<Payment> {
-        self.wanted = Some(now);
+        self.last_requested = Some(now);
         let has_left = 1.0 <= self.own_left(need, extra, now);
         self.open += u64::from(has_left);
         has_left.then_some(Payment::Own)
     }
 
-    /// Records that a paid retry has arrived, or can't any more.
+    /// Records that a paid retry has arrived, or can no longer arrive.
     pub fn arrived(&mut self, payment: Payment, now: Moment) {
         if payment == Payment::Own {
             self.open = self.open.saturating_sub(1);
@@ -230,19 +231,19 @@
         let spare = self.own_left(Need::Normal, extra, now).max(0.0) * LEND_PART;
         let lent = wanted.min(spare as u32);
         self.lent.expire(now);
-        self.lent.add(lent, now + LENT + self.config.window);
+        self.lent.add(lent, now + ARRIVAL_LIMIT + self.config.window);
         lent
     }
 
-    /// Adds what another host lends until `until`.
+    /// Adds a loan of another host, which is valid until `until`.
     pub fn borrow(&mut self, count: u32, until: Moment, now: Moment) {
         self.borrowed.expire(now);
         self.borrowed.add(count, until);
     }
 
-    /// Whether retries were requested lately and few are left.
+    /// Whether a retry was requested lately and few are left, so that the host should borrow.
     pub fn is_short(&self, extra: Extra, now: Moment) -> bool {
-        let is_wanted = self.wanted.is_some_and(|at| now < at + DEMAND_MEMORY);
+        let is_wanted = self.last_requested.is_some_and(|at| now < at + DEMAND_MEMORY);
         is_wanted && self.left(Need::Normal, extra, now) < LOW_RETRIES
     }
 
@@ -283,7 +284,7 @@
     fn share(&self, extra: Extra, now: Moment) -> f64 {
         let steady = STEADY_PART * self.least_requests(now) as f64;
         let recent = RECENT_PART * self.requests.last(now) as f64;
-        let is_due = extra.from.is_some_and(|from| from <= now);
+        let is_due = extra.available_from.is_some_and(|from| from <= now);
         let part = self.config.extra * EXTRA_MARGIN / f64::from(extra.hosts.max(1));
         self.config.ratio * (steady + recent) + if is_due { part } else { 0.0 }
     }
--- a/crates/policy/src/dispatch/account.rs
+++ b/crates/policy/src/dispatch/events.rs
@@ -14,29 +14,32 @@
 };
 use crate::route::Index;
 
-/// How long a server that refused a request as full gets none.
+/// How long a server gets no requests after it refused one as full.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// Part of its slots below which a server that refuses requests as full counts as failing.
+/// Share of its slots in use below which a server's refusal of a request as full counts as a
+/// failure.
 const EARLY_REFUSAL_FILL: f64 = 0.5;
 
-/// Slowness above which a server's times are excluded from the statistics of its service.
+/// Slowness relative to the median above which a server's times are excluded from the statistics of
+/// its service or model.
 const EXCLUDED_SLOWNESS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Records that the first byte of the request is sent; until then it was waiting for a
-    /// connection.
+    /// Records that the first byte of the request is sent, which starts the time of the attempt:
+    /// until then the request was waiting for a connection.
     pub fn sent(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get_mut(&ticket) {
-            attempt.sent = now;
+            attempt.sent_at = now;
         }
         self.poison.sent(ticket, now);
     }
 
-    /// Records that the head of the server's response was received, whatever becomes of the rest.
-    pub fn answers(&mut self, ticket: Ticket, now: Moment) {
+    /// Records that the head of the server's response was received, whether or not the body
+    /// follows.
+    pub fn response_started(&mut self, ticket: Ticket, now: Moment) {
         if let Some(Task { state: State::InFlight(attempt), .. }) = self.tasks.get(&ticket) {
-            self.poison.answered(&attempt.id, attempt.sent, now);
+            self.poison.answered(&attempt.id, attempt.sent_at, now);
         }
     }
 
@@ -67,7 +70,8 @@
         }
     }
 
-    /// Records that the request is over, at a server or in the queue.
+    /// Records that the request has ended, at a server or in the queue, and gives back an unused
+    /// payment for a retry.
     pub fn ended(&mut self, ticket: Ticket, end: End, now: Moment) {
         let Some(mut task) = self.tasks.remove(&ticket) else { return };
         match std::mem::replace(&mut task.state, State::Idle) {
@@ -76,7 +80,7 @@
                 let queue = &mut self.registry.services[task.service as usize].queue;
                 queue.remove(key, task.model, give_up);
             }
-            State::InFlight(attempt) => self.settle(&mut task, &attempt, end, now),
+            State::InFlight(attempt) => self.attempt_ended(&mut task, &attempt, end, now),
         }
         self.refund(&mut task);
     }
@@ -89,14 +93,21 @@
         }
     }
 
-    /// Records that an attempt is over.
-    pub(super) fn settle(&mut self, task: &mut Task, attempt: &Attempt, end: End, now: Moment) {
+    /// Records the end of an attempt in the retry budget, in the statistics, and in the state of
+    /// its server.
+    pub(super) fn attempt_ended(
+        &mut self,
+        task: &mut Task,
+        attempt: &Attempt,
+        end: End,
+        now: Moment,
+    ) {
         if !matches!(end, End::Unreachable(_)) {
             self.reached(task, now);
         }
-        self.poison_settled(task, attempt, end, now);
-        let is_new = attempt.phase != Phase::Responding;
-        if is_new && matches!(end, End::Completed) {
+        self.update_poison(task, attempt, end, now);
+        let is_first_byte = attempt.phase != Phase::Responding;
+        if is_first_byte && matches!(end, End::Completed) {
             self.record_first_byte(task, attempt, now);
         }
         let median = self.registry.services[task.service as usize].median;
@@ -107,24 +118,24 @@
                 Some(model) => &mut self.registry.models[model as usize].stats,
                 None => &mut self.registry.services[task.service as usize].stats,
             };
-            stats.record_hold(millis(now.saturating_sub(attempt.sent)) - attempt.queue_ms);
+            stats.record_hold(millis(now.saturating_sub(attempt.sent_at)) - attempt.queue_ms);
         }
-        self.server_settled(task, attempt, end, now);
+        self.update_server(task, attempt, end, now);
         self.trip_outlier(attempt.server, task.service, now);
     }
 
-    fn poison_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+    fn update_poison(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let fingerprint = task.spec.fingerprint;
         let ticket = task.spec.ticket;
-        // A draining server ends on its own.
-        let is_leaving =
+        // A draining server exits on its own, so a broken connection does not indicate a crash.
+        let is_draining =
             self.registry.index(&attempt.id).is_some_and(|index| self.registry.is_draining(index));
         match end {
             End::Completed => self.poison.completed(fingerprint, now),
-            End::Unclear(Unclear::Cut) if !is_leaving => {
+            End::Unclear(Unclear::Cut) if !is_draining => {
                 self.poison.crashed(ticket, fingerprint, &attempt.id, now);
             }
-            End::Unclear(Unclear::Silent) | End::Cancelled if !is_leaving => {
+            End::Unclear(Unclear::Silent) | End::Cancelled if !is_draining => {
                 self.poison.unclear(ticket, fingerprint, &attempt.id, now);
             }
             End::ServerError
@@ -136,7 +147,7 @@
         self.poison.ended(ticket, now);
     }
 
-    fn server_settled(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
+    fn update_server(&mut self, task: &Task, attempt: &Attempt, end: End, now: Moment) {
         let peers_at = self.registry.peers_at();
         let median = self.registry.services[task.service as usize].median;
         let ticket = task.spec.ticket;
@@ -183,7 +194,7 @@
             }
             End::Unclear(Unclear::Silent) => {
                 server.pace.record_failure(&median, now);
-                if server.answered < attempt.sent {
+                if server.answered_at < attempt.sent_at {
                     server.breaker.trip(Cause::Timeout, now);
                 }
             }
@@ -195,9 +206,10 @@
         }
     }
 
-    /// Updates the statistics with the time to the first byte.
+    /// Updates the server's pace, and the statistics of its model or service, with the time to the
+    /// first byte.
     fn record_first_byte(&mut self, task: &Task, attempt: &Attempt, now: Moment) {
-        let took = millis(now.saturating_sub(attempt.sent)).max(0.1);
+        let took = millis(now.saturating_sub(attempt.sent_at)).max(0.1);
         let median = self.registry.services[task.service as usize].median;
         let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
         server.mark_answered(now);
@@ -215,12 +227,13 @@
             Some(model) => &mut self.registry.models[model as usize].stats,
             None => &mut self.registry.services[task.service as usize].stats,
         };
-        // Not divided by the server's pace: each of the two estimates would then follow the other.
+        // Not divided by the server's pace: the pace is derived from these statistics, so the two
+        // estimates would feed back into each other.
         stats.record_first_byte(took - attempt.work_ms);
         self.trip_outlier(attempt.server, task.service, now);
     }
 
-    /// Trips the breaker of a server that is much worse than the others.
+    /// Trips the breaker of a server that is an outlier among the servers of its service.
     pub(super) fn trip_outlier(&mut self, server: Index, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         if let Some(server) = self.registry.get_mut(server)
@@ -231,7 +244,7 @@
     }
 }
 
-/// Whether a server is so slow that its times say nothing about its service.
+/// Whether a server is so slow that its times would distort the statistics of its service.
 fn is_excluded(server: &Server, median: &Median, now: Moment) -> bool {
     EXCLUDED_SLOWNESS < server.pace.slowness(median, now)
 }
--- a/crates/policy/src/dispatch/loaded.rs
+++ b/crates/policy/src/dispatch/loaded.rs
@@ -1,15 +1,16 @@
 //! Which models and adapters a server has loaded.
 //!
-//! Reports are late. First-hand knowledge, that an order is done or that the server refused a
-//! request for want of the model, overrides what is reported within [`FIRST_HAND_PRECEDENCE`]. An
+//! Reports are late. First-hand knowledge, namely that an order is done or that the server refused
+//! a request because the model is not loaded, overrides reports for [`FIRST_HAND_PRECEDENCE`]. An
 //! order to unload a model is carried out only when the model's requests have ended, so it
 //! overrides reports for [`UNLOAD_PRECEDENCE`]. Registrations are sent only when something changes,
-//! so what one lists in the meantime is stored and applied after that time. It is applied at once
-//! if the server has taken an order since the refusal, as the server may have loaded again what it
-//! refused.
+//! so an entry that an override suppresses is stored and applied when the override ends. After a
+//! refusal, it is applied at once if the server has taken an order since, as the server may have
+//! loaded the model again.
 //!
 //! Notices of other hosts may arrive late and in any order. Each carries the sequence number of the
-//! server's orders, and a notice older than what is known of the same model changes nothing.
+//! server's orders, and a notice that is older than the known state of the same model changes
+//! nothing.
 
 use types::{prelude::*, routed};
 
@@ -34,7 +35,7 @@
     model: Index,
     adapter: Option<adapter::Id>,
     presence: Presence,
-    /// Sequence number of the server's orders at that time, if known.
+    /// Sequence number of the server's orders as of this knowledge, if known.
     sequence: Option<routed::Sequence>,
     /// Until when reports are overridden.
     until: Moment,
@@ -46,7 +47,8 @@
     Present,
     Absent {
         why: Absence,
-        /// What the latest report lists in spite of the absence, with the model's adapters.
+        /// Entry of the model, or of the adapter on it, in the latest report, which lists it in
+        /// spite of the absence.
         listed: Option<LoadedModel>,
     },
 }
@@ -54,9 +56,9 @@
 /// Why a model or adapter is not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// The server was ordered to unload it, by the order of this sequence number.
+    /// The server was ordered to unload the model or adapter, by the order of this sequence number.
     Ordered(routed::Sequence),
-    /// The server refused a request for want of it.
+    /// The server refused a request because it does not have the model or adapter loaded.
     Refused,
 }
 
@@ -70,14 +72,14 @@
 
 impl LoadedModels {
     /// Whether the model is loaded, and the adapter if one is named.
-    pub fn holds(&self, model: Index, adapter: Option<&adapter::Id>) -> bool {
-        let holding = self.models.iter().find(|h| h.model == model);
-        holding.is_some_and(|h| adapter.is_none_or(|adapter| h.adapters.contains(adapter)))
+    pub fn is_loaded(&self, model: Index, adapter: Option<&adapter::Id>) -> bool {
+        let loaded = self.models.iter().find(|entry| entry.model == model);
+        loaded.is_some_and(|entry| adapter.is_none_or(|adapter| entry.adapters.contains(adapter)))
     }
 
     /// Models that are loaded.
     pub fn indexes(&self) -> impl Iterator<Item = Index> {
-        self.models.iter().map(|h| h.model)
+        self.models.iter().map(|entry| entry.model)
     }
 
     /// Whether something newer than this sequence number is known of the model, or of the adapter
@@ -88,10 +90,10 @@
         adapter: Option<&adapter::Id>,
         sequence: routed::Sequence,
     ) -> bool {
-        let is_about = |l: &&Override| {
-            l.model == model && (l.adapter.is_none() || l.adapter.as_ref() == adapter)
+        let is_about = |entry: &&Override| {
+            entry.model == model && (entry.adapter.is_none() || entry.adapter.as_ref() == adapter)
         };
-        let mut known = self.overrides.iter().filter(is_about).filter_map(|l| l.sequence);
+        let mut known = self.overrides.iter().filter(is_about).filter_map(|entry| entry.sequence);
         sequence < self.sequence || known.any(|known| sequence < known)
     }
 
@@ -104,7 +106,8 @@
         now: Moment,
     ) {
         self.remove_override(model, adapter);
-        self.overrides.retain(|l| l.model != model || l.adapter.is_some() || l.is_present());
+        self.overrides
+            .retain(|entry| entry.model != model || entry.adapter.is_some() || entry.is_present());
         self.push_override(
             model,
             adapter,
@@ -121,8 +124,8 @@
         self.overrides.retain(|entry| entry.model != model);
     }
 
-    /// Records that the adapter, or without one the model with its adapters, is not loaded,
-    /// whatever reports list for a while.
+    /// Records that the adapter, or without one the model with its adapters, is not loaded, which
+    /// overrides reports for a while.
     pub fn mark_absent(
         &mut self,
         model: Index,
@@ -161,7 +164,7 @@
         }
         let has_ordered = self.sequence < sequence;
         self.sequence = sequence;
-        self.overrides.retain(|l| now < l.until && !(has_ordered && l.is_refused()));
+        self.overrides.retain(|entry| now < entry.until && !(has_ordered && entry.is_refused()));
         self.models = models.map(|(model, adapters)| LoadedModel { model, adapters }).collect();
         let mut overrides = std::mem::take(&mut self.overrides);
         for Override { model, adapter, presence, .. } in &mut overrides {
@@ -192,16 +195,16 @@
         }
         // Overrides that last longer still apply.
         let absent = self.overrides.iter().filter(|entry| !entry.is_present());
-        let absent: Vec<_> = absent.map(|l| (l.model, l.adapter.clone())).collect();
+        let absent: Vec<_> = absent.map(|entry| (entry.model, entry.adapter.clone())).collect();
         absent.iter().for_each(|(model, adapter)| self.remove(*model, adapter.as_ref()));
     }
 
     /// The part of a model's entry in the report that an absence overrides.
     fn listed(&self, model: Index, adapter: Option<&adapter::Id>) -> Option<LoadedModel> {
-        let holding = self.models.iter().find(|h| h.model == model)?;
+        let loaded = self.models.iter().find(|entry| entry.model == model)?;
         match adapter {
-            None => Some(holding.clone()),
-            Some(adapter) if holding.adapters.contains(adapter) => {
+            None => Some(loaded.clone()),
+            Some(adapter) if loaded.adapters.contains(adapter) => {
                 Some(LoadedModel { model, adapters: vec![adapter.clone()] })
             }
             Some(_) => None,
@@ -226,11 +229,11 @@
     }
 
     fn remove_override(&mut self, model: Index, adapter: Option<&adapter::Id>) {
-        self.overrides.retain(|l| l.model != model || l.adapter.as_ref() != adapter);
+        self.overrides.retain(|entry| entry.model != model || entry.adapter.as_ref() != adapter);
     }
 
     fn add(&mut self, model: Index, adapter: Option<&adapter::Id>) {
-        let at = self.models.iter().position(|h| h.model == model).unwrap_or_else(|| {
+        let at = self.models.iter().position(|entry| entry.model == model).unwrap_or_else(|| {
             self.models.push(LoadedModel { model, adapters: Vec::new() });
             self.models.len() - 1
         });
@@ -244,10 +247,10 @@
 
     fn remove(&mut self, model: Index, adapter: Option<&adapter::Id>) {
         match adapter {
-            None => self.models.retain(|h| h.model != model),
+            None => self.models.retain(|entry| entry.model != model),
             Some(adapter) => {
-                let of_model = self.models.iter_mut().filter(|h| h.model == model);
-                of_model.for_each(|h| h.adapters.retain(|other| other != adapter));
+                let of_model = self.models.iter_mut().filter(|entry| entry.model == model);
+                of_model.for_each(|entry| entry.adapters.retain(|other| other != adapter));
             }
         }
     }
--- a/crates/policy/src/dispatch/loans.rs
+++ b/crates/policy/src/dispatch/loans.rs
@@ -1,10 +1,10 @@
-//! Requests for loans of retries: which host is asked, and when.
+//! Requests for loans of retries: to which host they are sent, and when.
 
 use types::prelude::*;
 
 use super::{
     Dispatcher, Map,
-    budget::loan::{Content, Message, PORTION, USABLE},
+    budget::loan::{Content, Message, PORTION, VALIDITY},
 };
 use crate::route::Index;
 
@@ -14,7 +14,7 @@
 /// Minimum time between two requests for one service.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Consecutive denials after which no host is asked for [`DENIAL_PAUSE`].
+/// Consecutive denials after which no loan is requested for [`DENIAL_PAUSE`].
 const MAX_DENIALS: u32 = 4;
 
 const DENIAL_PAUSE: Duration = Duration::from_secs(1);
@@ -31,10 +31,10 @@
 /// Loan requests for one service.
 #[derive(Clone, Debug, Default)]
 struct LoanRequests {
-    /// When the last request was sent, while it has no answer.
-    open: Option<Moment>,
+    /// When the last request was sent; `None` once it is answered.
+    pending_since: Option<Moment>,
     /// When the next request may be sent.
-    next: Moment,
+    next_at: Moment,
     /// Consecutive answers that lent nothing.
     denials: u32,
 }
@@ -42,8 +42,8 @@
 impl LoanRequests {
     /// Whether the next request may be sent.
     fn is_due(&self, now: Moment) -> bool {
-        let is_open = self.open.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
-        !is_open && self.next <= now
+        let is_pending = self.pending_since.is_some_and(|sent| now < sent + REQUEST_TIMEOUT);
+        !is_pending && self.next_at <= now
     }
 }
 
@@ -64,21 +64,21 @@
                 let answer = Message { content: Content::Grant(lent), ..message.clone() };
                 self.loans.outgoing.push((from.clone(), answer));
             }
-            Content::Grant(lent) => self.granted(service, lent, message.asked, now),
+            Content::Grant(lent) => self.granted(service, lent, message.requested_at, now),
         }
     }
 
-    fn granted(&mut self, service: Index, lent: u32, asked: Moment, now: Moment) {
+    fn granted(&mut self, service: Index, lent: u32, requested_at: Moment, now: Moment) {
         let Some(request) = self.loans.requests.get_mut(&service) else { return };
-        if request.open != Some(asked) {
+        if request.pending_since != Some(requested_at) {
             return;
         }
-        request.open = None;
+        request.pending_since = None;
         request.denials = if lent == 0 { request.denials + 1 } else { 0 };
         if request.denials == MAX_DENIALS {
-            (request.denials, request.next) = (0, now + DENIAL_PAUSE);
+            (request.denials, request.next_at) = (0, now + DENIAL_PAUSE);
         }
-        self.registry.services[service as usize].budget.borrow(lent, asked + USABLE, now);
+        self.registry.services[service as usize].budget.borrow(lent, requested_at + VALIDITY, now);
     }
 
     /// Requests a loan from the next host for each service that is short of retries.
@@ -95,10 +95,10 @@
             let Some(lender) = self.next_lender() else { return };
             let Borrowing { requests, outgoing, .. } = &mut self.loans;
             let request = requests.entry(index).or_default();
-            request.open = Some(now);
-            request.next = now + REQUEST_INTERVAL;
+            request.pending_since = Some(now);
+            request.next_at = now + REQUEST_INTERVAL;
             let content = Content::Request(PORTION);
-            outgoing.push((lender, Message { service, asked: now, content }));
+            outgoing.push((lender, Message { service, requested_at: now, content }));
             self.loans.turn += 1;
         }
     }
--- a/crates/policy/src/dispatch/poison.rs
+++ b/crates/policy/src/dispatch/poison.rs
@@ -3,16 +3,16 @@
 //! A [`Crash`] states that a request was at a run of a server when that run ended. Each host stores
 //! the crashes that it knows and sends them to others, including those that it only received. Sets
 //! of crashes are merged in any order and any number of times, so no crash counts twice, a
-//! restarted host gets them from any other, and a host that fails takes no information with it.
+//! restarted host gets them from any other host, and nothing is lost when a host fails.
 //!
 //! A crash stops counting when it is void: the server's run answered something that was sent to it
 //! later, or the request completed somewhere. It also doesn't count while another request explains
 //! it: one that ran isolated on that server, or one that has crashed more servers and is refused.
 //!
 //! From the second crash on a request is a suspect and runs isolated from other suspects: one at a
-//! time on a host, on the server with the least to lose. Hosts advertise such runs like crashes, so
-//! that no other host sends the same request, or another suspect to the same server, in the
-//! meantime. After the third crash the request is refused by all hosts.
+//! time on a host, preferably on the server with the fewest requests in flight. Hosts advertise
+//! such runs like crashes, so that no other host sends the same request, or another suspect to the
+//! same server, in the meantime. After the third crash the request is refused by all hosts.
 
 use std::{
     cmp::Ordering,
@@ -36,7 +36,8 @@
 /// How long a request is remembered after its last crash, if it ran isolated in one of its crashes.
 pub const LIFE: Duration = Duration::from_secs(3600);
 
-/// How long a request is remembered that shared the server with others in each of its crashes.
+/// How long a request is remembered after its last crash, if it shared the server with other
+/// requests in all of its crashes.
 pub const SUSPICION: Duration = Duration::from_secs(600);
 
 /// Remaining life below which a received crash is not added again.
@@ -48,14 +49,15 @@
 /// Most crashes sent to other hosts; those of requests with the most crashes are sent first.
 const MAX_SENT: usize = 128;
 
-/// How long a void crash of a request that is not a suspect is sent.
+/// How long a host sends a crash to others after it found the crash void.
 const VOID_SEND_TIME: Duration = Duration::from_secs(10);
 
 /// Time between the end of an attempt and the end of its server's registration within which the
 /// attempt may have crashed the server.
 const UNRESOLVED_LIFE: Duration = Duration::from_secs(8);
 
-/// How long at least a completed request is assumed to crash no server.
+/// Length of a generation of completed requests. A completed request is assumed to crash no server
+/// for at most two generations.
 const COMPLETED_LIFE: Duration = Duration::from_secs(10);
 
 /// Most completed requests remembered in each of two generations.
@@ -162,16 +164,17 @@
     isolation: Isolation,
     state: CrashState,
     /// When the crash expires at the latest.
-    until: Moment,
+    expires_at: Moment,
     /// When this host added the record, or when the run of a suspect was first recorded as a crash.
     seen_at: Moment,
-    /// When this host last found the crash void, from which on it sends that to others.
+    /// When this host last found the crash void; it sends the void crash to others for
+    /// [`VOID_SEND_TIME`] from then on.
     voided_at: Option<Moment>,
 }
 
 impl CrashRecord {
     fn age(&self, now: Moment) -> Duration {
-        LIFE.saturating_sub(self.until.saturating_sub(now))
+        LIFE.saturating_sub(self.expires_at.saturating_sub(now))
     }
 
     fn is_counted(&self) -> bool {
@@ -194,8 +197,8 @@
 
 impl Entry {
     /// Records of the request at a server, by all hosts.
-    fn at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
-        let there = self.crashes.iter().filter(move |((at, _), _)| at == server);
+    fn records_at<'a>(&'a self, server: &'a backend::Id) -> impl Iterator<Item = &'a CrashRecord> {
+        let there = self.crashes.iter().filter(move |((other, _), _)| other == server);
         there.map(|(_, record)| record)
     }
 
@@ -207,8 +210,9 @@
 
     /// When the request is forgotten, which depends on its newest crash and on whether it ran
     /// isolated in any.
-    fn until(&self) -> Moment {
-        let youngest = self.crashes.values().map(|record| record.until).max().unwrap_or_default();
+    fn expires_at(&self) -> Moment {
+        let youngest =
+            self.crashes.values().map(|record| record.expires_at).max().unwrap_or_default();
         let was_isolated =
             self.crashes.values().any(|record| record.isolation == Isolation::Isolated);
         if was_isolated { youngest } else { youngest.saturating_sub(LIFE - SUSPICION) }
@@ -229,30 +233,30 @@
     request: Fingerprint,
     server: backend::Id,
     isolation: Isolation,
-    at: Moment,
+    ended_at: Moment,
 }
 
-/// Requests that completed lately. The older generation is dropped when the younger one is full or
-/// old.
+/// Requests that completed lately, in two generations. The previous one is dropped when the current
+/// one is full or [`COMPLETED_LIFE`] old.
 #[derive(Clone, Debug, Default)]
 struct CompletedRequests {
-    young: BTreeSet<Fingerprint>,
-    old: BTreeSet<Fingerprint>,
+    current: BTreeSet<Fingerprint>,
+    previous: BTreeSet<Fingerprint>,
     since: Moment,
 }
 
 impl CompletedRequests {
     fn add(&mut self, request: Fingerprint, now: Moment) {
-        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.young.len() {
-            self.old = std::mem::take(&mut self.young);
+        if self.since + COMPLETED_LIFE <= now || MAX_COMPLETED <= self.current.len() {
+            self.previous = std::mem::take(&mut self.current);
             self.since = now;
         }
-        self.young.insert(request);
+        self.current.insert(request);
     }
 
     fn has(&self, request: Fingerprint, now: Moment) -> bool {
         let is_recent = now < self.since + COMPLETED_LIFE;
-        is_recent && (self.young.contains(&request) || self.old.contains(&request))
+        is_recent && (self.current.contains(&request) || self.previous.contains(&request))
     }
 }
 
@@ -261,7 +265,7 @@
 pub struct Poison {
     host: host::Id,
     entries: Map<Fingerprint, Entry>,
-    /// Requests by the servers that they were at.
+    /// Requests by the servers in their crashes.
     at_servers: BTreeMap<backend::Id, BTreeSet<Fingerprint>>,
     trial: Option<Trial>,
     unresolved: VecDeque<UnresolvedAttempt>,
@@ -271,7 +275,7 @@
 }
 
 impl Poison {
-    /// Creates a record of this host without crashes.
+    /// Creates an empty record for this host.
     pub fn new(host: host::Id) -> Poison {
         Poison {
             host,
@@ -309,7 +313,7 @@
     pub fn runs_suspect(&self, server: &backend::Id, now: Moment) -> bool {
         let there = self.at_servers.get(server).into_iter().flatten();
         let mut there = there.filter_map(|request| self.entries.get(request));
-        there.any(|entry| entry.at(server).any(|record| record.is_running(now)))
+        there.any(|entry| entry.records_at(server).any(|record| record.is_running(now)))
     }
 
     /// Records that a suspect is assigned to a server.
@@ -334,15 +338,15 @@
         now: Moment,
     ) {
         self.record(request, server, Isolation::Shared, CrashState::Counted, now);
-        // Whichever connection is found broken first, the suspect explains the crash.
+        // The suspect explains the crash regardless of which broken connection is found first.
         if let Some(trial) = self.trial.as_ref().filter(|trial| trial.server == *server) {
             let suspect = if trial.ticket == ticket { request } else { trial.request };
             self.record(suspect, server, Isolation::Isolated, CrashState::Counted, now);
         }
     }
 
-    /// Records that a request's attempt ended without a response. The server may crash by it all
-    /// the same.
+    /// Records that a request's attempt ended without a response. The request may nevertheless
+    /// crash the server.
     pub fn unclear(
         &mut self,
         ticket: Ticket,
@@ -359,7 +363,7 @@
             request,
             server: server.clone(),
             isolation,
-            at: now,
+            ended_at: now,
         });
     }
 
@@ -367,40 +371,46 @@
     pub fn gone(&mut self, server: &backend::Id, now: Moment) {
         let (of_server, others) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.server == *server);
+            .partition(|attempt| attempt.server == *server);
         self.unresolved = others;
         let of_server: VecDeque<UnresolvedAttempt> = of_server;
-        for UnresolvedAttempt { request, isolation, at, .. } in of_server {
-            if now < at + UNRESOLVED_LIFE {
+        for UnresolvedAttempt { request, isolation, ended_at, .. } in of_server {
+            if now < ended_at + UNRESOLVED_LIFE {
                 self.record(request, server, isolation, CrashState::Counted, now);
             }
         }
         let there = self.at_servers.get(server).cloned().unwrap_or_default();
         for request in there {
             let entry = self.entries.get(&request);
-            if entry.is_some_and(|entry| entry.at(server).any(|record| record.is_running(now))) {
+            if entry
+                .is_some_and(|entry| entry.records_at(server).any(|record| record.is_running(now)))
+            {
                 self.record(request, server, Isolation::Isolated, CrashState::Counted, now);
             }
         }
     }
 
-    /// Records that a server answered what was sent to it at `sent`, so that it did not crash
-    /// before.
+    /// Records that a server answered a request that was sent to it at `sent`, so that it had not
+    /// crashed before then.
     pub fn answered(&mut self, server: &backend::Id, sent: Moment, now: Moment) {
         let is_resolved =
-            |unclear: &UnresolvedAttempt| unclear.server == *server && unclear.at < sent;
-        let resolved: Vec<Fingerprint> =
-            self.unresolved.iter().filter(|u| is_resolved(u)).map(|u| u.request).collect();
-        self.unresolved.retain(|unclear| !is_resolved(unclear));
+            |attempt: &UnresolvedAttempt| attempt.server == *server && attempt.ended_at < sent;
+        let resolved: Vec<Fingerprint> = self
+            .unresolved
+            .iter()
+            .filter(|attempt| is_resolved(attempt))
+            .map(|attempt| attempt.request)
+            .collect();
+        self.unresolved.retain(|attempt| !is_resolved(attempt));
         for request in resolved {
-            self.void(request, now, |at, record| {
-                at == server && record.state == CrashState::Running
+            self.void(request, now, |other, record| {
+                other == server && record.state == CrashState::Running
             });
         }
         let Some(requests) = self.at_servers.get(server) else { return };
         for request in requests.clone() {
             let is_before = |record: &CrashRecord| record.is_counted() && record.seen_at < sent;
-            self.void(request, now, |at, record| at == server && is_before(record));
+            self.void(request, now, |other, record| other == server && is_before(record));
         }
     }
 
@@ -410,20 +420,23 @@
         self.void(request, now, |_, _| true);
     }
 
-    /// Records that an attempt is over, whatever its outcome.
+    /// Records that an attempt has ended, with any outcome. It ends the request's trial, and voids
+    /// the trial's record unless the attempt is unresolved.
     pub fn ended(&mut self, ticket: Ticket, now: Moment) {
         let Some(trial) = self.trial.take_if(|trial| trial.ticket == ticket) else { return };
-        let is_same = |unclear: &UnresolvedAttempt| {
-            unclear.request == trial.request && unclear.server == trial.server
+        let is_same = |attempt: &UnresolvedAttempt| {
+            attempt.request == trial.request && attempt.server == trial.server
         };
         if !self.unresolved.iter().any(is_same) {
             let is_running = |record: &CrashRecord| record.state == CrashState::Running;
-            self.void(trial.request, now, |at, record| *at == trial.server && is_running(record));
+            self.void(trial.request, now, |other, record| {
+                *other == trial.server && is_running(record)
+            });
         }
     }
 
-    /// Crashes to be sent to other hosts: those of suspects, what this host saw of other requests,
-    /// and void ones for a while.
+    /// Returns the crashes to be sent to other hosts: those of suspects and refused requests, those
+    /// of other requests that this host witnessed, and void ones for [`VOID_SEND_TIME`].
     pub fn crashes(&self, now: Moment) -> Vec<Crash> {
         let mut sent = Vec::new();
         for (request, entry) in &self.entries {
@@ -438,7 +451,8 @@
                     }
                 };
                 if is_sent {
-                    let rank = (standing, record.state != CrashState::Void, record.until, *request);
+                    let rank =
+                        (standing, record.state != CrashState::Void, record.expires_at, *request);
                     sent.push((rank, crash(*request, key, record, now)));
                 }
             }
@@ -447,19 +461,19 @@
         sent.into_iter().take(MAX_SENT).map(|(_, crash)| crash).collect()
     }
 
-    /// All crashes of each request that is refused, and whether this host is the witness of one of
-    /// these.
+    /// Returns all crashes of each request that is refused, and whether this host is the witness of
+    /// one of them.
     pub fn refused(&self, now: Moment) -> Vec<(Vec<Crash>, bool)> {
         let refused =
             self.entries.iter().filter(|(request, _)| self.standing(**request) == Standing::Poison);
         let crashes = |(request, entry): (&Fingerprint, &Entry)| {
             let is_own = entry.crashes.keys().any(|(_, witness)| *witness == self.host);
-            (list(*request, entry, now), is_own)
+            (crashes_of(*request, entry, now), is_own)
         };
         refused.map(crashes).collect()
     }
 
-    /// Merges crashes that other hosts or the store know.
+    /// Merges crashes received from other hosts or read from the store.
     pub fn merge(&mut self, crashes: &[Crash], now: Moment) {
         for crash in crashes {
             let Some(left) = LIFE.checked_sub(crash.age) else { continue };
@@ -486,7 +500,7 @@
             let Some(entry) = self.entries.get_mut(&request) else { continue };
             let before = entry.reported.replace(standing).unwrap_or(Standing::Clear);
             if before != standing {
-                let crashes = list(request, entry, now);
+                let crashes = crashes_of(request, entry, now);
                 changes.push(StandingChange { request, standing, crashes });
             }
         }
@@ -497,14 +511,14 @@
     pub fn expire(&mut self, now: Moment) {
         let (old, recent): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.unresolved)
             .into_iter()
-            .partition(|unclear| unclear.at + UNRESOLVED_LIFE <= now);
+            .partition(|attempt| attempt.ended_at + UNRESOLVED_LIFE <= now);
         self.unresolved = recent;
         for UnresolvedAttempt { request, server, .. } in old {
-            self.void(request, now, |at, record| {
-                *at == server && record.state == CrashState::Running
+            self.void(request, now, |other, record| {
+                *other == server && record.state == CrashState::Running
             });
         }
-        let old = self.entries.iter().filter(|(_, entry)| entry.until() <= now);
+        let old = self.entries.iter().filter(|(_, entry)| entry.expires_at() <= now);
         let old: Vec<Fingerprint> = old.map(|(request, _)| *request).collect();
         old.into_iter().for_each(|request| self.forget(request));
     }
@@ -521,7 +535,7 @@
     fn counted<'a>(&self, request: Fingerprint, entry: &'a Entry) -> Vec<&'a backend::Id> {
         let ran_isolated = |server: &backend::Id, other: &Entry| {
             other
-                .at(server)
+                .records_at(server)
                 .any(|record| record.isolation == Isolation::Isolated && record.is_counted())
         };
         let other_ran_isolated = |server: &backend::Id| {
@@ -534,7 +548,7 @@
     /// servers to be refused, and more than this request, which has crashed `own`.
     fn is_explained(&self, request: Fingerprint, server: &backend::Id, own: usize) -> bool {
         self.others(request, server).any(|(fingerprint, other)| {
-            let is_there = other.at(server).any(CrashRecord::is_counted);
+            let is_there = other.records_at(server).any(CrashRecord::is_counted);
             is_there && own.max(POISON - 1) < self.counted(fingerprint, other).len()
         })
     }
@@ -576,19 +590,19 @@
         self.keep_within_bounds();
     }
 
-    fn join(&mut self, crash: &Crash, until: Moment, now: Moment) {
+    fn join(&mut self, crash: &Crash, expires_at: Moment, now: Moment) {
         let entry = self.entries.entry(crash.request).or_default();
         let state = match self.completed.has(crash.request, now) {
             true => CrashState::Void,
             false => crash.state,
         };
-        // A crash that only this host knows to be void is sent again.
+        // If only this host knows that the crash is void, it sends that to others.
         let voided_at = (state != crash.state).then_some(now);
         let new = CrashRecord {
             turn: crash.turn,
             isolation: crash.isolation,
             state,
-            until,
+            expires_at,
             seen_at: now,
             voided_at,
         };
@@ -617,14 +631,14 @@
                     }
                     record.isolation = record.isolation.max(crash.isolation);
                     record.state = record.state.max(state);
-                    record.until = record.until.min(until);
+                    record.expires_at = record.expires_at.min(expires_at);
                 }
                 Ordering::Greater => return,
             },
         }
         let there = self.at_servers.entry(crash.server.clone()).or_default();
         there.insert(crash.request);
-        // The requests that this crash explains change with it.
+        // The standings of requests whose crashes this one explains change too.
         if 1 < there.len() && self.changed.contains(&crash.request) {
             self.changed.extend(there.iter().copied());
         }
@@ -634,11 +648,11 @@
         &mut self,
         request: Fingerprint,
         now: Moment,
-        is_meant: impl Fn(&backend::Id, &CrashRecord) -> bool,
+        is_affected: impl Fn(&backend::Id, &CrashRecord) -> bool,
     ) {
         let Some(entry) = self.entries.get_mut(&request) else { return };
         for ((server, _), record) in &mut entry.crashes {
-            if record.state < CrashState::Void && is_meant(server, record) {
+            if record.state < CrashState::Void && is_affected(server, record) {
                 record.state = CrashState::Void;
                 record.voided_at = Some(now);
                 self.changed.insert(request);
@@ -658,14 +672,15 @@
         }
     }
 
-    /// Evicts the requests with the fewest crashes, the oldest of them first.
+    /// Evicts requests beyond [`MAX_REQUESTS`]: those with the fewest crashes first, and of these
+    /// the oldest first.
     fn keep_within_bounds(&mut self) {
         let excess = self.entries.len().saturating_sub(MAX_REQUESTS);
         if excess == 0 {
             return;
         }
         let rank = |(request, entry): (&Fingerprint, &Entry)| {
-            (entry.counted().len(), entry.until(), *request)
+            (entry.counted().len(), entry.expires_at(), *request)
         };
         let mut ranked: Vec<_> = self.entries.iter().map(rank).collect();
         ranked.sort_unstable();
@@ -677,7 +692,7 @@
     (crash.server.clone(), crash.witness.clone())
 }
 
-fn list(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
+fn crashes_of(request: Fingerprint, entry: &Entry, now: Moment) -> Vec<Crash> {
     entry.crashes.iter().map(|(key, record)| crash(request, key, record, now)).collect()
 }
 
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -1,8 +1,8 @@
 //! All servers, by id, service and model.
 //!
-//! Names are mapped to dense indexes when they are first seen, so that a choice walks vectors. The
-//! index of a removed server is reused, so what is stored with an index for long also stores the
-//! server's id.
+//! Names are mapped to dense indexes when they are first seen, so that choosing a server iterates
+//! over vectors. The index of a removed server is reused, so whatever outlives a call and refers to
+//! a server by index also stores its id.
 
 use std::collections::BTreeMap;
 
@@ -63,7 +63,7 @@
     zone: availability::Id,
     config: RetryBudgetConfig,
     servers: Vec<Option<Server>>,
-    free: Vec<Index>,
+    free_indexes: Vec<Index>,
     ids: Map<backend::Id, Index>,
     /// Services by index.
     pub services: Vec<Service>,
@@ -85,7 +85,7 @@
             zone,
             config,
             servers: Vec::new(),
-            free: Vec::new(),
+            free_indexes: Vec::new(),
             ids: Map::default(),
             services: Vec::new(),
             service_ids: Map::default(),
@@ -182,24 +182,24 @@
     pub fn drain(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Draining;
-        self.unlist(index);
+        self.remove_from_lists(index);
     }
 
     /// Lists a server again as one that takes new requests.
     pub fn resume(&mut self, index: Index) {
         let Some(server) = self.get_mut(index) else { return };
         server.state = routed::State::Ready;
-        self.list(index);
+        self.add_to_lists(index);
     }
 
     pub fn remove(&mut self, index: Index) {
-        self.unlist(index);
+        self.remove_from_lists(index);
         for peer in self.peers.values_mut() {
             peer.work.retain(|(server, ..)| *server != index);
         }
         if let Some(server) = self.servers[index as usize].take() {
             self.ids.remove(&server.id);
-            self.free.push(index);
+            self.free_indexes.push(index);
         }
     }
 
@@ -228,7 +228,7 @@
         server.models.mark_loaded(model, adapter, sequence, now);
         let loading = &mut self.models[model as usize].loading;
         loading.retain(|(at, wanted, _)| *at != index || wanted.as_ref() != adapter);
-        self.list(index);
+        self.add_to_lists(index);
     }
 
     /// Records an order to load, with the expected time of completion.
@@ -244,8 +244,8 @@
         self.models[model as usize].loading.push((index, adapter.cloned(), ready));
     }
 
-    /// Records that a server does not have a model, or an adapter on it, whatever it reports for a
-    /// while.
+    /// Records that a server does not have a model, or an adapter on it, which overrides its
+    /// reports for a while.
     pub fn mark_absent(
         &mut self,
         index: Index,
@@ -275,7 +275,7 @@
             let Some(server) = self.get_mut(index) else { continue };
             if server.models.next_deferred().is_some_and(|at| at <= now) {
                 server.models.apply_deferred(now);
-                self.list(index);
+                self.add_to_lists(index);
             }
         }
         let servers = self.servers.iter().flatten();
@@ -298,7 +298,8 @@
         self.update_peers_at();
     }
 
-    /// Estimates the hosts that contend for each server, among `hosts` that share the servers.
+    /// Updates the estimated number of hosts that contend for each server; `hosts` is the number of
+    /// hosts that share the servers.
     pub fn update_contenders(&mut self, hosts: u32) {
         for server in self.servers.iter_mut().flatten() {
             server.load.update_contenders(server.slots, hosts);
@@ -343,7 +344,7 @@
         let locality =
             if registration.zone == self.zone { Locality::SameZone } else { Locality::OtherZone };
         let server = Some(Server::new(registration, service, locality, now));
-        let index = match self.free.pop() {
+        let index = match self.free_indexes.pop() {
             Some(index) => {
                 self.servers[index as usize] = server;
                 index
@@ -369,17 +370,17 @@
             .iter()
             .map(|loaded| (self.model(service, &loaded.model), loaded.adapters.clone()))
             .collect();
-        self.unlist(index);
+        self.remove_from_lists(index);
         if let Some(server) = self.get_mut(index) {
             server.models.apply_report(models.into_iter(), sequence, now);
             let next = server.models.next_deferred();
             self.deferred_at = self.deferred_at.into_iter().chain(next).min();
         }
-        self.list(index);
+        self.add_to_lists(index);
     }
 
-    /// Adds a server that takes new requests to the lists of its service and models.
-    fn list(&mut self, index: Index) {
+    /// Adds a server to the lists of its service and models, unless it is draining.
+    fn add_to_lists(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         if server.state == routed::State::Draining {
@@ -391,7 +392,7 @@
         }
     }
 
-    fn unlist(&mut self, index: Index) {
+    fn remove_from_lists(&mut self, index: Index) {
         let Registry { servers, services, models, .. } = self;
         let Some(server) = servers[index as usize].as_ref() else { return };
         services[server.service as usize].list.remove(index);
--- a/crates/policy/src/dispatch/sharers.rs
+++ b/crates/policy/src/dispatch/sharers.rs
@@ -1,7 +1,7 @@
 //! How many hosts share the retry budgets.
 //!
 //! A higher number takes effect at once, a lower one only after a while: a host that has left may
-//! have spent its share just before, and that still counts in the windows to come.
+//! have spent its share just before, which still counts in the next windows.
 
 use std::collections::VecDeque;
 
@@ -9,16 +9,16 @@
 
 use super::{HostStart, budget::Extra};
 
-/// How long a lower number of hosts must be seen before it takes effect.
+/// How long the number of hosts must stay lower before the lower number takes effect.
 const SHRINK_DELAY: Duration = Duration::from_secs(20);
 
-/// The highest number of hosts seen lately, and this run's share of the extra retries.
+/// Number of hosts that share the budgets, and the start of this run's share of the extra retries.
 #[derive(Clone, Debug)]
 pub(super) struct Sharers {
     /// Length of the budgets' window.
     window: Duration,
     /// From when on this run has a share of the extra retries.
-    from: Option<Moment>,
+    available_from: Option<Moment>,
     /// Hosts that the store lists.
     listed: u32,
     /// Decreasing numbers of hosts, and when each was last seen.
@@ -26,9 +26,15 @@
 }
 
 impl Sharers {
-    /// Starts with a number that holds until others have been seen for a while.
+    /// Creates the state with an initial number of hosts, which a lower number replaces only after
+    /// [`SHRINK_DELAY`].
     pub(super) fn new(count: u32, window: Duration) -> Sharers {
-        Sharers { window, from: None, listed: 0, counts: [(Duration::ZERO, count.max(1))].into() }
+        Sharers {
+            window,
+            available_from: None,
+            listed: 0,
+            counts: [(Duration::ZERO, count.max(1))].into(),
+        }
     }
 
     /// Sets how many hosts the store lists, whether or not they run.
@@ -49,10 +55,10 @@
         }
     }
 
-    /// Gives this run its share: a first start at once, a restart when what the run before has
-    /// spent is out of the window.
+    /// Gives this run its share of the extra retries: at once after a first start, after a restart
+    /// once the retries of the previous run are out of the window.
     pub(super) fn start(&mut self, start: HostStart) {
-        self.from.get_or_insert(match start {
+        self.available_from.get_or_insert(match start {
             HostStart::First => Duration::ZERO,
             HostStart::Restart => self.window,
         });
@@ -61,6 +67,6 @@
     /// This host's share of the extra retries.
     pub(super) fn extra(&self) -> Extra {
         let hosts = self.counts.front().map_or(1, |(_, count)| *count);
-        Extra { hosts, from: self.from }
+        Extra { hosts, available_from: self.available_from }
     }
 }
--- a/crates/policy/src/dispatch/watch.rs
+++ b/crates/policy/src/dispatch/watch.rs
@@ -22,7 +22,8 @@
 const OVERDUE_TIMES: f64 = 4.0;
 const OVERDUE_GOAL: f64 = 0.5;
 
-/// Overdue responses, without any response in between, after which the server's breaker is tripped.
+/// Number of overdue responses, without any response in between, after which the server's breaker
+/// is tripped.
 const MAX_UNANSWERED: u32 = 2;
 
 /// Silence of a server after which a request without a response is moved: at least this long, and
@@ -49,15 +50,16 @@
     /// Checks for overdue responses, and for requests that are to be moved from their server.
     pub(super) fn check_overdue(&mut self, now: Moment, changes: &mut Vec<Change>) {
         let mut overdue: Vec<(Ticket, Attempt, Index)> = Vec::new();
-        let mut left: Vec<Ticket> = Vec::new();
+        let mut leaving: Vec<Ticket> = Vec::new();
         for (ticket, task) in &mut self.tasks {
             if should_leave(task, &mut self.registry, now) {
-                left.push(*ticket);
+                leaving.push(*ticket);
             }
             let State::InFlight(attempt) = &mut task.state else { continue };
             let allowed =
                 attempt.expected_ms * OVERDUE_TIMES + millis(task.spec.goal) * OVERDUE_GOAL;
-            if attempt.phase == Phase::Pending && allowed < millis(now.saturating_sub(attempt.sent))
+            if attempt.phase == Phase::Pending
+                && allowed < millis(now.saturating_sub(attempt.sent_at))
             {
                 attempt.phase = Phase::Overdue;
                 overdue.push((*ticket, attempt.clone(), task.service));
@@ -65,10 +67,10 @@
         }
         overdue.sort_unstable_by_key(|(ticket, ..)| *ticket);
         for (_, attempt, service) in overdue {
-            self.note_overdue(&attempt, service, now);
+            self.record_overdue(&attempt, service, now);
         }
-        left.sort_unstable();
-        for ticket in left {
+        leaving.sort_unstable();
+        for ticket in leaving {
             let is_possible = self.find_other_server(ticket, now).is_some();
             self.set_leaving(
                 ticket,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Returns the request in its state after leaving its silent server, with the server that takes
-    /// it, if one does now.
+    /// Returns the request in its state after leaving its silent server, with the choice of another
+    /// server; `None` if no other server has a place or no retry is left.
     fn find_other_server(&self, ticket: Ticket, now: Moment) -> Option<(Task, Choice)> {
         let before = self.tasks.get(&ticket)?;
         let State::InFlight(attempt) = &before.state else { return None };
@@ -100,9 +102,9 @@
     }
 
     /// Moves a request from a silent server to another one, which is returned. Nothing changes if
-    /// no other server has a place or no retry is left: a slow server is better than none, and a
-    /// request that left its server first ended without a response though the server was at work on
-    /// it.
+    /// no other server has a place or no retry is left, since a slow server is better than none: a
+    /// request that left its server before another was found would get no response, even if the
+    /// first server were still working on it.
     pub fn leave(&mut self, ticket: Ticket, now: Moment) -> Option<backend::Id> {
         let Some((mut task, choice)) = self.find_other_server(ticket, now) else {
             self.set_leaving(ticket, Leaving::Seeking(now));
@@ -113,16 +115,16 @@
         task.payment = Some(budget.pay(task.need(), extra, now)?);
         let mut before = self.tasks.remove(&ticket)?;
         if let State::InFlight(attempt) = before.state.clone() {
-            self.settle(&mut before, &attempt, SILENCE, now);
+            self.attempt_ended(&mut before, &attempt, SILENCE, now);
         }
         task.has_arrived = true;
         Some(self.send(task, choice, now))
     }
 
-    fn note_overdue(&mut self, attempt: &Attempt, service: Index, now: Moment) {
+    fn record_overdue(&mut self, attempt: &Attempt, service: Index, now: Moment) {
         let median = self.registry.services[service as usize].median;
         let Some(server) = self.registry.get_same(attempt.server, &attempt.id) else { return };
-        let ratio = millis(now.saturating_sub(attempt.sent)) / attempt.baseline_ms;
+        let ratio = millis(now.saturating_sub(attempt.sent_at)) / attempt.baseline_ms;
         server.pace.record_ratio(ratio, &median, now);
         server.unanswered += 1;
         if MAX_UNANSWERED <= server.unanswered {
@@ -135,30 +137,30 @@
 /// Whether a request is to be moved from its server.
 fn should_leave(task: &Task, registry: &mut super::registry::Registry, now: Moment) -> bool {
     let State::InFlight(attempt) = &task.state else { return false };
-    let is_known = match attempt.leaving {
+    let is_handled = match attempt.leaving {
         Leaving::No => false,
         Leaving::Seeking(at) => now < at + SEEK_INTERVAL,
         Leaving::Requested => true,
     };
-    if is_known || !task.spec.is_repeatable() || !task.has_another_try() {
+    if is_handled || !task.spec.is_repeatable() || !task.has_another_try() {
         return false;
     }
     let Some(server) = registry.get_same(attempt.server, &attempt.id) else { return false };
     match attempt.phase {
-        Phase::Responding => task.spec.kind == Kind::Stream && server.answered + STALLED < now,
+        Phase::Responding => task.spec.kind == Kind::Stream && server.answered_at + STALLED < now,
         Phase::Pending | Phase::Overdue => is_lost(task, attempt, server, now),
     }
 }
 
-/// Whether a response that has not begun can be taken for lost.
+/// Whether a response that has not begun is considered lost.
 fn is_lost(task: &Task, attempt: &Attempt, server: &Server, now: Moment) -> bool {
     let after = |goal: f64, times: f64| {
         task.spec.goal.mul_f64(goal).max(duration(attempt.expected_ms * times))
     };
     let silent = after(SILENT_GOAL, SILENT_TIMES).max(MIN_SILENCE);
     let hung = after(HUNG_GOAL, HUNG_TIMES);
-    let is_silent = attempt.sent.max(server.answered) + silent < now;
+    let is_silent = attempt.sent_at.max(server.answered_at) + silent < now;
     let answers_others =
-        attempt.sent + duration(attempt.expected_ms * OVERDUE_TIMES) < server.answered;
-    is_silent || (attempt.sent + hung < now && answers_others)
+        attempt.sent_at + duration(attempt.expected_ms * OVERDUE_TIMES) < server.answered_at;
+    is_silent || (attempt.sent_at + hung < now && answers_others)
 }
--- a/crates/policy/tests/dispatch/loans.rs
+++ b/crates/policy/tests/dispatch/loans.rs
@@ -1,4 +1,4 @@
-//! Which host lends retries to which, and what a loan pays for.
+//! Tests of loans of retries between hosts, and of what a loan pays for.
 
 use policy::dispatch::{
     Answer, Cause, Dispatcher, End, NotRun, RequestSpec, RetryDecision, Ticket, Unclear,
@@ -29,12 +29,12 @@
 fn retry(host: &mut Dispatcher, now: Moment) -> bool {
     let ticket = next_ticket(host);
     sent(host.arrive(request(ticket, Kind::Idempotent, now), now));
-    let again = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
+    let decision = host.attempt_failed(ticket, End::NotRun(NotRun::NotHeld), now);
     host.ended(ticket, End::Cancelled, now);
-    matches!(again, RetryDecision::Send(_))
+    matches!(decision, RetryDecision::Send(_))
 }
 
-/// A number that no earlier request of the host has.
+/// A ticket that no earlier request of the host has.
 fn next_ticket(host: &Dispatcher) -> Ticket {
     host.retry_totals().iter().map(|(_, used)| used.requests).sum::<u64>() + 1
 }
@@ -100,12 +100,13 @@
 #[rstest]
 fn a_host_lends_what_it_does_not_need_and_says_so() {
     let mut host = plain(&["s1"]);
-    let request = Message { service: "app".into(), asked: at(7), content: Content::Request(8) };
+    let request =
+        Message { service: "app".into(), requested_at: at(7), content: Content::Request(8) };
     host.loan_received(&"b".into(), &request, at(0));
     assert_eq!(host.loans_outgoing(), [("b".into(), grant(&request, 8))]);
 }
 
-/// A loan pays only for what is sent at once: a retry that waits may arrive when the lender no
+/// A loan pays only for a retry that is sent at once: one that waits may arrive when the lender no
 /// longer counts the loan.
 #[rstest]
 fn a_loan_does_not_pay_for_what_waits() {
@@ -121,14 +122,14 @@
     for id in servers() {
         host.gone(&id.as_str().into(), at(0));
     }
-    let again = host.attempt_failed(ticket, REFUSED, at(40));
+    let decision = host.attempt_failed(ticket, REFUSED, at(40));
     assert!(
-        matches!(again, RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
-        "{again:?}"
+        matches!(decision, RetryDecision::GiveUp(Answer::NotRun { cause: Cause::Budget, .. })),
+        "{decision:?}"
     );
 }
 
-/// The requests pay for more retries when they arrive than are covered a window later.
+/// The arriving requests pay for retries that the host's share no longer covers a window later.
 #[rstest]
 fn what_waits_is_given_up_at_once_when_the_share_has_shrunk() {
     let mut host = plain(&["s1"]);
@@ -149,7 +150,10 @@
     host.server(&types::routed::Server { slots: 1_000, ..server("s2", "a", &[]) }, at(11_000));
     let changes = host.pump(at(11_000));
     let left = changes.iter().filter(|change| matches!(change.verdict, Verdict::Send(_))).count();
-    assert!(0 < left && left < waiting, "{left} of {waiting}");
-    assert!(left <= 40, "{left} arrive where requests pay for none");
-    assert_eq!(changes.len(), waiting, "the others have their final answer");
+    assert!(0 < left && left < waiting, "{left} of {waiting} waiting requests sent");
+    assert!(
+        left <= 40,
+        "{left} retries sent although the requests of the last window pay for none"
+    );
+    assert_eq!(changes.len(), waiting, "some waiting requests got no final verdict");
 }
--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -1,6 +1,7 @@
-//! The retry budget over hosts that are partitioned, restarted, delayed, and left without servers.
+//! Tests of the retry budget over hosts that are partitioned, restarted, delayed, and left without
+//! servers.
 //!
-//! Checked is what arrives at servers, and when; see [`rule`](crate::rule).
+//! They check which requests arrive at servers, and when, by [`rule`](crate::rule).
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
     rule::{Excess, overdrawn},
 };
 
-/// Time between two steps of a play.
+/// Time between two steps of a simulation.
 const STEP: Moment = Duration::from_millis(50);
 
 const STEPS_A_SECOND: usize = 20;
@@ -27,15 +28,15 @@
 const SLOTS: u32 = 10_000;
 
 /// Time from the arrival of a request to its deadline.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What happens in one second of a play.
+/// Conditions in one second of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
     /// New requests at each host, in a step that has any.
     requests: usize,
-    /// Steps between two steps with new requests.
-    pause: usize,
+    /// Number of steps without new requests between two steps that have some.
+    idle_steps: usize,
     /// Whether servers fail what they run.
     fails: bool,
     /// Whether there are no servers.
@@ -44,24 +45,31 @@
     is_partitioned: bool,
 }
 
-/// Everything that happens to the hosts of a play.
+/// Input of a simulation.
 #[derive(Clone, Debug)]
 struct Plan {
     hosts: usize,
     seconds: Vec<Second>,
-    /// Steps at which a host is killed and restarted at once.
+    /// Steps at which a host is killed and immediately restarted, with the host's index.
     restarts: Vec<(usize, usize)>,
-    /// Steps that a message takes from one host to another.
-    late: usize,
-    /// Steps until a server has answered.
-    work: usize,
-    /// Whether requests are streams that resume after an event.
+    /// Number of steps that a message takes from one host to another.
+    message_delay: usize,
+    /// Number of steps until a server has answered.
+    work_steps: usize,
+    /// Whether requests resume a stream after an event, so that their retries have a high need.
     is_resumed: bool,
 }
 
 impl Plan {
     fn new(hosts: usize, seconds: Vec<Second>) -> Plan {
-        Plan { hosts, seconds, restarts: Vec::new(), late: 2, work: 1, is_resumed: false }
+        Plan {
+            hosts,
+            seconds,
+            restarts: Vec::new(),
+            message_delay: 2,
+            work_steps: 1,
+            is_resumed: false,
+        }
     }
 }
 
@@ -71,13 +79,13 @@
 
 struct Host {
     dispatcher: Dispatcher,
-    born: Moment,
+    started_at: Moment,
     /// Requests at servers, by the step at which they are answered.
     in_flight: BTreeMap<usize, Vec<Ticket>>,
 }
 
 impl Host {
-    fn start(place: usize, hosts: usize, born: Moment, start: HostStart) -> Host {
+    fn start(place: usize, hosts: usize, started_at: Moment, start: HostStart) -> Host {
         let mut dispatcher = Dispatcher::new(Settings {
             host: name(place),
             run: 1,
@@ -87,7 +95,7 @@
         });
         dispatcher.share_listed(hosts as u32);
         dispatcher.registered(start);
-        Host { dispatcher, born, in_flight: BTreeMap::new() }
+        Host { dispatcher, started_at, in_flight: BTreeMap::new() }
     }
 }
 
@@ -101,7 +109,7 @@
     arrivals: BTreeMap<Ticket, usize>,
     requests: Vec<Moment>,
     retries: Vec<Moment>,
-    /// Retries that were refused for want of budget.
+    /// Number of retries that were refused because the budget was used up.
     refused: usize,
     /// Messages on loans that are on their way, by the step at which they arrive and the receiver.
     messages: BTreeMap<(usize, usize), Vec<(usize, Message)>>,
@@ -132,9 +140,9 @@
         STEP * self.step as u32
     }
 
-    /// A host's own time, from its start.
+    /// Time on a host's own clock, which starts with the host.
     fn time(&self, host: usize) -> Moment {
-        self.now() - self.hosts[host].born
+        self.now() - self.hosts[host].started_at
     }
 
     fn play(mut self) -> World {
@@ -163,7 +171,7 @@
         for host in 0..self.plan.hosts {
             self.receive(host, second.is_partitioned);
             self.answer(host, second);
-            if self.step.is_multiple_of(second.pause + 1) {
+            if self.step.is_multiple_of(second.idle_steps + 1) {
                 (0..second.requests).for_each(|_| self.request(host));
             }
             let now = self.time(host);
@@ -182,7 +190,7 @@
         (0..self.plan.hosts).for_each(|host| self.update_servers(host));
     }
 
-    /// Tells a host which servers there are.
+    /// Adds all servers to a host, or removes them.
     fn update_servers(&mut self, host: usize) {
         let (now, is_without_servers) = (self.time(host), self.is_without_servers);
         let dispatcher = &mut self.hosts[host].dispatcher;
@@ -226,7 +234,7 @@
     fn send_loan_messages(&mut self, host: usize) {
         for (to, message) in self.hosts[host].dispatcher.loans_outgoing() {
             let to = (0..self.plan.hosts).find(|other| name(*other) == to).unwrap();
-            let at = (self.step + self.plan.late, to);
+            let at = (self.step + self.plan.message_delay, to);
             self.messages.entry(at).or_default().push((host, message));
         }
     }
@@ -263,13 +271,13 @@
         self.tickets += 1;
         self.requests.push(self.now());
         let resume = self.plan.is_resumed.then_some(1);
-        let asked = RequestSpec {
-            deadline: now + PATIENCE,
+        let spec = RequestSpec {
+            deadline: now + TIMEOUT,
             attempts: 4,
             resume,
             ..request(ticket, Kind::Idempotent, now)
         };
-        if let Verdict::Send(_) = self.hosts[host].dispatcher.arrive(asked, now) {
+        if let Verdict::Send(_) = self.hosts[host].dispatcher.arrive(spec, now) {
             self.arrive(host, ticket);
         }
     }
@@ -281,7 +289,7 @@
             self.retries.push(STEP * self.step as u32);
         }
         *before += 1;
-        let done = self.step + self.plan.work;
+        let done = self.step + self.plan.work_steps;
         self.hosts[host].in_flight.entry(done).or_default().push(ticket);
     }
 }
@@ -293,14 +301,14 @@
 
 const CALM: Second = Second {
     requests: 0,
-    pause: 0,
+    idle_steps: 0,
     fails: false,
     is_without_servers: false,
     is_partitioned: false,
 };
 
 /// A service with few requests, all of which fail.
-const FAILING: Second = Second { requests: 1, pause: 9, fails: true, ..CALM };
+const FAILING: Second = Second { requests: 1, idle_steps: 9, fails: true, ..CALM };
 
 #[rstest]
 #[case::for_15_s(15)]
@@ -314,7 +322,7 @@
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Hosts know of each other only by the store's list.
+/// Hosts know each other only from the store's list.
 #[rstest]
 fn hosts_that_have_never_heard_each_other_keep_the_budget_together() {
     let partitioned = Second { is_partitioned: true, ..CALM };
@@ -352,27 +360,33 @@
         seconds(1, Second { fails: true, ..busy }),
         seconds(9, failing),
     ];
-    let plan = Plan { work: 30, is_resumed: true, ..Plan::new(1, phases.concat()) };
+    let plan = Plan { work_steps: 30, is_resumed: true, ..Plan::new(1, phases.concat()) };
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
 #[rstest]
 fn hosts_keep_the_budget_while_what_they_tell_each_other_is_late(#[values(5, 20, 60)] late: usize) {
-    let failing = Second { requests: 2, pause: 0, ..FAILING };
-    let plan = Plan { late, ..Plan::new(6, [seconds(25, CALM), seconds(15, failing)].concat()) };
+    let failing = Second { requests: 2, idle_steps: 0, ..FAILING };
+    let plan = Plan {
+        message_delay: late,
+        ..Plan::new(6, [seconds(25, CALM), seconds(15, failing)].concat())
+    };
     assert_eq!(World::new(plan).play().excess(), None);
 }
 
-/// Seconds of a play: requests, whether they fail, whether there are servers, whether hosts are
-/// partitioned.
+/// Generates the seconds of a simulation in phases of 1 to 34 s with the same conditions.
 fn seconds_strategy() -> impl Strategy<Value = Vec<Second>> {
     let requests = (0..4_usize, prop_oneof![Just(0_usize), 3..20_usize]);
     let phase = (requests, any::<bool>(), prop::bool::weighted(0.2), any::<bool>(), 1..35_usize);
     let phases = prop::collection::vec(phase, 2..7);
     phases.prop_map(|phases| {
-        let phase = |((requests, pause), fails, is_without_servers, is_partitioned, length)| {
-            seconds(length, Second { requests, pause, fails, is_without_servers, is_partitioned })
-        };
+        let phase =
+            |((requests, idle_steps), fails, is_without_servers, is_partitioned, length)| {
+                seconds(
+                    length,
+                    Second { requests, idle_steps, fails, is_without_servers, is_partitioned },
+                )
+            };
         phases.into_iter().flat_map(phase).collect()
     })
 }
@@ -380,9 +394,9 @@
 fn plan() -> impl Strategy<Value = Plan> {
     let restarts = prop::collection::vec((0..2_000_usize, 0..6_usize), 0..24);
     (1..=6_usize, seconds_strategy(), restarts, 1..30_usize, 1..40_usize, any::<bool>()).prop_map(
-        |(hosts, seconds, restarts, late, work, is_resumed)| {
+        |(hosts, seconds, restarts, message_delay, work_steps, is_resumed)| {
             let restarts = restarts.into_iter().map(|(step, host)| (step, host % hosts)).collect();
-            Plan { hosts, seconds, restarts, late, work, is_resumed }
+            Plan { hosts, seconds, restarts, message_delay, work_steps, is_resumed }
         },
     )
 }
@@ -400,8 +414,8 @@
     }
 }
 
-/// Hosts whose requests all fail, long after their start. A quarter is reserved for resumed
-/// streams.
+/// Requests on all hosts fail long after the hosts' start. The hosts use less than the config
+/// allows, as a quarter of the budget is reserved for resumed streams.
 #[rstest]
 fn a_steady_fleet_uses_most_of_what_the_terms_allow(#[values(1, 6, 16)] hosts: usize) {
     let calm = Second { requests: 2, ..CALM };
@@ -413,5 +427,5 @@
     let requests = (2 * hosts * STEPS_A_SECOND) as f64 * config.window.as_secs_f64();
     let allowed = config.ratio * requests + config.extra;
     let used = world.retries.len() as f64;
-    assert!(0 < world.refused && 0.4 * allowed < used, "{used} of {allowed}");
+    assert!(0 < world.refused && 0.4 * allowed < used, "{used} of {allowed} allowed retries used");
 }
