--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -8,8 +8,8 @@
 };
 
 use policy::fleet::{
-    Counts, Fleet, FleetSnapshot, Liveness, Load, Member, Notice, Publication, ReceivedNotice,
-    Recipients, Revision, Settings, State, Tier, UnknownHost,
+    Counts, Envelope, Fleet, Liveness, Load, Member, Notice, Publication, Recipients, Revision,
+    Settings, Snapshot, State, Tier, UnknownHost,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -105,7 +105,7 @@
     client: Client,
     member: Member,
     bound: SocketAddr,
-    notices: Mutex<Option<mpsc::Receiver<ReceivedNotice>>>,
+    notices: Mutex<Option<mpsc::Receiver<Envelope>>>,
     tasks: TaskTracker,
     stop: CancellationToken,
 }
@@ -189,12 +189,12 @@
     }
 
     /// Returns the receiver of notices from other hosts; `None` after the first call.
-    pub fn notices(&self) -> Option<mpsc::Receiver<ReceivedNotice>> {
+    pub fn notices(&self) -> Option<mpsc::Receiver<Envelope>> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
     /// Returns what is known of the other hosts and what they have published.
-    pub fn fleet(&self) -> Arc<FleetSnapshot> {
+    pub fn fleet(&self) -> Arc<Snapshot> {
         self.shared.snapshot()
     }
 
@@ -284,7 +284,7 @@
     pub async fn leave(&self) {
         self.publish(Publication::State(State::Leaving));
         for _ in 0..GOODBYES {
-            self.shared.with(|fleet, _| fleet.bye());
+            self.shared.with(|fleet, _| fleet.announce_exit());
             self.shared.wake.notify_one();
             tokio::time::sleep(GOODBYE_PAUSE).await;
         }
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, FleetSnapshot, ReceivedNotice};
+use policy::fleet::{Envelope, Fleet, Snapshot};
 use tokio::{
     net::UdpSocket,
     sync::{Notify, mpsc},
@@ -41,7 +41,7 @@
 struct State {
     fleet: Fleet,
     /// The last snapshot, and when it was made.
-    snapshot: Option<(Moment, Arc<FleetSnapshot>)>,
+    snapshot: Option<(Moment, Arc<Snapshot>)>,
 }
 
 impl Shared {
@@ -57,7 +57,7 @@
     }
 
     /// Returns what is known of the other hosts, at most `MAX_SNAPSHOT_AGE` old.
-    pub(crate) fn snapshot(&self) -> Arc<FleetSnapshot> {
+    pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
         let now = (self.clock)();
         let mut state = self.lock();
         if let Some((made, snapshot)) = &state.snapshot
@@ -79,7 +79,7 @@
 pub(crate) async fn run(
     shared: Arc<Shared>,
     socket: UdpSocket,
-    notices: mpsc::Sender<ReceivedNotice>,
+    notices: mpsc::Sender<Envelope>,
     stop: CancellationToken,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -101,19 +101,14 @@
     flush(&shared, &socket).await;
 }
 
-fn drain(
-    shared: &Shared,
-    socket: &UdpSocket,
-    notices: &mpsc::Sender<ReceivedNotice>,
-    buffer: &mut [u8],
-) {
+fn drain(shared: &Shared, socket: &UdpSocket, notices: &mpsc::Sender<Envelope>, buffer: &mut [u8]) {
     for _ in 1..MAX_DATAGRAMS_PER_WAKEUP {
         let Ok((length, from)) = socket.try_recv_from(buffer) else { return };
         take(shared, notices, from, &buffer[..length]);
     }
 }
 
-fn take(shared: &Shared, notices: &mpsc::Sender<ReceivedNotice>, from: SocketAddr, bytes: &[u8]) {
+fn take(shared: &Shared, notices: &mpsc::Sender<Envelope>, from: SocketAddr, bytes: &[u8]) {
     let received = shared.with(|fleet, now| fleet.receive(now, from, bytes));
     for notice in received {
         if notices.try_send(notice).is_err() {
--- a/crates/policy/benches/path.rs
+++ b/crates/policy/benches/path.rs
@@ -6,7 +6,7 @@
 use policy::{
     admit::{Ticket, Work},
     route::{Destination, Distances},
-    traffic::{Admission, Demand, End, Rules, Traffic},
+    traffic::{Admission, End, Requirements, Rules, Traffic},
 };
 use types::{
     prelude::*,
@@ -82,11 +82,11 @@
     }
 }
 
-fn demand(traffic: &Traffic, size: &Size, ticket: Ticket, now: Moment) -> Demand {
+fn requirements(traffic: &Traffic, size: &Size, ticket: Ticket, now: Moment) -> Requirements {
     let model = ticket.wrapping_mul(2_654_435_761) % u64::from(size.models);
     let wanted = Destination::Model(model::Name::parse(&format!("model-{model}")));
     let wanted = traffic.table.find(&wanted).unwrap();
-    Demand {
+    Requirements {
         work: Work {
             ticket,
             priority: Priority::ALL[ticket as usize % 3],
@@ -115,12 +115,12 @@
             bencher.iter(|| {
                 ticket += 1;
                 now += Duration::from_micros(200);
-                let demand = demand(&traffic, size, ticket, now);
-                let admission = traffic.admit(black_box(&demand), now, &mut Vec::new());
+                let requirements = requirements(&traffic, size, ticket, now);
+                let admission = traffic.admit(black_box(&requirements), now, &mut Vec::new());
                 assert_eq!(admission, Admission::Take);
-                let flight = traffic.dispatch(&demand, now).unwrap();
+                let flight = traffic.dispatch(&requirements, now).unwrap();
                 traffic.answered(&flight, now);
-                traffic.ended(&flight, End::Whole, now);
+                traffic.ended(&flight, End::Completed, now);
                 black_box(traffic.pump(now));
             });
         });
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -40,7 +40,7 @@
 
 /// Result of taking a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct Output {
     /// Complete events to pass on; may be empty.
     pub events: Bytes,
     /// Fault found after those events, if any.
@@ -89,7 +89,7 @@
     }
 
     /// Takes the next chunk of the stream.
-    pub fn take(&mut self, chunk: Bytes) -> Taken {
+    pub fn take(&mut self, chunk: Bytes) -> Output {
         let buffer = self.join(chunk);
         let mut passed = Passed::default();
         let mut start = 0;
@@ -98,14 +98,14 @@
                 Verdict::Pass => passed.push(&buffer, start, end),
                 Verdict::Drop => {}
                 Verdict::Break(fault) => {
-                    return Taken { events: passed.finish(&buffer), fault: Some(fault) };
+                    return Output { events: passed.finish(&buffer), fault: Some(fault) };
                 }
             }
             start = end;
         }
         let fault = (MAX_EVENT_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
         self.partial = if fault.is_none() { buffer.slice(start..) } else { Bytes::new() };
-        Taken { events: passed.finish(&buffer), fault }
+        Output { events: passed.finish(&buffer), fault }
     }
 
     /// Takes the partial event that is held back, for a stream that is known to have ended
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -48,7 +48,7 @@
         Departure, Lease, Load, Member, Publication, Reachability, Revision, State, StoreStatus,
     },
     notice::{Notice, Recipients},
-    snapshot::{FleetSnapshot, PeerStatus, Tier},
+    snapshot::{PeerStatus, Snapshot, Tier},
     wire::DATAGRAM_BYTES,
 };
 
@@ -134,7 +134,7 @@
 
 /// A notice that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReceivedNotice {
+pub struct Envelope {
     /// Name of the host that first sent the notice; none if that run of a host is not known here.
     pub origin: Option<host::Id>,
     /// Address of the host that sent or forwarded the datagram.
@@ -311,7 +311,7 @@
 
     /// Announces the end of this host to all hosts that are not silent. Nothing else is sent from
     /// then on: a digest that arrived after the goodbye would register this host again.
-    pub fn bye(&mut self) {
+    pub fn announce_exit(&mut self) {
         self.has_left = true;
         let peers = self.hosts.iter().filter(|peer| !peer.is_silent());
         let addresses: Vec<_> = peers.map(|peer| peer.member.address).collect();
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -94,7 +94,7 @@
         /// The server.
         server: backend::Id,
         /// The server's limit since this change.
-        news: VersionedLimit,
+        limit: VersionedLimit,
     },
     /// Requests and grants of quota permits; sent once.
     Quota(Message),
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -5,7 +5,7 @@
 use types::time::Moment;
 
 use super::{
-    Fleet, ReceivedNotice,
+    Envelope, Fleet,
     hosts::Freshness,
     link::PendingAck,
     notice::{self, Notice, Target},
@@ -22,7 +22,7 @@
 
 impl Fleet {
     /// Takes a datagram, and returns the notices in it that are received for the first time.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<ReceivedNotice> {
+    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<Envelope> {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         let Some(packet) = wire::decode(bytes) else {
@@ -154,12 +154,12 @@
         from: SocketAddr,
         run: Run,
         notice: Notice,
-    ) -> Vec<ReceivedNotice> {
+    ) -> Vec<Envelope> {
         let Some(peer) = self.hosts.by_run(run) else {
             self.on_unknown_run(now, from);
             return Vec::new();
         };
-        vec![ReceivedNotice { origin: Some(peer.member.id.clone()), via: from, notice }]
+        vec![Envelope { origin: Some(peer.member.id.clone()), via: from, notice }]
     }
 
     fn on_bye(&mut self, now: Moment, run: Run, count: u32) {
@@ -177,7 +177,7 @@
         from: SocketAddr,
         run: Run,
         items: Vec<Item>,
-    ) -> Vec<ReceivedNotice> {
+    ) -> Vec<Envelope> {
         let taken = items.iter().map(|item| (item.origin, item.number));
         for batch in notice::pack(taken) {
             self.put(from, Body::Acks(batch));
@@ -188,7 +188,7 @@
                 continue;
             }
             let origin = self.hosts.by_run(item.origin).map(|peer| peer.member.id.clone());
-            received.push(ReceivedNotice { origin, via: from, notice: item.notice.clone() });
+            received.push(Envelope { origin, via: from, notice: item.notice.clone() });
             self.forward(now, run, &item);
         }
         self.flush_notices(now);
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -46,7 +46,7 @@
 
 /// What this host knows of the others. Its own facts are in none of the sums.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FleetSnapshot {
+pub struct Snapshot {
     /// Known hosts, silent ones among them.
     pub hosts: Vec<PeerStatus>,
     /// Number of hosts that take work or are about to, this one among them unless it is leaving.
@@ -73,7 +73,7 @@
     pub store: StoreStatus,
 }
 
-impl FleetSnapshot {
+impl Snapshot {
     /// Returns all others' work in flight at a server.
     pub fn at(&self, server: &str) -> &[Load] {
         let start = self.in_flight.partition_point(|load| &*load.server < server);
@@ -112,12 +112,12 @@
 
 impl Fleet {
     /// Returns what this host knows of the others.
-    pub fn snapshot(&self, now: Moment) -> FleetSnapshot {
+    pub fn snapshot(&self, now: Moment) -> Snapshot {
         let hosts: Vec<_> = self.hosts.iter().map(|peer| self.status_of(now, peer)).collect();
         let live = hosts.iter().filter(|status| status.liveness == Liveness::Live).count();
         let mut tally = Tally::default();
         self.all_received_facts(now).for_each(|(fact, age)| tally.add(fact, age));
-        let mut snapshot = FleetSnapshot {
+        let mut snapshot = Snapshot {
             hosts,
             live: live + usize::from(self.state(now) != State::Leaving),
             in_flight: busy(tally.in_flight),
@@ -127,7 +127,7 @@
             lease: tally.lease,
             term: tally.term,
             store: tally.store.unwrap_or_default(),
-            ..FleetSnapshot::default()
+            ..Snapshot::default()
         };
         for (key, total) in self.counters.totals() {
             match key {
--- a/crates/policy/src/follow.rs
+++ b/crates/policy/src/follow.rs
@@ -24,7 +24,7 @@
 pub const PAUSE_PER_HOST: Duration = Duration::from_millis(40);
 
 /// Time after a host's start in which it does not yet know the number of hosts.
-pub const STARTING: Duration = Duration::from_secs(3);
+pub const STARTUP_TIME: Duration = Duration::from_secs(3);
 
 /// Pause while the number of hosts is not known yet.
 const STARTING_PAUSE: Duration = Duration::from_millis(500);
@@ -102,7 +102,7 @@
         wait: within.mul_f64(wait),
         trust: within.mul_f64(wait + SCOUT_TRUST_SHARE),
     };
-    if up < STARTING {
+    if up < STARTUP_TIME {
         return soon(STARTING_WAIT_SHARE);
     }
     match role {
@@ -122,7 +122,7 @@
 /// Pause after an answer that comes `up` after the host's start, in a fleet of `hosts`, for changes
 /// that each host must know `within` a time after their acknowledgement.
 pub fn pause(up: Moment, role: Role, hosts: usize, within: Duration) -> Duration {
-    if up < STARTING {
+    if up < STARTUP_TIME {
         return STARTING_PAUSE.min(within.mul_f64(MAX_PAUSE_SHARE));
     }
     let pause = for_each(PAUSE_PER_HOST, hosts.saturating_sub(UNPACED_HOSTS))
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -72,54 +72,54 @@
 /// Intervals, timeouts and limits of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Time between heartbeats in a fleet of up to `small` hosts.
+    /// Time between heartbeats in a fleet of up to `small_fleet` hosts.
     pub interval: Duration,
-    /// Time between heartbeats in a fleet of more than `small` hosts.
-    pub wide_interval: Duration,
+    /// Time between heartbeats in a fleet of more than `small_fleet` hosts.
+    pub large_fleet_interval: Duration,
     /// Largest number of hosts in a small fleet.
-    pub small: usize,
+    pub small_fleet: usize,
     /// Number of peers that get heartbeats in turn before others are drawn.
-    pub view: usize,
+    pub view_size: usize,
     /// Time after which a new set of those peers is drawn.
     pub rotation: Duration,
     /// Number of peers to which urgent updates are pushed on first receipt.
     pub fanout: usize,
     /// Number of peers asked to probe a host that does not answer.
-    pub indirect: usize,
+    pub indirect_probes: usize,
     /// Time for which a host's own answer outweighs other hosts' reports about it.
-    pub fresh: Duration,
+    pub answer_validity: Duration,
     /// Time after which a suspected host is gone.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Time after which a host that is gone and not listed is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
     /// Time for which another host's reading of a leaving mark in the platform's list counts
     /// without a reading of this host's own.
-    pub mark: Duration,
+    pub reported_mark_validity: Duration,
     /// Timeout of a configuration fetch, after which another peer is asked.
-    pub fetch: Duration,
+    pub fetch_timeout: Duration,
     /// Maximum size of a heartbeat, in bytes of JSON.
     pub message_bytes: usize,
     /// Maximum number of servers in the in-flight digest of one heartbeat.
-    pub digest: usize,
+    pub digest_entries: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             interval: Duration::from_millis(250),
-            wide_interval: Duration::from_millis(500),
-            small: 16,
-            view: 16,
+            large_fleet_interval: Duration::from_millis(500),
+            small_fleet: 16,
+            view_size: 16,
             rotation: Duration::from_secs(60),
             fanout: 5,
-            indirect: 3,
-            fresh: Duration::from_secs(2),
-            suspicion: Duration::from_secs(5),
-            forget: Duration::from_secs(600),
-            mark: Duration::from_secs(30),
-            fetch: Duration::from_millis(500),
+            indirect_probes: 3,
+            answer_validity: Duration::from_secs(2),
+            suspicion_timeout: Duration::from_secs(5),
+            forget_after: Duration::from_secs(600),
+            reported_mark_validity: Duration::from_secs(30),
+            fetch_timeout: Duration::from_millis(500),
             message_bytes: 450,
-            digest: 12,
+            digest_entries: 12,
         }
     }
 }
@@ -127,7 +127,7 @@
 impl Settings {
     /// Time between heartbeats in a fleet of `hosts`.
     pub fn pace(&self, hosts: usize) -> Duration {
-        if hosts <= self.small { self.interval } else { self.wide_interval }
+        if hosts <= self.small_fleet { self.interval } else { self.large_fleet_interval }
     }
 }
 
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -47,7 +47,7 @@
 /// Action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a heartbeat; its result goes to [`Gossip::answer`] or [`Gossip::silence`].
+    /// Sends a heartbeat; its result goes to [`Gossip::answer`] or [`Gossip::heartbeat_failed`].
     Send {
         /// Receiver.
         to: Host,
@@ -360,7 +360,7 @@
         if busy || number <= self.version(topic) {
             return None;
         }
-        self.fetching.insert(topic, Fetch { number, until: now + self.settings.fetch });
+        self.fetching.insert(topic, Fetch { number, until: now + self.settings.fetch_timeout });
         Some(Action::Fetch { from, topic, number })
     }
 }
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -39,7 +39,7 @@
         let silent =
             self.counter.is_multiple_of(BEATS_PER_RETRY).then(|| self.draw_silent()).flatten();
         let target = silent.or_else(|| self.view.next());
-        let is_large = self.settings.small < self.hosts.present().count() + 1;
+        let is_large = self.settings.small_fleet < self.hosts.present().count() + 1;
         let watcher = is_large.then(|| self.rank.watched_by(&self.me.id).cloned()).flatten();
         let targets = target.into_iter().chain(watcher);
         targets.filter_map(|id| self.send(now, &id)).collect()
@@ -73,7 +73,7 @@
     }
 
     /// Records that a heartbeat got no answer.
-    pub fn silence(&mut self, now: Moment, id: &str) -> Vec<Action> {
+    pub fn heartbeat_failed(&mut self, now: Moment, id: &str) -> Vec<Action> {
         let Some(member) = self.hosts.get(id) else { return Vec::new() };
         if member.health != Health::Live {
             return Vec::new();
@@ -167,13 +167,13 @@
             return Vec::new();
         }
         self.counter += 1;
-        let drawn = self.view.draw(self.seed, self.counter, self.settings.indirect + 1);
+        let drawn = self.view.draw(self.seed, self.counter, self.settings.indirect_probes + 1);
         let helpers: Vec<Host> = drawn
             .iter()
             .filter(|id| **id != target.id)
             .filter_map(|id| self.hosts.get(id))
             .filter(|member| member.health == Health::Live)
-            .take(self.settings.indirect)
+            .take(self.settings.indirect_probes)
             .map(|member| member.host.clone())
             .collect();
         if helpers.is_empty() {
@@ -221,7 +221,7 @@
     }
 
     fn own_digest(&mut self) -> Vec<InFlight> {
-        let count = self.own_in_flight.len().min(self.settings.digest);
+        let count = self.own_in_flight.len().min(self.settings.digest_entries);
         let digest = self
             .own_in_flight
             .iter()
@@ -264,7 +264,7 @@
             urgent |= self.absorb_update(now, update, &mut actions);
         }
         let digest = self.peers_in_flight.entry(received.from.id.clone()).or_default();
-        digest.take(now, &received.in_flight, self.settings.digest);
+        digest.take(now, &received.in_flight, self.settings.digest_entries);
         if let Some(member) = self.hosts.get(&received.from.id) {
             let from = member.host.clone();
             let fetches = versions.iter().map(|(topic, number)| (*topic, from.clone(), *number));
@@ -285,15 +285,15 @@
                 false
             }
             Update::Host(status) => {
-                let change = self.hosts.apply_update(now, status, self.settings.fresh);
+                let change = self.hosts.apply_update(now, status, self.settings.answer_validity);
                 if change != Change::None {
                     self.queue.push(update.clone());
                 }
                 change.is_urgent()
             }
             Update::Server(observation) => {
-                let newly =
-                    observation.by != self.me.id && self.servers.apply_update(now, observation);
+                let newly = observation.observer != self.me.id
+                    && self.servers.apply_update(now, observation);
                 if newly {
                     self.queue.push(update.clone());
                 }
--- a/crates/policy/src/member/gossip/pick.rs
+++ b/crates/policy/src/member/gossip/pick.rs
@@ -47,14 +47,14 @@
         candidates.sort_by_key(|(score, _)| *score);
         let (same_zone, other_zones): (Vec<_>, Vec<_>) =
             candidates.into_iter().map(|(_, host)| host).partition(|host| host.zone == *zone);
-        let same_zone_size = same_zone
-            .len()
-            .min((settings.view / 2).max(settings.view.saturating_sub(other_zones.len())));
+        let same_zone_size = same_zone.len().min(
+            (settings.view_size / 2).max(settings.view_size.saturating_sub(other_zones.len())),
+        );
         let first = |hosts: Vec<&Host>, count: usize| {
             hosts.into_iter().take(count).map(|host| host.id.clone()).collect()
         };
         self.same_zone = first(same_zone, same_zone_size);
-        self.other_zones = first(other_zones, settings.view - same_zone_size);
+        self.other_zones = first(other_zones, settings.view_size - same_zone_size);
         self.generation = Some(hosts.generation());
         self.turn = turn;
     }
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -259,7 +259,9 @@
     pub fn expire(&mut self, now: Moment, settings: &Settings) -> Vec<Status> {
         let mut given_up = Vec::new();
         for member in self.members.values_mut() {
-            if member.health == Health::Suspected && member.since + settings.suspicion <= now {
+            if member.health == Health::Suspected
+                && member.since + settings.suspicion_timeout <= now
+            {
                 member.set_health(now, Health::Gone);
                 given_up.push(member.status());
             }
@@ -267,7 +269,7 @@
         let known = self.members.len();
         self.members.retain(|_, member| {
             let gone = member.health == Health::Gone && member.listed.is_none();
-            !gone || now < member.since + settings.forget
+            !gone || now < member.since + settings.forget_after
         });
         self.generation += (given_up.len() + known - self.members.len()) as u64;
         given_up
--- a/crates/policy/src/member/queue.rs
+++ b/crates/policy/src/member/queue.rs
@@ -95,7 +95,7 @@
     match update {
         Update::Host(status) => Key::Host(status.id.clone()),
         Update::Server(observation) => {
-            Key::Server(observation.server.clone(), observation.by.clone())
+            Key::Server(observation.server.clone(), observation.observer.clone())
         }
     }
 }
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -41,15 +41,17 @@
     /// Incarnation of the server's process; zero if unknown.
     pub run: backend::Incarnation,
     /// Host that made the observation.
-    pub by: host::Id,
+    #[serde(rename = "by")]
+    pub observer: host::Id,
     /// What was observed.
-    pub seen: Seen,
+    #[serde(rename = "seen")]
+    pub evidence: Evidence,
 }
 
 /// Evidence against a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Evidence {
     /// The server reports that it is leaving.
     Leaving,
     /// The platform lists the server as leaving.
@@ -183,7 +185,7 @@
         }
         let fresh_mark = member.marked.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
         member.marked = Some(now);
-        fresh_mark.then(|| observation(member, me, Seen::ListedLeaving))
+        fresh_mark.then(|| observation(member, me, Evidence::ListedLeaving))
     }
 
     /// Adds a server that another host listed, if it is not known.
@@ -212,7 +214,7 @@
         let newly = leaving && !member.leaving;
         member.leaving |= leaving;
         member.answer(now);
-        newly.then(|| observation(member, me, Seen::Leaving))
+        newly.then(|| observation(member, me, Evidence::Leaving))
     }
 
     /// Records that the server answered a request.
@@ -228,21 +230,21 @@
         let member = self.members.get_mut(id)?;
         let newly = member.failed.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
         member.failed = Some(now);
-        newly.then(|| observation(member, me, Seen::Silent))
+        newly.then(|| observation(member, me, Evidence::Silent))
     }
 
     /// Takes in another host's observation; returns whether it changed anything.
     pub fn apply_update(&mut self, now: Moment, observation: &Observation) -> bool {
         let Some(member) = self.members.get_mut(&observation.server) else { return false };
-        match observation.seen {
-            Seen::Leaving if observation.run < member.run => false,
-            Seen::Leaving => {
+        match observation.evidence {
+            Evidence::Leaving if observation.run < member.run => false,
+            Evidence::Leaving => {
                 let newly = !member.leaving || member.run < observation.run;
                 member.run = member.run.max(observation.run);
                 member.leaving = true;
                 newly
             }
-            Seen::ListedLeaving => {
+            Evidence::ListedLeaving => {
                 let newly =
                     member.reported_leaving.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
                 if newly {
@@ -250,11 +252,11 @@
                 }
                 newly
             }
-            Seen::Silent => {
-                let before = member.reported_silent.get(&observation.by).copied();
+            Evidence::Silent => {
+                let before = member.reported_silent.get(&observation.observer).copied();
                 let newly = before.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
                 if newly {
-                    member.reported_silent.insert(observation.by.clone(), now);
+                    member.reported_silent.insert(observation.observer.clone(), now);
                 }
                 newly
             }
@@ -278,6 +280,11 @@
     }
 }
 
-fn observation(member: &Member, me: &host::Id, seen: Seen) -> Observation {
-    Observation { server: member.server.id.clone(), run: member.run, by: me.clone(), seen }
+fn observation(member: &Member, me: &host::Id, evidence: Evidence) -> Observation {
+    Observation {
+        server: member.server.id.clone(),
+        run: member.run,
+        observer: me.clone(),
+        evidence,
+    }
 }
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -24,7 +24,7 @@
 
 /// Admission mode.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Entry {
+pub enum Mode {
     /// Only requests that can meet their target are admitted, within the limits.
     #[default]
     Judged,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// Admission mode.
-    pub entry: Entry,
+    pub mode: Mode,
     /// Algorithm that adapts the servers' limits.
     pub algorithm: Algorithm,
     /// Bounds of the prefix hints.
@@ -53,7 +53,7 @@
 
 /// A request, as far as admission and the choice of a server need it.
 #[derive(Clone, Debug)]
-pub struct Demand {
+pub struct Requirements {
     /// What admission needs.
     pub work: Work,
     /// Time from arrival within which the first token is due.
@@ -100,7 +100,7 @@
 
 /// Result of asking for a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum Retry {
     /// The attempt is in flight.
     Sent(Flight),
     /// Only suspected servers have what the request needs; the first of them may be tried at this
@@ -114,7 +114,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The complete answer arrived.
-    Whole,
+    Completed,
     /// The caller cancelled the request.
     Cancelled,
     /// The attempt failed at this point.
@@ -159,20 +159,25 @@
 
     /// Decides on the admission of a request that has arrived. Requests that it displaced from a
     /// full queue are added to `changes`.
-    pub fn admit(&mut self, demand: &Demand, now: Moment, changes: &mut Vec<Change>) -> Admission {
-        let Some(outlook) = self.outlook(demand, now) else {
+    pub fn admit(
+        &mut self,
+        requirements: &Requirements,
+        now: Moment,
+        changes: &mut Vec<Change>,
+    ) -> Admission {
+        let Some(outlook) = self.outlook(requirements, now) else {
             return Admission::Unready;
         };
-        if self.rules.entry == Entry::Open {
-            *self.reserved.entry(demand.work.pool).or_default() += 1;
+        if self.rules.mode == Mode::Open {
+            *self.reserved.entry(requirements.work.pool).or_default() += 1;
             return Admission::Take;
         }
         let mut displaced = Vec::new();
-        let verdict = self.gate.arrive(demand.work.clone(), &outlook, now, &mut displaced);
+        let verdict = self.gate.arrive(requirements.work.clone(), &outlook, now, &mut displaced);
         changes.extend(displaced.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
         match verdict {
             admit::Verdict::Take => {
-                *self.reserved.entry(demand.work.pool).or_default() += 1;
+                *self.reserved.entry(requirements.work.pool).or_default() += 1;
                 Admission::Take
             }
             admit::Verdict::Wait => Admission::Wait,
@@ -190,18 +195,23 @@
     /// Chooses the server for a request that holds a reservation, and uses the reservation up.
     /// Returns `None` if no server can be used any more; the reservation is used up in that case,
     /// too.
-    pub fn dispatch(&mut self, demand: &Demand, now: Moment) -> Option<Flight> {
-        self.release(demand.work.pool);
-        self.send(demand, &[], now)
+    pub fn dispatch(&mut self, requirements: &Requirements, now: Moment) -> Option<Flight> {
+        self.release(requirements.work.pool);
+        self.send(requirements, &[], now)
     }
 
     /// Chooses a server for a request whose attempt failed, preferably one not in `avoid`. A
     /// request that was already sent takes precedence over waiting ones, so limits do not hold it
     /// back.
-    pub fn dispatch_again(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Again {
-        match self.send(demand, avoid, now).or_else(|| self.send(demand, &[], now)) {
-            Some(flight) => Again::Sent(flight),
-            None => self.earliest_trial(demand.work.wanted).map_or(Again::Unready, Again::At),
+    pub fn dispatch_again(
+        &mut self,
+        requirements: &Requirements,
+        avoid: &[Index],
+        now: Moment,
+    ) -> Retry {
+        match self.send(requirements, avoid, now).or_else(|| self.send(requirements, &[], now)) {
+            Some(flight) => Retry::Sent(flight),
+            None => self.earliest_trial(requirements.work.wanted).map_or(Retry::Unready, Retry::At),
         }
     }
 
@@ -240,7 +250,7 @@
         let limiter = self.limiters.limiter(server, flight.pool);
         limiter.end();
         match end {
-            End::Whole => {
+            End::Completed => {
                 self.budget.deposit();
                 self.clear_suspicion(server);
             }
@@ -291,9 +301,14 @@
         self.gate = gate;
     }
 
-    fn send(&mut self, demand: &Demand, avoid: &[Index], now: Moment) -> Option<Flight> {
-        let pool = demand.work.pool;
-        let criteria = Criteria { avoid, ..criteria(demand) };
+    fn send(
+        &mut self,
+        requirements: &Requirements,
+        avoid: &[Index],
+        now: Moment,
+    ) -> Option<Flight> {
+        let pool = requirements.work.pool;
+        let criteria = Criteria { avoid, ..criteria(requirements) };
         let has_room = |server| 0 < self.room_on(server, pool);
         let choice = match route::choose(&self.table, &self.hints, &criteria, now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => choice,
@@ -304,12 +319,12 @@
             self.set_suspicion(choice.server, eligibility);
         }
         self.limiters.limiter(choice.server, pool).start();
-        for prefix in &demand.prefix {
+        for prefix in &requirements.prefix {
             self.hints.add(*prefix, choice.server, now);
         }
-        let tokens = demand.prompt_tokens - choice.cached_tokens;
+        let tokens = requirements.prompt_tokens - choice.cached_tokens;
         let sent = self.table.sent(choice.server, tokens, now);
-        Some(Flight { choice, sent, pool, target: demand.target })
+        Some(Flight { choice, sent, pool, target: requirements.target })
     }
 
     fn clear_suspicion(&mut self, server: Index) {
@@ -326,13 +341,13 @@
     }
 }
 
-fn criteria(demand: &Demand) -> Criteria<'_> {
+fn criteria(requirements: &Requirements) -> Criteria<'_> {
     Criteria {
-        destination: demand.work.wanted,
-        version: &demand.version,
-        prefix: &demand.prefix,
-        prompt_tokens: demand.prompt_tokens,
+        destination: requirements.work.wanted,
+        version: &requirements.version,
+        prefix: &requirements.prefix,
+        prompt_tokens: requirements.prompt_tokens,
         avoid: &[],
-        seed: demand.work.spread,
+        seed: requirements.work.spread,
     }
 }
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -2,7 +2,7 @@
 
 use types::prelude::*;
 
-use super::{Demand, Traffic, criteria};
+use super::{Requirements, Traffic, criteria};
 use crate::{
     admit::Outlook,
     route::{self, Choice, Decision, DestinationIndex, Index},
@@ -24,13 +24,13 @@
 
     /// Returns what a request can expect; `None` if no server has what it needs and no suspected
     /// one will come back with it.
-    pub(super) fn outlook(&self, demand: &Demand, now: Moment) -> Option<Outlook> {
-        let wanted = demand.work.wanted;
-        let pool = demand.work.pool;
+    pub(super) fn outlook(&self, requirements: &Requirements, now: Moment) -> Option<Outlook> {
+        let wanted = requirements.work.wanted;
+        let pool = requirements.work.pool;
         let has_room = |server| 0 < self.room_on(server, pool);
-        match route::choose(&self.table, &self.hints, &criteria(demand), now, has_room) {
+        match route::choose(&self.table, &self.hints, &criteria(requirements), now, has_room) {
             Decision::Send(choice) | Decision::Full(choice) => {
-                Some(self.outlook_at(wanted, &choice, demand.prompt_tokens, now))
+                Some(self.outlook_at(wanted, &choice, requirements.prompt_tokens, now))
             }
             Decision::Unready => self.outlook_of_suspects(wanted, now),
         }
--- a/crates/policy/tests/event.rs
+++ b/crates/policy/tests/event.rs
@@ -1,7 +1,7 @@
 //! Splitting of event streams: events pass complete, once and in order.
 
 use bytes::Bytes;
-use policy::event::{Fault, ResumePoint, Splitter, Taken};
+use policy::event::{Fault, Output, ResumePoint, Splitter};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
 
@@ -13,11 +13,11 @@
     ids.iter().copied().map(event).collect()
 }
 
-fn take(splitter: &mut Splitter, text: &str) -> Taken {
+fn take(splitter: &mut Splitter, text: &str) -> Output {
     splitter.take(Bytes::copy_from_slice(text.as_bytes()))
 }
 
-fn text(taken: &Taken) -> &str {
+fn text(taken: &Output) -> &str {
     std::str::from_utf8(&taken.events).expect("text")
 }
 
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -368,7 +368,7 @@
         let now = self.now;
         let gossip = &mut self.nodes[from].gossip;
         let actions = match call {
-            Call::Heartbeat(_) => gossip.silence(now, &host(to).id),
+            Call::Heartbeat(_) => gossip.heartbeat_failed(now, &host(to).id),
             Call::Probe(target) => gossip.probed(now, &host(target).id, Probe::Silent),
             Call::Fetch => gossip.fetch_failed(now, Topic::Config),
         };
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -7,7 +7,7 @@
 use fleet_net::{Net, ROUGH};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
-    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reachability, StoreStatus},
+    fleet::{Departure, Lease, Load, Publication, Reachability, Snapshot, StoreStatus},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
     format!("service-{number}").into()
 }
 
-fn after(publications: impl IntoIterator<Item = Publication>) -> FleetSnapshot {
+fn after(publications: impl IntoIterator<Item = Publication>) -> Snapshot {
     let mut net = Net::settled(3, 1);
     publications.into_iter().for_each(|one| net.publish(1, one));
     net.run_for(STEP * 3);
@@ -47,7 +47,7 @@
     }
 }
 
-fn requests(snapshot: &FleetSnapshot) -> Vec<u64> {
+fn requests(snapshot: &Snapshot) -> Vec<u64> {
     snapshot.crashes.iter().map(|crash| crash.request).collect()
 }
 
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -120,7 +120,7 @@
     net.run_for(Duration::from_millis(300));
     assert_eq!(liveness(&net, 0, 4), Some(Liveness::Leaving));
     assert_eq!(net.snapshot(0).live, 5);
-    net.fleet(4).bye();
+    net.fleet(4).announce_exit();
     net.run_for(Duration::from_millis(20));
     net.hosts.remove(&4);
     net.run_for(Duration::from_millis(20));
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Load, Member, Publication, ReceivedNotice, Settings, State};
+use policy::fleet::{Envelope, Fleet, Load, Member, Publication, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use types::time::Moment;
@@ -30,7 +30,7 @@
 
 pub struct Host {
     pub fleet: Fleet,
-    pub received: Vec<ReceivedNotice>,
+    pub received: Vec<Envelope>,
 }
 
 type Arrival = Reverse<(Moment, u64, SocketAddr, SocketAddr, Vec<u8>)>;
@@ -141,7 +141,7 @@
         &mut self.hosts.get_mut(&host).expect("it runs").fleet
     }
 
-    pub fn snapshot(&self, host: usize) -> policy::fleet::FleetSnapshot {
+    pub fn snapshot(&self, host: usize) -> policy::fleet::Snapshot {
         self.hosts[&host].fleet.snapshot(self.now)
     }
 
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -36,7 +36,7 @@
     fleet.send(now, Recipients::All, Notice::DeclarationInForce { version: 3 }).expect("known");
     fleet.introduce(now, [address(9)]);
     fleet.tick(now + Duration::from_secs(1));
-    fleet.bye();
+    fleet.announce_exit();
     fleet.outgoing().into_iter().map(|datagram| datagram.bytes).collect()
 }
 
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -13,7 +13,7 @@
 }
 
 fn settled(role: Role, hosts: usize) -> Duration {
-    follow::pause(follow::STARTING, role, hosts, DRAIN)
+    follow::pause(follow::STARTUP_TIME, role, hosts, DRAIN)
 }
 
 fn roles(hosts: &[host::Id]) -> Vec<Role> {
@@ -77,7 +77,7 @@
 #[case(8)]
 #[case(350)]
 fn a_scout_finds_a_stalled_watch_in_time(#[case] count: usize) {
-    let watch = follow::watch_times(follow::STARTING, Role::Scout, count, DRAIN);
+    let watch = follow::watch_times(follow::STARTUP_TIME, Role::Scout, count, DRAIN);
     assert!(watch.wait < watch.trust, "the store has time to answer that nothing changed");
     // A second watch starts when the trust ends, and its answer is reported to the others.
     assert!(watch.trust < DRAIN.mul_f64(0.75), "{watch:?}");
@@ -89,7 +89,7 @@
 #[case(350)]
 fn watches_of_all_hosts_together_ask_seldom(#[case] count: usize) {
     let calls = |role| {
-        let watch = follow::watch_times(follow::STARTING, role, count, DRAIN);
+        let watch = follow::watch_times(follow::STARTUP_TIME, role, count, DRAIN);
         assert!(watch.wait < watch.trust);
         1.0 / watch.wait.as_secs_f64()
     };
@@ -106,7 +106,10 @@
         let watch = follow::watch_times(Duration::ZERO, role, 1, DRAIN);
         // No bound applies to a host in its first seconds; it finds a stalled watch as soon as one
         // does.
-        assert!(watch.wait < watch.trust && watch.trust < follow::STARTING + DRAIN, "{watch:?}");
+        assert!(
+            watch.wait < watch.trust && watch.trust < follow::STARTUP_TIME + DRAIN,
+            "{watch:?}"
+        );
     }
 }
 
--- a/crates/policy/tests/member_servers.rs
+++ b/crates/policy/tests/member_servers.rs
@@ -4,7 +4,7 @@
 
 use policy::member::{
     Standing,
-    servers::{Observation, Seen, Servers},
+    servers::{Evidence, Observation, Servers},
 };
 use rstest::rstest;
 use types::{
@@ -40,15 +40,15 @@
     servers
 }
 
-fn observation(run: u64, by: &str, seen: Seen) -> Observation {
-    Observation { server: SERVER.into(), run, by: by.into(), seen }
+fn observation(run: u64, observer: &str, evidence: Evidence) -> Observation {
+    Observation { server: SERVER.into(), run, observer: observer.into(), evidence }
 }
 
 #[test]
 fn a_server_that_says_it_leaves_gets_nothing_though_the_list_calls_it_live() {
     let mut servers = known();
     let observation = servers.record_report(at(1), SERVER, 3, true, &me());
-    assert_eq!(observation.map(|observation| observation.seen), Some(Seen::Leaving));
+    assert_eq!(observation.map(|observation| observation.evidence), Some(Evidence::Leaving));
     servers.apply_list(at(2), &[entry(SERVER, Listed::Live)], &me());
     servers.record_report(at(3), SERVER, 3, false, &me());
     assert_eq!(servers.standing(at(60), SERVER), Standing::Leaving);
@@ -60,7 +60,7 @@
     servers.record_report(at(1), SERVER, 3, true, &me());
     servers.record_report(at(2), SERVER, 4, false, &me());
     assert_eq!(servers.standing(at(2), SERVER), Standing::Live);
-    servers.apply_update(at(3), &observation(3, "stage-1", Seen::Leaving));
+    servers.apply_update(at(3), &observation(3, "stage-1", Evidence::Leaving));
     assert_eq!(
         servers.standing(at(3), SERVER),
         Standing::Live,
@@ -127,7 +127,7 @@
 fn what_others_could_not_reach_stays_in_use_where_it_answers() {
     let mut servers = known();
     servers.record_answer(at(10), SERVER);
-    servers.apply_update(at(10), &observation(0, "stage-1", Seen::Silent));
+    servers.apply_update(at(10), &observation(0, "stage-1", Evidence::Silent));
     assert_eq!(servers.standing(at(11), SERVER), Standing::Live);
     assert_eq!(servers.standing(at(13), SERVER), Standing::Suspected, "no answer since");
     assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "the observation has expired");
@@ -136,9 +136,9 @@
 #[test]
 fn a_mark_of_the_list_that_a_peer_read_holds_until_ours_should_show_it() {
     let mut servers = known();
-    assert!(servers.apply_update(at(1), &observation(0, "stage-1", Seen::ListedLeaving)));
+    assert!(servers.apply_update(at(1), &observation(0, "stage-1", Evidence::ListedLeaving)));
     assert!(
-        !servers.apply_update(at(2), &observation(0, "stage-1", Seen::ListedLeaving)),
+        !servers.apply_update(at(2), &observation(0, "stage-1", Evidence::ListedLeaving)),
         "gossiped twice"
     );
     assert_eq!(servers.standing(at(20), SERVER), Standing::Leaving);
@@ -148,7 +148,7 @@
 #[test]
 fn a_mark_that_a_peer_read_gives_way_to_our_own_list_once_it_has_settled() {
     let mut servers = known();
-    servers.apply_update(at(1), &observation(0, "stage-1", Seen::ListedLeaving));
+    servers.apply_update(at(1), &observation(0, "stage-1", Evidence::ListedLeaving));
     servers.apply_list(at(5), &[entry(SERVER, Listed::Live)], &me());
     assert_eq!(servers.standing(at(5), SERVER), Standing::Leaving, "our list may lag");
     servers.apply_list(at(12), &[entry(SERVER, Listed::Live)], &me());
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -7,7 +7,7 @@
     limit::Algorithm,
     retry::Point,
     route::{Destination, Distances, Eligibility},
-    traffic::{Admission, Again, Change, Demand, End, Flight, Rules, Traffic},
+    traffic::{Admission, Change, End, Flight, Requirements, Retry, Rules, Traffic},
 };
 use rstest::rstest;
 use types::{
@@ -61,7 +61,12 @@
     }
 }
 
-fn demand(traffic: &mut Traffic, ticket: Ticket, priority: Priority, due: u64) -> Demand {
+fn requirements(
+    traffic: &mut Traffic,
+    ticket: Ticket,
+    priority: Priority,
+    due: u64,
+) -> Requirements {
     let wanted = traffic.table.destination(&Destination::Model(model::Name::parse("reader")));
     let work = Work {
         ticket,
@@ -75,7 +80,7 @@
         due: millis(due),
         spread: ticket,
     };
-    Demand {
+    Requirements {
         work,
         target: millis(400),
         version: "1".into(),
@@ -84,15 +89,15 @@
     }
 }
 
-fn admit(traffic: &mut Traffic, ticket: Ticket, due: u64, now: u64) -> (Admission, Demand) {
-    let demand = demand(traffic, ticket, Priority::Normal, due);
-    let admission = traffic.admit(&demand, millis(now), &mut Vec::new());
-    (admission, demand)
+fn admit(traffic: &mut Traffic, ticket: Ticket, due: u64, now: u64) -> (Admission, Requirements) {
+    let requirements = requirements(traffic, ticket, Priority::Normal, due);
+    let admission = traffic.admit(&requirements, millis(now), &mut Vec::new());
+    (admission, requirements)
 }
 
-fn sent(again: Again) -> Flight {
+fn sent(again: Retry) -> Flight {
     match again {
-        Again::Sent(flight) => flight,
+        Retry::Sent(flight) => flight,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -100,14 +105,14 @@
 #[test]
 fn a_retry_waits_for_the_only_replica_and_gives_up_when_there_is_none() {
     let mut traffic = traffic(1, 8);
-    let (_, demand) = admit(&mut traffic, 1, 5000, 0);
-    let first = traffic.dispatch(&demand, millis(0)).unwrap();
+    let (_, requirements) = admit(&mut traffic, 1, 5000, 0);
+    let first = traffic.dispatch(&requirements, millis(0)).unwrap();
     traffic.ended(&first, End::Failed(Point::Connect), millis(0));
     let avoid = [first.choice.server];
-    assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(1)), Again::At(millis(500)));
-    assert_eq!(sent(traffic.dispatch_again(&demand, &avoid, millis(500))).choice.server, 0);
+    assert_eq!(traffic.dispatch_again(&requirements, &avoid, millis(1)), Retry::At(millis(500)));
+    assert_eq!(sent(traffic.dispatch_again(&requirements, &avoid, millis(500))).choice.server, 0);
     traffic.table.set_eligibility(0, Eligibility::Gone);
-    assert_eq!(traffic.dispatch_again(&demand, &avoid, millis(900)), Again::Unready);
+    assert_eq!(traffic.dispatch_again(&requirements, &avoid, millis(900)), Retry::Unready);
 }
 
 #[test]
@@ -137,9 +142,9 @@
     let load = policy::route::estimate::PeerLoad { requests: 4 };
     traffic.table.set_peer_load(&"host-2".into(), &[("lector-0".into(), load)]);
     for ticket in 0..5 {
-        let (admission, demand) = admit(&mut traffic, ticket, 5000, 0);
+        let (admission, requirements) = admit(&mut traffic, ticket, 5000, 0);
         assert_eq!(admission, Admission::Take, "{ticket}");
-        traffic.dispatch(&demand, millis(0)).unwrap();
+        traffic.dispatch(&requirements, millis(0)).unwrap();
     }
     assert_eq!(admit(&mut traffic, 9, 5000, 0).0, Admission::Wait);
 }
@@ -148,10 +153,10 @@
 fn a_server_that_ends_nothing_any_more_makes_work_refused_at_once() {
     let mut traffic = traffic(1, 8);
     for ticket in 0..8 {
-        let (_, demand) = admit(&mut traffic, ticket, 400, 0);
-        let flight = traffic.dispatch(&demand, millis(0)).unwrap();
-        traffic.ended(&flight, End::Whole, millis(10));
-        traffic.dispatch(&demand, millis(10)).unwrap();
+        let (_, requirements) = admit(&mut traffic, ticket, 400, 0);
+        let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
+        traffic.ended(&flight, End::Completed, millis(10));
+        traffic.dispatch(&requirements, millis(10)).unwrap();
     }
     let (admission, _) = admit(&mut traffic, 10, 4400, 4000);
     assert!(
@@ -167,7 +172,7 @@
     let flight = traffic.dispatch(&first, millis(0)).unwrap();
     assert_eq!(admit(&mut traffic, 2, 5000, 0).0, Admission::Wait);
     assert_eq!(traffic.pump(millis(10)), []);
-    traffic.ended(&flight, End::Whole, millis(20));
+    traffic.ended(&flight, End::Completed, millis(20));
     assert_eq!(traffic.pump(millis(20)), [Change::Start(2)]);
 }
 
@@ -183,15 +188,15 @@
 #[test]
 fn a_failed_server_is_left_out_and_the_retry_goes_elsewhere() {
     let mut traffic = traffic(2, 8);
-    let (_, demand) = admit(&mut traffic, 1, 5000, 0);
-    let first = traffic.dispatch(&demand, millis(0)).unwrap();
+    let (_, requirements) = admit(&mut traffic, 1, 5000, 0);
+    let first = traffic.dispatch(&requirements, millis(0)).unwrap();
     traffic.ended(&first, End::Failed(Point::Connect), millis(1));
-    let again = sent(traffic.dispatch_again(&demand, &[first.choice.server], millis(1)));
+    let again = sent(traffic.dispatch_again(&requirements, &[first.choice.server], millis(1)));
     assert_ne!(again.choice.server, first.choice.server);
     assert!(!traffic.table.takes_work(first.choice.server, millis(1)));
     for ticket in 2..8 {
-        let (_, demand) = admit(&mut traffic, ticket, 5000, 1);
-        let flight = traffic.dispatch(&demand, millis(1)).unwrap();
+        let (_, requirements) = admit(&mut traffic, ticket, 5000, 1);
+        let flight = traffic.dispatch(&requirements, millis(1)).unwrap();
         assert_eq!(flight.choice.server, again.choice.server);
     }
 }
@@ -199,8 +204,8 @@
 #[test]
 fn a_server_in_doubt_gets_one_trial_and_its_success_clears_it() {
     let mut traffic = traffic(1, 8);
-    let (_, demand) = admit(&mut traffic, 1, 90_000, 0);
-    let flight = traffic.dispatch(&demand, millis(0)).unwrap();
+    let (_, requirements) = admit(&mut traffic, 1, 90_000, 0);
+    let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
     traffic.ended(&flight, End::Failed(Point::Waiting), millis(0));
     let (admission, second) = admit(&mut traffic, 2, 90_000, 1);
     assert_eq!(admission, Admission::Wait, "the only replica comes back soon");
@@ -217,12 +222,12 @@
 #[case(Eligibility::Gone)]
 fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] eligibility: Eligibility) {
     let mut traffic = traffic(1, 8);
-    let (_, demand) = admit(&mut traffic, 1, 5000, 0);
-    let flight = traffic.dispatch(&demand, millis(0)).unwrap();
+    let (_, requirements) = admit(&mut traffic, 1, 5000, 0);
+    let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
     traffic.ended(&flight, End::Failed(Point::Connect), millis(0));
     traffic.table.set_eligibility(0, eligibility);
     traffic.answered(&flight, millis(5));
-    traffic.ended(&flight, End::Whole, millis(6));
+    traffic.ended(&flight, End::Completed, millis(6));
     assert_eq!(traffic.table.eligibility(0), eligibility);
     assert_eq!(admit(&mut traffic, 2, 5000, 10).0, Admission::Unready);
 }
@@ -236,21 +241,21 @@
 #[test]
 fn the_prefix_sent_to_a_server_draws_the_next_request_there() {
     let mut traffic = traffic(6, 64);
-    let prefixed = |traffic: &mut Traffic, ticket| Demand {
+    let prefixed = |traffic: &mut Traffic, ticket| Requirements {
         prefix: vec![1, 2, 3, 4],
         prompt_tokens: 5000,
-        ..demand(traffic, ticket, Priority::Normal, 60_000)
+        ..requirements(traffic, ticket, Priority::Normal, 60_000)
     };
     let first = prefixed(&mut traffic, 1);
     traffic.admit(&first, millis(0), &mut Vec::new());
     let flight = traffic.dispatch(&first, millis(0)).unwrap();
-    traffic.ended(&flight, End::Whole, millis(1000));
+    traffic.ended(&flight, End::Completed, millis(1000));
     for ticket in 2..20 {
         let next = prefixed(&mut traffic, ticket);
         traffic.admit(&next, millis(1000), &mut Vec::new());
         let again = traffic.dispatch(&next, millis(1000)).unwrap();
         assert_eq!(again.choice.server, flight.choice.server);
-        traffic.ended(&again, End::Whole, millis(1000));
+        traffic.ended(&again, End::Completed, millis(1000));
     }
 }
 
@@ -262,15 +267,17 @@
     const TARGET: u64 = 400;
     let mut traffic = traffic(1, 8);
     let mut running: Vec<(u64, Flight)> = Vec::new();
-    let mut waiting: BTreeMap<Ticket, (u64, Demand)> = BTreeMap::new();
+    let mut waiting: BTreeMap<Ticket, (u64, Requirements)> = BTreeMap::new();
     let (mut started, mut late, mut refused, mut busy) = (0, 0, 0, 0u64);
     for now in 0..4000u64 {
         let (ended, rest) = running.into_iter().partition(|(until, _)| *until <= now);
         running = rest;
-        ended.into_iter().for_each(|(_, flight)| traffic.ended(&flight, End::Whole, millis(now)));
+        ended
+            .into_iter()
+            .for_each(|(_, flight)| traffic.ended(&flight, End::Completed, millis(now)));
         let mut changes = traffic.pump(millis(now));
         if now % 5 != 4 {
-            let (admission, demand) = admit(&mut traffic, now, now + TARGET, now);
+            let (admission, requirements) = admit(&mut traffic, now, now + TARGET, now);
             match admission {
                 Admission::Take => changes.push(Change::Start(now)),
                 Admission::Refuse(Refusal { cause, .. }) => {
@@ -279,13 +286,13 @@
                 }
                 Admission::Wait | Admission::Unready => {}
             }
-            waiting.insert(now, (now, demand));
+            waiting.insert(now, (now, requirements));
         }
         for change in changes {
             match change {
                 Change::Start(ticket) => {
-                    let (arrived, demand) = waiting.remove(&ticket).unwrap();
-                    let flight = traffic.dispatch(&demand, millis(now)).unwrap();
+                    let (arrived, requirements) = waiting.remove(&ticket).unwrap();
+                    let flight = traffic.dispatch(&requirements, millis(now)).unwrap();
                     late += u64::from(arrived + TARGET < now + 20);
                     started += 1;
                     running.push((now + SERVICE, flight));
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -9,7 +9,7 @@
 
 use exchange::{
     Exchange,
-    fleet::{FleetSnapshot, Notice},
+    fleet::{Notice, Snapshot},
 };
 use observe::metrics::routed::Origin;
 use policy::demand::{self, Arrival, Collector, Report, Reporter, Subject};
@@ -93,7 +93,7 @@
     }
 
     /// Records the number of live hosts and the holder of the lease, as known by the exchange.
-    pub(crate) fn observe_hosts(&self, snapshot: &FleetSnapshot) {
+    pub(crate) fn observe_hosts(&self, snapshot: &Snapshot) {
         self.demand.lock().hosts = snapshot.live;
         if let Some(lease) = &snapshot.lease {
             self.observe_holder(&lease.holder, lease.fence);
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -10,8 +10,8 @@
 use exchange::{
     Exchange, Registered, Source,
     fleet::{
-        Departure, FleetSnapshot, Lease, Notice, Publication, Reachability, ReceivedNotice,
-        Recipients, Revision, State, StoreStatus,
+        Departure, Envelope, Lease, Notice, Publication, Reachability, Recipients, Revision,
+        Snapshot, State, StoreStatus,
     },
 };
 use observe::story::{self, Belief, PeerStanding};
@@ -76,7 +76,7 @@
     fn is_behind(
         &mut self,
         revision: Revision,
-        snapshot: &FleetSnapshot,
+        snapshot: &Snapshot,
         patience: Duration,
         now: Moment,
     ) -> bool {
@@ -138,7 +138,7 @@
 /// Reports which peers are heard from and which have fallen silent since the last call.
 fn report_liveness(
     shared: &Shared,
-    snapshot: &FleetSnapshot,
+    snapshot: &Snapshot,
     before: &mut BTreeMap<host::Id, PeerStanding>,
 ) {
     for status in &snapshot.hosts {
@@ -214,7 +214,7 @@
     leaving.map(|server| (server.id.clone(), Departure::Leaving)).collect()
 }
 
-fn apply(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
+fn apply(shared: &Shared, snapshot: &Snapshot, own: &[dispatch::Work]) {
     let now = shared.now();
     let mut term = shared.term();
     let live = snapshot.hosts.iter().filter(|status| status.liveness == Liveness::Live);
@@ -237,7 +237,7 @@
 }
 
 /// Passes the requests in flight at each server, over all hosts, to the planner.
-fn update_in_flight(shared: &Shared, snapshot: &FleetSnapshot, own: &[dispatch::Work]) {
+fn update_in_flight(shared: &Shared, snapshot: &Snapshot, own: &[dispatch::Work]) {
     let mut running: BTreeMap<(&backend::Id, &model::Id), u32> = BTreeMap::new();
     let others = snapshot.in_flight.iter().map(|load| (&load.server, &load.model, load.requests));
     let own = own.iter().map(|(server, model, requests, _)| (server, model, *requests));
@@ -257,7 +257,7 @@
 }
 
 /// Fetches the declaration and the servers from peers that have later ones.
-async fn catch_up(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &FleetSnapshot) {
+async fn catch_up(shared: &Arc<Shared>, exchange: &Exchange, snapshot: &Snapshot) {
     let version = shared.declaration().map_or(0, |declaration| declaration.version);
     if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
@@ -304,11 +304,7 @@
     known.map_or_else(|| address.to_string().into(), |status| status.member.id.clone())
 }
 
-async fn listen(
-    shared: Arc<Shared>,
-    exchange: Arc<Exchange>,
-    mut notices: Receiver<ReceivedNotice>,
-) {
+async fn listen(shared: Arc<Shared>, exchange: Arc<Exchange>, mut notices: Receiver<Envelope>) {
     // A fetch may take as long as its timeout, and must not delay other notices.
     let (declared, versions) = unbounded_channel();
     tokio::spawn(fetch_declared(shared.clone(), exchange, versions));
@@ -337,9 +333,9 @@
                 // The receiver lives until the process ends.
                 let _ = declared.send((version, received.via));
             }
-            Notice::LimitChanged { server, news } => {
+            Notice::LimitChanged { server, limit } => {
                 let origin = received.origin.unwrap_or_else(|| received.via.to_string().into());
-                shared.receive_limit(&server, news, &origin);
+                shared.receive_limit(&server, limit, &origin);
             }
             Notice::Demand(report) => {
                 if let Some(origin) = &received.origin {
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Rate limits that servers state, and the quotas that hosts share: the connection of the
 //! dispatcher with the other hosts, the log and the metrics.
 
-use exchange::fleet::{FleetSnapshot, Notice};
+use exchange::fleet::{Notice, Snapshot};
 use observe::{
     metrics::routed::Permits,
     story::{Belief, Source},
@@ -25,7 +25,7 @@
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
             self.report_limit(server, change, Source::Itself);
-            self.notify(Notice::LimitChanged { server: server.clone(), news: change.current });
+            self.notify(Notice::LimitChanged { server: server.clone(), limit: change.current });
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Applies which other hosts there are, and the limits that they report.
-    pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
+    pub(crate) fn quota_hosts(&self, snapshot: &Snapshot) {
         let is_reachable = |liveness| liveness != Liveness::Silent;
         let known =
             snapshot.hosts.iter().map(|peer| (&peer.member.id, is_reachable(peer.liveness)));
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -5,7 +5,7 @@
 
 use exchange::{
     Exchange,
-    fleet::{FleetSnapshot, Notice},
+    fleet::{Notice, Snapshot},
 };
 use policy::dispatch::{RetryBudgetStatus, loan::Message};
 use tokio::time::sleep;
@@ -31,7 +31,7 @@
     }
 }
 
-fn log_budget(service: &str, budget: &RetryBudgetStatus, refused: u64, others: &FleetSnapshot) {
+fn log_budget(service: &str, budget: &RetryBudgetStatus, refused: u64, others: &Snapshot) {
     let count = |counts: &BTreeMap<service::Id, u64>| counts.get(service).copied().unwrap_or(0);
     log::info!(
         service, requests = budget.requests, retries = budget.retries, open = budget.open, refused,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -10,7 +10,7 @@
 };
 use observe::story::Source;
 use policy::{
-    fleet::{FleetSnapshot, Liveness},
+    fleet::{Liveness, Snapshot},
     follow::{self, Role},
 };
 use tokio::time::sleep;
@@ -123,7 +123,7 @@
     /// fails, since a removed entry may then be written again, which only the store reports.
     fn relay(&self) -> Option<(Arc<Exchange>, Member)> {
         let exchange = self.exchange()?;
-        let is_settled = follow::STARTING <= self.now() && !self.store.is_degraded();
+        let is_settled = follow::STARTUP_TIME <= self.now() && !self.store.is_degraded();
         match exchange.tier() {
             Tier::Member(relay) if is_settled && self.role(&exchange.fleet()) == Role::Follower => {
                 Some((exchange, relay))
@@ -149,7 +149,7 @@
     }
 
     /// Like [`Shared::gather`], for a given snapshot of the other hosts.
-    pub(crate) fn gather_among(&self, snapshot: &FleetSnapshot) -> Duration {
+    pub(crate) fn gather_among(&self, snapshot: &Snapshot) -> Duration {
         follow::pause(self.now(), self.role(snapshot), snapshot.live, self.routed.drain)
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Returns this host's role among the hosts that follow the store.
-    fn role(&self, snapshot: &FleetSnapshot) -> Role {
+    fn role(&self, snapshot: &Snapshot) -> Role {
         let live = snapshot.hosts.iter().filter(|peer| peer.liveness == Liveness::Live);
         match self.term().fence(self.now()) {
             Some(_) => Role::Scout,
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -6,7 +6,7 @@
     admit::{Ticket, Work},
     ledger::Ledger,
     route::{Destination, Distances},
-    traffic::{Admission, Demand, End, Rules, Traffic},
+    traffic::{Admission, End, Requirements, Rules, Traffic},
 };
 use types::{
     backend,
@@ -132,23 +132,28 @@
         let (traffic, ticket, now) = &mut *state.borrow_mut();
         *ticket += 1;
         *now += Duration::from_micros(200);
-        let Some(demand) = demand(traffic, servers, *ticket, *now) else { return };
-        if traffic.admit(&demand, *now, &mut Vec::new()) != Admission::Take {
+        let Some(requirements) = requirements(traffic, servers, *ticket, *now) else { return };
+        if traffic.admit(&requirements, *now, &mut Vec::new()) != Admission::Take {
             return;
         }
-        if let Some(attempt) = traffic.dispatch(&demand, *now) {
+        if let Some(attempt) = traffic.dispatch(&requirements, *now) {
             traffic.answered(&attempt, *now);
-            traffic.ended(&attempt, End::Whole, *now);
+            traffic.ended(&attempt, End::Completed, *now);
         }
         drop(traffic.pump(*now));
     })
 }
 
-fn demand(traffic: &Traffic, servers: u32, ticket: Ticket, now: Moment) -> Option<Demand> {
+fn requirements(
+    traffic: &Traffic,
+    servers: u32,
+    ticket: Ticket,
+    now: Moment,
+) -> Option<Requirements> {
     let model = ticket.wrapping_mul(2_654_435_761) % u64::from(models(servers));
     let wanted = Destination::Model(model::Name::parse(&name("model", model as u32)));
     let wanted = traffic.table.find(&wanted)?;
-    Some(Demand {
+    Some(Requirements {
         work: Work {
             ticket,
             priority: Priority::ALL[ticket as usize % Priority::ALL.len()],
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -15,7 +15,7 @@
     retry::{self, Body, Failure, Point},
     route::Index,
     stream::{self, Part, Stream},
-    traffic::Demand,
+    traffic::Requirements,
 };
 use tokio::time::timeout;
 use types::{prelude::*, request::Ran};
@@ -34,7 +34,7 @@
     account: Account,
     call: Call,
     model_request: Arc<ModelRequest>,
-    demand: Arc<Demand>,
+    requirements: Arc<Requirements>,
     stream: Stream,
     next: Option<Sent>,
     resume_from: Option<backend::Server>,
@@ -65,7 +65,7 @@
         account: Account,
         call: Call,
         model_request: Arc<ModelRequest>,
-        demand: Arc<Demand>,
+        requirements: Arc<Requirements>,
         first: Sent,
     ) -> Answer {
         Answer {
@@ -74,7 +74,7 @@
             account,
             call,
             model_request,
-            demand,
+            requirements,
             next: Some(first),
             resume_from: None,
             source: None,
@@ -268,7 +268,8 @@
             self.account.resumed(next, self.stream.next());
             self.resume_from = Some(server);
         }
-        let dispatched = next_attempt(&self.context, &self.call, &self.demand, &self.failed).await;
+        let dispatched =
+            next_attempt(&self.context, &self.call, &self.requirements, &self.failed).await;
         match dispatched {
             Some(sent) => {
                 self.next = Some(sent);
@@ -302,7 +303,7 @@
 pub(crate) async fn next_attempt(
     context: &Context,
     call: &Call,
-    demand: &Demand,
+    requirements: &Requirements,
     failed: &[Index],
 ) -> Option<Sent> {
     /// Minimum wait before suspected servers are checked again.
@@ -310,7 +311,7 @@
     let time_left = call.time_left(context).min(call.request.target.first_token);
     let until = context.now() + time_left;
     loop {
-        match context.traffic.dispatch_again(demand, failed) {
+        match context.traffic.dispatch_again(requirements, failed) {
             NextAttempt::Sent(sent) => return Some(sent),
             NextAttempt::Unready => return None,
             NextAttempt::At(moment) => {
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -10,7 +10,7 @@
 use policy::{
     admit::{Cause, Refusal, Work},
     route::Destination,
-    traffic::Demand,
+    traffic::Requirements,
 };
 use types::{config::Config, prelude::*};
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Admitted {
     /// The request as admission and routing see it.
-    pub demand: Arc<Demand>,
+    pub requirements: Arc<Requirements>,
     /// Reserved capacity, until the call is sent.
     pub reservation: Arc<Reservation>,
 }
@@ -43,14 +43,15 @@
 
 async fn admit(context: &Arc<Context>, mut request: Request) -> Result<Request, Problem> {
     let call: Call = extension(request.extensions())?;
-    let demand = demand(context, &call);
-    let reservation = context.traffic.admit(&demand).await.map_err(to_problem)?;
-    let admitted = Admitted { demand: Arc::new(demand), reservation: Arc::new(reservation) };
+    let requirements = requirements(context, &call);
+    let reservation = context.traffic.admit(&requirements).await.map_err(to_problem)?;
+    let admitted =
+        Admitted { requirements: Arc::new(requirements), reservation: Arc::new(reservation) };
     request.extensions_mut().insert(admitted);
     Ok(request)
 }
 
-fn demand(context: &Context, call: &Call) -> Demand {
+fn requirements(context: &Context, call: &Call) -> Requirements {
     let request = &call.request;
     let config = &call.numbered.config;
     let service = config.services.get(&request.service);
@@ -70,7 +71,7 @@
         due: call.received + request.target.first_token,
         spread: request_seed(&request.id),
     };
-    Demand {
+    Requirements {
         work,
         target: request.target.first_token,
         version,
--- a/crates/stage/src/filters/attempt.rs
+++ b/crates/stage/src/filters/attempt.rs
@@ -51,7 +51,7 @@
         account.clone(),
         call.clone(),
         model_request.clone(),
-        admitted.demand,
+        admitted.requirements,
         first,
     );
     let mut response = match model_request.delivery {
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -11,7 +11,7 @@
 use policy::{
     retry::{self, Failure, Point},
     route::Index,
-    traffic::Demand,
+    traffic::Requirements,
 };
 use types::{prelude::*, request::Ran};
 
@@ -37,7 +37,7 @@
     account: Account,
     call: Call,
     path: Arc<str>,
-    demand: Arc<Demand>,
+    requirements: Arc<Requirements>,
     parts: Parts,
     upload: Upload,
     first: Option<Sent>,
@@ -66,7 +66,7 @@
             account,
             call,
             path,
-            demand: admitted.demand,
+            requirements: admitted.requirements,
             parts,
             upload,
             first: Some(first),
@@ -153,7 +153,7 @@
             retry::Verdict::Retry | retry::Verdict::Resume => {
                 self.number += 1;
                 self.account.retried(point.as_str());
-                next_attempt(&self.context, &self.call, &self.demand, &self.failed)
+                next_attempt(&self.context, &self.call, &self.requirements, &self.failed)
                     .await
                     .ok_or_else(|| give_up(&self.call, &self.context, self.ran, cause))
             }
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -39,7 +39,7 @@
         Ok(admitted) => admitted,
         Err(problem) => return problem.into_response(),
     };
-    let Some(sent) = context.traffic.dispatch(&admitted.reservation, &admitted.demand) else {
+    let Some(sent) = context.traffic.dispatch(&admitted.reservation, &admitted.requirements) else {
         return Problem::new(Kind::NoServer, "no backend server is ready for it any more")
             .retry_after(RETRY_AFTER)
             .into_response();
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -52,7 +52,7 @@
         let heartbeat = settings.intervals.heartbeat;
         let rules = member::Settings {
             interval: heartbeat,
-            wide_interval: heartbeat * LARGE_FLEET_INTERVAL_FACTOR,
+            large_fleet_interval: heartbeat * LARGE_FLEET_INTERVAL_FACTOR,
             ..member::Settings::default()
         };
         let me = settings.host.clone();
@@ -144,7 +144,7 @@
         }
         Err(error) => {
             log::debug!("heartbeat: {error}");
-            context.peers.gossip().silence(now, &to.id)
+            context.peers.gossip().heartbeat_failed(now, &to.id)
         }
     };
     perform(&context, actions);
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -20,7 +20,7 @@
     limit::{Aimd, Algorithm, Gradient},
     retry,
     route::{Destination, DestinationIndex, Distances, Eligibility, Index, estimate::PeerLoad},
-    traffic::{Admission, Again, Change, Demand, Entry, Rules},
+    traffic::{Admission, Change, Mode, Requirements, Retry, Rules},
 };
 use settings::process::{self, Process};
 use tokio::sync::oneshot;
@@ -171,13 +171,16 @@
     /// # Errors
     ///
     /// Returns the rejection as soon as it is decided.
-    pub async fn admit(self: &Arc<Self>, demand: &Demand) -> Result<Reservation, Denial> {
-        let ticket = demand.work.ticket;
-        let pool = demand.work.pool;
+    pub async fn admit(
+        self: &Arc<Self>,
+        requirements: &Requirements,
+    ) -> Result<Reservation, Denial> {
+        let ticket = requirements.work.ticket;
+        let pool = requirements.work.pool;
         let receiver = {
             let mut state = self.lock();
             let mut changes = Vec::new();
-            let admission = state.policy.admit(demand, self.now(), &mut changes);
+            let admission = state.policy.admit(requirements, self.now(), &mut changes);
             state.notify_waiters(changes);
             match admission {
                 Admission::Take => return Ok(Reservation::new(self.clone(), pool)),
@@ -197,26 +200,34 @@
 
     /// Dispatches an admitted request; `None` if no server can be used any more
     /// or the reservation is used already.
-    pub fn dispatch(self: &Arc<Self>, reservation: &Reservation, demand: &Demand) -> Option<Sent> {
+    pub fn dispatch(
+        self: &Arc<Self>,
+        reservation: &Reservation,
+        requirements: &Requirements,
+    ) -> Option<Sent> {
         if !reservation.use_up() {
             return None;
         }
         let mut state = self.lock();
-        let flight = state.policy.dispatch(demand, self.now())?;
+        let flight = state.policy.dispatch(requirements, self.now())?;
         let server = state.policy.table.server(flight.choice.server).clone();
         Some(Sent::new(self.clone(), flight, server))
     }
 
     /// Dispatches a further attempt, to a server not in `avoid` if there is one.
-    pub fn dispatch_again(self: &Arc<Self>, demand: &Demand, avoid: &[Index]) -> NextAttempt {
+    pub fn dispatch_again(
+        self: &Arc<Self>,
+        requirements: &Requirements,
+        avoid: &[Index],
+    ) -> NextAttempt {
         let mut state = self.lock();
-        match state.policy.dispatch_again(demand, avoid, self.now()) {
-            Again::Sent(flight) => {
+        match state.policy.dispatch_again(requirements, avoid, self.now()) {
+            Retry::Sent(flight) => {
                 let server = state.policy.table.server(flight.choice.server).clone();
                 NextAttempt::Sent(Sent::new(self.clone(), flight, server))
             }
-            Again::At(moment) => NextAttempt::At(moment),
-            Again::Unready => NextAttempt::Unready,
+            Retry::At(moment) => NextAttempt::At(moment),
+            Retry::Unready => NextAttempt::Unready,
         }
     }
 
@@ -271,16 +282,16 @@
 }
 
 fn rules(settings: &process::Traffic) -> Rules {
-    let entry = match settings.admission {
-        process::Admission::Judged => Entry::Judged,
-        process::Admission::Open => Entry::Open,
+    let mode = match settings.admission {
+        process::Admission::Judged => Mode::Judged,
+        process::Admission::Open => Mode::Open,
     };
     let algorithm = match settings.limit {
         process::Limit::Aimd => Algorithm::Aimd(Aimd::default()),
         process::Limit::Gradient => Algorithm::Gradient(Gradient::default()),
         process::Limit::Fixed(limit) => Algorithm::Fixed(limit.get()),
     };
-    Rules { entry, algorithm, ..Rules::default() }
+    Rules { mode, algorithm, ..Rules::default() }
 }
 
 impl State {
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -127,7 +127,7 @@
 
     /// Ends the attempt after its complete response was received.
     pub fn complete(mut self) {
-        self.end(End::Whole);
+        self.end(End::Completed);
     }
 
     /// Ends the attempt as failed at this point.
