--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -91,7 +91,7 @@
     /// Takes the next chunk of the stream.
     pub fn take(&mut self, chunk: Bytes) -> Output {
         let buffer = self.join(chunk);
-        let mut passed = Passed::default();
+        let mut passed = PassedEvents::default();
         let mut start = 0;
         while let Some(end) = end_of_event(&buffer, start) {
             match self.classify(&buffer[start..end]) {
@@ -171,13 +171,13 @@
 /// Events of a buffer that pass: one range, preceded by copies of earlier ranges if dropped events
 /// lie between.
 #[derive(Default)]
-struct Passed {
+struct PassedEvents {
     copied: BytesMut,
     start: usize,
     end: usize,
 }
 
-impl Passed {
+impl PassedEvents {
     fn push(&mut self, buffer: &[u8], start: usize, end: usize) {
         if self.end != start {
             self.copied.extend_from_slice(&buffer[self.start..self.end]);
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -255,7 +255,7 @@
             Publication::Term(stored) => local.set(now, Fact::Term(stored)),
             Publication::Lease(Some(lease)) => local.set(now, Fact::Lease(lease)),
             Publication::Lease(None) => local.remove(now, &Key::Lease),
-            Publication::Store(store) => self.note_store(now, store),
+            Publication::Store(store) => self.update_store(now, store),
             Publication::InFlight(loads) => set_in_flight(local, now, loads),
             Publication::Arrivals(counts) => counts
                 .into_iter()
@@ -269,7 +269,7 @@
                 replace(local, now, |key| matches!(key, Key::Server(_)), facts);
             }
             Publication::Limits(limits) => {
-                let facts = limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
+                let facts = limits.into_iter().map(|(server, limit)| Fact::Limit(server, limit));
                 replace(local, now, |key| matches!(key, Key::Limit(_)), facts);
             }
             Publication::Crashes(crashes) => {
@@ -343,7 +343,7 @@
         advertised.unwrap_or_default()
     }
 
-    fn note_store(&mut self, now: Moment, store: StoreStatus) {
+    fn update_store(&mut self, now: Moment, store: StoreStatus) {
         let advertised =
             self.local_tables[Scope::Own as usize].facts(now).find_map(|(fact, _)| match fact {
                 Fact::Store(store) => Some(store.reachability),
@@ -385,8 +385,8 @@
 fn set_in_flight(local: &mut LocalTable, now: Moment, loads: Vec<Load>) {
     let known = local.keys(|key| matches!(key, Key::InFlight(..)));
     let busy: Vec<_> = loads.into_iter().map(Fact::InFlight).collect();
-    let named: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
-    for key in known.into_iter().filter(|key| !named.contains(key)) {
+    let listed: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
+    for key in known.into_iter().filter(|key| !listed.contains(key)) {
         // A removed fact would lose its slot and its name; work often comes back to where it was.
         let Key::InFlight(server, model) = key else { continue };
         local.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
@@ -400,10 +400,10 @@
     which: impl Fn(&Key) -> bool,
     facts: impl Iterator<Item = Fact>,
 ) {
-    let mut former: std::collections::BTreeSet<_> = local.keys(which).into_iter().collect();
+    let mut outdated: std::collections::BTreeSet<_> = local.keys(which).into_iter().collect();
     for fact in facts {
-        former.remove(&fact.key());
+        outdated.remove(&fact.key());
         local.set(now, fact);
     }
-    former.iter().for_each(|key| local.remove(now, key));
+    outdated.iter().for_each(|key| local.remove(now, key));
 }
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -106,9 +106,9 @@
             Fact::Absent(id, run) => {
                 self.absent.insert(id.clone(), *run);
             }
-            Fact::Limit(server, news) => {
-                let known = self.limits.entry(server.clone()).or_insert(*news);
-                *known = known.merge(*news);
+            Fact::Limit(server, limit) => {
+                let known = self.limits.entry(server.clone()).or_insert(*limit);
+                *known = known.merge(*limit);
             }
             Fact::State(_) | Fact::Declared(_) | Fact::Arrivals(..) | Fact::Retries(..) => {}
         }
@@ -134,7 +134,7 @@
         let term = self.term.into_iter().map(Fact::Term);
         let store = self.store.into_iter().map(Fact::Store);
         let absent = self.absent.into_iter().map(|(id, run)| Fact::Absent(id, run));
-        let limits = self.limits.into_iter().map(|(server, news)| Fact::Limit(server, news));
+        let limits = self.limits.into_iter().map(|(server, limit)| Fact::Limit(server, limit));
         let others = lease.chain(term).chain(store).chain(absent).chain(limits);
         loads.chain(servers).chain(crashes).chain(others)
     }
@@ -157,7 +157,8 @@
         now: Moment,
         provenance: Provenance,
     ) -> impl Iterator<Item = (&Fact, Duration)> {
-        let sources = self.counters.sources.iter().filter(move |(_, at)| **at == provenance);
+        let sources =
+            self.counters.sources.iter().filter(move |(_, source)| **source == provenance);
         let remote_tables = sources.filter_map(move |((id, scope), _)| {
             let peer = self.hosts.get(id).filter(|peer| !peer.is_silent())?;
             peer.remote_tables.get(scope)
@@ -168,12 +169,12 @@
     /// Updates which tables are counted and, on a relay, the aggregated tables that it advertises.
     pub(super) fn aggregate(&mut self, now: Moment, fanout: &Fanout) {
         self.counters.sources =
-            fanout.sources().map(|(id, scope, at)| ((id.clone(), scope), at)).collect();
+            fanout.sources().map(|(id, scope, source)| ((id.clone(), scope), source)).collect();
         if !fanout.is_grouped() || now < self.next_aggregation {
             return;
         }
         self.next_aggregation = now + fanout.grouped_interval(&self.settings);
-        self.hosts.mark_absent(now, fanout.silence(&self.settings));
+        self.hosts.mark_absent(now, fanout.silence_timeout(&self.settings));
         if !fanout.is_relay() {
             return;
         }
--- a/crates/policy/src/fleet/candidates.rs
+++ b/crates/policy/src/fleet/candidates.rs
@@ -54,7 +54,7 @@
     pub(super) fn due(
         &mut self,
         now: Moment,
-        again: usize,
+        max_repeats: usize,
         is_known: impl Fn(SocketAddr) -> bool,
     ) -> Vec<(SocketAddr, Reply, Attempt)> {
         self.0.retain(|_, candidate| candidate.until.is_none_or(|until| now < until));
@@ -69,9 +69,10 @@
             due.partition(|(_, candidate)| candidate.pause == MIN_BACKOFF);
         tried.sort_by_key(|(_, candidate)| candidate.next);
         let fresh = fresh.into_iter().map(|one| (one, Attempt::First));
-        let tried = tried.into_iter().take(again).map(|one| (one, Attempt::Repeat));
+        let tried = tried.into_iter().take(max_repeats).map(|one| (one, Attempt::Repeat));
         let due = fresh.chain(tried).take(MAX_AT_ONCE);
-        due.map(|((&address, candidate), which)| (address, candidate.start(now), which)).collect()
+        due.map(|((&address, candidate), attempt)| (address, candidate.start(now), attempt))
+            .collect()
     }
 }
 
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -130,7 +130,7 @@
     }
 
     /// Time without a packet after which a target is silent.
-    pub(super) fn silence(&self, settings: &Settings) -> Duration {
+    pub(super) fn silence_timeout(&self, settings: &Settings) -> Duration {
         if self.is_grouped() { settings.grouped_silence_timeout } else { settings.silence_timeout }
     }
 
@@ -155,8 +155,8 @@
 
     /// Scales a time that is set for the reference size to this deployment.
     fn scaled(&self, settings: &Settings, time: Duration) -> Duration {
-        let part = self.scale(settings).max(1.0);
-        time.div_f64(part).max(settings.interval)
+        let divisor = self.scale(settings).max(1.0);
+        time.div_f64(divisor).max(settings.interval)
     }
 
     /// Bytes of a digest that are left for deltas. In a grouped deployment each target gets a
@@ -167,8 +167,8 @@
         if !self.is_grouped() {
             return MAX;
         }
-        let in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
-        let each = in_round as usize / self.targets.len().max(1);
+        let bytes_in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
+        let each = bytes_in_round as usize / self.targets.len().max(1);
         each.clamp(MIN_DELTA_BYTES, MAX)
     }
 
@@ -206,7 +206,7 @@
         let peers: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
         let hosts = peers.len() + 1;
         if peers.len() < self.settings.full_mesh_limit {
-            let targets = peers.iter().map(|peer| (peer.member.id.clone(), EQUAL));
+            let targets = peers.iter().map(|peer| (peer.member.id.clone(), OWN_TABLE));
             return Fanout { role: Role::Equal, hosts, targets: targets.collect(), relay: None };
         }
         let mut members: Vec<_> = peers.iter().map(|peer| (peer.ranks, &peer.member)).collect();
@@ -219,11 +219,11 @@
             Some(id) if *id == self.member.id => Role::Relay,
             _ => Role::Member,
         };
-        let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
+        let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { OWN_TABLE };
         // A host that sends this one digests is answered, so that it is no fault if two hosts
         // divide the groups differently for a while.
-        let lately = self.settings.grouped_heartbeat * 2;
-        let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
+        let recent = self.settings.grouped_heartbeat * 2;
+        let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + recent));
         let mut targets: BTreeMap<_, _> =
             senders.map(|peer| (peer.member.id.clone(), NO_TABLES)).collect();
         targets.extend(own.into_iter().flatten().map(|(_, one)| (one.id.clone(), scopes)));
@@ -238,16 +238,16 @@
     /// Returns the relay of a group: the highest-ranked host, one that is not leaving if there is
     /// one.
     fn relay(&self, now: Moment, group: &[Ranked]) -> Option<host::Id> {
-        let leaves = |one: &Member| match self.hosts.get(&one.id) {
+        let is_leaving = |one: &Member| match self.hosts.get(&one.id) {
             Some(peer) => peer.liveness(now) == Liveness::Leaving,
             None => self.state(now) == State::Leaving,
         };
-        let rank = |(ranks, one): &&Ranked| (!leaves(one), ranks.relay);
+        let rank = |(ranks, one): &&Ranked| (!is_leaving(one), ranks.relay);
         group.iter().max_by_key(rank).map(|(_, one)| one.id.clone())
     }
 }
 
-const EQUAL: &[Scope] = &[Scope::Own];
+const OWN_TABLE: &[Scope] = &[Scope::Own];
 const RELAY_TO_GROUP: &[Scope] = &[Scope::Own, Scope::Rest];
 const RELAY_TO_RELAY: &[Scope] = &[Scope::Group];
 const NO_TABLES: &[Scope] = &[];
@@ -267,8 +267,11 @@
         // Hashing does not fill groups evenly, so groups have three quarters of the limit on
         // average.
         let parts = (ranked.len() * 4).div_ceil(most * 3).next_power_of_two();
-        let place = |ranks: Ranks| ranks.group.checked_shr(u64::BITS - parts.ilog2()).unwrap_or(0);
-        groups.extend(ranked.chunk_by(|(a, _), (b, _)| place(*a) == place(*b)).map(<[_]>::to_vec));
+        let group_of =
+            |ranks: Ranks| ranks.group.checked_shr(u64::BITS - parts.ilog2()).unwrap_or(0);
+        groups.extend(
+            ranked.chunk_by(|(a, _), (b, _)| group_of(*a) == group_of(*b)).map(<[_]>::to_vec),
+        );
     }
     groups
 }
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -24,7 +24,7 @@
     acked: Edition,
     sent: Edition,
     /// Since when something that was sent waits for its acknowledgement.
-    open: Option<Moment>,
+    unacked_since: Option<Moment>,
     names: Names,
 }
 
@@ -36,10 +36,10 @@
     }
 
     /// Makes everything that was sent but not acknowledged unsent again.
-    fn go_back(&mut self) {
+    fn rewind(&mut self) {
         self.sent = self.acked;
-        self.open = None;
-        self.names.go_back();
+        self.unacked_since = None;
+        self.names.rewind();
     }
 }
 
@@ -61,15 +61,16 @@
         match mark {
             Mark::Read(edition) => {
                 if progress.acked < edition {
-                    progress.open = Some(now);
+                    progress.unacked_since = Some(now);
                 }
                 progress.acknowledge(progress.acked.max(edition));
                 progress.sent = progress.sent.max(edition);
-                progress.open = progress.open.filter(|_| progress.acked < progress.sent);
+                progress.unacked_since =
+                    progress.unacked_since.filter(|_| progress.acked < progress.sent);
             }
             Mark::Gap(edition) => {
                 progress.acknowledge(edition);
-                progress.go_back();
+                progress.rewind();
             }
         }
     }
@@ -77,12 +78,12 @@
     /// Makes changes unsent again whose acknowledgement is overdue.
     pub(super) fn resend(&mut self, now: Moment, after: Duration) {
         let is_overdue =
-            |progress: &&mut Progress| progress.open.is_some_and(|at| at + after <= now);
-        self.tables.iter_mut().filter(is_overdue).for_each(Progress::go_back);
+            |progress: &&mut Progress| progress.unacked_since.is_some_and(|at| at + after <= now);
+        self.tables.iter_mut().filter(is_overdue).for_each(Progress::rewind);
     }
 
     /// Whether the table has changes that were not sent to the peer.
-    pub(super) fn lacks(&self, scope: Scope, local: &LocalTable) -> bool {
+    pub(super) fn has_unsent(&self, scope: Scope, local: &LocalTable) -> bool {
         self.tables[scope as usize].sent < local.last()
     }
 
@@ -110,7 +111,7 @@
         }
         progress.names.note(&delta);
         progress.sent += delta.span;
-        progress.open = progress.open.or(Some(now));
+        progress.unacked_since = progress.unacked_since.or(Some(now));
         Some(delta)
     }
 }
--- a/crates/policy/src/fleet/names.rs
+++ b/crates/policy/src/fleet/names.rs
@@ -36,7 +36,7 @@
     }
 
     /// Forgets what was sent and not acknowledged.
-    pub(super) fn go_back(&mut self) {
+    pub(super) fn rewind(&mut self) {
         let acked = self.acked;
         self.sent.retain(|_, edition| *edition <= acked);
     }
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -176,10 +176,10 @@
     }
 
     /// Removes the notices that a receiver acknowledged.
-    pub(super) fn acknowledge(&mut self, run: Run, taken: &[(Run, Number)]) {
-        let is_taken = |one: &Waiting| taken.contains(&(one.item.origin, one.item.number));
+    pub(super) fn acknowledge(&mut self, run: Run, acked: &[(Run, Number)]) {
+        let is_acked = |one: &Waiting| acked.contains(&(one.item.origin, one.item.number));
         for (_, queue) in self.of(run) {
-            queue.waiting.retain(|one| !is_taken(one));
+            queue.waiting.retain(|one| !is_acked(one));
         }
         self.remove_empty();
     }
@@ -232,7 +232,7 @@
 
 /// Packs values into batches that each fit a datagram.
 pub(super) fn pack<T: Serialize>(items: impl IntoIterator<Item = T>) -> Vec<Vec<T>> {
-    const ROOM: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
+    const CAPACITY: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
     let (mut batches, mut left) = (Vec::<Vec<T>>::new(), 0);
     for item in items {
         let size = wire::size(&item);
@@ -242,7 +242,7 @@
                 batch.push(item);
             }
             _ => {
-                left = ROOM.saturating_sub(size);
+                left = CAPACITY.saturating_sub(size);
                 batches.push(vec![item]);
             }
         }
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -51,7 +51,7 @@
             Body::Hello(hello) if hello.member.id == self.member.id => {}
             Body::Hello(hello) => self.on_hello(now, run, count, hello),
             Body::Notices(items) => return self.on_notices(now, from, run, items),
-            Body::Acks(taken) => self.outbox.acknowledge(run, &taken),
+            Body::Acks(acked) => self.outbox.acknowledge(run, &acked),
             Body::Bye => self.on_bye(now, run, count),
             Body::OneShot(notice) => return self.on_one_shot(now, from, run, notice),
         }
@@ -76,9 +76,9 @@
             }
             Freshness::New => {}
         }
-        let is_meant = digest.to == wire::tail(self.member.run());
+        let is_for_this_run = digest.to == wire::tail(self.member.run());
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
-        if !is_meant {
+        if !is_for_this_run {
             // The sender still has an earlier run of this host registered.
             let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
             peer.greeted = if is_recent { peer.greeted } else { Some(now) };
@@ -178,8 +178,8 @@
         run: Run,
         items: Vec<Item>,
     ) -> Vec<Envelope> {
-        let taken = items.iter().map(|item| (item.origin, item.number));
-        for batch in notice::pack(taken) {
+        let acked = items.iter().map(|item| (item.origin, item.number));
+        for batch in notice::pack(acked) {
             self.put(from, Body::Acks(batch));
         }
         let mut received = Vec::new();
--- a/crates/policy/src/fleet/remote_table.rs
+++ b/crates/policy/src/fleet/remote_table.rs
@@ -122,9 +122,9 @@
     }
 
     fn put(&mut self, now: Moment, slot: Slot, fact: Fact, increments: &mut Increments) {
-        let former = self.facts.get(&slot).filter(|(former, _)| former.key() == fact.key());
-        let before = match (former, self.history) {
-            (Some((former, _)), _) => former.total(),
+        let previous = self.facts.get(&slot).filter(|(previous, _)| previous.key() == fact.key());
+        let before = match (previous, self.history) {
+            (Some((previous, _)), _) => previous.total(),
             // Only what rises from here on counts: arrivals before this host started to read are
             // not counted.
             (None, History::Unread) => None,
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -23,7 +23,7 @@
 const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
 
 /// Least time between two greetings to a host that is about to be taken for silent.
-const MISSED_GREETING_PAUSE: Duration = Duration::from_millis(200);
+const UNRESPONSIVE_GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Seconds of the rate that a token bucket can hold.
 const BURST_SECONDS: f64 = 0.25;
@@ -91,7 +91,7 @@
             self.aggregate(now, &fanout);
             self.send_digests(now, &fanout);
             self.greet_candidates(now, &fanout);
-            self.greet_missed(now, &fanout);
+            self.greet_unresponsive(now, &fanout);
             self.send_keepalives(now, &fanout);
             self.fanout = fanout;
             self.introduce_in_turn(now);
@@ -123,7 +123,7 @@
             let Some(peer) = self.hosts.get_mut(id) else { continue };
             peer.link.resend(now, resend);
             let has_changes = peer.link.pending_ack >= fanout.urgent_ack()
-                || scopes.iter().any(|&s| peer.link.lacks(s, &self.local_tables[s as usize]));
+                || scopes.iter().any(|&s| peer.link.has_unsent(s, &self.local_tables[s as usize]));
             let wait = match has_changes {
                 true => fanout.interval(settings, &self.member.zone, &peer.member.zone),
                 false => heartbeat,
@@ -167,7 +167,7 @@
     /// Notes which hosts are targets of digests from now on, and marks hosts silent whose timeout
     /// has passed.
     fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
-        let silence = fanout.silence(&self.settings);
+        let silence = fanout.silence_timeout(&self.settings);
         let keepalive_silence = self.keepalive_round(fanout) * MISSED_KEEPALIVES;
         for peer in self.hosts.iter_mut() {
             match fanout.has(&peer.member.id) {
@@ -190,13 +190,13 @@
         self.greeting_bucket.fill(now, fanout.budget(&self.settings) * GREETING_SHARE);
         let (hosts, own) = (&self.hosts, self.member.address);
         let is_known = |address| address == own || hosts.has_address(address);
-        let again = match fanout.is_grouped() {
+        let max_repeats = match fanout.is_grouped() {
             true => usize::from(self.greeting_bucket.has_tokens()),
             false => usize::MAX,
         };
-        for (address, reply, which) in self.candidates.due(now, again, is_known) {
+        for (address, reply, attempt) in self.candidates.due(now, max_repeats, is_known) {
             self.greet(address, reply);
-            if which == Attempt::Repeat {
+            if attempt == Attempt::Repeat {
                 self.greeting_bucket.spend(HELLO_BYTES);
             }
         }
@@ -204,8 +204,8 @@
 
     /// Greets hosts that are silent or about to be, those first that were not greeted for the
     /// longest time.
-    fn greet_missed(&mut self, now: Moment, fanout: &Fanout) {
-        let silence = fanout.silence(&self.settings);
+    fn greet_unresponsive(&mut self, now: Moment, fanout: &Fanout) {
+        let silence = fanout.silence_timeout(&self.settings);
         let is_due = |peer: &&Peer| {
             let pause = greeting_pause(now, silence, peer);
             pause.is_some_and(|pause| peer.greeted.is_none_or(|at| at + pause <= now))
@@ -301,11 +301,11 @@
 
     /// Sends a notice to all targets of digests, except to its origin and to the host that
     /// forwarded it.
-    pub(super) fn multicast(&mut self, now: Moment, item: &Item, but: Option<Run>) {
+    pub(super) fn multicast(&mut self, now: Moment, item: &Item, except: Option<Run>) {
         let targets =
             self.fanout.targets().filter_map(|(id, _)| self.hosts.get(id)).filter(|peer| {
                 let run = peer.member.run();
-                Some(run) != but && run != item.origin
+                Some(run) != except && run != item.origin
             });
         let targets: Vec<_> = targets
             .map(|peer| Target { run: peer.member.run(), address: peer.member.address })
@@ -327,7 +327,7 @@
     if peer.is_silent() {
         return Some(SILENT_GREETING_PAUSE);
     }
-    let is_missed =
+    let is_unresponsive =
         peer.target_since.is_some_and(|at| at.max(peer.last_received) + silence / 2 <= now);
-    is_missed.then_some(MISSED_GREETING_PAUSE)
+    is_unresponsive.then_some(UNRESPONSIVE_GREETING_PAUSE)
 }
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -28,7 +28,7 @@
         if self.superseded {
             return vec![Action::Superseded];
         }
-        self.note_pause(now);
+        self.detect_pause(now);
         for status in self.hosts.expire(now, &self.settings) {
             self.gossip_unless_isolated(status);
         }
@@ -138,7 +138,7 @@
         self.rank_generation = Some(self.hosts.generation());
     }
 
-    fn note_pause(&mut self, now: Moment) {
+    fn detect_pause(&mut self, now: Moment) {
         if self.ticked + self.pace() * PAUSE_TICKS < now {
             self.unanswered.clear();
             self.probing.clear();
@@ -152,8 +152,8 @@
         if silent.is_empty() {
             return None;
         }
-        let place = pick::index(self.seed, self.counter, silent.len());
-        silent.get(place).map(|member| member.host.id.clone())
+        let position = pick::index(self.seed, self.counter, silent.len());
+        silent.get(position).map(|member| member.host.id.clone())
     }
 
     fn send(&mut self, now: Moment, id: &str) -> Option<Action> {
--- a/crates/policy/src/member/gossip/pick.rs
+++ b/crates/policy/src/member/gossip/pick.rs
@@ -61,9 +61,9 @@
 
     /// Next peer in turn.
     pub(super) fn next(&mut self) -> Option<host::Id> {
-        let place = self.next.checked_rem(self.same_zone.len() + self.other_zones.len())?;
-        self.next = place + 1;
-        self.same_zone.iter().chain(&self.other_zones).nth(place).cloned()
+        let position = self.next.checked_rem(self.same_zone.len() + self.other_zones.len())?;
+        self.next = position + 1;
+        self.same_zone.iter().chain(&self.other_zones).nth(position).cloned()
     }
 
     /// Draws up to `count` different peers, half of them in the host's own zone.
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -200,12 +200,12 @@
     /// Returns the member that a status is about, marked as leaving if the status says so, and its
     /// state before; `None` if the host is unknown and the status has no address, or if the status
     /// is from an earlier incarnation.
-    fn resolve(&mut self, now: Moment, status: &Status) -> Option<(Before, &mut Member)> {
+    fn resolve(&mut self, now: Moment, status: &Status) -> Option<(PriorState, &mut Member)> {
         let unknown = !self.members.contains_key(&status.id);
         self.introduce_by(now, status);
         let member =
             self.members.get_mut(&status.id).filter(|m| m.epoch.run <= status.epoch.run)?;
-        let before = Before { unknown, run: member.epoch.run, standing: member.standing() };
+        let before = PriorState { unknown, run: member.epoch.run, standing: member.standing() };
         let newer_run = before.run < status.epoch.run;
         member.leaving = status.leaving || (member.leaving && !newer_run);
         Some((before, member))
@@ -275,7 +275,7 @@
         given_up
     }
 
-    fn note(&mut self, id: &str, before: &Before) -> Change {
+    fn note(&mut self, id: &str, before: &PriorState) -> Change {
         let Some(member) = self.members.get(id) else { return Change::None };
         let standing = member.standing();
         let restarted = before.run != 0 && before.run != member.epoch.run;
@@ -291,7 +291,7 @@
 }
 
 /// State of a host before a status is applied.
-struct Before {
+struct PriorState {
     unknown: bool,
     run: host::Incarnation,
     standing: Standing,
--- a/crates/policy/src/member/watch.rs
+++ b/crates/policy/src/member/watch.rs
@@ -67,23 +67,23 @@
             hosts.map(|(id, zone)| (rendezvous::score(b"watch", id), id, zone)).collect();
         scored.sort();
         let mut zones: BTreeMap<&availability::Id, usize> = BTreeMap::new();
-        let mut placed: Vec<_> = scored
+        let mut ranked: Vec<_> = scored
             .into_iter()
             .map(|(_, id, zone)| {
-                let place = zones.entry(zone).or_default();
-                *place += 1;
-                (*place, zone, id)
+                let position = zones.entry(zone).or_default();
+                *position += 1;
+                (*position, zone, id)
             })
             .collect();
-        placed.sort();
-        let order = placed.into_iter().map(|(_, _, id)| id.clone()).collect();
+        ranked.sort();
+        let order = ranked.into_iter().map(|(_, _, id)| id.clone()).collect();
         Rank { order, watchers: zones.len().max(WATCHERS) }
     }
 
     /// Role of a host; one that is not ranked is the last standby.
     pub fn role(&self, id: &host::Id) -> Role {
-        let place = self.order.iter().position(|other| other == id);
-        match place.unwrap_or(usize::MAX).checked_sub(self.watchers) {
+        let position = self.order.iter().position(|other| other == id);
+        match position.unwrap_or(usize::MAX).checked_sub(self.watchers) {
             None => Role::Watcher,
             Some(beyond) => {
                 let doublings = u32::try_from(beyond).unwrap_or(u32::MAX).min(u32::BITS - 1);
@@ -95,8 +95,8 @@
     /// Watcher that `deputy` monitors, if any: each watcher has one deputy, the next in rank, which
     /// notices its loss within a few heartbeats.
     pub fn watched_by(&self, deputy: &host::Id) -> Option<&host::Id> {
-        let place = self.order.iter().position(|other| other == deputy)?;
-        let watcher = place.checked_sub(self.watchers)?;
+        let position = self.order.iter().position(|other| other == deputy)?;
+        let watcher = position.checked_sub(self.watchers)?;
         self.order[..self.watchers].get(watcher)
     }
 }
--- a/crates/policy/tests/event.rs
+++ b/crates/policy/tests/event.rs
@@ -52,11 +52,11 @@
 #[case::counted_from_zero(None, &[0, 1], &[0, 1], None)]
 fn only_what_follows_passes(
     #[case] after: Option<u64>,
-    #[case] come: &[u64],
+    #[case] ids: &[u64],
     #[case] passed: &[u64],
     #[case] fault: Option<Fault>,
 ) {
-    let taken = take(&mut Splitter::new(after), &events(come));
+    let taken = take(&mut Splitter::new(after), &events(ids));
     assert_eq!((text(&taken), taken.fault), (&*events(passed), fault));
 }
 
@@ -123,13 +123,13 @@
 
     #[test]
     fn any_split_gives_the_same(
-        come in prop::collection::vec(0u64..8, 0..12),
+        ids in prop::collection::vec(0u64..8, 0..12),
         cuts in prop::collection::vec(1usize..40, 1..40),
     ) {
-        let whole = events(&come);
-        let expected = take(&mut Splitter::new(Some(0)), &whole);
+        let all_events = events(&ids);
+        let expected = take(&mut Splitter::new(Some(0)), &all_events);
         let mut splitter = Splitter::new(Some(0));
-        let (mut passed, mut fault, mut rest) = (String::new(), None, &*whole);
+        let (mut passed, mut fault, mut rest) = (String::new(), None, &*all_events);
         let mut cuts = cuts.iter().cycle();
         while !rest.is_empty() && fault.is_none() {
             let cut = cuts.next().map_or(1, |cut| (*cut).min(rest.len()));
--- a/crates/policy/tests/fleet_demand.rs
+++ b/crates/policy/tests/fleet_demand.rs
@@ -19,7 +19,7 @@
 const ROUND: Duration = Duration::from_millis(60);
 
 /// Approximate rounds in a second.
-const SECOND: usize = 16;
+const ROUNDS_PER_SECOND: usize = 16;
 
 /// Requests a second at all hosts together.
 const REQUESTS: f64 = 800.0;
@@ -57,7 +57,7 @@
         let mut net = Net::settled(hosts, 1);
         net.faults.loss = 0.01;
         let mut random = ChaCha8Rng::seed_from_u64(7);
-        let mut some = || (0..IN_FLIGHT).map(|_| place(&mut random)).collect();
+        let mut some = || (0..IN_FLIGHT).map(|_| random_work(&mut random)).collect();
         let in_flight = (0..hosts).map(|_| some()).collect();
         let reporters = (0..hosts).map(|host| Reporter::new(1_000 + host as u64)).collect();
         let mut collector = Collector::default();
@@ -76,7 +76,7 @@
                 let subject = subject_of(subject(&mut self.random));
                 self.reporters[host].arrive(subject, ONE, self.net.now);
                 let at = self.random.random_range(0..IN_FLIGHT);
-                self.in_flight[host][at] = place(&mut self.random);
+                self.in_flight[host][at] = random_work(&mut self.random);
             }
             arrived += if host == PLANNER { 0 } else { requests as u64 };
             let loads = self.in_flight[host].iter().map(|(server, model)| Load {
@@ -130,7 +130,7 @@
     (share.powi(3) * (MODELS * ADAPTERS) as f64) as usize
 }
 
-fn place(random: &mut ChaCha8Rng) -> (usize, usize) {
+fn random_work(random: &mut ChaCha8Rng) -> (usize, usize) {
     (random.random_range(0..SERVERS), subject(random) / ADAPTERS)
 }
 
@@ -153,9 +153,9 @@
 fn the_planner_hears_of_demand_within_a_second_however_many_hosts_there_are(#[case] hosts: usize) {
     let mut simulation = Simulation::new(hosts);
     let mut worst = (1.0, 0);
-    for round in 0..10 * SECOND {
+    for round in 0..10 * ROUNDS_PER_SECOND {
         simulation.round();
-        let Some(before) = round.checked_sub(SECOND) else { continue };
+        let Some(before) = round.checked_sub(ROUNDS_PER_SECOND) else { continue };
         let (received, due) = (simulation.received(), simulation.arrived[before]);
         assert!(
             received <= simulation.arrived[round],
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use fleet_net::{Net, ROUGH};
+use fleet_net::{Net, UNRELIABLE};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
     fleet::{Departure, Lease, Load, Publication, Reachability, Snapshot, StoreStatus},
@@ -113,7 +113,7 @@
 fn a_lossy_network_loses_no_arrival_and_no_state(#[values(1, 2, 3, 4)] seed: u64) {
     const HOSTS: usize = 6;
     let mut net = Net::settled(HOSTS, seed);
-    net.faults = ROUGH;
+    net.faults = UNRELIABLE;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut counts = vec![vec![0_u64; 20]; HOSTS];
     let mut before = [0; HOSTS];
@@ -232,8 +232,8 @@
         net.run_for(STEP);
     }
     let heartbeats = 10 * 2 * 5;
-    let said = sent(&net) - before;
-    assert!(said <= heartbeats * 3 / 2, "{said} datagrams in 10 s");
+    let sent_in_span = sent(&net) - before;
+    assert!(sent_in_span <= heartbeats * 3 / 2, "{sent_in_span} datagrams in 10 s");
 }
 
 #[test]
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use fleet_net::{Net, ROUGH, address, member};
+use fleet_net::{Net, UNRELIABLE, address, member};
 use policy::fleet::{Datagram, Liveness, Publication, Settings, State};
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
 #[rstest]
 fn hosts_find_each_other_and_stay_live_though_much_is_lost(#[values(1, 2, 3)] seed: u64) {
     let mut net = Net::started(8, seed);
-    net.faults = ROUGH;
+    net.faults = UNRELIABLE;
     assert!(net.run_until_true(Duration::from_secs(10), Net::is_converged));
     for _ in 0..60 {
         net.run_for(Duration::from_secs(1));
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -26,7 +26,8 @@
 }
 
 /// One datagram in five is lost, one in ten repeated, and datagrams are reordered.
-pub const ROUGH: Faults = Faults { loss: 0.2, repeat: 0.1, jitter: Duration::from_millis(150) };
+pub const UNRELIABLE: Faults =
+    Faults { loss: 0.2, repeat: 0.1, jitter: Duration::from_millis(150) };
 
 pub struct Host {
     pub fleet: Fleet,
@@ -49,7 +50,7 @@
     in_transit: BinaryHeap<Arrival>,
     /// Times at which hosts are to be ticked; a host may be listed more than once.
     ticks: BTreeSet<(Moment, usize)>,
-    places: BTreeMap<SocketAddr, usize>,
+    hosts_by_address: BTreeMap<SocketAddr, usize>,
     sequence: u64,
     random: ChaCha8Rng,
 }
@@ -97,7 +98,7 @@
             flows: BTreeMap::new(),
             in_transit: BinaryHeap::new(),
             ticks: BTreeSet::new(),
-            places: BTreeMap::new(),
+            hosts_by_address: BTreeMap::new(),
             sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -159,7 +160,8 @@
         // Tests call hosts between runs, so there may be datagrams to send.
         let hosts: Vec<_> = self.hosts.keys().copied().collect();
         hosts.into_iter().for_each(|host| self.settle(host));
-        self.places = self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
+        self.hosts_by_address =
+            self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
         loop {
             let arrival = self.in_transit.peek().map(|Reverse((at, ..))| *at);
             let tick = self.ticks.first().map(|(at, _)| *at);
@@ -223,7 +225,7 @@
 
     fn deliver(&mut self) {
         let Some(Reverse((_, _, to, from, bytes))) = self.in_transit.pop() else { return };
-        let Some(&number) = self.places.get(&to) else { return };
+        let Some(&number) = self.hosts_by_address.get(&to) else { return };
         if !self.cut.contains(&number) {
             self.inject(number, from, &bytes);
             self.settle(number);
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -15,21 +15,21 @@
 use rstest::rstest;
 
 /// Time within which a fact must be in every host's sums.
-const REACH: Duration = Duration::from_secs(10);
+const SPREAD_TIME: Duration = Duration::from_secs(10);
 
 /// Time within which hosts must know of a request that crashes servers.
-const CONTACT: Duration = Duration::from_secs(3);
+const CRASH_SPREAD_TIME: Duration = Duration::from_secs(3);
 
 /// Time within which all hosts must agree again after many died at once.
-const MEND: Duration = Duration::from_secs(30);
+const RECOVERY_TIME: Duration = Duration::from_secs(30);
 
 /// Most bytes that a host may send at the reference size, with the network's headers.
 const BYTES_PER_SECOND: u64 = 3_500;
 
 /// Most bytes that a host of a small grouped deployment may send, and the most on average over
 /// hosts.
-const GROWN_BYTES_PER_SECOND: u64 = 150_000;
-const GROWN_MEAN_BYTES_PER_SECOND: u64 = 30_000;
+const SMALL_BYTES_PER_SECOND: u64 = 150_000;
+const SMALL_MEAN_BYTES_PER_SECOND: u64 = 30_000;
 
 fn load(requests: u32) -> Load {
     Load { server: "i-1".into(), model: None, requests, tokens: 10 * u64::from(requests) }
@@ -52,7 +52,7 @@
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
     hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
-    assert!(net.run_until_true(REACH, is_summed), "some host has not received all work");
+    assert!(net.run_until_true(SPREAD_TIME, is_summed), "some host has not received all work");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
     hosts
         .iter()
@@ -61,7 +61,7 @@
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
     };
-    assert!(net.run_until_true(REACH, is_counted), "some host has not received all arrivals");
+    assert!(net.run_until_true(SPREAD_TIME, is_counted), "some host has not received all arrivals");
 }
 
 fn assert_notice_reaches_all_once(net: &mut Net) {
@@ -124,8 +124,8 @@
 #[test]
 fn what_a_host_sends_is_bounded() {
     let (mean, most) = busy_bytes(&mut Net::settled(82, 1), 20);
-    assert!(mean <= GROWN_MEAN_BYTES_PER_SECOND, "{mean} bytes a second on average");
-    assert!(most <= GROWN_BYTES_PER_SECOND, "{most} bytes a second");
+    assert!(mean <= SMALL_MEAN_BYTES_PER_SECOND, "{mean} bytes a second on average");
+    assert!(most <= SMALL_BYTES_PER_SECOND, "{most} bytes a second");
 }
 
 #[rstest]
@@ -137,14 +137,17 @@
     const ROUNDS: u32 = 80;
     /// Most rounds by which sums may lag: about the length of a short request, less than that of a
     /// stream.
-    const OLD: u32 = 8;
+    const MAX_LAG: u32 = 8;
     let mut net = Net::settled(hosts, 1);
     for round in 1..=ROUNDS {
         (1..hosts).for_each(|host| net.publish(host, busy_publication(round.into())));
         net.publish(0, Publication::InFlight(vec![load(round)]));
         net.run_for(ROUND);
         let oldest = (1..hosts).map(|host| in_flight(&net, host)).min();
-        assert!(round < ROUNDS / 2 || Some(round - OLD) <= oldest, "{oldest:?} in round {round}");
+        assert!(
+            round < ROUNDS / 2 || Some(round - MAX_LAG) <= oldest,
+            "{oldest:?} in round {round}"
+        );
     }
 }
 
@@ -178,14 +181,14 @@
 #[test]
 fn at_the_target_size_a_change_is_everywhere_soon_and_work_silences_nobody() {
     const HOSTS: usize = 350;
-    const SOON: Duration = Duration::from_secs(5);
+    const CHANGE_SPREAD_TIME: Duration = Duration::from_secs(5);
     let mut net = Net::settled(HOSTS, 1);
     net.faults.loss = 0.01;
     // Keepalives to hosts that get no digests start after one round.
     net.run_for(Duration::from_secs(15));
     net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
-    assert!(net.run_until_true(SOON, is_everywhere), "some host has not received it");
+    assert!(net.run_until_true(CHANGE_SPREAD_TIME, is_everywhere), "some host has not received it");
     for step in 0..15 {
         (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
@@ -198,25 +201,31 @@
     const HOSTS: usize = 82;
     let mut net = Net::settled(HOSTS, seed);
     (0..HOSTS).for_each(|host| net.publish(host, Publication::InFlight(vec![load(1)])));
-    net.run_for(REACH);
+    net.run_for(SPREAD_TIME);
     net.faults.loss = 0.02;
     // Removing one host in five is enough to hit relays of some groups.
     (0..HOSTS).step_by(5).for_each(|host| drop(net.hosts.remove(&host)));
-    assert!(net.run_until_true(MEND, |net| is_summed(net) && net.is_converged()), "after deaths");
+    assert!(
+        net.run_until_true(RECOVERY_TIME, |net| is_summed(net) && net.is_converged()),
+        "after deaths"
+    );
     for host in [100, 101, 102] {
         net.start(host, 1);
         let now = net.now;
         net.fleet(host).introduce(now, [address(1)]);
         net.publish(host, Publication::InFlight(vec![load(1)]));
     }
-    assert!(net.run_until_true(MEND, |net| is_summed(net) && net.is_converged()), "after arrivals");
+    assert!(
+        net.run_until_true(RECOVERY_TIME, |net| is_summed(net) && net.is_converged()),
+        "after arrivals"
+    );
 }
 
 #[test]
 fn arrivals_never_fall_and_none_is_counted_twice_when_relays_change() {
     const HOSTS: usize = 40;
     let mut net = Net::settled(HOSTS, 1);
-    net.run_for(REACH);
+    net.run_for(SPREAD_TIME);
     let mut before = [0; HOSTS];
     let mut sent = 0;
     for step in 1..=100_u64 {
@@ -264,7 +273,7 @@
         age: Duration::ZERO,
     };
     net.publish(3, Publication::Crashes(["s1", "s2", "s3"].map(crash).into()));
-    let began = net.now;
+    let published_at = net.now;
     let is_known = |net: &Net| {
         (0..hosts).filter(|host| *host != 3).all(|host| net.snapshot(host).crashes.len() == 3)
     };
@@ -273,8 +282,8 @@
             break;
         }
         assert!(
-            net.now - began < CONTACT,
-            "some host of {hosts} has not received them within {CONTACT:?}"
+            net.now - published_at < CRASH_SPREAD_TIME,
+            "some host of {hosts} has not received them within {CRASH_SPREAD_TIME:?}"
         );
         (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -65,17 +65,17 @@
 
     #[test]
     fn spoiled_datagrams_are_survived_and_good_ones_still_read(
-        spoils in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
+        corruptions in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut net = Net::settled(3, 1);
         for bytes in genuine() {
-            let mut spoiled = bytes.clone();
-            for (index, byte) in &spoils {
-                let at = index.index(spoiled.len());
-                spoiled[at] = *byte;
+            let mut corrupted = bytes.clone();
+            for (index, byte) in &corruptions {
+                let at = index.index(corrupted.len());
+                corrupted[at] = *byte;
             }
-            net.inject(0, address(1), &spoiled);
+            net.inject(0, address(1), &corrupted);
             net.inject(0, address(1), &bytes[..cut.index(bytes.len())]);
         }
         net.run_for(Duration::from_secs(1));
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -6,14 +6,14 @@
 use rstest::rstest;
 use types::host;
 
-const DRAIN: Duration = Duration::from_secs(3);
+const DEADLINE: Duration = Duration::from_secs(3);
 
 fn hosts(count: usize) -> Vec<host::Id> {
     (0..count).map(|number| format!("host-{number}").into()).collect()
 }
 
 fn settled(role: Role, hosts: usize) -> Duration {
-    follow::pause(follow::STARTUP_TIME, role, hosts, DRAIN)
+    follow::pause(follow::STARTUP_TIME, role, hosts, DEADLINE)
 }
 
 fn roles(hosts: &[host::Id]) -> Vec<Role> {
@@ -59,7 +59,7 @@
 #[case(350)]
 fn followers_ask_in_time_and_seldom(#[case] count: usize) {
     let pause = settled(Role::Follower, count);
-    assert!(pause < DRAIN);
+    assert!(pause < DEADLINE);
     let calls = count as f64 / pause.as_secs_f64();
     assert!(calls < 200.0, "{calls} calls a second of all hosts");
     let scout = settled(Role::Scout, count);
@@ -68,8 +68,8 @@
 
 #[test]
 fn a_host_that_knows_no_other_yet_does_not_ask_at_each_registration() {
-    let alone = follow::pause(Duration::ZERO, Role::Scout, 1, DRAIN);
-    assert!(Duration::ZERO < alone && alone < DRAIN);
+    let alone = follow::pause(Duration::ZERO, Role::Scout, 1, DEADLINE);
+    assert!(Duration::ZERO < alone && alone < DEADLINE);
 }
 
 #[rstest]
@@ -77,10 +77,10 @@
 #[case(8)]
 #[case(350)]
 fn a_scout_finds_a_stalled_watch_in_time(#[case] count: usize) {
-    let watch = follow::watch_times(follow::STARTUP_TIME, Role::Scout, count, DRAIN);
+    let watch = follow::watch_times(follow::STARTUP_TIME, Role::Scout, count, DEADLINE);
     assert!(watch.wait < watch.trust, "the store has time to answer that nothing changed");
     // A second watch starts when the trust ends, and its answer is reported to the others.
-    assert!(watch.trust < DRAIN.mul_f64(0.75), "{watch:?}");
+    assert!(watch.trust < DEADLINE.mul_f64(0.75), "{watch:?}");
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
 #[case(350)]
 fn watches_of_all_hosts_together_ask_seldom(#[case] count: usize) {
     let calls = |role| {
-        let watch = follow::watch_times(follow::STARTUP_TIME, role, count, DRAIN);
+        let watch = follow::watch_times(follow::STARTUP_TIME, role, count, DEADLINE);
         assert!(watch.wait < watch.trust);
         1.0 / watch.wait.as_secs_f64()
     };
@@ -103,11 +103,11 @@
 #[test]
 fn a_host_that_knows_no_other_yet_finds_a_stalled_watch_itself() {
     for role in [Role::Scout, Role::Follower] {
-        let watch = follow::watch_times(Duration::ZERO, role, 1, DRAIN);
+        let watch = follow::watch_times(Duration::ZERO, role, 1, DEADLINE);
         // No bound applies to a host in its first seconds; it finds a stalled watch as soon as one
         // does.
         assert!(
-            watch.wait < watch.trust && watch.trust < follow::STARTUP_TIME + DRAIN,
+            watch.wait < watch.trust && watch.trust < follow::STARTUP_TIME + DEADLINE,
             "{watch:?}"
         );
     }
@@ -121,8 +121,8 @@
 fn a_server_whose_entry_went_is_left_alone_in_time(#[case] count: usize) {
     for role in [Role::Scout, Role::Follower] {
         let gather = settled(role, count);
-        let grace = follow::removal_grace(gather, DRAIN);
-        assert!(gather + grace < DRAIN, "{role:?}: {gather:?} and {grace:?}");
+        let grace = follow::removal_grace(gather, DEADLINE);
+        assert!(gather + grace < DEADLINE, "{role:?}: {gather:?} and {grace:?}");
         assert!(Duration::ZERO < grace, "an entry has some time to come back");
     }
 }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -16,7 +16,7 @@
 use types::host::{Entry, List, Listed};
 
 const SETTLE: Duration = Duration::from_secs(20);
-const IN_FORCE: Duration = Duration::from_secs(5);
+const PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
 fn settled(hosts: usize) -> Fleet {
     let mut fleet = Fleet::new(hosts, 7);
@@ -26,7 +26,7 @@
 }
 
 fn assert_change_in_force(fleet: &mut Fleet) {
-    let end = fleet.now + IN_FORCE;
+    let end = fleet.now + PROPAGATION_TIME;
     fleet.write();
     assert!(
         fleet.run_until(end, Fleet::is_in_force),
@@ -35,7 +35,7 @@
     );
 }
 
-fn assert_whole_within(fleet: &mut Fleet, span: Duration) {
+fn assert_converged_within(fleet: &mut Fleet, span: Duration) {
     let step = Duration::from_millis(500);
     let end = fleet.now + span;
     while fleet.now < end && !fleet.is_converged() {
@@ -67,7 +67,7 @@
     assert!(fleet.standings(1).contains(&Standing::Gone), "the cut was not noticed");
     assert_change_in_force(&mut fleet);
     fleet.faults.cut_zone = None;
-    assert_whole_within(&mut fleet, Duration::from_secs(30));
+    assert_converged_within(&mut fleet, Duration::from_secs(30));
 }
 
 #[test]
@@ -101,9 +101,9 @@
     assert!(fleet.standings(3).iter().all(|standing| *standing == Standing::Gone));
     fleet.write();
     fleet.set_paused(3, false);
-    let end = fleet.now + IN_FORCE;
+    let end = fleet.now + PROPAGATION_TIME;
     assert!(fleet.run_until(end, Fleet::is_in_force));
-    assert_whole_within(&mut fleet, Duration::from_secs(10));
+    assert_converged_within(&mut fleet, Duration::from_secs(10));
     assert!(0 < fleet.nodes[3].gossip.epoch().refuted, "the resumed host refuted no suspicion");
 }
 
@@ -114,7 +114,7 @@
     fleet.run_for(Duration::from_secs(15));
     assert!(fleet.standings(2).iter().all(|standing| *standing == Standing::Gone));
     fleet.restart(2);
-    assert_whole_within(&mut fleet, Duration::from_secs(10));
+    assert_converged_within(&mut fleet, Duration::from_secs(10));
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let (answer, _) = fleet.nodes[0].gossip.receive(now, &hello);
     let actions = fleet.nodes[4].gossip.answer(now, &answer);
     fleet.perform(4, actions);
-    assert!(fleet.run_until(now + IN_FORCE, Fleet::is_in_force));
+    assert!(fleet.run_until(now + PROPAGATION_TIME, Fleet::is_in_force));
 }
 
 #[test]
