--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -40,7 +40,7 @@
 pub enum Span {
     /// Arrivals since the start of the session.
     Session,
-    /// Arrivals in the period before the session with this index; 0 is the most recent one.
+    /// Arrivals in one of the periods before the session; 0 is the most recent period.
     Before(u8),
 }
 
--- a/crates/policy/src/demand/reporter.rs
+++ b/crates/policy/src/demand/reporter.rs
@@ -36,7 +36,7 @@
     run: host::Incarnation,
     fence: Option<Fence>,
     totals: BTreeMap<(Subject, Span), Total>,
-    /// Arrivals within the last period, the oldest first.
+    /// Arrivals of the last 15 s, at most [`MAX_RECENT`], the oldest first.
     recent: VecDeque<Arrival>,
 }
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -5,7 +5,7 @@
 //! at another server after the last complete event. Events that were passed on before are dropped.
 //! A gap, or bytes that are no event, end the use of this server's stream.
 //!
-//! A chunk of which all events pass is not copied.
+//! A chunk that continues no partial event and of which all events pass is not copied.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memchr;
@@ -13,8 +13,8 @@
 /// Number of an event within its stream.
 pub type Id = u64;
 
-/// Largest event that is accepted.
-const MAX_EVENT_BYTES: usize = 256 * 1024;
+/// Most bytes of a partial event that are held back.
+const MAX_PARTIAL_BYTES: usize = 256 * 1024;
 
 /// Why a server's stream can't be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     Gap,
     /// The bytes are not an event.
     Garbage,
-    /// An event is larger than 256 KiB.
+    /// More than 256 KiB arrived without the end of an event.
     TooLarge,
 }
 
@@ -103,7 +103,7 @@
             }
             start = end;
         }
-        let fault = (MAX_EVENT_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
+        let fault = (MAX_PARTIAL_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
         self.partial = if fault.is_none() { buffer.slice(start..) } else { Bytes::new() };
         Output { events: passed.finish(&buffer), fault }
     }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -11,8 +11,8 @@
 //! within their availability zones, and one relay of each group exchanges aggregated tables with
 //! the other relays (see `fanout`).
 //!
-//! All of it is plain state: datagrams and the time go in, datagrams come out. That a host is
-//! silent is only a hint for shares and routes; nothing that must be safe may rest on it.
+//! The module does no I/O: datagrams and the time go in, datagrams come out. That a host is silent
+//! is only a hint for shares of limits and for routing; no safety property may depend on it.
 
 mod aggregate;
 mod candidates;
@@ -165,12 +165,13 @@
     pub lost_notices: u64,
 }
 
-/// This host's end of the gossip.
+/// State of the gossip on this host.
 #[derive(Debug)]
 pub struct Fleet {
     settings: Settings,
     member: Member,
     ranks: Ranks,
+    /// Packets that this run has sent.
     count: u32,
     local_tables: [LocalTable; Scope::ALL.len()],
     /// The newest status of the store that is not advertised yet; advertised at most once a
@@ -181,9 +182,12 @@
     fanout: Fanout,
     counters: Counters,
     outbox: Outbox,
+    /// Number of the last notice that this run originated.
     number: Number,
+    /// Which notices were received before, by the run that originated them.
     windows: BTreeMap<Run, Window>,
     outgoing: Vec<Datagram>,
+    /// Whether [`Fleet::announce_exit`] was called; nothing but goodbyes is sent then.
     has_left: bool,
     counts: Counts,
     digest_bucket: send::TokenBucket,
@@ -241,7 +245,8 @@
         &self.member
     }
 
-    /// Adds addresses at which other hosts may be; they are tried until a host is found there.
+    /// Adds addresses at which other hosts may be. Each is greeted until a host is known there, and
+    /// again once that host is forgotten.
     pub fn introduce(&mut self, now: Moment, addresses: impl IntoIterator<Item = SocketAddr>) {
         addresses.into_iter().for_each(|address| self.candidates.add(now, address));
     }
@@ -310,7 +315,8 @@
     }
 
     /// Announces the end of this host to all hosts that are not silent. Nothing else is sent from
-    /// then on: a digest that arrived after the goodbye would register this host again.
+    /// then on: packets that arrived after the goodbye could make a receiver register this host
+    /// again.
     pub fn announce_exit(&mut self) {
         self.has_left = true;
         let peers = self.hosts.iter().filter(|peer| !peer.is_silent());
@@ -357,7 +363,7 @@
     }
 
     /// Advertises the newest status of the store, at most once a heartbeat. Revisions rise all the
-    /// time; advertising each of them would never let a host be idle.
+    /// time; if each of them were advertised, idle hosts would send digests without a pause.
     fn publish_store(&mut self, now: Moment) {
         if now < self.next_store {
             return;
@@ -387,7 +393,8 @@
     let busy: Vec<_> = loads.into_iter().map(Fact::InFlight).collect();
     let listed: std::collections::BTreeSet<_> = busy.iter().map(Fact::key).collect();
     for key in known.into_iter().filter(|key| !listed.contains(key)) {
-        // A removed fact would lose its slot and its name; work often comes back to where it was.
+        // The load is set to zero and not removed: work often returns to the same server, and a
+        // removed fact would have to be sent in full again.
         let Key::InFlight(server, model) = key else { continue };
         local.set(now, Fact::InFlight(Load { server, model, requests: 0, tokens: 0 }));
     }
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Converts sums to loads, those without work among them.
+/// Converts sums to loads; sums of zero are included.
 pub(super) fn loads(sums: LoadSums) -> impl Iterator<Item = Load> {
     let load = |((server, model), (requests, tokens))| Load { server, model, requests, tokens };
     sums.into_iter().map(load)
--- a/crates/policy/src/fleet/candidates.rs
+++ b/crates/policy/src/fleet/candidates.rs
@@ -15,8 +15,9 @@
 /// Most addresses that are tried in one tick.
 const MAX_AT_ONCE: usize = 32;
 
-/// How long the address of a forgotten host, or one that a datagram named or came from, is tried.
-const FORGOTTEN_RETRY_PERIOD: Duration = Duration::from_secs(600);
+/// How long a temporary candidate is tried: the address of a forgotten host, or one that a datagram
+/// named or came from.
+const TEMPORARY_RETRY_PERIOD: Duration = Duration::from_secs(600);
 
 /// Whether an address was tried before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,12 +46,13 @@
     /// Adds an address that is tried for a limited time.
     pub(super) fn add_temporary(&mut self, now: Moment, address: SocketAddr) {
         let candidate =
-            Candidate { next: now, pause: MIN_BACKOFF, until: Some(now + FORGOTTEN_RETRY_PERIOD) };
+            Candidate { next: now, pause: MIN_BACKOFF, until: Some(now + TEMPORARY_RETRY_PERIOD) };
         self.0.entry(address).or_insert(candidate);
     }
 
-    /// Returns the addresses to be tried now, without those at which a host is known. Of addresses
-    /// that were tried before only `again` are returned, those that have been due the longest.
+    /// Returns the addresses to be tried now, without those at which a host is known. Of the
+    /// addresses that were tried before, at most `max_repeats` are returned: those that have been
+    /// due the longest.
     pub(super) fn due(
         &mut self,
         now: Moment,
@@ -77,8 +79,8 @@
 }
 
 impl Candidate {
-    /// Notes an attempt, and returns the reply to ask for: seeds are asked for the members that
-    /// they know.
+    /// Schedules the next attempt, and returns the reply that the greeting asks for. Candidates
+    /// that are tried without end, such as seeds, are asked for the members that they know.
     fn start(&mut self, now: Moment) -> Reply {
         self.next = now + self.pause;
         self.pause = (self.pause * 2).min(MAX_BACKOFF);
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -50,7 +50,7 @@
     Leaving,
 }
 
-/// A host's belief about who holds the planner's lease. Never a ground for acting as its holder.
+/// A host's belief about who holds the planner's lease. It entitles no host to act as the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The host that holds the lease.
@@ -227,7 +227,7 @@
         matches!(self, Fact::InFlight(load) if load.requests == 0 && load.tokens == 0)
     }
 
-    /// Returns the fact as it is to be sent this much later, with its age raised.
+    /// Returns the fact with its age raised by the time since it was set.
     pub(super) fn aged(&self, by: Duration) -> Fact {
         match self {
             Fact::Lease(lease) => Fact::Lease(Lease { age: lease.age + by, ..lease.clone() }),
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -1,8 +1,8 @@
 //! Choice of the hosts that get digests from this host.
 //!
 //! Up to [`Settings::full_mesh_limit`] hosts all send each other digests. In a larger deployment
-//! every host knows all others by rare greetings, and divides each zone into groups of up to about
-//! that many hosts, by a rule that gives the same result on every host. A host sends digests
+//! every host knows all others from infrequent greetings, and divides each zone into groups of up
+//! to about that many hosts, by a rule that gives the same result on every host. A host sends digests
 //! to its own group. The highest-ranked host of a group that is not silent, by rendezvous hashing,
 //! is the group's relay: it sends the aggregated table of its group to the other relays, and the
 //! aggregated table of all other groups to its group. So what a host sends is bounded by the size
@@ -134,9 +134,10 @@
         if self.is_grouped() { settings.grouped_silence_timeout } else { settings.silence_timeout }
     }
 
-    /// Bytes a second that may be sent in digests. A deployment smaller than the reference size has
-    /// fewer relays to update, and each of its hosts needs to know more of the others' work; the
-    /// lower bound on bytes is that of the reference size.
+    /// Bytes a second that may be sent in digests. It grows with the cube of the ratio between the
+    /// reference size and the deployment's size: a smaller deployment has fewer relays to update,
+    /// and each of its hosts needs to know more of the others' work. A deployment larger than the
+    /// reference size gets the same bytes as one of the reference size.
     pub(super) fn budget(&self, settings: &Settings) -> f64 {
         let (least, most) =
             (f64::from(settings.bytes_per_second), f64::from(settings.max_bytes_per_second));
@@ -148,12 +149,13 @@
         self.scaled(settings, settings.grouped_interval)
     }
 
-    /// How many times as large as this deployment the reference size is.
+    /// Ratio of the reference size to the number of hosts that are not silent.
     fn scale(&self, settings: &Settings) -> f64 {
         settings.reference_hosts as f64 / self.hosts.max(1) as f64
     }
 
-    /// Scales a time that is set for the reference size to this deployment.
+    /// Shortens a time that is set for the reference size in proportion for a smaller deployment,
+    /// down to [`Settings::interval`].
     fn scaled(&self, settings: &Settings, time: Duration) -> Duration {
         let divisor = self.scale(settings).max(1.0);
         time.div_f64(divisor).max(settings.interval)
@@ -180,8 +182,9 @@
         }
     }
 
-    /// The least acknowledgement that does not wait for the next heartbeat. In a grouped deployment
-    /// plain acknowledgements do wait: sent on their own, they would be most of the traffic.
+    /// Least pending acknowledgement that is sent before the next heartbeat. In a grouped
+    /// deployment acknowledgements without a gap wait for the heartbeat: sent on their own, they
+    /// would be most of the traffic.
     pub(super) fn urgent_ack(&self) -> PendingAck {
         if self.is_grouped() { PendingAck::Gap } else { PendingAck::Read }
     }
@@ -220,8 +223,8 @@
             _ => Role::Member,
         };
         let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { OWN_TABLE };
-        // A host that sends this one digests is answered, so that it is no fault if two hosts
-        // divide the groups differently for a while.
+        // Hosts that send digests to this one get answers without tables. Otherwise two hosts that
+        // compute different groups for a while would take each other for silent.
         let recent = self.settings.grouped_heartbeat * 2;
         let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + recent));
         let mut targets: BTreeMap<_, _> =
@@ -255,7 +258,8 @@
 type Ranked<'a> = (Ranks, &'a Member);
 
 /// Divides hosts into groups of one zone each. The first bits of a host's rank give its group, so
-/// hosts that know of different members still place all others alike.
+/// hosts whose lists of members differ still put each other host into the same group, as long as
+/// they compute the same number of groups.
 fn groups<'a>(members: &[Ranked<'a>], most: usize) -> Vec<Vec<Ranked<'a>>> {
     let mut zones = BTreeMap::<_, Vec<_>>::new();
     for (ranks, member) in members {
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -1,8 +1,8 @@
 //! The hosts that this host has received a greeting from.
 //!
-//! A host is known by its name and stands for one run of its process at a time. Wall clocks jump,
-//! so runs are not ordered by their numbers: a run that was not known before replaces the known
-//! one, and a replaced run is reinstated only if its packets keep arriving.
+//! A host is identified by its name, and one run of its process is registered at a time. Wall
+//! clocks jump, so runs are not ordered by their numbers: a run that was not known before replaces
+//! the known one, and a replaced run is reinstated only if its packets keep arriving.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -61,8 +61,8 @@
         self.contact != Contact::Alive
     }
 
-    /// Notes whether the peer is a target of digests, and marks it silent if no packet came within
-    /// the timeout.
+    /// Records whether the peer is a target of digests, and marks it silent if no packet arrived
+    /// within the timeout.
     pub(super) fn update_contact(&mut self, now: Moment, silence: Duration, exchange: Exchange) {
         match exchange {
             Exchange::Keepalives => {
@@ -181,7 +181,7 @@
         self.peers.values().any(|peer| peer.member.address == address)
     }
 
-    /// Takes note of a packet by its run and count.
+    /// Records a packet of this run with this count, and classifies it.
     pub(super) fn observe(&mut self, now: Moment, run: Run, count: u32) -> Freshness {
         if let Some(peer) = self.by_run_mut(run) {
             if count <= peer.count {
@@ -230,8 +230,8 @@
         Some(run)
     }
 
-    /// Marks hosts that relays report as absent, unless they are targets of this host or sent it
-    /// packets lately.
+    /// Marks hosts as absent that relays report as absent, unless they are targets of this host's
+    /// digests or sent this host a packet within the silence timeout.
     pub(super) fn mark_absent(&mut self, now: Moment, silence: Duration) {
         let remote_tables = self.peers.values().filter(|peer| !peer.is_silent());
         let remote_tables = remote_tables.flat_map(|peer| peer.remote_tables.iter());
@@ -251,7 +251,8 @@
         }
     }
 
-    /// Removes hosts that have been silent for too long, and returns them.
+    /// Removes silent hosts whose last packet is older than [`Settings::forget_after`], and returns
+    /// them.
     pub(super) fn forget(&mut self, now: Moment, settings: &Settings) -> Vec<Member> {
         self.replaced.retain(|_, replaced| now < replaced.since + settings.forget_after);
         let is_gone =
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! How far one peer has read this host's tables.
+//! How far one peer has read this host's tables, and what this host still has to send it.
 
 use std::time::Duration;
 
@@ -23,19 +23,19 @@
 struct Progress {
     acked: Edition,
     sent: Edition,
-    /// Since when something that was sent waits for its acknowledgement.
+    /// Since when changes that were sent wait for an acknowledgement; none if nothing does.
     unacked_since: Option<Moment>,
     names: Names,
 }
 
 impl Progress {
-    /// Notes the edition up to which the reader has read.
+    /// Records the edition up to which the reader has read.
     fn acknowledge(&mut self, edition: Edition) {
         self.acked = edition;
         self.names.acknowledge(edition);
     }
 
-    /// Makes everything that was sent but not acknowledged unsent again.
+    /// Counts changes that were sent but not acknowledged as not sent.
     fn rewind(&mut self) {
         self.sent = self.acked;
         self.unacked_since = None;
@@ -55,7 +55,7 @@
 }
 
 impl Link {
-    /// Takes a peer's acknowledgement.
+    /// Processes a peer's acknowledgement; after a gap, changes are sent again from there.
     pub(super) fn acknowledge(&mut self, now: Moment, scope: Scope, mark: Mark) {
         let progress = &mut self.tables[scope as usize];
         match mark {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Makes changes unsent again whose acknowledgement is overdue.
+    /// Counts changes as not sent whose acknowledgement has been due for longer than `after`.
     pub(super) fn resend(&mut self, now: Moment, after: Duration) {
         let is_overdue =
             |progress: &&mut Progress| progress.unacked_since.is_some_and(|at| at + after <= now);
--- a/crates/policy/src/fleet/local_table.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -2,8 +2,9 @@
 //!
 //! Each change of a fact gets the next edition, and a fact is listed at its last edition only. So a
 //! reader lacks just the facts whose editions are above the one that it has acknowledged, however
-//! many datagrams were lost. A fact that no reader was sent since its last change keeps its
-//! edition: constant changes would otherwise move it to the end of the queue again and again.
+//! many datagrams were lost. A fact that changes again before its last change was sent to any
+//! reader keeps its edition: a fact that changes all the time would otherwise stay at the end of
+//! the queue.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -75,8 +76,8 @@
         self.last
     }
 
-    /// Returns the edition up to which removals were forgotten; readers behind it have to start
-    /// over.
+    /// Returns the edition up to which removals were forgotten; readers behind it have to read the
+    /// table from the start.
     pub(super) fn floor(&self) -> Edition {
         self.floor
     }
@@ -199,7 +200,7 @@
 }
 
 impl Entry {
-    /// Whether the entry equals this fact, apart from the age that the fact gains by waiting.
+    /// Whether the entry equals this fact, apart from the time that has passed since it was set.
     fn matches(&self, now: Moment, fact: Option<&Fact>) -> bool {
         match (&self.fact, fact) {
             (Some(Fact::Lease(old)), Some(Fact::Lease(new))) => {
--- a/crates/policy/src/fleet/names.rs
+++ b/crates/policy/src/fleet/names.rs
@@ -1,8 +1,9 @@
 //! Which facts one reader can identify by their slots alone.
 //!
 //! A fact is sent in full first, with its key; its later numbers need only the slot. The reader
-//! knows the key once it has read the edition at which the fact was first sent in full. A later
-//! edition would not do: while the fact keeps changing, it would never be acknowledged in time.
+//! knows the key once it has read the edition at which the fact was first sent in full. The edition
+//! of the fact's last change would not do: while the fact keeps changing, the acknowledged edition
+//! would always be lower.
 
 use std::collections::BTreeMap;
 
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Notes the edition up to which the reader has read.
+    /// Records the edition up to which the reader has read.
     pub(super) fn acknowledge(&mut self, edition: Edition) {
         self.acked = edition;
     }
 
-    /// Forgets what was sent and not acknowledged.
+    /// Forgets the facts that were sent in full and not acknowledged.
     pub(super) fn rewind(&mut self) {
         let acked = self.acked;
         self.sent.retain(|_, edition| *edition <= acked);
@@ -45,7 +46,7 @@
         self.sent.clear();
     }
 
-    /// Notes which facts a delta sends in full, and which it removes.
+    /// Records which facts a delta sends in full, and which it removes.
     pub(super) fn note(&mut self, delta: &Delta) {
         let mut edition = delta.from;
         for line in &delta.lines {
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -35,7 +35,7 @@
 /// Most notices that wait for an acknowledgement, over all hosts.
 const MAX_WAITING: usize = 4_096;
 
-/// The least address; lower bound of a range over one run's targets.
+/// Lowest address in the order of [`Target`]; lower bound of a range over one run's targets.
 const MIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Width of a window: numbers further below the highest one count as seen.
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -14,7 +14,7 @@
     wire::{self, Body, Digest, Hello, Item, Mark, Reply, Run},
 };
 
-/// Least time between two greetings to one host, and between two answers.
+/// Least time between two greetings to one host, and between two answers to its greetings.
 const GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Most runs whose notices are deduplicated at a time; above it, idle ones are forgotten.
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Takes a one-shot notice. Its packet count is not checked: it may have been overtaken by
-    /// later packets, and whoever reads the notice decides what its age means.
+    /// Takes a one-shot notice. Its packet count is not checked: later packets may have overtaken
+    /// it, and the code that reads the notice decides whether it is too old.
     fn on_one_shot(
         &mut self,
         now: Moment,
--- a/crates/policy/src/fleet/remote_table.rs
+++ b/crates/policy/src/fleet/remote_table.rs
@@ -125,8 +125,8 @@
         let previous = self.facts.get(&slot).filter(|(previous, _)| previous.key() == fact.key());
         let before = match (previous, self.history) {
             (Some((previous, _)), _) => previous.total(),
-            // Only what rises from here on counts: arrivals before this host started to read are
-            // not counted.
+            // Only later increments count: arrivals before this host started to read are not
+            // counted.
             (None, History::Unread) => None,
             (None, History::Read) => Some(0),
         };
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -1,4 +1,4 @@
-//! What is sent, and when.
+//! Sending of digests, greetings, keepalives and notices when they are due.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,13 +16,13 @@
     wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
 };
 
-/// Time between greetings that introduce some of the known hosts to one host in turn.
+/// Time between greetings that each name some of the known hosts to one host, in turn.
 pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Least time between two greetings to a silent host.
 const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
 
-/// Least time between two greetings to a host that is about to be taken for silent.
+/// Least time between two greetings to a host that sent nothing for half of the silence timeout.
 const UNRESPONSIVE_GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Seconds of the rate that a token bucket can hold.
@@ -47,7 +47,7 @@
 /// Bytes of the network's headers around a datagram.
 const NETWORK_BYTES: usize = 28;
 
-/// Token bucket for bytes; consulted in grouped deployments only.
+/// Token bucket for bytes. Only grouped deployments are limited by it.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     left: f64,
@@ -164,7 +164,7 @@
         self.put(address, body);
     }
 
-    /// Notes which hosts are targets of digests from now on, and marks hosts silent whose timeout
+    /// Records which hosts are targets of digests from now on, and marks hosts silent whose timeout
     /// has passed.
     fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence_timeout(&self.settings);
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Greets hosts that are silent or about to be, those first that were not greeted for the
-    /// longest time.
+    /// Greets hosts that are silent or sent nothing for half of the silence timeout; those that
+    /// were not greeted for the longest time come first.
     fn greet_unresponsive(&mut self, now: Moment, fanout: &Fanout) {
         let silence = fanout.silence_timeout(&self.settings);
         let is_due = |peer: &&Peer| {
@@ -244,7 +244,7 @@
         addresses.into_iter().for_each(|address| self.put(address, Body::Keepalive));
     }
 
-    /// Introduces some of the known hosts to one host in turn, in case it never met them.
+    /// Names some of the known hosts to one host, in turn, in case it does not know them.
     fn introduce_in_turn(&mut self, now: Moment) {
         if now < self.next_introduction {
             return;
@@ -322,7 +322,8 @@
     }
 }
 
-/// Returns the pause between greetings to a host that is missed; none if it is not missed.
+/// Returns the pause between greetings to a host that is silent or, as a target of digests, sent
+/// nothing for half of the silence timeout; none for other hosts.
 fn greeting_pause(now: Moment, silence: Duration, peer: &Peer) -> Option<Duration> {
     if peer.is_silent() {
         return Some(SILENT_GREETING_PAUSE);
--- a/crates/policy/src/fleet/wire.rs
+++ b/crates/policy/src/fleet/wire.rs
@@ -53,6 +53,7 @@
     Hello(Hello),
     Notices(Vec<Item>),
     Acks(Vec<(Run, Number)>),
+    /// The sender's process ends.
     Bye,
     /// A notice that is neither acknowledged nor sent again, addressed to one run of a host.
     OneShot(Notice),
@@ -66,6 +67,7 @@
     pub(super) known: Vec<Member>,
 }
 
+/// What the sender of a greeting asks its receiver for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum Reply {
     Nothing,
--- a/crates/policy/src/follow.rs
+++ b/crates/policy/src/follow.rs
@@ -15,9 +15,9 @@
 /// Number of hosts that repeat watches soon, besides the holder of the lease on orders.
 pub const SCOUTS: usize = 2;
 
-/// Number of hosts that add nothing to the pause: no more hosts than there are scouts make few
-/// calls however often they repeat them. With nine hosts that each repeated the call after 40 ms, a
-/// minute took 3,094 calls to the store; with this number it took 2,406.
+/// Number of hosts that add nothing to the pause. As many hosts as there are scouts make few calls,
+/// however soon they repeat them. In a fleet of nine hosts that each repeated the call after 40 ms,
+/// a minute took 3,094 calls to the store; with this number it took 2,406.
 pub const UNPACED_HOSTS: usize = 2;
 
 /// Pause for each host beyond [`UNPACED_HOSTS`].
@@ -76,13 +76,13 @@
 pub enum Role {
     /// Repeats watches soon, and reports urgent changes to the others.
     Scout,
-    /// Also makes the calls for its group, whose hosts follow the store through this one.
+    /// Makes the calls for its group, whose hosts follow the store through this host.
     Relay,
     /// Lets changes gather between two calls.
     Follower,
 }
 
-/// Times of a watch. One without an answer for longer than `trust` may be stalled.
+/// Times of a watch. A watch without an answer for longer than `trust` may be stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTimes {
     /// Time after which the store answers that nothing has changed.
@@ -154,8 +154,8 @@
 /// was removed while the store was degraded.
 ///
 /// The entry may have been removed as long ago as `gather`, and both times together have to end
-/// `within` a time. Without this bound a host in a fleet of 82 could use such a server for 1.2 of
-/// that time.
+/// `within` a time. Without this bound a host in a fleet of 82 could use such a server for 1.2
+/// times `within`.
 pub fn removal_grace(gather: Duration, within: Duration) -> Duration {
     within.mul_f64(MAX_PAUSE_SHARE).min(within.mul_f64(REMOVAL_SHARE).saturating_sub(gather))
 }
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -93,7 +93,8 @@
     /// Time after which a host that is gone and not listed is forgotten.
     pub forget_after: Duration,
     /// Time for which another host's reading of a leaving mark in the platform's list counts
-    /// without a reading of this host's own.
+    /// without a reading of this host's own. Nothing reads this field: [`servers`] has a constant
+    /// of the same value.
     pub reported_mark_validity: Duration,
     /// Timeout of a configuration fetch, after which another peer is asked.
     pub fetch_timeout: Duration,
--- a/crates/policy/src/member/backoff.rs
+++ b/crates/policy/src/member/backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff with jitter.
 //!
-//! After an outage every host would retry at the same time. Each wait is drawn from the upper half
-//! of a range that doubles, from a seed that differs from host to host, so that calls spread out.
+//! After an outage every host would retry at the same time. So each wait is drawn from the upper
+//! half of a range that doubles, with a seed that differs from host to host.
 
 use std::time::Duration;
 
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -38,10 +38,12 @@
 /// Time for which a peer's in-flight digest counts.
 const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
 
-/// Paces without a tick after which the process is taken to have been paused.
+/// Multiple of [`Gossip::pace`] without a tick after which the process is taken to have been
+/// paused.
 const PAUSE_TICKS: u32 = 4;
 
-/// Peers in a row that did not answer after which a host takes the fault to be its own.
+/// Number of consecutive peers without an answer after which a host takes itself to be cut off, and
+/// gossips no suspicions.
 const ISOLATION_BEATS: u32 = 6;
 
 /// Action that the caller carries out.
@@ -279,7 +281,7 @@
         now.saturating_sub(self.platform_proof.unwrap_or(self.started))
     }
 
-    /// Role of this host in watching the platform, as of the last tick.
+    /// Role of this host in watching the platform, by the hosts known at the last tick.
     pub fn watch(&self) -> watch::Role {
         if self.leaving || self.superseded {
             return watch::Role::Standby { after: Duration::MAX };
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -302,7 +302,8 @@
         }
     }
 
-    /// Checks a status about this host itself: raises the epoch above a suspicion.
+    /// Handles a status about this host itself: stops if a later incarnation is running, and
+    /// refutes a suspicion by raising the epoch above it.
     fn refute(&mut self, status: &Status) -> Vec<Action> {
         if self.epoch.run < status.epoch.run {
             self.superseded = true;
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -51,10 +51,10 @@
     pub suspicion: suspicion::Backoff,
 }
 
-/// A request, as far as admission and the choice of a server need it.
+/// What admission and the choice of a server need to know of a request.
 #[derive(Clone, Debug)]
 pub struct Requirements {
-    /// What admission needs.
+    /// The request as the queues and the admission rule see it.
     pub work: Work,
     /// Time from arrival within which the first token is due.
     pub target: Duration,
@@ -333,7 +333,8 @@
         }
     }
 
-    /// Sets a server's standing after a success or failure; one that is leaving or gone stays so.
+    /// Sets a server's eligibility after a success or failure; a server that is leaving or gone
+    /// stays so.
     fn set_suspicion(&mut self, server: Index, eligibility: Eligibility) {
         if matches!(self.table.eligibility(server), Eligibility::Live | Eligibility::Suspected(_)) {
             self.table.set_eligibility(server, eligibility);
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -1,4 +1,4 @@
-//! Room and outlook for requests, over all servers that have what a request needs.
+//! Free capacity and expected times for requests, over all servers that have what a request needs.
 
 use types::prelude::*;
 
@@ -17,13 +17,13 @@
     }
 
     /// Returns how many more requests may be sent to a server: within this host's limit, and within
-    /// the places that all hosts together leave there.
+    /// the capacity that the requests of all hosts together leave free there.
     pub(super) fn room_on(&self, server: Index, pool: DestinationIndex) -> u32 {
         self.limiters.room(server, pool).min(self.table.view(server).spare())
     }
 
-    /// Returns what a request can expect; `None` if no server has what it needs and no suspected
-    /// one will come back with it.
+    /// Returns what a request can expect; `None` if no server has what it needs, not even a
+    /// suspected one that may be tried later.
     pub(super) fn outlook(&self, requirements: &Requirements, now: Moment) -> Option<Outlook> {
         let wanted = requirements.work.wanted;
         let pool = requirements.work.pool;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns what a request with a short prompt can expect.
+    /// Returns what a request can expect whose prompt takes no time to process.
     pub(super) fn plain_outlook(&self, wanted: DestinationIndex, now: Moment) -> Outlook {
         let best = self
             .usable(wanted, now)
