--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -2,11 +2,11 @@
 //!
 //! Up to [`Settings::full_mesh_limit`] hosts all send each other digests. In a larger deployment
 //! every host knows all others from infrequent greetings, and divides each zone into groups of up
-//! to about that many hosts, by a rule that gives the same result on every host. A host sends digests
-//! to its own group. The highest-ranked host of a group that is not silent, by rendezvous hashing,
-//! is the group's relay: it sends the aggregated table of its group to the other relays, and the
-//! aggregated table of all other groups to its group. So what a host sends is bounded by the size
-//! of a group and the number of groups, and a fact reaches every host in three steps.
+//! to about that many hosts, by a rule that gives the same result on every host. A host sends
+//! digests to its own group. The highest-ranked host of a group that is not silent, by rendezvous
+//! hashing, is the group's relay: it sends the aggregated table of its group to the other relays,
+//! and the aggregated table of all other groups to its group. So what a host sends is bounded by
+//! the size of a group and the number of groups, and a fact reaches every host in three steps.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -81,7 +81,7 @@
         assert!(received.requests <= sent.requests);
     }
     let lost = f64::from(sent.requests - received.requests) / f64::from(sent.requests);
-    assert!(lost <= 0.02, "{lost:.3} of {} requests were lost for good", sent.requests);
+    assert!(lost <= 0.02, "a share of {lost:.3} of {} requests was never counted", sent.requests);
 }
 
 #[test]
@@ -101,7 +101,7 @@
         let within = received.iter().filter(|one| s(from) <= one.at && one.at < s(to));
         within.map(|one| one.work.requests).sum()
     };
-    assert_eq!(work(&received).requests, 150, "of 15 s");
+    assert_eq!(work(&received).requests, 150, "arrivals of the last 15 s");
     assert_eq!([count(19.0, 20.0), count(16.0, 19.0), count(5.0, 16.0)], [10, 30, 110]);
 }
 
@@ -116,12 +116,15 @@
     let new = reporter.report(s(2.5)).expect("a total changed");
     let mut collector = Collector::default();
     collector.begin(FENCE + 1);
-    assert!(collector.take(&host(0), old, s(3.0)).is_empty(), "it was for the holder before");
+    assert!(
+        collector.take(&host(0), old, s(3.0)).is_empty(),
+        "a report for the previous holder was counted"
+    );
     assert_eq!(work(&collector.take(&host(0), new, s(3.0))).requests, 2);
     reporter.begin(FENCE, s(4.0));
     reporter.arrive(subject(0), ONE, s(4.0));
     let report = reporter.report(s(4.0)).expect("a total changed");
-    assert_eq!(report.fence, FENCE + 1, "an earlier holder does not replace a later one");
+    assert_eq!(report.fence, FENCE + 1, "an earlier fencing token replaced a later one");
 }
 
 #[test]
@@ -159,7 +162,7 @@
     reporter.begin(FENCE, s(0.0));
     reporter.arrive(subject(0), ONE, s(0.5));
     let sent = (1..100).filter_map(|tenth| reporter.report(s(f64::from(tenth) * 0.1))).count();
-    assert!(sent <= 3, "{sent} reports of one request");
+    assert!(sent <= 3, "{sent} reports were sent for one request");
 }
 
 #[rstest]
--- a/crates/policy/tests/event.rs
+++ b/crates/policy/tests/event.rs
@@ -18,7 +18,7 @@
 }
 
 fn text(taken: &Output) -> &str {
-    std::str::from_utf8(&taken.events).expect("text")
+    std::str::from_utf8(&taken.events).expect("events are UTF-8")
 }
 
 #[test]
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Simulated cluster: many cores of the membership protocol in one loop under virtual time.
+//! Simulated cluster: many instances of the membership protocol in one loop under virtual time.
 //!
-//! The loop is an event queue only: messages take a millisecond or two and may be lost, and nothing
-//! else is modelled. Calls that are lost or reach a dead host end with a timeout.
+//! The loop is an event queue only: messages take 0.2 to 1.5 ms and may be lost, and nothing else
+//! of the network is modelled. Calls that are lost or reach a dead or paused host end with a
+//! timeout.
 
 use std::{
     cmp::Reverse,
@@ -147,7 +148,7 @@
         self.nodes[n].paused = paused;
     }
 
-    /// Returns what each other running host takes a host for.
+    /// Returns the standing of a host on each other running host that knows it.
     pub(crate) fn standings(&self, of: usize) -> Vec<Standing> {
         let others = self.nodes.iter().enumerate().filter(|(n, node)| *n != of && node.running);
         others
@@ -201,7 +202,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` returns true, at most until `end`; returns whether it did. Calls ` done`
+    /// Runs until `done` returns true, at most until `end`; returns whether it did. Calls `done`
     /// after each event that raised a host's configuration number, and at `end`.
     pub(crate) fn run_until(&mut self, end: Moment, mut done: impl FnMut(&Fleet) -> bool) -> bool {
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
@@ -221,7 +222,7 @@
         done(self)
     }
 
-    /// Carries out the actions that a core requested.
+    /// Carries out the actions that a host's protocol instance requested.
     pub(crate) fn perform(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -294,7 +295,7 @@
 
     fn record_increase(&mut self, n: usize, before: Number) -> bool {
         let after = self.nodes[n].gossip.version(Topic::Config);
-        assert!(before <= after, "host {n} went back from {before} to {after}");
+        assert!(before <= after, "host {n}: configuration number fell from {before} to {after}");
         if before < after {
             self.nodes[n].number_raised_at = self.now;
         }
@@ -437,9 +438,12 @@
 }
 
 fn index(host: &Host) -> usize {
-    host.id.trim_start_matches("stage-").parse().expect("a name of a simulated host")
+    host.id
+        .trim_start_matches("stage-")
+        .parse()
+        .expect("the name of a simulated host ends in its number")
 }
 
 fn json_bytes<T: serde::Serialize>(value: &T) -> usize {
-    serde_json::to_string(value).expect("plain data").len()
+    serde_json::to_string(value).expect("a message serializes to JSON").len()
 }
--- a/crates/policy/tests/fleet_demand.rs
+++ b/crates/policy/tests/fleet_demand.rs
@@ -112,7 +112,7 @@
     fn received(&mut self) -> u64 {
         let now = self.net.now;
         let received =
-            std::mem::take(&mut self.net.hosts.get_mut(&PLANNER).expect("it runs").received);
+            std::mem::take(&mut self.net.hosts.get_mut(&PLANNER).expect("the host runs").received);
         for notice in received {
             let (Notice::Demand(report), Some(origin)) = (notice.notice, notice.origin) else {
                 continue;
@@ -159,7 +159,7 @@
         let (received, due) = (simulation.received(), simulation.arrived[before]);
         assert!(
             received <= simulation.arrived[round],
-            "{received} requests of {}",
+            "{received} requests were received, of {} that arrived",
             simulation.arrived[round]
         );
         let share = received as f64 / due as f64;
@@ -168,6 +168,7 @@
     let (share, round) = worst;
     assert!(
         MIN_RECEIVED_SHARE <= share,
-        "{share:.3} of all requests a second after they arrived, in round {round}"
+        "the planner had received {share:.3} of all requests a second after they arrived, in round \
+         {round}"
     );
 }
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -74,9 +74,13 @@
     assert_eq!((ahead.len(), ahead[0].declared), (1, 12));
     assert!(snapshot.ahead(&"zone-1".into(), 12).is_empty());
     assert_eq!(snapshot.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
-    let lease = snapshot.lease.expect("advertised");
+    let lease = snapshot.lease.expect("a lease is advertised");
     assert_eq!((&*lease.holder, lease.fence), ("host-001", 8));
-    assert!(lease.age >= Duration::from_millis(900), "its age grows: {:?}", lease.age);
+    assert!(
+        lease.age >= Duration::from_millis(900),
+        "the lease's age did not grow: {:?}",
+        lease.age
+    );
 }
 
 #[test]
@@ -129,7 +133,7 @@
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
             let counted = net.snapshot(host).arrivals.values().sum::<u64>();
-            assert!(*before <= counted, "a count fell");
+            assert!(*before <= counted, "an arrival count fell");
             *before = counted;
         }
     }
@@ -174,7 +178,7 @@
     );
     net.run_for(SETTLE);
     assert_eq!(requests(&net.snapshot(0)), many);
-    assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
+    assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "a datagram of {} bytes", net.largest);
 }
 
 /// Loads at many servers. At each step one in ten changes, in turn.
@@ -196,7 +200,7 @@
     net.run_for(SETTLE);
     let read = net.snapshot(4).in_flight;
     let stale = many_loads(39).into_iter().filter(|load| !read.contains(load)).count();
-    assert_eq!(stale, 0, "of {MANY} were not read");
+    assert_eq!(stale, 0, "some of {MANY} loads were not read");
 }
 
 #[rstest]
@@ -253,7 +257,7 @@
     let mut net = Net::settled(3, 1);
     net.publish(1, Publication::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
     net.run_for(STEP * 3);
-    // Host 2 receives nothing of the removal before it is forgotten.
+    // Host 2 is cut off until the others have forgotten the removal, so it never receives it.
     net.cut = vec![2];
     net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
@@ -293,7 +297,10 @@
     net.run_for(STEP * 3);
     let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
-    assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "an older age is no change");
+    assert!(
+        net.hosts[&1].fleet.counts().sent - sent <= 2,
+        "a crash of which only the age rose was sent again"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/fleet_hosts.rs
+++ b/crates/policy/tests/fleet_hosts.rs
@@ -72,12 +72,13 @@
     net.publish(4, Publication::Declared(9));
     net.run_for(Duration::from_millis(300));
     assert_eq!(net.snapshot(0).ahead(&"zone-0".into(), 0).len(), 1);
-    // Incarnations need not rise.
+    // The new incarnation is lower than the former one, which was 1004.
     net.start(4, 7);
     net.run_for(Duration::from_secs(1));
     assert!(net.is_converged());
     let hosts = net.snapshot(0).hosts;
-    let status = hosts.iter().find(|peer| peer.member.id == member(4, 0).id).expect("known");
+    let status =
+        hosts.iter().find(|peer| peer.member.id == member(4, 0).id).expect("the host is known");
     assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
@@ -95,7 +96,8 @@
         net.inject(0, address(2), &datagram.bytes);
     }
     let hosts = net.snapshot(0).hosts;
-    let status = hosts.iter().find(|peer| peer.member.address == address(2)).expect("known");
+    let status =
+        hosts.iter().find(|peer| peer.member.address == address(2)).expect("the host is known");
     assert_eq!((status.member.incarnation, status.declared), (7, 0));
 }
 
@@ -133,7 +135,7 @@
 #[test]
 fn a_host_that_was_suspended_is_silent_and_then_live_again() {
     let mut net = Net::settled(6, 1);
-    let host = net.hosts.remove(&4).expect("it runs");
+    let host = net.hosts.remove(&4).expect("the host runs");
     net.run_for(Duration::from_secs(5));
     assert_eq!(liveness(&net, 0, 4), Some(Liveness::Silent));
     net.hosts.insert(4, host);
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -19,7 +19,9 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
+    /// Share of datagrams that are lost.
     pub loss: f64,
+    /// Share of datagrams that arrive twice.
     pub repeat: f64,
     /// Longest extra delay; it reorders datagrams.
     pub jitter: Duration,
@@ -44,6 +46,7 @@
     pub hosts: BTreeMap<usize, Host>,
     /// Hosts to and from which all datagrams are lost.
     pub cut: Vec<usize>,
+    /// Bytes of the largest datagram sent.
     pub largest: usize,
     /// Datagrams from each host to each address, since a test last cleared the map.
     pub flows: BTreeMap<(usize, SocketAddr), u64>,
@@ -118,7 +121,7 @@
     pub fn settled(hosts: usize, seed: u64) -> Net {
         let mut net = Net::started(hosts, seed);
         net.run_for(Duration::from_secs(5));
-        assert!(net.is_converged(), "not all hosts know each other");
+        assert!(net.is_converged(), "after 5 s, not all hosts have all others as live");
         net
     }
 
@@ -139,14 +142,14 @@
     }
 
     pub fn fleet(&mut self, host: usize) -> &mut Fleet {
-        &mut self.hosts.get_mut(&host).expect("it runs").fleet
+        &mut self.hosts.get_mut(&host).expect("the host runs").fleet
     }
 
     pub fn snapshot(&self, host: usize) -> policy::fleet::Snapshot {
         self.hosts[&host].fleet.snapshot(self.now)
     }
 
-    /// Whether each running host takes exactly the running hosts for live.
+    /// Whether each running host counts as many live hosts as are running.
     pub fn is_converged(&self) -> bool {
         let all = self.hosts.len();
         self.hosts.keys().all(|&host| self.snapshot(host).live == all)
@@ -157,7 +160,7 @@
     }
 
     pub fn run_until(&mut self, end: Moment) {
-        // Tests call hosts between runs, so there may be datagrams to send.
+        // Tests call methods of hosts between runs, so there may be datagrams to send.
         let hosts: Vec<_> = self.hosts.keys().copied().collect();
         hosts.into_iter().for_each(|host| self.settle(host));
         self.hosts_by_address =
--- a/crates/policy/tests/fleet_notices.rs
+++ b/crates/policy/tests/fleet_notices.rs
@@ -21,11 +21,13 @@
 fn a_notice_to_all_reaches_each_host_at_once() {
     let mut net = Net::settled(6, 1);
     let now = net.now;
-    net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
+    net.fleet(2)
+        .send(now, Recipients::All, leaving(1))
+        .expect("a notice to all hosts needs no known host");
     net.run_for(Duration::from_millis(5));
     for host in [0, 1, 3, 4, 5] {
         let [received] = &net.hosts[&host].received[..] else {
-            panic!("host {host} received something else")
+            panic!("host {host} did not receive exactly one notice")
         };
         assert_eq!(received.notice, leaving(1));
         assert_eq!(received.origin, Some(member(2, 0).id));
@@ -43,7 +45,9 @@
         model: "sage".into(),
         adapter: Some("a3".into()),
     };
-    net.fleet(2).send(now, Recipients::Host(member(4, 0).id), wanted.clone()).expect("known");
+    net.fleet(2)
+        .send(now, Recipients::Host(member(4, 0).id), wanted.clone())
+        .expect("the host is known");
     net.run_for(Duration::from_secs(1));
     assert_eq!(received(&net, 4), [&wanted]);
     assert!([0, 1, 3, 5].iter().all(|&host| received(&net, host).is_empty()));
@@ -57,16 +61,18 @@
     net.faults = Faults { loss: 0.1, repeat: 0.3, jitter: Duration::from_millis(100) };
     for server in 0..100 {
         let now = net.now;
-        net.fleet(1).send(now, Recipients::All, leaving(server)).expect("known");
+        net.fleet(1)
+            .send(now, Recipients::All, leaving(server))
+            .expect("a notice to all hosts needs no known host");
         net.run_for(Duration::from_millis(30));
     }
     net.run_for(Duration::from_secs(3));
     for host in [0, 2, 3] {
-        let mut got: Vec<_> = received(&net, host).into_iter().cloned().collect();
-        let count = got.len();
-        got.sort_by_key(|notice| format!("{notice:?}"));
-        got.dedup();
-        assert_eq!(got.len(), count, "a notice came twice");
+        let mut distinct: Vec<_> = received(&net, host).into_iter().cloned().collect();
+        let count = distinct.len();
+        distinct.sort_by_key(|notice| format!("{notice:?}"));
+        distinct.dedup();
+        assert_eq!(distinct.len(), count, "a notice was received twice");
         // With one datagram in ten lost, all five sendings of a notice are lost once in 100,000
         // notices.
         assert_eq!(count, 100);
@@ -81,7 +87,9 @@
         net.cut = vec![1];
         let now = net.now;
         if is_sent {
-            net.fleet(0).send(now, Recipients::Host(member(1, 0).id), leaving(1)).expect("known");
+            net.fleet(0)
+                .send(now, Recipients::Host(member(1, 0).id), leaving(1))
+                .expect("the host is known");
         }
         net.run_for(Duration::from_secs(5));
         net.fleet(0).counts()
@@ -97,7 +105,9 @@
         net.start(2, incarnation);
         net.run_for(Duration::from_secs(1));
         let now = net.now;
-        net.fleet(2).send(now, Recipients::All, leaving(1)).expect("known");
+        net.fleet(2)
+            .send(now, Recipients::All, leaving(1))
+            .expect("a notice to all hosts needs no known host");
         net.run_for(Duration::from_millis(50));
     }
     assert_eq!(received(&net, 0).len(), 3);
--- a/crates/policy/tests/fleet_wide.rs
+++ b/crates/policy/tests/fleet_wide.rs
@@ -52,7 +52,7 @@
 fn assert_summed(net: &mut Net) {
     let hosts: Vec<_> = net.hosts.keys().copied().collect();
     hosts.iter().for_each(|&host| net.publish(host, Publication::InFlight(vec![load(1)])));
-    assert!(net.run_until_true(SPREAD_TIME, is_summed), "some host has not received all work");
+    assert!(net.run_until_true(SPREAD_TIME, is_summed), "some host lacks work of another host");
     let before: Vec<_> = hosts.iter().map(|&host| arrivals(net, host)).collect();
     hosts
         .iter()
@@ -61,7 +61,10 @@
     let is_counted = |net: &Net| {
         hosts.iter().zip(&before).all(|(&host, before)| arrivals(net, host) == before + rise)
     };
-    assert!(net.run_until_true(SPREAD_TIME, is_counted), "some host has not received all arrivals");
+    assert!(
+        net.run_until_true(SPREAD_TIME, is_counted),
+        "some host lacks arrivals at another host"
+    );
 }
 
 fn assert_notice_reaches_all_once(net: &mut Net) {
@@ -69,10 +72,10 @@
     let now = net.now;
     net.fleet(SENDER)
         .send(now, Recipients::All, Notice::DeclarationInForce { version: 4 })
-        .expect("known");
+        .expect("a notice to all hosts needs no known host");
     net.run_for(Duration::from_secs(2));
     for (number, host) in &net.hosts {
-        assert_eq!(host.received.len(), usize::from(*number != SENDER), "at host {number}");
+        assert_eq!(host.received.len(), usize::from(*number != SENDER), "notices at host {number}");
     }
 }
 
@@ -115,7 +118,7 @@
     for host in [0, 40, 70] {
         net.fleet(host)
             .send(now, Recipients::Host(member(71, 0).id), wanted.clone())
-            .expect("known");
+            .expect("the host is known");
     }
     net.run_for(Duration::from_millis(10));
     assert_eq!(net.hosts[&71].received.len(), 3);
@@ -146,7 +149,7 @@
         let oldest = (1..hosts).map(|host| in_flight(&net, host)).min();
         assert!(
             round < ROUNDS / 2 || Some(round - MAX_LAG) <= oldest,
-            "{oldest:?} in round {round}"
+            "the oldest load is of round {oldest:?}, in round {round}"
         );
     }
 }
@@ -188,7 +191,10 @@
     net.run_for(Duration::from_secs(15));
     net.publish(0, Publication::InFlight(vec![load(3)]));
     let is_everywhere = |net: &Net| (1..HOSTS).all(|host| in_flight(net, host) == 3);
-    assert!(net.run_until_true(CHANGE_SPREAD_TIME, is_everywhere), "some host has not received it");
+    assert!(
+        net.run_until_true(CHANGE_SPREAD_TIME, is_everywhere),
+        "some host has not received the load"
+    );
     for step in 0..15 {
         (0..HOSTS).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_secs(1));
@@ -207,7 +213,7 @@
     (0..HOSTS).step_by(5).for_each(|host| drop(net.hosts.remove(&host)));
     assert!(
         net.run_until_true(RECOVERY_TIME, |net| is_summed(net) && net.is_converged()),
-        "after deaths"
+        "sums or liveness are wrong {RECOVERY_TIME:?} after hosts died"
     );
     for host in [100, 101, 102] {
         net.start(host, 1);
@@ -217,7 +223,7 @@
     }
     assert!(
         net.run_until_true(RECOVERY_TIME, |net| is_summed(net) && net.is_converged()),
-        "after arrivals"
+        "sums or liveness are wrong {RECOVERY_TIME:?} after hosts joined"
     );
 }
 
@@ -239,8 +245,8 @@
         net.run_for(Duration::from_millis(300));
         for &host in net.hosts.keys() {
             let counted = arrivals(&net, host);
-            assert!(before[host] <= counted, "a count fell");
-            assert!(counted <= sent, "{counted} of {sent} were counted");
+            assert!(before[host] <= counted, "an arrival count fell");
+            assert!(counted <= sent, "{counted} arrivals were counted, of {sent}");
             before[host] = counted;
         }
     }
@@ -283,7 +289,7 @@
         }
         assert!(
             net.now - published_at < CRASH_SPREAD_TIME,
-            "some host of {hosts} has not received them within {CRASH_SPREAD_TIME:?}"
+            "some of {hosts} hosts lacks the crashes after {CRASH_SPREAD_TIME:?}"
         );
         (0..hosts).for_each(|host| net.publish(host, busy_publication(step)));
         net.run_for(Duration::from_millis(100));
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -33,7 +33,9 @@
     let now = net.now + Duration::from_secs(1);
     let fleet = net.fleet(1);
     fleet.tick(now);
-    fleet.send(now, Recipients::All, Notice::DeclarationInForce { version: 3 }).expect("known");
+    fleet
+        .send(now, Recipients::All, Notice::DeclarationInForce { version: 3 })
+        .expect("a notice to all hosts needs no known host");
     fleet.introduce(now, [address(9)]);
     fleet.tick(now + Duration::from_secs(1));
     fleet.announce_exit();
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/follow.rs
@@ -78,8 +78,11 @@
 #[case(350)]
 fn a_scout_finds_a_stalled_watch_in_time(#[case] count: usize) {
     let watch = follow::watch_times(follow::STARTUP_TIME, Role::Scout, count, DEADLINE);
-    assert!(watch.wait < watch.trust, "the store has time to answer that nothing changed");
-    // A second watch starts when the trust ends, and its answer is reported to the others.
+    assert!(
+        watch.wait < watch.trust,
+        "the watch is distrusted before the store answers that nothing changed"
+    );
+    // A second watch starts when the trust ends, and its answer has to reach the others in time.
     assert!(watch.trust < DEADLINE.mul_f64(0.75), "{watch:?}");
 }
 
@@ -97,15 +100,15 @@
     let scouts = follow::SCOUTS + 1;
     let all = calls(Role::Scout) * scouts as f64
         + calls(Role::Follower) * count.saturating_sub(scouts) as f64;
-    assert!(all < 25.0, "{all} calls a second");
+    assert!(all < 25.0, "{all} calls a second of all hosts");
 }
 
 #[test]
 fn a_host_that_knows_no_other_yet_finds_a_stalled_watch_itself() {
     for role in [Role::Scout, Role::Follower] {
         let watch = follow::watch_times(Duration::ZERO, role, 1, DEADLINE);
-        // No bound applies to a host in its first seconds; it finds a stalled watch as soon as one
-        // does.
+        // The deadline starts to apply after the host's first seconds, and a stalled watch is found
+        // within the deadline after them.
         assert!(
             watch.wait < watch.trust && watch.trust < follow::STARTUP_TIME + DEADLINE,
             "{watch:?}"
@@ -123,6 +126,6 @@
         let gather = settled(role, count);
         let grace = follow::removal_grace(gather, DEADLINE);
         assert!(gather + grace < DEADLINE, "{role:?}: {gather:?} and {grace:?}");
-        assert!(Duration::ZERO < grace, "an entry has some time to come back");
+        assert!(Duration::ZERO < grace, "a server is dropped as soon as its entry is removed");
     }
 }
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -64,7 +64,10 @@
     fleet.faults.cut_zone = Some(1);
     assert_change_in_force(&mut fleet);
     fleet.run_for(Duration::from_secs(60));
-    assert!(fleet.standings(1).contains(&Standing::Gone), "the cut was not noticed");
+    assert!(
+        fleet.standings(1).contains(&Standing::Gone),
+        "no host takes the partitioned host for gone"
+    );
     assert_change_in_force(&mut fleet);
     fleet.faults.cut_zone = None;
     assert_converged_within(&mut fleet, Duration::from_secs(30));
@@ -204,8 +207,9 @@
     for _ in 0..100 {
         for action in gossip.tick(now) {
             let Action::Send { heartbeat, .. } = action else { continue };
-            let bytes = serde_json::to_string(&heartbeat).expect("plain data").len();
-            assert!(bytes <= bound, "{bytes} bytes");
+            let bytes =
+                serde_json::to_string(&heartbeat).expect("a heartbeat serializes to JSON").len();
+            assert!(bytes <= bound, "a heartbeat of {bytes} bytes, above {bound}");
         }
     }
 }
@@ -229,9 +233,12 @@
     let hosts: Vec<_> = (0..350).map(host).collect();
     let rank = watch::Rank::new(hosts.iter().map(|host| (&host.id, &host.zone)));
     let active = |age| hosts.iter().filter(|host| rank.role(&host.id).is_active(age)).count();
-    assert_eq!(active(Duration::ZERO), 4, "one in each zone");
+    assert_eq!(active(Duration::ZERO), 4, "one watcher in each zone");
     let after_ten_minutes = active(Duration::from_secs(600));
-    assert!(4 < after_ten_minutes && after_ten_minutes <= 12, "{after_ten_minutes} hosts");
+    assert!(
+        4 < after_ten_minutes && after_ten_minutes <= 12,
+        "{after_ten_minutes} hosts watch after ten minutes"
+    );
 }
 
 #[test]
@@ -248,7 +255,10 @@
         let from = longest / 2 + longest / 20 * slot;
         waits.iter().filter(|wait| from <= **wait && **wait < from + longest / 20).count()
     };
-    assert!((0..10).all(|slot| in_slot(slot) < 70), "more than a fifth in one half second");
+    assert!(
+        (0..10).all(|slot| in_slot(slot) < 70),
+        "a fifth of the hosts or more retry in one half second"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/member_servers.rs
+++ b/crates/policy/tests/member_servers.rs
@@ -64,7 +64,7 @@
     assert_eq!(
         servers.standing(at(3), SERVER),
         Standing::Live,
-        "an old incarnation's report counted"
+        "another host's observation of an old incarnation counted"
     );
 }
 
@@ -110,14 +110,21 @@
     servers.expire(at(60));
     assert_eq!(servers.standing(at(60), SERVER), Standing::Gone);
     servers.apply_list(at(61), &[entry(SERVER, Listed::Live)], &me());
-    assert_eq!(servers.standing(at(61), SERVER), Standing::Live, "the server does not return");
+    assert_eq!(
+        servers.standing(at(61), SERVER),
+        Standing::Live,
+        "the listed server is not live again"
+    );
 }
 
 #[test]
 fn a_failure_suspects_a_server_until_it_answers() {
     let mut servers = known();
     assert!(servers.record_failure(at(1), SERVER, &me()).is_some());
-    assert!(servers.record_failure(at(2), SERVER, &me()).is_none(), "gossiped twice in a row");
+    assert!(
+        servers.record_failure(at(2), SERVER, &me()).is_none(),
+        "a second failure in a row was gossiped again"
+    );
     assert_eq!(servers.standing(at(2), SERVER), Standing::Suspected);
     servers.record_answer(at(3), SERVER);
     assert_eq!(servers.standing(at(3), SERVER), Standing::Live);
@@ -129,8 +136,12 @@
     servers.record_answer(at(10), SERVER);
     servers.apply_update(at(10), &observation(0, "stage-1", Evidence::Silent));
     assert_eq!(servers.standing(at(11), SERVER), Standing::Live);
-    assert_eq!(servers.standing(at(13), SERVER), Standing::Suspected, "no answer since");
-    assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "the observation has expired");
+    assert_eq!(
+        servers.standing(at(13), SERVER),
+        Standing::Suspected,
+        "the observation did not count without a recent answer"
+    );
+    assert_eq!(servers.standing(at(16), SERVER), Standing::Live, "an expired observation counted");
 }
 
 #[test]
@@ -139,7 +150,7 @@
     assert!(servers.apply_update(at(1), &observation(0, "stage-1", Evidence::ListedLeaving)));
     assert!(
         !servers.apply_update(at(2), &observation(0, "stage-1", Evidence::ListedLeaving)),
-        "gossiped twice"
+        "a repeated observation counted as new"
     );
     assert_eq!(servers.standing(at(20), SERVER), Standing::Leaving);
     assert_eq!(servers.standing(at(40), SERVER), Standing::Live);
@@ -150,7 +161,11 @@
     let mut servers = known();
     servers.apply_update(at(1), &observation(0, "stage-1", Evidence::ListedLeaving));
     servers.apply_list(at(5), &[entry(SERVER, Listed::Live)], &me());
-    assert_eq!(servers.standing(at(5), SERVER), Standing::Leaving, "our list may lag");
+    assert_eq!(
+        servers.standing(at(5), SERVER),
+        Standing::Leaving,
+        "one list lifted the mark, though lists may lag"
+    );
     servers.apply_list(at(12), &[entry(SERVER, Listed::Live)], &me());
     assert_eq!(servers.standing(at(12), SERVER), Standing::Live);
 }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Makes the one read that precedes the first write.
+    /// Makes the read that precedes the first write; it must be the next call.
     pub(crate) fn settle_reads(&mut self, now: Now, store: &mut Store) {
         let call = self.take_call(now);
         assert_eq!(call, Call::Read);
@@ -145,7 +145,7 @@
     fn record(&mut self, answers: Vec<Answer>) {
         for answer in answers {
             let before = self.answers.insert(answer.id.to_string(), answer.verdict);
-            assert_eq!(before, None, "one answer for each claim");
+            assert_eq!(before, None, "a claim was answered twice");
         }
     }
 }
@@ -167,7 +167,7 @@
 
 /// Returns a key that carries a time, in milliseconds after the origin.
 pub(crate) fn stamped(millis: i64) -> TimedKey {
-    let stamp = ORIGIN.checked_add_signed(millis).expect("a time after 1970");
+    let stamp = ORIGIN.checked_add_signed(millis).expect("the time is not before 1970");
     TimedKey { stamp: Some(stamp), ..key(&format!("stamped {millis}")) }
 }
 
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -98,7 +98,7 @@
 fn sent(again: Retry) -> Flight {
     match again {
         Retry::Sent(flight) => flight,
-        other => panic!("not sent: {other:?}"),
+        other => panic!("the retry was not sent: {other:?}"),
     }
 }
 
@@ -137,13 +137,14 @@
 
 #[test]
 fn work_that_would_queue_on_the_server_waits_here_where_it_can_be_refused() {
-    // The server has eight slots and one to spare, whatever the limit allows.
+    // The server takes nine requests, one more than it has slots, although the limit is 64. Another
+    // host uses four of them.
     let mut traffic = traffic(1, 64);
     let load = policy::route::estimate::PeerLoad { requests: 4 };
     traffic.table.set_peer_load(&"host-2".into(), &[("lector-0".into(), load)]);
     for ticket in 0..5 {
         let (admission, requirements) = admit(&mut traffic, ticket, 5000, 0);
-        assert_eq!(admission, Admission::Take, "{ticket}");
+        assert_eq!(admission, Admission::Take, "ticket {ticket}");
         traffic.dispatch(&requirements, millis(0)).unwrap();
     }
     assert_eq!(admit(&mut traffic, 9, 5000, 0).0, Admission::Wait);
@@ -208,11 +209,15 @@
     let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
     traffic.ended(&flight, End::Failed(Point::Waiting), millis(0));
     let (admission, second) = admit(&mut traffic, 2, 90_000, 1);
-    assert_eq!(admission, Admission::Wait, "the only replica comes back soon");
+    assert_eq!(
+        admission,
+        Admission::Wait,
+        "the request does not wait for the trial of the only replica"
+    );
     assert_eq!(traffic.pump(millis(100)), []);
     assert_eq!(traffic.pump(millis(600)), [Change::Start(2)]);
     let trial = traffic.dispatch(&second, millis(600)).unwrap();
-    assert!(!traffic.table.takes_work(0, millis(601)), "one trial at a time");
+    assert!(!traffic.table.takes_work(0, millis(601)), "the server takes work during its trial");
     traffic.answered(&trial, millis(650));
     assert!(traffic.table.takes_work(0, millis(650)));
 }
@@ -302,7 +307,7 @@
         }
         busy += running.len() as u64;
     }
-    assert_eq!(late, 0, "{started} started, {refused} refused");
-    assert!(7 * 4000 < busy, "slots stay in use: {busy} of {}", 8 * 4000);
+    assert_eq!(late, 0, "some requests started too late; {started} started, {refused} refused");
+    assert!(7 * 4000 < busy, "slots were idle: {busy} slot-milliseconds used of {}", 8 * 4000);
     assert!(2000 < refused);
 }
