--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -94,6 +94,7 @@
         /// The server.
         server: backend::Id,
         /// The server's limit since this change.
+        #[serde(rename = "news")]
         limit: VersionedLimit,
     },
     /// Requests and grants of quota permits; sent once.
