--- a/crates/policy/src/demand/reporter.rs
+++ b/crates/policy/src/demand/reporter.rs
@@ -46,7 +46,7 @@
     /// Mean arrival time; only for arrivals before the session.
     at: Option<Moment>,
     /// When the total last changed or was last sent.
-    touched: Moment,
+    touched_at: Moment,
     /// Times that the total was sent since its last change.
     sends: u8,
 }
@@ -64,7 +64,7 @@
             let total = total.or_insert_with(|| Total::new(now));
             total.work = total.work.plus(work);
             // An unsent total keeps its position in the queue, however often it rises.
-            total.touched = if total.sends == 0 { total.touched } else { now };
+            total.touched_at = if total.sends == 0 { total.touched_at } else { now };
             total.sends = 0;
         }
         self.recent.push_back(Arrival { subject, work, at: now });
@@ -103,10 +103,10 @@
         let fence = self.fence?;
         let is_due = |total: &Total| {
             total.sends == 0
-                || total.sends < SENDS_PER_CHANGE && total.touched + REPEAT_INTERVAL <= now
+                || total.sends < SENDS_PER_CHANGE && total.touched_at + REPEAT_INTERVAL <= now
         };
         let mut due: Vec<_> = self.totals.iter_mut().filter(|(_, one)| is_due(one)).collect();
-        due.sort_by_key(|((_, span), total)| (total.sends, *span, total.touched));
+        due.sort_by_key(|((_, span), total)| (total.sends, *span, total.touched_at));
         let (mut room, mut repeats) = (REPORT_LINES_BYTES, MAX_REPEATS);
         let mut lines = Vec::new();
         for ((subject, span), total) in due {
@@ -125,7 +125,7 @@
             room = room.saturating_sub(size);
             lines.push(total.line(subject, *span, now));
             total.sends += 1;
-            total.touched = now;
+            total.touched_at = now;
         }
         (!lines.is_empty()).then_some(Report { run: self.run, fence, lines })
     }
@@ -138,7 +138,7 @@
 
 impl Total {
     fn new(now: Moment) -> Total {
-        Total { work: Work::default(), at: None, touched: now, sends: 0 }
+        Total { work: Work::default(), at: None, touched_at: now, sends: 0 }
     }
 
     fn line(&self, subject: &Subject, span: Span, now: Moment) -> Line {
--- a/crates/policy/src/fleet/hosts.rs
+++ b/crates/policy/src/fleet/hosts.rs
@@ -35,9 +35,9 @@
     pub(super) remote_tables: BTreeMap<Scope, RemoteTable>,
     pub(super) link: Link,
     /// When this host last sent the peer a greeting or a keepalive.
-    pub(super) greeted: Option<Moment>,
+    pub(super) last_greeting: Option<Moment>,
     /// When this host last answered a greeting of the peer.
-    pub(super) answered: Option<Moment>,
+    pub(super) last_answer: Option<Moment>,
 }
 
 impl Peer {
@@ -52,8 +52,8 @@
             contact: Contact::default(),
             remote_tables: BTreeMap::new(),
             link: Link::default(),
-            greeted: Some(now),
-            answered: None,
+            last_greeting: Some(now),
+            last_answer: None,
         }
     }
 
--- a/crates/policy/src/fleet/local_table.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -67,7 +67,7 @@
     /// None once the fact was removed.
     fact: Option<Fact>,
     edition: Edition,
-    updated: Moment,
+    updated_at: Moment,
 }
 
 impl LocalTable {
@@ -84,7 +84,7 @@
 
     /// Returns the facts that were not removed, with the time since each was set.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
-        let age = move |entry: &Entry| now.saturating_sub(entry.updated);
+        let age = move |entry: &Entry| now.saturating_sub(entry.updated_at);
         self.entries.values().filter_map(move |entry| Some((entry.fact.as_ref()?, age(entry))))
     }
 
@@ -113,7 +113,7 @@
 
     /// Removes loads that have been zero for this long, and forgets removals of that age.
     pub(super) fn expire(&mut self, now: Moment, age: Duration) {
-        let is_old = |entry: &&Entry| entry.updated + age <= now;
+        let is_old = |entry: &&Entry| entry.updated_at + age <= now;
         let is_idle = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_idle);
         let old = self.entries.values().filter(is_old);
         let (idle, others): (Vec<_>, Vec<_>) = old.partition(is_idle);
@@ -170,7 +170,7 @@
         self.last = edition;
         self.slots.insert(key.clone(), slot);
         self.editions.insert(edition, slot);
-        let entry = Entry { key, fact: Some(fact), edition, updated: now };
+        let entry = Entry { key, fact: Some(fact), edition, updated_at: now };
         self.entries.insert(slot, entry);
     }
 
@@ -180,7 +180,7 @@
             return;
         }
         entry.fact = fact;
-        entry.updated = now;
+        entry.updated_at = now;
         if entry.edition > self.sent {
             return;
         }
@@ -204,12 +204,12 @@
     fn matches(&self, now: Moment, fact: Option<&Fact>) -> bool {
         match (&self.fact, fact) {
             (Some(Fact::Lease(old)), Some(Fact::Lease(new))) => {
-                let aged = old.age + now.saturating_sub(self.updated);
+                let aged = old.age + now.saturating_sub(self.updated_at);
                 (&old.holder, old.fence) == (&new.holder, new.fence)
                     && aged.abs_diff(new.age) <= RENEWAL_TIME_TOLERANCE
             }
             (Some(Fact::Crash(old)), Some(Fact::Crash(new))) => {
-                let aged = old.age + now.saturating_sub(self.updated);
+                let aged = old.age + now.saturating_sub(self.updated_at);
                 Crash { age: new.age, ..old.clone() } == *new
                     && aged.abs_diff(new.age) <= CRASH_TIME_TOLERANCE
             }
@@ -222,7 +222,7 @@
         match fact.numbers().filter(|_| name == Name::Known) {
             Some((first, 0)) => Change::One(first),
             Some((first, second)) => Change::Two(first, second),
-            None => Change::Fact(fact.aged(now.saturating_sub(self.updated))),
+            None => Change::Fact(fact.aged(now.saturating_sub(self.updated_at))),
         }
     }
 }
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -80,8 +80,8 @@
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
         if !is_for_this_run {
             // The sender still has an earlier run of this host registered.
-            let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
-            peer.greeted = if is_recent { peer.greeted } else { Some(now) };
+            let is_recent = peer.last_greeting.is_some_and(|at| now < at + GREETING_PAUSE);
+            peer.last_greeting = if is_recent { peer.last_greeting } else { Some(now) };
             let address = peer.member.address;
             if !is_recent {
                 self.greet(address, Reply::Nothing);
@@ -132,10 +132,10 @@
             return;
         }
         let Some(peer) = self.hosts.get_mut(&id) else { return };
-        if peer.answered.is_some_and(|at| now < at + GREETING_PAUSE) {
+        if peer.last_answer.is_some_and(|at| now < at + GREETING_PAUSE) {
             return;
         }
-        peer.answered = Some(now);
+        peer.last_answer = Some(now);
         let address = peer.member.address;
         match hello.reply {
             Reply::Members => self.introduce_others(address),
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -50,32 +50,32 @@
 /// Token bucket for bytes. Only grouped deployments are limited by it.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
-    left: f64,
+    balance: f64,
     rate: f64,
-    filled: Moment,
+    last_fill: Moment,
 }
 
 impl TokenBucket {
     pub(super) fn new(now: Moment) -> TokenBucket {
-        TokenBucket { left: 0.0, rate: 0.0, filled: now }
+        TokenBucket { balance: 0.0, rate: 0.0, last_fill: now }
     }
 
     fn has_tokens(&self) -> bool {
-        self.left > 0.0
+        self.balance > 0.0
     }
 
     /// Takes the bytes of a datagram. The balance may become negative, by one second of the rate at
     /// the most.
     pub(super) fn spend(&mut self, bytes: usize) {
-        self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
+        self.balance = (self.balance - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
     }
 
     /// Adds what accrued since the last call, and sets the rate in bytes a second.
     fn fill(&mut self, now: Moment, rate: f64) {
         self.rate = rate;
-        let span = now.saturating_sub(self.filled).as_secs_f64();
-        self.left = (self.left + span * self.rate).min(self.rate * BURST_SECONDS);
-        self.filled = now;
+        let span = now.saturating_sub(self.last_fill).as_secs_f64();
+        self.balance = (self.balance + span * self.rate).min(self.rate * BURST_SECONDS);
+        self.last_fill = now;
     }
 }
 
@@ -208,17 +208,18 @@
         let silence = fanout.silence_timeout(&self.settings);
         let is_due = |peer: &&Peer| {
             let pause = greeting_pause(now, silence, peer);
-            pause.is_some_and(|pause| peer.greeted.is_none_or(|at| at + pause <= now))
+            pause.is_some_and(|pause| peer.last_greeting.is_none_or(|at| at + pause <= now))
         };
         let due = self.hosts.iter().filter(is_due);
-        let mut due: Vec<_> = due.map(|peer| (peer.greeted, peer.member.id.clone())).collect();
+        let mut due: Vec<_> =
+            due.map(|peer| (peer.last_greeting, peer.member.id.clone())).collect();
         due.sort();
         for (_, id) in due {
             if fanout.is_grouped() && !self.greeting_bucket.has_tokens() {
                 return;
             }
             let Some(peer) = self.hosts.get_mut(&id) else { continue };
-            peer.greeted = Some(now);
+            peer.last_greeting = Some(now);
             let address = peer.member.address;
             self.greet(address, Reply::Identity);
             self.greeting_bucket.spend(HELLO_BYTES);
@@ -232,12 +233,13 @@
         let peers = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
         let mut peers: Vec<_> = peers.collect();
         let most = (peers.len() as f64 * pace).ceil() as usize;
-        peers.sort_by_key(|peer| peer.greeted);
-        let due = peers.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
+        peers.sort_by_key(|peer| peer.last_greeting);
+        let due =
+            peers.iter_mut().filter(|peer| peer.last_greeting.is_none_or(|at| at + round <= now));
         let addresses: Vec<_> = due
             .take(most)
             .map(|peer| {
-                peer.greeted = Some(now);
+                peer.last_greeting = Some(now);
                 peer.member.address
             })
             .collect();
--- a/crates/policy/src/member/backoff.rs
+++ b/crates/policy/src/member/backoff.rs
@@ -14,13 +14,13 @@
     longest: Duration,
     seed: u64,
     failures: u32,
-    drawn: u64,
+    draws: u64,
 }
 
 impl Backoff {
     /// Backoff that starts at `first`, doubles on each failure and is capped at `longest`.
     pub fn new(first: Duration, longest: Duration, seed: u64) -> Backoff {
-        Backoff { first, longest, seed, failures: 0, drawn: 0 }
+        Backoff { first, longest, seed, failures: 0, draws: 0 }
     }
 
     /// Resets the backoff after a success.
@@ -33,8 +33,8 @@
         let doubled =
             self.first.saturating_mul(1_u32.checked_shl(self.failures).unwrap_or(u32::MAX));
         self.failures = self.failures.saturating_add(1).min(u32::BITS - 1);
-        self.drawn += 1;
-        let share = 0.5 + rendezvous::fraction(self.seed, self.drawn) / 2.0;
+        self.draws += 1;
+        let share = 0.5 + rendezvous::fraction(self.seed, self.draws) / 2.0;
         doubled.min(self.longest).mul_f64(share)
     }
 
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -94,7 +94,7 @@
     me: Host,
     epoch: Epoch,
     leaving: bool,
-    started: Moment,
+    started_at: Moment,
     hosts: Hosts,
     servers: Servers,
     versions: BTreeMap<Topic, u64>,
@@ -113,8 +113,8 @@
     rank_generation: Option<u64>,
     counter: u64,
     push_tokens: u32,
-    refilled: Moment,
-    ticked: Moment,
+    last_refill: Moment,
+    last_tick: Moment,
     superseded: bool,
 }
 
@@ -144,7 +144,7 @@
             me,
             epoch: Epoch { run, refuted: 0 },
             leaving: false,
-            started: now,
+            started_at: now,
             hosts: Hosts::new(),
             servers: Servers::new(),
             versions: BTreeMap::new(),
@@ -163,8 +163,8 @@
             rank_generation: None,
             counter: 0,
             push_tokens: PUSH_BURST,
-            refilled: now,
-            ticked: now,
+            last_refill: now,
+            last_tick: now,
             superseded: false,
         }
     }
@@ -278,7 +278,7 @@
 
     /// Age of the newest proof, obtained by any host, that the platform answers.
     pub fn platform_age(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.platform_proof.unwrap_or(self.started))
+        now.saturating_sub(self.platform_proof.unwrap_or(self.started_at))
     }
 
     /// Role of this host in watching the platform, by the hosts known at the last tick.
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -117,10 +117,10 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.refilled);
+        let passed = now.saturating_sub(self.last_refill);
         let earned = (passed.as_millis() / PUSH_REFILL_INTERVAL.as_millis()) as u32;
         self.push_tokens = self.push_tokens.saturating_add(earned).min(PUSH_BURST);
-        self.refilled += PUSH_REFILL_INTERVAL * earned;
+        self.last_refill += PUSH_REFILL_INTERVAL * earned;
     }
 
     fn renew_view(&mut self, now: Moment) {
@@ -139,11 +139,11 @@
     }
 
     fn detect_pause(&mut self, now: Moment) {
-        if self.ticked + self.pace() * PAUSE_TICKS < now {
+        if self.last_tick + self.pace() * PAUSE_TICKS < now {
             self.unanswered.clear();
             self.probing.clear();
         }
-        self.ticked = now;
+        self.last_tick = now;
     }
 
     fn draw_silent(&self) -> Option<host::Id> {
@@ -199,7 +199,7 @@
     fn heartbeat(&mut self, now: Moment, to: &str) -> Heartbeat {
         let mut from = self.status();
         let introduced = self.introduce_to.remove(to);
-        if introduced || now < self.started + INTRODUCTION_TIME {
+        if introduced || now < self.started_at + INTRODUCTION_TIME {
             from.host = Some(Box::new(self.me.clone()));
         }
         let age = |proof| now.saturating_sub(proof).as_millis() as u64;
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -28,8 +28,8 @@
     pub health: Health,
     versions: BTreeMap<Topic, u64>,
     leaving: bool,
-    since: Moment,
-    answered: Option<Moment>,
+    health_since: Moment,
+    last_answer: Option<Moment>,
     listed: Option<Listed>,
     unrefuted: Option<Status>,
 }
@@ -42,8 +42,8 @@
             health: Health::Live,
             versions: BTreeMap::new(),
             leaving: false,
-            since: now,
-            answered: None,
+            health_since: now,
+            last_answer: None,
             listed: None,
             unrefuted: None,
         }
@@ -67,7 +67,7 @@
 
     /// Time of the last direct contact with this host, if any.
     pub fn answered(&self) -> Option<Moment> {
-        self.answered
+        self.last_answer
     }
 
     /// Known status, for gossip.
@@ -89,7 +89,7 @@
     }
 
     fn is_fresh(&self, now: Moment, fresh: Duration) -> bool {
-        self.answered.is_some_and(|at| now < at + fresh)
+        self.last_answer.is_some_and(|at| now < at + fresh)
     }
 }
 
@@ -221,7 +221,7 @@
         let Some((before, member)) = self.resolve(now, status) else { return Change::None };
         member.epoch = member.epoch.max(status.epoch);
         member.versions.clone_from(versions);
-        member.answered = Some(now);
+        member.last_answer = Some(now);
         member.set_health(now, Health::Live);
         self.note(&status.id, &before)
     }
@@ -260,7 +260,7 @@
         let mut given_up = Vec::new();
         for member in self.members.values_mut() {
             if member.health == Health::Suspected
-                && member.since + settings.suspicion_timeout <= now
+                && member.health_since + settings.suspicion_timeout <= now
             {
                 member.set_health(now, Health::Gone);
                 given_up.push(member.status());
@@ -269,7 +269,7 @@
         let known = self.members.len();
         self.members.retain(|_, member| {
             let gone = member.health == Health::Gone && member.listed.is_none();
-            !gone || now < member.since + settings.forget_after
+            !gone || now < member.health_since + settings.forget_after
         });
         self.generation += (given_up.len() + known - self.members.len()) as u64;
         given_up
@@ -301,7 +301,7 @@
     fn set_health(&mut self, now: Moment, health: Health) {
         if self.health != health {
             self.health = health;
-            self.since = now;
+            self.health_since = now;
         }
     }
 }
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -69,11 +69,11 @@
     pub run: backend::Incarnation,
     leaving: bool,
     listed: Option<Listed>,
-    marked: Option<Moment>,
-    reported_leaving: Option<Moment>,
-    known: Moment,
-    answered: Option<Moment>,
-    failed: Option<Moment>,
+    marked_at: Option<Moment>,
+    reported_leaving_at: Option<Moment>,
+    known_since: Moment,
+    last_answer: Option<Moment>,
+    last_failure: Option<Moment>,
     reported_silent: BTreeMap<host::Id, Moment>,
 }
 
@@ -84,18 +84,18 @@
             run: 0,
             leaving: false,
             listed: None,
-            marked: None,
-            reported_leaving: None,
-            known: now,
-            answered: None,
-            failed: None,
+            marked_at: None,
+            reported_leaving_at: None,
+            known_since: now,
+            last_answer: None,
+            last_failure: None,
             reported_silent: BTreeMap::new(),
         }
     }
 
     /// Standing by all evidence that counts at `now`.
     pub fn standing(&self, now: Moment) -> Standing {
-        let last_answer = self.answered.unwrap_or(self.known);
+        let last_answer = self.last_answer.unwrap_or(self.known_since);
         if self.listed.is_none() && last_answer + SILENCE_TIMEOUT <= now {
             return Standing::Gone;
         }
@@ -107,15 +107,15 @@
 
     fn is_marked(&self, now: Moment) -> bool {
         let within = |at: Option<Moment>, span: Duration| at.is_some_and(|at| now < at + span);
-        within(self.marked, LISTED_MARK_VALIDITY)
-            || within(self.reported_leaving, REPORTED_MARK_VALIDITY)
+        within(self.marked_at, LISTED_MARK_VALIDITY)
+            || within(self.reported_leaving_at, REPORTED_MARK_VALIDITY)
     }
 
     fn is_suspected(&self, now: Moment) -> bool {
-        if self.failed.is_some_and(|at| now < at + SUSPICION_TIMEOUT) {
+        if self.last_failure.is_some_and(|at| now < at + SUSPICION_TIMEOUT) {
             return true;
         }
-        let fresh = self.answered.is_some_and(|at| now < at + ANSWER_VALIDITY);
+        let fresh = self.last_answer.is_some_and(|at| now < at + ANSWER_VALIDITY);
         !fresh && self.reported_silent.values().any(|at| now < *at + SUSPICION_TIMEOUT)
     }
 }
@@ -179,12 +179,12 @@
         }
         member.listed = Some(entry.state);
         if entry.state == Listed::Live {
-            member.reported_leaving =
-                member.reported_leaving.filter(|at| now < *at + LISTED_MARK_VALIDITY);
+            member.reported_leaving_at =
+                member.reported_leaving_at.filter(|at| now < *at + LISTED_MARK_VALIDITY);
             return None;
         }
-        let fresh_mark = member.marked.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
-        member.marked = Some(now);
+        let fresh_mark = member.marked_at.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
+        member.marked_at = Some(now);
         fresh_mark.then(|| observation(member, me, Evidence::ListedLeaving))
     }
 
@@ -228,8 +228,8 @@
     /// to gossip if no recent failure is recorded.
     pub fn record_failure(&mut self, now: Moment, id: &str, me: &host::Id) -> Option<Observation> {
         let member = self.members.get_mut(id)?;
-        let newly = member.failed.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
-        member.failed = Some(now);
+        let newly = member.last_failure.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
+        member.last_failure = Some(now);
         newly.then(|| observation(member, me, Evidence::Silent))
     }
 
@@ -246,9 +246,9 @@
             }
             Evidence::ListedLeaving => {
                 let newly =
-                    member.reported_leaving.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
+                    member.reported_leaving_at.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
                 if newly {
-                    member.reported_leaving = Some(now);
+                    member.reported_leaving_at = Some(now);
                 }
                 newly
             }
@@ -274,8 +274,8 @@
 
 impl Member {
     fn answer(&mut self, now: Moment) {
-        self.answered = Some(now);
-        self.failed = None;
+        self.last_answer = Some(now);
+        self.last_failure = None;
         self.reported_silent.clear();
     }
 }
