--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -250,7 +250,7 @@
         ]);
         let change = self.hosts.record_answer(now, &received.from, &versions);
         urgent |= change.is_urgent();
-        if change != Change::None && self.hosts.is_listed() {
+        if change != Change::None && self.hosts.has_list() {
             self.queue.push(Update::Host(received.from.clone()));
         }
         if let Some(status) = &received.accused {
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -66,7 +66,7 @@
     }
 
     /// Time of the last direct contact with this host, if any.
-    pub fn answered(&self) -> Option<Moment> {
+    pub fn last_answer(&self) -> Option<Moment> {
         self.last_answer
     }
 
@@ -109,7 +109,7 @@
 pub struct Hosts {
     members: BTreeMap<host::Id, Member>,
     generation: u64,
-    listed: bool,
+    has_list: bool,
 }
 
 impl Hosts {
@@ -134,8 +134,8 @@
     }
 
     /// Returns whether the platform's list has been read.
-    pub fn is_listed(&self) -> bool {
-        self.listed
+    pub fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// Counter that rises whenever a host is added, removed or changes its standing.
@@ -151,8 +151,8 @@
         if entries.is_empty() {
             return Vec::new();
         }
-        let first = !self.listed;
-        self.listed = true;
+        let first = !self.has_list;
+        self.has_list = true;
         for member in self.members.values_mut() {
             member.listed = None;
         }
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -96,7 +96,7 @@
         }
     }
     for member in gossip.hosts().iter() {
-        if member.answered().is_none_or(|at| at + PEER_LOAD_MAX_AGE <= now) {
+        if member.last_answer().is_none_or(|at| at + PEER_LOAD_MAX_AGE <= now) {
             context.traffic.forget_peer(&member.host.id);
         }
     }
