--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Counts changes as not sent whose acknowledgement has been due for longer than `after`.
+    /// Counts changes as not sent whose acknowledgement has been outstanding for `after`.
     pub(super) fn resend(&mut self, now: Moment, after: Duration) {
         let is_overdue =
             |progress: &&mut Progress| progress.unacked_since.is_some_and(|at| at + after <= now);
