--- a/crates/policy/benches/path.rs
+++ b/crates/policy/benches/path.rs
@@ -118,9 +118,9 @@
                 let requirements = requirements(&traffic, size, ticket, now);
                 let admission = traffic.admit(black_box(&requirements), now, &mut Vec::new());
                 assert_eq!(admission, Admission::Take);
-                let flight = traffic.dispatch(&requirements, now).unwrap();
-                traffic.answered(&flight, now);
-                traffic.ended(&flight, End::Completed, now);
+                let attempt = traffic.dispatch(&requirements, now).unwrap();
+                traffic.answered(&attempt, now);
+                traffic.ended(&attempt, End::Completed, now);
                 black_box(traffic.pump(now));
             });
         });
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -90,7 +90,7 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flight {
+pub struct Attempt {
     /// The server that was chosen, with the first-token time and the cached tokens expected there.
     pub choice: Choice,
     sent: Sent,
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
     /// The attempt is in flight.
-    Sent(Flight),
+    Sent(Attempt),
     /// Only suspected servers have what the request needs; the first of them may be tried at this
     /// time.
     At(Moment),
@@ -195,7 +195,7 @@
     /// Chooses the server for a request that holds a reservation, and uses the reservation up.
     /// Returns `None` if no server can be used any more; the reservation is used up in that case,
     /// too.
-    pub fn dispatch(&mut self, requirements: &Requirements, now: Moment) -> Option<Flight> {
+    pub fn dispatch(&mut self, requirements: &Requirements, now: Moment) -> Option<Attempt> {
         self.release(requirements.work.pool);
         self.send(requirements, &[], now)
     }
@@ -210,7 +210,7 @@
         now: Moment,
     ) -> Retry {
         match self.send(requirements, avoid, now).or_else(|| self.send(requirements, &[], now)) {
-            Some(flight) => Retry::Sent(flight),
+            Some(attempt) => Retry::Sent(attempt),
             None => self.earliest_trial(requirements.work.wanted).map_or(Retry::Unready, Retry::At),
         }
     }
@@ -235,19 +235,19 @@
     }
 
     /// Notes that the first token of an attempt arrived.
-    pub fn answered(&mut self, flight: &Flight, now: Moment) {
-        let time = now.saturating_sub(flight.sent.at);
-        let signal = Signal::FirstToken { time, target: flight.target };
-        self.limiters.limiter(flight.choice.server, flight.pool).signal(signal, now);
-        self.clear_suspicion(flight.choice.server);
+    pub fn answered(&mut self, attempt: &Attempt, now: Moment) {
+        let time = now.saturating_sub(attempt.sent.at);
+        let signal = Signal::FirstToken { time, target: attempt.target };
+        self.limiters.limiter(attempt.choice.server, attempt.pool).signal(signal, now);
+        self.clear_suspicion(attempt.choice.server);
     }
 
     /// Notes that an attempt ended: updates the load and the limit of its server, the retry budget,
     /// and the suspicion of the server.
-    pub fn ended(&mut self, flight: &Flight, end: End, now: Moment) {
-        let server = flight.choice.server;
-        self.table.ended(server, flight.sent, now);
-        let limiter = self.limiters.limiter(server, flight.pool);
+    pub fn ended(&mut self, attempt: &Attempt, end: End, now: Moment) {
+        let server = attempt.choice.server;
+        self.table.ended(server, attempt.sent, now);
+        let limiter = self.limiters.limiter(server, attempt.pool);
         limiter.end();
         match end {
             End::Completed => {
@@ -306,7 +306,7 @@
         requirements: &Requirements,
         avoid: &[Index],
         now: Moment,
-    ) -> Option<Flight> {
+    ) -> Option<Attempt> {
         let pool = requirements.work.pool;
         let criteria = Criteria { avoid, ..criteria(requirements) };
         let has_room = |server| 0 < self.room_on(server, pool);
@@ -324,7 +324,7 @@
         }
         let tokens = requirements.prompt_tokens - choice.cached_tokens;
         let sent = self.table.sent(choice.server, tokens, now);
-        Some(Flight { choice, sent, pool, target: requirements.target })
+        Some(Attempt { choice, sent, pool, target: requirements.target })
     }
 
     fn clear_suspicion(&mut self, server: Index) {
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -7,7 +7,7 @@
     limit::Algorithm,
     retry::Point,
     route::{Destination, Distances, Eligibility},
-    traffic::{Admission, Change, End, Flight, Requirements, Retry, Rules, Traffic},
+    traffic::{Admission, Attempt, Change, End, Requirements, Retry, Rules, Traffic},
 };
 use rstest::rstest;
 use types::{
@@ -95,9 +95,9 @@
     (admission, requirements)
 }
 
-fn sent(again: Retry) -> Flight {
+fn sent(again: Retry) -> Attempt {
     match again {
-        Retry::Sent(flight) => flight,
+        Retry::Sent(attempt) => attempt,
         other => panic!("the retry was not sent: {other:?}"),
     }
 }
@@ -155,8 +155,8 @@
     let mut traffic = traffic(1, 8);
     for ticket in 0..8 {
         let (_, requirements) = admit(&mut traffic, ticket, 400, 0);
-        let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
-        traffic.ended(&flight, End::Completed, millis(10));
+        let attempt = traffic.dispatch(&requirements, millis(0)).unwrap();
+        traffic.ended(&attempt, End::Completed, millis(10));
         traffic.dispatch(&requirements, millis(10)).unwrap();
     }
     let (admission, _) = admit(&mut traffic, 10, 4400, 4000);
@@ -170,10 +170,10 @@
 fn a_place_that_becomes_free_goes_to_waiting_work() {
     let mut traffic = traffic(1, 1);
     let (_, first) = admit(&mut traffic, 1, 5000, 0);
-    let flight = traffic.dispatch(&first, millis(0)).unwrap();
+    let attempt = traffic.dispatch(&first, millis(0)).unwrap();
     assert_eq!(admit(&mut traffic, 2, 5000, 0).0, Admission::Wait);
     assert_eq!(traffic.pump(millis(10)), []);
-    traffic.ended(&flight, End::Completed, millis(20));
+    traffic.ended(&attempt, End::Completed, millis(20));
     assert_eq!(traffic.pump(millis(20)), [Change::Start(2)]);
 }
 
@@ -197,8 +197,8 @@
     assert!(!traffic.table.takes_work(first.choice.server, millis(1)));
     for ticket in 2..8 {
         let (_, requirements) = admit(&mut traffic, ticket, 5000, 1);
-        let flight = traffic.dispatch(&requirements, millis(1)).unwrap();
-        assert_eq!(flight.choice.server, again.choice.server);
+        let attempt = traffic.dispatch(&requirements, millis(1)).unwrap();
+        assert_eq!(attempt.choice.server, again.choice.server);
     }
 }
 
@@ -206,8 +206,8 @@
 fn a_server_in_doubt_gets_one_trial_and_its_success_clears_it() {
     let mut traffic = traffic(1, 8);
     let (_, requirements) = admit(&mut traffic, 1, 90_000, 0);
-    let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
-    traffic.ended(&flight, End::Failed(Point::Waiting), millis(0));
+    let attempt = traffic.dispatch(&requirements, millis(0)).unwrap();
+    traffic.ended(&attempt, End::Failed(Point::Waiting), millis(0));
     let (admission, second) = admit(&mut traffic, 2, 90_000, 1);
     assert_eq!(
         admission,
@@ -228,11 +228,11 @@
 fn success_of_old_work_does_not_bring_a_leaving_server_back(#[case] eligibility: Eligibility) {
     let mut traffic = traffic(1, 8);
     let (_, requirements) = admit(&mut traffic, 1, 5000, 0);
-    let flight = traffic.dispatch(&requirements, millis(0)).unwrap();
-    traffic.ended(&flight, End::Failed(Point::Connect), millis(0));
+    let attempt = traffic.dispatch(&requirements, millis(0)).unwrap();
+    traffic.ended(&attempt, End::Failed(Point::Connect), millis(0));
     traffic.table.set_eligibility(0, eligibility);
-    traffic.answered(&flight, millis(5));
-    traffic.ended(&flight, End::Completed, millis(6));
+    traffic.answered(&attempt, millis(5));
+    traffic.ended(&attempt, End::Completed, millis(6));
     assert_eq!(traffic.table.eligibility(0), eligibility);
     assert_eq!(admit(&mut traffic, 2, 5000, 10).0, Admission::Unready);
 }
@@ -253,13 +253,13 @@
     };
     let first = prefixed(&mut traffic, 1);
     traffic.admit(&first, millis(0), &mut Vec::new());
-    let flight = traffic.dispatch(&first, millis(0)).unwrap();
-    traffic.ended(&flight, End::Completed, millis(1000));
+    let attempt = traffic.dispatch(&first, millis(0)).unwrap();
+    traffic.ended(&attempt, End::Completed, millis(1000));
     for ticket in 2..20 {
         let next = prefixed(&mut traffic, ticket);
         traffic.admit(&next, millis(1000), &mut Vec::new());
         let again = traffic.dispatch(&next, millis(1000)).unwrap();
-        assert_eq!(again.choice.server, flight.choice.server);
+        assert_eq!(again.choice.server, attempt.choice.server);
         traffic.ended(&again, End::Completed, millis(1000));
     }
 }
@@ -271,7 +271,7 @@
     const SERVICE: u64 = 100;
     const TARGET: u64 = 400;
     let mut traffic = traffic(1, 8);
-    let mut running: Vec<(u64, Flight)> = Vec::new();
+    let mut running: Vec<(u64, Attempt)> = Vec::new();
     let mut waiting: BTreeMap<Ticket, (u64, Requirements)> = BTreeMap::new();
     let (mut started, mut late, mut refused, mut busy) = (0, 0, 0, 0u64);
     for now in 0..4000u64 {
@@ -279,7 +279,7 @@
         running = rest;
         ended
             .into_iter()
-            .for_each(|(_, flight)| traffic.ended(&flight, End::Completed, millis(now)));
+            .for_each(|(_, attempt)| traffic.ended(&attempt, End::Completed, millis(now)));
         let mut changes = traffic.pump(millis(now));
         if now % 5 != 4 {
             let (admission, requirements) = admit(&mut traffic, now, now + TARGET, now);
@@ -297,10 +297,10 @@
             match change {
                 Change::Start(ticket) => {
                     let (arrived, requirements) = waiting.remove(&ticket).unwrap();
-                    let flight = traffic.dispatch(&requirements, millis(now)).unwrap();
+                    let attempt = traffic.dispatch(&requirements, millis(now)).unwrap();
                     late += u64::from(arrived + TARGET < now + 20);
                     started += 1;
-                    running.push((now + SERVICE, flight));
+                    running.push((now + SERVICE, attempt));
                 }
                 Change::Refuse(_, _) => refused += 1,
             }
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -209,9 +209,9 @@
             return None;
         }
         let mut state = self.lock();
-        let flight = state.policy.dispatch(requirements, self.now())?;
-        let server = state.policy.table.server(flight.choice.server).clone();
-        Some(Sent::new(self.clone(), flight, server))
+        let attempt = state.policy.dispatch(requirements, self.now())?;
+        let server = state.policy.table.server(attempt.choice.server).clone();
+        Some(Sent::new(self.clone(), attempt, server))
     }
 
     /// Dispatches a further attempt, to a server not in `avoid` if there is one.
@@ -222,9 +222,9 @@
     ) -> NextAttempt {
         let mut state = self.lock();
         match state.policy.dispatch_again(requirements, avoid, self.now()) {
-            Retry::Sent(flight) => {
-                let server = state.policy.table.server(flight.choice.server).clone();
-                NextAttempt::Sent(Sent::new(self.clone(), flight, server))
+            Retry::Sent(attempt) => {
+                let server = state.policy.table.server(attempt.choice.server).clone();
+                NextAttempt::Sent(Sent::new(self.clone(), attempt, server))
             }
             Retry::At(moment) => NextAttempt::At(moment),
             Retry::Unready => NextAttempt::Unready,
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -9,7 +9,7 @@
     admit::{Refusal, Ticket},
     retry::Point,
     route::{DestinationIndex, Index},
-    traffic::{End, Flight},
+    traffic::{Attempt, End},
 };
 use tokio::sync::oneshot;
 use types::prelude::*;
@@ -92,14 +92,14 @@
 #[derive(Debug)]
 pub struct Sent {
     traffic: Arc<Traffic>,
-    flight: Flight,
+    attempt: Attempt,
     server: backend::Server,
     is_over: bool,
 }
 
 impl Sent {
-    pub(super) fn new(traffic: Arc<Traffic>, flight: Flight, server: backend::Server) -> Sent {
-        Sent { traffic, flight, server, is_over: false }
+    pub(super) fn new(traffic: Arc<Traffic>, attempt: Attempt, server: backend::Server) -> Sent {
+        Sent { traffic, attempt, server, is_over: false }
     }
 
     /// Returns the server that the attempt is sent to.
@@ -109,12 +109,12 @@
 
     /// Returns the index of that server.
     pub fn index(&self) -> Index {
-        self.flight.choice.server
+        self.attempt.choice.server
     }
 
     /// Returns the estimated time that the server needs for the uncached part of a prompt.
     pub fn prefill(&self, prompt_tokens: u32) -> Duration {
-        let uncached = prompt_tokens.saturating_sub(self.flight.choice.cached_tokens);
+        let uncached = prompt_tokens.saturating_sub(self.attempt.choice.cached_tokens);
         let now = self.traffic.now();
         self.traffic.lock().policy.table.estimate(self.index(), uncached, now).prefill
     }
@@ -122,7 +122,7 @@
     /// Notes the first token, or the head of a response without tokens.
     pub fn answered(&self) {
         let now = self.traffic.now();
-        self.traffic.lock().policy.answered(&self.flight, now);
+        self.traffic.lock().policy.answered(&self.attempt, now);
     }
 
     /// Ends the attempt after its complete response was received.
@@ -140,7 +140,7 @@
             return;
         }
         let now = self.traffic.now();
-        self.traffic.lock().policy.ended(&self.flight, end, now);
+        self.traffic.lock().policy.ended(&self.attempt, end, now);
         self.traffic.pump();
     }
 }
