--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -5,7 +5,7 @@
 //! at another server after the last complete event. Events that were passed on before are dropped.
 //! A gap, or bytes that are no event, end the use of this server's stream.
 //!
-//! A chunk of which all events pass is not copied.
+//! A chunk that continues no partial event and of which all events pass is not copied.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memchr;
@@ -13,8 +13,8 @@
 /// Number of an event within its stream.
 pub type Id = u64;
 
-/// Largest event that is accepted.
-const MAX_EVENT_BYTES: usize = 256 * 1024;
+/// Most bytes of a partial event that are held back.
+const MAX_PARTIAL_BYTES: usize = 256 * 1024;
 
 /// Why a server's stream can't be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     Gap,
     /// The bytes are not an event.
     Garbage,
-    /// An event is larger than 256 KiB.
+    /// More than 256 KiB arrived without the end of an event.
     TooLarge,
 }
 
@@ -40,7 +40,7 @@
 
 /// Result of taking a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct Output {
     /// Complete events to pass on; may be empty.
     pub events: Bytes,
     /// Fault found after those events, if any.
@@ -89,23 +89,23 @@
     }
 
     /// Takes the next chunk of the stream.
-    pub fn take(&mut self, chunk: Bytes) -> Taken {
+    pub fn take(&mut self, chunk: Bytes) -> Output {
         let buffer = self.join(chunk);
-        let mut passed = Passed::default();
+        let mut passed = PassedEvents::default();
         let mut start = 0;
         while let Some(end) = end_of_event(&buffer, start) {
             match self.classify(&buffer[start..end]) {
                 Verdict::Pass => passed.push(&buffer, start, end),
                 Verdict::Drop => {}
                 Verdict::Break(fault) => {
-                    return Taken { events: passed.finish(&buffer), fault: Some(fault) };
+                    return Output { events: passed.finish(&buffer), fault: Some(fault) };
                 }
             }
             start = end;
         }
-        let fault = (MAX_EVENT_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
+        let fault = (MAX_PARTIAL_BYTES < buffer.len() - start).then_some(Fault::TooLarge);
         self.partial = if fault.is_none() { buffer.slice(start..) } else { Bytes::new() };
-        Taken { events: passed.finish(&buffer), fault }
+        Output { events: passed.finish(&buffer), fault }
     }
 
     /// Takes the partial event that is held back, for a stream that is known to have ended
@@ -171,13 +171,13 @@
 /// Events of a buffer that pass: one range, preceded by copies of earlier ranges if dropped events
 /// lie between.
 #[derive(Default)]
-struct Passed {
+struct PassedEvents {
     copied: BytesMut,
     start: usize,
     end: usize,
 }
 
-impl Passed {
+impl PassedEvents {
     fn push(&mut self, buffer: &[u8], start: usize, end: usize) {
         if self.end != start {
             self.copied.extend_from_slice(&buffer[self.start..self.end]);
--- a/crates/policy/src/fleet/fanout.rs
+++ b/crates/policy/src/fleet/fanout.rs
@@ -1,12 +1,12 @@
 //! Choice of the hosts that get digests from this host.
 //!
 //! Up to [`Settings::full_mesh_limit`] hosts all send each other digests. In a larger deployment
-//! every host knows all others by rare greetings, and divides each zone into groups of up to about
-//! that many hosts, by a rule that gives the same result on every host. A host sends digests
-//! to its own group. The highest-ranked host of a group that is not silent, by rendezvous hashing,
-//! is the group's relay: it sends the aggregated table of its group to the other relays, and the
-//! aggregated table of all other groups to its group. So what a host sends is bounded by the size
-//! of a group and the number of groups, and a fact reaches every host in three steps.
+//! every host knows all others from infrequent greetings, and divides each zone into groups of up
+//! to about that many hosts, by a rule that gives the same result on every host. A host sends
+//! digests to its own group. The highest-ranked host of a group that is not silent, by rendezvous
+//! hashing, is the group's relay: it sends the aggregated table of its group to the other relays,
+//! and the aggregated table of all other groups to its group. So what a host sends is bounded by
+//! the size of a group and the number of groups, and a fact reaches every host in three steps.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -130,13 +130,14 @@
     }
 
     /// Time without a packet after which a target is silent.
-    pub(super) fn silence(&self, settings: &Settings) -> Duration {
+    pub(super) fn silence_timeout(&self, settings: &Settings) -> Duration {
         if self.is_grouped() { settings.grouped_silence_timeout } else { settings.silence_timeout }
     }
 
-    /// Bytes a second that may be sent in digests. A deployment smaller than the reference size has
-    /// fewer relays to update, and each of its hosts needs to know more of the others' work; the
-    /// lower bound on bytes is that of the reference size.
+    /// Bytes a second that may be sent in digests. It grows with the cube of the ratio between the
+    /// reference size and the deployment's size: a smaller deployment has fewer relays to update,
+    /// and each of its hosts needs to know more of the others' work. A deployment larger than the
+    /// reference size gets the same bytes as one of the reference size.
     pub(super) fn budget(&self, settings: &Settings) -> f64 {
         let (least, most) =
             (f64::from(settings.bytes_per_second), f64::from(settings.max_bytes_per_second));
@@ -148,15 +149,16 @@
         self.scaled(settings, settings.grouped_interval)
     }
 
-    /// How many times as large as this deployment the reference size is.
+    /// Ratio of the reference size to the number of hosts that are not silent.
     fn scale(&self, settings: &Settings) -> f64 {
         settings.reference_hosts as f64 / self.hosts.max(1) as f64
     }
 
-    /// Scales a time that is set for the reference size to this deployment.
+    /// Shortens a time that is set for the reference size in proportion for a smaller deployment,
+    /// down to [`Settings::interval`].
     fn scaled(&self, settings: &Settings, time: Duration) -> Duration {
-        let part = self.scale(settings).max(1.0);
-        time.div_f64(part).max(settings.interval)
+        let divisor = self.scale(settings).max(1.0);
+        time.div_f64(divisor).max(settings.interval)
     }
 
     /// Bytes of a digest that are left for deltas. In a grouped deployment each target gets a
@@ -167,8 +169,8 @@
         if !self.is_grouped() {
             return MAX;
         }
-        let in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
-        let each = in_round as usize / self.targets.len().max(1);
+        let bytes_in_round = self.budget(settings) * DELTAS_SHARE * DIGEST_ROUND.as_secs_f64();
+        let each = bytes_in_round as usize / self.targets.len().max(1);
         each.clamp(MIN_DELTA_BYTES, MAX)
     }
 
@@ -180,8 +182,9 @@
         }
     }
 
-    /// The least acknowledgement that does not wait for the next heartbeat. In a grouped deployment
-    /// plain acknowledgements do wait: sent on their own, they would be most of the traffic.
+    /// Least pending acknowledgement that is sent before the next heartbeat. In a grouped
+    /// deployment acknowledgements without a gap wait for the heartbeat: sent on their own, they
+    /// would be most of the traffic.
     pub(super) fn urgent_ack(&self) -> PendingAck {
         if self.is_grouped() { PendingAck::Gap } else { PendingAck::Read }
     }
@@ -206,7 +209,7 @@
         let peers: Vec<_> = self.hosts.iter().filter(|peer| !peer.is_silent()).collect();
         let hosts = peers.len() + 1;
         if peers.len() < self.settings.full_mesh_limit {
-            let targets = peers.iter().map(|peer| (peer.member.id.clone(), EQUAL));
+            let targets = peers.iter().map(|peer| (peer.member.id.clone(), OWN_TABLE));
             return Fanout { role: Role::Equal, hosts, targets: targets.collect(), relay: None };
         }
         let mut members: Vec<_> = peers.iter().map(|peer| (peer.ranks, &peer.member)).collect();
@@ -219,11 +222,11 @@
             Some(id) if *id == self.member.id => Role::Relay,
             _ => Role::Member,
         };
-        let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { EQUAL };
-        // A host that sends this one digests is answered, so that it is no fault if two hosts
-        // divide the groups differently for a while.
-        let lately = self.settings.grouped_heartbeat * 2;
-        let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + lately));
+        let scopes = if role == Role::Relay { RELAY_TO_GROUP } else { OWN_TABLE };
+        // Hosts that send digests to this one get answers without tables. Otherwise two hosts that
+        // compute different groups for a while would take each other for silent.
+        let recent = self.settings.grouped_heartbeat * 2;
+        let senders = peers.iter().filter(|p| p.last_digest.is_some_and(|at| now < at + recent));
         let mut targets: BTreeMap<_, _> =
             senders.map(|peer| (peer.member.id.clone(), NO_TABLES)).collect();
         targets.extend(own.into_iter().flatten().map(|(_, one)| (one.id.clone(), scopes)));
@@ -238,16 +241,16 @@
     /// Returns the relay of a group: the highest-ranked host, one that is not leaving if there is
     /// one.
     fn relay(&self, now: Moment, group: &[Ranked]) -> Option<host::Id> {
-        let leaves = |one: &Member| match self.hosts.get(&one.id) {
+        let is_leaving = |one: &Member| match self.hosts.get(&one.id) {
             Some(peer) => peer.liveness(now) == Liveness::Leaving,
             None => self.state(now) == State::Leaving,
         };
-        let rank = |(ranks, one): &&Ranked| (!leaves(one), ranks.relay);
+        let rank = |(ranks, one): &&Ranked| (!is_leaving(one), ranks.relay);
         group.iter().max_by_key(rank).map(|(_, one)| one.id.clone())
     }
 }
 
-const EQUAL: &[Scope] = &[Scope::Own];
+const OWN_TABLE: &[Scope] = &[Scope::Own];
 const RELAY_TO_GROUP: &[Scope] = &[Scope::Own, Scope::Rest];
 const RELAY_TO_RELAY: &[Scope] = &[Scope::Group];
 const NO_TABLES: &[Scope] = &[];
@@ -255,7 +258,8 @@
 type Ranked<'a> = (Ranks, &'a Member);
 
 /// Divides hosts into groups of one zone each. The first bits of a host's rank give its group, so
-/// hosts that know of different members still place all others alike.
+/// hosts whose lists of members differ still put each other host into the same group, as long as
+/// they compute the same number of groups.
 fn groups<'a>(members: &[Ranked<'a>], most: usize) -> Vec<Vec<Ranked<'a>>> {
     let mut zones = BTreeMap::<_, Vec<_>>::new();
     for (ranks, member) in members {
@@ -267,8 +271,11 @@
         // Hashing does not fill groups evenly, so groups have three quarters of the limit on
         // average.
         let parts = (ranked.len() * 4).div_ceil(most * 3).next_power_of_two();
-        let place = |ranks: Ranks| ranks.group.checked_shr(u64::BITS - parts.ilog2()).unwrap_or(0);
-        groups.extend(ranked.chunk_by(|(a, _), (b, _)| place(*a) == place(*b)).map(<[_]>::to_vec));
+        let group_of =
+            |ranks: Ranks| ranks.group.checked_shr(u64::BITS - parts.ilog2()).unwrap_or(0);
+        groups.extend(
+            ranked.chunk_by(|(a, _), (b, _)| group_of(*a) == group_of(*b)).map(<[_]>::to_vec),
+        );
     }
     groups
 }
--- a/crates/policy/src/fleet/link.rs
+++ b/crates/policy/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! How far one peer has read this host's tables.
+//! How far one peer has read this host's tables, and what this host still has to send it.
 
 use std::time::Duration;
 
@@ -23,23 +23,23 @@
 struct Progress {
     acked: Edition,
     sent: Edition,
-    /// Since when something that was sent waits for its acknowledgement.
-    open: Option<Moment>,
+    /// Since when changes that were sent wait for an acknowledgement; none if nothing does.
+    unacked_since: Option<Moment>,
     names: Names,
 }
 
 impl Progress {
-    /// Notes the edition up to which the reader has read.
+    /// Records the edition up to which the reader has read.
     fn acknowledge(&mut self, edition: Edition) {
         self.acked = edition;
         self.names.acknowledge(edition);
     }
 
-    /// Makes everything that was sent but not acknowledged unsent again.
-    fn go_back(&mut self) {
+    /// Counts changes that were sent but not acknowledged as not sent.
+    fn rewind(&mut self) {
         self.sent = self.acked;
-        self.open = None;
-        self.names.go_back();
+        self.unacked_since = None;
+        self.names.rewind();
     }
 }
 
@@ -55,34 +55,35 @@
 }
 
 impl Link {
-    /// Takes a peer's acknowledgement.
+    /// Processes a peer's acknowledgement; after a gap, changes are sent again from there.
     pub(super) fn acknowledge(&mut self, now: Moment, scope: Scope, mark: Mark) {
         let progress = &mut self.tables[scope as usize];
         match mark {
             Mark::Read(edition) => {
                 if progress.acked < edition {
-                    progress.open = Some(now);
+                    progress.unacked_since = Some(now);
                 }
                 progress.acknowledge(progress.acked.max(edition));
                 progress.sent = progress.sent.max(edition);
-                progress.open = progress.open.filter(|_| progress.acked < progress.sent);
+                progress.unacked_since =
+                    progress.unacked_since.filter(|_| progress.acked < progress.sent);
             }
             Mark::Gap(edition) => {
                 progress.acknowledge(edition);
-                progress.go_back();
+                progress.rewind();
             }
         }
     }
 
-    /// Makes changes unsent again whose acknowledgement is overdue.
+    /// Counts changes as not sent whose acknowledgement has been outstanding for `after`.
     pub(super) fn resend(&mut self, now: Moment, after: Duration) {
         let is_overdue =
-            |progress: &&mut Progress| progress.open.is_some_and(|at| at + after <= now);
-        self.tables.iter_mut().filter(is_overdue).for_each(Progress::go_back);
+            |progress: &&mut Progress| progress.unacked_since.is_some_and(|at| at + after <= now);
+        self.tables.iter_mut().filter(is_overdue).for_each(Progress::rewind);
     }
 
     /// Whether the table has changes that were not sent to the peer.
-    pub(super) fn lacks(&self, scope: Scope, local: &LocalTable) -> bool {
+    pub(super) fn has_unsent(&self, scope: Scope, local: &LocalTable) -> bool {
         self.tables[scope as usize].sent < local.last()
     }
 
@@ -110,7 +111,7 @@
         }
         progress.names.note(&delta);
         progress.sent += delta.span;
-        progress.open = progress.open.or(Some(now));
+        progress.unacked_since = progress.unacked_since.or(Some(now));
         Some(delta)
     }
 }
--- a/crates/policy/src/fleet/local_table.rs
+++ b/crates/policy/src/fleet/local_table.rs
@@ -2,8 +2,9 @@
 //!
 //! Each change of a fact gets the next edition, and a fact is listed at its last edition only. So a
 //! reader lacks just the facts whose editions are above the one that it has acknowledged, however
-//! many datagrams were lost. A fact that no reader was sent since its last change keeps its
-//! edition: constant changes would otherwise move it to the end of the queue again and again.
+//! many datagrams were lost. A fact that changes again before its last change was sent to any
+//! reader keeps its edition: a fact that changes all the time would otherwise stay at the end of
+//! the queue.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -66,7 +67,7 @@
     /// None once the fact was removed.
     fact: Option<Fact>,
     edition: Edition,
-    updated: Moment,
+    updated_at: Moment,
 }
 
 impl LocalTable {
@@ -75,15 +76,15 @@
         self.last
     }
 
-    /// Returns the edition up to which removals were forgotten; readers behind it have to start
-    /// over.
+    /// Returns the edition up to which removals were forgotten; readers behind it have to read the
+    /// table from the start.
     pub(super) fn floor(&self) -> Edition {
         self.floor
     }
 
     /// Returns the facts that were not removed, with the time since each was set.
     pub(super) fn facts(&self, now: Moment) -> impl Iterator<Item = (&Fact, Duration)> {
-        let age = move |entry: &Entry| now.saturating_sub(entry.updated);
+        let age = move |entry: &Entry| now.saturating_sub(entry.updated_at);
         self.entries.values().filter_map(move |entry| Some((entry.fact.as_ref()?, age(entry))))
     }
 
@@ -112,7 +113,7 @@
 
     /// Removes loads that have been zero for this long, and forgets removals of that age.
     pub(super) fn expire(&mut self, now: Moment, age: Duration) {
-        let is_old = |entry: &&Entry| entry.updated + age <= now;
+        let is_old = |entry: &&Entry| entry.updated_at + age <= now;
         let is_idle = |entry: &&Entry| entry.fact.as_ref().is_some_and(Fact::is_idle);
         let old = self.entries.values().filter(is_old);
         let (idle, others): (Vec<_>, Vec<_>) = old.partition(is_idle);
@@ -169,7 +170,7 @@
         self.last = edition;
         self.slots.insert(key.clone(), slot);
         self.editions.insert(edition, slot);
-        let entry = Entry { key, fact: Some(fact), edition, updated: now };
+        let entry = Entry { key, fact: Some(fact), edition, updated_at: now };
         self.entries.insert(slot, entry);
     }
 
@@ -179,7 +180,7 @@
             return;
         }
         entry.fact = fact;
-        entry.updated = now;
+        entry.updated_at = now;
         if entry.edition > self.sent {
             return;
         }
@@ -199,16 +200,16 @@
 }
 
 impl Entry {
-    /// Whether the entry equals this fact, apart from the age that the fact gains by waiting.
+    /// Whether the entry equals this fact, apart from the time that has passed since it was set.
     fn matches(&self, now: Moment, fact: Option<&Fact>) -> bool {
         match (&self.fact, fact) {
             (Some(Fact::Lease(old)), Some(Fact::Lease(new))) => {
-                let aged = old.age + now.saturating_sub(self.updated);
+                let aged = old.age + now.saturating_sub(self.updated_at);
                 (&old.holder, old.fence) == (&new.holder, new.fence)
                     && aged.abs_diff(new.age) <= RENEWAL_TIME_TOLERANCE
             }
             (Some(Fact::Crash(old)), Some(Fact::Crash(new))) => {
-                let aged = old.age + now.saturating_sub(self.updated);
+                let aged = old.age + now.saturating_sub(self.updated_at);
                 Crash { age: new.age, ..old.clone() } == *new
                     && aged.abs_diff(new.age) <= CRASH_TIME_TOLERANCE
             }
@@ -221,7 +222,7 @@
         match fact.numbers().filter(|_| name == Name::Known) {
             Some((first, 0)) => Change::One(first),
             Some((first, second)) => Change::Two(first, second),
-            None => Change::Fact(fact.aged(now.saturating_sub(self.updated))),
+            None => Change::Fact(fact.aged(now.saturating_sub(self.updated_at))),
         }
     }
 }
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -35,7 +35,7 @@
 /// Most notices that wait for an acknowledgement, over all hosts.
 const MAX_WAITING: usize = 4_096;
 
-/// The least address; lower bound of a range over one run's targets.
+/// Lowest address in the order of [`Target`]; lower bound of a range over one run's targets.
 const MIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Width of a window: numbers further below the highest one count as seen.
@@ -94,7 +94,8 @@
         /// The server.
         server: backend::Id,
         /// The server's limit since this change.
-        news: VersionedLimit,
+        #[serde(rename = "news")]
+        limit: VersionedLimit,
     },
     /// Requests and grants of quota permits; sent once.
     Quota(Message),
@@ -176,10 +177,10 @@
     }
 
     /// Removes the notices that a receiver acknowledged.
-    pub(super) fn acknowledge(&mut self, run: Run, taken: &[(Run, Number)]) {
-        let is_taken = |one: &Waiting| taken.contains(&(one.item.origin, one.item.number));
+    pub(super) fn acknowledge(&mut self, run: Run, acked: &[(Run, Number)]) {
+        let is_acked = |one: &Waiting| acked.contains(&(one.item.origin, one.item.number));
         for (_, queue) in self.of(run) {
-            queue.waiting.retain(|one| !is_taken(one));
+            queue.waiting.retain(|one| !is_acked(one));
         }
         self.remove_empty();
     }
@@ -232,7 +233,7 @@
 
 /// Packs values into batches that each fit a datagram.
 pub(super) fn pack<T: Serialize>(items: impl IntoIterator<Item = T>) -> Vec<Vec<T>> {
-    const ROOM: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
+    const CAPACITY: usize = wire::DATAGRAM_BYTES - wire::HEAD_BYTES;
     let (mut batches, mut left) = (Vec::<Vec<T>>::new(), 0);
     for item in items {
         let size = wire::size(&item);
@@ -242,7 +243,7 @@
                 batch.push(item);
             }
             _ => {
-                left = ROOM.saturating_sub(size);
+                left = CAPACITY.saturating_sub(size);
                 batches.push(vec![item]);
             }
         }
--- a/crates/policy/src/fleet/receive.rs
+++ b/crates/policy/src/fleet/receive.rs
@@ -5,7 +5,7 @@
 use types::time::Moment;
 
 use super::{
-    Fleet, ReceivedNotice,
+    Envelope, Fleet,
     hosts::Freshness,
     link::PendingAck,
     notice::{self, Notice, Target},
@@ -14,7 +14,7 @@
     wire::{self, Body, Digest, Hello, Item, Mark, Reply, Run},
 };
 
-/// Least time between two greetings to one host, and between two answers.
+/// Least time between two greetings to one host, and between two answers to its greetings.
 const GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Most runs whose notices are deduplicated at a time; above it, idle ones are forgotten.
@@ -22,7 +22,7 @@
 
 impl Fleet {
     /// Takes a datagram, and returns the notices in it that are received for the first time.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<ReceivedNotice> {
+    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Vec<Envelope> {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
         let Some(packet) = wire::decode(bytes) else {
@@ -51,7 +51,7 @@
             Body::Hello(hello) if hello.member.id == self.member.id => {}
             Body::Hello(hello) => self.on_hello(now, run, count, hello),
             Body::Notices(items) => return self.on_notices(now, from, run, items),
-            Body::Acks(taken) => self.outbox.acknowledge(run, &taken),
+            Body::Acks(acked) => self.outbox.acknowledge(run, &acked),
             Body::Bye => self.on_bye(now, run, count),
             Body::OneShot(notice) => return self.on_one_shot(now, from, run, notice),
         }
@@ -76,12 +76,12 @@
             }
             Freshness::New => {}
         }
-        let is_meant = digest.to == wire::tail(self.member.run());
+        let is_for_this_run = digest.to == wire::tail(self.member.run());
         let Some(peer) = self.hosts.by_run_mut(run) else { return false };
-        if !is_meant {
+        if !is_for_this_run {
             // The sender still has an earlier run of this host registered.
-            let is_recent = peer.greeted.is_some_and(|at| now < at + GREETING_PAUSE);
-            peer.greeted = if is_recent { peer.greeted } else { Some(now) };
+            let is_recent = peer.last_greeting.is_some_and(|at| now < at + GREETING_PAUSE);
+            peer.last_greeting = if is_recent { peer.last_greeting } else { Some(now) };
             let address = peer.member.address;
             if !is_recent {
                 self.greet(address, Reply::Nothing);
@@ -132,10 +132,10 @@
             return;
         }
         let Some(peer) = self.hosts.get_mut(&id) else { return };
-        if peer.answered.is_some_and(|at| now < at + GREETING_PAUSE) {
+        if peer.last_answer.is_some_and(|at| now < at + GREETING_PAUSE) {
             return;
         }
-        peer.answered = Some(now);
+        peer.last_answer = Some(now);
         let address = peer.member.address;
         match hello.reply {
             Reply::Members => self.introduce_others(address),
@@ -146,20 +146,20 @@
         }
     }
 
-    /// Takes a one-shot notice. Its packet count is not checked: it may have been overtaken by
-    /// later packets, and whoever reads the notice decides what its age means.
+    /// Takes a one-shot notice. Its packet count is not checked: later packets may have overtaken
+    /// it, and the code that reads the notice decides whether it is too old.
     fn on_one_shot(
         &mut self,
         now: Moment,
         from: SocketAddr,
         run: Run,
         notice: Notice,
-    ) -> Vec<ReceivedNotice> {
+    ) -> Vec<Envelope> {
         let Some(peer) = self.hosts.by_run(run) else {
             self.on_unknown_run(now, from);
             return Vec::new();
         };
-        vec![ReceivedNotice { origin: Some(peer.member.id.clone()), via: from, notice }]
+        vec![Envelope { origin: Some(peer.member.id.clone()), via: from, notice }]
     }
 
     fn on_bye(&mut self, now: Moment, run: Run, count: u32) {
@@ -177,9 +177,9 @@
         from: SocketAddr,
         run: Run,
         items: Vec<Item>,
-    ) -> Vec<ReceivedNotice> {
-        let taken = items.iter().map(|item| (item.origin, item.number));
-        for batch in notice::pack(taken) {
+    ) -> Vec<Envelope> {
+        let acked = items.iter().map(|item| (item.origin, item.number));
+        for batch in notice::pack(acked) {
             self.put(from, Body::Acks(batch));
         }
         let mut received = Vec::new();
@@ -188,7 +188,7 @@
                 continue;
             }
             let origin = self.hosts.by_run(item.origin).map(|peer| peer.member.id.clone());
-            received.push(ReceivedNotice { origin, via: from, notice: item.notice.clone() });
+            received.push(Envelope { origin, via: from, notice: item.notice.clone() });
             self.forward(now, run, &item);
         }
         self.flush_notices(now);
--- a/crates/policy/src/fleet/send.rs
+++ b/crates/policy/src/fleet/send.rs
@@ -1,4 +1,4 @@
-//! What is sent, and when.
+//! Sending of digests, greetings, keepalives and notices when they are due.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,14 +16,14 @@
     wire::{self, Body, DATAGRAM_BYTES, Digest, HEAD_BYTES, Hello, Item, Reply, Run, Scope},
 };
 
-/// Time between greetings that introduce some of the known hosts to one host in turn.
+/// Time between greetings that each name some of the known hosts to one host, in turn.
 pub(super) const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Least time between two greetings to a silent host.
 const SILENT_GREETING_PAUSE: Duration = Duration::from_secs(1);
 
-/// Least time between two greetings to a host that is about to be taken for silent.
-const MISSED_GREETING_PAUSE: Duration = Duration::from_millis(200);
+/// Least time between two greetings to a host that sent nothing for half of the silence timeout.
+const UNRESPONSIVE_GREETING_PAUSE: Duration = Duration::from_millis(200);
 
 /// Seconds of the rate that a token bucket can hold.
 const BURST_SECONDS: f64 = 0.25;
@@ -47,35 +47,35 @@
 /// Bytes of the network's headers around a datagram.
 const NETWORK_BYTES: usize = 28;
 
-/// Token bucket for bytes; consulted in grouped deployments only.
+/// Token bucket for bytes. Only grouped deployments are limited by it.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
-    left: f64,
+    balance: f64,
     rate: f64,
-    filled: Moment,
+    last_fill: Moment,
 }
 
 impl TokenBucket {
     pub(super) fn new(now: Moment) -> TokenBucket {
-        TokenBucket { left: 0.0, rate: 0.0, filled: now }
+        TokenBucket { balance: 0.0, rate: 0.0, last_fill: now }
     }
 
     fn has_tokens(&self) -> bool {
-        self.left > 0.0
+        self.balance > 0.0
     }
 
     /// Takes the bytes of a datagram. The balance may become negative, by one second of the rate at
     /// the most.
     pub(super) fn spend(&mut self, bytes: usize) {
-        self.left = (self.left - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
+        self.balance = (self.balance - (bytes + NETWORK_BYTES) as f64).max(-self.rate);
     }
 
     /// Adds what accrued since the last call, and sets the rate in bytes a second.
     fn fill(&mut self, now: Moment, rate: f64) {
         self.rate = rate;
-        let span = now.saturating_sub(self.filled).as_secs_f64();
-        self.left = (self.left + span * self.rate).min(self.rate * BURST_SECONDS);
-        self.filled = now;
+        let span = now.saturating_sub(self.last_fill).as_secs_f64();
+        self.balance = (self.balance + span * self.rate).min(self.rate * BURST_SECONDS);
+        self.last_fill = now;
     }
 }
 
@@ -91,7 +91,7 @@
             self.aggregate(now, &fanout);
             self.send_digests(now, &fanout);
             self.greet_candidates(now, &fanout);
-            self.greet_missed(now, &fanout);
+            self.greet_unresponsive(now, &fanout);
             self.send_keepalives(now, &fanout);
             self.fanout = fanout;
             self.introduce_in_turn(now);
@@ -123,7 +123,7 @@
             let Some(peer) = self.hosts.get_mut(id) else { continue };
             peer.link.resend(now, resend);
             let has_changes = peer.link.pending_ack >= fanout.urgent_ack()
-                || scopes.iter().any(|&s| peer.link.lacks(s, &self.local_tables[s as usize]));
+                || scopes.iter().any(|&s| peer.link.has_unsent(s, &self.local_tables[s as usize]));
             let wait = match has_changes {
                 true => fanout.interval(settings, &self.member.zone, &peer.member.zone),
                 false => heartbeat,
@@ -164,10 +164,10 @@
         self.put(address, body);
     }
 
-    /// Notes which hosts are targets of digests from now on, and marks hosts silent whose timeout
+    /// Records which hosts are targets of digests from now on, and marks hosts silent whose timeout
     /// has passed.
     fn update_contacts(&mut self, now: Moment, fanout: &Fanout) {
-        let silence = fanout.silence(&self.settings);
+        let silence = fanout.silence_timeout(&self.settings);
         let keepalive_silence = self.keepalive_round(fanout) * MISSED_KEEPALIVES;
         for peer in self.hosts.iter_mut() {
             match fanout.has(&peer.member.id) {
@@ -190,35 +190,36 @@
         self.greeting_bucket.fill(now, fanout.budget(&self.settings) * GREETING_SHARE);
         let (hosts, own) = (&self.hosts, self.member.address);
         let is_known = |address| address == own || hosts.has_address(address);
-        let again = match fanout.is_grouped() {
+        let max_repeats = match fanout.is_grouped() {
             true => usize::from(self.greeting_bucket.has_tokens()),
             false => usize::MAX,
         };
-        for (address, reply, which) in self.candidates.due(now, again, is_known) {
+        for (address, reply, attempt) in self.candidates.due(now, max_repeats, is_known) {
             self.greet(address, reply);
-            if which == Attempt::Repeat {
+            if attempt == Attempt::Repeat {
                 self.greeting_bucket.spend(HELLO_BYTES);
             }
         }
     }
 
-    /// Greets hosts that are silent or about to be, those first that were not greeted for the
-    /// longest time.
-    fn greet_missed(&mut self, now: Moment, fanout: &Fanout) {
-        let silence = fanout.silence(&self.settings);
+    /// Greets hosts that are silent or sent nothing for half of the silence timeout; those that
+    /// were not greeted for the longest time come first.
+    fn greet_unresponsive(&mut self, now: Moment, fanout: &Fanout) {
+        let silence = fanout.silence_timeout(&self.settings);
         let is_due = |peer: &&Peer| {
             let pause = greeting_pause(now, silence, peer);
-            pause.is_some_and(|pause| peer.greeted.is_none_or(|at| at + pause <= now))
+            pause.is_some_and(|pause| peer.last_greeting.is_none_or(|at| at + pause <= now))
         };
         let due = self.hosts.iter().filter(is_due);
-        let mut due: Vec<_> = due.map(|peer| (peer.greeted, peer.member.id.clone())).collect();
+        let mut due: Vec<_> =
+            due.map(|peer| (peer.last_greeting, peer.member.id.clone())).collect();
         due.sort();
         for (_, id) in due {
             if fanout.is_grouped() && !self.greeting_bucket.has_tokens() {
                 return;
             }
             let Some(peer) = self.hosts.get_mut(&id) else { continue };
-            peer.greeted = Some(now);
+            peer.last_greeting = Some(now);
             let address = peer.member.address;
             self.greet(address, Reply::Identity);
             self.greeting_bucket.spend(HELLO_BYTES);
@@ -232,19 +233,20 @@
         let peers = self.hosts.iter_mut().filter(|peer| !fanout.has(&peer.member.id));
         let mut peers: Vec<_> = peers.collect();
         let most = (peers.len() as f64 * pace).ceil() as usize;
-        peers.sort_by_key(|peer| peer.greeted);
-        let due = peers.iter_mut().filter(|peer| peer.greeted.is_none_or(|at| at + round <= now));
+        peers.sort_by_key(|peer| peer.last_greeting);
+        let due =
+            peers.iter_mut().filter(|peer| peer.last_greeting.is_none_or(|at| at + round <= now));
         let addresses: Vec<_> = due
             .take(most)
             .map(|peer| {
-                peer.greeted = Some(now);
+                peer.last_greeting = Some(now);
                 peer.member.address
             })
             .collect();
         addresses.into_iter().for_each(|address| self.put(address, Body::Keepalive));
     }
 
-    /// Introduces some of the known hosts to one host in turn, in case it never met them.
+    /// Names some of the known hosts to one host, in turn, in case it does not know them.
     fn introduce_in_turn(&mut self, now: Moment) {
         if now < self.next_introduction {
             return;
@@ -301,11 +303,11 @@
 
     /// Sends a notice to all targets of digests, except to its origin and to the host that
     /// forwarded it.
-    pub(super) fn multicast(&mut self, now: Moment, item: &Item, but: Option<Run>) {
+    pub(super) fn multicast(&mut self, now: Moment, item: &Item, except: Option<Run>) {
         let targets =
             self.fanout.targets().filter_map(|(id, _)| self.hosts.get(id)).filter(|peer| {
                 let run = peer.member.run();
-                Some(run) != but && run != item.origin
+                Some(run) != except && run != item.origin
             });
         let targets: Vec<_> = targets
             .map(|peer| Target { run: peer.member.run(), address: peer.member.address })
@@ -322,12 +324,13 @@
     }
 }
 
-/// Returns the pause between greetings to a host that is missed; none if it is not missed.
+/// Returns the pause between greetings to a host that is silent or, as a target of digests, sent
+/// nothing for half of the silence timeout; none for other hosts.
 fn greeting_pause(now: Moment, silence: Duration, peer: &Peer) -> Option<Duration> {
     if peer.is_silent() {
         return Some(SILENT_GREETING_PAUSE);
     }
-    let is_missed =
+    let is_unresponsive =
         peer.target_since.is_some_and(|at| at.max(peer.last_received) + silence / 2 <= now);
-    is_missed.then_some(MISSED_GREETING_PAUSE)
+    is_unresponsive.then_some(UNRESPONSIVE_GREETING_PAUSE)
 }
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -38,16 +38,18 @@
 /// Time for which a peer's in-flight digest counts.
 const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
 
-/// Paces without a tick after which the process is taken to have been paused.
+/// Multiple of [`Gossip::pace`] without a tick after which the process is taken to have been
+/// paused.
 const PAUSE_TICKS: u32 = 4;
 
-/// Peers in a row that did not answer after which a host takes the fault to be its own.
+/// Number of consecutive peers without an answer after which a host takes itself to be cut off, and
+/// gossips no suspicions.
 const ISOLATION_BEATS: u32 = 6;
 
 /// Action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a heartbeat; its result goes to [`Gossip::answer`] or [`Gossip::silence`].
+    /// Sends a heartbeat; its result goes to [`Gossip::answer`] or [`Gossip::heartbeat_failed`].
     Send {
         /// Receiver.
         to: Host,
@@ -92,7 +94,7 @@
     me: Host,
     epoch: Epoch,
     leaving: bool,
-    started: Moment,
+    started_at: Moment,
     hosts: Hosts,
     servers: Servers,
     versions: BTreeMap<Topic, u64>,
@@ -111,8 +113,8 @@
     rank_generation: Option<u64>,
     counter: u64,
     push_tokens: u32,
-    refilled: Moment,
-    ticked: Moment,
+    last_refill: Moment,
+    last_tick: Moment,
     superseded: bool,
 }
 
@@ -142,7 +144,7 @@
             me,
             epoch: Epoch { run, refuted: 0 },
             leaving: false,
-            started: now,
+            started_at: now,
             hosts: Hosts::new(),
             servers: Servers::new(),
             versions: BTreeMap::new(),
@@ -161,8 +163,8 @@
             rank_generation: None,
             counter: 0,
             push_tokens: PUSH_BURST,
-            refilled: now,
-            ticked: now,
+            last_refill: now,
+            last_tick: now,
             superseded: false,
         }
     }
@@ -276,10 +278,10 @@
 
     /// Age of the newest proof, obtained by any host, that the platform answers.
     pub fn platform_age(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.platform_proof.unwrap_or(self.started))
+        now.saturating_sub(self.platform_proof.unwrap_or(self.started_at))
     }
 
-    /// Role of this host in watching the platform, as of the last tick.
+    /// Role of this host in watching the platform, by the hosts known at the last tick.
     pub fn watch(&self) -> watch::Role {
         if self.leaving || self.superseded {
             return watch::Role::Standby { after: Duration::MAX };
@@ -360,7 +362,7 @@
         if busy || number <= self.version(topic) {
             return None;
         }
-        self.fetching.insert(topic, Fetch { number, until: now + self.settings.fetch });
+        self.fetching.insert(topic, Fetch { number, until: now + self.settings.fetch_timeout });
         Some(Action::Fetch { from, topic, number })
     }
 }
--- a/crates/policy/src/member/gossip/exchange.rs
+++ b/crates/policy/src/member/gossip/exchange.rs
@@ -28,7 +28,7 @@
         if self.superseded {
             return vec![Action::Superseded];
         }
-        self.note_pause(now);
+        self.detect_pause(now);
         for status in self.hosts.expire(now, &self.settings) {
             self.gossip_unless_isolated(status);
         }
@@ -39,7 +39,7 @@
         let silent =
             self.counter.is_multiple_of(BEATS_PER_RETRY).then(|| self.draw_silent()).flatten();
         let target = silent.or_else(|| self.view.next());
-        let is_large = self.settings.small < self.hosts.present().count() + 1;
+        let is_large = self.settings.small_fleet < self.hosts.present().count() + 1;
         let watcher = is_large.then(|| self.rank.watched_by(&self.me.id).cloned()).flatten();
         let targets = target.into_iter().chain(watcher);
         targets.filter_map(|id| self.send(now, &id)).collect()
@@ -73,7 +73,7 @@
     }
 
     /// Records that a heartbeat got no answer.
-    pub fn silence(&mut self, now: Moment, id: &str) -> Vec<Action> {
+    pub fn heartbeat_failed(&mut self, now: Moment, id: &str) -> Vec<Action> {
         let Some(member) = self.hosts.get(id) else { return Vec::new() };
         if member.health != Health::Live {
             return Vec::new();
@@ -117,10 +117,10 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.refilled);
+        let passed = now.saturating_sub(self.last_refill);
         let earned = (passed.as_millis() / PUSH_REFILL_INTERVAL.as_millis()) as u32;
         self.push_tokens = self.push_tokens.saturating_add(earned).min(PUSH_BURST);
-        self.refilled += PUSH_REFILL_INTERVAL * earned;
+        self.last_refill += PUSH_REFILL_INTERVAL * earned;
     }
 
     fn renew_view(&mut self, now: Moment) {
@@ -138,12 +138,12 @@
         self.rank_generation = Some(self.hosts.generation());
     }
 
-    fn note_pause(&mut self, now: Moment) {
-        if self.ticked + self.pace() * PAUSE_TICKS < now {
+    fn detect_pause(&mut self, now: Moment) {
+        if self.last_tick + self.pace() * PAUSE_TICKS < now {
             self.unanswered.clear();
             self.probing.clear();
         }
-        self.ticked = now;
+        self.last_tick = now;
     }
 
     fn draw_silent(&self) -> Option<host::Id> {
@@ -152,8 +152,8 @@
         if silent.is_empty() {
             return None;
         }
-        let place = pick::index(self.seed, self.counter, silent.len());
-        silent.get(place).map(|member| member.host.id.clone())
+        let position = pick::index(self.seed, self.counter, silent.len());
+        silent.get(position).map(|member| member.host.id.clone())
     }
 
     fn send(&mut self, now: Moment, id: &str) -> Option<Action> {
@@ -167,13 +167,13 @@
             return Vec::new();
         }
         self.counter += 1;
-        let drawn = self.view.draw(self.seed, self.counter, self.settings.indirect + 1);
+        let drawn = self.view.draw(self.seed, self.counter, self.settings.indirect_probes + 1);
         let helpers: Vec<Host> = drawn
             .iter()
             .filter(|id| **id != target.id)
             .filter_map(|id| self.hosts.get(id))
             .filter(|member| member.health == Health::Live)
-            .take(self.settings.indirect)
+            .take(self.settings.indirect_probes)
             .map(|member| member.host.clone())
             .collect();
         if helpers.is_empty() {
@@ -199,7 +199,7 @@
     fn heartbeat(&mut self, now: Moment, to: &str) -> Heartbeat {
         let mut from = self.status();
         let introduced = self.introduce_to.remove(to);
-        if introduced || now < self.started + INTRODUCTION_TIME {
+        if introduced || now < self.started_at + INTRODUCTION_TIME {
             from.host = Some(Box::new(self.me.clone()));
         }
         let age = |proof| now.saturating_sub(proof).as_millis() as u64;
@@ -221,7 +221,7 @@
     }
 
     fn own_digest(&mut self) -> Vec<InFlight> {
-        let count = self.own_in_flight.len().min(self.settings.digest);
+        let count = self.own_in_flight.len().min(self.settings.digest_entries);
         let digest = self
             .own_in_flight
             .iter()
@@ -250,7 +250,7 @@
         ]);
         let change = self.hosts.record_answer(now, &received.from, &versions);
         urgent |= change.is_urgent();
-        if change != Change::None && self.hosts.is_listed() {
+        if change != Change::None && self.hosts.has_list() {
             self.queue.push(Update::Host(received.from.clone()));
         }
         if let Some(status) = &received.accused {
@@ -264,7 +264,7 @@
             urgent |= self.absorb_update(now, update, &mut actions);
         }
         let digest = self.peers_in_flight.entry(received.from.id.clone()).or_default();
-        digest.take(now, &received.in_flight, self.settings.digest);
+        digest.take(now, &received.in_flight, self.settings.digest_entries);
         if let Some(member) = self.hosts.get(&received.from.id) {
             let from = member.host.clone();
             let fetches = versions.iter().map(|(topic, number)| (*topic, from.clone(), *number));
@@ -285,15 +285,15 @@
                 false
             }
             Update::Host(status) => {
-                let change = self.hosts.apply_update(now, status, self.settings.fresh);
+                let change = self.hosts.apply_update(now, status, self.settings.answer_validity);
                 if change != Change::None {
                     self.queue.push(update.clone());
                 }
                 change.is_urgent()
             }
             Update::Server(observation) => {
-                let newly =
-                    observation.by != self.me.id && self.servers.apply_update(now, observation);
+                let newly = observation.observer != self.me.id
+                    && self.servers.apply_update(now, observation);
                 if newly {
                     self.queue.push(update.clone());
                 }
@@ -302,7 +302,8 @@
         }
     }
 
-    /// Checks a status about this host itself: raises the epoch above a suspicion.
+    /// Handles a status about this host itself: stops if a later incarnation is running, and
+    /// refutes a suspicion by raising the epoch above it.
     fn refute(&mut self, status: &Status) -> Vec<Action> {
         if self.epoch.run < status.epoch.run {
             self.superseded = true;
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -28,8 +28,8 @@
     pub health: Health,
     versions: BTreeMap<Topic, u64>,
     leaving: bool,
-    since: Moment,
-    answered: Option<Moment>,
+    health_since: Moment,
+    last_answer: Option<Moment>,
     listed: Option<Listed>,
     unrefuted: Option<Status>,
 }
@@ -42,8 +42,8 @@
             health: Health::Live,
             versions: BTreeMap::new(),
             leaving: false,
-            since: now,
-            answered: None,
+            health_since: now,
+            last_answer: None,
             listed: None,
             unrefuted: None,
         }
@@ -66,8 +66,8 @@
     }
 
     /// Time of the last direct contact with this host, if any.
-    pub fn answered(&self) -> Option<Moment> {
-        self.answered
+    pub fn last_answer(&self) -> Option<Moment> {
+        self.last_answer
     }
 
     /// Known status, for gossip.
@@ -89,7 +89,7 @@
     }
 
     fn is_fresh(&self, now: Moment, fresh: Duration) -> bool {
-        self.answered.is_some_and(|at| now < at + fresh)
+        self.last_answer.is_some_and(|at| now < at + fresh)
     }
 }
 
@@ -109,7 +109,7 @@
 pub struct Hosts {
     members: BTreeMap<host::Id, Member>,
     generation: u64,
-    listed: bool,
+    has_list: bool,
 }
 
 impl Hosts {
@@ -134,8 +134,8 @@
     }
 
     /// Returns whether the platform's list has been read.
-    pub fn is_listed(&self) -> bool {
-        self.listed
+    pub fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// Counter that rises whenever a host is added, removed or changes its standing.
@@ -151,8 +151,8 @@
         if entries.is_empty() {
             return Vec::new();
         }
-        let first = !self.listed;
-        self.listed = true;
+        let first = !self.has_list;
+        self.has_list = true;
         for member in self.members.values_mut() {
             member.listed = None;
         }
@@ -200,12 +200,12 @@
     /// Returns the member that a status is about, marked as leaving if the status says so, and its
     /// state before; `None` if the host is unknown and the status has no address, or if the status
     /// is from an earlier incarnation.
-    fn resolve(&mut self, now: Moment, status: &Status) -> Option<(Before, &mut Member)> {
+    fn resolve(&mut self, now: Moment, status: &Status) -> Option<(PriorState, &mut Member)> {
         let unknown = !self.members.contains_key(&status.id);
         self.introduce_by(now, status);
         let member =
             self.members.get_mut(&status.id).filter(|m| m.epoch.run <= status.epoch.run)?;
-        let before = Before { unknown, run: member.epoch.run, standing: member.standing() };
+        let before = PriorState { unknown, run: member.epoch.run, standing: member.standing() };
         let newer_run = before.run < status.epoch.run;
         member.leaving = status.leaving || (member.leaving && !newer_run);
         Some((before, member))
@@ -221,7 +221,7 @@
         let Some((before, member)) = self.resolve(now, status) else { return Change::None };
         member.epoch = member.epoch.max(status.epoch);
         member.versions.clone_from(versions);
-        member.answered = Some(now);
+        member.last_answer = Some(now);
         member.set_health(now, Health::Live);
         self.note(&status.id, &before)
     }
@@ -259,7 +259,9 @@
     pub fn expire(&mut self, now: Moment, settings: &Settings) -> Vec<Status> {
         let mut given_up = Vec::new();
         for member in self.members.values_mut() {
-            if member.health == Health::Suspected && member.since + settings.suspicion <= now {
+            if member.health == Health::Suspected
+                && member.health_since + settings.suspicion_timeout <= now
+            {
                 member.set_health(now, Health::Gone);
                 given_up.push(member.status());
             }
@@ -267,13 +269,13 @@
         let known = self.members.len();
         self.members.retain(|_, member| {
             let gone = member.health == Health::Gone && member.listed.is_none();
-            !gone || now < member.since + settings.forget
+            !gone || now < member.health_since + settings.forget_after
         });
         self.generation += (given_up.len() + known - self.members.len()) as u64;
         given_up
     }
 
-    fn note(&mut self, id: &str, before: &Before) -> Change {
+    fn note(&mut self, id: &str, before: &PriorState) -> Change {
         let Some(member) = self.members.get(id) else { return Change::None };
         let standing = member.standing();
         let restarted = before.run != 0 && before.run != member.epoch.run;
@@ -289,7 +291,7 @@
 }
 
 /// State of a host before a status is applied.
-struct Before {
+struct PriorState {
     unknown: bool,
     run: host::Incarnation,
     standing: Standing,
@@ -299,7 +301,7 @@
     fn set_health(&mut self, now: Moment, health: Health) {
         if self.health != health {
             self.health = health;
-            self.since = now;
+            self.health_since = now;
         }
     }
 }
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -41,15 +41,17 @@
     /// Incarnation of the server's process; zero if unknown.
     pub run: backend::Incarnation,
     /// Host that made the observation.
-    pub by: host::Id,
+    #[serde(rename = "by")]
+    pub observer: host::Id,
     /// What was observed.
-    pub seen: Seen,
+    #[serde(rename = "seen")]
+    pub evidence: Evidence,
 }
 
 /// Evidence against a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Evidence {
     /// The server reports that it is leaving.
     Leaving,
     /// The platform lists the server as leaving.
@@ -67,11 +69,11 @@
     pub run: backend::Incarnation,
     leaving: bool,
     listed: Option<Listed>,
-    marked: Option<Moment>,
-    reported_leaving: Option<Moment>,
-    known: Moment,
-    answered: Option<Moment>,
-    failed: Option<Moment>,
+    marked_at: Option<Moment>,
+    reported_leaving_at: Option<Moment>,
+    known_since: Moment,
+    last_answer: Option<Moment>,
+    last_failure: Option<Moment>,
     reported_silent: BTreeMap<host::Id, Moment>,
 }
 
@@ -82,18 +84,18 @@
             run: 0,
             leaving: false,
             listed: None,
-            marked: None,
-            reported_leaving: None,
-            known: now,
-            answered: None,
-            failed: None,
+            marked_at: None,
+            reported_leaving_at: None,
+            known_since: now,
+            last_answer: None,
+            last_failure: None,
             reported_silent: BTreeMap::new(),
         }
     }
 
     /// Standing by all evidence that counts at `now`.
     pub fn standing(&self, now: Moment) -> Standing {
-        let last_answer = self.answered.unwrap_or(self.known);
+        let last_answer = self.last_answer.unwrap_or(self.known_since);
         if self.listed.is_none() && last_answer + SILENCE_TIMEOUT <= now {
             return Standing::Gone;
         }
@@ -105,15 +107,15 @@
 
     fn is_marked(&self, now: Moment) -> bool {
         let within = |at: Option<Moment>, span: Duration| at.is_some_and(|at| now < at + span);
-        within(self.marked, LISTED_MARK_VALIDITY)
-            || within(self.reported_leaving, REPORTED_MARK_VALIDITY)
+        within(self.marked_at, LISTED_MARK_VALIDITY)
+            || within(self.reported_leaving_at, REPORTED_MARK_VALIDITY)
     }
 
     fn is_suspected(&self, now: Moment) -> bool {
-        if self.failed.is_some_and(|at| now < at + SUSPICION_TIMEOUT) {
+        if self.last_failure.is_some_and(|at| now < at + SUSPICION_TIMEOUT) {
             return true;
         }
-        let fresh = self.answered.is_some_and(|at| now < at + ANSWER_VALIDITY);
+        let fresh = self.last_answer.is_some_and(|at| now < at + ANSWER_VALIDITY);
         !fresh && self.reported_silent.values().any(|at| now < *at + SUSPICION_TIMEOUT)
     }
 }
@@ -177,13 +179,13 @@
         }
         member.listed = Some(entry.state);
         if entry.state == Listed::Live {
-            member.reported_leaving =
-                member.reported_leaving.filter(|at| now < *at + LISTED_MARK_VALIDITY);
+            member.reported_leaving_at =
+                member.reported_leaving_at.filter(|at| now < *at + LISTED_MARK_VALIDITY);
             return None;
         }
-        let fresh_mark = member.marked.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
-        member.marked = Some(now);
-        fresh_mark.then(|| observation(member, me, Seen::ListedLeaving))
+        let fresh_mark = member.marked_at.is_none_or(|at| at + LISTED_MARK_VALIDITY <= now);
+        member.marked_at = Some(now);
+        fresh_mark.then(|| observation(member, me, Evidence::ListedLeaving))
     }
 
     /// Adds a server that another host listed, if it is not known.
@@ -212,7 +214,7 @@
         let newly = leaving && !member.leaving;
         member.leaving |= leaving;
         member.answer(now);
-        newly.then(|| observation(member, me, Seen::Leaving))
+        newly.then(|| observation(member, me, Evidence::Leaving))
     }
 
     /// Records that the server answered a request.
@@ -226,35 +228,35 @@
     /// to gossip if no recent failure is recorded.
     pub fn record_failure(&mut self, now: Moment, id: &str, me: &host::Id) -> Option<Observation> {
         let member = self.members.get_mut(id)?;
-        let newly = member.failed.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
-        member.failed = Some(now);
-        newly.then(|| observation(member, me, Seen::Silent))
+        let newly = member.last_failure.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
+        member.last_failure = Some(now);
+        newly.then(|| observation(member, me, Evidence::Silent))
     }
 
     /// Takes in another host's observation; returns whether it changed anything.
     pub fn apply_update(&mut self, now: Moment, observation: &Observation) -> bool {
         let Some(member) = self.members.get_mut(&observation.server) else { return false };
-        match observation.seen {
-            Seen::Leaving if observation.run < member.run => false,
-            Seen::Leaving => {
+        match observation.evidence {
+            Evidence::Leaving if observation.run < member.run => false,
+            Evidence::Leaving => {
                 let newly = !member.leaving || member.run < observation.run;
                 member.run = member.run.max(observation.run);
                 member.leaving = true;
                 newly
             }
-            Seen::ListedLeaving => {
+            Evidence::ListedLeaving => {
                 let newly =
-                    member.reported_leaving.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
+                    member.reported_leaving_at.is_none_or(|at| at + REPORTED_MARK_VALIDITY <= now);
                 if newly {
-                    member.reported_leaving = Some(now);
+                    member.reported_leaving_at = Some(now);
                 }
                 newly
             }
-            Seen::Silent => {
-                let before = member.reported_silent.get(&observation.by).copied();
+            Evidence::Silent => {
+                let before = member.reported_silent.get(&observation.observer).copied();
                 let newly = before.is_none_or(|at| at + SUSPICION_TIMEOUT <= now);
                 if newly {
-                    member.reported_silent.insert(observation.by.clone(), now);
+                    member.reported_silent.insert(observation.observer.clone(), now);
                 }
                 newly
             }
@@ -272,12 +274,17 @@
 
 impl Member {
     fn answer(&mut self, now: Moment) {
-        self.answered = Some(now);
-        self.failed = None;
+        self.last_answer = Some(now);
+        self.last_failure = None;
         self.reported_silent.clear();
     }
 }
 
-fn observation(member: &Member, me: &host::Id, seen: Seen) -> Observation {
-    Observation { server: member.server.id.clone(), run: member.run, by: me.clone(), seen }
+fn observation(member: &Member, me: &host::Id, evidence: Evidence) -> Observation {
+    Observation {
+        server: member.server.id.clone(),
+        run: member.run,
+        observer: me.clone(),
+        evidence,
+    }
 }
--- a/crates/policy/tests/fleet_facts.rs
+++ b/crates/policy/tests/fleet_facts.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use fleet_net::{Net, ROUGH};
+use fleet_net::{Net, UNRELIABLE};
 use policy::{
     dispatch::poison::{Crash, CrashState, Isolation},
-    fleet::{Departure, FleetSnapshot, Lease, Load, Publication, Reachability, StoreStatus},
+    fleet::{Departure, Lease, Load, Publication, Reachability, Snapshot, StoreStatus},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
     format!("service-{number}").into()
 }
 
-fn after(publications: impl IntoIterator<Item = Publication>) -> FleetSnapshot {
+fn after(publications: impl IntoIterator<Item = Publication>) -> Snapshot {
     let mut net = Net::settled(3, 1);
     publications.into_iter().for_each(|one| net.publish(1, one));
     net.run_for(STEP * 3);
@@ -47,7 +47,7 @@
     }
 }
 
-fn requests(snapshot: &FleetSnapshot) -> Vec<u64> {
+fn requests(snapshot: &Snapshot) -> Vec<u64> {
     snapshot.crashes.iter().map(|crash| crash.request).collect()
 }
 
@@ -74,9 +74,13 @@
     assert_eq!((ahead.len(), ahead[0].declared), (1, 12));
     assert!(snapshot.ahead(&"zone-1".into(), 12).is_empty());
     assert_eq!(snapshot.ahead_in_store(&"zone-1".into(), 4_000).len(), 1);
-    let lease = snapshot.lease.expect("advertised");
+    let lease = snapshot.lease.expect("a lease is advertised");
     assert_eq!((&*lease.holder, lease.fence), ("host-001", 8));
-    assert!(lease.age >= Duration::from_millis(900), "its age grows: {:?}", lease.age);
+    assert!(
+        lease.age >= Duration::from_millis(900),
+        "the lease's age did not grow: {:?}",
+        lease.age
+    );
 }
 
 #[test]
@@ -113,7 +117,7 @@
 fn a_lossy_network_loses_no_arrival_and_no_state(#[values(1, 2, 3, 4)] seed: u64) {
     const HOSTS: usize = 6;
     let mut net = Net::settled(HOSTS, seed);
-    net.faults = ROUGH;
+    net.faults = UNRELIABLE;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut counts = vec![vec![0_u64; 20]; HOSTS];
     let mut before = [0; HOSTS];
@@ -129,7 +133,7 @@
         net.run_for(STEP);
         for (host, before) in before.iter_mut().enumerate() {
             let counted = net.snapshot(host).arrivals.values().sum::<u64>();
-            assert!(*before <= counted, "a count fell");
+            assert!(*before <= counted, "an arrival count fell");
             *before = counted;
         }
     }
@@ -174,7 +178,7 @@
     );
     net.run_for(SETTLE);
     assert_eq!(requests(&net.snapshot(0)), many);
-    assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "{} bytes", net.largest);
+    assert!(net.largest <= policy::fleet::DATAGRAM_BYTES, "a datagram of {} bytes", net.largest);
 }
 
 /// Loads at many servers. At each step one in ten changes, in turn.
@@ -196,7 +200,7 @@
     net.run_for(SETTLE);
     let read = net.snapshot(4).in_flight;
     let stale = many_loads(39).into_iter().filter(|load| !read.contains(load)).count();
-    assert_eq!(stale, 0, "of {MANY} were not read");
+    assert_eq!(stale, 0, "some of {MANY} loads were not read");
 }
 
 #[rstest]
@@ -232,8 +236,8 @@
         net.run_for(STEP);
     }
     let heartbeats = 10 * 2 * 5;
-    let said = sent(&net) - before;
-    assert!(said <= heartbeats * 3 / 2, "{said} datagrams in 10 s");
+    let sent_in_span = sent(&net) - before;
+    assert!(sent_in_span <= heartbeats * 3 / 2, "{sent_in_span} datagrams in 10 s");
 }
 
 #[test]
@@ -253,7 +257,7 @@
     let mut net = Net::settled(3, 1);
     net.publish(1, Publication::Crashes(vec![crash(1, "s1"), crash(2, "s1")]));
     net.run_for(STEP * 3);
-    // Host 2 receives nothing of the removal before it is forgotten.
+    // Host 2 is cut off until the others have forgotten the removal, so it never receives it.
     net.cut = vec![2];
     net.publish(1, Publication::Crashes(vec![crash(2, "s1")]));
     net.run_for(Duration::from_secs(50));
@@ -293,7 +297,10 @@
     net.run_for(STEP * 3);
     let age = net.snapshot(0).crashes[0].age;
     assert!(age >= Duration::from_secs(30), "{age:?}");
-    assert!(net.hosts[&1].fleet.counts().sent - sent <= 2, "an older age is no change");
+    assert!(
+        net.hosts[&1].fleet.counts().sent - sent <= 2,
+        "a crash of which only the age rose was sent again"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/fleet_net/mod.rs
+++ b/crates/policy/tests/fleet_net/mod.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use policy::fleet::{Fleet, Load, Member, Publication, ReceivedNotice, Settings, State};
+use policy::fleet::{Envelope, Fleet, Load, Member, Publication, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use types::time::Moment;
@@ -19,18 +19,21 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
+    /// Share of datagrams that are lost.
     pub loss: f64,
+    /// Share of datagrams that arrive twice.
     pub repeat: f64,
     /// Longest extra delay; it reorders datagrams.
     pub jitter: Duration,
 }
 
 /// One datagram in five is lost, one in ten repeated, and datagrams are reordered.
-pub const ROUGH: Faults = Faults { loss: 0.2, repeat: 0.1, jitter: Duration::from_millis(150) };
+pub const UNRELIABLE: Faults =
+    Faults { loss: 0.2, repeat: 0.1, jitter: Duration::from_millis(150) };
 
 pub struct Host {
     pub fleet: Fleet,
-    pub received: Vec<ReceivedNotice>,
+    pub received: Vec<Envelope>,
 }
 
 type Arrival = Reverse<(Moment, u64, SocketAddr, SocketAddr, Vec<u8>)>;
@@ -43,13 +46,14 @@
     pub hosts: BTreeMap<usize, Host>,
     /// Hosts to and from which all datagrams are lost.
     pub cut: Vec<usize>,
+    /// Bytes of the largest datagram sent.
     pub largest: usize,
     /// Datagrams from each host to each address, since a test last cleared the map.
     pub flows: BTreeMap<(usize, SocketAddr), u64>,
     in_transit: BinaryHeap<Arrival>,
     /// Times at which hosts are to be ticked; a host may be listed more than once.
     ticks: BTreeSet<(Moment, usize)>,
-    places: BTreeMap<SocketAddr, usize>,
+    hosts_by_address: BTreeMap<SocketAddr, usize>,
     sequence: u64,
     random: ChaCha8Rng,
 }
@@ -97,7 +101,7 @@
             flows: BTreeMap::new(),
             in_transit: BinaryHeap::new(),
             ticks: BTreeSet::new(),
-            places: BTreeMap::new(),
+            hosts_by_address: BTreeMap::new(),
             sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -117,7 +121,7 @@
     pub fn settled(hosts: usize, seed: u64) -> Net {
         let mut net = Net::started(hosts, seed);
         net.run_for(Duration::from_secs(5));
-        assert!(net.is_converged(), "not all hosts know each other");
+        assert!(net.is_converged(), "after 5 s, not all hosts have all others as live");
         net
     }
 
@@ -138,14 +142,14 @@
     }
 
     pub fn fleet(&mut self, host: usize) -> &mut Fleet {
-        &mut self.hosts.get_mut(&host).expect("it runs").fleet
+        &mut self.hosts.get_mut(&host).expect("the host runs").fleet
     }
 
-    pub fn snapshot(&self, host: usize) -> policy::fleet::FleetSnapshot {
+    pub fn snapshot(&self, host: usize) -> policy::fleet::Snapshot {
         self.hosts[&host].fleet.snapshot(self.now)
     }
 
-    /// Whether each running host takes exactly the running hosts for live.
+    /// Whether each running host counts as many live hosts as are running.
     pub fn is_converged(&self) -> bool {
         let all = self.hosts.len();
         self.hosts.keys().all(|&host| self.snapshot(host).live == all)
@@ -156,10 +160,11 @@
     }
 
     pub fn run_until(&mut self, end: Moment) {
-        // Tests call hosts between runs, so there may be datagrams to send.
+        // Tests call methods of hosts between runs, so there may be datagrams to send.
         let hosts: Vec<_> = self.hosts.keys().copied().collect();
         hosts.into_iter().for_each(|host| self.settle(host));
-        self.places = self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
+        self.hosts_by_address =
+            self.hosts.iter().map(|(n, h)| (h.fleet.member().address, *n)).collect();
         loop {
             let arrival = self.in_transit.peek().map(|Reverse((at, ..))| *at);
             let tick = self.ticks.first().map(|(at, _)| *at);
@@ -223,7 +228,7 @@
 
     fn deliver(&mut self) {
         let Some(Reverse((_, _, to, from, bytes))) = self.in_transit.pop() else { return };
-        let Some(&number) = self.places.get(&to) else { return };
+        let Some(&number) = self.hosts_by_address.get(&to) else { return };
         if !self.cut.contains(&number) {
             self.inject(number, from, &bytes);
             self.settle(number);
--- a/crates/policy/tests/fleet_wire.rs
+++ b/crates/policy/tests/fleet_wire.rs
@@ -33,10 +33,12 @@
     let now = net.now + Duration::from_secs(1);
     let fleet = net.fleet(1);
     fleet.tick(now);
-    fleet.send(now, Recipients::All, Notice::DeclarationInForce { version: 3 }).expect("known");
+    fleet
+        .send(now, Recipients::All, Notice::DeclarationInForce { version: 3 })
+        .expect("a notice to all hosts needs no known host");
     fleet.introduce(now, [address(9)]);
     fleet.tick(now + Duration::from_secs(1));
-    fleet.bye();
+    fleet.announce_exit();
     fleet.outgoing().into_iter().map(|datagram| datagram.bytes).collect()
 }
 
@@ -65,17 +67,17 @@
 
     #[test]
     fn spoiled_datagrams_are_survived_and_good_ones_still_read(
-        spoils in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
+        corruptions in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut net = Net::settled(3, 1);
         for bytes in genuine() {
-            let mut spoiled = bytes.clone();
-            for (index, byte) in &spoils {
-                let at = index.index(spoiled.len());
-                spoiled[at] = *byte;
+            let mut corrupted = bytes.clone();
+            for (index, byte) in &corruptions {
+                let at = index.index(corrupted.len());
+                corrupted[at] = *byte;
             }
-            net.inject(0, address(1), &spoiled);
+            net.inject(0, address(1), &corrupted);
             net.inject(0, address(1), &bytes[..cut.index(bytes.len())]);
         }
         net.run_for(Duration::from_secs(1));
