--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -70,7 +70,7 @@
         1..=3 => 0.6,
         _ => 0.1,
     };
-    Demand { now, ahead: now }
+    Demand { now, forecast: now }
 }
 
 /// Returns a planner that has placed all models, and the engines as they are then.
--- a/crates/policy/examples/config_size.rs
+++ b/crates/policy/examples/config_size.rs
@@ -146,7 +146,7 @@
 fn hold(holder: &mut Holder, draft: Draft, day: &mut Day) -> Current {
     let root_bytes = json!(draft.root).to_string().len() as u64;
     day.root_bytes.push(root_bytes);
-    day.bare_bytes.push(json!(draft.root.bare()).to_string().len() as u64);
+    day.bare_bytes.push(json!(draft.root.without_patches()).to_string().len() as u64);
     day.parts.push(draft.root.parts().len() as u64);
     day.parts_written.push(draft.parts.len() as u64);
     day.part_bytes.extend(draft.parts.iter().map(|part| part.bytes.len() as u64));
--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -449,7 +449,7 @@
                 machine.held.keys().map(|m| (m, 0)).collect();
             machine.running.iter().for_each(|(model, ..)| *running.entry(model).or_default() += 1);
             for (model, requests) in running {
-                world.planner.in_flight(&machine.server.id, model, requests);
+                world.planner.set_in_flight(&machine.server.id, model, requests);
             }
         }
     }
--- a/crates/policy/src/config/decide.rs
+++ b/crates/policy/src/config/decide.rs
@@ -50,10 +50,10 @@
         let size = serde_json::to_vec(&config)?.len();
         let config = Arc::new(config);
         let (content, parts) = if size <= MAX_INLINE_BYTES {
-            (Content::Whole(config.clone()), Vec::new())
+            (Content::Inline(config.clone()), Vec::new())
         } else {
-            let cut = part::cut(&config, number, earlier)?;
-            (Content::Parts { weights: config.weights, names: cut.names }, cut.new)
+            let split = part::split(&config, number, earlier)?;
+            (Content::Parts { weights: config.weights, names: split.names }, split.new)
         };
         let root = Root { number, content, patches: VecDeque::new() };
         Ok(Draft { parts, root, config })
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -72,7 +72,7 @@
     /// # Errors
     ///
     /// All parts of the root were present, but don't make a configuration.
-    pub fn observe_root(&mut self, root: Root) -> Result<Progress, part::Fault> {
+    pub fn observe_root(&mut self, root: Root) -> Result<Progress, part::Error> {
         let is_known = match (&self.pending, &self.in_force) {
             (None, None) => false,
             _ => root.number <= self.newest_number(),
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// The content doesn't match the part's name; the holder is unchanged and still needs the part.
-    pub fn add_part(&mut self, name: part::Name, bytes: Bytes) -> Result<Progress, part::Fault> {
+    pub fn add_part(&mut self, name: part::Name, bytes: Bytes) -> Result<Progress, part::Error> {
         let is_needed = self.needs().contains(&name);
         if !is_needed {
             return Ok(Progress::Known);
@@ -106,14 +106,14 @@
         named.filter(|name| !self.parts.contains_key(*name)).cloned().collect()
     }
 
-    fn advance(&mut self) -> Result<Progress, part::Fault> {
+    fn advance(&mut self) -> Result<Progress, part::Error> {
         let needs = self.needs();
         if !needs.is_empty() {
             return Ok(Progress::Needs(needs));
         }
         let Some(root) = self.pending.take() else { return Ok(Progress::Known) };
         let config = match &root.content {
-            Content::Whole(config) => Config::clone(config),
+            Content::Inline(config) => Config::clone(config),
             Content::Parts { weights, names } => {
                 let parts = names.iter().filter_map(|name| Some((name, &**self.parts.get(name)?)));
                 part::join(*weights, parts)?
--- a/crates/policy/src/config/outcome.rs
+++ b/crates/policy/src/config/outcome.rs
@@ -59,7 +59,7 @@
     }
 
     /// Stable word for logs and events.
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Outcome::Accepted { .. } => "accepted",
             Outcome::Repeated { .. } => "repeated",
--- a/crates/policy/src/config/part.rs
+++ b/crates/policy/src/config/part.rs
@@ -66,7 +66,7 @@
 
 /// Parts of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cut {
+pub struct Split {
     /// Every part, in order.
     pub names: Vec<Name>,
     /// Parts that the earlier root doesn't name.
@@ -75,13 +75,13 @@
 
 /// Failure to read parts of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// The content doesn't have the hash in the name.
     #[error("the content of {0} isn't what its name says")]
     Content(String),
     /// The content can't be parsed.
     #[error("{name} isn't a part of a configuration: {cause}")]
-    Shape {
+    Format {
         /// Key of the part.
         name: String,
         /// Message of the parser.
@@ -94,21 +94,25 @@
 /// # Errors
 ///
 /// A value that JSON can't represent.
-pub fn cut(config: &Config, number: Number, earlier: &[Name]) -> Result<Cut, serde_json::Error> {
+pub fn split(
+    config: &Config,
+    number: Number,
+    earlier: &[Name],
+) -> Result<Split, serde_json::Error> {
     let known: BTreeMap<&str, &Name> =
         earlier.iter().filter_map(|name| Some((name.0.split_once('-')?.1, name))).collect();
-    let mut cut = Cut::default();
+    let mut split = Split::default();
     for bytes in chunks(config)? {
         match known.get(hash(&bytes).as_str()) {
-            Some(name) => cut.names.push((*name).clone()),
+            Some(name) => split.names.push((*name).clone()),
             None => {
                 let name = Name::new(number, &bytes);
-                cut.names.push(name.clone());
-                cut.new.push(Part { name, bytes });
+                split.names.push(name.clone());
+                split.new.push(Part { name, bytes });
             }
         }
     }
-    Ok(cut)
+    Ok(split)
 }
 
 /// Joins the parts of a root.
@@ -119,7 +123,7 @@
 pub fn join<'a>(
     weights: Weights,
     parts: impl IntoIterator<Item = (&'a Name, &'a [u8])>,
-) -> Result<Config, Fault> {
+) -> Result<Config, Error> {
     let mut config = Config { weights, ..Config::default() };
     for (name, bytes) in parts {
         let part = read(name, bytes)?;
@@ -135,12 +139,12 @@
 /// # Errors
 ///
 /// The content doesn't match the name, or can't be parsed.
-pub fn read(name: &Name, bytes: &[u8]) -> Result<Config, Fault> {
+pub fn read(name: &Name, bytes: &[u8]) -> Result<Config, Error> {
     if !name.matches(bytes) {
-        return Err(Fault::Content(name.key()));
+        return Err(Error::Content(name.key()));
     }
     serde_json::from_slice(bytes)
-        .map_err(|error| Fault::Shape { name: name.key(), cause: error.to_string() })
+        .map_err(|error| Error::Format { name: name.key(), cause: error.to_string() })
 }
 
 /// Returns those of the stored parts that no root can name any more.
--- a/crates/policy/src/config/root.rs
+++ b/crates/policy/src/config/root.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// Complete configuration.
-    Whole(Arc<Config>),
+    Inline(Arc<Config>),
     /// Configuration in parts.
     Parts {
         /// Weights of the two measures, which are in no part.
@@ -66,7 +66,7 @@
 
 impl Default for Content {
     fn default() -> Content {
-        Content::Whole(Arc::default())
+        Content::Inline(Arc::default())
     }
 }
 
@@ -90,7 +90,7 @@
 
     fn try_from(wire: Wire) -> Result<Root, &'static str> {
         let content = match (wire.config, wire.weights, wire.parts) {
-            (Some(config), None, None) => Content::Whole(config),
+            (Some(config), None, None) => Content::Inline(config),
             (None, Some(weights), Some(names)) => Content::Parts { weights, names },
             _ => return Err("a root has either `config`, or `weights` and `parts`"),
         };
@@ -101,7 +101,7 @@
 impl From<Root> for Wire {
     fn from(root: Root) -> Wire {
         let (config, weights, parts) = match root.content {
-            Content::Whole(config) => (Some(config), None, None),
+            Content::Inline(config) => (Some(config), None, None),
             Content::Parts { weights, names } => (None, Some(weights), Some(names)),
         };
         Wire { number: root.number, config, weights, parts, patches: root.patches }
@@ -125,14 +125,14 @@
 impl Root {
     /// Root without its patches, sufficient for a host that doesn't decide on patches. At the size
     /// of 950 models it has a sixth of the full root's size.
-    pub fn bare(&self) -> Root {
+    pub fn without_patches(&self) -> Root {
         Root { number: self.number, content: self.content.clone(), patches: VecDeque::new() }
     }
 
     /// Names of the parts, in order; empty if the root contains the configuration.
     pub fn parts(&self) -> &[part::Name] {
         match &self.content {
-            Content::Whole(_) => &[],
+            Content::Inline(_) => &[],
             Content::Parts { names, .. } => names,
         }
     }
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -63,7 +63,7 @@
     pub(super) servers: BTreeMap<backend::Id, Departure>,
     pub(super) crashes: BTreeMap<(Fingerprint, backend::Id, host::Id), Crash>,
     pub(super) lease: Option<Lease>,
-    pub(super) term: Option<term::Stored>,
+    pub(super) term: Option<term::StoredLease>,
     pub(super) store: Option<StoreStatus>,
     pub(super) absent: BTreeMap<host::Id, Run>,
     pub(super) limits: BTreeMap<backend::Id, VersionedLimit>,
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -118,7 +118,7 @@
     /// The host's belief about the holder of the planner's lease; none withdraws it.
     Lease(Option<Lease>),
     /// The stored lease object, as the host last saw it.
-    Term(term::Stored),
+    Term(term::StoredLease),
     /// The host's connection to the store.
     Store(StoreStatus),
     /// Work in flight; what is left out has none.
@@ -151,7 +151,7 @@
     Crash(Crash),
     /// A relay receives no packets of this run of a host.
     Absent(host::Id, Run),
-    Term(term::Stored),
+    Term(term::StoredLease),
     Limit(backend::Id, VersionedLimit),
 }
 
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -68,7 +68,7 @@
     /// The newest belief of others about the planner's lease.
     pub lease: Option<Lease>,
     /// The newest stored lease object that any other has seen.
-    pub term: Option<term::Stored>,
+    pub term: Option<term::StoredLease>,
     /// Whether any other reaches the store, and the last revision that any saw.
     pub store: StoreStatus,
 }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -64,8 +64,8 @@
     pub cause: Arc<str>,
     /// Set once nothing of the order is in flight: reports from this one on show the order's
     /// effect.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quiet: Option<ReportPosition>,
+    #[serde(rename = "quiet", default, skip_serializing_if = "Option::is_none")]
+    pub conclusive_from: Option<ReportPosition>,
 }
 
 /// Committed accelerator memory of one server, as stored in the object API.
@@ -187,7 +187,7 @@
         };
         let mut next = self.clone();
         next.fence = order.fence;
-        next.orders.push(Entry { order: order.clone(), cause: claim.cause, quiet: None });
+        next.orders.push(Entry { order: order.clone(), cause: claim.cause, conclusive_from: None });
 
         let takes_memory = matches!(order.action, order::Action::Load { .. });
         if takes_memory && !next.fits() {
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -87,7 +87,7 @@
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         ledger.orders.iter().any(|entry| {
             let gone = self.gone_since(&entry.order.sender, entry.order.incarnation);
-            entry.quiet.is_none() && gone.is_some_and(|since| since < now)
+            entry.conclusive_from.is_none() && gone.is_some_and(|since| since < now)
         })
     }
 
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -9,7 +9,7 @@
 
 /// Unsettled order, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Held {
+pub struct HeldOrder {
     /// Name of the order.
     pub order: order::Id,
     /// Server that the order is for.
@@ -25,7 +25,8 @@
     /// Memory that the order reserves beyond the residents, in MiB.
     pub memory: Mebibytes,
     /// Evidence that is awaited.
-    pub waits: Wait,
+    #[serde(rename = "waits")]
+    pub awaited: Wait,
     /// Each event that would settle the order, as text.
     pub settled_by: Vec<String>,
 }
@@ -60,13 +61,13 @@
 
 impl Ledger {
     /// Explains each unsettled order, the oldest first.
-    pub fn why_held(&self) -> Vec<Held> {
+    pub fn explain_orders(&self) -> Vec<HeldOrder> {
         self.orders.iter().map(|entry| self.explain(entry)).collect()
     }
 
-    fn explain(&self, entry: &Entry) -> Held {
+    fn explain(&self, entry: &Entry) -> HeldOrder {
         let order = &entry.order;
-        let waits = match entry.quiet {
+        let awaited = match entry.conclusive_from {
             Some(after) => Wait::Report { after },
             None if self.is_superseded(entry) => Wait::Sender,
             None => Wait::Arrival,
@@ -79,7 +80,7 @@
             "{} starts again, or is off the platform's list for longer than its lag",
             order.sender
         );
-        let settled_by = match waits {
+        let settled_by = match awaited {
             Wait::Arrival => {
                 vec![format!("{} reports that it took it", self.server), statement, gone]
             }
@@ -89,7 +90,7 @@
                 self.server, after.sequence, after.incarnation
             )],
         };
-        Held {
+        HeldOrder {
             order: order.id.clone(),
             server: self.server.clone(),
             action: order.action.clone(),
@@ -97,7 +98,7 @@
             sender: order.sender.clone(),
             incarnation: order.incarnation,
             memory: self.held_memory(entry),
-            waits,
+            awaited,
             settled_by,
         }
     }
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct TimedReport {
     /// Time of the request, by this host's clock.
-    pub asked: Moment,
+    pub requested_at: Moment,
     /// Report of the server.
     pub load: report::Load,
 }
@@ -27,7 +27,7 @@
 impl TimedReport {
     /// Returns whether the report shows the server later than `since`.
     pub fn is_after(&self, since: Moment) -> bool {
-        self.asked.checked_sub(self.load.age).is_some_and(|taken| since < taken)
+        self.requested_at.checked_sub(self.load.age).is_some_and(|taken| since < taken)
     }
 }
 
@@ -102,7 +102,7 @@
     /// flight.
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         let is_due = |entry: &Entry| match self.orders.get(&entry.order.id) {
-            Some(State::NotInFlight { since }) => entry.quiet.is_none() && *since < now,
+            Some(State::NotInFlight { since }) => entry.conclusive_from.is_none() && *since < now,
             Some(State::Reserved | State::Sent | State::NeverTaken) | None => false,
         };
         ledger.orders.iter().any(|entry| self.owns(entry) && is_due(entry))
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -48,7 +48,7 @@
 
 /// Way in which an order was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum Settlement {
     /// The engine reported that it took the order.
     Taken,
     /// The engine never took the order.
@@ -57,13 +57,13 @@
     NotInFlight,
 }
 
-/// Settled order.
+/// SettledOrder order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledOrder {
     /// Order as it was in the ledger.
     pub entry: Entry,
     /// Way in which the order was settled.
-    pub how: How,
+    pub settlement: Settlement,
 }
 
 /// Result of applying evidence.
@@ -72,7 +72,7 @@
     /// Ledger to write by conditional update, if it differs.
     pub ledger: Ledger,
     /// Orders that were settled.
-    pub settled: Vec<Settled>,
+    pub settled: Vec<SettledOrder>,
 }
 
 impl Ledger {
@@ -83,7 +83,7 @@
             match piece {
                 Evidence::Report(load) => outcome.report(load),
                 Evidence::NeverTaken { order } => {
-                    outcome.settle_where(How::NeverTaken, |entry| entry.order.id == *order);
+                    outcome.settle_where(Settlement::NeverTaken, |entry| entry.order.id == *order);
                 }
                 Evidence::NotInFlight { order, after } => {
                     outcome.mark_not_in_flight(*after, |entry| entry.order.id == *order);
@@ -126,26 +126,28 @@
         self.ledger.seen = load.fence;
         self.ledger.fence = self.ledger.fence.max(load.fence);
         self.ledger.residents = load.residents.clone();
-        self.settle_where(How::Taken, |entry| load.orders.contains(&entry.order.id));
+        self.settle_where(Settlement::Taken, |entry| load.orders.contains(&entry.order.id));
         self.settle_shown();
     }
 
     fn mark_not_in_flight(&mut self, after: ReportPosition, applies: impl Fn(&Entry) -> bool) {
         let entries = self.ledger.orders.iter_mut();
         entries
-            .filter(|entry| entry.quiet.is_none() && applies(entry))
-            .for_each(|entry| entry.quiet = Some(after));
+            .filter(|entry| entry.conclusive_from.is_none() && applies(entry))
+            .for_each(|entry| entry.conclusive_from = Some(after));
         self.settle_shown();
     }
 
     /// Settles the orders whose effect the last report shows.
     fn settle_shown(&mut self) {
         let mark = self.ledger.mark;
-        self.settle_where(How::NotInFlight, |entry| entry.quiet.is_some_and(|after| after <= mark));
+        self.settle_where(Settlement::NotInFlight, |entry| {
+            entry.conclusive_from.is_some_and(|after| after <= mark)
+        });
     }
 
-    fn settle_where(&mut self, how: How, applies: impl Fn(&Entry) -> bool) {
+    fn settle_where(&mut self, settlement: Settlement, applies: impl Fn(&Entry) -> bool) {
         let gone = self.ledger.orders.extract_if(.., |entry| applies(entry));
-        self.settled.extend(gone.map(|entry| Settled { entry, how }));
+        self.settled.extend(gone.map(|entry| SettledOrder { entry, settlement }));
     }
 }
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -127,7 +127,7 @@
     }
 
     /// Sets the number of requests for a model in flight to a server, summed over all hosts.
-    pub fn in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
+    pub fn set_in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
         if let Some(view) = self.servers.get_mut(server) {
             view.requests_in_flight.insert(model.clone(), requests);
         }
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -57,7 +57,7 @@
     ];
 
     /// Returns the obstacle's name in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Obstacle::NoServer => "no-server",
             Obstacle::Busy => "busy",
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -66,13 +66,13 @@
     /// Work offered now.
     pub now: f64,
     /// Work expected within the forecast's look-ahead.
-    pub ahead: f64,
+    pub forecast: f64,
 }
 
 impl Demand {
     /// Returns the work that placement provides for: the larger of the two, not below zero.
     pub fn provided(self) -> f64 {
-        self.now.max(self.ahead).max(0.0)
+        self.now.max(self.forecast).max(0.0)
     }
 }
 
@@ -82,17 +82,18 @@
     /// Mean rate of loads that may start.
     pub loads_per_second: f64,
     /// Maximum number of loads in progress.
-    pub at_once: usize,
+    pub max_concurrent_loads: usize,
 }
 
 impl Limits {
     /// No limits, for checks of what could be placed.
-    pub const NONE: Limits = Limits { loads_per_second: f64::INFINITY, at_once: usize::MAX };
+    pub const NONE: Limits =
+        Limits { loads_per_second: f64::INFINITY, max_concurrent_loads: usize::MAX };
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { loads_per_second: 2.0, at_once: 2 }
+        Limits { loads_per_second: 2.0, max_concurrent_loads: 2 }
     }
 }
 
--- a/crates/policy/src/plan/bucket.rs
+++ b/crates/policy/src/plan/bucket.rs
@@ -25,8 +25,8 @@
             let gained = elapsed * self.limits.loads_per_second;
             self.tokens = (self.tokens + gained).min(capacity(self.limits));
         }
-        let at_once = self.limits.at_once.saturating_sub(loading);
-        at_once.min(self.tokens as usize)
+        let max_concurrent_loads = self.limits.max_concurrent_loads.saturating_sub(loading);
+        max_concurrent_loads.min(self.tokens as usize)
     }
 
     /// Takes tokens for started loads.
--- a/crates/policy/src/plan/forecast.rs
+++ b/crates/policy/src/plan/forecast.rs
@@ -69,6 +69,6 @@
         let rise = (LOOK_AHEAD_INTERVALS * self.trend).clamp(0.0, MAX_RISE * self.level);
         let estimate = self.level + rise;
         self.peak = estimate.max(self.peak * PEAK_DECAY);
-        Demand { now: self.level, ahead: self.peak }
+        Demand { now: self.level, forecast: self.peak }
     }
 }
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -20,7 +20,7 @@
 //! - [`OrderLease::may_order`] is called right before an order's bytes are sent, with no await in
 //!   between;
 //! - an order is abandoned, with its connection reset, once it has been in flight for
-//!   [`Settings::flight`];
+//!   [`Settings::order_timeout`];
 //! - the incarnation is unique for all time;
 //! - nobody deletes the lease;
 //! - a host's process has ended before its next one starts.
@@ -38,7 +38,7 @@
 /// into the same moment.
 const RUN_GAP: Duration = Duration::from_nanos(1);
 
-pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, Stored};
+pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, StoredLease};
 pub use settings::{Contender, Settings, contender};
 
 /// View of one incarnation of a host on the lease that permits sending orders.
@@ -124,7 +124,8 @@
     /// Returns the fencing token of this host's tenure, if an order sent at `now` would arrive
     /// within it.
     pub fn fence(&self, now: Moment) -> Option<Fence> {
-        let tenure = self.tenure.filter(|tenure| now + self.settings.flight <= tenure.until)?;
+        let tenure =
+            self.tenure.filter(|tenure| now + self.settings.order_timeout <= tenure.until)?;
         (!self.stopping).then_some(tenure.fence)
     }
 
@@ -151,7 +152,7 @@
     }
 
     /// Takes in the lease as read or as reported by a watch; it may be stale.
-    pub fn observe(&mut self, now: Moment, read: Option<Stored>) {
+    pub fn observe(&mut self, now: Moment, read: Option<StoredLease>) {
         self.note_answer(now);
         match (read, &self.known) {
             (Some((revision, lease)), _) => self.apply(now, revision, lease),
@@ -163,12 +164,12 @@
 
     /// Takes in the lease as another host knows it, which is no evidence that this host can reach
     /// the store.
-    pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): Stored) {
+    pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): StoredLease) {
         self.apply(now, revision, lease);
     }
 
     /// The lease as this host knows it, for other hosts.
-    pub fn stored(&self) -> Option<Stored> {
+    pub fn stored(&self) -> Option<StoredLease> {
         match &self.known {
             Known::Present { revision, lease, .. } => Some((*revision, lease.clone())),
             Known::Absent(_) | Known::Nothing => None,
@@ -201,7 +202,7 @@
             Outcome::Refused => {
                 self.open_writes.retain(|sent| sent.nonce != lease.nonce);
             }
-            Outcome::Unclear => (),
+            Outcome::Unknown => (),
         }
     }
 
@@ -234,10 +235,12 @@
 
     fn renew(&mut self, now: Moment, tenure: Tenure) -> Step {
         if self.last_answer.is_none() {
-            return self.read(now, self.settings.fresh);
+            return self.read(now, self.settings.max_read_age);
         }
         match self.known {
-            Known::Present { revision, .. } if tenure.sent + self.settings.renew <= now => {
+            Known::Present { revision, .. }
+                if tenure.sent + self.settings.renewal_interval <= now =>
+            {
                 self.write(now, Some(revision), Claim::Held(self.settings.term))
             }
             Known::Present { .. } | Known::Absent(_) | Known::Nothing => Step::Idle,
@@ -245,16 +248,16 @@
     }
 
     fn contend(&mut self, now: Moment) -> Step {
-        let Some(free) = self.free_at() else { return self.read(now, self.settings.fresh) };
+        let Some(free) = self.free_at() else { return self.read(now, self.settings.max_read_age) };
         if now < free {
-            let poll = self.settings.poll;
+            let poll = self.settings.poll_interval;
             let is_recent =
                 matches!(self.known, Known::Present { since, .. } if now < since + poll);
             return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
         // A host that the store turns away must not leave writes behind that are applied later.
-        if self.last_answer.is_none_or(|at| at + self.settings.fresh < now) {
-            return self.read(now, self.settings.fresh);
+        if self.last_answer.is_none_or(|at| at + self.settings.max_read_age < now) {
+            return self.read(now, self.settings.max_read_age);
         }
         let revision = match self.known {
             Known::Present { revision, .. } => Some(revision),
@@ -272,21 +275,21 @@
                 self.write(now, Some(revision), Claim::Released(rest))
             }
             _ if self.open_writes.is_empty() => Step::Idle,
-            _ => self.read(now, self.settings.fresh),
+            _ => self.read(now, self.settings.max_read_age),
         }
     }
 
     /// Time from `now` on in which no other host may send orders.
     fn quiet_time(&self, now: Moment) -> Duration {
-        let Settings { turn, flight, .. } = self.settings;
+        let Settings { turn, order_timeout, .. } = self.settings;
         let last = self.last_order.unwrap_or(now);
-        (last + flight + turn).saturating_sub(now)
+        (last + order_timeout + turn).saturating_sub(now)
     }
 
     /// Time at which this host may take the lease, as far as it knows; `None` before the first
     /// read.
     fn free_at(&self) -> Option<Moment> {
-        let Settings { turn, flight, .. } = self.settings;
+        let Settings { turn, order_timeout, .. } = self.settings;
         let delay = self.settings.standby_delay();
         match &self.known {
             Known::Nothing => None,
@@ -295,7 +298,7 @@
             // An earlier incarnation of this host is gone, and its orders are this host's: only the
             // fencing tokens must not fall.
             Known::Present { lease, since, .. } if lease.holder == self.host => {
-                Some(*since + flight + RUN_GAP)
+                Some(*since + order_timeout + RUN_GAP)
             }
             Known::Present { lease, since, .. } => Some(match lease.claim {
                 Claim::Held(term) => *since + term + turn + delay,
@@ -315,7 +318,7 @@
 
     fn write(&mut self, now: Moment, on: Option<Revision>, claim: Claim) -> Step {
         self.nonce += 1;
-        self.idle_until = now + self.settings.renew / 2;
+        self.idle_until = now + self.settings.renewal_interval / 2;
         if self.open_writes.len() == MAX_OPEN_WRITES {
             self.open_writes.remove(0);
         }
--- a/crates/policy/src/term/lease.rs
+++ b/crates/policy/src/term/lease.rs
@@ -35,7 +35,7 @@
 }
 
 /// Lease with its revision in the store.
-pub type Stored = (Revision, Lease);
+pub type StoredLease = (Revision, Lease);
 
 /// Next request to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -58,11 +58,11 @@
     /// The write was applied, under this revision.
     Done(Revision),
     /// The condition did not hold; contains the stored lease if the store returned it.
-    Conflict(Option<Stored>),
+    Conflict(Option<StoredLease>),
     /// There is no lease to replace.
     Absent,
     /// The store rejected the write and will not apply it.
     Refused,
     /// No answer; the write may have been applied, or may still be.
-    Unclear,
+    Unknown,
 }
--- a/crates/policy/src/term/settings.rs
+++ b/crates/policy/src/term/settings.rs
@@ -8,10 +8,10 @@
 /// second.
 const SMALL_FLEET: usize = 16;
 
-/// [`Settings::poll`] in a small fleet, where peers report renewals.
+/// [`Settings::poll_interval`] in a small fleet, where peers report renewals.
 const SMALL_FLEET_POLL: Duration = Duration::from_secs(1);
 
-/// [`Settings::poll`] in a large fleet, where the reads of all hosts together have to stay few.
+/// [`Settings::poll_interval`] in a large fleet, where the reads of all hosts together have to stay few.
 const LARGE_FLEET_POLL: Duration = Duration::from_secs(5);
 
 /// Time for which a standby leaves the lease to the contenders, and after which it reads the lease.
@@ -39,16 +39,16 @@
     /// Time for which a write of the lease is valid, from the moment it was sent.
     pub term: Duration,
     /// Time between renewals, from send to send.
-    pub renew: Duration,
+    pub renewal_interval: Duration,
     /// Minimum time between the last order of one host and the first order of another.
     pub turn: Duration,
     /// Maximum time of an order in flight, after which its sender abandons it.
-    pub flight: Duration,
+    pub order_timeout: Duration,
     /// Age up to which a read is recent enough to contend on.
-    pub fresh: Duration,
+    pub max_read_age: Duration,
     /// Time without a report of the lease after which a waiting host reads it. Long if the host
-    /// watches the lease; somewhat over `renew` if peers report renewals.
-    pub poll: Duration,
+    /// watches the lease; somewhat over `renewal_interval` if peers report renewals.
+    pub poll_interval: Duration,
     /// Extra time for which this host leaves a free lease to the hosts that contend before it.
     pub delay: Duration,
     /// Role of this host in contending.
@@ -68,11 +68,11 @@
     fn default() -> Settings {
         Settings {
             term: Duration::from_millis(1500),
-            renew: Duration::from_millis(500),
+            renewal_interval: Duration::from_millis(500),
             turn: Duration::from_secs(3),
-            flight: Duration::from_millis(300),
-            fresh: Duration::from_millis(500),
-            poll: SMALL_FLEET_POLL,
+            order_timeout: Duration::from_millis(300),
+            max_read_age: Duration::from_millis(500),
+            poll_interval: SMALL_FLEET_POLL,
             delay: Duration::ZERO,
             contender: Contender::First,
         }
@@ -80,9 +80,9 @@
 }
 
 impl Settings {
-    /// Sets the role, and [`Settings::poll`] for `hosts` hosts that report the lease to each other.
+    /// Sets the role, and [`Settings::poll_interval`] for `hosts` hosts that report the lease to each other.
     pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
-        (self.poll, self.contender) = match contender {
+        (self.poll_interval, self.contender) = match contender {
             _ if hosts <= SMALL_FLEET => (SMALL_FLEET_POLL, Contender::First),
             Contender::First => (LARGE_FLEET_POLL, Contender::First),
             Contender::Standby => (STANDBY_DELAY, Contender::Standby),
--- a/crates/policy/tests/config_properties.rs
+++ b/crates/policy/tests/config_properties.rs
@@ -78,16 +78,16 @@
 
     #[test]
     fn parts_joined_give_the_whole(config in config()) {
-        let cut = part::cut(&config, 7, &[]).unwrap();
-        prop_assert_eq!(cut.names.len(), cut.new.len());
-        let parts = cut.new.iter().map(|part| (&part.name, &*part.bytes));
+        let split = part::split(&config, 7, &[]).unwrap();
+        prop_assert_eq!(split.names.len(), split.new.len());
+        let parts = split.new.iter().map(|part| (&part.name, &*part.bytes));
         prop_assert_eq!(part::join(config.weights, parts).unwrap(), config);
     }
 
     #[test]
     fn parts_that_stay_keep_their_names(from in config(), to in config()) {
-        let first = part::cut(&from, 1, &[]).unwrap();
-        let second = part::cut(&to, 2, &first.names).unwrap();
+        let first = part::split(&from, 1, &[]).unwrap();
+        let second = part::split(&to, 2, &first.names).unwrap();
         let mut stored: BTreeMap<_, _> =
             first.new.iter().map(|part| (part.name.clone(), part.bytes.clone())).collect();
         for part in &second.new {
@@ -114,8 +114,8 @@
     #[test]
     fn any_bytes_of_a_root_or_part_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         let _ = serde_json::from_slice::<Root>(&bytes);
-        let cut = part::cut(&Config::default(), 1, &[]).unwrap();
-        prop_assert!(cut.names.is_empty());
+        let split = part::split(&Config::default(), 1, &[]).unwrap();
+        prop_assert!(split.names.is_empty());
         let named = part::Name::of_key("config/part/000000000001-00").unwrap();
         prop_assert!(part::read(&named, &bytes).is_err());
     }
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -4,7 +4,7 @@
     Claim, Ledger, MAX_ORDERS, Rejection, ReportPosition,
     held::Wait,
     replica::may_unload,
-    settle::{Evidence, How},
+    settle::{Evidence, Settlement},
 };
 use rstest::rstest;
 use types::{
@@ -156,7 +156,7 @@
     let ledger = Ledger::new(&report(1, &[]));
     let (ledger, order) = reserved(&ledger, "o1", load("a", 80));
     let outcome = ledger.settle(&[Evidence::NeverTaken { order: order.id }]);
-    assert_eq!(outcome.settled[0].how, How::NeverTaken);
+    assert_eq!(outcome.settled[0].settlement, Settlement::NeverTaken);
     assert_eq!(outcome.ledger.usage().free, 100);
 }
 
@@ -186,13 +186,13 @@
 fn operators_see_what_would_settle_an_order() {
     let ledger = Ledger::new(&report(1, &[("a", 30)]));
     let (ledger, _) = reserved(&ledger, "o1", load("b", 40));
-    let held = ledger.why_held();
-    assert_eq!((held[0].memory, held[0].waits), (40, Wait::Arrival));
+    let held = ledger.explain_orders();
+    assert_eq!((held[0].memory, held[0].awaited), (40, Wait::Arrival));
     assert!(held[0].settled_by.iter().any(|way| way.contains("host-1 (run 7) says")));
 
     let after = ReportPosition { incarnation: 1, sequence: 9 };
     let ledger = ledger.settle(&[Evidence::NotInFlight { order: "o1".into(), after }]).ledger;
-    assert_eq!(ledger.why_held()[0].waits, Wait::Report { after });
+    assert_eq!(ledger.explain_orders()[0].awaited, Wait::Report { after });
 }
 
 #[test]
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -211,7 +211,7 @@
         planner.register_server(&machine.registration(), Moment::ZERO);
         for model in ["m00", "m01"] {
             let requests = if (number, model) == (server, idle) { 0 } else { 2 };
-            planner.in_flight(&machine.server.id, &model.into(), requests);
+            planner.set_in_flight(&machine.server.id, &model.into(), requests);
         }
     }
     let orders = planner.plan(2 * SECOND);
@@ -296,7 +296,7 @@
     let end = world.now + 3 * SECOND;
     for machine in world.machines.iter_mut().filter(|machine| machine.held.contains_key("m00")) {
         machine.running.push(("m00".into(), None, end));
-        world.planner.in_flight(&machine.server.id, &"m00".into(), 1);
+        world.planner.set_in_flight(&machine.server.id, &"m00".into(), 1);
     }
     offer_work(&mut world, &[("m01", 6.0)], 2 * SECOND);
     let unloading = |machine: &&Machine| matches!(machine.current, Some((Operation::Unload, ..)));
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -18,7 +18,7 @@
 }
 
 fn load(world: &mut World, model: &str, load: f64) {
-    world.planner.set_demand(&model.into(), Demand { now: load, ahead: load });
+    world.planner.set_demand(&model.into(), Demand { now: load, forecast: load });
 }
 
 #[test]
@@ -85,8 +85,8 @@
     let mut forecast = Forecast::default();
     let mut observe = |work: f64| forecast.observe(&[("a".into(), work)].into())["a"];
     let ramp: Vec<Demand> = (1..10).map(|n| observe(f64::from(n))).collect();
-    assert!(9.0 < ramp[8].ahead, "{:?}", ramp[8]);
-    assert!(ramp[8].ahead < 18.0, "{:?}", ramp[8]);
+    assert!(9.0 < ramp[8].forecast, "{:?}", ramp[8]);
+    assert!(ramp[8].forecast < 18.0, "{:?}", ramp[8]);
     let drop = (0..10).map(|_| observe(0.0)).last().expect("ten");
     assert!(5.0 < drop.provided(), "{drop:?}");
 }
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -94,11 +94,11 @@
 #[case(2.0, 3)]
 fn the_weight_store_is_never_asked_for_more_than_its_rate(
     #[case] loads_per_second: f64,
-    #[case] at_once: usize,
+    #[case] max_concurrent_loads: usize,
 ) {
     let names: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
     let models: Vec<_> = names.iter().map(|name| (&**name, 10, &[][..])).collect();
-    let limits = Limits { loads_per_second, at_once };
+    let limits = Limits { loads_per_second, max_concurrent_loads };
     let mut world = World::new(rng(7), config(&models), 6, 3, 80, limits);
     let mut starts: Vec<Moment> = Vec::new();
     for _ in 0..400 {
@@ -106,7 +106,7 @@
         starts.extend(std::iter::repeat_n(world.now, loads));
         let residents = world.machines.values().flat_map(|machine| &machine.residents);
         let loading = residents.filter(|(r, _)| r.state == Progress::Loading).count();
-        assert!(loading <= at_once);
+        assert!(loading <= max_concurrent_loads);
     }
     assert_eq!(starts.len(), 40);
     let window = Duration::from_secs(10);
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -43,8 +43,8 @@
     }
 }
 
-fn report(asked: u64, age: u64) -> TimedReport {
-    TimedReport { asked: at(asked), load: load(5, age) }
+fn report(requested_at: u64, age: u64) -> TimedReport {
+    TimedReport { requested_at: at(requested_at), load: load(5, age) }
 }
 
 fn sender(incarnation: u64) -> Sender {
--- a/crates/policy/tests/term.rs
+++ b/crates/policy/tests/term.rs
@@ -6,11 +6,11 @@
 
 const SETTINGS: Settings = Settings {
     term: at(1500),
-    renew: at(500),
+    renewal_interval: at(500),
     turn: at(3000),
-    flight: at(300),
-    fresh: at(500),
-    poll: at(5000),
+    order_timeout: at(300),
+    max_read_age: at(500),
+    poll_interval: at(5000),
     delay: at(0),
     contender: Contender::First,
 };
@@ -95,7 +95,7 @@
 fn renewal_without_an_answer_adds_nothing_until_it_is_read_back() {
     let mut term = holder();
     let lost = written(term.step(at(1500)));
-    term.write_finished(at(2000), Outcome::Unclear);
+    term.write_finished(at(2000), Outcome::Unknown);
     assert_eq!(term.may_order(at(2300)), None);
     assert!(matches!(term.step(at(2300)), Step::Replace(7, _)));
     term.write_finished(at(2400), Outcome::Conflict(Some((8, lost))));
@@ -150,7 +150,7 @@
 
 #[rstest]
 #[case::refused(Outcome::Refused)]
-#[case::unclear(Outcome::Unclear)]
+#[case::unclear(Outcome::Unknown)]
 fn holder_that_the_store_turns_away_stops_by_itself(#[case] outcome: Outcome) {
     let mut term = holder();
     for now in (1500..9000).step_by(10) {
@@ -193,7 +193,7 @@
     term.observe(at(0), Some((7, other())));
     term.observe(at(4500), Some((7, other())));
     let late = written(term.step(at(4500)));
-    term.write_finished(at(4900), Outcome::Unclear);
+    term.write_finished(at(4900), Outcome::Unknown);
     term.observe(at(7000), Some((8, late)));
     assert_eq!(term.may_order(at(7000)), None);
     assert!(matches!(term.step(at(7000)), Step::Replace(8, _)));
@@ -223,7 +223,7 @@
     let mut term = holder();
     term.stop();
     let lost = written(term.step(at(1300)));
-    term.write_finished(at(1800), Outcome::Unclear);
+    term.write_finished(at(1800), Outcome::Unknown);
     assert!(matches!(term.step(at(1800)), Step::Replace(7, _)));
     term.write_finished(at(1850), Outcome::Conflict(Some((8, lost))));
     assert!(term.is_released());
@@ -244,7 +244,7 @@
 fn conflict_without_the_lease_is_followed_by_a_read() {
     let mut term = holder();
     let mine = written(term.step(at(1500)));
-    term.write_finished(at(1550), Outcome::Unclear);
+    term.write_finished(at(1550), Outcome::Unknown);
     term.step(at(1750));
     term.write_finished(at(1800), Outcome::Conflict(None));
     assert_eq!(term.step(at(1800)), Step::Read);
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -133,7 +133,7 @@
             meters,
             declaration_confirmed: Mutex::default(),
             control: Control::default(),
-            order_timeout: times.flight,
+            order_timeout: times.order_timeout,
             dispatch_wakeup: Notify::new(),
             plan_wakeup: Notify::new(),
             planner: Mutex::new(Planner::new(rules)),
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use observe::story::{Belief, LeaseState, Text};
-use policy::term::{Lease, Outcome, Step, Stored};
+use policy::term::{Lease, Outcome, Step, StoredLease};
 use tokio::time::sleep;
 use types::order::Fence;
 
@@ -94,13 +94,13 @@
         StoreReply::Absent => Outcome::Absent,
         StoreReply::Refused => Outcome::Refused,
         StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Compacted | StoreReply::Unclear => {
-            Outcome::Unclear
+            Outcome::Unknown
         }
     };
     shared.term().write_finished(shared.now(), outcome);
 }
 
-fn stored(object: &Object) -> Option<Stored> {
+fn stored(object: &Object) -> Option<StoredLease> {
     let lease = serde_json::from_value::<Lease>(object.content.clone()).ok()?;
     Some((object.revision, lease))
 }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -458,7 +458,7 @@
         for server in directory.servers() {
             for held in &server.models {
                 let requests = running.get(&(&server.id, &held.model)).copied().unwrap_or(0);
-                planner.in_flight(&server.id, &held.model, requests);
+                planner.set_in_flight(&server.id, &held.model, requests);
             }
         }
     }
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -21,7 +21,7 @@
         let unplaced = shared.planner().unplaced().to_vec();
         for obstacle in Obstacle::ALL {
             let waiting = unplaced.iter().filter(|entry| entry.obstacle == obstacle).count();
-            shared.meters.wishes(obstacle.word(), waiting);
+            shared.meters.wishes(obstacle.label(), waiting);
         }
         self.is_counted = true;
         for (entry, lasted) in self.limiter.due(&unplaced, now) {
@@ -30,7 +30,7 @@
                 adapter: entry.adapter,
                 replicas: u32::try_from(entry.replicas).unwrap_or(u32::MAX),
                 since: lasted,
-                why: Text::Borrowed(entry.obstacle.word()),
+                why: Text::Borrowed(entry.obstacle.label()),
             });
         }
     }
@@ -41,7 +41,7 @@
             return;
         }
         self.limiter = ReportLimiter::default();
-        Obstacle::ALL.iter().for_each(|obstacle| shared.meters.wishes(obstacle.word(), 0));
+        Obstacle::ALL.iter().for_each(|obstacle| shared.meters.wishes(obstacle.label(), 0));
     }
 }
 
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -298,7 +298,7 @@
 
 fn current_config(root: &Root) -> Arc<types::config::Config> {
     match &root.content {
-        Content::Whole(config) => config.clone(),
+        Content::Inline(config) => config.clone(),
         Content::Parts { .. } => Arc::default(),
     }
 }
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -8,7 +8,9 @@
 
 use std::collections::BTreeSet;
 
-use policy::term::{Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Ask, Stored};
+use policy::term::{
+    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Ask, StoredLease,
+};
 use types::{order::Fence, prelude::*};
 
 use crate::explore::System;
@@ -59,11 +61,11 @@
         let zero = |lacks, ticks| if self.lacks == lacks { 0 } else { ticks };
         Settings {
             term: span(2),
-            renew: span(1),
+            renewal_interval: span(1),
             turn: span(zero(Lacks::TurnWait, TURN)),
-            flight: span(zero(Lacks::Flight, FLIGHT)),
-            fresh: span(0),
-            poll: span(Tick::MAX),
+            order_timeout: span(zero(Lacks::Flight, FLIGHT)),
+            max_read_age: span(0),
+            poll_interval: span(Tick::MAX),
             delay: span(0),
             contender: Contender::First,
         }
@@ -81,7 +83,7 @@
     }
 
     /// The lease as it is told to a host.
-    fn told(&self, to: usize, mut stored: Stored) -> Stored {
+    fn told(&self, to: usize, mut stored: StoredLease) -> StoredLease {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
             lease.claim = match (self.lacks, lease.claim) {
@@ -93,7 +95,7 @@
         stored
     }
 
-    fn read(&self, state: &State, host: usize) -> Option<Stored> {
+    fn read(&self, state: &State, host: usize) -> Option<StoredLease> {
         state.stored.clone().map(|stored| self.told(host, stored))
     }
 
@@ -203,7 +205,7 @@
         }
         let outcome = match (self.lacks, &state.stored) {
             (Lacks::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
-            _ => Outcome::Unclear,
+            _ => Outcome::Unknown,
         };
         next.hosts[host].term.write_finished(now, outcome);
         Some((Step::GiveUp(host), next))
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, fmt};
 
-use policy::term::{Lease, OrderLease, Outcome, Revision, Stored};
+use policy::term::{Lease, OrderLease, Outcome, Revision, StoredLease};
 use types::{host, order::Fence};
 
 /// A point in time.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Tick,
-    pub(super) stored: Option<Stored>,
+    pub(super) stored: Option<StoredLease>,
     pub(super) hosts: Vec<Host>,
     pub(super) calls: Vec<Call>,
     pub(super) server: Server,
@@ -61,7 +61,7 @@
 pub(super) enum Body {
     Write(Option<Revision>, Lease),
     Outcome(Outcome),
-    Read(Option<Stored>),
+    Read(Option<StoredLease>),
 }
 
 /// An order that has been sent.
--- a/crates/stage/examples/measure/deployment.rs
+++ b/crates/stage/examples/measure/deployment.rs
@@ -55,7 +55,7 @@
                 slots: 4,
                 step: Duration::from_millis(12),
                 load_time: Duration::from_secs(2),
-                limits: Limits { loads_per_second: 2.0, at_once: 3 },
+                limits: Limits { loads_per_second: 2.0, max_concurrent_loads: 3 },
                 config: config(
                     config::Weights { attainment: 3.0, moves: 1.0 },
                     "portal-lm",
@@ -71,7 +71,7 @@
                 slots: 4,
                 step: Duration::from_millis(15),
                 load_time: Duration::from_secs(2),
-                limits: Limits { loads_per_second: 2.0, at_once: 2 },
+                limits: Limits { loads_per_second: 2.0, max_concurrent_loads: 2 },
                 config: config(
                     config::Weights { attainment: 1.0, moves: 3.0 },
                     "lector",
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -53,7 +53,7 @@
         platform.poke("config/root", json!({"number": 1, "config": sizes.config}));
         let weights = weights::Store::new(
             sizes.limits.loads_per_second,
-            sizes.limits.at_once,
+            sizes.limits.max_concurrent_loads,
             sizes.load_time,
         );
         let preloads = first_placement(sizes);
@@ -77,7 +77,7 @@
                 },
                 "planning": {
                     "loads_per_second": sizes.limits.loads_per_second,
-                    "loads_at_once": sizes.limits.at_once,
+                    "loads_at_once": sizes.limits.max_concurrent_loads,
                 },
             });
             running.push(stage::start(serde_json::from_value::<Process>(settings)?).await?);
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -77,7 +77,7 @@
         planner.configure(&config);
         for (n, id) in config.models.keys().enumerate() {
             let now = if n % 10 == 0 { 1.6 } else { 0.3 };
-            planner.set_demand(id, Demand { now, ahead: now });
+            planner.set_demand(id, Demand { now, forecast: now });
         }
         engines.values().for_each(|engine| planner.set_engine(NOW, engine.clone()));
         for planned in planner.simulate(NOW, ROUNDS) {
--- a/crates/stage/src/declared.rs
+++ b/crates/stage/src/declared.rs
@@ -32,7 +32,7 @@
     Platform(#[from] objects::Error),
     /// The content of a part doesn't match its name, or can't be parsed.
     #[error(transparent)]
-    Part(#[from] part::Fault),
+    Part(#[from] part::Error),
     /// A root or part no longer exists: superseded by a newer root, or deleted manually.
     #[error("{key} is gone")]
     Gone {
@@ -61,7 +61,7 @@
 
     /// Returns the root in force without its patches, for another host that fetches it.
     pub fn root(&self) -> Option<Root> {
-        self.holder().root().map(|root| root.bare())
+        self.holder().root().map(|root| root.without_patches())
     }
 
     /// Returns a part if this host has it, for another host that fetches it.
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -81,7 +81,7 @@
 
 fn record(context: &Context, patch: &Patch, outcome: &Outcome) {
     let number = outcome.number().unwrap_or(context.config().number);
-    let verdict = outcome.word();
+    let verdict = outcome.label();
     log::info!(
         patch = &*patch.id, against = patch.against, number = number; "patch is {verdict}"
     );
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -276,8 +276,10 @@
 /// Returns a planner without any state.
 fn planner(context: &Context) -> Planner {
     let planning = &context.settings.planning;
-    let limits =
-        Limits { loads_per_second: planning.loads_per_second, at_once: planning.loads_at_once };
+    let limits = Limits {
+        loads_per_second: planning.loads_per_second,
+        max_concurrent_loads: planning.loads_at_once,
+    };
     Planner::new(limits)
 }
 
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -93,16 +93,16 @@
 
     /// Requests a load report now, if evidence depends on one.
     async fn fresh_report(&self, server: &backend::Server, ledger: &Ledger) -> Option<TimedReport> {
-        let asked = self.context.now();
-        let is_wanted = self.orders.sender().wants_report(asked, ledger)
-            || self.gone_senders.wants_report(asked, ledger);
+        let requested_at = self.context.now();
+        let is_wanted = self.orders.sender().wants_report(requested_at, ledger)
+            || self.gone_senders.wants_report(requested_at, ledger);
         if !is_wanted {
             return None;
         }
         let report = self.context.control.load(server.address);
         match tokio::time::timeout(self.context.settings.planning.order, report).await {
             Ok(Ok(load)) => {
-                Some(TimedReport { asked, load: Load { server: server.id.clone(), ..load } })
+                Some(TimedReport { requested_at, load: Load { server: server.id.clone(), ..load } })
             }
             Ok(Err(error)) => {
                 log::debug!(server = &*server.id; "fresh report: {error}");
@@ -142,7 +142,7 @@
         for settled in &outcome.settled {
             let order = &settled.entry.order;
             self.orders.sender().forget(&order.id);
-            let evidence = evidence(settled.how);
+            let evidence = evidence(settled.settlement);
             log::info!(order = &*order.id, server = &*order.server; "order settled: {evidence}");
             let kind =
                 event::Kind::Settlement { order: order.id.clone(), evidence: evidence.into() };
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -8,8 +8,8 @@
 use observe::metrics::{Memory, Metrics};
 use policy::ledger::{
     Ledger, Usage,
-    held::Held,
-    settle::{How, Settled},
+    held::HeldOrder,
+    settle::{self, Settlement},
 };
 use serde::Serialize;
 use types::prelude::*;
@@ -22,7 +22,7 @@
 pub struct OpenOrder {
     /// Order and the evidence that would settle it.
     #[serde(flatten)]
-    pub held: Held,
+    pub held: HeldOrder,
     /// What the order waits for, as text.
     pub why: String,
     /// How long this host has known the order; milliseconds in JSON.
@@ -81,7 +81,7 @@
 struct Inner {
     ledgers: BTreeMap<backend::Id, Ledger>,
     known: HashMap<order::Id, Moment>,
-    settled: VecDeque<(Moment, Settled)>,
+    settled: VecDeque<(Moment, settle::SettledOrder)>,
 }
 
 impl Moves {
@@ -99,7 +99,11 @@
     }
 
     /// Records orders that this host settled.
-    pub fn record_settled(&self, now: Moment, settled: impl IntoIterator<Item = Settled>) {
+    pub fn record_settled(
+        &self,
+        now: Moment,
+        settled: impl IntoIterator<Item = settle::SettledOrder>,
+    ) {
         let mut inner = self.lock();
         inner.settled.extend(settled.into_iter().map(|settled| (now, settled)));
         let surplus = inner.settled.len().saturating_sub(MAX_SETTLED);
@@ -114,16 +118,16 @@
     /// Returns the moves for operators.
     pub fn status(&self, now: Moment, current: bool) -> Status {
         let inner = self.lock();
-        let open = inner.ledgers.values().flat_map(Ledger::why_held).map(|held| {
+        let open = inner.ledgers.values().flat_map(Ledger::explain_orders).map(|held| {
             let since = inner.known.get(&held.order).copied().unwrap_or(now);
-            OpenOrder { why: held.waits.to_string(), known_for: now.saturating_sub(since), held }
+            OpenOrder { why: held.awaited.to_string(), known_for: now.saturating_sub(since), held }
         });
         let settled = inner.settled.iter().map(|(at, settled)| SettledOrder {
             order: settled.entry.order.id.clone(),
             server: settled.entry.order.server.clone(),
             action: settled.entry.order.action.clone(),
             cause: settled.entry.cause.clone(),
-            evidence: evidence(settled.how),
+            evidence: evidence(settled.settlement),
             ago: now.saturating_sub(*at),
         });
         let servers = inner.ledgers.iter();
@@ -153,10 +157,10 @@
 }
 
 /// Returns the name of the evidence that settled an order; operators' tools rely on it.
-pub fn evidence(how: How) -> &'static str {
-    match how {
-        How::Taken => "taken",
-        How::NeverTaken => "never-taken",
-        How::NotInFlight => "nothing-in-flight",
+pub fn evidence(settlement: Settlement) -> &'static str {
+    match settlement {
+        Settlement::Taken => "taken",
+        Settlement::NeverTaken => "never-taken",
+        Settlement::NotInFlight => "nothing-in-flight",
     }
 }
