--- a/crates/policy/src/config/fit.rs
+++ b/crates/policy/src/config/fit.rs
@@ -148,22 +148,22 @@
 
 /// Free memory of the servers, and the models placed on them.
 struct Packing {
-    slots: BTreeMap<backend::Group, Vec<Slot>>,
+    bins: BTreeMap<backend::Group, Vec<Bin>>,
 }
 
-struct Slot {
+struct Bin {
     free: Mebibytes,
-    holds: BTreeMap<model::Id, Mebibytes>,
+    replicas: BTreeMap<model::Id, Mebibytes>,
 }
 
 impl Packing {
     fn new(servers: &[Server]) -> Packing {
-        let mut slots: BTreeMap<backend::Group, Vec<Slot>> = BTreeMap::new();
+        let mut bins: BTreeMap<backend::Group, Vec<Bin>> = BTreeMap::new();
         for server in servers {
-            let slot = Slot { free: server.capacity, holds: BTreeMap::new() };
-            slots.entry(server.group.clone()).or_default().push(slot);
+            let bin = Bin { free: server.capacity, replicas: BTreeMap::new() };
+            bins.entry(server.group.clone()).or_default().push(bin);
         }
-        Packing { slots }
+        Packing { bins }
     }
 
     /// Places as many of the declared replicas as fit, the largest first.
@@ -183,20 +183,20 @@
     /// Places one replica on the server with the least free memory that can take it (best fit).
     fn place(&mut self, id: &model::Id, model: &Model) -> bool {
         let memory = replica(model);
-        let Some(slots) = self.slots.get_mut(&model.group) else { return false };
-        let fits = |slot: &&mut Slot| memory <= slot.free && !slot.holds.contains_key(id);
-        let Some(slot) = slots.iter_mut().filter(fits).min_by_key(|slot| slot.free) else {
+        let Some(bins) = self.bins.get_mut(&model.group) else { return false };
+        let fits = |bin: &&mut Bin| memory <= bin.free && !bin.replicas.contains_key(id);
+        let Some(bin) = bins.iter_mut().filter(fits).min_by_key(|bin| bin.free) else {
             return false;
         };
-        slot.free -= memory;
-        slot.holds.insert(id.clone(), memory);
+        bin.free -= memory;
+        bin.replicas.insert(id.clone(), memory);
         true
     }
 
     fn remove(&mut self, id: &model::Id, group: &backend::Group) {
-        for slot in self.slots.get_mut(group).into_iter().flatten() {
-            if let Some(memory) = slot.holds.remove(id) {
-                slot.free += memory;
+        for bin in self.bins.get_mut(group).into_iter().flatten() {
+            if let Some(memory) = bin.replicas.remove(id) {
+                bin.free += memory;
             }
         }
     }
@@ -237,21 +237,21 @@
 
     /// Returns whether a server that runs the model has at least `memory` MiB free.
     fn has_room_beside(&self, id: &model::Id, group: &backend::Group, memory: Mebibytes) -> bool {
-        let mut slots = self.slots.get(group).into_iter().flatten();
-        slots.any(|slot| slot.holds.contains_key(id) && memory <= slot.free)
+        let mut bins = self.bins.get(group).into_iter().flatten();
+        bins.any(|bin| bin.replicas.contains_key(id) && memory <= bin.free)
     }
 
     fn shortage(&self, unit: &model::Id, id: &model::Id, model: &Model, step: Step) -> Shortage {
-        let slots = self.slots.get(&model.group).map_or(&[][..], Vec::as_slice);
-        let open = slots.iter().filter(|slot| !slot.holds.contains_key(unit));
+        let bins = self.bins.get(&model.group).map_or(&[][..], Vec::as_slice);
+        let open = bins.iter().filter(|bin| !bin.replicas.contains_key(unit));
         Shortage {
             group: model.group.clone(),
             model: id.clone(),
             needed: replica(model),
             step,
-            servers: slots.len(),
-            free: slots.iter().map(|slot| slot.free).sum(),
-            largest: open.map(|slot| slot.free).max().unwrap_or_default(),
+            servers: bins.len(),
+            free: bins.iter().map(|bin| bin.free).sum(),
+            largest: open.map(|bin| bin.free).max().unwrap_or_default(),
         }
     }
 }
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -48,11 +48,11 @@
     host: host::Id,
     incarnation: host::Incarnation,
     term: Duration,
-    seen: Option<Seen>,
+    last: Option<Observation>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observation {
     lease: Lease,
     since: Moment,
 }
@@ -60,7 +60,7 @@
 impl Observer {
     /// View of an incarnation of a host; a lease expires `term` after its last change.
     pub fn new(host: host::Id, incarnation: host::Incarnation, term: Duration) -> Observer {
-        Observer { host, incarnation, term, seen: None }
+        Observer { host, incarnation, term, last: None }
     }
 
     /// Key of a duty's lease in the object API.
@@ -72,14 +72,14 @@
     /// not exist.
     pub fn observe(&mut self, now: Moment, lease: Option<&Lease>) -> Step {
         let Some(lease) = lease else {
-            self.seen = None;
+            self.last = None;
             return Step::Take(self.own_lease(0));
         };
-        let since = match &self.seen {
-            Some(seen) if seen.lease == *lease => seen.since,
+        let since = match &self.last {
+            Some(last) if last.lease == *lease => last.since,
             Some(_) | None => now,
         };
-        self.seen = Some(Seen { lease: lease.clone(), since });
+        self.last = Some(Observation { lease: lease.clone(), since });
         let unchanged = now.saturating_sub(since);
         if self.is_own(lease) {
             let due = self.term / RENEWALS_PER_TERM <= unchanged;
@@ -94,8 +94,8 @@
 
     /// Returns whether this host's lease, by the last read, has not expired at `now`.
     pub fn is_held(&self, now: Moment) -> bool {
-        self.seen.as_ref().is_some_and(|seen| {
-            self.is_own(&seen.lease) && now.saturating_sub(seen.since) < self.term
+        self.last.as_ref().is_some_and(|last| {
+            self.is_own(&last.lease) && now.saturating_sub(last.since) < self.term
         })
     }
 
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -26,7 +26,7 @@
 
 pub mod absence;
 pub mod held;
-mod picture;
+mod placement;
 pub mod replica;
 pub mod sender;
 pub mod settle;
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -29,7 +29,7 @@
     /// Hosts missing from the list, and the time of the first list without them.
     unlisted: BTreeMap<host::Id, Moment>,
     /// Time of the request for the last list.
-    listed: Moment,
+    listed_at: Moment,
 }
 
 impl GoneSenders {
@@ -39,7 +39,7 @@
             times,
             latest: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            listed: Moment::ZERO,
+            listed_at: Moment::ZERO,
         }
     }
 
@@ -54,16 +54,16 @@
     /// Takes in a list, with the time of the request for it and the hosts to track.
     pub fn observe_list<'a>(
         &mut self,
-        asked: Moment,
+        requested_at: Moment,
         list: &List,
         senders: impl IntoIterator<Item = &'a host::Id>,
     ) {
-        self.listed = asked;
+        self.listed_at = requested_at;
         let is_listed = |host: &host::Id| list.hosts.iter().any(|entry| entry.host.id == *host);
         self.unlisted.retain(|host, _| !is_listed(host));
         for sender in senders {
             if !is_listed(sender) {
-                self.unlisted.entry(sender.clone()).or_insert(asked);
+                self.unlisted.entry(sender.clone()).or_insert(requested_at);
             }
         }
     }
@@ -78,7 +78,7 @@
         let replaced = self.latest.get(host).filter(|(latest, _)| incarnation < *latest);
         let replaced = replaced.map(|(_, since)| *since);
         let unlisted = self.unlisted.get(host).map(|since| *since + self.times.list_lag);
-        let unlisted = unlisted.filter(|since| *since <= self.listed);
+        let unlisted = unlisted.filter(|since| *since <= self.listed_at);
         let gone = replaced.into_iter().chain(unlisted).min()?;
         Some(gone + self.times.linger)
     }
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -127,13 +127,13 @@
     /// Forgets finished orders that are in none of these ledgers, which must be all ledgers.
     pub fn retain_in<'a>(&mut self, ledgers: impl IntoIterator<Item = &'a Ledger>) {
         let ledgers: Vec<&Ledger> = ledgers.into_iter().collect();
-        let stands = |id: &order::Id| {
+        let is_recorded = |id: &order::Id| {
             let mut orders = ledgers.iter().flat_map(|ledger| &ledger.orders);
             orders.any(|entry| entry.order.id == *id)
         };
         self.orders.retain(|id, state| match state {
             State::Reserved | State::Sent => true,
-            State::NeverTaken | State::NotInFlight { .. } => stands(id),
+            State::NeverTaken | State::NotInFlight { .. } => is_recorded(id),
         });
     }
 
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -147,7 +147,7 @@
     }
 
     fn settle_where(&mut self, settlement: Settlement, applies: impl Fn(&Entry) -> bool) {
-        let gone = self.ledger.orders.extract_if(.., |entry| applies(entry));
-        self.settled.extend(gone.map(|entry| SettledOrder { entry, settlement }));
+        let settled = self.ledger.orders.extract_if(.., |entry| applies(entry));
+        self.settled.extend(settled.map(|entry| SettledOrder { entry, settlement }));
     }
 }
--- a/crates/policy/src/place/demand.rs
+++ b/crates/policy/src/place/demand.rs
@@ -51,9 +51,9 @@
 
     /// Returns for how many seconds the work keeps one server fully utilized.
     fn seconds(self, throughput: &Throughput, slots: u32) -> f64 {
-        let read = self.prompt as f64 / throughput.prompt_tokens_per_s;
-        let generate = self.output as f64 * throughput.output_token_time.as_secs_f64();
-        read + generate / f64::from(slots.max(1))
+        let prefill = self.prompt as f64 / throughput.prompt_tokens_per_s;
+        let decode = self.output as f64 * throughput.output_token_time.as_secs_f64();
+        prefill + decode / f64::from(slots.max(1))
     }
 }
 
--- a/crates/policy/src/place/draft.rs
+++ b/crates/policy/src/place/draft.rs
@@ -137,9 +137,10 @@
 
     /// Recomputes the utilization of all targets.
     pub(super) fn rebalance(&mut self) {
-        let cost = self.demand.mean_request_s(self.now);
-        let lost =
-            |target: &Target| target.view.limit.map_or(0.0, |limit| lost_capacity(limit, cost));
+        let request_s = self.demand.mean_request_s(self.now);
+        let lost = |target: &Target| {
+            target.view.limit.map_or(0.0, |limit| lost_capacity(limit, request_s))
+        };
         let base = self.targets.iter().map(lost).collect();
         self.balance = LoadBalance::new(&self.work, &self.replicas, base);
     }
@@ -184,8 +185,8 @@
 
 /// Returns the fraction of a server that its rate limit takes away, where each request keeps the
 /// server fully utilized for `cost` seconds.
-fn lost_capacity(limit: f64, cost: f64) -> f64 {
-    if cost == 0.0 { 0.0 } else { (1.0 - limit * cost).max(0.0) }
+fn lost_capacity(limit: f64, request_s: f64) -> f64 {
+    if request_s == 0.0 { 0.0 } else { (1.0 - limit * request_s).max(0.0) }
 }
 
 /// Returns a model's work in fully utilized servers.
--- a/crates/policy/src/place/eviction.rs
+++ b/crates/policy/src/place/eviction.rs
@@ -88,8 +88,8 @@
     let Some(index) = draft.index(held) else { return Some(0.0) };
     let view = draft.targets[target].view;
     let others = draft.confirmed[index].iter().filter(|&&other| other != target).count();
-    let rest = draft.remaining_work[index];
-    let elsewhere = 0 < others && rest <= MAX_UTILIZATION_LEFT * others as f64;
+    let remaining = draft.remaining_work[index];
+    let elsewhere = 0 < others && remaining <= MAX_UTILIZATION_LEFT * others as f64;
     let settled = view
         .held_since
         .get(held)
@@ -102,8 +102,8 @@
 
 /// Returns after how many seconds the model's requests on the target are likely to have ended.
 fn until_idle(draft: &Draft, held: &model::Id, target: usize) -> f64 {
-    let runs = draft.targets[target].view.requests_in_flight.get(held).copied().unwrap_or(0);
-    LAST_RUN_END_S * f64::from(runs) / f64::from(runs + 1)
+    let requests = draft.targets[target].view.requests_in_flight.get(held).copied().unwrap_or(0);
+    LAST_RUN_END_S * f64::from(requests) / f64::from(requests + 1)
 }
 
 /// Returns what a model loses with its replica on the target, without the additional utilization of
--- a/crates/policy/src/place/persistence.rs
+++ b/crates/policy/src/place/persistence.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Persistence {
     models: BTreeMap<model::Id, SampledWork>,
-    sampled: Moment,
+    sampled_at: Moment,
     /// Estimated fraction of all work that leaves its model in a second.
     leaving_per_s: f64,
 }
@@ -49,7 +49,7 @@
     fn default() -> Persistence {
         Persistence {
             models: BTreeMap::new(),
-            sampled: Duration::ZERO,
+            sampled_at: Duration::ZERO,
             leaving_per_s: INITIAL_LEAVING_PER_S,
         }
     }
@@ -59,7 +59,7 @@
     /// Records work of a model.
     pub(super) fn add(&mut self, model: &model::Id, work: f64, now: Moment) {
         self.models.entry(model.clone()).or_default().rate.add(WORK_TIME_CONSTANT, work, now);
-        if self.sampled + SAMPLE_INTERVAL <= now {
+        if self.sampled_at + SAMPLE_INTERVAL <= now {
             self.sample(now);
         }
     }
@@ -70,8 +70,8 @@
     }
 
     fn sample(&mut self, now: Moment) {
-        let time = now.saturating_sub(self.sampled).as_secs_f64();
-        self.sampled = now;
+        let time = now.saturating_sub(self.sampled_at).as_secs_f64();
+        self.sampled_at = now;
         let (mut all, mut left) = (0.0, 0.0);
         for model_work in self.models.values_mut() {
             let work = model_work.rate.value(WORK_TIME_CONSTANT, now);
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -211,8 +211,8 @@
         let Some(sent) = view.record_outcome(&self.rules, order, outcome, load, now) else {
             return;
         };
-        let may_run = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
-        if let (Some(service), true) = (service, sent.charged && !may_run) {
+        let may_take_effect = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
+        if let (Some(service), true) = (service, sent.charged && !may_take_effect) {
             service.bucket.refund();
         }
     }
--- a/crates/policy/src/place/server_view.rs
+++ b/crates/policy/src/place/server_view.rs
@@ -86,7 +86,7 @@
         now < self.until
     }
 
-    fn is(&self, operation: Operation, model: &model::Id) -> bool {
+    fn is_model_order(&self, operation: Operation, model: &model::Id) -> bool {
         let order = &self.order;
         order.operation == operation && order.adapter.is_none() && order.model == *model
     }
@@ -231,14 +231,17 @@
     /// Whether the server can serve requests for a model.
     pub(super) fn is_ready(&self, model: &model::Id) -> bool {
         let leaves = matches!(&self.current, Some(CurrentOrder::Unload { model: m }) if m == model)
-            || self.in_flight_order.as_ref().is_some_and(|sent| sent.is(Operation::Unload, model));
+            || self
+                .in_flight_order
+                .as_ref()
+                .is_some_and(|sent| sent.is_model_order(Operation::Unload, model));
         self.presence == Presence::Present && self.held.contains_key(model) && !leaves
     }
 
     /// Whether the server can serve requests for a model and no unresolved order may end that.
     pub(super) fn is_confirmed_ready(&self, model: &model::Id, now: Moment) -> bool {
         let mut open = self.unresolved.iter().chain(&self.inherited);
-        let may_unload = open.any(|sent| sent.is(Operation::Unload, model));
+        let may_unload = open.any(|sent| sent.is_model_order(Operation::Unload, model));
         self.is_ready(model) && !may_unload && self.foreign_until <= now
     }
 
@@ -247,8 +250,10 @@
         if self.presence != Presence::Present {
             return false;
         }
-        let is_in_flight =
-            self.in_flight_order.as_ref().is_some_and(|sent| sent.is(Operation::Load, model));
+        let is_in_flight = self
+            .in_flight_order
+            .as_ref()
+            .is_some_and(|sent| sent.is_model_order(Operation::Load, model));
         self.is_loading(model)
             || is_in_flight
             || self.reservation.as_ref().is_some_and(|(reserved, _)| reserved == model)
--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -26,7 +26,7 @@
             self.is_certain = false;
             return;
         }
-        self.note_loaded_adapters(&server.models);
+        self.record_loaded_adapters(&server.models);
         let lists = |model: &model::Id| server.models.iter().any(|held| held.model == *model);
         let ended = match &self.current {
             Some(CurrentOrder::Load { model, .. }) => lists(model),
@@ -40,7 +40,7 @@
     }
 
     /// Marks the adapters that a registration lists as loaded.
-    fn note_loaded_adapters(&mut self, models: &[Held]) {
+    fn record_loaded_adapters(&mut self, models: &[Held]) {
         let lists = |(model, adapter): &AdapterKey| {
             models.iter().any(|held| held.model == *model && held.adapters.contains(adapter))
         };
@@ -116,8 +116,8 @@
         };
         // If several orders came in between, or another planner may have sent one, the order in
         // progress can't be identified.
-        let alone = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
-        let own = known.or_else(|| alone.then(sent).flatten());
+        let is_single = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
+        let own = known.or_else(|| is_single.then(sent).flatten());
         Some(own.unwrap_or(CurrentOrder::Foreign))
     }
 
@@ -130,7 +130,7 @@
         self.unresolved = open;
         let began = |sent: &&SentOrder| {
             let model = &sent.order.model;
-            let load = sent.is(Operation::Load, model) && sent.source == Source::Store;
+            let load = sent.is_model_order(Operation::Load, model) && sent.source == Source::Store;
             load && (self.held.contains_key(model) || self.is_loading(model))
         };
         let models: BTreeSet<_> = past.iter().filter(began).map(|sent| &sent.order.model).collect();
--- a/crates/policy/src/place/store.rs
+++ b/crates/policy/src/place/store.rs
@@ -37,14 +37,14 @@
     per_second: f64,
     burst: f64,
     tokens: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Bucket {
     /// Creates an empty bucket, since an earlier planner may have used the tokens.
     pub(super) fn new(rules: &Rules, loads_per_s: f64, now: Moment) -> Bucket {
         let per_second = loads_per_s * rules.store_share;
-        Bucket { per_second, burst: rules.burst(loads_per_s), tokens: 0.0, filled: now }
+        Bucket { per_second, burst: rules.burst(loads_per_s), tokens: 0.0, filled_at: now }
     }
 
     /// Sets the store's rate.
@@ -55,8 +55,8 @@
 
     /// Whether a load may start while `withheld` tokens are kept for others.
     fn may_start(&mut self, withheld: usize, urgency: Urgency, now: Moment) -> bool {
-        let elapsed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
+        self.filled_at = self.filled_at.max(now);
         self.tokens = (self.tokens + elapsed * self.per_second).min(self.burst);
         let reserved = match urgency {
             Urgency::Urgent => 0.0,
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -91,9 +91,9 @@
     let replicas = &draft.replicas[model];
     let lowest =
         replicas.iter().map(|&target| draft.utilization(target)).fold(f64::INFINITY, f64::min);
-    let is_missed = draft.demand.is_waited_for(&draft.engine.models[model].name, draft.now);
+    let is_waited_for = draft.demand.is_waited_for(&draft.engine.models[model].name, draft.now);
     if replicas.is_empty() {
-        is_missed
+        is_waited_for
     } else {
         0.0 < draft.work[model] && OVERRUN_UTILIZATION <= lowest
     }
@@ -183,16 +183,16 @@
 /// hundreds in a shortage.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLimiter {
-    open: BTreeMap<(model::Id, Option<adapter::Id>), Open>,
+    entries: BTreeMap<(model::Id, Option<adapter::Id>), ReportState>,
     second: u64,
     reported: usize,
 }
 
 /// Report state of an entry of the last plan.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct ReportState {
     since: Moment,
-    reported: Option<(Moment, Obstacle)>,
+    last_report: Option<(Moment, Obstacle)>,
 }
 
 impl ReportLimiter {
@@ -200,24 +200,25 @@
     /// lasted.
     pub fn due(&mut self, unplaced: &[Unplaced], now: Moment) -> Vec<(Unplaced, Duration)> {
         let key = |item: &Unplaced| (item.model.clone(), item.adapter.clone());
-        let mut open = std::mem::take(&mut self.open);
+        let mut earlier = std::mem::take(&mut self.entries);
         if now.as_secs() != self.second {
             (self.second, self.reported) = (now.as_secs(), 0);
         }
         let mut reported = Vec::new();
         for item in unplaced {
             let key = key(item);
-            let mut entry = open.remove(&key).unwrap_or(Open { since: now, reported: None });
+            let mut entry =
+                earlier.remove(&key).unwrap_or(ReportState { since: now, last_report: None });
             let lasted = now.saturating_sub(entry.since);
-            let is_new = entry.reported.is_none_or(|(at, obstacle)| {
+            let is_new = entry.last_report.is_none_or(|(at, obstacle)| {
                 obstacle != item.obstacle && at + MIN_DURATION <= now || at + REPEAT_INTERVAL <= now
             });
             if MIN_DURATION <= lasted && is_new && self.reported < MAX_PER_SECOND {
                 self.reported += 1;
-                entry.reported = Some((now, item.obstacle));
+                entry.last_report = Some((now, item.obstacle));
                 reported.push((item.clone(), lasted));
             }
-            self.open.insert(key, entry);
+            self.entries.insert(key, entry);
         }
         reported
     }
--- a/crates/policy/src/place/utilization.rs
+++ b/crates/policy/src/place/utilization.rs
@@ -56,25 +56,29 @@
         let mut utilization = self.utilization.clone();
         let mut reduction: f64 = self.utilization.iter().copied().map(late_work).sum();
         let mut affected = vec![false; utilization.len()];
-        let mut filled: Vec<Filled> = Vec::new();
+        let mut distributions: Vec<Distribution> = Vec::new();
         for (model, holders) in moves {
             let lifted = replicas[*model].iter().zip(&self.shares[*model]);
             lifted.for_each(|(&server, share)| utilization[server] -= share);
             reduction +=
                 if replicas[*model].is_empty() { work[*model] * LOST_WORK_WEIGHT } else { 0.0 };
             holders.iter().chain(&replicas[*model]).for_each(|&server| affected[server] = true);
-            filled.push(Filled { amount: work[*model], holders, share: vec![0.0; holders.len()] });
+            distributions.push(Distribution {
+                amount: work[*model],
+                holders,
+                share: vec![0.0; holders.len()],
+            });
         }
         for (model, holders) in replicas.iter().enumerate().filter(|(_, holders)| 1 < holders.len())
         {
             let moved = moves.iter().any(|(moved, _)| *moved == model);
             if !moved && holders.iter().any(|&server| affected[server]) && 0.0 < work[model] {
                 let share = self.shares[model].clone();
-                filled.push(Filled { amount: work[model], holders, share });
+                distributions.push(Distribution { amount: work[model], holders, share });
             }
         }
         for _ in 0..REBALANCE_SWEEPS {
-            for Filled { amount, holders, share } in &mut filled {
+            for Distribution { amount, holders, share } in &mut distributions {
                 water_fill(*amount, holders, share, &mut utilization);
             }
         }
@@ -83,7 +87,7 @@
 }
 
 /// A model's work and its distribution over the model's servers.
-struct Filled<'a> {
+struct Distribution<'a> {
     amount: f64,
     holders: &'a [usize],
     share: Vec<f64>,
--- a/crates/policy/src/plan/adapters.rs
+++ b/crates/policy/src/plan/adapters.rs
@@ -11,7 +11,7 @@
 /// An adapter that a replica lacks. Sorts adapters that no engine answers for first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingAdapter<'a> {
-    answers: bool,
+    is_served: bool,
     model: &'a model::Id,
     adapter: &'a adapter::Id,
     server: backend::Id,
@@ -23,7 +23,7 @@
         let models = self.models;
         let pending_models = self.pending_models().into_iter();
         let mut missing: Vec<MissingAdapter<'_>> =
-            pending_models.flat_map(|(id, declared)| self.missing(id, declared)).collect();
+            pending_models.flat_map(|(id, declared)| self.missing_adapters(id, declared)).collect();
         missing.sort();
         self.unsatisfied
             .extend(missing.iter().map(|missing_adapter| missing_adapter.model.clone()));
@@ -39,17 +39,21 @@
         }
     }
 
-    fn missing<'a>(&self, id: &'a model::Id, declared: &'a Declared) -> Vec<MissingAdapter<'a>> {
+    fn missing_adapters<'a>(
+        &self,
+        id: &'a model::Id,
+        declared: &'a Declared,
+    ) -> Vec<MissingAdapter<'a>> {
         let mut missing = Vec::new();
         for (adapter, wanted) in &declared.model.adapters {
             let mut holders = self.working.holders(id).filter(|(engine, _)| engine.is_live());
-            let answers = holders.any(|(_, bundle)| bundle.answers_for(adapter));
+            let is_served = holders.any(|(_, bundle)| bundle.can_serve(adapter));
             let holders = self.working.holders(id).filter(|(engine, _)| engine.is_live());
             let lacking = holders.filter(|(_, bundle)| {
                 bundle.is_ready() && !bundle.adapter(adapter).any(|(v, _)| *v == wanted.version)
             });
             missing.extend(lacking.map(|(engine, _)| MissingAdapter {
-                answers,
+                is_served,
                 model: id,
                 adapter,
                 server: engine.reported.server.clone(),
@@ -121,7 +125,7 @@
             self.working.holders(missing_adapter.model).find(|(engine, bundle)| {
                 engine.reported.server != missing_adapter.server
                     && engine.is_live()
-                    && bundle.answers_for(missing_adapter.adapter)
+                    && bundle.can_serve(missing_adapter.adapter)
             })?;
         let unit = Unit::Adapter {
             model: missing_adapter.model.clone(),
--- a/crates/policy/src/plan/bucket.rs
+++ b/crates/policy/src/plan/bucket.rs
@@ -9,18 +9,18 @@
 pub(super) struct Bucket {
     limits: Limits,
     tokens: f64,
-    filled: Moment,
+    filled_at: Moment,
 }
 
 impl Bucket {
     pub(super) fn new(limits: Limits) -> Bucket {
-        Bucket { limits, tokens: capacity(limits), filled: Moment::ZERO }
+        Bucket { limits, tokens: capacity(limits), filled_at: Moment::ZERO }
     }
 
     /// Returns how many loads may start now, while `loading` others are in progress.
     pub(super) fn available(&mut self, now: Moment, loading: usize) -> usize {
-        let elapsed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
+        self.filled_at = self.filled_at.max(now);
         if self.limits.loads_per_second.is_finite() {
             let gained = elapsed * self.limits.loads_per_second;
             self.tokens = (self.tokens + gained).min(capacity(self.limits));
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -81,6 +81,11 @@
                 + self.evictable(engine, EvictionLimit::KeepOne).map(|s| s.memory).sum::<u64>(),
         });
         let roomiest = rooms.max_by(|a, b| a.free.cmp(&b.free).then(b.server.cmp(&a.server)));
-        Shortage { model: id.clone(), group: group.clone(), needs: declared.bundle, roomiest }
+        Shortage {
+            model: id.clone(),
+            group: group.clone(),
+            needs: declared.replica_memory,
+            roomiest,
+        }
     }
 }
--- a/crates/policy/src/plan/gain.rs
+++ b/crates/policy/src/plan/gain.rs
@@ -32,7 +32,7 @@
 
 /// A replica that could be made.
 struct Candidate {
-    net: f64,
+    net_gain: f64,
     model: model::Id,
     server: backend::Id,
     victims: Vec<Evictable>,
@@ -60,9 +60,9 @@
         models
             .into_iter()
             .filter_map(|id| self.candidate(id))
-            .filter(|candidate| 0.0 < candidate.net)
+            .filter(|candidate| 0.0 < candidate.net_gain)
             .filter(|c| !tried.contains(&(c.model.clone(), c.server.clone())))
-            .max_by(|a, b| a.net.total_cmp(&b.net).then_with(|| b.model.cmp(&a.model)))
+            .max_by(|a, b| a.net_gain.total_cmp(&b.net_gain).then_with(|| b.model.cmp(&a.model)))
     }
 
     fn candidate(&self, id: &model::Id) -> Option<Candidate> {
@@ -84,13 +84,16 @@
         least_utilized
             .into_iter()
             .filter_map(|engine| {
-                let victims =
-                    self.choose_victims(engine, declared.bundle, EvictionLimit::SurplusOnly)?;
+                let victims = self.choose_victims(
+                    engine,
+                    declared.replica_memory,
+                    EvictionLimit::SurplusOnly,
+                )?;
                 let too_young = |victim: &Evictable| self.is_too_young(engine, &victim.model);
                 (!victims.iter().any(too_young))
                     .then(|| self.evaluate(id, engine.reported.server.clone(), victims, false))
             })
-            .max_by(|a, b| a.net.total_cmp(&b.net).then_with(|| b.server.cmp(&a.server)))
+            .max_by(|a, b| a.net_gain.total_cmp(&b.net_gain).then_with(|| b.server.cmp(&a.server)))
     }
 
     /// Whether a replica is too young to be evicted for demand.
@@ -109,9 +112,9 @@
         let gain = self.gain(id, &server);
         let loss: f64 = victims.iter().map(|victim| self.loss(&victim.model, &server)).sum();
         let moves = 1.0 + victims.len() as f64;
-        let net = self.weights.attainment * (gain - loss - MIN_GAIN)
+        let net_gain = self.weights.attainment * (gain - loss - MIN_GAIN)
             - self.weights.moves * MOVE_COST * moves;
-        Candidate { net, model: id.clone(), server, victims, waits_for_unloads }
+        Candidate { net_gain, model: id.clone(), server, victims, waits_for_unloads }
     }
 
     /// Returns the work that would no longer miss its target with a replica on the engine.
@@ -153,7 +156,7 @@
         let Candidate { model, server, victims, waits_for_unloads, .. } = candidate;
         let Some(declared) = self.models.get(&model) else { return };
         if waits_for_unloads {
-            self.reserve(&server, declared.bundle);
+            self.reserve(&server, declared.replica_memory);
         } else if victims.is_empty() {
             self.load_base(&server, &model, declared, Cause::Demand);
         } else {
@@ -161,7 +164,7 @@
                 self.evict(&server, victim, Cause::Demand);
                 self.rebalance(&victim.model, |shares| shares.retain(|(held, _)| *held != server));
             }
-            self.reserve(&server, declared.bundle);
+            self.reserve(&server, declared.replica_memory);
             self.budget = self.budget.saturating_sub(1);
         }
         self.rebalance(&model, |shares| shares.push((server, 0.0)));
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -14,7 +14,7 @@
 pub(super) struct Declared {
     pub(super) model: Model,
     /// Memory of a replica with all adapters, in MiB.
-    pub(super) bundle: Mebibytes,
+    pub(super) replica_memory: Mebibytes,
     /// Work to provide for, in engines' worth.
     pub(super) load: f64,
 }
@@ -22,7 +22,7 @@
 impl Declared {
     fn new(model: Model, demand: Demand) -> Declared {
         let adapters: Mebibytes = model.adapters.values().map(|adapter| adapter.memory).sum();
-        Declared { bundle: model.footprint() + adapters, load: demand.provided(), model }
+        Declared { replica_memory: model.footprint() + adapters, load: demand.provided(), model }
     }
 
     /// Returns the number of replicas that come before any replica for demand.
--- a/crates/policy/src/plan/residency.rs
+++ b/crates/policy/src/plan/residency.rs
@@ -56,8 +56,8 @@
             .filter(|(id, declared)| !self.is_resident(id, declared))
             .map(|(id, declared)| {
                 let cause = self.cause_of_absence(id, declared);
-                let answers = matches!(cause, Cause::Version | Cause::Adapter);
-                (answers, Reverse(declared.bundle), id, cause)
+                let is_served = matches!(cause, Cause::Version | Cause::Adapter);
+                (is_served, Reverse(declared.replica_memory), id, cause)
             })
             .collect();
         missing.sort();
@@ -79,7 +79,7 @@
                 let replicas = self.replicas(id, declared);
                 let wanted =
                     replicas < declared.min_replicas() || self.zones(id, declared).len() < 2;
-                (0 < replicas && wanted).then_some((replicas, Reverse(declared.bundle), id))
+                (0 < replicas && wanted).then_some((replicas, Reverse(declared.replica_memory), id))
             })
             .collect();
         under_replicated.sort();
@@ -227,7 +227,7 @@
             return true;
         }
         if let Some(server) = self.engine_with_room_later(&constraints) {
-            self.reserve(&server, declared.bundle);
+            self.reserve(&server, declared.replica_memory);
             return true;
         }
         self.make_room(&constraints, limit)
--- a/crates/policy/src/plan/room.rs
+++ b/crates/policy/src/plan/room.rs
@@ -81,7 +81,7 @@
         let engines = self.working.engines.values();
         engines
             .filter(|engine| {
-                constraints.declared.bundle <= room(engine) && constraints.allows(engine)
+                constraints.declared.replica_memory <= room(engine) && constraints.allows(engine)
             })
             .min_by(|a, b| a.utilization.total_cmp(&b.utilization).then(room(b).cmp(&room(a))))
             .map(|engine| engine.reported.server.clone())
@@ -94,10 +94,10 @@
         constraints: &Constraints<'_>,
         limit: EvictionLimit,
     ) -> bool {
-        let need = constraints.declared.bundle;
+        let need = constraints.declared.replica_memory;
         let engines = self.working.engines.values().filter(|engine| constraints.allows(engine));
         let best = engines
-            .filter(|engine| need <= engine.reported.free + taken(engine))
+            .filter(|engine| need <= engine.reported.free + used_memory(engine))
             .filter_map(|engine| {
                 let evictable = self.choose_victims(engine, need, limit)?;
                 let tier = evictable.iter().map(|candidate| candidate.tier).max()?;
@@ -229,8 +229,8 @@
             .collect();
         let adapters = declared.model.adapters.keys();
         let kept = adapters
-            .filter(|adapter| held.answers_for(adapter))
-            .all(|adapter| others.iter().any(|(_, bundle)| bundle.answers_for(adapter)));
+            .filter(|adapter| held.can_serve(adapter))
+            .all(|adapter| others.iter().any(|(_, bundle)| bundle.can_serve(adapter)));
         if !kept {
             return None;
         }
@@ -239,6 +239,6 @@
 }
 
 /// Returns the memory in use on an engine.
-fn taken(engine: &EngineState) -> Mebibytes {
+fn used_memory(engine: &EngineState) -> Mebibytes {
     engine.reported.residents.iter().map(|resident| resident.memory).sum()
 }
--- a/crates/policy/src/plan/working_state.rs
+++ b/crates/policy/src/plan/working_state.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether any version of the adapter is ready, and any version of its base model.
-    pub(super) fn answers_for(&self, adapter: &adapter::Id) -> bool {
+    pub(super) fn can_serve(&self, adapter: &adapter::Id) -> bool {
         self.is_ready() && self.adapter(adapter).any(|(_, state)| state == Progress::Ready)
     }
 
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -36,7 +36,7 @@
 
 /// Delay that keeps the arrival of an order and an order under a later fencing token from falling
 /// into the same moment.
-const RUN_GAP: Duration = Duration::from_nanos(1);
+const INCARNATION_GAP: Duration = Duration::from_nanos(1);
 
 pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, StoredLease};
 pub use settings::{Contender, Settings, contender};
@@ -47,7 +47,7 @@
     host: host::Id,
     incarnation: host::Incarnation,
     settings: Settings,
-    known: Known,
+    known: KnownLease,
     /// Current or last tenure of this host.
     tenure: Option<Tenure>,
     /// Own writes that may have been applied, or may still be.
@@ -62,11 +62,11 @@
     idle_until: Moment,
     /// Latest time at which an order may have been sent.
     last_order: Option<Moment>,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Known {
+enum KnownLease {
     Nothing,
     /// The lease does not exist; it may be created from this time on.
     Absent(Moment),
@@ -98,7 +98,7 @@
             host,
             incarnation,
             settings,
-            known: Known::Nothing,
+            known: KnownLease::Nothing,
             tenure: None,
             open_writes: Vec::new(),
             pending_write: None,
@@ -107,7 +107,7 @@
             last_read: None,
             idle_until: Moment::ZERO,
             last_order: None,
-            stopping: false,
+            is_stopping: false,
         }
     }
 
@@ -126,39 +126,39 @@
     pub fn fence(&self, now: Moment) -> Option<Fence> {
         let tenure =
             self.tenure.filter(|tenure| now + self.settings.order_timeout <= tenure.until)?;
-        (!self.stopping).then_some(tenure.fence)
+        (!self.is_stopping).then_some(tenure.fence)
     }
 
     /// Holder of the lease, as far as this host knows; `None` once it is released.
     pub fn holder(&self) -> Option<&host::Id> {
         match &self.known {
-            Known::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
+            KnownLease::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
                 Some(holder)
             }
-            Known::Present { .. } | Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { .. } | KnownLease::Absent(_) | KnownLease::Nothing => None,
         }
     }
 
     /// Returns whether a stopping host has nothing more to write.
     pub fn is_released(&self) -> bool {
-        let named = matches!(&self.known, Known::Present { lease, .. }
+        let named = matches!(&self.known, KnownLease::Present { lease, .. }
             if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)));
-        self.stopping && !named && self.open_writes.is_empty()
+        self.is_stopping && !named && self.open_writes.is_empty()
     }
 
     /// Stops sending orders; the next steps release the lease.
     pub fn stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     /// Takes in the lease as read or as reported by a watch; it may be stale.
     pub fn observe(&mut self, now: Moment, read: Option<StoredLease>) {
-        self.note_answer(now);
+        self.record_answer(now);
         match (read, &self.known) {
             (Some((revision, lease)), _) => self.apply(now, revision, lease),
             // Nobody deletes the lease, so nobody has ever held it.
-            (None, Known::Nothing) => self.known = Known::Absent(now),
-            (None, Known::Absent(_) | Known::Present { .. }) => (),
+            (None, KnownLease::Nothing) => self.known = KnownLease::Absent(now),
+            (None, KnownLease::Absent(_) | KnownLease::Present { .. }) => (),
         }
     }
 
@@ -171,8 +171,8 @@
     /// The lease as this host knows it, for other hosts.
     pub fn stored(&self) -> Option<StoredLease> {
         match &self.known {
-            Known::Present { revision, lease, .. } => Some((*revision, lease.clone())),
-            Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { revision, lease, .. } => Some((*revision, lease.clone())),
+            KnownLease::Absent(_) | KnownLease::Nothing => None,
         }
     }
 
@@ -181,11 +181,11 @@
         let Some(lease) = self.pending_write.take() else { return };
         match outcome {
             Outcome::Done(revision) => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.apply(now, revision, lease);
             }
             Outcome::Conflict(Some((revision, lease))) => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.apply(now, revision, lease);
             }
             // The known revision is stale; the lease is read before anything else is done.
@@ -196,8 +196,8 @@
             }
             Outcome::Absent => {
                 let free = now + self.settings.term + self.settings.turn;
-                self.note_answer(now);
-                self.known = Known::Absent(free);
+                self.record_answer(now);
+                self.known = KnownLease::Absent(free);
             }
             Outcome::Refused => {
                 self.open_writes.retain(|sent| sent.nonce != lease.nonce);
@@ -218,7 +218,7 @@
         if self.pending_write.is_some() || now < self.idle_until {
             return Step::Idle;
         }
-        if self.stopping {
+        if self.is_stopping {
             return self.release(now);
         }
         match self.tenure {
@@ -227,7 +227,7 @@
         }
     }
 
-    fn note_answer(&mut self, now: Moment) {
+    fn record_answer(&mut self, now: Moment) {
         self.last_answer = Some(now);
         self.last_read = None;
         self.idle_until = Moment::ZERO;
@@ -238,12 +238,12 @@
             return self.read(now, self.settings.max_read_age);
         }
         match self.known {
-            Known::Present { revision, .. }
+            KnownLease::Present { revision, .. }
                 if tenure.sent + self.settings.renewal_interval <= now =>
             {
                 self.write(now, Some(revision), Claim::Held(self.settings.term))
             }
-            Known::Present { .. } | Known::Absent(_) | Known::Nothing => Step::Idle,
+            KnownLease::Present { .. } | KnownLease::Absent(_) | KnownLease::Nothing => Step::Idle,
         }
     }
 
@@ -252,7 +252,7 @@
         if now < free {
             let poll = self.settings.poll_interval;
             let is_recent =
-                matches!(self.known, Known::Present { since, .. } if now < since + poll);
+                matches!(self.known, KnownLease::Present { since, .. } if now < since + poll);
             return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
         // A host that the store turns away must not leave writes behind that are applied later.
@@ -260,15 +260,15 @@
             return self.read(now, self.settings.max_read_age);
         }
         let revision = match self.known {
-            Known::Present { revision, .. } => Some(revision),
-            Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { revision, .. } => Some(revision),
+            KnownLease::Absent(_) | KnownLease::Nothing => None,
         };
         self.write(now, revision, Claim::Held(self.settings.term))
     }
 
     fn release(&mut self, now: Moment) -> Step {
         match &self.known {
-            Known::Present { revision, lease, .. }
+            KnownLease::Present { revision, lease, .. }
                 if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)) =>
             {
                 let (revision, rest) = (*revision, self.quiet_time(now));
@@ -292,15 +292,15 @@
         let Settings { turn, order_timeout, .. } = self.settings;
         let delay = self.settings.standby_delay();
         match &self.known {
-            Known::Nothing => None,
-            Known::Absent(free) => Some(*free + delay),
-            Known::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
+            KnownLease::Nothing => None,
+            KnownLease::Absent(free) => Some(*free + delay),
+            KnownLease::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
             // An earlier incarnation of this host is gone, and its orders are this host's: only the
             // fencing tokens must not fall.
-            Known::Present { lease, since, .. } if lease.holder == self.host => {
-                Some(*since + order_timeout + RUN_GAP)
+            KnownLease::Present { lease, since, .. } if lease.holder == self.host => {
+                Some(*since + order_timeout + INCARNATION_GAP)
             }
-            Known::Present { lease, since, .. } => Some(match lease.claim {
+            KnownLease::Present { lease, since, .. } => Some(match lease.claim {
                 Claim::Held(term) => *since + term + turn + delay,
                 Claim::Released(rest) => *since + rest + delay,
             }),
@@ -338,7 +338,7 @@
 
     /// Takes in a revision; one that is not newer than the known one is ignored.
     fn apply(&mut self, now: Moment, revision: Revision, lease: Lease) {
-        if matches!(self.known, Known::Present { revision: known, .. } if revision <= known) {
+        if matches!(self.known, KnownLease::Present { revision: known, .. } if revision <= known) {
             return;
         }
         // Every open write names an older revision, so only the one that made this revision was or
@@ -350,7 +350,7 @@
         } else if let (Claim::Held(term), Some(sent)) = (lease.claim, sent) {
             self.extend_tenure(revision, sent.at, sent.at + term);
         }
-        self.known = Known::Present { revision, lease, since: now };
+        self.known = KnownLease::Present { revision, lease, since: now };
     }
 
     fn extend_tenure(&mut self, revision: Revision, sent: Moment, until: Moment) {
