--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -7,10 +7,10 @@
 //! next root and the parts to create before it, and [`holder::Holder`] turns the roots and parts
 //! that a host receives into the number in force there.
 //!
-//! A patch is a JSON merge patch (RFC 7396). The alternative was operations on paths (RFC 6902),
-//! which name positions in arrays and can test values. But everything declared here is an object
-//! keyed by name without nulls, the number already tests the base, and a merge patch has the form
-//! of the declaration files, so that operators read a patch as they read the configuration.
+//! A patch is a JSON merge patch (RFC 7396). Operations on paths (RFC 6902) could also name
+//! positions in arrays and test values, but everything declared here is an object keyed by name
+//! without nulls, and the number already tests the base. A merge patch has the form of the
+//! declaration files, so that operators read a patch as they read the configuration.
 
 pub mod check;
 pub mod decide;
@@ -51,7 +51,7 @@
     pub changes: serde_json::Value,
 }
 
-/// JSON pointer (RFC 6901) of nested names, the outermost first.
+/// Returns the JSON pointer (RFC 6901) of nested names, the outermost first.
 pub fn pointer(names: &[&str]) -> String {
     names.iter().map(|name| format!("/{}", name.replace('~', "~0").replace('/', "~1"))).collect()
 }
--- a/crates/policy/src/config/check.rs
+++ b/crates/policy/src/config/check.rs
@@ -15,7 +15,7 @@
 
 use super::pointer;
 
-/// Methods that HTTP defines for requests, with side effects or without.
+/// HTTP request methods except CONNECT.
 const METHODS: [&str; 8] = ["GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "TRACE"];
 
 const MAX_NAME_BYTES: usize = 200;
@@ -105,7 +105,7 @@
         problems.positive(path + "/memory", adapter.memory);
     }
     if model.memory.checked_add(model.kv).is_none() {
-        problems.push(format!("{path}/kv"), "more than any memory together with the weights");
+        problems.push(format!("{path}/kv"), "the sum of `memory` and `kv` is too large");
     }
 }
 
@@ -162,7 +162,10 @@
             && let Some(model) = engines.get(group)
         {
             let path = pointer(&["services", id, "offer", "plain"]);
-            problems.push(path, format!("`{group}` holds model `{model}`, so it has engines"));
+            problems.push(
+                path,
+                format!("group `{group}` has engines, because model `{model}` is declared for it"),
+            );
         }
     }
 }
--- a/crates/policy/src/config/decide.rs
+++ b/crates/policy/src/config/decide.rs
@@ -14,12 +14,12 @@
     root::{Content, MAX_INLINE_BYTES, digest},
 };
 
-/// Configuration as last read: the root, and what the root and its parts make.
+/// Configuration as last read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Current {
     /// Root object.
     pub root: Root,
-    /// Declared configuration.
+    /// Declared configuration, read from the root and its parts.
     pub config: Arc<Config>,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Draft {
-    /// Draft of a configuration under a number, without a history of patches. Parts equal to
-    /// `earlier` ones are reused.
+    /// Creates the draft of a configuration under a number, without a history of patches. Parts
+    /// equal to `earlier` ones are reused.
     ///
     /// # Errors
     ///
--- a/crates/policy/src/config/fit.rs
+++ b/crates/policy/src/config/fit.rs
@@ -92,13 +92,14 @@
     shortages
 }
 
-/// Memory of one replica with its adapters, in MiB.
+/// Returns the memory of one replica with its adapters, in MiB.
 pub fn replica(model: &Model) -> Mebibytes {
     let adapters = model.adapters.values().map(|adapter| adapter.memory);
     adapters.fold(model.memory.saturating_add(model.kv), Mebibytes::saturating_add)
 }
 
-/// Memory of the adapters of a retained model whose version changes, in MiB.
+/// Returns the memory of the adapters of a model that are declared in another version than before,
+/// in MiB.
 fn reloaded_adapters(old: &Model, new: &Model) -> Mebibytes {
     let adapters = new.adapters.iter().filter(|(id, adapter)| {
         old.adapters.get(*id).is_some_and(|old| old.version != adapter.version)
@@ -132,8 +133,8 @@
         })
     }
 
-    /// Position in the sequence: models that free memory first, then by size of a replica, the
-    /// largest first.
+    /// Returns the position in the sequence: models that need no more memory in total first, then
+    /// by size of a replica, the largest first.
     fn rank(&self) -> (bool, Reverse<Mebibytes>, model::Id) {
         let total = |model: &Model| u128::from(replica(model)) * u128::from(model.replicas);
         let grows = self.old.map_or(0, total) < total(self.new);
@@ -151,6 +152,7 @@
     bins: BTreeMap<backend::Group, Vec<Bin>>,
 }
 
+/// Free memory of one server, and the memory of each model's replica on it.
 struct Bin {
     free: Mebibytes,
     replicas: BTreeMap<model::Id, Mebibytes>,
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -30,7 +30,7 @@
     numbered: Arc<Numbered>,
 }
 
-/// Result of a root or a part.
+/// Effect of a received root or part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
     /// Nothing changed.
@@ -42,32 +42,32 @@
 }
 
 impl Holder {
-    /// Configuration in force; `None` before the first.
+    /// Returns the configuration in force; `None` before the first.
     pub fn in_force(&self) -> Option<&Arc<Numbered>> {
         self.in_force.as_ref().map(|in_force| &in_force.numbered)
     }
 
-    /// Root in force; `None` before the first.
+    /// Returns the root in force; `None` before the first.
     pub fn root(&self) -> Option<&Arc<Root>> {
         self.in_force.as_ref().map(|in_force| &in_force.root)
     }
 
-    /// Number in force; zero before the first.
+    /// Returns the number in force; zero before the first.
     pub fn number(&self) -> Number {
         self.in_force.as_ref().map_or(0, |in_force| in_force.numbered.number)
     }
 
-    /// Highest number received, in force or not.
+    /// Returns the highest number received, in force or not.
     pub fn newest_number(&self) -> Number {
         self.pending.as_ref().map_or(self.number(), |root| root.number)
     }
 
-    /// Content of a part, for a peer that asks for it.
+    /// Returns the content of a part, for a peer that asks for it.
     pub fn part(&self, name: &part::Name) -> Option<&Bytes> {
         self.parts.get(name)
     }
 
-    /// Takes in a root that was read or received from a peer.
+    /// Applies a root that was read or received from a peer.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
         self.advance()
     }
 
-    /// Takes in a part that was fetched.
+    /// Adds a part that was fetched.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         self.advance()
     }
 
-    /// Parts that the newest root names and that are missing.
+    /// Returns the parts that the newest root names and that are missing.
     pub fn needs(&self) -> Vec<part::Name> {
         let named = self.pending.iter().flat_map(|root| root.parts());
         named.filter(|name| !self.parts.contains_key(*name)).cloned().collect()
--- a/crates/policy/src/config/merge.rs
+++ b/crates/policy/src/config/merge.rs
@@ -10,7 +10,8 @@
 /// JSON pointer (RFC 6901) of a value that a patch sets or removes.
 pub type Path = String;
 
-/// Merge patch that turns one configuration into another; an empty object when the two are equal.
+/// Returns the merge patch that turns one configuration into another; an empty object when the two
+/// are equal.
 ///
 /// # Errors
 ///
@@ -41,7 +42,7 @@
     })
 }
 
-/// Paths that a merge patch sets or removes.
+/// Returns the paths that a merge patch sets or removes.
 pub fn paths(changes: &Value) -> BTreeSet<Path> {
     let mut paths = BTreeSet::new();
     collect(changes, String::new(), &mut paths);
--- a/crates/policy/src/config/outcome.rs
+++ b/crates/policy/src/config/outcome.rs
@@ -47,8 +47,8 @@
 }
 
 impl Outcome {
-    /// Number at which the patch is in the configuration; `None` if the patch was refused or its
-    /// outcome is unknown.
+    /// Returns a number at which the patch is in the configuration; `None` if the patch was refused
+    /// or its outcome is unknown.
     pub fn number(&self) -> Option<Number> {
         match self {
             Outcome::Accepted { number }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Stable word for logs and events.
+    /// Returns the outcome's name in logs and events.
     pub fn label(&self) -> &'static str {
         match self {
             Outcome::Accepted { .. } => "accepted",
--- a/crates/policy/src/config/part.rs
+++ b/crates/policy/src/config/part.rs
@@ -1,10 +1,10 @@
 //! Split of a configuration into parts, each far below the value limit of the object API.
 //!
-//! Entries of a section are ordered by name, and a part ends after an entry whose name has a marked
-//! hash. The boundaries therefore depend on the names alone: a change of one entry rewrites one
-//! part, and adding or removing an entry moves no other boundary. A part is named by the number for
-//! which it was first written and by the hash of its content; the number in the name makes garbage
-//! collection safe (see [`garbage`]).
+//! Entries of a section are ordered by name, and a part ends after an entry whose name has a hash
+//! with a first byte divisible by [`ENTRIES_PER_PART`]. The boundaries therefore depend on the
+//! names alone: a change of one entry rewrites one part, and adding or removing an entry moves no
+//! other boundary. A part is named by the number for which it was first written and by the hash of
+//! its content; the number in the name makes garbage collection safe (see [`garbage`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
         Name(format!("{number:0NUMBER_DIGITS$}-{}", hash(bytes)))
     }
 
-    /// Key of the part in the object API.
+    /// Returns the key of the part in the object API.
     pub fn key(&self) -> String {
         format!("{PART_PREFIX}{}", self.0)
     }
@@ -44,7 +44,7 @@
         name.number().map(|_| name)
     }
 
-    /// Number for which the part was first written.
+    /// Returns the number for which the part was first written.
     pub fn number(&self) -> Option<Number> {
         self.0.split_once('-')?.0.parse().ok()
     }
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The content doesn't have the hash in the name.
-    #[error("the content of {0} isn't what its name says")]
+    #[error("the content of {0} doesn't match the hash in its name")]
     Content(String),
     /// The content can't be parsed.
     #[error("{name} isn't a part of a configuration: {cause}")]
--- a/crates/policy/src/config/root.rs
+++ b/crates/policy/src/config/root.rs
@@ -57,7 +57,7 @@
     Inline(Arc<Config>),
     /// Configuration in parts.
     Parts {
-        /// Weights of the two measures, which are in no part.
+        /// Weights of attainment and moves, which are in no part.
         weights: Weights,
         /// Names of the parts, in order.
         names: Vec<part::Name>,
@@ -123,13 +123,13 @@
 }
 
 impl Root {
-    /// Root without its patches, sufficient for a host that doesn't decide on patches. At the size
-    /// of 950 models it has a sixth of the full root's size.
+    /// Returns the root without its patches, for hosts that don't decide on patches. For 950 models
+    /// it has a sixth of the full root's size.
     pub fn without_patches(&self) -> Root {
         Root { number: self.number, content: self.content.clone(), patches: VecDeque::new() }
     }
 
-    /// Names of the parts, in order; empty if the root contains the configuration.
+    /// Returns the names of the parts, in order; empty if the root contains the configuration.
     pub fn parts(&self) -> &[part::Name] {
         match &self.content {
             Content::Inline(_) => &[],
@@ -137,13 +137,13 @@
         }
     }
 
-    /// Record of the accepted patch with this name.
+    /// Returns the record of the accepted patch with this name.
     pub fn accepted(&self, id: &str) -> Option<&Accepted> {
         self.patches.iter().rev().find(|patch| &*patch.id == id)
     }
 
-    /// Paths of a patch that other patches have changed since the number on which it is based.
-    /// Every path of the patch, if that number is older than the recorded patches.
+    /// Returns the paths of a patch that other patches have changed since the number on which it is
+    /// based; every path of the patch, if that number is older than the recorded patches.
     pub fn clashes(&self, patch: &Patch) -> Vec<Path> {
         let paths = merge::paths(&patch.changes);
         let oldest = self.patches.front().map_or(self.number, |accepted| accepted.number - 1);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Digest of a patch's base and change, for recognizing a retry.
+/// Returns the digest of a patch's base and change, by which a retry is recognized.
 pub(super) fn digest(patch: &Patch) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&patch.against.to_be_bytes());
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// View of one host on a lease.
+/// One host's view of a lease.
 #[derive(Clone, Debug)]
 pub struct Observer {
     host: host::Id,
@@ -58,17 +58,17 @@
 }
 
 impl Observer {
-    /// View of an incarnation of a host; a lease expires `term` after its last change.
+    /// Creates the view of an incarnation of a host. A lease expires `term` after its last change.
     pub fn new(host: host::Id, incarnation: host::Incarnation, term: Duration) -> Observer {
         Observer { host, incarnation, term, last: None }
     }
 
-    /// Key of a duty's lease in the object API.
+    /// Returns the key of a duty's lease in the object API.
     pub fn key(duty: &str) -> String {
         format!("lease/{duty}")
     }
 
-    /// Takes in the lease as read at `now` and returns what to do; `None` means that the lease does
+    /// Applies the lease as read at `now` and returns what to do; `None` means that the lease does
     /// not exist.
     pub fn observe(&mut self, now: Moment, lease: Option<&Lease>) -> Step {
         let Some(lease) = lease else {
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -49,7 +49,7 @@
 }
 
 impl ReportPosition {
-    /// Position of a load report.
+    /// Returns the position of a load report.
     pub fn of(load: &report::Load) -> ReportPosition {
         ReportPosition { incarnation: load.incarnation, sequence: load.sequence }
     }
@@ -106,7 +106,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// Too little memory is free.
-    #[error("{server}: {needed} MiB are needed and {free} are free, {in_doubt} are held in doubt")]
+    #[error(
+        "{server}: {needed} MiB needed, {free} MiB free, {in_doubt} MiB held by unsettled orders"
+    )]
     Memory {
         /// Server of the ledger.
         server: backend::Id,
@@ -118,7 +120,7 @@
         in_doubt: Mebibytes,
     },
     /// Too many orders are unsettled.
-    #[error("{server}: {open} orders are not settled, and no more may be open")]
+    #[error("{server}: {open} orders are unsettled, which is the maximum")]
     Orders {
         /// Server of the ledger.
         server: backend::Id,
@@ -141,7 +143,7 @@
 }
 
 impl Ledger {
-    /// First ledger of a server, from its first report.
+    /// Creates the first ledger of a server from its first report.
     pub fn new(load: &report::Load) -> Ledger {
         Ledger {
             server: load.server.clone(),
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Key of a server's ledger in the object API.
+    /// Returns the key of a server's ledger in the object API.
     pub fn key(server: &str) -> String {
         format!("ledger/{server}")
     }
@@ -167,7 +169,7 @@
     ///
     /// # Errors
     ///
-    /// The missing resource; the ledger is unchanged.
+    /// The resource that is short; the ledger is unchanged.
     pub fn reserve(
         &self,
         claim: Claim,
@@ -198,7 +200,7 @@
         Ok((next, order))
     }
 
-    /// Memory committed by residents and unsettled orders.
+    /// Returns the memory committed by residents and unsettled orders.
     pub fn usage(&self) -> Usage {
         let running = self.worst_case_running();
         let promised = running.max(self.worst_case_restarted());
@@ -216,18 +218,19 @@
         self.fenced && entry.order.fence <= self.seen
     }
 
-    /// Returns whether both sums fit in the capacity.
+    /// Returns whether the worst cases, as it runs and after a restart, fit in the capacity.
     fn fits(&self) -> bool {
         self.worst_case_running() <= self.capacity && self.worst_case_restarted() <= self.capacity
     }
 
-    /// Memory that the engine may come to use as it runs.
+    /// Returns the memory that the engine may come to use as it runs.
     fn worst_case_running(&self) -> Mebibytes {
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         total(&with_loads(self.resident_memory(), open))
     }
 
-    /// Memory that the engine may come to use after a restart that no host has observed.
+    /// Returns the memory that the engine may come to use after a restart that no host has
+    /// observed.
     fn worst_case_restarted(&self) -> Mebibytes {
         total(&with_loads(BTreeMap::new(), self.orders.iter()))
     }
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes in an incarnation of a host.
+    /// Records an incarnation of a host.
     pub fn observe_run(&mut self, now: Moment, host: &host::Id, incarnation: host::Incarnation) {
         let latest = self.latest.entry(host.clone()).or_insert((incarnation, now));
         if latest.0 < incarnation {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in a list, with the time of the request for it and the hosts to track.
+    /// Applies a list of the platform, with the time of the request for it and the hosts to track.
     pub fn observe_list<'a>(
         &mut self,
         requested_at: Moment,
@@ -73,7 +73,8 @@
         !self.unlisted.is_empty()
     }
 
-    /// Time from which nothing of this incarnation can arrive any more; `None` if it is not gone.
+    /// Returns the time from which nothing of this incarnation can arrive any more; `None` if it is
+    /// not gone.
     pub fn gone_since(&self, host: &host::Id, incarnation: host::Incarnation) -> Option<Moment> {
         let replaced = self.latest.get(host).filter(|(latest, _)| incarnation < *latest);
         let replaced = replaced.map(|(_, since)| *since);
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Evidence about orders of senders that were gone before the report was taken.
+    /// Returns evidence about orders of senders that were gone before the report was taken.
     pub fn evidence(&self, ledger: &Ledger, report: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -50,10 +50,14 @@
 impl fmt::Display for Wait {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wait::Arrival => write!(f, "it may still arrive"),
-            Wait::Sender => write!(f, "it may still arrive after a restart of the server"),
+            Wait::Arrival => write!(f, "the order may still arrive"),
+            Wait::Sender => write!(f, "the order may still arrive after a restart of the server"),
             Wait::Report { after } => {
-                write!(f, "waits for report {} of run {}", after.sequence, after.incarnation)
+                write!(
+                    f,
+                    "awaits report {} of run {} or a later one",
+                    after.sequence, after.incarnation
+                )
             }
         }
     }
@@ -73,20 +77,20 @@
             None => Wait::Arrival,
         };
         let statement = format!(
-            "{} (run {}) says that nothing of it is in flight",
+            "{} (run {}) says that nothing of the order is in flight",
             order.sender, order.incarnation
         );
         let gone = format!(
-            "{} starts again, or is off the platform's list for longer than its lag",
+            "{} starts again, or is missing from the platform's list for longer than the list lags",
             order.sender
         );
         let settled_by = match awaited {
             Wait::Arrival => {
-                vec![format!("{} reports that it took it", self.server), statement, gone]
+                vec![format!("{} reports that it took the order", self.server), statement, gone]
             }
             Wait::Sender => vec![statement, gone],
             Wait::Report { after } => vec![format!(
-                "{} reports with number {} of run {} or later",
+                "{} sends report {} of run {} or a later one",
                 self.server, after.sequence, after.incarnation
             )],
         };
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Memory that the order reserves and no resident takes yet, in MiB.
+    /// Returns the memory that the order reserves and no resident takes yet, in MiB.
     fn held_memory(&self, entry: &Entry) -> Mebibytes {
         let order::Action::Load { unit, memory } = &entry.order.action else { return 0 };
         let resident = self.residents.iter().find(|resident| resident.unit == *unit);
--- a/crates/policy/src/ledger/placement.rs
+++ b/crates/policy/src/ledger/placement.rs
@@ -11,8 +11,8 @@
 const MAX_ORDERS_PER_UNIT: usize = 4;
 
 impl Ledger {
-    /// Residents with the open orders applied: a unit with an order to load counts as loading, one
-    /// with an order to unload as unloading.
+    /// Returns the residents with the open orders applied: a unit with an order to load counts as
+    /// loading, one with an order to unload as unloading.
     pub fn expected_residents(&self) -> Vec<Resident> {
         let mut residents = self.residents.clone();
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
@@ -34,8 +34,9 @@
         residents
     }
 
-    /// Last open order for each unit whose effect no report shows, which may be repeated: a lost
-    /// order and a late one are indistinguishable, and the unit's memory is reserved anyway.
+    /// Returns the last open order for each unit, if the last report doesn't show its effect. It
+    /// may be repeated: a lost order and a late one are indistinguishable, and the unit's memory is
+    /// reserved anyway.
     pub fn repeatable(&self) -> Vec<&Entry> {
         let last = |(index, entry): &(usize, &Entry)| {
             let later = &self.orders[index + 1..];
--- a/crates/policy/src/ledger/replica.rs
+++ b/crates/policy/src/ledger/replica.rs
@@ -15,7 +15,8 @@
 use super::Ledger;
 
 impl Ledger {
-    /// Returns whether some version of the unit is ready here and no order may still unload it.
+    /// Returns whether some version of the unit is ready on this server and no order may still
+    /// unload it.
     pub fn keeps_replica(&self, unit: &Unit) -> bool {
         let keeps = |resident: &Resident| {
             is_version_of(&resident.unit, unit)
--- a/crates/policy/src/ledger/sender.rs
+++ b/crates/policy/src/ledger/sender.rs
@@ -108,8 +108,8 @@
         ledger.orders.iter().any(|entry| self.owns(entry) && is_due(entry))
     }
 
-    /// Evidence about this incarnation's orders in a ledger, which must have been read after the
-    /// last order was claimed.
+    /// Returns evidence about this incarnation's orders in a ledger, which must have been read
+    /// after the last order was claimed.
     pub fn evidence(
         &self,
         ledger: &Ledger,
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -57,7 +57,7 @@
     NotInFlight,
 }
 
-/// SettledOrder order.
+/// Order that evidence has settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledOrder {
     /// Order as it was in the ledger.
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,13 +1,13 @@
 //! Placement by conditional orders: decides which model server holds which models and adapters, and
 //! which orders lead there.
 //!
-//! For deployments whose servers check the state that an order is based on. An [`Order`] names the
-//! server's run and the number of orders that the run has accepted so far ([`Order::expected`]); a
-//! server with another number refuses the order. An order that is checked against the complete
-//! state at its own sequence number is therefore safe however late it is carried out and whoever
-//! else gives orders: if it takes effect, nothing else did in between. Memory needs no ledger, only
-//! a strict definition of a known state (`server_view`): a state comes from a report or from an
-//! accepted order and is never inferred from elapsed time.
+//! This module is for deployments whose servers check the state that an order is based on. An
+//! [`Order`] names the server's run and the number of orders that the run has accepted so far
+//! ([`Order::expected`]); a server with another number refuses the order. An order that is checked
+//! against the complete state at its own sequence number is therefore safe however late it is
+//! carried out and whoever else gives orders: if it takes effect, nothing else did in between.
+//! Memory needs no ledger, only a strict definition of a known state (`server_view`): a state comes
+//! from a report or from an accepted order and is never inferred from elapsed time.
 //!
 //! Conditional orders keep memory safe but not reachability, which spans servers: a replica that an
 //! unanswered unload may still remove doesn't count when another replica is evicted.
@@ -136,14 +136,14 @@
     }
 }
 
-/// Loads in a burst beyond one second's worth of the store's rate.
+/// Number of loads by which a burst may exceed one second's worth of the store's rate.
 const BURST_BEYOND_RATE: f64 = 1.5;
 
 impl Rules {
     /// Returns how many loads may start at once after an idle period, for a store of `loads_per_s`.
     ///
-    /// The bound keeps the loads of any five seconds within 1.1 times the store's rate plus three,
-    /// with one load of unknown outcome to spare.
+    /// The bound keeps the loads that start in any five seconds, and one more of unknown outcome,
+    /// within three plus 1.1 times what the store serves in that time.
     #[must_use]
     pub fn burst(&self, loads_per_s: f64) -> f64 {
         self.store_burst.min(loads_per_s + BURST_BEYOND_RATE)
@@ -153,7 +153,7 @@
 /// Performance of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Throughput {
-    /// Prompt tokens that a server reads in a second.
+    /// Prompt tokens that a server processes in a second (prefill).
     pub prompt_tokens_per_s: f64,
     /// Time per output token of one request.
     pub output_token_time: Duration,
--- a/crates/policy/src/place/adapters.rs
+++ b/crates/policy/src/place/adapters.rs
@@ -29,9 +29,9 @@
 /// further copy.
 const SPARE_AFTER: Duration = Duration::from_secs(5);
 
-/// Wait from which a loaded adapter gets a second copy. Requests that wait for an adapter that is
-/// loaded can't use the copy because they have failed there. A load in progress takes less than
-/// this time.
+/// Wait from which a loaded adapter gets a second copy. Requests that wait although the adapter is
+/// loaded can't use the first copy, because they have failed on its server. A wait for a load in
+/// progress is shorter than this.
 const UNMET_WAIT: Duration = Duration::from_millis(200);
 
 /// Requests per second from which an adapter gets a second copy.
--- a/crates/policy/src/place/draft.rs
+++ b/crates/policy/src/place/draft.rs
@@ -17,10 +17,11 @@
 /// Lower bound of a model's work while a request is waiting for the model.
 const MIN_WAITED_WORK: f64 = 0.05;
 
-/// Probability of becoming the busiest model next that is spread evenly over all models.
+/// Part of the models' peak chances that is spread evenly over all models. The two parts sum to
+/// more than 1: the chances are weights and no probabilities.
 const UNIFORM_PEAK_CHANCE: f64 = 0.84;
 
-/// Probability of becoming the busiest model next that is shared in proportion to recent work.
+/// Part of the models' peak chances that is distributed in proportion to recent work.
 const RECENT_PEAK_CHANCE: f64 = 0.3;
 
 /// Lower bound assumed for the work of the busiest model.
@@ -68,9 +69,9 @@
     pub(super) confirmed: Vec<Vec<usize>>,
     /// Per model: work in fully utilized servers.
     pub(super) work: Vec<f64>,
-    /// Per model: how likely it is to become the busiest next.
+    /// Per model: weight for the chance that it becomes the busiest next.
     pub(super) peak_chances: Vec<f64>,
-    /// Work of the busiest model.
+    /// Work of the busiest model, at least [`MIN_PEAK_WORK`].
     pub(super) peak_work: f64,
     /// Per model: the work that it still gets, see [`Demand::remaining_work`].
     pub(super) remaining_work: Vec<f64>,
@@ -184,7 +185,7 @@
 }
 
 /// Returns the fraction of a server that its rate limit takes away, where each request keeps the
-/// server fully utilized for `cost` seconds.
+/// server fully utilized for `request_s` seconds.
 fn lost_capacity(limit: f64, request_s: f64) -> f64 {
     if request_s == 0.0 { 0.0 } else { (1.0 - limit * request_s).max(0.0) }
 }
@@ -195,8 +196,8 @@
     demand.work(rules, model, now).max(waited)
 }
 
-/// Returns how likely each model is to become the busiest next; recently busy models are more
-/// likely than others.
+/// Returns each model's weight for the chance that it becomes the busiest next; recently busy
+/// models have larger weights.
 fn peak_chances(demand: &Demand, engine: &Engine, now: Moment) -> Vec<f64> {
     let recent: Vec<f64> = engine.models.iter().map(|m| demand.recent(&m.name, now)).collect();
     let sum: f64 = recent.iter().sum();
@@ -205,7 +206,8 @@
     recent.iter().map(|amount| any + RECENT_PEAK_CHANCE * share(amount)).collect()
 }
 
-/// Returns the number of loads from the weight store that are in progress or sent.
+/// Returns the number of loads from the weight store that are in progress, or sent and not yet
+/// answered.
 pub(super) fn store_loads<'a>(views: impl Iterator<Item = &'a ServerView>) -> usize {
     views
         .filter(|view| {
--- a/crates/policy/src/place/gain.rs
+++ b/crates/policy/src/place/gain.rs
@@ -2,7 +2,7 @@
 //!
 //! A step loads one model on one target and evicts what has to make room for it. It gains by
 //! reducing late work for as long as demand is expected to last, and by the safety of more
-//! replicas. It costs its orders and whatever the victims lose. All values are in the unit of
+//! replicas. It costs its orders and what the evicted models lose. All values are in the unit of
 //! [`Prices`](super::Prices).
 
 use types::{prelude::*, routed::Model};
@@ -34,7 +34,7 @@
 /// Gain from which a load is urgent.
 const URGENT_GAIN: f64 = 20.0;
 
-/// Cost of leaving room for one largest model fewer on a server.
+/// Cost of reducing by one the number of models of the largest size that still fit on a server.
 const FRAGMENTATION_COST: f64 = 1.0;
 
 /// Cost per consecutive unanswered order of the target.
@@ -231,14 +231,14 @@
 }
 
 /// Returns for how many seconds a replica that is ready after `delay` seconds is expected to be of
-/// use. Work leaves its model at a constant, estimated rate.
+/// use, if work leaves its model at a constant rate, which is estimated.
 ///
-/// The estimate serves demand that lasts longer than loads take. A fixed time of 2.2 s beyond the
-/// mean load left a busy model at one replica for 6 s and at two for 8 s more, where loads take 3
-/// to 6 s. With nine hosts before 18 model servers, over five days with faults and three seeds
-/// each, the estimate raised the share of value served from 0.823 to 0.840, and that of the worst
-/// kind of request from 0.755 to 0.793, measured together with refusing at once the requests for
-/// which a load would be too late.
+/// An estimate is used because demand may last longer than loads take: where loads take 3 to 6 s, a
+/// fixed time of 2.2 s beyond the mean load left a busy model at one replica for 6 s and at two for
+/// 8 s more. With nine hosts in front of 18 model servers, over five days with faults and three
+/// seeds each, the estimate, together with the immediate refusal of requests for which a load would
+/// be too late, raised the share of value served from 0.823 to 0.840, and that of the worst kind of
+/// request from 0.755 to 0.793.
 fn expected_use_s(draft: &Draft, delay: f64) -> f64 {
     let persistence = draft.demand.persistence_s();
     persistence * (-delay / persistence).exp()
@@ -264,7 +264,7 @@
     draft.balance.loss_reduction(&draft.work, &draft.replicas, &moves)
 }
 
-/// Returns the cost of a small model taking room that a largest model would fit in.
+/// Returns the cost of a small model taking room in which a model of the largest size would fit.
 fn fragmentation_cost(draft: &Draft, declared: &Model, target: usize, freed: Mebibytes) -> f64 {
     let largest = draft.engine.models.iter().map(|model| model.weights).max().unwrap_or(0);
     if largest < 2 * declared.weights || largest == 0 {
--- a/crates/policy/src/place/persistence.rs
+++ b/crates/policy/src/place/persistence.rs
@@ -24,9 +24,11 @@
 /// Initial estimate, which gives a persistence of four seconds.
 const INITIAL_LEAVING_PER_S: f64 = 0.25;
 
-/// Bounds of the estimated persistence, in seconds. At twenty requests per second and model, random
-/// variation alone looks like a sixteenth of all work leaving in a second (calculated).
+/// Lower bound of the estimated persistence, in seconds.
 const MIN_S: f64 = 2.0;
+
+/// Upper bound of the estimated persistence, in seconds. At twenty requests per second and model,
+/// random variation alone looks like a sixteenth of all work leaving in a second.
 const MAX_S: f64 = 16.0;
 
 /// Work of one model, and its value at the last sample.
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -160,7 +160,7 @@
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
-    /// Returns what the last plan wanted and could not order.
+    /// Returns the models and adapters that the last plan wanted and could not order.
     pub fn unplaced(&self) -> &[Unplaced] {
         &self.unplaced
     }
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Returns the servers whose report is needed now to resolve the outcome of an order.
+    /// Returns the servers whose report is needed now to know what they hold or which order they
+    /// are carrying out.
     pub fn unsettled(&self, now: Moment) -> impl Iterator<Item = &backend::Id> {
         self.servers.iter().filter(move |(_, view)| view.is_unsettled(now)).map(|(id, _)| id)
     }
--- a/crates/policy/src/place/server_view.rs
+++ b/crates/policy/src/place/server_view.rs
@@ -3,9 +3,9 @@
 //! A state belongs to a sequence number. It is known if a report contains it, or if the state
 //! before was known and the server accepted the next order. Unanswered orders don't make a known
 //! state uncertain: each names the sequence number that it is based on, so it is void once the
-//! server has passed that number, and until then it has changed nothing. A state that can't be
-//! derived is awaited: the next report resolves an order of another planner in progress, or a
-//! refusal because of another sequence number.
+//! server has passed that number, and until then it has changed nothing. A state can't be derived
+//! while an order of another planner is in progress, or after a refusal because of another sequence
+//! number; the next report then makes it known.
 
 mod observe;
 
@@ -63,8 +63,15 @@
 /// The model order that a server is carrying out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CurrentOrder {
-    Load { model: model::Id, source: Source, due: Moment },
-    Unload { model: model::Id },
+    Load {
+        model: model::Id,
+        source: Source,
+        due: Moment,
+    },
+    Unload {
+        model: model::Id,
+    },
+    /// An order of another planner, or one that can't be identified.
     Foreign,
 }
 
@@ -129,7 +136,8 @@
     pub(super) limit: Option<f64>,
     /// Consecutive refusals while an order of this planner was in progress.
     refusals: u32,
-    /// Whether a report is still needed to show that such refusals had no other reason.
+    /// Whether a report is still needed to show that the refusals counted in `refusals` had no
+    /// other reason.
     is_refusal_unexplained: bool,
     resident: BTreeSet<model::Id>,
     on_disk: BTreeSet<model::Id>,
@@ -189,8 +197,8 @@
         self.inherited = inherited;
     }
 
-    /// Ends the view of a run. Returns the server's name and the orders that a later run may still
-    /// carry out.
+    /// Consumes the view of an ended run. Returns the server's name and the orders that a later run
+    /// may still carry out.
     pub(super) fn into_unresolved(
         mut self,
         rules: &Rules,
@@ -435,8 +443,7 @@
     }
 
     /// Whether an order of this planner is in progress at the sequence number that another order
-    /// names. A server may refuse the latter for that alone, and doesn't report which reason it
-    /// had.
+    /// names. A server may refuse the latter for that reason alone, and doesn't report its reason.
     fn is_occupied(&self, order: &Order) -> bool {
         let own =
             matches!(&self.current, Some(CurrentOrder::Load { .. } | CurrentOrder::Unload { .. }));
--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -9,8 +9,8 @@
 
 use super::{AdapterKey, CurrentOrder, Operation, Presence, SentOrder, ServerView, Source};
 
-/// Time since the view last advanced from which a contradicting report can't be explained by the
-/// usual report delay any more: the view is wrong.
+/// Time since the view last advanced after which a report that contradicts the view replaces it:
+/// the usual delay of reports is shorter.
 const STALE_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ServerView {
@@ -156,8 +156,8 @@
             held.get(model).is_some_and(|adapters| adapters.contains(adapter))
         });
         // An adapter being loaded keeps its slot, even if its model is gone, until a report no
-        // longer lists it, since the server may still load it. Forgetting it here led to a third
-        // adapter in two slots.
+        // longer lists it, since the server may still load it. If it were dropped here, the planner
+        // could order a third adapter into two slots.
         let loading = &self.adapters_loading;
         self.adapter_ordered_at.retain(|adapter_key, _| {
             let is_held =
--- a/crates/policy/src/place/unplaced.rs
+++ b/crates/policy/src/place/unplaced.rs
@@ -31,7 +31,7 @@
 /// Why an order isn't possible now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Obstacle {
-    /// Every server that could hold the model holds it already.
+    /// Every server holds the model already or is expected to, or there is no server.
     NoServer,
     /// All remaining servers are carrying out other orders, or the outcome of one is unknown.
     Busy,
@@ -184,7 +184,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReportLimiter {
     entries: BTreeMap<(model::Id, Option<adapter::Id>), ReportState>,
+    /// Second in which `reported` counts, by the time passed to [`ReportLimiter::due`].
     second: u64,
+    /// Number of reports in that second.
     reported: usize,
 }
 
@@ -192,6 +194,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportState {
     since: Moment,
+    /// Time and obstacle of the last report.
     last_report: Option<(Moment, Obstacle)>,
 }
 
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -7,10 +7,11 @@
 //! engine that isn't set counts as unchanged, so a move that was never made is proposed again.
 //!
 //! Priorities, in order: every model resident; every model on two engines in different availability
-//! zones; further replicas where each raises attainment most for the moves that it costs. A ready
-//! replica is evicted only while another one is ready (make before break); [`Move::keeper`] names
-//! the engine of that one, so that whoever carries out the move can keep the replica there
-//! meanwhile. Memory that nothing needs is left as it is, since freeing it costs a move too.
+//! zones; further replicas where each raises attainment (the share of requests that meet their
+//! latency target) most for the moves that it costs. A ready replica is evicted only while another
+//! one is ready (make before break); [`Move::keeper`] names the engine of that one, so that whoever
+//! carries out the move can keep the replica there meanwhile. Memory that nothing needs is left as
+//! it is, since freeing it costs a move too.
 
 mod adapters;
 mod bucket;
--- a/crates/policy/src/plan/adapters.rs
+++ b/crates/policy/src/plan/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters follow their base model.
+//! Adapter moves: loads adapters where their base model is ready, and unloads superseded versions.
 
 use types::{adapter::Adapter, prelude::*, resident::State as Progress};
 
@@ -8,7 +8,7 @@
     room::EvictionLimit,
 };
 
-/// An adapter that a replica lacks. Sorts adapters that no engine answers for first.
+/// An adapter that a replica lacks. Sorts adapters that no engine can serve first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingAdapter<'a> {
     is_served: bool,
@@ -18,7 +18,7 @@
 }
 
 impl Draft<'_> {
-    /// Loads missing adapters where their base is ready, those that no engine answers for first.
+    /// Loads missing adapters where their base is ready, those that no engine can serve first.
     pub(super) fn load_adapters(&mut self) {
         let models = self.models;
         let pending_models = self.pending_models().into_iter();
@@ -87,7 +87,7 @@
     }
 
     /// Frees memory on the replica's own engine: unloads the adapter's superseded version if
-    /// another engine answers for the adapter, otherwise evicts replicas of other models.
+    /// another engine can serve the adapter, otherwise evicts replicas of other models.
     fn make_room_for_adapter(&mut self, missing_adapter: &MissingAdapter<'_>, adapter: &Adapter) {
         let Some(engine) = self.working.engines.get(&missing_adapter.server) else { return };
         if adapter.memory <= engine.free + engine.freeing {
@@ -107,7 +107,7 @@
         self.budget = self.budget.saturating_sub(1);
     }
 
-    /// Returns the adapter's superseded version on this engine, and another engine that answers for
+    /// Returns the adapter's superseded version on this engine, and another engine that can serve
     /// the adapter.
     fn superseded_version(
         &self,
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -14,7 +14,7 @@
     room::EvictionLimit,
 };
 
-/// Rounds of moves to simulate; a change that ends at all takes no more.
+/// Maximum rounds of moves to simulate; a change that can be completed takes no more.
 const MAX_ROUNDS: usize = 64;
 
 /// A model that can't be made resident.
--- a/crates/policy/src/plan/gain.rs
+++ b/crates/policy/src/plan/gain.rs
@@ -1,4 +1,5 @@
-//! Further replicas where they raise attainment most for the moves that they cost.
+//! Chooses further replicas where they raise attainment (the share of requests that meet their
+//! latency target) most for the moves that they cost.
 //!
 //! Only the most utilized engines are considered. For each model there, the work that would meet
 //! its target with one more replica is weighed against the moves that the replica costs, evictions
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -9,7 +9,7 @@
     working_state::WorkingState,
 };
 
-/// A declared model with derived figures for placement.
+/// A declared model with values derived for placement.
 #[derive(Clone, Debug)]
 pub(super) struct Declared {
     pub(super) model: Model,
@@ -74,8 +74,8 @@
         self.demands.retain(|id, _| config.models.contains_key(id));
     }
 
-    /// Sets what an engine holds or has reserved. To be called for each engine that changed or that
-    /// a move was tried on.
+    /// Sets what an engine holds or has reserved. Must be called for each engine that has changed
+    /// or on which a move was tried.
     pub fn set_engine(&mut self, now: Moment, engine: Engine) {
         self.working.set_engine(now, engine);
     }
--- a/crates/policy/src/plan/residency.rs
+++ b/crates/policy/src/plan/residency.rs
@@ -1,4 +1,5 @@
-//! Residency of every model, then a second replica in another availability zone.
+//! Makes every model resident, spreads it over two availability zones, and unloads what is
+//! superseded or no longer declared.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Unloads a replica that has superseded versions only, if other engines answer for the model
+    /// Unloads a replica that has superseded versions only, if other engines can serve the model
     /// and all of its adapters.
     fn retire_replica(&mut self, id: &model::Id, declared: &Declared, server: &backend::Id) {
         let Some(engine) = self.working.engines.get(server) else { return };
--- a/crates/policy/src/plan/room.rs
+++ b/crates/policy/src/plan/room.rs
@@ -1,4 +1,4 @@
-//! Engines for a load, and evictions that make room for it.
+//! Chooses engines for loads, and the evictions that make room for them.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns another live engine on which the model is ready, in the declared version if this
-    /// engine has it ready. `None` also if no other engine answers for one of the adapters.
+    /// engine has it ready. `None` also if no other engine can serve one of the adapters.
     pub(super) fn keeper(
         &self,
         engine: &EngineState,
--- a/crates/policy/src/plan/working_state.rs
+++ b/crates/policy/src/plan/working_state.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// One engine.
+/// An engine's reported state, and its state after the moves of the plan in progress.
 #[derive(Clone, Debug)]
 pub(super) struct EngineState {
     pub(super) reported: Engine,
@@ -133,8 +133,9 @@
 pub(super) struct WorkingState {
     pub(super) engines: BTreeMap<backend::Id, EngineState>,
     holders: BTreeMap<model::Id, BTreeSet<backend::Id>>,
+    /// Engines that the plan in progress has changed.
     dirty: BTreeSet<backend::Id>,
-    /// Models that an engine was reported to hold, or no longer to hold.
+    /// Models on engines that were set, reset or removed.
     changed: BTreeSet<model::Id>,
 }
 
@@ -170,7 +171,7 @@
         self.engines.insert(engine.reported.server.clone(), engine);
     }
 
-    /// Removes an engine.
+    /// Removes an engine and returns its state; `None` if it is unknown.
     pub(super) fn remove_engine(&mut self, server: &backend::Id) -> Option<EngineState> {
         let engine = self.engines.remove(server)?;
         for model in engine.bundles.keys() {
@@ -223,7 +224,7 @@
         })
     }
 
-    /// Returns the models whose engines were reported since the last call.
+    /// Returns the models on engines that were set, reset or removed since the last call.
     pub(super) fn take_changed(&mut self) -> BTreeSet<model::Id> {
         std::mem::take(&mut self.changed)
     }
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -34,14 +34,15 @@
 /// first.
 const MAX_OPEN_WRITES: usize = 16;
 
-/// Delay that keeps the arrival of an order and an order under a later fencing token from falling
-/// into the same moment.
+/// Added to [`Settings::order_timeout`] when an incarnation of the same host takes over, so that no
+/// order of the earlier incarnation arrives at the very moment at which one with a later fencing
+/// token is sent.
 const INCARNATION_GAP: Duration = Duration::from_nanos(1);
 
 pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, StoredLease};
 pub use settings::{Contender, Settings, contender};
 
-/// View of one incarnation of a host on the lease that permits sending orders.
+/// One incarnation's view of the lease that permits sending orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     host: host::Id,
@@ -55,8 +56,9 @@
     /// Write whose outcome is awaited.
     pending_write: Option<Lease>,
     nonce: Nonce,
-    /// Time of the store's last answer and of the last read that is not yet answered.
+    /// Time of the store's last answer; `None` also after a conflict that didn't return the lease.
     last_answer: Option<Moment>,
+    /// Time of the last read that is not yet answered.
     last_read: Option<Moment>,
     /// Time before which nothing is requested from the store.
     idle_until: Moment,
@@ -65,6 +67,7 @@
     is_stopping: bool,
 }
 
+/// What an incarnation knows about the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum KnownLease {
     Nothing,
@@ -92,7 +95,7 @@
 }
 
 impl OrderLease {
-    /// View at the start of an incarnation of a host.
+    /// Creates the view of an incarnation of a host that has just started.
     pub fn new(host: host::Id, incarnation: host::Incarnation, settings: Settings) -> OrderLease {
         OrderLease {
             host,
@@ -129,7 +132,8 @@
         (!self.is_stopping).then_some(tenure.fence)
     }
 
-    /// Holder of the lease, as far as this host knows; `None` once it is released.
+    /// Returns the holder of the lease, as far as this host knows; `None` if the lease is released,
+    /// absent or unknown.
     pub fn holder(&self) -> Option<&host::Id> {
         match &self.known {
             KnownLease::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
@@ -151,7 +155,7 @@
         self.is_stopping = true;
     }
 
-    /// Takes in the lease as read or as reported by a watch; it may be stale.
+    /// Applies the lease as read or as reported by a watch; it may be stale.
     pub fn observe(&mut self, now: Moment, read: Option<StoredLease>) {
         self.record_answer(now);
         match (read, &self.known) {
@@ -162,13 +166,13 @@
         }
     }
 
-    /// Takes in the lease as another host knows it, which is no evidence that this host can reach
+    /// Applies the lease as another host knows it, which is no evidence that this host can reach
     /// the store.
     pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): StoredLease) {
         self.apply(now, revision, lease);
     }
 
-    /// The lease as this host knows it, for other hosts.
+    /// Returns the lease as this host knows it, to be reported to other hosts.
     pub fn stored(&self) -> Option<StoredLease> {
         match &self.known {
             KnownLease::Present { revision, lease, .. } => Some((*revision, lease.clone())),
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Takes in the outcome of the last write.
+    /// Applies the outcome of the last write.
     pub fn write_finished(&mut self, now: Moment, outcome: Outcome) {
         let Some(lease) = self.pending_write.take() else { return };
         match outcome {
@@ -255,7 +259,7 @@
                 matches!(self.known, KnownLease::Present { since, .. } if now < since + poll);
             return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
-        // A host that the store turns away must not leave writes behind that are applied later.
+        // A host that the store doesn't answer must not leave writes behind that are applied later.
         if self.last_answer.is_none_or(|at| at + self.settings.max_read_age < now) {
             return self.read(now, self.settings.max_read_age);
         }
@@ -279,15 +283,15 @@
         }
     }
 
-    /// Time from `now` on in which no other host may send orders.
+    /// Returns the time from `now` on in which no other host may send orders.
     fn quiet_time(&self, now: Moment) -> Duration {
         let Settings { turn, order_timeout, .. } = self.settings;
         let last = self.last_order.unwrap_or(now);
         (last + order_timeout + turn).saturating_sub(now)
     }
 
-    /// Time at which this host may take the lease, as far as it knows; `None` before the first
-    /// read.
+    /// Returns the time at which this host may take the lease, as far as it knows; `None` before
+    /// the first read.
     fn free_at(&self) -> Option<Moment> {
         let Settings { turn, order_timeout, .. } = self.settings;
         let delay = self.settings.standby_delay();
@@ -295,8 +299,9 @@
             KnownLease::Nothing => None,
             KnownLease::Absent(free) => Some(*free + delay),
             KnownLease::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
-            // An earlier incarnation of this host is gone, and its orders are this host's: only the
-            // fencing tokens must not fall.
+            // An earlier incarnation of this host has ended, and its orders count as this host's
+            // own. No turn is needed; orders only have to arrive in the order of their fencing
+            // tokens.
             KnownLease::Present { lease, since, .. } if lease.holder == self.host => {
                 Some(*since + order_timeout + INCARNATION_GAP)
             }
@@ -336,7 +341,7 @@
         }
     }
 
-    /// Takes in a revision; one that is not newer than the known one is ignored.
+    /// Applies a revision; one that is not newer than the known one is ignored.
     fn apply(&mut self, now: Moment, revision: Revision, lease: Lease) {
         if matches!(self.known, KnownLease::Present { revision: known, .. } if revision <= known) {
             return;
--- a/crates/policy/src/term/settings.rs
+++ b/crates/policy/src/term/settings.rs
@@ -11,7 +11,8 @@
 /// [`Settings::poll_interval`] in a small fleet, where peers report renewals.
 const SMALL_FLEET_POLL: Duration = Duration::from_secs(1);
 
-/// [`Settings::poll_interval`] in a large fleet, where the reads of all hosts together have to stay few.
+/// [`Settings::poll_interval`] in a large fleet, where the reads of all hosts together have to stay
+/// few.
 const LARGE_FLEET_POLL: Duration = Duration::from_secs(5);
 
 /// Time for which a standby leaves the lease to the contenders, and after which it reads the lease.
@@ -25,7 +26,8 @@
 /// Rendezvous key that ranks hosts as contenders.
 const KEY: &[u8] = b"lease";
 
-/// Role of a host in contending, among the other reachable hosts.
+/// Returns the role of a host in contending for the lease: hosts are ranked by rendezvous hashing
+/// among those that are reachable.
 pub fn contender<'a>(own: &host::Id, others: impl Iterator<Item = &'a host::Id>) -> Contender {
     match rendezvous::is_among(KEY, own, others, CONTENDERS) {
         true => Contender::First,
@@ -80,7 +82,8 @@
 }
 
 impl Settings {
-    /// Sets the role, and [`Settings::poll_interval`] for `hosts` hosts that report the lease to each other.
+    /// Sets the role, and [`Settings::poll_interval`] for `hosts` hosts that report the lease to
+    /// each other.
     pub fn set_hosts(&mut self, hosts: usize, contender: Contender) {
         (self.poll_interval, self.contender) = match contender {
             _ if hosts <= SMALL_FLEET => (SMALL_FLEET_POLL, Contender::First),
@@ -89,7 +92,7 @@
         };
     }
 
-    /// Time for which a host leaves a free lease to others.
+    /// Returns the time for which this host leaves a free lease to others.
     pub fn standby_delay(&self) -> Duration {
         match self.contender {
             Contender::First => self.delay,
