--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -64,8 +64,8 @@
 }
 
 /// Returns the demand of a model: a few are busy, most are not. `turn` changes which.
-pub fn demand(n: usize, turn: usize) -> Demand {
-    let now = match (n + turn) % 10 {
+pub fn demand(n: usize, shift: usize) -> Demand {
+    let now = match (n + shift) % 10 {
         0 => 1.6,
         1..=3 => 0.6,
         _ => 0.1,
--- a/crates/policy/examples/config_size.rs
+++ b/crates/policy/examples/config_size.rs
@@ -29,14 +29,14 @@
 #[derive(Default)]
 struct Day {
     root_bytes: Vec<u64>,
-    bare_bytes: Vec<u64>,
+    bytes_without_patches: Vec<u64>,
     parts: Vec<u64>,
     part_bytes: Vec<u64>,
     parts_written: Vec<u64>,
     bytes_written: Vec<u64>,
     decide_micros: Vec<u64>,
-    hold_micros: Vec<u64>,
-    short: usize,
+    apply_micros: Vec<u64>,
+    not_accepted: usize,
 }
 
 fn main() {
@@ -52,7 +52,7 @@
     let mut current = Current::default();
     let mut took = Duration::ZERO;
     if let Some(draft) = timed(&current, &first, &servers, &mut took) {
-        current = hold(&mut holder, draft, &mut Day::default());
+        current = apply(&mut holder, draft, &mut Day::default());
     }
     let first_micros = micros(took);
     for index in 0..changes {
@@ -62,8 +62,8 @@
             changes: change(&mut rng, models, index),
         };
         match timed(&current, &patch, &servers, &mut took) {
-            Some(draft) => current = hold(&mut holder, draft, &mut day),
-            None => day.short += 1,
+            Some(draft) => current = apply(&mut holder, draft, &mut day),
+            None => day.not_accepted += 1,
         }
         day.decide_micros.push(micros(took));
     }
@@ -143,10 +143,10 @@
 }
 
 /// Applies a draft as a host does, and records its cost.
-fn hold(holder: &mut Holder, draft: Draft, day: &mut Day) -> Current {
+fn apply(holder: &mut Holder, draft: Draft, day: &mut Day) -> Current {
     let root_bytes = json!(draft.root).to_string().len() as u64;
     day.root_bytes.push(root_bytes);
-    day.bare_bytes.push(json!(draft.root.without_patches()).to_string().len() as u64);
+    day.bytes_without_patches.push(json!(draft.root.without_patches()).to_string().len() as u64);
     day.parts.push(draft.root.parts().len() as u64);
     day.parts_written.push(draft.parts.len() as u64);
     day.part_bytes.extend(draft.parts.iter().map(|part| part.bytes.len() as u64));
@@ -158,7 +158,7 @@
     for part in draft.parts {
         progress = holder.add_part(part.name, part.bytes.into());
     }
-    day.hold_micros.push(micros(start.elapsed()));
+    day.apply_micros.push(micros(start.elapsed()));
     assert!(matches!(progress, Ok(Progress::InForce(_))), "{progress:?}");
     Current { root: draft.root, config: draft.config }
 }
@@ -168,7 +168,7 @@
 }
 
 /// Median, 99th percentile and maximum.
-fn spread(mut values: Vec<u64>) -> Value {
+fn quantiles(mut values: Vec<u64>) -> Value {
     values.sort_unstable();
     let at = |share: f64| values[((values.len() - 1) as f64 * share) as usize];
     match values.is_empty() {
@@ -182,16 +182,16 @@
         "models": models,
         "changes": changes,
         "number": root.number,
-        "refused_or_unchanged": day.short,
+        "refused_or_unchanged": day.not_accepted,
         "first_decide_us": first_micros,
-        "root_bytes": spread(day.root_bytes),
-        "bare_root_bytes": spread(day.bare_bytes),
-        "parts": spread(day.parts),
-        "part_bytes": spread(day.part_bytes),
-        "parts_written_per_change": spread(day.parts_written),
-        "bytes_written_per_change": spread(day.bytes_written),
-        "decide_us": spread(day.decide_micros),
-        "hold_us": spread(day.hold_micros),
+        "root_bytes": quantiles(day.root_bytes),
+        "bare_root_bytes": quantiles(day.bytes_without_patches),
+        "parts": quantiles(day.parts),
+        "part_bytes": quantiles(day.part_bytes),
+        "parts_written_per_change": quantiles(day.parts_written),
+        "bytes_written_per_change": quantiles(day.bytes_written),
+        "decide_us": quantiles(day.decide_micros),
+        "hold_us": quantiles(day.apply_micros),
     });
     println!("{report:#}");
 }
--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -30,8 +30,8 @@
 
 fn main() {
     println!("hosts, age of a load in ms: median, 9 in 10, most; B/s mean, most; datagrams/s");
-    let named: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
-    for hosts in if named.is_empty() { SIZES.to_vec() } else { named } {
+    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
+    for hosts in if sizes.is_empty() { SIZES.to_vec() } else { sizes } {
         let mut net = Net::started(hosts, 1);
         net.faults.loss = 0.01;
         net.run_for(Duration::from_secs(15));
@@ -73,8 +73,8 @@
 impl Work {
     fn new(hosts: usize) -> Work {
         let mut random = ChaCha8Rng::seed_from_u64(7);
-        let mut some = || (0..IN_FLIGHT).map(|_| pair(&mut random)).collect();
-        let in_flight = (0..hosts).map(|_| some()).collect();
+        let mut requests = || (0..IN_FLIGHT).map(|_| pair(&mut random)).collect();
+        let in_flight = (0..hosts).map(|_| requests()).collect();
         Work { random, in_flight, arrivals: vec![0; hosts] }
     }
 
@@ -83,8 +83,8 @@
     fn step(&mut self, net: &mut Net, probe: Option<(usize, u32)>) {
         for host in 0..self.in_flight.len() {
             if self.random.random_bool(0.4) {
-                let place = self.random.random_range(0..IN_FLIGHT);
-                self.in_flight[host][place] = pair(&mut self.random);
+                let index = self.random.random_range(0..IN_FLIGHT);
+                self.in_flight[host][index] = pair(&mut self.random);
                 self.arrivals[host] += 1;
             }
             let mut loads: Vec<_> = (0..PAIRS).filter_map(|pair| self.load(host, pair)).collect();
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -23,8 +23,8 @@
 fn main() {
     println!("hosts, idle B/s mean, idle B/s most, busy B/s mean, busy B/s most, datagrams/s busy");
     println!("  and ms until a load is in all sums and until all have a notice: p50, most");
-    let named: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
-    for hosts in if named.is_empty() { SIZES.to_vec() } else { named } {
+    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
+    for hosts in if sizes.is_empty() { SIZES.to_vec() } else { sizes } {
         let mut net = Net::started(hosts, 1);
         net.faults.loss = 0.01;
         net.run_for(Duration::from_secs(15));
--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -34,11 +34,11 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Shares of the models of a small deployment, the busiest first; `rest` is spread over all models.
-const FEW: Shares = Shares { of: &[0.607, 0.225, 0.168], rest: 0.07 };
+const FEW: Shares = Shares { busiest: &[0.607, 0.225, 0.168], rest: 0.07 };
 
 /// Shares of the models of a deployment with many servers.
 const MANY: Shares = Shares {
-    of: &[
+    busiest: &[
         0.256, 0.095, 0.071, 0.059, 0.051, 0.046, 0.042, 0.039, 0.036, 0.034, 0.032, 0.031, 0.029,
         0.028, 0.027, 0.026, 0.025, 0.025, 0.024, 0.024,
     ],
@@ -46,7 +46,7 @@
 };
 
 struct Shares {
-    of: &'static [f64],
+    busiest: &'static [f64],
     rest: f64,
 }
 
@@ -132,7 +132,7 @@
 };
 const SIXTY: Site = Site {
     name: "60 x 83 GB",
-    engine: sites::sixty,
+    engine: sites::sixty_servers,
     servers: 60,
     rate: 560.0,
     shift_step: 2,
@@ -141,7 +141,7 @@
     small_model_time: 0.28,
 };
 const NINETY: Site =
-    Site { name: "90 x 200 GB", engine: sites::ninety, servers: 90, rate: 540.0, ..SIXTY };
+    Site { name: "90 x 200 GB", engine: sites::ninety_servers, servers: 90, rate: 540.0, ..SIXTY };
 
 const SITES: [Site; 8] = [
     SMALL,
@@ -234,7 +234,7 @@
         world.planner.declare(&"lm".into(), &world.engine, world.now);
     }
     if site.start == Start::Full {
-        fill_up(&mut world, &site.shares);
+        fill_memory(&mut world, &site.shares);
     }
     for n in 0..world.machines.len() {
         let registration = world.machines[n].registration();
@@ -242,7 +242,7 @@
     }
     let mut traffic = Traffic::new(site, pattern, strategy);
     if matches!(strategy, Strategy::Static) {
-        traffic.fill(&mut world);
+        traffic.fill_adapter_slots(&mut world);
     }
     world.run(WARM_UP);
     while world.now < RUN_TIME {
@@ -253,12 +253,12 @@
 }
 
 /// Fills free room with replicas of the models that are busy at the start, by share per replica.
-fn fill_up(world: &mut World, shares: &Shares) {
+fn fill_memory(world: &mut World, shares: &Shares) {
     let engine = world.engine.clone();
     let mut replicas = vec![1.0; engine.models.len()];
-    let mut open: Vec<usize> = (0..shares.of.len()).collect();
+    let mut open: Vec<usize> = (0..shares.busiest.len()).collect();
     while !open.is_empty() {
-        let need = |&index: &usize| shares.of[index] / replicas[index];
+        let need = |&index: &usize| shares.busiest[index] / replicas[index];
         let busiest = open.iter().copied().max_by(|a, b| need(a).total_cmp(&need(b)));
         let Some(index) = busiest else { return };
         let model = &engine.models[index];
@@ -279,21 +279,21 @@
 
 /// Reads a server's prompts one after the other.
 #[derive(Clone, Default)]
-struct Reader {
+struct PrefillQueue {
     until: Moment,
-    read_share: f64,
+    prefill_share: f64,
     at: Moment,
 }
 
-impl Reader {
+impl PrefillQueue {
     /// Returns when the prompt is read, and by which factor prompts read in between slow output
     /// tokens down.
-    fn read(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
+    fn add(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
         self.until = self.until.max(now) + Duration::from_micros(prompt * 1000 / 38);
-        let kept = (-(now - self.at).as_secs_f64()).exp();
-        self.read_share = self.read_share * kept + prompt as f64 / 38_000.0;
+        let decay = (-(now - self.at).as_secs_f64()).exp();
+        self.prefill_share = self.prefill_share * decay + prompt as f64 / 38_000.0;
         self.at = now;
-        (self.until, 1.0 / (1.0 - self.read_share.min(0.8)))
+        (self.until, 1.0 / (1.0 - self.prefill_share.min(0.8)))
     }
 }
 
@@ -301,7 +301,7 @@
     site: &'a Site,
     pattern: ShiftPattern,
     strategy: Strategy,
-    readers: Vec<Reader>,
+    prefill_queues: Vec<PrefillQueue>,
     waiting: Vec<Request>,
     arrived: BTreeMap<(model::Id, Option<adapter::Id>), Work>,
     tally: Tally,
@@ -310,12 +310,20 @@
 impl<'a> Traffic<'a> {
     fn new(site: &'a Site, pattern: ShiftPattern, strategy: Strategy) -> Traffic<'a> {
         let (waiting, arrived) = Default::default();
-        let readers = vec![Reader::default(); site.servers];
-        Traffic { site, pattern, strategy, readers, waiting, arrived, tally: Tally::default() }
+        let prefill_queues = vec![PrefillQueue::default(); site.servers];
+        Traffic {
+            site,
+            pattern,
+            strategy,
+            prefill_queues,
+            waiting,
+            arrived,
+            tally: Tally::default(),
+        }
     }
 
     /// Fills the adapter slots, with each adapter once.
-    fn fill(&self, world: &mut World) {
+    fn fill_adapter_slots(&self, world: &mut World) {
         let engine = world.engine.clone();
         for model in &engine.models {
             for number in 1..=model.adapters {
@@ -338,8 +346,10 @@
         for _ in 0..count {
             let request = self.draw(world);
             self.tally.requests += 1;
-            let ready =
-                world.machines.iter().any(|m| m.answers(&request.model, request.adapter.as_ref()));
+            let ready = world
+                .machines
+                .iter()
+                .any(|m| m.can_serve(&request.model, request.adapter.as_ref()));
             self.tally.ready += usize::from(ready);
             let key = (request.model.clone(), request.adapter.clone());
             let work = self.arrived.entry(key).or_default();
@@ -370,11 +380,11 @@
     fn draw(&self, world: &mut World) -> Request {
         let models = world.engine.models.clone();
         let shift = self.shift(world) * self.site.shift_step;
-        let Shares { of, rest } = &self.site.shares;
+        let Shares { busiest, rest } = &self.site.shares;
         let rank = match world.rng.random_bool(1.0 - rest) {
             true => {
-                let mut roll = world.rng.random_range(0.0..of.iter().sum());
-                of.iter().position(|share| {
+                let mut roll = world.rng.random_range(0.0..busiest.iter().sum());
+                busiest.iter().position(|share| {
                     roll -= share;
                     roll < 0.0
                 })
@@ -397,9 +407,10 @@
         let now = world.now;
         let fits = |m: &machine::Machine| {
             let free = m.running.len() < world.engine.slots as usize;
-            free && m.answers(&request.model, request.adapter.as_ref())
+            free && m.can_serve(&request.model, request.adapter.as_ref())
         };
-        let order = |&n: &usize| (self.readers[n].until.max(now), world.machines[n].running.len());
+        let order =
+            |&n: &usize| (self.prefill_queues[n].until.max(now), world.machines[n].running.len());
         let numbers = (0..world.machines.len()).filter(|&n| fits(&world.machines[n]));
         let Some(number) = numbers.min_by_key(order) else {
             if now < request.at + FIRST_TOKEN_GOAL {
@@ -412,13 +423,14 @@
             return None;
         };
         let is_small = |model: &Model| model.name == request.model && model.weights < 20_000;
-        let pace = match world.engine.models.iter().any(is_small) {
+        let time_factor = match world.engine.models.iter().any(is_small) {
             true => self.site.small_model_time,
             false => 1.0,
         };
-        let prompt = (request.prompt as f64 * pace) as u64;
-        let (first, slower) = self.readers[number].read(prompt, now);
-        let end = first + Duration::from_micros(5600 * request.output).mul_f64(slower * pace);
+        let prompt = (request.prompt as f64 * time_factor) as u64;
+        let (first, slower) = self.prefill_queues[number].add(prompt, now);
+        let end =
+            first + Duration::from_micros(5600 * request.output).mul_f64(slower * time_factor);
         let run = (request.model.clone(), request.adapter.clone(), end);
         world.machines[number].running.push(run);
         self.count(&request, now, first <= request.at + FIRST_TOKEN_GOAL);
--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -19,7 +19,7 @@
 const SEED: u64 = 5;
 
 /// How much longer a zone cut or the absence of killed hosts lasts once the change is in force.
-const FAULT: Duration = Duration::from_secs(5);
+const FAULT_EXTENSION: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -78,13 +78,13 @@
 
 /// Writes one change during the fault; returns the time until the last host has it.
 fn change(fleet: &mut Fleet, between: Duration, fault: Fault) -> Option<Duration> {
-    let usual = fleet.faults;
+    let normal = fleet.faults;
     let end = fleet.now + between;
     let mut killed = Vec::new();
     match fault {
         Fault::None | Fault::Loss => {}
         Fault::ZoneCut => {
-            fleet.faults = Faults { cut_zone: Some(1), ..usual };
+            fleet.faults = Faults { cut_zone: Some(1), ..normal };
         }
         Fault::WatchersKilled => {
             killed = fleet.watchers();
@@ -95,8 +95,12 @@
     fleet.write();
     let reached = fleet.run_until(end, Fleet::is_in_force);
     let took = fleet.now - written;
-    fleet.run_for(if matches!(fault, Fault::None | Fault::Loss) { Duration::ZERO } else { FAULT });
-    fleet.faults = usual;
+    fleet.run_for(if matches!(fault, Fault::None | Fault::Loss) {
+        Duration::ZERO
+    } else {
+        FAULT_EXTENSION
+    });
+    fleet.faults = normal;
     killed.into_iter().for_each(|n| fleet.restart(n));
     let rest = end.saturating_sub(fleet.now);
     fleet.run_for(rest);
@@ -110,6 +114,6 @@
 
 fn quantile(sorted: &[Duration], share: f64) -> Option<f64> {
     let last = sorted.len().checked_sub(1)?;
-    let place = (last as f64 * share).ceil() as usize;
-    sorted.get(place).map(|time| time.as_secs_f64() * 1000.0)
+    let index = (last as f64 * share).ceil() as usize;
+    sorted.get(index).map(|time| time.as_secs_f64() * 1000.0)
 }
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -56,10 +56,10 @@
 }
 
 /// Configuration that a root and parts make.
-fn made(root: &Root, parts: &BTreeMap<part::Name, Vec<u8>>) -> Config {
+fn assemble(root: &Root, parts: &BTreeMap<part::Name, Vec<u8>>) -> Config {
     let mut holder = Holder::default();
     holder.observe_root(root.clone()).unwrap();
-    supply_all(&mut holder, parts);
+    add_all_parts(&mut holder, parts);
     holder.in_force().unwrap().config.clone()
 }
 
@@ -123,24 +123,24 @@
 
 #[test]
 fn a_retry_gets_the_first_outcome_whatever_came_since() {
-    let asked = patch("b", 1, json!({"models": {"terms": {"memory": 120}}}));
-    let two = after(&first(), &asked);
+    let request = patch("b", 1, json!({"models": {"terms": {"memory": 120}}}));
+    let two = after(&first(), &request);
     let three = after(&two, &patch("c", 2, json!({"models": {"terms": null}})));
     for current in [&two, &three] {
-        assert_eq!(decide(current, &asked, &servers()), Decision::Repeated(2));
+        assert_eq!(decide(current, &request, &servers()), Decision::Repeated(2));
     }
 }
 
 #[test]
 fn a_retry_after_its_entry_has_gone_is_stale_and_not_run_again() {
-    let asked = patch("b", 1, json!({"models": {"terms": null}}));
-    let mut current = after(&first(), &asked);
+    let request = patch("b", 1, json!({"models": {"terms": null}}));
+    let mut current = after(&first(), &request);
     for number in 2..300 {
         let changes = json!({"weights": {"moves": number + 9}});
         current = after(&current, &patch(&format!("p{number}"), number, changes));
     }
     assert!(current.root.accepted("b").is_none());
-    assert!(matches!(decide(&current, &asked, &servers()), Decision::Stale(_)));
+    assert!(matches!(decide(&current, &request, &servers()), Decision::Stale(_)));
 }
 
 #[test]
@@ -235,11 +235,11 @@
                 platform.parts.remove(&name);
             }
         }
-        assert_eq!(made(&platform.current.root, &platform.parts), *platform.current.config);
+        assert_eq!(assemble(&platform.current.root, &platform.parts), *platform.current.config);
     }
 }
 
-fn supply_all(holder: &mut Holder, parts: &BTreeMap<part::Name, Vec<u8>>) -> Option<Number> {
+fn add_all_parts(holder: &mut Holder, parts: &BTreeMap<part::Name, Vec<u8>>) -> Option<Number> {
     let mut number = None;
     for name in holder.needs() {
         let bytes = parts[&name].as_slice().into();
@@ -273,7 +273,7 @@
     let mut highest = 0;
     for received in [2, 0, 1, 2, 4, 3, 0, 4] {
         holder.observe_root(history[received].root.clone()).unwrap();
-        supply_all(&mut holder, &parts);
+        add_all_parts(&mut holder, &parts);
         highest = highest.max(received as Number + 1);
         assert_eq!(holder.number(), highest);
         assert_eq!(holder.in_force().unwrap().config, *history[highest as usize - 1].config);
@@ -294,7 +294,7 @@
     let bytes = parts[&late].as_slice().into();
     assert_eq!(holder.add_part(late, bytes).unwrap(), Progress::Known);
     assert_eq!(holder.number(), 0);
-    assert_eq!(supply_all(&mut holder, &parts), Some(4));
+    assert_eq!(add_all_parts(&mut holder, &parts), Some(4));
 }
 
 #[test]
@@ -308,7 +308,7 @@
     bytes[3] ^= 1;
     assert!(holder.add_part(name, bytes.into()).is_err());
     assert_eq!(holder.needs(), needs);
-    assert_eq!(supply_all(&mut holder, &parts), Some(1));
+    assert_eq!(add_all_parts(&mut holder, &parts), Some(1));
 }
 
 #[test]
--- a/crates/policy/tests/config_fit.rs
+++ b/crates/policy/tests/config_fit.rs
@@ -23,7 +23,7 @@
 }
 
 /// Models that are short of memory, each with the step that fails.
-fn short(from: Value, to: Value, capacities: &[u64]) -> Vec<(String, Step)> {
+fn short_models(from: Value, to: Value, capacities: &[u64]) -> Vec<(String, Step)> {
     shortages(&config(from), &config(to), &servers(capacities))
         .into_iter()
         .map(|shortage| (shortage.model.to_string(), shortage.step))
@@ -41,7 +41,7 @@
     json!({"a": model("1", 101, 1), "b": model("1", 102, 1), "c": model("1", 10, 1)}), &["a", "b"]
 )]
 fn added_models(#[case] to: Value, #[case] expected: &[&str]) {
-    let found = short(json!({}), to, &[100, 100]);
+    let found = short_models(json!({}), to, &[100, 100]);
     assert_eq!(found.iter().map(|(model, _)| model.as_str()).collect::<Vec<_>>(), expected);
 }
 
@@ -53,8 +53,8 @@
             "adapters": {"es": {"memory": 20, "version": "1"}}
         }})
     };
-    assert_eq!(short(json!({}), to(30), &[100]), []);
-    assert_eq!(short(json!({}), to(31), &[100]), [("a".into(), Step::Place)]);
+    assert_eq!(short_models(json!({}), to(30), &[100]), []);
+    assert_eq!(short_models(json!({}), to(31), &[100]), [("a".into(), Step::Place)]);
 }
 
 #[rstest]
@@ -67,30 +67,33 @@
     #[case] expected: &[Step],
 ) {
     let old = json!({"a": model("1", memory, 1)});
-    let found = short(old, json!({"a": model("2", memory, 1)}), capacities);
+    let found = short_models(old, json!({"a": model("2", memory, 1)}), capacities);
     assert_eq!(found.iter().map(|(_, step)| *step).collect::<Vec<_>>(), expected);
 }
 
 #[test]
 fn many_new_versions_take_the_same_room_one_after_the_other() {
     let models = |version: &str| json!({"a": model(version, 40, 2), "b": model(version, 40, 2), "c": model(version, 40, 1)});
-    assert_eq!(short(models("1"), models("2"), &[120, 120]), []);
+    assert_eq!(short_models(models("1"), models("2"), &[120, 120]), []);
     let to = models("2");
-    assert_eq!(short(models("1"), to, &[110, 110]).len(), 3);
+    assert_eq!(short_models(models("1"), to, &[110, 110]).len(), 3);
 }
 
 #[test]
 fn room_that_a_removal_gives_may_be_used_by_the_same_patch() {
     let old = json!({"a": model("1", 60, 1), "b": model("1", 40, 1)});
-    assert_eq!(short(old.clone(), json!({"a": model("2", 60, 1)}), &[100]).len(), 1);
-    assert_eq!(short(old, json!({"a": model("1", 60, 1), "c": model("1", 40, 1)}), &[100]), []);
+    assert_eq!(short_models(old.clone(), json!({"a": model("2", 60, 1)}), &[100]).len(), 1);
+    assert_eq!(
+        short_models(old, json!({"a": model("1", 60, 1), "c": model("1", 40, 1)}), &[100]),
+        []
+    );
 }
 
 #[test]
 fn shrinking_goes_before_growing() {
     let old = json!({"a": model("1", 30, 1), "b": model("1", 60, 1)});
     let new = json!({"a": model("1", 60, 1), "b": model("1", 30, 1)});
-    assert_eq!(short(old, new, &[100]), []);
+    assert_eq!(short_models(old, new, &[100]), []);
 }
 
 #[rstest]
@@ -106,7 +109,7 @@
             "adapters": {"es": {"memory": 20, "version": version}}
         }})
     };
-    let found = short(models("1"), models("2"), &[capacity]);
+    let found = short_models(models("1"), models("2"), &[capacity]);
     assert_eq!(found.iter().map(|(_, step)| *step).collect::<Vec<_>>(), expected);
 }
 
@@ -114,14 +117,14 @@
 fn what_gives_memory_back_is_welcome_when_servers_are_lost() {
     let old = json!({"a": model("1", 90, 2), "b": model("1", 90, 2), "c": model("1", 90, 1)});
     let new = json!({"a": model("1", 90, 1), "b": model("1", 80, 2)});
-    assert_eq!(short(old, new, &[100]), []);
+    assert_eq!(short_models(old, new, &[100]), []);
 }
 
 #[test]
 fn a_model_that_fails_leaves_the_room_of_the_others_as_it_was() {
     let old = json!({"a": model("1", 50, 1), "b": model("1", 30, 1)});
     let new = json!({"a": model("1", 150, 1), "b": model("1", 50, 1)});
-    let found = short(old, new, &[100]);
+    let found = short_models(old, new, &[100]);
     assert_eq!(found, [("a".into(), Step::Place)]);
 }
 
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn earlier_run_of_the_same_host_is_another_holder() {
-    let mut again = Observer::new("host-1".into(), 2, TERM);
+    let mut restarted = Observer::new("host-1".into(), 2, TERM);
     let lease = Lease { holder: "host-1".into(), incarnation: 1, renewal: 0 };
-    assert_eq!(again.observe(at(0), Some(&lease)), Step::Wait);
+    assert_eq!(restarted.observe(at(0), Some(&lease)), Step::Wait);
 }
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -57,14 +57,14 @@
     }
 }
 
-fn reserved(ledger: &Ledger, id: &str, action: Action) -> (Ledger, Order) {
+fn reserve(ledger: &Ledger, id: &str, action: Action) -> (Ledger, Order) {
     ledger.reserve(claim(id), action).expect("it fits")
 }
 
 #[test]
 fn reservation_that_does_not_fit_says_what_is_short() {
     let ledger = Ledger::new(&report(1, &[("a", 60)]));
-    let (ledger, _) = reserved(&ledger, "o1", load("b", 30));
+    let (ledger, _) = reserve(&ledger, "o1", load("b", 30));
     let rejection = ledger.reserve(claim("o2"), load("c", 30)).expect_err("10 are free");
     let expected =
         Rejection::Memory { server: "engine-1".into(), needed: 30, free: 10, in_doubt: 30 };
@@ -74,19 +74,19 @@
 #[test]
 fn lost_load_may_be_ordered_again_at_no_cost() {
     let ledger = Ledger::new(&report(1, &[]));
-    let (ledger, _) = reserved(&ledger, "o1", load("a", 80));
-    let (ledger, _) = reserved(&ledger, "o2", load("a", 80));
+    let (ledger, _) = reserve(&ledger, "o1", load("a", 80));
+    let (ledger, _) = reserve(&ledger, "o2", load("a", 80));
     assert_eq!(ledger.usage().promised, 80);
 }
 
 #[test]
 fn unload_frees_only_when_a_report_shows_it() {
     let ledger = Ledger::new(&report(1, &[("a", 80)]));
-    let (ledger, _) = reserved(&ledger, "o1", unload("a"));
+    let (ledger, _) = reserve(&ledger, "o1", unload("a"));
     assert_eq!(ledger.usage().free, 20);
 
-    let leaving = Load { orders: vec!["o1".into()], ..report(2, &[("a", 80)]) };
-    let ledger = ledger.settle(&[Evidence::Report(&leaving)]).ledger;
+    let unloading = Load { orders: vec!["o1".into()], ..report(2, &[("a", 80)]) };
+    let ledger = ledger.settle(&[Evidence::Report(&unloading)]).ledger;
     assert!(ledger.orders.is_empty());
     assert_eq!(ledger.usage().free, 20, "the engine is still unloading");
 
@@ -97,8 +97,8 @@
 #[test]
 fn late_load_is_covered_after_its_unload_on_an_engine_that_ignores_fences() {
     let ledger = Ledger::new(&report(1, &[("a", 80)]));
-    let (ledger, _) = reserved(&ledger, "late", load("a", 80));
-    let (ledger, _) = reserved(&ledger, "successor", unload("a"));
+    let (ledger, _) = reserve(&ledger, "late", load("a", 80));
+    let (ledger, _) = reserve(&ledger, "successor", unload("a"));
     let gone = Load { orders: vec!["successor".into()], fence: 2, ..report(2, &[]) };
     let ledger = ledger.settle(&[Evidence::Report(&gone)]).ledger;
     assert_eq!(ledger.usage().in_doubt, 80);
@@ -120,8 +120,8 @@
 fn superseded_load_leaves_room_beside_residents_but_counts_for_a_restart() {
     let fenced = |report: Load| Load { fenced: true, ..report };
     let ledger = Ledger::new(&fenced(report(1, &[("a", 50)])));
-    let (ledger, _) = reserved(&ledger, "late", load("b", 40));
-    let (ledger, _) = reserved(&ledger, "successor", unload("b"));
+    let (ledger, _) = reserve(&ledger, "late", load("b", 40));
+    let (ledger, _) = reserve(&ledger, "successor", unload("b"));
     let newer = Load { fence: 2, orders: vec!["successor".into()], ..report(2, &[("a", 50)]) };
     let ledger = ledger.settle(&[Evidence::Report(&fenced(newer))]).ledger;
 
@@ -154,7 +154,7 @@
 #[test]
 fn order_that_was_never_taken_frees_at_once() {
     let ledger = Ledger::new(&report(1, &[]));
-    let (ledger, order) = reserved(&ledger, "o1", load("a", 80));
+    let (ledger, order) = reserve(&ledger, "o1", load("a", 80));
     let outcome = ledger.settle(&[Evidence::NeverTaken { order: order.id }]);
     assert_eq!(outcome.settled[0].settlement, Settlement::NeverTaken);
     assert_eq!(outcome.ledger.usage().free, 100);
@@ -163,7 +163,7 @@
 #[test]
 fn only_orders_of_the_run_that_is_gone_are_quiet() {
     let ledger = Ledger::new(&report(1, &[]));
-    let (ledger, _) = reserved(&ledger, "old", load("a", 10));
+    let (ledger, _) = reserve(&ledger, "old", load("a", 10));
     let newer = Claim { incarnation: 8, ..claim("new") };
     let (ledger, _) = ledger.reserve(newer, load("b", 20)).expect("it fits");
     let gone = Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
@@ -176,7 +176,7 @@
 fn unsettled_orders_are_bounded() {
     let mut ledger = Ledger::new(&report(1, &[]));
     for number in 0..MAX_ORDERS {
-        (ledger, _) = reserved(&ledger, &format!("o{number}"), load("a", 1));
+        (ledger, _) = reserve(&ledger, &format!("o{number}"), load("a", 1));
     }
     let rejection = ledger.reserve(claim("more"), load("a", 1));
     assert!(matches!(rejection, Err(Rejection::Orders { open: MAX_ORDERS, .. })));
@@ -185,7 +185,7 @@
 #[test]
 fn operators_see_what_would_settle_an_order() {
     let ledger = Ledger::new(&report(1, &[("a", 30)]));
-    let (ledger, _) = reserved(&ledger, "o1", load("b", 40));
+    let (ledger, _) = reserve(&ledger, "o1", load("b", 40));
     let held = ledger.explain_orders();
     assert_eq!((held[0].memory, held[0].awaited), (40, Wait::Arrival));
     assert!(held[0].settled_by.iter().any(|way| way.contains("host-1 (run 7) says")));
@@ -200,14 +200,14 @@
     let here = Ledger::new(&report(1, &[("a", 30)]));
     let there = here.clone();
     assert!(may_unload(&unit("a"), [&there]));
-    let (there, _) = reserved(&there, "o1", unload("a"));
+    let (there, _) = reserve(&there, "o1", unload("a"));
     assert!(!may_unload(&unit("a"), [&there]));
 }
 
 #[test]
 fn ledger_reads_back_as_it_was_written() {
     let ledger = Ledger::new(&report(1, &[("a", 30)]));
-    let (ledger, _) = reserved(&ledger, "o1", load("b", 40));
+    let (ledger, _) = reserve(&ledger, "o1", load("b", 40));
     let text = serde_json::to_string(&ledger).expect("it is plain data");
     let read: Ledger = serde_json::from_str(&text).expect("it was just written");
     assert_eq!(read, ledger);
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -79,8 +79,8 @@
     world.planner.record_arrivals(&"m00".into(), None, ONE, world.now);
     world.run(5 * SECOND);
     let holders = world.holders("m00");
-    let places = 3 * holders.len();
-    for number in 1..=places + 1 {
+    let slots = 3 * holders.len();
+    for number in 1..=slots + 1 {
         request(&mut world, &format!("a{number}"));
         world.run(SECOND);
     }
@@ -89,7 +89,7 @@
         world.adapter_holders("m00", "a1").is_empty(),
         "the least recently requested is evicted"
     );
-    for number in 2..=places + 1 {
+    for number in 2..=slots + 1 {
         assert!(!world.adapter_holders("m00", &format!("a{number}")).is_empty(), "a{number}");
     }
     let unloads = world.orders.iter().filter(|(_, order)| order.operation == Operation::Unload);
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -31,7 +31,7 @@
     pub current: Option<(Operation, model::Id, Moment)>,
     /// Time that an adapter takes to load.
     pub adapter_load_time: Duration,
-    pub coming: Vec<(AdapterKey, Moment)>,
+    pub adapters_loading: Vec<(AdapterKey, Moment)>,
     /// Running requests, with the times when they end.
     pub running: Vec<(model::Id, Option<adapter::Id>, Moment)>,
     delayed: Vec<(Order, Moment)>,
@@ -84,7 +84,7 @@
             sequence: 0,
             current: None,
             adapter_load_time: ADAPTER_LOAD_TIME,
-            coming: Vec::new(),
+            adapters_loading: Vec::new(),
             running: Vec::new(),
             delayed: Vec::new(),
             resident: Vec::new(),
@@ -100,7 +100,7 @@
     /// Holds a model immediately, without an order.
     pub fn hold(&mut self, engine: &Engine, model: &model::Id) {
         self.held.entry(model.clone()).or_default();
-        self.copy(engine, model);
+        self.store_copies(engine, model);
     }
 
     pub fn registration(&self) -> Server {
@@ -123,7 +123,7 @@
     }
 
     /// Whether requests for a model or adapter can be served here.
-    pub fn answers(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> bool {
+    pub fn can_serve(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> bool {
         let leaves =
             self.current.as_ref().is_some_and(|(op, m, _)| *op == Operation::Unload && m == model);
         let adapters =
@@ -132,7 +132,7 @@
     }
 
     /// Handles an order that arrives now.
-    pub fn order(
+    pub fn handle_order(
         &mut self,
         engine: &Engine,
         order: &Order,
@@ -151,7 +151,8 @@
             Some(adapter) => self.adapter_order(order, adapter, now),
         };
         record.accepted += usize::from(outcome == Outcome::Accepted);
-        let slots = self.held.values().map(BTreeSet::len).sum::<usize>() + self.coming.len();
+        let slots =
+            self.held.values().map(BTreeSet::len).sum::<usize>() + self.adapters_loading.len();
         if engine.weights < self.memory(engine) || (engine.adapter_slots as usize) < slots {
             record.crashed.push(self.server.id.clone());
         }
@@ -207,18 +208,22 @@
         let uses = |run: &(model::Id, Option<adapter::Id>, Moment)| {
             run.0 == adapter_key.0 && run.1.as_ref() == Some(adapter)
         };
-        let used = self.running.iter().any(uses);
+        let is_in_use = self.running.iter().any(uses);
         let Some(held) = self.held.get_mut(&order.model) else { return Outcome::NotThere };
         match order.operation {
             Operation::Load if held.contains(adapter) => return Outcome::AlreadyHolds,
-            Operation::Load if self.coming.iter().any(|(coming, _)| *coming == adapter_key) => {
+            Operation::Load
+                if self.adapters_loading.iter().any(|(loading, _)| *loading == adapter_key) =>
+            {
                 return Outcome::AlreadyHolds;
             }
-            Operation::Load if 4 <= self.coming.len() => return Outcome::Busy,
-            Operation::Load => self.coming.push((adapter_key, now + self.adapter_load_time)),
+            Operation::Load if 4 <= self.adapters_loading.len() => return Outcome::Busy,
+            Operation::Load => {
+                self.adapters_loading.push((adapter_key, now + self.adapter_load_time))
+            }
             Operation::Unload if !held.contains(adapter) => return Outcome::AlreadyHolds,
             // Treated as refused while in use: the adapter stays.
-            Operation::Unload if used => return Outcome::Busy,
+            Operation::Unload if is_in_use => return Outcome::Busy,
             Operation::Unload => {
                 held.remove(adapter);
                 self.sequence += 1;
@@ -237,8 +242,9 @@
             .map(|(_, model, _)| model);
         let weights = self.held.keys().chain(loading).map(|model| find(engine, model).weights);
         let held = self.held.iter().map(|(model, units)| (model, units.len() as Mebibytes));
-        let coming = self.coming.iter().map(|((model, _), _)| (model, 1));
-        let adapters = held.chain(coming).map(|(model, n)| n * find(engine, model).adapter_weights);
+        let adapters_loading = self.adapters_loading.iter().map(|((model, _), _)| (model, 1));
+        let adapters =
+            held.chain(adapters_loading).map(|(model, n)| n * find(engine, model).adapter_weights);
         weights.chain(adapters).sum()
     }
 
@@ -247,13 +253,13 @@
         let due: Vec<Order> =
             self.delayed.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
         for order in due {
-            self.order(engine, &order, record, now);
+            self.handle_order(engine, &order, record, now);
         }
         self.running.retain(|(_, _, end)| now < *end);
-        let used = |model: &model::Id| self.running.iter().any(|(m, ..)| m == model);
-        let done = self
-            .current
-            .take_if(|(op, model, due)| *due <= now && (*op == Operation::Load || !used(model)));
+        let is_in_use = |model: &model::Id| self.running.iter().any(|(m, ..)| m == model);
+        let done = self.current.take_if(|(op, model, due)| {
+            *due <= now && (*op == Operation::Load || !is_in_use(model))
+        });
         match done {
             Some((Operation::Load, model, _)) => self.hold(engine, &model),
             // Adapters being loaded still arrive, and keep their slots until then.
@@ -262,7 +268,7 @@
             }
             None => {}
         }
-        for (adapter_key, _) in self.coming.extract_if(.., |(_, due)| *due <= now) {
+        for (adapter_key, _) in self.adapters_loading.extract_if(.., |(_, due)| *due <= now) {
             if let Some(adapters) = self.held.get_mut(&adapter_key.0) {
                 adapters.insert(adapter_key.1);
             }
@@ -273,7 +279,7 @@
             busy: self.current.is_some(),
             sequence: self.sequence,
             adapters_loading: self
-                .coming
+                .adapters_loading
                 .iter()
                 .map(|(adapter_key, _)| adapter_key.clone())
                 .collect(),
@@ -292,7 +298,7 @@
         self.reports.front().map(|(_, report)| report)
     }
 
-    fn copy(&mut self, engine: &Engine, model: &model::Id) {
+    fn store_copies(&mut self, engine: &Engine, model: &model::Id) {
         for (copies, limit) in
             [(&mut self.resident, engine.host_memory), (&mut self.on_disk, engine.disk)]
         {
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -44,8 +44,8 @@
 }
 
 #[rstest]
-#[case::at_random(Faults { silent: 0.2, late: 0.3, twice: 0.1, ..Faults::default() }, 48, 9)]
-#[case::all_late_at_once(Faults { late: 1.0, late_at: Some(14 * SECOND), ..Faults::default() }, 12, 24)]
+#[case::at_random(Faults { answer_lost: 0.2, delayed: 0.3, repeated: 0.1, ..Faults::default() }, 48, 9)]
+#[case::all_late_at_once(Faults { delayed: 1.0, delayed_until: Some(14 * SECOND), ..Faults::default() }, 12, 24)]
 fn the_weight_store_is_not_asked_faster_than_it_allows(
     #[case] faults: Faults,
     #[case] until: u32,
@@ -57,8 +57,8 @@
         if until <= round * 4 {
             world.faults = Faults::default();
         }
-        let hot = format!("m{:02}", round * 3 % 14);
-        offer_work(&mut world, &[(&hot, 4.0)], 4 * SECOND);
+        let busy = format!("m{:02}", round * 3 % 14);
+        offer_work(&mut world, &[(&busy, 4.0)], 4 * SECOND);
     }
     let (peak, loads) = (world.store_peak() as f64, world.record.store_loads.len());
     assert!(peak <= 1.7 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
@@ -109,8 +109,8 @@
 fn no_order_takes_the_last_replica() {
     let mut world = World::new(small_site(), 7, 3, 1);
     for round in 0..10 {
-        let hot = format!("m{:02}", round * 3 % 14);
-        offer_work(&mut world, &[(&hot, 5.0)], 4 * SECOND);
+        let busy = format!("m{:02}", round * 3 % 14);
+        offer_work(&mut world, &[(&busy, 5.0)], 4 * SECOND);
     }
     assert!(world.orders.iter().any(|(_, order)| order.operation == Operation::Unload));
     assert!(world.unreachable.is_empty(), "{:?}", world.unreachable.first());
@@ -312,8 +312,8 @@
     let mut engine = engine(83_000, 8, &[(72_700, 0); 8]);
     engine.models.iter_mut().for_each(|model| model.load = 6 * SECOND);
     let mut world = World::new(engine, 16, 3, 1);
-    for turn in 0..moves {
-        offer_work(&mut world, &[(["m00", "m01", "m02"][turn as usize % 3], 2.0)], SECOND);
+    for step in 0..moves {
+        offer_work(&mut world, &[(["m00", "m01", "m02"][step as usize % 3], 2.0)], SECOND);
     }
     offer_work(&mut world, &[("m07", 2.0)], 10 * SECOND);
     world.holders("m07").len()
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -9,18 +9,14 @@
 use crate::world::{Faults, World, engine, small_site};
 
 fn faults() -> impl Strategy<Value = Faults> {
-    (0.0..0.3, 0.0..0.3, 0.0..0.4, 0.0..0.3).prop_map(|(lost, silent, late, twice)| Faults {
-        lost,
-        silent,
-        late,
-        twice,
-        late_at: None,
+    (0.0..0.3, 0.0..0.3, 0.0..0.4, 0.0..0.3).prop_map(|(lost, answer_lost, delayed, repeated)| {
+        Faults { lost, answer_lost, delayed, repeated, delayed_until: None }
     })
 }
 
 /// Records random demand for a model or adapter, for one step.
-fn record_random_demand(world: &mut World, hot: usize) {
-    let pick = if world.rng.random_bool(0.8) { hot } else { world.rng.random_range(0..14) };
+fn record_random_demand(world: &mut World, busy: usize) {
+    let pick = if world.rng.random_bool(0.8) { busy } else { world.rng.random_range(0..14) };
     let model = world.engine.models[pick % world.engine.models.len()].clone();
     let number = world.rng.random_range(0..=model.adapters);
     let adapter = (0 < number).then(|| format!("a{number}").into());
@@ -51,7 +47,7 @@
                 }
             }
             if step == takeover {
-                successor(&mut world);
+                replace_planner(&mut world);
             }
             world.step();
             prop_assert!(world.record.crashed.is_empty(), "{:?}", world.record.crashed);
@@ -62,14 +58,14 @@
     /// A server that restarts under its name carries out orders that were sent to its earlier run.
     #[test]
     fn no_server_is_overcommitted_by_orders_to_its_earlier_run(
-        late in 0.2..0.6,
+        delayed in 0.2..0.6,
         seed: u64,
         restarts in proptest::collection::vec((0usize..1500, 0usize..7), 1..8),
     ) {
         let mut world = World::new(small_site(), 7, 4, seed);
         world.engine.adapter_slots = 3;
         world.planner.declare(&"lm".into(), &world.engine, world.now);
-        world.faults = Faults { late, ..Faults::default() };
+        world.faults = Faults { delayed, ..Faults::default() };
         for step in 0..1500 {
             record_random_demand(&mut world, step / 300 * 3);
             restarts.iter().filter(|(at, _)| *at == step).for_each(|(_, n)| world.restart(*n));
@@ -122,7 +118,7 @@
 }
 
 /// Another planner takes over while orders of the previous one may still be on their way.
-fn successor(world: &mut World) {
+fn replace_planner(world: &mut World) {
     world.planner = Planner::new(Rules::default());
     world.planner.declare(&"lm".into(), &world.engine, world.now);
     for machine in &world.machines {
--- a/crates/policy/tests/place/server_view.rs
+++ b/crates/policy/tests/place/server_view.rs
@@ -41,9 +41,9 @@
     let (mut planner, order) = start();
     assert!(planner.plan(2010 * MS).is_empty(), "one order at a time");
     planner.record_outcome(&order, outcome, 2020 * MS);
-    let again = planner.plan(at * MS);
-    assert_eq!(again.len(), orders);
-    assert!(again.iter().all(|again| again.expected == 0), "at the same sequence number");
+    let repeated = planner.plan(at * MS);
+    assert_eq!(repeated.len(), orders);
+    assert!(repeated.iter().all(|order| order.expected == 0), "at the same sequence number");
 }
 
 #[test]
--- a/crates/policy/tests/place/sites.rs
+++ b/crates/policy/tests/place/sites.rs
@@ -16,7 +16,7 @@
 
 /// Returns one model per letter: B for large, M for medium, S for small. `sizes` holds the memory
 /// in MiB and the load times from the store and from disk in milliseconds, for B, M and S.
-fn many(kinds: &str, sizes: [(u64, u64, u64); 3]) -> Vec<Model> {
+fn models(kinds: &str, sizes: [(u64, u64, u64); 3]) -> Vec<Model> {
     let model = |(index, kind): (usize, char)| {
         let (weights, load, disk) = sizes["BMS".find(kind).expect("a kind")];
         Model {
@@ -33,11 +33,11 @@
 }
 
 /// 104 models; a server holds two large ones.
-pub fn sixty() -> Engine {
+pub fn sixty_servers() -> Engine {
     let kinds = "BBBBBBSBBSBBSBBBBBBBBBBBSBBBBBBBBSBBBBBBBBSBBBBBSBBSBBSBBSBSBSBSBBSSBSBBBSBBBSSBS\
                  SSSSBSBSSSSSBSSSBSSSSBB";
     let mut site = engine(83_000, 8, &[]);
-    site.models = many(kinds, [(34_300, 2000, 510), (0, 0, 0), (16_100, 1200, 350)]);
+    site.models = models(kinds, [(34_300, 2000, 510), (0, 0, 0), (16_100, 1200, 350)]);
     site.slots = 24;
     site.loads_per_s = 10.0;
     site.host_memory = 61_000;
@@ -46,11 +46,11 @@
 }
 
 /// 126 models; a server holds two large ones and a small one.
-pub fn ninety() -> Engine {
+pub fn ninety_servers() -> Engine {
     let kinds = "SBBMBBMBBMBBSBBBBBSBBMBBMBBBBBBBBMBBMBBMBBBBBMMMBBBMMMBMMSBMSSSMBMBSSMSSSBMMSBMM\
                  MMMMSMBBBMMMSBMSMMSMBSBMMSSBSSBSMMSMMBMMBBMBSS";
     let mut site = engine(200_000, 5, &[]);
-    site.models = many(kinds, [(72_700, 4200, 840), (65_300, 3800, 760), (34_300, 2000, 400)]);
+    site.models = models(kinds, [(72_700, 4200, 840), (65_300, 3800, 760), (34_300, 2000, 400)]);
     site.slots = 16;
     site.loads_per_s = 14.0;
     site.host_memory = 130_000;
--- a/crates/policy/tests/place/unplaced.rs
+++ b/crates/policy/tests/place/unplaced.rs
@@ -53,20 +53,20 @@
 #[test]
 fn servers_whose_orders_have_no_answer_are_busy() {
     let mut world = World::new(engine(83_000, 8, &[(34_300, 0); 3]), 3, 3, 1);
-    world.faults = Faults { silent: 1.0, late: 1.0, ..Faults::default() };
-    let mut seen = Vec::new();
+    world.faults = Faults { answer_lost: 1.0, delayed: 1.0, ..Faults::default() };
+    let mut found = Vec::new();
     for _ in 0..50 {
         offer_work("m00", &mut world, 3.0);
         world.run(SECOND / 10);
-        seen.extend(obstacles(&world, "m00"));
+        found.extend(obstacles(&world, "m00"));
     }
-    assert!(seen.contains(&Obstacle::Busy), "{seen:?}");
+    assert!(found.contains(&Obstacle::Busy), "{found:?}");
 }
 
 #[test]
 fn an_adapter_that_finds_no_place_is_unplaced() {
     let mut world = World::new(engine(83_000, 1, &[(34_300, 26)]), 1, 1, 1);
-    let mut seen = Vec::new();
+    let mut found = Vec::new();
     for _ in 0..10 {
         for adapter in ["a1", "a2"] {
             let work = Work { requests: 1, prompt: 300, output: 40 };
@@ -75,9 +75,9 @@
         }
         world.step();
         let unplaced = world.planner.unplaced().iter().filter(|entry| entry.adapter.is_some());
-        seen.extend(unplaced.map(|entry| entry.obstacle));
+        found.extend(unplaced.map(|entry| entry.obstacle));
     }
-    assert!(seen.contains(&Obstacle::NoRoom), "{seen:?}");
+    assert!(found.contains(&Obstacle::NoRoom), "{found:?}");
 }
 
 fn unplaced(model: usize, obstacle: Obstacle) -> Unplaced {
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -22,13 +22,13 @@
     /// The order never arrives.
     pub lost: f64,
     /// The order arrives, but the answer is lost.
-    pub silent: f64,
+    pub answer_lost: f64,
     /// The order arrives later.
-    pub late: f64,
+    pub delayed: f64,
     /// The order arrives a second time later.
-    pub twice: f64,
+    pub repeated: f64,
     /// When late orders arrive; at random if `None`.
-    pub late_at: Option<Moment>,
+    pub delayed_until: Option<Moment>,
 }
 
 pub struct World {
@@ -105,9 +105,9 @@
             let free = |m: &Machine| {
                 engine.weights - m.held.keys().map(|held| size(&engine, held)).sum::<u64>()
             };
-            let roomiest = machines.iter_mut().max_by_key(|m| free(m)).expect("servers");
-            assert!(model.weights <= free(roomiest), "no room for {}", model.name);
-            roomiest.hold(&engine, &model.name);
+            let emptiest = machines.iter_mut().max_by_key(|m| free(m)).expect("servers");
+            assert!(model.weights <= free(emptiest), "no room for {}", model.name);
+            emptiest.hold(&engine, &model.name);
         }
         let mut planner = Planner::new(Rules::default());
         planner.declare(&"lm".into(), &engine, Moment::ZERO);
@@ -139,15 +139,16 @@
             planner.record_outcome(&order, Outcome::Unknown, now);
         }
         if self.now.as_millis().is_multiple_of(50) {
-            self.reports();
+            self.deliver_reports();
         }
         let began = Instant::now();
         let orders = self.planner.plan(self.now);
         self.plan_times.push(began.elapsed());
         orders.iter().for_each(|order| self.send(order));
         self.orders.extend(orders.into_iter().map(|order| (self.now, order)));
-        let answers = |model: &&Model| self.machines.iter().any(|m| m.answers(&model.name, None));
-        let unreachable = self.engine.models.iter().filter(|model| !answers(model));
+        let is_served =
+            |model: &&Model| self.machines.iter().any(|m| m.can_serve(&model.name, None));
+        let unreachable = self.engine.models.iter().filter(|model| !is_served(model));
         self.unreachable.extend(unreachable.map(|model| (self.now, model.name.clone())));
     }
 
@@ -158,7 +159,7 @@
         }
     }
 
-    fn reports(&mut self) {
+    fn deliver_reports(&mut self) {
         let unsettled: BTreeSet<backend::Id> = self.planner.unsettled(self.now).cloned().collect();
         let all = self.now.as_millis().is_multiple_of(500);
         for machine in &self.machines {
@@ -171,27 +172,27 @@
 
     /// Sends an order, subject to the faults.
     pub fn send(&mut self, order: &Order) {
-        let Faults { lost, silent, late, twice, late_at } = self.faults;
+        let Faults { lost, answer_lost, delayed, repeated, delayed_until } = self.faults;
         let roll: f64 = self.rng.random();
         let later = self.now + Duration::from_millis(self.rng.random_range(10..MAX_DELAY_MS));
-        let later = late_at.unwrap_or(later);
-        let again = self.rng.random_bool(twice);
+        let later = delayed_until.unwrap_or(later);
+        let is_repeated = self.rng.random_bool(repeated);
         let number = self.machines.iter().position(|m| m.server.id == order.server);
         let Some(number) = number else {
             return self.planner.record_outcome(order, Outcome::NotThere, self.now);
         };
         let machine = &mut self.machines[number];
-        if again {
+        if is_repeated {
             machine.deliver_later(order, later);
         }
-        if roll < lost + late {
+        if roll < lost + delayed {
             if lost <= roll {
                 machine.deliver_later(order, later);
             }
             return self.unanswered.push((self.now + TIMEOUT, order.clone()));
         }
-        let outcome = machine.order(&self.engine, order, &mut self.record, self.now);
-        if roll < lost + late + silent {
+        let outcome = machine.handle_order(&self.engine, order, &mut self.record, self.now);
+        if roll < lost + delayed + answer_lost {
             return self.unanswered.push((self.now + TIMEOUT, order.clone()));
         }
         self.planner.record_outcome(order, outcome, self.now);
@@ -201,23 +202,23 @@
     pub fn crash(&mut self, number: usize) {
         self.runs += 1;
         let zone = number % 4;
-        let fresh = Machine::new(number, self.runs, zone, self.machines[number].disk());
-        self.replace(number, fresh);
+        let new_run = Machine::new(number, self.runs, zone, self.machines[number].disk());
+        self.replace(number, new_run);
     }
 
     /// Ends a server and starts it again under its name, empty except for its disk.
     pub fn restart(&mut self, number: usize) {
         self.runs += 1;
-        let fresh = self.machines[number].restarted(self.runs, number, number % 4);
-        self.replace(number, fresh);
+        let new_run = self.machines[number].restarted(self.runs, number, number % 4);
+        self.replace(number, new_run);
     }
 
-    fn replace(&mut self, number: usize, mut fresh: Machine) {
+    fn replace(&mut self, number: usize, mut new_run: Machine) {
         let old = &self.machines[number];
-        fresh.server.zone = old.server.zone.clone();
+        new_run.server.zone = old.server.zone.clone();
         self.planner.remove_server(&old.server.id, self.now);
-        self.planner.register_server(&fresh.registration(), self.now);
-        self.machines[number] = fresh;
+        self.planner.register_server(&new_run.registration(), self.now);
+        self.machines[number] = new_run;
     }
 
     pub fn drain(&mut self, number: usize) {
@@ -238,14 +239,14 @@
     /// Returns the servers on which a model answers.
     pub fn holders(&self, model: &str) -> Vec<usize> {
         let name = model.into();
-        (0..self.machines.len()).filter(|&n| self.machines[n].answers(&name, None)).collect()
+        (0..self.machines.len()).filter(|&n| self.machines[n].can_serve(&name, None)).collect()
     }
 
     /// Returns the servers on which an adapter answers.
     pub fn adapter_holders(&self, model: &str, adapter: &str) -> Vec<usize> {
         let (model, adapter) = (model.into(), adapter.into());
         (0..self.machines.len())
-            .filter(|&n| self.machines[n].answers(&model, Some(&adapter)))
+            .filter(|&n| self.machines[n].can_serve(&model, Some(&adapter)))
             .collect()
     }
 }
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -17,18 +17,18 @@
     world
 }
 
-fn load(world: &mut World, model: &str, load: f64) {
+fn set_demand(world: &mut World, model: &str, load: f64) {
     world.planner.set_demand(&model.into(), Demand { now: load, forecast: load });
 }
 
 #[test]
 fn a_busy_model_gets_more_replicas_and_keeps_them() {
     let mut world = world(config::Weights::default(), 60);
-    load(&mut world, "m00", 3.0);
+    set_demand(&mut world, "m00", 3.0);
     world.settle();
     assert!(3 < world.ready("m00").len());
     let moves = world.moves.len();
-    load(&mut world, "m00", 0.1);
+    set_demand(&mut world, "m00", 0.1);
     world.settle();
     assert_eq!(world.moves.len(), moves, "replicas without demand stay");
 }
@@ -36,11 +36,11 @@
 #[test]
 fn a_second_busy_model_takes_over_the_room_of_the_first() {
     let mut world = world(config::Weights::default(), 55);
-    load(&mut world, "m00", 4.0);
+    set_demand(&mut world, "m00", 4.0);
     world.settle();
     assert_eq!(world.ready("m00").len(), 6);
-    load(&mut world, "m00", 0.0);
-    load(&mut world, "m01", 4.0);
+    set_demand(&mut world, "m00", 0.0);
+    set_demand(&mut world, "m01", 4.0);
     (0..200).for_each(|_| drop(world.step()));
     assert_eq!(world.ready("m01").len(), 6);
     assert!(world.ready("m00").len() < 6);
@@ -53,8 +53,8 @@
 fn weights_give_what_they_ask_for() {
     let run = |attainment, moves| {
         let mut world = world(config::Weights { attainment, moves }, 75);
-        load(&mut world, "m00", 1.5);
-        load(&mut world, "m06", 1.35);
+        set_demand(&mut world, "m00", 1.5);
+        set_demand(&mut world, "m06", 1.35);
         world.settle();
         world.count(Cause::Demand)
     };
@@ -87,6 +87,6 @@
     let ramp: Vec<Demand> = (1..10).map(|n| observe(f64::from(n))).collect();
     assert!(9.0 < ramp[8].forecast, "{:?}", ramp[8]);
     assert!(ramp[8].forecast < 18.0, "{:?}", ramp[8]);
-    let drop = (0..10).map(|_| observe(0.0)).last().expect("ten");
-    assert!(5.0 < drop.provided(), "{drop:?}");
+    let fallen = (0..10).map(|_| observe(0.0)).last().expect("ten");
+    assert!(5.0 < fallen.provided(), "{fallen:?}");
 }
--- a/crates/policy/tests/plan/executor.rs
+++ b/crates/policy/tests/plan/executor.rs
@@ -57,9 +57,9 @@
     pub(crate) machines: BTreeMap<backend::Id, Machine>,
     pub(crate) moves: Vec<Move>,
     /// Maximum random duration of an order, in steps.
-    pub(crate) slowest: u32,
+    pub(crate) max_duration: u32,
     /// One in this many moves, at random, isn't carried out, unknown to the planner; none if zero.
-    pub(crate) skipped: u32,
+    pub(crate) skip_one_in: u32,
     pub(crate) rng: ChaCha8Rng,
 }
 
@@ -90,8 +90,8 @@
             config,
             machines: machines.collect(),
             moves: Vec::new(),
-            slowest: 4,
-            skipped: 0,
+            max_duration: 4,
+            skip_one_in: 0,
             rng,
         }
     }
@@ -105,14 +105,14 @@
     /// Advances by a step and plans once. Returns the moves.
     pub(crate) fn step(&mut self) -> Vec<Move> {
         self.now += STEP;
-        self.finish();
+        self.finish_orders();
         for (server, machine) in &self.machines {
             let engine = engine(server, machine);
             self.planner.set_engine(self.now, engine);
         }
         let moves = self.planner.plan(self.now);
         for planned in &moves {
-            if 0 < self.skipped && self.rng.random_range(0..self.skipped) == 0 {
+            if 0 < self.skip_one_in && self.rng.random_range(0..self.skip_one_in) == 0 {
                 continue;
             }
             self.carry_out(planned);
@@ -123,14 +123,14 @@
 
     /// Steps until nothing has moved or changed for 20 steps.
     pub(crate) fn settle(&mut self) {
-        let mut quiet = 0;
+        let mut idle_steps = 0;
         for _ in 0..4_000 {
             let moves = self.step();
             let busy = self.machines.values().any(|machine| {
                 machine.residents.iter().any(|(resident, _)| resident.state != Progress::Ready)
             });
-            quiet = if moves.is_empty() && !busy { quiet + 1 } else { 0 };
-            if quiet == 20 {
+            idle_steps = if moves.is_empty() && !busy { idle_steps + 1 } else { 0 };
+            if idle_steps == 20 {
                 return;
             }
         }
@@ -186,7 +186,7 @@
         self.moves.iter().filter(|planned| planned.cause == cause).count()
     }
 
-    fn finish(&mut self) {
+    fn finish_orders(&mut self) {
         let now = self.now;
         for machine in self.machines.values_mut() {
             machine
@@ -201,7 +201,7 @@
     }
 
     fn carry_out(&mut self, planned: &Move) {
-        let done = self.now + STEP * self.rng.random_range(1..=self.slowest);
+        let done = self.now + STEP * self.rng.random_range(1..=self.max_duration);
         let machine = self.machines.get_mut(&planned.server).expect("a move names a known server");
         match &planned.action {
             Action::Load { unit, memory } => {
@@ -209,7 +209,7 @@
                     Resident { unit: unit.clone(), memory: *memory, state: Progress::Loading };
                 machine.residents.push((resident, done));
                 assert!(
-                    taken(machine) <= machine.capacity,
+                    used_memory(machine) <= machine.capacity,
                     "{} is overcommitted by {planned:?}",
                     planned.server
                 );
@@ -237,11 +237,11 @@
         group: "lm".into(),
         zone: machine.zone.clone(),
         state: machine.state,
-        free: machine.capacity - taken(machine),
+        free: machine.capacity - used_memory(machine),
         residents: machine.residents.iter().map(|(resident, _)| resident.clone()).collect(),
     }
 }
 
-fn taken(machine: &Machine) -> Mebibytes {
+fn used_memory(machine: &Machine) -> Mebibytes {
     machine.residents.iter().map(|(resident, _)| resident.memory).sum()
 }
--- a/crates/policy/tests/plan/gap.rs
+++ b/crates/policy/tests/plan/gap.rs
@@ -14,35 +14,35 @@
 
 /// Models and adapters that have answered once must answer until they are removed.
 #[derive(Default)]
-struct Watch {
-    answered: BTreeSet<(model::Id, Option<adapter::Id>)>,
+struct GapCheck {
+    served: BTreeSet<(model::Id, Option<adapter::Id>)>,
 }
 
-impl Watch {
+impl GapCheck {
     fn check(&mut self, world: &World) {
         let config = &world.config;
-        self.answered.retain(|(model, adapter)| {
+        self.served.retain(|(model, adapter)| {
             let declared = config.models.get(model);
             let adapter = adapter.as_ref();
             declared.is_some_and(|d| adapter.is_none_or(|a| d.adapters.contains_key(a)))
         });
         for (id, declared) in &config.models {
-            let answers = !world.ready(id).is_empty();
-            self.note(world, (id.clone(), None), answers);
+            let is_served = !world.ready(id).is_empty();
+            self.record(world, (id.clone(), None), is_served);
             for adapter in declared.adapters.keys() {
-                let answers = !world.ready_adapter(id, adapter).is_empty();
-                self.note(world, (id.clone(), Some(adapter.clone())), answers);
+                let is_served = !world.ready_adapter(id, adapter).is_empty();
+                self.record(world, (id.clone(), Some(adapter.clone())), is_served);
             }
         }
     }
 
-    fn note(&mut self, world: &World, name: (model::Id, Option<adapter::Id>), answers: bool) {
-        if answers {
-            self.answered.insert(name);
+    fn record(&mut self, world: &World, name: (model::Id, Option<adapter::Id>), is_served: bool) {
+        if is_served {
+            self.served.insert(name);
             return;
         }
         assert!(
-            !self.answered.contains(&name),
+            !self.served.contains(&name),
             "{name:?} has a gap at {:?}; the last moves are {:#?}",
             world.now,
             &world.moves[world.moves.len().saturating_sub(12)..]
@@ -89,7 +89,7 @@
 #[case::lossy(90, 4)]
 fn no_model_that_answers_stops_answering_through_patches(
     #[case] capacity: Mebibytes,
-    #[case] skipped: u32,
+    #[case] skip_one_in: u32,
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
     let rng = ChaCha8Rng::seed_from_u64(seed);
@@ -100,19 +100,19 @@
         ("d", 24, &[]),
     ]);
     let mut world = World::new(rng, declared, 5, 3, capacity, Limits::default());
-    world.skipped = skipped;
-    let mut watch = Watch::default();
+    world.skip_one_in = skip_one_in;
+    let mut gap_check = GapCheck::default();
     for serial in 0..PATCHES {
         let mut config = world.config.clone();
         patch(&mut world.rng, &mut config, serial);
         world.configure(config);
         for _ in 0..world.rng.random_range(1..25) {
             world.step();
-            watch.check(&world);
+            gap_check.check(&world);
         }
     }
     world.settle();
-    watch.check(&world);
+    gap_check.check(&world);
     for (id, declared) in &world.config.models {
         assert!(
             !world.ready_version(id, &declared.version).is_empty(),
@@ -130,7 +130,7 @@
     let declared = config(&[("a", 20, &[("adapter-0", 2)]), ("b", 15, &[]), ("c", 10, &[])]);
     let mut world = World::new(rng, declared, 5, 3, 60, Limits::default());
     world.settle();
-    let mut watch = Watch::default();
+    let mut gap_check = GapCheck::default();
     for _ in 0..40 {
         let servers: Vec<backend::Id> = world.machines.keys().cloned().collect();
         let server = &servers[world.rng.random_range(0..servers.len())];
@@ -140,7 +140,7 @@
         }
         world.machines.get_mut(server).expect("known").state = State::Live;
         world.step();
-        watch.check(&world);
+        gap_check.check(&world);
     }
 }
 
@@ -153,10 +153,10 @@
     let mut next = world.config.clone();
     next.models.get_mut("a").expect("declared").version = "2".into();
     world.configure(next);
-    let mut watch = Watch::default();
+    let mut gap_check = GapCheck::default();
     for _ in 0..200 {
         world.step();
-        watch.check(&world);
+        gap_check.check(&world);
     }
     assert_eq!(world.ready_version("a", "2").len(), 2);
     assert!(world.ready_version("a", "1").is_empty());
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -73,8 +73,8 @@
     world.machines.get_mut(&server).expect("known").state = State::Leaving;
     world.settle();
     assert_eq!(world.ready("a").len(), 2);
-    let back = world.moves.iter().filter(|m| m.server == server && m.is_load());
-    assert!(back.count() <= 2, "the leaving server gets nothing new");
+    let loads = world.moves.iter().filter(|m| m.server == server && m.is_load());
+    assert!(loads.count() <= 2, "the leaving server gets nothing new");
 }
 
 #[test]
@@ -120,7 +120,7 @@
 fn a_move_that_was_not_made_is_proposed_again() {
     let declared = config(&[("a", 20, &[])]);
     let mut world = World::new(rng(8), declared, 2, 2, 60, Limits::default());
-    world.skipped = 2;
+    world.skip_one_in = 2;
     world.settle();
     assert_eq!(world.ready("a").len(), 2);
 }
