--- a/crates/policy/benches/fleet.rs
+++ b/crates/policy/benches/fleet.rs
@@ -63,7 +63,8 @@
     engines.collect()
 }
 
-/// Returns the demand of a model: a few are busy, most are not. `turn` changes which.
+/// Returns the demand for model number `n`: a few models are busy, most are not. `shift` changes
+/// which are.
 pub fn demand(n: usize, shift: usize) -> Demand {
     let now = match (n + shift) % 10 {
         0 => 1.6,
@@ -73,7 +74,8 @@
     Demand { now, forecast: now }
 }
 
-/// Returns a planner that has placed all models, and the engines as they are then.
+/// Returns a planner that has placed this many models, their configuration, and the engines with
+/// the models placed.
 pub fn placed(models: usize) -> (Planner, config::Config, BTreeMap<backend::Id, Engine>) {
     let config = config(models);
     let mut engines = engines(servers(models));
@@ -91,7 +93,7 @@
     (planner, config, engines)
 }
 
-/// Carries an order out at once.
+/// Carries out an order immediately.
 pub fn apply(engine: &mut Engine, action: &Action) {
     match action {
         Action::Load { unit, memory } => {
--- a/crates/policy/benches/plan.rs
+++ b/crates/policy/benches/plan.rs
@@ -13,7 +13,7 @@
 const SIZES: [usize; 4] = [119, 238, 475, 950];
 const NOW: Moment = Duration::from_secs(3600);
 
-/// Every model is placed from nothing, in one plan.
+/// Measures one plan that places every model on empty engines.
 fn from_empty(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/from-empty");
     group.sample_size(10);
@@ -35,7 +35,7 @@
     }
 }
 
-/// A planner that has just taken over reads everything and plans.
+/// Measures a planner that has just taken over: it is given all engines, and plans.
 fn takeover(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/takeover");
     group.sample_size(10);
@@ -56,7 +56,7 @@
     }
 }
 
-/// One engine has changed.
+/// Measures a plan after one engine has changed.
 fn one_engine(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/one-engine");
     for size in SIZES {
@@ -71,7 +71,7 @@
     }
 }
 
-/// One model's version has changed.
+/// Measures a plan after one model's version has changed.
 fn one_patch(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/one-patch");
     for size in SIZES {
@@ -89,7 +89,7 @@
     }
 }
 
-/// All demand has shifted to other models.
+/// Measures a plan after all demand has shifted to other models.
 fn shift(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("plan/shift");
     group.sample_size(10);
--- a/crates/policy/examples/config_size.rs
+++ b/crates/policy/examples/config_size.rs
@@ -1,8 +1,8 @@
-//! Cost of a day of patches at target size: 950 models, 2,400 changes.
+//! Measures the cost of a day of patches; by default 2,400 changes to 950 models.
 //!
-//! Prints one JSON object: bytes of the root and the parts, writes for each change, time of a
-//! decision. Run with `cargo run --release -p cyclamenstage-policy --example config_size [models]
-//! [changes]`.
+//! Prints one JSON object with the bytes of the root and the parts, the writes for each change and
+//! the time of a decision. Run with `cargo run --release -p cyclamenstage-policy --example
+//! config_size [models] [changes]`.
 
 #![allow(clippy::print_stdout)]
 
@@ -138,7 +138,7 @@
     match decision {
         Decision::Accept(draft) => Some(*draft),
         Decision::Unchanged(_) | Decision::Short(_) => None,
-        other => panic!("a patch of the trial is {other:?}"),
+        other => panic!("unexpected decision on a patch: {other:?}"),
     }
 }
 
@@ -167,7 +167,7 @@
     time.as_micros() as u64
 }
 
-/// Median, 99th percentile and maximum.
+/// Returns the median, the 99th percentile and the maximum; null without values.
 fn quantiles(mut values: Vec<u64>) -> Value {
     values.sort_unstable();
     let at = |share: f64| values[((values.len() - 1) as f64 * share) as usize];
--- a/crates/policy/examples/demand_traffic.rs
+++ b/crates/policy/examples/demand_traffic.rs
@@ -2,11 +2,11 @@
 //!
 //! `cargo run --release -p cyclamenstage-policy --example demand_traffic`.
 //!
-//! Hosts run under virtual time. Requests ask for the models and adapters of a deployment, a few of
-//! them far more often than others. Bytes include the network's headers. The time is what the
-//! planning host's collector takes for one report on this machine.
+//! Hosts run under virtual time. Requests are for the models and adapters of a deployment, a few of
+//! which are requested far more often than others. Bytes include the network's headers. The time is
+//! how long the planning host's collector takes for one report on this machine.
 
-#![allow(clippy::print_stdout, reason = "the figures are its purpose")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 #[path = "../tests/fleet_net/mod.rs"]
 mod fleet_net;
@@ -22,7 +22,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Hosts, requests a second at all of them together, models, adapters of each model.
+/// Number of hosts, requests per second at all hosts together, number of models, and number of
+/// adapters of each model.
 const SIZES: [(usize, f64, usize, usize); 4] =
     [(9, 140.0, 26, 4), (85, 780.0, 126, 4), (195, 820.0, 110, 4), (346, 4_300.0, 950, 4)];
 
--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -5,10 +5,10 @@
 //! Hosts run under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is
 //! lost. Each host has ten requests in flight at a few of 240 pairs of server and model, starts and
 //! ends some seven a second, and counts the arrivals of one service. One host in turn also has work
-//! at a server that no other host uses, and changes it each round. Measured is the age of that load
+//! at a server that no other host uses, and changes it each round; the age of that load is measured
 //! at each other host.
 
-#![allow(clippy::print_stdout, reason = "the figures are its purpose")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 #[path = "../tests/fleet_net/mod.rs"]
 mod fleet_net;
@@ -78,8 +78,8 @@
         Work { random, in_flight, arrivals: vec![0; hosts] }
     }
 
-    /// Publishes all hosts' work for one round. The probing host has this many requests at its own
-    /// server.
+    /// Publishes all hosts' work for one round. `probe` is a host, and the number of requests that
+    /// it has at its own server.
     fn step(&mut self, net: &mut Net, probe: Option<(usize, u32)>) {
         for host in 0..self.in_flight.len() {
             if self.random.random_bool(0.4) {
--- a/crates/policy/examples/fleet_traffic.rs
+++ b/crates/policy/examples/fleet_traffic.rs
@@ -6,7 +6,7 @@
 //! Hosts run under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is
 //! lost. A busy host has requests in flight at twenty servers, all of which change every 100 ms.
 
-#![allow(clippy::print_stdout, reason = "the figures are its purpose")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 #[path = "../tests/fleet_net/mod.rs"]
 mod fleet_net;
--- a/crates/policy/examples/place_baselines.rs
+++ b/crates/policy/examples/place_baselines.rs
@@ -4,10 +4,10 @@
 //!
 //! Runs in virtual time. Demand moves along the list of models every five seconds, at once or
 //! gradually. Requests wait for a replica up to their goal for the first token, then count as
-//! missed. Routing chooses the replica that reads the prompt first. *Plan* is the mean processor
-//! time of a plan, and that of the longest.
+//! missed. Routing chooses the replica that finishes the prompt's prefill first. *Plan* is the mean
+//! processor time of a plan and that of the longest one.
 
-#![allow(clippy::print_stdout, reason = "the example's output")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 #![allow(dead_code, reason = "shared with the tests")]
 
 #[path = "../tests/place/machine.rs"]
@@ -33,10 +33,11 @@
 const SHIFT_INTERVAL: Duration = Duration::from_secs(5);
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shares of the models of a small deployment, the busiest first; `rest` is spread over all models.
+/// Shares of the demand for models of a small deployment, the busiest first; `rest` is spread over
+/// all models.
 const FEW: Shares = Shares { busiest: &[0.607, 0.225, 0.168], rest: 0.07 };
 
-/// Shares of the models of a deployment with many servers.
+/// Shares of the demand for models of a deployment with many servers.
 const MANY: Shares = Shares {
     busiest: &[
         0.256, 0.095, 0.071, 0.059, 0.051, 0.046, 0.042, 0.039, 0.036, 0.034, 0.032, 0.031, 0.029,
@@ -277,7 +278,7 @@
     }
 }
 
-/// Reads a server's prompts one after the other.
+/// Prefill of a server's prompts, one after the other.
 #[derive(Clone, Default)]
 struct PrefillQueue {
     until: Moment,
@@ -286,8 +287,8 @@
 }
 
 impl PrefillQueue {
-    /// Returns when the prompt is read, and by which factor prompts read in between slow output
-    /// tokens down.
+    /// Adds a prompt. Returns when its prefill ends, and the factor by which prefill of other
+    /// prompts slows output tokens down.
     fn add(&mut self, prompt: u64, now: Moment) -> (Moment, f64) {
         self.until = self.until.max(now) + Duration::from_micros(prompt * 1000 / 38);
         let decay = (-(now - self.at).as_secs_f64()).exp();
@@ -402,7 +403,8 @@
         Request { model: model.name.clone(), adapter, at: world.now, prompt, output }
     }
 
-    /// Sends a request to the replica that reads it first. Returns the request if it has to wait.
+    /// Sends a request to the replica that finishes its prefill first. Returns the request if it
+    /// has to wait.
     fn send(&mut self, world: &mut World, request: Request) -> Option<Request> {
         let now = world.now;
         let fits = |m: &machine::Machine| {
--- a/crates/policy/examples/quota_table.rs
+++ b/crates/policy/examples/quota_table.rs
@@ -4,7 +4,7 @@
 //! which the limit binds and what is allowed in it, the fraction of the limit that is used once it
 //! has settled, and the messages on quotas that the busiest host receives per second.
 
-#![allow(clippy::print_stdout, reason = "the table is the output")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 use std::time::Duration;
 
--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -3,9 +3,9 @@
 //!
 //! `cargo run --release -p cyclamenstage-policy --example spread -- [CHANGES] [SECONDS_BETWEEN]`
 //!
-//! Runs under virtual time and prints one JSON object a line.
+//! Runs under virtual time and prints one JSON object per line.
 
-#![allow(clippy::print_stdout, reason = "the example's output")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 #[path = "../tests/fleet/mod.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
--- a/crates/policy/tests/config.rs
+++ b/crates/policy/tests/config.rs
@@ -39,7 +39,7 @@
     Current { root: draft.root, config: draft.config }
 }
 
-/// Configuration 1, with two models and a customer.
+/// Returns configuration 1, with two models and a customer.
 fn first() -> Current {
     let changes = json!({
         "customers": {"guests": {"share": 2}},
@@ -48,14 +48,14 @@
     after(&Current::default(), &patch("first", 0, changes))
 }
 
-/// Configuration 1, too large for the root.
+/// Returns configuration 1, too large to be stored in the root.
 fn large() -> Current {
     let models: BTreeMap<String, Value> =
         (0..700).map(|i| (format!("filler-{i:03}"), model(1))).collect();
     after(&Current::default(), &patch("first", 0, json!({"models": models})))
 }
 
-/// Configuration that a root and parts make.
+/// Returns the configuration that a root and parts make.
 fn assemble(root: &Root, parts: &BTreeMap<part::Name, Vec<u8>>) -> Config {
     let mut holder = Holder::default();
     holder.observe_root(root.clone()).unwrap();
@@ -92,7 +92,7 @@
 ) {
     let two = after(&first(), &patch("b", 1, json!({"models": {"terms": {"memory": 120}}})));
     let Decision::Stale(stale) = decide(&two, &patch("c", 1, changes), &servers()) else {
-        panic!("not stale");
+        panic!("the patch was not refused as stale");
     };
     assert_eq!(
         (stale.current, stale.clashes),
@@ -116,7 +116,7 @@
     let Decision::Stale(stale) =
         decide(&current, &patch("late", 1, json!({"models": {"terms": {"kv": 1}}})), &servers())
     else {
-        panic!("not stale");
+        panic!("the patch was not refused as stale");
     };
     assert_eq!((stale.current, stale.clashes), (300, vec!["/models/terms/kv".to_string()]));
 }
@@ -183,13 +183,13 @@
     let two = after(&first(), &patch("b", 1, json!({"services": {"lobby": service}})));
     let removal = patch("c", 2, json!({"models": {"terms": null}, "customers": {"guests": null}}));
     let Decision::Invalid(problems) = decide(&two, &removal, &servers()) else {
-        panic!("not refused");
+        panic!("the removal was not refused as invalid");
     };
     let paths: Vec<_> = problems.iter().map(|problem| problem.path.as_str()).collect();
     assert_eq!(paths, ["/services/lobby/customer", "/services/lobby/offer/models/0"]);
 }
 
-/// Object API with one root, for concurrent writers.
+/// Object API with one root and its parts, for concurrent writers.
 #[derive(Default)]
 struct Platform {
     version: u64,
@@ -250,7 +250,7 @@
     number
 }
 
-/// Roots of numbers 1 to 5, and every part that they name.
+/// Returns the configurations of numbers 1 to 5, and every part that their roots name.
 fn history() -> (Vec<Current>, BTreeMap<part::Name, Vec<u8>>) {
     let first = Draft::new(1, Config::clone(&large().config), &[]).unwrap();
     let mut parts: BTreeMap<_, _> =
--- a/crates/policy/tests/config_fit.rs
+++ b/crates/policy/tests/config_fit.rs
@@ -22,7 +22,7 @@
     json!({"group": "lm", "version": version, "memory": memory, "replicas": replicas})
 }
 
-/// Models that are short of memory, each with the step that fails.
+/// Returns the models that are short of memory, each with the step that fails.
 fn short_models(from: Value, to: Value, capacities: &[u64]) -> Vec<(String, Step)> {
     shortages(&config(from), &config(to), &servers(capacities))
         .into_iter()
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -32,7 +32,7 @@
     Claim { id: id.into(), sender: "host-1".into(), incarnation: 7, cause: "test".into() }
 }
 
-/// Report with these residents, of the first incarnation.
+/// Returns a report of the first incarnation with these residents.
 fn report(sequence: u64, residents: &[(&str, Mebibytes)]) -> Load {
     let resident =
         |&(model, memory): &(&str, _)| Resident { unit: unit(model), memory, state: State::Ready };
@@ -58,14 +58,14 @@
 }
 
 fn reserve(ledger: &Ledger, id: &str, action: Action) -> (Ledger, Order) {
-    ledger.reserve(claim(id), action).expect("it fits")
+    ledger.reserve(claim(id), action).expect("the action fits")
 }
 
 #[test]
 fn reservation_that_does_not_fit_says_what_is_short() {
     let ledger = Ledger::new(&report(1, &[("a", 60)]));
     let (ledger, _) = reserve(&ledger, "o1", load("b", 30));
-    let rejection = ledger.reserve(claim("o2"), load("c", 30)).expect_err("10 are free");
+    let rejection = ledger.reserve(claim("o2"), load("c", 30)).expect_err("only 10 MiB are free");
     let expected =
         Rejection::Memory { server: "engine-1".into(), needed: 30, free: 10, in_doubt: 30 };
     assert_eq!(rejection, expected);
@@ -126,12 +126,21 @@
     let ledger = ledger.settle(&[Evidence::Report(&fenced(newer))]).ledger;
 
     assert!(ledger.is_superseded(&ledger.orders[0]));
-    assert!(ledger.reserve(claim("o3"), load("c", 50)).is_ok(), "b can't arrive beside a and c");
-    assert!(ledger.reserve(claim("o3"), load("c", 61)).is_err(), "b and c after a restart");
+    assert!(
+        ledger.reserve(claim("o3"), load("c", 50)).is_ok(),
+        "the superseded load of b was counted beside a and c"
+    );
+    assert!(
+        ledger.reserve(claim("o3"), load("c", 61)).is_err(),
+        "b and c together exceed the memory after a restart"
+    );
 
     let restarted = Load { incarnation: 2, ..report(1, &[]) };
     let ledger = ledger.settle(&[Evidence::Report(&fenced(restarted))]).ledger;
-    assert!(!ledger.is_superseded(&ledger.orders[0]), "the new incarnation has no fencing token");
+    assert!(
+        !ledger.is_superseded(&ledger.orders[0]),
+        "the new incarnation has seen no fencing token"
+    );
     assert_eq!(ledger.usage().in_doubt, 40);
 }
 
@@ -165,7 +174,7 @@
     let ledger = Ledger::new(&report(1, &[]));
     let (ledger, _) = reserve(&ledger, "old", load("a", 10));
     let newer = Claim { incarnation: 8, ..claim("new") };
-    let (ledger, _) = ledger.reserve(newer, load("b", 20)).expect("it fits");
+    let (ledger, _) = ledger.reserve(newer, load("b", 20)).expect("b fits");
     let gone = Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
     let outcome = ledger.settle(&[gone]);
     assert_eq!(&*outcome.settled[0].entry.order.id, "old");
@@ -208,7 +217,7 @@
 fn ledger_reads_back_as_it_was_written() {
     let ledger = Ledger::new(&report(1, &[("a", 30)]));
     let (ledger, _) = reserve(&ledger, "o1", load("b", 40));
-    let text = serde_json::to_string(&ledger).expect("it is plain data");
-    let read: Ledger = serde_json::from_str(&text).expect("it was just written");
+    let text = serde_json::to_string(&ledger).expect("a ledger can be written as JSON");
+    let read: Ledger = serde_json::from_str(&text).expect("the JSON of a ledger can be read");
     assert_eq!(read, ledger);
 }
--- a/crates/policy/tests/place/adapters.rs
+++ b/crates/policy/tests/place/adapters.rs
@@ -40,11 +40,12 @@
     assert!(2 <= world.adapter_holders("m00", "a1").len());
 }
 
-/// Requests that wait for a loaded adapter can't use the copy: they have failed there.
+/// Requests that wait although the adapter is loaded have failed on the server that has it, so they
+/// need another copy.
 #[test]
 fn an_adapter_that_is_waited_for_though_it_stands_somewhere_stands_twice() {
     let mut world = world();
-    // The first two requests cause the load, and find the adapter.
+    // The first request causes the load, and the second finds the adapter loaded.
     for _ in 0..2 {
         request(&mut world, "a1");
         world.run(SECOND);
@@ -87,7 +88,7 @@
     assert_eq!(world.holders("m00"), holders);
     assert!(
         world.adapter_holders("m00", "a1").is_empty(),
-        "the least recently requested is evicted"
+        "the least recently requested adapter was not evicted"
     );
     for number in 2..=slots + 1 {
         assert!(!world.adapter_holders("m00", &format!("a{number}")).is_empty(), "a{number}");
@@ -131,7 +132,11 @@
     }
     let never: Vec<_> = all.iter().filter(|adapter| !served.contains(*adapter)).collect();
     assert!(never.is_empty(), "never served: {never:?}");
-    assert!(world.orders.len() < 150, "{} orders: no churn", world.orders.len());
+    assert!(
+        world.orders.len() < 150,
+        "adapters were moved too often: {} orders",
+        world.orders.len()
+    );
     assert!(world.record.crashed.is_empty());
 }
 
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -97,7 +97,7 @@
         self.on_disk.clone()
     }
 
-    /// Holds a model immediately, without an order.
+    /// Makes a model held immediately, without an order.
     pub fn hold(&mut self, engine: &Engine, model: &model::Id) {
         self.held.entry(model.clone()).or_default();
         self.store_copies(engine, model);
@@ -122,7 +122,7 @@
         self.held.iter().map(held).collect()
     }
 
-    /// Whether requests for a model or adapter can be served here.
+    /// Whether the server can serve requests for a model or adapter.
     pub fn can_serve(&self, model: &model::Id, adapter: Option<&adapter::Id>) -> bool {
         let leaves =
             self.current.as_ref().is_some_and(|(op, m, _)| *op == Operation::Unload && m == model);
@@ -248,7 +248,7 @@
         weights.chain(adapters).sum()
     }
 
-    /// Advances to `now`: late orders arrive, and loads and unloads end.
+    /// Advances to `now`: delayed orders arrive, and loads and unloads end.
     pub fn tick(&mut self, engine: &Engine, record: &mut Record, now: Moment) {
         let due: Vec<Order> =
             self.delayed.extract_if(.., |(_, at)| *at <= now).map(|(order, _)| order).collect();
@@ -262,7 +262,7 @@
         });
         match done {
             Some((Operation::Load, model, _)) => self.hold(engine, &model),
-            // Adapters being loaded still arrive, and keep their slots until then.
+            // Adapters of the model that are being loaded keep their slots until their loads end.
             Some((Operation::Unload, model, _)) => {
                 self.held.remove(&model);
             }
--- a/crates/policy/tests/place/models.rs
+++ b/crates/policy/tests/place/models.rs
@@ -40,7 +40,7 @@
     }
     let orders = world.orders.len();
     world.run(20 * SECOND);
-    assert_eq!(world.orders.len(), orders, "no orders without a cause");
+    assert_eq!(world.orders.len(), orders, "orders were sent without a cause");
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     }
     let (peak, loads) = (world.store_peak() as f64, world.record.store_loads.len());
     assert!(peak <= 1.7 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
-    assert!(10 < loads, "{loads} loads: the test needs many");
+    assert!(10 < loads, "only {loads} loads; the test needs more than ten");
 }
 
 /// The limit is the mean number of loads at the store's full rate, where each load takes 1.5 s.
@@ -79,13 +79,13 @@
         let loads = |machine: &&Machine| matches!(machine.current, Some((Operation::Load, ..)));
         peak = peak.max(world.machines.iter().filter(loads).count());
     }
-    assert!((most - 1..=most).contains(&peak), "{peak} loads at once");
+    assert!((most - 1..=most).contains(&peak), "up to {peak} loads at once");
 }
 
-/// The busiest model keeps 2.5 servers fully utilized and has one replica before. Its first loads
-/// wait for room and take half a second from disk. From the store they take one and a half, and the
-/// store allows three at once, then some three in two seconds. A fourth replica evicts another
-/// model's second replica, which has to be loaded elsewhere before.
+/// The model that becomes the busiest keeps 2.5 servers fully utilized and has one replica at
+/// first. Its first loads wait for room and take half a second from disk. From the store a load
+/// takes 1.5 s, and the store allows three at once, then about three in two seconds. A fourth
+/// replica evicts another model's second replica, which must first be loaded elsewhere.
 #[rstest]
 #[case::three_from_disk(&["m05"], 1300, 3)]
 #[case::four_from_disk(&["m05"], 3400, 4)]
@@ -142,7 +142,7 @@
     models.iter().for_each(|model| assert!(!world.holders(model).is_empty(), "{model}"));
     let gone = world.machines[2].server.id.clone();
     assert!(world.orders[orders..].iter().all(|(_, order)| order.server != gone));
-    assert!(orders < world.orders.len(), "replacements were ordered");
+    assert!(orders < world.orders.len(), "no replacement was ordered");
 }
 
 #[test]
@@ -230,7 +230,7 @@
         |world: &World, model: &model::Id| world.holders(model).iter().any(|&holder| holder != 2);
     assert!(
         !held.iter().all(|model| elsewhere(&world, model)),
-        "some model must be only there: {held:?}"
+        "no model is held by this server only: {held:?}"
     );
     let unresponsive = world.machines[2].server.id.clone();
     let orders = world.orders.len();
@@ -306,8 +306,8 @@
     assert!(peak <= 10.0 * 5.0 * 1.1 + 3.0, "{peak} loads in five seconds");
 }
 
-/// Returns the replicas of a model ten seconds after it got all demand. Loads take 6 s, and demand
-/// had moved to another model each second before, `moves` times.
+/// Returns the number of replicas of a model ten seconds after it got all demand. Loads take 6 s,
+/// and demand had moved to another model each second before, `moves` times.
 fn replicas_after(moves: u32) -> usize {
     let mut engine = engine(83_000, 8, &[(72_700, 0); 8]);
     engine.models.iter_mut().for_each(|model| model.load = 6 * SECOND);
@@ -319,17 +319,17 @@
     world.holders("m07").len()
 }
 
-/// How long demand stayed with its models before determines how long a replica is expected to be of
-/// use: 3 replicas where it stayed, 2 where it moved. With a fixed time beyond the mean load it was
-/// 4 and 4.
+/// The time for which demand has stayed with its models so far determines how long a new replica is
+/// expected to be of use: a model gets 3 replicas if demand stayed, and 2 if it moved. With a fixed
+/// time beyond the mean load time it would get 4 in both cases.
 #[test]
 fn slow_loads_follow_demand_that_stays_rather_than_demand_that_moves() {
     let (stays, moves) = (replicas_after(0), replicas_after(20));
     assert!(moves < stays, "{moves} where demand moved each second, {stays} where it stayed");
 }
 
-/// Returns the replicas of a model with demand for a quarter of a server, some seconds after its
-/// servers were limited to this fraction of the demand.
+/// Returns the number of replicas of a model with demand for a quarter of a server, six seconds
+/// after its servers were limited to this fraction of the demand.
 fn replicas_with_a_limit(fraction: Option<f64>) -> usize {
     const DEMAND: f64 = 0.25;
     let mut world = World::new(engine(83_000, 8, &[(60_000, 0); 2]), 6, 2, 1);
--- a/crates/policy/tests/place/random.rs
+++ b/crates/policy/tests/place/random.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Another planner takes over while orders of the previous one may still be on their way.
+/// Replaces the planner while orders of the previous one may still be in flight.
 fn replace_planner(world: &mut World) {
     world.planner = Planner::new(Rules::default());
     world.planner.declare(&"lm".into(), &world.engine, world.now);
--- a/crates/policy/tests/place/server_view.rs
+++ b/crates/policy/tests/place/server_view.rs
@@ -1,4 +1,4 @@
-//! What the planner takes for the known state of a server.
+//! When the planner counts the state of a server as known.
 
 use policy::place::{Operation, Order, Outcome, Planner, Rules};
 use rstest::rstest;
@@ -39,11 +39,17 @@
 #[case::a_refusal_waits_for_a_report(Outcome::Conflict, 3000, 0)]
 fn after_an_answer(#[case] outcome: Outcome, #[case] at: u32, #[case] orders: usize) {
     let (mut planner, order) = start();
-    assert!(planner.plan(2010 * MS).is_empty(), "one order at a time");
+    assert!(
+        planner.plan(2010 * MS).is_empty(),
+        "a second order was sent before the answer to the first"
+    );
     planner.record_outcome(&order, outcome, 2020 * MS);
     let repeated = planner.plan(at * MS);
     assert_eq!(repeated.len(), orders);
-    assert!(repeated.iter().all(|order| order.expected == 0), "at the same sequence number");
+    assert!(
+        repeated.iter().all(|order| order.expected == 0),
+        "the order was repeated at another sequence number"
+    );
 }
 
 #[test]
@@ -141,7 +147,11 @@
         for order in planner.plan(at * MS) {
             sent += 1;
             planner.record_outcome(&order, Outcome::Conflict, at * MS);
-            assert_eq!(planner.unsettled(at * MS).count(), 1, "a report shows which reason it was");
+            assert_eq!(
+                planner.unsettled(at * MS).count(),
+                1,
+                "no report is awaited that would show the reason of the refusal"
+            );
         }
         if at % 50 == 0 {
             planner.report(&load.server, &busy, at * MS);
@@ -149,5 +159,5 @@
     }
     assert!((2..=5).contains(&sent), "{sent} orders");
     planner.report(&load.server, &report(1, &["m00", "m01"]), 3510 * MS);
-    assert_eq!(planner.plan(3520 * MS).len(), 1, "as soon as the load has ended");
+    assert_eq!(planner.plan(3520 * MS).len(), 1, "no order followed the end of the load");
 }
--- a/crates/policy/tests/place/sites.rs
+++ b/crates/policy/tests/place/sites.rs
@@ -18,7 +18,7 @@
 /// in MiB and the load times from the store and from disk in milliseconds, for B, M and S.
 fn models(kinds: &str, sizes: [(u64, u64, u64); 3]) -> Vec<Model> {
     let model = |(index, kind): (usize, char)| {
-        let (weights, load, disk) = sizes["BMS".find(kind).expect("a kind")];
+        let (weights, load, disk) = sizes["BMS".find(kind).expect("one of B, M and S")];
         Model {
             name: format!("m{index:03}").into(),
             weights,
--- a/crates/policy/tests/place/unplaced.rs
+++ b/crates/policy/tests/place/unplaced.rs
@@ -1,4 +1,4 @@
-//! What a plan wants but can't order, and how often that is reported.
+//! Models and adapters that a plan wants but can't order, and how often they are reported.
 
 use policy::place::{Obstacle, ReportLimiter, Unplaced, Work};
 use rstest::rstest;
@@ -8,7 +8,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Offers a tenth of a second's work that keeps `servers` servers fully utilized.
+/// Offers the work that keeps `servers` servers fully utilized for a tenth of a second.
 fn offer_work(model: &str, world: &mut World, servers: f64) {
     let output = (servers * 0.1 * 64.0 / 0.0056) as u64;
     let work = Work { requests: 10, prompt: 0, output };
--- a/crates/policy/tests/place/world.rs
+++ b/crates/policy/tests/place/world.rs
@@ -23,11 +23,11 @@
     pub lost: f64,
     /// The order arrives, but the answer is lost.
     pub answer_lost: f64,
-    /// The order arrives later.
+    /// The order is delayed, and no answer arrives.
     pub delayed: f64,
-    /// The order arrives a second time later.
+    /// The order arrives once more, later.
     pub repeated: f64,
-    /// When late orders arrive; at random if `None`.
+    /// When delayed orders arrive; at random if `None`.
     pub delayed_until: Option<Moment>,
 }
 
@@ -44,7 +44,7 @@
     pub plan_times: Vec<Duration>,
     unanswered: Vec<(Moment, Order)>,
     runs: usize,
-    /// Models that no server answered for, with the ends of the steps.
+    /// Models that no server could serve, with the times when the steps ended.
     pub unreachable: BTreeSet<(Moment, model::Id)>,
 }
 
@@ -236,13 +236,13 @@
         loads.iter().map(window).max().unwrap_or(0)
     }
 
-    /// Returns the servers on which a model answers.
+    /// Returns the servers that can serve a model.
     pub fn holders(&self, model: &str) -> Vec<usize> {
         let name = model.into();
         (0..self.machines.len()).filter(|&n| self.machines[n].can_serve(&name, None)).collect()
     }
 
-    /// Returns the servers on which an adapter answers.
+    /// Returns the servers that can serve an adapter.
     pub fn adapter_holders(&self, model: &str, adapter: &str) -> Vec<usize> {
         let (model, adapter) = (model.into(), adapter.into());
         (0..self.machines.len())
--- a/crates/policy/tests/plan/demand.rs
+++ b/crates/policy/tests/plan/demand.rs
@@ -30,7 +30,7 @@
     let moves = world.moves.len();
     set_demand(&mut world, "m00", 0.1);
     world.settle();
-    assert_eq!(world.moves.len(), moves, "replicas without demand stay");
+    assert_eq!(world.moves.len(), moves, "replicas without demand were moved");
 }
 
 #[test]
--- a/crates/policy/tests/plan/executor.rs
+++ b/crates/policy/tests/plan/executor.rs
@@ -58,7 +58,8 @@
     pub(crate) moves: Vec<Move>,
     /// Maximum random duration of an order, in steps.
     pub(crate) max_duration: u32,
-    /// One in this many moves, at random, isn't carried out, unknown to the planner; none if zero.
+    /// One in this many moves, at random, isn't carried out, which the planner isn't told; none is
+    /// left out if zero.
     pub(crate) skip_one_in: u32,
     pub(crate) rng: ChaCha8Rng,
 }
@@ -121,7 +122,7 @@
         moves
     }
 
-    /// Steps until nothing has moved or changed for 20 steps.
+    /// Steps until no move was planned and none was in progress for 20 steps.
     pub(crate) fn settle(&mut self) {
         let mut idle_steps = 0;
         for _ in 0..4_000 {
@@ -134,7 +135,7 @@
                 return;
             }
         }
-        panic!("moves never end; the last are {:#?}", &self.moves[self.moves.len() - 6..]);
+        panic!("moves don't end; the last are {:#?}", &self.moves[self.moves.len() - 6..]);
     }
 
     /// Returns the live servers on which any version of a model is ready.
@@ -225,7 +226,7 @@
                 found.0.state = Progress::Unloading;
                 found.1 = done;
             }
-            Action::Role { .. } => panic!("{planned:?} is no move of placement"),
+            Action::Role { .. } => panic!("placement doesn't change roles: {planned:?}"),
         }
     }
 }
--- a/crates/policy/tests/plan/gap.rs
+++ b/crates/policy/tests/plan/gap.rs
@@ -1,4 +1,4 @@
-//! No gap in service, in long random sequences of patches and failures.
+//! Long random sequences of patches and failures leave no gap in service.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,8 @@
 
 const PATCHES: usize = 60;
 
-/// Models and adapters that have answered once must answer until they are removed.
+/// Checks that each model and adapter, once some server can serve it, stays served until it is
+/// removed.
 #[derive(Default)]
 struct GapCheck {
     served: BTreeSet<(model::Id, Option<adapter::Id>)>,
@@ -116,7 +117,7 @@
     for (id, declared) in &world.config.models {
         assert!(
             !world.ready_version(id, &declared.version).is_empty(),
-            "{id} in the declared version"
+            "{id} is not ready in the declared version"
         );
         for adapter in declared.adapters.keys() {
             assert!(!world.ready_adapter(id, adapter).is_empty(), "{id}:{adapter}");
@@ -144,7 +145,8 @@
     }
 }
 
-/// If no server has memory for both versions, the change needs the other replica's room.
+/// If no server has memory for both versions, a replica of the old version makes way for one of the
+/// new version, while another replica serves.
 #[test]
 fn a_version_change_with_no_room_beside_goes_through_another_replica() {
     let rng = ChaCha8Rng::seed_from_u64(11);
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -1,4 +1,5 @@
-//! Every model resident, twice, in two availability zones, within memory and the store's rate.
+//! Every model becomes resident, then resident twice in two availability zones, within the servers'
+//! memory and the weight store's rate.
 
 use std::time::Duration;
 
@@ -74,7 +75,7 @@
     world.settle();
     assert_eq!(world.ready("a").len(), 2);
     let loads = world.moves.iter().filter(|m| m.server == server && m.is_load());
-    assert!(loads.count() <= 2, "the leaving server gets nothing new");
+    assert!(loads.count() <= 2, "the leaving server was given new loads");
 }
 
 #[test]
--- a/crates/policy/tests/term.rs
+++ b/crates/policy/tests/term.rs
@@ -34,11 +34,11 @@
 fn written(step: Step) -> Lease {
     match step {
         Step::Create(lease) | Step::Replace(_, lease) => lease,
-        Step::Idle | Step::Read => panic!("no write: {step:?}"),
+        Step::Idle | Step::Read => panic!("not a write: {step:?}"),
     }
 }
 
-/// Holder since 1 s, by the write of revision 7.
+/// Returns the view of a host that has held the lease since 1 s, by the write of revision 7.
 fn holder() -> OrderLease {
     let mut view = order_lease("host", 1);
     assert_eq!(view.step(at(990)), Step::Read);
@@ -84,7 +84,7 @@
     assert_eq!(view.may_order(at(9030)), Some(20));
 }
 
-/// Write by which `holder` took the lease.
+/// Returns the write by which [`holder`] took the lease.
 fn holder_write() -> Step {
     let mut view = order_lease("host", 1);
     view.observe(at(1000), None);
@@ -126,7 +126,7 @@
     assert_eq!(view.step(at(5600)), Step::Idle);
     view.observe(at(5700), Some((7, other())));
     view.observe(at(9800), None);
-    assert!(matches!(view.step(at(9900)), Step::Replace(8, _)), "stale reads change nothing");
+    assert!(matches!(view.step(at(9900)), Step::Replace(8, _)), "a stale read changed the view");
 }
 
 #[test]
@@ -234,7 +234,7 @@
     let mut view = holder();
     view.step(at(1500));
     view.write_finished(at(1600), Outcome::Absent);
-    assert_eq!(view.may_order(at(2200)), Some(7), "the holder's term goes on");
+    assert_eq!(view.may_order(at(2200)), Some(7), "the holder's term ended early");
     view.observe(at(6099), None);
     assert_eq!(view.step(at(6099)), Step::Idle);
     assert!(matches!(view.step(at(6100)), Step::Create(_)));
@@ -263,8 +263,8 @@
     assert!(matches!(view.step(at(5510)), Step::Replace(7, _)));
 }
 
-/// Time at which a host takes the lease of one that froze at 0.3 s, after a renewal that it
-/// reported to no peer.
+/// Returns the time at which a host takes the lease of another that stopped responding before 0.3
+/// s, right after a renewal that it reported to no peer.
 fn takes_over(mut view: OrderLease) -> Moment {
     let renewed = Lease { nonce: 2, ..other() };
     view.observe_from_peer(at(0), (7, other()));
@@ -294,7 +294,8 @@
     assert!((300..4500).step_by(50).all(|now| view.step(at(now)) == Step::Idle));
 }
 
-/// In a large fleet most hosts leave an expired lease to a few contenders, and take it in the end.
+/// In a large fleet most hosts leave an expired lease to a few contenders, and take it only if none
+/// of these does.
 #[test]
 fn a_standby_takes_over_when_no_other_has() {
     let mut view = OrderLease::new("host".into(), 1, Settings::default());
@@ -311,7 +312,7 @@
     assert!(taken.is_some(), "the lease is never taken");
 }
 
-/// Another host takes the place of a contender that is gone.
+/// If a contender is gone, another host becomes one, and the others stay contenders.
 #[test]
 fn a_few_of_many_hosts_contend() {
     let mut hosts: Vec<host::Id> = (0..350).map(|n| format!("host-{n}").into()).collect();
