--- a/crates/policy/src/place/draft.rs
+++ b/crates/policy/src/place/draft.rs
@@ -18,7 +18,7 @@
 const MIN_WAITED_WORK: f64 = 0.05;
 
 /// Part of the models' peak chances that is spread evenly over all models. The two parts sum to
-/// more than 1: the chances are weights and no probabilities.
+/// more than 1, so the chances are weights rather than probabilities.
 const UNIFORM_PEAK_CHANCE: f64 = 0.84;
 
 /// Part of the models' peak chances that is distributed in proportion to recent work.
--- a/crates/policy/src/plan/adapters.rs
+++ b/crates/policy/src/plan/adapters.rs
@@ -8,7 +8,7 @@
     room::EvictionLimit,
 };
 
-/// An adapter that a replica lacks. Sorts adapters that no engine can serve first.
+/// An adapter that a replica lacks. Adapters that no engine can serve sort first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingAdapter<'a> {
     is_served: bool,
@@ -18,7 +18,8 @@
 }
 
 impl Draft<'_> {
-    /// Loads missing adapters where their base is ready, those that no engine can serve first.
+    /// Loads missing adapters where their base is ready, starting with those that no engine can
+    /// serve.
     pub(super) fn load_adapters(&mut self) {
         let models = self.models;
         let pending_models = self.pending_models().into_iter();
