--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -79,10 +79,12 @@
     pub fenced: bool,
     /// Highest fencing token issued.
     pub fence: order::Fence,
-    /// Position of the report from which `seen` and `residents` are taken.
-    pub mark: ReportPosition,
+    /// Position of the report from which `seen_fence` and `residents` are taken.
+    #[serde(rename = "mark")]
+    pub last_report: ReportPosition,
     /// Highest fencing token that the engine had seen.
-    pub seen: order::Fence,
+    #[serde(rename = "seen")]
+    pub seen_fence: order::Fence,
     /// Units in the engine's memory.
     pub residents: Vec<Resident>,
     /// Unsettled orders, the oldest first.
@@ -150,8 +152,8 @@
             capacity: load.capacity,
             fenced: load.fenced,
             fence: load.fence,
-            mark: ReportPosition::of(load),
-            seen: load.fence,
+            last_report: ReportPosition::of(load),
+            seen_fence: load.fence,
             residents: load.residents.clone(),
             orders: Vec::new(),
         }
@@ -215,7 +217,7 @@
     /// Returns whether the engine, by its last report, rejects this order for its fencing token as
     /// long as it runs.
     pub fn is_superseded(&self, entry: &Entry) -> bool {
-        self.fenced && entry.order.fence <= self.seen
+        self.fenced && entry.order.fence <= self.seen_fence
     }
 
     /// Returns whether the worst cases, as it runs and after a restart, fit in the capacity.
--- a/crates/policy/src/ledger/settle.rs
+++ b/crates/policy/src/ledger/settle.rs
@@ -111,19 +111,19 @@
             || self.ledger.residents != before.residents
             || self.ledger.capacity != before.capacity
             || self.ledger.fenced != before.fenced
-            || self.ledger.mark.incarnation != before.mark.incarnation
+            || self.ledger.last_report.incarnation != before.last_report.incarnation
             || superseded(&self.ledger) != superseded(before)
     }
 
     fn report(&mut self, load: &report::Load) {
-        let mark = ReportPosition::of(load);
-        if mark < self.ledger.mark || load.server != self.ledger.server {
+        let position = ReportPosition::of(load);
+        if position < self.ledger.last_report || load.server != self.ledger.server {
             return;
         }
-        self.ledger.mark = mark;
+        self.ledger.last_report = position;
         self.ledger.capacity = load.capacity;
         self.ledger.fenced = load.fenced;
-        self.ledger.seen = load.fence;
+        self.ledger.seen_fence = load.fence;
         self.ledger.fence = self.ledger.fence.max(load.fence);
         self.ledger.residents = load.residents.clone();
         self.settle_where(Settlement::Taken, |entry| load.orders.contains(&entry.order.id));
@@ -140,9 +140,9 @@
 
     /// Settles the orders whose effect the last report shows.
     fn settle_shown(&mut self) {
-        let mark = self.ledger.mark;
+        let last_report = self.ledger.last_report;
         self.settle_where(Settlement::NotInFlight, |entry| {
-            entry.conclusive_from.is_some_and(|after| after <= mark)
+            entry.conclusive_from.is_some_and(|after| after <= last_report)
         });
     }
 
--- a/crates/policy/tests/ledger.rs
+++ b/crates/policy/tests/ledger.rs
@@ -175,7 +175,8 @@
     let (ledger, _) = reserve(&ledger, "old", load("a", 10));
     let newer = Claim { incarnation: 8, ..claim("new") };
     let (ledger, _) = ledger.reserve(newer, load("b", 20)).expect("b fits");
-    let gone = Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.mark };
+    let gone =
+        Evidence::SenderGone { sender: "host-1".into(), incarnation: 7, after: ledger.last_report };
     let outcome = ledger.settle(&[gone]);
     assert_eq!(&*outcome.settled[0].entry.order.id, "old");
     assert_eq!(outcome.ledger.usage().promised, 20);
--- a/crates/spec/src/ledger/moves.rs
+++ b/crates/spec/src/ledger/moves.rs
@@ -277,7 +277,7 @@
         let after = ReportPosition::of(&load);
         let mut ledger = (*self.ledger(known.ledger)).clone();
         if self.is_off(Guard::ReportOrder) {
-            ledger.mark = ReportPosition::default();
+            ledger.last_report = ReportPosition::default();
         }
         let never = words::orders(known.never).map(|order| Evidence::NeverTaken { order });
         let quiet = words::orders(known.quiet).map(|order| Evidence::NotInFlight { order, after });
