--- a/crates/policy/examples/fleet_age.rs
+++ b/crates/policy/examples/fleet_age.rs
@@ -5,10 +5,10 @@
 //! Hosts run under virtual time, 1 ms from each other, in four zones; one datagram in a hundred is
 //! lost. Each host has ten requests in flight at a few of 240 pairs of server and model, starts and
 //! ends some seven a second, and counts the arrivals of one service. One host in turn also has work
-//! at a server that no other host uses, and changes it each round. Measured is the age of that load
+//! at a server that no other host uses, and changes it each round; the age of that load is measured
 //! at each other host.
 
-#![allow(clippy::print_stdout, reason = "the figures are its purpose")]
+#![allow(clippy::print_stdout, reason = "the example prints its results")]
 
 #[path = "../tests/fleet_net/mod.rs"]
 mod fleet_net;
@@ -30,8 +30,8 @@
 
 fn main() {
     println!("hosts, age of a load in ms: median, 9 in 10, most; B/s mean, most; datagrams/s");
-    let named: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
-    for hosts in if named.is_empty() { SIZES.to_vec() } else { named } {
+    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
+    for hosts in if sizes.is_empty() { SIZES.to_vec() } else { sizes } {
         let mut net = Net::started(hosts, 1);
         net.faults.loss = 0.01;
         net.run_for(Duration::from_secs(15));
@@ -73,18 +73,18 @@
 impl Work {
     fn new(hosts: usize) -> Work {
         let mut random = ChaCha8Rng::seed_from_u64(7);
-        let mut some = || (0..IN_FLIGHT).map(|_| pair(&mut random)).collect();
-        let in_flight = (0..hosts).map(|_| some()).collect();
+        let mut requests = || (0..IN_FLIGHT).map(|_| pair(&mut random)).collect();
+        let in_flight = (0..hosts).map(|_| requests()).collect();
         Work { random, in_flight, arrivals: vec![0; hosts] }
     }
 
-    /// Publishes all hosts' work for one round. The probing host has this many requests at its own
-    /// server.
+    /// Publishes all hosts' work for one round. `probe` is a host, and the number of requests that
+    /// it has at its own server.
     fn step(&mut self, net: &mut Net, probe: Option<(usize, u32)>) {
         for host in 0..self.in_flight.len() {
             if self.random.random_bool(0.4) {
-                let place = self.random.random_range(0..IN_FLIGHT);
-                self.in_flight[host][place] = pair(&mut self.random);
+                let index = self.random.random_range(0..IN_FLIGHT);
+                self.in_flight[host][index] = pair(&mut self.random);
                 self.arrivals[host] += 1;
             }
             let mut loads: Vec<_> = (0..PAIRS).filter_map(|pair| self.load(host, pair)).collect();
--- a/crates/policy/src/config/decide.rs
+++ b/crates/policy/src/config/decide.rs
@@ -14,12 +14,12 @@
     root::{Content, MAX_INLINE_BYTES, digest},
 };
 
-/// Configuration as last read: the root, and what the root and its parts make.
+/// Configuration as last read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Current {
     /// Root object.
     pub root: Root,
-    /// Declared configuration.
+    /// Declared configuration, read from the root and its parts.
     pub config: Arc<Config>,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Draft {
-    /// Draft of a configuration under a number, without a history of patches. Parts equal to
-    /// `earlier` ones are reused.
+    /// Creates the draft of a configuration under a number, without a history of patches. Parts
+    /// equal to `earlier` ones are reused.
     ///
     /// # Errors
     ///
@@ -50,10 +50,10 @@
         let size = serde_json::to_vec(&config)?.len();
         let config = Arc::new(config);
         let (content, parts) = if size <= MAX_INLINE_BYTES {
-            (Content::Whole(config.clone()), Vec::new())
+            (Content::Inline(config.clone()), Vec::new())
         } else {
-            let cut = part::cut(&config, number, earlier)?;
-            (Content::Parts { weights: config.weights, names: cut.names }, cut.new)
+            let split = part::split(&config, number, earlier)?;
+            (Content::Parts { weights: config.weights, names: split.names }, split.new)
         };
         let root = Root { number, content, patches: VecDeque::new() };
         Ok(Draft { parts, root, config })
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -26,7 +26,7 @@
 
 pub mod absence;
 pub mod held;
-mod picture;
+mod placement;
 pub mod replica;
 pub mod sender;
 pub mod settle;
@@ -49,7 +49,7 @@
 }
 
 impl ReportPosition {
-    /// Position of a load report.
+    /// Returns the position of a load report.
     pub fn of(load: &report::Load) -> ReportPosition {
         ReportPosition { incarnation: load.incarnation, sequence: load.sequence }
     }
@@ -64,8 +64,8 @@
     pub cause: Arc<str>,
     /// Set once nothing of the order is in flight: reports from this one on show the order's
     /// effect.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quiet: Option<ReportPosition>,
+    #[serde(rename = "quiet", default, skip_serializing_if = "Option::is_none")]
+    pub conclusive_from: Option<ReportPosition>,
 }
 
 /// Committed accelerator memory of one server, as stored in the object API.
@@ -79,10 +79,12 @@
     pub fenced: bool,
     /// Highest fencing token issued.
     pub fence: order::Fence,
-    /// Position of the report from which `seen` and `residents` are taken.
-    pub mark: ReportPosition,
+    /// Position of the report from which `seen_fence` and `residents` are taken.
+    #[serde(rename = "mark")]
+    pub last_report: ReportPosition,
     /// Highest fencing token that the engine had seen.
-    pub seen: order::Fence,
+    #[serde(rename = "seen")]
+    pub seen_fence: order::Fence,
     /// Units in the engine's memory.
     pub residents: Vec<Resident>,
     /// Unsettled orders, the oldest first.
@@ -106,7 +108,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// Too little memory is free.
-    #[error("{server}: {needed} MiB are needed and {free} are free, {in_doubt} are held in doubt")]
+    #[error(
+        "{server}: {needed} MiB needed, {free} MiB free, {in_doubt} MiB held by unsettled orders"
+    )]
     Memory {
         /// Server of the ledger.
         server: backend::Id,
@@ -118,7 +122,7 @@
         in_doubt: Mebibytes,
     },
     /// Too many orders are unsettled.
-    #[error("{server}: {open} orders are not settled, and no more may be open")]
+    #[error("{server}: {open} orders are unsettled, which is the maximum")]
     Orders {
         /// Server of the ledger.
         server: backend::Id,
@@ -141,21 +145,21 @@
 }
 
 impl Ledger {
-    /// First ledger of a server, from its first report.
+    /// Creates the first ledger of a server from its first report.
     pub fn new(load: &report::Load) -> Ledger {
         Ledger {
             server: load.server.clone(),
             capacity: load.capacity,
             fenced: load.fenced,
             fence: load.fence,
-            mark: ReportPosition::of(load),
-            seen: load.fence,
+            last_report: ReportPosition::of(load),
+            seen_fence: load.fence,
             residents: load.residents.clone(),
             orders: Vec::new(),
         }
     }
 
-    /// Key of a server's ledger in the object API.
+    /// Returns the key of a server's ledger in the object API.
     pub fn key(server: &str) -> String {
         format!("ledger/{server}")
     }
@@ -167,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// The missing resource; the ledger is unchanged.
+    /// The resource that is short; the ledger is unchanged.
     pub fn reserve(
         &self,
         claim: Claim,
@@ -187,7 +191,7 @@
         };
         let mut next = self.clone();
         next.fence = order.fence;
-        next.orders.push(Entry { order: order.clone(), cause: claim.cause, quiet: None });
+        next.orders.push(Entry { order: order.clone(), cause: claim.cause, conclusive_from: None });
 
         let takes_memory = matches!(order.action, order::Action::Load { .. });
         if takes_memory && !next.fits() {
@@ -198,7 +202,7 @@
         Ok((next, order))
     }
 
-    /// Memory committed by residents and unsettled orders.
+    /// Returns the memory committed by residents and unsettled orders.
     pub fn usage(&self) -> Usage {
         let running = self.worst_case_running();
         let promised = running.max(self.worst_case_restarted());
@@ -213,21 +217,22 @@
     /// Returns whether the engine, by its last report, rejects this order for its fencing token as
     /// long as it runs.
     pub fn is_superseded(&self, entry: &Entry) -> bool {
-        self.fenced && entry.order.fence <= self.seen
+        self.fenced && entry.order.fence <= self.seen_fence
     }
 
-    /// Returns whether both sums fit in the capacity.
+    /// Returns whether the worst cases, as it runs and after a restart, fit in the capacity.
     fn fits(&self) -> bool {
         self.worst_case_running() <= self.capacity && self.worst_case_restarted() <= self.capacity
     }
 
-    /// Memory that the engine may come to use as it runs.
+    /// Returns the memory that the engine may come to use as it runs.
     fn worst_case_running(&self) -> Mebibytes {
         let open = self.orders.iter().filter(|entry| !self.is_superseded(entry));
         total(&with_loads(self.resident_memory(), open))
     }
 
-    /// Memory that the engine may come to use after a restart that no host has observed.
+    /// Returns the memory that the engine may come to use after a restart that no host has
+    /// observed.
     fn worst_case_restarted(&self) -> Mebibytes {
         total(&with_loads(BTreeMap::new(), self.orders.iter()))
     }
--- a/crates/policy/src/ledger/absence.rs
+++ b/crates/policy/src/ledger/absence.rs
@@ -29,7 +29,7 @@
     /// Hosts missing from the list, and the time of the first list without them.
     unlisted: BTreeMap<host::Id, Moment>,
     /// Time of the request for the last list.
-    listed: Moment,
+    listed_at: Moment,
 }
 
 impl GoneSenders {
@@ -39,11 +39,11 @@
             times,
             latest: BTreeMap::new(),
             unlisted: BTreeMap::new(),
-            listed: Moment::ZERO,
+            listed_at: Moment::ZERO,
         }
     }
 
-    /// Takes in an incarnation of a host.
+    /// Records an incarnation of a host.
     pub fn observe_run(&mut self, now: Moment, host: &host::Id, incarnation: host::Incarnation) {
         let latest = self.latest.entry(host.clone()).or_insert((incarnation, now));
         if latest.0 < incarnation {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Takes in a list, with the time of the request for it and the hosts to track.
+    /// Applies a list of the platform, with the time of the request for it and the hosts to track.
     pub fn observe_list<'a>(
         &mut self,
-        asked: Moment,
+        requested_at: Moment,
         list: &List,
         senders: impl IntoIterator<Item = &'a host::Id>,
     ) {
-        self.listed = asked;
+        self.listed_at = requested_at;
         let is_listed = |host: &host::Id| list.hosts.iter().any(|entry| entry.host.id == *host);
         self.unlisted.retain(|host, _| !is_listed(host));
         for sender in senders {
             if !is_listed(sender) {
-                self.unlisted.entry(sender.clone()).or_insert(asked);
+                self.unlisted.entry(sender.clone()).or_insert(requested_at);
             }
         }
     }
@@ -73,12 +73,13 @@
         !self.unlisted.is_empty()
     }
 
-    /// Time from which nothing of this incarnation can arrive any more; `None` if it is not gone.
+    /// Returns the time from which nothing of this incarnation can arrive any more; `None` if it is
+    /// not gone.
     pub fn gone_since(&self, host: &host::Id, incarnation: host::Incarnation) -> Option<Moment> {
         let replaced = self.latest.get(host).filter(|(latest, _)| incarnation < *latest);
         let replaced = replaced.map(|(_, since)| *since);
         let unlisted = self.unlisted.get(host).map(|since| *since + self.times.list_lag);
-        let unlisted = unlisted.filter(|since| *since <= self.listed);
+        let unlisted = unlisted.filter(|since| *since <= self.listed_at);
         let gone = replaced.into_iter().chain(unlisted).min()?;
         Some(gone + self.times.linger)
     }
@@ -87,11 +88,11 @@
     pub fn wants_report(&self, now: Moment, ledger: &Ledger) -> bool {
         ledger.orders.iter().any(|entry| {
             let gone = self.gone_since(&entry.order.sender, entry.order.incarnation);
-            entry.quiet.is_none() && gone.is_some_and(|since| since < now)
+            entry.conclusive_from.is_none() && gone.is_some_and(|since| since < now)
         })
     }
 
-    /// Evidence about orders of senders that were gone before the report was taken.
+    /// Returns evidence about orders of senders that were gone before the report was taken.
     pub fn evidence(&self, ledger: &Ledger, report: &TimedReport) -> Vec<Evidence<'static>> {
         let orders = ledger.orders.iter().map(|entry| &entry.order);
         orders
--- a/crates/policy/src/ledger/held.rs
+++ b/crates/policy/src/ledger/held.rs
@@ -9,7 +9,7 @@
 
 /// Unsettled order, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Held {
+pub struct HeldOrder {
     /// Name of the order.
     pub order: order::Id,
     /// Server that the order is for.
@@ -25,7 +25,8 @@
     /// Memory that the order reserves beyond the residents, in MiB.
     pub memory: Mebibytes,
     /// Evidence that is awaited.
-    pub waits: Wait,
+    #[serde(rename = "waits")]
+    pub awaited: Wait,
     /// Each event that would settle the order, as text.
     pub settled_by: Vec<String>,
 }
@@ -49,10 +50,14 @@
 impl fmt::Display for Wait {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wait::Arrival => write!(f, "it may still arrive"),
-            Wait::Sender => write!(f, "it may still arrive after a restart of the server"),
+            Wait::Arrival => write!(f, "the order may still arrive"),
+            Wait::Sender => write!(f, "the order may still arrive after a restart of the server"),
             Wait::Report { after } => {
-                write!(f, "waits for report {} of run {}", after.sequence, after.incarnation)
+                write!(
+                    f,
+                    "awaits report {} of run {} or a later one",
+                    after.sequence, after.incarnation
+                )
             }
         }
     }
@@ -60,36 +65,36 @@
 
 impl Ledger {
     /// Explains each unsettled order, the oldest first.
-    pub fn why_held(&self) -> Vec<Held> {
+    pub fn explain_orders(&self) -> Vec<HeldOrder> {
         self.orders.iter().map(|entry| self.explain(entry)).collect()
     }
 
-    fn explain(&self, entry: &Entry) -> Held {
+    fn explain(&self, entry: &Entry) -> HeldOrder {
         let order = &entry.order;
-        let waits = match entry.quiet {
+        let awaited = match entry.conclusive_from {
             Some(after) => Wait::Report { after },
             None if self.is_superseded(entry) => Wait::Sender,
             None => Wait::Arrival,
         };
         let statement = format!(
-            "{} (run {}) says that nothing of it is in flight",
+            "{} (run {}) says that nothing of the order is in flight",
             order.sender, order.incarnation
         );
         let gone = format!(
-            "{} starts again, or is off the platform's list for longer than its lag",
+            "{} starts again, or is missing from the platform's list for longer than the list lags",
             order.sender
         );
-        let settled_by = match waits {
+        let settled_by = match awaited {
             Wait::Arrival => {
-                vec![format!("{} reports that it took it", self.server), statement, gone]
+                vec![format!("{} reports that it took the order", self.server), statement, gone]
             }
             Wait::Sender => vec![statement, gone],
             Wait::Report { after } => vec![format!(
-                "{} reports with number {} of run {} or later",
+                "{} sends report {} of run {} or a later one",
                 self.server, after.sequence, after.incarnation
             )],
         };
-        Held {
+        HeldOrder {
             order: order.id.clone(),
             server: self.server.clone(),
             action: order.action.clone(),
@@ -97,12 +102,12 @@
             sender: order.sender.clone(),
             incarnation: order.incarnation,
             memory: self.held_memory(entry),
-            waits,
+            awaited,
             settled_by,
         }
     }
 
-    /// Memory that the order reserves and no resident takes yet, in MiB.
+    /// Returns the memory that the order reserves and no resident takes yet, in MiB.
     fn held_memory(&self, entry: &Entry) -> Mebibytes {
         let order::Action::Load { unit, memory } = &entry.order.action else { return 0 };
         let resident = self.residents.iter().find(|resident| resident.unit == *unit);
--- a/crates/policy/src/place/planner.rs
+++ b/crates/policy/src/place/planner.rs
@@ -127,7 +127,7 @@
     }
 
     /// Sets the number of requests for a model in flight to a server, summed over all hosts.
-    pub fn in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
+    pub fn set_in_flight(&mut self, server: &backend::Id, model: &model::Id, requests: u32) {
         if let Some(view) = self.servers.get_mut(server) {
             view.requests_in_flight.insert(model.clone(), requests);
         }
@@ -160,7 +160,7 @@
         names.iter().flat_map(|service| self.plan_service(service, now)).collect()
     }
 
-    /// Returns what the last plan wanted and could not order.
+    /// Returns the models and adapters that the last plan wanted and could not order.
     pub fn unplaced(&self) -> &[Unplaced] {
         &self.unplaced
     }
@@ -211,13 +211,14 @@
         let Some(sent) = view.record_outcome(&self.rules, order, outcome, load, now) else {
             return;
         };
-        let may_run = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
-        if let (Some(service), true) = (service, sent.charged && !may_run) {
+        let may_take_effect = matches!(outcome, Outcome::Accepted | Outcome::Unknown);
+        if let (Some(service), true) = (service, sent.charged && !may_take_effect) {
             service.bucket.refund();
         }
     }
 
-    /// Returns the servers whose report is needed now to resolve the outcome of an order.
+    /// Returns the servers whose report is needed now to know what they hold or which order they
+    /// are carrying out.
     pub fn unsettled(&self, now: Moment) -> impl Iterator<Item = &backend::Id> {
         self.servers.iter().filter(move |(_, view)| view.is_unsettled(now)).map(|(id, _)| id)
     }
--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -9,8 +9,8 @@
 
 use super::{AdapterKey, CurrentOrder, Operation, Presence, SentOrder, ServerView, Source};
 
-/// Time since the view last advanced from which a contradicting report can't be explained by the
-/// usual report delay any more: the view is wrong.
+/// Time since the view last advanced after which a report that contradicts the view replaces it:
+/// the usual delay of reports is shorter.
 const STALE_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ServerView {
@@ -26,7 +26,7 @@
             self.is_certain = false;
             return;
         }
-        self.note_loaded_adapters(&server.models);
+        self.record_loaded_adapters(&server.models);
         let lists = |model: &model::Id| server.models.iter().any(|held| held.model == *model);
         let ended = match &self.current {
             Some(CurrentOrder::Load { model, .. }) => lists(model),
@@ -40,7 +40,7 @@
     }
 
     /// Marks the adapters that a registration lists as loaded.
-    fn note_loaded_adapters(&mut self, models: &[Held]) {
+    fn record_loaded_adapters(&mut self, models: &[Held]) {
         let lists = |(model, adapter): &AdapterKey| {
             models.iter().any(|held| held.model == *model && held.adapters.contains(adapter))
         };
@@ -116,8 +116,8 @@
         };
         // If several orders came in between, or another planner may have sent one, the order in
         // progress can't be identified.
-        let alone = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
-        let own = known.or_else(|| alone.then(sent).flatten());
+        let is_single = passed.end.saturating_sub(passed.start) == 1 && self.foreign_until <= now;
+        let own = known.or_else(|| is_single.then(sent).flatten());
         Some(own.unwrap_or(CurrentOrder::Foreign))
     }
 
@@ -130,7 +130,7 @@
         self.unresolved = open;
         let began = |sent: &&SentOrder| {
             let model = &sent.order.model;
-            let load = sent.is(Operation::Load, model) && sent.source == Source::Store;
+            let load = sent.is_model_order(Operation::Load, model) && sent.source == Source::Store;
             load && (self.held.contains_key(model) || self.is_loading(model))
         };
         let models: BTreeSet<_> = past.iter().filter(began).map(|sent| &sent.order.model).collect();
@@ -156,8 +156,8 @@
             held.get(model).is_some_and(|adapters| adapters.contains(adapter))
         });
         // An adapter being loaded keeps its slot, even if its model is gone, until a report no
-        // longer lists it, since the server may still load it. Forgetting it here led to a third
-        // adapter in two slots.
+        // longer lists it, since the server may still load it. If it were dropped here, the planner
+        // could order a third adapter into two slots.
         let loading = &self.adapters_loading;
         self.adapter_ordered_at.retain(|adapter_key, _| {
             let is_held =
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -7,10 +7,11 @@
 //! engine that isn't set counts as unchanged, so a move that was never made is proposed again.
 //!
 //! Priorities, in order: every model resident; every model on two engines in different availability
-//! zones; further replicas where each raises attainment most for the moves that it costs. A ready
-//! replica is evicted only while another one is ready (make before break); [`Move::keeper`] names
-//! the engine of that one, so that whoever carries out the move can keep the replica there
-//! meanwhile. Memory that nothing needs is left as it is, since freeing it costs a move too.
+//! zones; further replicas where each raises attainment (the share of requests that meet their
+//! latency target) most for the moves that it costs. A ready replica is evicted only while another
+//! one is ready (make before break); [`Move::keeper`] names the engine of that one, so that whoever
+//! carries out the move can keep the replica there meanwhile. Memory that nothing needs is left as
+//! it is, since freeing it costs a move too.
 
 mod adapters;
 mod bucket;
@@ -66,13 +67,13 @@
     /// Work offered now.
     pub now: f64,
     /// Work expected within the forecast's look-ahead.
-    pub ahead: f64,
+    pub forecast: f64,
 }
 
 impl Demand {
     /// Returns the work that placement provides for: the larger of the two, not below zero.
     pub fn provided(self) -> f64 {
-        self.now.max(self.ahead).max(0.0)
+        self.now.max(self.forecast).max(0.0)
     }
 }
 
@@ -82,17 +83,18 @@
     /// Mean rate of loads that may start.
     pub loads_per_second: f64,
     /// Maximum number of loads in progress.
-    pub at_once: usize,
+    pub max_concurrent_loads: usize,
 }
 
 impl Limits {
     /// No limits, for checks of what could be placed.
-    pub const NONE: Limits = Limits { loads_per_second: f64::INFINITY, at_once: usize::MAX };
+    pub const NONE: Limits =
+        Limits { loads_per_second: f64::INFINITY, max_concurrent_loads: usize::MAX };
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { loads_per_second: 2.0, at_once: 2 }
+        Limits { loads_per_second: 2.0, max_concurrent_loads: 2 }
     }
 }
 
--- a/crates/policy/src/plan/adapters.rs
+++ b/crates/policy/src/plan/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters follow their base model.
+//! Adapter moves: loads adapters where their base model is ready, and unloads superseded versions.
 
 use types::{adapter::Adapter, prelude::*, resident::State as Progress};
 
@@ -8,22 +8,23 @@
     room::EvictionLimit,
 };
 
-/// An adapter that a replica lacks. Sorts adapters that no engine answers for first.
+/// An adapter that a replica lacks. Adapters that no engine can serve sort first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MissingAdapter<'a> {
-    answers: bool,
+    is_served: bool,
     model: &'a model::Id,
     adapter: &'a adapter::Id,
     server: backend::Id,
 }
 
 impl Draft<'_> {
-    /// Loads missing adapters where their base is ready, those that no engine answers for first.
+    /// Loads missing adapters where their base is ready, starting with those that no engine can
+    /// serve.
     pub(super) fn load_adapters(&mut self) {
         let models = self.models;
         let pending_models = self.pending_models().into_iter();
         let mut missing: Vec<MissingAdapter<'_>> =
-            pending_models.flat_map(|(id, declared)| self.missing(id, declared)).collect();
+            pending_models.flat_map(|(id, declared)| self.missing_adapters(id, declared)).collect();
         missing.sort();
         self.unsatisfied
             .extend(missing.iter().map(|missing_adapter| missing_adapter.model.clone()));
@@ -39,17 +40,21 @@
         }
     }
 
-    fn missing<'a>(&self, id: &'a model::Id, declared: &'a Declared) -> Vec<MissingAdapter<'a>> {
+    fn missing_adapters<'a>(
+        &self,
+        id: &'a model::Id,
+        declared: &'a Declared,
+    ) -> Vec<MissingAdapter<'a>> {
         let mut missing = Vec::new();
         for (adapter, wanted) in &declared.model.adapters {
             let mut holders = self.working.holders(id).filter(|(engine, _)| engine.is_live());
-            let answers = holders.any(|(_, bundle)| bundle.answers_for(adapter));
+            let is_served = holders.any(|(_, bundle)| bundle.can_serve(adapter));
             let holders = self.working.holders(id).filter(|(engine, _)| engine.is_live());
             let lacking = holders.filter(|(_, bundle)| {
                 bundle.is_ready() && !bundle.adapter(adapter).any(|(v, _)| *v == wanted.version)
             });
             missing.extend(lacking.map(|(engine, _)| MissingAdapter {
-                answers,
+                is_served,
                 model: id,
                 adapter,
                 server: engine.reported.server.clone(),
@@ -83,7 +88,7 @@
     }
 
     /// Frees memory on the replica's own engine: unloads the adapter's superseded version if
-    /// another engine answers for the adapter, otherwise evicts replicas of other models.
+    /// another engine can serve the adapter, otherwise evicts replicas of other models.
     fn make_room_for_adapter(&mut self, missing_adapter: &MissingAdapter<'_>, adapter: &Adapter) {
         let Some(engine) = self.working.engines.get(&missing_adapter.server) else { return };
         if adapter.memory <= engine.free + engine.freeing {
@@ -103,7 +108,7 @@
         self.budget = self.budget.saturating_sub(1);
     }
 
-    /// Returns the adapter's superseded version on this engine, and another engine that answers for
+    /// Returns the adapter's superseded version on this engine, and another engine that can serve
     /// the adapter.
     fn superseded_version(
         &self,
@@ -121,7 +126,7 @@
             self.working.holders(missing_adapter.model).find(|(engine, bundle)| {
                 engine.reported.server != missing_adapter.server
                     && engine.is_live()
-                    && bundle.answers_for(missing_adapter.adapter)
+                    && bundle.can_serve(missing_adapter.adapter)
             })?;
         let unit = Unit::Adapter {
             model: missing_adapter.model.clone(),
--- a/crates/policy/src/plan/fit.rs
+++ b/crates/policy/src/plan/fit.rs
@@ -14,7 +14,7 @@
     room::EvictionLimit,
 };
 
-/// Rounds of moves to simulate; a change that ends at all takes no more.
+/// Maximum rounds of moves to simulate; a change that can be completed takes no more.
 const MAX_ROUNDS: usize = 64;
 
 /// A model that can't be made resident.
@@ -81,6 +81,11 @@
                 + self.evictable(engine, EvictionLimit::KeepOne).map(|s| s.memory).sum::<u64>(),
         });
         let roomiest = rooms.max_by(|a, b| a.free.cmp(&b.free).then(b.server.cmp(&a.server)));
-        Shortage { model: id.clone(), group: group.clone(), needs: declared.bundle, roomiest }
+        Shortage {
+            model: id.clone(),
+            group: group.clone(),
+            needs: declared.replica_memory,
+            roomiest,
+        }
     }
 }
--- a/crates/policy/src/plan/planner.rs
+++ b/crates/policy/src/plan/planner.rs
@@ -9,12 +9,12 @@
     working_state::WorkingState,
 };
 
-/// A declared model with derived figures for placement.
+/// A declared model with values derived for placement.
 #[derive(Clone, Debug)]
 pub(super) struct Declared {
     pub(super) model: Model,
     /// Memory of a replica with all adapters, in MiB.
-    pub(super) bundle: Mebibytes,
+    pub(super) replica_memory: Mebibytes,
     /// Work to provide for, in engines' worth.
     pub(super) load: f64,
 }
@@ -22,7 +22,7 @@
 impl Declared {
     fn new(model: Model, demand: Demand) -> Declared {
         let adapters: Mebibytes = model.adapters.values().map(|adapter| adapter.memory).sum();
-        Declared { bundle: model.footprint() + adapters, load: demand.provided(), model }
+        Declared { replica_memory: model.footprint() + adapters, load: demand.provided(), model }
     }
 
     /// Returns the number of replicas that come before any replica for demand.
@@ -74,8 +74,8 @@
         self.demands.retain(|id, _| config.models.contains_key(id));
     }
 
-    /// Sets what an engine holds or has reserved. To be called for each engine that changed or that
-    /// a move was tried on.
+    /// Sets what an engine holds or has reserved. Must be called for each engine that has changed
+    /// or on which a move was tried.
     pub fn set_engine(&mut self, now: Moment, engine: Engine) {
         self.working.set_engine(now, engine);
     }
--- a/crates/policy/src/plan/residency.rs
+++ b/crates/policy/src/plan/residency.rs
@@ -1,4 +1,5 @@
-//! Residency of every model, then a second replica in another availability zone.
+//! Makes every model resident, spreads it over two availability zones, and unloads what is
+//! superseded or no longer declared.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -56,8 +57,8 @@
             .filter(|(id, declared)| !self.is_resident(id, declared))
             .map(|(id, declared)| {
                 let cause = self.cause_of_absence(id, declared);
-                let answers = matches!(cause, Cause::Version | Cause::Adapter);
-                (answers, Reverse(declared.bundle), id, cause)
+                let is_served = matches!(cause, Cause::Version | Cause::Adapter);
+                (is_served, Reverse(declared.replica_memory), id, cause)
             })
             .collect();
         missing.sort();
@@ -79,7 +80,7 @@
                 let replicas = self.replicas(id, declared);
                 let wanted =
                     replicas < declared.min_replicas() || self.zones(id, declared).len() < 2;
-                (0 < replicas && wanted).then_some((replicas, Reverse(declared.bundle), id))
+                (0 < replicas && wanted).then_some((replicas, Reverse(declared.replica_memory), id))
             })
             .collect();
         under_replicated.sort();
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Unloads a replica that has superseded versions only, if other engines answer for the model
+    /// Unloads a replica that has superseded versions only, if other engines can serve the model
     /// and all of its adapters.
     fn retire_replica(&mut self, id: &model::Id, declared: &Declared, server: &backend::Id) {
         let Some(engine) = self.working.engines.get(server) else { return };
@@ -227,7 +228,7 @@
             return true;
         }
         if let Some(server) = self.engine_with_room_later(&constraints) {
-            self.reserve(&server, declared.bundle);
+            self.reserve(&server, declared.replica_memory);
             return true;
         }
         self.make_room(&constraints, limit)
--- a/crates/policy/src/term.rs
+++ b/crates/policy/src/term.rs
@@ -20,7 +20,7 @@
 //! - [`OrderLease::may_order`] is called right before an order's bytes are sent, with no await in
 //!   between;
 //! - an order is abandoned, with its connection reset, once it has been in flight for
-//!   [`Settings::flight`];
+//!   [`Settings::order_timeout`];
 //! - the incarnation is unique for all time;
 //! - nobody deletes the lease;
 //! - a host's process has ended before its next one starts.
@@ -34,20 +34,21 @@
 /// first.
 const MAX_OPEN_WRITES: usize = 16;
 
-/// Delay that keeps the arrival of an order and an order under a later fencing token from falling
-/// into the same moment.
-const RUN_GAP: Duration = Duration::from_nanos(1);
+/// Added to [`Settings::order_timeout`] when an incarnation of the same host takes over, so that no
+/// order of the earlier incarnation arrives at the very moment at which one with a later fencing
+/// token is sent.
+const INCARNATION_GAP: Duration = Duration::from_nanos(1);
 
-pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, Stored};
+pub use lease::{Claim, Lease, Nonce, Outcome, Revision, Step, StoredLease};
 pub use settings::{Contender, Settings, contender};
 
-/// View of one incarnation of a host on the lease that permits sending orders.
+/// One incarnation's view of the lease that permits sending orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     host: host::Id,
     incarnation: host::Incarnation,
     settings: Settings,
-    known: Known,
+    known: KnownLease,
     /// Current or last tenure of this host.
     tenure: Option<Tenure>,
     /// Own writes that may have been applied, or may still be.
@@ -55,18 +56,20 @@
     /// Write whose outcome is awaited.
     pending_write: Option<Lease>,
     nonce: Nonce,
-    /// Time of the store's last answer and of the last read that is not yet answered.
+    /// Time of the store's last answer; `None` also after a conflict that didn't return the lease.
     last_answer: Option<Moment>,
+    /// Time of the last read that is not yet answered.
     last_read: Option<Moment>,
     /// Time before which nothing is requested from the store.
     idle_until: Moment,
     /// Latest time at which an order may have been sent.
     last_order: Option<Moment>,
-    stopping: bool,
+    is_stopping: bool,
 }
 
+/// What an incarnation knows about the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Known {
+enum KnownLease {
     Nothing,
     /// The lease does not exist; it may be created from this time on.
     Absent(Moment),
@@ -92,13 +95,13 @@
 }
 
 impl OrderLease {
-    /// View at the start of an incarnation of a host.
+    /// Creates the view of an incarnation of a host that has just started.
     pub fn new(host: host::Id, incarnation: host::Incarnation, settings: Settings) -> OrderLease {
         OrderLease {
             host,
             incarnation,
             settings,
-            known: Known::Nothing,
+            known: KnownLease::Nothing,
             tenure: None,
             open_writes: Vec::new(),
             pending_write: None,
@@ -107,7 +110,7 @@
             last_read: None,
             idle_until: Moment::ZERO,
             last_order: None,
-            stopping: false,
+            is_stopping: false,
         }
     }
 
@@ -124,67 +127,69 @@
     /// Returns the fencing token of this host's tenure, if an order sent at `now` would arrive
     /// within it.
     pub fn fence(&self, now: Moment) -> Option<Fence> {
-        let tenure = self.tenure.filter(|tenure| now + self.settings.flight <= tenure.until)?;
-        (!self.stopping).then_some(tenure.fence)
+        let tenure =
+            self.tenure.filter(|tenure| now + self.settings.order_timeout <= tenure.until)?;
+        (!self.is_stopping).then_some(tenure.fence)
     }
 
-    /// Holder of the lease, as far as this host knows; `None` once it is released.
+    /// Returns the holder of the lease, as far as this host knows; `None` if the lease is released,
+    /// absent or unknown.
     pub fn holder(&self) -> Option<&host::Id> {
         match &self.known {
-            Known::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
+            KnownLease::Present { lease: Lease { holder, claim: Claim::Held(_), .. }, .. } => {
                 Some(holder)
             }
-            Known::Present { .. } | Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { .. } | KnownLease::Absent(_) | KnownLease::Nothing => None,
         }
     }
 
     /// Returns whether a stopping host has nothing more to write.
     pub fn is_released(&self) -> bool {
-        let named = matches!(&self.known, Known::Present { lease, .. }
+        let named = matches!(&self.known, KnownLease::Present { lease, .. }
             if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)));
-        self.stopping && !named && self.open_writes.is_empty()
+        self.is_stopping && !named && self.open_writes.is_empty()
     }
 
     /// Stops sending orders; the next steps release the lease.
     pub fn stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
-    /// Takes in the lease as read or as reported by a watch; it may be stale.
-    pub fn observe(&mut self, now: Moment, read: Option<Stored>) {
-        self.note_answer(now);
+    /// Applies the lease as read or as reported by a watch; it may be stale.
+    pub fn observe(&mut self, now: Moment, read: Option<StoredLease>) {
+        self.record_answer(now);
         match (read, &self.known) {
             (Some((revision, lease)), _) => self.apply(now, revision, lease),
             // Nobody deletes the lease, so nobody has ever held it.
-            (None, Known::Nothing) => self.known = Known::Absent(now),
-            (None, Known::Absent(_) | Known::Present { .. }) => (),
+            (None, KnownLease::Nothing) => self.known = KnownLease::Absent(now),
+            (None, KnownLease::Absent(_) | KnownLease::Present { .. }) => (),
         }
     }
 
-    /// Takes in the lease as another host knows it, which is no evidence that this host can reach
+    /// Applies the lease as another host knows it, which is no evidence that this host can reach
     /// the store.
-    pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): Stored) {
+    pub fn observe_from_peer(&mut self, now: Moment, (revision, lease): StoredLease) {
         self.apply(now, revision, lease);
     }
 
-    /// The lease as this host knows it, for other hosts.
-    pub fn stored(&self) -> Option<Stored> {
+    /// Returns the lease as this host knows it, to be reported to other hosts.
+    pub fn stored(&self) -> Option<StoredLease> {
         match &self.known {
-            Known::Present { revision, lease, .. } => Some((*revision, lease.clone())),
-            Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { revision, lease, .. } => Some((*revision, lease.clone())),
+            KnownLease::Absent(_) | KnownLease::Nothing => None,
         }
     }
 
-    /// Takes in the outcome of the last write.
+    /// Applies the outcome of the last write.
     pub fn write_finished(&mut self, now: Moment, outcome: Outcome) {
         let Some(lease) = self.pending_write.take() else { return };
         match outcome {
             Outcome::Done(revision) => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.apply(now, revision, lease);
             }
             Outcome::Conflict(Some((revision, lease))) => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.apply(now, revision, lease);
             }
             // The known revision is stale; the lease is read before anything else is done.
@@ -195,13 +200,13 @@
             }
             Outcome::Absent => {
                 let free = now + self.settings.term + self.settings.turn;
-                self.note_answer(now);
-                self.known = Known::Absent(free);
+                self.record_answer(now);
+                self.known = KnownLease::Absent(free);
             }
             Outcome::Refused => {
                 self.open_writes.retain(|sent| sent.nonce != lease.nonce);
             }
-            Outcome::Unclear => (),
+            Outcome::Unknown => (),
         }
     }
 
@@ -217,7 +222,7 @@
         if self.pending_write.is_some() || now < self.idle_until {
             return Step::Idle;
         }
-        if self.stopping {
+        if self.is_stopping {
             return self.release(now);
         }
         match self.tenure {
@@ -226,7 +231,7 @@
         }
     }
 
-    fn note_answer(&mut self, now: Moment) {
+    fn record_answer(&mut self, now: Moment) {
         self.last_answer = Some(now);
         self.last_read = None;
         self.idle_until = Moment::ZERO;
@@ -234,70 +239,73 @@
 
     fn renew(&mut self, now: Moment, tenure: Tenure) -> Step {
         if self.last_answer.is_none() {
-            return self.read(now, self.settings.fresh);
+            return self.read(now, self.settings.max_read_age);
         }
         match self.known {
-            Known::Present { revision, .. } if tenure.sent + self.settings.renew <= now => {
+            KnownLease::Present { revision, .. }
+                if tenure.sent + self.settings.renewal_interval <= now =>
+            {
                 self.write(now, Some(revision), Claim::Held(self.settings.term))
             }
-            Known::Present { .. } | Known::Absent(_) | Known::Nothing => Step::Idle,
+            KnownLease::Present { .. } | KnownLease::Absent(_) | KnownLease::Nothing => Step::Idle,
         }
     }
 
     fn contend(&mut self, now: Moment) -> Step {
-        let Some(free) = self.free_at() else { return self.read(now, self.settings.fresh) };
+        let Some(free) = self.free_at() else { return self.read(now, self.settings.max_read_age) };
         if now < free {
-            let poll = self.settings.poll;
+            let poll = self.settings.poll_interval;
             let is_recent =
-                matches!(self.known, Known::Present { since, .. } if now < since + poll);
+                matches!(self.known, KnownLease::Present { since, .. } if now < since + poll);
             return if is_recent { Step::Idle } else { self.read(now, poll) };
         }
-        // A host that the store turns away must not leave writes behind that are applied later.
-        if self.last_answer.is_none_or(|at| at + self.settings.fresh < now) {
-            return self.read(now, self.settings.fresh);
+        // A host that the store doesn't answer must not leave writes behind that are applied later.
+        if self.last_answer.is_none_or(|at| at + self.settings.max_read_age < now) {
+            return self.read(now, self.settings.max_read_age);
         }
         let revision = match self.known {
-            Known::Present { revision, .. } => Some(revision),
-            Known::Absent(_) | Known::Nothing => None,
+            KnownLease::Present { revision, .. } => Some(revision),
+            KnownLease::Absent(_) | KnownLease::Nothing => None,
         };
         self.write(now, revision, Claim::Held(self.settings.term))
     }
 
     fn release(&mut self, now: Moment) -> Step {
         match &self.known {
-            Known::Present { revision, lease, .. }
+            KnownLease::Present { revision, lease, .. }
                 if self.is_own(lease) && matches!(lease.claim, Claim::Held(_)) =>
             {
                 let (revision, rest) = (*revision, self.quiet_time(now));
                 self.write(now, Some(revision), Claim::Released(rest))
             }
             _ if self.open_writes.is_empty() => Step::Idle,
-            _ => self.read(now, self.settings.fresh),
+            _ => self.read(now, self.settings.max_read_age),
         }
     }
 
-    /// Time from `now` on in which no other host may send orders.
+    /// Returns the time from `now` on in which no other host may send orders.
     fn quiet_time(&self, now: Moment) -> Duration {
-        let Settings { turn, flight, .. } = self.settings;
+        let Settings { turn, order_timeout, .. } = self.settings;
         let last = self.last_order.unwrap_or(now);
-        (last + flight + turn).saturating_sub(now)
+        (last + order_timeout + turn).saturating_sub(now)
     }
 
-    /// Time at which this host may take the lease, as far as it knows; `None` before the first
-    /// read.
+    /// Returns the time at which this host may take the lease, as far as it knows; `None` before
+    /// the first read.
     fn free_at(&self) -> Option<Moment> {
-        let Settings { turn, flight, .. } = self.settings;
+        let Settings { turn, order_timeout, .. } = self.settings;
         let delay = self.settings.standby_delay();
         match &self.known {
-            Known::Nothing => None,
-            Known::Absent(free) => Some(*free + delay),
-            Known::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
-            // An earlier incarnation of this host is gone, and its orders are this host's: only the
-            // fencing tokens must not fall.
-            Known::Present { lease, since, .. } if lease.holder == self.host => {
-                Some(*since + flight + RUN_GAP)
+            KnownLease::Nothing => None,
+            KnownLease::Absent(free) => Some(*free + delay),
+            KnownLease::Present { lease, since, .. } if self.is_own(lease) => Some(*since),
+            // An earlier incarnation of this host has ended, and its orders count as this host's
+            // own. No turn is needed; orders only have to arrive in the order of their fencing
+            // tokens.
+            KnownLease::Present { lease, since, .. } if lease.holder == self.host => {
+                Some(*since + order_timeout + INCARNATION_GAP)
             }
-            Known::Present { lease, since, .. } => Some(match lease.claim {
+            KnownLease::Present { lease, since, .. } => Some(match lease.claim {
                 Claim::Held(term) => *since + term + turn + delay,
                 Claim::Released(rest) => *since + rest + delay,
             }),
@@ -315,7 +323,7 @@
 
     fn write(&mut self, now: Moment, on: Option<Revision>, claim: Claim) -> Step {
         self.nonce += 1;
-        self.idle_until = now + self.settings.renew / 2;
+        self.idle_until = now + self.settings.renewal_interval / 2;
         if self.open_writes.len() == MAX_OPEN_WRITES {
             self.open_writes.remove(0);
         }
@@ -333,9 +341,9 @@
         }
     }
 
-    /// Takes in a revision; one that is not newer than the known one is ignored.
+    /// Applies a revision; one that is not newer than the known one is ignored.
     fn apply(&mut self, now: Moment, revision: Revision, lease: Lease) {
-        if matches!(self.known, Known::Present { revision: known, .. } if revision <= known) {
+        if matches!(self.known, KnownLease::Present { revision: known, .. } if revision <= known) {
             return;
         }
         // Every open write names an older revision, so only the one that made this revision was or
@@ -347,7 +355,7 @@
         } else if let (Claim::Held(term), Some(sent)) = (lease.claim, sent) {
             self.extend_tenure(revision, sent.at, sent.at + term);
         }
-        self.known = Known::Present { revision, lease, since: now };
+        self.known = KnownLease::Present { revision, lease, since: now };
     }
 
     fn extend_tenure(&mut self, revision: Revision, sent: Moment, until: Moment) {
--- a/crates/policy/tests/plan/residency.rs
+++ b/crates/policy/tests/plan/residency.rs
@@ -1,4 +1,5 @@
-//! Every model resident, twice, in two availability zones, within memory and the store's rate.
+//! Every model becomes resident, then resident twice in two availability zones, within the servers'
+//! memory and the weight store's rate.
 
 use std::time::Duration;
 
@@ -73,8 +74,8 @@
     world.machines.get_mut(&server).expect("known").state = State::Leaving;
     world.settle();
     assert_eq!(world.ready("a").len(), 2);
-    let back = world.moves.iter().filter(|m| m.server == server && m.is_load());
-    assert!(back.count() <= 2, "the leaving server gets nothing new");
+    let loads = world.moves.iter().filter(|m| m.server == server && m.is_load());
+    assert!(loads.count() <= 2, "the leaving server was given new loads");
 }
 
 #[test]
@@ -94,11 +95,11 @@
 #[case(2.0, 3)]
 fn the_weight_store_is_never_asked_for_more_than_its_rate(
     #[case] loads_per_second: f64,
-    #[case] at_once: usize,
+    #[case] max_concurrent_loads: usize,
 ) {
     let names: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
     let models: Vec<_> = names.iter().map(|name| (&**name, 10, &[][..])).collect();
-    let limits = Limits { loads_per_second, at_once };
+    let limits = Limits { loads_per_second, max_concurrent_loads };
     let mut world = World::new(rng(7), config(&models), 6, 3, 80, limits);
     let mut starts: Vec<Moment> = Vec::new();
     for _ in 0..400 {
@@ -106,7 +107,7 @@
         starts.extend(std::iter::repeat_n(world.now, loads));
         let residents = world.machines.values().flat_map(|machine| &machine.residents);
         let loading = residents.filter(|(r, _)| r.state == Progress::Loading).count();
-        assert!(loading <= at_once);
+        assert!(loading <= max_concurrent_loads);
     }
     assert_eq!(starts.len(), 40);
     let window = Duration::from_secs(10);
@@ -120,7 +121,7 @@
 fn a_move_that_was_not_made_is_proposed_again() {
     let declared = config(&[("a", 20, &[])]);
     let mut world = World::new(rng(8), declared, 2, 2, 60, Limits::default());
-    world.skipped = 2;
+    world.skip_one_in = 2;
     world.settle();
     assert_eq!(world.ready("a").len(), 2);
 }
--- a/crates/spec/src/ledger/transitions.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -284,7 +284,7 @@
         let after = ReportPosition::of(&load);
         let mut ledger = (*self.ledger(settlement.ledger)).clone();
         if self.is_off(Guard::ReportOrder) {
-            ledger.mark = ReportPosition::default();
+            ledger.last_report = ReportPosition::default();
         }
         let never_taken =
             convert::orders(settlement.never_taken).map(|order| Evidence::NeverTaken { order });
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 use policy::term::{
-    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Action, Stored,
+    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Action, StoredLease,
 };
 use types::{order::Fence, prelude::*};
 
@@ -62,11 +62,11 @@
         let zero = |omission, ticks| if self.omission == omission { 0 } else { ticks };
         Settings {
             term: span(2),
-            renew: span(1),
+            renewal_interval: span(1),
             turn: span(zero(Omission::TurnWait, TURN)),
-            flight: span(zero(Omission::Flight, FLIGHT)),
-            fresh: span(0),
-            poll: span(Tick::MAX),
+            order_timeout: span(zero(Omission::Flight, FLIGHT)),
+            max_read_age: span(0),
+            poll_interval: span(Tick::MAX),
             delay: span(0),
             contender: Contender::First,
         }
@@ -91,7 +91,7 @@
     }
 
     /// The lease as a host reads it, changed by the disabled guard, if it concerns reads.
-    fn visible_lease(&self, to: usize, mut stored: Stored) -> Stored {
+    fn visible_lease(&self, to: usize, mut stored: StoredLease) -> StoredLease {
         let lease = &mut stored.1;
         if lease.holder != name(to) {
             lease.claim = match (self.omission, lease.claim) {
@@ -103,7 +103,7 @@
         stored
     }
 
-    fn read(&self, state: &State, host: usize) -> Option<Stored> {
+    fn read(&self, state: &State, host: usize) -> Option<StoredLease> {
         state.stored.clone().map(|stored| self.visible_lease(host, stored))
     }
 
@@ -221,7 +221,7 @@
         }
         let outcome = match (self.omission, &state.stored) {
             (Omission::ReadBack, Some((revision, _))) => Outcome::Done(revision + 1),
-            _ => Outcome::Unclear,
+            _ => Outcome::Unknown,
         };
         next.hosts[host].term.write_finished(now, outcome);
         Some((Step::GiveUp(host), next))
