--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -9,7 +9,7 @@
 use std::{error::Error, fs, net::SocketAddr, sync::Arc, time::Duration};
 
 use exchange::{
-    Config, Exchange, Registered, Source,
+    Config, Exchange, ServerListing, Source,
     fleet::{Load, Publication, Revision, State},
 };
 use tokio::time::{Instant, sleep};
@@ -25,11 +25,11 @@
         Some(self.0.clone()).filter(|declaration| declaration.version > above)
     }
 
-    fn servers(&self, _: Revision) -> Option<Registered> {
+    fn servers(&self, _: Revision) -> Option<ServerListing> {
         None
     }
 
-    fn follow(&self, above: Revision) -> Option<Registered> {
+    fn follow(&self, above: Revision) -> Option<ServerListing> {
         self.servers(above)
     }
 }
--- a/crates/exchange/src/calls.rs
+++ b/crates/exchange/src/calls.rs
@@ -13,7 +13,7 @@
 /// The servers as the store had them at a revision, for a host that knows them as of an earlier
 /// one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Registered {
+pub struct ServerListing {
     /// Revision of the store at which the list is complete.
     pub revision: Revision,
     /// Time since the store confirmed the list.
@@ -51,11 +51,11 @@
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>>;
 
     /// Returns the servers, if they are known as of a later revision of the store.
-    fn servers(&self, above: Revision) -> Option<Registered>;
+    fn servers(&self, above: Revision) -> Option<ServerListing>;
 
     /// Returns the servers, also if they are not known as of a later revision; `None` if they are
     /// not known as of any.
-    fn follow(&self, above: Revision) -> Option<Registered>;
+    fn follow(&self, above: Revision) -> Option<ServerListing>;
 }
 
 /// The calls as jsonrpsee methods.
@@ -70,12 +70,12 @@
 
     /// Returns the servers, if they are known as of a later revision.
     #[method(name = "servers")]
-    async fn servers(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned>;
+    async fn servers(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned>;
 
     /// Returns the servers, also if they are not known as of a later revision; `None` if they are
     /// not known as of any.
     #[method(name = "follow")]
-    async fn follow(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned>;
+    async fn follow(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned>;
 
     /// Returns the hosts that are not silent, the called host among them.
     #[method(name = "members")]
@@ -97,11 +97,11 @@
         Ok(self.source.declaration(above))
     }
 
-    async fn servers(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned> {
+    async fn servers(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned> {
         Ok(self.source.servers(above))
     }
 
-    async fn follow(&self, above: Revision) -> Result<Option<Registered>, ErrorObjectOwned> {
+    async fn follow(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned> {
         Ok(self.source.follow(above))
     }
 
--- a/crates/exchange/src/client.rs
+++ b/crates/exchange/src/client.rs
@@ -28,7 +28,7 @@
 use tower::{Service, ServiceBuilder, layer::layer_fn};
 use types::routed::{Declaration, Version};
 
-use crate::calls::{Registered, RpcClient};
+use crate::calls::{RpcClient, ServerListing};
 
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
@@ -73,7 +73,7 @@
         &self,
         address: SocketAddr,
         above: Revision,
-    ) -> Result<Option<Registered>, Error> {
+    ) -> Result<Option<ServerListing>, Error> {
         let peer = self.peer(address)?;
         self.within(address, peer.servers(above)).await
     }
@@ -82,7 +82,7 @@
         &self,
         address: SocketAddr,
         above: Revision,
-    ) -> Result<Option<Registered>, Error> {
+    ) -> Result<Option<ServerListing>, Error> {
         let peer = self.peer(address)?;
         self.within(address, peer.follow(above)).await
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    calls::{Adapter, Registered, RpcServer, Source},
+    calls::{Adapter, RpcServer, ServerListing, Source},
     client::{self, Client},
     clock::{self, Clock},
     listener,
@@ -253,7 +253,7 @@
         &self,
         from: SocketAddr,
         above: Revision,
-    ) -> Result<Option<Registered>, client::Error> {
+    ) -> Result<Option<ServerListing>, client::Error> {
         self.client.servers(from, above).await
     }
 
@@ -267,7 +267,7 @@
         &self,
         from: SocketAddr,
         above: Revision,
-    ) -> Result<Option<Registered>, client::Error> {
+    ) -> Result<Option<ServerListing>, client::Error> {
         self.client.follow(from, above).await
     }
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -15,7 +15,7 @@
 pub use policy::fleet;
 
 pub use crate::{
-    calls::{Entry, Registered, Source, Suspect},
+    calls::{Entry, ServerListing, Source, Suspect},
     client::Error as CallError,
     clock::{Clock, steady},
     exchange::{Config, Error, Exchange},
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -7,7 +7,7 @@
 };
 
 use exchange::{
-    Config, Entry, Exchange, Registered, Source,
+    Config, Entry, Exchange, ServerListing, Source,
     fleet::{Departure, Liveness, Load, Notice, Publication, Recipients, Revision, State},
 };
 use rstest::rstest;
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct MemorySource {
     declaration: Mutex<Option<Arc<Declaration>>>,
-    registered: Mutex<Registered>,
+    registered: Mutex<ServerListing>,
 }
 
 impl Source for MemorySource {
@@ -32,11 +32,11 @@
         declaration.filter(|declaration| declaration.version > above)
     }
 
-    fn servers(&self, above: Revision) -> Option<Registered> {
+    fn servers(&self, above: Revision) -> Option<ServerListing> {
         self.follow(above).filter(|registered| registered.revision > above)
     }
 
-    fn follow(&self, _: Revision) -> Option<Registered> {
+    fn follow(&self, _: Revision) -> Option<ServerListing> {
         Some(self.registered.lock().expect("no panic").clone())
     }
 }
@@ -145,10 +145,10 @@
     assert_eq!(client.fetch_declaration(address, 0).await.expect("answered"), None);
     let declaration = Declaration { version: 12, ..Declaration::default() };
     *source.declaration.lock().expect("no panic") = Some(Arc::new(declaration.clone()));
-    let registered = Registered {
+    let registered = ServerListing {
         revision: 40,
         servers: vec![entry("i-1"), entry("i-2")],
-        ..Registered::default()
+        ..ServerListing::default()
     };
     *source.registered.lock().expect("no panic") = registered.clone();
     let fetched = client.fetch_declaration(address, 11).await.expect("answered");
@@ -171,7 +171,7 @@
     let peer = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
     let servers: Vec<_> = (0..2_000).map(|n| entry(&format!("i-{n:08x}"))).collect();
     *source.registered.lock().expect("no panic") =
-        Registered { revision: 2, servers, ..Registered::default() };
+        ServerListing { revision: 2, servers, ..ServerListing::default() };
     let client = start(1, Vec::new()).await;
     let got = client.fetch_servers(peer.member().address, 1).await.expect("answered");
     assert_eq!(got.map(|got| got.servers.len()), Some(2_000));
--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -19,11 +19,11 @@
 impl Clock {
     /// Starts a clock that reads the boot time.
     pub fn start() -> Clock {
-        Clock::by(boot_time)
+        Clock::from_fn(boot_time)
     }
 
     /// Starts a clock that reads the time from `read`.
-    pub fn by(read: fn() -> Duration) -> Clock {
+    pub fn from_fn(read: fn() -> Duration) -> Clock {
         Clock { read, origin: read() }
     }
 
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -93,7 +93,7 @@
         let call = self.exchange(server, dialect.order_call(order));
         match tokio::time::timeout(timeout, call).await {
             Ok(Some(response)) => dialect.order_reply(&response),
-            Ok(None) | Err(_) => OrderReply { status: OrderStatus::Unknown, born: 0 },
+            Ok(None) | Err(_) => OrderReply { status: OrderStatus::Unknown, started_at: 0 },
         }
     }
 
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -12,7 +12,7 @@
     sync::Arc,
 };
 
-use exchange::{Registered, Suspect};
+use exchange::{ServerListing, Suspect};
 use types::{
     prelude::*,
     routed::{Held, Server, State},
@@ -171,8 +171,8 @@
     /// servers, as confirmed by the store `age` ago, and which others are suspected. A peer that
     /// uses a suspected server keeps it for its remaining time; a peer that does not know the
     /// server does not add it.
-    pub fn registered(&self, above: Revision, age: Duration, now: Moment) -> Registered {
-        let mut list = Registered { revision: self.revision, age, ..Registered::default() };
+    pub fn registered(&self, above: Revision, age: Duration, now: Moment) -> ServerListing {
+        let mut list = ServerListing { revision: self.revision, age, ..ServerListing::default() };
         for (id, entry) in &self.entries {
             if let Presence::Suspect { until } = entry.presence {
                 let left = until.saturating_sub(now);
@@ -190,7 +190,7 @@
 
     /// Compares the store's list with the directory. The difference is empty if a peer has sent a
     /// later list meanwhile.
-    pub fn diff_store_list(&self, list: Registered) -> Delta {
+    pub fn diff_store_list(&self, list: ServerListing) -> Delta {
         if list.revision < self.revision {
             return Delta::default();
         }
@@ -204,7 +204,7 @@
     /// was removed since, and is ignored. Without this check, a host that had removed a server took
     /// it back for good from a peer that still used the server, since the store reports a removal
     /// once.
-    pub fn diff_peer_list(&self, list: Registered) -> Delta {
+    pub fn diff_peer_list(&self, list: ServerListing) -> Delta {
         if list.revision <= self.revision {
             return Delta::default();
         }
@@ -225,7 +225,7 @@
 
     /// Returns the servers that a list does not contain as registered and that were not written
     /// after the list was made.
-    fn unlisted(&self, list: &Registered) -> Vec<backend::Id> {
+    fn unlisted(&self, list: &ServerListing) -> Vec<backend::Id> {
         let listed: HashSet<&backend::Id> = list.ids.iter().collect();
         let is_gone = |(id, entry): &(&backend::Id, &Entry)| {
             !listed.contains(id) && entry.written <= list.revision
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -102,9 +102,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
     /// The response states no limit.
-    Unnamed,
+    Unstated,
     /// The response states this limit.
-    Named(Rate),
+    Stated(Rate),
     /// The response states a limit that can't be parsed.
     Unreadable,
 }
@@ -180,7 +180,7 @@
     /// Outcome of the order.
     pub status: OrderStatus,
     /// Start time of the responding server's run; 0 if not stated.
-    pub born: StartTime,
+    pub started_at: StartTime,
 }
 
 /// Kind of an object in the store.
@@ -245,7 +245,7 @@
 
 /// A request to the store.
 #[derive(Clone, Debug)]
-pub enum Call<'a> {
+pub enum StoreCall<'a> {
     /// Lists the objects of a kind, page by page.
     List {
         /// Kind of the objects.
@@ -374,10 +374,10 @@
     fn order_reply(&self, response: &Response<Bytes>) -> OrderReply;
 
     /// Builds a request to the store.
-    fn store_call(&self, call: &Call<'_>) -> Request<Bytes>;
+    fn store_call(&self, call: &StoreCall<'_>) -> Request<Bytes>;
 
     /// Parses the store's response to a call.
-    fn store_reply(&self, call: &Call<'_>, response: &Response<Bytes>) -> StoreReply;
+    fn store_reply(&self, call: &StoreCall<'_>, response: &Response<Bytes>) -> StoreReply;
 
     /// Name of the object that holds the declaration.
     fn declaration_name(&self) -> &str;
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -8,7 +8,7 @@
 use types::order::Fence;
 
 use crate::{
-    edge::{Call, Kind, Object, StoreReply},
+    edge::{Kind, Object, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -62,20 +62,27 @@
         Step::Read => read(shared).await,
         Step::Create(lease) => {
             let Ok(content) = serde_json::to_value(&lease) else { return };
-            write(shared, &Call::Create { kind: Kind::Lease, name: LEASE_NAME, content: &content })
-                .await;
+            write(
+                shared,
+                &StoreCall::Create { kind: Kind::Lease, name: LEASE_NAME, content: &content },
+            )
+            .await;
         }
         Step::Replace(revision, lease) => {
             let Ok(content) = serde_json::to_value(&lease) else { return };
-            let call =
-                Call::Replace { kind: Kind::Lease, name: LEASE_NAME, revision, content: &content };
+            let call = StoreCall::Replace {
+                kind: Kind::Lease,
+                name: LEASE_NAME,
+                revision,
+                content: &content,
+            };
             write(shared, &call).await;
         }
     }
 }
 
 async fn read(shared: &Shared) {
-    match shared.store.lease_call(&Call::Get { kind: Kind::Lease, name: LEASE_NAME }).await {
+    match shared.store.lease_call(&StoreCall::Get { kind: Kind::Lease, name: LEASE_NAME }).await {
         StoreReply::Object(object) => {
             let stored = stored(&object);
             if stored.is_some() {
@@ -87,7 +94,7 @@
     }
 }
 
-async fn write(shared: &Shared, call: &Call<'_>) {
+async fn write(shared: &Shared, call: &StoreCall<'_>) {
     let outcome = match shared.store.lease_call(call).await {
         StoreReply::Object(object) => Outcome::Done(object.revision),
         StoreReply::Conflict(object) => Outcome::Conflict(object.as_ref().and_then(stored)),
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -37,4 +37,4 @@
 mod watch;
 mod workload;
 
-pub use run::{Error, Running, reloaded, start, start_by};
+pub use run::{Error, Running, log_reload, start, start_with_clock};
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -8,7 +8,7 @@
 };
 
 use exchange::{
-    Exchange, Registered, Source,
+    Exchange, ServerListing, Source,
     fleet::{
         Departure, FleetSnapshot, Lease, Notice, Publication, Reachability, ReceivedNotice,
         Recipients, Revision, State, StoreStatus,
@@ -102,14 +102,14 @@
         self.0.upgrade()?.declaration().filter(|declaration| above < declaration.version)
     }
 
-    fn servers(&self, above: Revision) -> Option<Registered> {
+    fn servers(&self, above: Revision) -> Option<ServerListing> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_newer = above < directory.revision();
         is_newer.then(|| directory.registered(above, shared.servers_age(), shared.now()))
     }
 
-    fn follow(&self, above: Revision) -> Option<Registered> {
+    fn follow(&self, above: Revision) -> Option<ServerListing> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_known = 0 < directory.revision();
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -125,7 +125,7 @@
         fence,
     };
     let reply = connection.order(&*shared.dialect, server, &sent, shared.order_timeout).await;
-    let status = match shared.current_run(server, reply.born) {
+    let status = match shared.current_run(server, reply.started_at) {
         Some(run) if run.id == server.id => reply.status,
         // Another run of the server has received the order; a report will show what it did.
         Some(_) | None => OrderStatus::NotThere,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -22,7 +22,7 @@
 use types::time::Moment;
 
 use crate::{
-    edge::{Call, Kind, Object, StoreReply},
+    edge::{Kind, Object, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -120,15 +120,15 @@
     let stored = Stored { crashes: crashes.to_vec(), written_ms: unix_ms() };
     let Ok(content) = serde_json::to_value(&stored) else { return true };
     let name = name(request);
-    let call = Call::Create { kind: Kind::Quarantine, name: &name, content: &content };
+    let call = StoreCall::Create { kind: Kind::Quarantine, name: &name, content: &content };
     matches!(shared.store.call(&call).await, StoreReply::Object(_) | StoreReply::Conflict(_))
 }
 
 async fn remove(shared: &Shared, request: Fingerprint) -> bool {
     let (kind, name) = (Kind::Quarantine, name(request));
-    match shared.store.call(&Call::Get { kind, name: &name }).await {
+    match shared.store.call(&StoreCall::Get { kind, name: &name }).await {
         StoreReply::Object(object) => {
-            let call = Call::Delete { kind, name: &name, revision: object.revision };
+            let call = StoreCall::Delete { kind, name: &name, revision: object.revision };
             matches!(shared.store.call(&call).await, StoreReply::Absent | StoreReply::Object(_))
         }
         StoreReply::Absent => true,
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -18,8 +18,8 @@
     /// Applies the limit that a server's response states, for a request that was sent at `sent`.
     pub(crate) fn observe_limit(&self, server: &backend::Id, limit: Limit, sent: Moment) {
         let limit = match limit {
-            Limit::Unnamed => None,
-            Limit::Named(rate) => Some(rate),
+            Limit::Unstated => None,
+            Limit::Stated(rate) => Some(rate),
             Limit::Unreadable => return self.reject_limit(server),
         };
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    edge::{Call, Kind, Object, Page, StoreReply},
+    edge::{Kind, Object, Page, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -62,11 +62,11 @@
         Some(object) => {
             let revision = object.revision;
             (
-                Call::Replace { kind: Kind::Host, name, revision, content: &content },
+                StoreCall::Replace { kind: Kind::Host, name, revision, content: &content },
                 HostStart::Restart,
             )
         }
-        None => (Call::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
+        None => (StoreCall::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
     };
     let is_written = matches!(shared.store.call(&call).await, StoreReply::Object(_));
     if is_written {
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -80,7 +80,7 @@
     routed: Routed,
     dialect: Arc<dyn Dialect>,
 ) -> Result<Running, Error> {
-    start_by(Clock::start(), settings, routed, dialect).await
+    start_with_clock(Clock::start(), settings, routed, dialect).await
 }
 
 /// Starts a host that uses this clock.
@@ -88,7 +88,7 @@
 /// # Errors
 ///
 /// If a listener can't be bound.
-pub async fn start_by(
+pub async fn start_with_clock(
     clock: Clock,
     mut settings: Process,
     routed: Routed,
@@ -138,7 +138,7 @@
 }
 
 /// Logs that the settings were reloaded.
-pub fn reloaded(settings: &Process) {
+pub fn log_reload(settings: &Process) {
     story::belief(Belief::Reload { settings: settings_json(settings) });
 }
 
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -8,7 +8,7 @@
 };
 
 use exchange::{
-    Registered,
+    ServerListing,
     fleet::{Departure, Notice, Recipients},
 };
 use observe::story::{Belief, ServerStanding, Source, Text};
@@ -86,7 +86,8 @@
         };
         let servers: Vec<_> = page.objects.iter().filter_map(read).collect();
         let ids = servers.iter().map(|entry| entry.server.id.clone()).collect();
-        let list = Registered { revision: page.revision, ids, servers, ..Registered::default() };
+        let list =
+            ServerListing { revision: page.revision, ids, servers, ..ServerListing::default() };
         self.confirm_servers(Duration::ZERO);
         let delta = self.directory().diff_store_list(list);
         self.apply(delta, page.revision, &Source::Store);
@@ -106,7 +107,7 @@
     }
 
     /// Applies a peer's list of servers.
-    pub(crate) fn take_servers(self: &Arc<Self>, list: Registered, peer: &host::Id) {
+    pub(crate) fn take_servers(self: &Arc<Self>, list: ServerListing, peer: &host::Id) {
         let revision = list.revision;
         let delta = self.directory().diff_peer_list(list);
         self.apply(delta, revision, &Source::Peer(peer.clone()));
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -30,7 +30,7 @@
 use crate::{
     clock::Clock,
     connect::{self, Connection},
-    edge::{Call, Dialect, Kind, Object, Page, Revision, StoreReply},
+    edge::{Dialect, Kind, Object, Page, Revision, StoreCall, StoreReply},
 };
 
 /// Timeout of a short call.
@@ -131,19 +131,19 @@
     }
 
     /// Makes a call about the lease, which is useless if it takes longer than a term of the lease.
-    pub(crate) async fn lease_call(&self, call: &Call<'_>) -> StoreReply {
+    pub(crate) async fn lease_call(&self, call: &StoreCall<'_>) -> StoreReply {
         self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
 
     /// Makes a short call.
-    pub(crate) async fn call(&self, call: &Call<'_>) -> StoreReply {
+    pub(crate) async fn call(&self, call: &StoreCall<'_>) -> StoreReply {
         self.call_within(call, CALL_TIMEOUT).await
     }
 
     /// Makes a call with a timeout. A call without a response does not delay others: if the kept
     /// connection is in use, the call opens its own. When calls were queued instead, a list without
     /// a response cost the lease: its test saw 2.3 s without a renewal.
-    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
+    async fn call_within(&self, call: &StoreCall<'_>, limit: Duration) -> StoreReply {
         let end = Instant::now() + limit;
         let Ok(mut slot) = self.slot.try_lock() else {
             return self.exchange(call, None, end).await.0;
@@ -164,7 +164,7 @@
         wait: Duration,
     ) -> (StoreReply, Option<Connection>) {
         let connection = previous.filter(|connection| connection.sender.is_ready());
-        let call = Call::Watch { kind, since, wait };
+        let call = StoreCall::Watch { kind, since, wait };
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
     }
 
@@ -190,7 +190,7 @@
         loop {
             let after = all.objects.last().map(|object: &Object| object.name.clone());
             let StoreReply::Page(page) =
-                self.call(&Call::List { kind, after: after.as_deref() }).await
+                self.call(&StoreCall::List { kind, after: after.as_deref() }).await
             else {
                 return None;
             };
@@ -210,7 +210,7 @@
     /// Makes a call, counts it and records its outcome, also if it got no response.
     async fn exchange(
         &self,
-        call: &Call<'_>,
+        call: &StoreCall<'_>,
         connection: Option<Connection>,
         end: Instant,
     ) -> (StoreReply, Option<Connection>) {
@@ -228,7 +228,7 @@
             _ => DependencyState::Regained,
         };
         let took = began.elapsed();
-        if let Call::Watch { kind, .. } = call
+        if let StoreCall::Watch { kind, .. } = call
             && let Some(health) = self.health(*kind)
         {
             self.report_state(health, state, took);
@@ -257,7 +257,7 @@
 
     async fn try_exchange(
         &self,
-        call: &Call<'_>,
+        call: &StoreCall<'_>,
         connection: Option<Connection>,
     ) -> Option<(StoreReply, Option<Connection>)> {
         let mut connection = match connection {
@@ -275,14 +275,14 @@
     }
 }
 
-fn called(call: &Call<'_>) -> Called {
+fn called(call: &StoreCall<'_>) -> Called {
     match call {
-        Call::List { .. } => Called::List,
-        Call::Watch { .. } => Called::Watch,
-        Call::Get { .. } => Called::Get,
-        Call::Create { .. } => Called::Create,
-        Call::Replace { .. } => Called::Replace,
-        Call::Delete { .. } => Called::Delete,
+        StoreCall::List { .. } => Called::List,
+        StoreCall::Watch { .. } => Called::Watch,
+        StoreCall::Get { .. } => Called::Get,
+        StoreCall::Create { .. } => Called::Create,
+        StoreCall::Replace { .. } => Called::Replace,
+        StoreCall::Delete { .. } => Called::Delete,
     }
 }
 
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Call, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
-    OrderStatus, Problem, RequestInfo, Seal, StoreReply,
+    Answer, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
+    OrderStatus, Problem, RequestInfo, Seal, StoreCall, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -82,7 +82,7 @@
             keep_alive: text(headers, "keep-alive")
                 .and_then(|text| text.strip_prefix("timeout=")?.parse().ok())
                 .map(Duration::from_secs),
-            limit: Limit::Unnamed,
+            limit: Limit::Unstated,
         }
     }
 
@@ -99,22 +99,22 @@
     }
 
     fn order_reply(&self, _: &Response<Bytes>) -> OrderReply {
-        OrderReply { status: OrderStatus::Unknown, born: 0 }
+        OrderReply { status: OrderStatus::Unknown, started_at: 0 }
     }
 
-    fn store_call(&self, call: &Call<'_>) -> Request<Bytes> {
+    fn store_call(&self, call: &StoreCall<'_>) -> Request<Bytes> {
         let path = match call {
-            Call::Watch { since, .. } => format!("/watch/{since}"),
+            StoreCall::Watch { since, .. } => format!("/watch/{since}"),
             _ => "/list".into(),
         };
         Request::get(path).body(Bytes::new()).expect("a call")
     }
 
-    fn store_reply(&self, call: &Call<'_>, _: &Response<Bytes>) -> StoreReply {
+    fn store_reply(&self, call: &StoreCall<'_>, _: &Response<Bytes>) -> StoreReply {
         match call {
-            Call::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
-            Call::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
-            Call::Create { kind: relay::edge::Kind::Host, name, content } => {
+            StoreCall::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
+            StoreCall::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
+            StoreCall::Create { kind: relay::edge::Kind::Host, name, content } => {
                 self.world.registered.send_replace(true);
                 let content = (*content).clone();
                 StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -40,11 +40,11 @@
 impl TestHost {
     /// Starts a host with one route; returns when the route is in force and the host is registered.
     pub async fn start(route: Route, servers: &[&Server]) -> TestHost {
-        TestHost::start_by(Clock::start(), route, servers).await
+        TestHost::start_with_clock(Clock::start(), route, servers).await
     }
 
     /// Starts a host as [`TestHost::start`] does, on a clock that the test controls.
-    pub async fn start_by(clock: Clock, route: Route, servers: &[&Server]) -> TestHost {
+    pub async fn start_with_clock(clock: Clock, route: Route, servers: &[&Server]) -> TestHost {
         TestHost::start_with(clock, routed(), route, servers).await
     }
 
@@ -73,7 +73,7 @@
         let store = store::listen(world.clone()).await;
         let dialect = Arc::new(Neutral { world: world.clone() });
         let running =
-            relay::start_by(clock, process(store), routed, dialect).await.expect("a host");
+            relay::start_with_clock(clock, process(store), routed, dialect).await.expect("a host");
         let host = TestHost { address: running.address(), world, _running: running };
         within(host.wait_in_force()).await;
         within(host.wait_registered()).await;
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -1,6 +1,6 @@
 //! Merging of server entries from the store and from peers, which arrive in any order.
 
-use exchange::{Entry, Registered, Suspect};
+use exchange::{Entry, ServerListing, Suspect};
 use relay::directory::Directory;
 use rstest::rstest;
 use types::{
@@ -82,7 +82,7 @@
     let reply = with_suspect().registered(0, Duration::ZERO, NOW);
     let left = SUSPECT_UNTIL - NOW;
     assert_eq!(reply.suspects, [Suspect { id: "s1".into(), left }]);
-    let delta = directory.diff_peer_list(Registered { revision: 9, ..reply });
+    let delta = directory.diff_peer_list(ServerListing { revision: 9, ..reply });
     assert_eq!(
         (delta.suspected.len(), delta.deleted.len(), delta.upserted.len()),
         (suspected, 0, 0)
@@ -152,11 +152,11 @@
     directory
 }
 
-fn listing(revision: u64, written: Option<u64>) -> Registered {
+fn listing(revision: u64, written: Option<u64>) -> ServerListing {
     let entry = |written| Entry { written, server: server(&["m2"]) };
     let servers: Vec<Entry> = written.map(entry).into_iter().collect();
     let ids = servers.iter().map(|entry| entry.server.id.clone()).collect();
-    Registered { revision, ids, servers, ..Registered::default() }
+    ServerListing { revision, ids, servers, ..ServerListing::default() }
 }
 
 /// A host that has seen the deletion of an entry must not take the entry back from a peer that has
@@ -172,7 +172,7 @@
 #[case::nothing_known_yet(directory_at(0, None), listing(9, Some(5)), 1, 0)]
 fn a_peers_list_changes_only_what_it_knows_later(
     #[case] directory: Directory,
-    #[case] list: Registered,
+    #[case] list: ServerListing,
     #[case] written: usize,
     #[case] removed: usize,
 ) {
@@ -188,7 +188,7 @@
 #[case::overtaken_by_a_peer(directory_at(8, None), listing(7, Some(5)), 0, 0)]
 fn the_stores_list_replaces_what_is_older(
     #[case] directory: Directory,
-    #[case] list: Registered,
+    #[case] list: ServerListing,
     #[case] written: usize,
     #[case] removed: usize,
 ) {
--- a/crates/relay/tests/suspended.rs
+++ b/crates/relay/tests/suspended.rs
@@ -34,8 +34,8 @@
 }
 
 async fn start_host(route: Route, server: &Server) -> TestHost {
-    let clock = Clock::by(|| clock::boot_time() + SUSPENDED.get());
-    TestHost::start_by(clock, route, &[server]).await
+    let clock = Clock::from_fn(|| clock::boot_time() + SUSPENDED.get());
+    TestHost::start_with_clock(clock, route, &[server]).await
 }
 
 #[rstest]
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -54,7 +54,7 @@
         Ok(level) => observe::log::set_level(level),
         Err(error) => log::error!("log level: {error}"),
     }
-    relay::reloaded(settings);
+    relay::log_reload(settings);
 }
 
 fn dialect(dialect: Dialect) -> Arc<dyn edge::Dialect> {
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -13,8 +13,8 @@
     remote::{entry, server},
 };
 use relay::edge::{
-    Call, Change, Dialect, Kind as ObjectKind, Object, Operation, Order, OrderStatus, StoreReply,
-    WatchBatch,
+    Change, Dialect, Kind as ObjectKind, Object, Operation, Order, OrderStatus, StoreCall,
+    StoreReply, WatchBatch,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -49,7 +49,7 @@
     tokio::time::timeout(LIMIT, sending).await.ok()?
 }
 
-async fn store_reply(address: SocketAddr, call: &Call<'_>) -> StoreReply {
+async fn store_reply(address: SocketAddr, call: &StoreCall<'_>) -> StoreReply {
     match exchange(address, Platform.store_call(call)).await {
         Some(response) => Platform.store_reply(call, &response),
         None => StoreReply::Unclear,
@@ -62,12 +62,12 @@
     (store, address)
 }
 
-fn create<'a>(name: &'a str, content: &'a Value) -> Call<'a> {
-    Call::Create { kind: ObjectKind::Lease, name, content }
+fn create<'a>(name: &'a str, content: &'a Value) -> StoreCall<'a> {
+    StoreCall::Create { kind: ObjectKind::Lease, name, content }
 }
 
-fn replace<'a>(name: &'a str, revision: u64, content: &'a Value) -> Call<'a> {
-    Call::Replace { kind: ObjectKind::Lease, name, revision, content }
+fn replace<'a>(name: &'a str, revision: u64, content: &'a Value) -> StoreCall<'a> {
+    StoreCall::Replace { kind: ObjectKind::Lease, name, revision, content }
 }
 
 fn engine() -> Engine {
@@ -227,14 +227,14 @@
     assert!(created.revision < replaced.revision);
     assert!(matches!(store_reply(endpoint, &replace("y", 1, &second)).await, StoreReply::Absent));
 
-    let delete = |revision| Call::Delete { kind: ObjectKind::Lease, name: "x", revision };
+    let delete = |revision| StoreCall::Delete { kind: ObjectKind::Lease, name: "x", revision };
     assert!(matches!(
         store_reply(endpoint, &delete(created.revision)).await,
         StoreReply::Conflict(_)
     ));
     assert!(matches!(store_reply(endpoint, &delete(replaced.revision)).await, StoreReply::Absent));
     assert!(matches!(
-        store_reply(endpoint, &Call::Get { kind: ObjectKind::Lease, name: "x" }).await,
+        store_reply(endpoint, &StoreCall::Get { kind: ObjectKind::Lease, name: "x" }).await,
         StoreReply::Absent
     ));
     assert_eq!((store.count("main").reads, store.count("main").writes), (1, 8));
@@ -247,7 +247,7 @@
     for name in ["c", "a", "b"] {
         store_reply(endpoint, &create(name, &json!({}))).await;
     }
-    let list = |after| Call::List { kind: ObjectKind::Lease, after };
+    let list = |after| StoreCall::List { kind: ObjectKind::Lease, after };
     let StoreReply::Page(first) = store_reply(endpoint, &list(None)).await else {
         panic!("no page")
     };
@@ -262,8 +262,11 @@
 #[tokio::test]
 async fn a_watch_sees_each_change_once_until_history_is_gone() {
     let (store, endpoint) = store().await;
-    let watch =
-        |since| Call::Watch { kind: ObjectKind::Lease, since, wait: Duration::from_millis(200) };
+    let watch = |since| StoreCall::Watch {
+        kind: ObjectKind::Lease,
+        since,
+        wait: Duration::from_millis(200),
+    };
     let since = store.revision();
     let waiting = tokio::spawn(async move { store_reply(endpoint, &watch(since)).await });
     until("the watch is waiting", async || store.count("main").watches == 1).await;
