--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -43,13 +43,13 @@
     pub(crate) body: Incoming,
     pub(crate) end: BodyEnd,
     pub(crate) answer: Answer,
-    pub(crate) flight: Flight,
+    pub(crate) attempt: Attempt,
 }
 
 impl OpenResponse {
     /// Ends the attempt after the body was received completely.
     pub(crate) fn finish(self) {
-        self.flight.finish(self.answer.keep_alive);
+        self.attempt.finish(self.answer.keep_alive);
     }
 }
 
@@ -70,17 +70,23 @@
 }
 
 /// An attempt in flight at a server, with its connection.
-pub(crate) struct Flight {
+pub(crate) struct Attempt {
     shared: Arc<Shared>,
     pub(crate) server: Arc<Server>,
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     connection: Option<Connection>,
     reuse: Reuse,
 }
 
-impl Flight {
-    fn new(shared: Arc<Shared>, server: Arc<Server>) -> Flight {
-        Flight { shared, server, began: Instant::now(), connection: None, reuse: Reuse::Never }
+impl Attempt {
+    fn new(shared: Arc<Shared>, server: Arc<Server>) -> Attempt {
+        Attempt {
+            shared,
+            server,
+            started_at: Instant::now(),
+            connection: None,
+            reuse: Reuse::Never,
+        }
     }
 
     /// Returns the connection to the pool after a complete response, if it may be reused.
@@ -114,12 +120,12 @@
     options: &ForwardOptions<'_>,
 ) -> Result<ResponseStart, AttemptEnd> {
     let buffered = &call.request;
-    let mut flight = Flight::new(shared.clone(), server.clone());
+    let mut attempt = Attempt::new(shared.clone(), server.clone());
     let mut connection = match idle_connection(shared, server).await {
         Some(connection) => connection,
         None => connect::open(server.address).await.map_err(|error| unreachable(&error))?,
     };
-    call.trace.connected(flight.began.elapsed());
+    call.trace.connected(attempt.started_at.elapsed());
     let sent_at = shared.now();
     shared.dispatcher().sent(buffered.ticket, sent_at);
     let request = request(shared, buffered, options);
@@ -132,8 +138,8 @@
         None => AttemptEnd::Unclear(Unclear::Cut),
     })?;
     let (head, body) = response.into_parts();
-    flight.reuse = reuse(&head, &connection);
-    flight.connection = Some(connection);
+    attempt.reuse = reuse(&head, &connection);
+    attempt.connection = Some(connection);
     let answer = shared.dialect.answer(head.status, &head.headers);
     if let Some([running, waiting, slots]) = answer.load {
         shared.dispatcher().server_load(&server.id, running, waiting, slots, shared.now());
@@ -145,7 +151,7 @@
     }
     validated?;
     let end = body_end(&head.headers, &body);
-    Ok(ResponseStart { head, response: OpenResponse { body, end, answer, flight } })
+    Ok(ResponseStart { head, response: OpenResponse { body, end, answer, attempt } })
 }
 
 /// Returns a pooled connection that shows no sign of being closed.
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    attempt::{self, AttemptEnd, BufferedRequest, Flight, ResponseStart},
+    attempt::{self, Attempt, AttemptEnd, BufferedRequest, ResponseStart},
     edge::{ForwardOptions, Problem},
     host::{OpenGuard, Shared},
     trace::{self, Trace},
@@ -44,7 +44,7 @@
     pub(crate) route: Route,
     pub(crate) service: service::Id,
     pub(crate) received: Moment,
-    pub(crate) limit: Duration,
+    pub(crate) timeout: Duration,
     pub(crate) fingerprint: dispatch::Fingerprint,
     pub(crate) handle: DispatchHandle,
     pub(crate) trace: Trace,
@@ -61,24 +61,24 @@
         open: OpenGuard,
         trace: Trace,
     ) -> Call {
-        let limit =
+        let timeout =
             request.info.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let handle = DispatchHandle {
             shared: shared.clone(),
             ticket: request.ticket,
-            closed: AtomicBool::new(true),
+            has_ended: AtomicBool::new(true),
             sent: AtomicBool::new(false),
         };
-        Call { request, route, service, received, limit, fingerprint, handle, trace, _open: open }
+        Call { request, route, service, received, timeout, fingerprint, handle, trace, _open: open }
     }
 
     /// Returns the request's deadline.
-    pub(crate) fn end(&self) -> Moment {
-        self.received + self.limit
+    pub(crate) fn deadline(&self) -> Moment {
+        self.received + self.timeout
     }
 
-    pub(crate) fn left(&self, shared: &Shared) -> Duration {
-        self.end().saturating_sub(shared.now())
+    pub(crate) fn time_left(&self, shared: &Shared) -> Duration {
+        self.deadline().saturating_sub(shared.now())
     }
 
     pub(crate) fn may_repeat(&self) -> bool {
@@ -98,7 +98,7 @@
             model: info.model.clone(),
             adapter: info.adapter.clone(),
             repeat: self.route.kind,
-            deadline: self.limit,
+            deadline: self.timeout,
         };
         self.trace.arrived(&self.route, arrival);
     }
@@ -123,16 +123,16 @@
         match self.handle.retry(end) {
             dispatch::RetryDecision::Send(server) => self.server(shared, &server).await,
             dispatch::RetryDecision::Wait => {
-                self.trace.queued("again", self.left(shared));
+                self.trace.queued("again", self.time_left(shared));
                 self.wait(shared).await
             }
             dispatch::RetryDecision::Missing { model, adapter } => {
-                self.trace.queued("missing", self.left(shared));
+                self.trace.queued("missing", self.time_left(shared));
                 shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             dispatch::RetryDecision::GiveUp(Answer::NotRun { cause, after }) => {
-                self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
+                self.trace.refused(trace::refusal(cause), self.time_left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
             dispatch::RetryDecision::GiveUp(Answer::Server | Answer::Unclear) => {
@@ -141,15 +141,15 @@
         }
     }
 
-    /// Runs an attempt. If the server is silent for `patience`, the request leaves it, but only if
+    /// Runs an attempt. If the server is silent for `silence_timeout`, the request leaves it, but only if
     /// another server takes the request at once.
     pub(crate) async fn attempt<T>(
         &self,
-        patience: Duration,
+        silence_timeout: Duration,
         attempt: impl Future<Output = Result<T, AttemptEnd>>,
     ) -> Result<T, AttemptFailure> {
         let mut attempt = pin!(attempt);
-        let mut pause = patience;
+        let mut pause = silence_timeout;
         loop {
             select! {
                 biased;
@@ -158,7 +158,7 @@
                 () = sleep(pause) => {}
             }
             if let Some(server) = self.leave() {
-                return Err(AttemptFailure::Left(server));
+                return Err(AttemptFailure::Moved(server));
             }
             pause = LEAVE_RETRY_INTERVAL;
         }
@@ -179,11 +179,11 @@
     pub(crate) async fn server_after(
         &self,
         shared: &Shared,
-        end: AttemptFailure,
+        failure: AttemptFailure,
     ) -> Result<Arc<Server>, Problem> {
-        match end {
+        match failure {
             AttemptFailure::Failed(failed) => self.next_server(shared, failed).await,
-            AttemptFailure::Left(server) => self.server(shared, &server).await,
+            AttemptFailure::Moved(server) => self.server(shared, &server).await,
         }
     }
 
@@ -194,7 +194,7 @@
         server: &Arc<Server>,
         after: Option<u64>,
     ) -> Result<ResponseStart, AttemptEnd> {
-        let left = self.left(shared);
+        let left = self.time_left(shared);
         self.trace.sent(server, after, left);
         let options = ForwardOptions {
             server: &server.name,
@@ -203,11 +203,11 @@
             resume: after.or(self.request.info.resume),
         };
         self.handle.sent.store(true, Ordering::Relaxed);
-        let begun = attempt::begin(shared, server, self, &options).await;
-        if let Err(AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_)) = begun {
+        let start = attempt::begin(shared, server, self, &options).await;
+        if let Err(AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_)) = start {
             self.handle.sent.store(false, Ordering::Relaxed);
         }
-        begun
+        start
     }
 
     /// Returns the problem to report after the deadline has passed.
@@ -227,35 +227,35 @@
         match verdict {
             Verdict::Send(server) => self.server(shared, &server).await,
             Verdict::Wait => {
-                self.trace.queued("full", self.left(shared));
+                self.trace.queued("full", self.time_left(shared));
                 self.wait(shared).await
             }
             Verdict::Missing { model, adapter } => {
-                self.trace.queued("missing", self.left(shared));
+                self.trace.queued("missing", self.time_left(shared));
                 shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             Verdict::Refuse { cause, after } => {
-                self.handle.close();
-                self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
+                self.handle.mark_ended();
+                self.trace.refused(trace::refusal(cause), self.time_left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
             Verdict::Quarantined => {
-                self.handle.close();
-                self.trace.refused(Refusal::Poison, self.left(shared), None);
+                self.handle.mark_ended();
+                self.trace.refused(Refusal::Poison, self.time_left(shared), None);
                 Err(Problem::Unclear)
             }
             // A waiting request has no server to leave, so `Leave` is not expected.
             Verdict::Unclear | Verdict::Leave => {
-                self.handle.close();
+                self.handle.mark_ended();
                 Err(Problem::Unclear)
             }
         }
     }
 
     /// Refuses the request because this host is about to stop.
-    fn stopping(&self, shared: &Shared) -> Problem {
-        self.trace.refused(Refusal::Stopping, self.left(shared), Some(RETRY_ELSEWHERE_AFTER));
+    fn refuse_stopping(&self, shared: &Shared) -> Problem {
+        self.trace.refused(Refusal::Stopping, self.time_left(shared), Some(RETRY_ELSEWHERE_AFTER));
         Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
@@ -285,13 +285,13 @@
         };
         match verdict {
             Some(verdict) => Box::pin(self.apply_verdict(shared, verdict)).await,
-            None => Err(self.stopping(shared)),
+            None => Err(self.refuse_stopping(shared)),
         }
     }
 
     fn spec(&self) -> dispatch::RequestSpec {
         let info = &self.request.info;
-        let deadline = self.received + self.limit;
+        let deadline = self.received + self.timeout;
         let mut spec =
             dispatch::RequestSpec::new(self.request.ticket, &self.route, &self.service, deadline);
         spec.fingerprint = self.fingerprint;
@@ -310,7 +310,7 @@
     /// The attempt failed.
     Failed(AttemptEnd),
     /// The server was silent, and this other server takes the request.
-    Left(backend::Id),
+    Moved(backend::Id),
 }
 
 /// A request's handle in the dispatcher. Dropping it ends the request there as cancelled, unless it
@@ -318,7 +318,7 @@
 pub(crate) struct DispatchHandle {
     shared: Arc<Shared>,
     ticket: Ticket,
-    closed: AtomicBool,
+    has_ended: AtomicBool,
     /// Whether a byte of the request may have reached a server that has not stated that it did not
     /// execute the request.
     sent: AtomicBool,
@@ -334,14 +334,14 @@
 
     /// Reports how the request ended, once.
     pub(crate) fn end(&self, end: AttemptEnd) {
-        if !self.closed.swap(true, Ordering::Relaxed) {
+        if !self.has_ended.swap(true, Ordering::Relaxed) {
             self.shared.dispatcher().ended(self.ticket, end, self.shared.now());
             self.shared.dispatch_wakeup.notify_one();
         }
     }
 
     fn arrive(&self, spec: dispatch::RequestSpec) -> Verdict {
-        self.closed.store(false, Ordering::Relaxed);
+        self.has_ended.store(false, Ordering::Relaxed);
         let verdict = self.shared.dispatcher().arrive(spec, self.shared.now());
         if matches!(verdict, Verdict::Wait | Verdict::Missing { .. }) {
             self.shared.dispatch_wakeup.notify_one();
@@ -353,7 +353,7 @@
         let decision = self.shared.dispatcher().attempt_failed(self.ticket, end, self.shared.now());
         self.shared.dispatch_wakeup.notify_one();
         if matches!(decision, dispatch::RetryDecision::GiveUp(_)) {
-            self.close();
+            self.mark_ended();
         }
         decision
     }
@@ -376,8 +376,8 @@
     }
 
     /// Notes that the dispatcher has ended the request by itself.
-    fn close(&self) {
-        self.closed.store(true, Ordering::Relaxed);
+    fn mark_ended(&self) {
+        self.has_ended.store(true, Ordering::Relaxed);
     }
 }
 
@@ -403,7 +403,7 @@
 impl Resumer {
     /// Leaves a silent server if another server takes the stream.
     pub(crate) fn leave(&self) -> Option<AttemptFailure> {
-        self.call.leave().map(AttemptFailure::Left)
+        self.call.leave().map(AttemptFailure::Moved)
     }
 
     /// Returns the time that a server has for its first event.
@@ -414,16 +414,16 @@
     /// Resumes the stream after an event, once the connection to the previous server is closed.
     pub(crate) fn start(
         &self,
-        before: Option<Flight>,
+        previous: Option<Attempt>,
         after: Option<u64>,
-        end: AttemptFailure,
+        failure: AttemptFailure,
     ) -> Resuming {
         let (shared, call) = (self.shared.clone(), self.call.clone());
         async move {
-            if let Some(flight) = before {
-                flight.close().await;
+            if let Some(attempt) = previous {
+                attempt.close().await;
             }
-            resume(&shared, &call, after, end).await
+            resume(&shared, &call, after, failure).await
         }
         .boxed()
     }
@@ -433,14 +433,14 @@
     shared: &Arc<Shared>,
     call: &Call,
     after: Option<u64>,
-    end: AttemptFailure,
+    failure: AttemptFailure,
 ) -> Result<ResponseStart, Problem> {
-    let mut end = end;
-    let patience = attempt_timeout::first_event(call.route.goal);
+    let mut failure = failure;
+    let silence_timeout = attempt_timeout::first_event(call.route.goal);
     loop {
-        let server = call.server_after(shared, end).await?;
-        end = match call.attempt(patience, call.send(shared, &server, after)).await {
-            Ok(begun) if begun.head.status.is_success() => return Ok(begun),
+        let server = call.server_after(shared, failure).await?;
+        failure = match call.attempt(silence_timeout, call.send(shared, &server, after)).await {
+            Ok(start) if start.head.status.is_success() => return Ok(start),
             Ok(_) => AttemptFailure::Failed(AttemptEnd::ServerError),
             Err(ended) => ended,
         };
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -43,7 +43,7 @@
 /// Requests given to the planner since the last log message.
 #[derive(Debug, Default)]
 struct Totals {
-    began: Option<Moment>,
+    since: Option<Moment>,
     own: u64,
     others: u64,
 }
@@ -181,15 +181,15 @@
     /// Logs how many requests the planner was given, if a message is due.
     pub(crate) fn log_demand(&self, now: Moment) {
         let mut state = self.demand.lock();
-        let began = *state.totals.began.get_or_insert(now);
-        if now < began + LOG_INTERVAL {
+        let since = *state.totals.since.get_or_insert(now);
+        if now < since + LOG_INTERVAL {
             return;
         }
         let hosts = state.collector.reporting(now);
         let totals =
-            std::mem::replace(&mut state.totals, Totals { began: Some(now), own: 0, others: 0 });
+            std::mem::replace(&mut state.totals, Totals { since: Some(now), own: 0, others: 0 });
         drop(state);
-        let took = now.saturating_sub(began).as_millis() as u64;
+        let took = now.saturating_sub(since).as_millis() as u64;
         log::info!(
             own = totals.own, others = totals.others, hosts = hosts, ms = took;
             "demand given to the planner"
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -171,7 +171,7 @@
     /// servers, as confirmed by the store `age` ago, and which others are suspected. A peer that
     /// uses a suspected server keeps it for its remaining time; a peer that does not know the
     /// server does not add it.
-    pub fn registered(&self, above: Revision, age: Duration, now: Moment) -> ServerListing {
+    pub fn listing_for_peer(&self, above: Revision, age: Duration, now: Moment) -> ServerListing {
         let mut list = ServerListing { revision: self.revision, age, ..ServerListing::default() };
         for (id, entry) in &self.entries {
             if let Presence::Suspect { until } = entry.presence {
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -88,7 +88,7 @@
     pub(crate) servers_confirmed: Mutex<Moment>,
     exchange: OnceLock<Weak<Exchange>>,
     leaving: AtomicBool,
-    open: AtomicU32,
+    open_requests: AtomicU32,
 }
 
 impl Shared {
@@ -117,8 +117,8 @@
         });
         let adapter_loads_total = settings.planning.adapters_at_once;
         let rules = place::Rules { adapter_loads_total, ..place::Rules::default() };
-        let stamps = observe::Clock::system();
-        let logger = Logger::new(settings.host.id.clone(), incarnation, stamps, Output::Process);
+        let log_clock = observe::Clock::system();
+        let logger = Logger::new(settings.host.id.clone(), incarnation, log_clock, Output::Process);
         let meters = metrics.routed();
         Shared {
             store: Store::new(
@@ -160,7 +160,7 @@
             declaration: ArcSwapOption::empty(),
             directory: Mutex::default(),
             leaving: AtomicBool::new(false),
-            open: AtomicU32::new(0),
+            open_requests: AtomicU32::new(0),
         }
     }
 
@@ -177,7 +177,7 @@
     /// Puts a declaration in force, unless the present one has the same or a later version.
     pub(crate) fn declare(&self, declaration: Declaration, from: Source) {
         let before = self.declaration();
-        if before.as_ref().is_some_and(|held| declaration.version <= held.version) {
+        if before.as_ref().is_some_and(|current| declaration.version <= current.version) {
             return;
         }
         let version = declaration.version;
@@ -198,8 +198,9 @@
     /// Updates the metrics of values that change without an event.
     pub(crate) fn update_metrics(&self) {
         if let Some(declaration) = self.declaration() {
-            let seen = *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
-            self.meters.declaration(declaration.version, self.now().saturating_sub(seen));
+            let confirmed_at =
+                *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
+            self.meters.declaration(declaration.version, self.now().saturating_sub(confirmed_at));
         }
         let dispatcher = self.dispatcher();
         let at_servers: u32 = dispatcher.work().iter().map(|(_, _, count, _)| *count).sum();
@@ -307,13 +308,13 @@
 
     /// Counts a request as open until the guard is dropped.
     pub(crate) fn open_request(self: &Arc<Self>) -> OpenGuard {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         OpenGuard(self.clone())
     }
 
     /// Returns the number of open requests.
     pub(crate) fn open_requests(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+        self.open_requests.load(Ordering::Relaxed)
     }
 }
 
@@ -322,6 +323,6 @@
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -28,7 +28,7 @@
     edge::{Problem, RequestInfo},
     fields,
     host::{OpenGuard, Shared},
-    stream::{Delivery, Events, Resume, StreamTimer},
+    stream::{Events, ResponseBody, ResumePolicy, StreamTimer},
     trace::Trace,
 };
 
@@ -43,9 +43,12 @@
 const MAX_BUFFERED_BODY_BYTES: usize = 1024 * 1024;
 
 /// Handles a caller's request.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Delivery> {
+pub(crate) async fn answer(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let open = shared.open_request();
-    let mut response = match read(&shared, request, open).await {
+    let mut response = match read_request(&shared, request, open).await {
         Ok(call) => serve(&shared, &Arc::new(call)).await,
         Err(refused) => refused,
     };
@@ -55,8 +58,8 @@
     response
 }
 
-fn refuse(shared: &Shared, problem: Problem) -> Response<Delivery> {
-    shared.dialect.refuse(problem).map(Delivery::complete)
+fn refuse(shared: &Shared, problem: Problem) -> Response<ResponseBody> {
+    shared.dialect.refuse(problem).map(ResponseBody::complete)
 }
 
 /// Reads a request and finds its route.
@@ -64,11 +67,11 @@
 /// # Errors
 ///
 /// The response to a request that is not forwarded.
-async fn read(
+async fn read_request(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
     open: OpenGuard,
-) -> Result<Call, Response<Delivery>> {
+) -> Result<Call, Response<ResponseBody>> {
     let received = shared.now();
     let (head, body) = request.into_parts();
     let declaration = shared.declaration();
@@ -85,7 +88,7 @@
         trace.refused(Refusal::NoDeclaration, BODY_TIMEOUT, Some(NOT_READY_RETRY_AFTER));
         return Err(fail(shared, &trace, Problem::NotRun(NOT_READY_RETRY_AFTER)));
     };
-    let found = find(shared, &declaration, &info, body).await;
+    let found = find_route(shared, &declaration, &info, body).await;
     let (route, service, body) = found.map_err(|problem| fail(shared, &trace, problem))?;
     let fingerprint = hash(&(&info.host, &info.path, &body));
     let buffered = BufferedRequest {
@@ -96,14 +99,14 @@
         headers: head.headers,
         body,
     };
-    let way = (route, service);
-    let call = Call::new(shared, buffered, way, fingerprint, received, open, trace);
+    let destination = (route, service);
+    let call = Call::new(shared, buffered, destination, fingerprint, received, open, trace);
     call.trace_arrival(declaration.version);
     Ok(call)
 }
 
 /// Returns the route of a request, the service that it goes to, and its body.
-async fn find(
+async fn find_route(
     shared: &Shared,
     declaration: &Declaration,
     info: &RequestInfo,
@@ -117,7 +120,7 @@
 }
 
 /// Ends a request with this host's own response.
-fn fail(shared: &Shared, trace: &Trace, problem: Problem) -> Response<Delivery> {
+fn fail(shared: &Shared, trace: &Trace, problem: Problem) -> Response<ResponseBody> {
     let response = refuse(shared, problem);
     trace.failed(problem, response.status());
     response
@@ -131,8 +134,8 @@
 }
 
 async fn collect(declaration: &Declaration, body: Incoming) -> Result<Bytes, Problem> {
-    let most = usize::try_from(declaration.limits.body_bytes).unwrap_or(usize::MAX);
-    let collected = timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await;
+    let max_bytes = usize::try_from(declaration.limits.body_bytes).unwrap_or(usize::MAX);
+    let collected = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
     let collected = collected.map_err(|_| Problem::Malformed)?;
     let body = collected.map_err(|error| {
         if error.is::<LengthLimitError>() { Problem::TooLarge } else { Problem::Malformed }
@@ -140,19 +143,19 @@
     Ok(body.to_bytes())
 }
 
-async fn serve(shared: &Arc<Shared>, call: &Arc<Call>) -> Response<Delivery> {
+async fn serve(shared: &Arc<Shared>, call: &Arc<Call>) -> Response<ResponseBody> {
     shared.record_request(call);
     let ended = select! {
         biased;
         ended = attempts(shared, call) => ended,
-        () = Deadline::at(shared, call.end()) => Err(call.timed_out()),
+        () = Deadline::at(shared, call.deadline()) => Err(call.timed_out()),
     };
     match ended {
         Ok(response) => {
             match response.body() {
-                Delivery::Complete(_) => call.trace.answered(Some(response.status())),
+                ResponseBody::Complete(_) => call.trace.completed(Some(response.status())),
                 // The end of the stream is traced when its last event has been delivered.
-                Delivery::Events(_) => call.trace.began(response.status()),
+                ResponseBody::Events(_) => call.trace.stream_started(response.status()),
             }
             response
         }
@@ -160,23 +163,26 @@
     }
 }
 
-async fn attempts(shared: &Arc<Shared>, call: &Arc<Call>) -> Result<Response<Delivery>, Problem> {
+async fn attempts(
+    shared: &Arc<Shared>,
+    call: &Arc<Call>,
+) -> Result<Response<ResponseBody>, Problem> {
     let mut server = call.first_server(shared).await?;
-    let mut failure = None;
+    let mut error_response = None;
     loop {
-        let end = match attempt(shared, call, &server).await {
+        let failure = match attempt(shared, call, &server).await {
             Ok(response) if !response.status().is_server_error() => return Ok(response),
             Ok(response) => {
                 call.trace.attempt_ended(AttemptEnd::ServerError, Some(response.status()));
-                failure = Some(response);
+                error_response = Some(response);
                 AttemptFailure::Failed(AttemptEnd::ServerError)
             }
             Err(ended) => ended,
         };
-        server = match call.server_after(shared, end).await {
+        server = match call.server_after(shared, failure).await {
             Ok(server) => server,
             // The server's own error response is more specific than this host's.
-            Err(problem) => return failure.ok_or(problem),
+            Err(problem) => return error_response.ok_or(problem),
         };
     }
 }
@@ -187,36 +193,36 @@
     shared: &Arc<Shared>,
     call: &Arc<Call>,
     server: &Arc<Server>,
-) -> Result<Response<Delivery>, AttemptFailure> {
+) -> Result<Response<ResponseBody>, AttemptFailure> {
     let answer = async {
-        let begun = call.send(shared, server, None).await?;
-        deliver(shared, call, begun).await
+        let start = call.send(shared, server, None).await?;
+        deliver(shared, call, start).await
     };
     if !call.may_repeat() {
         return answer.await.map_err(AttemptFailure::Failed);
     }
-    let patience = match call.route.kind {
+    let silence_timeout = match call.route.kind {
         Kind::Idempotent | Kind::NonIdempotent => {
-            attempt_timeout::response(call.route.goal, call.left(shared))
+            attempt_timeout::response(call.route.goal, call.time_left(shared))
         }
         Kind::Stream => attempt_timeout::first_event(call.route.goal),
     };
-    call.attempt(patience, answer).await
+    call.attempt(silence_timeout, answer).await
 }
 
 async fn deliver(
     shared: &Arc<Shared>,
     call: &Arc<Call>,
-    begun: ResponseStart,
-) -> Result<Response<Delivery>, AttemptEnd> {
-    let ResponseStart { mut head, mut response } = begun;
+    start: ResponseStart,
+) -> Result<Response<ResponseBody>, AttemptEnd> {
+    let ResponseStart { mut head, mut response } = start;
     fields::strip(&mut head.headers);
     if call.route.kind == Kind::Stream && head.status.is_success() {
         head.headers.remove(header::CONTENT_LENGTH);
-        let body = Delivery::Events(Box::new(events(shared, call, response)));
+        let body = ResponseBody::Events(Box::new(events(shared, call, response)));
         return Ok(Response::from_parts(head, body));
     }
-    call.trace.first(Some(head.status));
+    call.trace.response_started(Some(head.status));
     let body = Limited::new(&mut response.body, MAX_BUFFERED_BODY_BYTES).collect().await;
     let body = body.map_err(|_| AttemptEnd::Unclear(Unclear::Cut))?.to_bytes();
     response.finish();
@@ -226,24 +232,24 @@
     if call.request.method != Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
     }
-    Ok(Response::from_parts(head, Delivery::complete(body)))
+    Ok(Response::from_parts(head, ResponseBody::complete(body)))
 }
 
 fn events(shared: &Arc<Shared>, call: &Arc<Call>, response: OpenResponse) -> Events {
-    let end = Deadline::at(shared, call.end());
+    let end = Deadline::at(shared, call.deadline());
     let after = call.request.info.resume;
     if !call.may_repeat() {
         return Events::new(
             response,
             after,
-            Resume::Never,
+            ResumePolicy::Never,
             StreamTimer::until_end(end),
             call.clone(),
         );
     }
     let resumer = Resumer { shared: shared.clone(), call: call.clone() };
-    let first = response.flight.began + resumer.first_event_timeout();
+    let first = response.attempt.started_at + resumer.first_event_timeout();
     let timer = StreamTimer::with_timeouts(end, first, attempt_timeout::next_event(call.route.gap));
-    let resume = Resume::OtherServer(resumer, call.handle.leave_signal());
+    let resume = ResumePolicy::OtherServer(resumer, call.handle.leave_signal());
     Events::new(response, after, resume, timer, call.clone())
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -71,13 +71,13 @@
         is_due
     }
 
-    /// Returns whether peers have known a later change of the servers for at least `patience`, and
+    /// Returns whether peers have known a later change of the servers for at least `timeout`, and
     /// no change has arrived here.
     fn is_behind(
         &mut self,
         revision: Revision,
         snapshot: &FleetSnapshot,
-        patience: Duration,
+        timeout: Duration,
         now: Moment,
     ) -> bool {
         if snapshot.store.revision <= revision {
@@ -85,7 +85,7 @@
             return false;
         }
         match self.behind {
-            Some((known, since)) if known == revision => since + patience <= now,
+            Some((known, since)) if known == revision => since + timeout <= now,
             Some(_) | None => {
                 self.behind = Some((revision, now));
                 false
@@ -106,14 +106,14 @@
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_newer = above < directory.revision();
-        is_newer.then(|| directory.registered(above, shared.servers_age(), shared.now()))
+        is_newer.then(|| directory.listing_for_peer(above, shared.servers_age(), shared.now()))
     }
 
     fn follow(&self, above: Revision) -> Option<ServerListing> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_known = 0 < directory.revision();
-        is_known.then(|| directory.registered(above, shared.servers_age(), shared.now()))
+        is_known.then(|| directory.listing_for_peer(above, shared.servers_age(), shared.now()))
     }
 }
 
@@ -129,7 +129,7 @@
         let snapshot = exchange.fleet();
         report_liveness(&shared, &snapshot, &mut standings);
         apply(&shared, &snapshot, &work);
-        repeat_missing(&shared);
+        report_missing(&shared);
         catch_up(&shared, &exchange, &snapshot).await;
         sleep(ROUND_INTERVAL.max(exchange.interval())).await;
     }
@@ -249,7 +249,7 @@
 }
 
 /// Repeats what requests wait for.
-fn repeat_missing(shared: &Shared) {
+fn report_missing(shared: &Shared) {
     let missing = shared.dispatcher().missing();
     for (service, model, adapter, _) in missing {
         shared.request_missing(&service, &model, adapter.as_ref());
@@ -266,9 +266,9 @@
     // its peers meanwhile.
     let gather =
         if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
-    let patience = BEHIND_TIMEOUT + gather;
+    let timeout = BEHIND_TIMEOUT + gather;
     let is_behind =
-        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, patience, shared.now());
+        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, timeout, shared.now());
     if !counts(shared, is_behind) {
         return;
     }
@@ -276,7 +276,7 @@
         && let Ok(Some(list)) =
             exchange.fetch_servers(ahead.member.address, shared.revision()).await
     {
-        shared.take_servers(list, &ahead.member.id);
+        shared.apply_peer_servers(list, &ahead.member.id);
     }
 }
 
@@ -372,10 +372,10 @@
     mut declared: UnboundedReceiver<(Version, SocketAddr)>,
 ) {
     while let Some((version, via)) = declared.recv().await {
-        let held = shared.declaration().map_or(0, |declaration| declaration.version);
-        if held < version {
+        let known = shared.declaration().map_or(0, |declaration| declaration.version);
+        if known < version {
             let peer = peer_at(&exchange, via);
-            fetch_declaration(&shared, &exchange, via, &peer, held).await;
+            fetch_declaration(&shared, &exchange, via, &peer, known).await;
         }
     }
 }
@@ -399,7 +399,7 @@
     }
 }
 
-fn counts<T>(shared: &Shared, use_it: impl FnOnce(&mut Counts) -> T) -> T {
+fn counts<T>(shared: &Shared, access: impl FnOnce(&mut Counts) -> T) -> T {
     let counts: &Mutex<Counts> = &shared.counts;
-    use_it(&mut counts.lock().unwrap_or_else(PoisonError::into_inner))
+    access(&mut counts.lock().unwrap_or_else(PoisonError::into_inner))
 }
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -112,7 +112,7 @@
         return Outcome::Busy;
     };
     let began = Instant::now();
-    let sent = edge::Order {
+    let edge_order = edge::Order {
         server: server.name.clone(),
         operation: match order.operation {
             place::Operation::Load => edge::Operation::Load,
@@ -124,7 +124,7 @@
         holder: shared.host.id.clone(),
         fence,
     };
-    let reply = connection.order(&*shared.dialect, server, &sent, shared.order_timeout).await;
+    let reply = connection.order(&*shared.dialect, server, &edge_order, shared.order_timeout).await;
     let status = match shared.current_run(server, reply.started_at) {
         Some(run) if run.id == server.id => reply.status,
         // Another run of the server has received the order; a report will show what it did.
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: Moment,
+    expires_at: Moment,
 }
 
 /// Idle connections by the run and the address of the server.
@@ -40,8 +40,8 @@
     ) -> Option<Connection> {
         let mut idle = self.idle.lock().ok()?;
         let connections = idle.get_mut(&(server.clone(), address))?;
-        while let Some(Idle { connection, until }) = connections.pop() {
-            if now < until && connection.sender.is_ready() {
+        while let Some(Idle { connection, expires_at }) = connections.pop() {
+            if now < expires_at && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
@@ -61,7 +61,7 @@
         let Ok(mut idle) = self.idle.lock() else { return };
         let connections = idle.entry((server.clone(), address)).or_default();
         if connections.len() < MAX_IDLE_PER_SERVER {
-            connections.push(Idle { connection, until: now + kept_for });
+            connections.push(Idle { connection, expires_at: now + kept_for });
         }
     }
 
@@ -69,7 +69,7 @@
     pub(crate) fn sweep(&self, now: Moment, is_known: impl Fn(&backend::Id) -> bool) {
         let Ok(mut idle) = self.idle.lock() else { return };
         idle.retain(|(server, _), connections| {
-            connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            connections.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
             !connections.is_empty() && is_known(server)
         });
     }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -41,7 +41,7 @@
 
 /// Content of a stored object.
 #[derive(Debug, Deserialize, Serialize)]
-struct Stored {
+struct StoredCrashes {
     crashes: Vec<Crash>,
     /// Time of writing, in milliseconds of Unix time.
     written_ms: u64,
@@ -94,8 +94,8 @@
     for (crashes, is_own) in &refused {
         let Some(request) = crashes.first().map(|crash| crash.request) else { continue };
         let youngest = crashes.iter().map(|crash| crash.age).min().unwrap_or_default();
-        let is_ours = *is_own || (is_holder && WITNESS_GRACE <= youngest);
-        if is_ours && !view.stored.contains(&request) {
+        let must_write = *is_own || (is_holder && WITNESS_GRACE <= youngest);
+        if must_write && !view.stored.contains(&request) {
             if !create(shared, request, crashes).await {
                 return false;
             }
@@ -105,9 +105,9 @@
     let is_refused = |request: &Fingerprint| {
         refused.iter().flat_map(|(crashes, _)| crashes.first()).any(|c| c.request == *request)
     };
-    let over: Vec<Fingerprint> =
+    let obsolete: Vec<Fingerprint> =
         view.stored.iter().filter(|request| !is_refused(request)).copied().collect();
-    for request in over.into_iter().filter(|_| is_holder) {
+    for request in obsolete.into_iter().filter(|_| is_holder) {
         if !remove(shared, request).await {
             return false;
         }
@@ -117,7 +117,7 @@
 }
 
 async fn create(shared: &Shared, request: Fingerprint, crashes: &[Crash]) -> bool {
-    let stored = Stored { crashes: crashes.to_vec(), written_ms: unix_ms() };
+    let stored = StoredCrashes { crashes: crashes.to_vec(), written_ms: unix_ms() };
     let Ok(content) = serde_json::to_value(&stored) else { return true };
     let name = name(request);
     let call = StoreCall::Create { kind: Kind::Quarantine, name: &name, content: &content };
@@ -139,7 +139,7 @@
 /// Returns the crashes in an object, with their ages as of now; `None` if the object can't be
 /// parsed.
 fn parse(object: &Object) -> Option<Vec<Crash>> {
-    let stored: Stored = serde_json::from_value(object.content.clone())
+    let stored: StoredCrashes = serde_json::from_value(object.content.clone())
         .inspect_err(
             |error| log::error!(object = &*object.name; "a quarantine can't be read: {error}"),
         )
@@ -180,13 +180,13 @@
             state,
             crashes: u32::try_from(crashes.len()).unwrap_or(u32::MAX),
             server: last.map(|crash| crash.server.clone()),
-            evidence: crashes.iter().map(seen).collect(),
+            evidence: crashes.iter().map(observed_crash).collect(),
         });
     }
 }
 
 /// Converts a crash to its log entry.
-fn seen(crash: &Crash) -> ObservedCrash {
+fn observed_crash(crash: &Crash) -> ObservedCrash {
     let role = match crash.isolation {
         Isolation::Shared => "beside others",
         Isolation::Isolated => "apart",
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -39,8 +39,8 @@
         return metrics(shared);
     }
     let mut response = Response::new(Full::default());
-    let is_asked = request.uri().path() == shared.dialect.ready_path();
-    *response.status_mut() = match (is_asked, shared.is_ready()) {
+    let is_probe = request.uri().path() == shared.dialect.ready_path();
+    *response.status_mut() = match (is_probe, shared.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -103,7 +103,7 @@
     let shared = Arc::new(Shared::new(settings, routed, dialect, metrics, clock));
     story::install(shared.logger.clone());
     shared.logger.belief(start);
-    let exchange = join(&shared, seeds, advertised).await?;
+    let exchange = start_exchange(&shared, seeds, advertised).await?;
     log::info!(
         host = &*shared.host.id,
         callers:% = shared.host.callers,
@@ -192,7 +192,7 @@
     settings.peers.iter().map(address).collect()
 }
 
-async fn join(
+async fn start_exchange(
     shared: &Arc<Shared>,
     seeds: Vec<SocketAddr>,
     advertised: Option<SocketAddr>,
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -107,7 +107,7 @@
     }
 
     /// Applies a peer's list of servers.
-    pub(crate) fn take_servers(self: &Arc<Self>, list: ServerListing, peer: &host::Id) {
+    pub(crate) fn apply_peer_servers(self: &Arc<Self>, list: ServerListing, peer: &host::Id) {
         let revision = list.revision;
         let delta = self.directory().diff_peer_list(list);
         self.apply(delta, revision, &Source::Peer(peer.clone()));
@@ -373,8 +373,8 @@
     /// the last one.
     pub(crate) fn apply_report(&self, server: &Server, report: &Report) {
         self.dispatcher().report(&server.id, report, self.now());
-        let before = |held: &Held| server.models.iter().any(|known| known.model == held.model);
-        for held in report.models.iter().filter(|held| !before(held)) {
+        let was_known = |held: &Held| server.models.iter().any(|known| known.model == held.model);
+        for held in report.models.iter().filter(|held| !was_known(held)) {
             self.notify(Notice::Loaded {
                 server: server.id.clone(),
                 model: held.model.clone(),
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -17,7 +17,7 @@
 use http::{HeaderValue, Response, header};
 use http_body_util::{BodyExt, Full, Limited};
 use observe::{
-    metrics::routed::{Call as Called, CallResult as Answered, Routed as Meters},
+    metrics::routed::{Call, CallResult, Routed as Meters},
     story::{Belief, DependencyState, Logger, Text},
 };
 use tokio::{
@@ -63,24 +63,24 @@
     outages: watch::Sender<u64>,
     clock: Clock,
     /// When a call of this host last failed.
-    failed: SyncMutex<Option<Moment>>,
+    failed_at: SyncMutex<Option<Moment>>,
 }
 
 /// Whether the last call of a kind got a response.
 struct CallHealth {
     /// Name in the log.
     name: &'static str,
-    lost: AtomicBool,
+    is_lost: AtomicBool,
 }
 
 impl CallHealth {
     fn new(name: &'static str) -> CallHealth {
-        CallHealth { name, lost: AtomicBool::new(false) }
+        CallHealth { name, is_lost: AtomicBool::new(false) }
     }
 
     /// Records whether the last call failed. Returns whether that is a change.
     fn set_lost(&self, lost: bool) -> bool {
-        self.lost.swap(lost, Ordering::Relaxed) != lost
+        self.is_lost.swap(lost, Ordering::Relaxed) != lost
     }
 }
 
@@ -103,7 +103,7 @@
             servers: CallHealth::new("watch of servers"),
             outages: watch::Sender::default(),
             clock,
-            failed: SyncMutex::default(),
+            failed_at: SyncMutex::default(),
         }
     }
 
@@ -114,13 +114,13 @@
             let why = Text::Borrowed("the store failed, so that entries of sound servers may go");
             self.logger.belief(Belief::Dependency { name, state: DependencyState::Lost, why });
         }
-        *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
+        *self.failed_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
     }
 
     /// Returns whether the store has failed this host within `DEGRADED_PERIOD`.
     pub(crate) fn is_degraded(&self) -> bool {
-        let failed = *self.failed.lock().unwrap_or_else(PoisonError::into_inner);
-        failed.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
+        let failed_at = *self.failed_at.lock().unwrap_or_else(PoisonError::into_inner);
+        failed_at.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
     }
 
     /// Returns a counter that changes when a call gets a response after calls without one. Calls
@@ -143,8 +143,8 @@
     /// Makes a call with a timeout. A call without a response does not delay others: if the kept
     /// connection is in use, the call opens its own. When calls were queued instead, a list without
     /// a response cost the lease: its test saw 2.3 s without a renewal.
-    async fn call_within(&self, call: &StoreCall<'_>, limit: Duration) -> StoreReply {
-        let end = Instant::now() + limit;
+    async fn call_within(&self, call: &StoreCall<'_>, timeout: Duration) -> StoreReply {
+        let end = Instant::now() + timeout;
         let Ok(mut slot) = self.slot.try_lock() else {
             return self.exchange(call, None, end).await.0;
         };
@@ -215,9 +215,9 @@
         end: Instant,
     ) -> (StoreReply, Option<Connection>) {
         let began = Instant::now();
-        let done = timeout_at(end, self.try_exchange(call, connection)).await;
-        let (reply, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
-        self.meters.call(called(call), result(&reply));
+        let result = timeout_at(end, self.try_exchange(call, connection)).await;
+        let (reply, connection) = result.ok().flatten().unwrap_or((StoreReply::Unclear, None));
+        self.meters.call(call_label(call), call_result(&reply));
         // Failures of all calls count: a watch may wait through a whole outage and then report the
         // removal of entries that expired in it.
         if matches!(reply, StoreReply::Unclear | StoreReply::Refused) {
@@ -275,24 +275,24 @@
     }
 }
 
-fn called(call: &StoreCall<'_>) -> Called {
+fn call_label(call: &StoreCall<'_>) -> Call {
     match call {
-        StoreCall::List { .. } => Called::List,
-        StoreCall::Watch { .. } => Called::Watch,
-        StoreCall::Get { .. } => Called::Get,
-        StoreCall::Create { .. } => Called::Create,
-        StoreCall::Replace { .. } => Called::Replace,
-        StoreCall::Delete { .. } => Called::Delete,
+        StoreCall::List { .. } => Call::List,
+        StoreCall::Watch { .. } => Call::Watch,
+        StoreCall::Get { .. } => Call::Get,
+        StoreCall::Create { .. } => Call::Create,
+        StoreCall::Replace { .. } => Call::Replace,
+        StoreCall::Delete { .. } => Call::Delete,
     }
 }
 
-fn result(reply: &StoreReply) -> Answered {
+fn call_result(reply: &StoreReply) -> CallResult {
     match reply {
-        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => Answered::Done,
-        StoreReply::Absent => Answered::Absent,
-        StoreReply::Conflict(_) => Answered::Conflict,
-        StoreReply::Compacted => Answered::Compacted,
-        StoreReply::Refused => Answered::Refused,
-        StoreReply::Unclear => Answered::Unclear,
+        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => CallResult::Done,
+        StoreReply::Absent => CallResult::Absent,
+        StoreReply::Conflict(_) => CallResult::Conflict,
+        StoreReply::Compacted => CallResult::Compacted,
+        StoreReply::Refused => CallResult::Refused,
+        StoreReply::Unclear => CallResult::Unclear,
     }
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -16,16 +16,16 @@
 use crate::attempt::AttemptEnd;
 
 pub(crate) use self::{
-    events::{Events, Resume},
+    events::{Events, ResumePolicy},
     timer::StreamTimer,
 };
 
 /// Why a body ends before it is complete.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Cut {
+pub(crate) enum StreamError {
     /// The connection to the server failed.
     #[error("the connection to the server failed: {0}")]
-    Server(#[from] hyper::Error),
+    Connection(#[from] hyper::Error),
     /// The server closed the connection in the middle of an event.
     #[error("the server closed the connection in the middle of an event")]
     PartialEvent,
@@ -37,75 +37,77 @@
     Silence,
     /// The deadline of the request has passed.
     #[error("the deadline of the request has passed")]
-    Time,
+    Deadline,
 }
 
-impl Cut {
+impl StreamError {
     /// Returns the reason as it is written to logs.
     pub(crate) fn as_str(&self) -> &'static str {
         match self {
-            Cut::Server(_) => "server-cut",
-            Cut::PartialEvent => "half-an-event",
-            Cut::Fault(_) => "bad-event",
-            Cut::Silence => "silence",
-            Cut::Time => "deadline",
+            StreamError::Connection(_) => "server-cut",
+            StreamError::PartialEvent => "half-an-event",
+            StreamError::Fault(_) => "bad-event",
+            StreamError::Silence => "silence",
+            StreamError::Deadline => "deadline",
         }
     }
 
     /// Returns the end of the attempt that this implies.
     pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
-            Cut::Server(_) | Cut::PartialEvent => AttemptEnd::Unclear(Unclear::Cut),
-            Cut::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
-            Cut::Silence => AttemptEnd::Unclear(Unclear::Silent),
+            StreamError::Connection(_) | StreamError::PartialEvent => {
+                AttemptEnd::Unclear(Unclear::Cut)
+            }
+            StreamError::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
+            StreamError::Silence => AttemptEnd::Unclear(Unclear::Silent),
             // The deadline passed, which is no evidence against the server.
-            Cut::Time => AttemptEnd::Cancelled,
+            StreamError::Deadline => AttemptEnd::Cancelled,
         }
     }
 }
 
 /// The body of a response to a caller.
-pub(crate) enum Delivery {
+pub(crate) enum ResponseBody {
     /// A complete body.
     Complete(Full<Bytes>),
     /// A stream of events, passed on as they arrive.
     Events(Box<Events>),
 }
 
-impl Delivery {
-    pub(crate) fn complete(body: Bytes) -> Delivery {
-        Delivery::Complete(Full::new(body))
+impl ResponseBody {
+    pub(crate) fn complete(body: Bytes) -> ResponseBody {
+        ResponseBody::Complete(Full::new(body))
     }
 }
 
-impl Body for Delivery {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = StreamError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         match self.get_mut() {
-            Delivery::Complete(body) => {
+            ResponseBody::Complete(body) => {
                 Pin::new(body).poll_frame(context).map_err(|never| match never {})
             }
-            Delivery::Events(events) => events.poll(context),
+            ResponseBody::Events(events) => events.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Delivery::Complete(body) => body.is_end_stream(),
-            Delivery::Events(_) => false,
+            ResponseBody::Complete(body) => body.is_end_stream(),
+            ResponseBody::Events(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Delivery::Complete(body) => body.size_hint(),
+            ResponseBody::Complete(body) => body.size_hint(),
             // The stream may continue at another server and have another length.
-            Delivery::Events(_) => SizeHint::default(),
+            ResponseBody::Events(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -15,13 +15,13 @@
     attempt::{AttemptEnd, BodyEnd, OpenResponse},
     call::{AttemptFailure, Call, LeaveSignal, Resumer, Resuming},
     stream::{
-        Cut,
+        StreamError,
         timer::{Alarm, StreamTimer},
     },
 };
 
 /// Whether a stream may continue at another server.
-pub(crate) enum Resume {
+pub(crate) enum ResumePolicy {
     /// Another server may continue the stream, also before the present one has failed.
     OtherServer(Resumer, LeaveSignal),
     /// The stream can't be resumed.
@@ -32,7 +32,7 @@
 pub(crate) struct Events {
     state: State,
     splitter: Splitter,
-    resume: Resume,
+    resume: ResumePolicy,
     timer: StreamTimer,
     call: Arc<Call>,
     first_event: FirstEvent,
@@ -48,11 +48,11 @@
 enum State {
     Streaming(OpenResponse),
     /// The previous server failed for this reason, and another one is being sought.
-    Resuming(Resuming, Cut),
+    Resuming(Resuming, StreamError),
     /// The stream is to end early. One poll returns pending first, so that the events passed on are
     /// written before the connection is cut.
-    Flushing(Cut),
-    Failed(Cut),
+    Flushing(StreamError),
+    Failed(StreamError),
     Done,
 }
 
@@ -60,7 +60,7 @@
 enum Step {
     Pass(Bytes),
     Next(State),
-    Broken(Cut),
+    Failed(StreamError),
 }
 
 impl Events {
@@ -69,7 +69,7 @@
     pub(crate) fn new(
         response: OpenResponse,
         after: Option<u64>,
-        resume: Resume,
+        resume: ResumePolicy,
         timer: StreamTimer,
         call: Arc<Call>,
     ) -> Events {
@@ -87,32 +87,32 @@
     pub(super) fn poll(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         loop {
             let step = match &mut self.state {
                 State::Streaming(_) => ready!(self.poll_server(context)),
                 State::Resuming(..) => ready!(self.poll_resuming(context)),
                 State::Flushing(_) => {
-                    let State::Flushing(cut) = std::mem::replace(&mut self.state, State::Done)
+                    let State::Flushing(error) = std::mem::replace(&mut self.state, State::Done)
                     else {
                         continue;
                     };
-                    self.state = State::Failed(cut);
+                    self.state = State::Failed(error);
                     context.waker().wake_by_ref();
                     return Poll::Pending;
                 }
                 State::Failed(_) | State::Done => {
                     let state = std::mem::replace(&mut self.state, State::Done);
-                    let State::Failed(cut) = state else { return Poll::Ready(None) };
-                    self.call.trace.cut(&cut);
-                    return Poll::Ready(Some(Err(cut)));
+                    let State::Failed(error) = state else { return Poll::Ready(None) };
+                    self.call.trace.stream_failed(&error);
+                    return Poll::Ready(Some(Err(error)));
                 }
             };
             match step {
                 Step::Pass(events) if events.is_empty() => {}
                 Step::Pass(events) => return Poll::Ready(Some(Ok(Frame::data(events)))),
                 Step::Next(state) => self.state = state,
-                Step::Broken(cut) => self.break_off(cut),
+                Step::Failed(error) => self.resume_or_end(error),
             }
         }
     }
@@ -123,24 +123,24 @@
         };
         match Pin::new(&mut response.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                let piece = frame.into_data().unwrap_or_default();
-                Poll::Ready(self.take(piece))
+                let chunk = frame.into_data().unwrap_or_default();
+                Poll::Ready(self.receive(chunk))
             }
-            Poll::Ready(Some(Err(error))) => Poll::Ready(Step::Broken(error.into())),
+            Poll::Ready(Some(Err(error))) => Poll::Ready(Step::Failed(error.into())),
             Poll::Ready(None)
                 if response.end == BodyEnd::Close && self.splitter.has_partial_event() =>
             {
-                Poll::Ready(Step::Broken(Cut::PartialEvent))
+                Poll::Ready(Step::Failed(StreamError::PartialEvent))
             }
             Poll::Ready(None) => Poll::Ready(self.finish()),
             Poll::Pending => self.poll_timer(context),
         }
     }
 
-    fn take(&mut self, piece: Bytes) -> Step {
+    fn receive(&mut self, chunk: Bytes) -> Step {
         let before = self.splitter.point();
-        let taken = self.splitter.take(piece);
-        if !taken.events.is_empty() {
+        let output = self.splitter.take(chunk);
+        if !output.events.is_empty() {
             self.timer.received();
             if self.first_event == FirstEvent::Pending {
                 self.first_event = FirstEvent::Received;
@@ -153,15 +153,15 @@
                 (ResumePoint::After(event), ResumePoint::Start) => event,
                 (ResumePoint::Start | ResumePoint::Unknown, _) | (_, ResumePoint::Unknown) => 1,
             };
-            self.call.trace.passed(u32::try_from(passed).unwrap_or(u32::MAX));
+            self.call.trace.delivered(u32::try_from(passed).unwrap_or(u32::MAX));
             if let ResumePoint::After(event) = self.splitter.point() {
                 self.call.handle.delivered(event);
             }
         }
-        if let Some(fault) = taken.fault {
-            self.break_off(Cut::Fault(fault));
+        if let Some(fault) = output.fault {
+            self.resume_or_end(StreamError::Fault(fault));
         }
-        Step::Pass(taken.events)
+        Step::Pass(output.events)
     }
 
     /// Ends the stream after the server has completed it.
@@ -169,26 +169,28 @@
         if let State::Streaming(response) = std::mem::replace(&mut self.state, State::Done) {
             response.finish();
             self.call.handle.end(AttemptEnd::Completed);
-            self.call.trace.answered(None);
+            self.call.trace.completed(None);
         }
         Step::Pass(self.splitter.take_remainder())
     }
 
     fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        if let Resume::OtherServer(_, leave) = &mut self.resume
+        if let ResumePolicy::OtherServer(_, leave) = &mut self.resume
             && let Poll::Ready(_) = Pin::new(&mut *leave).poll(context)
         {
             // The signal is sent once. If no other server takes the stream, the timer tries again.
             *leave = self.call.handle.leave_signal();
-            if let Some(left) = self.leave() {
-                return Poll::Ready(Step::Next(left));
+            if let Some(state) = self.leave_server() {
+                return Poll::Ready(Step::Next(state));
             }
         }
         loop {
             match ready!(self.timer.poll(context)) {
-                Alarm::End => return Poll::Ready(Step::Next(State::Flushing(Cut::Time))),
-                Alarm::Silence => match self.leave() {
-                    Some(left) => return Poll::Ready(Step::Next(left)),
+                Alarm::End => {
+                    return Poll::Ready(Step::Next(State::Flushing(StreamError::Deadline)));
+                }
+                Alarm::Silence => match self.leave_server() {
+                    Some(state) => return Poll::Ready(Step::Next(state)),
                     // No other server can continue, and a slow server is better than none.
                     None => self.timer.received(),
                 },
@@ -200,69 +202,74 @@
         let State::Resuming(resuming, _) = &mut self.state else {
             return Poll::Ready(Step::Next(State::Done));
         };
-        let begun = match resuming.as_mut().poll(context) {
-            Poll::Ready(Ok(begun)) => begun,
+        let start = match resuming.as_mut().poll(context) {
+            Poll::Ready(Ok(start)) => start,
             Poll::Ready(Err(_)) => {
-                let State::Resuming(_, cut) = std::mem::replace(&mut self.state, State::Done)
+                let State::Resuming(_, error) = std::mem::replace(&mut self.state, State::Done)
                 else {
                     return Poll::Ready(Step::Next(State::Done));
                 };
-                return Poll::Ready(Step::Next(State::Flushing(cut)));
+                return Poll::Ready(Step::Next(State::Flushing(error)));
             }
             // The attempt under way has its own timeouts, so only the deadline matters here.
             Poll::Pending => {
                 ready!(self.timer.poll_end(context));
-                return Poll::Ready(Step::Next(State::Flushing(Cut::Time)));
+                return Poll::Ready(Step::Next(State::Flushing(StreamError::Deadline)));
             }
         };
-        if let Resume::OtherServer(resumer, leave) = &mut self.resume {
+        if let ResumePolicy::OtherServer(resumer, leave) = &mut self.resume {
             *leave = self.call.handle.leave_signal();
-            self.timer.expect_by(begun.response.flight.began + resumer.first_event_timeout());
+            self.timer.expect_by(start.response.attempt.started_at + resumer.first_event_timeout());
         }
-        Poll::Ready(Step::Next(State::Streaming(begun.response)))
+        Poll::Ready(Step::Next(State::Streaming(start.response)))
     }
 
     /// Continues at another server after a failure, or ends the stream early.
-    fn break_off(&mut self, cut: Cut) {
-        let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(response) => Some(response.flight),
+    fn resume_or_end(&mut self, error: StreamError) {
+        let attempt = match std::mem::replace(&mut self.state, State::Done) {
+            State::Streaming(response) => Some(response.attempt),
             _ => None,
         };
         self.state = match &self.resume {
-            Resume::OtherServer(resumer, _) if self.splitter.point() != ResumePoint::Unknown => {
-                let resuming =
-                    resumer.start(flight, self.after(), AttemptFailure::Failed(cut.attempt_end()));
-                self.switch();
-                State::Resuming(resuming, cut)
+            ResumePolicy::OtherServer(resumer, _)
+                if self.splitter.point() != ResumePoint::Unknown =>
+            {
+                let resuming = resumer.start(
+                    attempt,
+                    self.last_event(),
+                    AttemptFailure::Failed(error.attempt_end()),
+                );
+                self.switch_server();
+                State::Resuming(resuming, error)
             }
-            Resume::OtherServer(..) | Resume::Never => {
-                self.call.handle.end(cut.attempt_end());
-                self.call.trace.attempt_ended(cut.attempt_end(), None);
-                State::Flushing(cut)
+            ResumePolicy::OtherServer(..) | ResumePolicy::Never => {
+                self.call.handle.end(error.attempt_end());
+                self.call.trace.attempt_ended(error.attempt_end(), None);
+                State::Flushing(error)
             }
         };
     }
 
     /// Continues at another server in place of a silent one, if another server takes the stream.
-    fn leave(&mut self) -> Option<State> {
-        let Resume::OtherServer(resumer, _) = &self.resume else { return None };
+    fn leave_server(&mut self) -> Option<State> {
+        let ResumePolicy::OtherServer(resumer, _) = &self.resume else { return None };
         if self.splitter.point() == ResumePoint::Unknown
             || !matches!(self.state, State::Streaming(_))
         {
             return None;
         }
-        let left = resumer.leave()?;
-        let flight = match std::mem::replace(&mut self.state, State::Done) {
-            State::Streaming(response) => Some(response.flight),
+        let failure = resumer.leave()?;
+        let attempt = match std::mem::replace(&mut self.state, State::Done) {
+            State::Streaming(response) => Some(response.attempt),
             _ => None,
         };
-        let resuming = resumer.start(flight, self.after(), left);
-        self.switch();
-        Some(State::Resuming(resuming, Cut::Silence))
+        let resuming = resumer.start(attempt, self.last_event(), failure);
+        self.switch_server();
+        Some(State::Resuming(resuming, StreamError::Silence))
     }
 
     /// Returns the number of the last event that the caller has.
-    fn after(&self) -> Option<u64> {
+    fn last_event(&self) -> Option<u64> {
         match self.splitter.point() {
             ResumePoint::After(id) => Some(id),
             ResumePoint::Start | ResumePoint::Unknown => None,
@@ -270,7 +277,7 @@
     }
 
     /// Prepares for the events of another server.
-    fn switch(&mut self) {
+    fn switch_server(&mut self) {
         self.splitter.switch();
         self.first_event = FirstEvent::Pending;
     }
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -22,7 +22,7 @@
     time::Moment,
 };
 
-use crate::{attempt::AttemptEnd, clock::Clock, edge::Problem, host::Shared, stream::Cut};
+use crate::{attempt::AttemptEnd, clock::Clock, edge::Problem, host::Shared, stream::StreamError};
 
 /// Log entries and metrics of one request.
 pub(crate) struct Trace(Mutex<Notes>);
@@ -33,15 +33,15 @@
     meters: Meters,
     clock: Clock,
     received: Moment,
-    route: Option<Goals>,
+    goals: Option<Goals>,
     refusal: Option<Refusal>,
     /// Server of the attempt in flight.
-    open: Option<backend::Id>,
+    current_server: Option<backend::Id>,
     attempts: u32,
     status: Option<u16>,
-    first: Option<Duration>,
+    first_after: Option<Duration>,
     last_received: Option<Moment>,
-    gap: Duration,
+    longest_gap: Duration,
     events: u32,
 }
 
@@ -61,14 +61,14 @@
             meters: shared.meters.clone(),
             clock: shared.clock,
             received,
-            route: None,
+            goals: None,
             refusal: None,
-            open: None,
+            current_server: None,
             attempts: 0,
             status: None,
-            first: None,
+            first_after: None,
             last_received: None,
-            gap: Duration::ZERO,
+            longest_gap: Duration::ZERO,
             events: 0,
         }))
     }
@@ -76,14 +76,14 @@
     /// Records that the request was parsed and its route found.
     pub(crate) fn arrived(&self, route: &Route, arrival: Arrival) {
         let mut notes = self.notes();
-        notes.route = Some(Goals { kind: route.kind, goal: route.goal, gap: route.gap });
-        notes.note(Step::Arrived(arrival));
+        notes.goals = Some(Goals { kind: route.kind, goal: route.goal, gap: route.gap });
+        notes.record(Step::Arrived(arrival));
     }
 
     /// Records that the request is queued.
     pub(crate) fn queued(&self, why: &'static str, left: Duration) {
         let inputs = vec![left_input(left)];
-        self.notes().note(Step::Queued { why: Text::Borrowed(why), inputs });
+        self.notes().record(Step::Queued { why: Text::Borrowed(why), inputs });
     }
 
     /// Records that the request is refused.
@@ -91,7 +91,7 @@
         let mut notes = self.notes();
         notes.refusal = Some(cause);
         let (why, inputs) = (Text::Borrowed(cause.as_str()), vec![left_input(left)]);
-        notes.note(Step::Refused { why, inputs, again });
+        notes.record(Step::Refused { why, inputs, again });
     }
 
     /// Records that the request is sent to a server; `after` is the last event that the caller has,
@@ -105,9 +105,9 @@
             (_, Some(_)) => notes.meters.resend(Resend::Resume),
         }
         notes.attempts += 1;
-        notes.open = Some(server.id.clone());
+        notes.current_server = Some(server.id.clone());
         let (attempt, id) = (notes.attempts, server.id.clone());
-        notes.note(Step::Attempt(story::Attempt {
+        notes.record(Step::Attempt(story::Attempt {
             attempt,
             server: id.clone(),
             address: server.address,
@@ -118,7 +118,7 @@
             candidates: Vec::new(),
         }));
         if let Some(after) = after.filter(|_| 1 < attempt) {
-            notes.note(Step::Resumed { attempt, server: id, after });
+            notes.record(Step::Resumed { attempt, server: id, after });
         }
     }
 
@@ -133,33 +133,33 @@
     }
 
     /// Records the arrival of the response's head.
-    pub(crate) fn first(&self, status: Option<StatusCode>) {
+    pub(crate) fn response_started(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.status = status.map(|status| status.as_u16()).or(notes.status);
         notes.received_now();
     }
 
     /// Records the status of a stream.
-    pub(crate) fn began(&self, status: StatusCode) {
+    pub(crate) fn stream_started(&self, status: StatusCode) {
         self.notes().status = Some(status.as_u16());
     }
 
     /// Records events that are passed to the caller.
-    pub(crate) fn passed(&self, events: u32) {
+    pub(crate) fn delivered(&self, events: u32) {
         let mut notes = self.notes();
         notes.events += events;
         notes.received_now();
     }
 
     /// Records that a server's response is complete.
-    pub(crate) fn answered(&self, status: Option<StatusCode>) {
+    pub(crate) fn completed(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.attempt_ended(AttemptEnd::Completed, status);
         let status = status.map(|status| status.as_u16()).or(notes.status);
         if status.is_some_and(|status| 500 <= status) {
             return notes.end(Outcome::Failed, status, Some("server-error"));
         }
-        match notes.late() {
+        match notes.missed_goal() {
             Some(why) => notes.end(Outcome::Late, status, Some(why)),
             None => notes.end(Outcome::Answered, status, None),
         }
@@ -189,11 +189,11 @@
     }
 
     /// Records that a stream ended early.
-    pub(crate) fn cut(&self, cut: &Cut) {
+    pub(crate) fn stream_failed(&self, error: &StreamError) {
         let mut notes = self.notes();
-        notes.attempt_ended(cut.attempt_end(), None);
+        notes.attempt_ended(error.attempt_end(), None);
         let status = notes.status;
-        notes.end(Outcome::Cut, status, Some(cut.as_str()));
+        notes.end(Outcome::Cut, status, Some(error.as_str()));
     }
 
     fn notes(&self) -> MutexGuard<'_, Notes> {
@@ -202,43 +202,43 @@
 }
 
 impl Notes {
-    fn note(&mut self, step: Step) {
+    fn record(&mut self, step: Step) {
         if let Some(story) = &mut self.story {
             story.record(step);
         }
     }
 
     fn phase(&self, phase: Phase, time: Duration) {
-        if let Some(goals) = self.route {
+        if let Some(goals) = self.goals {
             self.meters.phase(goals.kind, phase, time);
         }
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd, status: Option<StatusCode>) {
-        let Some(server) = self.open.take() else { return };
-        let attempted = attempted(end);
-        self.meters.attempt(attempted);
-        let outcome = Text::Borrowed(attempted.as_str());
+        let Some(server) = self.current_server.take() else { return };
+        let label = attempt_outcome(end);
+        self.meters.attempt(label);
+        let outcome = Text::Borrowed(label.as_str());
         let status = status.map(|status| status.as_u16());
         let attempt = self.attempts;
-        self.note(Step::AttemptEnded { attempt, server, outcome, status, ran: ran(end) });
+        self.record(Step::AttemptEnded { attempt, server, outcome, status, ran: ran(end) });
     }
 
     fn received_now(&mut self) {
         let now = self.clock.now();
         match self.last_received.replace(now) {
-            Some(before) => self.gap = self.gap.max(now.saturating_sub(before)),
-            None => self.first = Some(now.saturating_sub(self.received)),
+            Some(before) => self.longest_gap = self.longest_gap.max(now.saturating_sub(before)),
+            None => self.first_after = Some(now.saturating_sub(self.received)),
         }
     }
 
     /// Returns which goal of the route was missed, if any.
-    fn late(&self) -> Option<&'static str> {
-        let Goals { goal, gap, .. } = self.route?;
-        if self.first.is_some_and(|first| goal < first) {
+    fn missed_goal(&self) -> Option<&'static str> {
+        let Goals { goal, gap, .. } = self.goals?;
+        if self.first_after.is_some_and(|first| goal < first) {
             return Some("first-late");
         }
-        gap.filter(|gap| *gap < self.gap).map(|_| "pause")
+        gap.filter(|gap| *gap < self.longest_gap).map(|_| "pause")
     }
 
     fn refuse(&mut self, cause: Refusal, status: Option<u16>) {
@@ -249,17 +249,17 @@
     fn end(&mut self, outcome: Outcome, status: Option<u16>, why: Option<&'static str>) {
         let Some(story) = self.story.take() else { return };
         let whole = self.clock.now().saturating_sub(self.received);
-        if let Some(goals) = self.route {
+        if let Some(goals) = self.goals {
             self.meters.request(goals.kind, outcome);
         }
-        if let Some(first) = self.first {
+        if let Some(first) = self.first_after {
             self.phase(Phase::First, first);
         }
         if 1 < self.events {
-            self.phase(Phase::Gap, self.gap);
+            self.phase(Phase::Gap, self.longest_gap);
         }
         self.phase(Phase::Whole, whole);
-        let (first, events) = (self.first, self.events);
+        let (first, events) = (self.first_after, self.events);
         story.end(End { outcome, status, why: why.map(Text::Borrowed), first, events, whole });
     }
 }
@@ -278,7 +278,7 @@
     Input::own("left_ms", left.as_secs_f64() * 1000.0)
 }
 
-fn attempted(end: AttemptEnd) -> AttemptOutcome {
+fn attempt_outcome(end: AttemptEnd) -> AttemptOutcome {
     match end {
         AttemptEnd::Completed => AttemptOutcome::Whole,
         AttemptEnd::ServerError => AttemptOutcome::ServerError,
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
-    is_counted: bool,
+    has_metrics: bool,
 }
 
 impl UnplacedReporter {
@@ -23,7 +23,7 @@
             let waiting = unplaced.iter().filter(|entry| entry.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.word(), waiting);
         }
-        self.is_counted = true;
+        self.has_metrics = true;
         for (entry, lasted) in self.limiter.due(&unplaced, now) {
             shared.logger.belief(Belief::Wish {
                 model: entry.model,
@@ -37,7 +37,7 @@
 
     /// Resets the metrics when this host no longer plans.
     pub(crate) fn end(&mut self, shared: &Shared) {
-        if !std::mem::take(&mut self.is_counted) {
+        if !std::mem::take(&mut self.has_metrics) {
             return;
         }
         self.limiter = ReportLimiter::default();
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -73,7 +73,7 @@
 }
 
 /// Passes on changes until the store has lost the history since the last one.
-async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, take: impl Fn(Change)) {
+async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, apply: impl Fn(Change)) {
     let mut since = since;
     let mut hedge = Hedge::new(shared, kind);
     loop {
@@ -82,14 +82,14 @@
             continue;
         }
         match hedge.next(since, shared.watch(kind)).await {
-            StoreReply::Seen(seen) => {
+            StoreReply::Seen(batch) => {
                 match kind {
                     Kind::Declaration => shared.confirm_declaration(),
                     _ => shared.confirm_servers(Duration::ZERO),
                 }
-                since = since.max(seen.revision);
-                let has_changes = !seen.changes.is_empty();
-                seen.changes.into_iter().for_each(&take);
+                since = since.max(batch.revision);
+                let has_changes = !batch.changes.is_empty();
+                batch.changes.into_iter().for_each(&apply);
                 if has_changes && kind == Kind::Server {
                     sleep(shared.gather()).await;
                 }
@@ -105,16 +105,16 @@
 async fn follow_relay(shared: &Arc<Shared>) -> bool {
     let Some((exchange, relay)) = shared.relay() else { return false };
     sleep(follow::relay_poll_interval(shared.routed.drain)).await;
-    let asked = shared.now();
+    let requested_at = shared.now();
     let Ok(Some(list)) = exchange.follow(relay.address, shared.revision()).await else {
         return false;
     };
-    let age = list.age + shared.now().saturating_sub(asked);
+    let age = list.age + shared.now().saturating_sub(requested_at);
     if !follow::is_recent(age, shared.routed.drain) {
         return false;
     }
     shared.confirm_servers(age);
-    shared.take_servers(list, &relay.id);
+    shared.apply_peer_servers(list, &relay.id);
     true
 }
 
@@ -134,12 +134,12 @@
 
     /// Returns the timeouts of a watch that starts now.
     fn watch(&self, kind: Kind) -> follow::WatchTimes {
-        let within = match kind {
+        let limit = match kind {
             Kind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
         let snapshot = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
-        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, within)
+        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, limit)
     }
 
     /// Returns how long this host waits after changes of the servers before it asks for more, so
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -59,7 +59,7 @@
     pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
         let mut oldest = self.start(since, watch.wait);
         let mut newest: Option<PendingWatch<'a>> = None;
-        let mut trusted = Instant::now() + watch.trust;
+        let mut trusted_until = Instant::now() + watch.trust;
         loop {
             select! {
                 (reply, connection) = &mut oldest => match newest.take() {
@@ -67,36 +67,36 @@
                         self.log_failure(&reply);
                         oldest = other;
                     }
-                    _ => return self.end(reply, connection),
+                    _ => return self.finish(reply, connection),
                 },
-                Some((reply, connection)) = poll(&mut newest) => {
+                Some((reply, connection)) = response(&mut newest) => {
                     if is_answer(&reply) {
-                        return self.end(reply, connection);
+                        return self.finish(reply, connection);
                     }
                     self.log_failure(&reply);
                     newest = None;
                 }
-                cause = self.doubt(trusted) => {
+                cause = self.suspicion(trusted_until) => {
                     if cause == Cause::Silence {
                         self.shared.store.report_silent_watch(self.kind, watch.trust);
                     }
                     self.shared.store.record_failure();
                     newest = Some(self.start(since, watch.wait));
-                    trusted = Instant::now() + watch.trust;
+                    trusted_until = Instant::now() + watch.trust;
                 }
             }
         }
     }
 
     /// Completes with the first reason to doubt the watches in flight.
-    async fn doubt(&mut self, trusted: Instant) -> Cause {
+    async fn suspicion(&mut self, trusted_until: Instant) -> Cause {
         select! {
             _ = self.outages.changed() => Cause::Outage,
-            () = sleep_until(trusted) => Cause::Silence,
+            () = sleep_until(trusted_until) => Cause::Silence,
         }
     }
 
-    fn end(&mut self, reply: StoreReply, connection: Option<Connection>) -> StoreReply {
+    fn finish(&mut self, reply: StoreReply, connection: Option<Connection>) -> StoreReply {
         if !is_answer(&reply) {
             self.log_failure(&reply);
         }
@@ -118,7 +118,9 @@
     matches!(reply, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
-async fn poll(watch: &mut Option<PendingWatch<'_>>) -> Option<(StoreReply, Option<Connection>)> {
+async fn response(
+    watch: &mut Option<PendingWatch<'_>>,
+) -> Option<(StoreReply, Option<Connection>)> {
     match watch {
         Some(watch) => Some(watch.await),
         None => None,
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -5,7 +5,7 @@
 //! meet at one server: each prompt is processed between two tokens of all streams there, and
 //! together they cause pauses that no host would have allowed. Work in flight is therefore
 //! published far more often than everything else ([`peers`](crate::peers)): every
-//! [`LOOK_INTERVAL`], if it has changed.
+//! [`CHECK_INTERVAL`], if it has changed.
 //!
 //! With nine hosts in front of 18 model servers, over five days with faults and three seeds each,
 //! the share of streams in time of the worst kind of request rose from 0.68 to 0.78, compared with
@@ -25,12 +25,12 @@
 use crate::host::Shared;
 
 /// Interval at which changes are looked for.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Interval above 16 hosts, where digests wait for a budget, and the maximum time for which received
 /// work is used without a refresh. The number of hosts that turn to a server at once is estimated
 /// in these rounds.
-const GROUPED_LOOK_INTERVAL: Duration = Duration::from_millis(60);
+const GROUPED_CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The id under which the work of all peers is recorded: it is received as one sum.
 pub(crate) const PEERS_ID: &str = "peers";
@@ -38,7 +38,7 @@
 /// Publishes this host's work and records that of the others, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let (mut own, mut others) = (Vec::new(), Vec::new());
-    let mut taken = Duration::ZERO;
+    let mut refreshed_at = Duration::ZERO;
     loop {
         let work = shared.dispatcher().work();
         if work != own {
@@ -46,12 +46,12 @@
             own = work;
         }
         let (now, received) = (shared.now(), exchange.in_flight());
-        if received != others || taken + GROUPED_LOOK_INTERVAL <= now {
+        if received != others || refreshed_at + GROUPED_CHECK_INTERVAL <= now {
             let work: Vec<Work> = received.iter().map(work_of).collect();
             shared.dispatcher().peer(&PEERS_ID.into(), &work, now);
-            (others, taken) = (received, now);
+            (others, refreshed_at) = (received, now);
         }
-        sleep(if exchange.is_grouped() { GROUPED_LOOK_INTERVAL } else { LOOK_INTERVAL }).await;
+        sleep(if exchange.is_grouped() { GROUPED_CHECK_INTERVAL } else { CHECK_INTERVAL }).await;
     }
 }
 
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -63,11 +63,11 @@
 #[rstest]
 fn peers_are_not_told_of_what_is_suspected() {
     let mut directory = with_suspect();
-    assert_eq!(directory.registered(0, Duration::ZERO, NOW).ids.len(), 0);
+    assert_eq!(directory.listing_for_peer(0, Duration::ZERO, NOW).ids.len(), 0);
     assert!(directory.get(&"s1".into()).is_some(), "a suspected server is still used");
     directory.put(server(&["m1"]), 6);
-    assert_eq!(directory.registered(0, Duration::ZERO, NOW).servers.len(), 1);
-    let reply = directory.registered(6, Duration::ZERO, NOW);
+    assert_eq!(directory.listing_for_peer(0, Duration::ZERO, NOW).servers.len(), 1);
+    let reply = directory.listing_for_peer(6, Duration::ZERO, NOW);
     assert_eq!((reply.ids.len(), reply.servers.len()), (1, 0), "the peer already has the entry");
 }
 
@@ -79,7 +79,7 @@
     #[case] directory: Directory,
     #[case] suspected: usize,
 ) {
-    let reply = with_suspect().registered(0, Duration::ZERO, NOW);
+    let reply = with_suspect().listing_for_peer(0, Duration::ZERO, NOW);
     let left = SUSPECT_UNTIL - NOW;
     assert_eq!(reply.suspects, [Suspect { id: "s1".into(), left }]);
     let delta = directory.diff_peer_list(ServerListing { revision: 9, ..reply });
