--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -36,9 +36,9 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn Error>> {
-    let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
-    let [hosts, seconds, calls] = numbers[..] else { return Err("HOSTS SECONDS CALLS".into()) };
-    let empty = memory()?;
+    let arguments: Vec<u64> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
+    let [hosts, seconds, calls] = arguments[..] else { return Err("HOSTS SECONDS CALLS".into()) };
+    let memory_before = memory()?;
     let source = Arc::new(FixedSource(Arc::new(declaration())));
     let mut exchanges: Vec<Arc<Exchange>> = Vec::new();
     for host in 0..hosts {
@@ -52,30 +52,30 @@
         exchanges.push(exchange);
     }
     sleep(Duration::from_secs(2)).await;
-    let (start, before) = (Instant::now(), processor()?);
+    let (start, before) = (Instant::now(), processor_time()?);
     while start.elapsed() < Duration::from_secs(seconds) {
         let step = start.elapsed().as_millis() as u64 / 100;
         exchanges.iter().for_each(|exchange| exchange.publish(Publication::InFlight(loads(step))));
         sleep(Duration::from_millis(100)).await;
     }
-    let share = (processor()? - before).as_secs_f64() / start.elapsed().as_secs_f64();
+    let share = (processor_time()? - before).as_secs_f64() / start.elapsed().as_secs_f64();
     let sent: u64 = exchanges.iter().map(|exchange| exchange.counts().sent).sum();
     println!("{hosts} hosts: {:.3}% of a core each", 100.0 * share / hosts as f64);
     println!(
         "datagrams sent a second by each: {:.1}",
         sent as f64 / hosts as f64 / (seconds + 2) as f64
     );
-    println!("memory of the process: {empty} kB before, {} kB with all hosts", memory()?);
+    println!("memory of the process: {memory_before} kB before, {} kB with all hosts", memory()?);
     let from = exchanges[0].member().address;
-    let (before, start) = (processor()?, Instant::now());
+    let (before, start) = (processor_time()?, Instant::now());
     for _ in 0..calls {
         exchanges[hosts as usize - 1].fetch_declaration(from, 0).await?.ok_or("none held")?;
     }
-    let (spent, took) = (processor()? - before, start.elapsed());
+    let (busy, took) = (processor_time()? - before, start.elapsed());
     let each = 1.0 / calls as f64;
     println!(
         "a call: {:.3} ms of processor time for both sides, {:.3} ms until answered; {} kB after",
-        spent.as_secs_f64() * 1e3 * each,
+        busy.as_secs_f64() * 1e3 * each,
         took.as_secs_f64() * 1e3 * each,
         memory()?
     );
@@ -119,7 +119,7 @@
 }
 
 /// Returns the processor time of this thread, the only busy one.
-fn processor() -> Result<Duration, Box<dyn Error>> {
+fn processor_time() -> Result<Duration, Box<dyn Error>> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
     Ok(Duration::from_nanos(text.split_whitespace().next().ok_or("no figure")?.parse()?))
 }
--- a/crates/exchange/src/calls.rs
+++ b/crates/exchange/src/calls.rs
@@ -83,13 +83,13 @@
 }
 
 /// Serves the calls from a [`Source`] and from the known members.
-pub(crate) struct Adapter<M> {
+pub(crate) struct Handler<M> {
     pub(crate) source: Arc<dyn Source>,
     pub(crate) members: M,
 }
 
 #[jsonrpsee::core::async_trait]
-impl<M: Fn() -> Vec<Member> + Send + Sync + 'static> RpcServer for Adapter<M> {
+impl<M: Fn() -> Vec<Member> + Send + Sync + 'static> RpcServer for Handler<M> {
     async fn declaration(
         &self,
         above: Version,
--- a/crates/exchange/src/client.rs
+++ b/crates/exchange/src/client.rs
@@ -45,19 +45,19 @@
 
 #[derive(Debug)]
 pub(crate) struct Client {
-    limit: Duration,
+    timeout: Duration,
     transport: Transport,
 }
 
 impl Client {
     /// Creates a client with the timeout of a call.
-    pub(crate) fn new(limit: Duration) -> Client {
+    pub(crate) fn new(timeout: Duration) -> Client {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(limit));
+        connector.set_connect_timeout(Some(timeout));
         connector.set_nodelay(true);
-        connector.set_tcp_user_timeout(Some(limit));
+        connector.set_tcp_user_timeout(Some(timeout));
         let http = Http::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(connector);
-        Client { limit, transport: Transport(http) }
+        Client { timeout, transport: Transport(http) }
     }
 
     pub(crate) async fn declaration(
@@ -66,7 +66,7 @@
         above: Version,
     ) -> Result<Option<Arc<Declaration>>, Error> {
         let peer = self.peer(address)?;
-        self.within(address, peer.declaration(above)).await
+        self.with_timeout(address, peer.declaration(above)).await
     }
 
     pub(crate) async fn servers(
@@ -75,7 +75,7 @@
         above: Revision,
     ) -> Result<Option<ServerListing>, Error> {
         let peer = self.peer(address)?;
-        self.within(address, peer.servers(above)).await
+        self.with_timeout(address, peer.servers(above)).await
     }
 
     pub(crate) async fn follow(
@@ -84,30 +84,30 @@
         above: Revision,
     ) -> Result<Option<ServerListing>, Error> {
         let peer = self.peer(address)?;
-        self.within(address, peer.follow(above)).await
+        self.with_timeout(address, peer.follow(above)).await
     }
 
     pub(crate) async fn members(&self, address: SocketAddr) -> Result<Vec<Member>, Error> {
         let peer = self.peer(address)?;
-        self.within(address, peer.members()).await
+        self.with_timeout(address, peer.members()).await
     }
 
     fn peer(&self, address: SocketAddr) -> Result<Peer, Error> {
         let transport = self.transport.clone();
         HttpClientBuilder::new()
             .max_response_size(MAX_RESPONSE_BYTES)
-            .request_timeout(self.limit)
+            .request_timeout(self.timeout)
             .set_http_middleware(ServiceBuilder::new().layer(layer_fn(move |_| transport.clone())))
             .build(format!("http://{address}"))
             .map_err(|cause| Error { address, cause })
     }
 
-    async fn within<T>(
+    async fn with_timeout<T>(
         &self,
         address: SocketAddr,
         call: impl Future<Output = Result<T, client::Error>>,
     ) -> Result<T, Error> {
-        let answer = tokio::time::timeout(self.limit, call).await;
+        let answer = tokio::time::timeout(self.timeout, call).await;
         let answer = answer.unwrap_or(Err(client::Error::RequestTimeout));
         answer.map_err(|cause| Error { address, cause })
     }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    calls::{Adapter, RpcServer, ServerListing, Source},
+    calls::{Handler, RpcServer, ServerListing, Source},
     client::{self, Client},
     clock::{self, Clock},
     listener,
@@ -36,11 +36,11 @@
 const MAX_PENDING_NOTICES: usize = 1_024;
 
 /// Maximum number of ports that are tried until one is free for both datagrams and calls.
-const MAX_PORT_TRIES: usize = 16;
+const MAX_PORT_ATTEMPTS: usize = 16;
 
 /// Number of goodbye messages, as one may be lost, and the delay after each.
-const GOODBYES: usize = 2;
-const GOODBYE_PAUSE: Duration = Duration::from_millis(30);
+const GOODBYE_COUNT: usize = 2;
+const GOODBYE_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Maximum time to wait for calls in flight when the exchange ends.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -63,7 +63,7 @@
     /// Intervals and sizes of the protocol.
     pub settings: Settings,
     /// Timeout of a call.
-    pub call_limit: Duration,
+    pub call_timeout: Duration,
     /// Clock for all decisions.
     pub clock: Clock,
 }
@@ -84,7 +84,7 @@
             incarnation,
             seeds: Vec::new(),
             settings: Settings::default(),
-            call_limit: CALL_TIMEOUT,
+            call_timeout: CALL_TIMEOUT,
             clock: clock::steady(),
         }
     }
@@ -133,11 +133,11 @@
         let (tasks, stop) = (TaskTracker::new(), CancellationToken::new());
         tasks.spawn(run::run(shared.clone(), socket, sender, stop.clone()));
         let members = members(&shared, &member);
-        let methods = Adapter { source, members }.into_rpc();
+        let methods = Handler { source, members }.into_rpc();
         tasks.spawn(listener::listen(listener, methods, tasks.clone(), stop.clone()));
         Ok(Arc::new(Exchange {
             shared,
-            client: Client::new(config.call_limit),
+            client: Client::new(config.call_timeout),
             member,
             bound,
             notices: Mutex::new(Some(receiver)),
@@ -226,8 +226,8 @@
     }
 
     /// Returns the number of received notices that were dropped because the reader was too slow.
-    pub fn overflow(&self) -> u64 {
-        self.shared.overflow.load(Ordering::Relaxed)
+    pub fn dropped_notices(&self) -> u64 {
+        self.shared.dropped_notices.load(Ordering::Relaxed)
     }
 
     /// Fetches the declaration of another host, if its version is above this one.
@@ -283,10 +283,10 @@
     /// Sends goodbye messages, closes the listeners and waits for the calls in flight.
     pub async fn leave(&self) {
         self.publish(Publication::State(State::Leaving));
-        for _ in 0..GOODBYES {
+        for _ in 0..GOODBYE_COUNT {
             self.shared.with(|fleet, _| fleet.bye());
             self.shared.wake.notify_one();
-            tokio::time::sleep(GOODBYE_PAUSE).await;
+            tokio::time::sleep(GOODBYE_INTERVAL).await;
         }
         self.stop.cancel();
         self.tasks.close();
@@ -304,9 +304,9 @@
 
 /// Binds the listeners for datagrams and calls to the same port.
 async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket, SocketAddr)> {
-    let tries = if address.port() == 0 { MAX_PORT_TRIES } else { 1 };
+    let attempts = if address.port() == 0 { MAX_PORT_ATTEMPTS } else { 1 };
     let mut failure = None;
-    for _ in 0..tries {
+    for _ in 0..attempts {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
         match UdpSocket::bind(bound).await {
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -34,7 +34,7 @@
     pub(crate) clock: Clock,
     pub(crate) wake: Notify,
     /// Number of notices dropped because their reader was too slow.
-    pub(crate) overflow: AtomicU64,
+    pub(crate) dropped_notices: AtomicU64,
     state: Mutex<State>,
 }
 
@@ -47,7 +47,7 @@
 impl Shared {
     pub(crate) fn new(clock: Clock, fleet: Fleet) -> Shared {
         let state = Mutex::new(State { fleet, snapshot: None });
-        Shared { clock, wake: Notify::new(), overflow: AtomicU64::new(0), state }
+        Shared { clock, wake: Notify::new(), dropped_notices: AtomicU64::new(0), state }
     }
 
     /// Calls `act` with the fleet and the present time.
@@ -60,8 +60,8 @@
     pub(crate) fn snapshot(&self) -> Arc<FleetSnapshot> {
         let now = (self.clock)();
         let mut state = self.lock();
-        if let Some((made, snapshot)) = &state.snapshot
-            && now < *made + MAX_SNAPSHOT_AGE
+        if let Some((made_at, snapshot)) = &state.snapshot
+            && now < *made_at + MAX_SNAPSHOT_AGE
         {
             return snapshot.clone();
         }
@@ -89,7 +89,7 @@
             () = stop.cancelled() => break,
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, from)) = received {
-                    take(&shared, &notices, from, &buffer[..length]);
+                    receive(&shared, &notices, from, &buffer[..length]);
                     drain(&shared, &socket, &notices, &mut buffer);
                 }
             }
@@ -109,15 +109,20 @@
 ) {
     for _ in 1..MAX_DATAGRAMS_PER_WAKEUP {
         let Ok((length, from)) = socket.try_recv_from(buffer) else { return };
-        take(shared, notices, from, &buffer[..length]);
+        receive(shared, notices, from, &buffer[..length]);
     }
 }
 
-fn take(shared: &Shared, notices: &mpsc::Sender<ReceivedNotice>, from: SocketAddr, bytes: &[u8]) {
+fn receive(
+    shared: &Shared,
+    notices: &mpsc::Sender<ReceivedNotice>,
+    from: SocketAddr,
+    bytes: &[u8],
+) {
     let received = shared.with(|fleet, now| fleet.receive(now, from, bytes));
     for notice in received {
         if notices.try_send(notice).is_err() {
-            shared.overflow.fetch_add(1, Ordering::Relaxed);
+            shared.dropped_notices.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -187,8 +187,8 @@
     let listener = TcpListener::bind(loopback()).await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     let source = Arc::new(MemorySource::default());
-    let limit = Duration::from_millis(100);
-    let config = Config { call_limit: limit, ..config(1, Vec::new()) };
+    let call_timeout = Duration::from_millis(100);
+    let config = Config { call_timeout, ..config(1, Vec::new()) };
     let client = Exchange::start(config, source).await.expect("loopback");
     let stalled = async {
         match silence {
@@ -275,7 +275,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime.expect("a runtime"), async {
-        let met = tokio::task::spawn_local(async { hosts(2).await.len() });
-        assert_eq!(met.await.expect("no panic"), 2);
+        let live_hosts = tokio::task::spawn_local(async { hosts(2).await.len() });
+        assert_eq!(live_hosts.await.expect("no panic"), 2);
     });
 }
