--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -24,40 +24,40 @@
 
 /// What the server does with its connection after writing.
 #[derive(Clone, Copy, Debug)]
-enum After {
+enum Ending {
     Open,
     Close,
     Reset,
 }
 
 #[rstest]
-#[case::of_another_request(answer("another", "yes"), After::Open)]
-#[case::of_no_request(answer("q", "yes").replace("request-name", "name"), After::Open)]
+#[case::of_another_request(answer("another", "yes"), Ending::Open)]
+#[case::of_no_request(answer("q", "yes").replace("request-name", "name"), Ending::Open)]
 #[case::refusal_of_another(
-    answer("another", "no").replace("200 OK", "503 No").replace("seal", "not-run"), After::Open)]
-#[case::unsealed(answer("q", "yes").replace("seal", "other"), After::Open)]
-#[case::encoded(answer("q", "yes").replace("seal", "content-encoding: gzip\r\nseal"), After::Open)]
-#[case::promise_without_a_mark(answer("q", "no").replace("200 OK", "503 No"), After::Open)]
-#[case::truncated(answer("q", "yes").replace("length: 3", "length: 9"), After::Close)]
+    answer("another", "no").replace("200 OK", "503 No").replace("seal", "not-run"), Ending::Open)]
+#[case::unsealed(answer("q", "yes").replace("seal", "other"), Ending::Open)]
+#[case::encoded(answer("q", "yes").replace("seal", "content-encoding: gzip\r\nseal"), Ending::Open)]
+#[case::promise_without_a_mark(answer("q", "no").replace("200 OK", "503 No"), Ending::Open)]
+#[case::truncated(answer("q", "yes").replace("length: 3", "length: 9"), Ending::Close)]
 #[case::truncated_chunk(
-    server::head("q") + "transfer-encoding: chunked\r\n\r\n" + &chunk("yes"), After::Close)]
+    server::head("q") + "transfer-encoding: chunked\r\n\r\n" + &chunk("yes"), Ending::Close)]
 #[case::bad_chunk(
-    server::head("q") + "transfer-encoding: chunked\r\n\r\nzz\r\nyes", After::Open)]
-#[case::no_answer("@@@ nothing of the kind\r\n\r\n".into(), After::Open)]
-#[case::half_a_head("HTTP/1.1 200 OK\r\nrequest-na".into(), After::Close)]
-#[case::nothing(String::new(), After::Close)]
-#[case::reset(String::new(), After::Reset)]
-#[case::reset_without_length(server::head("q") + "\r\nyes", After::Reset)]
-#[case::switched(server::head("q").replace("200 OK", "101 Other") + "upgrade: x\r\n\r\n", After::Open)]
+    server::head("q") + "transfer-encoding: chunked\r\n\r\nzz\r\nyes", Ending::Open)]
+#[case::no_answer("@@@ nothing of the kind\r\n\r\n".into(), Ending::Open)]
+#[case::half_a_head("HTTP/1.1 200 OK\r\nrequest-na".into(), Ending::Close)]
+#[case::nothing(String::new(), Ending::Close)]
+#[case::reset(String::new(), Ending::Reset)]
+#[case::reset_without_length(server::head("q") + "\r\nyes", Ending::Reset)]
+#[case::switched(server::head("q").replace("200 OK", "101 Other") + "upgrade: x\r\n\r\n", Ending::Open)]
 #[tokio::test]
-async fn what_is_no_answer_is_unclear(#[case] bytes: String, #[case] after: After) {
+async fn what_is_no_answer_is_unclear(#[case] bytes: String, #[case] ending: Ending) {
     let one = Server::listen("one").await;
     let (_host, mut caller, mut connection) = begin(Kind::NonIdempotent, &one).await;
     connection.write(&bytes).await;
-    match after {
-        After::Open => connection.closed().await,
-        After::Close => drop(connection),
-        After::Reset => {
+    match ending {
+        Ending::Open => connection.closed().await,
+        Ending::Close => drop(connection),
+        Ending::Reset => {
             tokio::time::sleep(Duration::from_millis(100)).await;
             connection.reset();
         }
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -10,12 +10,12 @@
 };
 use types::routed::{Declaration, Report, Server};
 
-use super::store::World;
+use super::store::StoreObjects;
 
-/// Dialect with neutral names that reads the store's objects from [`World`] instead of the store's
-/// answers.
-pub struct Neutral {
-    pub world: Arc<World>,
+/// Dialect with neutral names that reads the store's objects from [`StoreObjects`] instead of the
+/// store's responses.
+pub struct NeutralDialect {
+    pub objects: Arc<StoreObjects>,
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -26,7 +26,7 @@
     text(headers, name).and_then(|text| text.parse().ok())
 }
 
-impl Dialect for Neutral {
+impl Dialect for NeutralDialect {
     fn ready_path(&self) -> &str {
         "/ready"
     }
@@ -112,10 +112,10 @@
 
     fn store_reply(&self, call: &StoreCall<'_>, _: &Response<Bytes>) -> StoreReply {
         match call {
-            StoreCall::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
-            StoreCall::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
+            StoreCall::List { kind, .. } => StoreReply::Page(self.objects.page(*kind)),
+            StoreCall::Watch { kind, .. } => StoreReply::Seen(self.objects.changes(*kind)),
             StoreCall::Create { kind: relay::edge::Kind::Host, name, content } => {
-                self.world.registered.send_replace(true);
+                self.objects.registered.send_replace(true);
                 let content = (*content).clone();
                 StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
             }
@@ -128,10 +128,10 @@
     }
 
     fn declaration(&self, _: &Object) -> Option<Declaration> {
-        Some(self.world.declaration.clone())
+        Some(self.objects.declaration.clone())
     }
 
     fn server(&self, object: &Object) -> Option<Server> {
-        self.world.server(&object.name)
+        self.objects.server(&object.name)
     }
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -17,7 +17,7 @@
     routed::{Declaration, Kind, Limits, Route, Share, State},
 };
 
-use self::{caller::Caller, dialect::Neutral, server::Server, store::World};
+use self::{caller::Caller, dialect::NeutralDialect, server::Server, store::StoreObjects};
 
 /// Limit of each wait, and value of each time setting of the host that no test varies.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
@@ -33,7 +33,7 @@
 /// A running host with its store.
 pub struct TestHost {
     pub address: SocketAddr,
-    world: Arc<World>,
+    objects: Arc<StoreObjects>,
     _running: Running,
 }
 
@@ -66,15 +66,15 @@
             services: Vec::new(),
             limits: Limits::default(),
         };
-        let world = Arc::new(World::new(declaration));
+        let objects = Arc::new(StoreObjects::new(declaration));
         for server in servers {
-            world.register(registration(server));
+            objects.register(registration(server));
         }
-        let store = store::listen(world.clone()).await;
-        let dialect = Arc::new(Neutral { world: world.clone() });
+        let store = store::listen(objects.clone()).await;
+        let dialect = Arc::new(NeutralDialect { objects: objects.clone() });
         let running =
             relay::start_with_clock(clock, process(store), routed, dialect).await.expect("a host");
-        let host = TestHost { address: running.address(), world, _running: running };
+        let host = TestHost { address: running.address(), objects, _running: running };
         within(host.wait_in_force()).await;
         within(host.wait_registered()).await;
         host
@@ -82,7 +82,7 @@
 
     /// Registers another server in the store.
     pub fn register(&self, server: &Server) {
-        self.world.register(registration(server));
+        self.objects.register(registration(server));
     }
 
     pub async fn caller(&self) -> Caller {
@@ -90,7 +90,7 @@
     }
 
     async fn wait_registered(&self) {
-        let mut registered = self.world.registered.subscribe();
+        let mut registered = self.objects.registered.subscribe();
         registered.wait_for(|is| *is).await.expect("a store");
     }
 
--- a/crates/relay/tests/common/store.rs
+++ b/crates/relay/tests/common/store.rs
@@ -15,7 +15,7 @@
 use types::routed::{Declaration, Server};
 
 /// The store's objects: the declaration and the registered servers.
-pub struct World {
+pub struct StoreObjects {
     pub declaration: Declaration,
     servers: Mutex<Vec<Server>>,
     revision: watch::Sender<u64>,
@@ -23,9 +23,9 @@
     pub registered: watch::Sender<bool>,
 }
 
-impl World {
-    pub fn new(declaration: Declaration) -> World {
-        World {
+impl StoreObjects {
+    pub fn new(declaration: Declaration) -> StoreObjects {
+        StoreObjects {
             declaration,
             servers: Mutex::default(),
             revision: watch::Sender::new(1),
@@ -55,7 +55,7 @@
         Page { objects: objects.collect(), more: false, revision }
     }
 
-    pub fn seen(&self, kind: Kind) -> WatchBatch {
+    pub fn changes(&self, kind: Kind) -> WatchBatch {
         let page = self.page(kind);
         let changes = page.objects.into_iter().map(Change::Written).collect();
         WatchBatch { changes, revision: page.revision }
@@ -63,20 +63,20 @@
 }
 
 /// Starts the store; returns its address.
-pub async fn listen(world: Arc<World>) -> SocketAddr {
+pub async fn listen(objects: Arc<StoreObjects>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve(world.clone(), stream));
+            tokio::spawn(serve(objects.clone(), stream));
         }
     });
     address
 }
 
 /// Answers calls with empty bodies; `GET /watch/N` waits for a revision above N.
-async fn serve(world: Arc<World>, mut stream: TcpStream) {
-    let mut revisions = world.revision.subscribe();
+async fn serve(objects: Arc<StoreObjects>, mut stream: TcpStream) {
+    let mut revisions = objects.revision.subscribe();
     let (mut head, mut byte) = (Vec::new(), [0]);
     while stream.read_exact(&mut byte).await.is_ok() {
         head.push(byte[0]);
