--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -1,8 +1,9 @@
 //! Measures the cost of an exchange for a small host:
 //! `cargo run --release -p cyclamenstage-exchange --example cost -- HOSTS SECONDS CALLS`.
 //!
-//! All hosts run on one thread over loopback and publish changing work every 100 ms; then one fetches
-//! a declaration from another, call after call. Processor time and memory are those of the process.
+//! All hosts run on one thread over loopback and publish changing work every 100 ms; then one
+//! fetches a declaration from another, call after call. Processor time and memory are those of the
+//! process.
 
 #![allow(clippy::print_stdout, reason = "the figures are its purpose")]
 
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -69,7 +69,7 @@
     Never,
 }
 
-/// An attempt in flight at a server, with its connection.
+/// An attempt in flight, with its connection to the server.
 pub(crate) struct Attempt {
     shared: Arc<Shared>,
     pub(crate) server: Arc<Server>,
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The error states whether the request may have been executed.
+/// The attempt failed; the value states whether the request may have been executed.
 pub(crate) async fn begin(
     shared: &Arc<Shared>,
     server: &Arc<Server>,
@@ -157,8 +157,8 @@
 /// Returns a pooled connection that shows no sign of being closed.
 async fn idle_connection(shared: &Shared, server: &Server) -> Option<Connection> {
     while let Some(connection) = shared.pool.take(shared.now(), &server.id, server.address) {
-        // Lets the connection's task first read what has arrived since: an end of the stream, or
-        // bytes that belong to no request.
+        // Lets the connection's task first read what arrived while the connection was idle: an end
+        // of the stream, or bytes that belong to no request.
         yield_now().await;
         if connection.sender.is_ready() {
             return Some(connection);
@@ -195,8 +195,8 @@
     }
 }
 
-/// Checks that a response belongs to this request and was made by the server, and whether the
-/// server states that it did not execute the request.
+/// Checks that a response belongs to this request, that the server itself made it, and that it does
+/// not state that the request was not executed.
 fn validate(
     info: &RequestInfo,
     server: &Server,
@@ -223,13 +223,13 @@
     Ok(())
 }
 
-/// Returns whether a response with this result of `validate` was made by the server, for this
-/// request.
+/// Returns whether the server itself made the response to this request, by the result of
+/// [`validate`].
 fn is_genuine(validated: &Result<(), AttemptEnd>) -> bool {
     matches!(validated, Ok(()) | Err(AttemptEnd::NotRun(NotRun::Full | NotRun::NotHeld)))
 }
 
-/// Returns why a server did not execute a request.
+/// Returns why a server did not execute a request, for a response that states so.
 fn not_run(server: &Server, status: StatusCode, answer: &Answer) -> NotRun {
     if status != StatusCode::MISDIRECTED_REQUEST {
         return NotRun::Full;
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -31,11 +31,12 @@
 /// Time after which a caller may retry, at another host, if this one is about to stop.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 
-/// Interval at which a request at a silent server looks for another server, after none was found.
+/// Interval at which another server is sought for a request at a silent server, after none was
+/// found.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Priority of all requests at a server. Urgent requests go first in this host's queue; at a server
-/// they would preempt running requests, whose prompts would have to be read again.
+/// Priority of all requests at a server. Urgent requests go first in this host's queue only: at a
+/// server they would preempt running requests, whose prompts would have to be processed again.
 const SERVER_PRIORITY: u8 = 5;
 
 /// A request that was parsed and matched to a route.
@@ -44,6 +45,7 @@
     pub(crate) route: Route,
     pub(crate) service: service::Id,
     pub(crate) received: Moment,
+    /// Time from the arrival of the request to its deadline.
     pub(crate) timeout: Duration,
     pub(crate) fingerprint: dispatch::Fingerprint,
     pub(crate) handle: DispatchHandle,
@@ -81,6 +83,7 @@
         self.deadline().saturating_sub(shared.now())
     }
 
+    /// Returns whether the request may be executed more than once.
     pub(crate) fn may_repeat(&self) -> bool {
         match self.route.kind {
             Kind::Idempotent => true,
@@ -141,8 +144,8 @@
         }
     }
 
-    /// Runs an attempt. If the server is silent for `silence_timeout`, the request leaves it, but only if
-    /// another server takes the request at once.
+    /// Runs an attempt. If the server is silent for `silence_timeout`, the request moves to another
+    /// server, but only if one can take it at once.
     pub(crate) async fn attempt<T>(
         &self,
         silence_timeout: Duration,
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Leaves a silent server if another server takes the request.
+    /// Moves the request from a silent server to another one, if one can take it now. Returns the
+    /// other server.
     pub(crate) fn leave(&self) -> Option<backend::Id> {
         let server = self.handle.leave_for_another()?;
         self.trace.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
@@ -245,7 +249,7 @@
                 self.trace.refused(Refusal::Poison, self.time_left(shared), None);
                 Err(Problem::Unclear)
             }
-            // A waiting request has no server to leave, so `Leave` is not expected.
+            // `Leave` is not expected, as a waiting request has no server.
             Verdict::Unclear | Verdict::Leave => {
                 self.handle.mark_ended();
                 Err(Problem::Unclear)
@@ -259,7 +263,7 @@
         Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
-    /// Returns the chosen server, or another one if it has been removed meanwhile.
+    /// Returns the chosen server, or another one if the chosen one has been removed meanwhile.
     async fn server(&self, shared: &Shared, id: &backend::Id) -> Result<Arc<Server>, Problem> {
         match shared.server(id) {
             Some(server) => {
@@ -307,9 +311,9 @@
 
 /// Why an attempt yielded no response.
 pub(crate) enum AttemptFailure {
-    /// The attempt failed.
+    /// The attempt ended without a response that can be delivered.
     Failed(AttemptEnd),
-    /// The server was silent, and this other server takes the request.
+    /// The server was silent, and the request moves to this other server.
     Moved(backend::Id),
 }
 
@@ -318,6 +322,7 @@
 pub(crate) struct DispatchHandle {
     shared: Arc<Shared>,
     ticket: Ticket,
+    /// Whether the request has ended in the dispatcher, or has not arrived there yet.
     has_ended: AtomicBool,
     /// Whether a byte of the request may have reached a server that has not stated that it did not
     /// execute the request.
@@ -332,7 +337,7 @@
         self.shared.dispatch_wakeup.notify_one();
     }
 
-    /// Reports how the request ended, once.
+    /// Reports how the request ended, unless its end is known to the dispatcher.
     pub(crate) fn end(&self, end: AttemptEnd) {
         if !self.has_ended.swap(true, Ordering::Relaxed) {
             self.shared.dispatcher().ended(self.ticket, end, self.shared.now());
@@ -363,7 +368,7 @@
         self.shared.dispatcher().delivered(self.ticket, event, self.shared.now());
     }
 
-    /// Moves the request from a silent server to another one, if one can take it now.
+    /// Asks the dispatcher for another server that can take the request from a silent one now.
     fn leave_for_another(&self) -> Option<backend::Id> {
         let server = self.shared.dispatcher().leave(self.ticket, self.shared.now())?;
         self.shared.dispatch_wakeup.notify_one();
@@ -375,7 +380,7 @@
         self.shared.wait_for_verdict(self.ticket)
     }
 
-    /// Notes that the dispatcher has ended the request by itself.
+    /// Records that the dispatcher has ended the request by itself.
     fn mark_ended(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
@@ -401,7 +406,7 @@
 pub(crate) type Resuming = BoxFuture<'static, Result<ResponseStart, Problem>>;
 
 impl Resumer {
-    /// Leaves a silent server if another server takes the stream.
+    /// Moves the stream from a silent server to another one, if one can take it now.
     pub(crate) fn leave(&self) -> Option<AttemptFailure> {
         self.call.leave().map(AttemptFailure::Moved)
     }
@@ -411,7 +416,8 @@
         attempt_timeout::first_event(self.call.route.goal)
     }
 
-    /// Resumes the stream after an event, once the connection to the previous server is closed.
+    /// Resumes the stream after the event `after`, once the connection to the previous server is
+    /// closed.
     pub(crate) fn start(
         &self,
         previous: Option<Attempt>,
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -16,7 +16,7 @@
 /// Maximum size of a head that is read, in bytes. The declared limit is checked afterwards.
 const MAX_HEAD_BYTES: usize = 128 * 1024;
 
-/// Serves callers until `stop` is cancelled, and returns when the last connection has ended.
+/// Serves callers until `stop` is cancelled, and returns once the last connection has ended.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener, stop: CancellationToken) {
     let connections = TaskTracker::new();
     loop {
--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,7 +1,7 @@
 //! The process's clock.
 //!
 //! Time is counted from the start of the process by a clock that includes the time for which the
-//! machine was suspended, so that leases and deadlines which expired meanwhile are seen as expired.
+//! machine was suspended, so that leases and deadlines that expired meanwhile count as expired.
 //! Nothing depends on the time of day.
 
 use std::time::Duration;
@@ -22,7 +22,7 @@
         Clock::from_fn(boot_time)
     }
 
-    /// Starts a clock that reads the time from `read`.
+    /// Starts a clock that reads the time from `read`, whose origin may be any.
     pub fn from_fn(read: fn() -> Duration) -> Clock {
         Clock { read, origin: read() }
     }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Time since the machine was booted, suspensions included.
+/// Returns the time since the machine was booted, suspensions included.
 pub fn boot_time() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
 }
--- a/crates/relay/src/connect.rs
+++ b/crates/relay/src/connect.rs
@@ -34,8 +34,8 @@
         !self.pending_write.is_pending()
     }
 
-    /// Sets whether the socket is closed with a reset. A request that was given up must not arrive
-    /// later, so bytes that are still in transit have to be dropped.
+    /// Sets whether the socket is closed with a reset, which drops the bytes that are still in
+    /// transit. An abandoned request must not arrive later.
     pub(crate) fn set_reset_on_close(&self, is_reset: bool) {
         self.reset_on_close.set(is_reset);
     }
@@ -48,12 +48,14 @@
 }
 
 impl Drop for Connection {
-    /// Closes the socket at once, even during an exchange.
+    /// Closes the socket at once, even while a request is in progress.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
+/// Opens a connection that is closed without a reset, until [`Connection::set_reset_on_close`].
+///
 /// # Errors
 ///
 /// The connection is refused or not established in time.
@@ -80,7 +82,8 @@
     Ok(Connection { sender, pending_write, reset_on_close, driver })
 }
 
-/// Opens a connection that is always closed with a reset, which drops what is still in transit.
+/// Opens a connection that is always closed with a reset, which drops the bytes that are still in
+/// transit.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/connect/wire.rs
+++ b/crates/relay/src/connect/wire.rs
@@ -1,4 +1,4 @@
-//! A socket that knows whether data waits to be written, and that can be closed with a reset.
+//! A socket that records whether data waits to be written, and that can be closed with a reset.
 
 use std::{
     io::{self, IoSlice},
@@ -15,7 +15,7 @@
     net::TcpStream,
 };
 
-/// Flag: data waits to be written to the socket.
+/// Shared flag that is set while data waits to be written to the socket.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingWrite(Arc<AtomicBool>);
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// Flag: the socket is closed with a reset, which drops data in transit, instead of in order.
+/// Shared flag that makes the socket close with a reset, which drops data in transit, instead of in
+/// order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResetOnClose(Arc<AtomicBool>);
 
@@ -39,8 +40,8 @@
     }
 }
 
-/// A TCP stream with these flags. The pending-write flag relies on hyper flushing the stream only
-/// when its own buffers are empty.
+/// A TCP stream with a [`PendingWrite`] and a [`ResetOnClose`] flag. The pending-write flag relies
+/// on hyper flushing the stream only when its own buffers are empty.
 pub(super) struct Wire {
     stream: TcpStream,
     pending_write: PendingWrite,
--- a/crates/relay/src/control.rs
+++ b/crates/relay/src/control.rs
@@ -56,7 +56,7 @@
         slots.retain(|server, _| is_known(server));
     }
 
-    /// Fetches a server's load report; `None` if it can't be had in time or is malformed.
+    /// Fetches a server's load report; `None` if no report arrives in time or it is malformed.
     pub(crate) async fn report(&self, dialect: &dyn Dialect, server: &Server) -> Option<Report> {
         let slot = self.slot(server);
         let response = tokio::time::timeout(REPORT_TIMEOUT, async {
@@ -82,7 +82,8 @@
         Some(ControlConnection { slot, connection })
     }
 
-    /// Sends an order and waits for the response until `timeout`.
+    /// Sends an order and waits for the response. The outcome is unknown if none arrives within
+    /// `timeout`.
     pub(crate) async fn order(
         self,
         dialect: &dyn Dialect,
--- a/crates/relay/src/deadline.rs
+++ b/crates/relay/src/deadline.rs
@@ -1,8 +1,9 @@
 //! Deadlines that include the time for which the machine is suspended.
 //!
-//! The timers of the runtime stop while the machine is suspended. A deadline is therefore judged by
-//! the process's clock, which does not stop. The task that checks this clock at short intervals
-//! notifies all deadlines when the clock has jumped.
+//! The timers of the async runtime stop while the machine is suspended. A deadline is therefore
+//! checked against the process's clock, which does not stop. The task that advances the
+//! dispatcher's queues reads this clock at short intervals, and notifies all deadlines when it has
+//! jumped.
 
 use std::{
     future::Future,
--- a/crates/relay/src/demand.rs
+++ b/crates/relay/src/demand.rs
@@ -1,9 +1,10 @@
 //! Reports of the requests that arrive at all hosts, sent to the planner of the host that holds the
 //! lease.
 //!
-//! Every host reports its own arrivals ([`policy::demand`]) to the host that it takes for the
-//! holder; the holder reports to itself. The planner has no other source, so the planning host also
-//! logs and counts how many requests it was given, to be compared with the requests of all hosts.
+//! Every host reports its own arrivals ([`policy::demand`]) to the host that it believes to hold
+//! the lease; the holder reports to itself. The planner has no other source of demand, so the
+//! holder also logs and counts how many requests the planner was given, for comparison with the
+//! requests that arrived at all hosts.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -43,8 +44,11 @@
 /// Requests given to the planner since the last log message.
 #[derive(Debug, Default)]
 struct Totals {
+    /// Start of the period that the totals cover.
     since: Option<Moment>,
+    /// Requests that arrived at this host.
     own: u64,
+    /// Requests that other hosts have reported.
     others: u64,
 }
 
@@ -79,12 +83,12 @@
         self.demand.lock().reporter.arrive(subject, work, self.now());
     }
 
-    /// Returns the host that is thought to plan.
+    /// Returns the host that is believed to hold the lease.
     pub(crate) fn holder(&self) -> Option<host::Id> {
         self.demand.lock().holder.as_ref().map(|(_, holder)| holder.clone())
     }
 
-    /// Records which host plans, unless a higher fencing token is known.
+    /// Records which host holds the lease, if the fencing token is above the known one.
     pub(crate) fn observe_holder(&self, holder: &host::Id, fence: Fence) {
         let mut state = self.demand.lock();
         if state.holder.as_ref().is_none_or(|(known, _)| *known < fence) {
@@ -92,7 +96,8 @@
         }
     }
 
-    /// Records the number of live hosts and the holder of the lease, as known by the exchange.
+    /// Records the number of live hosts and the holder of the lease from a snapshot of the
+    /// exchange.
     pub(crate) fn observe_hosts(&self, snapshot: &FleetSnapshot) {
         self.demand.lock().hosts = snapshot.live;
         if let Some(lease) = &snapshot.lease {
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -2,10 +2,9 @@
 //!
 //! Changes of the servers come from the store and from peers. Both are ordered by the store's
 //! revisions: the directory is complete up to [`Directory::revision`], each entry has the revision
-//! at which it was written, and older information never replaces newer. An entry that was removed
-//! from the store is therefore not restored by a peer that receives the removal later, and an entry
-//! that was rewritten is not removed by a peer that is behind. No list of removed entries is
-//! needed.
+//! at which it was written, and older information never replaces newer. The list of a peer that has
+//! not received a removal yet therefore does not restore the entry, and that of a peer that has not
+//! received a rewritten entry does not remove it. No list of removed entries is needed.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -68,7 +67,7 @@
         self.revision
     }
 
-    /// Notes that all changes up to a revision are included.
+    /// Records that all changes up to a revision are included.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
@@ -130,7 +129,7 @@
         0 < removed && self.entries.get(id).is_some_and(|entry| removed < entry.written)
     }
 
-    /// Notes that a server is leaving, as reported by a peer for a store revision.
+    /// Records that a server is leaving, as a peer reports as of a store revision.
     pub fn mark_leaving(&mut self, id: &backend::Id, revision: Revision) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.left_at = entry.left_at.max(Some(revision));
@@ -152,8 +151,8 @@
         }
     }
 
-    /// Returns whether a server's entry was removed and not written again, whatever other sources
-    /// say of the server.
+    /// Returns whether a server's entry was removed and not written again. Reports of the server
+    /// itself do not change this.
     pub fn is_suspect(&self, id: &backend::Id) -> bool {
         self.entries.get(id).is_some_and(|entry| entry.presence != Presence::Registered)
     }
@@ -167,8 +166,8 @@
         }
     }
 
-    /// Returns the list for a peer that knows all entries written up to a revision: the registered
-    /// servers, as confirmed by the store `age` ago, and which others are suspected. A peer that
+    /// Returns the list for a peer that knows all entries written up to the revision `above`: the
+    /// registered servers, as confirmed by the store `age` ago, and the suspected ones. A peer that
     /// uses a suspected server keeps it for its remaining time; a peer that does not know the
     /// server does not add it.
     pub fn listing_for_peer(&self, above: Revision, age: Duration, now: Moment) -> ServerListing {
@@ -200,10 +199,10 @@
     /// Compares a peer's list with the directory. The difference is empty if the list is not newer
     /// than the directory.
     ///
-    /// An entry that was written up to the directory's revision is either known here as it is, or
-    /// was removed since, and is ignored. Without this check, a host that had removed a server took
-    /// it back for good from a peer that still used the server, since the store reports a removal
-    /// once.
+    /// An entry that was written up to the directory's revision is ignored: the directory either
+    /// has it already or has seen its removal. Without this check, a host that had removed a server
+    /// took it back for good from a peer that still used the server, since the store reports a
+    /// removal once.
     pub fn diff_peer_list(&self, list: ServerListing) -> Delta {
         if list.revision <= self.revision {
             return Delta::default();
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -2,7 +2,7 @@
 //! expect.
 //!
 //! A [`Dialect`] translates between bytes and the types of this module. It makes no decisions, has
-//! no state and does no I/O, so that the same decisions serve any dialect.
+//! no state and does no I/O, so that the rest of this crate works with any dialect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
     routed::{Declaration, Rate, Report, Sequence, Server, StartTime},
 };
 
-/// Number that the store gives to a change; it grows with every change of any object.
+/// Number that the store assigns to a change; it grows with every change of any object.
 pub type Revision = u64;
 
 /// A part of a prompt that several requests may have in common, so that a server can cache it.
@@ -46,9 +46,11 @@
     pub tokens_out: u32,
     /// Length of the answer that the caller expects, in tokens.
     pub length_hint: Option<u32>,
-    /// Time for which the caller waits, counted from the arrival of the request.
+    /// Time for which the caller waits, counted from the arrival of the request; none if not
+    /// stated.
     pub deadline: Option<Duration>,
-    /// Number of the last event that the caller has received of an interrupted stream.
+    /// Number of the last event that the caller has received of an interrupted stream; none if the
+    /// caller does not resume a stream.
     pub resume: Option<u64>,
 }
 
@@ -69,13 +71,13 @@
 /// What a forwarded request carries in addition to the caller's headers.
 #[derive(Clone, Debug)]
 pub struct ForwardOptions<'a> {
-    /// Name of the server that the message is addressed to.
+    /// Name of the server that the request is forwarded to.
     pub server: &'a str,
     /// Time left until the request's deadline.
     pub deadline: Duration,
     /// Priority at the server; 0 is the highest.
     pub priority: u8,
-    /// Number of the event after which the stream is to resume.
+    /// Number of the event after which the stream is to resume; none for a complete response.
     pub resume: Option<u64>,
 }
 
@@ -103,7 +105,7 @@
 pub enum Limit {
     /// The response states no limit.
     Unstated,
-    /// The response states this limit.
+    /// The response states this rate.
     Stated(Rate),
     /// The response states a limit that can't be parsed.
     Unreadable,
@@ -112,9 +114,9 @@
 /// Whether a response bears the seal that a server puts on its own responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seal {
-    /// The seal is there.
+    /// The server made the response.
     Present,
-    /// The seal is missing.
+    /// Another process, such as a proxy, may have made the response.
     Missing,
 }
 
@@ -130,9 +132,9 @@
 /// An order to a model server to load or unload a model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Name of the server that the message is addressed to.
+    /// Name of the server that the order is sent to.
     pub server: Arc<str>,
-    /// The requested operation.
+    /// Whether to load or to unload.
     pub operation: Operation,
     /// Model that the order is about.
     pub model: model::Id,
@@ -149,9 +151,9 @@
 /// The operation of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Load the model or adapter.
+    /// Loads the model or adapter, so that the server can execute requests for it.
     Load,
-    /// Unload the model or adapter.
+    /// Unloads the model or adapter, which frees its memory at the server.
     Unload,
 }
 
@@ -177,7 +179,7 @@
 /// The response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderReply {
-    /// Outcome of the order.
+    /// What the server did with the order.
     pub status: OrderStatus,
     /// Start time of the responding server's run; 0 if not stated.
     pub started_at: StartTime,
@@ -305,16 +307,17 @@
 pub enum StoreReply {
     /// One page of a list of objects.
     Page(Page),
-    /// Changes that a watch returned; none if its wait ended without any.
+    /// Changes that a watch returned; an empty batch if the watch's wait ended without any.
     Seen(WatchBatch),
     /// The object as it is after the call.
     Object(Object),
     /// The object does not exist.
     Absent,
-    /// The object exists already or has another revision; with its present state, if the store sent
-    /// it.
+    /// The object exists already or has another revision. The value is its present state, if the
+    /// store sent it.
     Conflict(Option<Object>),
-    /// The store no longer has the history since the requested revision.
+    /// The store no longer has the history since the requested revision, so the objects have to be
+    /// listed again.
     Compacted,
     /// The store refused the call and changed nothing.
     Refused,
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -30,9 +30,11 @@
     log_limiter::LogLimiter, peers::Counts, planning, pool::Pool, store::Store,
 };
 
-/// Step by which hosts delay their attempts to take a lease, so that they don't contend at once,
-/// and the number of different delays. A host's delay follows from its id.
+/// Difference between the delays with which hosts attempt to take a lease, so that they don't all
+/// contend at once.
 const CONTENTION_STEP: Duration = Duration::from_millis(60);
+
+/// Number of different delays. A host's delay follows from its id.
 const CONTENTION_SLOTS: u32 = 5;
 
 /// Number of hosts that are assumed to share the retry budget until the others are known.
@@ -66,15 +68,19 @@
     pub(crate) plan_wakeup: Notify,
     /// Cancelled when requests that still wait for a server are to be refused.
     pub(crate) closing: CancellationToken,
+    /// Cancelled during a planned stop, when callers' connections have ended or their time is over.
     pub(crate) stop: CancellationToken,
     declaration: ArcSwapOption<Declaration>,
     directory: Mutex<Directory>,
     planner: Mutex<Planner>,
     dispatcher: Mutex<Dispatcher>,
+    /// Channels for the next verdicts on requests that wait in the dispatcher or that may be moved
+    /// to another server.
     waiting: Mutex<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    /// The next request's ticket.
     tickets: AtomicU64,
     term: Mutex<OrderLease>,
-    /// When each server was last asked for a report.
+    /// When a report was last requested from each server.
     pub(crate) reports: Mutex<HashMap<backend::Id, Moment>>,
     /// Demand reports sent and received.
     pub(crate) demand: Demand,
@@ -87,7 +93,9 @@
     /// When the known servers were last confirmed by the store.
     pub(crate) servers_confirmed: Mutex<Moment>,
     exchange: OnceLock<Weak<Exchange>>,
+    /// Whether a planned stop has begun.
     leaving: AtomicBool,
+    /// Number of requests that have arrived and not ended.
     open_requests: AtomicU32,
 }
 
@@ -174,7 +182,8 @@
         self.declaration.load_full()
     }
 
-    /// Puts a declaration in force, unless the present one has the same or a later version.
+    /// Puts a declaration in force, unless the declaration in force has the same or a later
+    /// version.
     pub(crate) fn declare(&self, declaration: Declaration, from: Source) {
         let before = self.declaration();
         if before.as_ref().is_some_and(|current| declaration.version <= current.version) {
@@ -190,12 +199,12 @@
         self.register_known(before.as_deref());
     }
 
-    /// Notes that the declaration in force is the newest at this moment.
+    /// Records that the declaration in force is the newest at this moment.
     pub(crate) fn confirm_declaration(&self) {
         *self.declaration_confirmed.lock().unwrap_or_else(PoisonError::into_inner) = self.now();
     }
 
-    /// Updates the metrics of values that change without an event.
+    /// Updates the metrics that are computed when they are read, rather than at each change.
     pub(crate) fn update_metrics(&self) {
         if let Some(declaration) = self.declaration() {
             let confirmed_at =
@@ -265,7 +274,7 @@
         self.waiting().remove(&ticket);
     }
 
-    /// Lets the dispatcher advance its queues, and delivers what results.
+    /// Lets the dispatcher advance its queues, and delivers its messages and verdicts.
     pub(crate) fn pump(&self) {
         let mut dispatcher = self.dispatcher();
         let changes = dispatcher.pump(self.now());
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Reports if the lease was gained or lost since the last call, and returns the fencing token that
-/// is held now.
+/// Logs whether the lease was gained or lost since the last call, and returns the fencing token
+/// that this host holds now.
 fn report_change(shared: &Shared, before: Option<Fence>) -> Option<Fence> {
     let held = shared.term().fence(shared.now());
     if held == before {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,9 @@
 //! The path of a routed request: from a caller through an entry host to one of the service's
 //! servers, and back.
 //!
-//! [`edge`] defines the interface to callers, servers and the store; an adapter implements it. The
-//! other modules do I/O and timing; the decisions are made in `policy`.
+//! [`edge`] defines the protocols with callers, servers and the store, which a deployment's
+//! [`edge::Dialect`] implements. The other modules do I/O and timing; the decisions are made in
+//! `policy`.
 
 pub mod clock;
 pub mod directory;
--- a/crates/relay/src/path.rs
+++ b/crates/relay/src/path.rs
@@ -1,4 +1,5 @@
-//! The path of a request: read it, find its route, choose a server, send it, deliver the response.
+//! The path of a request: the host reads it, finds its route, chooses a server, sends it there and
+//! delivers the response.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -66,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// The response to a request that is not forwarded.
+/// The request is not forwarded; the value is this host's response to it.
 async fn read_request(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
@@ -187,8 +188,8 @@
     }
 }
 
-/// Sends a request to a server and delivers the response. A server is left before it has responded
-/// only if the request may be executed again.
+/// Sends a request to a server and delivers the response. An attempt is abandoned before the server
+/// has responded only if the request may be executed again.
 async fn attempt(
     shared: &Arc<Shared>,
     call: &Arc<Call>,
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -37,15 +37,18 @@
 /// a peer.
 const BEHIND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Counters that this host publishes to its peers, and its view of their progress.
+/// Counters that this host publishes to its peers, and the state of the tasks that exchange data
+/// with them.
 #[derive(Default)]
 pub(crate) struct Counts {
     /// Number of callers' requests, by service.
     arrivals: BTreeMap<service::Id, u64>,
-    /// The last revision known here when peers were first seen ahead of it, and the time of that.
+    /// Store revision known here when peers were first found to know a later one, and when that
+    /// was; `None` while no peer knows a later one.
     behind: Option<(Revision, Moment)>,
     /// Whether rate limits were published in the last round.
     published_limits: bool,
+    /// When a notice that requests wait for a model or adapter was last sent.
     load_requests: HashMap<(model::Id, Option<adapter::Id>), Moment>,
 }
 
@@ -54,8 +57,8 @@
         *self.arrivals.entry(service.clone()).or_default() += 1;
     }
 
-    /// Returns whether a notice is due that requests wait for a model or adapter, and if so counts
-    /// it as sent.
+    /// Returns whether a notice is due that requests wait for a model or adapter, and if so records
+    /// it as sent now.
     pub(crate) fn load_request_is_due(
         &mut self,
         model: &model::Id,
@@ -94,7 +97,7 @@
     }
 }
 
-/// Answers calls of peers.
+/// Source of the data that peers fetch from this host.
 pub(crate) struct PeerSource(pub(crate) Weak<Shared>);
 
 impl Source for PeerSource {
@@ -135,7 +138,8 @@
     }
 }
 
-/// Reports which peers are heard from and which have fallen silent since the last call.
+/// Logs each peer that was heard from for the first time or again, or that has fallen silent, since
+/// the last call.
 fn report_liveness(
     shared: &Shared,
     snapshot: &FleetSnapshot,
@@ -248,7 +252,7 @@
     shared.set_in_flight(&running, &mut shared.planner());
 }
 
-/// Repeats what requests wait for.
+/// Reports the models and adapters that requests still wait for.
 fn report_missing(shared: &Shared) {
     let missing = shared.dispatcher().missing();
     for (service, model, adapter, _) in missing {
@@ -262,8 +266,8 @@
     if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
     }
-    // A host whose store responds waits for several changes before it fetches them, and is behind
-    // its peers meanwhile.
+    // While the store responds, this host fetches several changes at once and is behind its peers
+    // until then.
     let gather =
         if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
     let timeout = BEHIND_TIMEOUT + gather;
@@ -334,7 +338,7 @@
                 shared.apply_departure(&server, departure, revision, &from);
             }
             Notice::DeclarationInForce { version } => {
-                // The receiver lives until the process ends.
+                // Never fails, as the receiver lives until the process ends.
                 let _ = declared.send((version, received.via));
             }
             Notice::LimitChanged { server, news } => {
--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -1,4 +1,4 @@
-//! Sends the orders that the planner decides on, while this host holds the lease.
+//! Sends the planner's orders to the model servers while this host holds the lease.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,10 +26,11 @@
 /// Minimum time between two requests for a report to one server.
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Like `REPORT_INTERVAL`, for a server that states a rate limit: it may count reports as requests.
+/// Like `REPORT_INTERVAL`, for a server that states a rate limit, which may count requests for
+/// reports.
 const LIMITED_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Plans until the process ends.
+/// Plans whenever this host holds the lease, until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut unplaced = UnplacedReporter::default();
     loop {
@@ -127,7 +128,7 @@
     let reply = connection.order(&*shared.dialect, server, &edge_order, shared.order_timeout).await;
     let status = match shared.current_run(server, reply.started_at) {
         Some(run) if run.id == server.id => reply.status,
-        // Another run of the server has received the order; a report will show what it did.
+        // Another run of the server has received the order; a report will show what that run did.
         Some(_) | None => OrderStatus::NotThere,
     };
     report_answer(shared, order, fence, status, began.elapsed());
@@ -187,7 +188,7 @@
     }
 }
 
-/// Returns the number of servers that report to hold a model.
+/// Returns the number of servers that report a model as loaded.
 pub(crate) fn replicas(shared: &Shared, model: &model::Id) -> u32 {
     let directory = shared.directory();
     let holds = |server: &&Arc<Server>| server.models.iter().any(|held| held.model == *model);
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -9,8 +9,8 @@
 
 use crate::connect::Connection;
 
-/// Time for which a server is assumed to keep an idle connection if it states no time. Times are
-/// stated in whole seconds, so a server that states none may use less than one.
+/// Time for which a server is assumed to keep an idle connection open if it states no time. Times
+/// are stated in whole seconds, so a server that states none may use less than one.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(900);
 
 /// Time before the server closes an idle connection at which the pool discards the connection.
@@ -24,7 +24,7 @@
     expires_at: Moment,
 }
 
-/// Idle connections by the run and the address of the server.
+/// Idle connections, by the id of the server's run and its address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<(backend::Id, SocketAddr), Vec<Idle>>>,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Storage of the requests that crash servers.
 //!
-//! Hosts send each other their records of crashes, which survive the loss of any host but not of
-//! all at once. Each refused request therefore also has an object in the store, named by the
+//! Hosts send each other their records of crashes, so the records survive the loss of any host but
+//! not of all at once. Each refused request therefore also has an object in the store, named by the
 //! request's fingerprint, which hosts read when they start and at intervals. The object is written
 //! by a host that saw one of the crashes; the holder of the lease on orders writes it for hosts
 //! that ended before they could.
@@ -39,7 +39,7 @@
 /// writes it.
 const WITNESS_GRACE: Duration = Duration::from_secs(2);
 
-/// Content of a stored object.
+/// Content of a stored object: the crashes that one request caused.
 #[derive(Debug, Deserialize, Serialize)]
 struct StoredCrashes {
     crashes: Vec<Crash>,
@@ -75,10 +75,10 @@
 /// Merges the stored crashes into the dispatcher's. Returns whether the store could be read.
 async fn read(shared: &Shared, view: &mut StoreView) -> bool {
     let Some(page) = shared.store.list(Kind::Quarantine).await else { return false };
-    let readable = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
-    let objects: Vec<(Fingerprint, Vec<Crash>)> =
-        page.objects.iter().filter_map(readable).collect();
-    // An object that can't be parsed is not recorded here, so that this host does not remove it.
+    let parsed = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
+    let objects: Vec<(Fingerprint, Vec<Crash>)> = page.objects.iter().filter_map(parsed).collect();
+    // An object that can't be parsed is not recorded as stored, so that this host does not remove
+    // it.
     view.stored = objects.iter().map(|(request, _)| *request).collect();
     let crashes: Vec<Crash> = objects.into_iter().flat_map(|(_, crashes)| crashes).collect();
     shared.dispatcher().poison_mut().merge(&crashes, shared.now());
@@ -154,7 +154,7 @@
     format!("{request:016x}")
 }
 
-/// Returns the request that an object's name stands for.
+/// Returns the request whose object has this name; `None` if no request's object has it.
 fn parse_name(name: &str) -> Option<Fingerprint> {
     let is_name = name.len() == 16;
     is_name.then(|| Fingerprint::from_str_radix(name, 16).ok()).flatten()
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -1,5 +1,5 @@
-//! Rate limits that servers state, and the quotas that hosts share: the connection of the
-//! dispatcher with the other hosts, the log and the metrics.
+//! Rate limits that servers state, and the permits that hosts share under them: passes both between
+//! the dispatcher, the other hosts, the log and the metrics.
 
 use exchange::fleet::{FleetSnapshot, Notice};
 use observe::{
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies another host's requests and grants of permits.
+    /// Applies another host's request for permits, or its grant of them.
     pub(crate) fn quota_received(&self, from: &host::Id, message: &Message) {
         let changes = self.dispatcher().quota_received(from, message, self.now());
         for (server, change) in changes {
@@ -51,7 +51,7 @@
         self.dispatch_wakeup.notify_one();
     }
 
-    /// Applies which other hosts there are, and the limits that they report.
+    /// Passes the other hosts, and the limits that they report, to the dispatcher.
     pub(crate) fn quota_hosts(&self, snapshot: &FleetSnapshot) {
         let is_reachable = |liveness| liveness != Liveness::Silent;
         let known =
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends requests and grants of permits.
+    /// Sends requests for permits, and grants of them.
     pub(crate) fn send_quotas(&self, messages: Vec<(host::Id, Message)>) {
         self.send_once(messages.into_iter().map(|(to, message)| (to, Notice::Quota(message))));
     }
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -12,7 +12,6 @@
 
 use crate::{connect, host::Shared};
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Serves readiness probes and metrics until the process ends.
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,8 +1,8 @@
 //! This host's registration in the store.
 //!
-//! Registrations let hosts find each other, and count the hosts that share the retry budgets even if
-//! no message gets through. A host's own entry shows at the start whether an earlier run may have
-//! spent that host's part of the budgets.
+//! Registrations let hosts find each other, and count the hosts that share the retry budgets even
+//! if no message gets through. A host's own entry shows at the start whether an earlier run may
+//! have spent that host's part of the budgets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,13 +19,15 @@
 /// Delay after a failed call to the store.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time until the second read, by which hosts that started together have registered.
+/// Delay before the second read of the list. Hosts that were started together have registered by
+/// then.
 const SECOND_READ_DELAY: Duration = Duration::from_secs(2);
 
 /// Interval between further reads of the list.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Keeps this host registered and reads which other hosts are, until the process ends.
+/// Keeps this host registered and reads the registrations of the other hosts, until the process
+/// ends.
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let mut pauses = [SECOND_READ_DELAY].into_iter().chain(std::iter::repeat(READ_INTERVAL));
     loop {
@@ -48,8 +50,8 @@
     exchange.introduce(page.objects.iter().filter_map(address));
 }
 
-/// Writes this host's entry, unless the entry is there with this content. Returns whether the entry
-/// is in the store.
+/// Writes this host's entry, unless the store already has it with the present address. Returns
+/// whether the entry is in the store.
 async fn register(shared: &Shared, exchange: &Exchange, page: &Page) -> bool {
     let name = &*shared.host.id;
     let content = Value::String(exchange.member().address.to_string());
--- a/crates/relay/src/retries.rs
+++ b/crates/relay/src/retries.rs
@@ -13,7 +13,7 @@
 
 use crate::host::Shared;
 
-/// Interval between log messages about one service's budget.
+/// Interval at which the budgets that are in use are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs the budgets that are in use until the process ends.
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -23,19 +23,19 @@
     planning, quarantine, ready, registration, retries, watch, workload,
 };
 
-/// Fraction of the grace period after which requests in flight are abandoned.
+/// Fraction of a planned stop's grace period after which requests in flight are abandoned.
 const FINISH_FRACTION: f64 = 0.93;
 
 /// Fraction of the grace period after which requests that still wait for a server are refused.
 const WAIT_FRACTION: f64 = 0.7;
 
-/// Time for the load balancer to notice that this host is not ready.
+/// Time that the load balancer has to notice that this host is not ready.
 const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
-/// Maximum interval between two rounds of the dispatcher's queues.
+/// Maximum interval at which the dispatcher's queues are advanced.
 const PUMP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two rounds of the queues above which the machine may have been suspended.
+/// Time between two advances of the queues above which the machine may have been suspended.
 const JUMP_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Interval between sweeps of idle connections.
@@ -47,7 +47,7 @@
     /// A listener's address can't be bound.
     #[error("listener for {role} at {address}: {cause}")]
     Bind {
-        /// Users of the listener.
+        /// Who connects to the listener: callers or operators.
         role: &'static str,
         /// The address in the settings.
         address: SocketAddr,
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// If a listener can't be bound.
+/// A listener can't be bound, or the metrics can't be registered.
 pub async fn start(
     settings: Process,
     routed: Routed,
@@ -83,11 +83,11 @@
     start_with_clock(Clock::start(), settings, routed, dialect).await
 }
 
-/// Starts a host that uses this clock.
+/// Starts a host that uses `clock` for deadlines and leases.
 ///
 /// # Errors
 ///
-/// If a listener can't be bound.
+/// A listener can't be bound, or the metrics can't be registered.
 pub async fn start_with_clock(
     clock: Clock,
     mut settings: Process,
@@ -237,8 +237,8 @@
     }
 }
 
-/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, only
-/// this listener is missing.
+/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, the host
+/// runs without this listener.
 async fn listen_for_metrics(shared: &Arc<Shared>) {
     let Some(port) = shared.routed.metrics_port else { return };
     let address = SocketAddr::new(shared.host.operators.ip(), port);
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -45,8 +45,9 @@
     }
 
     /// Returns the run of a server that has responded, by the start time in the response; `None` if
-    /// that run is over. An unknown later run counts as a start from nothing: it holds what it will
-    /// report, and keeps its address and its disk.
+    /// that run is over. A later run that is not known yet is registered at the address of the
+    /// known run and with the same contents of its disk; it counts as holding no models until it
+    /// reports them.
     pub(crate) fn current_run(
         &self,
         server: &Arc<Server>,
@@ -73,7 +74,7 @@
         self.server(&id)
     }
 
-    /// Returns the last revision of the servers that is known here.
+    /// Returns the store revision up to which this host knows all changes of the servers.
     pub(crate) fn revision(&self) -> Revision {
         self.directory().revision()
     }
@@ -93,14 +94,14 @@
         self.apply(delta, page.revision, &Source::Store);
     }
 
-    /// Notes that the known servers were confirmed by the store this long ago.
+    /// Records that the store confirmed the known servers `age` ago.
     pub(crate) fn confirm_servers(&self, age: Duration) {
         let at = self.now().saturating_sub(age);
         let mut current = self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         *current = current.max(at);
     }
 
-    /// Returns how long ago the known servers were confirmed by the store.
+    /// Returns how long ago the store last confirmed the known servers.
     pub(crate) fn servers_age(&self) -> Duration {
         let current = *self.servers_confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         self.now().saturating_sub(current)
@@ -159,8 +160,8 @@
                 self.directory().advance(*revision);
                 let id =
                     self.id_by_name(name).filter(|id| !self.directory().is_newer(id, *revision));
-                // All entries written up to the directory's revision are known, also if the removal
-                // has no revision of its own.
+                // The peers are notified with the directory's revision: all entries written up to
+                // it are known here, even if the removal has no revision of its own.
                 let removed = self.revision();
                 id.iter().for_each(|id| self.apply_removal(id, removed, &Source::Store));
             }
@@ -197,7 +198,7 @@
             };
             self.report_standing(&server, standing, from, "it is registered so");
         }
-        // What a peer has reported is not passed on.
+        // Only a change that the store has reported to this host is announced to the peers.
         let is_first_hand = was_used && *from == Source::Store;
         if before == Some(State::Ready) && is_first_hand && server.state == State::Draining {
             let (server, departure) = (server.id.clone(), Departure::Leaving);
@@ -206,11 +207,12 @@
     }
 
     /// Applies the removal of a server's entry. While the store is degraded, entries of healthy
-    /// servers are removed and written again; such a server stays in use for part of the time that
-    /// a leaving one may.
+    /// servers are removed and written again; such a server stays in use for the time that
+    /// [`Shared::removal_grace`] returns, less than the time for which a leaving server may be
+    /// used.
     fn apply_removal(self: &Arc<Self>, id: &backend::Id, revision: Revision, from: &Source) {
         let is_ready = self.server(id).is_some_and(|server| server.state == State::Ready);
-        // A peer's list states which of the servers that it lacks may come back.
+        // A peer's list names those unlisted servers whose entries may be written again.
         let is_from_peer = matches!(from, Source::Peer(_));
         if is_ready && !is_from_peer {
             if self.store.is_degraded() {
@@ -255,9 +257,9 @@
 
     /// Applies a peer's notice that a server is leaving, which the peer has from the store.
     ///
-    /// A peer that did not notice an outage of the store takes an entry that expired in it for a
-    /// server that leaves. A host that did notice the outage treats the notice like a removal
-    /// reported by the store, and suspects the server.
+    /// If a server's entry expires during an outage of the store, a peer that did not notice the
+    /// outage reports that the server leaves. A host that did notice the outage treats the notice
+    /// like a removal reported by the store, and suspects the server.
     pub(crate) fn apply_departure(
         self: &Arc<Self>,
         id: &backend::Id,
@@ -331,8 +333,7 @@
         self.forget_run(id);
     }
 
-    /// Discards what is known of a run of a server that is over; nothing of it applies to a later
-    /// run.
+    /// Discards the state of a server's run that is over, none of which applies to a later run.
     fn forget_run(&self, id: &backend::Id) {
         self.planner().remove_server(id, self.now());
         self.dispatcher().gone(id, self.now());
@@ -358,8 +359,8 @@
         self.plan_wakeup.notify_one();
     }
 
-    /// Returns whether a server was not asked for a report within `pause`, and if so counts it as
-    /// asked.
+    /// Returns whether no report was requested from a server within the last `pause`, and if so
+    /// records a request as sent now.
     pub(crate) fn report_is_due(&self, id: &backend::Id, now: Moment, pause: Duration) -> bool {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         let is_due = reports.get(id).is_none_or(|last| *last + pause <= now);
@@ -405,7 +406,7 @@
                     sequence,
                 });
             }
-            // The adapter is loaded before a request that is sent now arrives.
+            // The adapter will be loaded before a request that is sent now arrives at the server.
             Operation::Load if adapter.is_some() => {
                 dispatcher.model_loaded(&server, &model, adapter, sequence, now);
                 self.notify(Notice::Loaded { server, model, adapter: adapter.cloned(), sequence });
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,8 +1,8 @@
 //! Calls to the platform's store.
 //!
 //! One connection is kept open for short calls; a call that finds it in use opens another. Watches
-//! have connections of their own. Every call has a timeout, since a connection may become silent
-//! for good.
+//! have connections of their own. Every call has a timeout, since a connection may stay open
+//! although no response will ever arrive on it.
 
 use std::{
     net::SocketAddr,
@@ -39,11 +39,12 @@
 /// Timeout of a call about the lease.
 const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time that a watch may take beyond its requested wait. A slow store is waited for this long; a
-/// watch that may be stalled is not left alone until then, but hedged.
+/// Time that a watch may take beyond its requested wait, for a slow store. A watch that may have
+/// stalled is hedged long before this time is over.
 const WATCH_SLACK: Duration = Duration::from_secs(5);
 
-/// Time after the store's last failure in which a removed server entry may be written again.
+/// Time after the store's last failure for which the store counts as degraded: a server's entry
+/// that is removed may then be written again.
 const DEGRADED_PERIOD: Duration = Duration::from_secs(8);
 
 /// Maximum size of a response, in bytes.
@@ -53,11 +54,15 @@
 pub(crate) struct Store {
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
+    /// The idle connection for short calls; locked during a call on it.
     slot: Mutex<Option<Connection>>,
     logger: Logger,
     meters: Meters,
+    /// Health of all calls together.
     calls: CallHealth,
+    /// Health of the watches of the declaration.
     declaration: CallHealth,
+    /// Health of the watches of the servers.
     servers: CallHealth,
     /// Number of outages that have ended.
     outages: watch::Sender<u64>,
@@ -124,13 +129,14 @@
     }
 
     /// Returns a counter that changes when a call gets a response after calls without one. Calls
-    /// made before that may never get a response: a store that was silent loses its pending
-    /// watches.
+    /// made before that may never get a response: a store that did not respond for a time loses its
+    /// pending watches.
     pub(crate) fn outages(&self) -> watch::Receiver<u64> {
         self.outages.subscribe()
     }
 
-    /// Makes a call about the lease, which is useless if it takes longer than a term of the lease.
+    /// Makes a call about the lease. Its timeout is short, since a response that arrives after the
+    /// term of the lease is useless.
     pub(crate) async fn lease_call(&self, call: &StoreCall<'_>) -> StoreReply {
         self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
@@ -141,8 +147,8 @@
     }
 
     /// Makes a call with a timeout. A call without a response does not delay others: if the kept
-    /// connection is in use, the call opens its own. When calls were queued instead, a list without
-    /// a response cost the lease: its test saw 2.3 s without a renewal.
+    /// connection is in use, the call opens its own. If calls were queued instead, a list call
+    /// without a response would cost this host the lease: a test saw no renewal for 2.3 s.
     async fn call_within(&self, call: &StoreCall<'_>, timeout: Duration) -> StoreReply {
         let end = Instant::now() + timeout;
         let Ok(mut slot) = self.slot.try_lock() else {
@@ -154,8 +160,8 @@
         reply
     }
 
-    /// Waits for changes, on a connection that is used for this watch only: the one of an earlier
-    /// watch, or a new one.
+    /// Waits for changes, on a connection that only watches use: the one of an earlier watch, or a
+    /// new one.
     pub(crate) async fn watch(
         &self,
         previous: Option<Connection>,
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Makes a call, counts it and records its outcome, also if it got no response.
+    /// Makes a call, counts it and records its outcome, even if it got no response.
     async fn exchange(
         &self,
         call: &StoreCall<'_>,
@@ -239,8 +245,8 @@
         (reply, connection)
     }
 
-    /// Reports when calls of a kind cease or begin again to get responses. Returns whether there
-    /// was a change.
+    /// Logs when calls of a kind stop or start again to get responses. Returns whether there was a
+    /// change.
     fn report_state(&self, health: &CallHealth, state: DependencyState, took: Duration) -> bool {
         let has_changed = health.set_lost(state == DependencyState::Lost);
         if has_changed {
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! The body of a response to a caller.
+//! Bodies of responses to callers: complete ones, and streams of events.
 
 mod events;
 mod timer;
@@ -29,7 +29,7 @@
     /// The server closed the connection in the middle of an event.
     #[error("the server closed the connection in the middle of an event")]
     PartialEvent,
-    /// The server's events are malformed or not the ones that follow.
+    /// An event of the server is malformed or too large, or an event before it is missing.
     #[error("the server's events can't be passed on: {0:?}")]
     Fault(Fault),
     /// The server sent nothing for too long.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the end of the attempt that this implies.
+    /// Returns how the attempt ends that fails with this error.
     pub(crate) fn attempt_end(&self) -> AttemptEnd {
         match self {
             StreamError::Connection(_) | StreamError::PartialEvent => {
@@ -60,7 +60,7 @@
             }
             StreamError::Fault(_) => AttemptEnd::Unclear(Unclear::Garbled),
             StreamError::Silence => AttemptEnd::Unclear(Unclear::Silent),
-            // The deadline passed, which is no evidence against the server.
+            // That the deadline passed is no evidence against the server.
             StreamError::Deadline => AttemptEnd::Cancelled,
         }
     }
--- a/crates/relay/src/stream/events.rs
+++ b/crates/relay/src/stream/events.rs
@@ -1,4 +1,4 @@
-//! A stream of events that is delivered to the caller, by several servers in turn if one fails.
+//! A stream of events that is delivered to the caller, from several servers in turn if one fails.
 
 use std::{
     future::Future,
@@ -22,7 +22,8 @@
 
 /// Whether a stream may continue at another server.
 pub(crate) enum ResumePolicy {
-    /// Another server may continue the stream, also before the present one has failed.
+    /// Another server may continue the stream, even before the present one has failed. The signal
+    /// completes when the stream is to leave its server.
     OtherServer(Resumer, LeaveSignal),
     /// The stream can't be resumed.
     Never,
@@ -47,25 +48,29 @@
 
 enum State {
     Streaming(OpenResponse),
-    /// The previous server failed for this reason, and another one is being sought.
+    /// The attempt at the previous server failed with this error, and another server is sought.
     Resuming(Resuming, StreamError),
-    /// The stream is to end early. One poll returns pending first, so that the events passed on are
-    /// written before the connection is cut.
+    /// The stream is to end early. One poll returns `Pending` first, so that the events passed on
+    /// are written before the caller's connection is closed.
     Flushing(StreamError),
+    /// The next poll returns this error.
     Failed(StreamError),
     Done,
 }
 
 /// Result of polling a state.
 enum Step {
+    /// Events for the caller; may be empty.
     Pass(Bytes),
+    /// The stream enters this state.
     Next(State),
+    /// The attempt has failed with this error.
     Failed(StreamError),
 }
 
 impl Events {
-    /// Creates a stream from a server's response, which continues after the event that the caller
-    /// has.
+    /// Creates a stream from a server's response, whose events follow the event `after`, the last
+    /// one that the caller has.
     pub(crate) fn new(
         response: OpenResponse,
         after: Option<u64>,
@@ -191,7 +196,8 @@
                 }
                 Alarm::Silence => match self.leave_server() {
                     Some(state) => return Poll::Ready(Step::Next(state)),
-                    // No other server can continue, and a slow server is better than none.
+                    // No other server can continue the stream, and a slow server is better than
+                    // none.
                     None => self.timer.received(),
                 },
             }
@@ -250,7 +256,8 @@
         };
     }
 
-    /// Continues at another server in place of a silent one, if another server takes the stream.
+    /// Moves the stream from a silent server to another one, if one can take it now. Returns the
+    /// new state.
     fn leave_server(&mut self) -> Option<State> {
         let ResumePolicy::OtherServer(resumer, _) = &self.resume else { return None };
         if self.splitter.point() == ResumePoint::Unknown
--- a/crates/relay/src/stream/timer.rs
+++ b/crates/relay/src/stream/timer.rs
@@ -1,4 +1,5 @@
-//! The timer of a stream: the deadline of the request, and how long the server may be silent.
+//! The timer of a stream: the deadline of the request, and the time for which the server may be
+//! silent.
 
 use std::{
     future::Future,
@@ -11,8 +12,8 @@
 
 use crate::deadline::Deadline;
 
-/// Time for reading what arrived while this process was not scheduled, before a server counts as
-/// silent.
+/// Time, after a timeout, to read the data that arrived while this process was not scheduled,
+/// before the server counts as silent.
 const READ_GRACE: Duration = Duration::from_millis(25);
 
 /// Event of a stream's timer.
@@ -24,8 +25,8 @@
     Silence,
 }
 
-/// The timer of a stream. Received data does not reset the underlying timer, only the time until
-/// which silence is accepted; the timer is reset when it fires too early.
+/// The timer of a stream. Received data does not reset the underlying sleep, only the time until
+/// which silence is accepted; the sleep is reset when it completes before that time.
 pub(crate) struct StreamTimer {
     end: Deadline,
     silence: Silence,
@@ -36,12 +37,15 @@
     Ignored,
     Watched {
         sleep: Pin<Box<Sleep>>,
+        /// Time until which silence is accepted.
         until: Instant,
+        /// Maximum time between two arrivals of data.
         pause: Duration,
         grace: Grace,
     },
 }
 
+/// State of the [`READ_GRACE`] that follows a timeout.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Grace {
     NotStarted,
@@ -54,15 +58,15 @@
         StreamTimer { end, silence: Silence::Ignored }
     }
 
-    /// Creates a timer that also expects a first event by `first`, and then one within each
-    /// `pause`.
+    /// Creates a timer that also expects a first event by `first`, and each further one within
+    /// `pause` of the one before.
     pub(crate) fn with_timeouts(end: Deadline, first: Instant, pause: Duration) -> StreamTimer {
         let sleep = Box::pin(sleep_until(first));
         let silence = Silence::Watched { sleep, until: first, pause, grace: Grace::NotStarted };
         StreamTimer { end, silence }
     }
 
-    /// Notes that data has arrived.
+    /// Records that data has arrived.
     pub(crate) fn received(&mut self) {
         if let Silence::Watched { pause, .. } = self.silence {
             self.expect_by(Instant::now() + pause);
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Trace`] follows a request from its arrival to the last byte of the response. It only
 //! records: nothing on the path depends on it. A trace that is dropped before its end counts as a
-//! request whose caller has left.
+//! request whose caller has disconnected.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -28,19 +28,25 @@
 pub(crate) struct Trace(Mutex<Notes>);
 
 struct Notes {
-    /// Taken when the request ends.
+    /// Log entries of the request; `None` once the request has ended.
     story: Option<story::Request>,
     meters: Meters,
     clock: Clock,
     received: Moment,
+    /// `None` until the request's route is found.
     goals: Option<Goals>,
+    /// Cause of the last refusal by the dispatcher or by this host.
     refusal: Option<Refusal>,
     /// Server of the attempt in flight.
     current_server: Option<backend::Id>,
     attempts: u32,
+    /// Status of the last response.
     status: Option<u16>,
+    /// Time from the arrival of the request to the first part of a response.
     first_after: Option<Duration>,
+    /// When the last part of a response was received.
     last_received: Option<Moment>,
+    /// Longest time between two parts of a response.
     longest_gap: Duration,
     events: u32,
 }
@@ -132,19 +138,19 @@
         self.notes().attempt_ended(end, status);
     }
 
-    /// Records the arrival of the response's head.
+    /// Records the arrival of the head of a response that is no stream.
     pub(crate) fn response_started(&self, status: Option<StatusCode>) {
         let mut notes = self.notes();
         notes.status = status.map(|status| status.as_u16()).or(notes.status);
         notes.received_now();
     }
 
-    /// Records the status of a stream.
+    /// Records the status of a stream, before its first event.
     pub(crate) fn stream_started(&self, status: StatusCode) {
         self.notes().status = Some(status.as_u16());
     }
 
-    /// Records events that are passed to the caller.
+    /// Records how many events were passed to the caller.
     pub(crate) fn delivered(&self, events: u32) {
         let mut notes = self.notes();
         notes.events += events;
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Records that the request ended with this host's own response.
+    /// Records that the request ended with a response of this host's own.
     pub(crate) fn failed(&self, problem: Problem, status: StatusCode) {
         let status = Some(status.as_u16());
         let mut notes = self.notes();
@@ -188,7 +194,7 @@
         }
     }
 
-    /// Records that a stream ended early.
+    /// Records that a stream ended before it was complete.
     pub(crate) fn stream_failed(&self, error: &StreamError) {
         let mut notes = self.notes();
         notes.attempt_ended(error.attempt_end(), None);
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -1,4 +1,5 @@
-//! Reports what the planner wants to place and can't order.
+//! Reports the models and adapters that the planner wants to place but for which it can't send
+//! orders.
 
 use std::time::Duration;
 
@@ -12,6 +13,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
+    /// Whether the metrics hold counts of this host's plans.
     has_metrics: bool,
 }
 
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -21,7 +21,7 @@
     host::Shared,
 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call to the store.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Keeps the declaration in force up to date, until the process ends.
@@ -72,7 +72,7 @@
     }
 }
 
-/// Passes on changes until the store has lost the history since the last one.
+/// Calls `apply` with each change until the store no longer has the history since the last one.
 async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, apply: impl Fn(Change)) {
     let mut since = since;
     let mut hedge = Hedge::new(shared, kind);
@@ -119,8 +119,9 @@
 }
 
 impl Shared {
-    /// Returns the host through which this one follows the store. There is none while the store
-    /// fails, since a removed entry may then be written again, which only the store reports.
+    /// Returns the relay: the host from which this one fetches changes of the servers instead of
+    /// calling the store. There is none while the store is degraded, since a removed entry may then
+    /// be written again, which only the store reports.
     fn relay(&self) -> Option<(Arc<Exchange>, Member)> {
         let exchange = self.exchange()?;
         let is_settled = follow::STARTING <= self.now() && !self.store.is_degraded();
@@ -134,12 +135,12 @@
 
     /// Returns the timeouts of a watch that starts now.
     fn watch(&self, kind: Kind) -> follow::WatchTimes {
-        let limit = match kind {
+        let deadline = match kind {
             Kind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
         let snapshot = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
-        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, limit)
+        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, deadline)
     }
 
     /// Returns how long this host waits after changes of the servers before it asks for more, so
@@ -153,6 +154,7 @@
         follow::pause(self.now(), self.role(snapshot), snapshot.live, self.routed.drain)
     }
 
+    /// Returns whether this host is the relay of its group of hosts.
     fn is_relay(&self) -> bool {
         self.exchange().is_some_and(|exchange| exchange.tier() == Tier::Relay)
     }
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -2,13 +2,13 @@
 //!
 //! A watch that the store has lost looks like one that waits for a change, until its timeout, which
 //! is far longer than the time in which changes must be known. A second watch is therefore started
-//! on a connection of its own as soon as there is a reason to doubt the first. The first one is
-//! kept: a store that is merely slow still answers it, and if watches were cancelled again and
-//! again, no response would ever arrive.
+//! on a connection of its own as soon as there is a reason to suspect that the first has stalled.
+//! The first one is kept: a store that is merely slow still responds to it, and if watches were
+//! cancelled again and again, no response would ever arrive.
 //!
-//! Without hedging, all hosts stayed stalled for up to 5 s after a silent store had recovered: in
-//! soak tests of 60 s with one silence, 2, 16, 32 and 0 requests were handled by an outdated
-//! declaration; with hedging, none were.
+//! Without hedging, the watches of all hosts stayed stalled for up to 5 s after a store that had
+//! not responded for a time recovered: in four soak tests of 60 s with one such outage, 2, 16, 32
+//! and 0 requests were handled by an outdated declaration; with hedging, none were.
 
 use std::{pin::Pin, time::Duration};
 
@@ -27,7 +27,7 @@
 
 type PendingWatch<'a> = Pin<Box<dyn Future<Output = (StoreReply, Option<Connection>)> + Send + 'a>>;
 
-/// Why a watch is doubted.
+/// Why a watch may have stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
     /// The store responds again after an outage, in which earlier watches may have been lost.
@@ -36,11 +36,12 @@
     Silence,
 }
 
-/// The watches of one kind of objects: the oldest in flight, up to its timeout, and the newest.
+/// The watches of one kind of objects. At most two are in flight: the oldest, which runs until its
+/// timeout, and the newest.
 pub(super) struct Hedge<'a> {
     shared: &'a Shared,
     kind: Kind,
-    /// Number of outages of the store that have ended.
+    /// Number of ended outages of the store; changes when one ends.
     outages: Receiver<u64>,
     /// The connection of the last response, for reuse.
     idle: Option<Connection>,
@@ -54,8 +55,8 @@
     /// Returns the first response to a watch from this revision, or the failure of the last watch
     /// in flight.
     ///
-    /// A doubt counts as a failure of the store, during which entries of healthy servers may have
-    /// expired.
+    /// A watch that may have stalled counts as a failure of the store, during which entries of
+    /// healthy servers may have expired.
     pub(super) async fn next(&mut self, since: Revision, watch: WatchTimes) -> StoreReply {
         let mut oldest = self.start(since, watch.wait);
         let mut newest: Option<PendingWatch<'a>> = None;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Completes with the first reason to doubt the watches in flight.
+    /// Completes with the first reason to suspect that the watches in flight have stalled.
     async fn suspicion(&mut self, trusted_until: Instant) -> Cause {
         select! {
             _ = self.outages.changed() => Cause::Outage,
@@ -118,6 +119,7 @@
     matches!(reply, StoreReply::Seen(_) | StoreReply::Compacted)
 }
 
+/// Waits for a watch's response; returns `None` at once if there is no watch.
 async fn response(
     watch: &mut Option<PendingWatch<'_>>,
 ) -> Option<(StoreReply, Option<Connection>)> {
--- a/crates/relay/src/workload.rs
+++ b/crates/relay/src/workload.rs
@@ -1,16 +1,16 @@
 //! Exchange of the work that hosts have in flight at servers.
 //!
-//! Hosts choose servers by the work that all hosts have sent there. Work sent by another host is
-//! known only after that host has published it, so prompts that several hosts send before that may
-//! meet at one server: each prompt is processed between two tokens of all streams there, and
-//! together they cause pauses that no host would have allowed. Work in flight is therefore
-//! published far more often than everything else ([`peers`](crate::peers)): every
-//! [`CHECK_INTERVAL`], if it has changed.
+//! Hosts choose servers by the work that all hosts have sent to them. A host knows of the work of
+//! another only once the other has published it, so several hosts may send prompts to the same
+//! server at the same time. A server processes each prompt between two tokens of its streams, so
+//! that together these prompts pause the streams for longer than any of the hosts would have
+//! allowed. Work in flight is therefore published far more often than everything else
+//! ([`peers`](crate::peers)): every [`CHECK_INTERVAL`], if it has changed.
 //!
 //! With nine hosts in front of 18 model servers, over five days with faults and three seeds each,
-//! the share of streams in time of the worst kind of request rose from 0.68 to 0.78, compared with
-//! work published every 60 ms and forwarded every 30 ms. A host then spends 0.06 to 0.07 of a core
-//! on average.
+//! the share of streams that were in time, for the kind of request with the lowest share, rose from
+//! 0.68 to 0.78, compared with work published every 60 ms and forwarded every 30 ms. A host then
+//! uses 0.06 to 0.07 of a core on average.
 
 use std::sync::Arc;
 
@@ -24,12 +24,12 @@
 
 use crate::host::Shared;
 
-/// Interval at which changes are looked for.
+/// Interval at which work in flight is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Interval above 16 hosts, where digests wait for a budget, and the maximum time for which received
-/// work is used without a refresh. The number of hosts that turn to a server at once is estimated
-/// in these rounds.
+/// Like `CHECK_INTERVAL`, above 16 hosts, where digests wait for a budget; also the maximum
+/// interval at which received work is passed to the dispatcher, whether or not it has changed. The
+/// dispatcher estimates in these rounds how many hosts turn to a server at once.
 const GROUPED_CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
 /// The id under which the work of all peers is recorded: it is received as one sum.
