--- a/crates/exchange/examples/cost.rs
+++ b/crates/exchange/examples/cost.rs
@@ -5,7 +5,7 @@
 //! fetches a declaration from another, call after call. Processor time and memory are those of the
 //! process.
 
-#![allow(clippy::print_stdout, reason = "the figures are its purpose")]
+#![allow(clippy::print_stdout, reason = "the example prints what it measures")]
 
 use std::{error::Error, fs, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -38,7 +38,9 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn Error>> {
     let arguments: Vec<u64> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
-    let [hosts, seconds, calls] = arguments[..] else { return Err("HOSTS SECONDS CALLS".into()) };
+    let [hosts, seconds, calls] = arguments[..] else {
+        return Err("usage: cost HOSTS SECONDS CALLS".into());
+    };
     let memory_before = memory()?;
     let source = Arc::new(FixedSource(Arc::new(declaration())));
     let mut exchanges: Vec<Arc<Exchange>> = Vec::new();
@@ -70,7 +72,10 @@
     let from = exchanges[0].member().address;
     let (before, start) = (processor_time()?, Instant::now());
     for _ in 0..calls {
-        exchanges[hosts as usize - 1].fetch_declaration(from, 0).await?.ok_or("none held")?;
+        exchanges[hosts as usize - 1]
+            .fetch_declaration(from, 0)
+            .await?
+            .ok_or("the host has no declaration")?;
     }
     let (busy, took) = (processor_time()? - before, start.elapsed());
     let each = 1.0 / calls as f64;
@@ -116,11 +121,11 @@
 fn memory() -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).ok_or("no VmRSS")?;
-    Ok(line.split_whitespace().nth(1).ok_or("no figure")?.parse()?)
+    Ok(line.split_whitespace().nth(1).ok_or("VmRSS has no value")?.parse()?)
 }
 
-/// Returns the processor time of this thread, the only busy one.
+/// Returns the processor time of this thread, on which all hosts run.
 fn processor_time() -> Result<Duration, Box<dyn Error>> {
     let text = fs::read_to_string("/proc/thread-self/schedstat")?;
-    Ok(Duration::from_nanos(text.split_whitespace().next().ok_or("no figure")?.parse()?))
+    Ok(Duration::from_nanos(text.split_whitespace().next().ok_or("schedstat is empty")?.parse()?))
 }
--- a/crates/exchange/src/calls.rs
+++ b/crates/exchange/src/calls.rs
@@ -10,20 +10,19 @@
     routed::{Declaration, Server, Version},
 };
 
-/// The servers as the store had them at a revision, for a host that knows them as of an earlier
-/// one.
+/// The servers that the store had at a revision, for a host that knows those of an earlier one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerListing {
     /// Revision of the store at which the list is complete.
     pub revision: Revision,
     /// Time since the store confirmed the list.
     pub age: Duration,
-    /// All servers that were registered at that revision.
+    /// All servers that were registered at `revision`.
     pub ids: Vec<backend::Id>,
-    /// Servers that stay in use though their entries were removed, since these may be written
+    /// Servers whose entries were removed, but that stay in use since the entries may be written
     /// again.
     pub suspects: Vec<Suspect>,
-    /// Entries of registered servers that were written after the revision in the request.
+    /// Those entries of registered servers that were written after the revision in the request.
     pub servers: Vec<Entry>,
 }
 
@@ -45,35 +44,35 @@
     pub server: Server,
 }
 
-/// The data of a host that other hosts may call for.
+/// The data that other hosts may fetch from a host.
 pub trait Source: Send + Sync + 'static {
-    /// Returns the declaration in force, if its version is above this one.
+    /// Returns the declaration in force; `None` if its version is not above `above`.
     fn declaration(&self, above: Version) -> Option<Arc<Declaration>>;
 
-    /// Returns the servers, if they are known as of a later revision of the store.
+    /// Returns the servers; `None` if no later revision of the store than `above` is known.
     fn servers(&self, above: Revision) -> Option<ServerListing>;
 
-    /// Returns the servers, also if they are not known as of a later revision; `None` if they are
-    /// not known as of any.
+    /// Returns the servers, even if no later revision of the store than `above` is known; `None` if
+    /// none is known at all.
     fn follow(&self, above: Revision) -> Option<ServerListing>;
 }
 
 /// The calls as jsonrpsee methods.
 #[rpc(server, client)]
 pub(crate) trait Rpc {
-    /// Returns the declaration in force, if its version is above this one.
+    /// Returns the declaration in force; `None` if its version is not above `above`.
     #[method(name = "declaration")]
     async fn declaration(
         &self,
         above: Version,
     ) -> Result<Option<Arc<Declaration>>, ErrorObjectOwned>;
 
-    /// Returns the servers, if they are known as of a later revision.
+    /// Returns the servers; `None` if no later revision of the store than `above` is known.
     #[method(name = "servers")]
     async fn servers(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned>;
 
-    /// Returns the servers, also if they are not known as of a later revision; `None` if they are
-    /// not known as of any.
+    /// Returns the servers, even if no later revision of the store than `above` is known; `None` if
+    /// none is known at all.
     #[method(name = "follow")]
     async fn follow(&self, above: Revision) -> Result<Option<ServerListing>, ErrorObjectOwned>;
 
--- a/crates/exchange/src/client.rs
+++ b/crates/exchange/src/client.rs
@@ -1,7 +1,7 @@
 //! Calls to other hosts.
 //!
-//! Calls are rare, and open connections may become silent without a reset, so each call has a
-//! connection of its own and a timeout.
+//! Each call has a connection of its own and a timeout: calls are rare, and a connection that is
+//! kept open may stop carrying data without being reset.
 
 use std::{
     net::SocketAddr,
@@ -33,9 +33,9 @@
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Why a call failed.
+/// Failure of a call, with the address of the called host.
 #[derive(Debug, thiserror::Error)]
-#[error("host at {address}: {cause}")]
+#[error("call to the host at {address} failed: {cause}")]
 pub struct Error {
     address: SocketAddr,
     cause: client::Error,
@@ -50,7 +50,7 @@
 }
 
 impl Client {
-    /// Creates a client with the timeout of a call.
+    /// Creates a client whose calls each have this timeout.
     pub(crate) fn new(timeout: Duration) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(timeout));
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A host's side of the exchange: sockets, calls and tasks around [`policy::fleet::Fleet`].
+//! A host's side of the exchange: sockets, calls and tasks that drive a [`policy::fleet::Fleet`].
 
 use std::{
     io,
@@ -29,20 +29,23 @@
     run::{self, Shared},
 };
 
-/// Timeout of a call.
+/// Default timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Maximum number of notices that wait for their reader; further ones are dropped.
+/// Maximum number of received notices that wait for the reader of [`Exchange::notices`]; further
+/// ones are dropped.
 const MAX_PENDING_NOTICES: usize = 1_024;
 
 /// Maximum number of ports that are tried until one is free for both datagrams and calls.
 const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// Number of goodbye messages, as one may be lost, and the delay after each.
+/// Number of times that the end of this host is announced, since a datagram may be lost.
 const GOODBYE_COUNT: usize = 2;
+
+/// Delay after each announcement of the end.
 const GOODBYE_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Maximum time to wait for calls in flight when the exchange ends.
+/// Maximum time to wait for calls in progress when the exchange ends.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Configuration of an exchange.
@@ -52,19 +55,20 @@
     pub host: host::Id,
     /// Availability zone of this host.
     pub zone: availability::Id,
-    /// Address of the listeners for datagrams and calls. Port 0 chooses a free one.
+    /// Address of the listeners for datagrams and calls. If the port is 0, a free port is chosen.
     pub address: SocketAddr,
     /// Address at which other hosts reach this one, if it differs from `address`.
     pub advertised: Option<SocketAddr>,
-    /// Identity of this run of the host. No other run may have the same; the order does not matter.
+    /// Identity of this run of the host. It must differ from that of every other run, and need not
+    /// be larger than that of an earlier one.
     pub incarnation: host::Incarnation,
-    /// Addresses at which other hosts may listen.
+    /// Addresses at which other hosts may listen; contacted at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Intervals and sizes of the protocol.
+    /// Intervals and sizes of the gossip protocol.
     pub settings: Settings,
-    /// Timeout of a call.
+    /// Timeout of a call to another host.
     pub call_timeout: Duration,
-    /// Clock for all decisions.
+    /// Clock by which intervals and ages are measured.
     pub clock: Clock,
 }
 
@@ -156,7 +160,8 @@
         self.bound
     }
 
-    /// Replaces one part of what this host publishes. The change is sent within an interval.
+    /// Replaces one part of the state that this host publishes. The change is sent within
+    /// [`Exchange::interval`].
     pub fn publish(&self, publication: Publication) {
         self.shared.with(|fleet, now| fleet.publish(now, publication));
     }
@@ -204,7 +209,8 @@
         self.shared.with(|fleet, now| fleet.in_flight(now))
     }
 
-    /// Returns whether there are so many hosts that digests wait for a budget.
+    /// Returns whether there are so many hosts that they are grouped, and digests wait for a
+    /// budget.
     pub fn is_grouped(&self) -> bool {
         self.shared.with(|fleet, _| fleet.is_grouped())
     }
@@ -225,12 +231,13 @@
         self.shared.with(|fleet, _| fleet.counts())
     }
 
-    /// Returns the number of received notices that were dropped because the reader was too slow.
+    /// Returns the number of received notices that were dropped because the reader of
+    /// [`Exchange::notices`] was too slow.
     pub fn dropped_notices(&self) -> u64 {
         self.shared.dropped_notices.load(Ordering::Relaxed)
     }
 
-    /// Fetches the declaration of another host, if its version is above this one.
+    /// Fetches the declaration of another host; `None` if its version is not above `above`.
     ///
     /// # Errors
     ///
@@ -243,8 +250,8 @@
         self.client.declaration(from, above).await
     }
 
-    /// Fetches the servers that another host knows, if they are known as of a later revision of the
-    /// store.
+    /// Fetches the servers that another host knows; `None` if that host knows no later revision of
+    /// the store than `above`.
     ///
     /// # Errors
     ///
@@ -257,8 +264,8 @@
         self.client.servers(from, above).await
     }
 
-    /// Fetches the servers that another host knows; `None` if that host knows none as of any
-    /// revision.
+    /// Fetches the servers that another host knows, even if it knows no later revision of the store
+    /// than `above`; `None` if it has not read the store's servers yet.
     ///
     /// # Errors
     ///
@@ -271,7 +278,7 @@
         self.client.follow(from, above).await
     }
 
-    /// Fetches the hosts that are not silent for another host, that host among them.
+    /// Fetches the hosts that another host knows and that are not silent, that host among them.
     ///
     /// # Errors
     ///
@@ -280,7 +287,7 @@
         self.client.members(from).await
     }
 
-    /// Sends goodbye messages, closes the listeners and waits for the calls in flight.
+    /// Announces the end of this host, closes the listeners and waits for the calls in progress.
     pub async fn leave(&self) {
         self.publish(Publication::State(State::Leaving));
         for _ in 0..GOODBYE_COUNT {
@@ -291,7 +298,7 @@
         self.stop.cancel();
         self.tasks.close();
         if tokio::time::timeout(SHUTDOWN_TIMEOUT, self.tasks.wait()).await.is_err() {
-            log::debug!("calls of other hosts were still under way at the end");
+            log::debug!("the exchange ended with calls of other hosts in progress");
         }
     }
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,9 +1,9 @@
 //! Exchange of state between the hosts of a routed deployment.
 //!
-//! What is sent is decided in [`policy::fleet`]; this crate connects it to sockets. Digests and
-//! notices are sent as datagrams; large messages and requests that need a response are calls over
-//! TCP, at the same port. A host starts an [`Exchange`], publishes its state and reads what the
-//! others have published.
+//! [`policy::fleet`] decides which messages are sent; this crate connects it to sockets. Digests
+//! and notices are sent as datagrams; large messages and requests that need a response are calls
+//! over TCP, at the same port. A host starts an [`Exchange`], publishes its state and reads the
+//! state that the others have published.
 
 mod calls;
 mod client;
--- a/crates/exchange/src/listener.rs
+++ b/crates/exchange/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for calls of other hosts.
+//! The listener for calls that other hosts make to this one.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,16 +8,16 @@
 use tokio::{net::TcpListener, sync::Semaphore};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// Maximum size of a request, in bytes; all requests are small.
+/// Maximum size of a request, in bytes. A request has at most one number as its parameter.
 const MAX_REQUEST_BYTES: u32 = 4 * 1024;
 
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Maximum number of connections served at once; further ones wait.
+/// Maximum number of connections served at once; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 64;
 
-/// Maximum lifetime of a connection, which carries one call.
+/// Maximum lifetime of a connection. Hosts open a connection for each call.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Delay after a failure to accept a connection, such as too many open files.
@@ -50,7 +50,7 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("listener for hosts: {error}");
+                log::warn!("can't accept a connection of another host: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -62,7 +62,7 @@
         tasks.spawn(async move {
             let _permit = permit;
             if let Ok(Err(error)) = tokio::time::timeout(CONNECTION_TIMEOUT, served).await {
-                log::debug!("connection of a host: {error}");
+                log::debug!("the connection of another host failed: {error}");
             }
         });
     }
--- a/crates/exchange/src/run.rs
+++ b/crates/exchange/src/run.rs
@@ -26,14 +26,16 @@
 /// Maximum number of datagrams that are read before the task sends again.
 const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
-/// Maximum age of a snapshot that is returned again; far below the time between digests.
+/// Maximum age at which a snapshot is returned again instead of a new one; far below the time
+/// between digests.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(20);
 
 /// State shared by the task and the users of an exchange.
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
+    /// Wakes the task to send what the fleet has queued.
     pub(crate) wake: Notify,
-    /// Number of notices dropped because their reader was too slow.
+    /// Number of received notices that were dropped because their reader was too slow.
     pub(crate) dropped_notices: AtomicU64,
     state: Mutex<State>,
 }
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Hosts that communicate over loopback sockets.
+//! Exchanges between several hosts over loopback sockets.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
 };
 use types::routed::{self, Declaration, Server, Version};
 
-/// Limit of each wait; far longer than any of them takes.
+/// Timeout of each wait; far longer than any of them takes.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
@@ -209,7 +209,7 @@
     };
     tokio::select! {
         () = stalled => {}
-        done = tokio::time::timeout(TIMEOUT, calls) => done.expect("given up in time"),
+        done = tokio::time::timeout(TIMEOUT, calls) => done.expect("the calls did not time out"),
     }
 }
 
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -52,6 +52,6 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("a caller's connection failed: {error}");
     }
 }
--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -64,7 +64,7 @@
     #[error("the request names no host")]
     NoHost,
     /// A header field can't be parsed.
-    #[error("{0} can't be read")]
+    #[error("{0} can't be parsed")]
     Field(&'static str),
 }
 
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener's address can't be bound.
-    #[error("listener for {role} at {address}: {cause}")]
+    #[error("can't bind the listener for {role} at {address}: {cause}")]
     Bind {
         /// Who connects to the listener: callers or operators.
         role: &'static str,
@@ -58,7 +58,7 @@
     #[error(transparent)]
     Metrics(#[from] observe::metrics::Error),
     /// The exchange with the other hosts can't start.
-    #[error("exchange with the other hosts: {0}")]
+    #[error("can't start the exchange with the other hosts: {0}")]
     Exchange(#[from] exchange::Error),
 }
 
@@ -246,7 +246,9 @@
         Ok(listener) => {
             tokio::spawn(ready::listen(shared.clone(), listener));
         }
-        Err(error) => log::error!(address:% = address; "no listener for metrics: {error}"),
+        Err(error) => {
+            log::error!(address:% = address; "can't bind the listener for metrics: {error}")
+        }
     }
 }
 
--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Complete answers: the caller gets the server's answer unchanged, or an error from the host.
+//! Answers that are no streams: the caller gets the server's complete answer unchanged, or an error
+//! from the host.
 
 mod common;
 
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -62,9 +62,10 @@
     }
 
     fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>) {
-        let server = HeaderValue::from_str(options.server).expect("an id");
+        let server = HeaderValue::from_str(options.server).expect("a valid header value");
         headers.insert("run-of", server);
-        let left = u64::try_from(options.deadline.as_millis()).expect("a short time");
+        let left =
+            u64::try_from(options.deadline.as_millis()).expect("a deadline below u64::MAX ms");
         headers.insert("time-left", left.into());
         if let Some(event) = options.resume {
             headers.insert("resume-after", event.into());
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -19,15 +19,15 @@
 
 use self::{caller::Caller, dialect::NeutralDialect, server::Server, store::StoreObjects};
 
-/// Limit of each wait, and value of each time setting of the host that no test varies.
+/// Timeout of each wait, and value of each duration in the host's settings that no test varies.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The service that all servers belong to.
 const SERVICE: &str = "words";
 
 /// Awaits a future; panics after [`TIMEOUT`].
-pub async fn within<T>(wanted: impl Future<Output = T>) -> T {
-    timeout(TIMEOUT, wanted).await.expect("in time")
+pub async fn within<T>(future: impl Future<Output = T>) -> T {
+    timeout(TIMEOUT, future).await.expect("completion within the timeout")
 }
 
 /// A running host with its store.
--- a/crates/relay/tests/common/server.rs
+++ b/crates/relay/tests/common/server.rs
@@ -51,14 +51,14 @@
         Connection { stream }
     }
 
-    /// Whether a connection arrives within 300 ms.
+    /// Returns whether a connection arrives within 300 ms.
     pub async fn is_called(&self) -> bool {
         let short = Duration::from_millis(300);
         tokio::time::timeout(short, self.listener.accept()).await.is_ok()
     }
 }
 
-/// Accepts the first connection to either server; returns it with the server that was not called.
+/// Accepts the first connection to either server; returns it with the other server.
 pub async fn accept_first<'a>(one: &'a Server, other: &'a Server) -> (Connection, &'a Server) {
     tokio::select! {
         connection = one.accept() => (connection, other),
@@ -89,8 +89,8 @@
         within(self.stream.write_all(text.as_bytes())).await.expect("written");
     }
 
-    /// Writes a text repeatedly until nothing has been accepted for 300 ms; returns the number of
-    /// bytes written.
+    /// Writes a text repeatedly until the socket has accepted no byte for 300 ms; returns the
+    /// number of bytes written.
     pub async fn flood(&mut self, text: &str) -> usize {
         let (text, mut bytes) = (text.as_bytes(), 0);
         let pause = Duration::from_millis(300);
--- a/crates/relay/tests/common/store.rs
+++ b/crates/relay/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store that answers list calls at once and watch calls when something has changed.
+//! A store that responds to list calls at once and to watch calls when an object has changed.
 
 use std::{
     net::SocketAddr,
--- a/crates/relay/tests/reuse.rs
+++ b/crates/relay/tests/reuse.rs
@@ -115,7 +115,7 @@
     connection.write(&answer("q1", "early")).await;
     let got = caller.answer().await;
     assert_eq!((got.status, &*got.body), (200, "early"));
-    // All that the server can still read is the start of that body, then the connection ends.
+    // The server can read only the start of that body before the connection ends.
     assert!(connection.drain().await < LARGE_BODY_BYTES);
     caller.write(&request("q2")).await;
     let mut second = server.accept().await;
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -343,8 +343,8 @@
     assert_eq!((got.body, got.end), (body([1]), End::Truncated));
 }
 
-/// Most bytes that may be buffered between a server and a caller that reads nothing: by the sockets
-/// on both sides and by the host.
+/// Maximum number of bytes that may be buffered between a server and a caller that reads nothing:
+/// by the sockets on both sides and by the host.
 const MAX_BUFFERED_BYTES: usize = 24 * 1024 * 1024;
 
 #[tokio::test]
