--- a/crates/relay/src/planning.rs
+++ b/crates/relay/src/planning.rs
@@ -26,8 +26,8 @@
 /// Minimum time between two requests for a report to one server.
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Like `REPORT_INTERVAL`, for a server that states a rate limit, which may count requests for
-/// reports.
+/// Like `REPORT_INTERVAL`, for a server that states a rate limit: such a server may count requests
+/// for reports against the limit.
 const LIMITED_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Plans whenever this host holds the lease, until the process ends.
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -141,7 +141,7 @@
 fn parse(object: &Object) -> Option<Vec<Crash>> {
     let stored: StoredCrashes = serde_json::from_value(object.content.clone())
         .inspect_err(
-            |error| log::error!(object = &*object.name; "a quarantine object can't be parsed: {error}"),
+            |error| log::error!(object = &*object.name; "a crash record can't be parsed: {error}"),
         )
         .ok()?;
     let since = Duration::from_millis(unix_ms().saturating_sub(stored.written_ms));
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// A listener can't be bound, or the metrics can't be registered.
+/// A listener can't be bound, the metrics can't be registered, or the exchange can't start.
 pub async fn start(
     settings: Process,
     routed: Routed,
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// A listener can't be bound, or the metrics can't be registered.
+/// A listener can't be bound, the metrics can't be registered, or the exchange can't start.
 pub async fn start_with_clock(
     clock: Clock,
     mut settings: Process,
--- a/crates/relay/tests/answers.rs
+++ b/crates/relay/tests/answers.rs
@@ -49,7 +49,8 @@
 #[case::nothing(String::new(), Ending::Close)]
 #[case::reset(String::new(), Ending::Reset)]
 #[case::reset_without_length(server::head("q") + "\r\nyes", Ending::Reset)]
-#[case::switched(server::head("q").replace("200 OK", "101 Other") + "upgrade: x\r\n\r\n", Ending::Open)]
+#[case::switched(
+    server::head("q").replace("200 OK", "101 Other") + "upgrade: x\r\n\r\n", Ending::Open)]
 #[tokio::test]
 async fn what_is_no_answer_is_unclear(#[case] bytes: String, #[case] ending: Ending) {
     let one = Server::listen("one").await;
