--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Hosts that communicate over loopback sockets.
+//! Exchanges between several hosts over loopback sockets.
 
 use std::{
     net::SocketAddr,
@@ -7,7 +7,7 @@
 };
 
 use exchange::{
-    Config, Entry, Exchange, Registered, Source,
+    Config, Entry, Exchange, ServerListing, Source,
     fleet::{Departure, Liveness, Load, Notice, Publication, Recipients, Revision, State},
 };
 use rstest::rstest;
@@ -17,13 +17,13 @@
 };
 use types::routed::{self, Declaration, Server, Version};
 
-/// Limit of each wait; far longer than any of them takes.
+/// Timeout of each wait; far longer than any of them takes.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
 struct MemorySource {
     declaration: Mutex<Option<Arc<Declaration>>>,
-    registered: Mutex<Registered>,
+    registered: Mutex<ServerListing>,
 }
 
 impl Source for MemorySource {
@@ -32,11 +32,11 @@
         declaration.filter(|declaration| declaration.version > above)
     }
 
-    fn servers(&self, above: Revision) -> Option<Registered> {
+    fn servers(&self, above: Revision) -> Option<ServerListing> {
         self.follow(above).filter(|registered| registered.revision > above)
     }
 
-    fn follow(&self, _: Revision) -> Option<Registered> {
+    fn follow(&self, _: Revision) -> Option<ServerListing> {
         Some(self.registered.lock().expect("no panic").clone())
     }
 }
@@ -145,10 +145,10 @@
     assert_eq!(client.fetch_declaration(address, 0).await.expect("answered"), None);
     let declaration = Declaration { version: 12, ..Declaration::default() };
     *source.declaration.lock().expect("no panic") = Some(Arc::new(declaration.clone()));
-    let registered = Registered {
+    let registered = ServerListing {
         revision: 40,
         servers: vec![entry("i-1"), entry("i-2")],
-        ..Registered::default()
+        ..ServerListing::default()
     };
     *source.registered.lock().expect("no panic") = registered.clone();
     let fetched = client.fetch_declaration(address, 11).await.expect("answered");
@@ -171,7 +171,7 @@
     let peer = Exchange::start(config(0, Vec::new()), source.clone()).await.expect("loopback");
     let servers: Vec<_> = (0..2_000).map(|n| entry(&format!("i-{n:08x}"))).collect();
     *source.registered.lock().expect("no panic") =
-        Registered { revision: 2, servers, ..Registered::default() };
+        ServerListing { revision: 2, servers, ..ServerListing::default() };
     let client = start(1, Vec::new()).await;
     let got = client.fetch_servers(peer.member().address, 1).await.expect("answered");
     assert_eq!(got.map(|got| got.servers.len()), Some(2_000));
@@ -187,8 +187,8 @@
     let listener = TcpListener::bind(loopback()).await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     let source = Arc::new(MemorySource::default());
-    let limit = Duration::from_millis(100);
-    let config = Config { call_limit: limit, ..config(1, Vec::new()) };
+    let call_timeout = Duration::from_millis(100);
+    let config = Config { call_timeout, ..config(1, Vec::new()) };
     let client = Exchange::start(config, source).await.expect("loopback");
     let stalled = async {
         match silence {
@@ -209,7 +209,7 @@
     };
     tokio::select! {
         () = stalled => {}
-        done = tokio::time::timeout(TIMEOUT, calls) => done.expect("given up in time"),
+        done = tokio::time::timeout(TIMEOUT, calls) => done.expect("the calls did not time out"),
     }
 }
 
@@ -275,7 +275,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime.expect("a runtime"), async {
-        let met = tokio::task::spawn_local(async { hosts(2).await.len() });
-        assert_eq!(met.await.expect("no panic"), 2);
+        let live_hosts = tokio::task::spawn_local(async { hosts(2).await.len() });
+        assert_eq!(live_hosts.await.expect("no panic"), 2);
     });
 }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -43,13 +43,13 @@
     pub(crate) body: Incoming,
     pub(crate) end: BodyEnd,
     pub(crate) answer: Answer,
-    pub(crate) flight: Flight,
+    pub(crate) attempt: Attempt,
 }
 
 impl OpenResponse {
     /// Ends the attempt after the body was received completely.
     pub(crate) fn finish(self) {
-        self.flight.finish(self.answer.keep_alive);
+        self.attempt.finish(self.answer.keep_alive);
     }
 }
 
@@ -69,18 +69,24 @@
     Never,
 }
 
-/// An attempt in flight at a server, with its connection.
-pub(crate) struct Flight {
+/// An attempt in flight, with its connection to the server.
+pub(crate) struct Attempt {
     shared: Arc<Shared>,
     pub(crate) server: Arc<Server>,
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     connection: Option<Connection>,
     reuse: Reuse,
 }
 
-impl Flight {
-    fn new(shared: Arc<Shared>, server: Arc<Server>) -> Flight {
-        Flight { shared, server, began: Instant::now(), connection: None, reuse: Reuse::Never }
+impl Attempt {
+    fn new(shared: Arc<Shared>, server: Arc<Server>) -> Attempt {
+        Attempt {
+            shared,
+            server,
+            started_at: Instant::now(),
+            connection: None,
+            reuse: Reuse::Never,
+        }
     }
 
     /// Returns the connection to the pool after a complete response, if it may be reused.
@@ -106,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// The error states whether the request may have been executed.
+/// The attempt failed; the value states whether the request may have been executed.
 pub(crate) async fn begin(
     shared: &Arc<Shared>,
     server: &Arc<Server>,
@@ -114,12 +120,12 @@
     options: &ForwardOptions<'_>,
 ) -> Result<ResponseStart, AttemptEnd> {
     let buffered = &call.request;
-    let mut flight = Flight::new(shared.clone(), server.clone());
+    let mut attempt = Attempt::new(shared.clone(), server.clone());
     let mut connection = match idle_connection(shared, server).await {
         Some(connection) => connection,
         None => connect::open(server.address).await.map_err(|error| unreachable(&error))?,
     };
-    call.trace.connected(flight.began.elapsed());
+    call.trace.connected(attempt.started_at.elapsed());
     let sent_at = shared.now();
     shared.dispatcher().sent(buffered.ticket, sent_at);
     let request = request(shared, buffered, options);
@@ -132,8 +138,8 @@
         None => AttemptEnd::Unclear(Unclear::Cut),
     })?;
     let (head, body) = response.into_parts();
-    flight.reuse = reuse(&head, &connection);
-    flight.connection = Some(connection);
+    attempt.reuse = reuse(&head, &connection);
+    attempt.connection = Some(connection);
     let answer = shared.dialect.answer(head.status, &head.headers);
     if let Some([running, waiting, slots]) = answer.load {
         shared.dispatcher().server_load(&server.id, running, waiting, slots, shared.now());
@@ -145,14 +151,14 @@
     }
     validated?;
     let end = body_end(&head.headers, &body);
-    Ok(ResponseStart { head, response: OpenResponse { body, end, answer, flight } })
+    Ok(ResponseStart { head, response: OpenResponse { body, end, answer, attempt } })
 }
 
 /// Returns a pooled connection that shows no sign of being closed.
 async fn idle_connection(shared: &Shared, server: &Server) -> Option<Connection> {
     while let Some(connection) = shared.pool.take(shared.now(), &server.id, server.address) {
-        // Lets the connection's task first read what has arrived since: an end of the stream, or
-        // bytes that belong to no request.
+        // Lets the connection's task first read what arrived while the connection was idle: an end
+        // of the stream, or bytes that belong to no request.
         yield_now().await;
         if connection.sender.is_ready() {
             return Some(connection);
@@ -189,8 +195,8 @@
     }
 }
 
-/// Checks that a response belongs to this request and was made by the server, and whether the
-/// server states that it did not execute the request.
+/// Checks that a response belongs to this request, that the server itself made it, and that it does
+/// not state that the request was not executed.
 fn validate(
     info: &RequestInfo,
     server: &Server,
@@ -217,13 +223,13 @@
     Ok(())
 }
 
-/// Returns whether a response with this result of `validate` was made by the server, for this
-/// request.
+/// Returns whether the server itself made the response to this request, by the result of
+/// [`validate`].
 fn is_genuine(validated: &Result<(), AttemptEnd>) -> bool {
     matches!(validated, Ok(()) | Err(AttemptEnd::NotRun(NotRun::Full | NotRun::NotHeld)))
 }
 
-/// Returns why a server did not execute a request.
+/// Returns why a server did not execute a request, for a response that states so.
 fn not_run(server: &Server, status: StatusCode, answer: &Answer) -> NotRun {
     if status != StatusCode::MISDIRECTED_REQUEST {
         return NotRun::Full;
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    attempt::{self, AttemptEnd, BufferedRequest, Flight, ResponseStart},
+    attempt::{self, Attempt, AttemptEnd, BufferedRequest, ResponseStart},
     edge::{ForwardOptions, Problem},
     host::{OpenGuard, Shared},
     trace::{self, Trace},
@@ -31,11 +31,12 @@
 /// Time after which a caller may retry, at another host, if this one is about to stop.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 
-/// Interval at which a request at a silent server looks for another server, after none was found.
+/// Interval at which another server is sought for a request at a silent server, after none was
+/// found.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Priority of all requests at a server. Urgent requests go first in this host's queue; at a server
-/// they would preempt running requests, whose prompts would have to be read again.
+/// Priority of all requests at a server. Urgent requests go first in this host's queue only: at a
+/// server they would preempt running requests, whose prompts would have to be processed again.
 const SERVER_PRIORITY: u8 = 5;
 
 /// A request that was parsed and matched to a route.
@@ -44,7 +45,8 @@
     pub(crate) route: Route,
     pub(crate) service: service::Id,
     pub(crate) received: Moment,
-    pub(crate) limit: Duration,
+    /// Time from the arrival of the request to its deadline.
+    pub(crate) timeout: Duration,
     pub(crate) fingerprint: dispatch::Fingerprint,
     pub(crate) handle: DispatchHandle,
     pub(crate) trace: Trace,
@@ -61,26 +63,27 @@
         open: OpenGuard,
         trace: Trace,
     ) -> Call {
-        let limit =
+        let timeout =
             request.info.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let handle = DispatchHandle {
             shared: shared.clone(),
             ticket: request.ticket,
-            closed: AtomicBool::new(true),
+            has_ended: AtomicBool::new(true),
             sent: AtomicBool::new(false),
         };
-        Call { request, route, service, received, limit, fingerprint, handle, trace, _open: open }
+        Call { request, route, service, received, timeout, fingerprint, handle, trace, _open: open }
     }
 
     /// Returns the request's deadline.
-    pub(crate) fn end(&self) -> Moment {
-        self.received + self.limit
+    pub(crate) fn deadline(&self) -> Moment {
+        self.received + self.timeout
     }
 
-    pub(crate) fn left(&self, shared: &Shared) -> Duration {
-        self.end().saturating_sub(shared.now())
+    pub(crate) fn time_left(&self, shared: &Shared) -> Duration {
+        self.deadline().saturating_sub(shared.now())
     }
 
+    /// Returns whether the request may be executed more than once.
     pub(crate) fn may_repeat(&self) -> bool {
         match self.route.kind {
             Kind::Idempotent => true,
@@ -98,7 +101,7 @@
             model: info.model.clone(),
             adapter: info.adapter.clone(),
             repeat: self.route.kind,
-            deadline: self.limit,
+            deadline: self.timeout,
         };
         self.trace.arrived(&self.route, arrival);
     }
@@ -123,16 +126,16 @@
         match self.handle.retry(end) {
             dispatch::RetryDecision::Send(server) => self.server(shared, &server).await,
             dispatch::RetryDecision::Wait => {
-                self.trace.queued("again", self.left(shared));
+                self.trace.queued("again", self.time_left(shared));
                 self.wait(shared).await
             }
             dispatch::RetryDecision::Missing { model, adapter } => {
-                self.trace.queued("missing", self.left(shared));
+                self.trace.queued("missing", self.time_left(shared));
                 shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             dispatch::RetryDecision::GiveUp(Answer::NotRun { cause, after }) => {
-                self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
+                self.trace.refused(trace::refusal(cause), self.time_left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
             dispatch::RetryDecision::GiveUp(Answer::Server | Answer::Unclear) => {
@@ -141,15 +144,15 @@
         }
     }
 
-    /// Runs an attempt. If the server is silent for `patience`, the request leaves it, but only if
-    /// another server takes the request at once.
+    /// Runs an attempt. If the server is silent for `silence_timeout`, the request moves to another
+    /// server, but only if one can take it at once.
     pub(crate) async fn attempt<T>(
         &self,
-        patience: Duration,
+        silence_timeout: Duration,
         attempt: impl Future<Output = Result<T, AttemptEnd>>,
     ) -> Result<T, AttemptFailure> {
         let mut attempt = pin!(attempt);
-        let mut pause = patience;
+        let mut pause = silence_timeout;
         loop {
             select! {
                 biased;
@@ -158,13 +161,14 @@
                 () = sleep(pause) => {}
             }
             if let Some(server) = self.leave() {
-                return Err(AttemptFailure::Left(server));
+                return Err(AttemptFailure::Moved(server));
             }
             pause = LEAVE_RETRY_INTERVAL;
         }
     }
 
-    /// Leaves a silent server if another server takes the request.
+    /// Moves the request from a silent server to another one, if one can take it now. Returns the
+    /// other server.
     pub(crate) fn leave(&self) -> Option<backend::Id> {
         let server = self.handle.leave_for_another()?;
         self.trace.attempt_ended(AttemptEnd::Unclear(Unclear::Silent), None);
@@ -179,11 +183,11 @@
     pub(crate) async fn server_after(
         &self,
         shared: &Shared,
-        end: AttemptFailure,
+        failure: AttemptFailure,
     ) -> Result<Arc<Server>, Problem> {
-        match end {
+        match failure {
             AttemptFailure::Failed(failed) => self.next_server(shared, failed).await,
-            AttemptFailure::Left(server) => self.server(shared, &server).await,
+            AttemptFailure::Moved(server) => self.server(shared, &server).await,
         }
     }
 
@@ -194,7 +198,7 @@
         server: &Arc<Server>,
         after: Option<u64>,
     ) -> Result<ResponseStart, AttemptEnd> {
-        let left = self.left(shared);
+        let left = self.time_left(shared);
         self.trace.sent(server, after, left);
         let options = ForwardOptions {
             server: &server.name,
@@ -203,11 +207,11 @@
             resume: after.or(self.request.info.resume),
         };
         self.handle.sent.store(true, Ordering::Relaxed);
-        let begun = attempt::begin(shared, server, self, &options).await;
-        if let Err(AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_)) = begun {
+        let start = attempt::begin(shared, server, self, &options).await;
+        if let Err(AttemptEnd::NotRun(_) | AttemptEnd::Unreachable(_)) = start {
             self.handle.sent.store(false, Ordering::Relaxed);
         }
-        begun
+        start
     }
 
     /// Returns the problem to report after the deadline has passed.
@@ -227,39 +231,39 @@
         match verdict {
             Verdict::Send(server) => self.server(shared, &server).await,
             Verdict::Wait => {
-                self.trace.queued("full", self.left(shared));
+                self.trace.queued("full", self.time_left(shared));
                 self.wait(shared).await
             }
             Verdict::Missing { model, adapter } => {
-                self.trace.queued("missing", self.left(shared));
+                self.trace.queued("missing", self.time_left(shared));
                 shared.request_missing(&self.service, &model, adapter.as_ref());
                 self.wait(shared).await
             }
             Verdict::Refuse { cause, after } => {
-                self.handle.close();
-                self.trace.refused(trace::refusal(cause), self.left(shared), Some(after));
+                self.handle.mark_ended();
+                self.trace.refused(trace::refusal(cause), self.time_left(shared), Some(after));
                 Err(Problem::NotRun(after))
             }
             Verdict::Quarantined => {
-                self.handle.close();
-                self.trace.refused(Refusal::Poison, self.left(shared), None);
+                self.handle.mark_ended();
+                self.trace.refused(Refusal::Poison, self.time_left(shared), None);
                 Err(Problem::Unclear)
             }
-            // A waiting request has no server to leave, so `Leave` is not expected.
+            // `Leave` is not expected, as a waiting request has no server.
             Verdict::Unclear | Verdict::Leave => {
-                self.handle.close();
+                self.handle.mark_ended();
                 Err(Problem::Unclear)
             }
         }
     }
 
     /// Refuses the request because this host is about to stop.
-    fn stopping(&self, shared: &Shared) -> Problem {
-        self.trace.refused(Refusal::Stopping, self.left(shared), Some(RETRY_ELSEWHERE_AFTER));
+    fn refuse_stopping(&self, shared: &Shared) -> Problem {
+        self.trace.refused(Refusal::Stopping, self.time_left(shared), Some(RETRY_ELSEWHERE_AFTER));
         Problem::NotRun(RETRY_ELSEWHERE_AFTER)
     }
 
-    /// Returns the chosen server, or another one if it has been removed meanwhile.
+    /// Returns the chosen server, or another one if the chosen one has been removed meanwhile.
     async fn server(&self, shared: &Shared, id: &backend::Id) -> Result<Arc<Server>, Problem> {
         match shared.server(id) {
             Some(server) => {
@@ -285,13 +289,13 @@
         };
         match verdict {
             Some(verdict) => Box::pin(self.apply_verdict(shared, verdict)).await,
-            None => Err(self.stopping(shared)),
+            None => Err(self.refuse_stopping(shared)),
         }
     }
 
     fn spec(&self) -> dispatch::RequestSpec {
         let info = &self.request.info;
-        let deadline = self.received + self.limit;
+        let deadline = self.received + self.timeout;
         let mut spec =
             dispatch::RequestSpec::new(self.request.ticket, &self.route, &self.service, deadline);
         spec.fingerprint = self.fingerprint;
@@ -307,10 +311,10 @@
 
 /// Why an attempt yielded no response.
 pub(crate) enum AttemptFailure {
-    /// The attempt failed.
+    /// The attempt ended without a response that can be delivered.
     Failed(AttemptEnd),
-    /// The server was silent, and this other server takes the request.
-    Left(backend::Id),
+    /// The server was silent, and the request moves to this other server.
+    Moved(backend::Id),
 }
 
 /// A request's handle in the dispatcher. Dropping it ends the request there as cancelled, unless it
@@ -318,7 +322,8 @@
 pub(crate) struct DispatchHandle {
     shared: Arc<Shared>,
     ticket: Ticket,
-    closed: AtomicBool,
+    /// Whether the request has ended in the dispatcher, or has not arrived there yet.
+    has_ended: AtomicBool,
     /// Whether a byte of the request may have reached a server that has not stated that it did not
     /// execute the request.
     sent: AtomicBool,
@@ -332,16 +337,16 @@
         self.shared.dispatch_wakeup.notify_one();
     }
 
-    /// Reports how the request ended, once.
+    /// Reports how the request ended, unless its end is known to the dispatcher.
     pub(crate) fn end(&self, end: AttemptEnd) {
-        if !self.closed.swap(true, Ordering::Relaxed) {
+        if !self.has_ended.swap(true, Ordering::Relaxed) {
             self.shared.dispatcher().ended(self.ticket, end, self.shared.now());
             self.shared.dispatch_wakeup.notify_one();
         }
     }
 
     fn arrive(&self, spec: dispatch::RequestSpec) -> Verdict {
-        self.closed.store(false, Ordering::Relaxed);
+        self.has_ended.store(false, Ordering::Relaxed);
         let verdict = self.shared.dispatcher().arrive(spec, self.shared.now());
         if matches!(verdict, Verdict::Wait | Verdict::Missing { .. }) {
             self.shared.dispatch_wakeup.notify_one();
@@ -353,7 +358,7 @@
         let decision = self.shared.dispatcher().attempt_failed(self.ticket, end, self.shared.now());
         self.shared.dispatch_wakeup.notify_one();
         if matches!(decision, dispatch::RetryDecision::GiveUp(_)) {
-            self.close();
+            self.mark_ended();
         }
         decision
     }
@@ -363,7 +368,7 @@
         self.shared.dispatcher().delivered(self.ticket, event, self.shared.now());
     }
 
-    /// Moves the request from a silent server to another one, if one can take it now.
+    /// Asks the dispatcher for another server that can take the request from a silent one now.
     fn leave_for_another(&self) -> Option<backend::Id> {
         let server = self.shared.dispatcher().leave(self.ticket, self.shared.now())?;
         self.shared.dispatch_wakeup.notify_one();
@@ -375,9 +380,9 @@
         self.shared.wait_for_verdict(self.ticket)
     }
 
-    /// Notes that the dispatcher has ended the request by itself.
-    fn close(&self) {
-        self.closed.store(true, Ordering::Relaxed);
+    /// Records that the dispatcher has ended the request by itself.
+    fn mark_ended(&self) {
+        self.has_ended.store(true, Ordering::Relaxed);
     }
 }
 
@@ -401,9 +406,9 @@
 pub(crate) type Resuming = BoxFuture<'static, Result<ResponseStart, Problem>>;
 
 impl Resumer {
-    /// Leaves a silent server if another server takes the stream.
+    /// Moves the stream from a silent server to another one, if one can take it now.
     pub(crate) fn leave(&self) -> Option<AttemptFailure> {
-        self.call.leave().map(AttemptFailure::Left)
+        self.call.leave().map(AttemptFailure::Moved)
     }
 
     /// Returns the time that a server has for its first event.
@@ -411,19 +416,20 @@
         attempt_timeout::first_event(self.call.route.goal)
     }
 
-    /// Resumes the stream after an event, once the connection to the previous server is closed.
+    /// Resumes the stream after the event `after`, once the connection to the previous server is
+    /// closed.
     pub(crate) fn start(
         &self,
-        before: Option<Flight>,
+        previous: Option<Attempt>,
         after: Option<u64>,
-        end: AttemptFailure,
+        failure: AttemptFailure,
     ) -> Resuming {
         let (shared, call) = (self.shared.clone(), self.call.clone());
         async move {
-            if let Some(flight) = before {
-                flight.close().await;
+            if let Some(attempt) = previous {
+                attempt.close().await;
             }
-            resume(&shared, &call, after, end).await
+            resume(&shared, &call, after, failure).await
         }
         .boxed()
     }
@@ -433,14 +439,14 @@
     shared: &Arc<Shared>,
     call: &Call,
     after: Option<u64>,
-    end: AttemptFailure,
+    failure: AttemptFailure,
 ) -> Result<ResponseStart, Problem> {
-    let mut end = end;
-    let patience = attempt_timeout::first_event(call.route.goal);
+    let mut failure = failure;
+    let silence_timeout = attempt_timeout::first_event(call.route.goal);
     loop {
-        let server = call.server_after(shared, end).await?;
-        end = match call.attempt(patience, call.send(shared, &server, after)).await {
-            Ok(begun) if begun.head.status.is_success() => return Ok(begun),
+        let server = call.server_after(shared, failure).await?;
+        failure = match call.attempt(silence_timeout, call.send(shared, &server, after)).await {
+            Ok(start) if start.head.status.is_success() => return Ok(start),
             Ok(_) => AttemptFailure::Failed(AttemptEnd::ServerError),
             Err(ended) => ended,
         };
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -16,7 +16,7 @@
 /// Maximum size of a head that is read, in bytes. The declared limit is checked afterwards.
 const MAX_HEAD_BYTES: usize = 128 * 1024;
 
-/// Serves callers until `stop` is cancelled, and returns when the last connection has ended.
+/// Serves callers until `stop` is cancelled, and returns once the last connection has ended.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener, stop: CancellationToken) {
     let connections = TaskTracker::new();
     loop {
@@ -52,6 +52,6 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("a caller's connection failed: {error}");
     }
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -2,17 +2,16 @@
 //!
 //! Changes of the servers come from the store and from peers. Both are ordered by the store's
 //! revisions: the directory is complete up to [`Directory::revision`], each entry has the revision
-//! at which it was written, and older information never replaces newer. An entry that was removed
-//! from the store is therefore not restored by a peer that receives the removal later, and an entry
-//! that was rewritten is not removed by a peer that is behind. No list of removed entries is
-//! needed.
+//! at which it was written, and older information never replaces newer. The list of a peer that has
+//! not received a removal yet therefore does not restore the entry, and that of a peer that has not
+//! received a rewritten entry does not remove it. No list of removed entries is needed.
 
 use std::{
     collections::{HashMap, HashSet},
     sync::Arc,
 };
 
-use exchange::{Registered, Suspect};
+use exchange::{ServerListing, Suspect};
 use types::{
     prelude::*,
     routed::{Held, Server, State},
@@ -68,7 +67,7 @@
         self.revision
     }
 
-    /// Notes that all changes up to a revision are included.
+    /// Records that all changes up to a revision are included.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
@@ -130,7 +129,7 @@
         0 < removed && self.entries.get(id).is_some_and(|entry| removed < entry.written)
     }
 
-    /// Notes that a server is leaving, as reported by a peer for a store revision.
+    /// Records that a server is leaving, as a peer reports as of a store revision.
     pub fn mark_leaving(&mut self, id: &backend::Id, revision: Revision) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.left_at = entry.left_at.max(Some(revision));
@@ -152,8 +151,8 @@
         }
     }
 
-    /// Returns whether a server's entry was removed and not written again, whatever other sources
-    /// say of the server.
+    /// Returns whether a server's entry was removed and not written again. Reports of the server
+    /// itself do not change this.
     pub fn is_suspect(&self, id: &backend::Id) -> bool {
         self.entries.get(id).is_some_and(|entry| entry.presence != Presence::Registered)
     }
@@ -167,12 +166,12 @@
         }
     }
 
-    /// Returns the list for a peer that knows all entries written up to a revision: the registered
-    /// servers, as confirmed by the store `age` ago, and which others are suspected. A peer that
+    /// Returns the list for a peer that knows all entries written up to the revision `above`: the
+    /// registered servers, as confirmed by the store `age` ago, and the suspected ones. A peer that
     /// uses a suspected server keeps it for its remaining time; a peer that does not know the
     /// server does not add it.
-    pub fn registered(&self, above: Revision, age: Duration, now: Moment) -> Registered {
-        let mut list = Registered { revision: self.revision, age, ..Registered::default() };
+    pub fn listing_for_peer(&self, above: Revision, age: Duration, now: Moment) -> ServerListing {
+        let mut list = ServerListing { revision: self.revision, age, ..ServerListing::default() };
         for (id, entry) in &self.entries {
             if let Presence::Suspect { until } = entry.presence {
                 let left = until.saturating_sub(now);
@@ -190,7 +189,7 @@
 
     /// Compares the store's list with the directory. The difference is empty if a peer has sent a
     /// later list meanwhile.
-    pub fn diff_store_list(&self, list: Registered) -> Delta {
+    pub fn diff_store_list(&self, list: ServerListing) -> Delta {
         if list.revision < self.revision {
             return Delta::default();
         }
@@ -200,11 +199,11 @@
     /// Compares a peer's list with the directory. The difference is empty if the list is not newer
     /// than the directory.
     ///
-    /// An entry that was written up to the directory's revision is either known here as it is, or
-    /// was removed since, and is ignored. Without this check, a host that had removed a server took
-    /// it back for good from a peer that still used the server, since the store reports a removal
-    /// once.
-    pub fn diff_peer_list(&self, list: Registered) -> Delta {
+    /// An entry that was written up to the directory's revision is ignored: the directory either
+    /// has it already or has seen its removal. Without this check, a host that had removed a server
+    /// took it back for good from a peer that still used the server, since the store reports a
+    /// removal once.
+    pub fn diff_peer_list(&self, list: ServerListing) -> Delta {
         if list.revision <= self.revision {
             return Delta::default();
         }
@@ -225,7 +224,7 @@
 
     /// Returns the servers that a list does not contain as registered and that were not written
     /// after the list was made.
-    fn unlisted(&self, list: &Registered) -> Vec<backend::Id> {
+    fn unlisted(&self, list: &ServerListing) -> Vec<backend::Id> {
         let listed: HashSet<&backend::Id> = list.ids.iter().collect();
         let is_gone = |(id, entry): &(&backend::Id, &Entry)| {
             !listed.contains(id) && entry.written <= list.revision
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -8,7 +8,7 @@
 };
 
 use exchange::{
-    Exchange, Registered, Source,
+    Exchange, ServerListing, Source,
     fleet::{
         Departure, Envelope, Lease, Notice, Publication, Reachability, Recipients, Revision,
         Snapshot, State, StoreStatus,
@@ -37,15 +37,18 @@
 /// a peer.
 const BEHIND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Counters that this host publishes to its peers, and its view of their progress.
+/// Counters that this host publishes to its peers, and the state of the tasks that exchange data
+/// with them.
 #[derive(Default)]
 pub(crate) struct Counts {
     /// Number of callers' requests, by service.
     arrivals: BTreeMap<service::Id, u64>,
-    /// The last revision known here when peers were first seen ahead of it, and the time of that.
+    /// Store revision known here when peers were first found to know a later one, and when that
+    /// was; `None` while no peer knows a later one.
     behind: Option<(Revision, Moment)>,
     /// Whether rate limits were published in the last round.
     published_limits: bool,
+    /// When a notice that requests wait for a model or adapter was last sent.
     load_requests: HashMap<(model::Id, Option<adapter::Id>), Moment>,
 }
 
@@ -54,8 +57,8 @@
         *self.arrivals.entry(service.clone()).or_default() += 1;
     }
 
-    /// Returns whether a notice is due that requests wait for a model or adapter, and if so counts
-    /// it as sent.
+    /// Returns whether a notice is due that requests wait for a model or adapter, and if so records
+    /// it as sent now.
     pub(crate) fn load_request_is_due(
         &mut self,
         model: &model::Id,
@@ -71,13 +74,13 @@
         is_due
     }
 
-    /// Returns whether peers have known a later change of the servers for at least `patience`, and
+    /// Returns whether peers have known a later change of the servers for at least `timeout`, and
     /// no change has arrived here.
     fn is_behind(
         &mut self,
         revision: Revision,
         snapshot: &Snapshot,
-        patience: Duration,
+        timeout: Duration,
         now: Moment,
     ) -> bool {
         if snapshot.store.revision <= revision {
@@ -85,7 +88,7 @@
             return false;
         }
         match self.behind {
-            Some((known, since)) if known == revision => since + patience <= now,
+            Some((known, since)) if known == revision => since + timeout <= now,
             Some(_) | None => {
                 self.behind = Some((revision, now));
                 false
@@ -94,7 +97,7 @@
     }
 }
 
-/// Answers calls of peers.
+/// Source of the data that peers fetch from this host.
 pub(crate) struct PeerSource(pub(crate) Weak<Shared>);
 
 impl Source for PeerSource {
@@ -102,18 +105,18 @@
         self.0.upgrade()?.declaration().filter(|declaration| above < declaration.version)
     }
 
-    fn servers(&self, above: Revision) -> Option<Registered> {
+    fn servers(&self, above: Revision) -> Option<ServerListing> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_newer = above < directory.revision();
-        is_newer.then(|| directory.registered(above, shared.servers_age(), shared.now()))
+        is_newer.then(|| directory.listing_for_peer(above, shared.servers_age(), shared.now()))
     }
 
-    fn follow(&self, above: Revision) -> Option<Registered> {
+    fn follow(&self, above: Revision) -> Option<ServerListing> {
         let shared = self.0.upgrade()?;
         let directory = shared.directory();
         let is_known = 0 < directory.revision();
-        is_known.then(|| directory.registered(above, shared.servers_age(), shared.now()))
+        is_known.then(|| directory.listing_for_peer(above, shared.servers_age(), shared.now()))
     }
 }
 
@@ -129,13 +132,14 @@
         let snapshot = exchange.fleet();
         report_liveness(&shared, &snapshot, &mut standings);
         apply(&shared, &snapshot, &work);
-        repeat_missing(&shared);
+        report_missing(&shared);
         catch_up(&shared, &exchange, &snapshot).await;
         sleep(ROUND_INTERVAL.max(exchange.interval())).await;
     }
 }
 
-/// Reports which peers are heard from and which have fallen silent since the last call.
+/// Logs each peer that was heard from for the first time or again, or that has fallen silent, since
+/// the last call.
 fn report_liveness(
     shared: &Shared,
     snapshot: &Snapshot,
@@ -248,8 +252,8 @@
     shared.set_in_flight(&running, &mut shared.planner());
 }
 
-/// Repeats what requests wait for.
-fn repeat_missing(shared: &Shared) {
+/// Reports the models and adapters that requests still wait for.
+fn report_missing(shared: &Shared) {
     let missing = shared.dispatcher().missing();
     for (service, model, adapter, _) in missing {
         shared.request_missing(&service, &model, adapter.as_ref());
@@ -262,13 +266,13 @@
     if let Some(ahead) = snapshot.ahead(&shared.host.zone, version).first() {
         fetch_declaration(shared, exchange, ahead.member.address, &ahead.member.id, version).await;
     }
-    // A host whose store responds waits for several changes before it fetches them, and is behind
-    // its peers meanwhile.
+    // While the store responds, this host fetches several changes at once and is behind its peers
+    // until then.
     let gather =
         if shared.store.is_degraded() { Duration::ZERO } else { shared.gather_among(snapshot) };
-    let patience = BEHIND_TIMEOUT + gather;
+    let timeout = BEHIND_TIMEOUT + gather;
     let is_behind =
-        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, patience, shared.now());
+        |counts: &mut Counts| counts.is_behind(shared.revision(), snapshot, timeout, shared.now());
     if !counts(shared, is_behind) {
         return;
     }
@@ -276,7 +280,7 @@
         && let Ok(Some(list)) =
             exchange.fetch_servers(ahead.member.address, shared.revision()).await
     {
-        shared.take_servers(list, &ahead.member.id);
+        shared.apply_peer_servers(list, &ahead.member.id);
     }
 }
 
@@ -330,7 +334,7 @@
                 shared.apply_departure(&server, departure, revision, &from);
             }
             Notice::DeclarationInForce { version } => {
-                // The receiver lives until the process ends.
+                // Never fails, as the receiver lives until the process ends.
                 let _ = declared.send((version, received.via));
             }
             Notice::LimitChanged { server, limit } => {
@@ -368,10 +372,10 @@
     mut declared: UnboundedReceiver<(Version, SocketAddr)>,
 ) {
     while let Some((version, via)) = declared.recv().await {
-        let held = shared.declaration().map_or(0, |declaration| declaration.version);
-        if held < version {
+        let known = shared.declaration().map_or(0, |declaration| declaration.version);
+        if known < version {
             let peer = peer_at(&exchange, via);
-            fetch_declaration(&shared, &exchange, via, &peer, held).await;
+            fetch_declaration(&shared, &exchange, via, &peer, known).await;
         }
     }
 }
@@ -395,7 +399,7 @@
     }
 }
 
-fn counts<T>(shared: &Shared, use_it: impl FnOnce(&mut Counts) -> T) -> T {
+fn counts<T>(shared: &Shared, access: impl FnOnce(&mut Counts) -> T) -> T {
     let counts: &Mutex<Counts> = &shared.counts;
-    use_it(&mut counts.lock().unwrap_or_else(PoisonError::into_inner))
+    access(&mut counts.lock().unwrap_or_else(PoisonError::into_inner))
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Storage of the requests that crash servers.
 //!
-//! Hosts send each other their records of crashes, which survive the loss of any host but not of
-//! all at once. Each refused request therefore also has an object in the store, named by the
+//! Hosts send each other their records of crashes, so the records survive the loss of any host but
+//! not of all at once. Each refused request therefore also has an object in the store, named by the
 //! request's fingerprint, which hosts read when they start and at intervals. The object is written
 //! by a host that saw one of the crashes; the holder of the lease on orders writes it for hosts
 //! that ended before they could.
@@ -22,7 +22,7 @@
 use types::time::Moment;
 
 use crate::{
-    edge::{Call, Kind, Object, StoreReply},
+    edge::{Kind, Object, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -39,9 +39,9 @@
 /// writes it.
 const WITNESS_GRACE: Duration = Duration::from_secs(2);
 
-/// Content of a stored object.
+/// Content of a stored object: the crashes that one request caused.
 #[derive(Debug, Deserialize, Serialize)]
-struct Stored {
+struct StoredCrashes {
     crashes: Vec<Crash>,
     /// Time of writing, in milliseconds of Unix time.
     written_ms: u64,
@@ -75,10 +75,10 @@
 /// Merges the stored crashes into the dispatcher's. Returns whether the store could be read.
 async fn read(shared: &Shared, view: &mut StoreView) -> bool {
     let Some(page) = shared.store.list(Kind::Quarantine).await else { return false };
-    let readable = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
-    let objects: Vec<(Fingerprint, Vec<Crash>)> =
-        page.objects.iter().filter_map(readable).collect();
-    // An object that can't be parsed is not recorded here, so that this host does not remove it.
+    let parsed = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
+    let objects: Vec<(Fingerprint, Vec<Crash>)> = page.objects.iter().filter_map(parsed).collect();
+    // An object that can't be parsed is not recorded as stored, so that this host does not remove
+    // it.
     view.stored = objects.iter().map(|(request, _)| *request).collect();
     let crashes: Vec<Crash> = objects.into_iter().flat_map(|(_, crashes)| crashes).collect();
     shared.dispatcher().poison_mut().merge(&crashes, shared.now());
@@ -94,8 +94,8 @@
     for (crashes, is_own) in &refused {
         let Some(request) = crashes.first().map(|crash| crash.request) else { continue };
         let youngest = crashes.iter().map(|crash| crash.age).min().unwrap_or_default();
-        let is_ours = *is_own || (is_holder && WITNESS_GRACE <= youngest);
-        if is_ours && !view.stored.contains(&request) {
+        let must_write = *is_own || (is_holder && WITNESS_GRACE <= youngest);
+        if must_write && !view.stored.contains(&request) {
             if !create(shared, request, crashes).await {
                 return false;
             }
@@ -105,9 +105,9 @@
     let is_refused = |request: &Fingerprint| {
         refused.iter().flat_map(|(crashes, _)| crashes.first()).any(|c| c.request == *request)
     };
-    let over: Vec<Fingerprint> =
+    let obsolete: Vec<Fingerprint> =
         view.stored.iter().filter(|request| !is_refused(request)).copied().collect();
-    for request in over.into_iter().filter(|_| is_holder) {
+    for request in obsolete.into_iter().filter(|_| is_holder) {
         if !remove(shared, request).await {
             return false;
         }
@@ -117,18 +117,18 @@
 }
 
 async fn create(shared: &Shared, request: Fingerprint, crashes: &[Crash]) -> bool {
-    let stored = Stored { crashes: crashes.to_vec(), written_ms: unix_ms() };
+    let stored = StoredCrashes { crashes: crashes.to_vec(), written_ms: unix_ms() };
     let Ok(content) = serde_json::to_value(&stored) else { return true };
     let name = name(request);
-    let call = Call::Create { kind: Kind::Quarantine, name: &name, content: &content };
+    let call = StoreCall::Create { kind: Kind::Quarantine, name: &name, content: &content };
     matches!(shared.store.call(&call).await, StoreReply::Object(_) | StoreReply::Conflict(_))
 }
 
 async fn remove(shared: &Shared, request: Fingerprint) -> bool {
     let (kind, name) = (Kind::Quarantine, name(request));
-    match shared.store.call(&Call::Get { kind, name: &name }).await {
+    match shared.store.call(&StoreCall::Get { kind, name: &name }).await {
         StoreReply::Object(object) => {
-            let call = Call::Delete { kind, name: &name, revision: object.revision };
+            let call = StoreCall::Delete { kind, name: &name, revision: object.revision };
             matches!(shared.store.call(&call).await, StoreReply::Absent | StoreReply::Object(_))
         }
         StoreReply::Absent => true,
@@ -139,9 +139,9 @@
 /// Returns the crashes in an object, with their ages as of now; `None` if the object can't be
 /// parsed.
 fn parse(object: &Object) -> Option<Vec<Crash>> {
-    let stored: Stored = serde_json::from_value(object.content.clone())
+    let stored: StoredCrashes = serde_json::from_value(object.content.clone())
         .inspect_err(
-            |error| log::error!(object = &*object.name; "a quarantine can't be read: {error}"),
+            |error| log::error!(object = &*object.name; "a crash record can't be parsed: {error}"),
         )
         .ok()?;
     let since = Duration::from_millis(unix_ms().saturating_sub(stored.written_ms));
@@ -154,7 +154,7 @@
     format!("{request:016x}")
 }
 
-/// Returns the request that an object's name stands for.
+/// Returns the request whose object has this name; `None` if no request's object has it.
 fn parse_name(name: &str) -> Option<Fingerprint> {
     let is_name = name.len() == 16;
     is_name.then(|| Fingerprint::from_str_radix(name, 16).ok()).flatten()
@@ -180,13 +180,13 @@
             state,
             crashes: u32::try_from(crashes.len()).unwrap_or(u32::MAX),
             server: last.map(|crash| crash.server.clone()),
-            evidence: crashes.iter().map(seen).collect(),
+            evidence: crashes.iter().map(observed_crash).collect(),
         });
     }
 }
 
 /// Converts a crash to its log entry.
-fn seen(crash: &Crash) -> ObservedCrash {
+fn observed_crash(crash: &Crash) -> ObservedCrash {
     let role = match crash.isolation {
         Isolation::Shared => "beside others",
         Isolation::Isolated => "apart",
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -12,7 +12,6 @@
 
 use crate::{connect, host::Shared};
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Serves readiness probes and metrics until the process ends.
@@ -39,8 +38,8 @@
         return metrics(shared);
     }
     let mut response = Response::new(Full::default());
-    let is_asked = request.uri().path() == shared.dialect.ready_path();
-    *response.status_mut() = match (is_asked, shared.is_ready()) {
+    let is_probe = request.uri().path() == shared.dialect.ready_path();
+    *response.status_mut() = match (is_probe, shared.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -23,19 +23,19 @@
     planning, quarantine, ready, registration, retries, watch, workload,
 };
 
-/// Fraction of the grace period after which requests in flight are abandoned.
+/// Fraction of a planned stop's grace period after which requests in flight are abandoned.
 const FINISH_FRACTION: f64 = 0.93;
 
 /// Fraction of the grace period after which requests that still wait for a server are refused.
 const WAIT_FRACTION: f64 = 0.7;
 
-/// Time for the load balancer to notice that this host is not ready.
+/// Time that the load balancer has to notice that this host is not ready.
 const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
-/// Maximum interval between two rounds of the dispatcher's queues.
+/// Maximum interval at which the dispatcher's queues are advanced.
 const PUMP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two rounds of the queues above which the machine may have been suspended.
+/// Time between two advances of the queues above which the machine may have been suspended.
 const JUMP_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Interval between sweeps of idle connections.
@@ -45,9 +45,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener's address can't be bound.
-    #[error("listener for {role} at {address}: {cause}")]
+    #[error("can't bind the listener for {role} at {address}: {cause}")]
     Bind {
-        /// Users of the listener.
+        /// Who connects to the listener: callers or operators.
         role: &'static str,
         /// The address in the settings.
         address: SocketAddr,
@@ -58,7 +58,7 @@
     #[error(transparent)]
     Metrics(#[from] observe::metrics::Error),
     /// The exchange with the other hosts can't start.
-    #[error("exchange with the other hosts: {0}")]
+    #[error("can't start the exchange with the other hosts: {0}")]
     Exchange(#[from] exchange::Error),
 }
 
@@ -74,21 +74,21 @@
 ///
 /// # Errors
 ///
-/// If a listener can't be bound.
+/// A listener can't be bound, the metrics can't be registered, or the exchange can't start.
 pub async fn start(
     settings: Process,
     routed: Routed,
     dialect: Arc<dyn Dialect>,
 ) -> Result<Running, Error> {
-    start_by(Clock::start(), settings, routed, dialect).await
+    start_with_clock(Clock::start(), settings, routed, dialect).await
 }
 
-/// Starts a host that uses this clock.
+/// Starts a host that uses `clock` for deadlines and leases.
 ///
 /// # Errors
 ///
-/// If a listener can't be bound.
-pub async fn start_by(
+/// A listener can't be bound, the metrics can't be registered, or the exchange can't start.
+pub async fn start_with_clock(
     clock: Clock,
     mut settings: Process,
     routed: Routed,
@@ -103,7 +103,7 @@
     let shared = Arc::new(Shared::new(settings, routed, dialect, metrics, clock));
     story::install(shared.logger.clone());
     shared.logger.belief(start);
-    let exchange = join(&shared, seeds, advertised).await?;
+    let exchange = start_exchange(&shared, seeds, advertised).await?;
     log::info!(
         host = &*shared.host.id,
         callers:% = shared.host.callers,
@@ -138,7 +138,7 @@
 }
 
 /// Logs that the settings were reloaded.
-pub fn reloaded(settings: &Process) {
+pub fn log_reload(settings: &Process) {
     story::belief(Belief::Reload { settings: settings_json(settings) });
 }
 
@@ -192,7 +192,7 @@
     settings.peers.iter().map(address).collect()
 }
 
-async fn join(
+async fn start_exchange(
     shared: &Arc<Shared>,
     seeds: Vec<SocketAddr>,
     advertised: Option<SocketAddr>,
@@ -237,8 +237,8 @@
     }
 }
 
-/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, only
-/// this listener is missing.
+/// Serves the metrics at a port of their own as well, if one is set. If the port is taken, the host
+/// runs without this listener.
 async fn listen_for_metrics(shared: &Arc<Shared>) {
     let Some(port) = shared.routed.metrics_port else { return };
     let address = SocketAddr::new(shared.host.operators.ip(), port);
@@ -246,7 +246,9 @@
         Ok(listener) => {
             tokio::spawn(ready::listen(shared.clone(), listener));
         }
-        Err(error) => log::error!(address:% = address; "no listener for metrics: {error}"),
+        Err(error) => {
+            log::error!(address:% = address; "can't bind the listener for metrics: {error}")
+        }
     }
 }
 
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,8 +1,8 @@
 //! Calls to the platform's store.
 //!
 //! One connection is kept open for short calls; a call that finds it in use opens another. Watches
-//! have connections of their own. Every call has a timeout, since a connection may become silent
-//! for good.
+//! have connections of their own. Every call has a timeout, since a connection may stay open
+//! although no response will ever arrive on it.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
 use http::{HeaderValue, Response, header};
 use http_body_util::{BodyExt, Full, Limited};
 use observe::{
-    metrics::routed::{Call as Called, CallResult as Answered, Routed as Meters},
+    metrics::routed::{Call, CallResult, Routed as Meters},
     story::{Belief, DependencyState, Logger, Text},
 };
 use tokio::{
@@ -30,7 +30,7 @@
 use crate::{
     clock::Clock,
     connect::{self, Connection},
-    edge::{Call, Dialect, Kind, Object, Page, Revision, StoreReply},
+    edge::{Dialect, Kind, Object, Page, Revision, StoreCall, StoreReply},
 };
 
 /// Timeout of a short call.
@@ -39,11 +39,12 @@
 /// Timeout of a call about the lease.
 const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time that a watch may take beyond its requested wait. A slow store is waited for this long; a
-/// watch that may be stalled is not left alone until then, but hedged.
+/// Time that a watch may take beyond its requested wait, for a slow store. A watch that may have
+/// stalled is hedged long before this time is over.
 const WATCH_SLACK: Duration = Duration::from_secs(5);
 
-/// Time after the store's last failure in which a removed server entry may be written again.
+/// Time after the store's last failure for which the store counts as degraded: a server's entry
+/// that is removed may then be written again.
 const DEGRADED_PERIOD: Duration = Duration::from_secs(8);
 
 /// Maximum size of a response, in bytes.
@@ -53,34 +54,38 @@
 pub(crate) struct Store {
     dialect: Arc<dyn Dialect>,
     address: SocketAddr,
+    /// The idle connection for short calls; locked during a call on it.
     slot: Mutex<Option<Connection>>,
     logger: Logger,
     meters: Meters,
+    /// Health of all calls together.
     calls: CallHealth,
+    /// Health of the watches of the declaration.
     declaration: CallHealth,
+    /// Health of the watches of the servers.
     servers: CallHealth,
     /// Number of outages that have ended.
     outages: watch::Sender<u64>,
     clock: Clock,
     /// When a call of this host last failed.
-    failed: SyncMutex<Option<Moment>>,
+    failed_at: SyncMutex<Option<Moment>>,
 }
 
 /// Whether the last call of a kind got a response.
 struct CallHealth {
     /// Name in the log.
     name: &'static str,
-    lost: AtomicBool,
+    is_lost: AtomicBool,
 }
 
 impl CallHealth {
     fn new(name: &'static str) -> CallHealth {
-        CallHealth { name, lost: AtomicBool::new(false) }
+        CallHealth { name, is_lost: AtomicBool::new(false) }
     }
 
     /// Records whether the last call failed. Returns whether that is a change.
     fn set_lost(&self, lost: bool) -> bool {
-        self.lost.swap(lost, Ordering::Relaxed) != lost
+        self.is_lost.swap(lost, Ordering::Relaxed) != lost
     }
 }
 
@@ -103,7 +108,7 @@
             servers: CallHealth::new("watch of servers"),
             outages: watch::Sender::default(),
             clock,
-            failed: SyncMutex::default(),
+            failed_at: SyncMutex::default(),
         }
     }
 
@@ -114,37 +119,38 @@
             let why = Text::Borrowed("the store failed, so that entries of sound servers may go");
             self.logger.belief(Belief::Dependency { name, state: DependencyState::Lost, why });
         }
-        *self.failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
+        *self.failed_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.clock.now());
     }
 
     /// Returns whether the store has failed this host within `DEGRADED_PERIOD`.
     pub(crate) fn is_degraded(&self) -> bool {
-        let failed = *self.failed.lock().unwrap_or_else(PoisonError::into_inner);
-        failed.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
+        let failed_at = *self.failed_at.lock().unwrap_or_else(PoisonError::into_inner);
+        failed_at.is_some_and(|at| self.clock.now() < at + DEGRADED_PERIOD)
     }
 
     /// Returns a counter that changes when a call gets a response after calls without one. Calls
-    /// made before that may never get a response: a store that was silent loses its pending
-    /// watches.
+    /// made before that may never get a response: a store that did not respond for a time loses its
+    /// pending watches.
     pub(crate) fn outages(&self) -> watch::Receiver<u64> {
         self.outages.subscribe()
     }
 
-    /// Makes a call about the lease, which is useless if it takes longer than a term of the lease.
-    pub(crate) async fn lease_call(&self, call: &Call<'_>) -> StoreReply {
+    /// Makes a call about the lease. Its timeout is short, since a response that arrives after the
+    /// term of the lease is useless.
+    pub(crate) async fn lease_call(&self, call: &StoreCall<'_>) -> StoreReply {
         self.call_within(call, LEASE_CALL_TIMEOUT).await
     }
 
     /// Makes a short call.
-    pub(crate) async fn call(&self, call: &Call<'_>) -> StoreReply {
+    pub(crate) async fn call(&self, call: &StoreCall<'_>) -> StoreReply {
         self.call_within(call, CALL_TIMEOUT).await
     }
 
     /// Makes a call with a timeout. A call without a response does not delay others: if the kept
-    /// connection is in use, the call opens its own. When calls were queued instead, a list without
-    /// a response cost the lease: its test saw 2.3 s without a renewal.
-    async fn call_within(&self, call: &Call<'_>, limit: Duration) -> StoreReply {
-        let end = Instant::now() + limit;
+    /// connection is in use, the call opens its own. If calls were queued instead, a list call
+    /// without a response would cost this host the lease: a test saw no renewal for 2.3 s.
+    async fn call_within(&self, call: &StoreCall<'_>, timeout: Duration) -> StoreReply {
+        let end = Instant::now() + timeout;
         let Ok(mut slot) = self.slot.try_lock() else {
             return self.exchange(call, None, end).await.0;
         };
@@ -154,8 +160,8 @@
         reply
     }
 
-    /// Waits for changes, on a connection that is used for this watch only: the one of an earlier
-    /// watch, or a new one.
+    /// Waits for changes, on a connection that only watches use: the one of an earlier watch, or a
+    /// new one.
     pub(crate) async fn watch(
         &self,
         previous: Option<Connection>,
@@ -164,7 +170,7 @@
         wait: Duration,
     ) -> (StoreReply, Option<Connection>) {
         let connection = previous.filter(|connection| connection.sender.is_ready());
-        let call = Call::Watch { kind, since, wait };
+        let call = StoreCall::Watch { kind, since, wait };
         self.exchange(&call, connection, Instant::now() + wait + WATCH_SLACK).await
     }
 
@@ -190,7 +196,7 @@
         loop {
             let after = all.objects.last().map(|object: &Object| object.name.clone());
             let StoreReply::Page(page) =
-                self.call(&Call::List { kind, after: after.as_deref() }).await
+                self.call(&StoreCall::List { kind, after: after.as_deref() }).await
             else {
                 return None;
             };
@@ -207,17 +213,17 @@
         }
     }
 
-    /// Makes a call, counts it and records its outcome, also if it got no response.
+    /// Makes a call, counts it and records its outcome, even if it got no response.
     async fn exchange(
         &self,
-        call: &Call<'_>,
+        call: &StoreCall<'_>,
         connection: Option<Connection>,
         end: Instant,
     ) -> (StoreReply, Option<Connection>) {
         let began = Instant::now();
-        let done = timeout_at(end, self.try_exchange(call, connection)).await;
-        let (reply, connection) = done.ok().flatten().unwrap_or((StoreReply::Unclear, None));
-        self.meters.call(called(call), result(&reply));
+        let result = timeout_at(end, self.try_exchange(call, connection)).await;
+        let (reply, connection) = result.ok().flatten().unwrap_or((StoreReply::Unclear, None));
+        self.meters.call(call_label(call), call_result(&reply));
         // Failures of all calls count: a watch may wait through a whole outage and then report the
         // removal of entries that expired in it.
         if matches!(reply, StoreReply::Unclear | StoreReply::Refused) {
@@ -228,7 +234,7 @@
             _ => DependencyState::Regained,
         };
         let took = began.elapsed();
-        if let Call::Watch { kind, .. } = call
+        if let StoreCall::Watch { kind, .. } = call
             && let Some(health) = self.health(*kind)
         {
             self.report_state(health, state, took);
@@ -239,8 +245,8 @@
         (reply, connection)
     }
 
-    /// Reports when calls of a kind cease or begin again to get responses. Returns whether there
-    /// was a change.
+    /// Logs when calls of a kind stop or start again to get responses. Returns whether there was a
+    /// change.
     fn report_state(&self, health: &CallHealth, state: DependencyState, took: Duration) -> bool {
         let has_changed = health.set_lost(state == DependencyState::Lost);
         if has_changed {
@@ -257,7 +263,7 @@
 
     async fn try_exchange(
         &self,
-        call: &Call<'_>,
+        call: &StoreCall<'_>,
         connection: Option<Connection>,
     ) -> Option<(StoreReply, Option<Connection>)> {
         let mut connection = match connection {
@@ -275,24 +281,24 @@
     }
 }
 
-fn called(call: &Call<'_>) -> Called {
+fn call_label(call: &StoreCall<'_>) -> Call {
     match call {
-        Call::List { .. } => Called::List,
-        Call::Watch { .. } => Called::Watch,
-        Call::Get { .. } => Called::Get,
-        Call::Create { .. } => Called::Create,
-        Call::Replace { .. } => Called::Replace,
-        Call::Delete { .. } => Called::Delete,
+        StoreCall::List { .. } => Call::List,
+        StoreCall::Watch { .. } => Call::Watch,
+        StoreCall::Get { .. } => Call::Get,
+        StoreCall::Create { .. } => Call::Create,
+        StoreCall::Replace { .. } => Call::Replace,
+        StoreCall::Delete { .. } => Call::Delete,
     }
 }
 
-fn result(reply: &StoreReply) -> Answered {
+fn call_result(reply: &StoreReply) -> CallResult {
     match reply {
-        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => Answered::Done,
-        StoreReply::Absent => Answered::Absent,
-        StoreReply::Conflict(_) => Answered::Conflict,
-        StoreReply::Compacted => Answered::Compacted,
-        StoreReply::Refused => Answered::Refused,
-        StoreReply::Unclear => Answered::Unclear,
+        StoreReply::Page(_) | StoreReply::Seen(_) | StoreReply::Object(_) => CallResult::Done,
+        StoreReply::Absent => CallResult::Absent,
+        StoreReply::Conflict(_) => CallResult::Conflict,
+        StoreReply::Compacted => CallResult::Compacted,
+        StoreReply::Refused => CallResult::Refused,
+        StoreReply::Unclear => CallResult::Unclear,
     }
 }
--- a/crates/relay/src/unplaced.rs
+++ b/crates/relay/src/unplaced.rs
@@ -1,4 +1,5 @@
-//! Reports what the planner wants to place and can't order.
+//! Reports the models and adapters that the planner wants to place but for which it can't send
+//! orders.
 
 use std::time::Duration;
 
@@ -12,7 +13,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct UnplacedReporter {
     limiter: ReportLimiter,
-    is_counted: bool,
+    /// Whether the metrics hold counts of this host's plans.
+    has_metrics: bool,
 }
 
 impl UnplacedReporter {
@@ -23,7 +25,7 @@
             let waiting = unplaced.iter().filter(|entry| entry.obstacle == obstacle).count();
             shared.meters.wishes(obstacle.label(), waiting);
         }
-        self.is_counted = true;
+        self.has_metrics = true;
         for (entry, lasted) in self.limiter.due(&unplaced, now) {
             shared.logger.belief(Belief::Wish {
                 model: entry.model,
@@ -37,7 +39,7 @@
 
     /// Resets the metrics when this host no longer plans.
     pub(crate) fn end(&mut self, shared: &Shared) {
-        if !std::mem::take(&mut self.is_counted) {
+        if !std::mem::take(&mut self.has_metrics) {
             return;
         }
         self.limiter = ReportLimiter::default();
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -21,7 +21,7 @@
     host::Shared,
 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call to the store.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Keeps the declaration in force up to date, until the process ends.
@@ -72,8 +72,8 @@
     }
 }
 
-/// Passes on changes until the store has lost the history since the last one.
-async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, take: impl Fn(Change)) {
+/// Calls `apply` with each change until the store no longer has the history since the last one.
+async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, apply: impl Fn(Change)) {
     let mut since = since;
     let mut hedge = Hedge::new(shared, kind);
     loop {
@@ -82,14 +82,14 @@
             continue;
         }
         match hedge.next(since, shared.watch(kind)).await {
-            StoreReply::Seen(seen) => {
+            StoreReply::Seen(batch) => {
                 match kind {
                     Kind::Declaration => shared.confirm_declaration(),
                     _ => shared.confirm_servers(Duration::ZERO),
                 }
-                since = since.max(seen.revision);
-                let has_changes = !seen.changes.is_empty();
-                seen.changes.into_iter().for_each(&take);
+                since = since.max(batch.revision);
+                let has_changes = !batch.changes.is_empty();
+                batch.changes.into_iter().for_each(&apply);
                 if has_changes && kind == Kind::Server {
                     sleep(shared.gather()).await;
                 }
@@ -105,22 +105,23 @@
 async fn follow_relay(shared: &Arc<Shared>) -> bool {
     let Some((exchange, relay)) = shared.relay() else { return false };
     sleep(follow::relay_poll_interval(shared.routed.drain)).await;
-    let asked = shared.now();
+    let requested_at = shared.now();
     let Ok(Some(list)) = exchange.follow(relay.address, shared.revision()).await else {
         return false;
     };
-    let age = list.age + shared.now().saturating_sub(asked);
+    let age = list.age + shared.now().saturating_sub(requested_at);
     if !follow::is_recent(age, shared.routed.drain) {
         return false;
     }
     shared.confirm_servers(age);
-    shared.take_servers(list, &relay.id);
+    shared.apply_peer_servers(list, &relay.id);
     true
 }
 
 impl Shared {
-    /// Returns the host through which this one follows the store. There is none while the store
-    /// fails, since a removed entry may then be written again, which only the store reports.
+    /// Returns the relay: the host from which this one fetches changes of the servers instead of
+    /// calling the store. There is none while the store is degraded, since a removed entry may then
+    /// be written again, which only the store reports.
     fn relay(&self) -> Option<(Arc<Exchange>, Member)> {
         let exchange = self.exchange()?;
         let is_settled = follow::STARTUP_TIME <= self.now() && !self.store.is_degraded();
@@ -134,12 +135,12 @@
 
     /// Returns the timeouts of a watch that starts now.
     fn watch(&self, kind: Kind) -> follow::WatchTimes {
-        let within = match kind {
+        let deadline = match kind {
             Kind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
         let snapshot = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
-        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, within)
+        follow::watch_times(self.now(), self.role(&snapshot), snapshot.live, deadline)
     }
 
     /// Returns how long this host waits after changes of the servers before it asks for more, so
@@ -153,6 +154,7 @@
         follow::pause(self.now(), self.role(snapshot), snapshot.live, self.routed.drain)
     }
 
+    /// Returns whether this host is the relay of its group of hosts.
     fn is_relay(&self) -> bool {
         self.exchange().is_some_and(|exchange| exchange.tier() == Tier::Relay)
     }
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,17 +5,17 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Call, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
-    OrderStatus, Problem, RequestInfo, Seal, StoreReply,
+    Answer, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
+    OrderStatus, Problem, RequestInfo, Seal, StoreCall, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
-use super::store::World;
+use super::store::StoreObjects;
 
-/// Dialect with neutral names that reads the store's objects from [`World`] instead of the store's
-/// answers.
-pub struct Neutral {
-    pub world: Arc<World>,
+/// Dialect with neutral names that reads the store's objects from [`StoreObjects`] instead of the
+/// store's responses.
+pub struct NeutralDialect {
+    pub objects: Arc<StoreObjects>,
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -26,7 +26,7 @@
     text(headers, name).and_then(|text| text.parse().ok())
 }
 
-impl Dialect for Neutral {
+impl Dialect for NeutralDialect {
     fn ready_path(&self) -> &str {
         "/ready"
     }
@@ -62,9 +62,10 @@
     }
 
     fn forward_headers(&self, headers: &mut HeaderMap, options: &ForwardOptions<'_>) {
-        let server = HeaderValue::from_str(options.server).expect("an id");
+        let server = HeaderValue::from_str(options.server).expect("a valid header value");
         headers.insert("run-of", server);
-        let left = u64::try_from(options.deadline.as_millis()).expect("a short time");
+        let left =
+            u64::try_from(options.deadline.as_millis()).expect("a deadline below u64::MAX ms");
         headers.insert("time-left", left.into());
         if let Some(event) = options.resume {
             headers.insert("resume-after", event.into());
@@ -82,7 +83,7 @@
             keep_alive: text(headers, "keep-alive")
                 .and_then(|text| text.strip_prefix("timeout=")?.parse().ok())
                 .map(Duration::from_secs),
-            limit: Limit::Unnamed,
+            limit: Limit::Unstated,
         }
     }
 
@@ -99,23 +100,23 @@
     }
 
     fn order_reply(&self, _: &Response<Bytes>) -> OrderReply {
-        OrderReply { status: OrderStatus::Unknown, born: 0 }
+        OrderReply { status: OrderStatus::Unknown, started_at: 0 }
     }
 
-    fn store_call(&self, call: &Call<'_>) -> Request<Bytes> {
+    fn store_call(&self, call: &StoreCall<'_>) -> Request<Bytes> {
         let path = match call {
-            Call::Watch { since, .. } => format!("/watch/{since}"),
+            StoreCall::Watch { since, .. } => format!("/watch/{since}"),
             _ => "/list".into(),
         };
         Request::get(path).body(Bytes::new()).expect("a call")
     }
 
-    fn store_reply(&self, call: &Call<'_>, _: &Response<Bytes>) -> StoreReply {
+    fn store_reply(&self, call: &StoreCall<'_>, _: &Response<Bytes>) -> StoreReply {
         match call {
-            Call::List { kind, .. } => StoreReply::Page(self.world.page(*kind)),
-            Call::Watch { kind, .. } => StoreReply::Seen(self.world.seen(*kind)),
-            Call::Create { kind: relay::edge::Kind::Host, name, content } => {
-                self.world.registered.send_replace(true);
+            StoreCall::List { kind, .. } => StoreReply::Page(self.objects.page(*kind)),
+            StoreCall::Watch { kind, .. } => StoreReply::Seen(self.objects.changes(*kind)),
+            StoreCall::Create { kind: relay::edge::Kind::Host, name, content } => {
+                self.objects.registered.send_replace(true);
                 let content = (*content).clone();
                 StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
             }
@@ -128,10 +129,10 @@
     }
 
     fn declaration(&self, _: &Object) -> Option<Declaration> {
-        Some(self.world.declaration.clone())
+        Some(self.objects.declaration.clone())
     }
 
     fn server(&self, object: &Object) -> Option<Server> {
-        self.world.server(&object.name)
+        self.objects.server(&object.name)
     }
 }
