--- a/crates/stage/examples/measure/plot.rs
+++ b/crates/stage/examples/measure/plot.rs
@@ -15,7 +15,7 @@
 pub(crate) fn draw(folder: &Path, reports: &[Report]) -> Result<PathBuf, Box<dyn Error>> {
     let first = reports.first().ok_or("no run")?;
     let title = format!("{:?}, {:?}, faults {:?}", first.deployment, first.demand, first.faults);
-    let path = folder.join(file(&title));
+    let path = folder.join(file_name(&title));
     let area = SVGBackend::new(&path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = first.seconds.len() as f64;
@@ -54,7 +54,7 @@
     }
 }
 
-fn file(title: &str) -> String {
+fn file_name(title: &str) -> String {
     let name = title.to_lowercase().replace(|c: char| !c.is_ascii_alphanumeric(), "-");
     format!("{}.svg", name.replace("--", "-"))
 }
--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -12,7 +12,7 @@
 use standin::engine;
 
 fn engines(count: usize) -> Vec<engine::Settings> {
-    let engine = |place| engine::Settings::new(&format!("lm-{place}")).with_model("m", "1", 10_000);
+    let engine = |index| engine::Settings::new(&format!("lm-{index}")).with_model("m", "1", 10_000);
     (0..count).map(engine).collect()
 }
 
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -235,8 +235,8 @@
     for index in 0..3 {
         let status = get(site.hosts()[index].operators(), "/status").await.unwrap_or_default();
         assert_eq!(status["servers"], 1);
-        let ending = Chat::new(format!("empty-{index}"), MODEL, 4);
-        assert_eq!(ending.send(site.hosts()[index].callers()).await, Ending::Complete);
+        let chat = Chat::new(format!("empty-{index}"), MODEL, 4);
+        assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     until_all_live(&site).await;
     site.shut_down().await;
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -64,7 +64,9 @@
             (200, _) => assert_eq!(ran, 1, "{key} was answered with status 200"),
             (_, Some("did-not-run")) => assert_eq!(ran, 0, "{key} was refused with did-not-run"),
             (_, Some("may-have-run")) => {}
-            (status, said) => panic!("{key}: status {status}, ran {said:?}: {}", answer.text()),
+            (status, reported) => {
+                panic!("{key}: status {status}, ran {reported:?}: {}", answer.text())
+            }
         }
     }
     site.links().server("app-0").heal();
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -50,8 +50,11 @@
     until_in_force(&site, 2).await;
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     assert_eq!(root["number"], 2);
-    let again = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
-    assert_eq!(again.0, 200, "the accepted patch, sent again, gets its first outcome: {again:?}");
+    let repeated = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
+    assert_eq!(
+        repeated.0, 200,
+        "the accepted patch, sent again, gets its first outcome: {repeated:?}"
+    );
     until_in_force(&site, 2).await;
     interceptor.release();
     site.shut_down().await;
--- a/crates/stage/tests/routed/declared.rs
+++ b/crates/stage/tests/routed/declared.rs
@@ -171,7 +171,7 @@
     site.backend.declare(&declaration());
     until("an order to load the missing model is sent", async || {
         let mut orders = site.backend.servers.iter().flat_map(|server| server.orders());
-        orders.any(|given| &*given.order.model == "notes")
+        orders.any(|record| &*record.order.model == "notes")
     })
     .await;
 }
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -56,11 +56,11 @@
         callers.spawn(async move {
             let mut answers = Vec::new();
             loop {
-                let (request, from) =
+                let (request, sent_at) =
                     (request.with_new_id().deadline(Some(DEADLINE)), Instant::now());
                 // A stopped or killed host gives no answer.
                 if let Ok(Ok(answer)) = timeout(DEADLINE, caller.fetch(&request)).await {
-                    answers.push((answer.status, from.elapsed(), answer.metadata.retry_after));
+                    answers.push((answer.status, sent_at.elapsed(), answer.metadata.retry_after));
                 }
                 sleep(REQUEST_INTERVAL).await;
                 if until <= Instant::now() {
--- a/crates/stage/tests/routed/serving.rs
+++ b/crates/stage/tests/routed/serving.rs
@@ -66,8 +66,8 @@
     let mut caller = site.hosts[0].caller();
     until("the request is served", async || {
         let answer = caller.fetch(&request.with_new_id()).await.unwrap();
-        let promises = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
-        assert!(promises.contains(&answer.status), "{}", answer.status);
+        let allowed = [StatusCode::OK, StatusCode::SERVICE_UNAVAILABLE];
+        assert!(allowed.contains(&answer.status), "{}", answer.status);
         answer.events() == [1, 2, 3, 4, 5]
     })
     .await;
--- a/crates/stage/tests/routed/stories.rs
+++ b/crates/stage/tests/routed/stories.rs
@@ -35,9 +35,9 @@
     let logs: Vec<PathBuf> = site.hosts.iter().map(|host| host.log_file().to_owned()).collect();
     let query: Vec<PathBuf> = query.split(' ').map(Into::into).collect();
     let report = tokio::task::spawn_blocking(move || {
-        let words = ["cyclamenctl".into(), "explain".into()].into_iter().chain(query);
-        let words = words.chain(["--logs".into()]).chain(logs);
-        Flags::try_parse_from(words)
+        let arguments = ["cyclamenctl".into(), "explain".into()].into_iter().chain(query);
+        let arguments = arguments.chain(["--logs".into()]).chain(logs);
+        Flags::try_parse_from(arguments)
             .expect("the flags are valid")
             .report()
             .expect("the logs can be read")
@@ -155,7 +155,7 @@
 #[case::lost(Fault::Lost, "cut")]
 #[case::garbled(Fault::Garbled, "garbled")]
 #[tokio::test]
-async fn a_failure_after_a_server_had_it_is_explained(#[case] fault: Fault, #[case] how: &str) {
+async fn a_failure_after_a_server_had_it_is_explained(#[case] fault: Fault, #[case] outcome: &str) {
     let request = ticket();
     let (site, answer) = ask_with_fault(fault, &request).await;
     let lines = finished_lines(&site, &request.id()).await;
@@ -165,7 +165,7 @@
     let server = attempts[0]["server"].as_str().unwrap();
     assert_eq!(site.backend.server(server).runs_of(&request.id()), 1);
     let ended = of_kind(&lines, "attempt-ended")[0];
-    assert_eq!((&ended["outcome"], &ended["ran"]), (&json!(how), &json!("may-have-run")));
+    assert_eq!((&ended["outcome"], &ended["ran"]), (&json!(outcome), &json!("may-have-run")));
     assert_eq!(ended["server"], server);
     let end = of_kind(&lines, "ended")[0];
     assert_eq!(
