--- a/crates/stage/tests/common/http.rs
+++ b/crates/stage/tests/common/http.rs
@@ -89,7 +89,7 @@
         .collect()
 }
 
-/// Joins the `content` of all chat chunks; events that are none are left out.
+/// Joins the `content` of all chat chunks; other events are left out.
 pub fn answer_text(events: &[Event]) -> String {
     events
         .iter()
--- a/crates/stage/tests/common/script.rs
+++ b/crates/stage/tests/common/script.rs
@@ -75,10 +75,11 @@
 impl ScriptedServer {
     /// Starts a server that reports `running` requests in progress.
     ///
-    /// Hosts try the server with fewer first, so tests set the order of attempts by it.
+    /// Hosts try the server with the fewest such requests first, so tests set the order of attempts
+    /// by this number.
     pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> ScriptedServer {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+        let address = listener.local_addr().expect("address of the listener");
         let shared = Arc::new(Shared {
             id: id.into(),
             running,
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -284,7 +284,7 @@
         })
     }
 
-    /// Backend servers for the list; with proxies, under the addresses of these.
+    /// Backend servers for the list; with fault proxies, their addresses are those of the proxies.
     fn servers(&self) -> Vec<Server> {
         let engines = self.engines.iter().enumerate().map(|(index, engine)| {
             server(&engine.settings().id, "lm", Kind::Engine, index, engine.address())
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -1,6 +1,8 @@
-//! Accelerator memory is never reserved twice: host processes with lost or late orders and
-//! answers, with planners that are killed, paused or race, with a failing object API and with
-//! engines that restart. The stand-in engine tracks its actual memory and counts each overcommit.
+//! Tests that accelerator memory is never reserved twice.
+//!
+//! Host processes run with lost or late orders and answers, with planners that are killed, paused
+//! or race each other, with a failing object API and with engines that restart. The stand-in engine
+//! tracks its actual memory and counts each overcommit.
 
 mod site;
 
@@ -133,7 +135,7 @@
     assert_eq!(
         open_orders(&site).len(),
         1,
-        "expected one reserved order while the answer to its sender is held back"
+        "expected one open order while the answer to the write of the ledger is held back"
     );
     site.hosts[planner].kill();
     interceptor.release();
--- a/crates/stage/tests/promises/answers.rs
+++ b/crates/stage/tests/promises/answers.rs
@@ -35,7 +35,7 @@
     until("enough calls have completed", async || 24 <= generator.endings().complete_count()).await;
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.shut_down().await;
 }
 
@@ -55,7 +55,7 @@
     link.heal();
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.shut_down().await;
 }
 
@@ -106,6 +106,6 @@
     until("enough calls have completed", async || 12 <= generator.endings().complete_count()).await;
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.shut_down().await;
 }
--- a/crates/stage/tests/promises/graceful.rs
+++ b/crates/stage/tests/promises/graceful.rs
@@ -42,7 +42,7 @@
         assert_eq!(
             endings.failures(),
             [],
-            "of {} calls at the stop of host {index}",
+            "failures among {} calls during the stop of host {index}",
             endings.all().len()
         );
         site.restart(index).await;
--- a/crates/stage/tests/promises/leaving.rs
+++ b/crates/stage/tests/promises/leaving.rs
@@ -36,6 +36,6 @@
         before,
         "a leaving server received new requests"
     );
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.shut_down().await;
 }
--- a/crates/stage/tests/promises/not_run.rs
+++ b/crates/stage/tests/promises/not_run.rs
@@ -16,7 +16,7 @@
 /// More attempts than all calls make with their retries.
 const ATTEMPTS: usize = 500;
 
-/// A site with one engine and a time limit of 3 s per request, by which each call must have ended.
+/// A site with one engine, whose hosts end each call after 3 s, or after 2 s without any data.
 async fn site() -> Site {
     let engine = Settings::new("lm-1").with_model(MODEL, "v1", 900);
     let short_timeouts = |settings: &mut serde_json::Value| {
--- a/crates/stage/tests/promises/pairs.rs
+++ b/crates/stage/tests/promises/pairs.rs
@@ -48,7 +48,7 @@
     until_more_complete(&generator).await;
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.platform.fault(|fault| fault.down = false);
     site.shut_down().await;
 }
@@ -64,7 +64,7 @@
     until_more_complete(&generator).await;
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.shut_down().await;
 }
 
@@ -81,7 +81,7 @@
 
     let endings = generator.stop().await;
     assert_eq!(code, Some(0));
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.links().server("lm-1").heal();
     site.restart(0).await;
     site.shut_down().await;
@@ -124,7 +124,7 @@
     until_more_complete(&generator).await;
 
     let endings = generator.stop().await;
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     site.platform.fault(|fault| fault.down = false);
     site.shut_down().await;
 }
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// Two operators patch the same number while the platform's answer to the first write is lost.
+/// Two operators send patches against the same configuration number, and the platform's answer to
+/// the first write is lost.
 #[tokio::test]
 async fn patches_race_while_the_answer_to_a_write_is_lost() {
     let site = site().await;
@@ -46,14 +47,14 @@
     let (first, second) = tokio::join!(patch(&site, 0, "first"), patch(&site, 1, "second"));
 
     let winners = [&first, &second].iter().filter(|(status, _)| *status == 200).count();
-    assert_eq!(winners, 1, "exactly one patch gets the next number: {first:?}, {second:?}");
+    assert_eq!(winners, 1, "expected exactly one patch to be accepted: {first:?}, {second:?}");
     until_in_force(&site, 2).await;
     let (_, root) = site.platform.peek("config/root").expect("a configuration");
     assert_eq!(root["number"], 2);
     let repeated = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
     assert_eq!(
         repeated.0, 200,
-        "the accepted patch, sent again, gets its first outcome: {repeated:?}"
+        "the accepted patch was refused when it was sent again: {repeated:?}"
     );
     until_in_force(&site, 2).await;
     interceptor.release();
@@ -103,7 +104,7 @@
 
     let endings = generator.stop().await;
     assert_eq!(code, Some(0));
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     (0..3).for_each(|index| site.links().peers(index).heal());
     site.restart(2).await;
     site.shut_down().await;
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -95,7 +95,7 @@
     until("the last declared versions are ready", async || all_ready(&site)).await;
     let endings = generator.stop().await;
     assert!(STEPS / 4 < number, "too few patches were accepted: the last number is {number}");
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     for (index, model) in MODELS.iter().enumerate() {
         let chat = Chat::new(format!("last-{index}"), model, 5);
         assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
--- a/crates/stage/tests/routed/ingress.rs
+++ b/crates/stage/tests/routed/ingress.rs
@@ -46,7 +46,7 @@
 async fn a_smuggled_request_never_runs(#[case] fields: &str, #[case] body: &str) {
     let site = site(1).await;
     let head = request_head("POST", "r-outer", fields);
-    // The smuggled request may run only as a request of its own that the caller gets an answer to.
+    // The second request may run only as a request of its own, with an answer to the caller.
     let sent = format!("{head}{body}{SMUGGLED}");
     let answer = send_raw(site.hosts[0].callers(), &[sent.as_bytes()]).await;
     let runs = site.backend.servers.iter().flat_map(|server| server.runs());
--- a/crates/stage/tests/routed/limits.rs
+++ b/crates/stage/tests/routed/limits.rs
@@ -111,7 +111,8 @@
     assert!(failed.is_empty(), "the other server could have taken the rest: {failed:?}");
 }
 
-/// A server that needs its limit may give wrong answers at the same time; the limit in them counts.
+/// An overloaded server may state its limit only in answers that are otherwise invalid. Hosts apply
+/// that limit, too.
 #[rstest]
 #[case::no_seal(Fault::Unsealed)]
 #[case::another_id(Fault::OtherId)]
@@ -131,7 +132,8 @@
     check_quotas(&site, &["app-1", "app-2"]);
 }
 
-/// Hosts refuse at once what no server can take before the deadline, and use the limits up.
+/// Hosts refuse at once each request that no server can take before its deadline, and use at least
+/// [`MIN_UTILIZATION`] of the limits.
 #[rstest]
 #[case::plain(page(), ["app-1", "app-2"])]
 #[case::streams(chat(), ["lm-1", "lm-2"])]
--- a/crates/stage/tests/routed/orders.rs
+++ b/crates/stage/tests/routed/orders.rs
@@ -25,7 +25,8 @@
 /// for another.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests adapters in turn, of which there are more than slots, from the hosts in turn.
+/// Starts a task that sends requests for each adapter in turn, to the hosts in turn. There are more
+/// adapters than slots for them.
 fn spawn_demand(site: &Site) -> JoinSet<()> {
     let mut callers: Vec<Caller> = site.hosts.iter().map(Host::caller).collect();
     let mut tasks = JoinSet::new();
--- a/crates/stage/tests/routed/poison.rs
+++ b/crates/stage/tests/routed/poison.rs
@@ -16,8 +16,8 @@
 
 const HOSTS: usize = 4;
 
-/// Exclusive bound of the numbers in the ids of plain servers. The request may crash all of these
-/// servers; a crashed one doesn't restart.
+/// Exclusive upper bound of the numbers in the ids of plain servers. The request can crash
+/// every one of these servers; a crashed server doesn't restart.
 const SERVERS: usize = 40;
 
 /// Number of crashes after which hosts refuse the request.
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -5,7 +5,8 @@
 
 use crate::site::{chat, engine, site, status_of};
 
-/// Settings for a run of the first model server that starts at `born`, in Unix milliseconds.
+/// Settings for a run of the first model server that starts at `started_at`, in Unix
+/// milliseconds.
 fn run_settings(started_at: u64, models: &[&str]) -> Settings {
     Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
--- a/crates/stage/tests/routed/silence.rs
+++ b/crates/stage/tests/routed/silence.rs
@@ -5,8 +5,8 @@
 //! are sent again during the outage; the store then answers every other call within milliseconds
 //! and takes newer declarations, but these watches stay unanswered until they time out (5.8 s after
 //! they were sent, up to 4.7 s after the store is back). As the watches of all hosts are stalled
-//! alike, no host can inform another. Hosts then routed by an old declaration 3 s after the
-//! operators had the confirmation of a newer one.
+//! alike, no host can inform another. A host that relies on such a watch still routes by the old
+//! declaration 3 s after the operators got the confirmation of a newer one.
 
 use std::time::Duration;
 
@@ -22,14 +22,17 @@
 
 use crate::site::{HOST, declare_route, site, status_of, ticket};
 
-/// Time after an outage from which on all bounds apply to a host again. It covers the other bounds:
-/// 2 s until a declaration is in force, and 2 s until a leaving server gets no more requests.
+/// Time after an outage within which hosts have to know the current state of the store. It covers
+/// the limits that hold without an outage: 2 s until a declaration is in force, and 2 s until a
+/// leaving server gets no more requests.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// More than one, as a host whose watches work would inform the others.
+/// More than one host, and each outage affects all of them: a host whose watches work would inform
+/// the others.
 const HOSTS: usize = 3;
 
-/// Enough hosts that some aren't scouts: those wait long for a change in each watch.
+/// Enough hosts that some aren't scouts (`policy::follow`). A watch of such a host waits long for a
+/// change.
 const HOSTS_WITH_FOLLOWERS: usize = 6;
 
 /// How long, and for which calls, the store doesn't answer.
@@ -125,7 +128,8 @@
     assert_reachable_throughout(&site, ABSENCE).await;
 }
 
-/// Asserts that during a span every host forwards requests to a server without waiting for one.
+/// Asserts that during a span every host finds a server for each request and doesn't wait for a
+/// registration.
 async fn assert_reachable_throughout(site: &Site, span: Duration) {
     let deep = RequestSpec::to(HOST, "/pages/deep/x");
     let end = Instant::now() + span;
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -108,7 +108,8 @@
     site
 }
 
-/// Starts one host with [`declaration`] in force that logs at level `info`, the default.
+/// Starts one host with [`declaration`] in force, and with the default log level `info` instead of
+/// the `debug` of other test hosts.
 pub async fn site_with_info_log() -> Site {
     let backend = backend().await;
     backend.declare(&declaration());
