--- a/crates/stage/tests/config.rs
+++ b/crates/stage/tests/config.rs
@@ -327,7 +327,7 @@
     let directory = tempfile::tempdir().unwrap();
     let mut settings = settings::read_process(&settings(&directory, json!({}))).unwrap();
     set(&mut settings, format!("{TOKEN}\n"));
-    let error = stage::start(settings).await.err().expect("refused").to_string();
+    let error = stage::start(settings).await.err().expect("the host does not start").to_string();
     assert!(error.contains(listener), "{error}");
 }
 
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -113,7 +113,7 @@
         until("all streams run on the engines", async || requests_in_flight(&site) == STREAMS)
             .await;
         site.hosts()[host].signal(Signal::SIGTERM);
-        // An answer given before the process handles the signal is not yet part of the stop.
+        // The host may still report ready until its process handles the signal.
         let operators = site.hosts()[host].operators();
         let not_ready = until("the host reports not ready", async || !is_ready(operators).await);
         tokio::time::timeout(PROBE_INTERVAL, not_ready)
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -37,7 +37,7 @@
 
 async fn until_liveness(site: &Site, subject: usize, expected: &str) {
     for observer in (0..site.hosts().len()).filter(|observer| *observer != subject) {
-        until(&format!("host {observer} takes host {subject} for {expected}"), async || {
+        until(&format!("host {observer} reports host {subject} as {expected}"), async || {
             liveness(site, observer, subject).await == expected
         })
         .await;
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -188,8 +188,8 @@
     site.shut_down().await;
 }
 
-/// Admission refuses the request before the key is looked up, so that the host cannot know whether
-/// another send with the key ran, and the key stays unclaimed.
+/// Admission refuses the request before the key is looked up. The host therefore cannot know
+/// whether another request with the key ran, and the key stays unclaimed.
 #[tokio::test]
 async fn refused_before_its_claim_its_key_runs_later() {
     let mut site = site().await;
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -1,6 +1,6 @@
-//! The platform's object API and list are down, slow or rate limited.
+//! Serving while the platform's object API and list are down, slow or rate limited.
 //!
-//! The test of ten minutes is a measurement, to be run by hand:
+//! `ten_minutes_without_the_platform` is a measurement, to be run by hand:
 //! `cargo test --release -p cyclamenstage --test outage -- --ignored --nocapture`
 
 #![allow(clippy::print_stderr, reason = "output of a measurement")]
@@ -74,6 +74,7 @@
 async fn ten_minutes_without_the_platform() {
     const HOSTS: usize = 8;
     const OUTAGE: Duration = Duration::from_secs(600);
+    /// Time for which calls go on after the outage.
     const TAIL: Duration = Duration::from_secs(30);
     const CALL_INTERVAL: Duration = Duration::from_millis(250);
     let mut site = site(HOSTS).await;
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -12,8 +12,8 @@
 use tokio::{task::JoinHandle, time::timeout};
 use types::{backend::Kind, prelude::Duration};
 
-/// Requests that the server reports as running: two below the hosts' limit for it, which is its 64
-/// slots and one eighth more.
+/// Requests that the server reports as running: two below the hosts' limit of 72 for a server with
+/// 64 slots, one eighth more than its slots.
 const REPORTED_RUNNING: u32 = 70;
 const FREE_SLOTS: u32 = 2;
 
--- a/crates/stage/tests/reachable.rs
+++ b/crates/stage/tests/reachable.rs
@@ -120,7 +120,8 @@
         let models = current["config"]["models"].as_object().unwrap();
         for model in models.keys() {
             if !callers.contains_key(model) {
-                // A new model must stay reachable from its first answer through each host on.
+                // Calls start once a new model has answered through both hosts. From then on it
+                // must stay reachable.
                 until("a new model answers through both hosts", async || {
                     post_chat(hosts[0], &chat_body(model)).await.status == 200
                         && post_chat(hosts[1], &chat_body(model)).await.status == 200
@@ -161,7 +162,11 @@
     }
     let unreachable = results.unreachable.lock().unwrap().clone();
     let answered = results.answered.load(Ordering::Relaxed);
-    assert_eq!(unreachable, Vec::<String>::new(), "of {answered} answered; {outcomes:?}");
+    assert_eq!(
+        unreachable,
+        Vec::<String>::new(),
+        "failed calls beside {answered} answered ones; patches: {outcomes:?}"
+    );
     assert!(CHANGES / 2 < outcomes["accepted"], "{outcomes:?}");
     let short = outcomes.get("short").copied().unwrap_or_default();
     assert!(min_short <= short, "{outcomes:?}");
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -24,6 +24,7 @@
     seed: u64,
     hosts: usize,
     length: Duration,
+    /// Time without faults at the end.
     tail: Duration,
 }
 
@@ -31,8 +32,8 @@
 const SHORT: Soak =
     Soak { seed: 5, hosts: 3, length: Duration::from_secs(7), tail: Duration::from_secs(1) };
 
-/// The store does not answer for 6.2 s after a declaration, and another declaration follows. While
-/// hosts trusted a stalled watch up to its time limit, they handled 32 requests under an outdated
+/// The store does not answer for 6.2 s after a declaration, and another declaration follows. Hosts
+/// that trust a stalled watch up to its time limit handle 32 requests under an outdated
 /// declaration.
 const SILENT_STORE: Soak =
     Soak { seed: 180, hosts: 4, length: Duration::from_secs(60), tail: Duration::from_secs(16) };
@@ -89,7 +90,7 @@
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(seed, HOSTS, Duration::from_secs(25), schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
-    assert!(3 <= summary.crashed, "{} servers ended", summary.crashed);
+    assert!(3 <= summary.crashed, "only {} servers crashed", summary.crashed);
 }
 
 /// Runs a soak with its files in a temporary directory.
