--- a/crates/stage/examples/demo/routed.rs
+++ b/crates/stage/examples/demo/routed.rs
@@ -67,7 +67,7 @@
     ]
 }
 
-/// Shell command that sends the same request.
+/// Shell command that sends a request with `curl`.
 fn curl(callers: SocketAddr, spec: &RequestSpec) -> String {
     let request = spec.with_new_id().request();
     let headers =
--- a/crates/stage/examples/latency.rs
+++ b/crates/stage/examples/latency.rs
@@ -105,7 +105,7 @@
         }
     }
     println!("{CALLS} plain calls each, one at a time, microseconds:");
-    for (name, histogram) in [("straight", &direct), ("through one host", &via_host)] {
+    for (name, histogram) in [("direct", &direct), ("through one host", &via_host)] {
         println!(
             "  {name:17} p50 {:5}  p90 {:5}  p99 {:5}  max {:6}",
             histogram.value_at_quantile(0.5),
--- a/crates/stage/examples/measure/load.rs
+++ b/crates/stage/examples/measure/load.rs
@@ -66,7 +66,8 @@
     pub(crate) end: End,
 }
 
-/// Sends the requests of a schedule and waits until all have ended. Sorts them by time of arrival.
+/// Sends the requests of a schedule, waits until all have ended, and returns their outcomes in
+/// order of arrival.
 pub(crate) async fn run_schedule(
     site: &Arc<Site>,
     schedule: &Schedule,
--- a/crates/stage/examples/rush.rs
+++ b/crates/stage/examples/rush.rs
@@ -85,7 +85,7 @@
     let flags = Flags::parse();
     println!("capacity {CAPACITY} requests/s, target {GUEST_TARGET:?}, seed {}", flags.seed);
     println!(
-        "way                      part    guests sent  met  share | staff sent  met | refused"
+        "admission                phase   guests sent  met  share | staff sent  met | refused"
     );
     for (name, traffic) in traffic_settings() {
         let samples = run(&traffic, flags.seed).await?;
@@ -174,8 +174,8 @@
     results.into_iter().filter_map(Result::ok).collect()
 }
 
-/// Poisson arrivals of guests and staff: time since the start of the run, phase and caller, by
-/// time.
+/// Poisson arrivals of guests and staff in order of time: time since the start of the run, phase
+/// and caller.
 fn schedule(seed: u64) -> Vec<(Duration, usize, Caller)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -41,7 +41,7 @@
         row("plan after one engine changed", "ms", &|p| one_engine(p) / 1e3),
         row("plan after one patch", "ms", &|p| one_patch(p) / 1e3),
         row("loads after one of 8 zones is lost", "loads", &loads_after_zone_loss),
-        row("models without an engine until then", "models", &unreachable),
+        row("models on no engine when one of 8 zones is lost", "models", &unreachable),
     ]
 }
 
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -37,8 +37,8 @@
     }
     Ok(vec![
         Row::new("object of a range of keys", "KiB", "keys", bytes, 2_000.0),
-        Row::new("the same in memory", "KiB", "keys", memory, 2_000.0),
-        Row::new("a claim, read and write, without the calls", "µs", "keys", writes, 2_000.0),
+        Row::new("object of a range of keys in memory", "KiB", "keys", memory, 2_000.0),
+        Row::new("claim of a key, without the store's calls", "µs", "keys", writes, 2_000.0),
         Row::new("claims in one write, 1,000 keys", "µs", "claims", grouped.to_vec(), 128.0),
         Row::new("object of the quarantine", "KiB", "suspects", suspects, 2_000.0),
     ])
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -47,7 +47,7 @@
             16.0,
         ),
         Row::new(
-            "ledger of a server, nothing open",
+            "ledger of a server without open orders",
             "bytes",
             "residents",
             [4_u32, 8, 16, 32].map(|n| (f64::from(n), ledger_bytes(n))).to_vec(),
--- a/crates/stage/examples/soak.rs
+++ b/crates/stage/examples/soak.rs
@@ -83,8 +83,7 @@
         );
     }
     for (service, part) in &summary.retries {
-        text +=
-            &format!("\nretries of {service}: {part:.2} of what is allowed in the worst window");
+        text += &format!("\nretries of {service}: {part:.2} of those allowed, in the worst window");
     }
     text + &format!("\nseed {}: {} broken", summary.seed, summary.breaches.len())
 }
