--- a/crates/stage/examples/latency.rs
+++ b/crates/stage/examples/latency.rs
@@ -87,13 +87,17 @@
     let host = start(&platform)?;
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     wait_until_ready(&client, &host).await?;
-    added_latency(&client, &host, plain.address()).await?;
-    processor_time(&client, &host).await
+    measure_added_latency(&client, &host, plain.address()).await?;
+    measure_processor_time(&client, &host).await
 }
 
 /// Calls the server directly and through the host in turn, so that load from other processes
 /// affects both alike.
-async fn added_latency(client: &Http, host: &Host, server: SocketAddr) -> Result<(), BoxError> {
+async fn measure_added_latency(
+    client: &Http,
+    host: &Host,
+    server: SocketAddr,
+) -> Result<(), BoxError> {
     let mut direct = Histogram::<u64>::new(3)?;
     let mut via_host = Histogram::<u64>::new(3)?;
     for count in 0..WARM_UP_CALLS + CALLS {
@@ -129,7 +133,7 @@
     Ok(u64::try_from(began.elapsed().as_micros())?)
 }
 
-async fn processor_time(client: &Http, host: &Host) -> Result<(), BoxError> {
+async fn measure_processor_time(client: &Http, host: &Host) -> Result<(), BoxError> {
     let before = host.cpu_time()?;
     for _ in 0..CALLS {
         time_call(client, host.callers, "/services/tickets/rooms").await?;
--- a/crates/stage/examples/rush.rs
+++ b/crates/stage/examples/rush.rs
@@ -140,18 +140,18 @@
     platform.set_list(List { hosts: Vec::new(), servers: engines.iter().map(entry).collect() });
     let mut hosts = Vec::new();
     for index in 0..HOSTS {
-        hosts.push(stage::start(process(index, &platform, traffic)?).await?);
+        hosts.push(stage::start(host_settings(index, &platform, traffic)?).await?);
     }
     let addresses: Vec<SocketAddr> =
         hosts.iter().map(|host| host.context().host().callers).collect();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let samples = arrivals(&addresses, seed).await;
+    let samples = send_arrivals(&addresses, seed).await;
     futures_util::future::join_all(hosts.into_iter().map(Running::drain)).await;
     Ok(samples)
 }
 
 /// Sends each request at its scheduled time, and waits until all have ended.
-async fn arrivals(hosts: &[SocketAddr], seed: u64) -> Vec<Sample> {
+async fn send_arrivals(hosts: &[SocketAddr], seed: u64) -> Vec<Sample> {
     let client: Http = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let client = Arc::new(client);
     let began = Instant::now();
@@ -258,7 +258,7 @@
     backend::Entry { server, state: Listed::Live }
 }
 
-fn process(
+fn host_settings(
     index: usize,
     platform: &Platform,
     traffic: &Value,
--- a/crates/stage/examples/slopes/fleet.rs
+++ b/crates/stage/examples/slopes/fleet.rs
@@ -36,12 +36,12 @@
     };
     vec![
         row("planner's state", "KiB", &|p| kibibytes(8, || p.planner.clone())),
-        row("whole plan from empty engines", "ms", &|p| from_empty(p) / 1e3),
-        row("plan of a planner that takes over", "ms", &|p| takeover(p) / 1e3),
-        row("plan after one engine changed", "ms", &|p| one_engine(p) / 1e3),
-        row("plan after one patch", "ms", &|p| one_patch(p) / 1e3),
+        row("whole plan from empty engines", "ms", &|p| empty_plan_time(p) / 1e3),
+        row("plan of a planner that takes over", "ms", &|p| takeover_time(p) / 1e3),
+        row("plan after one engine changed", "ms", &|p| engine_change_time(p) / 1e3),
+        row("plan after one patch", "ms", &|p| patch_time(p) / 1e3),
         row("loads after one of 8 zones is lost", "loads", &loads_after_zone_loss),
-        row("models on no engine when one of 8 zones is lost", "models", &unreachable),
+        row("models on no engine when one of 8 zones is lost", "models", &models_on_no_engine),
     ]
 }
 
@@ -123,16 +123,16 @@
     planner.plan(NOW).len()
 }
 
-fn from_empty(placed: &Placement) -> f64 {
+fn empty_plan_time(placed: &Placement) -> f64 {
     let engines = empty_engines(placed.config.models.len());
     micros(5, 2, || plan_anew(&placed.config, &engines))
 }
 
-fn takeover(placed: &Placement) -> f64 {
+fn takeover_time(placed: &Placement) -> f64 {
     micros(5, 4, || plan_anew(&placed.config, &placed.engines))
 }
 
-fn one_engine(placed: &Placement) -> f64 {
+fn engine_change_time(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
     let Some(engine) = placed.engines.values().nth(placed.engines.len() / 2) else { return 0.0 };
     micros(5, 40, || {
@@ -141,7 +141,7 @@
     })
 }
 
-fn one_patch(placed: &Placement) -> f64 {
+fn patch_time(placed: &Placement) -> f64 {
     let mut planner = placed.planner.clone();
     let mut next = placed.config.clone();
     if let Some(model) = next.models.values_mut().nth(placed.config.models.len() / 2) {
@@ -166,7 +166,7 @@
 }
 
 /// Number of models that only engines in [`LOST_ZONE`] had loaded.
-fn unreachable(placed: &Placement) -> f64 {
+fn models_on_no_engine(placed: &Placement) -> f64 {
     let holds = |engine: &Engine, id: &model::Id| {
         engine.residents.iter().any(|resident| resident.unit.model() == id)
     };
--- a/crates/stage/examples/soak.rs
+++ b/crates/stage/examples/soak.rs
@@ -82,8 +82,9 @@
             breach.promise, summary.seed, breach.what
         );
     }
-    for (service, part) in &summary.retries {
-        text += &format!("\nretries of {service}: {part:.2} of those allowed, in the worst window");
+    for (service, ratio) in &summary.retries {
+        text +=
+            &format!("\nretries of {service}: {ratio:.2} of those allowed, in the worst window");
     }
     text + &format!("\nseed {}: {} broken", summary.seed, summary.breaches.len())
 }
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -19,8 +19,8 @@
         let key = format!("ticket-{round}");
         let sends = (0..12).map(|number| request_ticket(&site, number % HOSTS, &key));
         let answers = join_all(sends).await;
-        let ran = answers.iter().filter(|answer| answer.status == 200).count();
-        assert!(0 < ran, "no send was answered: {answers:?}");
+        let answered = answers.iter().filter(|answer| answer.status == 200).count();
+        assert!(0 < answered, "no send was answered: {answers:?}");
         answers.iter().filter(|answer| answer.status != 200).for_each(assert_not_denied);
     }
     assert_runs(&site, 10);
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -117,7 +117,7 @@
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(1, HOSTS, length, schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
-    assert!(summary.retries.values().any(|part| 0.3 < *part), "{:?}", summary.retries);
+    assert!(summary.retries.values().any(|ratio| 0.3 < *ratio), "{:?}", summary.retries);
 }
 
 #[rstest]
