--- a/crates/stage/tests/bounds.rs
+++ b/crates/stage/tests/bounds.rs
@@ -96,8 +96,9 @@
 
 /// Sends bytes and then nothing more; returns what is received until the connection ends.
 async fn send_raw(fixture: &Fixture, bytes: &str) -> String {
-    let mut stream = TcpStream::connect(fixture.callers()).await.expect("connection");
-    stream.write_all(bytes.as_bytes()).await.expect("bytes");
+    let mut stream =
+        TcpStream::connect(fixture.callers()).await.expect("the host accepts the connection");
+    stream.write_all(bytes.as_bytes()).await.expect("the bytes are sent");
     let mut answer = Vec::new();
     // A reset ends the connection too, so the error is ignored.
     let _ = stream.read_to_end(&mut answer).await;
--- a/crates/stage/tests/common/caller.rs
+++ b/crates/stage/tests/common/caller.rs
@@ -78,7 +78,7 @@
         let request = http::Request::post(format!("http://{address}/v1/chat/completions"))
             .header(engine::IDEMPOTENCY_KEY, &self.key)
             .body(Full::new(Bytes::from(self.body().to_string())))
-            .expect("a request");
+            .expect("the request is valid");
         let response = match tokio::time::timeout(TIMEOUT, client.request(request)).await {
             Err(_) => return Ending::Wrong("no answer within the time limit".into()),
             Ok(Err(error)) if error.is_connect() => return Ending::ConnectFailed,
--- a/crates/stage/tests/common/http.rs
+++ b/crates/stage/tests/common/http.rs
@@ -43,7 +43,8 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let request = request.body(Full::new(Bytes::from(body.to_owned()))).expect("request");
+    let request =
+        request.body(Full::new(Bytes::from(body.to_owned()))).expect("the request is valid");
     let response = tokio::time::timeout(TIMEOUT, client.request(request)).await.ok()?.ok()?;
     let (parts, body) = response.into_parts();
     let body = tokio::time::timeout(TIMEOUT, body.collect()).await.ok()?.ok()?.to_bytes();
@@ -58,7 +59,7 @@
     headers: &[(&str, &str)],
     body: &str,
 ) -> Answer {
-    try_send(address, method, uri, headers, body).await.expect("an answer")
+    try_send(address, method, uri, headers, body).await.expect("the host answers")
 }
 
 pub async fn post_chat(address: SocketAddr, body: &Value) -> Answer {
--- a/crates/stage/tests/common/in_process.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -27,7 +27,7 @@
 
     /// As [`Fixture::start`], with the given `bounds` settings for callers.
     pub async fn start_with(servers: &[ScriptedServer], bounds: serde_json::Value) -> Fixture {
-        let platform = Platform::start().await.expect("platform");
+        let platform = Platform::start().await.expect("the platform starts");
         let config = json!({
             "customers": {"guests": {}},
             "models": {"welcome": {"group": "lm", "version": "v1", "memory": 1}},
@@ -57,8 +57,8 @@
             "drain": {"balancer_ms": 0, "finish_ms": 5000},
             "bounds": bounds,
         });
-        let settings = serde_json::from_value(settings).expect("settings");
-        let host = stage::start(settings).await.expect("host");
+        let settings = serde_json::from_value(settings).expect("the settings are valid");
+        let host = stage::start(settings).await.expect("the host starts");
         let fixture = Fixture { host, platform };
         let operators = fixture.host.context().host().operators;
         until("the host is ready", async || {
--- a/crates/stage/tests/common/links.rs
+++ b/crates/stage/tests/common/links.rs
@@ -62,7 +62,7 @@
 
     /// Proxy from all hosts to one server; panics if the site has no such server.
     pub fn server(&self, id: &str) -> &Proxy {
-        self.servers.get(id).expect("a server of the site")
+        self.servers.get(id).expect("the site has this server")
     }
 
     /// Points the proxies before a host to its current listeners.
@@ -73,5 +73,5 @@
 }
 
 async fn proxy(target: SocketAddr) -> Proxy {
-    Proxy::start(target).await.expect("a proxy")
+    Proxy::start(target).await.expect("the proxy starts")
 }
--- a/crates/stage/tests/common/observability.rs
+++ b/crates/stage/tests/common/observability.rs
@@ -20,5 +20,9 @@
     let uri = format!("/timeline?{query}");
     let answer = send(host.operators(), "GET", &uri, &[], "").await;
     assert_eq!(answer.status, 200, "{}", answer.text());
-    answer.text().lines().map(|line| serde_json::from_str(line).expect("a record")).collect()
+    answer
+        .text()
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("each line is a record"))
+        .collect()
 }
--- a/crates/stage/tests/common/process.rs
+++ b/crates/stage/tests/common/process.rs
@@ -28,16 +28,16 @@
     /// `run` tells the log and settings files of one host's runs apart.
     pub async fn start(mut settings: Value, directory: &Path, run: usize) -> Process {
         let mut host: Host =
-            serde_json::from_value(settings["host"].clone()).expect("host settings");
+            serde_json::from_value(settings["host"].clone()).expect("the host settings are valid");
         let log = directory.join(format!("{}-{run}.log", host.id));
         settings["log"] = serde_json::json!({"file": log, "level": "debug"});
         let file = directory.join(format!("{}-{run}.json", host.id));
-        std::fs::write(&file, settings.to_string()).expect("settings file");
+        std::fs::write(&file, settings.to_string()).expect("the settings file is written");
         let child = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(["serve", "--settings"])
             .arg(&file)
             .spawn()
-            .expect("host process");
+            .expect("the host process starts");
         let mut process = Process { host: host.clone(), child, log };
         until("the host listens", async || process.read_addresses(&mut host)).await;
         process.host = host;
@@ -63,8 +63,8 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.child.id()).expect("process id");
-        kill(Pid::from_raw(id), signal).expect("signal to own child");
+        let id = i32::try_from(self.child.id()).expect("the process id fits in i32");
+        kill(Pid::from_raw(id), signal).expect("the child process can be signalled");
     }
 
     /// Kills the process with SIGKILL and reaps it.
@@ -77,7 +77,7 @@
     pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let mut status = None;
         until("the process exits", async || {
-            status = self.child.try_wait().expect("own child");
+            status = self.child.try_wait().expect("the child process can be waited for");
             status.is_some()
         })
         .await;
@@ -88,7 +88,7 @@
     ///
     /// The system assigns the ports, so that no two processes are given the same one.
     fn read_addresses(&mut self, host: &mut Host) -> bool {
-        let status = self.child.try_wait().expect("own child");
+        let status = self.child.try_wait().expect("the child process can be waited for");
         assert!(status.is_none(), "{} exited while starting: {:#?}", host.id, self.log());
         let log = self.log();
         let Some(line) = log.iter().find(|line| line["message"] == "host starts") else {
@@ -96,8 +96,9 @@
         };
         let address = |role: &str| line["attributes"][role].as_str().and_then(|a| a.parse().ok());
         let unassigned = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        host.callers = address("callers").expect("address of the callers listener");
-        host.operators = address("operators").expect("address of the operators listener");
+        host.callers = address("callers").expect("the address of the callers listener is logged");
+        host.operators =
+            address("operators").expect("the address of the operators listener is logged");
         host.peers = address("peers").unwrap_or(unassigned);
         true
     }
--- a/crates/stage/tests/common/script.rs
+++ b/crates/stage/tests/common/script.rs
@@ -78,8 +78,9 @@
     /// Hosts try the server with the fewest such requests first, so tests set the order of attempts
     /// by this number.
     pub async fn start(id: &str, kind: Kind, running: u32, behavior: Behavior) -> ScriptedServer {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
-        let address = listener.local_addr().expect("address of the listener");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.expect("the listener is bound to a free port");
+        let address = listener.local_addr().expect("the listener has an address");
         let shared = Arc::new(Shared {
             id: id.into(),
             running,
@@ -107,12 +108,12 @@
 impl ScriptedServer {
     /// Request lines of the KV cache calls (`POST /kv/..`).
     pub fn kv_calls(&self) -> Vec<String> {
-        self.shared.kv.lock().expect("kv").clone()
+        self.shared.kv.lock().expect("lock is not poisoned").clone()
     }
 
     /// Head of the last inference or service request; empty before the first.
     pub fn last_head(&self) -> String {
-        self.shared.head.lock().expect("head").clone()
+        self.shared.head.lock().expect("lock is not poisoned").clone()
     }
 }
 
@@ -125,17 +126,22 @@
 async fn exchange(mut stream: TcpStream, shared: Arc<Shared>) -> Option<()> {
     let (head, rest) = read_head(&mut stream).await?;
     if head.starts_with("GET /load") {
-        let body = serde_json::to_string(&load(&shared)).expect("report");
+        let body =
+            serde_json::to_string(&load(&shared)).expect("the report can be written as JSON");
         return respond(&mut stream, "200 OK", &body).await;
     }
     if head.starts_with("POST /kv/") {
         read_body(&mut stream, &head, rest).await?;
-        shared.kv.lock().expect("kv").push(head.lines().next().unwrap_or_default().into());
+        shared
+            .kv
+            .lock()
+            .expect("lock is not poisoned")
+            .push(head.lines().next().unwrap_or_default().into());
         return respond(&mut stream, "200 OK", "the cache").await;
     }
     shared.requests.fetch_add(1, Ordering::SeqCst);
-    shared.head.lock().expect("head").clone_from(&head);
-    let behavior = shared.behavior.lock().expect("behavior").clone();
+    shared.head.lock().expect("lock is not poisoned").clone_from(&head);
+    let behavior = shared.behavior.lock().expect("lock is not poisoned").clone();
     if behavior == Behavior::CloseDuringRequest {
         return Some(());
     }
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -90,10 +90,10 @@
 
     /// Starts all parts and waits until each host is ready and has a report from each server.
     pub async fn start(self) -> Site {
-        let platform = Platform::start().await.expect("platform");
+        let platform = Platform::start().await.expect("the platform starts");
         let mut engines = Vec::new();
         for settings in self.engines {
-            engines.push(Engine::start(settings).await.expect("engine"));
+            engines.push(Engine::start(settings).await.expect("the engine starts"));
         }
         let mut site = Site {
             platform,
@@ -103,7 +103,7 @@
             links: None,
             settings_change: self.settings,
             list_states: vec![Listed::Live; self.hosts],
-            files: tempfile::tempdir().expect("directory for settings"),
+            files: tempfile::tempdir().expect("the temporary directory is created"),
             starts: 0,
             network: Network::unused(),
         };
@@ -170,9 +170,9 @@
 
     /// Writes a changed configuration to the platform under the next number, which it returns.
     pub fn declare(&self, change: impl FnOnce(&mut Value)) -> u64 {
-        let (_, mut root) = self.platform.peek(ROOT).expect("a configuration");
+        let (_, mut root) = self.platform.peek(ROOT).expect("a configuration is stored");
         change(&mut root["config"]);
-        let number = root["number"].as_u64().expect("configuration number") + 1;
+        let number = root["number"].as_u64().expect("the configuration has a number") + 1;
         root["number"] = number.into();
         self.platform.poke(ROOT, root);
         number
@@ -186,7 +186,7 @@
 
     /// The fault proxies; panics unless the site was built [`with_proxies`](Builder::with_proxies).
     pub fn links(&self) -> &Links {
-        self.links.as_ref().expect("a site with proxies on its links")
+        self.links.as_ref().expect("the site has fault proxies")
     }
 
     /// Text of `tokens` tokens that an engine generates for a chat request.
--- a/crates/stage/tests/control.rs
+++ b/crates/stage/tests/control.rs
@@ -20,7 +20,8 @@
 
 /// User and system CPU time that a process has used, in seconds.
 fn cpu_seconds(process: &Process) -> f64 {
-    let text = fs::read_to_string(format!("/proc/{}/stat", process.id())).expect("own child");
+    let text = fs::read_to_string(format!("/proc/{}/stat", process.id()))
+        .expect("the /proc files of the child process can be read");
     let after_name = text.rsplit(')').next().unwrap_or_default();
     let ticks = |index: usize| {
         let field = after_name.split_whitespace().nth(index);
@@ -34,7 +35,8 @@
 /// Resident memory of a process, in bytes.
 fn resident_bytes(process: &Process) -> f64 {
     const PAGE: f64 = 4096.0;
-    let text = fs::read_to_string(format!("/proc/{}/statm", process.id())).expect("own child");
+    let text = fs::read_to_string(format!("/proc/{}/statm", process.id()))
+        .expect("the /proc files of the child process can be read");
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<f64>().ok());
     pages.unwrap_or(0.0) * PAGE
 }
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -22,13 +22,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_model_gets_a_third_replica() {
-    let platform = Platform::start().await.expect("platform");
+    let platform = Platform::start().await.expect("the platform starts");
     platform.poke("config/root", json!({"number": 1, "config": config()}));
     let mut engines = Vec::new();
     for n in 0..ENGINES {
         let settings = engine::Settings::new(&format!("lm-{n}"));
         let settings = engine::Settings { slots: 2, capacity: 100, ..settings };
-        engines.push(Engine::start(settings).await.expect("engine"));
+        engines.push(Engine::start(settings).await.expect("the engine starts"));
     }
     let any = (Ipv4Addr::LOCALHOST, 0).into();
     let host = Host {
@@ -42,8 +42,8 @@
         "host": host, "platform": platform.address(), "intervals": {"plan_ms": 100},
         "drain": {"balancer_ms": 0}, "planning": {"loads_per_second": 50.0},
     });
-    let settings: Process = serde_json::from_value(settings).expect("settings");
-    let running = stage::start(settings).await.expect("host");
+    let settings: Process = serde_json::from_value(settings).expect("the settings are valid");
+    let running = stage::start(settings).await.expect("the host starts");
     let listed_host = running.context().host().clone();
     platform.set_list(list(listed_host.clone(), &engines));
     until("two engines have the model", || replicas(&engines) == 2).await;
@@ -68,7 +68,7 @@
     loop {
         let request = http::Request::post("/v1/chat/completions")
             .body(::backend::full_body(chat.to_string().into()))
-            .expect("request");
+            .expect("the request is valid");
         if let Ok(response) = client.send(callers, request).await {
             let _ = response.into_body().collect().await;
         }
--- a/crates/stage/tests/drain.rs
+++ b/crates/stage/tests/drain.rs
@@ -75,20 +75,21 @@
     const HALF: usize = 200_000;
 
     async fn begin(address: SocketAddr) -> Upload {
-        let mut stream = TcpStream::connect(address).await.expect("connection");
+        let mut stream =
+            TcpStream::connect(address).await.expect("the host accepts the connection");
         let length = 2 * Upload::HALF;
         let head = format!(
             "PUT /services/tickets/scan HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).await.expect("head");
-        stream.write_all(&vec![b'a'; Upload::HALF]).await.expect("first half");
+        stream.write_all(head.as_bytes()).await.expect("the head is sent");
+        stream.write_all(&vec![b'a'; Upload::HALF]).await.expect("the first half is sent");
         Upload { stream }
     }
 
     async fn finish(mut self) -> String {
-        self.stream.write_all(&vec![b'b'; Upload::HALF]).await.expect("second half");
+        self.stream.write_all(&vec![b'b'; Upload::HALF]).await.expect("the second half is sent");
         let mut answer = String::new();
-        self.stream.read_to_string(&mut answer).await.expect("answer");
+        self.stream.read_to_string(&mut answer).await.expect("the answer is complete");
         answer
     }
 }
@@ -99,7 +100,7 @@
 
 #[tokio::test]
 async fn each_host_in_turn_stops_without_cutting_a_stream_or_an_upload() {
-    let plain = Plain::start("app-1").await.expect("plain service");
+    let plain = Plain::start("app-1").await.expect("the plain service starts");
     let slow = engines().into_iter().map(|engine| engine::Settings { step: SLOW_STEP, ..engine });
     let builder = slow.fold(Builder::new(3), Builder::engine).plain(plain);
     let balancer_pause = |settings: &mut Value| {
@@ -118,7 +119,7 @@
         let not_ready = until("the host reports not ready", async || !is_ready(operators).await);
         tokio::time::timeout(PROBE_INTERVAL, not_ready)
             .await
-            .expect("host reports not ready by the balancer's next probe");
+            .expect("the host reports not ready by the balancer's next probe");
         // New requests are still accepted within the pause for the balancer.
         let new_answer = post_chat(site.hosts()[host].callers(), &long_chat(99)).await;
         assert_eq!(new_answer.status, 200, "{}", new_answer.text());
@@ -178,13 +179,15 @@
     let site = Site::start(1, engines()).await;
     let mut streams = Vec::new();
     for caller in 0..STREAMS {
-        let mut stream = TcpStream::connect(site.hosts()[0].callers()).await.expect("connection");
+        let mut stream = TcpStream::connect(site.hosts()[0].callers())
+            .await
+            .expect("the host accepts the connection");
         let body = long_chat(caller).to_string();
         let length = body.len();
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n"
         );
-        stream.write_all(format!("{head}{body}").as_bytes()).await.expect("request");
+        stream.write_all(format!("{head}{body}").as_bytes()).await.expect("the request is sent");
         streams.push(stream);
     }
     until("all streams run on the engines", async || requests_in_flight(&site) == STREAMS).await;
--- a/crates/stage/tests/moves/main.rs
+++ b/crates/stage/tests/moves/main.rs
@@ -75,7 +75,7 @@
             Trouble::EngineRestarts => {
                 until("the engine loads a model", async || !engine.residents().is_empty()).await;
                 engine.crash();
-                engine.restart().await.expect("restart on the same port");
+                engine.restart().await.expect("the engine restarts on the same port");
             }
             Trouble::ReportsLate => {}
         }
@@ -215,15 +215,15 @@
     until("an order is lost", async || 1 < open_orders(&site).len() || site.has_ready(0, "a"))
         .await;
     // Any host reports open moves, even one that never plans, such as this one in the test process.
-    let host = stage::start(site.unlisted_settings()).await.expect("a host");
+    let host = stage::start(site.unlisted_settings()).await.expect("the host starts");
     let text = get(host.context().host().operators, "/status/moves").await;
-    let status: Value = serde_json::from_str(&text).expect("JSON");
+    let status: Value = serde_json::from_str(&text).expect("the answer is JSON");
     assert_eq!(status["current"], true);
     assert_eq!(status["memory"][0]["capacity"], CAPACITY);
     assert_eq!(status["memory"][0]["promised"], MODEL_MEMORY);
-    let open = status["open"].as_array().expect("open moves");
+    let open = status["open"].as_array().expect("open moves are listed");
     assert!(!open.is_empty(), "the lost order is not open during the linger time");
-    let conditions = open[0]["settled_by"].as_array().expect("settled_by");
+    let conditions = open[0]["settled_by"].as_array().expect("the conditions are listed");
     assert!(conditions.iter().any(|condition| {
         condition.as_str().is_some_and(|condition| condition.contains("in flight"))
     }));
@@ -232,11 +232,12 @@
 
 async fn get(address: SocketAddr, path: &str) -> String {
     let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    let uri = format!("http://{address}{path}").parse().expect("valid URI");
-    let response = client
-        .request(Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("valid request"));
-    let response = response.await.expect("response");
-    let body = response.into_body().collect().await.expect("response body").to_bytes();
+    let uri = format!("http://{address}{path}").parse().expect("the URI is valid");
+    let response = client.request(
+        Request::get::<Uri>(uri).body(Empty::<Bytes>::new()).expect("the request is valid"),
+    );
+    let response = response.await.expect("the host answers");
+    let body = response.into_body().collect().await.expect("the answer is complete").to_bytes();
     String::from_utf8_lossy(&body).into_owned()
 }
 
--- a/crates/stage/tests/moves/site.rs
+++ b/crates/stage/tests/moves/site.rs
@@ -60,7 +60,8 @@
 
     fn is_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
-        let tasks = tasks.expect("task directory of own child").filter_map(Result::ok);
+        let tasks =
+            tasks.expect("the tasks of the child process can be read").filter_map(Result::ok);
         let states =
             tasks.filter_map(|task| std::fs::read_to_string(task.path().join("stat")).ok());
         // The state follows the command name, which is in parentheses.
@@ -71,8 +72,8 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.child.id()).expect("process id");
-        kill(Pid::from_raw(id), signal).expect("signal to own child");
+        let id = i32::try_from(self.child.id()).expect("the process id fits in i32");
+        kill(Pid::from_raw(id), signal).expect("the child process can be signalled");
     }
 
     pub fn kill(&mut self) {
@@ -110,17 +111,17 @@
 impl Site {
     /// Starts hosts and engines without a declared model; returns when each engine has a ledger.
     pub async fn start(hosts: usize, engines: Vec<engine::Settings>, lease_ms: u64) -> Site {
-        let platform = Platform::start().await.expect("platform");
+        let platform = Platform::start().await.expect("the platform starts");
         let mut running = Vec::new();
         let mut to_engine = Vec::new();
         for settings in engines {
-            let engine = Engine::start(settings).await.expect("engine");
-            to_engine.push(Proxy::start(engine.address()).await.expect("proxy"));
+            let engine = Engine::start(settings).await.expect("the engine starts");
+            to_engine.push(Proxy::start(engine.address()).await.expect("the proxy starts"));
             running.push(engine);
         }
         let mut to_platform = Vec::new();
         for _ in 0..hosts {
-            to_platform.push(Proxy::start(platform.address()).await.expect("proxy"));
+            to_platform.push(Proxy::start(platform.address()).await.expect("the proxy starts"));
         }
         let mut site = Site {
             platform,
@@ -129,7 +130,7 @@
             to_engine,
             hosts: Vec::new(),
             list_entries: Vec::new(),
-            files: tempfile::tempdir().expect("directory"),
+            files: tempfile::tempdir().expect("the temporary directory is created"),
             lease_ms,
             config_number: 0,
             starts: 0,
@@ -216,7 +217,7 @@
     /// Waits until a host holds the planning lease.
     pub async fn wait_for_planner(&self) -> usize {
         until("a host holds the planning lease", async || self.planner().is_some()).await;
-        self.planner().expect("a planner")
+        self.planner().expect("a host holds the planning lease")
     }
 
     /// Takes a host off the platform's list.
@@ -235,7 +236,7 @@
     pub fn unlisted_settings(&self) -> settings::process::Process {
         let host = with_any_ports("onlooker");
         let settings = json!({"host": host, "platform": self.platform.address()});
-        serde_json::from_value(settings).expect("settings")
+        serde_json::from_value(settings).expect("the settings are valid")
     }
 
     fn publish_list(&self) {
@@ -271,12 +272,12 @@
             "log": {"file": log, "level": "info"},
         });
         let file = self.files.path().join(format!("{}-{}.json", host.id, self.starts));
-        std::fs::write(&file, settings.to_string()).expect("settings file");
+        std::fs::write(&file, settings.to_string()).expect("the settings file is written");
         let child = Command::new(env!("CARGO_BIN_EXE_cyclamenstage"))
             .args(["serve", "--settings"])
             .arg(&file)
             .spawn()
-            .expect("host process");
+            .expect("the host process starts");
         Process { child, host }
     }
 }
--- a/crates/stage/tests/observe.rs
+++ b/crates/stage/tests/observe.rs
@@ -36,7 +36,7 @@
 }
 
 fn request_id(answer: &Answer) -> String {
-    answer.headers["x-request-id"].to_str().expect("text").to_owned()
+    answer.headers["x-request-id"].to_str().expect("the id is text").to_owned()
 }
 
 #[tokio::test]
@@ -158,7 +158,7 @@
     let heartbeat = Heartbeat { stamp: future.0, ..gossip.hello(Duration::from_secs(1)) };
     let client = peer::Builder::new().build();
 
-    let answer = client.heartbeat(host.host.peers, heartbeat).await.expect("an answer");
+    let answer = client.heartbeat(host.host.peers, heartbeat).await.expect("the host answers");
     let call = post_chat(host.callers(), &chat("welcome")).await;
 
     assert!(future < Stamp(answer.stamp));
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -101,7 +101,8 @@
         site.hosts()[0].signal(Signal::SIGSTOP);
         let other = request_ticket(&site, 1, &key).await;
         site.hosts()[0].signal(Signal::SIGCONT);
-        let paused = paused.await.unwrap().expect("an answer after the host has resumed");
+        let paused =
+            paused.await.unwrap().expect("the request is answered after the host has resumed");
         for answer in [paused, other] {
             if answer.status != 200 {
                 assert_not_denied(&answer);
@@ -214,8 +215,8 @@
 
 /// The platform's list with every backend server leaving; hosts ignore an empty list.
 async fn with_leaving_servers(site: &Site) -> List {
-    let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the list");
-    let mut list: List = serde_json::from_value(list).expect("a list");
+    let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the host answers");
+    let mut list: List = serde_json::from_value(list).expect("the answer is a list");
     list.servers.iter_mut().for_each(|entry| entry.state = Listed::Leaving);
     list
 }
--- a/crates/stage/tests/overload.rs
+++ b/crates/stage/tests/overload.rs
@@ -44,7 +44,7 @@
 #[tokio::test]
 async fn work_that_cannot_meet_its_target_is_refused_at_once_and_told_when_to_come_back() {
     let (fixture, servers, running) = full_server().await;
-    let answer = chat(&fixture, "20").await.expect("an answer");
+    let answer = chat(&fixture, "20").await.expect("caller task must not panic");
     assert_eq!(answer.status, 503, "{}", answer.text());
     let problem = answer.json();
     assert_eq!(problem["type"], "urn:cyclamenstage:problem:overloaded");
@@ -62,7 +62,7 @@
     fixture.platform.set_list(Default::default());
     let before = fixture.platform.calls().lists;
     until("the empty list is read", async || before + 2 <= fixture.platform.calls().lists).await;
-    assert_eq!(chat(&fixture, "60000").await.expect("an answer").status, 200);
+    assert_eq!(chat(&fixture, "60000").await.expect("caller task must not panic").status, 200);
     fixture.host.drain().await;
 }
 
--- a/crates/stage/tests/promises/configuration.rs
+++ b/crates/stage/tests/promises/configuration.rs
@@ -105,10 +105,10 @@
 #[tokio::test]
 async fn old_answer_of_the_platform_reverts_nothing() {
     let site = site().await;
-    let (_, old) = site.platform.peek("config/root").expect("a configuration");
+    let (_, old) = site.platform.peek("config/root").expect("a configuration is stored");
     let number = add_customer(&site);
     until_in_force(&site, number).await;
-    let (_, latest) = site.platform.peek("config/root").expect("a configuration");
+    let (_, latest) = site.platform.peek("config/root").expect("a configuration is stored");
 
     site.platform.poke("config/root", old);
     site.platform.poke("config/root", latest);
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -57,7 +57,7 @@
 
     for number in 0..6 {
         let key = format!("ticket-{number}");
-        let answer = issue(&site, number % 3, &key).await.expect("an answer to each request");
+        let answer = issue(&site, number % 3, &key).await.expect("each request is answered");
         let ran = runs(&site, &key);
         assert!(ran <= 1, "{key} ran {ran} times");
         match (answer.status, answer.json()["ran"].as_str()) {
--- a/crates/stage/tests/promises/pairs_control.rs
+++ b/crates/stage/tests/promises/pairs_control.rs
@@ -49,7 +49,7 @@
     let winners = [&first, &second].iter().filter(|(status, _)| *status == 200).count();
     assert_eq!(winners, 1, "expected exactly one patch to be accepted: {first:?}, {second:?}");
     until_in_force(&site, 2).await;
-    let (_, root) = site.platform.peek("config/root").expect("a configuration");
+    let (_, root) = site.platform.peek("config/root").expect("a configuration is stored");
     assert_eq!(root["number"], 2);
     let repeated = patch(&site, 2, if first.0 == 200 { "first" } else { "second" }).await;
     assert_eq!(
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -38,7 +38,7 @@
 
 /// Whether each called model is ready on an engine in the version declared last.
 fn all_ready(site: &Site) -> bool {
-    let (_, root) = site.platform.peek("config/root").expect("a configuration");
+    let (_, root) = site.platform.peek("config/root").expect("a configuration is stored");
     let residents = || site.engines().iter().flat_map(|engine| engine.residents());
     MODELS.iter().all(|name| {
         let declared_version = &root["config"]["models"][name]["version"];
@@ -60,7 +60,7 @@
     let headers = [("content-type", "application/json")];
     let answer = send(operators, "POST", "/config/patches", &headers, &body.to_string()).await;
     match answer.status {
-        200 => answer.json()["number"].as_u64().expect("a number"),
+        200 => answer.json()["number"].as_u64().expect("an accepted patch has a number"),
         _ => against,
     }
 }
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -47,7 +47,7 @@
     })
     .await;
     let orders = site.backend.server("lm-1").orders();
-    let first = orders.first().expect("an order");
+    let first = orders.first().expect("the server got an order");
     assert_eq!(first.order.expected, Some(0), "the order was planned for the previous run");
     assert_eq!(site.backend.server("lm-1").overload(), None);
 }
--- a/crates/stage/tests/routed/site.rs
+++ b/crates/stage/tests/routed/site.rs
@@ -124,7 +124,7 @@
 /// Creates a site without hosts and passes it to `prepare`; declares nothing.
 pub fn new_site(backend: Backend, prepare: impl FnOnce(&mut Site)) -> Site {
     let program = Path::new(env!("CARGO_BIN_EXE_cyclamenstage"));
-    let mut site = Site::new(program, backend).expect("a temporary directory");
+    let mut site = Site::new(program, backend).expect("the temporary directory is created");
     prepare(&mut site);
     site
 }
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -95,7 +95,7 @@
 
 /// Runs a soak with its files in a temporary directory.
 async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<PlannedFault>) -> Summary {
-    let folder = tempfile::tempdir().expect("temporary directory");
+    let folder = tempfile::tempdir().expect("the temporary directory is created");
     let plan = Plan {
         program: Path::new(env!("CARGO_BIN_EXE_cyclamenstage")),
         folder: folder.path(),
@@ -104,7 +104,7 @@
         length,
         schedule,
     };
-    run(&plan).await.expect("soak runs to its end")
+    run(&plan).await.expect("the soak runs to its end")
 }
 
 #[rstest]
