--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -37,7 +37,7 @@
 
 async fn until_liveness(site: &Site, subject: usize, expected: &str) {
     for observer in (0..site.hosts().len()).filter(|observer| *observer != subject) {
-        until(&format!("host {observer} takes host {subject} for {expected}"), async || {
+        until(&format!("host {observer} reports host {subject} as {expected}"), async || {
             liveness(site, observer, subject).await == expected
         })
         .await;
@@ -235,8 +235,8 @@
     for index in 0..3 {
         let status = get(site.hosts()[index].operators(), "/status").await.unwrap_or_default();
         assert_eq!(status["servers"], 1);
-        let ending = Chat::new(format!("empty-{index}"), MODEL, 4);
-        assert_eq!(ending.send(site.hosts()[index].callers()).await, Ending::Complete);
+        let chat = Chat::new(format!("empty-{index}"), MODEL, 4);
+        assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
     }
     until_all_live(&site).await;
     site.shut_down().await;
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -19,8 +19,8 @@
         let key = format!("ticket-{round}");
         let sends = (0..12).map(|number| request_ticket(&site, number % HOSTS, &key));
         let answers = join_all(sends).await;
-        let ran = answers.iter().filter(|answer| answer.status == 200).count();
-        assert!(0 < ran, "no send was answered: {answers:?}");
+        let answered = answers.iter().filter(|answer| answer.status == 200).count();
+        assert!(0 < answered, "no send was answered: {answers:?}");
         answers.iter().filter(|answer| answer.status != 200).for_each(assert_not_denied);
     }
     assert_runs(&site, 10);
@@ -101,7 +101,8 @@
         site.hosts()[0].signal(Signal::SIGSTOP);
         let other = request_ticket(&site, 1, &key).await;
         site.hosts()[0].signal(Signal::SIGCONT);
-        let paused = paused.await.unwrap().expect("an answer after the host has resumed");
+        let paused =
+            paused.await.unwrap().expect("the request is answered after the host has resumed");
         for answer in [paused, other] {
             if answer.status != 200 {
                 assert_not_denied(&answer);
@@ -188,8 +189,8 @@
     site.shut_down().await;
 }
 
-/// Admission refuses the request before the key is looked up, so that the host cannot know whether
-/// another send with the key ran, and the key stays unclaimed.
+/// Admission refuses the request before the key is looked up. The host therefore cannot know
+/// whether another request with the key ran, and the key stays unclaimed.
 #[tokio::test]
 async fn refused_before_its_claim_its_key_runs_later() {
     let mut site = site().await;
@@ -214,8 +215,8 @@
 
 /// The platform's list with every backend server leaving; hosts ignore an empty list.
 async fn with_leaving_servers(site: &Site) -> List {
-    let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the list");
-    let mut list: List = serde_json::from_value(list).expect("a list");
+    let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the host answers");
+    let mut list: List = serde_json::from_value(list).expect("the answer is a list");
     list.servers.iter_mut().for_each(|entry| entry.state = Listed::Leaving);
     list
 }
--- a/crates/stage/tests/promises/reachable.rs
+++ b/crates/stage/tests/promises/reachable.rs
@@ -38,7 +38,7 @@
 
 /// Whether each called model is ready on an engine in the version declared last.
 fn all_ready(site: &Site) -> bool {
-    let (_, root) = site.platform.peek("config/root").expect("a configuration");
+    let (_, root) = site.platform.peek("config/root").expect("a configuration is stored");
     let residents = || site.engines().iter().flat_map(|engine| engine.residents());
     MODELS.iter().all(|name| {
         let declared_version = &root["config"]["models"][name]["version"];
@@ -60,7 +60,7 @@
     let headers = [("content-type", "application/json")];
     let answer = send(operators, "POST", "/config/patches", &headers, &body.to_string()).await;
     match answer.status {
-        200 => answer.json()["number"].as_u64().expect("a number"),
+        200 => answer.json()["number"].as_u64().expect("an accepted patch has a number"),
         _ => against,
     }
 }
@@ -95,7 +95,7 @@
     until("the last declared versions are ready", async || all_ready(&site)).await;
     let endings = generator.stop().await;
     assert!(STEPS / 4 < number, "too few patches were accepted: the last number is {number}");
-    assert_eq!(endings.failures(), [], "of {}", endings.all().len());
+    assert_eq!(endings.failures(), [], "failures among {} calls", endings.all().len());
     for (index, model) in MODELS.iter().enumerate() {
         let chat = Chat::new(format!("last-{index}"), model, 5);
         assert_eq!(chat.send(site.hosts()[index].callers()).await, Ending::Complete);
--- a/crates/stage/tests/routed/restarts.rs
+++ b/crates/stage/tests/routed/restarts.rs
@@ -5,7 +5,8 @@
 
 use crate::site::{chat, engine, site, status_of};
 
-/// Settings for a run of the first model server that starts at `born`, in Unix milliseconds.
+/// Settings for a run of the first model server that starts at `started_at`, in Unix
+/// milliseconds.
 fn run_settings(started_at: u64, models: &[&str]) -> Settings {
     Settings { started_at, ..Settings::model("lm-1", "lm", &engine(), models) }
 }
@@ -46,7 +47,7 @@
     })
     .await;
     let orders = site.backend.server("lm-1").orders();
-    let first = orders.first().expect("an order");
+    let first = orders.first().expect("the server got an order");
     assert_eq!(first.order.expected, Some(0), "the order was planned for the previous run");
     assert_eq!(site.backend.server("lm-1").overload(), None);
 }
--- a/crates/stage/tests/soak.rs
+++ b/crates/stage/tests/soak.rs
@@ -24,6 +24,7 @@
     seed: u64,
     hosts: usize,
     length: Duration,
+    /// Time without faults at the end.
     tail: Duration,
 }
 
@@ -31,8 +32,8 @@
 const SHORT: Soak =
     Soak { seed: 5, hosts: 3, length: Duration::from_secs(7), tail: Duration::from_secs(1) };
 
-/// The store does not answer for 6.2 s after a declaration, and another declaration follows. While
-/// hosts trusted a stalled watch up to its time limit, they handled 32 requests under an outdated
+/// The store does not answer for 6.2 s after a declaration, and another declaration follows. Hosts
+/// that trust a stalled watch up to its time limit handle 32 requests under an outdated
 /// declaration.
 const SILENT_STORE: Soak =
     Soak { seed: 180, hosts: 4, length: Duration::from_secs(60), tail: Duration::from_secs(16) };
@@ -89,12 +90,12 @@
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(seed, HOSTS, Duration::from_secs(25), schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
-    assert!(3 <= summary.crashed, "{} servers ended", summary.crashed);
+    assert!(3 <= summary.crashed, "only {} servers crashed", summary.crashed);
 }
 
 /// Runs a soak with its files in a temporary directory.
 async fn soak(seed: u64, hosts: usize, length: Duration, schedule: Vec<PlannedFault>) -> Summary {
-    let folder = tempfile::tempdir().expect("temporary directory");
+    let folder = tempfile::tempdir().expect("the temporary directory is created");
     let plan = Plan {
         program: Path::new(env!("CARGO_BIN_EXE_cyclamenstage")),
         folder: folder.path(),
@@ -103,7 +104,7 @@
         length,
         schedule,
     };
-    run(&plan).await.expect("soak runs to its end")
+    run(&plan).await.expect("the soak runs to its end")
 }
 
 #[rstest]
@@ -116,7 +117,7 @@
     schedule.sort_by_key(|planned| planned.at);
     let summary = soak(1, HOSTS, length, schedule).await;
     assert!(summary.breaches.is_empty(), "{:#?}", summary.breaches);
-    assert!(summary.retries.values().any(|part| 0.3 < *part), "{:?}", summary.retries);
+    assert!(summary.retries.values().any(|ratio| 0.3 < *ratio), "{:?}", summary.retries);
 }
 
 #[rstest]
