--- a/crates/ctl/tests/views.rs
+++ b/crates/ctl/tests/views.rs
@@ -58,7 +58,7 @@
     let site = Site::start(2).await;
     let run = site.ctl(&["drain", "host-1"]).await;
     assert_eq!((run.code, run.out.as_str()), (0, "host-1 drains\n"));
-    let is_stopping = |host: usize| site.hosts[host].context().stop_asked.is_cancelled();
+    let is_stopping = |host: usize| site.hosts[host].context().stop_requested.is_cancelled();
     assert_eq!((is_stopping(0), is_stopping(1)), (false, true));
     let unknown = site.ctl(&["drain", "host-9"]).await;
     assert_eq!(unknown.code, 1);
--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -60,7 +60,7 @@
     /// Configuration in force; only [`Context::advance`] changes it.
     config: watch::Sender<Arc<Numbered>>,
     /// Cancelled when an operator asks for a planned stop.
-    pub stop_asked: CancellationToken,
+    pub stop_requested: CancellationToken,
     /// Cancelled at the end of a planned stop; ends background duties.
     pub stop: CancellationToken,
     /// Tracks the background duties.
@@ -111,7 +111,7 @@
             declared: Declared::default(),
             claims: Claims::new(me, once::Settings::default()),
             config: watch::channel(Arc::default()).0,
-            stop_asked: CancellationToken::new(),
+            stop_requested: CancellationToken::new(),
             stop: CancellationToken::new(),
             duties: TaskTracker::new(),
             draining: AtomicBool::new(false),
--- a/crates/stage/src/flags.rs
+++ b/crates/stage/src/flags.rs
@@ -109,7 +109,7 @@
     let running = crate::start(settings).await?;
     tokio::select! {
         _ = terminate.recv() => {}
-        () = running.context().stop_asked.cancelled() => {}
+        () = running.context().stop_requested.cancelled() => {}
         result = tokio::signal::ctrl_c() => result?,
     }
     running.drain().await;
--- a/crates/stage/src/operators.rs
+++ b/crates/stage/src/operators.rs
@@ -81,6 +81,6 @@
 /// Starts a planned stop, like SIGTERM.
 async fn drain(State(context): State<Arc<Context>>) -> StatusCode {
     log::info!(host = &*context.host().id; "operator requested a planned stop");
-    context.stop_asked.cancel();
+    context.stop_requested.cancel();
     StatusCode::ACCEPTED
 }
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -187,9 +187,9 @@
 }
 
 fn stop_superseded(context: &Context) {
-    if !context.stop_asked.is_cancelled() {
+    if !context.stop_requested.is_cancelled() {
         log::error!(host = &*context.host().id; "superseded by a later run of this host; stopping");
-        context.stop_asked.cancel();
+        context.stop_requested.cancel();
     }
 }
 
