--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -25,7 +25,7 @@
     filters::{Call, ModelRequest, account::Account, attempt},
     kv,
     problem::{self, Problem},
-    traffic::{NextAttempt, Sent},
+    traffic::{DispatchedAttempt, NextAttempt},
 };
 
 /// A model's answer while it is being received.
@@ -36,7 +36,7 @@
     model_request: Arc<ModelRequest>,
     demand: Arc<Demand>,
     stream: Stream,
-    next: Option<Sent>,
+    next: Option<DispatchedAttempt>,
     resume_from: Option<backend::Server>,
     source: Option<Source>,
     failed: Vec<Index>,
@@ -46,7 +46,7 @@
 
 struct Source {
     frames: BoxStream<'static, Result<Frame, frame::Error>>,
-    sent: Sent,
+    sent: DispatchedAttempt,
 }
 
 /// One token for the caller.
@@ -66,7 +66,7 @@
         call: Call,
         model_request: Arc<ModelRequest>,
         demand: Arc<Demand>,
-        first: Sent,
+        first: DispatchedAttempt,
     ) -> Answer {
         Answer {
             stream: Stream::new(call.request.id.clone()),
@@ -202,7 +202,11 @@
     }
 
     /// Handles the response head: starts reading the stream, or ends the attempt.
-    async fn response_started(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
+    async fn response_started(
+        &mut self,
+        sent: DispatchedAttempt,
+        response: Streamed,
+    ) -> Result<(), Problem> {
         let status = response.status();
         if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
             self.ran = self.ran.max(Ran::MayHaveRun);
@@ -236,7 +240,7 @@
     /// Ends a failed attempt: prepares the next one, or returns the final problem.
     async fn attempt_failed(
         &mut self,
-        sent: Sent,
+        sent: DispatchedAttempt,
         point: Point,
         cause: &str,
     ) -> Result<(), Problem> {
@@ -304,14 +308,14 @@
     call: &Call,
     demand: &Demand,
     failed: &[Index],
-) -> Option<Sent> {
+) -> Option<DispatchedAttempt> {
     /// Minimum wait before suspected servers are checked again.
     const MIN_WAIT: Duration = Duration::from_millis(5);
     let time_left = call.time_left(context).min(call.request.target.first_token);
     let until = context.now() + time_left;
     loop {
         match context.traffic.dispatch_again(demand, failed) {
-            NextAttempt::Sent(sent) => return Some(sent),
+            NextAttempt::Dispatched(sent) => return Some(sent),
             NextAttempt::Unready => return None,
             NextAttempt::At(moment) => {
                 let wait = moment.saturating_sub(context.now()).max(MIN_WAIT);
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -19,7 +19,7 @@
 
 use super::{
     Error,
-    source::{self, Drafted, Platform, Read, Source},
+    source::{self, DraftSource, Platform, Source, StoredRoot},
 };
 use crate::context::Context;
 
@@ -31,9 +31,9 @@
 const SWEEP_EVERY: config::Number = 64;
 
 /// Outcome of a write of the root.
-enum Written {
+enum WriteOutcome {
     Done,
-    Unclear(objects::Error),
+    Unknown(objects::Error),
 }
 
 /// Decides on a patch and writes it.
@@ -65,11 +65,11 @@
             other => return (to_outcome(other), None),
         };
         match write(context, &read, &draft).await {
-            Ok(Written::Done) => {
+            Ok(WriteOutcome::Done) => {
                 return (Outcome::Accepted { number: draft.root.number }, Some(draft));
             }
             // The response is lost, so this call may have written the patch.
-            Ok(Written::Unclear(error)) => {
+            Ok(WriteOutcome::Unknown(error)) => {
                 may_be_ours |= error.is_ambiguous();
                 cause = error.to_string();
             }
@@ -99,7 +99,10 @@
 }
 
 /// Reads the newest root and decides on the patch.
-async fn read_and_decide(context: &Context, patch: &Patch) -> Result<(Read, Decision), Error> {
+async fn read_and_decide(
+    context: &Context,
+    patch: &Patch,
+) -> Result<(StoredRoot, Decision), Error> {
     let read = source::newest(&*context.store).await?;
     let current = load_current(context, read.root.clone()).await?;
     Ok((read, decide(&current, patch, &engines(context))))
@@ -136,11 +139,11 @@
     context.fleet.list().servers.iter().filter_map(engine).collect()
 }
 
-async fn write(context: &Context, read: &Read, draft: &Draft) -> Result<Written, Error> {
+async fn write(context: &Context, read: &StoredRoot, draft: &Draft) -> Result<WriteOutcome, Error> {
     for part in &draft.parts {
         match create_part(context, part).await {
             Ok(()) => {}
-            Err(error) if error.is_ambiguous() => return Ok(Written::Unclear(error)),
+            Err(error) if error.is_ambiguous() => return Ok(WriteOutcome::Unknown(error)),
             Err(error) => return Err(error.into()),
         }
     }
@@ -151,8 +154,10 @@
         None => context.store.create(ROOT_KEY, value.into()).await,
     };
     match written {
-        Ok(_) => Ok(Written::Done),
-        Err(error) if error.is_ambiguous() || error.is_conflict() => Ok(Written::Unclear(error)),
+        Ok(_) => Ok(WriteOutcome::Done),
+        Err(error) if error.is_ambiguous() || error.is_conflict() => {
+            Ok(WriteOutcome::Unknown(error))
+        }
         Err(error) => Err(error.into()),
     }
 }
@@ -170,7 +175,7 @@
 /// Puts an accepted draft in force on this host without reading it back.
 async fn apply_draft(context: &Arc<Context>, draft: Draft) {
     let number = draft.root.number;
-    let source = Drafted { parts: draft.parts, rest: Platform(&*context.store) };
+    let source = DraftSource { parts: draft.parts, rest: Platform(&*context.store) };
     if let Err(error) = super::apply_root(context, draft.root, &source).await {
         log::warn!(number = number; "accepted configuration waits for the watch: {error}");
     }
--- a/crates/stage/src/declared/source.rs
+++ b/crates/stage/src/declared/source.rs
@@ -32,14 +32,14 @@
 }
 
 /// Serves parts that this host has just written, and reads the others from the platform.
-pub struct Drafted<'s> {
+pub struct DraftSource<'s> {
     /// Parts just written.
     pub parts: Vec<Part>,
     /// Source of all other parts.
     pub rest: Platform<'s>,
 }
 
-impl Source for Drafted<'_> {
+impl Source for DraftSource<'_> {
     fn part<'a>(&'a self, name: &'a part::Name) -> BoxFuture<'a, Result<Arc<[u8]>, Error>> {
         match self.parts.iter().find(|part| part.name == *name) {
             Some(part) => Box::pin(async { Ok(Arc::from(&*part.bytes)) }),
@@ -50,7 +50,7 @@
 
 /// A root as read, with the version of its object.
 #[derive(Clone, Debug, Default)]
-pub struct Read {
+pub struct StoredRoot {
     /// Version of the object; `None` if it doesn't exist.
     pub version: Option<Version>,
     /// The root; empty if the object doesn't exist.
@@ -62,10 +62,10 @@
 /// # Errors
 ///
 /// Fails if the object API fails or the object is not a valid root.
-pub async fn newest(store: &dyn Store) -> Result<Read, Error> {
+pub async fn newest(store: &dyn Store) -> Result<StoredRoot, Error> {
     match store.get(ROOT_KEY).await? {
-        Some(object) => Ok(Read { version: Some(object.version), root: parse(&object)? }),
-        None => Ok(Read::default()),
+        Some(object) => Ok(StoredRoot { version: Some(object.version), root: parse(&object)? }),
+        None => Ok(StoredRoot::default()),
     }
 }
 
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -16,9 +16,9 @@
 
 /// Reads the list forever.
 pub(super) async fn run(context: Arc<Context>) {
-    let least = context.settings.intervals.list;
+    let min_interval = context.settings.intervals.list;
     let seed = rendezvous::score(b"list", &context.host().id) ^ context.incarnation;
-    let mut backoff = Backoff::new(least, MAX_BACKOFF, seed);
+    let mut backoff = Backoff::new(min_interval, MAX_BACKOFF, seed);
     loop {
         let wait = match context.store.hosts().await {
             Ok(list) => {
@@ -26,7 +26,7 @@
                 peers::perform(&context, actions);
                 gossip::apply(&context);
                 backoff.succeed();
-                watch::list_interval(least, list.hosts.len())
+                watch::list_interval(min_interval, list.hosts.len())
             }
             Err(error) => {
                 log::warn!("host list: {error}");
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -35,7 +35,7 @@
 use self::{
     demand::Samples,
     lease::PlanningLease,
-    ledgers::{Ledgers, Stored, Written},
+    ledgers::{Ledgers, StoredLedger, WriteOutcome},
     orders::Orders,
 };
 use crate::context::Context;
@@ -119,7 +119,7 @@
     }
 
     fn is_list_due(&self, now: Moment) -> bool {
-        self.ledgers.listed().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
+        self.ledgers.listed_at().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
     }
 
     /// Resets the planner, since another host plans in the meantime.
@@ -215,7 +215,7 @@
         action: &Action,
         cause: Arc<str>,
     ) -> Option<Order> {
-        let Stored { version, ledger } = self.ledgers.get(server).cloned()?;
+        let StoredLedger { version, ledger } = self.ledgers.get(server).cloned()?;
         let claim = self.orders.sender().claim(cause);
         let id = claim.id.clone();
         let (next, order) = match ledger.reserve(claim, action.clone()) {
@@ -227,12 +227,12 @@
             }
         };
         match self.ledgers.reserve(version, &next, &id).await {
-            Written::Applied => Some(order),
-            Written::NotApplied => {
+            WriteOutcome::Applied => Some(order),
+            WriteOutcome::NotApplied => {
                 self.orders.sender().forget(&id);
                 None
             }
-            Written::Unknown => {
+            WriteOutcome::Unknown => {
                 self.orders.sender().mark_not_sent(&id);
                 None
             }
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -34,8 +34,8 @@
             self.reported.remove(&server);
         }
         for engine in engines {
-            let is_known = self.reported.get(&engine.server) == Some(&engine);
-            if !is_known || self.attempted.contains(&engine.server) {
+            let is_unchanged = self.reported.get(&engine.server) == Some(&engine);
+            if !is_unchanged || self.attempted.contains(&engine.server) {
                 self.planner.set_engine(now, engine.clone());
                 self.reported.insert(engine.server.clone(), engine);
             }
--- a/crates/stage/src/duties/plan/lease.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -21,7 +21,7 @@
     observer: Observer,
     /// Lease as last read or written, with its object version.
     known: Option<(Version, Lease)>,
-    read: Option<Moment>,
+    last_read: Option<Moment>,
     was_held: bool,
 }
 
@@ -29,14 +29,14 @@
     pub(super) fn new(context: Arc<Context>) -> PlanningLease {
         let term = context.settings.planning.lease;
         let observer = Observer::new(context.host().id.clone(), context.incarnation, term);
-        PlanningLease { context, observer, known: None, read: None, was_held: false }
+        PlanningLease { context, observer, known: None, last_read: None, was_held: false }
     }
 
     /// Acquires or renews the lease if that is due; returns whether this host may plan.
     pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
             log::warn!("planning lease: {error}");
-            self.read = None;
+            self.last_read = None;
         }
         let is_held = self.observer.is_held(self.context.now());
         if is_held != self.was_held {
@@ -73,11 +73,11 @@
         let now = self.context.now();
         if !self.observer.is_held(now) {
             let pause = self.context.settings.planning.lease / READS_PER_TERM;
-            if self.read.is_some_and(|read| now < read + pause) {
+            if self.last_read.is_some_and(|read| now < read + pause) {
                 return Ok(());
             }
             self.read().await?;
-            self.read = Some(now);
+            self.last_read = Some(now);
         }
         let known = self.known.as_ref().map(|(_, lease)| lease);
         match self.observer.observe(now, known) {
--- a/crates/stage/src/duties/plan/ledgers.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -19,7 +19,7 @@
 
 /// A ledger with the object version at which it was read or written.
 #[derive(Clone, Debug)]
-pub(super) struct Stored {
+pub(super) struct StoredLedger {
     pub(super) version: Version,
     /// The ledger, including evidence gathered since that was not worth a write. Anything written
     /// on top of it is conditional on `version`, so the two are stored together.
@@ -28,7 +28,7 @@
 
 /// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Written {
+pub(super) enum WriteOutcome {
     /// The object has the new value.
     Applied,
     /// The write was not applied and never will be.
@@ -40,16 +40,16 @@
 /// The ledgers as last read or written.
 pub(super) struct Ledgers {
     context: Arc<Context>,
-    stored: BTreeMap<backend::Id, Stored>,
-    listed: Option<Moment>,
+    stored: BTreeMap<backend::Id, StoredLedger>,
+    listed_at: Option<Moment>,
 }
 
 impl Ledgers {
     pub(super) fn new(context: Arc<Context>) -> Ledgers {
-        Ledgers { context, stored: BTreeMap::new(), listed: None }
+        Ledgers { context, stored: BTreeMap::new(), listed_at: None }
     }
 
-    pub(super) fn get(&self, server: &backend::Id) -> Option<&Stored> {
+    pub(super) fn get(&self, server: &backend::Id) -> Option<&StoredLedger> {
         self.stored.get(server)
     }
 
@@ -66,8 +66,8 @@
     }
 
     /// Returns when all ledgers were last read.
-    pub(super) fn listed(&self) -> Option<Moment> {
-        self.listed
+    pub(super) fn listed_at(&self) -> Option<Moment> {
+        self.listed_at
     }
 
     /// Reads all ledgers.
@@ -78,12 +78,15 @@
         for object in &listing.objects {
             self.insert(object.version, &object.value, &object.key);
         }
-        self.listed = Some(requested);
+        self.listed_at = Some(requested);
         Ok(())
     }
 
     /// Reads one ledger.
-    pub(super) async fn read(&mut self, server: &backend::Id) -> Result<Option<&Stored>, Error> {
+    pub(super) async fn read(
+        &mut self,
+        server: &backend::Id,
+    ) -> Result<Option<&StoredLedger>, Error> {
         let key = Ledger::key(server);
         let object = self.context.store.get(&key).await?;
         self.stored.remove(server);
@@ -99,18 +102,18 @@
         base: Version,
         next: &Ledger,
         id: &order::Id,
-    ) -> Written {
+    ) -> WriteOutcome {
         let is_applied = |read: &Ledger| read.orders.iter().any(|entry| entry.order.id == *id);
         self.write(Some(base), next, is_applied).await
     }
 
     /// Writes a ledger with evidence applied, conditional on version `base`.
-    pub(super) async fn settle(&mut self, base: Version, next: &Ledger) -> Written {
+    pub(super) async fn settle(&mut self, base: Version, next: &Ledger) -> WriteOutcome {
         self.write(Some(base), next, |read| read == next).await
     }
 
     /// Creates the ledger of a server.
-    pub(super) async fn create(&mut self, first: &Ledger) -> Written {
+    pub(super) async fn create(&mut self, first: &Ledger) -> WriteOutcome {
         self.write(None, first, |read| read == first).await
     }
 
@@ -124,7 +127,7 @@
         base: Option<Version>,
         next: &Ledger,
         is_applied: impl Fn(&Ledger) -> bool,
-    ) -> Written {
+    ) -> WriteOutcome {
         let server = &next.server;
         let mut may_be_pending = false;
         for attempt in 0..MAX_ATTEMPTS {
@@ -133,30 +136,30 @@
             }
             match self.put(base, next).await {
                 Ok(version) => {
-                    let stored = Stored { version, ledger: next.clone() };
+                    let stored = StoredLedger { version, ledger: next.clone() };
                     self.stored.insert(server.clone(), stored);
-                    return Written::Applied;
+                    return WriteOutcome::Applied;
                 }
                 Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_pending = true,
                 Err(error) => {
                     log::warn!(server = &**server; "ledger: {error}");
                     if !may_be_pending {
-                        return Written::NotApplied;
+                        return WriteOutcome::NotApplied;
                     }
                 }
             }
             match self.read(server).await {
-                Ok(Some(stored)) if is_applied(&stored.ledger) => return Written::Applied,
+                Ok(Some(stored)) if is_applied(&stored.ledger) => return WriteOutcome::Applied,
                 Ok(stored) if stored.map(|stored| stored.version) != base => {
-                    return Written::NotApplied;
+                    return WriteOutcome::NotApplied;
                 }
                 Ok(_) => {}
                 Err(error) => log::warn!(server = &**server; "reading the ledger back: {error}"),
             }
         }
         self.stored.remove(server);
-        self.listed = None;
-        Written::Unknown
+        self.listed_at = None;
+        WriteOutcome::Unknown
     }
 
     async fn put(&self, base: Option<Version>, next: &Ledger) -> Result<Version, Error> {
@@ -171,7 +174,7 @@
     fn insert(&mut self, version: Version, value: &[u8], key: &str) {
         match serde_json::from_slice::<Ledger>(value) {
             Ok(ledger) => {
-                self.stored.insert(ledger.server.clone(), Stored { version, ledger });
+                self.stored.insert(ledger.server.clone(), StoredLedger { version, ledger });
             }
             Err(error) => log::error!(key = key; "ledger unreadable: {error}"),
         }
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -10,9 +10,9 @@
 
 use super::{
     Duty,
-    ledgers::{Stored, Written},
+    ledgers::{StoredLedger, WriteOutcome},
 };
-use crate::moves::evidence;
+use crate::moves::evidence_label;
 
 impl Duty {
     /// Settles all orders that can be settled, on every engine.
@@ -56,7 +56,7 @@
 
     async fn settle(&mut self, server: &backend::Server) {
         let report = self.last_report(&server.id);
-        let Some(Stored { version, ledger }) = self.ledgers.get(&server.id).cloned() else {
+        let Some(StoredLedger { version, ledger }) = self.ledgers.get(&server.id).cloned() else {
             return self.create_ledger(report).await;
         };
         let fresh = self.fresh_report(server, &ledger).await;
@@ -73,7 +73,7 @@
             return;
         }
         // If another host wrote first, the next round settles again.
-        if self.ledgers.settle(version, &outcome.ledger).await == Written::Applied {
+        if self.ledgers.settle(version, &outcome.ledger).await == WriteOutcome::Applied {
             self.record(outcome);
         }
     }
@@ -142,7 +142,7 @@
         for settled in &outcome.settled {
             let order = &settled.entry.order;
             self.orders.sender().forget(&order.id);
-            let evidence = evidence(settled.how);
+            let evidence = evidence_label(settled.how);
             log::info!(order = &*order.id, server = &*order.server; "order settled: {evidence}");
             let kind =
                 event::Kind::Settlement { order: order.id.clone(), evidence: evidence.into() };
--- a/crates/stage/src/duties/reports.rs
+++ b/crates/stage/src/duties/reports.rs
@@ -57,7 +57,7 @@
                 update_gossip(&context, |gossip, now| {
                     gossip.server_reported(now, &server.id, run, leaving)
                 });
-                let reading = Reading { read: context.now(), load };
+                let reading = Reading { read_at: context.now(), load };
                 context.fleet.set_reading(&server.id, reading);
             }
             Ok(Err(error)) => {
--- a/crates/stage/src/filters/account.rs
+++ b/crates/stage/src/filters/account.rs
@@ -28,7 +28,7 @@
 
 struct Inner {
     context: Arc<Context>,
-    began: Moment,
+    started_at: Moment,
     notes: Mutex<Notes>,
 }
 
@@ -43,8 +43,8 @@
 
 impl Account {
     fn open(context: Arc<Context>) -> Account {
-        let began = context.now();
-        Account(Arc::new(Inner { context, began, notes: Mutex::default() }))
+        let started_at = context.now();
+        Account(Arc::new(Inner { context, started_at, notes: Mutex::default() }))
     }
 
     /// Notes the identified request; counts it as in flight.
@@ -95,7 +95,7 @@
         drop(notes);
         let metrics = &self.0.context.metrics;
         match (service, before) {
-            (Some(service), None) => metrics.first_token(&service, now - self.0.began),
+            (Some(service), None) => metrics.first_token(&service, now - self.0.started_at),
             (Some(service), Some(before)) => metrics.between_tokens(&service, now - before),
             (None, _) => {}
         }
@@ -107,7 +107,7 @@
     }
 
     /// Notes that the answer failed after its head had been handed over.
-    pub fn broke_off(&self) {
+    pub fn body_failed(&self) {
         self.notes().outcome = Some(Outcome::Failed);
     }
 
@@ -167,7 +167,7 @@
             .events
             .record(Event::new(event::Kind::Answer { outcome }).request(&request.id));
         if outcome != Outcome::Cancelled {
-            let attainment = attainment(notes, request, self.began, outcome);
+            let attainment = attainment(notes, request, self.started_at, outcome);
             self.context.metrics.attainment(&request.service, attainment);
         }
     }
@@ -176,15 +176,15 @@
 fn attainment(
     notes: &Notes,
     request: &request::Request,
-    began: Moment,
+    started_at: Moment,
     outcome: Outcome,
 ) -> Attainment {
     let (Some(first), Some(last), Outcome::Answered) = (notes.first, notes.last, outcome) else {
         return Attainment::Missed;
     };
     let between = (last - first) / (notes.tokens - 1).max(1);
-    let is_met =
-        first - began <= request.target.first_token && between <= request.target.between_tokens;
+    let is_met = first - started_at <= request.target.first_token
+        && between <= request.target.between_tokens;
     if is_met { Attainment::Met } else { Attainment::Missed }
 }
 
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -26,14 +26,14 @@
 
 /// An admitted call.
 #[derive(Clone, Debug)]
-pub struct Admitted {
+pub struct AdmittedCall {
     /// The request as admission and routing see it.
     pub demand: Arc<Demand>,
     /// Reserved capacity, until the call is sent.
     pub reservation: Arc<Reservation>,
 }
 
-/// Adds [`Admitted`] to the request, or rejects it.
+/// Adds [`AdmittedCall`] to the request, or rejects it.
 pub async fn filter(State(context): State<Arc<Context>>, request: Request, next: Next) -> Response {
     match admit(&context, request).await {
         Ok(request) => next.run(request).await,
@@ -45,7 +45,7 @@
     let call: Call = extension(request.extensions())?;
     let demand = demand(context, &call);
     let reservation = context.traffic.admit(&demand).await.map_err(to_problem)?;
-    let admitted = Admitted { demand: Arc::new(demand), reservation: Arc::new(reservation) };
+    let admitted = AdmittedCall { demand: Arc::new(demand), reservation: Arc::new(reservation) };
     request.extensions_mut().insert(admitted);
     Ok(request)
 }
--- a/crates/stage/src/filters/attempt.rs
+++ b/crates/stage/src/filters/attempt.rs
@@ -18,11 +18,11 @@
     answer::Answer,
     context::Context,
     filters::{
-        Call, Delivery, Kind, account::Account, admit::Admitted, deliver, extension, once::Grant,
-        route::Routed,
+        Call, Delivery, Kind, account::Account, admit::AdmittedCall, deliver, extension,
+        once::Grant, route::FirstAttempt,
     },
     problem::{self, Problem},
-    traffic::Sent,
+    traffic::DispatchedAttempt,
 };
 
 /// `Retry-After` if a short wait may help.
@@ -39,7 +39,7 @@
 async fn try_model(context: Arc<Context>, request: Request) -> Result<Response, Problem> {
     let extensions = request.extensions();
     let call: Call = extension(extensions)?;
-    let admitted: Admitted = extension(extensions)?;
+    let admitted: AdmittedCall = extension(extensions)?;
     let account: Account = extension(extensions)?;
     let first = first(&extension(extensions)?)?;
     Grant::check(extensions, context.now())?;
@@ -72,8 +72,8 @@
     }
 }
 
-fn first(routed: &Routed) -> Result<Sent, Problem> {
-    routed
+fn first(attempt: &FirstAttempt) -> Result<DispatchedAttempt, Problem> {
+    attempt
         .take()
         .ok_or_else(|| Problem::new(problem::Kind::Internal, "the attempt was made already"))
 }
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -22,13 +22,13 @@
     filters::{
         Call, Kind,
         account::Account,
-        admit::Admitted,
+        admit::AdmittedCall,
         deliver::{self, strip},
         extension,
         once::Grant,
     },
     problem::{self, Problem},
-    traffic::Sent,
+    traffic::DispatchedAttempt,
 };
 
 /// A call to a plain service, with the state of its attempts.
@@ -40,7 +40,7 @@
     demand: Arc<Demand>,
     parts: Parts,
     upload: Upload,
-    first: Option<Sent>,
+    first: Option<DispatchedAttempt>,
     failed: Vec<Index>,
     number: request::Attempt,
     ran: Ran,
@@ -54,7 +54,7 @@
     ) -> Result<Attempts, Problem> {
         let (parts, body) = request.into_parts();
         let call: Call = extension(&parts.extensions)?;
-        let admitted: Admitted = extension(&parts.extensions)?;
+        let admitted: AdmittedCall = extension(&parts.extensions)?;
         let account: Account = extension(&parts.extensions)?;
         let first = first(&extension(&parts.extensions)?)?;
         let Kind::Plain { path, .. } = call.kind.clone() else {
@@ -127,10 +127,10 @@
     /// Ends a failed attempt: returns the next one, or the problem that ends the call.
     async fn attempt_failed(
         &mut self,
-        sent: Sent,
+        sent: DispatchedAttempt,
         point: Point,
         cause: &str,
-    ) -> Result<Sent, Problem> {
+    ) -> Result<DispatchedAttempt, Problem> {
         let server = &sent.server().id;
         log::warn!(
             request = &*self.call.request.id, server = &**server, attempt = self.number;
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -29,7 +29,7 @@
     filters::{Call, ModelRequest, Shape, account::Account},
     idle::TimeoutBody,
     problem::Problem,
-    traffic::Sent,
+    traffic::DispatchedAttempt,
 };
 
 /// Hop-by-hop headers, which are never passed on (RFC 9110, 7.6.1).
@@ -117,7 +117,12 @@
 }
 
 /// Passes a plain service's response through; its attempt ends with the body.
-pub fn plain(response: Streamed, sent: Sent, account: Account, idle: Duration) -> Response {
+pub fn plain(
+    response: Streamed,
+    sent: DispatchedAttempt,
+    account: Account,
+    idle: Duration,
+) -> Response {
     sent.answered();
     account.token();
     let (mut parts, body) = response.into_parts();
@@ -152,7 +157,7 @@
 /// A body whose end also ends its attempt.
 struct TrackedBody {
     body: TimeoutBody<Incoming>,
-    open: Option<(Sent, Account)>,
+    open: Option<(DispatchedAttempt, Account)>,
 }
 
 impl TrackedBody {
@@ -166,7 +171,7 @@
     fn fail(&mut self) {
         if let Some((sent, account)) = self.open.take() {
             sent.fail(Point::Body);
-            account.broke_off();
+            account.body_failed();
         }
     }
 }
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -11,31 +11,31 @@
 
 use crate::{
     context::Context,
-    filters::{admit::Admitted, extension},
+    filters::{admit::AdmittedCall, extension},
     problem::{Kind, Problem},
-    traffic::Sent,
+    traffic::DispatchedAttempt,
 };
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// First attempt of a call, for the filter that sends it.
 #[derive(Clone, Debug)]
-pub struct Routed(Arc<Mutex<Option<Sent>>>);
+pub struct FirstAttempt(Arc<Mutex<Option<DispatchedAttempt>>>);
 
-impl Routed {
+impl FirstAttempt {
     /// Returns the attempt, unless it was taken already.
-    pub fn take(&self) -> Option<Sent> {
+    pub fn take(&self) -> Option<DispatchedAttempt> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take()
     }
 }
 
-/// Adds [`Routed`] to the request, or rejects it if no server can be used any more.
+/// Adds [`FirstAttempt`] to the request, or rejects it if no server can be used any more.
 pub async fn filter(
     State(context): State<Arc<Context>>,
     mut request: Request,
     next: Next,
 ) -> Response {
-    let admitted: Admitted = match extension(request.extensions()) {
+    let admitted: AdmittedCall = match extension(request.extensions()) {
         Ok(admitted) => admitted,
         Err(problem) => return problem.into_response(),
     };
@@ -44,6 +44,6 @@
             .retry_after(RETRY_AFTER)
             .into_response();
     };
-    request.extensions_mut().insert(Routed(Arc::new(Mutex::new(Some(sent)))));
+    request.extensions_mut().insert(FirstAttempt(Arc::new(Mutex::new(Some(sent)))));
     next.run(request).await
 }
--- a/crates/stage/src/fleet.rs
+++ b/crates/stage/src/fleet.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Reading {
     /// Time at which this host read the report.
-    pub read: Moment,
+    pub read_at: Moment,
     /// The server's report.
     pub load: report::Load,
 }
--- a/crates/stage/src/idle.rs
+++ b/crates/stage/src/idle.rs
@@ -15,7 +15,7 @@
 /// No frame arrived within this limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no data received for {0:?}")]
-pub struct TimedOut(pub Duration);
+pub struct IdleTimeout(pub Duration);
 
 /// A body with a limit on the time between its frames.
 pub struct TimeoutBody<B> {
@@ -54,7 +54,7 @@
             self.timer.as_mut().reset(deadline);
         }
         match self.timer.as_mut().poll(context) {
-            Poll::Ready(()) => Poll::Ready(Some(Err(TimedOut(self.limit).into()))),
+            Poll::Ready(()) => Poll::Ready(Some(Err(IdleTimeout(self.limit).into()))),
             Poll::Pending => Poll::Pending,
         }
     }
--- a/crates/stage/src/kv.rs
+++ b/crates/stage/src/kv.rs
@@ -7,13 +7,18 @@
 use ::backend::wire::Cache;
 use types::prelude::*;
 
-use crate::{context::Context, filters::Call, traffic::Sent};
+use crate::{context::Context, filters::Call, traffic::DispatchedAttempt};
 
 /// Minimum prefill time for which a transfer is worth its two calls.
 const MIN_PREFILL: Duration = Duration::from_millis(10);
 
 /// Transfers the cache if that is cheaper than repeating the prefill.
-pub(crate) async fn transfer(context: &Context, call: &Call, from: &backend::Server, to: &Sent) {
+pub(crate) async fn transfer(
+    context: &Context,
+    call: &Call,
+    from: &backend::Server,
+    to: &DispatchedAttempt,
+) {
     let prefill = to.prefill(call.request.prompt_tokens);
     let Some(model) = &call.request.model else { return };
     if call.request.prefix.is_empty() || prefill < MIN_PREFILL || from.id == to.server().id {
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -80,7 +80,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     ledgers: BTreeMap<backend::Id, Ledger>,
-    known: HashMap<order::Id, Moment>,
+    known_since: HashMap<order::Id, Moment>,
     settled: VecDeque<(Moment, Settled)>,
 }
 
@@ -90,11 +90,11 @@
         let mut inner = self.lock();
         inner.ledgers =
             ledgers.into_iter().map(|ledger| (ledger.server.clone(), ledger.clone())).collect();
-        let Inner { ledgers, known, .. } = &mut *inner;
+        let Inner { ledgers, known_since, .. } = &mut *inner;
         let open = || ledgers.values().flat_map(|ledger| &ledger.orders);
-        known.retain(|id, _| open().any(|entry| entry.order.id == *id));
+        known_since.retain(|id, _| open().any(|entry| entry.order.id == *id));
         for entry in open() {
-            known.entry(entry.order.id.clone()).or_insert(now);
+            known_since.entry(entry.order.id.clone()).or_insert(now);
         }
     }
 
@@ -108,14 +108,14 @@
 
     /// Returns how long this host has known an order; zero if the order is unknown.
     pub fn known_for(&self, now: Moment, id: &order::Id) -> Duration {
-        self.lock().known.get(id).map_or(Duration::ZERO, |since| now.saturating_sub(*since))
+        self.lock().known_since.get(id).map_or(Duration::ZERO, |since| now.saturating_sub(*since))
     }
 
     /// Returns the moves for operators.
     pub fn status(&self, now: Moment, current: bool) -> Status {
         let inner = self.lock();
         let open = inner.ledgers.values().flat_map(Ledger::why_held).map(|held| {
-            let since = inner.known.get(&held.order).copied().unwrap_or(now);
+            let since = inner.known_since.get(&held.order).copied().unwrap_or(now);
             OpenOrder { why: held.waits.to_string(), known_for: now.saturating_sub(since), held }
         });
         let settled = inner.settled.iter().map(|(at, settled)| SettledOrder {
@@ -123,7 +123,7 @@
             server: settled.entry.order.server.clone(),
             action: settled.entry.order.action.clone(),
             cause: settled.entry.cause.clone(),
-            evidence: evidence(settled.how),
+            evidence: evidence_label(settled.how),
             ago: now.saturating_sub(*at),
         });
         let servers = inner.ledgers.iter();
@@ -153,7 +153,7 @@
 }
 
 /// Returns the name of the evidence that settled an order; operators' tools rely on it.
-pub fn evidence(how: How) -> &'static str {
+pub fn evidence_label(how: How) -> &'static str {
     match how {
         How::Taken => "taken",
         How::NeverTaken => "never-taken",
--- a/crates/stage/src/operators.rs
+++ b/crates/stage/src/operators.rs
@@ -71,11 +71,11 @@
 }
 
 async fn servers(State(context): State<Arc<Context>>) -> Json<Vec<status::Server>> {
-    let seen = |entry: &backend::Entry| status::Server {
+    let to_status = |entry: &backend::Entry| status::Server {
         entry: entry.clone(),
         load: context.fleet.reading(&entry.server.id).map(|reading| reading.load.clone()),
     };
-    Json(context.fleet.list().servers.iter().map(seen).collect())
+    Json(context.fleet.list().servers.iter().map(to_status).collect())
 }
 
 /// Starts a planned stop, like SIGTERM.
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -108,7 +108,7 @@
 }
 
 /// Applies the sender's requests in flight from a heartbeat.
-fn take_in_flight(context: &Context, heartbeat: &Heartbeat) {
+fn apply_in_flight(context: &Context, heartbeat: &Heartbeat) {
     let loads: Vec<(backend::Id, PeerLoad)> = heartbeat
         .in_flight
         .iter()
@@ -139,7 +139,7 @@
     let actions = match answer {
         Ok(answer) => {
             observe_stamp(&context, &answer);
-            take_in_flight(&context, &answer);
+            apply_in_flight(&context, &answer);
             context.peers.gossip().answer(now, &answer)
         }
         Err(error) => {
--- a/crates/stage/src/peers/answers.rs
+++ b/crates/stage/src/peers/answers.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 use types::host::{Host, List};
 
-use super::{observe_stamp, perform, set_stamp, take_in_flight};
+use super::{apply_in_flight, observe_stamp, perform, set_stamp};
 use crate::context::Context;
 
 /// Serves other hosts until stopped.
@@ -32,7 +32,7 @@
 impl Api for Answers {
     async fn heartbeat(&self, heartbeat: Heartbeat) -> Heartbeat {
         observe_stamp(&self.0, &heartbeat);
-        take_in_flight(&self.0, &heartbeat);
+        apply_in_flight(&self.0, &heartbeat);
         let received = self.0.peers.gossip().receive(self.0.now(), &heartbeat);
         let (mut answer, actions) = received;
         set_stamp(&self.0, &mut answer);
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -31,7 +31,7 @@
 };
 
 use self::guard::Waiter;
-pub use self::guard::{Reservation, Sent};
+pub use self::guard::{DispatchedAttempt, Reservation};
 
 /// Assumed one-way latency to another zone, until one is measured.
 const DEFAULT_CROSS_ZONE_LATENCY: Duration = Duration::from_millis(1);
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub enum NextAttempt {
     /// Dispatched to a server.
-    Sent(Sent),
+    Dispatched(DispatchedAttempt),
     /// Not possible before this moment.
     At(Moment),
     /// No server has the requested model, adapter or service ready.
@@ -197,14 +197,18 @@
 
     /// Dispatches an admitted request; `None` if no server can be used any more
     /// or the reservation is used already.
-    pub fn dispatch(self: &Arc<Self>, reservation: &Reservation, demand: &Demand) -> Option<Sent> {
+    pub fn dispatch(
+        self: &Arc<Self>,
+        reservation: &Reservation,
+        demand: &Demand,
+    ) -> Option<DispatchedAttempt> {
         if !reservation.use_up() {
             return None;
         }
         let mut state = self.lock();
         let flight = state.policy.dispatch(demand, self.now())?;
         let server = state.policy.table.server(flight.choice.server).clone();
-        Some(Sent::new(self.clone(), flight, server))
+        Some(DispatchedAttempt::new(self.clone(), flight, server))
     }
 
     /// Dispatches a further attempt, to a server not in `avoid` if there is one.
@@ -213,7 +217,7 @@
         match state.policy.dispatch_again(demand, avoid, self.now()) {
             Again::Sent(flight) => {
                 let server = state.policy.table.server(flight.choice.server).clone();
-                NextAttempt::Sent(Sent::new(self.clone(), flight, server))
+                NextAttempt::Dispatched(DispatchedAttempt::new(self.clone(), flight, server))
             }
             Again::At(moment) => NextAttempt::At(moment),
             Again::Unready => NextAttempt::Unready,
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -90,16 +90,20 @@
 
 /// An attempt in flight; counted as cancelled when dropped before its end.
 #[derive(Debug)]
-pub struct Sent {
+pub struct DispatchedAttempt {
     traffic: Arc<Traffic>,
     flight: Flight,
     server: backend::Server,
     is_over: bool,
 }
 
-impl Sent {
-    pub(super) fn new(traffic: Arc<Traffic>, flight: Flight, server: backend::Server) -> Sent {
-        Sent { traffic, flight, server, is_over: false }
+impl DispatchedAttempt {
+    pub(super) fn new(
+        traffic: Arc<Traffic>,
+        flight: Flight,
+        server: backend::Server,
+    ) -> DispatchedAttempt {
+        DispatchedAttempt { traffic, flight, server, is_over: false }
     }
 
     /// Returns the server that the attempt is sent to.
@@ -145,7 +149,7 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for DispatchedAttempt {
     fn drop(&mut self) {
         self.end(End::Cancelled);
     }
