--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -59,7 +59,7 @@
 }
 
 impl Answer {
-    /// Creates an answer whose first attempt, `first`, has a server but has not been sent.
+    /// Creates an answer; `first` is the first attempt, which has a server but is not sent yet.
     pub fn new(
         context: Arc<Context>,
         account: Account,
@@ -230,7 +230,7 @@
         self.attempt_failed(sent, point, &format!("engine answers {status}")).await
     }
 
-    /// Whether the response head names this request and this attempt; a missing header matches.
+    /// Whether the response headers name this request and this attempt; a missing header matches.
     fn is_for_this_attempt(&self, headers: &HeaderMap) -> bool {
         let names = |name: &str, own: &str| headers.get(name).is_none_or(|value| value == own);
         names(wire::REQUEST_ID, &self.call.request.id)
--- a/crates/stage/src/filters.rs
+++ b/crates/stage/src/filters.rs
@@ -1,7 +1,7 @@
 //! The filters that a call passes through, each a tower layer with one job.
 //!
-//! In the order of a call: account, configuration in force, identify, admit, at most once,
-//! quarantine, route, attempt. The answer is delivered on the way back, and the account is closed
+//! A call passes through them in this order: account, configuration in force, identify, admit, at
+//! most once, route, attempt. The answer is delivered on the way back, and the account is closed
 //! after its last byte. Admission reserves capacity before the slower filters run. Filters are
 //! independent of each other: they communicate only by the extensions they add to the request.
 
@@ -36,7 +36,7 @@
     pub request: Arc<Request>,
     /// Configuration under which the call runs from start to end.
     pub numbered: Arc<Numbered>,
-    /// When the host received the call.
+    /// When the host identified the call; a model's request body has been read by then.
     pub received: Moment,
     /// Target of the call: a model or a plain service.
     pub kind: Kind,
@@ -104,7 +104,8 @@
 
 /// Wraps a router in the filters between identification and the attempt.
 ///
-/// The last layer is the first that a call passes through: admit, at most once, quarantine, route.
+/// The layer added last is the first that a call passes through: correction of `ran`, admit, at
+/// most once, route.
 pub fn stack(router: Router<Arc<Context>>, context: &Arc<Context>) -> Router<Arc<Context>> {
     router
         .layer(from_fn_with_state(context.clone(), route::filter))
--- a/crates/stage/src/filters/account.rs
+++ b/crates/stage/src/filters/account.rs
@@ -1,6 +1,6 @@
 //! Accounts for each call, from its first byte to the last byte of its answer.
 //!
-//! Filters note what happens to a call as they process it. The account is closed when its last
+//! Filters record what happens to a call as they process it. The account is closed when its last
 //! reference is dropped, which also detects a caller that disconnects.
 
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -47,7 +47,7 @@
         Account(Arc::new(Inner { context, started_at, notes: Mutex::default() }))
     }
 
-    /// Notes the identified request; counts it as in flight.
+    /// Records the identified request, and counts it as in flight.
     pub fn identified(&self, request: &Arc<request::Request>) {
         let context = &self.0.context;
         let in_flight = context.metrics.in_flight(&request.service);
@@ -55,12 +55,12 @@
         self.record(event::Kind::Request { service: request.service.clone() });
     }
 
-    /// Notes that an attempt was sent to a server.
+    /// Records that an attempt is about to be sent to a server.
     pub fn attempted(&self, attempt: request::Attempt, server: &backend::Id) {
         self.record_at(event::Kind::Attempt { attempt }, server);
     }
 
-    /// Notes that an attempt failed, with the point of failure.
+    /// Records that an attempt failed; `cause` is the point of failure.
     pub fn failed_attempt(
         &self,
         attempt: request::Attempt,
@@ -70,19 +70,19 @@
         self.record_at(event::Kind::AttemptFailed { attempt, cause: cause.into() }, server);
     }
 
-    /// Counts a further attempt, with the point of failure of the previous one.
+    /// Counts a retry; `cause` is the point at which the previous attempt failed.
     pub fn retried(&self, cause: &'static str) {
         if let Some(service) = self.service() {
             self.0.context.metrics.retry(&service, cause);
         }
     }
 
-    /// Notes that a new attempt resumes the stream at this offset.
+    /// Records that a new attempt resumes the stream at this offset.
     pub fn resumed(&self, attempt: request::Attempt, offset: u64) {
         self.record(event::Kind::Resume { attempt, offset });
     }
 
-    /// Notes that a token, or the head of an answer without tokens, was handed over.
+    /// Records that a token, or the head of an answer without tokens, is delivered to the caller.
     pub fn token(&self) {
         let now = self.0.context.now();
         let service = self.service();
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Notes that the complete answer was handed over.
+    /// Records that the complete answer is delivered to the caller.
     pub fn answered(&self) {
         self.notes().outcome = Some(Outcome::Answered);
     }
 
-    /// Notes that the answer failed after its head had been handed over.
+    /// Records that the answer failed after its head had been delivered.
     pub fn body_failed(&self) {
         self.notes().outcome = Some(Outcome::Failed);
     }
 
-    /// Notes that the call ended with this problem.
+    /// Records that the call ended with this problem.
     pub fn problem(&self, problem: &Problem) {
         let cause = problem.kind.name();
         self.notes().outcome = Some(match problem.ran {
@@ -188,7 +188,7 @@
     if is_met { Attainment::Met } else { Attainment::Missed }
 }
 
-/// Opens an account for each call, and notes the problem that a call ends with.
+/// Opens an account for each call, and records the problem that a call ends with.
 pub async fn filter(
     State(context): State<Arc<Context>>,
     mut request: Request,
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -1,4 +1,4 @@
-//! Admits a call, queues it, or rejects it early as not run.
+//! Admits a call, queues it, or rejects it before it is sent to a server.
 
 use std::sync::Arc;
 
@@ -106,14 +106,14 @@
 fn to_problem(denial: Denial) -> Problem {
     match denial {
         Denial::Unready => {
-            Problem::new(problem::Kind::NoServer, "no backend server is ready for it")
+            Problem::new(problem::Kind::NoServer, "no backend server is ready for this request")
                 .retry_after(NO_SERVER_RETRY_AFTER)
         }
         Denial::Refused(Refusal { cause, retry_after }) => {
             let detail = match cause {
-                Cause::Late => "its first token can't meet the target under the current load",
-                Cause::Full => "the queue of its model is full",
-                Cause::Displaced => "it was displaced by more urgent work",
+                Cause::Late => "the first token can't meet its target under the current load",
+                Cause::Full => "the queue of the requested model or service is full",
+                Cause::Displaced => "a more urgent request displaced this one from the queue",
             };
             Problem::new(problem::Kind::Overloaded, detail).retry_after(retry_after)
         }
--- a/crates/stage/src/filters/attempt.rs
+++ b/crates/stage/src/filters/attempt.rs
@@ -1,6 +1,7 @@
-//! Sends a call to a backend server, and again where repeating it is safe.
+//! Sends a call to a backend server, and retries it on another one if that is safe.
 //!
-//! `policy::retry` decides what may be sent again; `docs/design/caller-path.md` has the table.
+//! `policy::retry` decides whether a call may be sent again; the table of all cases is in
+//! `docs/design/caller-path.md`.
 
 mod plain;
 mod upload;
@@ -44,7 +45,10 @@
     let first = first(&extension(extensions)?)?;
     Grant::check(extensions, context.now())?;
     let Kind::Model(model_request) = call.kind.clone() else {
-        return Err(Problem::new(problem::Kind::UnknownPath, "no call to a model"));
+        return Err(Problem::new(
+            problem::Kind::UnknownPath,
+            "the request is not a call to a model",
+        ));
     };
     let answer = Answer::new(
         context,
@@ -75,10 +79,10 @@
 fn first(attempt: &FirstAttempt) -> Result<DispatchedAttempt, Problem> {
     attempt
         .take()
-        .ok_or_else(|| Problem::new(problem::Kind::Internal, "the attempt was made already"))
+        .ok_or_else(|| Problem::new(problem::Kind::Internal, "the first attempt was already taken"))
 }
 
-/// Returns the problem that ends a call after its last attempt.
+/// Returns the problem that ends a call after its last attempt; `ran` covers all attempts.
 pub(crate) fn give_up(call: &Call, context: &Context, ran: Ran, cause: &str) -> Problem {
     let kind = match ran {
         _ if call.time_left(context).is_zero() => problem::Kind::Timeout,
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -47,7 +47,7 @@
 }
 
 impl Attempts {
-    /// Takes the extensions of earlier filters, and reads the body if it is short.
+    /// Reads the extensions that earlier filters added, and the body if it is short.
     pub(super) async fn start(
         context: Arc<Context>,
         request: Request,
@@ -58,7 +58,10 @@
         let account: Account = extension(&parts.extensions)?;
         let first = first(&extension(&parts.extensions)?)?;
         let Kind::Plain { path, .. } = call.kind.clone() else {
-            return Err(Problem::new(problem::Kind::UnknownPath, "no call to a service"));
+            return Err(Problem::new(
+                problem::Kind::UnknownPath,
+                "the request is not a call to a plain service",
+            ));
         };
         let upload = Upload::read(body, context.settings.bounds.idle).await?;
         Ok(Attempts {
@@ -89,7 +92,7 @@
                 Ok(Ok(response)) if is_rejection(&response) => {
                     match self.attempt_failed(sent, Point::Refused, "the service refuses").await {
                         Ok(sent) => next = Some(sent),
-                        // The service's own response says more than a problem document.
+                        // The service's own response tells the caller more than a problem document.
                         Err(_) => return Ok(deliver::passed_through(response, &self.account)),
                     }
                     continue;
--- a/crates/stage/src/filters/attempt/upload.rs
+++ b/crates/stage/src/filters/attempt/upload.rs
@@ -28,7 +28,7 @@
 
 /// Body of a call to a plain service.
 pub(super) enum Upload {
-    /// Completely received by the host.
+    /// Read completely before the first attempt.
     Buffered(Bytes),
     /// Streamed through to the server.
     Streamed(SharedBody),
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -32,7 +32,7 @@
     traffic::DispatchedAttempt,
 };
 
-/// Hop-by-hop headers, which are never passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are never passed on (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -56,7 +56,7 @@
         match answer.next().await {
             Ok(Some(token)) => Some((event(token), Some((answer, account)))),
             Ok(None) => Some((end(), None)),
-            // No end mark after an error, or the caller would take a partial answer as complete.
+            // No end mark follows an error; with one, a partial answer would look complete.
             Err(problem) => {
                 account.problem(&problem);
                 Some((failure(&problem), None))
@@ -116,7 +116,7 @@
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// Passes a plain service's response through; its attempt ends with the body.
+/// Passes a plain service's response through; the attempt ends when the response body does.
 pub fn plain(
     response: Streamed,
     sent: DispatchedAttempt,
@@ -189,7 +189,7 @@
             Poll::Pending => {}
             Poll::Ready(None) => self.complete(),
             Poll::Ready(Some(Err(_))) => self.fail(),
-            // A server that knows the length may not poll for the end.
+            // hyper may not poll for the end of a body whose length it knows.
             Poll::Ready(Some(Ok(_))) if self.body.is_end_stream() => self.complete(),
             Poll::Ready(Some(Ok(_))) => {}
         }
--- a/crates/stage/src/filters/identify.rs
+++ b/crates/stage/src/filters/identify.rs
@@ -1,4 +1,4 @@
-//! Turns a caller's request into a validated call.
+//! Identifies the service and model of a caller's request, and validates it.
 //!
 //! A call to models may name its service in the `Service` header. Without it the call belongs to
 //! the least urgent service that offers the model, so that omitting the name doesn't raise its
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -4,7 +4,8 @@
 //! afterwards. One without a key needs no claim, since a repeated send of it can't be recognised;
 //! its attempt is sent at most once.
 //!
-//! A claimed request continues if its caller disconnects: a repeated send finds its outcome.
+//! A claimed request continues if its caller disconnects, so that a repeated send finds its
+//! outcome.
 
 use std::sync::Arc;
 
@@ -29,7 +30,7 @@
     problem::{Kind, Problem},
 };
 
-/// Header that marks a response recorded when its request ran.
+/// Header that marks a response as a replay of the one recorded when the request ran.
 pub const REPLAYED: &str = "idempotent-replayed";
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -62,7 +63,7 @@
 /// Claims the key of a non-idempotent request.
 pub async fn filter(State(context): State<Arc<Context>>, request: Request, next: Next) -> Response {
     let Some(call) = request.extensions().get::<Call>().cloned() else {
-        return Problem::new(Kind::UnknownPath, "no call").into_response();
+        return Problem::new(Kind::UnknownPath, "the request is not identified").into_response();
     };
     match (call.request.repeat, &call.request.key) {
         (Repeat::Once, Some(key)) => {
@@ -77,8 +78,7 @@
 
 /// Corrects `ran` in rejections that occurred before the key was looked up.
 ///
-/// This send did not run, but an earlier one with the same key may have, and the caller needs the
-/// answer for both.
+/// This send did not run, but an earlier one with the same key may have. `ran` must cover both.
 pub async fn correct_ran(request: Request, next: Next) -> Response {
     let call = request.extensions().get::<Call>();
     let is_keyed =
@@ -210,8 +210,9 @@
     let (parts, body) = request.into_parts();
     let limit = context.settings.bounds.body_bytes;
     let bytes = to_bytes(body, limit).await.map_err(|error| {
-        let detail =
-            format!("the body of a request with a key: {error}; its limit is {limit} bytes");
+        let detail = format!(
+            "can't read the body of a request with a key: {error}; the limit is {limit} bytes"
+        );
         Problem::new(Kind::BodyTooLarge, detail)
     })?;
     let mut hasher = blake3::Hasher::new();
@@ -226,7 +227,8 @@
 
 fn replay(outcome: Outcome) -> Result<Response, Problem> {
     let once::Body::Whole(body) = outcome.body else {
-        let detail = format!("it ran, with status {}; its answer was not stored", outcome.status);
+        let detail =
+            format!("the request ran, with status {}; its answer was not stored", outcome.status);
         return Err(Problem::new(Kind::AlreadyRan, detail).ran(Ran::Ran));
     };
     let mut response = Response::new(Body::from(body));
@@ -245,8 +247,10 @@
     let list = context.fleet.list();
     let is_listed = list.hosts.iter().any(|entry| entry.host.id == claimant.host);
     let detail = match is_listed {
-        true => format!("host {} has a request with this key in flight", claimant.host),
-        false => format!("host {} had this request and is gone", claimant.host),
+        true => {
+            format!("host {} claimed this key, and its request may be in flight", claimant.host)
+        }
+        false => format!("host {} claimed this key and is no longer listed", claimant.host),
     };
     let problem = Problem::new(Kind::KeyInUse, detail).ran(Ran::MayHaveRun);
     if is_listed { problem.retry_after(RETRY_AFTER) } else { problem }
@@ -260,11 +264,12 @@
         Refusal::Ahead => (Kind::KeyAhead, "the time in the key is ahead of this host's clock"),
         Refusal::Old => (Kind::KeyExpired, "the time in the key is older than keys are kept"),
         Refusal::Unsure => (Kind::KeyInUse, "the request may have run; its outcome was lost"),
-        Refusal::Unread => {
-            (Kind::ClaimsUnavailable, "whether the key was used can't be read now; send it again")
-        }
+        Refusal::Unread => (
+            Kind::ClaimsUnavailable,
+            "can't read now whether the key was used; send the request again",
+        ),
         Refusal::Unwritten => {
-            (Kind::ClaimsUnavailable, "the key can't be claimed now; send it again")
+            (Kind::ClaimsUnavailable, "the key can't be claimed now; send the request again")
         }
         Refusal::Full => (Kind::ClaimsUnavailable, "there is no room for another key"),
     };
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -40,9 +40,12 @@
         Err(problem) => return problem.into_response(),
     };
     let Some(sent) = context.traffic.dispatch(&admitted.reservation, &admitted.demand) else {
-        return Problem::new(Kind::NoServer, "no backend server is ready for it any more")
-            .retry_after(RETRY_AFTER)
-            .into_response();
+        return Problem::new(
+            Kind::NoServer,
+            "no backend server is ready for this request any more",
+        )
+        .retry_after(RETRY_AFTER)
+        .into_response();
     };
     request.extensions_mut().insert(FirstAttempt(Arc::new(Mutex::new(Some(sent)))));
     next.run(request).await
--- a/crates/stage/src/problem.rs
+++ b/crates/stage/src/problem.rs
@@ -54,7 +54,7 @@
 }
 
 impl Kind {
-    /// Stable name, the end of the document's `type`.
+    /// Returns the stable name, with which the document's `type` ends; also a label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::BadRequest => "bad-request",
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Decisions on requests behind one lock, and guards that release what a request holds.
+//! Admission and routing state behind one lock, and guards that release what a request holds.
 //!
 //! However a request ends, including by a caller that disconnects, its guard is dropped; the guard
 //! releases the capacity and starts waiting requests.
@@ -33,7 +33,7 @@
 use self::guard::Waiter;
 pub use self::guard::{DispatchedAttempt, Reservation};
 
-/// Assumed one-way latency to another zone, until one is measured.
+/// One-way latency assumed to every other zone.
 const DEFAULT_CROSS_ZONE_LATENCY: Duration = Duration::from_millis(1);
 
 /// Why a request is not admitted; it did not run.
@@ -48,7 +48,7 @@
 /// Outcome of dispatching a further attempt.
 #[derive(Debug)]
 pub enum NextAttempt {
-    /// Dispatched to a server.
+    /// A server is chosen and its capacity taken.
     Dispatched(DispatchedAttempt),
     /// Not possible before this moment.
     At(Moment),
@@ -86,8 +86,8 @@
         self.tickets.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Returns the index of a destination, and that of the destination whose limits and queue it
-    /// uses.
+    /// Returns the index of a destination, and the index of the destination whose limits and queue
+    /// it shares.
     pub fn destinations(&self, destination: &Destination) -> (DestinationIndex, DestinationIndex) {
         let table = &mut self.lock().policy.table;
         let index = table.destination(destination);
@@ -120,7 +120,7 @@
         self.with_index(server, |policy, index| policy.report(index, load, now));
     }
 
-    /// Notes that a server could not be reached for a load report.
+    /// Records that a server could not be reached for a load report.
     pub fn unreachable(&self, server: &backend::Id) {
         let now = self.now();
         self.with_index(server, |policy, index| policy.unreachable(index, now));
@@ -195,8 +195,8 @@
         Ok(Reservation::new(self.clone(), pool))
     }
 
-    /// Dispatches an admitted request; `None` if no server can be used any more
-    /// or the reservation is used already.
+    /// Dispatches an admitted request; `None` if no server can be used any more, or the
+    /// reservation was already used.
     pub fn dispatch(
         self: &Arc<Self>,
         reservation: &Reservation,
@@ -229,7 +229,8 @@
         self.lock().policy.after_failure(failure)
     }
 
-    /// Starts waiting requests that have room, and rejects those that can't meet their target.
+    /// Admits waiting requests for which capacity is free, and rejects those that can't meet their
+    /// target.
     pub fn pump(&self) {
         let mut state = self.lock();
         if 0 < state.policy.gate.waiting() {
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -29,7 +29,7 @@
         Reservation { traffic, pool, is_used: AtomicBool::new(false) }
     }
 
-    /// Marks the reservation as used; returns whether it was unused before.
+    /// Marks the reservation as used; returns false if it was already.
     pub(super) fn use_up(&self) -> bool {
         !self.is_used.swap(true, Ordering::AcqRel)
     }
@@ -67,7 +67,7 @@
         let Some(receiver) = self.outcome.as_mut() else { return Ok(()) };
         let outcome = receiver.await;
         self.outcome = None;
-        // The sender is dropped only after it has sent, so that an error can't occur.
+        // The sender is dropped only after it has sent, so an error can't occur.
         outcome.unwrap_or(Ok(()))
     }
 }
@@ -88,7 +88,8 @@
     }
 }
 
-/// An attempt in flight; counted as cancelled when dropped before its end.
+/// An attempt that holds capacity of a server, sent or about to be sent. Dropping it before it ends
+/// counts it as cancelled.
 #[derive(Debug)]
 pub struct DispatchedAttempt {
     traffic: Arc<Traffic>,
@@ -106,7 +107,7 @@
         DispatchedAttempt { traffic, flight, server, is_over: false }
     }
 
-    /// Returns the server that the attempt is sent to.
+    /// Returns the server chosen for the attempt.
     pub fn server(&self) -> &backend::Server {
         &self.server
     }
@@ -123,7 +124,7 @@
         self.traffic.lock().policy.table.estimate(self.index(), uncached, now).prefill
     }
 
-    /// Notes the first token, or the head of a response without tokens.
+    /// Records the first token, or the head of a response without tokens.
     pub fn answered(&self) {
         let now = self.traffic.now();
         self.traffic.lock().policy.answered(&self.flight, now);
