--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -23,8 +23,8 @@
 };
 use crate::context::Context;
 
-/// Maximum number of times the root is read and written for one patch. Losing to another patch ends
-/// the loop as stale, so that only lost responses use attempts up.
+/// Maximum number of times the root is read and written for one patch. After a conflict with
+/// another patch the next read ends the loop as stale, so only lost responses use up more attempts.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Parts that no root names are deleted after every number that is a multiple of this.
@@ -33,6 +33,7 @@
 /// Outcome of a write of the root.
 enum WriteOutcome {
     Done,
+    /// The write conflicted or its response was lost; the root must be read to learn the outcome.
     Unknown(objects::Error),
 }
 
@@ -68,7 +69,7 @@
             Ok(WriteOutcome::Done) => {
                 return (Outcome::Accepted { number: draft.root.number }, Some(draft));
             }
-            // The response is lost, so this call may have written the patch.
+            // If the response was lost, this call may have written the patch.
             Ok(WriteOutcome::Unknown(error)) => {
                 may_be_ours |= error.is_ambiguous();
                 cause = error.to_string();
@@ -177,13 +178,16 @@
     let number = draft.root.number;
     let source = DraftSource { parts: draft.parts, rest: Platform(&*context.store) };
     if let Err(error) = super::apply_root(context, draft.root, &source).await {
-        log::warn!(number = number; "accepted configuration waits for the watch: {error}");
+        log::warn!(
+            number = number;
+            "accepted configuration not in force yet, waiting for the watch: {error}"
+        );
     }
     if number.is_multiple_of(SWEEP_EVERY) {
         let context = context.clone();
         context.duties.clone().spawn(async move {
             if let Err(error) = sweep(&context).await {
-                log::warn!("deleting unused parts: {error}");
+                log::warn!("unused parts not deleted: {error}");
             }
         });
     }
--- a/crates/stage/src/duties/config.rs
+++ b/crates/stage/src/duties/config.rs
@@ -26,7 +26,7 @@
 /// Maximum delay after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Runs forever: one list, then watches from its revision; starts over after a failure.
+/// Runs forever: lists the root once, then watches from that revision; lists again after a failure.
 pub(super) async fn run(context: Arc<Context>) {
     let seed = rendezvous::score(b"config", &context.host().id) ^ context.incarnation;
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
@@ -36,7 +36,7 @@
             continue;
         }
         if let Err(error) = follow(&context, &mut backoff).await {
-            log::warn!("configuration: {error}");
+            log::warn!("configuration not read or applied: {error}");
             tokio::time::sleep(backoff.fail()).await;
         }
     }
@@ -57,7 +57,9 @@
         match changes.changes.last() {
             Some(Change::Put(object)) => apply_object(context, object).await?,
             Some(Change::Delete { key }) => {
-                log::error!(key = key.as_str(); "configuration deleted; the last stays in force");
+                log::error!(
+                    key = key.as_str(); "root deleted; the last configuration stays in force"
+                );
             }
             None => {}
         }
@@ -80,7 +82,7 @@
     match source::parse(object) {
         Ok(root) => declared::apply_root(context, root, &Platform(&*context.store)).await,
         Err(error) => {
-            log::error!("configuration: {error}");
+            log::error!("configuration skipped: {error}");
             Ok(())
         }
     }
--- a/crates/stage/src/duties/gossip.rs
+++ b/crates/stage/src/duties/gossip.rs
@@ -19,7 +19,7 @@
 /// Time after which a suspicion expires unless it is renewed.
 const SUSPICION_DURATION: Duration = Duration::from_secs(1);
 
-/// Delay between attempts to reach the hosts named in the settings.
+/// Delay between attempts to contact the hosts named in the settings.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Sends heartbeats forever.
@@ -59,7 +59,7 @@
     while context.peers.gossip().hosts().iter().next().is_none() {
         for address in &context.settings.peers {
             if let Err(error) = contact_seed(&context, *address).await {
-                log::debug!("host named by the settings: {error}");
+                log::debug!("host named in the settings not reached: {error}");
             }
         }
         tokio::time::sleep(SEED_RETRY_INTERVAL).await;
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -1,7 +1,8 @@
 //! Reads the platform's list of hosts and backend servers.
 //!
-//! The list is one source among others: it is passed to the membership state, from which routing is
-//! updated. All hosts together read at a fixed rate; peers advertise changes in between.
+//! The list is one source of the membership state, from which routing is updated. The interval
+//! grows with the number of hosts, so that all hosts together read at a fixed rate; in between,
+//! peers advertise changes.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
 use super::gossip;
 use crate::{context::Context, peers};
 
-/// Maximum delay between failed reads.
+/// Maximum delay after a failed read.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Reads the list forever.
@@ -29,7 +30,7 @@
                 watch::list_interval(min_interval, list.hosts.len())
             }
             Err(error) => {
-                log::warn!("host list: {error}");
+                log::warn!("host list not read: {error}");
                 backoff.fail()
             }
         };
--- a/crates/stage/src/duties/once.rs
+++ b/crates/stage/src/duties/once.rs
@@ -1,4 +1,4 @@
-//! Makes the object API calls that claims of idempotency keys need.
+//! Makes the object API calls that read and write claims of idempotency keys.
 
 use std::sync::Arc;
 
@@ -40,7 +40,10 @@
         }
     };
     if tokio::time::timeout(limit, flushed).await.is_err() {
-        log::error!(host = &*context.host().id; "outcomes of claimed requests are not written");
+        log::error!(
+            host = &*context.host().id;
+            "outcomes of claimed requests not written in time"
+        );
     }
 }
 
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -48,7 +48,7 @@
     let mut duty = Duty::new(context.clone());
     loop {
         if let Err(error) = duty.round().await {
-            log::warn!("planning: {error}");
+            log::warn!("planning round failed: {error}");
         }
         tokio::time::sleep(context.settings.intervals.plan).await;
     }
@@ -69,7 +69,7 @@
     reported: BTreeMap<backend::Id, Engine>,
     /// Engines for which a move was attempted in the last round.
     attempted: BTreeSet<backend::Id>,
-    /// Time of the last repeated load, by server and unit.
+    /// Time at which a load was last repeated, by server and unit.
     retried: BTreeMap<(backend::Id, Unit), Moment>,
 }
 
@@ -169,7 +169,10 @@
         if let (Action::Unload { unit }, Some(keeper)) = (&order.action, &proposal.keeper)
             && !self.is_kept(unit, keeper).await
         {
-            log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: keeper unconfirmed");
+            log::info!(
+                order = &*order.id, keeper = &**keeper;
+                "unload withdrawn: no proof that the keeper keeps the unit"
+            );
             self.orders.sender().mark_not_sent(&order.id);
             return;
         }
@@ -177,7 +180,8 @@
         self.send(order, cause);
     }
 
-    /// Sends lost loads again: their memory stays reserved anyway until they are settled.
+    /// Orders loads again whose orders may have been lost: their memory stays reserved anyway until
+    /// they are settled.
     async fn retry_loads(&mut self) {
         let now = self.context.now();
         let pause = self.context.settings.planning.order * 2;
@@ -221,7 +225,7 @@
         let (next, order) = match ledger.reserve(claim, action.clone()) {
             Ok(reserved) => reserved,
             Err(short) => {
-                log::info!(server = &**server; "no reservation: {short}");
+                log::info!(server = &**server; "memory not reserved: {short}");
                 self.orders.sender().forget(&id);
                 return None;
             }
@@ -244,7 +248,7 @@
         match self.ledgers.read(keeper).await {
             Ok(stored) => may_unload(unit, stored.map(|stored| &stored.ledger)),
             Err(error) => {
-                log::warn!(server = &**keeper; "ledger of the keeper: {error}");
+                log::warn!(server = &**keeper; "ledger of the keeper not read: {error}");
                 false
             }
         }
@@ -273,7 +277,7 @@
     }
 }
 
-/// Returns a planner without any state.
+/// Creates a planner with the limits in the settings and no engines.
 fn planner(context: &Context) -> Planner {
     let planning = &context.settings.planning;
     let limits =
@@ -281,7 +285,7 @@
     Planner::new(limits)
 }
 
-/// Whether the unit to load is declared with this version.
+/// Whether the action loads a unit that is still declared with the same version.
 fn is_declared(config: &config::Config, action: &Action) -> bool {
     let Action::Load { unit, .. } = action else { return false };
     let Some(declared) = config.models.get(unit.model()) else { return false };
--- a/crates/stage/src/duties/plan/demand.rs
+++ b/crates/stage/src/duties/plan/demand.rs
@@ -2,8 +2,7 @@
 //!
 //! The planning host counts its own requests in flight and assumes the same number on every other
 //! host, since the platform's balancer spreads callers evenly. This needs no messages. With few
-//! requests per host the estimate is rough, so several rounds are averaged before the forecast
-//! observes them.
+//! requests per host the estimate is rough, so the forecast gets averages over several rounds.
 
 use std::collections::BTreeMap;
 
@@ -54,7 +53,8 @@
         live.count().max(1) as f64
     }
 
-    /// Mean number of requests that one engine of a group runs concurrently.
+    /// Mean number of requests that an engine of a group can run concurrently; `None` if no engine
+    /// of the group has reported.
     fn slots(&self, group: &backend::Group) -> Option<f64> {
         let engines = self.engines().into_iter().filter(|entry| entry.server.group == *group);
         let slots: Vec<f64> = engines
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines as input of the planner.
+//! Passes the state of engines to the planner.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
--- a/crates/stage/src/duties/plan/lease.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -1,4 +1,4 @@
-//! The planning lease, as seen by this host.
+//! Acquires, renews and releases the planning lease.
 
 use std::sync::Arc;
 
@@ -35,14 +35,14 @@
     /// Acquires or renews the lease if that is due; returns whether this host may plan.
     pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
-            log::warn!("planning lease: {error}");
+            log::warn!("planning lease not read or written: {error}");
             self.last_read = None;
         }
         let is_held = self.observer.is_held(self.context.now());
         if is_held != self.was_held {
             self.was_held = is_held;
             let lease = if is_held { event::LeaseState::Taken } else { event::LeaseState::Lost };
-            log::info!(holds = is_held; "planning lease");
+            log::info!(holds = is_held; "planning lease acquired or lost");
             self.record(lease);
         }
         is_held
@@ -56,7 +56,7 @@
         if let Some((version, _)) = self.known.take() {
             let key = Observer::key(DUTY);
             if let Err(error) = self.context.store.delete(&key, version).await {
-                log::warn!("releasing the planning lease: {error}");
+                log::warn!("planning lease not released: {error}");
             }
         }
         self.observer.observe(self.context.now(), None);
--- a/crates/stage/src/duties/plan/ledgers.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -1,4 +1,5 @@
-//! The ledgers as last read or written, and writes whose response may be lost.
+//! Reads and writes the servers' ledgers, and finds out whether a write without a response was
+//! applied.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,7 +12,8 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Maximum number of attempts at a write, each read back if its response is lost.
+/// Maximum number of attempts at a write. The ledger is read back after each that conflicts or
+/// whose response is lost.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Delay before the second attempt; doubles with each further one.
@@ -21,8 +23,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct StoredLedger {
     pub(super) version: Version,
-    /// The ledger, including evidence gathered since that was not worth a write. Anything written
-    /// on top of it is conditional on `version`, so the two are stored together.
+    /// The ledger, including evidence gathered since, if that was not worth a write. The next write
+    /// of the ledger is conditional on `version`, so the two are stored together.
     pub(super) ledger: Ledger,
 }
 
@@ -33,7 +35,7 @@
     Applied,
     /// The write was not applied and never will be.
     NotApplied,
-    /// The write may be applied, now or later.
+    /// The write may have been applied, or may be applied later.
     Unknown,
 }
 
@@ -65,12 +67,13 @@
         self.stored.values().map(|stored| &stored.ledger)
     }
 
-    /// Returns when all ledgers were last read.
+    /// Returns when all ledgers were last read. `None` means that they must be read now: they were
+    /// never read, or the outcome of a later write is unknown.
     pub(super) fn listed_at(&self) -> Option<Moment> {
         self.listed_at
     }
 
-    /// Reads all ledgers.
+    /// Reads all ledgers; skips those that can't be parsed.
     pub(super) async fn list(&mut self) -> Result<(), Error> {
         let requested = self.context.now();
         let listing = self.context.store.list(PREFIX).await?;
@@ -82,7 +85,7 @@
         Ok(())
     }
 
-    /// Reads one ledger.
+    /// Reads one ledger; `None` if it doesn't exist or can't be parsed.
     pub(super) async fn read(
         &mut self,
         server: &backend::Id,
@@ -119,9 +122,9 @@
 
     /// Writes a ledger if the object still has version `base`.
     ///
-    /// A write without a response is read back. It may still be in transit as long as the object
-    /// has the version that the write is conditional on; it is then repeated until the version
-    /// shows whether it was applied.
+    /// After a conflict or a lost response the ledger is read back. As long as the object has the
+    /// version that the write is conditional on, the write may still be in transit; it is then
+    /// repeated, up to [`MAX_ATTEMPTS`], until the version shows whether it was applied.
     async fn write(
         &mut self,
         base: Option<Version>,
@@ -142,7 +145,7 @@
                 }
                 Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_pending = true,
                 Err(error) => {
-                    log::warn!(server = &**server; "ledger: {error}");
+                    log::warn!(server = &**server; "ledger not written: {error}");
                     if !may_be_pending {
                         return WriteOutcome::NotApplied;
                     }
@@ -154,7 +157,7 @@
                     return WriteOutcome::NotApplied;
                 }
                 Ok(_) => {}
-                Err(error) => log::warn!(server = &**server; "reading the ledger back: {error}"),
+                Err(error) => log::warn!(server = &**server; "ledger not read back: {error}"),
             }
         }
         self.stored.remove(server);
--- a/crates/stage/src/duties/plan/settle.rs
+++ b/crates/stage/src/duties/plan/settle.rs
@@ -1,4 +1,4 @@
-//! Gathers evidence on open orders, and writes the ledgers that it settles.
+//! Gathers evidence on open orders, and writes the ledgers whose orders it settles.
 
 use observe::{Event, event};
 use policy::ledger::{
@@ -105,7 +105,7 @@
                 Some(TimedReport { asked, load: Load { server: server.id.clone(), ..load } })
             }
             Ok(Err(error)) => {
-                log::debug!(server = &*server.id; "fresh report: {error}");
+                log::debug!(server = &*server.id; "fresh load report not read: {error}");
                 None
             }
             Err(_) => None,
@@ -134,7 +134,9 @@
             Ok(list) => {
                 self.gone_senders.observe_list(now, &list, senders.iter().map(|(sender, _)| sender))
             }
-            Err(error) => log::debug!("host list for absence: {error}"),
+            Err(error) => {
+                log::debug!("host list not read; can't tell whether senders are gone: {error}")
+            }
         }
     }
 
--- a/crates/stage/src/duties/pump.rs
+++ b/crates/stage/src/duties/pump.rs
@@ -1,7 +1,7 @@
-//! Processes waiting requests while nothing else happens.
+//! Processes the admission queue at a fixed interval.
 //!
-//! The end of each request already starts waiting ones. This task finds requests that can no longer
-//! meet their target, and servers whose suspicion has expired.
+//! The end of each request already starts waiting ones. In between, this task rejects requests that
+//! can no longer meet their target, and notices servers whose suspicion has expired.
 
 use std::sync::Arc;
 
--- a/crates/stage/src/duties/reports.rs
+++ b/crates/stage/src/duties/reports.rs
@@ -1,4 +1,4 @@
-//! Reads load reports of backend servers.
+//! Reads the load reports of backend servers, with one task for each server.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -61,12 +61,12 @@
                 context.fleet.set_reading(&server.id, reading);
             }
             Ok(Err(error)) => {
-                log::debug!("load report: {error}");
+                log::debug!("load report not read: {error}");
                 context.traffic.unreachable(&server.id);
                 update_gossip(&context, |gossip, now| gossip.server_failed(now, &server.id));
                 context.fleet.drop_reading(&server.id);
             }
-            Err(_) => log::debug!(server = &*server.id; "load report: timeout"),
+            Err(_) => log::debug!(server = &*server.id; "load report not read: timeout"),
         }
         tokio::time::sleep(interval).await;
     }
