--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -1,4 +1,4 @@
-//! State shared by all parts of the host.
+//! Shared state of the host: settings, clients, caches, and the configuration in force.
 
 use std::{
     sync::{
@@ -37,9 +37,9 @@
     pub backends: ::backend::Client,
     /// Client of backend servers for load reports and orders.
     pub control: ::backend::Client,
-    /// Bytes of load reports and orders.
+    /// Bytes sent and received for load reports and orders.
     pub control_bytes: Meter,
-    /// Bytes of calls to the platform.
+    /// Bytes sent and received in calls to the platform.
     pub platform_bytes: Meter,
     /// Hosts, backend servers and what they report.
     pub fleet: Fleet,
@@ -59,7 +59,7 @@
     pub events: Arc<Ring>,
     /// Configuration in force; only [`Context::advance`] changes it.
     config: watch::Sender<Arc<Numbered>>,
-    /// Cancelled when an operator asks for a planned stop.
+    /// Cancelled when an operator requests a planned stop, or a later run of this host exists.
     pub stop_requested: CancellationToken,
     /// Cancelled at the end of a planned stop; ends background duties.
     pub stop: CancellationToken,
--- a/crates/stage/src/flags.rs
+++ b/crates/stage/src/flags.rs
@@ -40,14 +40,14 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings file has errors.
-    #[error("the settings have findings:\n{0}")]
+    /// The settings file can't be read or is invalid.
+    #[error("the settings are invalid:\n{0}")]
     Settings(#[from] Findings),
     /// The log can't be started.
     #[error(transparent)]
     Log(#[from] observe::log::Error),
     /// The settings name an unknown log level.
-    #[error("log level: {0}")]
+    #[error("invalid log level in the settings: {0}")]
     Level(#[from] log::ParseLevelError),
     /// The host can't start.
     #[error(transparent)]
@@ -55,8 +55,8 @@
     /// The host of a routed deployment can't start.
     #[error(transparent)]
     Relay(#[from] relay::Error),
-    /// A call to the operating system failed, for example setting up signals.
-    #[error("system: {0}")]
+    /// A call to the operating system failed, for example to set up a signal handler.
+    #[error("system call failed: {0}")]
     System(#[from] io::Error),
 }
 
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with the file and the cause.
+    /// Fails if the settings are invalid, or if the log or the host can't be started.
     pub fn run(self) -> Result<ExitCode, Error> {
         match self.command {
             Command::Serve { settings } => {
--- a/crates/stage/src/fleet.rs
+++ b/crates/stage/src/fleet.rs
@@ -38,7 +38,8 @@
         self.list.store(Arc::new(list));
     }
 
-    /// Returns a server's load report as last read; `None` if the last read failed.
+    /// Returns a server's load report as last read; `None` if none has been read, or if the
+    /// server couldn't be reached since.
     pub fn reading(&self, server: &backend::Id) -> Option<Arc<Reading>> {
         self.readings().get(server).cloned()
     }
@@ -53,7 +54,7 @@
         self.readings().insert(server.clone(), Arc::new(reading));
     }
 
-    /// Removes the report of a server that doesn't answer.
+    /// Removes the report of a server that couldn't be reached.
     pub fn drop_reading(&self, server: &backend::Id) {
         self.readings().remove(server);
     }
--- a/crates/stage/src/guard.rs
+++ b/crates/stage/src/guard.rs
@@ -75,7 +75,7 @@
         self.token.authorizes(headers)
     }
 
-    /// Logs and counts a rejected request.
+    /// Logs and counts a request rejected because of its token.
     pub fn record_refusal(&self, context: &Context, path: &str) {
         context.metrics.denied(self.listener);
         log::warn!(listener = label(self.listener), path = path; "wrong or missing token");
--- a/crates/stage/src/listener.rs
+++ b/crates/stage/src/listener.rs
@@ -17,10 +17,11 @@
 /// Delay after a failed accept, for example with too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long connections that the system had queued before the stop are still accepted.
+/// After the stop, connections in the system's backlog are still accepted until none arrives for
+/// this long.
 const BACKLOG_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Minimum buffer size that hyper accepts for a head.
+/// Minimum read buffer that hyper accepts for an HTTP/1 connection.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Serves until stopped, and then until every request in flight has ended.
@@ -39,7 +40,7 @@
         match accepted {
             Ok((stream, _)) => connect(stream, &router, &bounds, &graceful),
             Err(error) => {
-                log::warn!("callers' listener: {error}");
+                log::warn!("accepting a caller's connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -52,7 +53,7 @@
 }
 
 fn connect(stream: TcpStream, router: &Router, bounds: &Bounds, graceful: &GracefulShutdown) {
-    // Otherwise the last bytes of each token would wait for the caller's acknowledgement.
+    // With Nagle's algorithm, the last bytes of each token would wait for the caller's ACK.
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
     stream.set_write_timeout(Some(bounds.idle));
@@ -79,7 +80,7 @@
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("caller's connection: {error}");
+            log::debug!("a caller's connection ended: {error}");
         }
     });
 }
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -1,4 +1,5 @@
-//! Moves for operators: open orders and their reasons, settled orders, and memory of each server.
+//! Loads and unloads as shown to operators: open orders with what each waits for, settled orders,
+//! and the memory of each server.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -14,7 +15,7 @@
 use serde::Serialize;
 use types::prelude::*;
 
-/// Maximum number of settled orders stored.
+/// Maximum number of settled orders kept; the oldest are dropped.
 const MAX_SETTLED: usize = 256;
 
 /// An open order, with how long this host has known it.
@@ -71,7 +72,7 @@
     pub memory: Vec<ServerMemory>,
 }
 
-/// Moves as known to this host.
+/// Loads and unloads as known to this host.
 #[derive(Debug, Default)]
 pub struct Moves {
     inner: Mutex<Inner>,
@@ -80,6 +81,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     ledgers: BTreeMap<backend::Id, Ledger>,
+    /// When this host first saw each open order.
     known_since: HashMap<order::Id, Moment>,
     settled: VecDeque<(Moment, Settled)>,
 }
@@ -152,7 +154,7 @@
     }
 }
 
-/// Returns the name of the evidence that settled an order; operators' tools rely on it.
+/// Returns the name of the evidence that settled an order. Operators' tools match these names.
 pub fn evidence_label(how: How) -> &'static str {
     match how {
         How::Taken => "taken",
--- a/crates/stage/src/operators/config.rs
+++ b/crates/stage/src/operators/config.rs
@@ -1,4 +1,4 @@
-//! Paths of the declared configuration, for operators.
+//! Operators' routes to read the configuration in force, and to check and apply patches.
 
 use std::sync::Arc;
 
--- a/crates/stage/src/operators/members.rs
+++ b/crates/stage/src/operators/members.rs
@@ -1,4 +1,4 @@
-//! Standing of the other hosts, and whether this host watches the platform.
+//! Serves this host's view of the other hosts to operators.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/stage/src/operators/moves.rs
+++ b/crates/stage/src/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Moves for operators: open orders, the evidence that would settle each, and servers' memory.
+//! Serves loads and unloads to operators: open orders, what would settle each, and servers' memory.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Returns the routes of moves.
+/// Returns the routes for loads and unloads.
 pub(super) fn router() -> Router<Arc<Context>> {
     Router::new().route("/status/moves", get(moves))
 }
 
-/// Any host may be asked: it reads the ledgers, and falls back to its last known ones.
+/// Returns the moves of all servers. Any host can serve this, since it reads all ledgers first; if
+/// that fails it uses the last known ones.
 async fn moves(State(context): State<Arc<Context>>) -> Json<Status> {
     let listing = context.store.list(PREFIX).await;
     let now = context.now();
@@ -27,7 +28,7 @@
             true
         }
         Err(error) => {
-            log::warn!("ledgers for operators: {error}");
+            log::warn!("ledgers not read for an operator: {error}");
             false
         }
     };
--- a/crates/stage/src/operators/watch.rs
+++ b/crates/stage/src/operators/watch.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Format {
-    /// One JSON object a line, as read by the merge of several hosts' time lines.
+    /// One JSON object per line, the input format for merging several hosts' time lines.
     #[default]
     Json,
     /// One line of text for each event.
@@ -41,7 +41,7 @@
     Page,
 }
 
-/// Filter of the time line; empty selects all events. Times are RFC 3339 text.
+/// Query of the time line. Without any filter it selects all events. Times are RFC 3339 text.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct TimelineQuery {
     request: Option<String>,
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -64,7 +64,7 @@
         Peers { gossip, client, token, meter, refused: Arc::default() }
     }
 
-    /// Returns the membership state.
+    /// Locks and returns the membership state.
     pub fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -143,7 +143,7 @@
             context.peers.gossip().answer(now, &answer)
         }
         Err(error) => {
-            log::debug!("heartbeat: {error}");
+            log::debug!("heartbeat not answered: {error}");
             context.peers.gossip().silence(now, &to.id)
         }
     };
@@ -159,7 +159,7 @@
 
 async fn fetch(context: Arc<Context>, from: Host) {
     if let Err(error) = fetch_config(&context, &from).await {
-        log::debug!("configuration from a peer: {error}");
+        log::debug!("configuration not fetched from a peer: {error}");
         let actions = context.peers.gossip().fetch_failed(context.now(), Topic::Config);
         perform(&context, actions);
     }
--- a/crates/stage/src/peers/source.rs
+++ b/crates/stage/src/peers/source.rs
@@ -1,4 +1,4 @@
-//! Parts of a configuration, from the host that announced it.
+//! Fetches parts of a configuration from the host that announced it.
 
 use std::sync::Arc;
 
@@ -25,7 +25,9 @@
             match self.client.part(self.host.peers, &name.key()).await {
                 Ok(part) => Ok(Arc::from(part.get().as_bytes())),
                 Err(error) => {
-                    log::debug!("part of the configuration: {error}");
+                    log::debug!(
+                        "part not fetched from a peer; reading it from the platform: {error}"
+                    );
                     Platform(self.store).part(name).await
                 }
             }
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -36,8 +36,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reloads the settings on each SIGHUP; never ends. Only the log level is applied: everything else
-/// that a host may change while it runs is part of the declared configuration.
+/// Reloads the settings on each SIGHUP; never returns. Only the log level is applied: everything
+/// else that may change while a host runs is part of the declared configuration.
 async fn handle_reloads(reload: &mut Signal, file: &Path) {
     while reload.recv().await.is_some() {
         log::info!("reload asked for");
@@ -52,7 +52,7 @@
 fn apply(settings: &Process) {
     match settings.log.level.parse() {
         Ok(level) => observe::log::set_level(level),
-        Err(error) => log::error!("log level: {error}"),
+        Err(error) => log::error!("invalid log level in the settings: {error}"),
     }
     relay::reloaded(settings);
 }
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -20,14 +20,14 @@
     listener, operators, peers,
 };
 
-/// Maximum wait for outcomes of claimed requests to be written.
+/// Maximum time that a drain waits until the outcomes of claimed requests are written.
 const CLAIMS_FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a host can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener's address can't be bound.
-    #[error("listener for {role} at {address}: {cause}")]
+    #[error("can't bind the listener for {role} at {address}: {cause}")]
     Bind {
         /// The listener's users.
         role: &'static str,
@@ -36,7 +36,7 @@
         /// Error of the operating system.
         cause: io::Error,
     },
-    /// A listener has no usable token.
+    /// A listener has an invalid token, or needs one and has none.
     #[error(transparent)]
     Guard(#[from] guard::Error),
     /// The metrics can't be set up.
@@ -101,8 +101,8 @@
         &self.context
     }
 
-    /// Stops the host in order: reports not ready, waits for the balancer, closes the callers'
-    /// listener, and waits for the requests in flight.
+    /// Stops the host: reports not ready, waits for the balancer, closes the callers' listener,
+    /// waits for the requests in flight and their recorded outcomes, and stops everything else.
     pub async fn drain(self) {
         let drain = self.context.settings.drain.clone();
         self.context.begin_drain();
@@ -144,6 +144,6 @@
 async fn listen(listener: TcpListener, router: Router, stop: CancellationToken) {
     let served = axum::serve(listener, router).with_graceful_shutdown(stop.cancelled_owned());
     if let Err(error) = served.await {
-        log::error!("listener ends: {error}");
+        log::error!("operators' listener failed: {error}");
     }
 }
