--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -301,8 +301,8 @@
 
 /// Dispatches a further attempt as soon as a server may be used; `None` if there is no server.
 ///
-/// Waits for a suspected server no longer than the call's target for the first token: a caller that
-/// the wait can't help gets the final answer at once.
+/// Waits for a suspected server no longer than the call's target for the first token: if the
+/// wait would be longer, the caller gets the final answer at once.
 pub(crate) async fn next_attempt(
     context: &Context,
     call: &Call,
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -27,7 +27,7 @@
 /// another patch the next read ends the loop as stale, so only lost responses use up more attempts.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Parts that no root names are deleted after every number that is a multiple of this.
+/// Unused parts are deleted each time an accepted configuration's number is a multiple of this.
 const SWEEP_EVERY: config::Number = 64;
 
 /// Outcome of a write of the root.
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -261,7 +261,7 @@
         };
         log::info!(
             order = &*order.id, server = &*order.server, cause = cause;
-            "order: {:?}", order.action
+            "sending order: {:?}", order.action
         );
         let mut event = Event::new(event::Kind::Order {
             order: order.id.clone(),
--- a/crates/stage/src/duties/plan/orders.rs
+++ b/crates/stage/src/duties/plan/orders.rs
@@ -59,7 +59,10 @@
                 self.sender().mark_unanswered(now, &order.id);
             }
             Err(_) => {
-                log::warn!(order = &*order.id, server = &*order.server; "order in doubt: timeout");
+                log::warn!(
+                    order = &*order.id, server = &*order.server;
+                    "order in doubt: no response in time"
+                );
                 self.sender().mark_unanswered(now, &order.id);
             }
         }
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -2,7 +2,7 @@
 //!
 //! A request with an idempotency key claims the key before it continues, and reports its outcome
 //! afterwards. One without a key needs no claim, since a repeated send of it can't be recognised;
-//! its attempt is sent at most once.
+//! the host retries it only if no connection to a server was made, so that it is sent at most once.
 //!
 //! A claimed request continues if its caller disconnects, so that a repeated send finds its
 //! outcome.
--- a/crates/stage/src/filters/route.rs
+++ b/crates/stage/src/filters/route.rs
@@ -18,7 +18,7 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// First attempt of a call, for the filter that sends it.
+/// First attempt of a call, which the attempt filter takes and sends.
 #[derive(Clone, Debug)]
 pub struct FirstAttempt(Arc<Mutex<Option<DispatchedAttempt>>>);
 
--- a/crates/stage/src/listener.rs
+++ b/crates/stage/src/listener.rs
@@ -40,7 +40,7 @@
         match accepted {
             Ok((stream, _)) => connect(stream, &router, &bounds, &graceful),
             Err(error) => {
-                log::warn!("accepting a caller's connection: {error}");
+                log::warn!("can't accept a caller's connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -21,7 +21,7 @@
 /// An open order, with how long this host has known it.
 #[derive(Clone, Debug, Serialize)]
 pub struct OpenOrder {
-    /// Order and the evidence that would settle it.
+    /// The order, and the evidence that would settle it.
     #[serde(flatten)]
     pub held: Held,
     /// What the order waits for, as text.
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -128,7 +128,7 @@
         return;
     }
     if let Err(error) = context.events.clock().observe(Stamp(heartbeat.stamp)) {
-        log::warn!(peer = &*heartbeat.from.id; "{error}");
+        log::warn!(peer = &*heartbeat.from.id; "clock stamp of a peer rejected: {error}");
     }
 }
 
