--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -25,7 +25,7 @@
     filters::{Call, ModelRequest, account::Account, attempt},
     kv,
     problem::{self, Problem},
-    traffic::{NextAttempt, Sent},
+    traffic::{DispatchedAttempt, NextAttempt},
 };
 
 /// A model's answer while it is being received.
@@ -36,7 +36,7 @@
     model_request: Arc<ModelRequest>,
     requirements: Arc<Requirements>,
     stream: Stream,
-    next: Option<Sent>,
+    next: Option<DispatchedAttempt>,
     resume_from: Option<backend::Server>,
     source: Option<Source>,
     failed: Vec<Index>,
@@ -46,7 +46,7 @@
 
 struct Source {
     frames: BoxStream<'static, Result<Frame, frame::Error>>,
-    sent: Sent,
+    sent: DispatchedAttempt,
 }
 
 /// One token for the caller.
@@ -59,14 +59,14 @@
 }
 
 impl Answer {
-    /// Creates an answer whose first attempt, `first`, has a server but has not been sent.
+    /// Creates an answer; `first` is the first attempt, which has a server but is not sent yet.
     pub fn new(
         context: Arc<Context>,
         account: Account,
         call: Call,
         model_request: Arc<ModelRequest>,
         requirements: Arc<Requirements>,
-        first: Sent,
+        first: DispatchedAttempt,
     ) -> Answer {
         Answer {
             stream: Stream::new(call.request.id.clone()),
@@ -202,7 +202,11 @@
     }
 
     /// Handles the response head: starts reading the stream, or ends the attempt.
-    async fn response_started(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
+    async fn response_started(
+        &mut self,
+        sent: DispatchedAttempt,
+        response: Streamed,
+    ) -> Result<(), Problem> {
         let status = response.status();
         if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
             self.ran = self.ran.max(Ran::MayHaveRun);
@@ -226,7 +230,7 @@
         self.attempt_failed(sent, point, &format!("engine answers {status}")).await
     }
 
-    /// Whether the response head names this request and this attempt; a missing header matches.
+    /// Whether the response headers name this request and this attempt; a missing header matches.
     fn is_for_this_attempt(&self, headers: &HeaderMap) -> bool {
         let names = |name: &str, own: &str| headers.get(name).is_none_or(|value| value == own);
         names(wire::REQUEST_ID, &self.call.request.id)
@@ -236,7 +240,7 @@
     /// Ends a failed attempt: prepares the next one, or returns the final problem.
     async fn attempt_failed(
         &mut self,
-        sent: Sent,
+        sent: DispatchedAttempt,
         point: Point,
         cause: &str,
     ) -> Result<(), Problem> {
@@ -298,21 +302,21 @@
 
 /// Dispatches a further attempt as soon as a server may be used; `None` if there is no server.
 ///
-/// Waits for a suspected server no longer than the call's target for the first token: a caller that
-/// the wait can't help gets the final answer at once.
+/// Waits for a suspected server no longer than the call's target for the first token: if the
+/// wait would be longer, the caller gets the final answer at once.
 pub(crate) async fn next_attempt(
     context: &Context,
     call: &Call,
     requirements: &Requirements,
     failed: &[Index],
-) -> Option<Sent> {
+) -> Option<DispatchedAttempt> {
     /// Minimum wait before suspected servers are checked again.
     const MIN_WAIT: Duration = Duration::from_millis(5);
     let time_left = call.time_left(context).min(call.request.target.first_token);
     let until = context.now() + time_left;
     loop {
         match context.traffic.dispatch_again(requirements, failed) {
-            NextAttempt::Sent(sent) => return Some(sent),
+            NextAttempt::Dispatched(sent) => return Some(sent),
             NextAttempt::Unready => return None,
             NextAttempt::At(moment) => {
                 let wait = moment.saturating_sub(context.now()).max(MIN_WAIT);
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -19,21 +19,22 @@
 
 use super::{
     Error,
-    source::{self, Drafted, Platform, Read, Source},
+    source::{self, DraftSource, Platform, Source, StoredRoot},
 };
 use crate::context::Context;
 
-/// Maximum number of times the root is read and written for one patch. Losing to another patch ends
-/// the loop as stale, so that only lost responses use attempts up.
+/// Maximum number of times the root is read and written for one patch. After a conflict with
+/// another patch the next read ends the loop as stale, so only lost responses use up more attempts.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Parts that no root names are deleted after every number that is a multiple of this.
+/// Unused parts are deleted each time an accepted configuration's number is a multiple of this.
 const SWEEP_EVERY: config::Number = 64;
 
 /// Outcome of a write of the root.
-enum Written {
+enum WriteOutcome {
     Done,
-    Unclear(objects::Error),
+    /// The write conflicted or its response was lost; the root must be read to learn the outcome.
+    Unknown(objects::Error),
 }
 
 /// Decides on a patch and writes it.
@@ -65,11 +66,11 @@
             other => return (to_outcome(other), None),
         };
         match write(context, &read, &draft).await {
-            Ok(Written::Done) => {
+            Ok(WriteOutcome::Done) => {
                 return (Outcome::Accepted { number: draft.root.number }, Some(draft));
             }
-            // The response is lost, so this call may have written the patch.
-            Ok(Written::Unclear(error)) => {
+            // If the response was lost, this call may have written the patch.
+            Ok(WriteOutcome::Unknown(error)) => {
                 may_be_ours |= error.is_ambiguous();
                 cause = error.to_string();
             }
@@ -99,7 +100,10 @@
 }
 
 /// Reads the newest root and decides on the patch.
-async fn read_and_decide(context: &Context, patch: &Patch) -> Result<(Read, Decision), Error> {
+async fn read_and_decide(
+    context: &Context,
+    patch: &Patch,
+) -> Result<(StoredRoot, Decision), Error> {
     let read = source::newest(&*context.store).await?;
     let current = load_current(context, read.root.clone()).await?;
     Ok((read, decide(&current, patch, &engines(context))))
@@ -136,11 +140,11 @@
     context.fleet.list().servers.iter().filter_map(engine).collect()
 }
 
-async fn write(context: &Context, read: &Read, draft: &Draft) -> Result<Written, Error> {
+async fn write(context: &Context, read: &StoredRoot, draft: &Draft) -> Result<WriteOutcome, Error> {
     for part in &draft.parts {
         match create_part(context, part).await {
             Ok(()) => {}
-            Err(error) if error.is_ambiguous() => return Ok(Written::Unclear(error)),
+            Err(error) if error.is_ambiguous() => return Ok(WriteOutcome::Unknown(error)),
             Err(error) => return Err(error.into()),
         }
     }
@@ -151,8 +155,10 @@
         None => context.store.create(ROOT_KEY, value.into()).await,
     };
     match written {
-        Ok(_) => Ok(Written::Done),
-        Err(error) if error.is_ambiguous() || error.is_conflict() => Ok(Written::Unclear(error)),
+        Ok(_) => Ok(WriteOutcome::Done),
+        Err(error) if error.is_ambiguous() || error.is_conflict() => {
+            Ok(WriteOutcome::Unknown(error))
+        }
         Err(error) => Err(error.into()),
     }
 }
@@ -170,15 +176,18 @@
 /// Puts an accepted draft in force on this host without reading it back.
 async fn apply_draft(context: &Arc<Context>, draft: Draft) {
     let number = draft.root.number;
-    let source = Drafted { parts: draft.parts, rest: Platform(&*context.store) };
+    let source = DraftSource { parts: draft.parts, rest: Platform(&*context.store) };
     if let Err(error) = super::apply_root(context, draft.root, &source).await {
-        log::warn!(number = number; "accepted configuration waits for the watch: {error}");
+        log::warn!(
+            number = number;
+            "accepted configuration not in force yet, waiting for the watch: {error}"
+        );
     }
     if number.is_multiple_of(SWEEP_EVERY) {
         let context = context.clone();
         context.duties.clone().spawn(async move {
             if let Err(error) = sweep(&context).await {
-                log::warn!("deleting unused parts: {error}");
+                log::warn!("unused parts not deleted: {error}");
             }
         });
     }
--- a/crates/stage/src/duties/list.rs
+++ b/crates/stage/src/duties/list.rs
@@ -1,7 +1,8 @@
 //! Reads the platform's list of hosts and backend servers.
 //!
-//! The list is one source among others: it is passed to the membership state, from which routing is
-//! updated. All hosts together read at a fixed rate; peers advertise changes in between.
+//! The list is one source of the membership state, from which routing is updated. The interval
+//! grows with the number of hosts, so that all hosts together read at a fixed rate; in between,
+//! peers advertise changes.
 
 use std::sync::Arc;
 
@@ -11,14 +12,14 @@
 use super::gossip;
 use crate::{context::Context, peers};
 
-/// Maximum delay between failed reads.
+/// Maximum delay after a failed read.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Reads the list forever.
 pub(super) async fn run(context: Arc<Context>) {
-    let least = context.settings.intervals.list;
+    let min_interval = context.settings.intervals.list;
     let seed = rendezvous::score(b"list", &context.host().id) ^ context.incarnation;
-    let mut backoff = Backoff::new(least, MAX_BACKOFF, seed);
+    let mut backoff = Backoff::new(min_interval, MAX_BACKOFF, seed);
     loop {
         let wait = match context.store.hosts().await {
             Ok(list) => {
@@ -26,10 +27,10 @@
                 peers::perform(&context, actions);
                 gossip::apply(&context);
                 backoff.succeed();
-                watch::list_interval(least, list.hosts.len())
+                watch::list_interval(min_interval, list.hosts.len())
             }
             Err(error) => {
-                log::warn!("host list: {error}");
+                log::warn!("host list not read: {error}");
                 backoff.fail()
             }
         };
--- a/crates/stage/src/duties/plan.rs
+++ b/crates/stage/src/duties/plan.rs
@@ -35,7 +35,7 @@
 use self::{
     demand::Samples,
     lease::PlanningLease,
-    ledgers::{Ledgers, Stored, Written},
+    ledgers::{Ledgers, StoredLedger, WriteOutcome},
     orders::Orders,
 };
 use crate::context::Context;
@@ -48,7 +48,7 @@
     let mut duty = Duty::new(context.clone());
     loop {
         if let Err(error) = duty.round().await {
-            log::warn!("planning: {error}");
+            log::warn!("planning round failed: {error}");
         }
         tokio::time::sleep(context.settings.intervals.plan).await;
     }
@@ -69,7 +69,7 @@
     reported: BTreeMap<backend::Id, Engine>,
     /// Engines for which a move was attempted in the last round.
     attempted: BTreeSet<backend::Id>,
-    /// Time of the last repeated load, by server and unit.
+    /// Time at which a load was last repeated, by server and unit.
     retried: BTreeMap<(backend::Id, Unit), Moment>,
 }
 
@@ -119,7 +119,7 @@
     }
 
     fn is_list_due(&self, now: Moment) -> bool {
-        self.ledgers.listed().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
+        self.ledgers.listed_at().is_none_or(|listed| listed + LEDGER_LIST_INTERVAL <= now)
     }
 
     /// Resets the planner, since another host plans in the meantime.
@@ -169,7 +169,10 @@
         if let (Action::Unload { unit }, Some(keeper)) = (&order.action, &proposal.keeper)
             && !self.is_kept(unit, keeper).await
         {
-            log::info!(order = &*order.id, keeper = &**keeper; "unload withdrawn: keeper unconfirmed");
+            log::info!(
+                order = &*order.id, keeper = &**keeper;
+                "unload withdrawn: no proof that the keeper keeps the unit"
+            );
             self.orders.sender().mark_not_sent(&order.id);
             return;
         }
@@ -177,7 +180,8 @@
         self.send(order, cause);
     }
 
-    /// Sends lost loads again: their memory stays reserved anyway until they are settled.
+    /// Orders loads again whose orders may have been lost: their memory stays reserved anyway until
+    /// they are settled.
     async fn retry_loads(&mut self) {
         let now = self.context.now();
         let pause = self.context.settings.planning.order * 2;
@@ -215,24 +219,24 @@
         action: &Action,
         cause: Arc<str>,
     ) -> Option<Order> {
-        let Stored { version, ledger } = self.ledgers.get(server).cloned()?;
+        let StoredLedger { version, ledger } = self.ledgers.get(server).cloned()?;
         let claim = self.orders.sender().claim(cause);
         let id = claim.id.clone();
         let (next, order) = match ledger.reserve(claim, action.clone()) {
             Ok(reserved) => reserved,
             Err(short) => {
-                log::info!(server = &**server; "no reservation: {short}");
+                log::info!(server = &**server; "memory not reserved: {short}");
                 self.orders.sender().forget(&id);
                 return None;
             }
         };
         match self.ledgers.reserve(version, &next, &id).await {
-            Written::Applied => Some(order),
-            Written::NotApplied => {
+            WriteOutcome::Applied => Some(order),
+            WriteOutcome::NotApplied => {
                 self.orders.sender().forget(&id);
                 None
             }
-            Written::Unknown => {
+            WriteOutcome::Unknown => {
                 self.orders.sender().mark_not_sent(&id);
                 None
             }
@@ -244,7 +248,7 @@
         match self.ledgers.read(keeper).await {
             Ok(stored) => may_unload(unit, stored.map(|stored| &stored.ledger)),
             Err(error) => {
-                log::warn!(server = &**keeper; "ledger of the keeper: {error}");
+                log::warn!(server = &**keeper; "ledger of the keeper not read: {error}");
                 false
             }
         }
@@ -257,7 +261,7 @@
         };
         log::info!(
             order = &*order.id, server = &*order.server, cause = cause;
-            "order: {:?}", order.action
+            "sending order: {:?}", order.action
         );
         let mut event = Event::new(event::Kind::Order {
             order: order.id.clone(),
@@ -273,7 +277,7 @@
     }
 }
 
-/// Returns a planner without any state.
+/// Creates a planner with the limits in the settings and no engines.
 fn planner(context: &Context) -> Planner {
     let planning = &context.settings.planning;
     let limits = Limits {
@@ -283,7 +287,7 @@
     Planner::new(limits)
 }
 
-/// Whether the unit to load is declared with this version.
+/// Whether the action loads a unit that is still declared with the same version.
 fn is_declared(config: &config::Config, action: &Action) -> bool {
     let Action::Load { unit, .. } = action else { return false };
     let Some(declared) = config.models.get(unit.model()) else { return false };
--- a/crates/stage/src/duties/plan/ledgers.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -1,4 +1,5 @@
-//! The ledgers as last read or written, and writes whose response may be lost.
+//! Reads and writes the servers' ledgers, and finds out whether a write without a response was
+//! applied.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,7 +12,8 @@
 
 const PREFIX: &str = "ledger/";
 
-/// Maximum number of attempts at a write, each read back if its response is lost.
+/// Maximum number of attempts at a write. The ledger is read back after each that conflicts or
+/// whose response is lost.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Delay before the second attempt; doubles with each further one.
@@ -19,37 +21,37 @@
 
 /// A ledger with the object version at which it was read or written.
 #[derive(Clone, Debug)]
-pub(super) struct Stored {
+pub(super) struct StoredLedger {
     pub(super) version: Version,
-    /// The ledger, including evidence gathered since that was not worth a write. Anything written
-    /// on top of it is conditional on `version`, so the two are stored together.
+    /// The ledger, including evidence gathered since, if that was not worth a write. The next write
+    /// of the ledger is conditional on `version`, so the two are stored together.
     pub(super) ledger: Ledger,
 }
 
 /// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Written {
+pub(super) enum WriteOutcome {
     /// The object has the new value.
     Applied,
     /// The write was not applied and never will be.
     NotApplied,
-    /// The write may be applied, now or later.
+    /// The write may have been applied, or may be applied later.
     Unknown,
 }
 
 /// The ledgers as last read or written.
 pub(super) struct Ledgers {
     context: Arc<Context>,
-    stored: BTreeMap<backend::Id, Stored>,
-    listed: Option<Moment>,
+    stored: BTreeMap<backend::Id, StoredLedger>,
+    listed_at: Option<Moment>,
 }
 
 impl Ledgers {
     pub(super) fn new(context: Arc<Context>) -> Ledgers {
-        Ledgers { context, stored: BTreeMap::new(), listed: None }
+        Ledgers { context, stored: BTreeMap::new(), listed_at: None }
     }
 
-    pub(super) fn get(&self, server: &backend::Id) -> Option<&Stored> {
+    pub(super) fn get(&self, server: &backend::Id) -> Option<&StoredLedger> {
         self.stored.get(server)
     }
 
@@ -65,12 +67,13 @@
         self.stored.values().map(|stored| &stored.ledger)
     }
 
-    /// Returns when all ledgers were last read.
-    pub(super) fn listed(&self) -> Option<Moment> {
-        self.listed
+    /// Returns when all ledgers were last read. `None` means that they must be read now: they were
+    /// never read, or the outcome of a later write is unknown.
+    pub(super) fn listed_at(&self) -> Option<Moment> {
+        self.listed_at
     }
 
-    /// Reads all ledgers.
+    /// Reads all ledgers; skips those that can't be parsed.
     pub(super) async fn list(&mut self) -> Result<(), Error> {
         let requested = self.context.now();
         let listing = self.context.store.list(PREFIX).await?;
@@ -78,12 +81,15 @@
         for object in &listing.objects {
             self.insert(object.version, &object.value, &object.key);
         }
-        self.listed = Some(requested);
+        self.listed_at = Some(requested);
         Ok(())
     }
 
-    /// Reads one ledger.
-    pub(super) async fn read(&mut self, server: &backend::Id) -> Result<Option<&Stored>, Error> {
+    /// Reads one ledger; `None` if it doesn't exist or can't be parsed.
+    pub(super) async fn read(
+        &mut self,
+        server: &backend::Id,
+    ) -> Result<Option<&StoredLedger>, Error> {
         let key = Ledger::key(server);
         let object = self.context.store.get(&key).await?;
         self.stored.remove(server);
@@ -99,32 +105,32 @@
         base: Version,
         next: &Ledger,
         id: &order::Id,
-    ) -> Written {
+    ) -> WriteOutcome {
         let is_applied = |read: &Ledger| read.orders.iter().any(|entry| entry.order.id == *id);
         self.write(Some(base), next, is_applied).await
     }
 
     /// Writes a ledger with evidence applied, conditional on version `base`.
-    pub(super) async fn settle(&mut self, base: Version, next: &Ledger) -> Written {
+    pub(super) async fn settle(&mut self, base: Version, next: &Ledger) -> WriteOutcome {
         self.write(Some(base), next, |read| read == next).await
     }
 
     /// Creates the ledger of a server.
-    pub(super) async fn create(&mut self, first: &Ledger) -> Written {
+    pub(super) async fn create(&mut self, first: &Ledger) -> WriteOutcome {
         self.write(None, first, |read| read == first).await
     }
 
     /// Writes a ledger if the object still has version `base`.
     ///
-    /// A write without a response is read back. It may still be in transit as long as the object
-    /// has the version that the write is conditional on; it is then repeated until the version
-    /// shows whether it was applied.
+    /// After a conflict or a lost response the ledger is read back. As long as the object has the
+    /// version that the write is conditional on, the write may still be in transit; it is then
+    /// repeated, up to [`MAX_ATTEMPTS`], until the version shows whether it was applied.
     async fn write(
         &mut self,
         base: Option<Version>,
         next: &Ledger,
         is_applied: impl Fn(&Ledger) -> bool,
-    ) -> Written {
+    ) -> WriteOutcome {
         let server = &next.server;
         let mut may_be_pending = false;
         for attempt in 0..MAX_ATTEMPTS {
@@ -133,30 +139,30 @@
             }
             match self.put(base, next).await {
                 Ok(version) => {
-                    let stored = Stored { version, ledger: next.clone() };
+                    let stored = StoredLedger { version, ledger: next.clone() };
                     self.stored.insert(server.clone(), stored);
-                    return Written::Applied;
+                    return WriteOutcome::Applied;
                 }
                 Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_pending = true,
                 Err(error) => {
-                    log::warn!(server = &**server; "ledger: {error}");
+                    log::warn!(server = &**server; "ledger not written: {error}");
                     if !may_be_pending {
-                        return Written::NotApplied;
+                        return WriteOutcome::NotApplied;
                     }
                 }
             }
             match self.read(server).await {
-                Ok(Some(stored)) if is_applied(&stored.ledger) => return Written::Applied,
+                Ok(Some(stored)) if is_applied(&stored.ledger) => return WriteOutcome::Applied,
                 Ok(stored) if stored.map(|stored| stored.version) != base => {
-                    return Written::NotApplied;
+                    return WriteOutcome::NotApplied;
                 }
                 Ok(_) => {}
-                Err(error) => log::warn!(server = &**server; "reading the ledger back: {error}"),
+                Err(error) => log::warn!(server = &**server; "ledger not read back: {error}"),
             }
         }
         self.stored.remove(server);
-        self.listed = None;
-        Written::Unknown
+        self.listed_at = None;
+        WriteOutcome::Unknown
     }
 
     async fn put(&self, base: Option<Version>, next: &Ledger) -> Result<Version, Error> {
@@ -171,7 +177,7 @@
     fn insert(&mut self, version: Version, value: &[u8], key: &str) {
         match serde_json::from_slice::<Ledger>(value) {
             Ok(ledger) => {
-                self.stored.insert(ledger.server.clone(), Stored { version, ledger });
+                self.stored.insert(ledger.server.clone(), StoredLedger { version, ledger });
             }
             Err(error) => log::error!(key = key; "ledger unreadable: {error}"),
         }
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -1,4 +1,4 @@
-//! Admits a call, queues it, or rejects it early as not run.
+//! Admits a call, queues it, or rejects it before it is sent to a server.
 
 use std::sync::Arc;
 
@@ -26,14 +26,14 @@
 
 /// An admitted call.
 #[derive(Clone, Debug)]
-pub struct Admitted {
+pub struct AdmittedCall {
     /// The request as admission and routing see it.
     pub requirements: Arc<Requirements>,
     /// Reserved capacity, until the call is sent.
     pub reservation: Arc<Reservation>,
 }
 
-/// Adds [`Admitted`] to the request, or rejects it.
+/// Adds [`AdmittedCall`] to the request, or rejects it.
 pub async fn filter(State(context): State<Arc<Context>>, request: Request, next: Next) -> Response {
     match admit(&context, request).await {
         Ok(request) => next.run(request).await,
@@ -46,7 +46,7 @@
     let requirements = requirements(context, &call);
     let reservation = context.traffic.admit(&requirements).await.map_err(to_problem)?;
     let admitted =
-        Admitted { requirements: Arc::new(requirements), reservation: Arc::new(reservation) };
+        AdmittedCall { requirements: Arc::new(requirements), reservation: Arc::new(reservation) };
     request.extensions_mut().insert(admitted);
     Ok(request)
 }
@@ -107,14 +107,14 @@
 fn to_problem(denial: Denial) -> Problem {
     match denial {
         Denial::Unready => {
-            Problem::new(problem::Kind::NoServer, "no backend server is ready for it")
+            Problem::new(problem::Kind::NoServer, "no backend server is ready for this request")
                 .retry_after(NO_SERVER_RETRY_AFTER)
         }
         Denial::Refused(Refusal { cause, retry_after }) => {
             let detail = match cause {
-                Cause::Late => "its first token can't meet the target under the current load",
-                Cause::Full => "the queue of its model is full",
-                Cause::Displaced => "it was displaced by more urgent work",
+                Cause::Late => "the first token can't meet its target under the current load",
+                Cause::Full => "the queue of the requested model or service is full",
+                Cause::Displaced => "a more urgent request displaced this one from the queue",
             };
             Problem::new(problem::Kind::Overloaded, detail).retry_after(retry_after)
         }
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -22,13 +22,13 @@
     filters::{
         Call, Kind,
         account::Account,
-        admit::Admitted,
+        admit::AdmittedCall,
         deliver::{self, strip},
         extension,
         once::Grant,
     },
     problem::{self, Problem},
-    traffic::Sent,
+    traffic::DispatchedAttempt,
 };
 
 /// A call to a plain service, with the state of its attempts.
@@ -40,25 +40,28 @@
     requirements: Arc<Requirements>,
     parts: Parts,
     upload: Upload,
-    first: Option<Sent>,
+    first: Option<DispatchedAttempt>,
     failed: Vec<Index>,
     number: request::Attempt,
     ran: Ran,
 }
 
 impl Attempts {
-    /// Takes the extensions of earlier filters, and reads the body if it is short.
+    /// Reads the extensions that earlier filters added, and the body if it is short.
     pub(super) async fn start(
         context: Arc<Context>,
         request: Request,
     ) -> Result<Attempts, Problem> {
         let (parts, body) = request.into_parts();
         let call: Call = extension(&parts.extensions)?;
-        let admitted: Admitted = extension(&parts.extensions)?;
+        let admitted: AdmittedCall = extension(&parts.extensions)?;
         let account: Account = extension(&parts.extensions)?;
         let first = first(&extension(&parts.extensions)?)?;
         let Kind::Plain { path, .. } = call.kind.clone() else {
-            return Err(Problem::new(problem::Kind::UnknownPath, "no call to a service"));
+            return Err(Problem::new(
+                problem::Kind::UnknownPath,
+                "the request is not a call to a plain service",
+            ));
         };
         let upload = Upload::read(body, context.settings.bounds.idle).await?;
         Ok(Attempts {
@@ -89,7 +92,7 @@
                 Ok(Ok(response)) if is_rejection(&response) => {
                     match self.attempt_failed(sent, Point::Refused, "the service refuses").await {
                         Ok(sent) => next = Some(sent),
-                        // The service's own response says more than a problem document.
+                        // The service's own response tells the caller more than a problem document.
                         Err(_) => return Ok(deliver::passed_through(response, &self.account)),
                     }
                     continue;
@@ -127,10 +130,10 @@
     /// Ends a failed attempt: returns the next one, or the problem that ends the call.
     async fn attempt_failed(
         &mut self,
-        sent: Sent,
+        sent: DispatchedAttempt,
         point: Point,
         cause: &str,
-    ) -> Result<Sent, Problem> {
+    ) -> Result<DispatchedAttempt, Problem> {
         let server = &sent.server().id;
         log::warn!(
             request = &*self.call.request.id, server = &**server, attempt = self.number;
--- a/crates/stage/src/moves.rs
+++ b/crates/stage/src/moves.rs
@@ -1,4 +1,5 @@
-//! Moves for operators: open orders and their reasons, settled orders, and memory of each server.
+//! Loads and unloads as shown to operators: open orders with what each waits for, settled orders,
+//! and the memory of each server.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -14,13 +15,13 @@
 use serde::Serialize;
 use types::prelude::*;
 
-/// Maximum number of settled orders stored.
+/// Maximum number of settled orders kept; the oldest are dropped.
 const MAX_SETTLED: usize = 256;
 
 /// An open order, with how long this host has known it.
 #[derive(Clone, Debug, Serialize)]
 pub struct OpenOrder {
-    /// Order and the evidence that would settle it.
+    /// The order, and the evidence that would settle it.
     #[serde(flatten)]
     pub held: HeldOrder,
     /// What the order waits for, as text.
@@ -71,7 +72,7 @@
     pub memory: Vec<ServerMemory>,
 }
 
-/// Moves as known to this host.
+/// Loads and unloads as known to this host.
 #[derive(Debug, Default)]
 pub struct Moves {
     inner: Mutex<Inner>,
@@ -80,7 +81,8 @@
 #[derive(Debug, Default)]
 struct Inner {
     ledgers: BTreeMap<backend::Id, Ledger>,
-    known: HashMap<order::Id, Moment>,
+    /// When this host first saw each open order.
+    known_since: HashMap<order::Id, Moment>,
     settled: VecDeque<(Moment, settle::SettledOrder)>,
 }
 
@@ -90,11 +92,11 @@
         let mut inner = self.lock();
         inner.ledgers =
             ledgers.into_iter().map(|ledger| (ledger.server.clone(), ledger.clone())).collect();
-        let Inner { ledgers, known, .. } = &mut *inner;
+        let Inner { ledgers, known_since, .. } = &mut *inner;
         let open = || ledgers.values().flat_map(|ledger| &ledger.orders);
-        known.retain(|id, _| open().any(|entry| entry.order.id == *id));
+        known_since.retain(|id, _| open().any(|entry| entry.order.id == *id));
         for entry in open() {
-            known.entry(entry.order.id.clone()).or_insert(now);
+            known_since.entry(entry.order.id.clone()).or_insert(now);
         }
     }
 
@@ -112,14 +114,14 @@
 
     /// Returns how long this host has known an order; zero if the order is unknown.
     pub fn known_for(&self, now: Moment, id: &order::Id) -> Duration {
-        self.lock().known.get(id).map_or(Duration::ZERO, |since| now.saturating_sub(*since))
+        self.lock().known_since.get(id).map_or(Duration::ZERO, |since| now.saturating_sub(*since))
     }
 
     /// Returns the moves for operators.
     pub fn status(&self, now: Moment, current: bool) -> Status {
         let inner = self.lock();
         let open = inner.ledgers.values().flat_map(Ledger::explain_orders).map(|held| {
-            let since = inner.known.get(&held.order).copied().unwrap_or(now);
+            let since = inner.known_since.get(&held.order).copied().unwrap_or(now);
             OpenOrder { why: held.awaited.to_string(), known_for: now.saturating_sub(since), held }
         });
         let settled = inner.settled.iter().map(|(at, settled)| SettledOrder {
@@ -127,7 +129,7 @@
             server: settled.entry.order.server.clone(),
             action: settled.entry.order.action.clone(),
             cause: settled.entry.cause.clone(),
-            evidence: evidence(settled.settlement),
+            evidence: evidence_label(settled.settlement),
             ago: now.saturating_sub(*at),
         });
         let servers = inner.ledgers.iter();
@@ -156,8 +158,8 @@
     }
 }
 
-/// Returns the name of the evidence that settled an order; operators' tools rely on it.
-pub fn evidence(settlement: Settlement) -> &'static str {
+/// Returns the name of the evidence that settled an order. Operators' tools match these names.
+pub fn evidence_label(settlement: Settlement) -> &'static str {
     match settlement {
         Settlement::Taken => "taken",
         Settlement::NeverTaken => "never-taken",
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -64,7 +64,7 @@
         Peers { gossip, client, token, meter, refused: Arc::default() }
     }
 
-    /// Returns the membership state.
+    /// Locks and returns the membership state.
     pub fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -108,7 +108,7 @@
 }
 
 /// Applies the sender's requests in flight from a heartbeat.
-fn take_in_flight(context: &Context, heartbeat: &Heartbeat) {
+fn apply_in_flight(context: &Context, heartbeat: &Heartbeat) {
     let loads: Vec<(backend::Id, PeerLoad)> = heartbeat
         .in_flight
         .iter()
@@ -128,7 +128,7 @@
         return;
     }
     if let Err(error) = context.events.clock().observe(Stamp(heartbeat.stamp)) {
-        log::warn!(peer = &*heartbeat.from.id; "{error}");
+        log::warn!(peer = &*heartbeat.from.id; "clock stamp of a peer rejected: {error}");
     }
 }
 
@@ -139,11 +139,11 @@
     let actions = match answer {
         Ok(answer) => {
             observe_stamp(&context, &answer);
-            take_in_flight(&context, &answer);
+            apply_in_flight(&context, &answer);
             context.peers.gossip().answer(now, &answer)
         }
         Err(error) => {
-            log::debug!("heartbeat: {error}");
+            log::debug!("heartbeat not answered: {error}");
             context.peers.gossip().heartbeat_failed(now, &to.id)
         }
     };
@@ -159,7 +159,7 @@
 
 async fn fetch(context: Arc<Context>, from: Host) {
     if let Err(error) = fetch_config(&context, &from).await {
-        log::debug!("configuration from a peer: {error}");
+        log::debug!("configuration not fetched from a peer: {error}");
         let actions = context.peers.gossip().fetch_failed(context.now(), Topic::Config);
         perform(&context, actions);
     }
@@ -187,9 +187,9 @@
 }
 
 fn stop_superseded(context: &Context) {
-    if !context.stop_asked.is_cancelled() {
+    if !context.stop_requested.is_cancelled() {
         log::error!(host = &*context.host().id; "superseded by a later run of this host; stopping");
-        context.stop_asked.cancel();
+        context.stop_requested.cancel();
     }
 }
 
