--- a/crates/stage/tests/promises/leaving.rs
+++ b/crates/stage/tests/promises/leaving.rs
@@ -15,7 +15,7 @@
 async fn leaving_engine_gets_nothing_new_though_the_list_lags() {
     let engine = |id: &str| Settings::new(id).with_model(MODEL, "v1", 900);
     let site = Builder::new(2).engine(engine("lm-1")).engine(engine("lm-2")).start().await;
-    site.platform.list_lag(Duration::from_secs(60));
+    site.platform.set_list_lag(Duration::from_secs(60));
     let workload = Workload { name: "leave", models: vec![MODEL.into()], tokens: 10 };
     let generator = LoadGenerator::start(8, &site.host_addresses(), workload);
     until("both engines have received requests", async || {
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -126,11 +126,11 @@
     }
 
     /// Sets the delay after which a changed host list becomes visible.
-    pub fn list_lag(&self, lag: Duration) {
+    pub fn set_list_lag(&self, lag: Duration) {
         self.shared.state().list_lag = lag;
     }
 
-    /// Sets the host list, which becomes visible after [`Platform::list_lag`].
+    /// Sets the host list, which becomes visible after [`Platform::set_list_lag`].
     pub fn set_list(&self, list: List) {
         let mut state = self.shared.state();
         if state.list_lag.is_zero() {
--- a/crates/standin/src/routed/host.rs
+++ b/crates/standin/src/routed/host.rs
@@ -124,8 +124,8 @@
         self.log().iter().any(|line| line["message"] == message)
     }
 
-    /// The process id.
-    pub fn id(&self) -> u32 {
+    /// The process id that the operating system assigned to this start.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
--- a/crates/standin/src/routed/soak/judge/declared.rs
+++ b/crates/standin/src/routed/soak/judge/declared.rs
@@ -75,7 +75,7 @@
             _ => return None,
         };
         let fits = self.record.declared.iter().filter(|declared| {
-            match (declared.of(&request.path), service) {
+            match (declared.services_for(&request.path), service) {
                 (Some(services), Some(service)) => services.contains(service),
                 (None, None) => true,
                 _ => false,
--- a/crates/standin/src/routed/soak/judge/retries.rs
+++ b/crates/standin/src/routed/soak/judge/retries.rs
@@ -89,7 +89,8 @@
         .iter()
         .zip(ends)
         .filter(|(declared, end)| declared.at <= request.span.to && request.span.from <= *end);
-    let services = in_force.filter_map(|(declared, _): (&Declared, _)| declared.of(&request.path));
+    let services =
+        in_force.filter_map(|(declared, _): (&Declared, _)| declared.services_for(&request.path));
     services.flatten().cloned().collect()
 }
 
--- a/crates/standin/src/routed/soak/record.rs
+++ b/crates/standin/src/routed/soak/record.rs
@@ -220,7 +220,7 @@
 
 impl Declared {
     /// Services that a path is routed to, by its longest prefix; `None` if no route matches.
-    pub fn of(&self, path: &str) -> Option<&BTreeSet<String>> {
+    pub fn services_for(&self, path: &str) -> Option<&BTreeSet<String>> {
         let matching = self.services.iter().filter(|(prefix, _)| path.starts_with(*prefix));
         matching.max_by_key(|(prefix, _)| prefix.len()).map(|(_, services)| services)
     }
