--- a/crates/standin/src/routed/server/inventory.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -217,8 +217,9 @@
     /// the times at which a report was requested.
     pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], age: Duration) -> Report {
         let now = Instant::now();
-        let adapters = self.loading.iter();
-        let adapters = adapters.filter_map(|c| c.adapter.clone().map(|a| (c.model.clone(), a)));
+        let adapters_loading = self.loading.iter().filter_map(|pending| {
+            pending.adapter.clone().map(|adapter| (pending.model.clone(), adapter))
+        });
         let report = Report {
             models: self.held(),
             busy: self.is_busy(),
@@ -226,7 +227,7 @@
             queued,
             running,
             kv_total: self.engine.as_ref().map_or(0, |engine| engine.kv_tokens),
-            adapters_loading: adapters.collect(),
+            adapters_loading: adapters_loading.collect(),
             ..Report::default()
         };
         self.reports.push_back((now, report.clone()));
--- a/crates/standin/src/routed/server/quota.rs
+++ b/crates/standin/src/routed/server/quota.rs
@@ -71,7 +71,7 @@
     pub fn excess(&self, counts: impl Fn(&str, Duration) -> bool) -> Option<Excess> {
         let arrivals: Vec<Duration> =
             self.arrivals.iter().filter(|(id, at)| counts(id, *at)).map(|(_, at)| *at).collect();
-        let too_many = |end: usize| {
+        let excess_at = |end: usize| {
             let at = arrivals[end];
             let first = arrivals.partition_point(|other| *other + WINDOW <= at);
             let (allowed, since) = self.allowed(at)?;
@@ -81,26 +81,27 @@
             let is_kept = requests <= allowed || allowed < before;
             (!is_kept).then_some(Excess { at, requests, allowed })
         };
-        (0..arrivals.len()).find_map(too_many)
+        (0..arrivals.len()).find_map(excess_at)
     }
 
     /// Requests allowed in the window that ends at `at`, and the time since which answers have
     /// named a limit; `None` if no limit binds.
     fn allowed(&self, at: Duration) -> Option<(usize, Duration)> {
-        let end = self.limits.partition_point(|(named, _)| *named <= at);
-        let named = &self.limits[..end];
-        let start = named.iter().rposition(|(_, limit)| limit.is_none()).map_or(0, |last| last + 1);
-        let (since, _) = named.get(start)?;
+        let end = self.limits.partition_point(|(changed_at, _)| *changed_at <= at);
+        let stated = &self.limits[..end];
+        let start =
+            stated.iter().rposition(|(_, limit)| limit.is_none()).map_or(0, |last| last + 1);
+        let (since, _) = stated.get(start)?;
         if at < *since + BINDING_DELAY {
             return None;
         }
         // A limit stays allowed until the hosts have learnt of the next one.
-        let ends = named[start..]
+        let ends = stated[start..]
             .iter()
             .skip(1)
             .map(|(next, _)| *next + PROPAGATION_TIME)
             .chain([at + WINDOW]);
-        let in_force = named[start..].iter().zip(ends).filter(|(_, end)| at < *end + WINDOW);
+        let in_force = stated[start..].iter().zip(ends).filter(|(_, end)| at < *end + WINDOW);
         let limit = in_force.filter_map(|((_, limit), _)| *limit).fold(0.0, f64::max);
         Some((
             (BURST_FACTOR * limit * WINDOW.as_secs_f64() + EXTRA_REQUESTS).floor() as usize,
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -51,7 +51,7 @@
     record_arrival(shared, &head, &body);
     let expected = remote::expected(&head.headers);
     if expected.is_some_and(|expected| *expected != *shared.settings.id) {
-        return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
+        return refuse(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
     match remote::call(&head, &body) {
         Call::Report => {
@@ -128,7 +128,7 @@
 }
 
 /// Answers a request that isn't run.
-async fn not_run(
+async fn refuse(
     shared: &Shared,
     connection: &mut Connection,
     head: &Parts,
@@ -157,12 +157,12 @@
     /// Enters the queue; `None` if all slots and the queue are taken.
     fn enqueue(shared: &'a Shared) -> Option<Slot<'a>> {
         let settings = &shared.settings;
-        let is_taken = shared.load.send_if_modified(|load| {
+        let has_entered = shared.load.send_if_modified(|load| {
             let is_free = load.running < settings.slots || load.waiting < settings.queue;
             load.waiting += u32::from(is_free);
             is_free
         });
-        is_taken.then(|| Slot { shared, is_running: false })
+        has_entered.then(|| Slot { shared, is_running: false })
     }
 
     /// Waits for a free slot and takes it.
@@ -201,21 +201,21 @@
 ) -> io::Result<After> {
     let arrived_at = Instant::now();
     let Some(id) = incoming.id.clone() else {
-        return not_run(shared, connection, &head, StatusCode::BAD_REQUEST).await;
+        return refuse(shared, connection, &head, StatusCode::BAD_REQUEST).await;
     };
     lock(&shared.quota).record_arrival(&id, arrived_at.duration_since(shared.started_at));
     if shared.inventory().is_loading(incoming.model.as_ref(), incoming.adapter.as_ref()) {
-        return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
+        return refuse(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     }
     if !shared.inventory().has(incoming.model.as_ref(), incoming.adapter.as_ref()) {
-        return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
+        return refuse(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
     let fault = lock(&shared.script).take_fault();
     if let Some(Fault::NotRun(status)) = fault {
-        return not_run(shared, connection, &head, status).await;
+        return refuse(shared, connection, &head, status).await;
     }
     let Some(mut slot) = Slot::enqueue(shared) else {
-        return not_run(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
+        return refuse(shared, connection, &head, StatusCode::SERVICE_UNAVAILABLE).await;
     };
     tokio::select! {
         () = slot.acquire() => {}
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -34,14 +34,14 @@
 
 impl Work<'_> {
     pub(super) async fn answer(mut self, duplicate: &mut Duplicate) -> (Ending, After) {
-        let (work, is_poison) = {
+        let (work_time, is_poison) = {
             let script = lock(&self.shared.script);
             let body = lock(&self.shared.runs)[self.run].body.clone();
             let body = String::from_utf8_lossy(&body).into_owned();
             (script.work_time, script.poison.is_some_and(|poison| body.contains(poison)))
         };
         tokio::select! {
-            () = sleep(work) => {}
+            () = sleep(work_time) => {}
             () = self.connection.closed() => return (Ending::CallerClosed, After::Close),
         }
         let is_model_server = self.shared.inventory().is_model_server();
@@ -178,7 +178,7 @@
     }
 
     async fn events(&mut self) -> io::Result<(Ending, After)> {
-        let (events, pace) = {
+        let (events, interval) = {
             let script = lock(&self.shared.script);
             (script.events, script.event_interval)
         };
@@ -199,7 +199,7 @@
                 _ => self.connection.write_chunk(&event).await?,
             }
             tokio::select! {
-                () = sleep(pace) => {}
+                () = sleep(interval) => {}
                 () = self.connection.closed() => return Ok((Ending::CallerClosed, After::Close)),
             }
         }
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -115,7 +115,7 @@
 async fn execute(plan: &Plan<'_>) -> Result<Record, Box<dyn Error + Send + Sync>> {
     let backend = Backend::start(Vec::new()).await?;
     let load = Arc::new(State {
-        began: Instant::now(),
+        started_at: Instant::now(),
         hosts: Mutex::default(),
         versions: Mutex::default(),
         requests: Mutex::default(),
@@ -147,10 +147,10 @@
     }
     injector.site.wait_until_ready().await;
     // Times of faults and of the load are relative to this moment.
-    let began = Instant::now();
+    let load_started_at = Instant::now();
     let mut callers = load::start(&injector.load, plan.seed);
-    injector.run(&plan.schedule, began).await?;
-    injector.wait(began + plan.length).await?;
+    injector.run(&plan.schedule, load_started_at).await?;
+    injector.wait(load_started_at + plan.length).await?;
     injector.load.is_over.store(true, Ordering::Relaxed);
     // Requests that are outstanding after that are not recorded.
     let _ =
@@ -166,15 +166,16 @@
         let mut orders = Vec::new();
         let mut overloads = Vec::new();
         for server in servers {
-            let mut given = server.orders();
-            given.sort_by_key(|given| given.arrived_at);
-            let last = given.last().map(|given| load.since(given.judged_at)).unwrap_or_default();
+            let mut received = server.orders();
+            received.sort_by_key(|record| record.arrived_at);
+            let last =
+                received.last().map(|record| load.since(record.judged_at)).unwrap_or_default();
             overloads.extend(server.overload().map(|_| (server.id().to_string(), last)));
-            orders.extend(given.into_iter().map(|given| Order {
+            orders.extend(received.into_iter().map(|record| Order {
                 server: server.id().to_string(),
-                holder: given.order.holder.to_string(),
-                fence: given.order.fence,
-                arrived_at: load.since(given.arrived_at),
+                holder: record.order.holder.to_string(),
+                fence: record.order.fence,
+                arrived_at: load.since(record.arrived_at),
             }));
         }
         orders.sort_by_key(|order| order.arrived_at);
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -120,7 +120,7 @@
     pub(super) async fn run(
         &mut self,
         schedule: &[PlannedFault],
-        began: Instant,
+        load_started_at: Instant,
     ) -> Result<(), BoxError> {
         let ends =
             schedule.iter().map(|planned| (planned.at + planned.duration, Step::End(planned)));
@@ -130,7 +130,7 @@
         // The sort is stable, so that a fault of zero duration begins before it ends.
         steps.sort_by_key(|(at, _)| *at);
         for (at, step) in steps {
-            self.wait(began + at).await?;
+            self.wait(load_started_at + at).await?;
             match step {
                 Step::Begin(planned) => {
                     if planned.fault == Fault::SILENCE {
@@ -342,7 +342,7 @@
                 let last = self
                     .disruptions
                     .iter_mut()
-                    .rfind(|t| t.component == Component::HostPlanned(host));
+                    .rfind(|disruption| disruption.component == Component::HostPlanned(host));
                 last.into_iter().for_each(|disruption| disruption.span.to += apply);
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
--- a/crates/standin/src/routed/soak/load.rs
+++ b/crates/standin/src/routed/soak/load.rs
@@ -64,7 +64,7 @@
 /// State that the tasks of the load share with the fault injector.
 #[derive(Debug)]
 pub(super) struct State {
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) hosts: Mutex<Vec<HostEntry>>,
     /// Versions of the declarations written during the soak; each has added a route that callers
     /// use.
@@ -79,7 +79,7 @@
 impl State {
     /// Time since the start of the soak.
     pub(super) fn since(&self, at: Instant) -> Duration {
-        at.duration_since(self.began)
+        at.duration_since(self.started_at)
     }
 
     /// Chooses a ready host at random, or any host if none is ready.
@@ -129,7 +129,7 @@
 
 /// The next request of a caller.
 struct NextRequest {
-    ask: RequestSpec,
+    spec: RequestSpec,
     kind: Kind,
     resumable: bool,
     body_bytes: usize,
@@ -144,9 +144,9 @@
         1 => (Kind::Idempotent, false),
         _ => (Kind::Stream, true),
     };
-    let ask = RequestSpec::to(HOST, path).deadline(Some(DEADLINE));
-    let ask = if kind == Kind::Stream { ask.model(MODELS[0]) } else { ask };
-    let ask = ask.with_body(Method::POST, POISON);
+    let spec = RequestSpec::to(HOST, path).deadline(Some(DEADLINE));
+    let spec = if kind == Kind::Stream { spec.model(MODELS[0]) } else { spec };
+    let spec = spec.with_body(Method::POST, POISON);
     let mut sending = JoinSet::new();
     for turn in 0.. {
         sleep(POISON_INTERVAL).await;
@@ -161,7 +161,7 @@
         let source = IpAddr::from([127, 0, 0, entry.host_run.host as u8 + 2]);
         let body_bytes = POISON.len();
         let next = NextRequest {
-            ask: ask.with_new_id(),
+            spec: spec.with_new_id(),
             kind,
             resumable,
             body_bytes,
@@ -178,18 +178,18 @@
 
 fn draw_request(random: &mut ChaCha8Rng, versions: &[Version]) -> NextRequest {
     let plain = |path: &str, kind| {
-        let ask = RequestSpec::to(HOST, path);
-        NextRequest { ask, kind, resumable: false, body_bytes: 0, crashes_servers: false }
+        let spec = RequestSpec::to(HOST, path);
+        NextRequest { spec, kind, resumable: false, body_bytes: 0, crashes_servers: false }
     };
     let stream = |path: &str, resumable, random: &mut ChaCha8Rng| {
         // The minimum of two draws skews the load towards few models.
         let index = random.random_range(0..MODELS.len()).min(random.random_range(0..MODELS.len()));
-        let mut ask = RequestSpec::to(HOST, path).model(MODELS[index]);
+        let mut spec = RequestSpec::to(HOST, path).model(MODELS[index]);
         if random.random_bool(0.3) {
-            ask = ask.adapter(&format!("a{}", random.random_range(1..=ADAPTERS)));
+            spec = spec.adapter(&format!("a{}", random.random_range(1..=ADAPTERS)));
         }
-        let body_bytes = ask.request().body().len();
-        NextRequest { ask, kind: Kind::Stream, resumable, body_bytes, crashes_servers: false }
+        let body_bytes = spec.request().body().len();
+        NextRequest { spec, kind: Kind::Stream, resumable, body_bytes, crashes_servers: false }
     };
     let mut next = match random.random_range(0..100) {
         0..38 => plain("/pages/home?lang=es", Kind::Idempotent),
@@ -201,14 +201,14 @@
         54..74 => {
             let body = vec![b'x'; random.random_range(1..4_000)];
             let mut ticket = plain("/tickets/new", Kind::NonIdempotent);
-            (ticket.body_bytes, ticket.ask) =
-                (body.len(), ticket.ask.with_body(Method::POST, body));
+            (ticket.body_bytes, ticket.spec) =
+                (body.len(), ticket.spec.with_body(Method::POST, body));
             ticket
         }
         74..87 => stream("/chat/2f", false, random),
         _ => stream("/draft/2f", true, random),
     };
-    next.ask = next.ask.deadline(Some(DEADLINE));
+    next.spec = next.spec.deadline(Some(DEADLINE));
     next
 }
 
@@ -223,10 +223,10 @@
         let versions = lock(&state.versions).clone();
         let mut next = draw_request(&mut random, &versions);
         number += 1;
-        next.ask = next.ask.with_number(caller, number);
+        next.spec = next.spec.with_number(caller, number);
         // A request that failed while poison was sent is retried unchanged by its caller.
         if let Some(again) = failed.take() {
-            next = NextRequest { ask: again.ask.with_new_id(), ..again };
+            next = NextRequest { spec: again.spec.with_new_id(), ..again };
         }
         let Some(entry) = state.choose_host(&mut random) else { continue };
         let connection =
@@ -256,7 +256,7 @@
 ) -> bool {
     let from = state.since(Instant::now());
     let result =
-        timeout(close_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN), connection.fetch(&next.ask))
+        timeout(close_after.unwrap_or(DEADLINE + TIMEOUT_MARGIN), connection.fetch(&next.spec))
             .await;
     let outcome = match result {
         Ok(Ok(answer)) => Outcome::Answered(to_record(answer)),
@@ -275,10 +275,10 @@
         is_complete && matches!(&outcome, Outcome::Answered(answer) if answer.status.is_success());
     let span = Span { from, to: state.since(Instant::now()) };
     lock(&state.requests).push(Request {
-        id: next.ask.id().to_string(),
+        id: next.spec.id().to_string(),
         kind: next.kind,
         resumable: next.resumable,
-        path: next.ask.info.path.to_string(),
+        path: next.spec.info.path.to_string(),
         body_bytes: next.body_bytes,
         crashes_servers: next.crashes_servers,
         host_run: entry.host_run,
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -21,7 +21,7 @@
 use serde_json::Value;
 use tokio::{sync::watch, time::Instant};
 
-use self::state::{State, Watched};
+use self::state::{State, WatchResult};
 use super::{
     lock,
     network::Network,
@@ -232,13 +232,13 @@
         self.shared.wake_watches();
     }
 
-    /// Removes an object, and writes it again with the same content after `back`.
-    pub fn remove_temporarily(&self, kind: &KindId, name: &str, back: Duration) {
+    /// Removes an object, and writes it again with the same content after `absence`.
+    pub fn remove_temporarily(&self, kind: &KindId, name: &str, absence: Duration) {
         let Some(object) = self.object(kind, name) else { return };
         self.remove(kind, name);
         let (store, kind) = (self.clone(), kind.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(back).await;
+            tokio::time::sleep(absence).await;
             store.put(&kind, &object.name, object.content);
         });
     }
@@ -423,13 +423,13 @@
             }
             None => {}
         }
-        let watched = lock(&shared.state).watched(kind, since);
-        match watched {
-            Watched::Compacted => return Reply::Send(remote::compacted()),
-            Watched::Changes(batch) if !batch.changes.is_empty() || end <= Instant::now() => {
+        let result = lock(&shared.state).changes_since(kind, since);
+        match result {
+            WatchResult::Compacted => return Reply::Send(remote::compacted()),
+            WatchResult::Changes(batch) if !batch.changes.is_empty() || end <= Instant::now() => {
                 return Reply::Send(remote::seen(&batch));
             }
-            Watched::Changes(_) => {}
+            WatchResult::Changes(_) => {}
         }
         tokio::select! {
             _ = version.changed() => {}
--- a/crates/standin/src/routed/store/state.rs
+++ b/crates/standin/src/routed/store/state.rs
@@ -21,7 +21,7 @@
     history: Vec<(Revision, KindId, Change)>,
 }
 
-pub(super) enum Watched {
+pub(super) enum WatchResult {
     /// The changes since the watch's revision; there may be none yet.
     Changes(WatchBatch),
     /// The history no longer reaches back to the watch's revision.
@@ -75,13 +75,13 @@
         self.history.clear();
     }
 
-    pub(super) fn watched(&self, kind: &KindId, since: Revision) -> Watched {
+    pub(super) fn changes_since(&self, kind: &KindId, since: Revision) -> WatchResult {
         if since < self.compacted {
-            return Watched::Compacted;
+            return WatchResult::Compacted;
         }
         let changes = self.history.iter().filter(|(at, of, _)| since < *at && of == kind);
         let changes = changes.map(|(_, _, change)| change.clone()).collect();
-        Watched::Changes(WatchBatch { changes, revision: self.revision })
+        WatchResult::Changes(WatchBatch { changes, revision: self.revision })
     }
 
     /// Applies a call other than a watch; watches, which wait, are answered as invalid.
--- a/crates/standin/tests/quota_judge.rs
+++ b/crates/standin/tests/quota_judge.rs
@@ -51,10 +51,10 @@
 #[case::withdrawn(&[(10_000, Some(2.0)), (17_000, None)], None)]
 #[case::withdrawn_and_named_again(&[(10_000, Some(2.0)), (16_000, None), (17_000, Some(2.0))], None)]
 fn a_limit_binds_as_it_was_named(
-    #[case] named: &[(u64, Option<f64>)],
+    #[case] limits: &[(u64, Option<f64>)],
     #[case] broken: Option<u64>,
 ) {
-    let named = named.iter().map(|(at, limit)| (ms(*at), *limit)).collect();
-    let quota = Quota { limits: named, ..limited(burst(18_000, 30)) };
+    let limits = limits.iter().map(|(at, limit)| (ms(*at), *limit)).collect();
+    let quota = Quota { limits, ..limited(burst(18_000, 30)) };
     assert_eq!(quota.excess(|_, _| true).map(|excess| excess.at), broken.map(ms));
 }
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -31,12 +31,12 @@
 };
 
 /// How long a call waits for its answer before it counts as unanswered.
-const LIMIT: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Delay after which a late call is judged; far longer than what a test does before that.
-const LATE: Duration = Duration::from_secs(2);
+const LATENESS: Duration = Duration::from_secs(2);
 
-/// Sends a call as the product does; `None` if it isn't answered within [`LIMIT`].
+/// Sends a call as the product does; `None` if it isn't answered within [`ANSWER_TIMEOUT`].
 async fn exchange(address: SocketAddr, request: Request<Bytes>) -> Option<Response<Bytes>> {
     let sending = async {
         let stream = TcpStream::connect(address).await.ok()?;
@@ -46,7 +46,7 @@
         let (head, body) = response.into_parts();
         Some(Response::from_parts(head, body.collect().await.ok()?.to_bytes()))
     };
-    tokio::time::timeout(LIMIT, sending).await.ok()?
+    tokio::time::timeout(ANSWER_TIMEOUT, sending).await.ok()?
 }
 
 async fn store_reply(address: SocketAddr, call: &StoreCall<'_>) -> StoreReply {
@@ -309,7 +309,7 @@
 
 #[rstest]
 #[case::lost_after_its_effect(|faults: &mut Faults| faults.lost_replies = 1)]
-#[case::carried_out_late(|faults: &mut Faults| faults.late_write = Some(LATE))]
+#[case::carried_out_late(|faults: &mut Faults| faults.late_write = Some(LATENESS))]
 #[tokio::test]
 async fn a_write_without_an_answer_takes_effect(#[case] change: fn(&mut Faults)) {
     let (store, endpoint) = store().await;
@@ -325,7 +325,7 @@
     let StoreReply::Object(created) = store_reply(endpoint, &create("x", &json!(1))).await else {
         panic!("not created")
     };
-    store.set_faults("main", |faults| faults.late_write = Some(LATE));
+    store.set_faults("main", |faults| faults.late_write = Some(LATENESS));
     assert!(matches!(
         store_reply(endpoint, &replace("x", created.revision, &json!(2))).await,
         StoreReply::Unclear
@@ -395,7 +395,7 @@
 
 #[rstest]
 #[case::lost(OrderFault::Lost)]
-#[case::late(OrderFault::Late(LATE))]
+#[case::late(OrderFault::Late(LATENESS))]
 #[tokio::test]
 async fn an_order_without_an_answer_is_carried_out(#[case] fault: OrderFault) {
     let server = model_server().await;
@@ -409,7 +409,7 @@
 #[tokio::test]
 async fn a_late_order_after_another_does_nothing() {
     let server = model_server().await;
-    server.script(|script| script.order_faults = [OrderFault::Late(LATE)].into());
+    server.script(|script| script.order_faults = [OrderFault::Late(LATENESS)].into());
     assert_eq!(order_status(&server, &load("m2", 0)).await, OrderStatus::Unknown);
     assert_eq!(order_status(&server, &load("m3", 0)).await, OrderStatus::Accepted);
     until("the late order has been judged", async || server.orders().len() == 2).await;
