--- a/crates/standin/src/routed/caller.rs
+++ b/crates/standin/src/routed/caller.rs
@@ -25,7 +25,7 @@
 
 use super::TIMEOUT;
 
-/// Part of ids, so that no two requests or prompts of a process are alike.
+/// Source of the request ids and prompt ids, each of which is unique within the process.
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
 fn next_id() -> Arc<str> {
--- a/crates/standin/src/routed/host.rs
+++ b/crates/standin/src/routed/host.rs
@@ -88,7 +88,8 @@
         Caller::new(self.callers)
     }
 
-    /// The status of its answer to the load balancer's readiness probe; `None` without an answer.
+    /// The HTTP status with which the host answers the load balancer's readiness probe; `None` if
+    /// it doesn't answer.
     pub async fn readiness_status(&self) -> Option<StatusCode> {
         let request = Request::get(platform::remote::READY)
             .header(header::HOST, self.operators.to_string())
--- a/crates/standin/src/routed/links.rs
+++ b/crates/standin/src/routed/links.rs
@@ -43,7 +43,8 @@
     Late(Duration),
 }
 
-/// The relays of a site's hosts. Hosts are named by their index, in the order of [`Links::open`].
+/// The relays of a site's hosts. A host is identified by its index, in the order of the calls of
+/// [`Links::open`].
 #[derive(Debug)]
 pub struct Links {
     network: Network,
@@ -74,7 +75,8 @@
 }
 
 impl Links {
-    /// No relays yet; those to come get addresses of the hosts of `network`.
+    /// Creates links without relays. Each relay opened later gets the address of its host in
+    /// `network`.
     pub fn new(network: Network) -> Links {
         Links { network, relays: Vec::new(), shared: Arc::default() }
     }
--- a/crates/standin/src/routed/network.rs
+++ b/crates/standin/src/routed/network.rs
@@ -1,8 +1,8 @@
-//! Loopback addresses that belong to one site alone.
+//! Loopback networks, of which each site has its own.
 //!
 //! Sites run in parallel, also in several processes, and a port that one site frees is soon reused
-//! by another. With addresses of its own, no host or server of a site is mistaken for one of
-//! another site.
+//! by another. As no two sites share an address, no host or server of a site is mistaken for one
+//! of another site.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -22,7 +22,7 @@
 const SERVERS_BYTE: u8 = 2;
 const FIRST_HOST_BYTE: usize = 10;
 
-/// The network 127.a.b.0/24; the bytes a and b are held.
+/// The network 127.a.b.0/24, represented by the bytes a and b.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network([u8; 2]);
 
@@ -44,7 +44,7 @@
     ///
     /// If the address isn't IPv4.
     pub fn of(address: IpAddr) -> Network {
-        let IpAddr::V4(address) = address else { panic!("{address} is not on a loopback network") };
+        let IpAddr::V4(address) = address else { panic!("{address} is not an IPv4 address") };
         let [_, second, third, _] = address.octets();
         Network([second, third])
     }
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// The receipt of a request, whether it then ran or not; health checks aren't counted.
+/// The arrival of a request, whether it then ran or not. Health checks and requests without an id
+/// aren't recorded.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request's id.
@@ -239,7 +240,7 @@
         lock(&self.shared.runs).clone()
     }
 
-    /// Receipts of all requests so far, also of those that were rejected.
+    /// Arrivals of all requests so far, also of those that were rejected.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.shared.arrivals).clone()
     }
@@ -249,7 +250,8 @@
         self.shared.started_at
     }
 
-    /// Arrivals of requests and the limits that answers named, for the check of the quota rule.
+    /// Arrivals of requests and the rate limits that answers stated, to check the rule on rate
+    /// limits.
     pub fn quota(&self) -> Quota {
         lock(&self.shared.quota).clone()
     }
@@ -284,7 +286,8 @@
         self.shared.registration.subscribe()
     }
 
-    /// Registers the server as draining, with the time that remains to it; it goes on serving.
+    /// Registers the server as draining, with the time that remains until it ends; it goes on
+    /// serving.
     pub fn drain(&self, remaining: Option<Duration>) {
         self.shared.registration.send_modify(|server| {
             server.state = State::Draining;
--- a/crates/standin/src/routed/server/quota.rs
+++ b/crates/standin/src/routed/server/quota.rs
@@ -1,12 +1,13 @@
 //! The rule on rate limits, checked by a server's own clock: the requests that it received against
-//! the limits that its answers named.
+//! the limits that its answers stated.
 //!
-//! From [`BINDING_DELAY`] after a server first named a limit, [`WINDOW`] holds no more than
-//! [`BURST_FACTOR`] times what the limit allows in it, and [`EXTRA_REQUESTS`] requests.
+//! Once [`BINDING_DELAY`] has passed since a server first stated a limit, the number of requests in
+//! any [`WINDOW`] is at most [`BURST_FACTOR`] times the limit, taken over the window, plus
+//! [`EXTRA_REQUESTS`].
 
 use std::{sync::Arc, time::Duration};
 
-/// Time from the first answer that names a limit until the limit binds all hosts.
+/// Time from the first answer that states a limit until the limit binds all hosts.
 pub const BINDING_DELAY: Duration = Duration::from_secs(3);
 
 /// The sliding window in which requests are counted.
@@ -15,20 +16,21 @@
 /// Multiple of the limit that is allowed in a window.
 pub const BURST_FACTOR: f64 = 1.5;
 
-/// Requests that are allowed in a window in addition.
+/// Requests that are allowed in a window beyond [`BURST_FACTOR`] times the limit.
 pub const EXTRA_REQUESTS: f64 = 5.0;
 
 /// Time within which all hosts learn of a changed limit, and requests that they sent before arrive.
 pub const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// Arrivals of requests at one server, and the limits that its answers named. Times are since the
-/// server's start, unless [`Quota::shifted`].
+/// Arrivals of requests at one server, and the limits that its answers stated. Times are since the
+/// server's start, unless changed by [`Quota::shifted`].
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
-    /// Id and time of each request, also of those that were rejected.
+    /// Id and time of each request, also of those that were rejected, but not of those meant for
+    /// another server.
     pub arrivals: Vec<(Arc<str>, Duration)>,
-    /// Each change of the limit in requests per second, from the first answer that named one;
-    /// `None` once answers name no valid limit.
+    /// Each change of the limit in requests per second, from the first answer that stated one;
+    /// `None` once answers state no valid limit.
     pub limits: Vec<(Duration, Option<f64>)>,
 }
 
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The same with all times moved later by `by`, to bring them to another clock.
+    /// Moves all times later by `by`, so that they count from another start.
     pub fn shifted(mut self, by: Duration) -> Quota {
         self.arrivals.iter_mut().for_each(|(_, at)| *at += by);
         self.limits.iter_mut().for_each(|(at, _)| *at += by);
@@ -85,7 +87,7 @@
     }
 
     /// Requests allowed in the window that ends at `at`, and the time since which answers have
-    /// named a limit; `None` if no limit binds.
+    /// stated a limit; `None` if no limit binds.
     fn allowed(&self, at: Duration) -> Option<(usize, Duration)> {
         let end = self.limits.partition_point(|(changed_at, _)| *changed_at <= at);
         let stated = &self.limits[..end];
--- a/crates/standin/src/routed/server/script.rs
+++ b/crates/standin/src/routed/server/script.rs
@@ -16,7 +16,8 @@
     pub event_interval: Duration,
     /// Faults of the next requests, one per request.
     pub faults: VecDeque<Fault>,
-    /// The fault of every request after `faults` is used up; `None` serves them soundly.
+    /// The fault of every request after `faults` is used up; `None` serves them without
+    /// a fault.
     pub default_fault: Option<Fault>,
     /// Faults of the next orders, one per order.
     pub order_faults: VecDeque<OrderFault>,
@@ -26,7 +27,7 @@
     pub report_age: Duration,
     /// How long the load of a model or adapter takes.
     pub load_time: Duration,
-    /// Text of the rate limit that answers name, valid or not; `None` names no limit.
+    /// Text of the rate limit that answers state, valid or not; `None` states no limit.
     pub limit: Option<Arc<str>>,
 }
 
@@ -55,6 +56,9 @@
 }
 
 /// The fault of one request.
+///
+/// `Truncated`, `Unframed`, `UnframedReset`, `Doubled` and `DoubledLate` take effect only at plain
+/// servers; `Broken`, `Stalled` and `Short` only at model servers, which answer with streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It doesn't run, and the answer with this status says so.
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -127,7 +127,7 @@
     outcome
 }
 
-/// Answers a request that isn't run.
+/// Answers a request with `status`, and states that it wasn't run.
 async fn refuse(
     shared: &Shared,
     connection: &mut Connection,
@@ -147,7 +147,7 @@
     connection.write(&response).await.map(|()| After::Keep)
 }
 
-/// A request's place in the queue, then its slot; given up when dropped.
+/// A request's place in the queue, and later its slot; dropping it frees the place or the slot.
 struct Slot<'a> {
     shared: &'a Shared,
     is_running: bool,
@@ -165,7 +165,7 @@
         has_entered.then(|| Slot { shared, is_running: false })
     }
 
-    /// Waits for a free slot and takes it.
+    /// Waits for a free slot, and leaves the queue for it.
     async fn acquire(&mut self) {
         let mut changes = self.shared.load.subscribe();
         while !self.is_running {
@@ -231,7 +231,7 @@
     Ok(after)
 }
 
-/// What is known of a request before it runs.
+/// When a request arrived, and the fault that the script applies to it.
 struct Received {
     arrived_at: Instant,
     fault: Option<Fault>,
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -23,9 +23,10 @@
 /// The chunk that ends a body in chunked transfer encoding.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A run that is to be answered.
+/// A started run that is to be answered.
 pub(super) struct Work<'a> {
     pub(super) shared: &'a Arc<Shared>,
+    /// Index of the run's record in the server's runs.
     pub(super) run: usize,
     pub(super) id: Arc<str>,
     pub(super) fault: Option<Fault>,
@@ -87,7 +88,7 @@
         response
     }
 
-    /// Whether no byte of the answer's head is sent, so that it can't name a limit.
+    /// Whether no byte of the answer's head is sent, so that it can't state a limit.
     fn is_head_withheld(&self) -> bool {
         matches!(self.fault, Some(Fault::Lost | Fault::Silent | Fault::Garbled))
     }
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -168,7 +168,7 @@
     registering.abort_handle()
 }
 
-/// A back end and the real host processes before it.
+/// A [`Backend`] and the real host processes in front of it.
 #[derive(Debug)]
 pub struct Site {
     /// The store and the servers that the hosts use.
@@ -215,9 +215,9 @@
     ///
     /// # Panics
     ///
-    /// Without [`Site::relay_links`].
+    /// If [`Site::relay_links`] wasn't called.
     pub fn links(&self) -> &Links {
-        self.links.as_ref().expect("a site with relayed links")
+        self.links.as_ref().expect("`Site::relay_links` was called")
     }
 
     /// Starts another host, named `host-` and its index, with an endpoint of its own at the store.
--- a/crates/standin/src/routed/soak.rs
+++ b/crates/standin/src/routed/soak.rs
@@ -1,7 +1,7 @@
 //! Soak test: real host processes in front of stand-in servers, under load, with injected faults.
 //!
 //! The faults and the load are drawn from a seed. [`judge`] checks the result against the promises
-//! of the service, from observations of callers and servers alone.
+//! to users, from observations of callers, servers and the fault injector alone.
 
 mod inject;
 pub mod judge;
@@ -146,13 +146,13 @@
         injector.register_host(index);
     }
     injector.site.wait_until_ready().await;
-    // Times of faults and of the load are relative to this moment.
+    // The times of the schedule and the length of the load count from this moment.
     let load_started_at = Instant::now();
     let mut callers = load::start(&injector.load, plan.seed);
     injector.run(&plan.schedule, load_started_at).await?;
     injector.wait(load_started_at + plan.length).await?;
     injector.load.is_over.store(true, Ordering::Relaxed);
-    // Requests that are outstanding after that are not recorded.
+    // Requests that are still outstanding after this time limit are not recorded.
     let _ =
         timeout(LAST_ANSWERS_TIMEOUT, async { while callers.join_next().await.is_some() {} }).await;
     Ok(injector.record())
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -407,7 +407,7 @@
         let from = self.now();
         self.site.restart(host).await?;
         self.register_host(host);
-        // A host that is starting has no contact to the store and its peers yet.
+        // A host that is starting is not in contact with the store and its peers yet.
         let span = Span { from, to: self.now() };
         self.disruptions.push(Disruption {
             component: Component::Host(host),
--- a/crates/standin/src/routed/soak/judge.rs
+++ b/crates/standin/src/routed/soak/judge.rs
@@ -30,8 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Promise {
-    /// A request that is not idempotent is executed at most once, and a stream by one server at a
-    /// time.
+    /// A request that is neither idempotent nor a resumable stream is executed at most once, and a
+    /// resumable stream by one server at a time.
     Twice,
     /// A request that was refused as not executed was not executed.
     Refused,
@@ -57,7 +57,7 @@
     Retries,
     /// Declarations come into force in time and are never reverted to an older one.
     Config,
-    /// No answer is cut off by a planned stop, or without any fault.
+    /// No answer is cut off by a planned stop or a reload, or without any fault.
     Lost,
     /// Requests are served after the last fault.
     Recover,
@@ -216,7 +216,7 @@
             .map(|seal| runs.iter().find(|run| *seal == format!("{}.{}", run.server, run.id)));
         if !answer.status.is_success() {
             let failure = sealed_run?.and_then(|run| run.failure);
-            let what = format!("{} under the seal of an answer with {failure:?}", answer.status);
+            let what = format!("status {}, but the server's answer had {failure:?}", answer.status);
             return (failure != Some(answer.status)).then_some((Promise::Mixed, what));
         }
         match sealed_run {
@@ -260,7 +260,7 @@
             .then(|| (Promise::Order, format!("{number} events instead of {last}")))
     }
 
-    /// Checks that a planned stop did not cut the request off, unless something else may have.
+    /// Checks that no planned stop or reload cut the request off, unless another cause is possible.
     fn check_cut_off(&self, request: &Request) -> Option<Breach> {
         let is_cut = match &request.outcome {
             Outcome::Closed => true,
@@ -303,7 +303,8 @@
         Some(breach(Promise::Lost, request, request.span.to, what))
     }
 
-    /// Checks that an execution was asked for, and not by way of a server that had left.
+    /// Checks that a caller sent the executed request as the server received it, and that the
+    /// server had not left long before.
     fn check_run(&self, run: &Run) -> Option<Breach> {
         let Some(request) = self.requests.get(&*run.id) else {
             let what = format!("{} executed a request that no caller sent", run.server);
@@ -317,8 +318,8 @@
         }
         let leave = self.record.leaves.iter().find(|leave| leave.server == run.server)?;
         let is_late = leave.at + self.record.bounds.drain + TIMING_SLACK < run.arrived_at;
-        // A departure that an undisturbed store learnt of binds each host that is in contact when
-        // it sends, whatever was disrupted in between.
+        // A departure written to the store while the store is undisturbed binds each host that is
+        // in contact when it sends, whatever was disrupted in between.
         let is_bound = self.record.is_store_healthy(leave.at)
             && self.record.is_in_contact(
                 request.host_run.host,
@@ -344,7 +345,9 @@
             let before = last.insert(&order.server, order);
             let what = match before {
                 _ if holder != order.holder => format!("{holder} uses the same fencing number"),
-                Some(before) if order.fence < before.fence => format!("after {before:?}"),
+                Some(before) if order.fence < before.fence => {
+                    format!("lower fencing number than {before:?}")
+                }
                 Some(before) if before.holder == order.holder => continue,
                 Some(before)
                     if order.arrived_at < before.arrived_at + self.record.bounds.handover =>
@@ -364,8 +367,8 @@
         breaches
     }
 
-    /// Whether the sender of an order had just been resumed after a freeze. Such an order doesn't
-    /// count.
+    /// Whether an unplanned fault of the order's sender, such as a freeze, had ended just before.
+    /// Such an order isn't judged.
     fn is_just_resumed(&self, order: &Order) -> bool {
         let host = self.record.hosts.iter().position(|host| *host == order.holder);
         let since = order.arrived_at.saturating_sub(self.record.bounds.after_freeze);
--- a/crates/standin/src/routed/soak/judge/poison.rs
+++ b/crates/standin/src/routed/soak/judge/poison.rs
@@ -30,8 +30,8 @@
         requests.filter(|(request, _)| request.crashes_servers)
     }
 
-    /// Executions, sent by hosts in contact, more than a contact time after a poison request had
-    /// crashed its third server.
+    /// Executions of poison requests that hosts in contact sent more than a contact time after
+    /// poison requests had crashed a third server.
     ///
     /// The first [`MAX_FURTHER_SENDS`] are tolerated.
     pub(super) fn check_poison(&self) -> Vec<Breach> {
@@ -55,7 +55,7 @@
     }
 
     /// Other requests that were answered with 502, as if they might have been executed, though they
-    /// had reached no server and no server crashed meanwhile.
+    /// had reached no server and no disruption of a server began meanwhile.
     ///
     /// Up to [`MAX_UNEXPLAINED`] are tolerated.
     pub(super) fn check_refused_as_poison(&self) -> Vec<Breach> {
--- a/crates/standin/src/routed/soak/record.rs
+++ b/crates/standin/src/routed/soak/record.rs
@@ -26,7 +26,8 @@
     pub rollback: Duration,
     /// Minimum time between orders of two hosts to one server.
     pub handover: Duration,
-    /// How long after a freeze a host's orders are not judged.
+    /// How long after the end of a host's unplanned fault, such as a freeze, its orders are not
+    /// judged.
     pub after_freeze: Duration,
     /// Time from SIGTERM until a host process exits.
     pub stop_grace: Duration,
@@ -41,7 +42,7 @@
     pub stream_events: u64,
     /// Retries that a service may receive for each of its requests.
     pub retry_ratio: f64,
-    /// Retries that a service may receive in a window in addition.
+    /// Retries that a service may receive in a window beyond those that `retry_ratio` allows.
     pub retry_extra: f64,
     /// Length of the sliding window in which retries are counted.
     pub retry_window: Duration,
@@ -246,7 +247,8 @@
 pub struct Disruption {
     /// The component that was disrupted.
     pub component: Component,
-    /// Debug text of the fault, or `crashed` or `start` where a server or a host was replaced.
+    /// Debug text of the fault; `crashed` for a server that a request crashed, and `start` for a
+    /// host that is starting again.
     pub what: String,
     /// From the start of the fault until its end.
     pub span: Span,
--- a/crates/standin/src/routed/soak/schedule.rs
+++ b/crates/standin/src/routed/soak/schedule.rs
@@ -10,8 +10,8 @@
 use super::site::SERVERS;
 use crate::routed::{links::Delivery, server::Fault as ServerFault, store::Refusal};
 
-/// Time before the first fault, if the soak is long enough. Limits and faults that cause retries may
-/// start earlier.
+/// Time before the first fault, if the soak is long enough. Limits and faults that cause retries
+/// may start earlier.
 const WARM_UP: Duration = Duration::from_secs(4);
 
 /// Time between the starts of two faults.
@@ -24,17 +24,17 @@
 /// Time after a fault in which its target gets no other one.
 const REST_TIME: Duration = Duration::from_secs(4);
 
-/// Separate random stream for how the store refuses all hosts, so that a seed's other faults stay
-/// the same.
+/// XORed with the seed for the random stream of how the store refuses all hosts. Its own stream
+/// keeps a seed's other faults the same.
 const REFUSAL_SEED_MASK: u64 = 1 << 63;
 
-/// Separate random stream for the limits that servers state.
+/// XORed with the seed for the random stream of the limits that servers state.
 const LIMIT_SEED_MASK: u64 = 1 << 62;
 
-/// Separate random stream for the faults that cause many retries.
+/// XORed with the seed for the random stream of the faults that cause many retries.
 const PRESSURE_SEED_MASK: u64 = 1 << 61;
 
-/// Separate random stream for the times of poison requests.
+/// XORed with the seed for the random stream of the times of poison requests.
 const POISON_SEED_MASK: u64 = 1 << 60;
 
 /// How long a poison request keeps being sent, and how long the pause after it is.
@@ -79,7 +79,7 @@
 /// A fault with its time in the schedule.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlannedFault {
-    /// Start, since the start of the soak.
+    /// Start, since the start of the load.
     pub at: Duration,
     /// How long the fault lasts. A killed or stopped component is restarted at its end.
     #[serde(rename = "lasts")]
@@ -88,7 +88,7 @@
     pub fault: Fault,
 }
 
-/// A fault to inject. Hosts and servers are named by index.
+/// A fault to inject. Hosts and servers are identified by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Fault {
     /// Kills a host with SIGKILL.
@@ -214,7 +214,7 @@
 ];
 
 /// Draws the schedule for a number of hosts and a duration, sorted by start. All faults end `tail`
-/// before the end of the soak, so that recovery can be observed.
+/// before the end of the load, so that recovery can be observed.
 pub fn draw(seed: u64, hosts: usize, length: Duration, tail: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut refusals = ChaCha8Rng::seed_from_u64(seed ^ REFUSAL_SEED_MASK);
@@ -298,7 +298,7 @@
     planned
 }
 
-/// Draws when a poison request is sent, in one of two soaks.
+/// Draws when a poison request is sent. Half of all seeds draw no such time.
 fn poison(seed: u64, end: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ POISON_SEED_MASK);
     let mut planned = Vec::new();
@@ -378,7 +378,7 @@
     }
 }
 
-/// Target of a fault, and how many targets of that kind may be disrupted at a time.
+/// The target of a fault, and how many targets of its kind may have a fault at a time.
 fn exclusion(fault: Fault, hosts: usize) -> (Target, usize) {
     match fault {
         Fault::Kill(host)
