--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -32,7 +32,7 @@
 /// Header with the idempotency key, by which [`Counts::effects`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Time from a crash to the restart, unless the settings say otherwise.
+/// Time from a crash by a request to the restart, unless the settings say otherwise.
 const BOOT_TIME: Duration = Duration::from_millis(200);
 
 /// Configuration of an engine: create it with [`Settings::new`] and change fields as needed.
@@ -56,7 +56,7 @@
     pub fenced: bool,
     /// Units that are loaded and ready at each start, each with its memory.
     pub preload: Vec<(Unit, Mebibytes)>,
-    /// Store that loads take their weights from, and so the time.
+    /// Weight store, which sets the duration of loads and limits their rate and number at a time.
     pub weights: weights::Store,
     /// Time after a crash by a request until the engine restarts; `None` if it never does.
     pub restart_after: Option<Duration>,
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -38,9 +38,9 @@
 pub struct Fault {
     /// Whether every call is answered with 503.
     pub down: bool,
-    /// Delay of each answer.
+    /// Delay before each call is executed or refused.
     pub latency: Duration,
-    /// Number of next writes that are executed, but whose answers are lost.
+    /// Number of next successful writes whose answers are lost.
     pub lost_answers: u32,
     /// Maximum number of calls per second; 0 for no limit.
     pub rate: u32,
@@ -213,7 +213,7 @@
     }
 }
 
-/// Counts the call, and delays it, refuses it or loses its answer as [`Fault`] says.
+/// Counts the call, and delays it, refuses it or loses its answer as [`Fault`] specifies.
 async fn inject_faults(
     State(shared): State<Arc<Shared>>,
     request: Request,
--- a/crates/standin/tests/quota_judge.rs
+++ b/crates/standin/tests/quota_judge.rs
@@ -1,4 +1,4 @@
-//! Tests of the check that a server receives no more requests than the limit that it states.
+//! Tests of the check that a server receives no more requests than the limit that it states allows.
 
 use std::time::Duration;
 
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -1,5 +1,5 @@
-//! The stand-ins for a routed deployment: the codecs of both ends agree, and the store and the
-//! servers behave towards the product's adapter as the platform's protocol requires.
+//! Tests of the stand-ins for a routed deployment: the codecs of both ends agree, and the store and
+//! the servers answer a host's platform adapter as the platform's protocol requires.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -33,10 +33,11 @@
 /// How long a call waits for its answer before it counts as unanswered.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Delay after which a late call is judged; far longer than what a test does before that.
+/// Delay after which a late call is judged; far longer than a test needs for its calls before
+/// that.
 const LATENESS: Duration = Duration::from_secs(2);
 
-/// Sends a call as the product does; `None` if it isn't answered within [`ANSWER_TIMEOUT`].
+/// Sends a call as a host does; `None` if it isn't answered within [`ANSWER_TIMEOUT`].
 async fn exchange(address: SocketAddr, request: Request<Bytes>) -> Option<Response<Bytes>> {
     let sending = async {
         let stream = TcpStream::connect(address).await.ok()?;
@@ -206,7 +207,7 @@
     let (store, endpoint) = store().await;
     let (first, second) = (json!({"n": 1}), json!({"n": 2}));
     let StoreReply::Object(created) = store_reply(endpoint, &create("x", &first)).await else {
-        panic!("not created")
+        panic!("the object was not created")
     };
     assert!(
         matches!(store_reply(endpoint, &create("x", &second)).await, StoreReply::Conflict(Some(held)) if held.content == first)
@@ -216,13 +217,13 @@
     let StoreReply::Object(same) =
         store_reply(endpoint, &replace("x", created.revision, &first)).await
     else {
-        panic!("not replaced")
+        panic!("the object was not replaced")
     };
     assert_eq!(same.revision, created.revision, "an unchanged object keeps its revision");
     let StoreReply::Object(replaced) =
         store_reply(endpoint, &replace("x", created.revision, &second)).await
     else {
-        panic!("not replaced")
+        panic!("the object was not replaced")
     };
     assert!(created.revision < replaced.revision);
     assert!(matches!(store_reply(endpoint, &replace("y", 1, &second)).await, StoreReply::Absent));
@@ -249,12 +250,12 @@
     }
     let list = |after| StoreCall::List { kind: ObjectKind::Lease, after };
     let StoreReply::Page(first) = store_reply(endpoint, &list(None)).await else {
-        panic!("no page")
+        panic!("the reply is not a page")
     };
     let names: Vec<&str> = first.objects.iter().map(|object| &*object.name).collect();
     assert_eq!((names, first.more, first.revision), (vec!["a", "b"], true, store.revision()));
     let StoreReply::Page(second) = store_reply(endpoint, &list(Some("b"))).await else {
-        panic!("no page")
+        panic!("the reply is not a page")
     };
     assert_eq!((second.objects.len(), second.more), (1, false));
 }
@@ -272,17 +273,17 @@
     until("the watch is waiting", async || store.count("main").watches == 1).await;
     store_reply(endpoint, &create("x", &json!({}))).await;
     let StoreReply::Seen(WatchBatch { changes, revision }) = waiting.await.unwrap() else {
-        panic!("no batch of changes")
+        panic!("the reply is not a batch of changes")
     };
     assert!(matches!(&changes[..], [Change::Written(object)] if &*object.name == "x"));
     let StoreReply::Seen(none) = store_reply(endpoint, &watch(revision)).await else {
-        panic!("no batch of changes")
+        panic!("the reply is not a batch of changes")
     };
     assert!(none.changes.is_empty());
 
     store.remove(&platform::remote::store::kind(ObjectKind::Lease), "x");
     let StoreReply::Seen(seen) = store_reply(endpoint, &watch(revision)).await else {
-        panic!("no batch of changes")
+        panic!("the reply is not a batch of changes")
     };
     assert!(matches!(&seen.changes[..], [Change::Removed { name, .. }] if &**name == "x"));
     store.compact();
@@ -323,7 +324,7 @@
 async fn a_late_write_whose_condition_no_longer_holds_does_nothing() {
     let (store, endpoint) = store().await;
     let StoreReply::Object(created) = store_reply(endpoint, &create("x", &json!(1))).await else {
-        panic!("not created")
+        panic!("the object was not created")
     };
     store.set_faults("main", |faults| faults.late_write = Some(LATENESS));
     assert!(matches!(
@@ -333,9 +334,12 @@
     let StoreReply::Object(replaced) =
         store_reply(endpoint, &replace("x", created.revision, &json!(3))).await
     else {
-        panic!("not replaced")
+        panic!("the object was not replaced")
     };
-    until("the late write has been judged", async || store.count("main").late_writes == 1).await;
+    until("the late write has been applied or rejected", async || {
+        store.count("main").late_writes == 1
+    })
+    .await;
     let kind = platform::remote::store::kind(ObjectKind::Lease);
     let held = store.object(&kind, "x").unwrap();
     assert_eq!((held.revision, held.content), (replaced.revision, json!(3)));
