--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -165,7 +165,7 @@
 
     /// Number of times that engines began to run a request with this key.
     pub fn runs(&self, key: &str) -> u64 {
-        self.engines.iter().filter_map(|engine| engine.counts().effects.get(key).copied()).sum()
+        self.engines.iter().filter_map(|engine| engine.counts().runs_by_key.get(key).copied()).sum()
     }
 
     /// Writes a changed configuration to the platform under the next number, which it returns.
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn sent_again_after_its_host_died_does_not_run_again() {
     let mut site = site().await;
-    site.plains()[0].fault(|fault| fault.work = Duration::from_secs(2));
+    site.plains()[0].fault(|fault| fault.work_time = Duration::from_secs(2));
     let callers = site.hosts()[0].callers();
     let first = tokio::spawn(async move {
         try_send(callers, "POST", "/services/tickets/issue", &[KEY], BODY).await
@@ -71,7 +71,7 @@
     until("the request runs", async || site.plains()[0].total() == 1).await;
     site.hosts()[0].signal(Signal::SIGKILL);
     assert!(first.await.unwrap().is_none(), "the killed host answered");
-    site.plains()[0].fault(|fault| fault.work = Duration::ZERO);
+    site.plains()[0].fault(|fault| fault.work_time = Duration::ZERO);
     for host in [1, 2, 1] {
         let again = request_ticket(&site, host, "ticket").await;
         assert_eq!(again.status, 409, "{}", again.text());
@@ -248,7 +248,7 @@
 }
 
 fn runs(site: &Site) -> BTreeMap<String, u64> {
-    site.plains()[0].runs()
+    site.plains()[0].runs_by_key()
 }
 
 fn assert_runs(site: &Site, keys: usize) {
--- a/crates/stage/tests/once_cost.rs
+++ b/crates/stage/tests/once_cost.rs
@@ -52,7 +52,7 @@
         .collect();
     let keys = 4 * SENDS;
     println!("{} ranges, {} bytes per key", sizes.len(), sizes.iter().sum::<usize>() / keys);
-    assert!(site.plains()[0].runs().values().filter(|runs| **runs == 1).count() >= keys);
+    assert!(site.plains()[0].runs_by_key().values().filter(|runs| **runs == 1).count() >= keys);
     site.shut_down().await;
 }
 
--- a/crates/stage/tests/promises/once.rs
+++ b/crates/stage/tests/promises/once.rs
@@ -22,7 +22,7 @@
 }
 
 fn runs(site: &Site, key: &str) -> u64 {
-    site.plains().iter().filter_map(|plain| plain.runs().get(key).copied()).sum()
+    site.plains().iter().filter_map(|plain| plain.runs_by_key().get(key).copied()).sum()
 }
 
 fn refuse_connections(link: &Proxy) {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -29,7 +29,7 @@
 /// Text in a prompt that crashes the engine when the request starts to run.
 pub const POISON: &str = "<<poison>>";
 
-/// Header with the idempotency key, by which [`Counts::effects`] counts executions.
+/// Header with the idempotency key, by which [`Counts::runs_by_key`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Time from a crash by a request to the restart, unless the settings say otherwise.
@@ -126,7 +126,7 @@
     /// Executions, by request id.
     pub runs: BTreeMap<String, u64>,
     /// Executions, by idempotency key.
-    pub effects: BTreeMap<String, u64>,
+    pub runs_by_key: BTreeMap<String, u64>,
     /// Requests that arrived, including those for a model that isn't loaded.
     pub arrivals: u64,
     /// Requests whose caller disconnected before the answer was complete.
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -103,8 +103,8 @@
             return StatusCode::NOT_FOUND.into_response();
         }
         *state.counts.runs.entry(request.clone()).or_default() += 1;
-        if let Some(effect) = header(headers, IDEMPOTENCY_KEY) {
-            *state.counts.effects.entry(effect).or_default() += 1;
+        if let Some(key) = header(headers, IDEMPOTENCY_KEY) {
+            *state.counts.runs_by_key.entry(key).or_default() += 1;
         }
         if state.leaving {
             log::debug!(request = request.as_str(); "request for a leaving engine");
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -26,14 +26,14 @@
 
 use crate::net::{Listener, LoseAnswer};
 
-/// Header with the idempotency key, by which [`Plain::runs`] counts executions.
+/// Header with the idempotency key, by which [`Plain::runs_by_key`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Faults that the service injects.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
     /// Execution time of each call.
-    pub work: Duration,
+    pub work_time: Duration,
     /// Number of next calls that are executed, but whose answers are lost.
     pub lost_answers: u32,
     /// Number of next calls that are answered with 503 and not executed.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct Shared {
     id: backend::Id,
-    runs: Mutex<BTreeMap<String, u64>>,
+    runs_by_key: Mutex<BTreeMap<String, u64>>,
     fault: Mutex<Fault>,
     total: AtomicU64,
     running: AtomicU64,
@@ -68,7 +68,7 @@
     pub async fn start(id: &str) -> io::Result<Plain> {
         let shared = Arc::new(Shared {
             id: id.into(),
-            runs: Mutex::default(),
+            runs_by_key: Mutex::default(),
             fault: Mutex::default(),
             total: AtomicU64::new(0),
             running: AtomicU64::new(0),
@@ -110,8 +110,8 @@
     }
 
     /// Number of calls executed so far, by idempotency key.
-    pub fn runs(&self) -> BTreeMap<String, u64> {
-        lock(&self.shared.runs).clone()
+    pub fn runs_by_key(&self) -> BTreeMap<String, u64> {
+        lock(&self.shared.runs_by_key).clone()
     }
 }
 
@@ -144,27 +144,27 @@
 async fn run(State(shared): State<Arc<Shared>>, request: Request) -> Response {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let effect = effect(request.headers());
+    let key = idempotency_key(request.headers());
     shared.running.fetch_add(1, Ordering::Relaxed);
     let bytes = body_length(request.into_body()).await;
-    let work = lock(&shared.fault).work;
+    let work_time = lock(&shared.fault).work_time;
     if bytes.is_some() {
         shared.total.fetch_add(1, Ordering::Relaxed);
-        if let Some(effect) = &effect {
-            *lock(&shared.runs).entry(effect.clone()).or_default() += 1;
+        if let Some(key) = &key {
+            *lock(&shared.runs_by_key).entry(key.clone()).or_default() += 1;
         }
-        tokio::time::sleep(work).await;
+        tokio::time::sleep(work_time).await;
     }
     shared.running.fetch_sub(1, Ordering::Relaxed);
     let Some(bytes) = bytes else { return StatusCode::BAD_REQUEST.into_response() };
     Json(json!({
         "server": shared.id, "method": method.as_str(), "path": path, "bytes": bytes,
-        "effect": effect,
+        "effect": key,
     }))
     .into_response()
 }
 
-fn effect(headers: &HeaderMap) -> Option<String> {
+fn idempotency_key(headers: &HeaderMap) -> Option<String> {
     headers.get(IDEMPOTENCY_KEY).and_then(|v| v.to_str().ok()).map(str::to_owned)
 }
 
@@ -189,7 +189,7 @@
         running: u32::try_from(running).unwrap_or(u32::MAX),
         waiting: 0,
         slots: 64,
-        step: lock(&shared.fault).work,
+        step: lock(&shared.fault).work_time,
         prefill_rate: 0,
         prompt_backlog: 0,
         capacity: 0,
