--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for a routed deployment, for tests and examples: the platform's store, its servers,
 //! callers, and sites of real host processes.
 //!
-//! They encode and decode with `platform::remote`, the codecs of the far ends. Tests script their
-//! behaviour; performance isn't simulated.
+//! They encode and decode with `platform::remote`, which has the codecs for the other end of each
+//! of a host's connections. Tests script their behaviour; performance isn't simulated.
 
 pub mod caller;
 pub mod host;
--- a/crates/standin/src/routed/network.rs
+++ b/crates/standin/src/routed/network.rs
@@ -1,8 +1,8 @@
 //! Loopback networks, of which each site has its own.
 //!
 //! Sites run in parallel, also in several processes, and a port that one site frees is soon reused
-//! by another. As no two sites share an address, no host or server of a site is mistaken for one
-//! of another site.
+//! by another. Sites share no address, except as [`Network::unused`] says, so that no host or
+//! server of a site is mistaken for one of another site.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
--- a/crates/standin/src/routed/server/inventory.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -217,7 +217,8 @@
     /// the times at which a report was requested.
     pub(super) fn report(&mut self, [running, queued, _]: [u32; 3], age: Duration) -> Report {
         let now = Instant::now();
-        let adapters_loading = self.loading.iter().filter_map(|pending| {
+        let adapters_loading = self.loading.iter();
+        let adapters_loading = adapters_loading.filter_map(|pending| {
             pending.adapter.clone().map(|adapter| (pending.model.clone(), adapter))
         });
         let report = Report {
--- a/crates/standin/src/routed/server/script.rs
+++ b/crates/standin/src/routed/server/script.rs
@@ -16,8 +16,8 @@
     pub event_interval: Duration,
     /// Faults of the next requests, one per request.
     pub faults: VecDeque<Fault>,
-    /// The fault of every request after `faults` is used up; `None` serves them without
-    /// a fault.
+    /// The fault of every request after `faults` is used up; `None` serves them without a
+    /// fault.
     pub default_fault: Option<Fault>,
     /// Faults of the next orders, one per order.
     pub order_faults: VecDeque<OrderFault>,
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -66,7 +66,7 @@
     /// Indices of servers that the schedule crashes or makes leave now; the end of that fault
     /// replaces them.
     pub(super) faulted: BTreeSet<usize>,
-    /// Indices of servers that a request has crashed, and when each is to be replaced.
+    /// Indices of servers that a request or an order has crashed, and when each is to be replaced.
     pub(super) crashed: BTreeMap<usize, Instant>,
 }
 
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Waits, and meanwhile replaces servers that a request has crashed.
+    /// Waits, and meanwhile replaces servers that a request or an order has crashed.
     pub(super) async fn wait(&mut self, until: Instant) -> Result<(), BoxError> {
         loop {
             self.restart_crashed().await?;
--- a/crates/standin/src/routed/soak/record.rs
+++ b/crates/standin/src/routed/soak/record.rs
@@ -247,8 +247,8 @@
 pub struct Disruption {
     /// The component that was disrupted.
     pub component: Component,
-    /// Debug text of the fault; `crashed` for a server that a request crashed, and `start` for a
-    /// host that is starting again.
+    /// Debug text of the fault; `crashed` for a server that crashed without a planned fault, and
+    /// `start` for a host that is starting again.
     pub what: String,
     /// From the start of the fault until its end.
     pub span: Span,
