--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -29,10 +29,10 @@
 /// Text in a prompt that crashes the engine when the request starts to run.
 pub const POISON: &str = "<<poison>>";
 
-/// Header with the idempotency key, by which [`Counts::effects`] counts executions.
+/// Header with the idempotency key, by which [`Counts::runs_by_key`] counts executions.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Time from a crash to the restart, unless the settings say otherwise.
+/// Time from a crash by a request to the restart, unless the settings say otherwise.
 const BOOT_TIME: Duration = Duration::from_millis(200);
 
 /// Configuration of an engine: create it with [`Settings::new`] and change fields as needed.
@@ -56,7 +56,7 @@
     pub fenced: bool,
     /// Units that are loaded and ready at each start, each with its memory.
     pub preload: Vec<(Unit, Mebibytes)>,
-    /// Store that loads take their weights from, and so the time.
+    /// Weight store, which sets the duration of loads and limits their rate and number at a time.
     pub weights: weights::Store,
     /// Time after a crash by a request until the engine restarts; `None` if it never does.
     pub restart_after: Option<Duration>,
@@ -126,7 +126,7 @@
     /// Executions, by request id.
     pub runs: BTreeMap<String, u64>,
     /// Executions, by idempotency key.
-    pub effects: BTreeMap<String, u64>,
+    pub runs_by_key: BTreeMap<String, u64>,
     /// Requests that arrived, including those for a model that isn't loaded.
     pub arrivals: u64,
     /// Requests whose caller disconnected before the answer was complete.
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -23,9 +23,10 @@
 /// The chunk that ends a body in chunked transfer encoding.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A run that is to be answered.
+/// A started run that is to be answered.
 pub(super) struct Work<'a> {
     pub(super) shared: &'a Arc<Shared>,
+    /// Index of the run's record in the server's runs.
     pub(super) run: usize,
     pub(super) id: Arc<str>,
     pub(super) fault: Option<Fault>,
@@ -34,14 +35,14 @@
 
 impl Work<'_> {
     pub(super) async fn answer(mut self, duplicate: &mut Duplicate) -> (Ending, After) {
-        let (work, is_poison) = {
+        let (work_time, is_poison) = {
             let script = lock(&self.shared.script);
             let body = lock(&self.shared.runs)[self.run].body.clone();
             let body = String::from_utf8_lossy(&body).into_owned();
             (script.work_time, script.poison.is_some_and(|poison| body.contains(poison)))
         };
         tokio::select! {
-            () = sleep(work) => {}
+            () = sleep(work_time) => {}
             () = self.connection.closed() => return (Ending::CallerClosed, After::Close),
         }
         let is_model_server = self.shared.inventory().is_model_server();
@@ -87,7 +88,7 @@
         response
     }
 
-    /// Whether no byte of the answer's head is sent, so that it can't name a limit.
+    /// Whether no byte of the answer's head is sent, so that it can't state a limit.
     fn is_head_withheld(&self) -> bool {
         matches!(self.fault, Some(Fault::Lost | Fault::Silent | Fault::Garbled))
     }
@@ -178,7 +179,7 @@
     }
 
     async fn events(&mut self) -> io::Result<(Ending, After)> {
-        let (events, pace) = {
+        let (events, interval) = {
             let script = lock(&self.shared.script);
             (script.events, script.event_interval)
         };
@@ -199,7 +200,7 @@
                 _ => self.connection.write_chunk(&event).await?,
             }
             tokio::select! {
-                () = sleep(pace) => {}
+                () = sleep(interval) => {}
                 () = self.connection.closed() => return Ok((Ending::CallerClosed, After::Close)),
             }
         }
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -66,7 +66,7 @@
     /// Indices of servers that the schedule crashes or makes leave now; the end of that fault
     /// replaces them.
     pub(super) faulted: BTreeSet<usize>,
-    /// Indices of servers that a request has crashed, and when each is to be replaced.
+    /// Indices of servers that a request or an order has crashed, and when each is to be replaced.
     pub(super) crashed: BTreeMap<usize, Instant>,
 }
 
@@ -120,7 +120,7 @@
     pub(super) async fn run(
         &mut self,
         schedule: &[PlannedFault],
-        began: Instant,
+        load_started_at: Instant,
     ) -> Result<(), BoxError> {
         let ends =
             schedule.iter().map(|planned| (planned.at + planned.duration, Step::End(planned)));
@@ -130,7 +130,7 @@
         // The sort is stable, so that a fault of zero duration begins before it ends.
         steps.sort_by_key(|(at, _)| *at);
         for (at, step) in steps {
-            self.wait(began + at).await?;
+            self.wait(load_started_at + at).await?;
             match step {
                 Step::Begin(planned) => {
                     if planned.fault == Fault::SILENCE {
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Waits, and meanwhile replaces servers that a request has crashed.
+    /// Waits, and meanwhile replaces servers that a request or an order has crashed.
     pub(super) async fn wait(&mut self, until: Instant) -> Result<(), BoxError> {
         loop {
             self.restart_crashed().await?;
@@ -342,7 +342,7 @@
                 let last = self
                     .disruptions
                     .iter_mut()
-                    .rfind(|t| t.component == Component::HostPlanned(host));
+                    .rfind(|disruption| disruption.component == Component::HostPlanned(host));
                 last.into_iter().for_each(|disruption| disruption.span.to += apply);
             }
             Fault::Down(_) | Fault::Slow | Fault::Lost(_) | Fault::LateWrite | Fault::Compact => {
@@ -407,7 +407,7 @@
         let from = self.now();
         self.site.restart(host).await?;
         self.register_host(host);
-        // A host that is starting has no contact to the store and its peers yet.
+        // A host that is starting is not in contact with the store and its peers yet.
         let span = Span { from, to: self.now() };
         self.disruptions.push(Disruption {
             component: Component::Host(host),
