--- a/crates/policy/benches/path.rs
+++ b/crates/policy/benches/path.rs
@@ -4,7 +4,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::{
-    admit::{Ticket, Work},
+    admit::{Request, Ticket},
     route::{Destination, Distances},
     traffic::{Admission, Demand, End, Rules, Traffic},
 };
@@ -87,7 +87,7 @@
     let wanted = Destination::Model(model::Name::parse(&format!("model-{model}")));
     let wanted = traffic.table.find(&wanted).unwrap();
     Demand {
-        work: Work {
+        work: Request {
             ticket,
             priority: Priority::ALL[ticket as usize % 3],
             customer: "magnolia".into(),
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -33,7 +33,7 @@
 
 /// A request, as admission needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct Request {
     /// The request's number on this host.
     pub ticket: Ticket,
     /// The request's priority class.
@@ -143,37 +143,37 @@
     /// added to `refused`.
     pub fn arrive(
         &mut self,
-        mut work: Work,
+        mut request: Request,
         outlook: &Outlook,
         now: Moment,
         refused: &mut Vec<(Ticket, Refusal)>,
     ) -> Verdict {
-        work.due = work.due.max(now + outlook.unloaded);
-        let queue = self.queues.entry(work.pool).or_default();
-        let ahead = queue.ahead(&work);
+        request.due = request.due.max(now + outlook.unloaded);
+        let queue = self.queues.entry(request.pool).or_default();
+        let ahead = queue.ahead(&request);
         if 0 < outlook.room && ahead == 0 {
-            return match late_refusal(now, Duration::ZERO, outlook, &work) {
+            return match late_refusal(now, Duration::ZERO, outlook, &request) {
                 Some(refusal) => Verdict::Refuse(refusal),
                 None => {
-                    queue.started(work.priority);
+                    queue.started(request.priority);
                     Verdict::Take
                 }
             };
         }
-        let wait = queue.wait(ahead + 1, work.priority, outlook);
-        if let Some(refusal) = late_refusal(now, wait, outlook, &work) {
+        let wait = queue.wait(ahead + 1, request.priority, outlook);
+        if let Some(refusal) = late_refusal(now, wait, outlook, &request) {
             return Verdict::Refuse(refusal);
         }
         if self.bounds.waiting <= queue.len() {
-            let Some(last) = queue.displace(work.priority) else {
-                return Verdict::Refuse(refusal(Cause::Full, wait, &work));
+            let Some(last) = queue.displace(request.priority) else {
+                return Verdict::Refuse(refusal(Cause::Full, wait, &request));
             };
             self.waiting.remove(&last.ticket);
             let wait = queue.wait(queue.len(), last.priority, outlook);
             refused.push((last.ticket, refusal(Cause::Displaced, wait, &last)));
         }
-        self.waiting.insert(work.ticket, work.pool);
-        queue.push(work);
+        self.waiting.insert(request.ticket, request.pool);
+        queue.push(request);
         Verdict::Wait
     }
 
@@ -182,10 +182,10 @@
         &mut self,
         pool: DestinationIndex,
         room: impl Fn(DestinationIndex) -> u32,
-    ) -> Option<Work> {
-        let work = self.queues.get_mut(&pool)?.pop(room)?;
-        self.waiting.remove(&work.ticket);
-        Some(work)
+    ) -> Option<Request> {
+        let request = self.queues.get_mut(&pool)?.pop(room)?;
+        self.waiting.remove(&request.ticket);
+        Some(request)
     }
 
     /// Removes all waiting requests that can no longer meet their target, and returns their
@@ -199,19 +199,19 @@
         let Some(queue) = self.queues.get_mut(&pool) else {
             return Vec::new();
         };
-        let hopeless: Vec<(Work, Refusal)> = queue
+        let hopeless: Vec<(Request, Refusal)> = queue
             .positions()
-            .filter_map(|(position, work)| {
-                let outlook = outlook(work.wanted);
-                let wait = queue.wait(position, work.priority, &outlook);
-                late_refusal(now, wait, &outlook, work).map(|refusal| (work.clone(), refusal))
+            .filter_map(|(position, request)| {
+                let outlook = outlook(request.wanted);
+                let wait = queue.wait(position, request.priority, &outlook);
+                late_refusal(now, wait, &outlook, request).map(|refusal| (request.clone(), refusal))
             })
             .collect();
-        for (work, _) in &hopeless {
-            queue.remove(work.ticket);
-            self.waiting.remove(&work.ticket);
+        for (request, _) in &hopeless {
+            queue.remove(request.ticket);
+            self.waiting.remove(&request.ticket);
         }
-        hopeless.into_iter().map(|(work, refusal)| (work.ticket, refusal)).collect()
+        hopeless.into_iter().map(|(request, refusal)| (request.ticket, refusal)).collect()
     }
 
     /// Removes a request whose caller has gone; false if it was not waiting.
@@ -224,16 +224,21 @@
 }
 
 /// Returns a refusal if the first token can't be expected before it is due.
-fn late_refusal(now: Moment, wait: Duration, outlook: &Outlook, work: &Work) -> Option<Refusal> {
+fn late_refusal(
+    now: Moment,
+    wait: Duration,
+    outlook: &Outlook,
+    request: &Request,
+) -> Option<Refusal> {
     let at = now + wait + outlook.first_token;
-    let late = at.checked_sub(work.due).filter(|late| !late.is_zero())?;
-    Some(refusal(Cause::Late, late, work))
+    let late = at.checked_sub(request.due).filter(|late| !late.is_zero())?;
+    Some(refusal(Cause::Late, late, request))
 }
 
 /// Creates a refusal. The caller is asked to retry when the load ahead should be gone, and up to
 /// half as much later, so that callers that were refused together do not return together.
-fn refusal(cause: Cause, wait: Duration, work: &Work) -> Refusal {
+fn refusal(cause: Cause, wait: Duration, request: &Request) -> Refusal {
     let base = wait.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER);
-    let spread = base / 2 * (work.spread % 256) as u32 / 256;
+    let spread = base / 2 * (request.spread % 256) as u32 / 256;
     Refusal { cause, retry_after: base + spread }
 }
--- a/crates/policy/src/admit/queue.rs
+++ b/crates/policy/src/admit/queue.rs
@@ -9,7 +9,7 @@
 
 use types::prelude::*;
 
-use super::{LOWER_EVERY, Outlook, Ticket, Work};
+use super::{LOWER_EVERY, Outlook, Request, Ticket};
 use crate::route::DestinationIndex;
 
 /// Advance in virtual time of one start at a share of one.
@@ -23,7 +23,7 @@
 struct Flow {
     virtual_time: u64,
     share: u32,
-    waiting: BTreeMap<(Moment, Ticket), Work>,
+    waiting: BTreeMap<(Moment, Ticket), Request>,
 }
 
 /// Flows of one customer.
@@ -62,15 +62,15 @@
     }
 
     /// Returns how many waiting requests would start before this one.
-    pub fn ahead(&self, work: &Work) -> usize {
-        let higher = self.higher(work.priority);
-        let class = &self.classes[work.priority as usize];
+    pub fn ahead(&self, request: &Request) -> usize {
+        let higher = self.higher(request.priority);
+        let class = &self.classes[request.priority as usize];
         let before = class
             .accounts
-            .get(&work.customer)
-            .and_then(|account| account.flows.get(&(work.service.clone(), work.wanted)))
-            .map_or(0, |flow| flow.waiting.range(..(work.due, work.ticket)).count());
-        higher + class.ahead_in_class(&work.customer, work, before)
+            .get(&request.customer)
+            .and_then(|account| account.flows.get(&(request.service.clone(), request.wanted)))
+            .map_or(0, |flow| flow.waiting.range(..(request.due, request.ticket)).count());
+        higher + class.ahead_in_class(&request.customer, request, before)
     }
 
     /// Returns how long a request at this position, counted from one, is expected to wait, given
@@ -87,26 +87,32 @@
     }
 
     /// Adds a request.
-    pub fn push(&mut self, work: Work) {
+    pub fn push(&mut self, request: Request) {
         self.index.insert(
-            work.ticket,
-            (work.priority, work.customer.clone(), work.service.clone(), work.wanted, work.due),
+            request.ticket,
+            (
+                request.priority,
+                request.customer.clone(),
+                request.service.clone(),
+                request.wanted,
+                request.due,
+            ),
         );
-        self.classes[work.priority as usize].push(work);
+        self.classes[request.priority as usize].push(request);
     }
 
     /// Removes and returns the next request that has room.
-    pub fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Work> {
+    pub fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Request> {
         let lower_first = self.starts % LOWER_EVERY == LOWER_EVERY - 1;
         let mut order: Vec<usize> =
             (0..self.classes.len()).rev().filter(|at| 0 < self.classes[*at].waiting).collect();
         if lower_first && 1 < order.len() {
             order.swap(0, 1);
         }
-        let work = order.into_iter().find_map(|at| self.classes[at].pop(&room))?;
-        self.index.remove(&work.ticket);
-        self.started(work.priority);
-        Some(work)
+        let request = order.into_iter().find_map(|at| self.classes[at].pop(&room))?;
+        self.index.remove(&request.ticket);
+        self.started(request.priority);
+        Some(request)
     }
 
     /// Notes that a request of this priority started, from the queue or without waiting.
@@ -120,7 +126,7 @@
 
     /// Removes and returns the request with the latest due time in the least urgent class below
     /// this priority.
-    pub fn displace(&mut self, priority: Priority) -> Option<Work> {
+    pub fn displace(&mut self, priority: Priority) -> Option<Request> {
         let class = self.classes[..priority as usize].iter().find(|class| 0 < class.waiting)?;
         let ticket = class
             .flows()
@@ -131,23 +137,23 @@
     }
 
     /// Removes and returns the request with this number.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Work> {
+    pub fn remove(&mut self, ticket: Ticket) -> Option<Request> {
         let (priority, customer, service, wanted, due) = self.index.remove(&ticket)?;
         let class = &mut self.classes[priority as usize];
         let flow = class.accounts.get_mut(&customer)?.flows.get_mut(&(service, wanted))?;
-        let work = flow.waiting.remove(&(due, ticket))?;
+        let request = flow.waiting.remove(&(due, ticket))?;
         class.waiting -= 1;
-        Some(work)
+        Some(request)
     }
 
     /// Returns the waiting requests, each with its position counted from one.
-    pub fn positions(&self) -> impl Iterator<Item = (usize, &Work)> {
+    pub fn positions(&self) -> impl Iterator<Item = (usize, &Request)> {
         Priority::ALL.into_iter().flat_map(move |priority| {
             let class = &self.classes[priority as usize];
             let higher = self.higher(priority);
             class.flows().flat_map(move |flow| {
-                flow.waiting.values().enumerate().map(move |(before, work)| {
-                    (higher + class.ahead_in_class(&work.customer, work, before) + 1, work)
+                flow.waiting.values().enumerate().map(move |(before, request)| {
+                    (higher + class.ahead_in_class(&request.customer, request, before) + 1, request)
                 })
             })
         })
@@ -163,19 +169,19 @@
         self.accounts.values().flat_map(|account| account.flows.values())
     }
 
-    fn push(&mut self, work: Work) {
+    fn push(&mut self, request: Request) {
         let min_virtual_time =
             self.accounts.values().filter(|a| a.is_waiting()).map(|a| a.virtual_time).min();
-        let account = self.accounts.entry(work.customer.clone()).or_default();
+        let account = self.accounts.entry(request.customer.clone()).or_default();
         if !account.is_waiting() {
             account.virtual_time = account.virtual_time.max(min_virtual_time.unwrap_or(0));
         }
-        account.share = work.customer_share.max(1);
-        account.push(work);
+        account.share = request.customer_share.max(1);
+        account.push(request);
         self.waiting += 1;
     }
 
-    fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Work> {
+    fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Request> {
         let account = self
             .accounts
             .values_mut()
@@ -190,20 +196,19 @@
             .filter(|((_, wanted), flow)| flow.has_room(*wanted, &room))
             .min_by_key(|(_, flow)| flow.virtual_time)?;
         flow.virtual_time += START_COST / u64::from(flow.share);
-        let (_, work) = flow.waiting.pop_first()?;
+        let (_, request) = flow.waiting.pop_first()?;
         self.waiting -= 1;
-        Some(work)
+        Some(request)
     }
 
     /// Returns how many requests of this class start before one that has `before` requests of its
     /// own flow ahead of it, if flows take turns by their shares.
-    fn ahead_in_class(&self, customer: &customer::Id, work: &Work, before: usize) -> usize {
-        let own_weight = f64::from(work.customer_share.max(1));
-        let own_services: f64 =
-            self.accounts.get(customer).map_or(0.0, |account| {
-                account.weight_without(&(work.service.clone(), work.wanted))
-            }) + f64::from(work.service_share.max(1));
-        let own_part = own_weight * f64::from(work.service_share.max(1)) / own_services;
+    fn ahead_in_class(&self, customer: &customer::Id, request: &Request, before: usize) -> usize {
+        let own_weight = f64::from(request.customer_share.max(1));
+        let own_services: f64 = self.accounts.get(customer).map_or(0.0, |account| {
+            account.weight_without(&(request.service.clone(), request.wanted))
+        }) + f64::from(request.service_share.max(1));
+        let own_part = own_weight * f64::from(request.service_share.max(1)) / own_services;
         let turns = (before + 1) as f64 / own_part;
         self.accounts
             .iter()
@@ -214,7 +219,7 @@
                     (f64::from(account.share), account.weight())
                 };
                 account.flows.iter().map(move |(key, flow)| {
-                    let own = id == customer && key.0 == work.service && key.1 == work.wanted;
+                    let own = id == customer && key.0 == request.service && key.1 == request.wanted;
                     let part = weight * f64::from(flow.share) / all;
                     match own {
                         true => before,
@@ -242,15 +247,15 @@
         others.map(|(_, flow)| f64::from(flow.share)).sum()
     }
 
-    fn push(&mut self, work: Work) {
+    fn push(&mut self, request: Request) {
         let waiting = self.flows.values().filter(|flow| !flow.waiting.is_empty());
         let min_virtual_time = waiting.map(|flow| flow.virtual_time).min();
-        let flow = self.flows.entry((work.service.clone(), work.wanted)).or_default();
+        let flow = self.flows.entry((request.service.clone(), request.wanted)).or_default();
         if flow.waiting.is_empty() {
             flow.virtual_time = flow.virtual_time.max(min_virtual_time.unwrap_or(0));
         }
-        flow.share = work.service_share.max(1);
-        flow.waiting.insert((work.due, work.ticket), work);
+        flow.share = request.service_share.max(1);
+        flow.waiting.insert((request.due, request.ticket), request);
     }
 }
 
--- a/crates/policy/src/dispatch/quota.rs
+++ b/crates/policy/src/dispatch/quota.rs
@@ -14,7 +14,7 @@
     task::Task,
 };
 use crate::{
-    quota::{self, Message, Quotas, VersionedLimit},
+    quota::{self, Limit, Message, Quotas},
     route::Index,
 };
 
@@ -45,7 +45,7 @@
     pub fn limit_received(
         &mut self,
         id: &backend::Id,
-        limit: VersionedLimit,
+        limit: Limit,
         now: Moment,
     ) -> Option<quota::Change> {
         let change = self.quotas.merge_limit(id, limit, now)?;
@@ -80,7 +80,7 @@
         live: Vec<host::Id>,
         now: Moment,
     ) {
-        self.quotas.hosts(known, live, now);
+        self.quotas.update_hosts(known, live, now);
         self.sharers.observe(self.quotas.sharers(), now);
     }
 
--- a/crates/policy/src/fleet/aggregate.rs
+++ b/crates/policy/src/fleet/aggregate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     dispatch::poison::{Crash, Fingerprint},
-    quota::VersionedLimit,
+    quota::Limit,
     term,
 };
 
@@ -66,7 +66,7 @@
     pub(super) term: Option<term::Stored>,
     pub(super) store: Option<StoreStatus>,
     pub(super) absent: BTreeMap<host::Id, Run>,
-    pub(super) limits: BTreeMap<backend::Id, VersionedLimit>,
+    pub(super) limits: BTreeMap<backend::Id, Limit>,
 }
 
 impl Tally {
--- a/crates/policy/src/fleet/fact.rs
+++ b/crates/policy/src/fleet/fact.rs
@@ -9,7 +9,7 @@
 use crate::{
     dispatch::poison::{Crash, Fingerprint},
     member::rendezvous,
-    quota::VersionedLimit,
+    quota::Limit,
     term,
 };
 
@@ -134,7 +134,7 @@
     /// Crashes of servers, with the requests that were in flight there.
     Crashes(Vec<Crash>),
     /// The latest limit that the host knows for each server.
-    Limits(Vec<(backend::Id, VersionedLimit)>),
+    Limits(Vec<(backend::Id, Limit)>),
 }
 
 /// One row of the table that a host advertises.
@@ -152,7 +152,7 @@
     /// A relay receives no packets of this run of a host.
     Absent(host::Id, Run),
     Term(term::Stored),
-    Limit(backend::Id, VersionedLimit),
+    Limit(backend::Id, Limit),
 }
 
 /// Key of a fact; a later fact of the same key replaces the earlier one.
--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -18,7 +18,7 @@
 use crate::{
     demand::Report,
     dispatch::loan,
-    quota::{Message, VersionedLimit},
+    quota::{Limit, Message},
 };
 
 use super::{
@@ -94,7 +94,7 @@
         /// The server.
         server: backend::Id,
         /// The server's limit since this change.
-        news: VersionedLimit,
+        news: Limit,
     },
     /// Requests and grants of quota permits; sent once.
     Quota(Message),
--- a/crates/policy/src/fleet/snapshot.rs
+++ b/crates/policy/src/fleet/snapshot.rs
@@ -4,7 +4,7 @@
 
 use types::{availability, backend, routed::Version, service, time::Moment};
 
-use crate::{dispatch::poison::Crash, quota::VersionedLimit, term};
+use crate::{dispatch::poison::Crash, quota::Limit, term};
 
 use super::{
     Fleet, Liveness,
@@ -64,7 +64,7 @@
     /// Crashes of servers that others know, with the requests that were in flight there.
     pub crashes: Vec<Crash>,
     /// The latest limit of each server that any other knows.
-    pub limits: BTreeMap<backend::Id, VersionedLimit>,
+    pub limits: BTreeMap<backend::Id, Limit>,
     /// The newest belief of others about the planner's lease.
     pub lease: Option<Lease>,
     /// The newest stored lease object that any other has seen.
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -16,7 +16,7 @@
     /// Run of the host that will dispatch the request.
     pub claimant: HostRun,
     /// When the claim was made.
-    pub asked: Moment,
+    pub made_at: Moment,
 }
 
 impl Claim {
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -150,7 +150,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
     /// Complete body.
-    Whole(String),
+    #[serde(rename = "whole")]
+    Complete(String),
     /// Body that is not recorded: too long, not text, cut short, or dropped to make room.
     Unrecorded,
 }
@@ -162,7 +163,7 @@
     /// Records a body if it is text and no longer than [`Body::LIMIT`].
     pub fn new(bytes: &[u8]) -> Body {
         match std::str::from_utf8(bytes) {
-            Ok(text) if text.len() <= Body::LIMIT => Body::Whole(text.to_owned()),
+            Ok(text) if text.len() <= Body::LIMIT => Body::Complete(text.to_owned()),
             Ok(_) | Err(_) => Body::Unrecorded,
         }
     }
@@ -170,7 +171,7 @@
     /// Length as JSON, in bytes.
     fn bytes(&self) -> usize {
         match self {
-            Body::Whole(text) => text.bytes().map(escaped).sum(),
+            Body::Complete(text) => text.bytes().map(escaped).sum(),
             Body::Unrecorded => 0,
         }
     }
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -197,7 +197,7 @@
     /// before.
     pub fn due(&self) -> Option<Moment> {
         let timeout =
-            self.waiting.iter().map(|w| w.claim.asked + self.settings.claim_timeout).min();
+            self.waiting.iter().map(|w| w.claim.made_at + self.settings.claim_timeout).min();
         let call = match (&self.in_flight, self.waiting.is_empty(), self.changed_at) {
             (Some(_), _, _) | (None, true, None) => None,
             (None, false, _) => Some(self.next_call_at),
@@ -329,7 +329,7 @@
         let mut granted = Vec::new();
         for waiting in mem::take(&mut self.waiting) {
             match known.document.is_claimed_by(&waiting.claim) {
-                true if now.moment < waiting.claim.asked + grant => granted.push(waiting.claim),
+                true if now.moment < waiting.claim.made_at + grant => granted.push(waiting.claim),
                 true => {
                     self.unconfirmed.insert(waiting.claim.id.clone());
                     self.waiting.push(waiting);
@@ -341,7 +341,7 @@
     }
 
     fn grant(&mut self, claim: Claim) -> Answer {
-        let until = claim.asked + self.settings.grant;
+        let until = claim.made_at + self.settings.grant;
         self.unconfirmed.remove(&claim.id);
         self.granted.insert(claim.id.clone());
         Answer { id: claim.id, key: claim.key.key, verdict: Verdict::Granted { until } }
--- a/crates/policy/src/once/range/timeout.rs
+++ b/crates/policy/src/once/range/timeout.rs
@@ -10,7 +10,7 @@
     pub(super) fn expire_claims(&mut self, now: Now) -> Vec<Answer> {
         let timeout = self.settings.claim_timeout;
         let expired: Vec<Waiting> =
-            self.waiting.extract_if(.., |w| w.claim.asked + timeout <= now.moment).collect();
+            self.waiting.extract_if(.., |w| w.claim.made_at + timeout <= now.moment).collect();
         let answers = expired.iter().map(|waiting| self.timeout_verdict(now, waiting)).collect();
         for Waiting { claim, .. } in expired {
             let is_being_written = match &self.in_flight {
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -38,7 +38,7 @@
 };
 pub use self::{
     client::Demand,
-    limits::{Change, Limits, VersionedLimit},
+    limits::{Change, Limit, Limits},
     message::Message,
 };
 use crate::member::rendezvous;
@@ -180,7 +180,7 @@
 
     /// Updates the other hosts that are known, whether each is heard from, and the live hosts that
     /// may own quotas.
-    pub fn hosts<'a>(
+    pub fn update_hosts<'a>(
         &mut self,
         known: impl Iterator<Item = (&'a host::Id, bool)>,
         live: Vec<host::Id>,
@@ -211,7 +211,7 @@
     pub fn merge_limit(
         &mut self,
         server: &backend::Id,
-        limit: VersionedLimit,
+        limit: Limit,
         now: Moment,
     ) -> Option<Change> {
         self.limits.merge(server, limit, now)
--- a/crates/policy/src/quota/limits.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -18,19 +18,19 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct VersionedLimit {
+pub struct Limit {
     /// Number of the change; 0 before the first.
     pub version: Version,
     /// Rate limit; `None` if the server names none any more.
     pub rate: Option<Rate>,
 }
 
-impl VersionedLimit {
+impl Limit {
     /// Returns the later of two changes; of two changes with the same version, the lower limit.
-    pub fn merge(self, other: VersionedLimit) -> VersionedLimit {
+    pub fn merge(self, other: Limit) -> Limit {
         match self.version.cmp(&other.version) {
             Ordering::Less => other,
-            Ordering::Equal => VersionedLimit { rate: lower(self.rate, other.rate), ..self },
+            Ordering::Equal => Limit { rate: lower(self.rate, other.rate), ..self },
             Ordering::Greater => self,
         }
     }
@@ -39,7 +39,7 @@
 /// Limit of one server as this host knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Known {
-    limit: VersionedLimit,
+    limit: Limit,
     /// When this host recorded the limit.
     since: Moment,
 }
@@ -50,7 +50,7 @@
     /// Rate limit before the change.
     pub previous: Option<Rate>,
     /// Limit in force from now on.
-    pub current: VersionedLimit,
+    pub current: Limit,
 }
 
 /// Limits of all servers as one host knows them.
@@ -64,17 +64,17 @@
     }
 
     /// Latest limit of a server; version 0 if it has never named one.
-    pub fn get(&self, server: &str) -> VersionedLimit {
+    pub fn get(&self, server: &str) -> Limit {
         self.0.get(server).map(|known| known.limit).unwrap_or_default()
     }
 
     /// Servers that name a limit, each with its latest limit.
-    pub fn limited(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
+    pub fn limited(&self) -> impl Iterator<Item = (&backend::Id, Limit)> {
         self.iter().filter(|(_, limit)| limit.rate.is_some())
     }
 
     /// Latest limit of each server that has named one, including servers that name none any more.
-    pub fn iter(&self) -> impl Iterator<Item = (&backend::Id, VersionedLimit)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&backend::Id, Limit)> {
         self.0.iter().map(|(server, known)| (server, known.limit))
     }
 
@@ -93,18 +93,13 @@
         if limit == known.limit.rate {
             return None;
         }
-        let current = VersionedLimit { version: known.limit.version + 1, rate: limit };
+        let current = Limit { version: known.limit.version + 1, rate: limit };
         self.0.insert(server.clone(), Known { limit: current, since: now });
         Some(Change { previous: known.limit.rate, current })
     }
 
     /// Merges the limit that another host knows. Returns the change of the rate, if there is one.
-    pub fn merge(
-        &mut self,
-        server: &backend::Id,
-        received: VersionedLimit,
-        now: Moment,
-    ) -> Option<Change> {
+    pub fn merge(&mut self, server: &backend::Id, received: Limit, now: Moment) -> Option<Change> {
         let known = self.0.get(server).copied().unwrap_or_default();
         let current = known.limit.merge(received);
         if current == known.limit {
--- a/crates/policy/src/quota/message.rs
+++ b/crates/policy/src/quota/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use types::{backend, host, time::Moment};
 
-use super::limits::VersionedLimit;
+use super::limits::Limit;
 
 /// Clock of one run of a host, in microseconds.
 pub type Clock = u64;
@@ -32,7 +32,7 @@
     /// Server whose quota is concerned.
     pub server: backend::Id,
     /// Latest limit of the server that the sender knows.
-    pub limit: VersionedLimit,
+    pub limit: Limit,
     /// Permit request or grant.
     pub content: Content,
 }
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -81,7 +81,7 @@
 
     /// Records that a request is sent to a server whose exclusion has passed. The exclusion is
     /// extended, so that no other request follows until this one has ended.
-    pub fn try_out(&mut self, server: Index, now: Moment) -> Eligibility {
+    pub fn start_trial(&mut self, server: Index, now: Moment) -> Eligibility {
         if let Some(exclusion) = self.exclusions.get_mut(&server) {
             exclusion.until = now + self.backoff.first;
             exclusion.phase = Phase::Trial;
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -172,7 +172,7 @@
     }
 
     /// Number of requests of this host in flight on the server.
-    pub fn own(&self) -> u32 {
+    pub fn own_in_flight(&self) -> u32 {
         self.own
     }
 
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -232,7 +232,7 @@
     }
 
     /// When a server may be tried that is excluded only by suspicion.
-    pub fn doubted_until(&self, index: Index) -> Option<Moment> {
+    pub fn suspected_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
         match row.eligibility {
             Eligibility::Suspected(until) if !row.reports_leaving => Some(until),
--- a/crates/policy/src/stream.rs
+++ b/crates/policy/src/stream.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether the end of the answer was delivered.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -13,7 +13,7 @@
 use types::prelude::*;
 
 use crate::{
-    admit::{self, Gate, Refusal, Ticket, Work},
+    admit::{self, Gate, Refusal, Ticket},
     limit::{Algorithm, Limiters, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Demand {
     /// What admission needs.
-    pub work: Work,
+    pub work: admit::Request,
     /// Time from arrival within which the first token is due.
     pub target: Duration,
     /// Version in force of the model or adapter; empty for plain services.
@@ -300,7 +300,7 @@
             Decision::Unready => return None,
         };
         if matches!(self.table.eligibility(choice.server), Eligibility::Suspected(_)) {
-            let eligibility = self.suspicion.try_out(choice.server, now);
+            let eligibility = self.suspicion.start_trial(choice.server, now);
             self.set_suspicion(choice.server, eligibility);
         }
         self.limiters.limiter(choice.server, pool).start();
--- a/crates/policy/src/traffic/room.rs
+++ b/crates/policy/src/traffic/room.rs
@@ -86,7 +86,11 @@
     /// Returns when the first suspected server that has what is wanted may be tried; `None` if
     /// there is no such server.
     pub(super) fn earliest_trial(&self, wanted: DestinationIndex) -> Option<Moment> {
-        self.table.replicas(wanted).iter().filter_map(|r| self.table.doubted_until(r.server)).min()
+        self.table
+            .replicas(wanted)
+            .iter()
+            .filter_map(|r| self.table.suspected_until(r.server))
+            .min()
     }
 
     fn usable(&self, wanted: DestinationIndex, now: Moment) -> impl Iterator<Item = Index> {
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -4,7 +4,7 @@
 
 use policy::admit::{
     Bounds, Cause, Gate, LEAST_RETRY_AFTER, LOWER_EVERY, MOST_RETRY_AFTER, Outlook, Refusal,
-    Ticket, Verdict, Work,
+    Request, Ticket, Verdict,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -12,8 +12,8 @@
 
 const POOL: u32 = 0;
 
-fn work(ticket: Ticket, priority: Priority, service: &str, due: u64) -> Work {
-    Work {
+fn request(ticket: Ticket, priority: Priority, service: &str, due: u64) -> Request {
+    Request {
         ticket,
         priority,
         customer: "magnolia".into(),
@@ -42,21 +42,25 @@
     }
 }
 
-fn arrive(gate: &mut Gate, work: Work, outlook: &Outlook) -> (Verdict, Vec<(Ticket, Refusal)>) {
+fn arrive(
+    gate: &mut Gate,
+    request: Request,
+    outlook: &Outlook,
+) -> (Verdict, Vec<(Ticket, Refusal)>) {
     let mut refused = Vec::new();
-    let verdict = gate.arrive(work, outlook, Duration::ZERO, &mut refused);
+    let verdict = gate.arrive(request, outlook, Duration::ZERO, &mut refused);
     (verdict, refused)
 }
 
 fn drain(gate: &mut Gate) -> Vec<Ticket> {
-    std::iter::from_fn(|| gate.next(POOL, |_| 1)).map(|work| work.ticket).collect()
+    std::iter::from_fn(|| gate.next(POOL, |_| 1)).map(|request| request.ticket).collect()
 }
 
 #[test]
 fn work_with_room_starts_at_once() {
     let outlook = Outlook { room: 1, ..busy() };
     let (verdict, _) =
-        arrive(&mut Gate::default(), work(1, Priority::Normal, "chat", 500), &outlook);
+        arrive(&mut Gate::default(), request(1, Priority::Normal, "chat", 500), &outlook);
     assert_eq!(verdict, Verdict::Take);
 }
 
@@ -70,7 +74,10 @@
         (4, Priority::Urgent, 8000),
         (5, Priority::Normal, 8000),
     ] {
-        assert_eq!(arrive(&mut gate, work(ticket, priority, "s", due), &busy()).0, Verdict::Wait);
+        assert_eq!(
+            arrive(&mut gate, request(ticket, priority, "s", due), &busy()).0,
+            Verdict::Wait
+        );
     }
     assert_eq!(drain(&mut gate), [4, 3, 5, 2, 1]);
     assert_eq!(gate.waiting(), 0);
@@ -82,8 +89,9 @@
     for ticket in 0..60 {
         let service = if ticket % 2 == 0 { "large" } else { "small" };
         let share = if ticket % 2 == 0 { 3 } else { 1 };
-        let work = Work { service_share: share, ..work(ticket, Priority::Normal, service, 60_000) };
-        arrive(&mut gate, work, &busy());
+        let request =
+            Request { service_share: share, ..request(ticket, Priority::Normal, service, 60_000) };
+        arrive(&mut gate, request, &busy());
     }
     let first: Vec<Ticket> = drain(&mut gate).into_iter().take(32).collect();
     assert_eq!(first.iter().filter(|ticket| **ticket % 2 == 0).count(), 24);
@@ -97,9 +105,11 @@
             0 => ("buzon", "letters".to_owned()),
             other => ("magnolia", format!("s{other}")),
         };
-        let work =
-            Work { customer: customer.into(), ..work(ticket, Priority::Normal, &service, 60_000) };
-        arrive(&mut gate, work, &busy());
+        let request = Request {
+            customer: customer.into(),
+            ..request(ticket, Priority::Normal, &service, 60_000)
+        };
+        arrive(&mut gate, request, &busy());
     }
     let first: Vec<Ticket> = drain(&mut gate).into_iter().take(20).collect();
     assert_eq!(first.iter().filter(|ticket| **ticket % 4 == 0).count(), 10);
@@ -109,11 +119,11 @@
 fn a_service_that_was_idle_saves_nothing_up() {
     let mut gate = Gate::default();
     for ticket in 0..100 {
-        arrive(&mut gate, work(ticket, Priority::Normal, "busy", 90_000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Normal, "busy", 90_000), &busy());
     }
     (0..50).for_each(|_| drop(gate.next(POOL, |_| 1)));
     for ticket in 100..120 {
-        arrive(&mut gate, work(ticket, Priority::Normal, "idle", 90_000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Normal, "idle", 90_000), &busy());
     }
     let first: Vec<Ticket> = drain(&mut gate).into_iter().take(20).collect();
     let of_idle = first.iter().filter(|ticket| 100 <= **ticket).count();
@@ -127,23 +137,23 @@
     #[case] due: u64,
     #[case] expected: Verdict,
 ) {
-    let work = Work { spread: 0, ..work(1, Priority::Urgent, "guests", due) };
-    assert_eq!(arrive(&mut Gate::default(), work, &busy()).0, expected);
+    let request = Request { spread: 0, ..request(1, Priority::Urgent, "guests", due) };
+    assert_eq!(arrive(&mut Gate::default(), request, &busy()).0, expected);
 }
 
 #[test]
 fn a_refused_caller_is_told_to_come_back_when_the_queue_should_have_drained() {
     let mut gate = Gate::new(Bounds { waiting: 10_000 });
     for ticket in 0..500 {
-        arrive(&mut gate, work(ticket, Priority::Normal, "chat", 60_000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Normal, "chat", 60_000), &busy());
     }
-    let late = Work { spread: 0, ..work(999, Priority::Normal, "chat", 1000) };
+    let late = Request { spread: 0, ..request(999, Priority::Normal, "chat", 1000) };
     // Due before all waiting requests, but of another service, with which it takes turns.
-    let late = Work { service: "other".into(), ..late };
+    let late = Request { service: "other".into(), ..late };
     let (verdict, _) = arrive(&mut gate, late, &busy());
     assert_eq!(verdict, Verdict::Wait, "a turn of its own comes soon");
-    let late = Work { due: millis(61_000), ..work(1000, Priority::Batch, "scan", 0) };
-    let late = Work { due: millis(2000), spread: 0, ..late };
+    let late = Request { due: millis(61_000), ..request(1000, Priority::Batch, "scan", 0) };
+    let late = Request { due: millis(2000), spread: 0, ..late };
     match arrive(&mut gate, late, &busy()).0 {
         Verdict::Refuse(Refusal { cause: Cause::Late, retry_after }) => {
             assert!(millis(3000) <= retry_after, "{retry_after:?}");
@@ -156,8 +166,8 @@
 #[test]
 fn refused_callers_are_spread_over_time() {
     let retry_after = |spread| {
-        let work = Work { spread, ..work(1, Priority::Normal, "chat", 1) };
-        match arrive(&mut Gate::default(), work, &busy()).0 {
+        let request = Request { spread, ..request(1, Priority::Normal, "chat", 1) };
+        match arrive(&mut Gate::default(), request, &busy()).0 {
             Verdict::Refuse(refusal) => refusal.retry_after,
             other => panic!("{other:?}"),
         }
@@ -169,9 +179,12 @@
 #[test]
 fn waiting_work_is_refused_as_soon_as_its_outlook_turns_bad_not_when_it_is_due() {
     let mut gate = Gate::default();
-    assert_eq!(arrive(&mut gate, work(1, Priority::Normal, "chat", 400), &busy()).0, Verdict::Wait);
+    assert_eq!(
+        arrive(&mut gate, request(1, Priority::Normal, "chat", 400), &busy()).0,
+        Verdict::Wait
+    );
     for ticket in 10..60 {
-        arrive(&mut gate, work(ticket, Priority::Urgent, "guests", 9000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Urgent, "guests", 9000), &busy());
     }
     let refused = gate.sweep(POOL, millis(1), |_| busy());
     assert_eq!(refused.iter().map(|(ticket, _)| *ticket).collect::<Vec<_>>(), [1]);
@@ -181,7 +194,7 @@
 #[test]
 fn work_past_its_due_time_is_refused_and_not_started() {
     let mut gate = Gate::default();
-    arrive(&mut gate, work(1, Priority::Urgent, "guests", 100), &busy());
+    arrive(&mut gate, request(1, Priority::Urgent, "guests", 100), &busy());
     let refused = gate.sweep(POOL, millis(200), |_| Outlook { room: 5, ..busy() });
     assert_eq!(refused.len(), 1);
     assert!(gate.next(POOL, |_| 5).is_none());
@@ -190,12 +203,13 @@
 #[test]
 fn a_full_queue_gives_up_its_least_urgent_work_at_once() {
     let mut gate = Gate::new(Bounds { waiting: 2 });
-    arrive(&mut gate, work(1, Priority::Batch, "scan", 8000), &busy());
-    arrive(&mut gate, work(2, Priority::Batch, "scan", 9000), &busy());
-    let (verdict, refused) = arrive(&mut gate, work(3, Priority::Urgent, "guests", 900), &busy());
+    arrive(&mut gate, request(1, Priority::Batch, "scan", 8000), &busy());
+    arrive(&mut gate, request(2, Priority::Batch, "scan", 9000), &busy());
+    let (verdict, refused) =
+        arrive(&mut gate, request(3, Priority::Urgent, "guests", 900), &busy());
     assert_eq!(verdict, Verdict::Wait);
     assert!(matches!(refused[..], [(2, Refusal { cause: Cause::Displaced, .. })]));
-    let (verdict, _) = arrive(&mut gate, work(4, Priority::Batch, "scan", 9000), &busy());
+    let (verdict, _) = arrive(&mut gate, request(4, Priority::Batch, "scan", 9000), &busy());
     assert!(matches!(verdict, Verdict::Refuse(Refusal { cause: Cause::Full, .. })));
     assert_eq!(gate.waiting(), 2);
 }
@@ -204,10 +218,10 @@
 fn a_long_rush_slows_lower_classes_and_does_not_stop_them() {
     let mut gate = Gate::new(Bounds { waiting: 4096 });
     for ticket in 0..10 {
-        arrive(&mut gate, work(ticket, Priority::Batch, "scan", 900_000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Batch, "scan", 900_000), &busy());
     }
     for ticket in 100..2000 {
-        arrive(&mut gate, work(ticket, Priority::Urgent, "guests", 900_000), &busy());
+        arrive(&mut gate, request(ticket, Priority::Urgent, "guests", 900_000), &busy());
     }
     let first: Vec<Ticket> = drain(&mut gate).into_iter().take(5 * LOWER_EVERY as usize).collect();
     assert_eq!(first.iter().filter(|ticket| **ticket < 10).count(), 5);
@@ -217,16 +231,20 @@
 fn a_target_that_no_server_could_meet_is_served_all_the_same() {
     let outlook = Outlook { room: 1, first_token: millis(700), unloaded: millis(700), ..busy() };
     let (verdict, _) =
-        arrive(&mut Gate::default(), work(1, Priority::Normal, "letters", 100), &outlook);
+        arrive(&mut Gate::default(), request(1, Priority::Normal, "letters", 100), &outlook);
     assert_eq!(verdict, Verdict::Take);
 }
 
 #[test]
 fn one_adapter_without_room_does_not_hold_up_the_others() {
     let mut gate = Gate::default();
-    arrive(&mut gate, Work { wanted: 7, ..work(1, Priority::Urgent, "guests", 500) }, &busy());
-    arrive(&mut gate, work(2, Priority::Urgent, "guests", 900), &busy());
-    let started = gate.next(POOL, |wanted| u32::from(wanted != 7)).map(|work| work.ticket);
+    arrive(
+        &mut gate,
+        Request { wanted: 7, ..request(1, Priority::Urgent, "guests", 500) },
+        &busy(),
+    );
+    arrive(&mut gate, request(2, Priority::Urgent, "guests", 900), &busy());
+    let started = gate.next(POOL, |wanted| u32::from(wanted != 7)).map(|request| request.ticket);
     assert_eq!(started, Some(2));
     assert_eq!(gate.waiting(), 1);
 }
@@ -234,7 +252,7 @@
 #[test]
 fn work_whose_caller_has_gone_is_taken_out() {
     let mut gate = Gate::default();
-    arrive(&mut gate, work(1, Priority::Urgent, "guests", 500), &busy());
+    arrive(&mut gate, request(1, Priority::Urgent, "guests", 500), &busy());
     assert!(gate.cancel(1));
     assert!(!gate.cancel(1));
     assert!(gate.next(POOL, |_| 1).is_none());
@@ -257,9 +275,9 @@
             let outlook = Outlook { room, ..busy() };
             match kind {
                 0..=2 => {
-                    let work = work(ticket, Priority::ALL[priority as usize], &service.to_string(), due);
+                    let request = request(ticket, Priority::ALL[priority as usize], &service.to_string(), due);
                     let mut refused = Vec::new();
-                    let verdict = gate.arrive(work, &outlook, now, &mut refused);
+                    let verdict = gate.arrive(request, &outlook, now, &mut refused);
                     match verdict {
                         Verdict::Wait => waiting += 1,
                         Verdict::Take | Verdict::Refuse(_) => *answers.entry(ticket).or_default() += 1,
@@ -274,8 +292,8 @@
                     }
                 }
                 _ => {
-                    if let Some(work) = gate.next(POOL, |_| room) {
-                        *answers.entry(work.ticket).or_default() += 1;
+                    if let Some(request) = gate.next(POOL, |_| room) {
+                        *answers.entry(request.ticket).or_default() += 1;
                         waiting -= 1;
                     }
                 }
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -346,9 +346,9 @@
 
 fn outcome(body: &str) -> Outcome {
     let content_type = "application/json".to_owned();
-    Outcome { status: 200, content_type, body: Body::Whole(body.to_owned()) }
+    Outcome { status: 200, content_type, body: Body::Complete(body.to_owned()) }
 }
 
 fn has_body(entry: &Entry) -> bool {
-    matches!(&entry.state, State::Done(Outcome { body: Body::Whole(_), .. }))
+    matches!(&entry.state, State::Done(Outcome { body: Body::Complete(_), .. }))
 }
--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use policy::quota::{
-    Limits, VersionedLimit,
+    Limit, Limits,
     limits::{Change, Version},
 };
 use proptest::prelude::*;
@@ -26,10 +26,7 @@
 fn limits() -> Limits {
     let mut limits = Limits::default();
     let change = limits.observe(&server(), rate(5.0), ms(50), ms(100)).expect("a change");
-    assert_eq!(
-        change,
-        Change { previous: None, current: VersionedLimit { version: 1, rate: rate(5.0) } }
-    );
+    assert_eq!(change, Change { previous: None, current: Limit { version: 1, rate: rate(5.0) } });
     limits
 }
 
@@ -50,7 +47,7 @@
     let mut limits = limits();
     limits.observe(&server(), limit, ms(sent), ms(200));
     assert_eq!(limits.limit("lm-1"), known);
-    assert_eq!(limits.iter().next(), Some((&server(), VersionedLimit { version, rate: known })));
+    assert_eq!(limits.iter().next(), Some((&server(), Limit { version, rate: known })));
 }
 
 #[rstest]
@@ -65,7 +62,7 @@
     #[case] known: Option<Rate>,
 ) {
     let mut limits = limits();
-    let change = limits.merge(&server(), VersionedLimit { version, rate: limit }, ms(200));
+    let change = limits.merge(&server(), Limit { version, rate: limit }, ms(200));
     assert_eq!(limits.limit("lm-1"), known);
     assert_eq!(change.is_some(), known != rate(5.0));
 }
@@ -73,7 +70,7 @@
 #[test]
 fn an_answer_to_a_request_that_left_before_a_peers_limit_came_does_not_undo_it() {
     let mut limits = limits();
-    limits.merge(&server(), VersionedLimit { version: 2, rate: rate(2.0) }, ms(300));
+    limits.merge(&server(), Limit { version: 2, rate: rate(2.0) }, ms(300));
     assert_eq!(limits.observe(&server(), rate(5.0), ms(250), ms(310)), None);
     assert!(limits.observe(&server(), rate(5.0), ms(320), ms(340)).is_some());
     assert_eq!(limits.limit("lm-1"), rate(5.0));
@@ -112,7 +109,7 @@
         // Each host receives from each, twice, since what is received may be passed on.
         for pair in order.iter().chain(&order) {
             let (from, to) = (pair / 4, pair % 4);
-            let sent: Vec<VersionedLimit> = hosts[from].iter().map(|(_, limit)| limit).collect();
+            let sent: Vec<Limit> = hosts[from].iter().map(|(_, limit)| limit).collect();
             for limit in sent {
                 hosts[to].merge(&server(), limit, ms(9_000));
             }
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -128,7 +128,7 @@
     let server: backend::Id = "lm-1".into();
     let owner = first_owner(&server);
     let mut quotas = Quotas::new(id("a"), 1);
-    quotas.hosts([(&id(&owner), true)].into_iter(), vec![id("a"), id(&owner)], ms(9_000));
+    quotas.update_hosts([(&id(&owner), true)].into_iter(), vec![id("a"), id(&owner)], ms(9_000));
     let change =
         quotas.observe_limit(&server, Some(limit()), ms(9_990), ms(10_000)).expect("a change");
     quotas.limit_changed(&server, change, 0, ms(10_000));
@@ -150,7 +150,7 @@
     let server: backend::Id = "lm-1".into();
     let first = first_owner(&server);
     let mut quotas = Quotas::new(id("a"), 1);
-    quotas.hosts([(&id(&first), true)].into_iter(), vec![id("a"), id(&first)], ms(9_000));
+    quotas.update_hosts([(&id(&first), true)].into_iter(), vec![id("a"), id(&first)], ms(9_000));
     let name = |quotas: &mut Quotas, now| {
         let change =
             quotas.observe_limit(&server, Some(limit()), ms(now - 1), ms(now)).expect("a change");
@@ -171,7 +171,7 @@
     quotas.forget("lm-1");
     quotas.tick(ms(10_300));
     // The other host is no longer live, and this one becomes the owner.
-    quotas.hosts([(&id(&first), false)].into_iter(), vec![id("a")], ms(10_400));
+    quotas.update_hosts([(&id(&first), false)].into_iter(), vec![id("a")], ms(10_400));
     name(&mut quotas, 10_500);
     assert_eq!(quotas.shares(ms(10_500)), 0, "the other host may still hold the lease");
     quotas.tick(ms(13_000));
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -12,7 +12,7 @@
 
 use policy::{
     member::rendezvous,
-    quota::{Demand, Message, Quotas, VersionedLimit},
+    quota::{Demand, Limit, Message, Quotas},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -131,7 +131,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Message { from: usize, to: usize, message: Message },
-    Limit { from: usize, to: usize, limit: VersionedLimit },
+    Limit { from: usize, to: usize, limit: Limit },
     Answer { to: usize, sent: Moment, millionths: Option<u64> },
 }
 
@@ -305,7 +305,7 @@
                 known.iter().filter(|(_, is_heard)| *is_heard).map(|(id, _)| id.clone());
             let live = last_heard.chain([name(place)]).collect();
             let known = known.iter().map(|(id, is_heard)| (id, *is_heard));
-            host.quotas.hosts(known, live, now - host.born);
+            host.quotas.update_hosts(known, live, now - host.born);
             let sender = self.random.random_range(0..self.hosts.len());
             if sender != place && self.runs(sender) {
                 let limit = self.hosts[sender].quotas.limits().get(SERVER);
@@ -383,7 +383,7 @@
         }
     }
 
-    fn receive_limit(&mut self, to: usize, limit: VersionedLimit) {
+    fn receive_limit(&mut self, to: usize, limit: Limit) {
         let now = self.now - self.hosts[to].born;
         let Some(change) = self.hosts[to].quotas.merge_limit(&server(), limit, now) else { return };
         let before = self.before(to);
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -116,11 +116,15 @@
         Eligibility::Suspected(at(1)),
         "one burst"
     );
-    assert_eq!(suspicion.try_out(3, at(1)), Eligibility::Suspected(at(2)), "one trial at a time");
+    assert_eq!(
+        suspicion.start_trial(3, at(1)),
+        Eligibility::Suspected(at(2)),
+        "one trial at a time"
+    );
     assert_eq!(suspicion.failed(3, Point::Connect, at(1)), Eligibility::Suspected(at(3)));
-    suspicion.try_out(3, at(3));
+    suspicion.start_trial(3, at(3));
     assert_eq!(suspicion.failed(3, Point::Connect, at(3)), Eligibility::Suspected(at(7)));
-    suspicion.try_out(3, at(7));
+    suspicion.start_trial(3, at(7));
     assert_eq!(suspicion.failed(3, Point::Connect, at(7)), Eligibility::Suspected(at(12)));
     assert!(suspicion.succeeded(3));
     assert_eq!(suspicion.eligibility(3), Eligibility::Live);
--- a/crates/policy/tests/stream.rs
+++ b/crates/policy/tests/stream.rs
@@ -38,7 +38,7 @@
 fn nothing_follows_the_end() {
     let mut stream = stream();
     stream.take(&frame(1, Part::End(2)));
-    assert!(stream.is_whole());
+    assert!(stream.is_complete());
     assert_eq!(stream.take(&frame(1, Part::Token(2))), Verdict::Drop(Reason::AfterEnd));
 }
 
@@ -56,7 +56,7 @@
         for (offset, attempt, own, kind) in frames {
             let request = if own { "r1" } else { "r2" };
             let part = if kind == 0 { Part::End(offset) } else { Part::Token(offset) };
-            let whole = stream.is_whole();
+            let whole = stream.is_complete();
             match stream.take(&Frame { request, attempt, part }) {
                 Verdict::Deliver => {
                     prop_assert!(own && !whole && attempt == stream.attempt());
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -99,7 +99,7 @@
             key: *key,
             digest,
             claimant: self.run.clone(),
-            asked: now.moment,
+            made_at: now.moment,
         });
     }
 
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use policy::{
-    admit::{Cause, Refusal, Ticket, Work},
+    admit::{Cause, Refusal, Request, Ticket},
     limit::Algorithm,
     retry::Point,
     route::{Destination, Distances, Eligibility},
@@ -63,7 +63,7 @@
 
 fn demand(traffic: &mut Traffic, ticket: Ticket, priority: Priority, due: u64) -> Demand {
     let wanted = traffic.table.destination(&Destination::Model(model::Name::parse("reader")));
-    let work = Work {
+    let work = Request {
         ticket,
         priority,
         customer: "buzon".into(),
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -15,7 +15,7 @@
     },
 };
 use observe::story::{self, Belief, PeerStanding};
-use policy::{dispatch, fleet::Liveness, quota::VersionedLimit, term};
+use policy::{dispatch, fleet::Liveness, quota::Limit, term};
 use tokio::{
     sync::mpsc::{Receiver, UnboundedReceiver, unbounded_channel},
     time::sleep,
@@ -198,7 +198,7 @@
     }
 }
 
-fn limits(shared: &Shared) -> Vec<(backend::Id, VersionedLimit)> {
+fn limits(shared: &Shared) -> Vec<(backend::Id, Limit)> {
     let dispatcher = shared.dispatcher();
     dispatcher.quotas().limits().iter().map(|(id, limit)| (id.clone(), limit)).collect()
 }
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -8,7 +8,7 @@
 };
 use policy::{
     fleet::Liveness,
-    quota::{Change, Message, VersionedLimit},
+    quota::{self, Change, Message},
 };
 use types::{prelude::*, routed::Rate};
 
@@ -30,12 +30,7 @@
     }
 
     /// Applies a server's limit as another host reports it.
-    pub(crate) fn receive_limit(
-        &self,
-        server: &backend::Id,
-        limit: VersionedLimit,
-        from: &host::Id,
-    ) {
+    pub(crate) fn receive_limit(&self, server: &backend::Id, limit: quota::Limit, from: &host::Id) {
         let change = self.dispatcher().limit_received(server, limit, self.now());
         if let Some(change) = change {
             self.report_limit(server, change, Source::Peer(from.clone()));
--- a/crates/spec/src/once/hosts.rs
+++ b/crates/spec/src/once/hosts.rs
@@ -37,7 +37,7 @@
             key: self.key(),
             digest: 1,
             claimant: target.run.clone(),
-            asked: now.moment,
+            made_at: now.moment,
         });
         next
     }
--- a/crates/stage/examples/slopes/keys.rs
+++ b/crates/stage/examples/slopes/keys.rs
@@ -82,7 +82,7 @@
                 key: key(1_000_000 + n),
                 digest: n,
                 claimant: this_host(),
-                asked: now.moment,
+                made_at: now.moment,
             });
         }
         let mut answers = Vec::new();
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
 use policy::{
-    admit::{Ticket, Work},
+    admit::{Request, Ticket},
     ledger::Ledger,
     route::{Destination, Distances},
     traffic::{Admission, Demand, End, Rules, Traffic},
@@ -149,7 +149,7 @@
     let wanted = Destination::Model(model::Name::parse(&name("model", model as u32)));
     let wanted = traffic.table.find(&wanted)?;
     Some(Demand {
-        work: Work {
+        work: Request {
             ticket,
             priority: Priority::ALL[ticket as usize % Priority::ALL.len()],
             customer: "magnolia".into(),
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -91,7 +91,7 @@
     /// Fails when no further attempt is allowed or possible.
     pub async fn next(&mut self) -> Result<Option<Token>, Problem> {
         loop {
-            if self.stream.is_whole() {
+            if self.stream.is_complete() {
                 return Ok(None);
             }
             let Some(source) = self.source.as_mut() else {
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -8,7 +8,7 @@
     response::{IntoResponse, Response},
 };
 use policy::{
-    admit::{Cause, Refusal, Work},
+    admit::{self, Cause, Refusal},
     route::Destination,
     traffic::Demand,
 };
@@ -58,7 +58,7 @@
     let customer_share = config.customers.get(&customer).map_or(1, |customer| customer.share);
     let (destination, version) = destination(call, config);
     let (index, pool) = context.traffic.destinations(&destination);
-    let work = Work {
+    let work = admit::Request {
         ticket: context.traffic.ticket(),
         priority: request.priority,
         customer,
--- a/crates/stage/src/filters/once.rs
+++ b/crates/stage/src/filters/once.rs
@@ -117,7 +117,7 @@
         key,
         digest,
         claimant: context.claims.me().clone(),
-        asked: context.now(),
+        made_at: context.now(),
     };
     let verdict = context.claims.claim(claim).await;
     record(&context, call, verdict.as_ref());
@@ -225,7 +225,7 @@
 }
 
 fn replay(outcome: Outcome) -> Result<Response, Problem> {
-    let once::Body::Whole(body) = outcome.body else {
+    let once::Body::Complete(body) = outcome.body else {
         let detail = format!("it ran, with status {}; its answer was not stored", outcome.status);
         return Err(Problem::new(Kind::AlreadyRan, detail).ran(Ran::Ran));
     };
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -147,7 +147,7 @@
         let table = &state.policy.table;
         table
             .servers()
-            .map(|(index, server)| (server.id.clone(), table.view(index).own()))
+            .map(|(index, server)| (server.id.clone(), table.view(index).own_in_flight()))
             .filter(|(_, requests)| 0 < *requests)
             .map(|(id, requests)| (id, PeerLoad { requests }))
             .collect()
