--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -1,14 +1,14 @@
 //! Admission control: which requests start, which wait, and which are refused early.
 //!
 //! A request that finds room starts at once. Others wait in a bounded queue for their model, the
-//! urgent class first. Within a class customers and services take turns by their shares, and within
-//! a service the earliest due time comes first. Each arrival is judged by the time at which its
-//! first token can be expected. A request that can't meet its target is refused at once, with a
-//! time after which to retry; a waiting request is refused the same way as soon as its outlook
-//! turns bad. So no request waits in vain.
+//! urgent class first. Within a class, customers and services take turns by their shares, and
+//! within a service the earliest due time comes first. For each arrival, the time of its first
+//! token is estimated. A request whose first token is not expected before it is due is refused at
+//! once, with a time after which to retry, and so is a waiting request as soon as that becomes
+//! true of it, so that callers don't wait for answers that would be late.
 //!
 //! Classes below the urgent one keep a small share of the starts, one in [`LOWER_EVERY`], so that a
-//! long rush of urgent requests slows them down and does not stop them.
+//! long burst of urgent requests slows them down and does not stop them.
 
 pub mod queue;
 
@@ -19,73 +19,76 @@
 use self::queue::Queue;
 use crate::route::DestinationIndex;
 
-/// One in this many starts from a queue goes to the best class below the one whose turn it is.
+/// One in this many starts from a queue goes to the second most urgent class that has waiting
+/// requests, instead of the most urgent one.
 pub const LOWER_EVERY: u32 = 32;
 
-/// Least time after which a refused caller is asked to retry.
+/// Shortest time after which a refused caller is asked to retry.
 pub const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest time after which a refused caller is asked to retry.
+/// Upper bound of the time after which a refused caller is asked to retry, before up to half of it
+/// is added to spread the retries.
 pub const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Number of a request, unique within one host.
 pub type Ticket = u64;
 
-/// A request, as admission needs it.
+/// Request, with what admission needs to know of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The request's number on this host.
+    /// Number of the request on this host.
     pub ticket: Ticket,
-    /// The request's priority class.
+    /// Priority class of the request.
     pub priority: Priority,
-    /// The customer on whose behalf the request runs.
+    /// Customer on whose behalf the request runs.
     pub customer: customer::Id,
-    /// The customer's share of the starts; positive.
+    /// Weight of the customer among the customers of its class; zero counts as one.
     pub customer_share: u32,
-    /// The service that the request calls.
+    /// Service that the request calls.
     pub service: service::Id,
-    /// The service's share within its customer; positive.
+    /// Weight of the service among those of its customer; zero counts as one.
     pub service_share: u32,
-    /// What a server must have ready to run the request.
+    /// Destination that a server must have ready to run the request.
     pub wanted: DestinationIndex,
-    /// The model or group whose limits and queue the request counts against.
+    /// Model or group whose limits and queue the request counts against.
     pub pool: DestinationIndex,
     /// When the first token is due.
     pub due: Moment,
-    /// Any number that differs between requests; spreads the times at which refused callers retry.
+    /// Any number that differs between requests; its lowest eight bits spread the times at which
+    /// refused callers retry.
     pub spread: u64,
 }
 
-/// What a request can expect of the servers that could run it.
+/// Room, load and expected times of the servers that could run a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outlook {
-    /// How many more requests may start now.
+    /// Number of requests that may start now.
     pub room: u32,
-    /// How many of this host's requests are in flight there.
+    /// Number of this host's requests in flight on these servers.
     pub in_flight: u32,
-    /// Mean time that a request stays in flight there.
+    /// Mean time for which a request stays in flight on these servers.
     pub hold: Duration,
     /// Expected time from start to first token.
     pub first_token: Duration,
-    /// Expected time from start to first token if the servers were idle.
+    /// Expected time from start to first token if the servers were otherwise idle.
     pub unloaded: Duration,
 }
 
-/// Why a request is refused.
+/// Reason for which a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// The request can't meet its target under the present load.
+    /// The first token is not expected before it is due.
     Late,
-    /// The queue is full.
+    /// The queue is full and no waiting request is in a less urgent class.
     Full,
-    /// A more urgent request took its place in a full queue.
+    /// A more urgent request displaced this one from a full queue.
     Displaced,
 }
 
 /// Refusal of a request that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why the request is refused.
+    /// Reason for the refusal.
     pub cause: Cause,
     /// Time after which the caller should retry.
     pub retry_after: Duration,
@@ -105,7 +108,7 @@
 /// Bounds of the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most requests that wait for one model or group.
+    /// Largest number of requests that wait for one model or group.
     pub waiting: usize,
 }
 
@@ -115,7 +118,7 @@
     }
 }
 
-/// The queues of one host.
+/// Queues of one host.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     bounds: Bounds,
@@ -124,23 +127,24 @@
 }
 
 impl Gate {
-    /// Creates the gate without waiting requests.
+    /// Returns a gate without waiting requests.
     pub fn new(bounds: Bounds) -> Gate {
         Gate { bounds, ..Gate::default() }
     }
 
-    /// Returns the number of waiting requests, over all models and groups.
+    /// Number of waiting requests, over all models and groups.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the models and groups that requests wait for.
+    /// Models and groups that requests wait for.
     pub fn pools(&self) -> Vec<DestinationIndex> {
         self.queues.iter().filter(|(_, queue)| !queue.is_empty()).map(|(pool, _)| *pool).collect()
     }
 
-    /// Decides on an arrival. A request that it displaces from a full queue is refused at once and
-    /// added to `refused`.
+    /// Decides on an arrival. If the request displaces another from a full queue, the refusal of
+    /// the other is added to `refused`. A due time that the servers could not meet even if idle is
+    /// first moved to the earliest that they could.
     pub fn arrive(
         &mut self,
         mut request: Request,
@@ -188,8 +192,8 @@
         Some(request)
     }
 
-    /// Removes all waiting requests that can no longer meet their target, and returns their
-    /// refusals.
+    /// Removes the waiting requests of a model or group whose first token is no longer expected
+    /// before it is due, and returns their refusals.
     pub fn sweep(
         &mut self,
         pool: DestinationIndex,
@@ -214,7 +218,7 @@
         hopeless.into_iter().map(|(request, refusal)| (request.ticket, refusal)).collect()
     }
 
-    /// Removes a request whose caller has gone; false if it was not waiting.
+    /// Removes a request whose caller has disconnected; returns false if it was not waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(pool) = self.waiting.remove(&ticket) else {
             return false;
@@ -223,7 +227,7 @@
     }
 }
 
-/// Returns a refusal if the first token can't be expected before it is due.
+/// Returns a refusal if the first token is not expected before it is due.
 fn late_refusal(
     now: Moment,
     wait: Duration,
@@ -235,8 +239,8 @@
     Some(refusal(Cause::Late, late, request))
 }
 
-/// Creates a refusal. The caller is asked to retry when the load ahead should be gone, and up to
-/// half as much later, so that callers that were refused together do not return together.
+/// Returns a refusal. The caller is asked to retry after the time `wait`, within bounds, and up to
+/// half as much later, so that callers that were refused together do not retry together.
 fn refusal(cause: Cause, wait: Duration, request: &Request) -> Refusal {
     let base = wait.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER);
     let spread = base / 2 * (request.spread % 256) as u32 / 256;
--- a/crates/policy/src/admit/queue.rs
+++ b/crates/policy/src/admit/queue.rs
@@ -1,9 +1,9 @@
-//! The queue of one model or group: ordered by priority, then by share, then by due time.
+//! Queue of one model or group, ordered by priority, then by share, then by due time.
 //!
 //! Shares are kept by virtual time: each start advances the virtual time of its customer, and of
-//! its service within the customer, by the inverse of the share, and the one with the least virtual
-//! time is next. A customer or service that was idle starts at the least virtual time of the
-//! others, so being idle earns it nothing.
+//! its service within the customer, by the inverse of the share, and the one with the lowest
+//! virtual time is next. A customer or service that was idle starts at no less than the lowest
+//! virtual time of the waiting ones, so that it gains no advance by being idle.
 
 use std::collections::BTreeMap;
 
@@ -15,10 +15,10 @@
 /// Advance in virtual time of one start at a share of one.
 const START_COST: u64 = 1 << 20;
 
-/// Number of starts over which the moving average of each class's share of the starts extends.
+/// Window of the moving average of each class's share of the starts, in starts.
 const STARTS_WINDOW: f64 = 64.0;
 
-/// Waiting requests of one service that need the same from a server.
+/// Waiting requests of one service for the same destination, by due time.
 #[derive(Clone, Debug, Default)]
 struct Flow {
     virtual_time: u64,
@@ -34,11 +34,12 @@
     flows: BTreeMap<(service::Id, DestinationIndex), Flow>,
 }
 
-/// Waiting requests of one priority.
+/// Waiting requests of one priority class.
 #[derive(Clone, Debug, Default)]
 struct Class {
     accounts: BTreeMap<customer::Id, Account>,
     waiting: usize,
+    /// Share of the class in the recent starts, from 0 to 1.
     starts: f64,
 }
 
@@ -56,12 +57,12 @@
         self.index.is_empty()
     }
 
-    /// Returns the number of waiting requests.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Returns how many waiting requests would start before this one.
+    /// Estimates how many waiting requests would start before this one if it were added.
     pub fn ahead(&self, request: &Request) -> usize {
         let higher = self.higher(request.priority);
         let class = &self.classes[request.priority as usize];
@@ -73,8 +74,8 @@
         higher + class.ahead_in_class(&request.customer, request, before)
     }
 
-    /// Returns how long a request at this position, counted from one, is expected to wait, given
-    /// its class's share of the starts.
+    /// Estimates how long a request at this position, counted from one, waits: one start for each
+    /// request that ends, at the part of the starts that higher classes leave.
     pub fn wait(&self, position: usize, priority: Priority, outlook: &Outlook) -> Duration {
         if outlook.in_flight == 0 {
             return Duration::ZERO;
@@ -101,7 +102,7 @@
         self.classes[request.priority as usize].push(request);
     }
 
-    /// Removes and returns the next request that has room.
+    /// Removes and returns the next request whose destination has room.
     pub fn pop(&mut self, room: impl Fn(DestinationIndex) -> u32) -> Option<Request> {
         let lower_first = self.starts % LOWER_EVERY == LOWER_EVERY - 1;
         let mut order: Vec<usize> =
@@ -115,7 +116,7 @@
         Some(request)
     }
 
-    /// Notes that a request of this priority started, from the queue or without waiting.
+    /// Records that a request of this priority started, from the queue or without waiting.
     pub fn started(&mut self, priority: Priority) {
         self.starts = self.starts.wrapping_add(1);
         for (at, class) in self.classes.iter_mut().enumerate() {
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Removes and returns the request with the latest due time in the least urgent class below
-    /// this priority.
+    /// Removes and returns the request with the latest due time of the least urgent class that has
+    /// waiting requests; `None` if no class below this priority has any.
     pub fn displace(&mut self, priority: Priority) -> Option<Request> {
         let class = self.classes[..priority as usize].iter().find(|class| 0 < class.waiting)?;
         let ticket = class
@@ -136,7 +137,7 @@
         self.remove(ticket)
     }
 
-    /// Removes and returns the request with this number.
+    /// Removes and returns the request with this number; `None` if it does not wait.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Request> {
         let (priority, customer, service, wanted, due) = self.index.remove(&ticket)?;
         let class = &mut self.classes[priority as usize];
@@ -146,7 +147,7 @@
         Some(request)
     }
 
-    /// Returns the waiting requests, each with its position counted from one.
+    /// Waiting requests, each with its estimated position in order of start, counted from one.
     pub fn positions(&self) -> impl Iterator<Item = (usize, &Request)> {
         Priority::ALL.into_iter().flat_map(move |priority| {
             let class = &self.classes[priority as usize];
@@ -201,7 +202,7 @@
         Some(request)
     }
 
-    /// Returns how many requests of this class start before one that has `before` requests of its
+    /// Estimates how many requests of this class start before one that has `before` requests of its
     /// own flow ahead of it, if flows take turns by their shares.
     fn ahead_in_class(&self, customer: &customer::Id, request: &Request, before: usize) -> usize {
         let own_weight = f64::from(request.customer_share.max(1));
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -2,9 +2,9 @@
 //!
 //! A host sees neither how many requests other hosts send to the same server nor how far the
 //! engine's batch can still grow, so an adaptive limit infers both from the outcomes of this host's
-//! requests. There are three algorithms, so that they can be compared by measurement: a fixed
-//! limit, additive increase with multiplicative decrease (AIMD), and one that follows the gradient
-//! of the first-token time. `docs/design/caller-path.md` holds the measurement and the choice.
+//! requests. There are three algorithms: a fixed limit, additive increase with multiplicative
+//! decrease (AIMD), and one that follows the gradient of the first-token time.
+//! `docs/design/caller-path.md` compares them and gives the reasons for the default.
 
 use std::{
     collections::HashMap,
@@ -57,7 +57,7 @@
     pub min: f64,
     /// Upper bound of the limit.
     pub max: f64,
-    /// Increase of the limit for as many good answers as the limit is large.
+    /// Increase of the limit over as many good answers as the limit counts requests.
     pub increase: f64,
     /// Factor applied to the limit on overload; below one.
     pub decrease: f64,
@@ -117,7 +117,9 @@
     algorithm: Algorithm,
     limit: f64,
     in_flight: u32,
+    /// Moving average of the first-token time, in seconds; zero before the first.
     baseline: f64,
+    /// When the AIMD algorithm last decreased the limit; zero before the first time.
     decreased_at: Moment,
 }
 
--- a/crates/policy/src/once.rs
+++ b/crates/policy/src/once.rs
@@ -16,7 +16,7 @@
 //! Retention: entries are kept for [`Settings::retention`]. A key that carries a time (a version 7
 //! UUID) is accepted only while that time is near, see [`Settings::check`], so that the key is
 //! refused before its entry can have been forgotten, whatever the caller's clock says. A key
-//! without a time is recognised for that long and no longer.
+//! without a time is recognised during the retention and no longer.
 //!
 //! Outages of the object API: see [`Outage`].
 
--- a/crates/policy/src/once/claim.rs
+++ b/crates/policy/src/once/claim.rs
@@ -15,7 +15,7 @@
     pub digest: u64,
     /// Run of the host that will dispatch the request.
     pub claimant: HostRun,
-    /// When the claim was made.
+    /// When the claim was made; its time-out and the length of its grant count from then.
     pub made_at: Moment,
 }
 
@@ -69,7 +69,7 @@
 impl Refusal {
     /// What the refusal says of the request's run, by this send or an earlier one.
     ///
-    /// A caller that sends a key again asks for the fate of the first send too, so "did not run"
+    /// A caller that sends a key again also asks whether the first send ran, so "did not run"
     /// requires a read of the range's object that is no older than this send. A request with
     /// another request's key did not run itself, whatever became of the first request with that
     /// key.
@@ -88,7 +88,7 @@
     }
 }
 
-/// Answer to one of the claims that waited.
+/// Answer to a waiting claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Answer {
     /// Id of the claim's request.
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -7,7 +7,8 @@
 
 use super::{Claim, Key, UnixMillis};
 
-/// Size of an entry without its outcome, as JSON, in bytes; a little more than the longest seen.
+/// Upper estimate of the size of an entry as JSON, in bytes, without its outcome and without the
+/// ids of the request and the host.
 const ENTRY_BYTES: usize = 200;
 
 /// Object of a range of keys.
@@ -79,9 +80,9 @@
 /// Times of keys that may have been granted from memory, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gap {
-    /// Earliest time.
+    /// Earliest time that such a key carries.
     pub from: UnixMillis,
-    /// Latest time.
+    /// Latest time that such a key carries.
     pub until: UnixMillis,
 }
 
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -82,8 +82,11 @@
     /// Number of claims that have arrived so far.
     claim_count: u64,
     changes: Vec<Change>,
-    /// When the first of the unwritten changes was reported.
+    /// Start of the time [`Settings::settle`] after which changes are written even without a claim:
+    /// set by the first unwritten change, by a renewal of the right to grant from memory, or by the
+    /// end of a write that did not contain all changes.
     changed_at: Option<Moment>,
+    /// Granted claims of this host whose end has not been reported.
     granted: BTreeSet<request::Id>,
     /// Waiting claims whose write may have taken effect, or may still do so.
     unconfirmed: BTreeSet<request::Id>,
@@ -91,6 +94,7 @@
     memory_grants: BTreeMap<Key, Entry>,
     /// When the right to grant from memory ends.
     hold_until: Option<Moment>,
+    /// Runs of hosts' processes that ended for good.
     gone: BTreeSet<HostRun>,
     leaving: bool,
     failures: u32,
@@ -303,7 +307,8 @@
         Call::Read
     }
 
-    /// Whether a waiting claim meets another host's claim, which may have ended since the read.
+    /// Whether another host has claimed the key of a waiting claim, by a claim that may have ended
+    /// since the last read.
     fn needs_read(&self, known: &Known) -> bool {
         self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             let entry = known.document.entries.get(&waiting.claim.key.key);
--- a/crates/policy/src/once/range/timeout.rs
+++ b/crates/policy/src/once/range/timeout.rs
@@ -1,4 +1,4 @@
-//! Answers to claims that the object API left waiting.
+//! Answers to claims that have waited too long for the object API.
 
 use super::{
     Answer, Change, Document, End, InFlight, Now, Range, Refusal, Verdict, Waiting, answer, refuse,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,15 +1,15 @@
 //! Quotas: rate limits of servers, shared by all hosts.
 //!
-//! A server in need names a rate limit in its answers ([`limits`]). From then on requests are sent
-//! to it only with a permit. For each limited server one host grants permits, the owner: the first
-//! of the live hosts by rendezvous hashing of the server's id, so that the owners of many servers
-//! are spread over the hosts and none is elected. Safety does not depend on there being one owner,
-//! but on the [`lease`] of each host's share of the quota to one host at a time. Hosts that
-//! disagree on the owner split the quota between the hosts that they regard as owners; a host that
-//! is cut off keeps its own share, which is mostly too small for a request.
+//! A server that limits its load names a rate limit in its answers ([`limits`]). From then on
+//! requests are sent to it only with a permit. For each limited server one host grants permits, the
+//! owner: the first of the live hosts by rendezvous hashing of the server's id, so that the owners
+//! of many servers are spread over the hosts and none is elected. Safety does not depend on there
+//! being one owner, but on the [`lease`] of each host's share of the quota to one host at a time.
+//! Hosts that disagree on the owner split the quota between the hosts that they regard as owners; a
+//! host that is cut off keeps its own share, which is mostly too small for a request.
 //!
-//! The state does no I/O: messages and the time go in, messages come out. Messages may be lost,
-//! late or duplicated.
+//! [`Quotas`] does no I/O: it takes messages and the current time, and returns messages to send.
+//! Messages may be lost, late or duplicated.
 
 pub mod bucket;
 pub mod client;
@@ -152,8 +152,8 @@
         self.servers.is_empty()
     }
 
-    /// Number of hosts that share each quota, including this one. A silent host goes on counting,
-    /// except with hosts that hear from nearly all others.
+    /// Number of hosts that share each quota, including this one. A silent host still
+    /// counts, unless this host hears from nearly all others; see [`members`].
     pub fn sharers(&self) -> u32 {
         self.members.count()
     }
--- a/crates/policy/src/quota/bucket.rs
+++ b/crates/policy/src/quota/bucket.rs
@@ -2,7 +2,7 @@
 
 use types::time::Moment;
 
-/// Level that counts as a whole token, less the rounding error of sums of fractions.
+/// Level from which a token can be taken: one, less the rounding error of summed fractions.
 const ONE_TOKEN: f64 = 1.0 - 1e-9;
 
 /// Token bucket that starts empty, with rate and capacity zero.
--- a/crates/policy/src/quota/client.rs
+++ b/crates/policy/src/quota/client.rs
@@ -127,10 +127,10 @@
         Demand { permits: u32::from(has_missed && available == 0), urgency: IDLE }
     }
 
-    /// Whether a permit request to an owner is due now. A changed number of permits is requested
-    /// once in `repeat`; the first permit, none any more and a higher urgency are requested at
-    /// once, within [`MIN_REQUEST_INTERVAL`]. Permits that no request waits for yet are requested
-    /// again only with the renewals of leases.
+    /// Whether a permit request to an owner is due now. While requests wait, it is repeated at the
+    /// interval `repeat`. When the first permit is needed, none is needed any more, or the urgency
+    /// rises, it is due at once, but not within [`MIN_REQUEST_INTERVAL`] of the last one. Permits
+    /// that no request waits for yet are requested again only with the renewals of leases.
     pub fn should_request(&self, owner: &host::Id, repeat: Duration, now: Moment) -> bool {
         let demand = self.unmet_demand(now);
         let is_wanted = 0 < demand.permits;
@@ -161,8 +161,8 @@
         self.queue = Some((now, waiting));
     }
 
-    /// Part of the requests waiting at the owner that this host's requests make up, with one more
-    /// of this host; 1 if the length of the queue is not known.
+    /// Fraction of the requests waiting at the owner that are this host's, if this host had one
+    /// more; 1 if the length of the queue is not known.
     pub fn fraction(&self, now: Moment) -> f64 {
         let own = f64::from(self.demand.permits) + 1.0;
         let fresh = self.queue.filter(|(at, _)| now < *at + QUEUE_LIFETIME);
--- a/crates/policy/src/quota/limits.rs
+++ b/crates/policy/src/quota/limits.rs
@@ -14,7 +14,7 @@
 /// Number of a change of one server's limit; rises with each change.
 pub type Version = u64;
 
-/// Limit of a server as of a change.
+/// Rate limit of a server, with the number of the change that set it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/policy/src/quota/owner.rs
+++ b/crates/policy/src/quota/owner.rs
@@ -22,8 +22,8 @@
 /// and arrive in the next.
 const GRANTED_FRACTION: f64 = 0.96;
 
-/// Rate, in requests per second, at which a server that takes none is probed, so that an answer can
-/// show when the limit has ended.
+/// Lowest rate, in requests per second, at which permits are granted. A server with a limit of zero
+/// still gets requests at this rate, so that an answer can show when the limit has ended.
 const MIN_RATE: f64 = 0.2;
 
 /// Capacity of the token bucket: this many requests, and [`BURST_SECONDS`] of the limit besides.
@@ -31,18 +31,18 @@
 const BURST_SECONDS: f64 = 0.25;
 
 /// Requests sent before the limit was known that need no compensation: this many, and
-/// [`GRACE_SECONDS`] of the limit besides. What exceeds them is charged to the token bucket first.
+/// [`GRACE_SECONDS`] of the limit besides. Requests beyond these are charged to the token bucket.
 const GRACE_REQUESTS: f64 = 2.0;
 const GRACE_SECONDS: f64 = 3.0;
 
-/// Longest time, in seconds, for which nothing is granted while that excess is paid off.
+/// Longest time, in seconds, for which nothing is granted while such a charge is paid off.
 const MAX_DEBT_SECONDS: f64 = 3.0;
 
 /// Time after which a permit request that was not repeated expires: a permit must still be of use
 /// when it arrives.
 const REQUEST_LIFETIME: Duration = Duration::from_secs(1);
 
-/// State of the grants of one server's quota by this host.
+/// Permit requests to this host for one server, and the shares and tokens to grant from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Owner {
     pool: Pool,
@@ -50,6 +50,7 @@
     pending: BTreeMap<host::Id, Pending>,
     /// Requests that each host sent just before it knew of the limit.
     sent_before: BTreeMap<host::Id, u32>,
+    /// Number of permits granted so far.
     turn: u64,
 }
 
@@ -58,9 +59,9 @@
     wanted: u32,
     urgency: u8,
     at: Moment,
-    /// Turn in which the host was last granted a permit; lower goes first.
+    /// Value of [`Owner::turn`] when the host was last granted a permit; lower goes first.
     turn: u64,
-    /// Permits that the host had not read of when it sent its last request, with when they were
+    /// Permits that the host had not received when it sent its last request, each with when it was
     /// granted.
     unacknowledged: VecDeque<(Moment, u32)>,
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -5,8 +5,8 @@
 //! full table of failure points is in `docs/design/caller-path.md`; [`decide`] implements that
 //! table.
 //!
-//! Retries are paid from a token bucket that successes fill, so that an overload or an outage is
-//! multiplied by no more than a fixed ratio.
+//! Each retry takes from a token bucket that successes fill, so that retries raise the load in an
+//! overload or an outage by no more than a fixed ratio.
 
 pub mod budget;
 pub mod suspicion;
@@ -98,7 +98,7 @@
     pub repeat: Repeat,
     /// Whether the body of the request can be sent again.
     pub body: Body,
-    /// Whether the request ran in earlier attempts, at the worst.
+    /// Whether the request ran in earlier attempts: the greatest value that any of them showed.
     pub before: Ran,
     /// Number of attempts made, including this one.
     pub attempts: request::Attempt,
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -3,7 +3,7 @@
 /// Units of the bucket that one retry costs.
 const UNITS_PER_RETRY: u64 = 1000;
 
-/// Ratio of retries to successes.
+/// Ratio of retries to successes, with the number of retries that can be saved up.
 #[derive(Clone, Copy, Debug)]
 pub struct Ratio {
     /// Retries earned by a thousand successes.
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -7,8 +7,8 @@
 //! between zones is part of each estimate, weighted by [`SPILL_WEIGHT`], so that requests leave
 //! their zone only when they gain more than the round trip costs.
 //!
-//! Ids are interned as dense indices when a server or a destination first occurs. A request then
-//! looks up one name and walks vectors.
+//! Ids are interned as dense indices when a server or a destination first occurs, so that a request
+//! costs one lookup by name and scans of vectors.
 
 pub mod estimate;
 pub mod hints;
@@ -26,7 +26,8 @@
 pub const SAMPLE_SIZE: usize = 4;
 
 /// Weight of the round trip to another zone in the cost of a server there. A weight of one counts
-/// the time alone; the rest stands for the tokens that all take the same path.
+/// the round trip of the first token; the rest accounts for the later tokens, which take the same
+/// path.
 pub const SPILL_WEIGHT: u32 = 2;
 
 /// Criteria for the choice of a server.
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -1,17 +1,17 @@
 //! Load of one server as this host sees it, and the first-token time that follows from it.
 //!
-//! A report is as old as its lag. Requests that this host sent since the report was taken are
-//! added, requests that ended since are subtracted, and the prompt backlog is drained at the
-//! reported rate, so that a burst within one lag is not sent to one server. The requests of peers
-//! in flight are known only as a count; where those of this host and its peers together exceed the
-//! reported figure, the larger one counts.
+//! A report shows the load at an earlier time. Requests that this host sent since the report was
+//! taken are added, requests that ended since are subtracted, and the prompt backlog is drained at
+//! the reported rate, so that a burst between two reports is not all sent to one server. The
+//! requests of peers in flight are known only as a count; where those of this host and its peers
+//! together exceed the reported figure, the larger one counts.
 
 use std::collections::VecDeque;
 
 use types::{prelude::*, report::Load};
 
-/// Weight of the newest sample in the moving average of the time that a request holds a slot: one
-/// in this many.
+/// Divisor of the weight of the newest sample in the moving average of the time that a request
+/// holds a slot: the sample counts for one part in this many.
 const HOLD_TIME_WEIGHT: u32 = 8;
 
 /// One request for this many slots may wait on the server, so that slots that become free between
@@ -39,7 +39,7 @@
     }
 }
 
-/// Receipt of a request sent to a server; returned when the request ends.
+/// Request sent to a server; passed to [`View::ended`] when the request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
     /// When the request was sent.
@@ -48,7 +48,7 @@
     pub tokens: u32,
 }
 
-/// Load of one server by other hosts.
+/// Load that other hosts put on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerLoad {
     /// Number of requests in flight.
@@ -196,9 +196,8 @@
     }
 
     /// Number of requests that may still be sent before the server's own queue exceeds one request
-    /// for [`SLOTS_PER_QUEUED_REQUEST`] slots. A request that waits on the server is out of reach:
-    /// it can't be refused any more, nor overtaken by a request with higher priority on another
-    /// host.
+    /// for [`SLOTS_PER_QUEUED_REQUEST`] slots. A request that waits on the server can no longer be
+    /// refused, nor be overtaken by a request with higher priority on another host.
     pub fn spare(&self) -> u32 {
         let slots = self.report.slots;
         (slots + slots.div_ceil(SLOTS_PER_QUEUED_REQUEST)).saturating_sub(self.in_flight())
--- a/crates/policy/src/route/hints.rs
+++ b/crates/policy/src/route/hints.rs
@@ -1,10 +1,10 @@
 //! Prefix hints: which servers are thought to have a prompt's prefix in their cache.
 //!
 //! Hints come from the engines' cache events, which are late and have gaps, and from where earlier
-//! requests were sent. A hint is only a reason to prefer a server: a wrong one costs a prefill,
-//! never an answer. Memory is bounded by two generations: when the current one is full, it becomes
-//! the previous one, and prefixes of the former previous one that were not added again are
-//! forgotten.
+//! requests were sent. A hint is only a reason to prefer a server: a wrong one costs a prefill and
+//! does not change the answer. Memory is bounded by two generations: when the current one is full,
+//! it becomes the previous one, and prefixes of the former previous one that were not added again
+//! are forgotten.
 
 use std::{
     collections::HashMap,
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -1,8 +1,9 @@
 //! Servers that a host knows, and the destinations that each has ready.
 //!
 //! Servers and destinations are interned: an index stays valid for the life of the table, and a
-//! server that comes back gets its former one. The units that a server has ready come from its own
-//! reports, so a unit that it lost in a restart is no longer offered after the next report.
+//! server that comes back gets its former index. The models and adapters that a server has ready
+//! come from its own reports, so one that it lost in a restart is no longer offered after the next
+//! report.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 /// Dense index of a destination.
 pub type DestinationIndex = u32;
 
-/// What a request can be sent to.
+/// What a server must have ready to serve a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
     /// Any server that has a model ready, or an adapter on it, in any version.
@@ -231,7 +232,7 @@
         }
     }
 
-    /// When a server may be tried that is excluded only by suspicion.
+    /// When a server that only suspicion excludes may be tried again; `None` for other servers.
     pub fn suspected_until(&self, index: Index) -> Option<Moment> {
         let row = &self.rows[index as usize];
         match row.eligibility {
--- a/crates/policy/src/stream.rs
+++ b/crates/policy/src/stream.rs
@@ -2,8 +2,9 @@
 //!
 //! A stream may be carried by several attempts in sequence, on different servers. Each frame names
 //! its request, its attempt and its offset. Frames of another request or of an abandoned attempt,
-//! and tokens that were delivered before, are dropped; a gap means that the attempt has lost
-//! something and must be resumed. So the caller sees each token once, in order, or one error.
+//! and tokens that were delivered before, are dropped; a gap means that the attempt has lost a
+//! token, and that another attempt must resume the stream. So the caller sees each token once, in
+//! order, or one error.
 
 use types::prelude::*;
 
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -31,7 +31,7 @@
     Duration::from_millis(n)
 }
 
-/// All places are taken for 100 ms each. Ten requests run at once, so one ends every 10 ms.
+/// Outlook without room: ten requests are in flight for 100 ms each, so one ends every 10 ms.
 fn busy() -> Outlook {
     Outlook {
         room: 0,
@@ -148,10 +148,15 @@
         arrive(&mut gate, request(ticket, Priority::Normal, "chat", 60_000), &busy());
     }
     let late = Request { spread: 0, ..request(999, Priority::Normal, "chat", 1000) };
-    // Due before all waiting requests, but of another service, with which it takes turns.
+    // It is due before all waiting requests, but belongs to another service, which takes turns with
+    // theirs.
     let late = Request { service: "other".into(), ..late };
     let (verdict, _) = arrive(&mut gate, late, &busy());
-    assert_eq!(verdict, Verdict::Wait, "a turn of its own comes soon");
+    assert_eq!(
+        verdict,
+        Verdict::Wait,
+        "the only request of its service must not wait for all 500 of the other"
+    );
     let late = Request { due: millis(61_000), ..request(1000, Priority::Batch, "scan", 0) };
     let late = Request { due: millis(2000), spread: 0, ..late };
     match arrive(&mut gate, late, &busy()).0 {
@@ -275,7 +280,8 @@
             let outlook = Outlook { room, ..busy() };
             match kind {
                 0..=2 => {
-                    let request = request(ticket, Priority::ALL[priority as usize], &service.to_string(), due);
+                    let request =
+                        request(ticket, Priority::ALL[priority as usize], &service.to_string(), due);
                     let mut refused = Vec::new();
                     let verdict = gate.arrive(request, &outlook, now, &mut refused);
                     match verdict {
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -58,7 +58,7 @@
     let before = limiter.limit();
     (0..20).for_each(|n| limiter.signal(SLOW, millis(1000 + n)));
     let during = limiter.limit();
-    assert!(during < before, "{during} against {before}");
+    assert!(during < before, "limit {during} under slow answers, {before} before");
     (0..400).for_each(|n| limiter.signal(FAST, millis(2000 + n)));
     assert!(during < limiter.limit());
 }
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -1,4 +1,4 @@
-//! Claims of keys: at most one run, whatever the object API and the hosts do.
+//! Claims of keys: at most one run of a request, under faults of the object API and of hosts.
 
 mod support;
 
@@ -64,7 +64,8 @@
     assert!(matches!(host.verdict("again"), Some(Verdict::Granted { .. })));
 }
 
-/// A host is paused past all time-outs with a write to send, and another host claims the key.
+/// A host is paused past all time-outs with an unsent write, and meanwhile another host claims the
+/// key.
 #[test]
 fn paused_host_with_a_write_in_hand_loses_to_its_successor() {
     let (mut a, mut b, mut store) = pair(Outage::Refuse);
@@ -79,7 +80,7 @@
     assert!(!matches!(a.verdict("a1"), Some(Verdict::Granted { .. })));
 }
 
-/// A refusal as "did not run" is about every send of the key, including those that other hosts
+/// A refusal with "did not run" holds for every send of the key, including those that other hosts
 /// received.
 #[rstest]
 #[case::outage(Fault::Down, None, Refusal::Unread)]
@@ -110,7 +111,7 @@
     }
 }
 
-/// A grant that its host used too late could outlive the entry.
+/// If a grant could be used after its entry was dropped, the key could be granted a second time.
 #[test]
 fn grant_ends_before_its_entry_can_be_forgotten() {
     let settings = settings(Outage::Refuse);
@@ -210,14 +211,14 @@
     let later = at(4_000_000);
     a.claim(later, "other", &key("other"), 1);
     a.settle(later, &mut store, Fault::None);
-    assert_eq!(store.document().entries.len(), 1, "old entries are forgotten");
+    assert_eq!(store.document().entries.len(), 1, "entries past the retention are dropped");
     a.claim(later, "a3", &old, 1);
     a.claim(later, "a4", &key("opaque"), 1);
     a.settle(at(4_000_100), &mut store, Fault::None);
     assert_eq!(a.verdict("a3"), Some(Verdict::Refused(Refusal::Old)));
     assert!(
         matches!(a.verdict("a4"), Some(Verdict::Granted { .. })),
-        "keys without a time are kept no longer"
+        "a key without a time is not recognised after the retention"
     );
 }
 
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -1,10 +1,10 @@
-//! Share of non-idempotent requests served in an outage of the object API, with each handling of
-//! outages.
+//! Fraction of non-idempotent requests that are granted during an outage of the object API, for
+//! each setting of [`Outage`].
 //!
-//! Sixteen ranges are held by eight hosts; an outage of ten minutes is in the middle of twenty; in
-//! some runs one holder dies in the outage. Requests carry the time of their send, or none.
+//! Eight hosts hold sixteen ranges for twenty minutes, with an outage of ten minutes in the middle.
+//! In some runs one holder dies during the outage. Keys carry the time of their send, or none.
 
-#![allow(clippy::print_stdout, reason = "the figures of a run")]
+#![allow(clippy::print_stdout, reason = "the figures of a run are printed")]
 
 mod support;
 
@@ -20,7 +20,7 @@
 const STEP_MS: u64 = 250;
 const OUTAGE_MS: std::ops::Range<u64> = 300_000..900_000;
 const END_MS: u64 = 1_200_000;
-/// When one host dies, in runs where one does, in milliseconds.
+/// When the host dies in runs with [`Death::OneHost`], in milliseconds.
 const DEATH_MS: u64 = 600_000;
 
 /// Whether callers' keys carry a time.
@@ -82,7 +82,8 @@
             }
             held.host.settle(now, &mut held.store, fault);
             for (id, verdict) in std::mem::take(&mut held.host.answers) {
-                let sent = sent.remove(&id).expect("asked for");
+                let sent =
+                    sent.remove(&id).expect("each answer belongs to one request that was sent");
                 let in_outage = OUTAGE_MS.contains(&sent);
                 let count = if in_outage { &mut answered.0 } else { &mut answered.1 };
                 count.sent += 1;
--- a/crates/policy/tests/once_random.rs
+++ b/crates/policy/tests/once_random.rs
@@ -116,7 +116,8 @@
         self.check()
     }
 
-    /// The first send of a key fixes its time; key 3 has none.
+    /// Sends a key from a caller to a host. The first send of a key fixes the time that it carries;
+    /// key 3 carries none.
     fn send(&mut self, host: usize, number: u8) {
         let now = self.now();
         let time = self.time as i64;
@@ -158,7 +159,10 @@
             let run = self.runs.get(&key.key).filter(|(_, time)| self.is_recognised(key, *time));
             match verdict {
                 Verdict::Granted { until } => {
-                    prop_assert!(at(self.time).moment < *until, "too late to use");
+                    prop_assert!(
+                        at(self.time).moment < *until,
+                        "a grant must not have expired when it is given"
+                    );
                     prop_assert_eq!(run, None, "granted again to {}", id);
                     self.runs.insert(key.key, (id.clone(), self.time));
                 }
@@ -172,7 +176,7 @@
         Ok(())
     }
 
-    /// A key without a time is recognised for the stated time, any other for ever.
+    /// A key without a time is recognised during [`Settings::retention`], any other for ever.
     fn is_recognised(&self, key: TimedKey, granted: u64) -> bool {
         let retention = self.settings.retention().as_millis() as u64;
         key.stamp.is_some() || self.time - granted < retention
@@ -197,8 +201,8 @@
         }
     }
 
-    /// A key's time is not trusted: whatever it says, an entry outlives every re-send that is
-    /// accepted.
+    /// Callers choose the time in a key. Whatever it is, the entry must be kept for as long as a
+    /// repeat of the key is accepted.
     #[test]
     fn entry_of_a_key_with_a_time_outlives_its_acceptance(
         claimed in 0..10_000_000_u64,
--- a/crates/policy/tests/quota/limits.rs
+++ b/crates/policy/tests/quota/limits.rs
@@ -1,4 +1,4 @@
-//! Order of the limits that servers name.
+//! Which limit is in force when answers and other hosts' messages arrive in any order.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     "lm-1".into()
 }
 
-/// Limits with 5 a second for the server, version 1, known since 100 ms.
+/// Limits with 5 requests per second for the server, version 1, recorded at 100 ms.
 fn limits() -> Limits {
     let mut limits = Limits::default();
     let change = limits.observe(&server(), rate(5.0), ms(50), ms(100)).expect("a change");
@@ -106,7 +106,8 @@
             let limit = (limit != 0).then(|| Rate::per_second(limit.into())).flatten();
             hosts[host].observe(&server(), limit, now - ms(ago), now);
         }
-        // Each host receives from each, twice, since what is received may be passed on.
+        // Each host receives the limits of each host twice, since a host may pass on limits that it
+        // received in the first round.
         for pair in order.iter().chain(&order) {
             let (from, to) = (pair / 4, pair % 4);
             let sent: Vec<Limit> = hosts[from].iter().map(|(_, limit)| limit).collect();
--- a/crates/policy/tests/quota/permits.rs
+++ b/crates/policy/tests/quota/permits.rs
@@ -42,10 +42,14 @@
     let mut client = Client::default();
     assert_eq!(client.on_grant(2, ms(1_000), ms(1_100)), 0);
     assert!(client.has_permit(ms(2_000)));
-    assert!(!client.has_permit(ms(2_600)), "too long after the request for it");
+    assert!(!client.has_permit(ms(2_600)), "a permit is expired 1.6 s after its request");
     assert_eq!(client.expire(ms(2_600)), 2);
     assert!(!client.use_permit(ms(2_600)));
-    assert_eq!(client.on_grant(3, ms(1_000), ms(2_600)), 3, "too late to be used");
+    assert_eq!(
+        client.on_grant(3, ms(1_000), ms(2_600)),
+        3,
+        "permits that arrive 1.6 s after their request are expired"
+    );
 }
 
 #[test]
@@ -64,10 +68,10 @@
     owner.grant(limit(), 1, ms(0));
     let granted = owner.grant(limit(), 1, ms(200));
     assert_eq!(granted, [(host.clone(), 2)]);
-    // Sent before the host had read of the permits.
+    // This request was sent before the host received the permits.
     owner.on_request(&host, &request(2, 1), ms(100), limit(), ms(210));
     assert_eq!(owner.grant(limit(), 1, ms(500)), []);
-    // Sent afterwards.
+    // This request was sent after the host received the permits.
     owner.on_request(&host, &request(2, 1), ms(200), limit(), ms(510));
     assert_eq!(owner.grant(limit(), 1, ms(520)), [(host, 2)]);
 }
@@ -122,7 +126,7 @@
     assert!(!quotas.has_permit("lm-1", ms(1_000)));
 }
 
-/// An owner that is regarded as live and answers nobody is given up after its time-out.
+/// An owner that is regarded as live but does not answer is replaced after a time-out.
 #[test]
 fn an_owner_that_answers_nobody_is_passed_over() {
     let server: backend::Id = "lm-1".into();
@@ -144,7 +148,8 @@
     assert_eq!((11_400..12_000).step_by(20).map(&mut shares).max(), Some(1));
 }
 
-/// A server that goes and comes back is the same one to the host that holds a share of its quota.
+/// If a server is forgotten and comes back while a share of its quota is lent, the borrower may
+/// still grant from that share, so the lender must not use it before the lease has expired.
 #[test]
 fn a_share_that_is_lent_stays_so_while_its_server_is_gone() {
     let server: backend::Id = "lm-1".into();
@@ -170,7 +175,7 @@
 
     quotas.forget("lm-1");
     quotas.tick(ms(10_300));
-    // The other host is no longer live, and this one becomes the owner.
+    // The other host is no longer live, so this host becomes the owner.
     quotas.update_hosts([(&id(&first), false)].into_iter(), vec![id("a")], ms(10_400));
     name(&mut quotas, 10_500);
     assert_eq!(quotas.shares(ms(10_500)), 0, "the other host may still hold the lease");
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -1,8 +1,8 @@
-//! Simulation of hosts before one limited server, under virtual time.
+//! Simulation of hosts that send requests to one limited server, under virtual time.
 //!
-//! Requests arrive at hosts and wait for a while. Messages are late, and hosts are cut off, frozen
-//! and restarted. The requests that reach the server are judged over all hosts, whatever faults
-//! these had.
+//! Requests arrive at hosts and wait for permits for a bounded time. Messages are delayed, and
+//! hosts are cut off, frozen and restarted. The requests that reach the server are counted over all
+//! hosts, whatever faults occurred.
 
 use std::{
     cmp::Reverse,
@@ -20,7 +20,7 @@
 
 pub const SERVER: &str = "lm-1";
 
-/// Interval at which a host looks at its queue.
+/// Interval between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(20);
 
 /// Interval at which hosts update which others are live.
@@ -32,7 +32,7 @@
 /// Time from sending a request to its answer.
 const ANSWER: Duration = Duration::from_millis(30);
 
-/// Time from the first naming of a limit until it binds.
+/// Time after a server first names a limit from which the limit is enforced.
 const CONTACT: Duration = Duration::from_secs(3);
 /// Window over which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
@@ -41,11 +41,12 @@
 
 /// Time in which a limit reaches all hosts.
 const LIMIT_PROPAGATION: Duration = Duration::from_millis(500);
-/// Requests that are allowed in a window besides.
+/// Number of requests that are allowed in a window in addition.
 const EXTRA_REQUESTS: f64 = 5.0;
 
-/// When a server first names a limit, and the time after which its use is measured.
+/// When a server first names a limit.
 pub const LIMITED: Duration = Duration::from_secs(8);
+/// Time from then until the use of the limit is measured.
 pub const SETTLED: Duration = Duration::from_secs(6);
 
 /// Number of requests over which the use of a limit is measured.
@@ -65,7 +66,7 @@
 pub enum Fault {
     /// No message passes between these hosts and the others.
     Cut(Vec<usize>),
-    /// These hosts make no progress and read their messages afterwards.
+    /// These hosts make no progress, and receive their messages when the fault ends.
     Freeze(Vec<usize>),
     /// These hosts end, and start again at the end of the fault with no state.
     Restart(Vec<usize>),
@@ -89,9 +90,9 @@
     pub spread: Spread,
     /// Longest delay of a message.
     pub delay: Duration,
-    /// Time that a request waits for a permit before it leaves.
+    /// Time for which a request waits for a permit before it is dropped.
     pub wait: Duration,
-    /// Limits that the server names, each with when it begins.
+    /// Limits that the server names, each with the time from which it does so.
     pub limits: Vec<(Duration, Option<f64>)>,
     pub faults: Vec<Planned>,
     pub length: Duration,
@@ -103,7 +104,8 @@
         Duration::from_secs_f64(REQUESTS / limit).max(Duration::from_secs(10))
     }
 
-    /// Plan with a server that names one limit from 8 s on, and twice as many requests.
+    /// Plan with a server that names one limit from [`LIMITED`] on, and a demand of twice the
+    /// limit, at least two requests per second above it.
     pub fn steady(hosts: usize, limit: f64, delay: Duration) -> Plan {
         Plan {
             seed: 7,
@@ -122,7 +124,7 @@
 
 struct Host {
     quotas: Quotas,
-    /// When its process started.
+    /// When the host's process started.
     born: Moment,
     queue: VecDeque<Moment>,
     last_heard: BTreeMap<usize, Moment>,
@@ -135,7 +137,7 @@
     Answer { to: usize, sent: Moment, millionths: Option<u64> },
 }
 
-/// Simulation.
+/// State of a simulation.
 pub struct Simulation {
     plan: Plan,
     random: ChaCha8Rng,
@@ -153,7 +155,7 @@
     format!("host-{place}").into()
 }
 
-/// Host that owns the server's quota while all hosts are there.
+/// Index of the host that owns the server's quota while all hosts are live.
 pub fn owner(hosts: usize) -> usize {
     let rank = |place: &usize| rendezvous::score(SERVER.as_bytes(), &name(*place));
     (0..hosts).max_by_key(rank).expect("a host")
@@ -222,7 +224,7 @@
     }
 
     /// Returns the highest limit named in the window before a moment, or just before that window,
-    /// if a limit was named all through the contact time.
+    /// if the server named limits without interruption for [`CONTACT`] before that moment.
     fn binding(&self, at: Moment) -> Option<f64> {
         let ends = self.plan.limits.iter().skip(1).map(|(from, _)| *from).chain([Duration::MAX]);
         let spans = self.plan.limits.iter().zip(ends).filter(|((from, _), _)| *from <= at);
@@ -236,7 +238,7 @@
         is_named.then_some(highest)
     }
 
-    /// Fraction of a limit that is used, from when it has settled to the end.
+    /// Fraction of a limit that is used, from [`SETTLED`] after it was named to the end.
     pub fn used(&self, limit: f64) -> f64 {
         let from = LIMITED + SETTLED;
         let sent = self.arrivals.iter().filter(|at| from < **at).count();
@@ -287,7 +289,8 @@
         }
     }
 
-    /// Each host updates who is there, and receives the limit that a random host knows.
+    /// Updates each running host's list of live hosts, and sends it the limit that a random host
+    /// knows.
     fn update_hosts(&mut self) {
         for place in (0..self.hosts.len()).filter(|place| self.runs(*place)).collect::<Vec<_>>() {
             for other in (0..self.hosts.len()).filter(|other| *other != place) {
@@ -340,7 +343,7 @@
                 continue;
             }
             if self.is_frozen(to) {
-                // Read once the host goes on.
+                // The host receives the event when it runs again.
                 self.put(self.now + STEP, event);
                 continue;
             }
@@ -390,7 +393,8 @@
         self.hosts[to].quotas.limit_changed(&server(), change, before, now);
     }
 
-    /// Requests that a host sent a short time ago: its even part of all.
+    /// Estimates the requests that a host sent in the last 1.5 s: an equal share of all requests in
+    /// that time if they are spread evenly, else all of them for host 0.
     fn before(&self, place: usize) -> u32 {
         let lately = self
             .arrivals
--- a/crates/policy/tests/quota/shared.rs
+++ b/crates/policy/tests/quota/shared.rs
@@ -1,4 +1,5 @@
-//! Requests that a limited server gets from all hosts together, and the use of its limit.
+//! Number of requests that all hosts together send to a limited server, and the fraction of the
+//! limit that they use.
 
 use std::time::Duration;
 
@@ -31,7 +32,7 @@
     let simulation = Simulation::new(plan).run();
     check(&simulation);
     if delay == 500 {
-        // A permit that takes as long as callers wait is of no use to them.
+        // With this delay a permit may arrive after its request has stopped waiting.
         return;
     }
     let used = simulation.used(limit);
@@ -59,7 +60,8 @@
     Planned { from: s(from), to: s(to), fault }
 }
 
-/// Faults of nine hosts once the server has named its limit must not let a share count twice.
+/// Faults of nine hosts after the server has named its limit must not let two hosts use one share
+/// of its quota at a time.
 #[rstest]
 #[case::half_are_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![0, 1, 2, 3]))])]
 #[case::one_is_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![4]))])]
@@ -89,7 +91,8 @@
     let simulation = Simulation::new(Plan { faults, length: s(from + 10.0), ..plan }).run();
     check(&simulation);
     let sent = simulation.arrivals.iter().filter(|at| s(from) < **at).count() as f64;
-    // A host that is lost keeps its share while silence is all that is known of it.
+    // The share of a host that has stopped stays reserved, since the others only know that it is
+    // silent.
     let least = (0.9 * 8.0 / 9.0 - 1.0 / REQUESTS) * limit * 10.0;
     assert!(least <= sent, "{sent} requests in 10 s, least {least}");
 }
@@ -152,8 +155,8 @@
     }
 }
 
-/// The windows that end right after the contact time contain requests sent before the server named
-/// its limit.
+/// A limit is enforced from 3 s after the server first names it, over windows of 4 s, so the first
+/// windows contain requests that were sent before the server named its limit.
 #[rstest]
 #[case::few(2.1, 12.0)]
 #[case::many(20.0, 75.0)]
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -114,12 +114,12 @@
     assert_eq!(
         suspicion.failed(3, Point::Waiting, at(0)),
         Eligibility::Suspected(at(1)),
-        "one burst"
+        "a second failure during the exclusion does not extend it"
     );
     assert_eq!(
         suspicion.start_trial(3, at(1)),
         Eligibility::Suspected(at(2)),
-        "one trial at a time"
+        "a trial excludes the server from other requests"
     );
     assert_eq!(suspicion.failed(3, Point::Connect, at(1)), Eligibility::Suspected(at(3)));
     suspicion.start_trial(3, at(3));
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -56,7 +56,7 @@
     let unit = Unit::Model { model: "a".into(), version: "1".into() };
     let claim = sender.claim("test".into());
     let reserved = Ledger::new(&load(1, 0)).reserve(claim, Action::Load { unit, memory: 10 });
-    let (ledger, order) = reserved.expect("it fits");
+    let (ledger, order) = reserved.expect("the order fits into the free memory");
     (ledger, order.id)
 }
 
@@ -75,7 +75,10 @@
     let (ledger, id) = reserved(&mut sender);
     sender.mark_sent(&id);
     sender.mark_answered(at(20), &id, &Ack::Accepted);
-    assert!(sender.evidence(&ledger, Some(&report(25, 6))).is_empty(), "taken at 19");
+    assert!(
+        sender.evidence(&ledger, Some(&report(25, 6))).is_empty(),
+        "the report was taken at 19 s, before the answer"
+    );
     let evidence = sender.evidence(&ledger, Some(&report(25, 4)));
     let after = ReportPosition { incarnation: 1, sequence: 5 };
     assert!(
