--- a/crates/policy/examples/quota_table.rs
+++ b/crates/policy/examples/quota_table.rs
@@ -34,7 +34,7 @@
 
 fn row(hosts: usize, limit: f64, delay: u64, spread: Spread) {
     let plan = Plan { spread, ..Plan::steady(hosts, limit, Duration::from_millis(delay)) };
-    let seconds = plan.length.as_secs_f64() - play::LIMITED.as_secs_f64();
+    let seconds = plan.length.as_secs_f64() - play::LIMITED_FROM.as_secs_f64();
     let simulation = Simulation::new(plan).run();
     let (requests, allowed) = simulation.fullest();
     let most = simulation.received.iter().max().copied().unwrap_or(0) as f64 / seconds;
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -24,11 +24,11 @@
 pub const LOWER_EVERY: u32 = 32;
 
 /// Shortest time after which a refused caller is asked to retry.
-pub const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Upper bound of the time after which a refused caller is asked to retry, before up to half of it
 /// is added to spread the retries.
-pub const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Number of a request, unique within one host.
 pub type Ticket = u64;
@@ -242,7 +242,7 @@
 /// Returns a refusal. The caller is asked to retry after the time `wait`, within bounds, and up to
 /// half as much later, so that callers that were refused together do not retry together.
 fn refusal(cause: Cause, wait: Duration, request: &Request) -> Refusal {
-    let base = wait.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER);
+    let base = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     let spread = base / 2 * (request.spread % 256) as u32 / 256;
     Refusal { cause, retry_after: base + spread }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -62,9 +62,9 @@
     /// Factor applied to the limit on overload; below one.
     pub decrease: f64,
     /// Fraction of its objective that a first-token time may reach before it counts as overload.
-    pub slow: f64,
+    pub slow_fraction: f64,
     /// Shortest interval between two decreases, so that one overload decreases the limit once.
-    pub pause: Duration,
+    pub decrease_interval: Duration,
 }
 
 impl Default for Aimd {
@@ -75,8 +75,8 @@
             max: 256.0,
             increase: 1.0,
             decrease: 0.7,
-            slow: 0.5,
-            pause: Duration::from_millis(250),
+            slow_fraction: 0.5,
+            decrease_interval: Duration::from_millis(250),
         }
     }
 }
@@ -172,16 +172,16 @@
         let is_overload = match signal {
             Signal::Neutral => return,
             Signal::Overload => true,
-            Signal::FirstToken { time, target } => target.mul_f64(aimd.slow) < time,
+            Signal::FirstToken { time, target } => target.mul_f64(aimd.slow_fraction) < time,
         };
         if is_overload {
             if self.decreased_at == Duration::ZERO
-                || aimd.pause <= now.saturating_sub(self.decreased_at)
+                || aimd.decrease_interval <= now.saturating_sub(self.decreased_at)
             {
                 self.limit = (self.limit * aimd.decrease).max(aimd.min);
                 self.decreased_at = now.max(Duration::from_nanos(1));
             }
-        } else if self.is_used() {
+        } else if self.is_half_used() {
             self.limit = (self.limit + aimd.increase / self.limit).min(aimd.max);
         }
     }
@@ -197,7 +197,7 @@
         }
         let baseline = if self.baseline == 0.0 { time } else { self.baseline };
         self.baseline = baseline + (time - baseline) / gradient.window;
-        if baseline < time || self.is_used() {
+        if baseline < time || self.is_half_used() {
             let slope = (gradient.tolerance * baseline / time).clamp(0.5, 1.0);
             let next = self.limit * slope + self.limit.sqrt();
             let smooth = self.limit + (next - self.limit) * gradient.smoothing;
@@ -207,7 +207,7 @@
 
     /// Whether at least half of the limit is in flight. The outcome of requests below that does not
     /// show whether more would fit.
-    fn is_used(&self) -> bool {
+    fn is_half_used(&self) -> bool {
         self.limit() <= self.in_flight.saturating_mul(2)
     }
 }
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -283,10 +283,10 @@
         }
         let version = known.version;
         let changes = self.changes.len();
-        let follows = known.document.hold.as_ref().is_some_and(|hold| hold.holder != self.me);
+        let other_holder = known.document.hold.as_ref().is_some_and(|hold| hold.holder != self.me);
         self.forget_answered(&decided);
         answers.append(&mut decided);
-        let idle = self.waiting.is_empty() && !settling && !follows;
+        let idle = self.waiting.is_empty() && !settling && !other_holder;
         if idle {
             return None;
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -135,11 +135,11 @@
 /// Decides what follows a failed attempt; a retry or resumption takes from the budget.
 pub fn decide(failure: &Failure, bounds: &Bounds, budget: &mut Budget) -> Verdict {
     let ran = failure.before.max(failure.point.ran());
-    let Some(again) = allowed(failure) else {
+    let Some(verdict) = allowed(failure) else {
         return Verdict::GiveUp(ran);
     };
     let in_bounds = failure.attempts < bounds.attempts && bounds.time_left <= failure.time_left;
-    if in_bounds && budget.withdraw() { again } else { Verdict::GiveUp(ran) }
+    if in_bounds && budget.withdraw() { verdict } else { Verdict::GiveUp(ran) }
 }
 
 /// Looks up what the failure point, the request and its body allow.
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -9,12 +9,12 @@
     /// Retries earned by a thousand successes.
     pub per_thousand: u64,
     /// Largest number of retries saved up; also the number that a host starts with.
-    pub most: u64,
+    pub max: u64,
 }
 
 impl Default for Ratio {
     fn default() -> Ratio {
-        Ratio { per_thousand: 100, most: 50 }
+        Ratio { per_thousand: 100, max: 50 }
     }
 }
 
@@ -34,12 +34,12 @@
 impl Budget {
     /// Returns a full bucket.
     pub fn new(ratio: Ratio) -> Budget {
-        Budget { ratio, units: ratio.most * UNITS_PER_RETRY }
+        Budget { ratio, units: ratio.max * UNITS_PER_RETRY }
     }
 
     /// Credits a request that succeeded.
     pub fn deposit(&mut self) {
-        self.units = (self.units + self.ratio.per_thousand).min(self.ratio.most * UNITS_PER_RETRY);
+        self.units = (self.units + self.ratio.per_thousand).min(self.ratio.max * UNITS_PER_RETRY);
     }
 
     /// Takes one retry; returns false if none is left.
--- a/crates/policy/src/retry/suspicion.rs
+++ b/crates/policy/src/retry/suspicion.rs
@@ -20,12 +20,12 @@
     /// Time for which a server is excluded after its first failure.
     pub first: Duration,
     /// Longest time for which a server is excluded.
-    pub most: Duration,
+    pub max: Duration,
 }
 
 impl Default for Backoff {
     fn default() -> Backoff {
-        Backoff { first: Duration::from_millis(500), most: Duration::from_secs(10) }
+        Backoff { first: Duration::from_millis(500), max: Duration::from_secs(10) }
     }
 }
 
@@ -69,7 +69,7 @@
             exclusion.phase = Phase::Excluded;
             let doublings = exclusion.failures.min(MAX_DOUBLINGS);
             exclusion.failures += 1;
-            exclusion.until = now + (backoff.first * (1 << doublings)).min(backoff.most);
+            exclusion.until = now + (backoff.first * (1 << doublings)).min(backoff.max);
         }
         Eligibility::Suspected(exclusion.until)
     }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -145,7 +145,7 @@
         return servers;
     }
     let (local, remote): (Vec<Index>, Vec<Index>) =
-        servers.into_iter().partition(|server| table.is_near(*server));
+        servers.into_iter().partition(|server| table.is_in_own_zone(*server));
     let from_remote = remote.len().min(SAMPLE_SIZE / 2);
     let from_local = local.len().min(SAMPLE_SIZE - from_remote);
     let holders: Vec<Index> = cached
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -84,9 +84,9 @@
     report: Report,
     sent: VecDeque<Sent>,
     ended: VecDeque<Moment>,
-    own: u32,
+    own_in_flight: u32,
     /// Sum of the moments at which this host's requests in flight were sent.
-    own_sent: Duration,
+    own_sent_sum: Duration,
     peers: PeerLoad,
     backlog: u64,
     backlog_at: Moment,
@@ -99,8 +99,8 @@
             report: Report::UNKNOWN,
             sent: VecDeque::new(),
             ended: VecDeque::new(),
-            own: 0,
-            own_sent: Duration::ZERO,
+            own_in_flight: 0,
+            own_sent_sum: Duration::ZERO,
             peers: PeerLoad::default(),
             backlog: 0,
             backlog_at: Duration::ZERO,
@@ -139,15 +139,15 @@
         let sent = Sent { at: now, tokens };
         self.add_backlog(sent);
         self.sent.push_back(sent);
-        self.own += 1;
-        self.own_sent += sent.at;
+        self.own_in_flight += 1;
+        self.own_sent_sum += sent.at;
         sent
     }
 
     /// Records the end of a request, whatever its outcome.
     pub fn ended(&mut self, sent: Sent, now: Moment) {
-        self.own = self.own.saturating_sub(1);
-        self.own_sent = self.own_sent.saturating_sub(sent.at);
+        self.own_in_flight = self.own_in_flight.saturating_sub(1);
+        self.own_sent_sum = self.own_sent_sum.saturating_sub(sent.at);
         self.hold = moving_average(self.hold, now.saturating_sub(sent.at));
         match self.sent.iter().position(|other| *other == sent) {
             Some(at) => {
@@ -173,16 +173,16 @@
 
     /// Number of requests of this host in flight on the server.
     pub fn own_in_flight(&self) -> u32 {
-        self.own
+        self.own_in_flight
     }
 
     /// Mean time for which a request holds a slot: of the requests that ended, or the mean age of
     /// those in flight once that is greater, as when a server hangs or answers are long.
     pub fn hold(&self, now: Moment) -> Duration {
-        if self.own == 0 {
+        if self.own_in_flight == 0 {
             return self.hold;
         }
-        self.hold.max(now.saturating_sub(self.own_sent / self.own))
+        self.hold.max(now.saturating_sub(self.own_sent_sum / self.own_in_flight))
     }
 
     /// Estimated number of requests of all hosts on the server.
@@ -192,7 +192,7 @@
             .in_flight
             .saturating_add(self.sent.len() as u32)
             .saturating_sub(self.ended.len() as u32);
-        reported.max(self.own.saturating_add(self.peers.requests))
+        reported.max(self.own_in_flight.saturating_add(self.peers.requests))
     }
 
     /// Number of requests that may still be sent before the server's own queue exceeds one request
@@ -245,8 +245,8 @@
         }
         let micros = self.report.step.as_micros().max(1) as u64;
         let passed = now.saturating_sub(self.backlog_at).as_micros() as u64;
-        let read = (passed / micros).saturating_mul(u64::from(self.report.prefill_rate));
-        self.backlog.saturating_sub(read)
+        let prefilled = (passed / micros).saturating_mul(u64::from(self.report.prefill_rate));
+        self.backlog.saturating_sub(prefilled)
     }
 }
 
--- a/crates/policy/src/route/table.rs
+++ b/crates/policy/src/route/table.rs
@@ -294,7 +294,7 @@
     }
 
     /// Whether a server is in the host's own zone.
-    pub fn is_near(&self, index: Index) -> bool {
+    pub fn is_in_own_zone(&self, index: Index) -> bool {
         self.rows[index as usize].server.zone == self.distances.own
     }
 
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use policy::admit::{
-    Bounds, Cause, Gate, LEAST_RETRY_AFTER, LOWER_EVERY, MOST_RETRY_AFTER, Outlook, Refusal,
-    Request, Ticket, Verdict,
+    Bounds, Cause, Gate, LOWER_EVERY, MAX_RETRY_AFTER, MIN_RETRY_AFTER, Outlook, Refusal, Request,
+    Ticket, Verdict,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
@@ -132,7 +132,7 @@
 
 #[rstest]
 #[case::can_be_met(31, Verdict::Wait)]
-#[case::just_missed(29, Verdict::Refuse(Refusal { cause: Cause::Late, retry_after: LEAST_RETRY_AFTER }))]
+#[case::just_missed(29, Verdict::Refuse(Refusal { cause: Cause::Late, retry_after: MIN_RETRY_AFTER }))]
 fn work_that_cannot_meet_its_target_is_refused_on_arrival(
     #[case] due: u64,
     #[case] expected: Verdict,
@@ -162,7 +162,7 @@
     match arrive(&mut gate, late, &busy()).0 {
         Verdict::Refuse(Refusal { cause: Cause::Late, retry_after }) => {
             assert!(millis(3000) <= retry_after, "{retry_after:?}");
-            assert!(retry_after <= MOST_RETRY_AFTER);
+            assert!(retry_after <= MAX_RETRY_AFTER);
         }
         other => panic!("{other:?}"),
     }
@@ -178,7 +178,7 @@
         }
     };
     assert!(retry_after(0) < retry_after(128));
-    assert!(retry_after(255) < LEAST_RETRY_AFTER * 3 / 2);
+    assert!(retry_after(255) < MIN_RETRY_AFTER * 3 / 2);
 }
 
 #[test]
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -71,11 +71,11 @@
     let (mut a, mut b, mut store) = pair(Outage::Refuse);
     a.claim(at(0), "a1", &key("k"), 1);
     a.settle_reads(at(0), &mut store);
-    let held = a.take_call(at(0));
+    let write = a.take_call(at(0));
     b.claim(at(1_000), "b1", &key("k"), 1);
     b.settle(at(1_000), &mut store, Fault::None);
     assert!(matches!(b.verdict("b1"), Some(Verdict::Granted { .. })));
-    a.deliver(at(60_000), store.run(held, Fault::None));
+    a.deliver(at(60_000), store.run(write, Fault::None));
     a.settle(at(60_000), &mut store, Fault::None);
     assert!(!matches!(a.verdict("a1"), Some(Verdict::Granted { .. })));
 }
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -49,27 +49,27 @@
     }
 }
 
-struct Held {
+struct HeldRange {
     store: Store,
     host: Host,
 }
 
 fn simulate(outage: Outage, keys: Keys, death: Death) -> (Count, Count) {
-    let mut ranges: Vec<Held> = (0..RANGES)
-        .map(|range| Held { store: Store::default(), host: Host::new(run(range), outage) })
+    let mut ranges: Vec<HeldRange> = (0..RANGES)
+        .map(|range| HeldRange { store: Store::default(), host: Host::new(run(range), outage) })
         .collect();
     let mut sent: BTreeMap<String, u64> = BTreeMap::new();
     let mut answered = (Count::default(), Count::default());
     for time in (0..END_MS).step_by(STEP_MS as usize) {
         let now = at(time);
         let fault = if OUTAGE_MS.contains(&time) { Fault::Down } else { Fault::None };
-        for (number, held) in ranges.iter_mut().enumerate() {
+        for (number, range) in ranges.iter_mut().enumerate() {
             if time % 300_000 == 0 {
-                held.host.range.renew(now);
+                range.host.range.renew(now);
             }
             if matches!(death, Death::OneHost) && time == DEATH_MS && number % HOSTS == 0 {
-                held.host = Host::new(run(number + 1), outage);
-                held.host.range.gone(run(number));
+                range.host = Host::new(run(number + 1), outage);
+                range.host.range.gone(run(number));
             }
             if time % 4_000 == STEP_MS * number as u64 {
                 let id = format!("{number}-{time}");
@@ -77,11 +77,11 @@
                     Keys::WithTime => stamped(time as i64),
                     Keys::WithoutTime => key(&id),
                 };
-                held.host.claim(now, &id, &key, 1);
+                range.host.claim(now, &id, &key, 1);
                 sent.insert(id, time);
             }
-            held.host.settle(now, &mut held.store, fault);
-            for (id, verdict) in std::mem::take(&mut held.host.answers) {
+            range.host.settle(now, &mut range.store, fault);
+            for (id, verdict) in std::mem::take(&mut range.host.answers) {
                 let sent =
                     sent.remove(&id).expect("each answer belongs to one request that was sent");
                 let in_outage = OUTAGE_MS.contains(&sent);
--- a/crates/policy/tests/quota/play.rs
+++ b/crates/policy/tests/quota/play.rs
@@ -24,30 +24,30 @@
 const STEP: Duration = Duration::from_millis(20);
 
 /// Interval at which hosts update which others are live.
-const ROUND: Duration = Duration::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time after which a host regards another one as silent.
-const SILENCE: Duration = Duration::from_secs(3);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time from sending a request to its answer.
-const ANSWER: Duration = Duration::from_millis(30);
+const ANSWER_DELAY: Duration = Duration::from_millis(30);
 
 /// Time after a server first names a limit from which the limit is enforced.
-const CONTACT: Duration = Duration::from_secs(3);
+const BINDING_DELAY: Duration = Duration::from_secs(3);
 /// Window over which requests are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// Factor by which a window may exceed the limit.
-const EXCESS_FACTOR: f64 = 1.5;
+const BURST_FACTOR: f64 = 1.5;
 
 /// Time in which a limit reaches all hosts.
-const LIMIT_PROPAGATION: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Number of requests that are allowed in a window in addition.
 const EXTRA_REQUESTS: f64 = 5.0;
 
 /// When a server first names a limit.
-pub const LIMITED: Duration = Duration::from_secs(8);
+pub const LIMITED_FROM: Duration = Duration::from_secs(8);
 /// Time from then until the use of the limit is measured.
-pub const SETTLED: Duration = Duration::from_secs(6);
+pub const SETTLE_TIME: Duration = Duration::from_secs(6);
 
 /// Number of requests over which the use of a limit is measured.
 pub const REQUESTS: f64 = 40.0;
@@ -74,7 +74,7 @@
 
 /// Fault with its start and end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     pub from: Duration,
     pub to: Duration,
     pub fault: Fault,
@@ -94,7 +94,7 @@
     pub wait: Duration,
     /// Limits that the server names, each with the time from which it does so.
     pub limits: Vec<(Duration, Option<f64>)>,
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     pub length: Duration,
 }
 
@@ -104,7 +104,7 @@
         Duration::from_secs_f64(REQUESTS / limit).max(Duration::from_secs(10))
     }
 
-    /// Plan with a server that names one limit from [`LIMITED`] on, and a demand of twice the
+    /// Plan with a server that names one limit from [`LIMITED_FROM`] on, and a demand of twice the
     /// limit, at least two requests per second above it.
     pub fn steady(hosts: usize, limit: f64, delay: Duration) -> Plan {
         Plan {
@@ -115,9 +115,9 @@
             delay,
             // Longer than a permit request and its grant may take.
             wait: Duration::from_millis(800) + delay * 3,
-            limits: vec![(LIMITED, Some(limit))],
+            limits: vec![(LIMITED_FROM, Some(limit))],
             faults: Vec::new(),
-            length: LIMITED + SETTLED + Plan::measured(limit),
+            length: LIMITED_FROM + SETTLE_TIME + Plan::measured(limit),
         }
     }
 }
@@ -125,7 +125,7 @@
 struct Host {
     quotas: Quotas,
     /// When the host's process started.
-    born: Moment,
+    started_at: Moment,
     queue: VecDeque<Moment>,
     last_heard: BTreeMap<usize, Moment>,
 }
@@ -151,13 +151,13 @@
     pub received: Vec<u64>,
 }
 
-fn name(place: usize) -> host::Id {
-    format!("host-{place}").into()
+fn name(index: usize) -> host::Id {
+    format!("host-{index}").into()
 }
 
 /// Index of the host that owns the server's quota while all hosts are live.
 pub fn owner(hosts: usize) -> usize {
-    let rank = |place: &usize| rendezvous::score(SERVER.as_bytes(), &name(*place));
+    let rank = |index: &usize| rendezvous::score(SERVER.as_bytes(), &name(*index));
     (0..hosts).max_by_key(rank).expect("a host")
 }
 
@@ -167,7 +167,7 @@
 
 impl Simulation {
     pub fn new(plan: Plan) -> Simulation {
-        let hosts = (0..plan.hosts).map(|place| Host::new(place, 1, Duration::ZERO));
+        let hosts = (0..plan.hosts).map(|index| Host::new(index, 1, Duration::ZERO));
         Simulation {
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             hosts: hosts.collect(),
@@ -182,27 +182,27 @@
 
     /// Runs to the end.
     pub fn run(mut self) -> Simulation {
-        let (mut round, mut due) = (Duration::ZERO, 0.0);
+        let (mut next_update, mut due) = (Duration::ZERO, 0.0);
         while self.now < self.plan.length {
             self.now += STEP;
             self.restart();
-            if round <= self.now {
-                round = self.now + ROUND;
+            if next_update <= self.now {
+                next_update = self.now + UPDATE_INTERVAL;
                 self.update_hosts();
             }
             self.deliver();
             due += self.plan.demand * STEP.as_secs_f64();
             while 1.0 <= due {
                 due -= 1.0;
-                let place = match self.plan.spread {
+                let index = match self.plan.spread {
                     Spread::Even => self.random.random_range(0..self.hosts.len()),
                     Spread::One => 0,
                 };
-                if self.runs(place) {
-                    self.hosts[place].queue.push_back(self.now);
+                if self.is_running(index) {
+                    self.hosts[index].queue.push_back(self.now);
                 }
             }
-            (0..self.hosts.len()).for_each(|place| self.step(place));
+            (0..self.hosts.len()).for_each(|index| self.step(index));
         }
         self
     }
@@ -213,7 +213,7 @@
         let mut worst = (0, f64::MAX);
         for (end, at) in self.arrivals.iter().enumerate() {
             let Some(limit) = self.binding(*at) else { continue };
-            let allowed = EXCESS_FACTOR * limit * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
+            let allowed = BURST_FACTOR * limit * WINDOW.as_secs_f64() + EXTRA_REQUESTS;
             let first = self.arrivals.partition_point(|other| *other + WINDOW <= *at);
             let requests = end + 1 - first;
             if worst.0 as f64 / worst.1 < requests as f64 / allowed {
@@ -224,95 +224,98 @@
     }
 
     /// Returns the highest limit named in the window before a moment, or just before that window,
-    /// if the server named limits without interruption for [`CONTACT`] before that moment.
+    /// if the server named limits without interruption for [`BINDING_DELAY`] before that moment.
     fn binding(&self, at: Moment) -> Option<f64> {
         let ends = self.plan.limits.iter().skip(1).map(|(from, _)| *from).chain([Duration::MAX]);
         let spans = self.plan.limits.iter().zip(ends).filter(|((from, _), _)| *from <= at);
-        let lately = |past: Duration| {
+        let named_within = |past: Duration| {
             let since = at.saturating_sub(past);
             spans.clone().filter(move |(_, end)| since < *end).map(|((_, limit), _)| *limit)
         };
         let first = self.plan.limits.first()?;
-        let is_named = first.0 + CONTACT <= at && lately(CONTACT).all(|limit| limit.is_some());
-        let highest = lately(WINDOW + LIMIT_PROPAGATION).flatten().fold(0.0, f64::max);
+        let is_named = first.0 + BINDING_DELAY <= at
+            && named_within(BINDING_DELAY).all(|limit| limit.is_some());
+        let highest = named_within(WINDOW + PROPAGATION_TIME).flatten().fold(0.0, f64::max);
         is_named.then_some(highest)
     }
 
-    /// Fraction of a limit that is used, from [`SETTLED`] after it was named to the end.
+    /// Fraction of a limit that is used, from [`SETTLE_TIME`] after it was named to the end.
     pub fn used(&self, limit: f64) -> f64 {
-        let from = LIMITED + SETTLED;
+        let from = LIMITED_FROM + SETTLE_TIME;
         let sent = self.arrivals.iter().filter(|at| from < **at).count();
         sent as f64 / ((self.plan.length - from).as_secs_f64() * limit)
     }
 
-    fn is_in(&self, place: usize, which: impl Fn(&Fault) -> Option<&Vec<usize>>) -> bool {
+    fn is_in(&self, index: usize, which: impl Fn(&Fault) -> Option<&Vec<usize>>) -> bool {
         let mut faults = self.plan.faults.iter().filter(|p| p.from <= self.now && self.now < p.to);
-        faults.any(|planned| which(&planned.fault).is_some_and(|places| places.contains(&place)))
+        faults.any(|planned| which(&planned.fault).is_some_and(|indices| indices.contains(&index)))
     }
 
-    fn is_frozen(&self, place: usize) -> bool {
-        self.is_in(place, |fault| match fault {
-            Fault::Freeze(places) => Some(places),
+    fn is_frozen(&self, index: usize) -> bool {
+        self.is_in(index, |fault| match fault {
+            Fault::Freeze(indices) => Some(indices),
             Fault::Cut(_) | Fault::Restart(_) => None,
         })
     }
 
-    fn is_down(&self, place: usize) -> bool {
-        self.is_in(place, |fault| match fault {
-            Fault::Restart(places) => Some(places),
+    fn is_down(&self, index: usize) -> bool {
+        self.is_in(index, |fault| match fault {
+            Fault::Restart(indices) => Some(indices),
             Fault::Cut(_) | Fault::Freeze(_) => None,
         })
     }
 
-    fn runs(&self, place: usize) -> bool {
-        !self.is_frozen(place) && !self.is_down(place)
+    fn is_running(&self, index: usize) -> bool {
+        !self.is_frozen(index) && !self.is_down(index)
     }
 
     fn is_cut(&self, one: usize, other: usize) -> bool {
         let mut faults = self.plan.faults.iter().filter(|p| p.from <= self.now && self.now < p.to);
         faults.any(|planned| match &planned.fault {
-            Fault::Cut(places) => places.contains(&one) != places.contains(&other),
+            Fault::Cut(indices) => indices.contains(&one) != indices.contains(&other),
             Fault::Freeze(_) | Fault::Restart(_) => false,
         })
     }
 
     fn restart(&mut self) {
         let now = self.now;
-        let ended = |p: &&Planned| p.to <= now && now < p.to + STEP;
-        let back =
+        let ended = |p: &&PlannedFault| p.to <= now && now < p.to + STEP;
+        let restarted =
             self.plan.faults.iter().filter(ended).filter_map(|planned| match &planned.fault {
-                Fault::Restart(places) => Some(places.clone()),
+                Fault::Restart(indices) => Some(indices.clone()),
                 Fault::Cut(_) | Fault::Freeze(_) => None,
             });
-        for place in back.flatten().collect::<Vec<_>>() {
-            self.hosts[place] = Host::new(place, now.as_millis() as u64, now);
+        for index in restarted.flatten().collect::<Vec<_>>() {
+            self.hosts[index] = Host::new(index, now.as_millis() as u64, now);
         }
     }
 
     /// Updates each running host's list of live hosts, and sends it the limit that a random host
     /// knows.
     fn update_hosts(&mut self) {
-        for place in (0..self.hosts.len()).filter(|place| self.runs(*place)).collect::<Vec<_>>() {
-            for other in (0..self.hosts.len()).filter(|other| *other != place) {
-                if self.runs(other) && !self.is_cut(place, other) {
-                    self.hosts[place].last_heard.insert(other, self.now);
+        for index in
+            (0..self.hosts.len()).filter(|index| self.is_running(*index)).collect::<Vec<_>>()
+        {
+            for other in (0..self.hosts.len()).filter(|other| *other != index) {
+                if self.is_running(other) && !self.is_cut(index, other) {
+                    self.hosts[index].last_heard.insert(other, self.now);
                 }
             }
-            let (now, host) = (self.now, &mut self.hosts[place]);
+            let (now, host) = (self.now, &mut self.hosts[index]);
             let known: Vec<(host::Id, bool)> = host
                 .last_heard
                 .iter()
-                .map(|(at, last)| (name(*at), now < *last + SILENCE))
+                .map(|(at, last)| (name(*at), now < *last + SILENCE_TIMEOUT))
                 .collect();
             let last_heard =
                 known.iter().filter(|(_, is_heard)| *is_heard).map(|(id, _)| id.clone());
-            let live = last_heard.chain([name(place)]).collect();
+            let live = last_heard.chain([name(index)]).collect();
             let known = known.iter().map(|(id, is_heard)| (id, *is_heard));
-            host.quotas.update_hosts(known, live, now - host.born);
+            host.quotas.update_hosts(known, live, now - host.started_at);
             let sender = self.random.random_range(0..self.hosts.len());
-            if sender != place && self.runs(sender) {
+            if sender != index && self.is_running(sender) {
                 let limit = self.hosts[sender].quotas.limits().get(SERVER);
-                self.send(sender, place, Event::Limit { from: sender, to: place, limit });
+                self.send(sender, index, Event::Limit { from: sender, to: index, limit });
             }
         }
     }
@@ -321,12 +324,12 @@
         if self.is_cut(from, to) {
             return;
         }
-        let most = self.plan.delay.as_millis() as u64;
-        let delay = Duration::from_millis(self.random.random_range(most / 2..=most));
-        self.put(self.now + delay, event);
+        let max_ms = self.plan.delay.as_millis() as u64;
+        let delay = Duration::from_millis(self.random.random_range(max_ms / 2..=max_ms));
+        self.schedule(self.now + delay, event);
     }
 
-    fn put(&mut self, at: Moment, event: Event) {
+    fn schedule(&mut self, at: Moment, event: Event) {
         self.count += 1;
         self.events.push(Reverse((at, self.count, event)));
     }
@@ -344,37 +347,37 @@
             }
             if self.is_frozen(to) {
                 // The host receives the event when it runs again.
-                self.put(self.now + STEP, event);
+                self.schedule(self.now + STEP, event);
                 continue;
             }
-            self.take(event);
+            self.apply(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Message { from, to, message } => {
                 self.received[to] += 1;
                 let host = &mut self.hosts[to];
-                let now = self.now - host.born;
+                let now = self.now - host.started_at;
                 let changes = host.quotas.receive(&name(from), &message, now);
                 for (id, change) in changes {
-                    let before = self.before(to);
-                    self.hosts[to].quotas.limit_changed(&id, change, before, now);
+                    let sent_before = self.sent_before(to);
+                    self.hosts[to].quotas.limit_changed(&id, change, sent_before, now);
                 }
             }
             Event::Limit { to, limit, .. } => self.receive_limit(to, limit),
             Event::Answer { to, sent, millionths } => {
                 let host = &mut self.hosts[to];
                 // An answer to an earlier run of the host is ignored.
-                let Some(sent) = sent.checked_sub(host.born) else { return };
-                let now = self.now - host.born;
+                let Some(sent) = sent.checked_sub(host.started_at) else { return };
+                let now = self.now - host.started_at;
                 let limit = millionths.and_then(|m| Rate::per_second(m as f64 / 1e6));
                 let Some(change) = host.quotas.observe_limit(&server(), limit, sent, now) else {
                     return;
                 };
-                let before = self.before(to);
-                self.hosts[to].quotas.limit_changed(&server(), change, before, now);
+                let sent_before = self.sent_before(to);
+                self.hosts[to].quotas.limit_changed(&server(), change, sent_before, now);
                 for other in (0..self.hosts.len()).filter(|other| *other != to) {
                     self.send(
                         to,
@@ -387,67 +390,67 @@
     }
 
     fn receive_limit(&mut self, to: usize, limit: Limit) {
-        let now = self.now - self.hosts[to].born;
+        let now = self.now - self.hosts[to].started_at;
         let Some(change) = self.hosts[to].quotas.merge_limit(&server(), limit, now) else { return };
-        let before = self.before(to);
-        self.hosts[to].quotas.limit_changed(&server(), change, before, now);
+        let sent_before = self.sent_before(to);
+        self.hosts[to].quotas.limit_changed(&server(), change, sent_before, now);
     }
 
     /// Estimates the requests that a host sent in the last 1.5 s: an equal share of all requests in
     /// that time if they are spread evenly, else all of them for host 0.
-    fn before(&self, place: usize) -> u32 {
-        let lately = self
+    fn sent_before(&self, index: usize) -> u32 {
+        let recent = self
             .arrivals
             .iter()
             .rev()
             .take_while(|at| self.now < **at + Duration::from_millis(1_500));
-        let all = lately.count();
+        let all = recent.count();
         match self.plan.spread {
             Spread::Even => all.div_ceil(self.hosts.len()) as u32,
-            Spread::One if place == 0 => all as u32,
+            Spread::One if index == 0 => all as u32,
             Spread::One => 0,
         }
     }
 
-    fn step(&mut self, place: usize) {
-        if !self.runs(place) {
+    fn step(&mut self, index: usize) {
+        if !self.is_running(index) {
             return;
         }
-        let (now, host) = (self.now, &mut self.hosts[place]);
-        let (own, wait) = (now - host.born, self.plan.wait);
-        while host.queue.front().is_some_and(|came| *came + wait <= now) {
+        let (now, host) = (self.now, &mut self.hosts[index]);
+        let (host_now, wait) = (now - host.started_at, self.plan.wait);
+        while host.queue.front().is_some_and(|arrived_at| *arrived_at + wait <= now) {
             host.queue.pop_front();
         }
         let mut sent = 0;
         let is_limited = host.quotas.limit(SERVER).is_some();
-        while !host.queue.is_empty() && (!is_limited || host.quotas.has_permit(SERVER, own)) {
+        while !host.queue.is_empty() && (!is_limited || host.quotas.has_permit(SERVER, host_now)) {
             host.queue.pop_front();
-            host.quotas.use_permit(SERVER, own);
+            host.quotas.use_permit(SERVER, host_now);
             sent += 1;
         }
         host.quotas.set_demand(SERVER, Demand { permits: host.queue.len() as u32, urgency: 1 });
-        host.quotas.tick(own);
+        host.quotas.tick(host_now);
         let messages = host.quotas.outgoing();
         for _ in 0..sent {
             self.arrivals.push(now);
             let limit = self.plan.limits.iter().rfind(|(from, _)| *from <= now).and_then(|l| l.1);
             let millionths = limit.map(|limit| (limit * 1e6) as u64);
-            self.put(now + ANSWER, Event::Answer { to: place, sent: now, millionths });
+            self.schedule(now + ANSWER_DELAY, Event::Answer { to: index, sent: now, millionths });
         }
         for (to, message) in messages {
             let to = (0..self.hosts.len()).find(|other| name(*other) == to);
             if let Some(to) = to {
-                self.send(place, to, Event::Message { from: place, to, message });
+                self.send(index, to, Event::Message { from: index, to, message });
             }
         }
     }
 }
 
 impl Host {
-    fn new(place: usize, run: host::Incarnation, born: Moment) -> Host {
+    fn new(index: usize, run: host::Incarnation, started_at: Moment) -> Host {
         Host {
-            quotas: Quotas::new(name(place), run),
-            born,
+            quotas: Quotas::new(name(index), run),
+            started_at,
             queue: VecDeque::new(),
             last_heard: BTreeMap::new(),
         }
--- a/crates/policy/tests/quota/shared.rs
+++ b/crates/policy/tests/quota/shared.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::play::{Fault, Plan, Planned, REQUESTS, Simulation, Spread, owner};
+use crate::play::{Fault, Plan, PlannedFault, REQUESTS, Simulation, Spread, owner};
 
 /// Fraction of a limit that must be used while demand exceeds it, less one request that is in
 /// flight.
@@ -56,8 +56,8 @@
     assert!(USED <= used, "{limit} a second, {spread:?}: {used:.3} used");
 }
 
-fn planned(from: f64, to: f64, fault: Fault) -> Planned {
-    Planned { from: s(from), to: s(to), fault }
+fn planned(from: f64, to: f64, fault: Fault) -> PlannedFault {
+    PlannedFault { from: s(from), to: s(to), fault }
 }
 
 /// Faults of nine hosts after the server has named its limit must not let two hosts use one share
@@ -70,7 +70,7 @@
 #[case::all_start_again_in_turn((0..9).map(|host| planned(12.0 + 4.0 * host as f64, 13.0 + 4.0 * host as f64, Fault::Restart(vec![host]))).collect())]
 #[case::all_start_again_at_once(vec![planned(14.0, 15.0, Fault::Restart((0..9).collect()))])]
 fn no_part_of_a_limit_is_used_twice(
-    #[case] faults: Vec<Planned>,
+    #[case] faults: Vec<PlannedFault>,
     #[values(2.1, 40.0)] limit: f64,
     #[values(20, 300)] delay: u64,
 ) {
@@ -85,7 +85,7 @@
 #[case::the_owner_stands_still(vec![planned(20.0, 99.0, Fault::Freeze(vec![owner(9)]))], 26.0)]
 #[case::all_start_again(vec![planned(20.0, 21.0, Fault::Restart((0..9).collect()))], 26.0)]
 #[case::a_cut_is_healed(vec![planned(12.0, 20.0, Fault::Cut(vec![0, 1, 2, 3]))], 26.0)]
-fn a_limit_is_used_again_after_a_known_time(#[case] faults: Vec<Planned>, #[case] from: f64) {
+fn a_limit_is_used_again_after_a_known_time(#[case] faults: Vec<PlannedFault>, #[case] from: f64) {
     let limit = 8.0;
     let plan = Plan::steady(9, limit, Duration::from_millis(20));
     let simulation = Simulation::new(Plan { faults, length: s(from + 10.0), ..plan }).run();
@@ -99,10 +99,10 @@
 
 fn fault(hosts: usize) -> impl Strategy<Value = Fault> {
     let some = proptest::sample::subsequence((0..hosts).collect::<Vec<_>>(), 1..=hosts);
-    (0..3, some).prop_map(|(kind, places)| match kind {
-        0 => Fault::Cut(places),
-        1 => Fault::Freeze(places),
-        _ => Fault::Restart(places),
+    (0..3, some).prop_map(|(kind, indices)| match kind {
+        0 => Fault::Cut(indices),
+        1 => Fault::Freeze(indices),
+        _ => Fault::Restart(indices),
     })
 }
 
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn retries_stay_a_share_of_successes() {
-    let mut budget = Budget::new(Ratio { per_thousand: 100, most: 5 });
+    let mut budget = Budget::new(Ratio { per_thousand: 100, max: 5 });
     let broken = failure(Point::Connect, Repeat::Idempotent, Body::Buffered);
     let mut retries = 0;
     for request in 0..10_000 {
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_server_is_left_out_for_longer_after_each_failed_trial() {
-    let backoff = Backoff { first: Duration::from_secs(1), most: Duration::from_secs(5) };
+    let backoff = Backoff { first: Duration::from_secs(1), max: Duration::from_secs(5) };
     let mut suspicion = Suspicion::new(backoff);
     let at = Duration::from_secs;
     assert_eq!(suspicion.failed(3, Point::Connect, at(0)), Eligibility::Suspected(at(1)));
