--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -152,8 +152,8 @@
         self.servers.is_empty()
     }
 
-    /// Number of hosts that share each quota, including this one. A silent host still
-    /// counts, unless this host hears from nearly all others; see [`members`].
+    /// Number of hosts that share each quota, including this one. A silent host still counts,
+    /// unless this host hears from nearly all others; see [`members`].
     pub fn sharers(&self) -> u32 {
         self.members.count()
     }
--- a/crates/policy/src/route/estimate.rs
+++ b/crates/policy/src/route/estimate.rs
@@ -10,8 +10,8 @@
 
 use types::{prelude::*, report::Load};
 
-/// Divisor of the weight of the newest sample in the moving average of the time that a request
-/// holds a slot: the sample counts for one part in this many.
+/// Inverse of the weight of the newest sample in the moving average of the time that a request
+/// holds a slot.
 const HOLD_TIME_WEIGHT: u32 = 8;
 
 /// One request for this many slots may wait on the server, so that slots that become free between
--- a/crates/policy/tests/quota/shared.rs
+++ b/crates/policy/tests/quota/shared.rs
@@ -32,7 +32,7 @@
     let simulation = Simulation::new(plan).run();
     check(&simulation);
     if delay == 500 {
-        // With this delay a permit may arrive after its request has stopped waiting.
+        // With this delay a permit may expire before it arrives.
         return;
     }
     let used = simulation.used(limit);
