--- a/crates/policy/src/fleet/notice.rs
+++ b/crates/policy/src/fleet/notice.rs
@@ -18,7 +18,7 @@
 use crate::{
     demand::Report,
     dispatch::loan,
-    quota::{Message, VersionedLimit},
+    quota::{Limit, Message},
 };
 
 use super::{
@@ -95,7 +95,7 @@
         server: backend::Id,
         /// The server's limit since this change.
         #[serde(rename = "news")]
-        limit: VersionedLimit,
+        limit: Limit,
     },
     /// Requests and grants of quota permits; sent once.
     Quota(Message),
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -2,9 +2,9 @@
 //!
 //! A host sees neither how many requests other hosts send to the same server nor how far the
 //! engine's batch can still grow, so an adaptive limit infers both from the outcomes of this host's
-//! requests. There are three algorithms, so that they can be compared by measurement: a fixed
-//! limit, additive increase with multiplicative decrease (AIMD), and one that follows the gradient
-//! of the first-token time. `docs/design/caller-path.md` holds the measurement and the choice.
+//! requests. There are three algorithms: a fixed limit, additive increase with multiplicative
+//! decrease (AIMD), and one that follows the gradient of the first-token time.
+//! `docs/design/caller-path.md` compares them and gives the reasons for the default.
 
 use std::{
     collections::HashMap,
@@ -57,14 +57,14 @@
     pub min: f64,
     /// Upper bound of the limit.
     pub max: f64,
-    /// Increase of the limit for as many good answers as the limit is large.
+    /// Increase of the limit over as many good answers as the limit counts requests.
     pub increase: f64,
     /// Factor applied to the limit on overload; below one.
     pub decrease: f64,
     /// Fraction of its objective that a first-token time may reach before it counts as overload.
-    pub slow: f64,
+    pub slow_fraction: f64,
     /// Shortest interval between two decreases, so that one overload decreases the limit once.
-    pub pause: Duration,
+    pub decrease_interval: Duration,
 }
 
 impl Default for Aimd {
@@ -75,8 +75,8 @@
             max: 256.0,
             increase: 1.0,
             decrease: 0.7,
-            slow: 0.5,
-            pause: Duration::from_millis(250),
+            slow_fraction: 0.5,
+            decrease_interval: Duration::from_millis(250),
         }
     }
 }
@@ -117,7 +117,9 @@
     algorithm: Algorithm,
     limit: f64,
     in_flight: u32,
+    /// Moving average of the first-token time, in seconds; zero before the first.
     baseline: f64,
+    /// When the AIMD algorithm last decreased the limit; zero before the first time.
     decreased_at: Moment,
 }
 
@@ -170,16 +172,16 @@
         let is_overload = match signal {
             Signal::Neutral => return,
             Signal::Overload => true,
-            Signal::FirstToken { time, target } => target.mul_f64(aimd.slow) < time,
+            Signal::FirstToken { time, target } => target.mul_f64(aimd.slow_fraction) < time,
         };
         if is_overload {
             if self.decreased_at == Duration::ZERO
-                || aimd.pause <= now.saturating_sub(self.decreased_at)
+                || aimd.decrease_interval <= now.saturating_sub(self.decreased_at)
             {
                 self.limit = (self.limit * aimd.decrease).max(aimd.min);
                 self.decreased_at = now.max(Duration::from_nanos(1));
             }
-        } else if self.is_used() {
+        } else if self.is_half_used() {
             self.limit = (self.limit + aimd.increase / self.limit).min(aimd.max);
         }
     }
@@ -195,7 +197,7 @@
         }
         let baseline = if self.baseline == 0.0 { time } else { self.baseline };
         self.baseline = baseline + (time - baseline) / gradient.window;
-        if baseline < time || self.is_used() {
+        if baseline < time || self.is_half_used() {
             let slope = (gradient.tolerance * baseline / time).clamp(0.5, 1.0);
             let next = self.limit * slope + self.limit.sqrt();
             let smooth = self.limit + (next - self.limit) * gradient.smoothing;
@@ -205,7 +207,7 @@
 
     /// Whether at least half of the limit is in flight. The outcome of requests below that does not
     /// show whether more would fit.
-    fn is_used(&self) -> bool {
+    fn is_half_used(&self) -> bool {
         self.limit() <= self.in_flight.saturating_mul(2)
     }
 }
--- a/crates/policy/src/once/document.rs
+++ b/crates/policy/src/once/document.rs
@@ -7,7 +7,8 @@
 
 use super::{Claim, Key, UnixMillis};
 
-/// Size of an entry without its outcome, as JSON, in bytes; a little more than the longest seen.
+/// Upper estimate of the size of an entry as JSON, in bytes, without its outcome and without the
+/// ids of the request and the host.
 const ENTRY_BYTES: usize = 200;
 
 /// Object of a range of keys.
@@ -79,9 +80,9 @@
 /// Times of keys that may have been granted from memory, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gap {
-    /// Earliest time.
+    /// Earliest time that such a key carries.
     pub from: UnixMillis,
-    /// Latest time.
+    /// Latest time that such a key carries.
     pub until: UnixMillis,
 }
 
@@ -150,7 +151,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
     /// Complete body.
-    Whole(String),
+    #[serde(rename = "whole")]
+    Complete(String),
     /// Body that is not recorded: too long, not text, cut short, or dropped to make room.
     Unrecorded,
 }
@@ -162,7 +164,7 @@
     /// Records a body if it is text and no longer than [`Body::LIMIT`].
     pub fn new(bytes: &[u8]) -> Body {
         match std::str::from_utf8(bytes) {
-            Ok(text) if text.len() <= Body::LIMIT => Body::Whole(text.to_owned()),
+            Ok(text) if text.len() <= Body::LIMIT => Body::Complete(text.to_owned()),
             Ok(_) | Err(_) => Body::Unrecorded,
         }
     }
@@ -170,7 +172,7 @@
     /// Length as JSON, in bytes.
     fn bytes(&self) -> usize {
         match self {
-            Body::Whole(text) => text.bytes().map(escaped).sum(),
+            Body::Complete(text) => text.bytes().map(escaped).sum(),
             Body::Unrecorded => 0,
         }
     }
--- a/crates/policy/src/once/range.rs
+++ b/crates/policy/src/once/range.rs
@@ -82,8 +82,11 @@
     /// Number of claims that have arrived so far.
     claim_count: u64,
     changes: Vec<Change>,
-    /// When the first of the unwritten changes was reported.
+    /// Start of the time [`Settings::settle`] after which changes are written even without a claim:
+    /// set by the first unwritten change, by a renewal of the right to grant from memory, or by the
+    /// end of a write that did not contain all changes.
     changed_at: Option<Moment>,
+    /// Granted claims of this host whose end has not been reported.
     granted: BTreeSet<request::Id>,
     /// Waiting claims whose write may have taken effect, or may still do so.
     unconfirmed: BTreeSet<request::Id>,
@@ -91,6 +94,7 @@
     memory_grants: BTreeMap<Key, Entry>,
     /// When the right to grant from memory ends.
     hold_until: Option<Moment>,
+    /// Runs of hosts' processes that ended for good.
     gone: BTreeSet<HostRun>,
     leaving: bool,
     failures: u32,
@@ -197,7 +201,7 @@
     /// before.
     pub fn due(&self) -> Option<Moment> {
         let timeout =
-            self.waiting.iter().map(|w| w.claim.asked + self.settings.claim_timeout).min();
+            self.waiting.iter().map(|w| w.claim.made_at + self.settings.claim_timeout).min();
         let call = match (&self.in_flight, self.waiting.is_empty(), self.changed_at) {
             (Some(_), _, _) | (None, true, None) => None,
             (None, false, _) => Some(self.next_call_at),
@@ -279,10 +283,10 @@
         }
         let version = known.version;
         let changes = self.changes.len();
-        let follows = known.document.hold.as_ref().is_some_and(|hold| hold.holder != self.me);
+        let other_holder = known.document.hold.as_ref().is_some_and(|hold| hold.holder != self.me);
         self.forget_answered(&decided);
         answers.append(&mut decided);
-        let idle = self.waiting.is_empty() && !settling && !follows;
+        let idle = self.waiting.is_empty() && !settling && !other_holder;
         if idle {
             return None;
         }
@@ -303,7 +307,8 @@
         Call::Read
     }
 
-    /// Whether a waiting claim meets another host's claim, which may have ended since the read.
+    /// Whether another host has claimed the key of a waiting claim, by a claim that may have ended
+    /// since the last read.
     fn needs_read(&self, known: &Known) -> bool {
         self.waiting.iter().filter(|waiting| !known.covers(waiting)).any(|waiting| {
             let entry = known.document.entries.get(&waiting.claim.key.key);
@@ -329,7 +334,7 @@
         let mut granted = Vec::new();
         for waiting in mem::take(&mut self.waiting) {
             match known.document.is_claimed_by(&waiting.claim) {
-                true if now.moment < waiting.claim.asked + grant => granted.push(waiting.claim),
+                true if now.moment < waiting.claim.made_at + grant => granted.push(waiting.claim),
                 true => {
                     self.unconfirmed.insert(waiting.claim.id.clone());
                     self.waiting.push(waiting);
@@ -341,7 +346,7 @@
     }
 
     fn grant(&mut self, claim: Claim) -> Answer {
-        let until = claim.asked + self.settings.grant;
+        let until = claim.made_at + self.settings.grant;
         self.unconfirmed.remove(&claim.id);
         self.granted.insert(claim.id.clone());
         Answer { id: claim.id, key: claim.key.key, verdict: Verdict::Granted { until } }
--- a/crates/policy/tests/once_outage.rs
+++ b/crates/policy/tests/once_outage.rs
@@ -1,10 +1,10 @@
-//! Share of non-idempotent requests served in an outage of the object API, with each handling of
-//! outages.
+//! Fraction of non-idempotent requests that are granted during an outage of the object API, for
+//! each setting of [`Outage`].
 //!
-//! Sixteen ranges are held by eight hosts; an outage of ten minutes is in the middle of twenty; in
-//! some runs one holder dies in the outage. Requests carry the time of their send, or none.
+//! Eight hosts hold sixteen ranges for twenty minutes, with an outage of ten minutes in the middle.
+//! In some runs one holder dies during the outage. Keys carry the time of their send, or none.
 
-#![allow(clippy::print_stdout, reason = "the figures of a run")]
+#![allow(clippy::print_stdout, reason = "the figures of a run are printed")]
 
 mod support;
 
@@ -20,7 +20,7 @@
 const STEP_MS: u64 = 250;
 const OUTAGE_MS: std::ops::Range<u64> = 300_000..900_000;
 const END_MS: u64 = 1_200_000;
-/// When one host dies, in runs where one does, in milliseconds.
+/// When the host dies in runs with [`Death::OneHost`], in milliseconds.
 const DEATH_MS: u64 = 600_000;
 
 /// Whether callers' keys carry a time.
@@ -49,27 +49,27 @@
     }
 }
 
-struct Held {
+struct HeldRange {
     store: Store,
     host: Host,
 }
 
 fn simulate(outage: Outage, keys: Keys, death: Death) -> (Count, Count) {
-    let mut ranges: Vec<Held> = (0..RANGES)
-        .map(|range| Held { store: Store::default(), host: Host::new(run(range), outage) })
+    let mut ranges: Vec<HeldRange> = (0..RANGES)
+        .map(|range| HeldRange { store: Store::default(), host: Host::new(run(range), outage) })
         .collect();
     let mut sent: BTreeMap<String, u64> = BTreeMap::new();
     let mut answered = (Count::default(), Count::default());
     for time in (0..END_MS).step_by(STEP_MS as usize) {
         let now = at(time);
         let fault = if OUTAGE_MS.contains(&time) { Fault::Down } else { Fault::None };
-        for (number, held) in ranges.iter_mut().enumerate() {
+        for (number, range) in ranges.iter_mut().enumerate() {
             if time % 300_000 == 0 {
-                held.host.range.renew(now);
+                range.host.range.renew(now);
             }
             if matches!(death, Death::OneHost) && time == DEATH_MS && number % HOSTS == 0 {
-                held.host = Host::new(run(number + 1), outage);
-                held.host.range.gone(run(number));
+                range.host = Host::new(run(number + 1), outage);
+                range.host.range.gone(run(number));
             }
             if time % 4_000 == STEP_MS * number as u64 {
                 let id = format!("{number}-{time}");
@@ -77,12 +77,13 @@
                     Keys::WithTime => stamped(time as i64),
                     Keys::WithoutTime => key(&id),
                 };
-                held.host.claim(now, &id, &key, 1);
+                range.host.claim(now, &id, &key, 1);
                 sent.insert(id, time);
             }
-            held.host.settle(now, &mut held.store, fault);
-            for (id, verdict) in std::mem::take(&mut held.host.answers) {
-                let sent = sent.remove(&id).expect("asked for");
+            range.host.settle(now, &mut range.store, fault);
+            for (id, verdict) in std::mem::take(&mut range.host.answers) {
+                let sent =
+                    sent.remove(&id).expect("each answer belongs to one request that was sent");
                 let in_outage = OUTAGE_MS.contains(&sent);
                 let count = if in_outage { &mut answered.0 } else { &mut answered.1 };
                 count.sent += 1;
--- a/crates/policy/tests/quota/shared.rs
+++ b/crates/policy/tests/quota/shared.rs
@@ -1,11 +1,12 @@
-//! Requests that a limited server gets from all hosts together, and the use of its limit.
+//! Number of requests that all hosts together send to a limited server, and the fraction of the
+//! limit that they use.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::play::{Fault, Plan, Planned, REQUESTS, Simulation, Spread, owner};
+use crate::play::{Fault, Plan, PlannedFault, REQUESTS, Simulation, Spread, owner};
 
 /// Fraction of a limit that must be used while demand exceeds it, less one request that is in
 /// flight.
@@ -31,7 +32,7 @@
     let simulation = Simulation::new(plan).run();
     check(&simulation);
     if delay == 500 {
-        // A permit that takes as long as callers wait is of no use to them.
+        // With this delay a permit may expire before it arrives.
         return;
     }
     let used = simulation.used(limit);
@@ -55,11 +56,12 @@
     assert!(USED <= used, "{limit} a second, {spread:?}: {used:.3} used");
 }
 
-fn planned(from: f64, to: f64, fault: Fault) -> Planned {
-    Planned { from: s(from), to: s(to), fault }
+fn planned(from: f64, to: f64, fault: Fault) -> PlannedFault {
+    PlannedFault { from: s(from), to: s(to), fault }
 }
 
-/// Faults of nine hosts once the server has named its limit must not let a share count twice.
+/// Faults of nine hosts after the server has named its limit must not let two hosts use one share
+/// of its quota at a time.
 #[rstest]
 #[case::half_are_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![0, 1, 2, 3]))])]
 #[case::one_is_cut_off(vec![planned(12.0, 60.0, Fault::Cut(vec![4]))])]
@@ -68,7 +70,7 @@
 #[case::all_start_again_in_turn((0..9).map(|host| planned(12.0 + 4.0 * host as f64, 13.0 + 4.0 * host as f64, Fault::Restart(vec![host]))).collect())]
 #[case::all_start_again_at_once(vec![planned(14.0, 15.0, Fault::Restart((0..9).collect()))])]
 fn no_part_of_a_limit_is_used_twice(
-    #[case] faults: Vec<Planned>,
+    #[case] faults: Vec<PlannedFault>,
     #[values(2.1, 40.0)] limit: f64,
     #[values(20, 300)] delay: u64,
 ) {
@@ -83,23 +85,24 @@
 #[case::the_owner_stands_still(vec![planned(20.0, 99.0, Fault::Freeze(vec![owner(9)]))], 26.0)]
 #[case::all_start_again(vec![planned(20.0, 21.0, Fault::Restart((0..9).collect()))], 26.0)]
 #[case::a_cut_is_healed(vec![planned(12.0, 20.0, Fault::Cut(vec![0, 1, 2, 3]))], 26.0)]
-fn a_limit_is_used_again_after_a_known_time(#[case] faults: Vec<Planned>, #[case] from: f64) {
+fn a_limit_is_used_again_after_a_known_time(#[case] faults: Vec<PlannedFault>, #[case] from: f64) {
     let limit = 8.0;
     let plan = Plan::steady(9, limit, Duration::from_millis(20));
     let simulation = Simulation::new(Plan { faults, length: s(from + 10.0), ..plan }).run();
     check(&simulation);
     let sent = simulation.arrivals.iter().filter(|at| s(from) < **at).count() as f64;
-    // A host that is lost keeps its share while silence is all that is known of it.
+    // The share of a host that has stopped stays reserved, since the others only know that it is
+    // silent.
     let least = (0.9 * 8.0 / 9.0 - 1.0 / REQUESTS) * limit * 10.0;
     assert!(least <= sent, "{sent} requests in 10 s, least {least}");
 }
 
 fn fault(hosts: usize) -> impl Strategy<Value = Fault> {
     let some = proptest::sample::subsequence((0..hosts).collect::<Vec<_>>(), 1..=hosts);
-    (0..3, some).prop_map(|(kind, places)| match kind {
-        0 => Fault::Cut(places),
-        1 => Fault::Freeze(places),
-        _ => Fault::Restart(places),
+    (0..3, some).prop_map(|(kind, indices)| match kind {
+        0 => Fault::Cut(indices),
+        1 => Fault::Freeze(indices),
+        _ => Fault::Restart(indices),
     })
 }
 
@@ -152,8 +155,8 @@
     }
 }
 
-/// The windows that end right after the contact time contain requests sent before the server named
-/// its limit.
+/// A limit is enforced from 3 s after the server first names it, over windows of 4 s, so the first
+/// windows contain requests that were sent before the server named its limit.
 #[rstest]
 #[case::few(2.1, 12.0)]
 #[case::many(20.0, 75.0)]
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn retries_stay_a_share_of_successes() {
-    let mut budget = Budget::new(Ratio { per_thousand: 100, most: 5 });
+    let mut budget = Budget::new(Ratio { per_thousand: 100, max: 5 });
     let broken = failure(Point::Connect, Repeat::Idempotent, Body::Buffered);
     let mut retries = 0;
     for request in 0..10_000 {
@@ -107,20 +107,24 @@
 
 #[test]
 fn a_server_is_left_out_for_longer_after_each_failed_trial() {
-    let backoff = Backoff { first: Duration::from_secs(1), most: Duration::from_secs(5) };
+    let backoff = Backoff { first: Duration::from_secs(1), max: Duration::from_secs(5) };
     let mut suspicion = Suspicion::new(backoff);
     let at = Duration::from_secs;
     assert_eq!(suspicion.failed(3, Point::Connect, at(0)), Eligibility::Suspected(at(1)));
     assert_eq!(
         suspicion.failed(3, Point::Waiting, at(0)),
         Eligibility::Suspected(at(1)),
-        "one burst"
+        "a second failure during the exclusion does not extend it"
+    );
+    assert_eq!(
+        suspicion.start_trial(3, at(1)),
+        Eligibility::Suspected(at(2)),
+        "a trial excludes the server from other requests"
     );
-    assert_eq!(suspicion.try_out(3, at(1)), Eligibility::Suspected(at(2)), "one trial at a time");
     assert_eq!(suspicion.failed(3, Point::Connect, at(1)), Eligibility::Suspected(at(3)));
-    suspicion.try_out(3, at(3));
+    suspicion.start_trial(3, at(3));
     assert_eq!(suspicion.failed(3, Point::Connect, at(3)), Eligibility::Suspected(at(7)));
-    suspicion.try_out(3, at(7));
+    suspicion.start_trial(3, at(7));
     assert_eq!(suspicion.failed(3, Point::Connect, at(7)), Eligibility::Suspected(at(12)));
     assert!(suspicion.succeeded(3));
     assert_eq!(suspicion.eligibility(3), Eligibility::Live);
--- a/crates/policy/tests/traffic.rs
+++ b/crates/policy/tests/traffic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use policy::{
-    admit::{Cause, Refusal, Ticket, Work},
+    admit::{Cause, Refusal, Request, Ticket},
     limit::Algorithm,
     retry::Point,
     route::{Destination, Distances, Eligibility},
@@ -68,7 +68,7 @@
     due: u64,
 ) -> Requirements {
     let wanted = traffic.table.destination(&Destination::Model(model::Name::parse("reader")));
-    let work = Work {
+    let work = Request {
         ticket,
         priority,
         customer: "buzon".into(),
--- a/crates/stage/examples/slopes/route.rs
+++ b/crates/stage/examples/slopes/route.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
 use policy::{
-    admit::{Ticket, Work},
+    admit::{Request, Ticket},
     ledger::Ledger,
     route::{Destination, Distances},
     traffic::{Admission, End, Requirements, Rules, Traffic},
@@ -154,7 +154,7 @@
     let wanted = Destination::Model(model::Name::parse(&name("model", model as u32)));
     let wanted = traffic.table.find(&wanted)?;
     Some(Requirements {
-        work: Work {
+        work: Request {
             ticket,
             priority: Priority::ALL[ticket as usize % Priority::ALL.len()],
             customer: "magnolia".into(),
--- a/crates/stage/src/filters/admit.rs
+++ b/crates/stage/src/filters/admit.rs
@@ -8,7 +8,7 @@
     response::{IntoResponse, Response},
 };
 use policy::{
-    admit::{Cause, Refusal, Work},
+    admit::{self, Cause, Refusal},
     route::Destination,
     traffic::Requirements,
 };
@@ -59,7 +59,7 @@
     let customer_share = config.customers.get(&customer).map_or(1, |customer| customer.share);
     let (destination, version) = destination(call, config);
     let (index, pool) = context.traffic.destinations(&destination);
-    let work = Work {
+    let work = admit::Request {
         ticket: context.traffic.ticket(),
         priority: request.priority,
         customer,
