--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -27,7 +27,7 @@
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// A response whose body has not been read yet.
-pub type Streamed = Response<Incoming>;
+pub type StreamingResponse = Response<Incoming>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -70,7 +70,7 @@
         &self,
         address: SocketAddr,
         mut request: Request<Body>,
-    ) -> Result<Streamed, Error> {
+    ) -> Result<StreamingResponse, Error> {
         let path = request.uri().path_and_query().map_or("/", |p| p.as_str());
         let uri = format!("http://{address}{path}")
             .parse()
@@ -188,7 +188,7 @@
 
 pub(crate) async fn read(
     address: SocketAddr,
-    response: Streamed,
+    response: StreamingResponse,
 ) -> Result<(StatusCode, Bytes), Error> {
     let status = response.status();
     let body = response.into_body().collect().await;
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod wire;
 
 pub use crate::{
-    client::{Body, BodyError, Client, Streamed, empty_body, full_body},
+    client::{Body, BodyError, Client, StreamingResponse, empty_body, full_body},
     error::Error,
 };
--- a/crates/objects/src/client.rs
+++ b/crates/objects/src/client.rs
@@ -276,7 +276,7 @@
             let answer =
                 self.call(Method::GET, &path, Condition::None, Bytes::new(), timeout).await?;
             if answer.status == StatusCode::GONE {
-                return Err(Error::Gone { from });
+                return Err(Error::Compacted { from });
             }
             let answer = self.require_success(answer)?;
             let changes: WireChanges = self.parse(&answer)?;
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -13,7 +13,7 @@
     },
     /// The history since the watch's start is no longer stored; the objects must be listed again.
     #[error("watch from revision {from}: the history is no longer stored")]
-    Gone {
+    Compacted {
         /// Revision from which the watch was to start.
         from: u64,
     },
--- a/crates/objects/src/store.rs
+++ b/crates/objects/src/store.rs
@@ -76,7 +76,7 @@
     fn delete<'a>(&'a self, key: &'a str, version: Version) -> BoxFuture<'a, Result<(), Error>>;
 
     /// Waits for changes under a prefix after revision `from`, up to the client's watch time;
-    /// [`Error::Gone`] if the history since `from` is no longer stored.
+    /// [`Error::Compacted`] if the history since `from` is no longer stored.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -12,6 +12,6 @@
 pub use crate::{
     api::{Api, Content, Failure, Outcome},
     client::{Builder, Client, Error},
-    listener::{Listener, listen},
+    listener::{ListenerSettings, listen},
     token::Token,
 };
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -36,7 +36,7 @@
 
 /// Settings and counters of the listener.
 #[derive(Clone, Debug)]
-pub struct Listener {
+pub struct ListenerSettings {
     /// Token that callers must send.
     pub token: Token,
     /// Counts the bytes of accepted connections.
@@ -48,7 +48,7 @@
 /// Serves other hosts until `stop` is cancelled.
 pub async fn listen<A: Api>(
     listener: TcpListener,
-    settings: Listener,
+    settings: ListenerSettings,
     api: A,
     stop: CancellationToken,
 ) {
@@ -80,8 +80,13 @@
     let _ = handle.stop();
 }
 
-fn connect<S>(stream: TcpStream, from: SocketAddr, settings: &Listener, rpc: S, stopped: StopHandle)
-where
+fn connect<S>(
+    stream: TcpStream,
+    from: SocketAddr,
+    settings: &ListenerSettings,
+    rpc: S,
+    stopped: StopHandle,
+) where
     S: Service<Request<Incoming>, Response = Response<HttpBody>> + Clone + Send + 'static,
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
@@ -105,7 +110,7 @@
 async fn answer<S>(
     request: Request<Incoming>,
     from: SocketAddr,
-    settings: &Listener,
+    settings: &ListenerSettings,
     rpc: S,
 ) -> Response<HttpBody>
 where
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -11,7 +11,7 @@
 };
 
 use meter::Meter;
-use peer::{Api, Builder, Client, Content, Failure, Listener, Outcome, Token};
+use peer::{Api, Builder, Client, Content, Failure, ListenerSettings, Outcome, Token};
 use policy::member::{
     Settings,
     gossip::Gossip,
@@ -69,7 +69,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     let (meter, refused, stop) = (Meter::default(), Arc::default(), CancellationToken::new());
-    let settings = Listener {
+    let settings = ListenerSettings {
         token: Token::new(token).expect("plain text"),
         meter: meter.clone(),
         refused: Arc::clone(&refused),
--- a/crates/stage/examples/measure/load.rs
+++ b/crates/stage/examples/measure/load.rs
@@ -117,7 +117,7 @@
 }
 
 /// Reads a stream of events to its end, and checks for an error event and the end marker.
-async fn read_stream(response: ::backend::Streamed, started: Instant) -> End {
+async fn read_stream(response: ::backend::StreamingResponse, started: Instant) -> End {
     let mut body = response.into_body();
     let mut text = Vec::new();
     let mut first = None;
@@ -142,7 +142,7 @@
     End::Answered { first, between: (started.elapsed() - first) / gaps }
 }
 
-async fn cause(response: ::backend::Streamed) -> String {
+async fn cause(response: ::backend::StreamingResponse) -> String {
     let status = response.status();
     let body = response.into_body().collect().await.map(|body| body.to_bytes());
     let body = body.unwrap_or_default();
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -5,7 +5,7 @@
 //! delivered and what follows a failure; this module carries the decisions out.
 
 use ::backend::{
-    Streamed,
+    StreamingResponse,
     frame::{self, Frame},
     wire,
 };
@@ -202,7 +202,11 @@
     }
 
     /// Handles the response head: starts reading the stream, or ends the attempt.
-    async fn response_started(&mut self, sent: Sent, response: Streamed) -> Result<(), Problem> {
+    async fn response_started(
+        &mut self,
+        sent: Sent,
+        response: StreamingResponse,
+    ) -> Result<(), Problem> {
         let status = response.status();
         if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
             self.ran = self.ran.max(Ran::MayHaveRun);
--- a/crates/stage/src/counted.rs
+++ b/crates/stage/src/counted.rs
@@ -65,7 +65,7 @@
     match result {
         Ok(_) => "ok",
         Err(Error::Conflict { .. }) => "conflict",
-        Err(Error::Gone { .. }) => "gone",
+        Err(Error::Compacted { .. }) => "gone",
         Err(Error::TooLarge { .. }) => "too-large",
         Err(Error::Limited { .. }) => "limited",
         Err(Error::Unavailable { .. }) => "unavailable",
--- a/crates/stage/src/filters/attempt/plain.rs
+++ b/crates/stage/src/filters/attempt/plain.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ::backend::{Streamed, wire};
+use ::backend::{StreamingResponse, wire};
 use axum::{
     extract::Request,
     http::{StatusCode, header, request::Parts},
@@ -179,6 +179,6 @@
 }
 
 /// Whether a service rejects a request because of load or because it is shutting down.
-fn is_rejection(response: &Streamed) -> bool {
+fn is_rejection(response: &StreamingResponse) -> bool {
     matches!(response.status(), StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use ::backend::{Streamed, wire};
+use ::backend::{StreamingResponse, wire};
 use axum::{
     Json,
     body::Body,
@@ -117,7 +117,12 @@
 }
 
 /// Passes a plain service's response through; its attempt ends with the body.
-pub fn plain(response: Streamed, sent: Sent, account: Account, idle: Duration) -> Response {
+pub fn plain(
+    response: StreamingResponse,
+    sent: Sent,
+    account: Account,
+    idle: Duration,
+) -> Response {
     sent.answered();
     account.token();
     let (mut parts, body) = response.into_parts();
@@ -127,7 +132,7 @@
 }
 
 /// Passes on a response whose attempt has already ended.
-pub fn passed_through(response: Streamed, account: &Account) -> Response {
+pub fn passed_through(response: StreamingResponse, account: &Account) -> Response {
     account.answered();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
--- a/crates/stage/src/peers/answers.rs
+++ b/crates/stage/src/peers/answers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ::peer::{Api, Content, Failure, Listener, Outcome};
+use ::peer::{Api, Content, Failure, ListenerSettings, Outcome};
 use policy::{
     config::part,
     member::heartbeat::{Heartbeat, Topic},
@@ -19,7 +19,7 @@
 /// Serves other hosts until stopped.
 pub(crate) async fn listen(listener: TcpListener, context: Arc<Context>, stop: CancellationToken) {
     let peers = &context.peers;
-    let settings = Listener {
+    let settings = ListenerSettings {
         token: peers.token.clone(),
         meter: peers.meter.clone(),
         refused: peers.refused.clone(),
--- a/crates/standin/src/routed/server/serving.rs
+++ b/crates/standin/src/routed/server/serving.rs
@@ -49,7 +49,7 @@
 ) -> io::Result<After> {
     let (head, body) = request.into_parts();
     record_arrival(shared, &head, &body);
-    let expected = remote::expected(&head.headers);
+    let expected = remote::expected_instance(&head.headers);
     if expected.is_some_and(|expected| *expected != *shared.settings.id) {
         return not_run(shared, connection, &head, StatusCode::MISDIRECTED_REQUEST).await;
     }
@@ -61,7 +61,7 @@
             connection.write(&remote::report(&report)).await.map(|()| After::Keep)
         }
         Call::Order(None) => {
-            let answer = remote::ordered(OrderStatus::Invalid, shared.settings.started_at);
+            let answer = remote::order_response(OrderStatus::Invalid, shared.settings.started_at);
             connection.write(&answer).await.map(|()| After::Keep)
         }
         Call::Order(Some(order)) => handle_order(shared, connection, order).await,
@@ -106,7 +106,7 @@
     if fault == Some(OrderFault::Lost) {
         return Ok(After::Close);
     }
-    let answer = remote::ordered(outcome, shared.settings.started_at);
+    let answer = remote::order_response(outcome, shared.settings.started_at);
     connection.write(&answer).await.map(|()| After::Keep)
 }
 
--- a/crates/standin/src/routed/server/work.rs
+++ b/crates/standin/src/routed/server/work.rs
@@ -172,7 +172,7 @@
     /// The bytes of the head of a stream.
     fn stream_head(&self) -> Vec<u8> {
         let mut head = self.head();
-        remote::streams(head.headers_mut());
+        remote::event_stream(head.headers_mut());
         remote::version(head.headers_mut(), 1);
         wire::encode_head(&head, Framing::Chunks)
     }
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -374,7 +374,7 @@
 fn refuse(shared: &Shared, endpoint: &str, refusal: Refusal) -> Reply {
     shared.count(endpoint, |count| count.refused += 1);
     match refusal {
-        Refusal::Down => Reply::Send(remote::down()),
+        Refusal::Down => Reply::Send(remote::unavailable()),
         Refusal::TooMany => Reply::Send(remote::too_many()),
         Refusal::Reset => Reply::Reset,
         Refusal::Silence | Refusal::Hold => Reply::Silence,
@@ -427,7 +427,7 @@
         match watched {
             Watched::Compacted => return Reply::Send(remote::compacted()),
             Watched::Changes(batch) if !batch.changes.is_empty() || end <= Instant::now() => {
-                return Reply::Send(remote::seen(&batch));
+                return Reply::Send(remote::watch_batch(&batch));
             }
             Watched::Changes(_) => {}
         }
