--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -88,7 +88,7 @@
     ///
     /// As [`Client::send`], and for a response that is not a report.
     pub async fn load(&self, address: SocketAddr) -> Result<Load, Error> {
-        self.ask(address, Request::get("/load").body(empty_body())).await
+        self.fetch(address, Request::get("/load").body(empty_body())).await
     }
 
     /// Sends an order.
@@ -112,7 +112,7 @@
         from: u64,
     ) -> Result<Vec<wire::CacheEvent>, Error> {
         let path = format!("/cache-events?from={from}");
-        self.ask(address, Request::get(path).body(empty_body())).await
+        self.fetch(address, Request::get(path).body(empty_body())).await
     }
 
     /// Has the engine export the KV cache of a prompt, as opaque bytes.
@@ -147,7 +147,7 @@
         content: &Q,
     ) -> Result<A, Error> {
         let request = self.json(address, path, content)?;
-        self.ask(address, Ok(request)).await
+        self.fetch(address, Ok(request)).await
     }
 
     fn json<Q: Serialize>(
@@ -163,7 +163,7 @@
             .map_err(|e| malformed(address, &e))
     }
 
-    async fn ask<A: DeserializeOwned>(
+    async fn fetch<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: http::Result<Request<Body>>,
--- a/crates/peer/src/token.rs
+++ b/crates/peer/src/token.rs
@@ -13,10 +13,10 @@
 
 /// Token that callers of a listener must send; the default requires none.
 #[derive(Clone, Default)]
-pub struct Token(Option<Expected>);
+pub struct Token(Option<Credential>);
 
 #[derive(Clone)]
-struct Expected {
+struct Credential {
     header: HeaderValue,
     hash: blake3::Hash,
 }
@@ -28,29 +28,29 @@
     ///
     /// If the token has characters that a header can't carry.
     pub fn new(token: Option<&str>) -> Result<Token, InvalidHeaderValue> {
-        Ok(Token(token.map(Expected::new).transpose()?))
+        Ok(Token(token.map(Credential::new).transpose()?))
     }
 
     /// Returns the headers that carry the token; no headers if there is none.
     pub(crate) fn headers(&self) -> HeaderMap {
-        self.0.iter().map(|expected| (AUTHORIZATION, expected.header.clone())).collect()
+        self.0.iter().map(|credential| (AUTHORIZATION, credential.header.clone())).collect()
     }
 
     /// Whether the headers carry the token, or none is required. The time that this takes depends
     /// only on the headers.
     pub fn authorizes(&self, headers: &HeaderMap) -> bool {
-        let Some(expected) = &self.0 else { return true };
+        let Some(credential) = &self.0 else { return true };
         let sent = headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
-        expected.hash.as_bytes().ct_eq(blake3::hash(sent).as_bytes()).into()
+        credential.hash.as_bytes().ct_eq(blake3::hash(sent).as_bytes()).into()
     }
 }
 
-impl Expected {
-    fn new(token: &str) -> Result<Expected, InvalidHeaderValue> {
+impl Credential {
+    fn new(token: &str) -> Result<Credential, InvalidHeaderValue> {
         let mut header = HeaderValue::from_str(&format!("{SCHEME}{token}"))?;
         header.set_sensitive(true);
         let hash = blake3::hash(header.as_bytes());
-        Ok(Expected { header, hash })
+        Ok(Credential { header, hash })
     }
 }
 
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -35,7 +35,7 @@
 
 impl Api for Fake {
     async fn heartbeat(&self, heartbeat: Heartbeat) -> Heartbeat {
-        self.0.lock().expect("no panic").receive(NOW, &heartbeat).0
+        self.0.lock().expect("lock is not poisoned").receive(NOW, &heartbeat).0
     }
 
     async fn probe(&self, _: Host) -> Outcome {
@@ -53,7 +53,7 @@
     }
 
     async fn fetch(&self, _: Topic, above: u64) -> Result<Content, Failure> {
-        let value = RawValue::from_string("{\"models\":{}}".into()).expect("JSON");
+        let value = RawValue::from_string("{\"models\":{}}".into()).expect("text is JSON");
         (above < 7).then_some(Content { number: 7, value }).ok_or(Failure::NothingNewer)
     }
 }
@@ -66,11 +66,11 @@
 }
 
 async fn serve(token: Option<&str>) -> Server {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback port is available");
+    let address = listener.local_addr().expect("listener is bound");
     let (meter, refused, stop) = (Meter::default(), Arc::default(), CancellationToken::new());
     let settings = ListenerSettings {
-        token: Token::new(token).expect("plain text"),
+        token: Token::new(token).expect("token is a valid header value"),
         meter: meter.clone(),
         refused: Arc::clone(&refused),
     };
@@ -80,7 +80,10 @@
 }
 
 fn client(token: Option<&str>, meter: Meter) -> Client {
-    Builder::new().token(Token::new(token).expect("plain text")).meter(meter).build()
+    Builder::new()
+        .token(Token::new(token).expect("token is a valid header value"))
+        .meter(meter)
+        .build()
 }
 
 fn host(n: u8) -> Host {
@@ -106,13 +109,19 @@
     assert_eq!(answer.from.host.as_deref(), Some(&host(1)), "the answer identifies the host");
     let members = client.members(server.address).await.expect("answered");
     assert_eq!(members.hosts[0].host, host(1));
-    assert!(client.part(server.address, "config/part/1").await.is_err(), "no such part");
+    assert!(
+        client.part(server.address, "config/part/1").await.is_err(),
+        "the host must report that it does not have the part"
+    );
     client.ping(server.address).await.expect("answered");
     let outcome = client.probe(server.address, &host(3)).await.expect("answered");
     assert_eq!(outcome, Outcome::Silent);
     let content = client.fetch(server.address, Topic::Config, 3).await.expect("answered");
     assert_eq!((content.number, content.value.get()), (7, "{\"models\":{}}"));
-    assert!(client.fetch(server.address, Topic::Config, 7).await.is_err(), "nothing newer");
+    assert!(
+        client.fetch(server.address, Topic::Config, 7).await.is_err(),
+        "the host has no content above number 7"
+    );
 }
 
 #[rstest]
@@ -138,8 +147,8 @@
 
 #[tokio::test]
 async fn a_peer_that_never_answers_is_given_up_in_time() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback port is available");
+    let address = listener.local_addr().expect("listener is bound");
     let client = Builder::new().timeout(Duration::from_millis(50)).build();
     assert!(client.heartbeat(address, hello()).await.is_err());
 }
@@ -150,22 +159,22 @@
     let client = client(None, Meter::default());
     client.ping(server.address).await.expect("answered");
     server.stop.cancel();
-    let mut tries = 0;
+    let mut attempts = 0;
     while client.ping(server.address).await.is_ok() {
-        tries += 1;
-        assert!(tries < 1000, "the stopped listener still answers");
+        attempts += 1;
+        assert!(attempts < 1000, "the stopped listener still answers");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 #[tokio::test]
 async fn bytes_on_the_wire_are_counted_alike_on_both_sides_and_within_the_assumed_overheads() {
-    const BEATS: u64 = 20;
+    const HEARTBEATS: u64 = 20;
     let server = serve(Some("0123456789abcdef0123456789abcdef")).await;
     let meter = Meter::default();
     let client = client(Some("0123456789abcdef0123456789abcdef"), meter.clone());
     let mut content = (0, 0);
-    for _ in 0..BEATS {
+    for _ in 0..HEARTBEATS {
         let heartbeat = hello();
         content.0 += json_bytes(&heartbeat);
         let answer = client.heartbeat(server.address, heartbeat).await.expect("answered");
@@ -173,13 +182,13 @@
     }
     assert_eq!(server.meter.received(), meter.sent());
     assert_eq!(server.meter.sent(), meter.received());
-    let request = (meter.sent() - content.0) / BEATS;
-    let answer = (meter.received() - content.1) / BEATS;
-    eprintln!("around a request {request} bytes, around an answer {answer} bytes");
-    assert!(0 < request && request <= REQUEST_OVERHEAD, "{request} bytes around a request");
-    assert!(0 < answer && answer <= ANSWER_OVERHEAD, "{answer} bytes around an answer");
+    let request = (meter.sent() - content.0) / HEARTBEATS;
+    let answer = (meter.received() - content.1) / HEARTBEATS;
+    eprintln!("overhead of a request: {request} bytes, of an answer: {answer} bytes");
+    assert!(0 < request && request <= REQUEST_OVERHEAD, "overhead of a request is {request} bytes");
+    assert!(0 < answer && answer <= ANSWER_OVERHEAD, "overhead of an answer is {answer} bytes");
 }
 
 fn json_bytes(heartbeat: &Heartbeat) -> u64 {
-    serde_json::to_string(heartbeat).expect("plain data").len() as u64
+    serde_json::to_string(heartbeat).expect("heartbeat is serializable").len() as u64
 }
