--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -20,7 +20,7 @@
 
 use crate::{error::Error, wire};
 
-/// Error of a request body that is forwarded as a stream.
+/// Error from the source of a request body that is forwarded as a stream.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A request body, complete in memory or streamed.
@@ -82,7 +82,9 @@
         })
     }
 
-    /// Fetches a load report.
+    /// Fetches a complete load report, with the list of residents; [`reports::Reader`] caches it.
+    ///
+    /// [`reports::Reader`]: crate::reports::Reader
     ///
     /// # Errors
     ///
@@ -101,7 +103,8 @@
         self.post(address, "/orders", order).await
     }
 
-    /// Fetches cache events from a sequence number on. Events arrive late, and some are lost.
+    /// Fetches the events of an engine's prefix cache, from sequence number `from` on. Servers
+    /// publish events late and lose some.
     ///
     /// # Errors
     ///
@@ -115,11 +118,11 @@
         self.fetch(address, Request::get(path).body(empty_body())).await
     }
 
-    /// Has the engine export the KV cache of a prompt, as opaque bytes.
+    /// Asks an engine to export the KV cache of a prompt, and returns it as opaque bytes.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and [`Error::Status`]: 404 if no part of the prompt is cached.
+    /// As [`Client::send`], and [`Error::Status`], with 404 if no part of the prompt is cached.
     pub async fn export(&self, address: SocketAddr, cache: &wire::Cache) -> Result<Bytes, Error> {
         let request = self.json(address, "/kv/export", cache)?;
         let response = self.send(address, request).await?;
@@ -127,7 +130,7 @@
         require_success(address, status, body)
     }
 
-    /// Has the engine import a KV cache that another engine exported.
+    /// Asks an engine to import a KV cache that another engine exported.
     ///
     /// # Errors
     ///
--- a/crates/backend/src/frame.rs
+++ b/crates/backend/src/frame.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Fields that are read of an event's data; the rest is forwarded unread.
+/// Fields that are parsed of an event's data; the whole data is forwarded unchanged.
 #[derive(Deserialize)]
 struct Chunk {
     id: Option<String>,
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of backend servers, for engines and plain servers alike.
 //!
-//! The API states what decisions depend on independently of the transport: whether a failure
-//! occurred before any byte of the request can have been sent ([`Error::is_unsent`]), and the
-//! position of each token in its stream ([`frame::Frame`]).
+//! Errors and frames carry what decisions about retries depend on, independently of the transport:
+//! whether a failure occurred before any byte of the request can have been sent
+//! ([`Error::is_unsent`]), and the position of each token in its stream ([`frame::Frame`]).
 
 mod client;
 mod error;
--- a/crates/backend/src/reports.rs
+++ b/crates/backend/src/reports.rs
@@ -2,7 +2,7 @@
 //!
 //! Most of a report is the list of residents, which seldom changes. The reader sends the tag of the
 //! list that it has cached, and a server whose list has the same tag omits it. A server that does
-//! not support tags sends the complete report each time, which is as correct but costs more bytes.
+//! not support tags sends the complete report each time, which only costs more bytes.
 
 use std::net::SocketAddr;
 
--- a/crates/backend/src/wire.rs
+++ b/crates/backend/src/wire.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Header with the request's id; the response repeats it.
+/// Header with the id of the request; the server copies it into the response.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Header with the attempt's number; the response repeats it.
+/// Header with the number of the attempt; the server copies it into the response.
 pub const ATTEMPT: &str = "x-attempt";
 
 /// Header with the priority; a higher number is a higher priority.
@@ -24,7 +24,8 @@
 /// Data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
 
-/// A request to import or export the KV cache of a prompt.
+/// The prompt whose KV cache is exported or imported. Hosts send it in a request to export, and
+/// treat what the engine returns as opaque.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cache {
     /// Name of the model, or `model:adapter`.
@@ -56,10 +57,11 @@
     Evicted,
 }
 
-/// Size of a block, in bytes; a prompt has one digest for each prefix of full blocks.
+/// Size of a block of a prompt, in bytes; [`blocks`] returns a digest for each prefix of full
+/// blocks.
 pub const BLOCK_BYTES: usize = 256;
 
-/// Approximate number of bytes in one token.
+/// Approximate number of bytes in one token, to estimate the length of a prompt.
 pub const TOKEN_BYTES: usize = 4;
 
 /// Returns the digest of each prefix of `prompt` that ends on a full block, shortest first.
--- a/crates/meter/src/lib.rs
+++ b/crates/meter/src/lib.rs
@@ -1,7 +1,7 @@
 //! Counts the bytes of the connections that a host opens or accepts.
 //!
-//! The cost of control traffic for a host is promised to its users, so the bytes are counted on the
-//! connections, headers included, and not derived from the size of messages.
+//! Users are guaranteed an upper bound on the control traffic of a host. Bytes are therefore
+//! counted on the connections, headers included, and not estimated from the size of messages.
 
 use std::{
     io,
--- a/crates/objects/src/client.rs
+++ b/crates/objects/src/client.rs
@@ -1,8 +1,7 @@
 //! HTTP client of the platform.
 //!
-//! Every call has a timeout, since a platform that accepts connections and never answers is a
-//! failure to expect. The client never retries a call: only its caller can know whether that is
-//! safe.
+//! Every call has a timeout, since the platform may accept a connection and never answer. The
+//! client never retries a call, because only its caller knows whether a repetition is safe.
 
 use std::{
     net::SocketAddr,
@@ -49,13 +48,14 @@
         }
     }
 
-    /// Sets the timeout of a call and of connecting; a watch may take longer by the watch time.
+    /// Sets the timeout of connecting and of a call. The timeout of a watch is this time plus the
+    /// watch time.
     pub fn timeout(mut self, timeout: Duration) -> Builder {
         self.timeout = timeout;
         self
     }
 
-    /// Sets how long a watch waits for a change.
+    /// Sets how long the platform waits for a change before it answers a watch without one.
     pub fn watch_time(mut self, watch_time: Duration) -> Builder {
         self.watch_time = watch_time;
         self
@@ -117,7 +117,8 @@
 }
 
 impl Client {
-    /// Returns the number of calls made; each counts against the platform's rate limits.
+    /// Returns the number of calls made, failed ones included. The platform's rate limits apply to
+    /// all of them.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -11,7 +11,8 @@
         /// Key of the object.
         key: String,
     },
-    /// The history since the watch's start is no longer stored; the objects must be listed again.
+    /// The platform no longer stores the changes since the revision from which the watch was to
+    /// start; the objects must be listed again.
     #[error("watch from revision {from}: the history is no longer stored")]
     Compacted {
         /// Revision from which the watch was to start.
@@ -63,7 +64,7 @@
         matches!(self, Error::Unanswered { .. } | Error::Malformed { .. })
     }
 
-    /// Whether another party changed the object first.
+    /// Whether the write failed because the object was changed or created by another writer.
     pub fn is_conflict(&self) -> bool {
         matches!(self, Error::Conflict { .. })
     }
--- a/crates/objects/src/store.rs
+++ b/crates/objects/src/store.rs
@@ -1,4 +1,4 @@
-//! The object API and the host list as a trait, at the process boundary.
+//! The trait of the platform's object API and host list, and the types that it returns.
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -44,7 +44,7 @@
     },
 }
 
-/// Result of a watch; without changes if the watch time passed first.
+/// Result of a watch; empty if no object changed within the watch time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Revision from which the next watch continues.
@@ -75,14 +75,14 @@
     /// Deletes an object; [`Error::Conflict`] unless its version is `version`.
     fn delete<'a>(&'a self, key: &'a str, version: Version) -> BoxFuture<'a, Result<(), Error>>;
 
-    /// Waits for changes under a prefix after revision `from`, up to the client's watch time;
-    /// [`Error::Compacted`] if the history since `from` is no longer stored.
+    /// Waits for changes under a prefix after revision `from`, at most for the client's watch time;
+    /// [`Error::Compacted`] if the platform no longer stores the changes since `from`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
         from: Revision,
     ) -> BoxFuture<'a, Result<Changes, Error>>;
 
-    /// Reads the list of hosts and backend servers, which lags behind their actual state.
+    /// Reads the platform's list of hosts and backend servers, which may be out of date.
     fn hosts(&self) -> BoxFuture<'_, Result<List, Error>>;
 }
--- a/crates/peer/src/api.rs
+++ b/crates/peer/src/api.rs
@@ -14,7 +14,7 @@
 /// Content of a topic, as one host has it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Content {
-    /// Number of the content; newer content has a higher one.
+    /// Number of the content; newer content of the topic has a higher number.
     pub number: u64,
     /// The content as JSON, which only the consumer of the topic parses.
     pub value: Box<RawValue>,
@@ -75,7 +75,7 @@
     /// Probes another host for the caller.
     fn probe(&self, target: Host) -> impl Future<Output = Outcome> + Send;
 
-    /// Answers, and does nothing else; shows that the host is reachable.
+    /// Returns immediately; a response shows that the host is reachable.
     fn ping(&self) -> impl Future<Output = ()> + Send;
 
     /// Returns the hosts and backend servers that this host knows, itself included.
@@ -92,7 +92,8 @@
     fn part(&self, key: String) -> impl Future<Output = Result<Box<RawValue>, Failure>> + Send;
 }
 
-/// The calls of [`Api`] as JSON-RPC methods; names are short, since each heartbeat carries one.
+/// The calls of [`Api`] as JSON-RPC methods. Their names are short, since every heartbeat contains
+/// one.
 #[rpc(server, client)]
 pub(crate) trait Rpc {
     #[method(name = "beat")]
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,7 +1,7 @@
 //! Client of the other hosts.
 //!
-//! One connection pool serves all peers. The bytes of connections that jsonrpsee itself opens can't
-//! be counted, so its transport is replaced by one whose connections are metered.
+//! One connection pool serves all peers. jsonrpsee offers no way to count the bytes of connections
+//! that it opens itself, so its transport is replaced by one whose connections are metered.
 
 use std::{
     collections::HashMap,
@@ -119,8 +119,8 @@
         with_timeout(self.timeout, peer.heartbeat(heartbeat)).await.map_err(error_at(address))
     }
 
-    /// Asks a host to probe another, with twice the timeout, since the response waits for that
-    /// probe.
+    /// Asks a host to probe another host. The timeout is doubled, since the host responds only
+    /// after its own probe.
     ///
     /// # Errors
     ///
@@ -176,7 +176,7 @@
         with_timeout(CONTENT_TIMEOUT, peer.part(key.to_owned())).await.map_err(error_at(address))
     }
 
-    /// Drops the clients of hosts for whose address `is_known` is false.
+    /// Drops the per-host clients of all addresses for which `is_known` returns false.
     pub fn retain(&self, is_known: impl Fn(&SocketAddr) -> bool) {
         let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         peers.retain(|address, _| is_known(address));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts, over jsonrpsee.
+//! Calls between hosts, as JSON-RPC over HTTP.
 //!
 //! The protocol itself is in `policy::member`; this crate has its calls ([`Api`]), the listener
 //! ([`listen`]) and the client of all peers ([`Client`]). Hosts authenticate to each other with a
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -34,14 +34,14 @@
 /// Delay after a failure to accept a connection, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Settings and counters of the listener.
+/// Settings of the listener, and the counters that it updates.
 #[derive(Clone, Debug)]
 pub struct ListenerSettings {
     /// Token that callers must send.
     pub token: Token,
-    /// Counts the bytes of accepted connections.
+    /// Meter that counts the bytes of accepted connections.
     pub meter: Meter,
-    /// Counts calls that are refused because of a wrong or missing token.
+    /// Number of calls that were refused because of a wrong or missing token.
     pub refused: Arc<AtomicU64>,
 }
 
--- a/crates/peer/src/token.rs
+++ b/crates/peer/src/token.rs
@@ -1,7 +1,7 @@
 //! Bearer token that a listener requires from other hosts and from operators.
 //!
-//! Tokens are compared by their hashes in constant time, so that the time of a refusal reveals
-//! neither their length nor how much of a guess is right.
+//! Tokens are compared by their hashes in constant time, so that the time that a refusal
+//! takes reveals neither the length of the token nor how much of a guess is right.
 
 use http::{
     HeaderMap, HeaderValue,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -23,10 +23,12 @@
 use tokio_util::sync::CancellationToken;
 use types::host::{Entry, Host, List, Listed};
 
-/// Bytes of HTTP and JSON-RPC around a request that `crates/policy/tests/fleet` assumes.
+/// Upper bound on the bytes that HTTP and JSON-RPC add to a request. `crates/policy/tests/fleet`
+/// assumes the same number.
 const REQUEST_OVERHEAD: u64 = 260;
 
-/// Bytes of HTTP and JSON-RPC around a response that `crates/policy/tests/fleet` assumes.
+/// Upper bound on the bytes that HTTP and JSON-RPC add to a response. `crates/policy/tests/fleet`
+/// assumes the same number.
 const ANSWER_OVERHEAD: u64 = 160;
 
 const NOW: Duration = Duration::from_secs(1);
