--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -4,7 +4,7 @@
 
 use policy::config::{Outcome, Patch};
 use serde_json::json;
-use types::config::{Number, Numbered};
+use types::config::{Number, NumberedConfig};
 
 use super::{base, diff, status};
 use crate::{
@@ -32,7 +32,7 @@
 ) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
     let stored = base::read(path)?;
-    let current: Numbered = client.get("/config").await?;
+    let current: NumberedConfig = client.get("/config").await?;
     let against = match (against, stored) {
         (Some(Base::Current), _) => current.number,
         (Some(Base::Number(number)), _) | (None, Some(number)) => number,
--- a/crates/ctl/src/commands/diff.rs
+++ b/crates/ctl/src/commands/diff.rs
@@ -5,7 +5,7 @@
 use policy::config::{Outcome, Patch, merge};
 use serde_json::json;
 use similar::TextDiff;
-use types::config::{Config, Numbered};
+use types::config::{Config, NumberedConfig};
 use uuid::Uuid;
 
 use crate::{
@@ -21,7 +21,7 @@
 /// change.
 pub(crate) async fn run(client: &Client, path: &Path) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
-    let current: Numbered = client.get("/config").await?;
+    let current: NumberedConfig = client.get("/config").await?;
     let patch = patch(&current, &wanted);
     if is_empty(&patch) {
         let text = format!("no difference to number {}", current.number);
@@ -35,7 +35,7 @@
 }
 
 /// Creates a patch, with a new ID, that turns the configuration in force into the wanted one.
-pub(super) fn patch(current: &Numbered, wanted: &Config) -> Patch {
+pub(super) fn patch(current: &NumberedConfig, wanted: &Config) -> Patch {
     Patch {
         id: Uuid::new_v4().to_string().into(),
         against: current.number,
@@ -89,7 +89,7 @@
     items.into_iter().map(|item| format!("\n  {item}")).collect()
 }
 
-fn unified_diff(current: &Numbered, wanted: &Config) -> Result<String, Error> {
+fn unified_diff(current: &NumberedConfig, wanted: &Config) -> Result<String, Error> {
     let text = |config: &Config| {
         settings::config::to_text(config)
             .map_err(|cause| Error::File { file: "configuration".into(), cause })
--- a/crates/ctl/src/commands/get.rs
+++ b/crates/ctl/src/commands/get.rs
@@ -3,14 +3,14 @@
 use std::path::Path;
 
 use serde_json::{Value, json};
-use types::config::{Config, Numbered};
+use types::config::{Config, NumberedConfig};
 
 use super::base;
 use crate::{client::Client, error::Error, report::Report};
 
 /// Prints the configuration in force. With a path, writes it there and stores its number beside it.
 pub(crate) async fn run(client: &Client, to: Option<&Path>) -> Result<Report, Error> {
-    let current: Numbered = client.get("/config").await?;
+    let current: NumberedConfig = client.get("/config").await?;
     let Some(path) = to else {
         return Ok(Report::done(text(&current.config)?, json!(current)));
     };
--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -89,7 +89,11 @@
         state: routed::State::Ready,
         remaining: None,
         cold: Duration::ZERO,
-        models: vec![routed::Held { model: "sage".into(), version: 3, adapters: Vec::new() }],
+        models: vec![routed::LoadedModel {
+            model: "sage".into(),
+            version: 3,
+            adapters: Vec::new(),
+        }],
         resident: Vec::new(),
         on_disk: Vec::new(),
         sequence: 4,
--- a/crates/policy/src/config/holder.rs
+++ b/crates/policy/src/config/holder.rs
@@ -9,7 +9,7 @@
     sync::Arc,
 };
 
-use types::config::{Config, Number, Numbered};
+use types::config::{Config, Number, NumberedConfig};
 
 use super::{Root, part, root::Content};
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct InForce {
     root: Arc<Root>,
-    numbered: Arc<Numbered>,
+    numbered: Arc<NumberedConfig>,
 }
 
 /// Result of a root or a part.
@@ -38,12 +38,12 @@
     /// The newest root still needs these parts.
     Needs(Vec<part::Name>),
     /// This configuration is in force from now on.
-    InForce(Arc<Numbered>),
+    InForce(Arc<NumberedConfig>),
 }
 
 impl Holder {
     /// Configuration in force; `None` before the first.
-    pub fn in_force(&self) -> Option<&Arc<Numbered>> {
+    pub fn in_force(&self) -> Option<&Arc<NumberedConfig>> {
         self.in_force.as_ref().map(|in_force| &in_force.numbered)
     }
 
@@ -119,7 +119,7 @@
                 part::join(*weights, parts)?
             }
         };
-        let numbered = Arc::new(Numbered { number: root.number, config });
+        let numbered = Arc::new(NumberedConfig { number: root.number, config });
         self.in_force = Some(InForce { root: Arc::new(root), numbered: numbered.clone() });
         self.drop_unnamed();
         Ok(Progress::InForce(numbered))
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -360,7 +360,7 @@
     fn apply_models(
         &mut self,
         index: Index,
-        models: &[routed::Held],
+        models: &[routed::LoadedModel],
         sequence: routed::Sequence,
         now: Moment,
     ) {
--- a/crates/policy/src/place/server_view/observe.rs
+++ b/crates/policy/src/place/server_view/observe.rs
@@ -4,7 +4,7 @@
 
 use types::{
     prelude::*,
-    routed::{self, Held, Report, Sequence},
+    routed::{self, LoadedModel, Report, Sequence},
 };
 
 use super::{AdapterKey, CurrentOrder, Operation, Presence, SentOrder, ServerView, Source};
@@ -40,7 +40,7 @@
     }
 
     /// Marks the adapters that a registration lists as loaded.
-    fn note_loaded_adapters(&mut self, models: &[Held]) {
+    fn note_loaded_adapters(&mut self, models: &[LoadedModel]) {
         let lists = |(model, adapter): &AdapterKey| {
             models.iter().any(|held| held.model == *model && held.adapters.contains(adapter))
         };
@@ -148,8 +148,9 @@
         };
     }
 
-    pub(super) fn set_held(&mut self, models: &[Held], now: Moment) {
-        let pairs = |held: &Held| (held.model.clone(), held.adapters.iter().cloned().collect());
+    pub(super) fn set_held(&mut self, models: &[LoadedModel], now: Moment) {
+        let pairs =
+            |held: &LoadedModel| (held.model.clone(), held.adapters.iter().cloned().collect());
         self.held = models.iter().map(pairs).collect();
         let held = &self.held;
         self.adapters_unloading.retain(|(model, adapter)| {
--- a/crates/policy/tests/dispatch/fixture.rs
+++ b/crates/policy/tests/dispatch/fixture.rs
@@ -5,7 +5,7 @@
 };
 use types::{
     prelude::*,
-    routed::{Held, Kind, Report, Route, Server, Share, State},
+    routed::{Kind, LoadedModel, Report, Route, Server, Share, State},
 };
 
 pub const GOAL: Duration = Duration::from_millis(400);
@@ -95,8 +95,8 @@
     }
 }
 
-pub fn held(models: &[(&str, &[&str])]) -> Vec<Held> {
-    let held = |(model, adapters): &(&str, &[&str])| Held {
+pub fn held(models: &[(&str, &[&str])]) -> Vec<LoadedModel> {
+    let held = |(model, adapters): &(&str, &[&str])| LoadedModel {
         model: (*model).into(),
         version: 1,
         adapters: adapters.iter().map(|adapter| (*adapter).into()).collect(),
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -6,7 +6,7 @@
 use policy::place::{Operation, Order, Outcome};
 use types::{
     prelude::*,
-    routed::{self, Engine, Held, Model, Report, Server, StartTime, State},
+    routed::{self, Engine, LoadedModel, Model, Report, Server, StartTime, State},
 };
 
 pub type AdapterKey = (model::Id, adapter::Id);
@@ -113,8 +113,8 @@
         }
     }
 
-    fn models(&self) -> Vec<Held> {
-        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| Held {
+    fn models(&self) -> Vec<LoadedModel> {
+        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| LoadedModel {
             model: model.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
--- a/crates/policy/tests/place/server_view.rs
+++ b/crates/policy/tests/place/server_view.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use types::{
     prelude::*,
-    routed::{Held, Report},
+    routed::{LoadedModel, Report},
 };
 
 use crate::{machine::Machine, world::engine};
@@ -28,7 +28,8 @@
 }
 
 fn report(sequence: u64, models: &[&str]) -> Report {
-    let held = |model: &&str| Held { model: (*model).into(), version: 1, adapters: Vec::new() };
+    let held =
+        |model: &&str| LoadedModel { model: (*model).into(), version: 1, adapters: Vec::new() };
     Report { sequence, models: models.iter().map(held).collect(), ..Report::default() }
 }
 
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -15,7 +15,7 @@
 use exchange::{Registered, Suspect};
 use types::{
     prelude::*,
-    routed::{Held, Server, State},
+    routed::{LoadedModel, Server, State},
 };
 
 use crate::edge::Revision;
@@ -118,7 +118,7 @@
     }
 
     /// Sets the models that a server holds.
-    pub fn set_models(&mut self, id: &backend::Id, models: &[Held]) {
+    pub fn set_models(&mut self, id: &backend::Id, models: &[LoadedModel]) {
         if let Some(entry) = self.entries.get_mut(id) {
             Arc::make_mut(&mut entry.server).models = models.to_vec();
         }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -19,7 +19,7 @@
 };
 use types::{
     prelude::*,
-    routed::{self, Declaration, Held, Report, Server, StartTime, State},
+    routed::{self, Declaration, LoadedModel, Report, Server, StartTime, State},
 };
 
 use crate::{
@@ -372,7 +372,8 @@
     /// the last one.
     pub(crate) fn apply_report(&self, server: &Server, report: &Report) {
         self.dispatcher().report(&server.id, report, self.now());
-        let before = |held: &Held| server.models.iter().any(|known| known.model == held.model);
+        let before =
+            |held: &LoadedModel| server.models.iter().any(|known| known.model == held.model);
         for held in report.models.iter().filter(|held| !before(held)) {
             self.notify(Notice::Loaded {
                 server: server.id.clone(),
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use types::{
     prelude::*,
-    routed::{self, Held, Server, State},
+    routed::{self, LoadedModel, Server, State},
 };
 
 const NOW: Moment = Duration::from_secs(10);
@@ -30,8 +30,8 @@
     }
 }
 
-fn held(model: &str) -> Held {
-    Held { model: model.into(), version: 1, adapters: vec![] }
+fn held(model: &str) -> LoadedModel {
+    LoadedModel { model: model.into(), version: 1, adapters: vec![] }
 }
 
 fn with_suspect() -> Directory {
--- a/crates/stage/examples/slopes/control.rs
+++ b/crates/stage/examples/slopes/control.rs
@@ -10,7 +10,7 @@
 };
 use types::{
     backend::{self, Server},
-    config::Numbered,
+    config::NumberedConfig,
     host::{Entry, Host, List, Listed},
     prelude::*,
 };
@@ -32,10 +32,11 @@
     let mut times = Vec::new();
     let mut memory = Vec::new();
     for models in MODELS {
-        let numbered = Numbered { number: 1, config: fleet::config(models) };
+        let numbered = NumberedConfig { number: 1, config: fleet::config(models) };
         let text = serde_json::to_vec(&numbered)?;
         bytes.push((models as f64, text.len() as f64 / 1024.0));
-        let read = || serde_json::from_slice::<Numbered>(&text).map(|numbered| numbered.number);
+        let read =
+            || serde_json::from_slice::<NumberedConfig>(&text).map(|numbered| numbered.number);
         times.push((models as f64, micros(5, 10, read) / 1e3));
         memory.push((models as f64, kibibytes(8, || numbered.clone())));
     }
--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -18,7 +18,7 @@
 use settings::process::Process;
 use tokio::sync::watch;
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
-use types::{config::Numbered, prelude::*};
+use types::{config::NumberedConfig, prelude::*};
 
 use crate::{
     claims::Claims, counted::CountedStore, declared::Declared, fleet::Fleet, moves::Moves,
@@ -58,7 +58,7 @@
     /// Most recent events of this host, for the time line.
     pub events: Arc<Ring>,
     /// Configuration in force; only [`Context::advance`] changes it.
-    config: watch::Sender<Arc<Numbered>>,
+    config: watch::Sender<Arc<NumberedConfig>>,
     /// Cancelled when an operator asks for a planned stop.
     pub stop_asked: CancellationToken,
     /// Cancelled at the end of a planned stop; ends background duties.
@@ -130,17 +130,17 @@
     }
 
     /// Returns the configuration in force; its number is 0 before the first one.
-    pub fn config(&self) -> Arc<Numbered> {
+    pub fn config(&self) -> Arc<NumberedConfig> {
         self.config.borrow().clone()
     }
 
     /// Subscribes to changes of the configuration in force.
-    pub fn config_changes(&self) -> watch::Receiver<Arc<Numbered>> {
+    pub fn config_changes(&self) -> watch::Receiver<Arc<NumberedConfig>> {
         self.config.subscribe()
     }
 
     /// Puts a configuration in force if its number is higher; returns whether it did.
-    pub fn advance(&self, numbered: Numbered) -> bool {
+    pub fn advance(&self, numbered: NumberedConfig) -> bool {
         let numbered = Arc::new(numbered);
         self.config.send_if_modified(|current| {
             let is_newer = current.number < numbered.number;
--- a/crates/stage/src/declared.rs
+++ b/crates/stage/src/declared.rs
@@ -16,7 +16,7 @@
     holder::{Holder, Progress},
     part,
 };
-use types::config::{Number, Numbered};
+use types::config::{Number, NumberedConfig};
 
 use self::source::Source;
 use crate::context::Context;
@@ -99,7 +99,7 @@
 fn put_in_force(context: &Context, progress: Progress) {
     let Progress::InForce(numbered) = progress else { return };
     let number = numbered.number;
-    if context.advance(Numbered::clone(&numbered)) {
+    if context.advance(NumberedConfig::clone(&numbered)) {
         context.metrics.configuration(number);
         context.events.record(Event::new(event::Kind::Configuration { number }));
         log::info!(number = number; "configuration in force");
--- a/crates/stage/src/filters.rs
+++ b/crates/stage/src/filters.rs
@@ -22,7 +22,7 @@
     middleware::{from_fn, from_fn_with_state},
 };
 use bytes::Bytes;
-use types::{config::Numbered, prelude::*, request::Request};
+use types::{config::NumberedConfig, prelude::*, request::Request};
 
 use crate::{
     context::Context,
@@ -35,7 +35,7 @@
     /// Properties of the request that decisions use.
     pub request: Arc<Request>,
     /// Configuration under which the call runs from start to end.
-    pub numbered: Arc<Numbered>,
+    pub numbered: Arc<NumberedConfig>,
     /// When the host received the call.
     pub received: Moment,
     /// Target of the call: a model or a plain service.
--- a/crates/stage/src/filters/identify.rs
+++ b/crates/stage/src/filters/identify.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use types::{
-    config::{Config, Numbered},
+    config::{Config, NumberedConfig},
     prelude::*,
     request::{Digest, Repeat},
     service::{Offer, Service},
@@ -46,7 +46,7 @@
 /// Identifies a call to a model.
 pub async fn model(
     State(context): State<Arc<Context>>,
-    Extension(numbered): Extension<Arc<Numbered>>,
+    Extension(numbered): Extension<Arc<NumberedConfig>>,
     request: Request,
     next: Next,
 ) -> Response {
@@ -59,7 +59,7 @@
 /// Identifies a call to a plain service.
 pub async fn plain(
     State(context): State<Arc<Context>>,
-    Extension(numbered): Extension<Arc<Numbered>>,
+    Extension(numbered): Extension<Arc<NumberedConfig>>,
     request: Request,
     next: Next,
 ) -> Response {
@@ -87,7 +87,7 @@
 
 async fn identify_model(
     context: &Context,
-    numbered: Arc<Numbered>,
+    numbered: Arc<NumberedConfig>,
     request: Request,
 ) -> Result<Request, Problem> {
     let (parts, body) = request.into_parts();
@@ -124,7 +124,7 @@
 
 fn identify_plain(
     context: &Context,
-    numbered: Arc<Numbered>,
+    numbered: Arc<NumberedConfig>,
     request: Request,
 ) -> Result<Request, Problem> {
     let (parts, body) = request.into_parts();
@@ -147,7 +147,7 @@
 
 fn with_call(
     context: &Context,
-    numbered: Arc<Numbered>,
+    numbered: Arc<NumberedConfig>,
     parts: axum::http::request::Parts,
     body: Body,
     request: request::Request,
--- a/crates/stage/src/operators/config.rs
+++ b/crates/stage/src/operators/config.rs
@@ -10,7 +10,7 @@
     routing::{get, post},
 };
 use policy::config::{Outcome, Patch};
-use types::config::Numbered;
+use types::config::NumberedConfig;
 
 use crate::{context::Context, declared::patch};
 
@@ -26,7 +26,7 @@
         .layer(DefaultBodyLimit::max(MAX_PATCH_BYTES))
 }
 
-async fn in_force(State(context): State<Arc<Context>>) -> Json<Arc<Numbered>> {
+async fn in_force(State(context): State<Arc<Context>>) -> Json<Arc<NumberedConfig>> {
     Json(context.config())
 }
 
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, task::AbortHandle, time::Instant};
 use types::{
     prelude::*,
-    routed::{self, Engine, Held, StartTime, State},
+    routed::{self, Engine, LoadedModel, StartTime, State},
 };
 
 use self::{inventory::Inventory, quota::Quota};
@@ -59,7 +59,7 @@
     /// The engine of a model server; `None` for a plain server.
     pub engine: Option<Engine>,
     /// Models and adapters that it holds at the start.
-    pub held: Vec<Held>,
+    pub held: Vec<LoadedModel>,
 }
 
 impl Settings {
@@ -81,7 +81,7 @@
 
     /// A model server with the slots of `engine`, which holds `models` from the start.
     pub fn model(id: &str, service: &str, engine: &Engine, models: &[&str]) -> Settings {
-        let held = models.iter().map(|model| Held {
+        let held = models.iter().map(|model| LoadedModel {
             model: (*model).into(),
             version: 1,
             adapters: Vec::new(),
--- a/crates/standin/src/routed/server/inventory.rs
+++ b/crates/standin/src/routed/server/inventory.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use types::{
     prelude::*,
-    routed::{Engine, Held, Report, Sequence},
+    routed::{Engine, LoadedModel, Report, Sequence},
 };
 
 /// How many past reports are kept, to answer with a report of an earlier time.
@@ -57,7 +57,7 @@
 }
 
 impl Inventory {
-    pub(super) fn new(engine: Option<Engine>, held: &[Held]) -> Inventory {
+    pub(super) fn new(engine: Option<Engine>, held: &[LoadedModel]) -> Inventory {
         let held =
             held.iter().map(|held| (held.model.clone(), held.adapters.iter().cloned().collect()));
         Inventory {
@@ -92,8 +92,8 @@
         self.loading.iter().any(is_same)
     }
 
-    pub(super) fn held(&self) -> Vec<Held> {
-        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| Held {
+    pub(super) fn held(&self) -> Vec<LoadedModel> {
+        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| LoadedModel {
             model: model.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -27,7 +27,8 @@
 };
 use tokio::{net::TcpStream, task::JoinSet};
 use types::routed::{
-    self, Declaration, Engine, Held, Kind, Limits, Model, Report, Route, Service, Share, State,
+    self, Declaration, Engine, Kind, Limits, LoadedModel, Model, Report, Route, Service, Share,
+    State,
 };
 
 /// How long a call waits for its answer before it counts as unanswered.
@@ -174,7 +175,7 @@
         state: State::Draining,
         remaining: Some(Duration::from_millis(900)),
         cold: Duration::from_millis(1200),
-        models: vec![Held { model: "m1".into(), version: 2, adapters: vec!["a1".into()] }],
+        models: vec![LoadedModel { model: "m1".into(), version: 2, adapters: vec!["a1".into()] }],
         resident: vec!["m2".into()],
         on_disk: vec!["m1".into(), "m2".into()],
         sequence: 5,
@@ -186,7 +187,7 @@
 #[test]
 fn a_report_is_read_as_it_was_written() {
     let report = Report {
-        models: vec![Held { model: "m1".into(), version: 2, adapters: vec!["a1".into()] }],
+        models: vec![LoadedModel { model: "m1".into(), version: 2, adapters: vec!["a1".into()] }],
         started_at: 1_785_971_202_000,
         busy: true,
         sequence: 5,
--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -49,7 +49,7 @@
 
 /// A configuration together with its number.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Numbered {
+pub struct NumberedConfig {
     /// The number of this configuration.
     pub number: Number,
     /// The declared content.
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -29,17 +29,17 @@
     /// The highest rate, 10^9 requests per second, which limits nothing in practice.
     pub const MAX: Rate = Rate(1_000_000_000_000_000);
 
-    const PART: f64 = 1e-6;
+    const UNIT: f64 = 1e-6;
 
     /// Returns the rate of a number of requests per second, capped at [`Rate::MAX`]; `None` if the
     /// number is negative or NaN.
     pub fn per_second(requests: f64) -> Option<Rate> {
-        (0.0 <= requests).then(|| Rate(((requests / Rate::PART).round() as u64).min(Rate::MAX.0)))
+        (0.0 <= requests).then(|| Rate(((requests / Rate::UNIT).round() as u64).min(Rate::MAX.0)))
     }
 
     /// Returns the rate in requests per second.
     pub fn as_f64(self) -> f64 {
-        self.0 as f64 * Rate::PART
+        self.0 as f64 * Rate::UNIT
     }
 }
 
@@ -215,7 +215,7 @@
 
 /// A model that is loaded on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model's name.
     pub model: model::Id,
     /// Version of its weights.
@@ -250,7 +250,7 @@
     /// Time for which it remains slow after its start.
     pub cold: Duration,
     /// Loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Models whose weights are cached in its host memory.
     pub resident: Vec<model::Id>,
     /// Models whose weights are cached on its disk.
@@ -263,7 +263,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Start time of the run that reports.
     #[serde(rename = "born")]
     pub started_at: StartTime,
