--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -63,7 +63,7 @@
         on_disk: Vec<model::Id>,
     ) -> Machine {
         let server = Server {
-            id: routed::run(name, started_at),
+            id: routed::run_id(name, started_at),
             name: name.into(),
             started_at,
             service: "lm".into(),
--- a/crates/relay/src/host.rs
+++ b/crates/relay/src/host.rs
@@ -20,7 +20,7 @@
     place::{self, Planner},
     term::{self, OrderLease},
 };
-use settings::process::{Process, Routed};
+use settings::process::{Process, RoutedSettings};
 use tokio::sync::{Notify, oneshot};
 use tokio_util::sync::CancellationToken;
 use types::{prelude::*, routed::Declaration};
@@ -41,7 +41,7 @@
 /// State that the tasks of a host share.
 pub struct Shared {
     pub(crate) host: Host,
-    pub(crate) routed: Routed,
+    pub(crate) routed: RoutedSettings,
     /// Identity of this run of the host.
     pub(crate) incarnation: host::Incarnation,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -94,7 +94,7 @@
 impl Shared {
     pub(crate) fn new(
         settings: Process,
-        routed: Routed,
+        routed: RoutedSettings,
         dialect: Arc<dyn Dialect>,
         metrics: Metrics,
         clock: Clock,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -7,7 +7,7 @@
     Metrics,
     story::{self, Belief, Text},
 };
-use settings::process::{Process, Routed};
+use settings::process::{Process, RoutedSettings};
 use tokio::{net::TcpListener, select, task::JoinHandle, time::sleep};
 use tokio_util::sync::CancellationToken;
 use types::host::Host;
@@ -77,7 +77,7 @@
 /// If a listener can't be bound.
 pub async fn start(
     settings: Process,
-    routed: Routed,
+    routed: RoutedSettings,
     dialect: Arc<dyn Dialect>,
 ) -> Result<Running, Error> {
     start_by(Clock::start(), settings, routed, dialect).await
@@ -91,7 +91,7 @@
 pub async fn start_by(
     clock: Clock,
     mut settings: Process,
-    routed: Routed,
+    routed: RoutedSettings,
     dialect: Arc<dyn Dialect>,
 ) -> Result<Running, Error> {
     let callers = bind("callers", &mut settings.host.callers).await?;
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -55,7 +55,7 @@
         if started_at == 0 || started_at == server.started_at {
             return Some(server.clone());
         }
-        let id = routed::run(&server.name, started_at);
+        let id = routed::run_id(&server.name, started_at);
         let known = self.directory().by_name(&server.name).cloned()?;
         // A server whose entry was removed from the store is restored only by the store.
         if known.started_at < started_at && !self.directory().is_suspect(&known.id) {
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::{future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
 use relay::{Running, clock::Clock};
-use settings::process::{self, Process, Retry, Routed};
+use settings::process::{self, Process, Retry, RoutedSettings};
 use tokio::time::timeout;
 use types::{
     host::Host,
@@ -51,12 +51,13 @@
     /// Starts a host as [`TestHost::start`] does, with an empty retry budget.
     pub async fn without_retries(route: Route, servers: &[&Server]) -> TestHost {
         let retry = Retry { ratio: 0.0, extra: 0.0, window: TIMEOUT };
-        TestHost::start_with(Clock::start(), Routed { retry, ..routed() }, route, servers).await
+        TestHost::start_with(Clock::start(), RoutedSettings { retry, ..routed() }, route, servers)
+            .await
     }
 
     async fn start_with(
         clock: Clock,
-        routed: Routed,
+        routed: RoutedSettings,
         route: Route,
         servers: &[&Server],
     ) -> TestHost {
@@ -184,8 +185,8 @@
     }
 }
 
-fn routed() -> Routed {
-    Routed {
+fn routed() -> RoutedSettings {
+    RoutedSettings {
         dialect: process::Dialect::Platform,
         apply: TIMEOUT,
         drain: TIMEOUT,
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -109,7 +109,7 @@
 
 /// Returns the run of the server that started at `started_at`.
 fn server_run(started_at: u64) -> Server {
-    Server { id: routed::run("s1", started_at), started_at, ..server(&["m1"]) }
+    Server { id: routed::run_id("s1", started_at), started_at, ..server(&["m1"]) }
 }
 
 #[rstest]
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -24,7 +24,7 @@
 
 pub use self::{
     planning::Planning,
-    routed::{Dialect, Retry, Routed},
+    routed::{Dialect, Retry, RoutedSettings},
 };
 
 /// Reads a process's settings from a file.
@@ -100,7 +100,7 @@
     pub log: Log,
     /// If set, the process routes requests by host and path instead of serving the chat interface.
     #[serde(default)]
-    pub routed: Option<Routed>,
+    pub routed: Option<RoutedSettings>,
 }
 
 impl Process {
--- a/crates/settings/src/process/check.rs
+++ b/crates/settings/src/process/check.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::{Process, Routed};
+use super::{Process, RoutedSettings};
 
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
@@ -156,7 +156,7 @@
     }
 }
 
-fn routed_bounds(routed: &Routed, problems: &mut Vec<Problem>) {
+fn routed_bounds(routed: &RoutedSettings, problems: &mut Vec<Problem>) {
     let times = [
         ("/routed/apply_ms", routed.apply),
         ("/routed/drain_ms", routed.drain),
--- a/crates/settings/src/process/routed.rs
+++ b/crates/settings/src/process/routed.rs
@@ -9,7 +9,7 @@
 /// configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Routed {
+pub struct RoutedSettings {
     /// Protocol of callers, servers and the store.
     pub dialect: Dialect,
     /// Time within which a new declaration must be in force; milliseconds in JSON.
--- a/crates/stage/src/routed.rs
+++ b/crates/stage/src/routed.rs
@@ -4,7 +4,7 @@
 
 use relay::edge;
 use settings::{
-    process::{Dialect, Process, Routed},
+    process::{Dialect, Process, RoutedSettings},
     read_process,
 };
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -16,12 +16,12 @@
 /// # Errors
 ///
 /// Fails if the host can't start.
-pub fn run(settings: Process, routed: Routed, file: &Path) -> Result<ExitCode, Error> {
+pub fn run(settings: Process, routed: RoutedSettings, file: &Path) -> Result<ExitCode, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(settings, routed, file))
 }
 
-async fn serve(settings: Process, routed: Routed, file: &Path) -> Result<ExitCode, Error> {
+async fn serve(settings: Process, routed: RoutedSettings, file: &Path) -> Result<ExitCode, Error> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
     let dialect = dialect(routed.dialect);
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -307,7 +307,7 @@
     fn new(settings: Settings, address: SocketAddr) -> Shared {
         let inventory = Inventory::new(settings.engine.clone(), &settings.held);
         let registration = routed::Server {
-            id: routed::run(&settings.id, settings.started_at),
+            id: routed::run_id(&settings.id, settings.started_at),
             name: settings.id.clone(),
             started_at: settings.started_at,
             service: settings.service.clone(),
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -165,7 +165,7 @@
 #[test]
 fn a_registration_is_read_as_it_was_written() {
     let registered = routed::Server {
-        id: routed::run("lm-1", 1_785_971_202_000),
+        id: routed::run_id("lm-1", 1_785_971_202_000),
         name: "lm-1".into(),
         started_at: 1_785_971_202_000,
         service: "lm".into(),
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -48,7 +48,7 @@
 
 /// Returns the id of a server's run: its name, with the start time if servers report one. A server
 /// that restarts under the same name thereby gets another id, and counts as another server.
-pub fn run(name: &str, started_at: StartTime) -> backend::Id {
+pub fn run_id(name: &str, started_at: StartTime) -> backend::Id {
     match started_at {
         0 => name.into(),
         started_at => format!("{name}@{started_at}").into(),
@@ -227,7 +227,7 @@
 /// A server as it registers itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Id of this run of the server's process, as returned by [`run`]; a restart changes it.
+    /// Id of this run of the server's process, as returned by [`run_id`]; a restart changes it.
     pub id: backend::Id,
     /// Name that the server is registered under, which a later run may reuse.
     pub name: Arc<str>,
