--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// Any other status, with the body as explanation.
-    pub fn success(self) -> Result<Response, Error> {
+    pub fn require_success(self) -> Result<Response, Error> {
         if self.status.is_success() {
             return Ok(self);
         }
@@ -81,7 +81,7 @@
     ///
     /// No host responds, or the first that does responds with an error status or an invalid body.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        self.first_response(Method::GET, path, Bytes::new()).await?.success()?.json()
+        self.first_response(Method::GET, path, Bytes::new()).await?.require_success()?.json()
     }
 
     /// Sends a POST request with a JSON body to the first host that responds.
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -64,7 +64,9 @@
     let mut attempt = 1;
     loop {
         let response = match client.post("/config/patches", patch).await {
-            Ok(response) => response.json::<Outcome>().map_err(|_| response.success().err()),
+            Ok(response) => {
+                response.json::<Outcome>().map_err(|_| response.require_success().err())
+            }
             Err(error) => Err(Some(error)),
         };
         match response {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -13,6 +13,6 @@
     let entry = list.hosts.iter().find(|entry| &*entry.host.id == host);
     let address = entry.ok_or_else(|| Error::UnknownHost(host.into()))?.host.operators;
     let response = client.call(address, Method::POST, "/drain", Default::default()).await;
-    response.map_err(|cause| Error::NoHost(vec![cause]))?.success()?;
+    response.map_err(|cause| Error::NoHost(vec![cause]))?.require_success()?;
     Ok(Report::done(format!("{host} drains"), json!({"host": host, "draining": true})))
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -46,8 +46,8 @@
     let Explain { request, server, version, term, .. } = options;
     let request = request.as_deref().map(|id| Query::Request(id.into()));
     let server = server.as_deref().map(|id| Query::Server(id.into()));
-    let one = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
-    one.ok_or(Error::NoQuery)
+    let query = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
+    query.ok_or(Error::NoQuery)
 }
 
 fn read(explanation: &mut Explanation, file: &Path) -> io::Result<()> {
--- a/crates/ctl/src/commands/moves.rs
+++ b/crates/ctl/src/commands/moves.rs
@@ -21,14 +21,14 @@
 #[derive(Debug, Deserialize)]
 struct Moves {
     current: bool,
-    open: Vec<Open>,
-    settled: Vec<Settled>,
+    open: Vec<OpenMove>,
+    settled: Vec<SettledMove>,
     memory: Vec<Memory>,
 }
 
 /// An order whose outcome is not yet known.
 #[derive(Debug, Serialize, Deserialize)]
-struct Open {
+struct OpenMove {
     order: order::Id,
     server: backend::Id,
     action: order::Action,
@@ -42,7 +42,7 @@
 
 /// An order whose outcome is known, with the evidence for it.
 #[derive(Debug, Serialize, Deserialize)]
-struct Settled {
+struct SettledMove {
     order: order::Id,
     server: backend::Id,
     action: order::Action,
@@ -65,7 +65,7 @@
 /// Reports tables of open moves, settled moves and memory.
 pub(crate) async fn run(client: &Client) -> Result<Report, Error> {
     let moves: Moves = client.get("/status/moves").await?;
-    let settled = settled(client).await?;
+    let settled = fetch_settled(client).await?;
     let text = text(&moves, &settled);
     let Moves { current, open, memory, .. } = moves;
     let json = json!({"current": current, "open": open, "settled": settled, "memory": memory});
@@ -74,30 +74,30 @@
 
 /// Collects the orders that the listed hosts have settled: each order once, the latest last. Hosts
 /// that do not respond are left out.
-async fn settled(client: &Client) -> Result<Vec<Settled>, Error> {
+async fn fetch_settled(client: &Client) -> Result<Vec<SettledMove>, Error> {
     let list: List = client.get("/hosts").await?;
-    let answers = list.hosts.iter().map(async |entry| {
+    let responses = list.hosts.iter().map(async |entry| {
         let address = entry.host.operators;
         let path = "/status/moves";
-        let answer = client.call(address, Method::GET, path, Default::default()).await.ok()?;
-        answer.success().ok()?.json::<Moves>().ok()
+        let response = client.call(address, Method::GET, path, Default::default()).await.ok()?;
+        response.require_success().ok()?.json::<Moves>().ok()
     });
-    let all_moves = join_all(answers).await.into_iter().flatten();
-    let by_order: BTreeMap<order::Id, Settled> = all_moves
+    let all_moves = join_all(responses).await.into_iter().flatten();
+    let by_order: BTreeMap<order::Id, SettledMove> = all_moves
         .flat_map(|moves| moves.settled)
         .map(|settled| (settled.order.clone(), settled))
         .collect();
-    let mut settled: Vec<Settled> = by_order.into_values().collect();
+    let mut settled: Vec<SettledMove> = by_order.into_values().collect();
     settled.sort_by_key(|settled| std::cmp::Reverse(settled.ago));
     Ok(settled)
 }
 
-fn text(moves: &Moves, settled: &[Settled]) -> String {
+fn text(moves: &Moves, settled: &[SettledMove]) -> String {
     let mut text = String::new();
     if !moves.current {
         text.push_str("the object API does not answer: open moves are as last known\n\n");
     }
-    text.push_str(&open(&moves.open));
+    text.push_str(&open_text(&moves.open));
     text.push('\n');
     if settled.is_empty() {
         text.push_str("no settled moves\n");
@@ -110,20 +110,20 @@
     text + &table(names, moves.memory.iter().map(memory_row))
 }
 
-fn open(open: &[Open]) -> String {
-    if open.is_empty() {
+fn open_text(moves: &[OpenMove]) -> String {
+    if moves.is_empty() {
         return "no open moves\n".into();
     }
     let names = ["OPEN", "SERVER", "MOVE", "CAUSE", "MIB", "KNOWN FOR", "WHY"];
-    let mut text = table(names, open.iter().map(open_row));
-    for open in open {
+    let mut text = table(names, moves.iter().map(open_row));
+    for open in moves {
         text.push_str(&format!("\n{} is settled when\n", open.order));
         open.settled_by.iter().for_each(|condition| text.push_str(&format!("  {condition}\n")));
     }
     text
 }
 
-fn open_row(open: &Open) -> [String; 7] {
+fn open_row(open: &OpenMove) -> [String; 7] {
     [
         open.order.to_string(),
         open.server.to_string(),
@@ -135,7 +135,7 @@
     ]
 }
 
-fn settled_row(settled: &Settled) -> [String; 6] {
+fn settled_row(settled: &SettledMove) -> [String; 6] {
     [
         settled.order.to_string(),
         settled.server.to_string(),
--- a/crates/ctl/src/commands/timeline.rs
+++ b/crates/ctl/src/commands/timeline.rs
@@ -18,17 +18,17 @@
 pub(crate) async fn run(client: &Client, options: &Timeline) -> Result<Report, Error> {
     let filter = filter(options)?;
     let list: List = client.get("/hosts").await?;
-    let answers = list.hosts.iter().map(async |entry| {
+    let responses = list.hosts.iter().map(async |entry| {
         let address = entry.host.operators;
         let response = client.call(address, Method::GET, "/timeline", Default::default()).await;
         (
             &entry.host.id,
-            response.and_then(|response| response.success().map_err(|e| e.to_string())),
+            response.and_then(|response| response.require_success().map_err(|e| e.to_string())),
         )
     });
     let mut records = Vec::new();
     let mut unanswered = Vec::new();
-    for (host, response) in join_all(answers).await {
+    for (host, response) in join_all(responses).await {
         match response {
             Ok(response) => records.extend(parse_records(&response.body)),
             Err(cause) => unanswered.push(format!("{host}: no answer from {cause}")),
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -170,10 +170,10 @@
 async fn a_patch_whose_answer_was_lost_is_sent_again_and_gets_its_first_outcome() {
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
-    let trap = proxy.intercept("POST /config/patches", Interception::LoseAnswer);
+    let interceptor = proxy.intercept("POST /config/patches", Interception::LoseAnswer);
     let file = site.write("a.json", &moves(7), Some(1));
     let run = site.ctl_at(proxy.address(), &["apply", &file]).await;
-    assert!(trap.has_triggered());
+    assert!(interceptor.has_triggered());
     assert_eq!((run.code, run.out.as_str()), (0, "accepted before as number 2\n"), "{run:?}");
     let (_, root) = site.platform.peek("config/root").unwrap();
     assert_eq!((&root["number"], root["patches"].as_array().unwrap().len()), (&json!(2), 1));
@@ -184,15 +184,15 @@
 async fn an_outage_of_the_object_api_is_waited_out() {
     let site = Site::start(1).await;
     let proxy = Proxy::start(site.operators(0)).await.unwrap();
-    let trap = proxy.intercept("POST /config/patches", Interception::HoldAnswer);
+    let interceptor = proxy.intercept("POST /config/patches", Interception::HoldAnswer);
     let file = site.write("a.json", &moves(7), Some(1));
     site.platform.fault(|fault| fault.down = true);
     let arguments = ["apply", file.as_str(), "--wait"];
     let (run, ()) = tokio::join!(site.ctl_at(proxy.address(), &arguments), async {
         // The host has responded that the object API is unavailable; the proxy holds the response.
-        trap.triggered().await;
+        interceptor.triggered().await;
         site.platform.fault(|fault| fault.down = false);
-        trap.release();
+        interceptor.release();
     });
     assert_eq!(run.code, 0, "{run:?}");
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
@@ -201,14 +201,14 @@
 
 #[tokio::test]
 async fn applies_that_race_give_each_number_to_one_of_them() {
-    const RACERS: u64 = 5;
+    const WRITERS: u64 = 5;
     let site = Site::start(2).await;
-    let racers = (0..RACERS).map(async |racer| {
-        let file = site.write(&format!("{racer}.json"), &moves(100 + racer), Some(1));
-        let host = site.operators(racer as usize % 2);
+    let writers = (0..WRITERS).map(async |writer| {
+        let file = site.write(&format!("{writer}.json"), &moves(100 + writer), Some(1));
+        let host = site.operators(writer as usize % 2);
         site.ctl_at(host, &["apply", &file]).await.code
     });
-    let mut codes = futures_util::future::join_all(racers).await;
+    let mut codes = futures_util::future::join_all(writers).await;
     codes.sort();
     assert_eq!(codes, [0, 3, 3, 3, 3]);
     assert_eq!(site.platform.peek("config/root").unwrap().1["number"], 2);
--- a/crates/ctl/tests/views.rs
+++ b/crates/ctl/tests/views.rs
@@ -133,8 +133,11 @@
     let run = site.ctl(&["timeline"]).await;
     assert_eq!(run.code, 0, "{run:?}");
     let position = |expected: &[&str]| {
-        let is_it = |line: &str| expected.iter().all(|word| line.contains(word));
-        run.out.lines().position(is_it).unwrap_or_else(|| panic!("no {expected:?} in {}", run.out))
+        let is_match = |line: &str| expected.iter().all(|word| line.contains(word));
+        run.out
+            .lines()
+            .position(is_match)
+            .unwrap_or_else(|| panic!("no {expected:?} in {}", run.out))
     };
     let patch = position(&["host-0", " patch ", "verdict=accepted"]);
     let first = position(&["host-0", " configuration ", "number=2"]);
