--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// The whole of what operators declare.
+/// The declared configuration: weights, customers, models and services.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
@@ -50,8 +50,8 @@
 /// A configuration together with its number.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NumberedConfig {
-    /// The number of this configuration.
+    /// Number that the latest patch in `config` was accepted as; zero before the first patch.
     pub number: Number,
-    /// The declared content.
+    /// The configuration after that patch.
     pub config: Config,
 }
--- a/crates/types/src/report.rs
+++ b/crates/types/src/report.rs
@@ -35,7 +35,8 @@
     pub prompt_backlog: u64,
     /// Total accelerator memory, in MiB; zero for a plain server.
     pub capacity: Mebibytes,
-    /// Contents of that memory; omitted on the wire if the reader's request named the same list.
+    /// Contents of that memory; omitted on the wire if the reader's request has the tag of the same
+    /// list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub residents: Vec<Resident>,
     /// Highest fencing number that the server has seen.
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, as the policies see them.
+//! Callers' requests, as the policies receive them.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -55,12 +55,12 @@
     }
 }
 
-/// The whole of what operators declare for routed services, under one number.
+/// All that operators declare for routed services: routes, services and limits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declaration {
     /// Number of this declaration.
     pub version: Version,
-    /// Declared routes, in no particular order.
+    /// Declared routes; their order has no meaning.
     pub routes: Vec<Route>,
     /// Services that the routes send requests to.
     pub services: Vec<Service>,
@@ -247,7 +247,7 @@
     /// Time until the server is removed, whatever it is running; `None` unless it is being
     /// reclaimed at short notice.
     pub remaining: Option<Duration>,
-    /// Time for which it remains slow after its start.
+    /// Time for which the server will still be slow because it was started recently.
     pub cold: Duration,
     /// Loaded models.
     pub models: Vec<LoadedModel>,
@@ -279,7 +279,7 @@
     pub kv_used: u64,
     /// Capacity of the KV cache, in tokens.
     pub kv_total: u64,
-    /// Adapters being loaded.
+    /// Adapters that the server is loading.
     #[serde(rename = "coming")]
     pub adapters_loading: Vec<(model::Id, adapter::Id)>,
     /// Models whose weights are cached in its host memory.
--- a/crates/types/src/target.rs
+++ b/crates/types/src/target.rs
@@ -16,6 +16,7 @@
     pub between_tokens: Duration,
 }
 
+/// A target so long that every response meets it.
 fn unbounded() -> Duration {
     Duration::from_secs(3600)
 }
