--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -16,7 +16,7 @@
     shape,
 };
 
-/// Sections whose entries may be spread over several files.
+/// Sections whose entries several files may declare; any other section must be in one file.
 const SECTIONS: [&str; 3] = ["customers", "models", "services"];
 
 /// Reads the declared configuration from a file, or from the JSON files of a directory and its
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -20,7 +20,7 @@
 }
 
 impl Place {
-    /// The location of a finding about the whole file.
+    /// Returns the location of a finding about the whole file.
     pub fn of_file(file: &Path) -> Place {
         Place { file: file.into(), line: 0, column: 0 }
     }
@@ -63,7 +63,7 @@
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// A single finding about a whole file, such as that it can't be read.
+    /// Returns a single finding about a whole file, such as that it can't be read.
     pub fn of_file(file: &Path, message: impl fmt::Display) -> Findings {
         let place = Place::of_file(file);
         Findings(vec![Finding { place, path: String::new(), message: message.to_string() }])
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -68,15 +68,15 @@
         Ok(Lines::new(file, text).node(tree))
     }
 
-    /// Finds names that an object of the tree contains more than once.
+    /// Returns a finding for each name that an object of the tree contains again.
     pub fn duplicates(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         self.collect_duplicates("", &mut findings);
         findings
     }
 
-    /// Location of the value at a JSON pointer, or of the nearest enclosing value that exists. A
-    /// member of an object is located by its name.
+    /// Returns the location of the value at a JSON pointer, or of the nearest enclosing value that
+    /// exists. The location of an object's member is that of its name.
     pub fn place_of(&self, path: &str) -> &Place {
         let mut node = self;
         let mut place = &self.place;
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -104,7 +104,7 @@
 }
 
 impl Process {
-    /// A copy without the tokens, for the log.
+    /// Returns a copy without the tokens, which can be logged.
     #[must_use]
     pub fn without_secrets(&self) -> Process {
         Process { operators_token: None, peers_token: None, ..self.clone() }
@@ -199,7 +199,7 @@
     /// Time between reads of the platform's list of hosts; milliseconds in JSON.
     #[serde(rename = "list_ms", with = "millis")]
     pub list: Duration,
-    /// Time between load reports of one backend server; milliseconds in JSON.
+    /// Time between two fetches of one backend server's load report; milliseconds in JSON.
     #[serde(rename = "report_ms", with = "millis")]
     pub report: Duration,
     /// Time between heartbeats to other hosts; milliseconds in JSON.
--- a/crates/settings/src/process/check.rs
+++ b/crates/settings/src/process/check.rs
@@ -66,7 +66,9 @@
     let listeners = listeners(process);
     for (path, address) in listeners {
         if address.ip().is_unspecified() {
-            let message = format!("{address} is no address that others can reach; name the host's");
+            let message = format!(
+                "{address} is a wildcard address; give the address at which others reach the host"
+            );
             problems.push(Problem::new(path, message));
         }
     }
@@ -95,7 +97,7 @@
                 problems.push(Problem::new(path, message));
             }
             Some(token) if !token.chars().all(|c| c.is_ascii_graphic()) => {
-                let message = "only visible ASCII characters can be sent";
+                let message = "must contain only visible ASCII characters";
                 problems.push(Problem::new(path, message));
             }
             None if !address.ip().is_loopback() => {
@@ -114,7 +116,7 @@
     let zeros = sizes.into_iter().filter(|(_, size)| *size == 0);
     problems.extend(zeros.map(|(path, _)| Problem::new(path, "must be positive")));
     if bounds.request < bounds.idle {
-        let problem = Problem::new("/bounds/idle_ms", "longer than the time for a whole request");
+        let problem = Problem::new("/bounds/idle_ms", "longer than the timeout of a whole request");
         problems.push(problem.with_path("/bounds/request_ms"));
     }
 }
@@ -166,8 +168,8 @@
     ];
     let zeros = times.into_iter().filter(|(_, time)| *time == Duration::ZERO);
     problems.extend(zeros.map(|(path, _)| Problem::new(path, "must be positive")));
-    let shares =
+    let values =
         [("/routed/retry/ratio", routed.retry.ratio), ("/routed/retry/extra", routed.retry.extra)];
-    let negative = shares.into_iter().filter(|(_, share)| !(share.is_finite() && 0.0 <= *share));
+    let negative = values.into_iter().filter(|(_, value)| !(value.is_finite() && 0.0 <= *value));
     problems.extend(negative.map(|(path, _)| Problem::new(path, "must not be negative")));
 }
--- a/crates/settings/src/process/planning.rs
+++ b/crates/settings/src/process/planning.rs
@@ -15,17 +15,18 @@
     /// Timeout of an engine's answer to an order; milliseconds in JSON.
     #[serde(rename = "order_ms", with = "millis")]
     pub order: Duration,
-    /// Maximum time after which data may still arrive once its connection was closed; milliseconds
-    /// in JSON. Memory whose order has an unknown outcome stays reserved for at least this long.
+    /// Maximum time for which data sent on a connection may still arrive after the connection was
+    /// closed; milliseconds in JSON. Memory whose order has an unknown outcome stays reserved for
+    /// at least this long.
     #[serde(rename = "linger_ms", with = "millis")]
     pub linger: Duration,
     /// Upper bound on the staleness of the platform's list of hosts; milliseconds in JSON. It must
     /// be longer than the interval between two reads of the list.
     #[serde(rename = "list_lag_ms", with = "millis")]
     pub list_lag: Duration,
-    /// Rate of loads that the weight store serves, per second.
+    /// Maximum number of loads per second that the weight store serves.
     pub loads_per_second: f64,
-    /// Maximum number of concurrent loads that all run at full speed.
+    /// Maximum number of concurrent loads at which each still runs at full speed.
     pub loads_at_once: usize,
     /// Maximum number of adapters, over all servers, that the weight store delivers concurrently at
     /// full speed.
--- a/crates/settings/src/process/routed.rs
+++ b/crates/settings/src/process/routed.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use types::time::{millis, seconds};
 
-/// Settings of a routed deployment. Its routes, services and engines are in the declared
-/// configuration.
+/// Settings of a routed deployment. Routes, services and engines are not among them; operators
+/// declare these in the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutedSettings {
@@ -18,7 +18,7 @@
     /// Time after which a leaving server must not be sent new requests; milliseconds in JSON.
     #[serde(rename = "drain_ms", with = "millis")]
     pub drain: Duration,
-    /// Time from SIGTERM until the process is ended; seconds in JSON.
+    /// Time from SIGTERM until the process is killed; seconds in JSON.
     #[serde(rename = "grace_s", with = "seconds")]
     pub grace: Duration,
     /// Minimum time between the orders of two different hosts to one server; milliseconds in JSON.
@@ -26,8 +26,8 @@
     pub turn: Duration,
     /// Retry budget, shared by all hosts.
     pub retry: Retry,
-    /// Additional port for the metrics, at the IP address of the operators' listener. Without it
-    /// they are served by the operators' listener only.
+    /// Additional port that serves the metrics, at the IP address of the operators' listener. If
+    /// none, only the operators' listener serves them.
     #[serde(default)]
     pub metrics_port: Option<u16>,
 }
