--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client for hosts' operators' listeners.
+//! HTTP client of the operators' listeners of hosts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -29,7 +29,7 @@
 /// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The responding host's operators' listener.
+    /// Address of the operators' listener that responded.
     pub address: SocketAddr,
     /// Path and query of the request.
     pub path: String,
--- a/crates/ctl/src/commands/base.rs
+++ b/crates/ctl/src/commands/base.rs
@@ -12,7 +12,7 @@
 
 const FILE_NAME: &str = ".number";
 
-/// Reads the number stored beside files, if there is one.
+/// Reads the number that is stored for the file or directory at `path`, if there is one.
 pub(super) fn read(path: &Path) -> Result<Option<Number>, Error> {
     let file = number_file(path);
     match std::fs::read_to_string(&file) {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Stores a number beside files.
+/// Stores a number for the file or directory at `path`.
 pub(super) fn write(path: &Path, number: Number) -> Result<(), Error> {
     let file = number_file(path);
     std::fs::write(&file, format!("{number}\n")).map_err(|cause| Error::File { file, cause })
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -22,7 +22,7 @@
     report::Report,
 };
 
-/// Fields that every line has. They are in the first columns or left out, not repeated as fields.
+/// Fields that are not printed as `name=value`: they are in the first columns or left out.
 const COLUMNS: [&str; 8] = ["at", "up", "wall", "host", "run", "request", "kind", "part"];
 
 /// Reads the logs and reports the lines that answer the query.
--- a/crates/ctl/src/commands/moves.rs
+++ b/crates/ctl/src/commands/moves.rs
@@ -1,7 +1,7 @@
 //! `moves`: shows loads and unloads, open and settled, with their causes and the servers' memory.
 //!
-//! Open moves are in the ledgers, which any host reads. Only the host that settled a move knows of
-//! it afterwards, so all hosts are queried.
+//! Open moves are in the ledgers, which every host can read. A settled move is known only to the
+//! host that settled it, so all hosts are queried.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,6 +20,7 @@
 /// A host's response to `/status/moves`.
 #[derive(Debug, Deserialize)]
 struct Moves {
+    /// Whether the host could read the object API; if not, `open` is as last known.
     current: bool,
     open: Vec<OpenMove>,
     settled: Vec<SettledMove>,
--- a/crates/ctl/src/commands/residents.rs
+++ b/crates/ctl/src/commands/residents.rs
@@ -13,8 +13,8 @@
     report::{Report, table},
 };
 
-/// Reports a line for each unit (the model or one of its adapters) on each server. The exit code is
-/// [`Code::Failed`] if no server holds any.
+/// Reports a line for each unit (the model or one of its adapters) on each server. If no server
+/// holds a unit, the exit code is [`Code::Failed`].
 pub(crate) async fn run(client: &Client, model: &str) -> Result<Report, Error> {
     let servers: Vec<Server> = client.get("/servers").await?;
     let held: Vec<(&Server, &Resident)> = servers
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -15,7 +15,7 @@
     report::{Report, table},
 };
 
-/// A host on the platform's list, and its response to `/status` or why there is none.
+/// A host on the platform's list, and its response to `/status` or the cause why there is none.
 pub(super) struct HostStatus {
     pub(super) entry: Entry,
     pub(super) response: Result<Status, String>,
--- a/crates/ctl/src/commands/timeline.rs
+++ b/crates/ctl/src/commands/timeline.rs
@@ -52,7 +52,8 @@
     Ok(Report::done(lines.map(|line| line + "\n").collect::<String>(), json))
 }
 
-/// Parses JSON lines. A line that is not a known record comes from a newer host and is skipped.
+/// Parses JSON lines. Lines that can't be parsed are skipped, since a host of a newer version may
+/// record events that this version does not know.
 fn parse_records(body: &[u8]) -> Vec<Record> {
     body.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect()
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -44,7 +44,7 @@
     /// A host responded with an error status.
     #[error("{address}{path}: {status}{}", body_suffix(.body))]
     Status {
-        /// The host's operators' listener.
+        /// Address of the operators' listener that responded.
         address: SocketAddr,
         /// Path and query of the request.
         path: String,
@@ -56,7 +56,7 @@
     /// The body of a response could not be parsed.
     #[error("{address}{path}: invalid response: {cause}")]
     Response {
-        /// The host's operators' listener.
+        /// Address of the operators' listener that responded.
         address: SocketAddr,
         /// Path and query of the request.
         path: String,
