--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -48,11 +48,11 @@
 impl Client {
     /// Creates a client, which connects on first use.
     pub fn new() -> Client {
-        Client::metered(Meter::default())
+        Client::with_meter(Meter::default())
     }
 
     /// Creates a client that counts the bytes of its connections on `meter`.
-    pub fn metered(meter: Meter) -> Client {
+    pub fn with_meter(meter: Meter) -> Client {
         let connector = Connector::new(meter, CONNECT_TIMEOUT);
         let http = Http::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
--- a/crates/meter/src/lib.rs
+++ b/crates/meter/src/lib.rs
@@ -37,8 +37,8 @@
 
 impl Meter {
     /// Wraps an accepted connection so that this meter counts its bytes.
-    pub fn wrap(&self, stream: TcpStream) -> Metered {
-        Metered { stream, meter: self.clone() }
+    pub fn wrap(&self, stream: TcpStream) -> MeteredStream {
+        MeteredStream { stream, meter: self.clone() }
     }
 
     /// Returns the bytes received on all connections, closed ones included.
@@ -70,7 +70,7 @@
 }
 
 impl Service<Uri> for Connector {
-    type Response = TokioIo<Metered>;
+    type Response = TokioIo<MeteredStream>;
     type Error = <HttpConnector as Service<Uri>>::Error;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
 
@@ -83,25 +83,25 @@
         let meter = self.meter.clone();
         Box::pin(async move {
             let stream = connecting.await?.into_inner();
-            Ok(TokioIo::new(Metered { stream, meter }))
+            Ok(TokioIo::new(MeteredStream { stream, meter }))
         })
     }
 }
 
 /// A TCP connection whose bytes a meter counts.
 #[derive(Debug)]
-pub struct Metered {
+pub struct MeteredStream {
     stream: TcpStream,
     meter: Meter,
 }
 
-impl Connection for Metered {
+impl Connection for MeteredStream {
     fn connected(&self) -> Connected {
         self.stream.connected()
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -114,7 +114,7 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/stage/src/context.rs
+++ b/crates/stage/src/context.rs
@@ -104,7 +104,7 @@
             incarnation,
             store: Arc::new(store),
             backends: ::backend::Client::new(),
-            control: ::backend::Client::metered(control_bytes.clone()),
+            control: ::backend::Client::with_meter(control_bytes.clone()),
             control_bytes,
             platform_bytes,
             fleet: Fleet::default(),
--- a/crates/standin/examples/report_bytes.rs
+++ b/crates/standin/examples/report_bytes.rs
@@ -38,7 +38,7 @@
 
 async fn measure(engine: &Engine, state: ReaderState) -> Result<u64, ::backend::Error> {
     let meter = Meter::default();
-    let client = Client::metered(meter.clone());
+    let client = Client::with_meter(meter.clone());
     let mut reader = Reader::new(engine.address());
     for _ in 0..READS {
         if let ReaderState::New = state {
--- a/crates/standin/tests/reports.rs
+++ b/crates/standin/tests/reports.rs
@@ -28,7 +28,7 @@
 async fn known_residents_are_left_out_and_filled_in() {
     let engine = Engine::start(many_residents()).await.unwrap();
     let meter = Meter::default();
-    let client = Client::metered(meter.clone());
+    let client = Client::with_meter(meter.clone());
     let mut reader = Reader::new(engine.address());
     let first = reader.read(&client).await.unwrap();
     let full = meter.received();
