--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -103,8 +103,8 @@
         self.post(address, "/orders", order).await
     }
 
-    /// Fetches the events of an engine's prefix cache, from sequence number `from` on. Servers
-    /// publish events late and lose some.
+    /// Fetches the events of an engine's prefix cache, from sequence number `from` on. Events
+    /// arrive late, and some are lost.
     ///
     /// # Errors
     ///
--- a/crates/objects/src/error.rs
+++ b/crates/objects/src/error.rs
@@ -64,7 +64,7 @@
         matches!(self, Error::Unanswered { .. } | Error::Malformed { .. })
     }
 
-    /// Whether the write failed because the object was changed or created by another writer.
+    /// Whether the write failed because the object has another version or exists already.
     pub fn is_conflict(&self) -> bool {
         matches!(self, Error::Conflict { .. })
     }
