--- a/crates/backend/src/client.rs
+++ b/crates/backend/src/client.rs
@@ -20,14 +20,14 @@
 
 use crate::{error::Error, wire};
 
-/// Error of a request body that is forwarded as a stream.
+/// Error from the source of a request body that is forwarded as a stream.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A request body, complete in memory or streamed.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// A response whose body has not been read yet.
-pub type Streamed = Response<Incoming>;
+pub type StreamingResponse = Response<Incoming>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -48,11 +48,11 @@
 impl Client {
     /// Creates a client, which connects on first use.
     pub fn new() -> Client {
-        Client::metered(Meter::default())
+        Client::with_meter(Meter::default())
     }
 
     /// Creates a client that counts the bytes of its connections on `meter`.
-    pub fn metered(meter: Meter) -> Client {
+    pub fn with_meter(meter: Meter) -> Client {
         let connector = Connector::new(meter, CONNECT_TIMEOUT);
         let http = Http::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
@@ -70,7 +70,7 @@
         &self,
         address: SocketAddr,
         mut request: Request<Body>,
-    ) -> Result<Streamed, Error> {
+    ) -> Result<StreamingResponse, Error> {
         let path = request.uri().path_and_query().map_or("/", |p| p.as_str());
         let uri = format!("http://{address}{path}")
             .parse()
@@ -82,13 +82,15 @@
         })
     }
 
-    /// Fetches a load report.
+    /// Fetches a complete load report, with the list of residents; [`reports::Reader`] caches it.
+    ///
+    /// [`reports::Reader`]: crate::reports::Reader
     ///
     /// # Errors
     ///
     /// As [`Client::send`], and for a response that is not a report.
     pub async fn load(&self, address: SocketAddr) -> Result<Load, Error> {
-        self.ask(address, Request::get("/load").body(empty_body())).await
+        self.fetch(address, Request::get("/load").body(empty_body())).await
     }
 
     /// Sends an order.
@@ -101,7 +103,8 @@
         self.post(address, "/orders", order).await
     }
 
-    /// Fetches cache events from a sequence number on. Events arrive late, and some are lost.
+    /// Fetches the events of an engine's prefix cache, from sequence number `from` on. Events
+    /// arrive late, and some are lost.
     ///
     /// # Errors
     ///
@@ -112,14 +115,14 @@
         from: u64,
     ) -> Result<Vec<wire::CacheEvent>, Error> {
         let path = format!("/cache-events?from={from}");
-        self.ask(address, Request::get(path).body(empty_body())).await
+        self.fetch(address, Request::get(path).body(empty_body())).await
     }
 
-    /// Has the engine export the KV cache of a prompt, as opaque bytes.
+    /// Asks an engine to export the KV cache of a prompt, and returns it as opaque bytes.
     ///
     /// # Errors
     ///
-    /// As [`Client::send`], and [`Error::Status`]: 404 if no part of the prompt is cached.
+    /// As [`Client::send`], and [`Error::Status`], with 404 if no part of the prompt is cached.
     pub async fn export(&self, address: SocketAddr, cache: &wire::Cache) -> Result<Bytes, Error> {
         let request = self.json(address, "/kv/export", cache)?;
         let response = self.send(address, request).await?;
@@ -127,7 +130,7 @@
         require_success(address, status, body)
     }
 
-    /// Has the engine import a KV cache that another engine exported.
+    /// Asks an engine to import a KV cache that another engine exported.
     ///
     /// # Errors
     ///
@@ -147,7 +150,7 @@
         content: &Q,
     ) -> Result<A, Error> {
         let request = self.json(address, path, content)?;
-        self.ask(address, Ok(request)).await
+        self.fetch(address, Ok(request)).await
     }
 
     fn json<Q: Serialize>(
@@ -163,7 +166,7 @@
             .map_err(|e| malformed(address, &e))
     }
 
-    async fn ask<A: DeserializeOwned>(
+    async fn fetch<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: http::Result<Request<Body>>,
@@ -188,7 +191,7 @@
 
 pub(crate) async fn read(
     address: SocketAddr,
-    response: Streamed,
+    response: StreamingResponse,
 ) -> Result<(StatusCode, Bytes), Error> {
     let status = response.status();
     let body = response.into_body().collect().await;
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -4,7 +4,7 @@
 
 use policy::config::{Outcome, Patch};
 use serde_json::json;
-use types::config::{Number, Numbered};
+use types::config::{Number, NumberedConfig};
 
 use super::{base, diff, status};
 use crate::{
@@ -32,7 +32,7 @@
 ) -> Result<Report, Error> {
     let wanted = settings::read_config(path)?;
     let stored = base::read(path)?;
-    let current: Numbered = client.get("/config").await?;
+    let current: NumberedConfig = client.get("/config").await?;
     let against = match (against, stored) {
         (Some(Base::Current), _) => current.number,
         (Some(Base::Number(number)), _) | (None, Some(number)) => number,
@@ -64,7 +64,9 @@
     let mut attempt = 1;
     loop {
         let response = match client.post("/config/patches", patch).await {
-            Ok(response) => response.json::<Outcome>().map_err(|_| response.success().err()),
+            Ok(response) => {
+                response.json::<Outcome>().map_err(|_| response.require_success().err())
+            }
             Err(error) => Err(Some(error)),
         };
         match response {
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -22,7 +22,7 @@
     report::Report,
 };
 
-/// Fields that every line has. They are in the first columns or left out, not repeated as fields.
+/// Fields that are not printed as `name=value`: they are in the first columns or left out.
 const COLUMNS: [&str; 8] = ["at", "up", "wall", "host", "run", "request", "kind", "part"];
 
 /// Reads the logs and reports the lines that answer the query.
@@ -46,8 +46,8 @@
     let Explain { request, server, version, term, .. } = options;
     let request = request.as_deref().map(|id| Query::Request(id.into()));
     let server = server.as_deref().map(|id| Query::Server(id.into()));
-    let one = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
-    one.ok_or(Error::NoQuery)
+    let query = request.or(server).or(version.map(Query::Version)).or(term.map(Query::Term));
+    query.ok_or(Error::NoQuery)
 }
 
 fn read(explanation: &mut Explanation, file: &Path) -> io::Result<()> {
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -34,21 +34,21 @@
 /// Delay after a failure to accept a connection, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Settings and counters of the listener.
+/// Settings of the listener, and the counters that it updates.
 #[derive(Clone, Debug)]
-pub struct Listener {
+pub struct ListenerSettings {
     /// Token that callers must send.
     pub token: Token,
-    /// Counts the bytes of accepted connections.
+    /// Meter that counts the bytes of accepted connections.
     pub meter: Meter,
-    /// Counts calls that are refused because of a wrong or missing token.
+    /// Number of calls that were refused because of a wrong or missing token.
     pub refused: Arc<AtomicU64>,
 }
 
 /// Serves other hosts until `stop` is cancelled.
 pub async fn listen<A: Api>(
     listener: TcpListener,
-    settings: Listener,
+    settings: ListenerSettings,
     api: A,
     stop: CancellationToken,
 ) {
@@ -80,8 +80,13 @@
     let _ = handle.stop();
 }
 
-fn connect<S>(stream: TcpStream, from: SocketAddr, settings: &Listener, rpc: S, stopped: StopHandle)
-where
+fn connect<S>(
+    stream: TcpStream,
+    from: SocketAddr,
+    settings: &ListenerSettings,
+    rpc: S,
+    stopped: StopHandle,
+) where
     S: Service<Request<Incoming>, Response = Response<HttpBody>> + Clone + Send + 'static,
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
@@ -105,7 +110,7 @@
 async fn answer<S>(
     request: Request<Incoming>,
     from: SocketAddr,
-    settings: &Listener,
+    settings: &ListenerSettings,
     rpc: S,
 ) -> Response<HttpBody>
 where
--- a/crates/policy/src/dispatch/registry.rs
+++ b/crates/policy/src/dispatch/registry.rs
@@ -361,7 +361,7 @@
     fn apply_models(
         &mut self,
         index: Index,
-        models: &[routed::Held],
+        models: &[routed::LoadedModel],
         sequence: routed::Sequence,
         now: Moment,
     ) {
--- a/crates/policy/tests/place/machine.rs
+++ b/crates/policy/tests/place/machine.rs
@@ -6,7 +6,7 @@
 use policy::place::{Operation, Order, Outcome};
 use types::{
     prelude::*,
-    routed::{self, Engine, Held, Model, Report, Server, StartTime, State},
+    routed::{self, Engine, LoadedModel, Model, Report, Server, StartTime, State},
 };
 
 pub type AdapterKey = (model::Id, adapter::Id);
@@ -63,7 +63,7 @@
         on_disk: Vec<model::Id>,
     ) -> Machine {
         let server = Server {
-            id: routed::run(name, started_at),
+            id: routed::run_id(name, started_at),
             name: name.into(),
             started_at,
             service: "lm".into(),
@@ -113,8 +113,8 @@
         }
     }
 
-    fn models(&self) -> Vec<Held> {
-        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| Held {
+    fn models(&self) -> Vec<LoadedModel> {
+        let held = |(model, adapters): (&model::Id, &BTreeSet<adapter::Id>)| LoadedModel {
             model: model.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -19,7 +19,7 @@
 };
 use types::{
     prelude::*,
-    routed::{self, Declaration, Held, Report, Server, StartTime, State},
+    routed::{self, Declaration, LoadedModel, Report, Server, StartTime, State},
 };
 
 use crate::{
@@ -56,7 +56,7 @@
         if started_at == 0 || started_at == server.started_at {
             return Some(server.clone());
         }
-        let id = routed::run(&server.name, started_at);
+        let id = routed::run_id(&server.name, started_at);
         let known = self.directory().by_name(&server.name).cloned()?;
         // A server whose entry was removed from the store is restored only by the store.
         if known.started_at < started_at && !self.directory().is_suspect(&known.id) {
@@ -374,7 +374,8 @@
     /// the last one.
     pub(crate) fn apply_report(&self, server: &Server, report: &Report) {
         self.dispatcher().report(&server.id, report, self.now());
-        let was_known = |held: &Held| server.models.iter().any(|known| known.model == held.model);
+        let was_known =
+            |held: &LoadedModel| server.models.iter().any(|known| known.model == held.model);
         for held in report.models.iter().filter(|held| !was_known(held)) {
             self.notify(Notice::Loaded {
                 server: server.id.clone(),
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use types::{
     prelude::*,
-    routed::{self, Held, Server, State},
+    routed::{self, LoadedModel, Server, State},
 };
 
 const NOW: Moment = Duration::from_secs(10);
@@ -30,8 +30,8 @@
     }
 }
 
-fn held(model: &str) -> Held {
-    Held { model: model.into(), version: 1, adapters: vec![] }
+fn held(model: &str) -> LoadedModel {
+    LoadedModel { model: model.into(), version: 1, adapters: vec![] }
 }
 
 fn with_suspect() -> Directory {
@@ -109,7 +109,7 @@
 
 /// Returns the run of the server that started at `started_at`.
 fn server_run(started_at: u64) -> Server {
-    Server { id: routed::run("s1", started_at), started_at, ..server(&["m1"]) }
+    Server { id: routed::run_id("s1", started_at), started_at, ..server(&["m1"]) }
 }
 
 #[rstest]
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -24,7 +24,7 @@
 
 pub use self::{
     planning::Planning,
-    routed::{Dialect, Retry, Routed},
+    routed::{Dialect, Retry, RoutedSettings},
 };
 
 /// Reads a process's settings from a file.
@@ -100,11 +100,11 @@
     pub log: Log,
     /// If set, the process routes requests by host and path instead of serving the chat interface.
     #[serde(default)]
-    pub routed: Option<Routed>,
+    pub routed: Option<RoutedSettings>,
 }
 
 impl Process {
-    /// A copy without the tokens, for the log.
+    /// Returns a copy without the tokens, which can be logged.
     #[must_use]
     pub fn without_secrets(&self) -> Process {
         Process { operators_token: None, peers_token: None, ..self.clone() }
@@ -199,7 +199,7 @@
     /// Time between reads of the platform's list of hosts; milliseconds in JSON.
     #[serde(rename = "list_ms", with = "millis")]
     pub list: Duration,
-    /// Time between load reports of one backend server; milliseconds in JSON.
+    /// Time between two fetches of one backend server's load report; milliseconds in JSON.
     #[serde(rename = "report_ms", with = "millis")]
     pub report: Duration,
     /// Time between heartbeats to other hosts; milliseconds in JSON.
--- a/crates/stage/src/answer.rs
+++ b/crates/stage/src/answer.rs
@@ -5,7 +5,7 @@
 //! delivered and what follows a failure; this module carries the decisions out.
 
 use ::backend::{
-    Streamed,
+    StreamingResponse,
     frame::{self, Frame},
     wire,
 };
@@ -205,7 +205,7 @@
     async fn response_started(
         &mut self,
         sent: DispatchedAttempt,
-        response: Streamed,
+        response: StreamingResponse,
     ) -> Result<(), Problem> {
         let status = response.status();
         if status == StatusCode::OK && self.is_for_this_attempt(response.headers()) {
--- a/crates/stage/src/filters/deliver.rs
+++ b/crates/stage/src/filters/deliver.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use ::backend::{Streamed, wire};
+use ::backend::{StreamingResponse, wire};
 use axum::{
     Json,
     body::Body,
@@ -118,7 +118,7 @@
 
 /// Passes a plain service's response through; the attempt ends when the response body does.
 pub fn plain(
-    response: Streamed,
+    response: StreamingResponse,
     sent: DispatchedAttempt,
     account: Account,
     idle: Duration,
@@ -132,7 +132,7 @@
 }
 
 /// Passes on a response whose attempt has already ended.
-pub fn passed_through(response: Streamed, account: &Account) -> Response {
+pub fn passed_through(response: StreamingResponse, account: &Account) -> Response {
     account.answered();
     let (mut parts, body) = response.into_parts();
     strip(&mut parts.headers);
--- a/crates/standin/src/routed/server.rs
+++ b/crates/standin/src/routed/server.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, task::AbortHandle, time::Instant};
 use types::{
     prelude::*,
-    routed::{self, Engine, Held, StartTime, State},
+    routed::{self, Engine, LoadedModel, StartTime, State},
 };
 
 use self::{inventory::Inventory, quota::Quota};
@@ -59,7 +59,7 @@
     /// The engine of a model server; `None` for a plain server.
     pub engine: Option<Engine>,
     /// Models and adapters that it holds at the start.
-    pub held: Vec<Held>,
+    pub held: Vec<LoadedModel>,
 }
 
 impl Settings {
@@ -81,7 +81,7 @@
 
     /// A model server with the slots of `engine`, which holds `models` from the start.
     pub fn model(id: &str, service: &str, engine: &Engine, models: &[&str]) -> Settings {
-        let held = models.iter().map(|model| Held {
+        let held = models.iter().map(|model| LoadedModel {
             model: (*model).into(),
             version: 1,
             adapters: Vec::new(),
@@ -310,7 +310,7 @@
     fn new(settings: Settings, address: SocketAddr) -> Shared {
         let inventory = Inventory::new(settings.engine.clone(), &settings.held);
         let registration = routed::Server {
-            id: routed::run(&settings.id, settings.started_at),
+            id: routed::run_id(&settings.id, settings.started_at),
             name: settings.id.clone(),
             started_at: settings.started_at,
             service: settings.service.clone(),
--- a/crates/types/src/routed.rs
+++ b/crates/types/src/routed.rs
@@ -29,17 +29,17 @@
     /// The highest rate, 10^9 requests per second, which limits nothing in practice.
     pub const MAX: Rate = Rate(1_000_000_000_000_000);
 
-    const PART: f64 = 1e-6;
+    const UNIT: f64 = 1e-6;
 
     /// Returns the rate of a number of requests per second, capped at [`Rate::MAX`]; `None` if the
     /// number is negative or NaN.
     pub fn per_second(requests: f64) -> Option<Rate> {
-        (0.0 <= requests).then(|| Rate(((requests / Rate::PART).round() as u64).min(Rate::MAX.0)))
+        (0.0 <= requests).then(|| Rate(((requests / Rate::UNIT).round() as u64).min(Rate::MAX.0)))
     }
 
     /// Returns the rate in requests per second.
     pub fn as_f64(self) -> f64 {
-        self.0 as f64 * Rate::PART
+        self.0 as f64 * Rate::UNIT
     }
 }
 
@@ -48,19 +48,19 @@
 
 /// Returns the id of a server's run: its name, with the start time if servers report one. A server
 /// that restarts under the same name thereby gets another id, and counts as another server.
-pub fn run(name: &str, started_at: StartTime) -> backend::Id {
+pub fn run_id(name: &str, started_at: StartTime) -> backend::Id {
     match started_at {
         0 => name.into(),
         started_at => format!("{name}@{started_at}").into(),
     }
 }
 
-/// The whole of what operators declare for routed services, under one number.
+/// All that operators declare for routed services: routes, services and limits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declaration {
     /// Number of this declaration.
     pub version: Version,
-    /// Declared routes, in no particular order.
+    /// Declared routes; their order has no meaning.
     pub routes: Vec<Route>,
     /// Services that the routes send requests to.
     pub services: Vec<Service>,
@@ -215,7 +215,7 @@
 
 /// A model that is loaded on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model's name.
     pub model: model::Id,
     /// Version of its weights.
@@ -227,7 +227,7 @@
 /// A server as it registers itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Id of this run of the server's process, as returned by [`run`]; a restart changes it.
+    /// Id of this run of the server's process, as returned by [`run_id`]; a restart changes it.
     pub id: backend::Id,
     /// Name that the server is registered under, which a later run may reuse.
     pub name: Arc<str>,
@@ -247,10 +247,10 @@
     /// Time until the server is removed, whatever it is running; `None` unless it is being
     /// reclaimed at short notice.
     pub remaining: Option<Duration>,
-    /// Time for which it remains slow after its start.
+    /// Time for which the server will still be slow because it was started recently.
     pub cold: Duration,
     /// Loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Models whose weights are cached in its host memory.
     pub resident: Vec<model::Id>,
     /// Models whose weights are cached on its disk.
@@ -263,7 +263,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Start time of the run that reports.
     #[serde(rename = "born")]
     pub started_at: StartTime,
@@ -279,7 +279,7 @@
     pub kv_used: u64,
     /// Capacity of the KV cache, in tokens.
     pub kv_total: u64,
-    /// Adapters being loaded.
+    /// Adapters that the server is loading.
     #[serde(rename = "coming")]
     pub adapters_loading: Vec<(model::Id, adapter::Id)>,
     /// Models whose weights are cached in its host memory.
