--- a/crates/observe/benches/story.rs
+++ b/crates/observe/benches/story.rs
@@ -15,7 +15,7 @@
 use types::{request::Ran, routed::Kind};
 
 const BOUNDS: Bounds = Bounds {
-    waiting: 256 * 1024 * 1024,
+    capacity: 256 * 1024 * 1024,
     rate_limit: RateLimit { lines: usize::MAX / 2, bytes: usize::MAX / 2 },
     pause: Duration::from_millis(1),
 };
--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Maximum number of buffered bytes.
-    pub waiting: usize,
+    pub capacity: usize,
     /// Maximum output per second.
     pub rate_limit: RateLimit,
     /// Minimum time between two writes.
@@ -37,7 +37,7 @@
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            waiting: 256 * 1024,
+            capacity: 256 * 1024,
             rate_limit: RateLimit::default(),
             pause: Duration::from_millis(100),
         }
@@ -125,7 +125,7 @@
             origin: Instant::now(),
             bounds,
             state: Mutex::new(State {
-                waiting: String::with_capacity(bounds.waiting),
+                waiting: String::with_capacity(bounds.capacity),
                 window: Window::new(bounds.rate_limit),
                 dropped: Dropped::default(),
                 reported: Dropped::default(),
@@ -144,7 +144,7 @@
     }
 
     /// Returns the number of bytes that the writer has not taken yet.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.0.lock().waiting.len()
     }
 
@@ -204,7 +204,7 @@
             return state.dropped.count(class, Cause::RateLimit);
         }
         // If the reader falls behind, records of requests are dropped first.
-        let limit = class.part(self.bounds.waiting);
+        let limit = class.part(self.bounds.capacity);
         if limit <= state.waiting.len() {
             return state.dropped.count(class, Cause::Full);
         }
@@ -231,7 +231,7 @@
 
     /// Loop of the writer thread, until the process ends.
     fn run_writer(&self, mut sink: impl Write) {
-        let mut batch = String::with_capacity(self.bounds.waiting);
+        let mut batch = String::with_capacity(self.bounds.capacity);
         loop {
             self.take_batch(&mut batch);
             // A failure to write to standard output can't be reported anywhere.
--- a/crates/observe/tests/queue.rs
+++ b/crates/observe/tests/queue.rs
@@ -41,11 +41,11 @@
 }
 
 impl Fixture {
-    fn new(waiting: usize, rate_limit: RateLimit) -> Fixture {
+    fn new(capacity: usize, rate_limit: RateLimit) -> Fixture {
         let (permits, receiver) = mpsc::channel();
         let batches = Arc::default();
         let sink = GatedWriter { permits: receiver, batches: Arc::clone(&batches) };
-        let lines = Lines::start(Bounds { waiting, rate_limit, pause: PAUSE }, sink).unwrap();
+        let lines = Lines::start(Bounds { capacity, rate_limit, pause: PAUSE }, sink).unwrap();
         Fixture { lines, permits, batches }
     }
 
@@ -63,7 +63,7 @@
 fn a_batch_is_one_write_and_a_stuck_reader_blocks_nobody() {
     let fixture = Fixture::new(1000, HIGH_LIMIT);
     fixture.lines.put(Class::Plan, &"first");
-    while fixture.lines.waiting() != 0 {
+    while fixture.lines.buffered_bytes() != 0 {
         std::thread::yield_now();
     }
     // The writer is blocked on the first line; of the following, 20 lines of 50 bytes fit.
@@ -141,7 +141,7 @@
 fn a_reader_that_stopped_loses_requests_first() {
     let fixture = Fixture::new(800, HIGH_LIMIT);
     fixture.lines.put(Class::Plan, &"first");
-    while fixture.lines.waiting() != 0 {
+    while fixture.lines.buffered_bytes() != 0 {
         std::thread::yield_now();
     }
     let line = "x".repeat(49);
