--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -97,7 +97,7 @@
 }
 
 struct State {
-    waiting: String,
+    buffer: String,
     window: Window,
     dropped: Dropped,
     reported: Dropped,
@@ -125,7 +125,7 @@
             origin: Instant::now(),
             bounds,
             state: Mutex::new(State {
-                waiting: String::with_capacity(bounds.capacity),
+                buffer: String::with_capacity(bounds.capacity),
                 window: Window::new(bounds.rate_limit),
                 dropped: Dropped::default(),
                 reported: Dropped::default(),
@@ -145,12 +145,12 @@
 
     /// Returns the number of bytes that the writer has not taken yet.
     pub fn buffered_bytes(&self) -> usize {
-        self.0.lock().waiting.len()
+        self.0.lock().buffer.len()
     }
 
     /// Appends one record of whole lines, or drops it. It is formatted only if there is room.
     pub fn put(&self, class: Class, record: &dyn fmt::Display) {
-        self.0.put(class, |waiting| writeln!(waiting, "{record}"));
+        self.0.put(class, |buffer| writeln!(buffer, "{record}"));
     }
 }
 
@@ -164,10 +164,10 @@
             story::REQUEST => self.put(Class::Request, record.args()),
             story::BELIEF => self.put(Class::Belief, record.args()),
             story::PLAN => self.put(Class::Plan, record.args()),
-            _ => self.0.put(Class::Belief, |waiting| {
+            _ => self.0.put(Class::Belief, |buffer| {
                 let mut bytes = SimpleWriter(Vec::new());
                 JsonEncoder::new().encode(&mut bytes, record).map_err(|_| fmt::Error)?;
-                waiting.write_str(&String::from_utf8_lossy(&bytes.0))
+                buffer.write_str(&String::from_utf8_lossy(&bytes.0))
             }),
         }
     }
@@ -175,7 +175,7 @@
     /// Waits until the buffered lines are written, for at most one second.
     fn flush(&self) {
         let mut state = self.0.lock();
-        if state.waiting.is_empty() && state.writer == Writer::Idle {
+        if state.buffer.is_empty() && state.writer == Writer::Idle {
             return;
         }
         state.writer = Writer::Flushing;
@@ -205,22 +205,22 @@
         }
         // If the reader falls behind, records of requests are dropped first.
         let limit = class.part(self.bounds.capacity);
-        if limit <= state.waiting.len() {
+        if limit <= state.buffer.len() {
             return state.dropped.count(class, Cause::Full);
         }
-        let start = state.waiting.len();
+        let start = state.buffer.len();
         // Formatting fails only if the record's own `Display` does; the line is then incomplete.
-        let _ = append(&mut state.waiting);
-        let written = &state.waiting.as_bytes()[start..];
+        let _ = append(&mut state.buffer);
+        let written = &state.buffer.as_bytes()[start..];
         let (lines, bytes) = (written.iter().filter(|byte| **byte == b'\n').count(), written.len());
-        let cause = match limit < state.waiting.len() {
+        let cause = match limit < state.buffer.len() {
             true => Some(Cause::Full),
             false => {
                 state.window.consume(class, lines, bytes).err().map(|Exceeded| Cause::RateLimit)
             }
         };
         if let Some(cause) = cause {
-            state.waiting.truncate(start);
+            state.buffer.truncate(start);
             return state.dropped.count(class, cause);
         }
         if state.writer == Writer::Idle {
@@ -252,7 +252,7 @@
             .changed
             .wait_timeout_while(state, self.bounds.pause, |state| state.writer == Writer::Batching)
             .unwrap_or_else(PoisonError::into_inner);
-        std::mem::swap(&mut state.waiting, batch);
+        std::mem::swap(&mut state.buffer, batch);
         let dropped = state.dropped.since(state.reported);
         state.reported = state.dropped;
         drop(state);
@@ -263,7 +263,7 @@
 
     fn finish_batch(&self) {
         let mut state = self.lock();
-        if state.waiting.is_empty() {
+        if state.buffer.is_empty() {
             state.writer = Writer::Idle;
             self.changed.notify_all();
         }
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -181,7 +181,7 @@
         #[serde(rename = "ceiling")]
         rate_limited: u64,
         /// Number of dropped records that were about plans.
-        #[serde(default, skip_serializing_if = "is_none")]
+        #[serde(default, skip_serializing_if = "is_zero")]
         plans: u64,
     },
 }
@@ -230,7 +230,7 @@
 }
 
 #[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes it so")]
-fn is_none(count: &u64) -> bool {
+fn is_zero(count: &u64) -> bool {
     *count == 0
 }
 
--- a/crates/observe/src/story/logger.rs
+++ b/crates/observe/src/story/logger.rs
@@ -60,13 +60,13 @@
     /// Logs a belief of the host.
     pub fn belief(&self, belief: Belief) {
         let level = level(&belief);
-        if self.wants(level) {
+        if self.is_enabled(level) {
             let target = if belief.is_plan() { PLAN } else { BELIEF };
             self.write(level, target, &self.line(&self.now(), None, &belief));
         }
     }
 
-    pub(super) fn wants(&self, level: Level) -> bool {
+    pub(super) fn is_enabled(&self, level: Level) -> bool {
         match &self.0.output {
             Output::Process => level <= log::max_level(),
             Output::Custom(_, filter) => level <= *filter,
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -85,7 +85,7 @@
 
     /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise.
     pub fn record(&mut self, step: Step) {
-        if !self.logger.wants(Level::Warn) {
+        if !self.logger.is_enabled(Level::Warn) {
             return;
         }
         match &step {
@@ -104,7 +104,7 @@
             | Step::Ended(_) => {}
         }
         let step = (self.logger.now(), step);
-        if self.logger.wants(Level::Debug) {
+        if self.logger.is_enabled(Level::Debug) {
             self.logger.steps(Level::Debug, &self.id, &[step]);
         } else {
             self.buffer(step);
@@ -134,7 +134,7 @@
         self.state = State::Ended;
         if self.is_success(&end) {
             self.log_success(end);
-        } else if self.logger.wants(Level::Warn) {
+        } else if self.logger.is_enabled(Level::Warn) {
             let last = (self.logger.now(), Step::Ended(self.ended(end, 1)));
             self.steps.push(last);
             self.logger.steps(Level::Warn, &self.id, &self.steps);
@@ -146,7 +146,7 @@
     }
 
     fn log_success(&mut self, end: End) {
-        if !self.logger.wants(Level::Info) {
+        if !self.logger.is_enabled(Level::Info) {
             return;
         }
         let route = self.arrival.as_ref().map_or("", |arrival| &*arrival.route);
@@ -156,7 +156,7 @@
     }
 
     fn sample_weight(&self, route: &str) -> Option<u32> {
-        if self.logger.wants(Level::Debug) { Some(1) } else { self.logger.sample(route) }
+        if self.logger.is_enabled(Level::Debug) { Some(1) } else { self.logger.sample(route) }
     }
 
     fn ended(&mut self, end: End, weight: u32) -> Ended {
