--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -54,7 +54,7 @@
 /// The model, with at most one guard disabled.
 pub struct Memory {
     bounds: Bounds,
-    off: Option<Guard>,
+    disabled: Option<Guard>,
     ledgers: RefCell<Ledgers>,
     reservations: RefCell<HashMap<transitions::Reservation, Option<u32>>>,
     settlements: RefCell<HashMap<transitions::Settlement, u32>>,
@@ -74,7 +74,7 @@
     pub fn new(bounds: Bounds) -> Memory {
         Memory {
             bounds,
-            off: None,
+            disabled: None,
             ledgers: RefCell::default(),
             reservations: RefCell::default(),
             settlements: RefCell::default(),
@@ -83,11 +83,11 @@
 
     /// A model with one guard disabled; its exploration should find a counterexample.
     pub fn without(guard: Guard, bounds: Bounds) -> Memory {
-        Memory { off: Some(guard), ..Memory::new(bounds) }
+        Memory { disabled: Some(guard), ..Memory::new(bounds) }
     }
 
-    fn is_off(&self, guard: Guard) -> bool {
-        self.off == Some(guard)
+    fn is_disabled(&self, guard: Guard) -> bool {
+        self.disabled == Some(guard)
     }
 
     fn ledger(&self, number: u32) -> Arc<Ledger> {
@@ -121,7 +121,7 @@
     fn initial(&self) -> State {
         let engine = state::Engine::start(self.bounds.residents);
         let mut ledger = Ledger::new(&convert::load(&engine, &self.bounds));
-        ledger.fenced |= self.is_off(Guard::Unfenced);
+        ledger.fenced |= self.is_disabled(Guard::Unfenced);
         State::start(engine, self.intern(ledger))
     }
 
--- a/crates/spec/src/ledger/transitions.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -55,8 +55,8 @@
                 next.push((Step::Read(planner), read));
             }
             Some((reader, report)) if usize::from(reader) == planner => {
-                let taken_in = State { report: None, ..state.clone() };
-                let settled = self.settle(&taken_in, planner, report);
+                let without_report = State { report: None, ..state.clone() };
+                let settled = self.settle(&without_report, planner, report);
                 next.push((Step::Settle(planner), settled));
             }
             Some(_) => {}
@@ -109,7 +109,7 @@
     /// With [`Guard::Unfenced`] disabled, an engine that does not check fencing tokens still
     /// reports them, and the ledger wrongly relies on them.
     fn fencing(&self) -> Fencing {
-        match (self.bounds.fenced, self.off) {
+        match (self.bounds.fenced, self.disabled) {
             (true, _) => Fencing::Refuses,
             (false, Some(Guard::Unfenced)) => Fencing::Reports,
             (false, _) => Fencing::Ignores,
@@ -174,25 +174,25 @@
         if let Some(cached) = self.reservations.borrow().get(&reservation) {
             return *cached;
         }
-        let answer = self.compute_reservation(reservation).map(|ledger| self.intern(ledger));
-        self.reservations.borrow_mut().insert(reservation, answer);
-        answer
+        let reserved = self.compute_reservation(reservation).map(|ledger| self.intern(ledger));
+        self.reservations.borrow_mut().insert(reservation, reserved);
+        reserved
     }
 
     fn compute_reservation(&self, reservation: Reservation) -> Option<Ledger> {
         let ledger = self.ledger(reservation.ledger);
         let claim = convert::claim(reservation.order, reservation.planner, reservation.incarnation);
         let mut base = (*ledger).clone();
-        if self.is_off(Guard::RestartSum) {
+        if self.is_disabled(Guard::RestartSum) {
             base.orders.retain(|entry| !ledger.is_superseded(entry));
         }
         let (mut next, _) = base.reserve(claim, convert::action(reservation.action)).ok()?;
-        if self.is_off(Guard::RestartSum) {
+        if self.is_disabled(Guard::RestartSum) {
             let last = next.orders.pop()?;
             next.orders = ledger.orders.iter().cloned().chain([last]).collect();
         }
         if let (true, Action::Unload(unit)) =
-            (self.is_off(Guard::UnloadByReport), reservation.action)
+            (self.is_disabled(Guard::UnloadByReport), reservation.action)
         {
             next.residents.retain(|resident| resident.unit != convert::unit(unit));
         }
@@ -201,7 +201,7 @@
 
     /// Applies a write in the object API if the ledger has not changed since it was read.
     fn apply_write(&self, state: &mut State, write: Write) {
-        if state.ledger == write.base || self.is_off(Guard::ConditionalUpdate) {
+        if state.ledger == write.base || self.is_disabled(Guard::ConditionalUpdate) {
             state.ledger = write.next;
         }
     }
@@ -209,7 +209,7 @@
     fn read_back(&self, state: &State, planner: usize, write: Write, next: &mut Next) {
         let is_open = self.open_orders(state.ledger) & (1 << write.order) != 0;
         let mut read = state.clone();
-        if is_open || self.is_off(Guard::ReadBack) {
+        if is_open || self.is_disabled(Guard::ReadBack) {
             confirm(&mut read, planner, write);
             next.push((Step::ReadBack(planner), read));
         } else if state.ledger == write.base {
@@ -237,7 +237,7 @@
         let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
         let not_in_flight = |order: &Order| match order.phase {
             Phase::NotInFlight => true,
-            Phase::InFlight | Phase::Received { .. } => self.is_off(Guard::Linger),
+            Phase::InFlight | Phase::Received { .. } => self.is_disabled(Guard::Linger),
             Phase::Unconfirmed | Phase::Reserved | Phase::NeverTaken | Phase::Settled => false,
         };
         let orders = state.orders.iter().enumerate();
@@ -249,7 +249,7 @@
     /// For each planner, its last ended run, or 0 if a message of an ended run may be in transit.
     fn gone(&self, state: &State, reader: usize) -> [u8; PLANNERS] {
         std::array::from_fn(|planner| {
-            if self.is_off(Guard::PauseIsNotDeath) && planner != reader {
+            if self.is_disabled(Guard::PauseIsNotDeath) && planner != reader {
                 return state.planners[planner].incarnation;
             }
             let last_ended = state.planners[planner].incarnation - 1;
@@ -258,7 +258,7 @@
                     && order.incarnation <= last_ended
                     && !order.phase.has_no_messages()
             });
-            if has_in_flight && !self.is_off(Guard::DeadLinger) { 0 } else { last_ended }
+            if has_in_flight && !self.is_disabled(Guard::DeadLinger) { 0 } else { last_ended }
         })
     }
 
@@ -280,10 +280,10 @@
 
     fn compute_settlement(&self, settlement: &Settlement) -> Ledger {
         let mut load = convert::load(&settlement.engine, &self.bounds);
-        load.fenced |= self.is_off(Guard::Unfenced);
+        load.fenced |= self.is_disabled(Guard::Unfenced);
         let after = ReportPosition::of(&load);
         let mut ledger = (*self.ledger(settlement.ledger)).clone();
-        if self.is_off(Guard::ReportOrder) {
+        if self.is_disabled(Guard::ReportOrder) {
             ledger.last_report = ReportPosition::default();
         }
         let never_taken =
@@ -300,7 +300,7 @@
             report.chain(never_taken).chain(not_in_flight).chain(gone).collect();
         let outcome = ledger.settle(&evidence);
         let mut settled = if outcome.affects_planning(&ledger) { outcome.ledger } else { ledger };
-        if self.is_off(Guard::AbsenceIsNoEvidence) {
+        if self.is_disabled(Guard::AbsenceIsNoEvidence) {
             settled.orders.retain(|entry| match &entry.order.action {
                 types::order::Action::Load { unit, .. } => {
                     load.residents.iter().any(|resident| resident.unit == *unit)
@@ -337,7 +337,7 @@
         let own = |order: &Order| usize::from(order.planner) == planner && state.is_alive(order);
         let never_taken = |order: &Order| match order.phase {
             Phase::NeverTaken => true,
-            Phase::NotInFlight => self.is_off(Guard::EffectByReport),
+            Phase::NotInFlight => self.is_disabled(Guard::EffectByReport),
             Phase::Unconfirmed
             | Phase::Reserved
             | Phase::InFlight
@@ -348,7 +348,7 @@
         let never_taken = orders
             .filter(|(_, order)| own(order) && never_taken(order))
             .fold(0, |bits, (number, _)| bits | 1 << number);
-        let not_in_flight = match self.is_off(Guard::FreshReport) {
+        let not_in_flight = match self.is_disabled(Guard::FreshReport) {
             true => self.not_in_flight(state, planner),
             false => report.not_in_flight,
         };
--- a/crates/spec/src/once/calls.rs
+++ b/crates/spec/src/once/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the object API and their answers, which may be late or lost.
 
-use policy::once::{Call, Document, HostRun, Read, State as Progress, Written};
+use policy::once::{Call, Document, HostRun, Read, State as EntryState, Written};
 
 use super::{
     Claims, Omission,
@@ -54,7 +54,7 @@
             Omission::ClaimsOutliveClaimants => {
                 let runs: Vec<&HostRun> = state.hosts.iter().map(|host| &host.run).collect();
                 document.entries.retain(|_, entry| {
-                    entry.state != Progress::Claimed || runs.contains(&&entry.claimant)
+                    entry.state != EntryState::Claimed || runs.contains(&&entry.claimant)
                 });
             }
             _ => {}
--- a/crates/spec/src/order/holder.rs
+++ b/crates/spec/src/order/holder.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 use policy::term::{
-    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as Action, StoredLease,
+    Claim, Contender, Lease, OrderLease, Outcome, Settings, Step as LeaseStep, StoredLease,
 };
 use types::{order::Fence, prelude::*};
 
@@ -132,15 +132,15 @@
         let term_before =
             (self.omission == Omission::SentTime).then(|| state.hosts[host].term.clone());
         let (step, slowly, body) = match next.hosts[host].term.step(now) {
-            Action::Idle => return self.watch_step(state, host).into_iter().collect(),
-            Action::Read => {
+            LeaseStep::Idle => return self.watch_step(state, host).into_iter().collect(),
+            LeaseStep::Read => {
                 let body = Body::Read(self.read(state, host));
                 (Step::Read(host), Step::ReadSlowly(host), body)
             }
-            Action::Create(lease) => {
+            LeaseStep::Create(lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(None, lease))
             }
-            Action::Replace(revision, lease) => {
+            LeaseStep::Replace(revision, lease) => {
                 (Step::Write(host), Step::WriteSlowly(host), Body::Write(Some(revision), lease))
             }
         };
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -12,7 +12,7 @@
     order::{Action, Role},
     prelude::*,
     report::Load,
-    resident::{Resident, State as Progress},
+    resident::{Resident, State as ResidentState},
 };
 
 use crate::explore::System;
@@ -194,7 +194,7 @@
 }
 
 fn report(server: usize, sequence: u64, ready: bool, orders: Vec<order::Id>) -> Load {
-    let resident = Resident { unit: unit(), memory: 1, state: Progress::Ready };
+    let resident = Resident { unit: unit(), memory: 1, state: ResidentState::Ready };
     Load {
         server: format!("server-{server}").into(),
         incarnation: 1,
