--- a/crates/observe/benches/metrics.rs
+++ b/crates/observe/benches/metrics.rs
@@ -1,4 +1,5 @@
-//! Cost of a request's metrics, with resolved labels and with labels that are looked up.
+//! Cost of a request's metrics: with labels that are resolved once, and with labels that are looked
+//! up at each update.
 
 use std::{hint::black_box, time::Duration};
 
--- a/crates/observe/src/clock.rs
+++ b/crates/observe/src/clock.rs
@@ -97,7 +97,7 @@
 
 /// Error for a stamp that is too far ahead of wall time to be observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("stamp {stamp} lies more than {MAX_LEAD:?} ahead of this host's wall time")]
+#[error("stamp {stamp} is more than {MAX_LEAD:?} ahead of this host's wall time")]
 pub struct Lead {
     /// The rejected stamp.
     pub stamp: Stamp,
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -1,8 +1,7 @@
 //! Events: actions and observations of a host that operators view in order over all hosts.
 //!
-//! [`Kind`] is a closed set. A cause or state whose set of values is defined by another package is
-//! carried as that package's stable identifier ([`Text`]), so that this package depends on none of
-//! them.
+//! [`Kind`] is a closed set. A cause or state whose values are defined by another crate is stored
+//! as that crate's stable identifier ([`Text`]), so that this crate does not depend on it.
 
 use std::borrow::Cow;
 
@@ -16,7 +15,7 @@
 
 use crate::clock::Stamp;
 
-/// Text of a field, usually a stable identifier of another package, such as the cause of a refusal.
+/// Text of a field, usually a stable identifier of another crate, such as the cause of a refusal.
 pub type Text = Cow<'static, str>;
 
 /// An event and the ids that it can be filtered by.
@@ -70,7 +69,7 @@
 pub enum Kind {
     /// A caller's request was identified.
     Request {
-        /// The service that it calls.
+        /// The service that the request calls.
         service: service::Id,
     },
     /// A request was sent to a backend server.
@@ -87,7 +86,7 @@
     },
     /// A stream was resumed on another server.
     Resume {
-        /// Number of the attempt that resumes it.
+        /// Number of the attempt that resumes the stream.
         attempt: request::Attempt,
         /// Token offset from which the stream continues.
         offset: u64,
@@ -101,7 +100,7 @@
     Refusal {
         /// Cause of the refusal.
         cause: Text,
-        /// Whether it may have been executed.
+        /// Whether the request may have been executed.
         ran: Ran,
     },
     /// A claim to execute a non-idempotent request was decided.
@@ -157,7 +156,7 @@
         /// Number of the configuration.
         number: config::Number,
     },
-    /// The lease of a duty was acquired or given up, as seen by this host.
+    /// The lease of a duty was acquired, released or lost, as seen by this host.
     Lease {
         /// Name of the duty.
         duty: Text,
--- a/crates/observe/src/log.rs
+++ b/crates/observe/src/log.rs
@@ -63,7 +63,7 @@
         self
     }
 
-    /// Sets the level; records below it are not written.
+    /// Sets the level; less severe records are not written.
     #[must_use]
     pub fn level(mut self, level: LevelFilter) -> Log {
         self.level = level;
@@ -78,7 +78,8 @@
     pub fn start(self) -> Result<(), Error> {
         const NAME: &str = "lines";
         let appender = Appender::builder().build(NAME, appender(self.sink)?);
-        // The level is `log`'s own, which callers ask for before they make a line.
+        // Records are filtered by the maximum level of `log`, which its macros check before they
+        // format a record.
         let root = Root::builder().appender(NAME).build(LevelFilter::Trace);
         let config = Config::builder().appender(appender).build(root)?;
         log4rs::init_config(config)?;
@@ -112,7 +113,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The log file can't be opened.
-    #[error("log file {}: {cause}", file.display())]
+    #[error("can't open log file {}: {cause}", file.display())]
     File {
         /// Path of the file.
         file: PathBuf,
@@ -121,13 +122,13 @@
         cause: io::Error,
     },
     /// The configuration of `log4rs` is invalid.
-    #[error("log set-up: {0}")]
+    #[error("invalid log configuration: {0}")]
     Config(#[from] ConfigErrors),
     /// The writer thread can't be started.
-    #[error("log writer: {0}")]
+    #[error("can't start the log's writer thread: {0}")]
     Writer(io::Error),
     /// A log is already installed.
-    #[error("log: {0}")]
+    #[error("can't install the log: {0}")]
     Running(#[from] SetLoggerError),
 }
 
--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -26,7 +26,7 @@
 /// Limits of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum number of buffered bytes.
+    /// Maximum number of bytes that are buffered until the writer thread takes them.
     pub capacity: usize,
     /// Maximum output per second.
     pub rate_limit: RateLimit,
@@ -51,7 +51,7 @@
     pub full: u64,
     /// Records dropped because the rate limit was reached.
     pub rate_limited: u64,
-    /// Records of [`Class::Plan`] among all of these.
+    /// Records of [`Class::Plan`], which are included in the other two numbers.
     pub plans: u64,
 }
 
@@ -99,7 +99,9 @@
 struct State {
     buffer: String,
     window: Window,
+    /// Records dropped since the start.
     dropped: Dropped,
+    /// The part of `dropped` that lines of the log have stated.
     reported: Dropped,
     writer: Writer,
 }
@@ -148,7 +150,9 @@
         self.0.lock().buffer.len()
     }
 
-    /// Appends one record of whole lines, or drops it. It is formatted only if there is room.
+    /// Appends a record, which is one or more whole lines, or drops and counts it.
+    ///
+    /// A record is not even formatted if the queue is already full or the rate limit reached.
     pub fn put(&self, class: Class, record: &dyn fmt::Display) {
         self.0.put(class, |buffer| writeln!(buffer, "{record}"));
     }
--- a/crates/observe/src/log/rate_limit.rs
+++ b/crates/observe/src/log/rate_limit.rs
@@ -37,7 +37,7 @@
 pub enum Class {
     /// Lines about a single request.
     Request,
-    /// Lines about the state of the process, except plans.
+    /// Lines about the state of the process, except plans, and all ordinary log messages.
     Belief,
     /// Lines that explain all others, such as starts, declarations, leases, placements and orders.
     Plan,
@@ -75,7 +75,7 @@
         Window { rate_limit, second: 0, lines: 0, bytes: 0 }
     }
 
-    /// Returns whether the class has any of its part left. Called before a line is formatted.
+    /// Fails if the class has used up its part. Called before a record is formatted.
     pub fn check(&mut self, now: Moment, class: Class) -> Result<(), Exceeded> {
         self.advance(now);
         let part = self.rate_limit.part(class);
@@ -83,7 +83,7 @@
         if has_room { Ok(()) } else { Err(Exceeded) }
     }
 
-    /// Adds to the usage if all of it fits into the part of the class.
+    /// Adds a record's lines and bytes to the usage, or fails if they exceed the part of the class.
     pub fn consume(&mut self, class: Class, lines: usize, bytes: usize) -> Result<(), Exceeded> {
         let part = self.rate_limit.part(class);
         if part.lines < self.lines + lines || part.bytes < self.bytes + bytes {
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -94,7 +94,7 @@
             first_token: seconds(
                 &meter,
                 "first_token",
-                "Time to the first token, or to the answer's head",
+                "Time to the first token, or to the head of a plain response",
                 &FIRST_TOKEN_BOUNDS,
             ),
             between_tokens: seconds(
@@ -103,7 +103,11 @@
                 "Time between one token and the next",
                 &BETWEEN_TOKENS_BOUNDS,
             ),
-            attainment: counter(&meter, "attainment", "Requests that met or missed their target"),
+            attainment: counter(
+                &meter,
+                "attainment",
+                "Requests that met or missed their latency target",
+            ),
             in_flight: meter
                 .i64_up_down_counter("in_flight")
                 .with_description("Requests in flight, by service")
@@ -114,10 +118,14 @@
             platform_calls: counter(
                 &meter,
                 "platform_calls",
-                "Calls of the object API, by operation and result",
+                "Calls to the object API, by operation and result",
             ),
             platform_up: gauge(&meter, "platform_up", "1 while the object API answers, else 0"),
-            waiting: gauge(&meter, "waiting", "Things that wait for the object API, by duty"),
+            waiting: gauge(
+                &meter,
+                "waiting",
+                "Tasks that wait for the object API to respond, by duty",
+            ),
             memory: gauge(&meter, "memory", "Accelerator memory in MiB, by server and state"),
             moves: counter(&meter, "moves", "Orders to load or unload, by cause"),
             configuration: gauge(&meter, "configuration", "Number of the configuration in force"),
@@ -148,7 +156,7 @@
         let meter = self.provider.meter(NAMESPACE);
         let _registered = meter
             .u64_observable_counter("log_dropped")
-            .with_description("Records left out of the log, by cause")
+            .with_description("Records dropped from the log, by cause")
             .with_callback(|observer| {
                 let log::Dropped { full, rate_limited, .. } = log::dropped();
                 observer.observe(full, &[KeyValue::new("cause", "full")]);
@@ -157,7 +165,7 @@
             .build();
         let _registered = meter
             .u64_observable_counter("log_dropped_plans")
-            .with_description("Those of them that told of plans: starts, leases, wishes, orders")
+            .with_description("Dropped log records about plans, such as leases, wishes and orders")
             .with_callback(|observer| observer.observe(log::dropped().plans, &[]))
             .build();
     }
@@ -314,10 +322,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The exporter can't be registered.
-    #[error("metrics set-up: {0}")]
+    #[error("can't register the metrics exporter: {0}")]
     Setup(#[from] OTelSdkError),
     /// The metrics can't be encoded.
-    #[error("metrics text: {0}")]
+    #[error("can't encode the metrics: {0}")]
     Text(#[from] prometheus::Error),
 }
 
--- a/crates/observe/src/metrics/routed.rs
+++ b/crates/observe/src/metrics/routed.rs
@@ -1,8 +1,8 @@
 //! Metrics of the routed path.
 //!
-//! All labels except the service, the duty and the reason of a wish come from closed sets. Their
-//! series are created once, and an update costs an index and an atomic operation or, for a
-//! histogram, a lock.
+//! All labels except the service, the duty and the reason of a wish have closed sets of values. The
+//! series of these sets are created once, and an update of one costs an index and an atomic
+//! operation or, for a histogram, a lock.
 
 mod labels;
 
@@ -67,34 +67,45 @@
     pub(super) fn new(meter: &Meter) -> Routed {
         let requests =
             counter(meter, "routed_requests", "Requests that ended, by kind and outcome");
-        let refusals = counter(meter, "routed_refusals", "Requests refused as not run, by cause");
-        let attempts = counter(meter, "routed_attempts", "Attempts at servers, by how they ended");
-        let resends = counter(meter, "routed_again", "Requests sent to a further server, by how");
+        let refusals =
+            counter(meter, "routed_refusals", "Requests refused without being executed, by cause");
+        let attempts = counter(meter, "routed_attempts", "Attempts that ended, by outcome");
+        let resends =
+            counter(meter, "routed_again", "Requests sent to a further server, by kind of resend");
         let calls = counter(meter, "routed_store_calls", "Calls to the store, by call and result");
         let orders = counter(meter, "routed_orders", "Orders to servers, by answer");
         let demand = counter(
             meter,
             "routed_demand",
-            "Requests for models that the planner was given, by where they arrived",
+            "Requests for models that were reported to the planner, by origin",
         );
         let phases =
             seconds(meter, "routed_phase", "Time in a phase of a request, by kind", &PHASE_BOUNDS);
-        let ages = "Age of the report that a decision rests on";
+        let ages = "Age of the report that a decision is based on";
         let report_age = seconds(meter, "routed_report_age", ages, &AGE_BOUNDS).bind(&[]);
         let queues = gauge(meter, "routed_queue", "Length of a queue");
         let declaration = gauge(meter, "routed_declaration", "Number of the declaration in force");
-        let unreadable =
-            counter(meter, "routed_unreadable_servers", "Registrations that could not be read");
-        let limited = gauge(meter, "routed_limited_servers", "Servers that name a limit");
+        let unreadable = counter(
+            meter,
+            "routed_unreadable_servers",
+            "Registrations of servers that could not be parsed",
+        );
+        let limited =
+            gauge(meter, "routed_limited_servers", "Servers that are known to have a rate limit");
         let shares = gauge(meter, "routed_quota_shares", "Shares of limits that this host grants");
         let permits =
-            gauge(meter, "routed_quota_permits", "Permits of this host since its start, by use");
-        let unreadable_limits =
-            counter(meter, "routed_unreadable_limits", "Answers whose limit could not be read");
+            gauge(meter, "routed_quota_permits", "Permits on this host since its start, by use");
+        let unreadable_limits = counter(
+            meter,
+            "routed_unreadable_limits",
+            "Responses of servers whose rate limit could not be parsed",
+        );
         let declaration_age = meter
             .f64_gauge("routed_declaration_age")
             .with_unit("s")
-            .with_description("Time since the declaration in force was last known to be the newest")
+            .with_description(
+                "Time since the declaration in force was last confirmed as the newest",
+            )
             .build()
             .bind(&[]);
         let budget = meter
@@ -102,7 +113,7 @@
             .with_description("Further attempts that this host may still make, by service")
             .build();
         let spent = "Further attempts of this host in the last window, by service";
-        let hosts = "Hosts among which this one shares the retry budgets";
+        let hosts = "Hosts that share the retry budgets";
         Routed(Arc::new(Series {
             requests: each(|kind: Kind| {
                 each(|outcome: Outcome| requests.bind(&[kind.key_value(), outcome.key_value()]))
@@ -135,7 +146,7 @@
             wishes: gauge(
                 meter,
                 "routed_wishes",
-                "Models and adapters that the planner wants and can't order, by why",
+                "Models and adapters that the planner wants to load but can't order, by reason",
             ),
         }))
     }
--- a/crates/observe/src/metrics/routed/labels.rs
+++ b/crates/observe/src/metrics/routed/labels.rs
@@ -124,9 +124,9 @@
 /// Phase of a request, of which the duration is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// From the request's last byte until it is sent to a server.
+    /// From the request's last byte until the request is sent to a server.
     Wait,
-    /// Until a connection to the server is established.
+    /// From the start of an attempt until a connection to its server is established.
     Connect,
     /// From the request's last byte to the first event, or to the head of the response.
     First,
--- a/crates/observe/src/ring.rs
+++ b/crates/observe/src/ring.rs
@@ -1,7 +1,8 @@
 //! Bounded buffer of a host's latest events.
 //!
 //! Each [`Class`] has a queue of its own, so that a burst of requests can't evict the order or the
-//! lease that explains it. Sequence numbers are shared by both, so a gap shows what was dropped.
+//! lease that explains it. Both queues share the sequence numbers, so a gap shows that events
+//! were dropped.
 
 use std::{
     collections::VecDeque,
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -50,7 +50,7 @@
 
 /// Installs the process's logger. Later calls have no effect.
 pub fn install(logger: Logger) {
-    // Later loggers belong to further hosts in one process, as in tests, which use them directly.
+    // If one process runs several hosts, as in tests, the others use their loggers directly.
     let _ = LOGGER.set(logger);
 }
 
--- a/crates/observe/src/story/belief.rs
+++ b/crates/observe/src/story/belief.rs
@@ -86,9 +86,9 @@
         /// The wanted adapter.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<adapter::Id>,
-        /// Number of servers on which it is loaded.
+        /// Number of servers on which the model or adapter is loaded.
         replicas: u32,
-        /// Time for which it has been wanted.
+        /// Time for which the model or adapter has been wanted.
         #[serde(with = "millis")]
         since: Duration,
         /// Stable identifier of the obstacle.
@@ -108,7 +108,7 @@
         /// Demand in requests per second; `None` if the planner does not report it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         demand: Option<f64>,
-        /// Number of servers on which it is loaded.
+        /// Number of servers on which the model or adapter is loaded.
         replicas: u32,
         /// Stable identifier of the reason.
         why: Text,
@@ -199,8 +199,9 @@
         }
     }
 
-    /// Returns whether the belief is a plan. Plans explain all other lines, and are the last to be
-    /// dropped from the log.
+    /// Returns whether the belief is logged as a plan, as are starts, declarations, leases, orders
+    /// and changes of dependencies. Plans explain all other lines, and are the last to be dropped
+    /// from the log.
     pub fn is_plan(&self) -> bool {
         match self {
             Belief::Start { .. }
@@ -229,7 +230,7 @@
     }
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes it so")]
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes a reference")]
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
@@ -266,9 +267,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerStanding {
-    /// Messages from it are received.
+    /// Messages from the host are received.
     Seen,
-    /// No messages from it are received.
+    /// No messages from the host are received.
     Silent,
 }
 
@@ -312,9 +313,9 @@
 pub enum PoisonState {
     /// Such a request was running when a server crashed.
     Suspected,
-    /// So many crashes count that such requests are refused.
+    /// Enough crashes count for such requests to be refused.
     Confirmed,
-    /// Too few crashes count any longer to suspect such requests.
+    /// Too few crashes still count for such requests to be suspected.
     Cleared,
 }
 
@@ -330,7 +331,7 @@
     /// Whether the crash counts. It does not if the server responded later, or if the request was
     /// completed.
     pub counts: bool,
-    /// Time since it was observed.
+    /// Time since the crash was observed.
     #[serde(rename = "age_ms", with = "types::time::millis")]
     pub age: Duration,
 }
--- a/crates/observe/src/story/explanation.rs
+++ b/crates/observe/src/story/explanation.rs
@@ -1,10 +1,10 @@
 //! Explanation of one request, server, declaration or term, selected from all hosts' lines.
 //!
-//! The lines of all hosts are sorted by their stamps. Selected are the lines about the subject of
-//! the query and, for each decision among them, the lines with the beliefs that its host held at
-//! that time: the declaration in force, the state and the limits of the server, the last order to
-//! it and the lease that the order was sent under, and unavailable dependencies. Readers thus see
-//! what a decision was based on as well as the decision itself.
+//! The lines of all hosts are sorted by their stamps. The explanation consists of the lines about
+//! the subject of the query and, for each decision among them, the lines with the beliefs that its
+//! host held at that time: the declaration in force, the state and the limits of the server, the
+//! last order to it and the lease that the order was sent under, and unavailable dependencies.
+//! Readers thus see each decision and what it was based on.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -67,9 +67,9 @@
     query: Query,
     lines: Vec<Line>,
     seen_runs: HashSet<Run>,
-    /// Number of lines that could not be parsed.
+    /// Number of lines that could not be parsed, for example because they are truncated.
     pub bad: u64,
-    /// Number of lines of another kind, such as log messages.
+    /// Number of lines that are JSON objects but no lines of a story, such as log messages.
     pub other: u64,
 }
 
--- a/crates/observe/src/story/line.rs
+++ b/crates/observe/src/story/line.rs
@@ -79,9 +79,9 @@
 /// Reason for which a line of the log is not a line of a story.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Skipped {
-    /// It can't be parsed, for example because it is truncated.
+    /// The line can't be parsed, for example because it is truncated.
     Bad,
-    /// It is a JSON object of another kind, such as a log message.
+    /// The line is a JSON object of another kind, such as a log message.
     Other,
 }
 
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -83,7 +83,8 @@
         &self.id
     }
 
-    /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise.
+    /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise. Does
+    /// nothing if the level excludes warnings.
     pub fn record(&mut self, step: Step) {
         if !self.logger.is_enabled(Level::Warn) {
             return;
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Ends the story and logs it, unless the request was successful and is not sampled.
+    /// Ends the story and logs it, unless the request was successful and is left out by
+    /// [sampling](super::sample).
     pub fn end(mut self, end: End) {
         self.finish(end);
     }
--- a/crates/observe/src/story/step.rs
+++ b/crates/observe/src/story/step.rs
@@ -20,7 +20,7 @@
     Arrived(Arrival),
     /// The request was queued.
     Queued {
-        /// Stable identifier of what it waits for.
+        /// Stable identifier of what the request waits for.
         why: Text,
         /// Values that the decision was based on.
         inputs: Vec<Input>,
@@ -58,9 +58,9 @@
     },
     /// A stream is resumed on another server.
     Resumed {
-        /// Number of the attempt that resumes it, from one.
+        /// Number of the attempt that resumes the stream, from one.
         attempt: u32,
-        /// The server that resumes it.
+        /// The server that resumes the stream.
         server: backend::Id,
         /// Number of the last event that the caller has received.
         after: u64,
@@ -220,7 +220,7 @@
     /// The requested adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<adapter::Id>,
-    /// The last server that it was sent to.
+    /// The last server that the request was sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub server: Option<backend::Id>,
     /// Number of attempts.
