--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -2,8 +2,8 @@
 //!
 //! Two operators submit patches against the same configuration number. [`policy::config::decide`]
 //! decides each patch on the root that was read last, and the result is written conditionally on
-//! the version of that root. Hosts receive roots in any order, also old ones, and apply them by
-//! [`Holder`]; a restarted host begins with no root. All roots here contain the whole
+//! the version of that root. Hosts receive roots in any order, even outdated ones, and apply them
+//! by [`Holder`]; a restarted host begins with no root. All roots here contain the whole
 //! configuration; the tests of `policy` cover configurations in parts.
 //!
 //! Safety: each number is assigned once; an accepted patch is contained in every later number; a
@@ -37,7 +37,7 @@
     KeptPatches,
     /// The number that a patch is based on is not compared with the current one.
     Against,
-    /// A host applies every root that it receives, also one with a lower number.
+    /// A host applies every root that it receives, even one with a lower number.
     OnlyUp,
 }
 
@@ -75,7 +75,7 @@
     Read(usize),
     /// Accepted as the configuration with this number.
     Accepted(Number),
-    /// Answered that the number that it is based on is no longer current.
+    /// Refused, since the configuration number that the patch is based on is no longer current.
     Stale,
 }
 
@@ -96,7 +96,7 @@
     Write(usize),
     /// As [`Step::Write`], but the answer is lost, so the operator submits the patch again.
     LoseAnswer(usize),
-    /// A host receives a root, the current or an old one.
+    /// A host receives a root, which may be outdated.
     Receive(usize, usize),
     /// A host restarts, and has no root.
     Restart(usize),
--- a/crates/spec/src/ledger/state.rs
+++ b/crates/spec/src/ledger/state.rs
@@ -74,20 +74,20 @@
 /// Actual progress of an order, of which planners may know less.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// Its reservation was written, but not confirmed by an answer.
+    /// The reservation was sent to the object API, but its answer has not arrived.
     Unconfirmed,
-    /// Its sender knows of the reservation and has not sent it yet.
+    /// The sender knows that the reservation was written, and has not sent the order yet.
     Reserved,
     /// Sent and not received yet.
     InFlight,
     /// Accepted or refused by the engine; the answer is in transit.
     Received { taken: bool },
-    /// No message of it is in transit: its sender has the answer that it was accepted, or closed
-    /// the connection and waited for the linger time, or died and no message is left.
+    /// No message of the order is in transit: its sender has the answer that it was accepted, or
+    /// closed the connection and waited for the linger time, or died and no message is left.
     NotInFlight,
-    /// It was never sent or was refused, and its sender knows so.
+    /// The order was never sent or was refused, and its sender knows so.
     NeverTaken,
-    /// It is not in the ledger any more, and no message of it is in transit.
+    /// The order is no longer in the ledger, and no message of it is in transit.
     Settled,
 }
 
@@ -108,11 +108,11 @@
 /// The engine's handling of fencing tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fencing {
-    /// Refuses an order with a lower number than the highest received.
+    /// Refuses an order with a lower fencing token than the highest received.
     Refuses,
-    /// Accepts any number, and reports the highest received.
+    /// Accepts any fencing token, and reports the highest received.
     Reports,
-    /// Accepts any number, and reports zero.
+    /// Accepts any fencing token, and reports zero.
     Ignores,
 }
 
--- a/crates/spec/src/ledger/transitions.rs
+++ b/crates/spec/src/ledger/transitions.rs
@@ -356,13 +356,13 @@
     }
 }
 
-/// The planner learns that its reservation is in the ledger.
+/// Records that the planner knows its reservation to be in the ledger.
 fn confirm(state: &mut State, planner: usize, write: Write) {
     state.planners[planner].activity = Activity::Idle;
     state.orders[usize::from(write.order)].phase = Phase::Reserved;
 }
 
-/// The process ends: its unsent orders are never sent, those in transit may still arrive.
+/// Ends a planner's process: its unsent orders are never sent, those in transit may still arrive.
 fn die(state: &State, planner: usize) -> State {
     let mut next = state.clone();
     next.deaths += 1;
--- a/crates/spec/src/once/state.rs
+++ b/crates/spec/src/once/state.rs
@@ -30,7 +30,9 @@
 pub(super) struct Host {
     pub(super) run: HostRun,
     pub(super) range: Range,
+    /// Granted requests that are not dispatched yet, with the time at which each grant expires.
     pub(super) granted: BTreeMap<request::Id, Duration>,
+    /// Requests that are dispatched and whose answer has not reached the host.
     pub(super) dispatched: BTreeSet<request::Id>,
 }
 
--- a/crates/spec/src/order/holder/recovery.rs
+++ b/crates/spec/src/order/holder/recovery.rs
@@ -2,14 +2,16 @@
 
 use super::{Holders, State, Tick};
 
-/// Rounds of calls within one tick, since a write that fails by a conflict is followed by another.
+/// Rounds of calls within one tick. One round is not enough, since a write that fails by a conflict
+/// is followed by another.
 const ROUNDS: usize = 6;
 
-/// The sets of hosts that may be left; recovery must succeed with each.
+/// The sets of hosts that may remain; recovery must succeed with each.
 const SURVIVORS: [&[usize]; 3] = [&[0], &[1], &[0, 1]];
 
 impl Holders {
-    /// Whether some host may send orders within this many ticks, for each set of hosts left.
+    /// Whether some host may send orders within this many ticks, for each set of remaining
+    /// hosts.
     pub(super) fn recovers(&self, state: &State, within: Tick) -> bool {
         SURVIVORS.into_iter().all(|hosts| self.recovers_with(hosts, state.clone(), within))
     }
--- a/crates/spec/src/order/holder/state.rs
+++ b/crates/spec/src/order/holder/state.rs
@@ -38,11 +38,13 @@
     pub(super) term: OrderLease,
     /// Fencing token under which an order was prepared that has not been sent.
     pub(super) prepared: Option<Fence>,
-    /// Revision that its watch reported last.
+    /// Revision that the host's watch reported last.
     pub(super) watched: Option<Revision>,
-    /// Number of ticks that its clock missed while it was suspended.
+    /// Number of ticks that the host's clock missed while the host was suspended.
     pub(super) suspended: Tick,
-    /// Fencing tokens that it used; their number is its token if it counts them itself.
+    /// Fencing tokens that the host used. Recorded only under
+    /// [`Omission::RevisionFence`](super::Omission::RevisionFence), when orders of the host carry
+    /// the size of this set as their fencing token.
     pub(super) fences: BTreeSet<Fence>,
 }
 
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -24,7 +24,7 @@
 /// The models or adapters that exist.
 const UNITS: [Unit; 2] = [0, 1];
 
-/// Number of them that fit in memory.
+/// Number of units that fit in memory.
 const CAPACITY: usize = 1;
 
 pub(super) const PLANNERS: usize = 2;
@@ -54,8 +54,8 @@
 pub enum Barrier {
     /// The server accepted an order of the second planner.
     Accepted,
-    /// The server answered an order of the second planner, even one without effect, which it finds
-    /// out from its memory before it checks the sequence number.
+    /// The server answered an order of the second planner, even one without effect. The server
+    /// recognises such an order before it checks the sequence number.
     Answered,
 }
 
--- a/crates/spec/src/quota.rs
+++ b/crates/spec/src/quota.rs
@@ -1,10 +1,10 @@
 //! Model of the lease of one share of a quota: the host that owns it, and two borrowers.
 //!
-//! Borrowers send readings of their clocks, and a lease is counted from such a reading. Messages
+//! Borrowers send readings of their clocks, and a lease is measured from such a reading. Messages
 //! may be late, lost or duplicated; the lender may restart without its state, and may switch from
 //! one borrower to the other at any time. The clocks of the three hosts differ.
-//! `policy::quota::lease` decides on both sides. Safety: at most one host counts the share at any
-//! time.
+//! `policy::quota::lease` decides on both sides. Safety: at any time, at most one host counts the
+//! share as its own.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -27,14 +27,14 @@
 /// Seconds by which each host's clock is ahead of the model's time.
 const CLOCK_OFFSETS: [u64; HOSTS] = [3, 0, 7];
 
-/// Which guards are active.
+/// Selection of the active guards: all of them, or all but one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
     /// All guards are active.
     All,
-    /// The lender lends a share that another host may still count.
+    /// The lender lends a share that another host may still count as its own.
     NoExclusion,
-    /// Borrowers count a lease from the arrival of its message, not from their clock reading.
+    /// Borrowers measure a lease from the arrival of its message, not from their clock reading.
     NoReading,
     /// A restarted lender lends at once, while a lease of its former run may still be valid.
     NoWait,
@@ -67,7 +67,7 @@
 enum Message {
     /// A reading of this borrower's clock.
     Clock(usize, Moment),
-    /// A lease to this borrower, counted from this reading of its clock.
+    /// A lease to this borrower, measured from this reading of its clock.
     Lease(usize, Moment),
 }
 
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    /// It found, before its write, that the other replica remains.
+    /// The planner found, before its write, that the other replica remains.
     Checked,
-    /// Its unload is in the ledger and has not been sent.
+    /// The planner's unload is in the ledger and has not been sent.
     Written,
-    /// Its unload was sent and has not arrived.
+    /// The planner's unload was sent and has not arrived.
     Sent,
 }
 
