--- a/crates/observe/src/log/queue.rs
+++ b/crates/observe/src/log/queue.rs
@@ -26,8 +26,8 @@
 /// Limits of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum number of buffered bytes.
-    pub waiting: usize,
+    /// Maximum number of bytes that are buffered until the writer thread takes them.
+    pub capacity: usize,
     /// Maximum output per second.
     pub rate_limit: RateLimit,
     /// Minimum time between two writes.
@@ -37,7 +37,7 @@
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            waiting: 256 * 1024,
+            capacity: 256 * 1024,
             rate_limit: RateLimit::default(),
             pause: Duration::from_millis(100),
         }
@@ -51,7 +51,7 @@
     pub full: u64,
     /// Records dropped because the rate limit was reached.
     pub rate_limited: u64,
-    /// Records of [`Class::Plan`] among all of these.
+    /// Records of [`Class::Plan`], which are included in the other two numbers.
     pub plans: u64,
 }
 
@@ -97,9 +97,11 @@
 }
 
 struct State {
-    waiting: String,
+    buffer: String,
     window: Window,
+    /// Records dropped since the start.
     dropped: Dropped,
+    /// The part of `dropped` that lines of the log have stated.
     reported: Dropped,
     writer: Writer,
 }
@@ -125,7 +127,7 @@
             origin: Instant::now(),
             bounds,
             state: Mutex::new(State {
-                waiting: String::with_capacity(bounds.waiting),
+                buffer: String::with_capacity(bounds.capacity),
                 window: Window::new(bounds.rate_limit),
                 dropped: Dropped::default(),
                 reported: Dropped::default(),
@@ -144,13 +146,15 @@
     }
 
     /// Returns the number of bytes that the writer has not taken yet.
-    pub fn waiting(&self) -> usize {
-        self.0.lock().waiting.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.0.lock().buffer.len()
     }
 
-    /// Appends one record of whole lines, or drops it. It is formatted only if there is room.
+    /// Appends a record, which is one or more whole lines, or drops and counts it.
+    ///
+    /// A record is not even formatted if the queue is already full or the rate limit reached.
     pub fn put(&self, class: Class, record: &dyn fmt::Display) {
-        self.0.put(class, |waiting| writeln!(waiting, "{record}"));
+        self.0.put(class, |buffer| writeln!(buffer, "{record}"));
     }
 }
 
@@ -164,10 +168,10 @@
             story::REQUEST => self.put(Class::Request, record.args()),
             story::BELIEF => self.put(Class::Belief, record.args()),
             story::PLAN => self.put(Class::Plan, record.args()),
-            _ => self.0.put(Class::Belief, |waiting| {
+            _ => self.0.put(Class::Belief, |buffer| {
                 let mut bytes = SimpleWriter(Vec::new());
                 JsonEncoder::new().encode(&mut bytes, record).map_err(|_| fmt::Error)?;
-                waiting.write_str(&String::from_utf8_lossy(&bytes.0))
+                buffer.write_str(&String::from_utf8_lossy(&bytes.0))
             }),
         }
     }
@@ -175,7 +179,7 @@
     /// Waits until the buffered lines are written, for at most one second.
     fn flush(&self) {
         let mut state = self.0.lock();
-        if state.waiting.is_empty() && state.writer == Writer::Idle {
+        if state.buffer.is_empty() && state.writer == Writer::Idle {
             return;
         }
         state.writer = Writer::Flushing;
@@ -204,23 +208,23 @@
             return state.dropped.count(class, Cause::RateLimit);
         }
         // If the reader falls behind, records of requests are dropped first.
-        let limit = class.part(self.bounds.waiting);
-        if limit <= state.waiting.len() {
+        let limit = class.part(self.bounds.capacity);
+        if limit <= state.buffer.len() {
             return state.dropped.count(class, Cause::Full);
         }
-        let start = state.waiting.len();
+        let start = state.buffer.len();
         // Formatting fails only if the record's own `Display` does; the line is then incomplete.
-        let _ = append(&mut state.waiting);
-        let written = &state.waiting.as_bytes()[start..];
+        let _ = append(&mut state.buffer);
+        let written = &state.buffer.as_bytes()[start..];
         let (lines, bytes) = (written.iter().filter(|byte| **byte == b'\n').count(), written.len());
-        let cause = match limit < state.waiting.len() {
+        let cause = match limit < state.buffer.len() {
             true => Some(Cause::Full),
             false => {
                 state.window.consume(class, lines, bytes).err().map(|Exceeded| Cause::RateLimit)
             }
         };
         if let Some(cause) = cause {
-            state.waiting.truncate(start);
+            state.buffer.truncate(start);
             return state.dropped.count(class, cause);
         }
         if state.writer == Writer::Idle {
@@ -231,7 +235,7 @@
 
     /// Loop of the writer thread, until the process ends.
     fn run_writer(&self, mut sink: impl Write) {
-        let mut batch = String::with_capacity(self.bounds.waiting);
+        let mut batch = String::with_capacity(self.bounds.capacity);
         loop {
             self.take_batch(&mut batch);
             // A failure to write to standard output can't be reported anywhere.
@@ -252,7 +256,7 @@
             .changed
             .wait_timeout_while(state, self.bounds.pause, |state| state.writer == Writer::Batching)
             .unwrap_or_else(PoisonError::into_inner);
-        std::mem::swap(&mut state.waiting, batch);
+        std::mem::swap(&mut state.buffer, batch);
         let dropped = state.dropped.since(state.reported);
         state.reported = state.dropped;
         drop(state);
@@ -263,7 +267,7 @@
 
     fn finish_batch(&self) {
         let mut state = self.lock();
-        if state.waiting.is_empty() {
+        if state.buffer.is_empty() {
             state.writer = Writer::Idle;
             self.changed.notify_all();
         }
--- a/crates/observe/src/story/request.rs
+++ b/crates/observe/src/story/request.rs
@@ -83,9 +83,10 @@
         &self.id
     }
 
-    /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise.
+    /// Adds a step, which is logged immediately at level `debug`, and buffered otherwise. Does
+    /// nothing if the level excludes warnings.
     pub fn record(&mut self, step: Step) {
-        if !self.logger.wants(Level::Warn) {
+        if !self.logger.is_enabled(Level::Warn) {
             return;
         }
         match &step {
@@ -104,14 +105,15 @@
             | Step::Ended(_) => {}
         }
         let step = (self.logger.now(), step);
-        if self.logger.wants(Level::Debug) {
+        if self.logger.is_enabled(Level::Debug) {
             self.logger.steps(Level::Debug, &self.id, &[step]);
         } else {
             self.buffer(step);
         }
     }
 
-    /// Ends the story and logs it, unless the request was successful and is not sampled.
+    /// Ends the story and logs it, unless the request was successful and is left out by
+    /// [sampling](super::sample).
     pub fn end(mut self, end: End) {
         self.finish(end);
     }
@@ -134,7 +136,7 @@
         self.state = State::Ended;
         if self.is_success(&end) {
             self.log_success(end);
-        } else if self.logger.wants(Level::Warn) {
+        } else if self.logger.is_enabled(Level::Warn) {
             let last = (self.logger.now(), Step::Ended(self.ended(end, 1)));
             self.steps.push(last);
             self.logger.steps(Level::Warn, &self.id, &self.steps);
@@ -146,7 +148,7 @@
     }
 
     fn log_success(&mut self, end: End) {
-        if !self.logger.wants(Level::Info) {
+        if !self.logger.is_enabled(Level::Info) {
             return;
         }
         let route = self.arrival.as_ref().map_or("", |arrival| &*arrival.route);
@@ -156,7 +158,7 @@
     }
 
     fn sample_weight(&self, route: &str) -> Option<u32> {
-        if self.logger.wants(Level::Debug) { Some(1) } else { self.logger.sample(route) }
+        if self.logger.is_enabled(Level::Debug) { Some(1) } else { self.logger.sample(route) }
     }
 
     fn ended(&mut self, end: End, weight: u32) -> Ended {
--- a/crates/spec/src/replica.rs
+++ b/crates/spec/src/replica.rs
@@ -12,7 +12,7 @@
     order::{Action, Role},
     prelude::*,
     report::Load,
-    resident::{Resident, State as Progress},
+    resident::{Resident, State as ResidentState},
 };
 
 use crate::explore::System;
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    /// It found, before its write, that the other replica remains.
+    /// The planner found, before its write, that the other replica remains.
     Checked,
-    /// Its unload is in the ledger and has not been sent.
+    /// The planner's unload is in the ledger and has not been sent.
     Written,
-    /// Its unload was sent and has not arrived.
+    /// The planner's unload was sent and has not arrived.
     Sent,
 }
 
@@ -194,7 +194,7 @@
 }
 
 fn report(server: usize, sequence: u64, ready: bool, orders: Vec<order::Id>) -> Load {
-    let resident = Resident { unit: unit(), memory: 1, state: Progress::Ready };
+    let resident = Resident { unit: unit(), memory: 1, state: ResidentState::Ready };
     Load {
         server: format!("server-{server}").into(),
         incarnation: 1,
