--- a/crates/policy/src/config/check.rs
+++ b/crates/policy/src/config/check.rs
@@ -162,10 +162,7 @@
             && let Some(model) = engines.get(group)
         {
             let path = pointer(&["services", id, "offer", "plain"]);
-            problems.push(
-                path,
-                format!("group `{group}` has engines, because model `{model}` is declared for it"),
-            );
+            problems.push(path, format!("`{group}` holds model `{model}`, so it has engines"));
         }
     }
 }
