--- a/crates/exchange/tests/exchange.rs
+++ b/crates/exchange/tests/exchange.rs
@@ -259,9 +259,9 @@
 #[tokio::test]
 async fn strange_datagrams_are_counted_and_passed_over() {
     let hosts = hosts(2).await;
-    let stranger = UdpSocket::bind(loopback()).await.expect("loopback");
+    let socket = UdpSocket::bind(loopback()).await.expect("loopback");
     for bytes in [&b"hello"[..], &[0xC1; 1_200], &[0; 1_900]] {
-        stranger.send_to(bytes, hosts[0].member().address).await.expect("sent");
+        socket.send_to(bytes, hosts[0].member().address).await.expect("sent");
     }
     until(|| hosts[0].counts().unreadable == 3).await;
     assert_eq!(hosts[0].fleet().live, 2);
--- a/crates/policy/tests/once.rs
+++ b/crates/policy/tests/once.rs
@@ -252,8 +252,8 @@
         a.settle(at(number * 1_000 + 900), &mut store, Fault::None);
     }
     let document = store.document();
-    let whole = document.entries.values().filter(|entry| has_body(entry)).count();
-    assert_eq!((document.entries.len(), whole), (4, 1));
+    let with_body = document.entries.values().filter(|entry| has_body(entry)).count();
+    assert_eq!((document.entries.len(), with_body), (4, 1));
 }
 
 #[rstest]
--- a/crates/policy/tests/stream.rs
+++ b/crates/policy/tests/stream.rs
@@ -56,10 +56,10 @@
         for (offset, attempt, own, kind) in frames {
             let request = if own { "r1" } else { "r2" };
             let part = if kind == 0 { Part::End(offset) } else { Part::Token(offset) };
-            let whole = stream.is_complete();
+            let is_complete = stream.is_complete();
             match stream.take(&Frame { request, attempt, part }) {
                 Verdict::Deliver => {
-                    prop_assert!(own && !whole && attempt == stream.attempt());
+                    prop_assert!(own && !is_complete && attempt == stream.attempt());
                     delivered.push(offset);
                 }
                 Verdict::Finish => prop_assert_eq!(offset, delivered.len() as u64),
--- a/crates/relay/src/trace.rs
+++ b/crates/relay/src/trace.rs
@@ -254,7 +254,7 @@
 
     fn end(&mut self, outcome: Outcome, status: Option<u16>, why: Option<&'static str>) {
         let Some(story) = self.story.take() else { return };
-        let whole = self.clock.now().saturating_sub(self.received);
+        let duration = self.clock.now().saturating_sub(self.received);
         if let Some(goals) = self.goals {
             self.meters.request(goals.kind, outcome);
         }
@@ -264,16 +264,9 @@
         if 1 < self.events {
             self.phase(Phase::Gap, self.longest_gap);
         }
-        self.phase(Phase::Whole, whole);
+        self.phase(Phase::Whole, duration);
         let (first, events) = (self.first_after, self.events);
-        story.end(End {
-            outcome,
-            status,
-            why: why.map(Text::Borrowed),
-            first,
-            events,
-            duration: whole,
-        });
+        story.end(End { outcome, status, why: why.map(Text::Borrowed), first, events, duration });
     }
 }
 
