--- a/crates/exchange/src/calls.rs
+++ b/crates/exchange/src/calls.rs
@@ -22,7 +22,7 @@
     /// Servers whose entries were removed, but that stay in use since the entries may be written
     /// again.
     pub suspects: Vec<Suspect>,
-    /// Those entries of registered servers that were written after the revision in the request.
+    /// Entries of registered servers that were written after the revision in the request.
     pub servers: Vec<Entry>,
 }
 
--- a/crates/observe/src/metrics/routed/labels.rs
+++ b/crates/observe/src/metrics/routed/labels.rs
@@ -188,7 +188,7 @@
     Compacted,
     /// The call was refused, without effect.
     Refused,
-    /// It is unknown whether the call had an effect.
+    /// Whether the call had an effect is unknown.
     Unclear,
 }
 
--- a/crates/policy/src/dispatch/request.rs
+++ b/crates/policy/src/dispatch/request.rs
@@ -111,7 +111,7 @@
     },
     /// The request has not run and is not going to.
     Refuse {
-        /// Why it is refused.
+        /// Reason for the refusal.
         cause: Cause,
         /// Delay after which the caller may retry.
         after: Duration,
@@ -228,7 +228,7 @@
     Server,
     /// The caller is told that the request did not run and is not going to.
     NotRun {
-        /// Why it did not run.
+        /// Why the request did not run.
         cause: Cause,
         /// Delay after which the caller may retry.
         after: Duration,
--- a/crates/policy/src/member/watch.rs
+++ b/crates/policy/src/member/watch.rs
@@ -103,7 +103,7 @@
 
 /// Time between a host's reads of the platform's list.
 ///
-/// It is `least` in a small fleet and longer in a large one, so that the reads of all hosts
+/// Returns `least` in a small fleet and longer in a large one, so that the reads of all hosts
 /// together stay within a rate. Peers report changes sooner.
 pub fn list_interval(least: Duration, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
--- a/crates/stage/tests/outage.rs
+++ b/crates/stage/tests/outage.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-#[ignore = "a measurement that takes twelve minutes"]
+#[ignore = "a measurement that takes ten and a half minutes"]
 async fn ten_minutes_without_the_platform() {
     const HOSTS: usize = 8;
     const OUTAGE: Duration = Duration::from_secs(600);
--- a/crates/standin/src/routed/server/quota.rs
+++ b/crates/standin/src/routed/server/quota.rs
@@ -97,7 +97,7 @@
         if at < *since + BINDING_DELAY {
             return None;
         }
-        // A limit stays allowed until the hosts have learnt of the next one.
+        // A limit stays allowed until the next one has reached the hosts.
         let ends = stated[start..]
             .iter()
             .skip(1)
--- a/crates/standin/src/routed/server/script.rs
+++ b/crates/standin/src/routed/server/script.rs
@@ -61,13 +61,14 @@
 /// servers; `Broken`, `Stalled` and `Short` only at model servers, which answer with streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It doesn't run, and the answer with this status says so.
+    /// The request doesn't run, as the answer with this status states.
     NotRun(StatusCode),
-    /// It runs, and is answered with this status and the server's seal.
+    /// The request runs, and is answered with this status and the server's seal.
     Failed(StatusCode),
-    /// It runs, and the connection is closed without an answer.
+    /// The request runs, and the connection is closed without an answer.
     Lost,
-    /// It runs and is never answered; the connection stays open until the caller closes it.
+    /// The request runs and is never answered; the connection stays open until the caller closes
+    /// it.
     Silent,
     /// The answer has no seal.
     Unsealed,
@@ -91,17 +92,17 @@
     Closing,
     /// The connection is closed in the middle of a stream's event.
     Broken {
-        /// Complete events before it.
+        /// Complete events sent before the connection is closed.
         events: u64,
     },
     /// The stream stops without an end; the connection stays open until the caller closes it.
     Stalled {
-        /// Events before the stop.
+        /// Events sent before the stream stops.
         events: u64,
     },
     /// The stream ends early, framed as if it were complete.
     Short {
-        /// Events before the end.
+        /// Events sent before the stream ends.
         events: u64,
     },
 }
@@ -109,8 +110,8 @@
 /// The fault of one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It is judged and applied, and the connection is closed without an answer.
+    /// The order is judged and applied, and the connection is closed without an answer.
     Lost,
-    /// It is never answered, and is judged and applied after this time.
+    /// The order is never answered, and is judged and applied after this time.
     Late(Duration),
 }
--- a/crates/standin/src/routed/store.rs
+++ b/crates/standin/src/routed/store.rs
@@ -57,13 +57,13 @@
 /// How a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is answered that the store is down.
+    /// The answer states that the store is down.
     Down,
-    /// It is answered that there are too many calls.
+    /// The answer states that there are too many calls.
     TooMany,
     /// The TCP connection is reset.
     Reset,
-    /// It is never answered, not even after the fault is cleared.
+    /// The call is never answered, not even after the fault is cleared.
     Silence,
     /// As `Silence`, except that watches already waiting are answered after the fault is cleared.
     Hold,
