--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -187,7 +187,7 @@
 
 /// Kind of an object in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum ObjectKind {
     /// The deployment's declaration.
     Declaration,
     /// Registration of a server, written by the server.
@@ -251,14 +251,14 @@
     /// Lists the objects of a kind, page by page.
     List {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Last name of the previous page; none for the first page.
         after: Option<&'a str>,
     },
     /// Waits until objects of a kind change.
     Watch {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Only changes after this revision are reported.
         since: Revision,
         /// Time after which the store responds even without a change.
@@ -267,14 +267,14 @@
     /// Reads one object.
     Get {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Name of the object.
         name: &'a str,
     },
     /// Creates an object, unless it exists.
     Create {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Name of the object.
         name: &'a str,
         /// Content as JSON.
@@ -283,7 +283,7 @@
     /// Replaces an object, if its revision is the given one.
     Replace {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Name of the object.
         name: &'a str,
         /// Revision that the object must have.
@@ -294,7 +294,7 @@
     /// Removes an object, if its revision is the given one.
     Delete {
         /// Kind of the objects.
-        kind: Kind,
+        kind: ObjectKind,
         /// Name of the object.
         name: &'a str,
         /// Revision that the object must have.
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -8,7 +8,7 @@
 use types::order::Fence;
 
 use crate::{
-    edge::{Kind, Object, StoreCall, StoreReply},
+    edge::{Object, ObjectKind, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -64,14 +64,14 @@
             let Ok(content) = serde_json::to_value(&lease) else { return };
             write(
                 shared,
-                &StoreCall::Create { kind: Kind::Lease, name: LEASE_NAME, content: &content },
+                &StoreCall::Create { kind: ObjectKind::Lease, name: LEASE_NAME, content: &content },
             )
             .await;
         }
         Step::Replace(revision, lease) => {
             let Ok(content) = serde_json::to_value(&lease) else { return };
             let call = StoreCall::Replace {
-                kind: Kind::Lease,
+                kind: ObjectKind::Lease,
                 name: LEASE_NAME,
                 revision,
                 content: &content,
@@ -82,7 +82,11 @@
 }
 
 async fn read(shared: &Shared) {
-    match shared.store.lease_call(&StoreCall::Get { kind: Kind::Lease, name: LEASE_NAME }).await {
+    match shared
+        .store
+        .lease_call(&StoreCall::Get { kind: ObjectKind::Lease, name: LEASE_NAME })
+        .await
+    {
         StoreReply::Object(object) => {
             let stored = stored(&object);
             if stored.is_some() {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -22,7 +22,7 @@
 use types::time::Moment;
 
 use crate::{
-    edge::{Kind, Object, StoreCall, StoreReply},
+    edge::{Object, ObjectKind, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -74,7 +74,7 @@
 
 /// Merges the stored crashes into the dispatcher's. Returns whether the store could be read.
 async fn read(shared: &Shared, view: &mut StoreView) -> bool {
-    let Some(page) = shared.store.list(Kind::Quarantine).await else { return false };
+    let Some(page) = shared.store.list(ObjectKind::Quarantine).await else { return false };
     let parsed = |object: &Object| Some((parse_name(&object.name)?, parse(object)?));
     let objects: Vec<(Fingerprint, Vec<Crash>)> = page.objects.iter().filter_map(parsed).collect();
     // An object that can't be parsed is not recorded as stored, so that this host does not remove
@@ -120,12 +120,12 @@
     let stored = StoredCrashes { crashes: crashes.to_vec(), written_ms: unix_ms() };
     let Ok(content) = serde_json::to_value(&stored) else { return true };
     let name = name(request);
-    let call = StoreCall::Create { kind: Kind::Quarantine, name: &name, content: &content };
+    let call = StoreCall::Create { kind: ObjectKind::Quarantine, name: &name, content: &content };
     matches!(shared.store.call(&call).await, StoreReply::Object(_) | StoreReply::Conflict(_))
 }
 
 async fn remove(shared: &Shared, request: Fingerprint) -> bool {
-    let (kind, name) = (Kind::Quarantine, name(request));
+    let (kind, name) = (ObjectKind::Quarantine, name(request));
     match shared.store.call(&StoreCall::Get { kind, name: &name }).await {
         StoreReply::Object(object) => {
             let call = StoreCall::Delete { kind, name: &name, revision: object.revision };
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    edge::{Kind, Object, Page, StoreCall, StoreReply},
+    edge::{Object, ObjectKind, Page, StoreCall, StoreReply},
     host::Shared,
 };
 
@@ -31,7 +31,7 @@
 pub(crate) async fn run(shared: Arc<Shared>, exchange: Arc<Exchange>) {
     let mut pauses = [SECOND_READ_DELAY].into_iter().chain(std::iter::repeat(READ_INTERVAL));
     loop {
-        let is_registered = match shared.store.list(Kind::Host).await {
+        let is_registered = match shared.store.list(ObjectKind::Host).await {
             Some(page) => {
                 apply(&shared, &exchange, &page);
                 register(&shared, &exchange, &page).await
@@ -64,11 +64,14 @@
         Some(object) => {
             let revision = object.revision;
             (
-                StoreCall::Replace { kind: Kind::Host, name, revision, content: &content },
+                StoreCall::Replace { kind: ObjectKind::Host, name, revision, content: &content },
                 HostStart::Restart,
             )
         }
-        None => (StoreCall::Create { kind: Kind::Host, name, content: &content }, HostStart::First),
+        None => (
+            StoreCall::Create { kind: ObjectKind::Host, name, content: &content },
+            HostStart::First,
+        ),
     };
     let is_written = matches!(shared.store.call(&call).await, StoreReply::Object(_));
     if is_written {
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -30,7 +30,7 @@
 use crate::{
     clock::Clock,
     connect::{self, Connection},
-    edge::{Dialect, Kind, Object, Page, Revision, StoreCall, StoreReply},
+    edge::{Dialect, Object, ObjectKind, Page, Revision, StoreCall, StoreReply},
 };
 
 /// Timeout of a short call.
@@ -165,7 +165,7 @@
     pub(crate) async fn watch(
         &self,
         previous: Option<Connection>,
-        kind: Kind,
+        kind: ObjectKind,
         since: Revision,
         wait: Duration,
     ) -> (StoreReply, Option<Connection>) {
@@ -175,23 +175,23 @@
     }
 
     /// Reports that a watch of this kind got no response for too long to be trusted.
-    pub(crate) fn report_silent_watch(&self, kind: Kind, waited: Duration) {
+    pub(crate) fn report_silent_watch(&self, kind: ObjectKind, waited: Duration) {
         if let Some(health) = self.health(kind) {
             self.report_state(health, DependencyState::Lost, waited);
         }
     }
 
     /// Returns the health of the watches of a kind.
-    fn health(&self, kind: Kind) -> Option<&CallHealth> {
+    fn health(&self, kind: ObjectKind) -> Option<&CallHealth> {
         match kind {
-            Kind::Declaration => Some(&self.declaration),
-            Kind::Server => Some(&self.servers),
-            Kind::Host | Kind::Lease | Kind::Quarantine => None,
+            ObjectKind::Declaration => Some(&self.declaration),
+            ObjectKind::Server => Some(&self.servers),
+            ObjectKind::Host | ObjectKind::Lease | ObjectKind::Quarantine => None,
         }
     }
 
     /// Lists all objects of a kind; `None` if a page can't be fetched.
-    pub(crate) async fn list(&self, kind: Kind) -> Option<Page> {
+    pub(crate) async fn list(&self, kind: ObjectKind) -> Option<Page> {
         let mut all = Page::default();
         loop {
             let after = all.objects.last().map(|object: &Object| object.name.clone());
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -17,7 +17,7 @@
 
 use self::hedge::Hedge;
 use crate::{
-    edge::{Change, Kind, Object, Revision, StoreReply},
+    edge::{Change, Object, ObjectKind, Revision, StoreReply},
     host::Shared,
 };
 
@@ -28,7 +28,7 @@
 pub(crate) async fn declaration(shared: Arc<Shared>) {
     loop {
         if let Some(since) = read_declaration(&shared).await {
-            follow(&shared, Kind::Declaration, since, |change| {
+            follow(&shared, ObjectKind::Declaration, since, |change| {
                 if let Change::Written(object) = change {
                     declare(&shared, &object);
                 }
@@ -42,9 +42,9 @@
 /// Keeps the directory of servers up to date, until the process ends.
 pub(crate) async fn servers(shared: Arc<Shared>) {
     loop {
-        if let Some(page) = shared.store.list(Kind::Server).await {
+        if let Some(page) = shared.store.list(ObjectKind::Server).await {
             shared.replace_servers(&page);
-            follow(&shared, Kind::Server, page.revision, |change| {
+            follow(&shared, ObjectKind::Server, page.revision, |change| {
                 shared.change_server(&change);
             })
             .await;
@@ -54,7 +54,7 @@
 }
 
 async fn read_declaration(shared: &Shared) -> Option<Revision> {
-    let page = shared.store.list(Kind::Declaration).await?;
+    let page = shared.store.list(ObjectKind::Declaration).await?;
     let name = shared.dialect.declaration_name();
     if let Some(object) = page.objects.iter().find(|object| &*object.name == name) {
         declare(shared, object);
@@ -73,24 +73,24 @@
 }
 
 /// Calls `apply` with each change until the store no longer has the history since the last one.
-async fn follow(shared: &Arc<Shared>, kind: Kind, since: Revision, apply: impl Fn(Change)) {
+async fn follow(shared: &Arc<Shared>, kind: ObjectKind, since: Revision, apply: impl Fn(Change)) {
     let mut since = since;
     let mut hedge = Hedge::new(shared, kind);
     loop {
-        if kind == Kind::Server && follow_relay(shared).await {
+        if kind == ObjectKind::Server && follow_relay(shared).await {
             since = since.max(shared.revision());
             continue;
         }
         match hedge.next(since, shared.watch(kind)).await {
             StoreReply::Seen(batch) => {
                 match kind {
-                    Kind::Declaration => shared.confirm_declaration(),
+                    ObjectKind::Declaration => shared.confirm_declaration(),
                     _ => shared.confirm_servers(Duration::ZERO),
                 }
                 since = since.max(batch.revision);
                 let has_changes = !batch.changes.is_empty();
                 batch.changes.into_iter().for_each(&apply);
-                if has_changes && kind == Kind::Server {
+                if has_changes && kind == ObjectKind::Server {
                     sleep(shared.gather()).await;
                 }
             }
@@ -134,9 +134,9 @@
     }
 
     /// Returns the timeouts of a watch that starts now.
-    fn watch(&self, kind: Kind) -> follow::WatchTimes {
+    fn watch(&self, kind: ObjectKind) -> follow::WatchTimes {
         let deadline = match kind {
-            Kind::Declaration => self.routed.apply,
+            ObjectKind::Declaration => self.routed.apply,
             _ => self.routed.drain,
         };
         let snapshot = self.exchange().map(|exchange| exchange.fleet()).unwrap_or_default();
--- a/crates/relay/src/watch/hedge.rs
+++ b/crates/relay/src/watch/hedge.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     connect::Connection,
-    edge::{Kind, Revision, StoreReply},
+    edge::{ObjectKind, Revision, StoreReply},
     host::Shared,
 };
 
@@ -40,7 +40,7 @@
 /// timeout, and the newest.
 pub(super) struct Hedge<'a> {
     shared: &'a Shared,
-    kind: Kind,
+    kind: ObjectKind,
     /// Number of ended outages of the store; changes when one ends.
     outages: Receiver<u64>,
     /// The connection of the last response, for reuse.
@@ -48,7 +48,7 @@
 }
 
 impl<'a> Hedge<'a> {
-    pub(super) fn new(shared: &'a Shared, kind: Kind) -> Hedge<'a> {
+    pub(super) fn new(shared: &'a Shared, kind: ObjectKind) -> Hedge<'a> {
         Hedge { shared, kind, outages: shared.store.outages(), idle: None }
     }
 
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -115,7 +115,7 @@
         match call {
             StoreCall::List { kind, .. } => StoreReply::Page(self.objects.page(*kind)),
             StoreCall::Watch { kind, .. } => StoreReply::Seen(self.objects.changes(*kind)),
-            StoreCall::Create { kind: relay::edge::Kind::Host, name, content } => {
+            StoreCall::Create { kind: relay::edge::ObjectKind::Host, name, content } => {
                 self.objects.registered.send_replace(true);
                 let content = (*content).clone();
                 StoreReply::Object(Object { name: (*name).into(), revision: 1, content })
--- a/crates/relay/tests/common/store.rs
+++ b/crates/relay/tests/common/store.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex},
 };
 
-use relay::edge::{Change, Kind, Object, Page, WatchBatch};
+use relay::edge::{Change, Object, ObjectKind, Page, WatchBatch};
 use serde_json::Value;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -42,20 +42,20 @@
         self.servers.lock().expect("servers").iter().find(|server| &*server.id == name).cloned()
     }
 
-    pub fn page(&self, kind: Kind) -> Page {
+    pub fn page(&self, kind: ObjectKind) -> Page {
         let revision = *self.revision.borrow();
         let names: Vec<Arc<str>> = match kind {
-            Kind::Declaration => vec!["declaration".into()],
-            Kind::Server => {
+            ObjectKind::Declaration => vec!["declaration".into()],
+            ObjectKind::Server => {
                 self.servers.lock().expect("servers").iter().map(|s| s.id.clone()).collect()
             }
-            Kind::Host | Kind::Lease | Kind::Quarantine => Vec::new(),
+            ObjectKind::Host | ObjectKind::Lease | ObjectKind::Quarantine => Vec::new(),
         };
         let objects = names.into_iter().map(|name| Object { name, revision, content: Value::Null });
         Page { objects: objects.collect(), more: false, revision }
     }
 
-    pub fn changes(&self, kind: Kind) -> WatchBatch {
+    pub fn changes(&self, kind: ObjectKind) -> WatchBatch {
         let page = self.page(kind);
         let changes = page.objects.into_iter().map(Change::Written).collect();
         WatchBatch { changes, revision: page.revision }
--- a/crates/standin/src/routed/site.rs
+++ b/crates/standin/src/routed/site.rs
@@ -7,7 +7,7 @@
 };
 
 use platform::remote::{entry, store as remote};
-use relay::edge::Kind;
+use relay::edge::ObjectKind;
 use serde_json::{Value, json};
 use tempfile::TempDir;
 use tokio::task::AbortHandle;
@@ -98,7 +98,7 @@
     /// Writes `declaration` to the store, as an operator would, in place of the previous one.
     pub fn declare(&self, declaration: &Declaration) {
         let content = entry::declaration(declaration);
-        self.store.put(&remote::kind(Kind::Declaration), DECLARATION, content);
+        self.store.put(&remote::kind(ObjectKind::Declaration), DECLARATION, content);
     }
 
     /// The server with this id; after a restart the last one started.
@@ -132,7 +132,7 @@
     /// Stops updating a server's registration, and removes the entry from the store.
     pub fn deregister(&mut self, id: &str) {
         self.stop_registering(id);
-        self.store.remove(&remote::kind(Kind::Server), id);
+        self.store.remove(&remote::kind(ObjectKind::Server), id);
     }
 
     /// How often the request with this id ran, over all servers.
@@ -153,7 +153,7 @@
 }
 
 fn put(store: &Store, server: &types::routed::Server) {
-    store.put(&remote::kind(Kind::Server), &server.name, entry::server(server));
+    store.put(&remote::kind(ObjectKind::Server), &server.name, entry::server(server));
 }
 
 /// Writes a server's registration to the store, now and whenever it changes.
@@ -329,15 +329,15 @@
 
 /// Kind of the objects that hold the servers' registrations.
 pub fn server_kind() -> remote::KindId {
-    remote::kind(Kind::Server)
+    remote::kind(ObjectKind::Server)
 }
 
 /// Kind of the object that holds the declaration.
 pub fn declaration_kind() -> remote::KindId {
-    remote::kind(Kind::Declaration)
+    remote::kind(ObjectKind::Declaration)
 }
 
 /// Kind of the objects that hold leases.
 pub fn lease_kind() -> remote::KindId {
-    remote::kind(Kind::Lease)
+    remote::kind(ObjectKind::Lease)
 }
--- a/crates/standin/src/routed/soak/inject.rs
+++ b/crates/standin/src/routed/soak/inject.rs
@@ -8,7 +8,7 @@
 };
 
 use nix::sys::signal::Signal;
-use relay::edge::Kind;
+use relay::edge::ObjectKind;
 use serde_json::Value;
 use tokio::time::{Instant, sleep, sleep_until};
 use types::routed::Declaration;
@@ -428,7 +428,7 @@
         let store = self.site.backend.store.clone();
         tokio::spawn(async move {
             tokio::time::sleep(STALE_ENTRY_TIME).await;
-            store.remove(&platform::remote::store::kind(Kind::Server), &old);
+            store.remove(&platform::remote::store::kind(ObjectKind::Server), &old);
         });
         self.start_server(index).await
     }
--- a/crates/standin/tests/routed.rs
+++ b/crates/standin/tests/routed.rs
@@ -13,8 +13,8 @@
     remote::{entry, server},
 };
 use relay::edge::{
-    Change, Dialect, Kind as ObjectKind, Object, Operation, Order, OrderStatus, StoreCall,
-    StoreReply, WatchBatch,
+    Change, Dialect, Object, ObjectKind, Operation, Order, OrderStatus, StoreCall, StoreReply,
+    WatchBatch,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
