--- a/crates/relay/src/edge.rs
+++ b/crates/relay/src/edge.rs
@@ -97,12 +97,12 @@
     /// Time after which the server closes the connection if it is idle.
     pub keep_alive: Option<Duration>,
     /// The rate limit that the server states.
-    pub limit: Limit,
+    pub limit: StatedLimit,
 }
 
 /// The rate at which a server states that it accepts requests from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum StatedLimit {
     /// The response states no limit.
     Unstated,
     /// The response states this rate.
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -12,15 +12,15 @@
 };
 use types::{prelude::*, routed::Rate};
 
-use crate::{edge::Limit, host::Shared};
+use crate::{edge::StatedLimit, host::Shared};
 
 impl Shared {
     /// Applies the limit that a server's response states, for a request that was sent at `sent`.
-    pub(crate) fn observe_limit(&self, server: &backend::Id, limit: Limit, sent: Moment) {
+    pub(crate) fn observe_limit(&self, server: &backend::Id, limit: StatedLimit, sent: Moment) {
         let limit = match limit {
-            Limit::Unstated => None,
-            Limit::Stated(rate) => Some(rate),
-            Limit::Unreadable => return self.reject_limit(server),
+            StatedLimit::Unstated => None,
+            StatedLimit::Stated(rate) => Some(rate),
+            StatedLimit::Unreadable => return self.reject_limit(server),
         };
         let change = self.dispatcher().limit_named(server, limit, sent, self.now());
         if let Some(change) = change {
--- a/crates/relay/tests/common/dialect.rs
+++ b/crates/relay/tests/common/dialect.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
 use relay::edge::{
-    Answer, Dialect, Execution, ForwardOptions, Limit, Malformed, Object, Order, OrderReply,
-    OrderStatus, Problem, RequestInfo, Seal, StoreCall, StoreReply,
+    Answer, Dialect, Execution, ForwardOptions, Malformed, Object, Order, OrderReply, OrderStatus,
+    Problem, RequestInfo, Seal, StatedLimit, StoreCall, StoreReply,
 };
 use types::routed::{Declaration, Report, Server};
 
@@ -83,7 +83,7 @@
             keep_alive: text(headers, "keep-alive")
                 .and_then(|text| text.strip_prefix("timeout=")?.parse().ok())
                 .map(Duration::from_secs),
-            limit: Limit::Unstated,
+            limit: StatedLimit::Unstated,
         }
     }
 
