--- a/crates/ctl/src/commands/residents.rs
+++ b/crates/ctl/src/commands/residents.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use types::{
-    host::Listed,
+    host::ListState,
     resident::{Resident, State, Unit},
     status::Server,
 };
@@ -43,7 +43,8 @@
 }
 
 fn is_leaving(status: &Server) -> bool {
-    status.entry.state == Listed::Leaving || status.load.as_ref().is_some_and(|load| load.leaving)
+    status.entry.state == ListState::Leaving
+        || status.load.as_ref().is_some_and(|load| load.leaving)
 }
 
 fn row(status: &Server, resident: &Resident) -> [String; 7] {
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use types::{
     config::Number,
-    host::{Entry, List, Listed},
+    host::{Entry, List, ListState},
     status::Status,
 };
 
@@ -45,7 +45,7 @@
         Err(cause) => Some(format!("{}: no answer from {cause}", host.entry.host.id)),
     };
     let hosts = fetch(client).await?;
-    let live = hosts.iter().filter(|host| host.entry.state == Listed::Live);
+    let live = hosts.iter().filter(|host| host.entry.state == ListState::Live);
     Ok(live.filter_map(lacks).collect())
 }
 
@@ -66,8 +66,8 @@
 fn row(host_status: &HostStatus) -> [String; 7] {
     let host = &host_status.entry.host;
     let listed = match host_status.entry.state {
-        Listed::Live => "live",
-        Listed::Leaving => "leaving",
+        ListState::Live => "live",
+        ListState::Leaving => "leaving",
     };
     let [state, number, heard, reporting] = match &host_status.response {
         Ok(status) => [
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -17,7 +17,7 @@
 };
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, List, Listed},
+    host::{Entry, List, ListState},
 };
 
 const TIMEOUT: Duration = Duration::from_secs(30);
@@ -75,7 +75,7 @@
 
     /// The platform's list of these hosts and the engine; a test may change it and set it.
     pub fn list(&self) -> List {
-        let live = |host| Entry { host, state: Listed::Live };
+        let live = |host| Entry { host, state: ListState::Live };
         let hosts = self.hosts.iter().map(|host| live(host.context().host().clone())).collect();
         let server = Server {
             id: "lector-1".into(),
@@ -84,7 +84,7 @@
             zone: "med-a".into(),
             address: self.engine.address(),
         };
-        List { hosts, servers: vec![backend::Entry { server, state: Listed::Live }] }
+        List { hosts, servers: vec![backend::Entry { server, state: ListState::Live }] }
     }
 
     pub fn operators(&self, host: usize) -> SocketAddr {
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standin::fault::{Interception, Proxy};
-use types::host::Listed;
+use types::host::ListState;
 
 const SAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../settings");
 
@@ -110,7 +110,7 @@
     let site = Site::start(2).await;
     let mut list = site.list();
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    for (name, state) in [("silent", Listed::Live), ("left", Listed::Leaving)] {
+    for (name, state) in [("silent", ListState::Live), ("left", ListState::Leaving)] {
         let mut entry = list.hosts[0].clone();
         entry.host.id = name.into();
         entry.host.operators = unresponsive;
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -21,7 +21,7 @@
 use serde_json::value::RawValue;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
-use types::host::{Entry, Host, List, Listed};
+use types::host::{Entry, Host, List, ListState};
 
 /// Upper bound on the bytes that HTTP and JSON-RPC add to a request. `crates/policy/tests/fleet`
 /// assumes the same number.
@@ -47,7 +47,7 @@
     async fn ping(&self) {}
 
     async fn members(&self) -> List {
-        List { hosts: vec![Entry { host: host(1), state: Listed::Live }], servers: Vec::new() }
+        List { hosts: vec![Entry { host: host(1), state: ListState::Live }], servers: Vec::new() }
     }
 
     async fn part(&self, _: String) -> Result<Box<RawValue>, Failure> {
--- a/crates/policy/src/member/gossip.rs
+++ b/crates/policy/src/member/gossip.rs
@@ -13,7 +13,7 @@
 
 use types::{
     backend,
-    host::{self, Host, Listed},
+    host::{self, Host, ListState},
     time::Moment,
 };
 
@@ -224,11 +224,11 @@
     /// platform's list.
     pub fn to_list(&self, now: Moment) -> host::List {
         let state = |standing| match standing {
-            Standing::Live | Standing::Suspected => Some(Listed::Live),
-            Standing::Leaving => Some(Listed::Leaving),
+            Standing::Live | Standing::Suspected => Some(ListState::Live),
+            Standing::Leaving => Some(ListState::Leaving),
             Standing::Gone => None,
         };
-        let own = if self.leaving { Listed::Leaving } else { Listed::Live };
+        let own = if self.leaving { ListState::Leaving } else { ListState::Live };
         let me = host::Entry { host: self.me.clone(), state: own };
         let others = self.hosts.iter().filter_map(|member| {
             let state = state(member.standing())?;
--- a/crates/policy/src/member/hosts.rs
+++ b/crates/policy/src/member/hosts.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use types::{
-    host::{self, Host, Listed},
+    host::{self, Host, ListState},
     time::Moment,
 };
 
@@ -30,7 +30,7 @@
     leaving: bool,
     health_since: Moment,
     last_answer: Option<Moment>,
-    listed: Option<Listed>,
+    listed: Option<ListState>,
     unrefuted: Option<Status>,
 }
 
@@ -51,7 +51,7 @@
 
     /// Standing by health and by leaving marks, those of the platform's list included.
     pub fn standing(&self) -> Standing {
-        let leaving = self.leaving || self.listed == Some(Listed::Leaving);
+        let leaving = self.leaving || self.listed == Some(ListState::Leaving);
         match self.health {
             Health::Gone => Standing::Gone,
             _ if leaving => Standing::Leaving,
--- a/crates/policy/src/member/servers.rs
+++ b/crates/policy/src/member/servers.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use types::{
     backend::{self, Server},
-    host::{self, Listed},
+    host::{self, ListState},
     time::Moment,
 };
 
@@ -68,7 +68,7 @@
     /// Incarnation of the server's process; zero if unknown.
     pub run: backend::Incarnation,
     leaving: bool,
-    listed: Option<Listed>,
+    listed: Option<ListState>,
     marked_at: Option<Moment>,
     reported_leaving_at: Option<Moment>,
     known_since: Moment,
@@ -178,7 +178,7 @@
             *member = Member::new(entry.server.clone(), now);
         }
         member.listed = Some(entry.state);
-        if entry.state == Listed::Live {
+        if entry.state == ListState::Live {
             member.reported_leaving_at =
                 member.reported_leaving_at.filter(|at| now < *at + LISTED_MARK_VALIDITY);
             return None;
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -20,7 +20,7 @@
 use rand_chacha::ChaCha8Rng;
 use types::{
     config::Number,
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
     time::Moment,
 };
 
@@ -97,7 +97,7 @@
 impl Fleet {
     pub(crate) fn new(hosts: usize, seed: u64) -> Fleet {
         let list = List {
-            hosts: (0..hosts).map(|n| Entry { host: host(n), state: Listed::Live }).collect(),
+            hosts: (0..hosts).map(|n| Entry { host: host(n), state: ListState::Live }).collect(),
             servers: Vec::new(),
         };
         let mut fleet = Fleet {
--- a/crates/policy/tests/member.rs
+++ b/crates/policy/tests/member.rs
@@ -13,7 +13,7 @@
     watch,
 };
 use rstest::rstest;
-use types::host::{Entry, List, Listed};
+use types::host::{Entry, List, ListState};
 
 const SETTLE: Duration = Duration::from_secs(20);
 const PROPAGATION_TIME: Duration = Duration::from_secs(5);
@@ -199,7 +199,7 @@
     let settings = Settings::default();
     let bound = settings.message_bytes;
     let mut gossip = Gossip::new(Duration::ZERO, settings, 1, host(0), 1);
-    let entry = |n| Entry { host: host(n), state: Listed::Live };
+    let entry = |n| Entry { host: host(n), state: ListState::Live };
     gossip.apply_list(now, &List { hosts: vec![entry(1)], servers: Vec::new() });
     gossip.apply_list(now, &List { hosts: (1..350).map(entry).collect(), servers: Vec::new() });
     gossip.set_in_flight((0..770).map(|n| InFlight(format!("server-{n}").into(), 9)).collect());
--- a/crates/policy/tests/member_servers.rs
+++ b/crates/policy/tests/member_servers.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use types::{
     backend::{Entry, Kind, Server},
-    host::{self, Listed},
+    host::{self, ListState},
     time::Moment,
 };
 
@@ -23,7 +23,7 @@
     Duration::from_secs(seconds)
 }
 
-fn entry(id: &str, state: Listed) -> Entry {
+fn entry(id: &str, state: ListState) -> Entry {
     let server = Server {
         id: id.into(),
         group: "portal-lm".into(),
@@ -36,7 +36,7 @@
 
 fn known() -> Servers {
     let mut servers = Servers::new();
-    servers.apply_list(at(0), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(0), &[entry(SERVER, ListState::Live)], &me());
     servers
 }
 
@@ -49,7 +49,7 @@
     let mut servers = known();
     let observation = servers.record_report(at(1), SERVER, 3, true, &me());
     assert_eq!(observation.map(|observation| observation.evidence), Some(Evidence::Leaving));
-    servers.apply_list(at(2), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(2), &[entry(SERVER, ListState::Live)], &me());
     servers.record_report(at(3), SERVER, 3, false, &me());
     assert_eq!(servers.standing(at(60), SERVER), Standing::Leaving);
 }
@@ -80,19 +80,19 @@
 fn a_list_that_flaps_keeps_a_server_marked_until_it_settles() {
     let mut servers = known();
     for second in 1..20 {
-        let state = if second % 2 == 0 { Listed::Live } else { Listed::Leaving };
+        let state = if second % 2 == 0 { ListState::Live } else { ListState::Leaving };
         servers.apply_list(at(second), &[entry(SERVER, state)], &me());
         assert_eq!(servers.standing(at(second), SERVER), Standing::Leaving);
     }
     for second in 20..35 {
-        servers.apply_list(at(second), &[entry(SERVER, Listed::Live)], &me());
+        servers.apply_list(at(second), &[entry(SERVER, ListState::Live)], &me());
     }
     assert_eq!(servers.standing(at(35), SERVER), Standing::Live);
 }
 
 #[rstest]
 #[case::empty(Vec::new())]
-#[case::other(vec![entry("lm-2", Listed::Live)])]
+#[case::other(vec![entry("lm-2", ListState::Live)])]
 fn a_server_that_answers_stays_though_the_list_forgets_it(#[case] list: Vec<Entry>) {
     let mut servers = known();
     for second in 1..120 {
@@ -106,10 +106,10 @@
 #[test]
 fn a_server_that_is_unlisted_and_silent_goes() {
     let mut servers = known();
-    servers.apply_list(at(1), &[entry("lm-2", Listed::Live)], &me());
+    servers.apply_list(at(1), &[entry("lm-2", ListState::Live)], &me());
     servers.expire(at(60));
     assert_eq!(servers.standing(at(60), SERVER), Standing::Gone);
-    servers.apply_list(at(61), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(61), &[entry(SERVER, ListState::Live)], &me());
     assert_eq!(
         servers.standing(at(61), SERVER),
         Standing::Live,
@@ -160,12 +160,12 @@
 fn a_mark_that_a_peer_read_gives_way_to_our_own_list_once_it_has_settled() {
     let mut servers = known();
     servers.apply_update(at(1), &observation(0, "stage-1", Evidence::ListedLeaving));
-    servers.apply_list(at(5), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(5), &[entry(SERVER, ListState::Live)], &me());
     assert_eq!(
         servers.standing(at(5), SERVER),
         Standing::Leaving,
         "one list lifted the mark, though lists may lag"
     );
-    servers.apply_list(at(12), &[entry(SERVER, Listed::Live)], &me());
+    servers.apply_list(at(12), &[entry(SERVER, ListState::Live)], &me());
     assert_eq!(servers.standing(at(12), SERVER), Standing::Live);
 }
--- a/crates/policy/tests/sender.rs
+++ b/crates/policy/tests/sender.rs
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 use types::{
-    host::{Entry, List, Listed},
+    host::{Entry, List, ListState},
     order::{Ack, Action, Role},
     prelude::*,
     report::Load,
@@ -126,7 +126,7 @@
         let zone = "zone".into();
         let host =
             Host { id: (*id).into(), zone, callers: address, peers: address, operators: address };
-        Entry { host, state: Listed::Live }
+        Entry { host, state: ListState::Live }
     };
     List { hosts: hosts.iter().map(entry).collect(), servers: Vec::new() }
 }
--- a/crates/stage/examples/cost.rs
+++ b/crates/stage/examples/cost.rs
@@ -28,7 +28,7 @@
 use tokio::task::JoinSet;
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
 };
 
 /// Clock ticks per second of the times in `/proc/<pid>/stat` (`USER_HZ` on Linux).
@@ -224,7 +224,7 @@
 
 fn list(own: &Host, hosts: &[Running], engines: &[Engine]) -> List {
     let others = hosts.iter().map(|host| host.context().host().clone());
-    let hosts = others.chain([own.clone()]).map(|host| Entry { host, state: Listed::Live });
+    let hosts = others.chain([own.clone()]).map(|host| Entry { host, state: ListState::Live });
     let servers = engines.iter().enumerate().map(|(n, engine)| backend::Entry {
         server: Server {
             id: engine.settings().id.clone(),
@@ -233,7 +233,7 @@
             zone: format!("zone-{}", n % 4).into(),
             address: engine.address(),
         },
-        state: Listed::Live,
+        state: ListState::Live,
     });
     List { hosts: hosts.collect(), servers: servers.collect() }
 }
--- a/crates/stage/examples/demo.rs
+++ b/crates/stage/examples/demo.rs
@@ -22,7 +22,7 @@
 };
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
 };
 
 const HOSTS: usize = 3;
@@ -113,7 +113,7 @@
 fn list(hosts: &[Running], engines: &[Engine], plain: &Plain) -> List {
     let hosts = hosts
         .iter()
-        .map(|host| Entry { host: host.context().host().clone(), state: Listed::Live })
+        .map(|host| Entry { host: host.context().host().clone(), state: ListState::Live })
         .collect();
     let engines = engines.iter().enumerate().map(|(index, engine)| Server {
         id: engine.settings().id.clone(),
@@ -129,7 +129,7 @@
         zone: ZONES[0].into(),
         address: plain.address(),
     };
-    let live = |server| backend::Entry { server, state: Listed::Live };
+    let live = |server| backend::Entry { server, state: ListState::Live };
     List { hosts, servers: engines.chain([plain]).map(live).collect() }
 }
 
--- a/crates/stage/examples/latency.rs
+++ b/crates/stage/examples/latency.rs
@@ -31,7 +31,7 @@
 };
 use types::{
     backend::{self, Kind, Server},
-    host::{List, Listed},
+    host::{List, ListState},
 };
 
 const WARM_UP_CALLS: usize = 500;
@@ -253,5 +253,5 @@
 fn entry(id: &str, group: &str, kind: Kind, address: SocketAddr) -> backend::Entry {
     let zone = "biloxi-hall".into();
     let server = Server { id: id.into(), group: group.into(), kind, zone, address };
-    backend::Entry { server, state: Listed::Live }
+    backend::Entry { server, state: ListState::Live }
 }
--- a/crates/stage/examples/measure/site.rs
+++ b/crates/stage/examples/measure/site.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Mutex;
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
     prelude::*,
 };
 
@@ -161,9 +161,9 @@
 fn list(hosts: &[Running], servers: &[Server]) -> List {
     let hosts = hosts
         .iter()
-        .map(|host| Entry { host: host.context().host().clone(), state: Listed::Live })
+        .map(|host| Entry { host: host.context().host().clone(), state: ListState::Live })
         .collect();
-    let live = |server: &Server| backend::Entry { server: server.clone(), state: Listed::Live };
+    let live = |server: &Server| backend::Entry { server: server.clone(), state: ListState::Live };
     List { hosts, servers: servers.iter().map(live).collect() }
 }
 
--- a/crates/stage/examples/rush.rs
+++ b/crates/stage/examples/rush.rs
@@ -33,7 +33,7 @@
 };
 use types::{
     backend::{self, Kind, Server},
-    host::{List, Listed},
+    host::{List, ListState},
 };
 
 const HOSTS: usize = 2;
@@ -255,7 +255,7 @@
         zone: "biloxi-hall".into(),
         address: engine.address(),
     };
-    backend::Entry { server, state: Listed::Live }
+    backend::Entry { server, state: ListState::Live }
 }
 
 fn host_settings(
--- a/crates/stage/examples/slopes/control.rs
+++ b/crates/stage/examples/slopes/control.rs
@@ -11,7 +11,7 @@
 use types::{
     backend::{self, Server},
     config::NumberedConfig,
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
     prelude::*,
 };
 
@@ -78,9 +78,9 @@
         address: address(9_000),
     };
     List {
-        hosts: (0..hosts).map(|n| Entry { host: host(n), state: Listed::Live }).collect(),
+        hosts: (0..hosts).map(|n| Entry { host: host(n), state: ListState::Live }).collect(),
         servers: (0..hosts * 770 / 350)
-            .map(|n| backend::Entry { server: server(n), state: Listed::Live })
+            .map(|n| backend::Entry { server: server(n), state: ListState::Live })
             .collect(),
     }
 }
--- a/crates/stage/src/declared/patch.rs
+++ b/crates/stage/src/declared/patch.rs
@@ -15,7 +15,7 @@
     holder::Holder,
     part::{self, Part},
 };
-use types::{host::Listed, prelude::*};
+use types::{host::ListState, prelude::*};
 
 use super::{
     Error,
@@ -133,7 +133,7 @@
     let engine = |entry: &backend::Entry| {
         let reading = context.fleet.reading(&entry.server.id)?;
         let load = &reading.load;
-        let is_open = entry.state == Listed::Live && !load.leaving && 0 < load.capacity;
+        let is_open = entry.state == ListState::Live && !load.leaving && 0 < load.capacity;
         let backend::Server { id, group, .. } = entry.server.clone();
         is_open.then_some(Server { id, group, capacity: load.capacity })
     };
--- a/crates/stage/src/duties/plan/demand.rs
+++ b/crates/stage/src/duties/plan/demand.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use policy::plan::forecast::Forecast;
-use types::{host::Listed, prelude::*};
+use types::{host::ListState, prelude::*};
 
 use super::Duty;
 
@@ -49,7 +49,7 @@
 
     fn live_hosts(&self) -> f64 {
         let list = self.context.fleet.list();
-        let live = list.hosts.iter().filter(|entry| entry.state == Listed::Live);
+        let live = list.hosts.iter().filter(|entry| entry.state == ListState::Live);
         live.count().max(1) as f64
     }
 
--- a/crates/stage/src/duties/plan/fleet.rs
+++ b/crates/stage/src/duties/plan/fleet.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, net::SocketAddr};
 
 use policy::plan::{Engine, State};
-use types::{backend::Kind, host::Listed, prelude::*};
+use types::{backend::Kind, host::ListState, prelude::*};
 
 use super::Duty;
 
@@ -46,7 +46,7 @@
         let server = &entry.server;
         let ledger = &self.ledgers.get(&server.id)?.ledger;
         let state = match self.context.fleet.reading(&server.id) {
-            _ if entry.state == Listed::Leaving => State::Leaving,
+            _ if entry.state == ListState::Leaving => State::Leaving,
             Some(reading) if reading.load.leaving => State::Leaving,
             Some(_) => State::Live,
             None => State::Suspected,
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -25,7 +25,7 @@
 use settings::process::{self, Process};
 use tokio::sync::oneshot;
 use types::{
-    host::{List, Listed},
+    host::{List, ListState},
     prelude::*,
     report::Load,
 };
@@ -98,16 +98,16 @@
     pub fn set_servers(&self, list: &List) {
         let mut state = self.lock();
         let table = &mut state.policy.table;
-        let listed: HashMap<Index, Listed> =
+        let listed: HashMap<Index, ListState> =
             list.servers.iter().map(|entry| (table.add(&entry.server), entry.state)).collect();
         let known: Vec<Index> = table.servers().map(|(index, _)| index).collect();
         for index in known {
             let eligibility = match (listed.get(&index), table.eligibility(index)) {
-                (Some(Listed::Live), Eligibility::Suspected(until)) => {
+                (Some(ListState::Live), Eligibility::Suspected(until)) => {
                     Eligibility::Suspected(until)
                 }
-                (Some(Listed::Live), _) => Eligibility::Live,
-                (Some(Listed::Leaving), _) => Eligibility::Leaving,
+                (Some(ListState::Live), _) => Eligibility::Live,
+                (Some(ListState::Leaving), _) => Eligibility::Leaving,
                 (None, _) => Eligibility::Gone,
             };
             table.set_eligibility(index, eligibility);
--- a/crates/stage/tests/common/in_process.rs
+++ b/crates/stage/tests/common/in_process.rs
@@ -5,7 +5,7 @@
 use standin::objects::Platform;
 use types::{
     backend::{self, Kind, Server},
-    host::{List, Listed},
+    host::{List, ListState},
 };
 
 use super::{get, script::ScriptedServer, until};
@@ -83,5 +83,5 @@
         zone: "biloxi-hall".into(),
         address: scripted.address,
     };
-    backend::Entry { server, state: Listed::Live }
+    backend::Entry { server, state: ListState::Live }
 }
--- a/crates/stage/tests/common/site.rs
+++ b/crates/stage/tests/common/site.rs
@@ -13,7 +13,7 @@
 use tempfile::TempDir;
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
 };
 
 use super::{HostAddresses, Links, Process, get, until};
@@ -29,7 +29,7 @@
     hosts: Vec<Process>,
     links: Option<Links>,
     settings_change: Box<dyn Fn(&mut Value)>,
-    list_states: Vec<Listed>,
+    list_states: Vec<ListState>,
     files: TempDir,
     starts: usize,
     network: Network,
@@ -102,7 +102,7 @@
             hosts: Vec::new(),
             links: None,
             settings_change: self.settings,
-            list_states: vec![Listed::Live; self.hosts],
+            list_states: vec![ListState::Live; self.hosts],
             files: tempfile::tempdir().expect("the temporary directory is created"),
             starts: 0,
             network: Network::unused(),
@@ -208,12 +208,12 @@
     /// Starts an ended host again as a new process with the same id, and lists it as live.
     pub async fn restart(&mut self, index: usize) {
         self.hosts[index] = self.spawn(index).await;
-        self.list_states[index] = Listed::Live;
+        self.list_states[index] = ListState::Live;
         self.publish_list();
     }
 
     /// Sets a host's state in the platform's list.
-    pub fn set_list_state(&mut self, index: usize, state: Listed) {
+    pub fn set_list_state(&mut self, index: usize, state: ListState) {
         self.list_states[index] = state;
         self.publish_list();
     }
@@ -301,7 +301,7 @@
 
     /// Writes the list of hosts and servers to the platform.
     pub fn publish_list(&self) {
-        let live = |server| backend::Entry { server, state: Listed::Live };
+        let live = |server| backend::Entry { server, state: ListState::Live };
         let hosts = self.hosts.iter().enumerate().map(|(index, process)| {
             let mut host = process.host.clone();
             if let Some(links) = &self.links {
--- a/crates/stage/tests/demand.rs
+++ b/crates/stage/tests/demand.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 use types::{
     backend::{self, Kind, Server},
-    host::{Entry, Host, List, Listed},
+    host::{Entry, Host, List, ListState},
 };
 
 const ENGINES: usize = 3;
@@ -96,9 +96,9 @@
             zone: format!("zone-{n}").into(),
             address: engine.address(),
         },
-        state: Listed::Live,
+        state: ListState::Live,
     });
-    List { hosts: vec![Entry { host, state: Listed::Live }], servers: servers.collect() }
+    List { hosts: vec![Entry { host, state: ListState::Live }], servers: servers.collect() }
 }
 
 fn replicas(engines: &[Engine]) -> usize {
--- a/crates/stage/tests/member.rs
+++ b/crates/stage/tests/member.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use standin::{engine, fault};
-use types::host::Listed;
+use types::host::ListState;
 
 const MODEL: &str = "welcome";
 const ZONES: usize = 4;
@@ -217,9 +217,9 @@
 async fn a_host_that_the_list_calls_leaving_is_leaving_for_all() {
     let mut site = Builder::new(3).engine(engine_settings(0)).start().await;
     until_all_live(&site).await;
-    site.set_list_state(1, Listed::Leaving);
+    site.set_list_state(1, ListState::Leaving);
     until_liveness(&site, 1, "leaving").await;
-    site.set_list_state(1, Listed::Live);
+    site.set_list_state(1, ListState::Live);
     until_liveness(&site, 1, "live").await;
     site.shut_down().await;
 }
--- a/crates/stage/tests/moves/site.rs
+++ b/crates/stage/tests/moves/site.rs
@@ -22,7 +22,7 @@
 use tempfile::TempDir;
 use types::{
     backend::{Entry, Kind, Server},
-    host::{self, Host, List, Listed},
+    host::{self, Host, List, ListState},
     resident::State,
 };
 
@@ -138,7 +138,8 @@
         site.declare(&[]);
         for index in 0..hosts {
             let process = site.spawn(index);
-            site.list_entries.push(host::Entry { host: process.host.clone(), state: Listed::Live });
+            site.list_entries
+                .push(host::Entry { host: process.host.clone(), state: ListState::Live });
             site.hosts.push(process);
         }
         site.publish_list();
@@ -249,7 +250,7 @@
                 zone: format!("zone-{index}").into(),
                 address: link.address(),
             };
-            Entry { server, state: Listed::Live }
+            Entry { server, state: ListState::Live }
         });
         self.platform
             .set_list(List { hosts: self.list_entries.clone(), servers: servers.collect() });
--- a/crates/stage/tests/once.rs
+++ b/crates/stage/tests/once.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use nix::sys::signal::Signal;
 use standin::plain::Plain;
-use types::host::{List, Listed};
+use types::host::{List, ListState};
 
 const HOSTS: usize = 3;
 
@@ -206,7 +206,7 @@
     assert_eq!(refused.json()["ran"], "may-have-run", "{}", refused.text());
     assert!(refused.headers.contains_key("retry-after"));
     assert_eq!(site.plains()[0].total(), total);
-    site.set_list_state(0, Listed::Live);
+    site.set_list_state(0, ListState::Live);
     until("the request runs", async || request_ticket(&site, 1, "ticket").await.status == 200)
         .await;
     assert_eq!(runs(&site)["ticket"], 1);
@@ -217,7 +217,7 @@
 async fn with_leaving_servers(site: &Site) -> List {
     let list = get(site.hosts()[0].operators(), "/hosts").await.expect("the host answers");
     let mut list: List = serde_json::from_value(list).expect("the answer is a list");
-    list.servers.iter_mut().for_each(|entry| entry.state = Listed::Leaving);
+    list.servers.iter_mut().for_each(|entry| entry.state = ListState::Leaving);
     list
 }
 
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{availability, host::Listed};
+use crate::{availability, host::ListState};
 
 /// Name of a backend server.
 pub type Id = Arc<str>;
@@ -47,5 +47,5 @@
     #[serde(flatten)]
     pub server: Server,
     /// Whether the platform keeps it in service.
-    pub state: Listed,
+    pub state: ListState,
 }
--- a/crates/types/src/host.rs
+++ b/crates/types/src/host.rs
@@ -30,7 +30,7 @@
 /// State of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Listed {
+pub enum ListState {
     /// In service.
     Live,
     /// About to be removed; no new work may be sent to it.
@@ -44,7 +44,7 @@
     #[serde(flatten)]
     pub host: Host,
     /// Whether the platform keeps it in service.
-    pub state: Listed,
+    pub state: ListState,
 }
 
 /// The platform's list of machines, which may be out of date.
