--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -120,16 +120,16 @@
 
 /// Queues of one host.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct Queues {
     bounds: Bounds,
-    queues: BTreeMap<DestinationIndex, Queue>,
+    by_pool: BTreeMap<DestinationIndex, Queue>,
     waiting: BTreeMap<Ticket, DestinationIndex>,
 }
 
-impl Gate {
-    /// Returns a gate without waiting requests.
-    pub fn new(bounds: Bounds) -> Gate {
-        Gate { bounds, ..Gate::default() }
+impl Queues {
+    /// Returns queues without waiting requests.
+    pub fn new(bounds: Bounds) -> Queues {
+        Queues { bounds, ..Queues::default() }
     }
 
     /// Number of waiting requests, over all models and groups.
@@ -139,7 +139,7 @@
 
     /// Models and groups that requests wait for.
     pub fn pools(&self) -> Vec<DestinationIndex> {
-        self.queues.iter().filter(|(_, queue)| !queue.is_empty()).map(|(pool, _)| *pool).collect()
+        self.by_pool.iter().filter(|(_, queue)| !queue.is_empty()).map(|(pool, _)| *pool).collect()
     }
 
     /// Decides on an arrival. If the request displaces another from a full queue, the refusal of
@@ -153,7 +153,7 @@
         refused: &mut Vec<(Ticket, Refusal)>,
     ) -> Verdict {
         request.due = request.due.max(now + outlook.unloaded);
-        let queue = self.queues.entry(request.pool).or_default();
+        let queue = self.by_pool.entry(request.pool).or_default();
         let ahead = queue.ahead(&request);
         if 0 < outlook.room && ahead == 0 {
             return match late_refusal(now, Duration::ZERO, outlook, &request) {
@@ -187,7 +187,7 @@
         pool: DestinationIndex,
         room: impl Fn(DestinationIndex) -> u32,
     ) -> Option<Request> {
-        let request = self.queues.get_mut(&pool)?.pop(room)?;
+        let request = self.by_pool.get_mut(&pool)?.pop(room)?;
         self.waiting.remove(&request.ticket);
         Some(request)
     }
@@ -200,7 +200,7 @@
         now: Moment,
         outlook: impl Fn(DestinationIndex) -> Outlook,
     ) -> Vec<(Ticket, Refusal)> {
-        let Some(queue) = self.queues.get_mut(&pool) else {
+        let Some(queue) = self.by_pool.get_mut(&pool) else {
             return Vec::new();
         };
         let hopeless: Vec<(Request, Refusal)> = queue
@@ -223,7 +223,7 @@
         let Some(pool) = self.waiting.remove(&ticket) else {
             return false;
         };
-        self.queues.get_mut(&pool).is_some_and(|queue| queue.remove(ticket).is_some())
+        self.by_pool.get_mut(&pool).is_some_and(|queue| queue.remove(ticket).is_some())
     }
 }
 
--- a/crates/policy/src/traffic.rs
+++ b/crates/policy/src/traffic.rs
@@ -13,7 +13,7 @@
 use types::prelude::*;
 
 use crate::{
-    admit::{self, Gate, Refusal, Ticket},
+    admit::{self, Queues, Refusal, Ticket},
     limit::{Algorithm, Limiters, Signal},
     retry::{self, Budget, Point, Suspicion, suspicion},
     route::{
@@ -132,7 +132,7 @@
     /// Limits of requests in flight, by server and model or group.
     pub limiters: Limiters,
     /// Queues of requests that wait for admission.
-    pub gate: Gate,
+    pub queues: Queues,
     /// Servers that are left out after failures.
     pub suspicion: Suspicion,
     /// Budget for retries.
@@ -148,7 +148,7 @@
             table: Table::new(distances),
             hints: Hints::new(rules.hints),
             limiters: Limiters::new(rules.algorithm),
-            gate: Gate::new(rules.queues),
+            queues: Queues::new(rules.queues),
             suspicion: Suspicion::new(rules.suspicion),
             budget: Budget::new(rules.budget),
             reserved: BTreeMap::new(),
@@ -173,7 +173,7 @@
             return Admission::Take;
         }
         let mut displaced = Vec::new();
-        let verdict = self.gate.arrive(requirements.work.clone(), &outlook, now, &mut displaced);
+        let verdict = self.queues.arrive(requirements.work.clone(), &outlook, now, &mut displaced);
         changes.extend(displaced.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
         match verdict {
             admit::Verdict::Take => {
@@ -278,7 +278,7 @@
     /// while requests wait.
     pub fn pump(&mut self, now: Moment) -> Vec<Change> {
         let mut changes = Vec::new();
-        for pool in self.gate.pools() {
+        for pool in self.queues.pools() {
             self.refuse_hopeless(pool, now, &mut changes);
             self.start_waiting(pool, now, &mut changes);
         }
@@ -286,19 +286,19 @@
     }
 
     fn refuse_hopeless(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
-        let mut gate = std::mem::take(&mut self.gate);
-        let hopeless = gate.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
+        let mut queues = std::mem::take(&mut self.queues);
+        let hopeless = queues.sweep(pool, now, |wanted| self.plain_outlook(wanted, now));
         changes.extend(hopeless.into_iter().map(|(ticket, r)| Change::Refuse(ticket, r)));
-        self.gate = gate;
+        self.queues = queues;
     }
 
     fn start_waiting(&mut self, pool: DestinationIndex, now: Moment, changes: &mut Vec<Change>) {
-        let mut gate = std::mem::take(&mut self.gate);
-        while let Some(work) = gate.next(pool, |wanted| self.room(wanted, now)) {
+        let mut queues = std::mem::take(&mut self.queues);
+        while let Some(work) = queues.next(pool, |wanted| self.room(wanted, now)) {
             *self.reserved.entry(pool).or_default() += 1;
             changes.push(Change::Start(work.ticket));
         }
-        self.gate = gate;
+        self.queues = queues;
     }
 
     fn send(
--- a/crates/stage/src/traffic.rs
+++ b/crates/stage/src/traffic.rs
@@ -240,7 +240,7 @@
     /// target.
     pub fn pump(&self) {
         let mut state = self.lock();
-        if 0 < state.policy.gate.waiting() {
+        if 0 < state.policy.queues.waiting() {
             let changes = state.policy.pump(self.now());
             state.notify_waiters(changes);
         }
@@ -248,7 +248,7 @@
 
     /// Returns the number of requests that wait for admission.
     pub fn waiting(&self) -> usize {
-        self.lock().policy.gate.waiting()
+        self.lock().policy.queues.waiting()
     }
 
     /// Returns the time since `origin`.
--- a/crates/stage/src/traffic/guard.rs
+++ b/crates/stage/src/traffic/guard.rs
@@ -77,7 +77,7 @@
         let Some(mut receiver) = self.outcome.take() else { return };
         let mut state = self.traffic.lock();
         if state.waiters.remove(&self.ticket).is_some() {
-            state.policy.gate.cancel(self.ticket);
+            state.policy.queues.cancel(self.ticket);
             return;
         }
         if let Ok(Ok(())) = receiver.try_recv() {
