--- a/crates/policy/tests/dispatch/retries.rs
+++ b/crates/policy/tests/dispatch/retries.rs
@@ -294,7 +294,7 @@
     }
 }
 
-/// The same second `count` times.
+/// Returns `count` copies of a second.
 fn seconds(count: usize, second: Second) -> Vec<Second> {
     vec![second; count]
 }
--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -82,10 +82,10 @@
 /// Name of a server after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Name {
-    /// A new name, so orders to an earlier instance do not reach it.
+    /// A new name, so orders to an earlier instance do not reach the new one.
     New,
-    /// The same name, so it can't distinguish orders to an earlier instance from others. Each order
-    /// then takes effect at most once, since no planner could guard against more.
+    /// The same name, so the new instance can't distinguish orders to an earlier instance from
+    /// others. Each order then takes effect at most once, since no planner could guard against more.
     Kept,
 }
 
