--- a/crates/spec/src/order/memory.rs
+++ b/crates/spec/src/order/memory.rs
@@ -85,7 +85,8 @@
     /// A new name, so orders to an earlier instance do not reach the new one.
     New,
     /// The same name, so the new instance can't distinguish orders to an earlier instance from
-    /// others. Each order then takes effect at most once, since no planner could guard against more.
+    /// others. Each order then takes effect at most once, since no planner could guard against
+    /// more.
     Kept,
 }
 
