--- a/crates/stage/src/duties/plan/lease.rs
+++ b/crates/stage/src/duties/plan/lease.rs
@@ -10,6 +10,9 @@
 
 use crate::context::Context;
 
+/// Target of this module's log records, which operators may filter on.
+const LOG_TARGET: &str = "stage::duties::plan::held";
+
 const DUTY: &str = "plan";
 
 /// Number of reads per lease term while another host holds the lease.
@@ -35,14 +38,14 @@
     /// Acquires or renews the lease if that is due; returns whether this host may plan.
     pub(super) async fn acquire_or_renew(&mut self) -> bool {
         if let Err(error) = self.step().await {
-            log::warn!("planning lease not read or written: {error}");
+            log::warn!(target: LOG_TARGET, "planning lease not read or written: {error}");
             self.last_read = None;
         }
         let is_held = self.observer.is_held(self.context.now());
         if is_held != self.was_held {
             self.was_held = is_held;
             let lease = if is_held { event::LeaseState::Taken } else { event::LeaseState::Lost };
-            log::info!(holds = is_held; "planning lease acquired or lost");
+            log::info!(target: LOG_TARGET, holds = is_held; "planning lease acquired or lost");
             self.record(lease);
         }
         is_held
@@ -56,7 +59,7 @@
         if let Some((version, _)) = self.known.take() {
             let key = Observer::key(DUTY);
             if let Err(error) = self.context.store.delete(&key, version).await {
-                log::warn!("planning lease not released: {error}");
+                log::warn!(target: LOG_TARGET, "planning lease not released: {error}");
             }
         }
         self.observer.observe(self.context.now(), None);
--- a/crates/stage/src/duties/plan/ledgers.rs
+++ b/crates/stage/src/duties/plan/ledgers.rs
@@ -10,6 +10,9 @@
 
 use crate::context::Context;
 
+/// Target of this module's log records, which operators may filter on.
+const LOG_TARGET: &str = "stage::duties::plan::book";
+
 const PREFIX: &str = "ledger/";
 
 /// Maximum number of attempts at a write. The ledger is read back after each that conflicts or
@@ -145,7 +148,9 @@
                 }
                 Err(error) if error.is_conflict() || error.is_ambiguous() => may_be_pending = true,
                 Err(error) => {
-                    log::warn!(server = &**server; "ledger not written: {error}");
+                    log::warn!(
+                        target: LOG_TARGET, server = &**server; "ledger not written: {error}"
+                    );
                     if !may_be_pending {
                         return WriteOutcome::NotApplied;
                     }
@@ -157,7 +162,11 @@
                     return WriteOutcome::NotApplied;
                 }
                 Ok(_) => {}
-                Err(error) => log::warn!(server = &**server; "ledger not read back: {error}"),
+                Err(error) => {
+                    log::warn!(
+                        target: LOG_TARGET, server = &**server; "ledger not read back: {error}"
+                    )
+                }
             }
         }
         self.stored.remove(server);
@@ -179,7 +188,7 @@
             Ok(ledger) => {
                 self.stored.insert(ledger.server.clone(), StoredLedger { version, ledger });
             }
-            Err(error) => log::error!(key = key; "ledger unreadable: {error}"),
+            Err(error) => log::error!(target: LOG_TARGET, key = key; "ledger unreadable: {error}"),
         }
     }
 }
